--- a/crates/capacity-bench/src/configuration.rs
+++ b/crates/capacity-bench/src/configuration.rs
@@ -85,23 +85,26 @@
     let mut table = Table::new("Configuration (mains): one route changed", "routes", &columns);
     for &size in sizes {
         let (old, new) = (text(1, size, size / 2), text(2, size, size / 2));
-        let (Ok(first), Ok(second)) = (Config::read(old.as_bytes()), Config::read(new.as_bytes())) else {
+        let (Ok(first), Ok(second)) = (Config::parse(old.as_bytes()), Config::parse(new.as_bytes())) else {
             table.notes.push(format!("{size} routes can't be read"));
             continue;
         };
         let copies = 32;
         let before = memory::resident();
-        let kept: Vec<Config> = (0..copies).filter_map(|_| Config::read(old.as_bytes()).ok()).collect();
+        let kept: Vec<Config> = (0..copies).filter_map(|_| Config::parse(old.as_bytes()).ok()).collect();
         let kb = memory::each(before, memory::resident(), copies) / 1024.0;
         std::mem::forget(kept);
-        let read = micros(turns, || Config::read(old.as_bytes()));
-        let patch_us = micros(turns, || first.patch(&second));
-        let patch = first.patch(&second);
-        let patched = micros(turns, || first.patched(&patch));
+        let read = micros(turns, || Config::parse(old.as_bytes()));
+        let patch_us = micros(turns, || first.patch_to(&second));
+        let patch = first.patch_to(&second);
+        let patched = micros(turns, || first.apply_patch(&patch));
         let mut next = 0;
         let find = micros(turns * 1000, || {
             next = (next + 7919) % size.max(1);
-            first.find(&format!("tenant-{}.example", next % 1800), &format!("/v1/part-{}/x", next / 1800))
+            first.find_route(
+                &format!("tenant-{}.example", next % 1800),
+                &format!("/v1/part-{}/x", next / 1800),
+            )
         });
         let answer = Fetched { revision: 2, patches: vec![patch], whole: None };
         let request = PieceRequest { have: 1, target: 0, offset: 0 };
--- a/crates/capacity-bench/tests/small.rs
+++ b/crates/capacity-bench/tests/small.rs
@@ -75,12 +75,12 @@
 
 #[test]
 fn configurations_are_sound_and_differ_in_one_route() {
-    let old = Config::read(configuration::text(1, 50, 25).as_bytes()).expect("sound");
-    let new = Config::read(configuration::text(2, 50, 25).as_bytes()).expect("sound");
+    let old = Config::parse(configuration::text(1, 50, 25).as_bytes()).expect("sound");
+    let new = Config::parse(configuration::text(2, 50, 25).as_bytes()).expect("sound");
     let differ = old.routes.iter().zip(new.routes.iter()).filter(|(old, new)| old != new).count();
     assert_eq!((old.routes.len(), differ), (50, 1));
     assert_eq!(
-        old.find("tenant-7.example", "/v1/part-0/x").map(|route| route.name.as_str()),
+        old.find_route("tenant-7.example", "/v1/part-0/x").map(|route| route.name.as_str()),
         Some("route-7")
     );
     let table = configuration::cost(&[20, 40], 1);
--- a/crates/config/examples/change_cost.rs
+++ b/crates/config/examples/change_cost.rs
@@ -50,37 +50,37 @@
 /// How many configurations are held at once to tell the memory of one.
 const COPIES: usize = 20;
 
-fn main() -> Result<(), mosshead_config::Fault> {
+fn main() -> Result<(), mosshead_config::ConfigError> {
     println!("{:>6} {:>8} {:>10} {:>10}", "routes", "change", "step", "us");
     for routes in [20, 500, 5_000, 10_000] {
         let text = whole(routes);
         let before = resident();
         let held: Vec<Config> =
-            (0..COPIES).map(|_| Config::read(text.as_bytes())).collect::<Result<_, _>>()?;
+            (0..COPIES).map(|_| Config::parse(text.as_bytes())).collect::<Result<_, _>>()?;
         println!("{routes:>6} KiB held by one: {}", (resident().saturating_sub(before)) / COPIES);
         drop(held);
-        let old = Config::read(text.as_bytes())?;
+        let old = Config::parse(text.as_bytes())?;
         let row = |change: &str, step: &str, micros: f64| {
             println!("{routes:>6} {change:>8} {step:>10} {micros:>10.1}");
         };
-        row("-", "read", micros(|| Config::read(text.as_bytes())));
+        row("-", "read", micros(|| Config::parse(text.as_bytes())));
         let mut next = 0;
         row(
             "-",
             "find",
             micros(|| {
                 next = (next + 7919) % routes;
-                old.find(&format!("host{:03}.example", next % 200), &format!("/p{next}/x")).is_some()
+                old.find_route(&format!("host{:03}.example", next % 200), &format!("/p{next}/x")).is_some()
             }),
         );
         let middle = routes / 2;
         let many: Vec<String> = (routes..routes + MANY).map(|number| route(number, 2500)).collect();
         let many = format!("{{\"revision\":2,\"upsert\":{{\"route_entries\":[{}]}}}}", many.join(","));
-        let grown = old.changed(many.as_bytes())?;
-        let patch = old.patch(&grown);
-        row("add many", "changed", micros(|| old.changed(many.as_bytes())));
-        row("add many", "patch", micros(|| old.patch(&grown)));
-        row("add many", "patched", micros(|| old.patched(&patch)));
+        let grown = old.modify(many.as_bytes())?;
+        let patch = old.patch_to(&grown);
+        row("add many", "changed", micros(|| old.modify(many.as_bytes())));
+        row("add many", "patch", micros(|| old.patch_to(&grown)));
+        row("add many", "patched", micros(|| old.apply_patch(&patch)));
         let changes = [
             ("change", format!("\"upsert\":{{\"route_entries\":[{}]}}", route(middle, 2600))),
             ("add", format!("\"upsert\":{{\"route_entries\":[{}]}}", route(routes, 2500))),
@@ -88,14 +88,14 @@
         ];
         for (name, change) in changes {
             let change = format!("{{\"revision\":2,{change}}}");
-            let new = old.changed(change.as_bytes())?;
-            let patch = old.patch(&new);
-            row(name, "changed", micros(|| old.changed(change.as_bytes())));
-            let text = new.to_text();
-            row(name, "read_after", micros(|| old.read_after(text.as_bytes())));
-            row(name, "to_text", micros(|| new.to_text()));
-            row(name, "patch", micros(|| old.patch(&new)));
-            row(name, "patched", micros(|| old.patched(&patch)));
+            let new = old.modify(change.as_bytes())?;
+            let patch = old.patch_to(&new);
+            row(name, "changed", micros(|| old.modify(change.as_bytes())));
+            let text = new.to_json();
+            row(name, "read_after", micros(|| old.parse_sharing(text.as_bytes())));
+            row(name, "to_text", micros(|| new.to_json()));
+            row(name, "patch", micros(|| old.patch_to(&new)));
+            row(name, "patched", micros(|| old.apply_patch(&patch)));
         }
     }
     Ok(())
--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Config;
 use crate::draft::{Draft, LIMITS, Part, REVISION, ROUTES, SERVICES};
-use crate::fault::{Cause, Fault, brief};
+use crate::fault::{ConfigError, ConfigErrorKind, brief};
 use crate::index::Index;
 use crate::limits::Limits;
 use crate::list::{List, Meaning};
@@ -18,13 +18,13 @@
 pub(crate) type Services = BTreeMap<String, Arc<Service>>;
 
 /// Checks all of it.
-pub(crate) fn build(draft: Draft) -> Result<Config, Fault> {
+pub(crate) fn build(draft: Draft) -> Result<Config, ConfigError> {
     let (revision, limits) = head(&draft)?;
     let services = services(items(&draft, SERVICES)?);
     let routes = Routes::new(items(&draft, ROUTES)?.clone());
     for (at, route) in routes.iter().enumerate() {
         if let Some(service) = unknown_service(route, &services) {
-            let cause = Cause::UnknownService(brief(route.name.clone()), brief(service.to_owned()));
+            let cause = ConfigErrorKind::UnknownService(brief(route.name.clone()), brief(service.to_owned()));
             return Err(cause.at(format!("{ROUTES}[{at}]")));
         }
     }
@@ -32,10 +32,10 @@
     let index = Index::new(&slice).map_err(|(one, two)| {
         let (first, second) = (one.min(two), one.max(two));
         let name = |at: usize| slice.get(at).map(|route| brief(route.name.clone())).unwrap_or_default();
-        Cause::SamePlace(name(second), name(first)).at(format!("{ROUTES}[{second}]"))
+        ConfigErrorKind::DuplicateMatch(name(second), name(first)).at(format!("{ROUTES}[{second}]"))
     })?;
     if draft.text_length() > scan::MAX_BYTES {
-        return Err(Cause::TooLong(scan::MAX_BYTES).at("body"));
+        return Err(ConfigErrorKind::TooLong(scan::MAX_BYTES).at("body"));
     }
     Ok(Config::assemble(revision, routes, Arc::new(services), limits, index, draft))
 }
@@ -43,7 +43,7 @@
 /// Checks what differs from a configuration that has passed every check.
 ///
 /// What is found wrong is left to [`build`] to say, so that the fault is the same one whichever way it is found.
-pub(crate) fn build_on(base: &Config, draft: Draft) -> Result<Config, Fault> {
+pub(crate) fn build_on(base: &Config, draft: Draft) -> Result<Config, ConfigError> {
     let (Some(routes), Some(services)) = (draft.list(ROUTES), draft.list(SERVICES)) else {
         return build(draft);
     };
@@ -97,26 +97,26 @@
     (routes_known && free).then_some(index)
 }
 
-fn head(draft: &Draft) -> Result<(u64, Limits), Fault> {
+fn head(draft: &Draft) -> Result<(u64, Limits), ConfigError> {
     let revision = match draft.part(REVISION) {
-        None => return Err(Cause::Missing.at(REVISION)),
-        Some(Part::Items(_)) => return Err(Cause::WrongType("a number").at(REVISION)),
+        None => return Err(ConfigErrorKind::Missing.at(REVISION)),
+        Some(Part::Items(_)) => return Err(ConfigErrorKind::WrongType("a number").at(REVISION)),
         Some(Part::Plain(text)) => value::whole(&value::parse(text, REVISION)?, REVISION)?,
     };
     let limits = match draft.part(LIMITS) {
         None => Limits::default(),
         Some(Part::Plain(text)) if text.as_ref() == "null" => Limits::default(),
-        Some(Part::Items(_)) => return Err(Cause::WrongType("an object").at(LIMITS)),
+        Some(Part::Items(_)) => return Err(ConfigErrorKind::WrongType("an object").at(LIMITS)),
         Some(Part::Plain(text)) => Limits::read(&value::parse(text, LIMITS)?, LIMITS)?,
     };
     Ok((revision, limits))
 }
 
-fn items<'d>(draft: &'d Draft, list: &str) -> Result<&'d List, Fault> {
+fn items<'d>(draft: &'d Draft, list: &str) -> Result<&'d List, ConfigError> {
     match draft.part(list) {
-        None => Err(Cause::Missing.at(list)),
+        None => Err(ConfigErrorKind::Missing.at(list)),
         Some(Part::Items(items)) => Ok(items),
-        Some(Part::Plain(_)) => Err(Cause::WrongType("a list").at(list)),
+        Some(Part::Plain(_)) => Err(ConfigErrorKind::WrongType("a list").at(list)),
     }
 }
 
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -5,7 +5,7 @@
 
 use crate::build::{Services, build, build_on};
 use crate::draft::{self, Draft, Part, REVISION};
-use crate::fault::{Cause, Fault};
+use crate::fault::{ConfigError, ConfigErrorKind};
 use crate::index::Index;
 use crate::limits::Limits;
 use crate::list::List;
@@ -38,24 +38,24 @@
 
 impl Config {
     /// A whole configuration, with every check.
-    pub fn read(text: &[u8]) -> Result<Config, Fault> {
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let text = scan::text(text, scan::MAX_BYTES)?;
         scan::guard(text, scan::MAX_DEPTH)?;
         build(Draft::read(text)?)
     }
 
     /// `Configuration.Replace`: a whole configuration, above the current one (above 0, if there is none).
-    pub fn replaced(current: Option<&Config>, text: &[u8]) -> Result<Config, Fault> {
+    pub fn parse_replacement(current: Option<&Config>, text: &[u8]) -> Result<Config, ConfigError> {
         let config = match current {
-            Some(current) => current.read_after(text)?,
-            None => Config::read(text)?,
+            Some(current) => current.parse_sharing(text)?,
+            None => Config::parse(text)?,
         };
         above(config.revision, current.map_or(0, |current| current.revision))?;
         Ok(config)
     }
 
     /// `Configuration.Modify`: this configuration with items withdrawn, then others put in.
-    pub fn changed(&self, text: &[u8]) -> Result<Config, Fault> {
+    pub fn modify(&self, text: &[u8]) -> Result<Config, ConfigError> {
         let text = scan::text(text, scan::MAX_BYTES)?;
         scan::guard(text, scan::MAX_DEPTH)?;
         let mut revision = None;
@@ -69,7 +69,7 @@
                 key => drop(value::parse(value, key)?),
             }
         }
-        let revision = revision.ok_or_else(|| Cause::Missing.at(REVISION))?;
+        let revision = revision.ok_or_else(|| ConfigErrorKind::Missing.at(REVISION))?;
         above(revision, self.revision)?;
 
         let mut draft = self.body.draft.clone();
@@ -95,23 +95,23 @@
     }
 
     /// The configuration whole, as JSON without white space: to be shown and stored. It is put together when it is
-    /// first asked for, and kept; [`Config::to_text`] keeps nothing.
-    pub fn text(&self) -> &Arc<str> {
-        self.body.text.get_or_init(|| self.to_text().into())
+    /// first asked for, and kept; [`Config::to_json`] keeps nothing.
+    pub fn json(&self) -> &Arc<str> {
+        self.body.text.get_or_init(|| self.to_json().into())
     }
 
     /// The same text, put together anew.
-    pub fn to_text(&self) -> String {
+    pub fn to_json(&self) -> String {
         self.body.draft.text()
     }
 
     /// How long the text is, in bytes.
-    pub fn text_length(&self) -> usize {
+    pub fn json_length(&self) -> usize {
         self.body.draft.text_length()
     }
 
     /// Of the routes of that host, the one with the longest prefix that begins the path.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         self.body.index.find(&route::host_name(host), path)
     }
@@ -146,8 +146,12 @@
     }
 }
 
-fn above(revision: u64, current: u64) -> Result<(), Fault> {
-    if revision > current { Ok(()) } else { Err(Cause::OldRevision(revision, current).at(REVISION)) }
+fn above(revision: u64, current: u64) -> Result<(), ConfigError> {
+    if revision > current {
+        Ok(())
+    } else {
+        Err(ConfigErrorKind::StaleRevision(revision, current).at(REVISION))
+    }
 }
 
 /// Equal when the texts are.
--- a/crates/config/src/draft.rs
+++ b/crates/config/src/draft.rs
@@ -6,7 +6,7 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::{Cause, Fault};
+use crate::fault::{ConfigError, ConfigErrorKind};
 use crate::hash;
 use crate::list::{Item, List, Meaning};
 use crate::route::Route;
@@ -81,7 +81,7 @@
 
 impl Draft {
     /// From a text that has passed the guard.
-    pub(crate) fn read(text: &str) -> Result<Self, Fault> {
+    pub(crate) fn read(text: &str) -> Result<Self, ConfigError> {
         let mut draft = Draft::default();
         for (key, value, elements) in lists(text, "body")? {
             let part = part(&key, value, elements, &key)?;
@@ -167,20 +167,20 @@
     }
 
     /// Puts items into a list: in the place of those that have their names, else at the end.
-    pub(crate) fn upsert(&mut self, key: &str, new: Vec<Arc<Item>>, place: &str) -> Result<(), Fault> {
+    pub(crate) fn upsert(&mut self, key: &str, new: Vec<Arc<Item>>, place: &str) -> Result<(), ConfigError> {
         if self.part(key).is_none() {
             self.set(key, Part::Items(List::new(new)));
             return Ok(());
         }
         let list = self.list_mut(key);
-        let list = list.ok_or_else(|| Cause::WrongType("for a list of named items").at(place))?;
+        let list = list.ok_or_else(|| ConfigErrorKind::WrongType("for a list of named items").at(place))?;
         new.into_iter().for_each(|item| list.upsert(item));
         Ok(())
     }
 }
 
 /// The fields of an object.
-pub(crate) fn object<'a>(text: &'a str, place: &str) -> Result<Vec<(Cow<'a, str>, &'a str)>, Fault> {
+pub(crate) fn object<'a>(text: &'a str, place: &str) -> Result<Vec<(Cow<'a, str>, &'a str)>, ConfigError> {
     match scan::fields(text) {
         Some(fields) => Ok(fields),
         None => Err(value::not(text, place, "an object")),
@@ -188,7 +188,7 @@
 }
 
 /// The elements of a list.
-pub(crate) fn list<'a>(text: &'a str, place: &str) -> Result<Vec<&'a str>, Fault> {
+pub(crate) fn list<'a>(text: &'a str, place: &str) -> Result<Vec<&'a str>, ConfigError> {
     match scan::elements(text) {
         Some(elements) => Ok(elements),
         None => Err(value::not(text, place, "a list")),
@@ -196,31 +196,38 @@
 }
 
 /// Names in a list.
-pub(crate) fn names<'a>(text: &'a str, place: &str) -> Result<Vec<Cow<'a, str>>, Fault> {
+pub(crate) fn names<'a>(text: &'a str, place: &str) -> Result<Vec<Cow<'a, str>>, ConfigError> {
     let mut found = Vec::new();
     for (at, element) in list(text, place)?.into_iter().enumerate() {
         let place = format!("{place}[{at}]");
         match value::parse(element, &place)? {
             JsonValue::String(name) => found.push(Cow::Owned(name)),
-            _ => return Err(Cause::WrongType("a name").at(place)),
+            _ => return Err(ConfigErrorKind::WrongType("a name").at(place)),
         }
     }
     Ok(found)
 }
 
 /// The fields of an object, each as [`part`] and [`items`] take it.
-pub(crate) fn lists<'a>(text: &'a str, place: &str) -> Result<Vec<scan::Listed<'a>>, Fault> {
+pub(crate) fn lists<'a>(text: &'a str, place: &str) -> Result<Vec<scan::Listed<'a>>, ConfigError> {
     scan::lists(text).ok_or_else(|| value::not(text, place, "an object"))
 }
 
 /// A top-level field. Of unknown lists, those whose items have names of their own can be changed by item.
-pub(crate) fn part(key: &str, text: &str, elements: Option<Vec<&str>>, place: &str) -> Result<Part, Fault> {
+pub(crate) fn part(
+    key: &str,
+    text: &str,
+    elements: Option<Vec<&str>>,
+    place: &str,
+) -> Result<Part, ConfigError> {
     let known = matches!(key, ROUTES | SERVICES);
     match elements {
         None if known => return Err(value::not(text, place, "a list")),
         Some(elements) if !matches!(key, REVISION | LIMITS) => match items(key, elements, place) {
             Ok(items) => return Ok(Part::Items(List::new(items))),
-            Err(fault) if known || matches!(fault.cause, Cause::NotWhole(..)) => return Err(fault),
+            Err(fault) if known || matches!(fault.kind, ConfigErrorKind::MalformedJson(..)) => {
+                return Err(fault);
+            }
             Err(_) => {}
         },
         _ => {}
@@ -230,7 +237,7 @@
 }
 
 /// The items of a list, each with a name of its own.
-pub(crate) fn items(list: &str, elements: Vec<&str>, place: &str) -> Result<Vec<Arc<Item>>, Fault> {
+pub(crate) fn items(list: &str, elements: Vec<&str>, place: &str) -> Result<Vec<Arc<Item>>, ConfigError> {
     let mut found: Vec<Arc<Item>> = Vec::with_capacity(elements.len());
     let mut seen: HashSet<String> = HashSet::with_capacity(elements.len());
     for (at, text) in elements.into_iter().enumerate() {
@@ -240,7 +247,7 @@
         let name = object.name("name")?;
         if !seen.insert(name.to_owned()) {
             let name = crate::fault::brief(name.to_owned());
-            return Err(object.fault("name", Cause::SameName(name)));
+            return Err(object.fault("name", ConfigErrorKind::DuplicateName(name)));
         }
         let meaning = match list {
             ROUTES => Meaning::Route(Arc::new(Route::read(&object)?)),
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 
 /// The result codes with what they say: for the table in the docs.
-pub const CODES: [(u16, &str); 14] = [
+pub const ERROR_CODES: [(u16, &str); 14] = [
     (1, "the text is too long"),
     (2, "the text is not UTF-8"),
     (3, "the text is not one whole JSON value: cut short, malformed, or with bytes after it"),
@@ -26,7 +26,7 @@
     /// What is wrong.
     #[derive(Debug, Clone, PartialEq, Eq)]
     #[non_exhaustive]
-    pub enum Cause {
+    pub enum ConfigErrorKind {
         /// More bytes than are read.
         TooLong(most: usize) {
             display("longer than {} bytes", most)
@@ -36,7 +36,7 @@
             display("not UTF-8")
         }
         /// Not one whole JSON value.
-        NotWhole(why: String) {
+        MalformedJson(why: String) {
             display("not one whole JSON value: {}", why)
         }
         /// Nested too deep.
@@ -44,7 +44,7 @@
             display("nested deeper than {} levels", most)
         }
         /// An object with the same key twice.
-        SameKey(key: String) {
+        DuplicateKey(key: String) {
             display("the key {:?} is there twice", key)
         }
         /// Another type than the field has.
@@ -64,72 +64,72 @@
             display("route {:?} names the unknown service {:?}", route, service)
         }
         /// Two routes share host and path prefix.
-        SamePlace(route: String, other: String) {
+        DuplicateMatch(route: String, other: String) {
             display("route {:?} has the host and path prefix of route {:?}", route, other)
         }
         /// A route's weights add up to nothing.
-        NoWeight {
+        ZeroWeight {
             display("weights must add up to more than 0")
         }
         /// Not above the revision that is in place.
-        OldRevision(sent: u64, current: u64) {
+        StaleRevision(sent: u64, current: u64) {
             display("{} is not above the current revision, {}", sent, current)
         }
         /// Two items of one list share a name.
-        SameName(name: String) {
+        DuplicateName(name: String) {
             display("the name {:?} is there twice", name)
         }
         /// A patch for another configuration.
-        Mismatch(why: &'static str) {
+        PatchMismatch(why: &'static str) {
             display("patch does not fit: {}", why)
         }
     }
 }
 
-impl Cause {
+impl ConfigErrorKind {
     /// The result code.
     pub fn code(&self) -> u16 {
         match self {
-            Cause::TooLong(..) => 1,
-            Cause::NotUtf8 => 2,
-            Cause::NotWhole(..) => 3,
-            Cause::TooDeep(..) => 4,
-            Cause::SameKey(..) => 5,
-            Cause::WrongType(..) => 6,
-            Cause::OutOfRange(..) => 7,
-            Cause::Missing => 8,
-            Cause::UnknownService(..) => 9,
-            Cause::SamePlace(..) => 10,
-            Cause::NoWeight => 11,
-            Cause::OldRevision(..) => 12,
-            Cause::SameName(..) => 13,
-            Cause::Mismatch(..) => 14,
+            ConfigErrorKind::TooLong(..) => 1,
+            ConfigErrorKind::NotUtf8 => 2,
+            ConfigErrorKind::MalformedJson(..) => 3,
+            ConfigErrorKind::TooDeep(..) => 4,
+            ConfigErrorKind::DuplicateKey(..) => 5,
+            ConfigErrorKind::WrongType(..) => 6,
+            ConfigErrorKind::OutOfRange(..) => 7,
+            ConfigErrorKind::Missing => 8,
+            ConfigErrorKind::UnknownService(..) => 9,
+            ConfigErrorKind::DuplicateMatch(..) => 10,
+            ConfigErrorKind::ZeroWeight => 11,
+            ConfigErrorKind::StaleRevision(..) => 12,
+            ConfigErrorKind::DuplicateName(..) => 13,
+            ConfigErrorKind::PatchMismatch(..) => 14,
         }
     }
 
-    pub(crate) fn at(self, place: impl Into<String>) -> Fault {
-        Fault { cause: self, place: brief(place.into()) }
+    pub(crate) fn at(self, place: impl Into<String>) -> ConfigError {
+        ConfigError { kind: self, location: brief(place.into()) }
     }
 
     /// Words of the operator's own come back to him, but not by the megabyte.
-    pub(crate) fn not_whole(why: impl Into<String>) -> Cause {
-        Cause::NotWhole(brief(why.into()))
+    pub(crate) fn malformed_json(why: impl Into<String>) -> ConfigErrorKind {
+        ConfigErrorKind::MalformedJson(brief(why.into()))
     }
 }
 
 /// Why a configuration is refused, and where in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// What is wrong.
-    pub cause: Cause,
+    pub kind: ConfigErrorKind,
     /// Where: `route_entries[3].timeout_ms`, or `byte 812` where the text itself is broken.
-    pub place: String,
+    pub location: String,
 }
 
-impl Fault {
-    /// The result code, one of [`CODES`].
+impl ConfigError {
+    /// The result code, one of [`ERROR_CODES`].
     pub fn code(&self) -> u16 {
-        self.cause.code()
+        self.kind.code()
     }
 
     /// The HTTP status of the answer to the operator.
@@ -139,19 +139,19 @@
 
     /// What is wrong, without code and place.
     pub fn message(&self) -> String {
-        self.cause.to_string()
+        self.kind.to_string()
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "M{:02} at {}: {}", self.code(), self.place, self.cause)
+        write!(to, "M{:02} at {}: {}", self.code(), self.location, self.kind)
     }
 }
 
-impl std::error::Error for Fault {
+impl std::error::Error for ConfigError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.cause)
+        Some(&self.kind)
     }
 }
 
--- a/crates/config/src/index.rs
+++ b/crates/config/src/index.rs
@@ -16,9 +16,9 @@
     /// Fails with the numbers of two routes that share host and prefix.
     pub(crate) fn new(routes: &[Arc<Route>]) -> Result<Index, (usize, usize)> {
         let mut sorted: Vec<(usize, &Arc<Route>)> = routes.iter().enumerate().collect();
-        sorted.sort_by(|(_, one), (_, two)| order(one, &two.host, &two.prefix));
+        sorted.sort_by(|(_, one), (_, two)| order(one, &two.host, &two.path_prefix));
         for ((first, one), (second, two)) in sorted.iter().zip(sorted.iter().skip(1)) {
-            if order(one, &two.host, &two.prefix).is_eq() {
+            if order(one, &two.host, &two.path_prefix).is_eq() {
                 return Err((*first, *second));
             }
         }
@@ -28,11 +28,11 @@
 
     /// False when another route has its place.
     pub(crate) fn insert(&mut self, route: &Arc<Route>) -> bool {
-        self.order.insert(route.clone(), |own| order(own, &route.host, &route.prefix)).is_none()
+        self.order.insert(route.clone(), |own| order(own, &route.host, &route.path_prefix)).is_none()
     }
 
     pub(crate) fn remove(&mut self, route: &Route) {
-        self.order.remove(|own| order(own, &route.host, &route.prefix));
+        self.order.remove(|own| order(own, &route.host, &route.path_prefix));
     }
 
     /// `host` as it stands in the routes.
@@ -45,10 +45,10 @@
             if found.host != host {
                 return None;
             }
-            if path.starts_with(&found.prefix) {
+            if path.starts_with(&found.path_prefix) {
                 return Some(found);
             }
-            path = common_start(path, &found.prefix);
+            path = common_start(path, &found.path_prefix);
         }
     }
 }
@@ -61,5 +61,5 @@
 }
 
 fn order(route: &Route, host: &str, prefix: &str) -> Ordering {
-    route.host.as_str().cmp(host).then_with(|| route.prefix.as_str().cmp(prefix))
+    route.host.as_str().cmp(host).then_with(|| route.path_prefix.as_str().cmp(prefix))
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -22,9 +22,9 @@
 mod value;
 
 pub use config::Config;
-pub use fault::{CODES, Cause, Fault};
+pub use fault::{ConfigError, ConfigErrorKind, ERROR_CODES};
 pub use limits::Limits;
 pub use route::{Route, RouteType};
 pub use routes::Routes;
-pub use scan::{MAX_BYTES, MAX_DEPTH, parse, revision};
+pub use scan::{MAX_BYTES, MAX_DEPTH, parse_json, peek_revision};
 pub use service::{Engine, Service};
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -2,7 +2,7 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::Fault;
+use crate::fault::ConfigError;
 use crate::value::Object;
 
 /// The bounds for clients. No value is below its floor: a limit of nothing would shut every client out.
@@ -31,21 +31,21 @@
 
 impl Limits {
     /// The lowest value of each limit.
-    pub const FLOORS: Limits = Limits {
+    pub const MINIMUM: Limits = Limits {
         max_header_bytes: 1 << 10,
         max_body_bytes: 1 << 10,
         header_timeout_ms: 100,
         idle_timeout_ms: 100,
     };
 
-    pub(crate) fn read(value: &JsonValue, place: &str) -> Result<Limits, Fault> {
+    pub(crate) fn read(value: &JsonValue, place: &str) -> Result<Limits, ConfigError> {
         let object = Object::within(value, place)?;
-        let (usual, floors) = (Limits::default(), Limits::FLOORS);
-        let bytes = |key, usual: usize, floor: usize| -> Result<usize, Fault> {
+        let (usual, floors) = (Limits::default(), Limits::MINIMUM);
+        let bytes = |key, usual: usize, floor: usize| -> Result<usize, ConfigError> {
             let given = object.count(key, u64::MAX)?;
             Ok(given.map_or(usual, |given| usize::try_from(given).unwrap_or(usize::MAX)).max(floor))
         };
-        let time = |key, usual: u64, floor: u64| -> Result<u64, Fault> {
+        let time = |key, usual: u64, floor: u64| -> Result<u64, ConfigError> {
             Ok(object.count(key, u64::MAX)?.unwrap_or(usual).max(floor))
         };
         Ok(Limits {
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -9,7 +9,7 @@
 use crate::build::{build, build_on};
 use crate::config::Config;
 use crate::draft::{self, Draft, Field, Part};
-use crate::fault::{Cause, Fault};
+use crate::fault::{ConfigError, ConfigErrorKind};
 use crate::list::List;
 use crate::scan::{self, quote};
 use crate::value;
@@ -18,17 +18,17 @@
 
 impl Config {
     /// What turns this configuration into the newer one, as JSON.
-    pub fn patch(&self, newer: &Config) -> String {
+    pub fn patch_to(&self, newer: &Config) -> String {
         let head = format!("{{\"base\":{},\"sum\":\"{:016x}\"", self.revision, newer.draft().hash());
         let mut patch = head.clone();
         self.differences(newer).write(&mut patch);
         patch.push('}');
-        let whole = head.len() + newer.text_length() + 10;
-        if patch.len() > whole { format!("{head},\"whole\":{}}}", newer.to_text()) } else { patch }
+        let whole = head.len() + newer.json_length() + 10;
+        if patch.len() > whole { format!("{head},\"whole\":{}}}", newer.to_json()) } else { patch }
     }
 
     /// This configuration after a patch that was made for it.
-    pub fn patched(&self, patch: &str) -> Result<Config, Fault> {
+    pub fn apply_patch(&self, patch: &str) -> Result<Config, ConfigError> {
         // A patch holds the newer configuration, or parts of it, one level down.
         let text = scan::text(patch.as_bytes(), scan::MAX_BYTES + 100)?;
         scan::guard(text, scan::MAX_DEPTH + 1)?;
@@ -39,15 +39,15 @@
             None => build_on(self, self.apply(&mut fields)?)?,
         };
         if wanted.as_deref() != Some(&format!("{:016x}", config.draft().hash())) {
-            return Err(Cause::Mismatch("another text came out").at("sum"));
+            return Err(ConfigErrorKind::PatchMismatch("another text came out").at("sum"));
         }
         Ok(config)
     }
 
-    fn apply(&self, fields: &mut HashMap<Cow<'_, str>, &str>) -> Result<Draft, Fault> {
+    fn apply(&self, fields: &mut HashMap<Cow<'_, str>, &str>) -> Result<Draft, ConfigError> {
         let base = fields.remove("base").unwrap_or("null");
         if value::whole(&value::parse(base, "base")?, "base")? != self.revision {
-            return Err(Cause::Mismatch("made for another revision").at("base"));
+            return Err(ConfigErrorKind::PatchMismatch("made for another revision").at("base"));
         }
         let mut draft = self.draft().clone();
         for (list, value) in object(fields.remove("withdraw"), "withdraw")? {
@@ -169,16 +169,16 @@
     names.iter().map(|name| quote(name)).collect()
 }
 
-fn object<'a>(text: Option<&'a str>, place: &str) -> Result<Vec<(Cow<'a, str>, &'a str)>, Fault> {
+fn object<'a>(text: Option<&'a str>, place: &str) -> Result<Vec<(Cow<'a, str>, &'a str)>, ConfigError> {
     text.map_or(Ok(Vec::new()), |text| draft::object(text, place))
 }
 
-fn lists<'a>(text: Option<&'a str>, place: &str) -> Result<Vec<scan::Listed<'a>>, Fault> {
+fn lists<'a>(text: Option<&'a str>, place: &str) -> Result<Vec<scan::Listed<'a>>, ConfigError> {
     text.map_or(Ok(Vec::new()), |text| draft::lists(text, place))
 }
 
 /// Brings fields into the order of their names.
-fn arrange(fields: &mut [Field], names: &[Cow<'_, str>]) -> Result<(), Fault> {
+fn arrange(fields: &mut [Field], names: &[Cow<'_, str>]) -> Result<(), ConfigError> {
     let at: HashMap<&str, usize> = names.iter().enumerate().map(|(at, name)| (name.as_ref(), at)).collect();
     if at.len() != fields.len() || !fields.iter().all(|field| at.contains_key(field.key.as_ref())) {
         return Err(orders_other_things());
@@ -187,6 +187,6 @@
     Ok(())
 }
 
-fn orders_other_things() -> Fault {
-    Cause::Mismatch("orders other things").at("order")
+fn orders_other_things() -> ConfigError {
+    ConfigErrorKind::PatchMismatch("orders other things").at("order")
 }
--- a/crates/config/src/reread.rs
+++ b/crates/config/src/reread.rs
@@ -8,7 +8,7 @@
 use crate::build::build_on;
 use crate::config::Config;
 use crate::draft::{self, Draft, Field, Part};
-use crate::fault::Fault;
+use crate::fault::ConfigError;
 use crate::list::{Item, List, Placed};
 use crate::scan::{self, Cursor};
 
@@ -18,13 +18,13 @@
 const ITEM_DEPTH: usize = scan::MAX_DEPTH - 2;
 
 impl Config {
-    /// What [`Config::read`] gives, or its fault. It costs little where the text has most of its items in common with
+    /// What [`Config::parse`] gives, or its fault. It costs little where the text has most of its items in common with
     /// this configuration, and the new configuration shares them.
-    pub fn read_after(&self, text: &[u8]) -> Result<Config, Fault> {
+    pub fn parse_sharing(&self, text: &[u8]) -> Result<Config, ConfigError> {
         let text_read = scan::text(text, scan::MAX_BYTES)?;
         match read(self.draft(), text_read) {
             Some(draft) => build_on(self, draft),
-            None => Config::read(text),
+            None => Config::parse(text),
         }
     }
 }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -2,7 +2,7 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::{Cause, Fault};
+use crate::fault::{ConfigError, ConfigErrorKind};
 use crate::value::{MAX_WHOLE, Object};
 
 /// What may be repeated.
@@ -24,7 +24,7 @@
     /// The host that it is for, in lower case and without a port.
     pub host: String,
     /// What its paths begin with.
-    pub prefix: String,
+    pub path_prefix: String,
     /// What may be repeated.
     pub route_type: RouteType,
     /// The longest that the operator wants a request held; above 0.
@@ -33,7 +33,7 @@
     pub target_latency_ms: u64,
     /// Its rank, 0 is highest; 5 when it is not given.
     pub priority: u8,
-    /// Services and their weights. Danger: a weight may be 0, and no request may go there; [`Route::draw`] minds it.
+    /// Services and their weights. Danger: a weight may be 0, and no request may go there; [`Route::choose_service`] minds it.
     pub backends: Vec<(String, f64)>,
     /// The most servers that one try may be sent to, at least 1.
     pub retry_count: u32,
@@ -47,7 +47,7 @@
 
 impl Route {
     /// Whether a request may run more than once.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent => true,
             RouteType::NonIdempotent => false,
@@ -56,7 +56,7 @@
     }
 
     /// The service for a request, by weight; `unit` is a random number from 0 to 1.
-    pub fn draw(&self, unit: f64) -> Option<&str> {
+    pub fn choose_service(&self, unit: f64) -> Option<&str> {
         let sum: f64 = self.backends.iter().map(|(_, weight)| weight).sum();
         let mut left = unit.clamp(0.0, 1.0) * sum;
         let mut last = None;
@@ -72,19 +72,19 @@
         last
     }
 
-    pub(crate) fn read(object: &Object<'_>) -> Result<Route, Fault> {
+    pub(crate) fn read(object: &Object<'_>) -> Result<Route, ConfigError> {
         let name = object.name("name")?.to_owned();
         let host = host_name(object.name("host_header")?).into_owned();
         if host.is_empty() {
-            return Err(object.fault("host_header", Cause::Missing));
+            return Err(object.fault("host_header", ConfigErrorKind::Missing));
         }
         let prefix = object.name("path_prefix")?.to_owned();
         if !prefix.starts_with('/') {
-            return Err(object.fault("path_prefix", Cause::OutOfRange("begin with a slash")));
+            return Err(object.fault("path_prefix", ConfigErrorKind::OutOfRange("begin with a slash")));
         }
         let timeout_ms = match object.count("timeout_ms", u64::MAX)? {
-            None => return Err(object.fault("timeout_ms", Cause::Missing)),
-            Some(0) => return Err(object.fault("timeout_ms", Cause::OutOfRange("be above 0"))),
+            None => return Err(object.fault("timeout_ms", ConfigErrorKind::Missing)),
+            Some(0) => return Err(object.fault("timeout_ms", ConfigErrorKind::OutOfRange("be above 0"))),
             Some(given) => given,
         };
         let retry_count = object.count("retry_count", u64::from(u32::MAX))?.unwrap_or(1).max(1);
@@ -92,7 +92,7 @@
         Ok(Route {
             name,
             host,
-            prefix,
+            path_prefix: prefix,
             route_type: match object.string("route_type")? {
                 Some("idempotent") => RouteType::Idempotent,
                 Some("streaming") => RouteType::Streaming,
@@ -113,7 +113,7 @@
     }
 }
 
-fn backends(object: &Object<'_>) -> Result<Vec<(String, f64)>, Fault> {
+fn backends(object: &Object<'_>) -> Result<Vec<(String, f64)>, ConfigError> {
     let single = object.string("backend_service")?.filter(|name| !name.is_empty());
     let weighted = object.list("weighted_backends")?;
     let mut found = Vec::with_capacity(weighted.map_or(1, <[JsonValue]>::len));
@@ -124,14 +124,14 @@
         let weight = backend.number("weight")?.unwrap_or(1.0);
         sum += weight;
         if weight > MAX_WHOLE {
-            return Err(backend.fault("weight", Cause::OutOfRange("be at most 2^53")));
+            return Err(backend.fault("weight", ConfigErrorKind::OutOfRange("be at most 2^53")));
         }
         found.push((backend.name("backend_service")?.to_owned(), weight));
     }
     match single {
         Some(name) if found.is_empty() => found.push((name.to_owned(), 1.0)),
-        None if weighted.is_none() => return Err(object.fault("backend_service", Cause::Missing)),
-        _ if sum <= 0.0 => return Err(object.fault("weighted_backends", Cause::NoWeight)),
+        None if weighted.is_none() => return Err(object.fault("backend_service", ConfigErrorKind::Missing)),
+        _ if sum <= 0.0 => return Err(object.fault("weighted_backends", ConfigErrorKind::ZeroWeight)),
         // Named beside the weights, it must be known as they must, but takes no request.
         Some(name) => found.push((name.to_owned(), 0.0)),
         None => {}
--- a/crates/config/src/scan.rs
+++ b/crates/config/src/scan.rs
@@ -8,7 +8,7 @@
 use tinyjson::JsonValue;
 
 use crate::draft;
-use crate::fault::{Cause, Fault};
+use crate::fault::{ConfigError, ConfigErrorKind};
 use crate::value;
 
 /// The longest text that is read.
@@ -19,17 +19,18 @@
 const CUT: &str = "cut short";
 
 /// UTF-8 and not too long.
-pub(crate) fn text(bytes: &[u8], most: usize) -> Result<&str, Fault> {
+pub(crate) fn text(bytes: &[u8], most: usize) -> Result<&str, ConfigError> {
     if bytes.len() > most {
-        return Err(Cause::TooLong(most).at("body"));
+        return Err(ConfigErrorKind::TooLong(most).at("body"));
     }
-    std::str::from_utf8(bytes).map_err(|fault| Cause::NotUtf8.at(format!("byte {}", fault.valid_up_to())))
+    std::str::from_utf8(bytes)
+        .map_err(|fault| ConfigErrorKind::NotUtf8.at(format!("byte {}", fault.valid_up_to())))
 }
 
 /// Reads JSON that somebody else wrote. `None`: it can't be read whole.
 ///
 /// Danger: the library's reader recurses, so a text of brackets alone would end the process by its stack.
-pub fn parse(text: &[u8]) -> Option<tinyjson::JsonValue> {
+pub fn parse_json(text: &[u8]) -> Option<tinyjson::JsonValue> {
     let text = std::str::from_utf8(text).ok()?;
     guard(text, MAX_DEPTH).ok()?;
     text.parse().ok()
@@ -37,7 +38,7 @@
 
 /// The revision that the text of a configuration or a change bears, before it is read whole. `None`: it bears none,
 /// or can't be read.
-pub fn revision(text: &[u8]) -> Option<u64> {
+pub fn peek_revision(text: &[u8]) -> Option<u64> {
     let text = self::text(text, MAX_BYTES).ok()?;
     guard(text, MAX_DEPTH).ok()?;
     let (_, value) = fields(text)?.into_iter().find(|(key, _)| key == draft::REVISION)?;
@@ -47,7 +48,7 @@
 /// Goes once over a text: brackets that match, no level below `depth`, whole strings, no key twice in one object.
 ///
 /// Danger: `tinyjson` descends by recursion and keeps the last of two equal keys; nothing is parsed before this.
-pub(crate) fn guard(text: &str, depth: usize) -> Result<(), Fault> {
+pub(crate) fn guard(text: &str, depth: usize) -> Result<(), ConfigError> {
     let here = |at: usize| format!("byte {at}");
     let bytes = text.as_bytes();
     // For an object the number of keys that lie below its own ones.
@@ -58,10 +59,12 @@
     while let Some(&byte) = bytes.get(at) {
         match byte {
             b'"' => {
-                let end = string_end(text, at).map_err(|why| Cause::not_whole(why).at(here(at)))?;
+                let end =
+                    string_end(text, at).map_err(|why| ConfigErrorKind::malformed_json(why).at(here(at)))?;
                 if std::mem::take(&mut key_next) {
                     let raw = text.get(at..end).unwrap_or_default();
-                    let key = unquote(raw).ok_or_else(|| Cause::not_whole("bad key").at(here(at)))?;
+                    let key = unquote(raw)
+                        .ok_or_else(|| ConfigErrorKind::malformed_json("bad key").at(here(at)))?;
                     keys.push((key, at));
                 }
                 at = end;
@@ -69,7 +72,7 @@
             }
             b'{' | b'[' => {
                 if open.len() >= depth {
-                    return Err(Cause::TooDeep(depth).at(here(at)));
+                    return Err(ConfigErrorKind::TooDeep(depth).at(here(at)));
                 }
                 key_next = byte == b'{';
                 open.push(key_next.then_some(keys.len()));
@@ -81,21 +84,21 @@
                     for (one, two) in own.iter().zip(own.iter().skip(1)) {
                         if one.0 == two.0 {
                             let key = crate::fault::brief(two.0.to_string());
-                            return Err(Cause::SameKey(key).at(here(two.1)));
+                            return Err(ConfigErrorKind::DuplicateKey(key).at(here(two.1)));
                         }
                     }
                     keys.truncate(from);
                     key_next = false;
                 }
                 (Some(None), b']') => {}
-                _ => return Err(Cause::not_whole("brackets do not match").at(here(at))),
+                _ => return Err(ConfigErrorKind::malformed_json("brackets do not match").at(here(at))),
             },
             b',' => key_next = matches!(open.last(), Some(Some(_))),
             _ => {}
         }
         at += 1;
     }
-    if open.is_empty() { Ok(()) } else { Err(Cause::not_whole(CUT).at(here(at))) }
+    if open.is_empty() { Ok(()) } else { Err(ConfigErrorKind::malformed_json(CUT).at(here(at))) }
 }
 
 /// Where the string that begins at `start` ends.
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -2,7 +2,7 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::Fault;
+use crate::fault::ConfigError;
 use crate::value::Object;
 
 /// One of `backend_services`.
@@ -40,7 +40,7 @@
 }
 
 impl Service {
-    pub(crate) fn read(object: &Object<'_>) -> Result<Service, Fault> {
+    pub(crate) fn read(object: &Object<'_>) -> Result<Service, ConfigError> {
         let engine = match object.get("engine") {
             None => None,
             Some(value) => Some(Engine::read(value, &object.place("engine"))?),
@@ -59,7 +59,7 @@
 }
 
 impl Engine {
-    fn read(value: &JsonValue, place: &str) -> Result<Engine, Fault> {
+    fn read(value: &JsonValue, place: &str) -> Result<Engine, ConfigError> {
         let object = Object::within(value, place)?;
         let models = object.list("model_list")?.unwrap_or_default();
         Ok(Engine {
@@ -75,7 +75,7 @@
     }
 }
 
-fn small(object: &Object<'_>, key: &str) -> Result<Option<u32>, Fault> {
+fn small(object: &Object<'_>, key: &str) -> Result<Option<u32>, ConfigError> {
     let given = object.count(key, u64::from(u32::MAX))?;
     Ok(given.map(|given| u32::try_from(given).unwrap_or(u32::MAX).max(1)))
 }
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -4,18 +4,20 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::{Cause, Fault};
+use crate::fault::{ConfigError, ConfigErrorKind};
 use crate::scan;
 
 /// The greatest whole number that every reader of JSON keeps exact.
 pub(crate) const MAX_WHOLE: f64 = 9_007_199_254_740_992.0;
 
-pub(crate) fn parse(text: &str, place: &str) -> Result<JsonValue, Fault> {
+pub(crate) fn parse(text: &str, place: &str) -> Result<JsonValue, ConfigError> {
     if let Some(value) = quick(text) {
         return Ok(value);
     }
     // What is wrong is for the library to say.
-    text.parse().map_err(|fault: tinyjson::JsonParseError| Cause::not_whole(fault.to_string()).at(place))
+    text.parse().map_err(|fault: tinyjson::JsonParseError| {
+        ConfigErrorKind::malformed_json(fault.to_string()).at(place)
+    })
 }
 
 /// The longest whole number in digits that is read without rounding.
@@ -51,13 +53,15 @@
 }
 
 /// A number without a fraction, from 0 to 2^53: what a revision may be.
-pub(crate) fn whole(value: &JsonValue, place: &str) -> Result<u64, Fault> {
+pub(crate) fn whole(value: &JsonValue, place: &str) -> Result<u64, ConfigError> {
     match value {
         JsonValue::Number(number) if (0.0..=MAX_WHOLE).contains(number) && number.fract() == 0.0 => {
             Ok(*number as u64)
         }
-        JsonValue::Number(_) => Err(Cause::OutOfRange("be a whole number from 0 to 2^53").at(place)),
-        _ => Err(Cause::WrongType("a number").at(place)),
+        JsonValue::Number(_) => {
+            Err(ConfigErrorKind::OutOfRange("be a whole number from 0 to 2^53").at(place))
+        }
+        _ => Err(ConfigErrorKind::WrongType("a number").at(place)),
     }
 }
 
@@ -65,16 +69,16 @@
 pub(crate) type Fields<'a> = Vec<(Cow<'a, str>, JsonValue)>;
 
 /// The fields of an object in a text.
-pub(crate) fn fields<'a>(text: &'a str, place: &str) -> Result<Fields<'a>, Fault> {
+pub(crate) fn fields<'a>(text: &'a str, place: &str) -> Result<Fields<'a>, ConfigError> {
     let Some(fields) = scan::fields(text) else { return Err(not(text, place, "an object")) };
     fields.into_iter().map(|(key, value)| Ok((key, parse(value, place)?))).collect()
 }
 
 /// Why a text isn't what it was taken for.
-pub(crate) fn not(text: &str, place: &str, wanted: &'static str) -> Fault {
+pub(crate) fn not(text: &str, place: &str, wanted: &'static str) -> ConfigError {
     match parse(text, place) {
         Err(fault) => fault,
-        Ok(_) => Cause::WrongType(wanted).at(place),
+        Ok(_) => ConfigErrorKind::WrongType(wanted).at(place),
     }
 }
 
@@ -90,12 +94,12 @@
     }
 
     /// An object within a value.
-    pub(crate) fn within(value: &'a JsonValue, place: &'a str) -> Result<Self, Fault> {
+    pub(crate) fn within(value: &'a JsonValue, place: &'a str) -> Result<Self, ConfigError> {
         match value {
             JsonValue::Object(map) => {
                 Ok(Object { fields: map.iter().map(|(key, value)| (key.as_str(), value)).collect(), place })
             }
-            _ => Err(Cause::WrongType("an object").at(place)),
+            _ => Err(ConfigErrorKind::WrongType("an object").at(place)),
         }
     }
 
@@ -103,7 +107,7 @@
         if self.place.is_empty() { key.to_owned() } else { format!("{}.{key}", self.place) }
     }
 
-    pub(crate) fn fault(&self, key: &str, cause: Cause) -> Fault {
+    pub(crate) fn fault(&self, key: &str, cause: ConfigErrorKind) -> ConfigError {
         cause.at(self.place(key))
     }
 
@@ -112,54 +116,56 @@
         (!matches!(value, JsonValue::Null)).then_some(*value)
     }
 
-    pub(crate) fn string(&self, key: &str) -> Result<Option<&'a str>, Fault> {
+    pub(crate) fn string(&self, key: &str) -> Result<Option<&'a str>, ConfigError> {
         match self.get(key) {
             None => Ok(None),
             Some(JsonValue::String(text)) => Ok(Some(text)),
-            Some(_) => Err(self.fault(key, Cause::WrongType("a string"))),
+            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("a string"))),
         }
     }
 
     /// A string that must be there and hold something.
-    pub(crate) fn name(&self, key: &str) -> Result<&'a str, Fault> {
-        self.string(key)?.filter(|text| !text.is_empty()).ok_or_else(|| self.fault(key, Cause::Missing))
+    pub(crate) fn name(&self, key: &str) -> Result<&'a str, ConfigError> {
+        self.string(key)?
+            .filter(|text| !text.is_empty())
+            .ok_or_else(|| self.fault(key, ConfigErrorKind::Missing))
     }
 
-    pub(crate) fn flag(&self, key: &str) -> Result<bool, Fault> {
+    pub(crate) fn flag(&self, key: &str) -> Result<bool, ConfigError> {
         match self.get(key) {
             None => Ok(false),
             Some(JsonValue::Boolean(flag)) => Ok(*flag),
-            Some(_) => Err(self.fault(key, Cause::WrongType("true or false"))),
+            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("true or false"))),
         }
     }
 
-    pub(crate) fn list(&self, key: &str) -> Result<Option<&'a [JsonValue]>, Fault> {
+    pub(crate) fn list(&self, key: &str) -> Result<Option<&'a [JsonValue]>, ConfigError> {
         match self.get(key) {
             None => Ok(None),
             Some(JsonValue::Array(list)) => Ok(Some(list)),
-            Some(_) => Err(self.fault(key, Cause::WrongType("a list"))),
+            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("a list"))),
         }
     }
 
     /// A number that isn't below 0.
-    pub(crate) fn number(&self, key: &str) -> Result<Option<f64>, Fault> {
+    pub(crate) fn number(&self, key: &str) -> Result<Option<f64>, ConfigError> {
         match self.get(key) {
             None => Ok(None),
             Some(JsonValue::Number(number)) if number.is_finite() && *number >= 0.0 => Ok(Some(*number)),
             Some(JsonValue::Number(_)) => {
-                Err(self.fault(key, Cause::OutOfRange("be finite and not below 0")))
+                Err(self.fault(key, ConfigErrorKind::OutOfRange("be finite and not below 0")))
             }
-            Some(_) => Err(self.fault(key, Cause::WrongType("a number"))),
+            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("a number"))),
         }
     }
 
     /// A number that isn't below 0, up to the next whole one and at most `most`.
-    pub(crate) fn count(&self, key: &str, most: u64) -> Result<Option<u64>, Fault> {
+    pub(crate) fn count(&self, key: &str, most: u64) -> Result<Option<u64>, ConfigError> {
         Ok(self.number(key)?.map(|number| (number.min(MAX_WHOLE).ceil() as u64).min(most)))
     }
 
     /// Seconds of the operator, milliseconds here.
-    pub(crate) fn seconds(&self, key: &str) -> Result<Option<u64>, Fault> {
+    pub(crate) fn seconds(&self, key: &str) -> Result<Option<u64>, ConfigError> {
         Ok(self.number(key)?.map(|number| (number * 1000.0).min(MAX_WHOLE).round() as u64))
     }
 }
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -73,7 +73,7 @@
             common::SampleChange::arbitrary(g).text(u64::from(u8::arbitrary(g)))
         } else {
             let other = WHOLE.replace("2500", "2600").replace("r-2", "r-3");
-            whole().patch(&read(&other).expect("valid"))
+            whole().patch_to(&read(&other).expect("valid"))
         };
         BentChange(bend(g, &text).0)
     }
@@ -84,17 +84,17 @@
 }
 
 fn taken(config: &Config) {
-    same(config, &read(config.text()).expect("its own text is valid"));
-    json(config.text());
+    same(config, &read(config.json()).expect("its own text is valid"));
+    json(config.json());
 }
 
 quickcheck! {
     fn any_bytes_are_read_or_refused(bytes: Vec<u8>, text: String) -> bool {
         let config = whole();
         for bytes in [bytes.as_slice(), text.as_bytes()] {
-            let _ = (Config::read(bytes), config.changed(bytes), Config::replaced(Some(&config), bytes));
+            let _ = (Config::parse(bytes), config.modify(bytes), Config::parse_replacement(Some(&config), bytes));
         }
-        let _ = (config.patched(&text), config.find(&text, &text));
+        let _ = (config.apply_patch(&text), config.find_route(&text, &text));
         true
     }
 }
@@ -102,8 +102,8 @@
 #[test]
 fn what_is_taken_is_the_value_that_was_sent() {
     fn property(bent: Bent) -> bool {
-        if let Ok(config) = Config::read(&bent.0) {
-            assert_eq!(json(std::str::from_utf8(&bent.0).expect("UTF-8")), json(config.text()));
+        if let Ok(config) = Config::parse(&bent.0) {
+            assert_eq!(json(std::str::from_utf8(&bent.0).expect("UTF-8")), json(config.json()));
             taken(&config);
         }
         true
@@ -115,11 +115,11 @@
 fn bent_changes_and_patches_are_taken_whole_or_refused() {
     fn property(bent: BentChange) -> bool {
         let config = whole();
-        if let Ok(config) = config.changed(&bent.0) {
+        if let Ok(config) = config.modify(&bent.0) {
             json(std::str::from_utf8(&bent.0).expect("UTF-8"));
             taken(&config);
         }
-        if let Ok(Ok(config)) = std::str::from_utf8(&bent.0).map(|text| config.patched(text)) {
+        if let Ok(Ok(config)) = std::str::from_utf8(&bent.0).map(|text| config.apply_patch(text)) {
             taken(&config);
         }
         true
@@ -131,7 +131,7 @@
 fn bent_texts_are_read_beside_another_as_alone() {
     fn property(base: Sample, bent: Bent) -> bool {
         let bases = [whole(), read(&base.text()).expect("valid")];
-        bases.iter().all(|base| base.read_after(&bent.0) == Config::read(&bent.0))
+        bases.iter().all(|base| base.parse_sharing(&bent.0) == Config::parse(&bent.0))
     }
     QuickCheck::new().tests(3_000).quickcheck(property as fn(Sample, Bent) -> bool);
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Configurations for the tests.
 #![allow(dead_code)] // each test file uses a part of these
 
-use mosshead_config::{Config, Fault};
+use mosshead_config::{Config, ConfigError};
 use quickcheck::{Arbitrary, Gen};
 
 pub const WHOLE: &str = r#"{
@@ -29,13 +29,13 @@
     read(WHOLE).expect("the example is valid")
 }
 
-pub fn read(text: &str) -> Result<Config, Fault> {
-    Config::read(text.as_bytes())
+pub fn read(text: &str) -> Result<Config, ConfigError> {
+    Config::parse(text.as_bytes())
 }
 
 /// Equal as text, and as everything that was read of it.
 pub fn same(one: &Config, other: &Config) {
-    assert_eq!(one.text(), other.text());
+    assert_eq!(one.json(), other.json());
     assert_eq!(one, other);
     assert_eq!(one.revision, other.revision);
     assert_eq!(one.routes, other.routes);
@@ -43,10 +43,12 @@
     assert_eq!(one.limits, other.limits);
     for route in one.routes.iter() {
         // A path ends where its query begins, so a prefix with a question mark begins none.
-        let (path, query) =
-            route.prefix.split_once('?').map_or((route.prefix.as_str(), false), |(path, _)| (path, true));
-        let found = one.find(&route.host, path);
-        assert_eq!(found, other.find(&route.host, path));
+        let (path, query) = route
+            .path_prefix
+            .split_once('?')
+            .map_or((route.path_prefix.as_str(), false), |(path, _)| (path, true));
+        let found = one.find_route(&route.host, path);
+        assert_eq!(found, other.find_route(&route.host, path));
         assert!(if query { found != Some(route) } else { found == Some(route) }, "{route:?}");
     }
 }
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -3,19 +3,19 @@
 mod common;
 
 use common::{WHOLE, read, whole};
-use mosshead_config::{CODES, Cause, Config, Fault, MAX_BYTES, MAX_DEPTH};
+use mosshead_config::{Config, ConfigError, ConfigErrorKind, ERROR_CODES, MAX_BYTES, MAX_DEPTH};
 
 /// The example with one piece of text exchanged.
-fn with(old: &str, new: &str) -> Fault {
+fn with(old: &str, new: &str) -> ConfigError {
     assert!(WHOLE.contains(old), "{old} is in the example");
     read(&WHOLE.replacen(old, new, 1)).expect_err("must be refused")
 }
 
-fn at(fault: Fault) -> (u16, String) {
-    (fault.code(), fault.place)
+fn at(fault: ConfigError) -> (u16, String) {
+    (fault.code(), fault.location)
 }
 
-fn is(fault: Fault, code: u16, place: &str) {
+fn is(fault: ConfigError, code: u16, place: &str) {
     assert_eq!(at(fault), (code, place.to_owned()));
 }
 
@@ -33,8 +33,8 @@
 
 #[test]
 fn a_text_that_is_not_json_is_refused() {
-    is(Config::read(b"{\"revision\":\xff1}").expect_err("bytes"), 2, "byte 12");
-    is(Config::read(&vec![b' '; MAX_BYTES + 1]).expect_err("long"), 1, "body");
+    is(Config::parse(b"{\"revision\":\xff1}").expect_err("bytes"), 2, "byte 12");
+    is(Config::parse(&vec![b' '; MAX_BYTES + 1]).expect_err("long"), 1, "body");
     for text in
         ["", " ", "x", "{]", "{}}", "{} {}", "{\"a\" 1}", "{\"a\":1,}", "{,}", "{\"a\":}", "{1:1}", "nul"]
     {
@@ -44,7 +44,7 @@
     assert_eq!(read(&format!("{WHOLE},")).expect_err("trailing").code(), 3);
     assert_eq!(
         read("[]").expect_err("a list"),
-        Fault { cause: Cause::WrongType("an object"), place: "body".into() }
+        ConfigError { kind: ConfigErrorKind::WrongType("an object"), location: "body".into() }
     );
     is(with("\"blue\"", "blue"), 3, "route_entries[1]");
     is(with("\"blue\"", "01"), 3, "route_entries[1]");
@@ -77,8 +77,8 @@
     assert_eq!(with("\"colour\":", "\"n\\u0061me\":").code(), 5);
     assert_eq!(with("\"later\":", "\"limits\":").code(), 5);
     let fault = with("\"text\":", "\"big\":");
-    assert_eq!(fault.cause, Cause::SameKey("big".into()));
-    assert_eq!(fault.place, format!("byte {}", WHOLE.find("\"text\"").expect("there")));
+    assert_eq!(fault.kind, ConfigErrorKind::DuplicateKey("big".into()));
+    assert_eq!(fault.location, format!("byte {}", WHOLE.find("\"text\"").expect("there")));
     assert!(read(&WHOLE.replace("\"blue\"", "[{\"a\":1},{\"a\":{\"a\":2}},\"a\",\"a\"]")).is_ok());
 }
 
@@ -178,7 +178,7 @@
 #[test]
 fn two_routes_at_one_place_are_refused() {
     let fault = with("/lohu930/", "/pufi791/");
-    assert_eq!(fault.cause, Cause::SamePlace("r-2".into(), "r-1".into()));
+    assert_eq!(fault.kind, ConfigErrorKind::DuplicateMatch("r-2".into(), "r-1".into()));
     is(fault, 10, "route_entries[1]");
     let text = WHOLE.replace("/lohu930/", "/pufi791/");
     assert!(read(&text.replace("Ficu95.example", "other.example")).is_ok());
@@ -201,7 +201,7 @@
     let config = whole();
     let replace = |revision: u64| {
         let text = WHOLE.replacen("7,", &format!("{revision},"), 1);
-        Config::replaced(Some(&config), text.as_bytes())
+        Config::parse_replacement(Some(&config), text.as_bytes())
     };
     assert_eq!(
         replace(7).expect_err("equal").to_string(),
@@ -209,13 +209,13 @@
     );
     is(replace(6).expect_err("below"), 12, "revision");
     assert_eq!(replace(8).map(|config| config.revision), Ok(8));
-    let modify = |revision: u64| config.changed(format!("{{\"revision\":{revision}}}").as_bytes());
+    let modify = |revision: u64| config.modify(format!("{{\"revision\":{revision}}}").as_bytes());
     is(modify(7).expect_err("equal"), 12, "revision");
     is(modify(0).expect_err("below"), 12, "revision");
     assert_eq!(modify(12).map(|config| config.revision), Ok(12));
-    assert_eq!(Config::replaced(None, WHOLE.as_bytes()), Ok(config.clone()));
+    assert_eq!(Config::parse_replacement(None, WHOLE.as_bytes()), Ok(config.clone()));
     let nothing = WHOLE.replacen("7,", "0,", 1);
-    is(Config::replaced(None, nothing.as_bytes()).expect_err("0 is none"), 12, "revision");
+    is(Config::parse_replacement(None, nothing.as_bytes()).expect_err("0 is none"), 12, "revision");
 }
 
 #[test]
@@ -245,7 +245,7 @@
 
 #[test]
 fn the_table_has_every_code_once() {
-    assert!(CODES.iter().map(|(code, _)| *code).eq(1..=14));
+    assert!(ERROR_CODES.iter().map(|(code, _)| *code).eq(1..=14));
     let fault = with("2500", "0");
     assert_eq!((fault.status(), fault.message().as_str()), (400, "must be above 0"));
 }
--- a/crates/config/tests/find.rs
+++ b/crates/config/tests/find.rs
@@ -9,7 +9,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 fn name<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a str> {
-    config.find(host, path).map(|route| route.name.as_str())
+    config.find_route(host, path).map(|route| route.name.as_str())
 }
 
 fn routes(places: &[(String, String)]) -> Config {
@@ -100,8 +100,8 @@
     config
         .routes
         .iter()
-        .filter(|route| route.host == host.to_ascii_lowercase() && path.starts_with(&route.prefix))
-        .max_by_key(|route| route.prefix.len())
+        .filter(|route| route.host == host.to_ascii_lowercase() && path.starts_with(&route.path_prefix))
+        .max_by_key(|route| route.path_prefix.len())
         .map(|route| route.as_ref())
 }
 
@@ -149,7 +149,7 @@
     fn find_is_what_a_scan_finds(places: Places) -> bool {
         let config = routes(&places.places);
         places.asked.iter().all(|(host, path)| {
-            let found = config.find(&format!("{}:80", host.to_ascii_uppercase()), path);
+            let found = config.find_route(&format!("{}:80", host.to_ascii_uppercase()), path);
             found.map(|route| route.as_ref()) == naive(&config, host, path)
         })
     }
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{Items, Sample, SampleChange, read, same, whole};
-use mosshead_config::{Config, Fault, Limits, MAX_BYTES};
+use mosshead_config::{Config, ConfigError, Limits, MAX_BYTES};
 use quickcheck::quickcheck;
 
-fn modify(text: &str) -> Result<Config, Fault> {
-    whole().changed(text.as_bytes())
+fn modify(text: &str) -> Result<Config, ConfigError> {
+    whole().modify(text.as_bytes())
 }
 
 const ROUTE: &str =
@@ -22,12 +22,12 @@
     .expect("valid");
     assert_eq!(config.revision, 9);
     assert!(config.routes.iter().map(|route| route.name.as_str()).eq(["r-1", "r-9"]));
-    assert_eq!(config.routes[0].prefix, "/n/");
+    assert_eq!(config.routes[0].path_prefix, "/n/");
     assert!(
-        config.text().starts_with(&format!(r#"{{"revision":9,"route_entries":[{first},{ROUTE}],"backend_"#))
+        config.json().starts_with(&format!(r#"{{"revision":9,"route_entries":[{first},{ROUTE}],"backend_"#))
     );
-    assert!(config.text().ends_with(r#""text":"a b\t\u0041"}}"#));
-    same(&config, &read(config.text()).expect("valid"));
+    assert!(config.json().ends_with(r#""text":"a b\t\u0041"}}"#));
+    same(&config, &read(config.json()).expect("valid"));
 }
 
 #[test]
@@ -49,16 +49,16 @@
     .expect("valid");
     assert_eq!(config.limits, Limits { max_header_bytes: 20_000, ..Limits::default() });
     let config = config
-        .changed(br#"{"revision":10,"upsert":{"walls":[{"name":"b","x":2}]},"withdraw":{"walls":["a"],"doors":["a"]}}"#)
+        .modify(br#"{"revision":10,"upsert":{"walls":[{"name":"b","x":2}]},"withdraw":{"walls":["a"],"doors":["a"]}}"#)
         .expect("valid");
-    assert!(config.text().contains(r#""walls":[{"name":"b","x":2}]"#));
-    assert!(config.text().contains(r#""limits":{"max_header_bytes":20000}"#));
-    same(&config, &read(config.text()).expect("valid"));
+    assert!(config.json().contains(r#""walls":[{"name":"b","x":2}]"#));
+    assert!(config.json().contains(r#""limits":{"max_header_bytes":20000}"#));
+    same(&config, &read(config.json()).expect("valid"));
 }
 
 #[test]
 fn a_change_is_checked_whole() {
-    let at = |text: &str| modify(text).map_err(|fault| (fault.code(), fault.place)).expect_err("refused");
+    let at = |text: &str| modify(text).map_err(|fault| (fault.code(), fault.location)).expect_err("refused");
     let is = |text: &str, code: u16, place: &str| assert_eq!(at(text), (code, place.to_owned()), "{text}");
     is(r#"{"revision":9,"withdraw":{"backend_services":["wuno96b"]}}"#, 9, "route_entries[1]");
     let one = |route: &str| format!(r#"{{"revision":9,"upsert":{{"route_entries":[{route}]}}}}"#);
@@ -114,8 +114,8 @@
         after.revision += 1 + sample.revision % 3;
         change(&mut after.routes, &changes.routes, &changes.gone_routes);
         change(&mut after.services, &changes.services, &changes.gone_services);
-        let modified = before.changed(changes.text(after.revision).as_bytes());
-        let replaced = Config::replaced(Some(&before), after.text().as_bytes());
+        let modified = before.modify(changes.text(after.revision).as_bytes());
+        let replaced = Config::parse_replacement(Some(&before), after.text().as_bytes());
         match (modified, replaced) {
             (Ok(modified), Ok(replaced)) => {
                 same(&modified, &replaced);
@@ -134,10 +134,10 @@
         format!(r#"{{"revision":9,"upsert":{{"{key}":"{big}"}}}}"#)
     };
     let config = modify(&upsert("one")).expect("there is room");
-    let fault = config.changed(upsert("two").replace(":9", ":10").as_bytes()).expect_err("no room");
-    assert_eq!((fault.code(), fault.place.as_str()), (1, "body"));
-    let smaller = config.changed(br#"{"revision":11,"upsert":{"one":1}}"#).expect("valid");
+    let fault = config.modify(upsert("two").replace(":9", ":10").as_bytes()).expect_err("no room");
+    assert_eq!((fault.code(), fault.location.as_str()), (1, "body"));
+    let smaller = config.modify(br#"{"revision":11,"upsert":{"one":1}}"#).expect("valid");
     for (from, to) in [(&config, &smaller), (&smaller, &config)] {
-        same(&from.patched(&from.patch(to)).expect("fits"), to);
+        same(&from.apply_patch(&from.patch_to(to)).expect("fits"), to);
     }
 }
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -7,9 +7,9 @@
 use quickcheck::{TestResult, quickcheck};
 
 fn goes(from: &Config, to: &Config) {
-    let patch = from.patch(to);
-    assert!(patch.len() <= to.text().len() + 80, "never much longer than the whole");
-    same(&from.patched(&patch).unwrap_or_else(|fault| panic!("{fault}: {patch}")), to);
+    let patch = from.patch_to(to);
+    assert!(patch.len() <= to.json().len() + 80, "never much longer than the whole");
+    same(&from.apply_patch(&patch).unwrap_or_else(|fault| panic!("{fault}: {patch}")), to);
 }
 
 #[test]
@@ -17,14 +17,14 @@
     let one = whole();
     let two = read(&WHOLE.replace("2500", "2600").replacen("7,", "8,", 1)).expect("valid");
     goes(&one, &two);
-    let patch = one.patch(&two);
+    let patch = one.patch_to(&two);
     assert!(
         patch.contains("2600") && !patch.contains("r-2") && !patch.contains("huvo11a\",\"health"),
         "{patch}"
     );
-    let three = one.changed(br#"{"revision":9,"withdraw":{"route_entries":["r-2"]}}"#).expect("valid");
+    let three = one.modify(br#"{"revision":9,"withdraw":{"route_entries":["r-2"]}}"#).expect("valid");
     goes(&one, &three);
-    assert!(one.patch(&three).len() < 120, "{}", one.patch(&three));
+    assert!(one.patch_to(&three).len() < 120, "{}", one.patch_to(&three));
     goes(&one, &one);
 }
 
@@ -32,7 +32,7 @@
 fn unchanged_routes_are_shared() {
     let one = whole();
     let two = read(&WHOLE.replace("2500", "2600").replacen("7,", "8,", 1)).expect("valid");
-    let patched = one.patched(&one.patch(&two)).expect("fits");
+    let patched = one.apply_patch(&one.patch_to(&two)).expect("fits");
     assert!(std::sync::Arc::ptr_eq(&one.routes[1], &patched.routes[1]));
     assert!(!std::sync::Arc::ptr_eq(&one.routes[0], &patched.routes[0]));
 }
@@ -56,7 +56,7 @@
         .expect("valid");
     goes(&one, &four);
     goes(&four, &one);
-    let five = read(&four.text().replace("[{\"name\":\"a\"}]", "[1]")).expect("valid");
+    let five = read(&four.json().replace("[{\"name\":\"a\"}]", "[1]")).expect("valid");
     goes(&four, &five);
     goes(&five, &four);
 }
@@ -65,11 +65,11 @@
 fn a_patch_for_another_configuration_is_refused() {
     let one = whole();
     let two = read(&WHOLE.replace("2500", "2600").replacen("7,", "8,", 1)).expect("valid");
-    let patch = one.patch(&two);
-    let code = |config: &Config, patch: &str| config.patched(patch).expect_err("does not fit").code();
+    let patch = one.patch_to(&two);
+    let code = |config: &Config, patch: &str| config.apply_patch(patch).expect_err("does not fit").code();
     assert_eq!(code(&two, &patch), 14);
     let other = read(&WHOLE.replace("200}", "201}")).expect("valid");
-    let other = other.changed(br#"{"revision":8,"withdraw":{"route_entries":["r-2"]}}"#).expect("valid");
+    let other = other.modify(br#"{"revision":8,"withdraw":{"route_entries":["r-2"]}}"#).expect("valid");
     assert_eq!(code(&other, &patch.replace("\"base\":7", "\"base\":8")), 14);
     assert_eq!(code(&one, &patch.replace("2600", "2601")), 14);
     assert_eq!(code(&one, &patch.replace("\"sum\"", "\"sun\"")), 14);
@@ -90,14 +90,14 @@
         let mut current = read(&sample.text()).expect("valid");
         let mut taken = 0;
         for change in changes.iter().take(8) {
-            if let Ok(next) = current.changed(change.text(current.revision + 2).as_bytes()) {
+            if let Ok(next) = current.modify(change.text(current.revision + 2).as_bytes()) {
                 goes(&current, &next);
                 goes(&next, &current);
                 current = next;
                 taken += 1;
             }
         }
-        same(&current, &read(current.text()).expect("valid"));
+        same(&current, &read(current.json()).expect("valid"));
         if taken > 0 { TestResult::passed() } else { TestResult::discard() }
     }
 }
--- a/crates/config/tests/read.rs
+++ b/crates/config/tests/read.rs
@@ -11,13 +11,13 @@
     assert_eq!(config.revision, 7);
     let [first, second] = config.routes.as_ref() else { panic!("two routes") };
     assert_eq!((first.name.as_str(), first.host.as_str()), ("r-1", "ficu95.example"));
-    assert_eq!((first.prefix.as_str(), first.route_type), ("/pufi791/", RouteType::Streaming));
+    assert_eq!((first.path_prefix.as_str(), first.route_type), ("/pufi791/", RouteType::Streaming));
     assert_eq!((first.timeout_ms, first.target_latency_ms, first.priority), (2500, 300, 0));
     assert_eq!(first.backends, [("huvo11a".to_owned(), 1.0)]);
     assert_eq!((first.retry_count, first.persistence, first.resume, first.gap_aim_ms), (2, true, true, 200));
     assert_eq!(second.backends, [("huvo11a".to_owned(), 90.0), ("wuno96b".to_owned(), 10.0)]);
     assert_eq!((second.retry_count, second.route_type), (1, RouteType::NonIdempotent));
-    assert!(first.may_repeat() && !second.may_repeat());
+    assert!(first.is_idempotent() && !second.is_idempotent());
     let service = config.service("huvo11a").expect("a service");
     assert_eq!((service.health_path.as_str(), service.max_connections), ("/health", 360));
     let engine = service.engine.as_ref().expect("an engine");
@@ -32,14 +32,14 @@
 #[test]
 fn the_text_is_kept_but_for_white_space() {
     let config = whole();
-    let text = config.text();
+    let text = config.json();
     assert!(
         text.starts_with(r#"{"revision":7,"route_entries":[{"name":"r-1","host_header":"Ficu95.example","#)
     );
     assert!(text.contains(r#""link_mbps":1700000.0,"#), "numbers are spelled as sent");
     assert!(text.contains(r#""colour":"blue""#), "unknown fields of items stay");
     assert!(text.ends_with(r#""later":{"big":12345678901234567890,"text":"a b\t\u0041"}}"#));
-    assert_eq!(Config::read(text.as_bytes()).as_ref(), Ok(&config));
+    assert_eq!(Config::parse(text.as_bytes()).as_ref(), Ok(&config));
 }
 
 #[test]
@@ -62,8 +62,8 @@
 fn limits_have_floors() {
     let text = WHOLE.replace("16384,", "0,").replace("15000}", "1}").replace("4194304", "5e5");
     let limits = read(&text).expect("valid").limits;
-    assert_eq!(limits.max_header_bytes, Limits::FLOORS.max_header_bytes);
-    assert_eq!(limits.idle_timeout_ms, Limits::FLOORS.idle_timeout_ms);
+    assert_eq!(limits.max_header_bytes, Limits::MINIMUM.max_header_bytes);
+    assert_eq!(limits.idle_timeout_ms, Limits::MINIMUM.idle_timeout_ms);
     assert_eq!((limits.max_body_bytes, limits.header_timeout_ms), (500_000, 3000));
 }
 
@@ -73,11 +73,11 @@
     let config = read(&text).expect("one weight may be 0");
     let route = &config.routes[1];
     for unit in [0.0, 0.3, 1.0, -1.0, 2.0, f64::NAN] {
-        assert_eq!(route.draw(unit), Some("wuno96b"));
+        assert_eq!(route.choose_service(unit), Some("wuno96b"));
     }
     let both = whole();
-    assert_eq!(both.routes[1].draw(0.89), Some("huvo11a"));
-    assert_eq!(both.routes[1].draw(0.91), Some("wuno96b"));
+    assert_eq!(both.routes[1].choose_service(0.89), Some("huvo11a"));
+    assert_eq!(both.routes[1].choose_service(0.91), Some("wuno96b"));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     let text = text.replace(",{\"backend_service\":\"wuno96b\",\"weight\":10}", "");
     let config = read(&text).expect("valid");
     assert_eq!(config.routes[1].backends, [("huvo11a".to_owned(), 90.0), ("wuno96b".to_owned(), 0.0)]);
-    assert_eq!(config.routes[1].draw(1.0), Some("huvo11a"));
+    assert_eq!(config.routes[1].choose_service(1.0), Some("huvo11a"));
 }
 
 const ONE_ROUTE: &str = r#"{"revision":1,"route_entries":[{"name":NAME,"host_header":"h","path_prefix":"/",
--- a/crates/config/tests/stepwise.rs
+++ b/crates/config/tests/stepwise.rs
@@ -21,14 +21,14 @@
     PutService { service: usize, connections: u64 },
     DropService { service: usize },
     NoTimeout { route: usize },
-    NoWeight { route: usize },
+    ZeroWeight { route: usize },
     UnknownService { route: usize },
 }
 
 impl Act {
     /// The whole read finds these at another place of its text, so that only the codes can be equal.
     fn is_of_one_item(self) -> bool {
-        matches!(self, Act::NoTimeout { .. } | Act::NoWeight { .. })
+        matches!(self, Act::NoTimeout { .. } | Act::ZeroWeight { .. })
     }
 }
 
@@ -45,7 +45,7 @@
             49..52 => Act::PutService { service, connections: 1 + u64::from(u8::arbitrary(g)) },
             52..55 => Act::DropService { service },
             55 => Act::NoTimeout { route },
-            56 => Act::NoWeight { route },
+            56 => Act::ZeroWeight { route },
             _ => Act::UnknownService { route },
         }
     }
@@ -159,7 +159,7 @@
             }
             Act::DropService { service } => self.gone_services.push(service_name(service)),
             Act::NoTimeout { route: number } => self.put(route(number, number, 0, &to("s0"))),
-            Act::NoWeight { route: number } => {
+            Act::ZeroWeight { route: number } => {
                 let none = "\"weighted_backends\":[{\"backend_service\":\"s0\",\"weight\":0}]";
                 self.put(route(number, number, 9, none));
             }
@@ -234,14 +234,14 @@
 }
 
 fn scan<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a Route> {
-    let fits = |route: &&std::sync::Arc<Route>| route.host == host && path.starts_with(&route.prefix);
-    config.routes.iter().filter(fits).max_by_key(|route| route.prefix.len()).map(|route| route.as_ref())
+    let fits = |route: &&std::sync::Arc<Route>| route.host == host && path.starts_with(&route.path_prefix);
+    config.routes.iter().filter(fits).max_by_key(|route| route.path_prefix.len()).map(|route| route.as_ref())
 }
 
 fn finds_as_a_scan_does(config: &Config) {
     for place in (0..4 * ROUTES).step_by(13) {
         let path = format!("{}x", prefix(place));
-        let found = config.find(host(place), &path).map(|route| route.as_ref());
+        let found = config.find_route(host(place), &path).map(|route| route.as_ref());
         assert_eq!(found, scan(config, host(place), &path), "{path}");
     }
 }
@@ -257,21 +257,24 @@
         let change = Change::new(acts);
         let next = lists.changed(&change);
         let whole = read(&next.text());
-        let beside = current.read_after(next.text().as_bytes());
+        let beside = current.parse_sharing(next.text().as_bytes());
         assert_eq!(beside, whole);
-        let stepwise = current.changed(change.text(next.revision).as_bytes());
+        let stepwise = current.modify(change.text(next.revision).as_bytes());
         match (stepwise, whole) {
             (Ok(stepwise), Ok(whole)) => {
                 same(&stepwise, &whole);
                 same(&beside.expect("equal"), &whole);
-                assert_eq!(Config::replaced(Some(&current), whole.text().as_bytes()).as_ref(), Ok(&whole));
-                assert_eq!(stepwise.text_length(), stepwise.text().len());
-                assert_eq!(stepwise.to_text(), whole.text().as_ref());
+                assert_eq!(
+                    Config::parse_replacement(Some(&current), whole.json().as_bytes()).as_ref(),
+                    Ok(&whole)
+                );
+                assert_eq!(stepwise.json_length(), stepwise.json().len());
+                assert_eq!(stepwise.to_json(), whole.json().as_ref());
                 finds_as_a_scan_does(&stepwise);
                 // A patch is the same whichever way the configurations came about.
-                let patch = current.patch(&stepwise);
-                assert_eq!(patch, current.patch(&whole));
-                follower = follower.patched(&patch).expect("fits");
+                let patch = current.patch_to(&stepwise);
+                assert_eq!(patch, current.patch_to(&whole));
+                follower = follower.apply_patch(&patch).expect("fits");
                 same(&follower, &whole);
                 late.1.push(patch);
                 (current, lists) = (stepwise, next);
@@ -287,7 +290,7 @@
             (one, other) => panic!("{one:?} and {other:?}"),
         }
     }
-    let caught_up = late.1.iter().try_fold(late.0, |config, patch| config.patched(patch)).expect("fits");
+    let caught_up = late.1.iter().try_fold(late.0, |config, patch| config.apply_patch(patch)).expect("fits");
     same(&caught_up, &current);
     (taken, refused)
 }
@@ -346,12 +349,12 @@
         vec![Act::PutService { service: 3, connections: 99 }],
     ];
     for acts in acts {
-        let next = first.changed(Change::new(&acts).text(2).as_bytes()).expect("valid");
-        let patch = first.patch(&next);
-        assert_eq!(first.patched(&patch).as_ref(), Ok(&next));
+        let next = first.modify(Change::new(&acts).text(2).as_bytes()).expect("valid");
+        let patch = first.patch_to(&next);
+        assert_eq!(first.apply_patch(&patch).as_ref(), Ok(&next));
         for (what, other) in others(&lists) {
             let other = read(&other).expect(what);
-            assert_eq!(other.patched(&patch).map_err(|fault| fault.code()), Err(14), "{what}: {acts:?}");
+            assert_eq!(other.apply_patch(&patch).map_err(|fault| fault.code()), Err(14), "{what}: {acts:?}");
         }
     }
 }
@@ -361,9 +364,9 @@
     let lists = Lists::first(200);
     let first = read(&lists.text()).expect("valid");
     let change = Change::new(&[Act::Put { route: 10, timeout_ms: 77, service: 1 }, Act::Drop { route: 20 }]);
-    let next = first.changed(change.text(2).as_bytes()).expect("valid");
-    let patched = first.patched(&first.patch(&next)).expect("fits");
-    let beside = first.read_after(next.text().as_bytes()).expect("valid");
+    let next = first.modify(change.text(2).as_bytes()).expect("valid");
+    let patched = first.apply_patch(&first.patch_to(&next)).expect("fits");
+    let beside = first.parse_sharing(next.json().as_bytes()).expect("valid");
     for newer in [&next, &patched, &beside] {
         let shared = newer
             .routes
@@ -388,11 +391,11 @@
     texts.push(twice.text());
     for one in texts.iter().filter_map(|text| read(text).ok()) {
         for other in &texts {
-            let (beside, alone) = (one.read_after(other.as_bytes()), read(other));
+            let (beside, alone) = (one.parse_sharing(other.as_bytes()), read(other));
             assert_eq!(beside, alone);
             if let (Ok(beside), Ok(alone)) = (beside, alone) {
                 same(&beside, &alone);
-                same(&one.patched(&one.patch(&beside)).expect("fits"), &alone);
+                same(&one.apply_patch(&one.patch_to(&beside)).expect("fits"), &alone);
             }
         }
     }
@@ -401,12 +404,12 @@
 #[test]
 fn the_revision_is_told_before_the_whole_is_read() {
     let lists = Lists::first(3);
-    assert_eq!(mosshead_config::revision(lists.text().as_bytes()), Some(1));
-    assert_eq!(mosshead_config::revision(br#"{"upsert":{"revision":3},"revision":4}"#), Some(4));
+    assert_eq!(mosshead_config::peek_revision(lists.text().as_bytes()), Some(1));
+    assert_eq!(mosshead_config::peek_revision(br#"{"upsert":{"revision":3},"revision":4}"#), Some(4));
     for text in
         ["", "[]", "{}", "{\"revision\":1.5}", "{\"revision\":\"1\"}", "{\"revision\":1", "{\"revision\":1}}"]
     {
-        assert_eq!(mosshead_config::revision(text.as_bytes()), None, "{text}");
+        assert_eq!(mosshead_config::peek_revision(text.as_bytes()), None, "{text}");
     }
 }
 
@@ -430,11 +433,11 @@
         ];
         for (code, piece) in pieces {
             let text = common::WHOLE.replace(spot, &piece);
-            let fault = base.read_after(text.as_bytes()).expect_err(&text[..200]);
+            let fault = base.parse_sharing(text.as_bytes()).expect_err(&text[..200]);
             assert_eq!((fault.code(), Err(fault)), (code, read(&text)));
         }
         let text = common::WHOLE.replace(spot, &nested(levels));
-        assert_eq!(base.read_after(text.as_bytes()), read(&text));
+        assert_eq!(base.parse_sharing(text.as_bytes()), read(&text));
         assert!(read(&text).is_ok());
     }
 }
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -161,8 +161,8 @@
         let Some(base) = self.request.base else {
             return invalid("C07 X-Base-Revision is missing");
         };
-        let Some(revision) = mosshead_config::revision(self.request.body.as_ref()) else {
-            let fault = Config::read(self.request.body.as_ref()).err();
+        let Some(revision) = mosshead_config::peek_revision(self.request.body.as_ref()) else {
+            let fault = Config::parse(self.request.body.as_ref()).err();
             return invalid(
                 fault.map_or("M08 at revision: is missing".to_owned(), |fault| fault.to_string()),
             );
@@ -220,14 +220,14 @@
         }
         let body = self.request.body.as_ref();
         let changed = match (self.request.kind, config) {
-            (ChangeKind::Replace, current) => Config::replaced(current, body),
-            (ChangeKind::Modify, Some(current)) => current.changed(body),
+            (ChangeKind::Replace, current) => Config::parse_replacement(current, body),
+            (ChangeKind::Modify, Some(current)) => current.modify(body),
             (ChangeKind::Modify, None) => {
                 return self.refuse(ChangeAnswer::Stale { current }, certainty);
             }
         };
         match changed {
-            Ok(config) => self.submit(config.to_text().into_bytes()),
+            Ok(config) => self.submit(config.to_json().into_bytes()),
             Err(fault) => self.refuse(ChangeAnswer::Invalid { fault: fault.to_string() }, certainty),
         }
     }
--- a/crates/control-plane/src/serving.rs
+++ b/crates/control-plane/src/serving.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use mosshead_config::{Config, Fault};
+use mosshead_config::{Config, ConfigError};
 use mosshead_consensus::State;
 
 use crate::{Contact, InjectedFault};
@@ -61,14 +61,14 @@
     }
 
     /// Takes in a committed state. Gives the configuration if it is newer than the one before.
-    pub fn commit(&mut self, state: &State) -> Result<Option<Arc<Config>>, Fault> {
+    pub fn commit(&mut self, state: &State) -> Result<Option<Arc<Config>>, ConfigError> {
         let known = self.current.as_ref().map_or(0, |config| config.revision);
         if state.revision <= known {
             return Ok(None);
         }
         let config = Arc::new(read_beside(self.current.as_deref(), &state.body)?);
         if let Some(old) = &self.current {
-            let text = old.patch(&config);
+            let text = old.patch_to(&config);
             self.patches.push_back(Patch { from: old.revision, to: config.revision, text });
             self.forget_old_patches();
         }
@@ -104,7 +104,7 @@
         };
         match self.patches_from(have, config) {
             Some(patches) => ConfigOffer::Patches { revision: config.revision, patches },
-            None => ConfigOffer::Whole { revision: config.revision, text: config.to_text() },
+            None => ConfigOffer::Whole { revision: config.revision, text: config.to_json() },
         }
     }
 
@@ -114,7 +114,7 @@
         self.patches.back().filter(|last| last.to == config.revision)?;
         let patches: Vec<String> = self.patches.iter().skip(first).map(|patch| patch.text.clone()).collect();
         let length: usize = patches.iter().map(String::len).sum();
-        (length < config.text_length()).then_some(patches)
+        (length < config.json_length()).then_some(patches)
     }
 
     fn may_serve(&self, contact: Contact) -> bool {
@@ -123,9 +123,9 @@
 }
 
 /// Reads a configuration; of what is known already only the items that differ.
-pub(crate) fn read_beside(known: Option<&Config>, text: &[u8]) -> Result<Config, Fault> {
+pub(crate) fn read_beside(known: Option<&Config>, text: &[u8]) -> Result<Config, ConfigError> {
     match known {
-        Some(known) => known.read_after(text),
-        None => Config::read(text),
+        Some(known) => known.parse_sharing(text),
+        None => Config::parse(text),
     }
 }
--- a/crates/control-plane/src/subscription.rs
+++ b/crates/control-plane/src/subscription.rs
@@ -148,7 +148,7 @@
 fn apply(have: Option<&Config>, patches: &[String]) -> Option<Config> {
     let mut config: Option<Config> = None;
     for patch in patches {
-        let next = config.as_ref().or(have)?.patched(patch).ok()?;
+        let next = config.as_ref().or(have)?.apply_patch(patch).ok()?;
         config = Some(next);
     }
     config
--- a/crates/control-plane/tests/admission.rs
+++ b/crates/control-plane/tests/admission.rs
@@ -52,7 +52,7 @@
     known: Option<&State>,
     injected: Option<InjectedFault>,
 ) -> (Admission<Vec<u8>>, Step) {
-    let config = known.map(|state| Arc::new(Config::read(&state.body).expect("a configuration")));
+    let config = known.map(|state| Arc::new(Config::parse(&state.body).expect("a configuration")));
     Admission::begin(request, Leader::Here, known, config, injected)
 }
 
--- a/crates/control-plane/tests/fleet/ledger.rs
+++ b/crates/control-plane/tests/fleet/ledger.rs
@@ -187,7 +187,7 @@
             );
             self.broken("touch", what);
         }
-        self.seen(config.revision, config.text());
+        self.seen(config.revision, config.json());
     }
 
     fn seen(&mut self, revision: u64, text: &str) {
--- a/crates/data-plane/src/forward.rs
+++ b/crates/data-plane/src/forward.rs
@@ -107,7 +107,7 @@
         let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
         let host =
             host.or_else(|| head.uri.authority().map(|authority| authority.as_str())).unwrap_or_default();
-        let route = config.find(host, head.uri.path()).ok_or(StatusCode::NOT_FOUND)?.clone();
+        let route = config.find_route(host, head.uri.path()).ok_or(StatusCode::NOT_FOUND)?.clone();
         let service = self.pick(&config, &route).ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
         let mut headers = passed_on(&head.headers);
         // Danger: what a client says of stages, handles or instances is not the system's word.
@@ -131,7 +131,7 @@
         };
         let ask = ask.or_else(|| (route.route_type == RouteType::Streaming).then(Ask::default));
         let message = Message::of_client(head.method.clone(), uri, headers, body);
-        let retry = if route.may_repeat() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
+        let retry = if route.is_idempotent() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
         let priority = HeaderValue::from(u16::from(route.priority.min(9)));
         self.router.borrow_mut().asked(self.now(), &service.name);
         Ok(Job { route, service, message, ask, deadline, priority, retry })
@@ -140,7 +140,7 @@
     /// The service of a request: by weight, where a route has several.
     fn pick(&self, config: &Config, route: &Route) -> Option<Arc<Service>> {
         let unit = self.router.borrow_mut().chance();
-        config.service(route.draw(unit)?).cloned()
+        config.service(route.choose_service(unit)?).cloned()
     }
 
     pub(crate) fn server(&self, job: &Job, id: &Rc<str>) -> Option<Server> {
--- a/crates/data-plane/src/prompt.rs
+++ b/crates/data-plane/src/prompt.rs
@@ -91,7 +91,7 @@
     if body.len() > 64 * 1024 {
         return None;
     }
-    let value = mosshead_config::parse(body)?;
+    let value = mosshead_config::parse_json(body)?;
     let fields: &HashMap<String, JsonValue> = value.get()?;
     let count = |name: &str| fields.get(name).and_then(|value| value.get::<f64>().copied());
     let sum = count("queued")? + count("active")?;
@@ -206,7 +206,7 @@
     if body.len() > 4096 {
         return None;
     }
-    let value = mosshead_config::parse(body)?;
+    let value = mosshead_config::parse_json(body)?;
     let fields: &HashMap<String, JsonValue> = value.get()?;
     let handle: &String = fields.get("prefill_handle")?.get()?;
     let plain = handle.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -375,7 +375,7 @@
          \"idle_timeout_ms\":15000}}}}",
         routes.join(",")
     );
-    Config::read(text.as_bytes()).expect("a sound configuration")
+    Config::parse(text.as_bytes()).expect("a sound configuration")
 }
 
 impl Proxy {
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -99,7 +99,7 @@
         }),
         Command::CheckConfig { file } => {
             std::fs::read(&file).map_err(|error| error.to_string()).and_then(|text| {
-                let config = mosshead_config::Config::read(&text).map_err(|fault| fault.to_string())?;
+                let config = mosshead_config::Config::parse(&text).map_err(|fault| fault.to_string())?;
                 println!("Configuration {}: {} routes, sound.", config.revision, config.routes.len());
                 Ok(())
             })
--- a/crates/programs/src/control.rs
+++ b/crates/programs/src/control.rs
@@ -213,7 +213,7 @@
     if id.is_empty() || id.len() > 200 || body.len() > 256 * 1024 {
         return None;
     }
-    let value = mosshead_config::parse(body)?;
+    let value = mosshead_config::parse_json(body)?;
     let fields: &Fields = value.get()?;
     let state = match text(fields, "oper_state").as_deref() {
         Some("draining") => OperState::Draining,
--- a/crates/programs/tests/pulled.rs
+++ b/crates/programs/tests/pulled.rs
@@ -13,10 +13,10 @@
 
 /// Three configurations, each made from the one before.
 fn three() -> [Config; 3] {
-    let first = Config::read(WHOLE.as_bytes()).expect("the sample");
-    let second = first.changed(MODIFY.as_bytes()).expect("the other sample");
+    let first = Config::parse(WHOLE.as_bytes()).expect("the sample");
+    let second = first.modify(MODIFY.as_bytes()).expect("the other sample");
     let withdraw = "{\"revision\":12,\"withdraw\":{\"route_entries\":[\"r-3d3zji9\"]}}";
-    let third = second.changed(withdraw.as_bytes()).expect("sound");
+    let third = second.modify(withdraw.as_bytes()).expect("sound");
     [first, second, third]
 }
 
@@ -35,29 +35,29 @@
 #[test]
 fn the_whole_is_taken_whatever_was_there() {
     let [first, second, third] = three();
-    let whole = Some(third.text().to_string());
+    let whole = Some(third.json().to_string());
     let fetched = Fetched { revision: 12, patches: Vec::new(), whole };
     for have in [None, Some(&first), Some(&second)] {
         let config = put_together(have, &fetched).expect("whole");
-        assert_eq!((config.revision, config.text()), (12, third.text()));
+        assert_eq!((config.revision, config.json()), (12, third.json()));
     }
 }
 
 #[test]
 fn a_chain_of_patches_leads_to_the_same_text() {
     let [first, second, third] = three();
-    let chain = vec![first.patch(&second), second.patch(&third)];
+    let chain = vec![first.patch_to(&second), second.patch_to(&third)];
     let config = put_together(Some(&first), &patches(12, chain)).expect("fits");
-    assert_eq!((config.revision, config.text()), (12, third.text()));
-    let config = put_together(Some(&first), &patches(9, vec![first.patch(&second)])).expect("fits");
-    assert_eq!(config.text(), second.text());
-    assert!(config.find("ficu95.example", "/lohu930/2f").is_some_and(|route| route.retry_count == 1));
+    assert_eq!((config.revision, config.json()), (12, third.json()));
+    let config = put_together(Some(&first), &patches(9, vec![first.patch_to(&second)])).expect("fits");
+    assert_eq!(config.json(), second.json());
+    assert!(config.find_route("ficu95.example", "/lohu930/2f").is_some_and(|route| route.retry_count == 1));
 }
 
 #[test]
 fn patches_that_don_t_fit_give_nothing() {
     let [first, second, third] = three();
-    let (one, two) = (first.patch(&second), second.patch(&third));
+    let (one, two) = (first.patch_to(&second), second.patch_to(&third));
     let nothing = [
         ("made for another", put_together(Some(&first), &patches(12, vec![two.clone()]))),
         ("in another order", put_together(Some(&first), &patches(12, vec![two.clone(), one.clone()]))),
@@ -76,7 +76,7 @@
 #[test]
 fn a_patch_that_holds_parts_needs_what_it_was_made_for() {
     let [first, second, _] = three();
-    assert!(put_together(None, &patches(9, vec![first.patch(&second)])).is_none());
+    assert!(put_together(None, &patches(9, vec![first.patch_to(&second)])).is_none());
 }
 
 #[test]
