--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -1,8 +1,10 @@
 //! The part of a proxy's list: the register walked whole into the board, once a second and at each change.
 
+use std::time::Duration;
+
 use mosshead_programs::control;
 use mosshead_registry::{Registry, SourceId};
-use mosshead_routing::{BudgetTerms, Router, Terms};
+use mosshead_routing::{RetryBudgetLimits, Router, RoutingWeights};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -21,13 +23,17 @@
             let beat = control::beat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
             beat.map(|server| register.beat(1, server));
         }
-        let terms = Terms::new(BudgetTerms { ratio: 0.2, extra: 52.0, window: 10_000 });
-        let mut router = Router::new(terms, "region-1-zone-1", Pcg64Mcg::seed_from_u64(1));
+        let weights = RoutingWeights::new(RetryBudgetLimits {
+            retry_ratio: 0.2,
+            extra_retries: 52.0,
+            window: Duration::from_secs(10),
+        });
+        let mut router = Router::new(weights, "region-1-zone-1", Pcg64Mcg::seed_from_u64(1));
         let (mut first, mut again) = (Counter::default(), Counter::default());
         let before = memory::resident();
-        first.time(|| router.list(register.servers()));
+        first.time(|| router.update_servers(register.servers()));
         let kb = memory::each(before, memory::resident(), 1) / 1024.0;
-        (0..turns).for_each(|_| again.time(|| router.list(register.servers())));
+        (0..turns).for_each(|_| again.time(|| router.update_servers(register.servers())));
         let micros = again.busy.as_secs_f64() * 1e6 / turns.max(1) as f64;
         table.row(size, vec![first.busy.as_secs_f64() * 1e6, micros, micros * 1e-4, kb]);
         std::mem::forget((register, router));
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::http::response::Parts;
 use hyper::{Method, Request, StatusCode, Uri};
 use mosshead_http_links::{RetryPolicy, SendFaultCause};
-use mosshead_routing::Fault;
+use mosshead_routing::ServerFailure;
 use tokio::time::{Duration, Instant, timeout_at};
 
 use crate::links::{Opened, Origin, ServerLink};
@@ -56,7 +56,7 @@
     /// The head of the answer to this very request.
     Answer { head: Parts, body: Incoming, link: ServerLink },
     /// It never arrived whole.
-    Lost(Fault),
+    Lost(ServerFailure),
     /// The server says that it did not run and never will.
     NeverRan(StatusCode),
     /// It may have run.
@@ -149,8 +149,8 @@
                     let (left, to) = (until.saturating_duration_since(Instant::now()), server.address);
                     match self.links.open(&server.id, message.origin, to, server.most, left).await {
                         Opened::Link(link) => (link, false),
-                        Opened::TooMany => return Sent::Lost(Fault::Full),
-                        Opened::Unreachable => return Sent::Lost(Fault::Unreachable),
+                        Opened::TooMany => return Sent::Lost(ServerFailure::Full),
+                        Opened::Unreachable => return Sent::Lost(ServerFailure::Unreachable),
                     }
                 }
             };
@@ -158,7 +158,7 @@
                 if reused {
                     continue;
                 }
-                return Sent::Lost(Fault::Broken);
+                return Sent::Lost(ServerFailure::Broken);
             }
             let request = message.request(server, deadline.saturating_sub(self.now()), extra);
             // Danger: this may be dropped at any moment, and the request may have arrived all the same.
@@ -173,9 +173,9 @@
                     }
                     message.sent_to.borrow_mut().pop();
                     match (late, reused) {
-                        (true, _) => return Sent::Lost(Fault::Unreachable),
+                        (true, _) => return Sent::Lost(ServerFailure::Unreachable),
                         (false, true) => continue,
-                        (false, false) => return Sent::Lost(Fault::Broken),
+                        (false, false) => return Sent::Lost(ServerFailure::Broken),
                     }
                 }
             };
@@ -192,7 +192,7 @@
             }
             return Sent::Answer { head, body, link };
         }
-        Sent::Lost(Fault::Broken)
+        Sent::Lost(ServerFailure::Broken)
     }
 
     pub(crate) fn heard(&self, id: &str) {
--- a/crates/data-plane/src/events.rs
+++ b/crates/data-plane/src/events.rs
@@ -7,12 +7,12 @@
 
 /// Cuts a stream into whole events and remembers the id of the last one.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     held: BytesMut,
     last: Option<u64>,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes what came; the whole events in it, with the id of each where it tells one. `None`: an event is too long.
     pub fn push(&mut self, data: &[u8]) -> Option<Vec<(Option<u64>, Bytes)>> {
         self.held.extend_from_slice(data);
@@ -25,22 +25,22 @@
     }
 
     /// An event has been passed on.
-    pub fn passed(&mut self, id: Option<u64>) {
+    pub fn mark_forwarded(&mut self, id: Option<u64>) {
         self.last = id.or(self.last);
     }
 
     /// The id of the last event that was passed on.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_forwarded_id(&self) -> Option<u64> {
         self.last
     }
 
     /// Lets go of an event that never became whole; the next run starts at its beginning.
-    pub fn forget_rest(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.held.clear();
     }
 
     /// What follows the last whole event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.held.split().freeze()
     }
 }
--- a/crates/data-plane/src/forward.rs
+++ b/crates/data-plane/src/forward.rs
@@ -12,7 +12,7 @@
 use mosshead_config::{Config, Route, RouteType, Service};
 use mosshead_http_links::RetryPolicy;
 use mosshead_registry::OperState;
-use mosshead_routing::{Ask, Fault};
+use mosshead_routing::{Prompt, ServerFailure};
 use tokio::time::{Duration, timeout};
 
 use crate::answer::{Cut, Out, of_server, own, passed_on};
@@ -30,7 +30,7 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
     pub(crate) message: Message,
-    pub(crate) ask: Option<Ask>,
+    pub(crate) ask: Option<Prompt>,
     pub(crate) deadline: u64,
     pub(crate) priority: HeaderValue,
     /// When it may be sent to another server.
@@ -57,7 +57,7 @@
     /// The final answer to a client's request. `Err`: the connection ends without one.
     pub(crate) async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Out>, Cut> {
         let mut answer = self.clone().decide(request).await?;
-        if self.stopping() {
+        if self.is_draining() {
             answer.headers_mut().insert(hyper::header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(answer)
@@ -87,7 +87,7 @@
             Ok(Err(_)) => return Err(Cut),
             Err(_) => return Ok(own(StatusCode::REQUEST_TIMEOUT, None)),
         };
-        add(&self.counts.requests);
+        add(&self.counters.requests);
         self.held.set(self.held.get() + body.len());
         let held = HeldBytes(self.clone(), body.len());
         let answer = match self.job(&head, body) {
@@ -129,7 +129,7 @@
             (Some(_), _) => ask(&head.headers),
             (None, _) => None,
         };
-        let ask = ask.or_else(|| (route.route_type == RouteType::Streaming).then(Ask::default));
+        let ask = ask.or_else(|| (route.route_type == RouteType::Streaming).then(Prompt::default));
         let message = Message::of_client(head.method.clone(), uri, headers, body);
         let retry = if route.is_idempotent() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
         let priority = HeaderValue::from(u16::from(route.priority.min(9)));
@@ -152,14 +152,14 @@
 
     /// What a request is told that has not run: at once, with the time to come back.
     pub(crate) fn refuse(&self, job: &Job) -> Response<Out> {
-        add(&self.counts.refused);
+        add(&self.counters.rejected);
         let wait = 0.05 + self.router.borrow_mut().chance() * job.route.target_latency_ms as f64 / 4000.0;
         own(StatusCode::SERVICE_UNAVAILABLE, Some(wait))
     }
 
     /// What a request is told that may have run.
     pub(crate) fn fail(&self) -> Response<Out> {
-        add(&self.counts.failed);
+        add(&self.counters.failed);
         own(StatusCode::BAD_GATEWAY, None)
     }
 
@@ -210,20 +210,20 @@
                     ran = true;
                     let success = head.status.is_success();
                     if success && !sealed(&head) {
-                        running.failed(Fault::Broken);
+                        running.failed(ServerFailure::Broken);
                     } else if let Some(body) = self.whole(&id, &head, body, link, until).await {
                         let answer = of_server(&head, Out::Whole(Some(body)));
                         if success {
                             running.served();
-                            add(&self.counts.served);
+                            add(&self.counters.completed);
                             return Ok(answer);
                         }
-                        running.failed(Fault::Failed);
+                        running.failed(ServerFailure::Failed);
                         // Danger: these promise that the request never ran; without the server's proof they lie.
                         let promise = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
                         last = (!promise || job.may_run_twice()).then_some(answer);
                     } else {
-                        running.failed(Fault::Broken);
+                        running.failed(ServerFailure::Broken);
                     }
                     if !job.may_run_twice() {
                         return Ok(last.unwrap_or_else(|| self.fail()));
@@ -238,7 +238,7 @@
                     arrived += 1;
                 }
                 Sent::Broken | Sent::Late => {
-                    running.failed(Fault::Broken);
+                    running.failed(ServerFailure::Broken);
                     arrived += 1;
                     ran = true;
                     if !job.may_run_twice() {
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -38,12 +38,12 @@
     }
 
     /// Connections of clients.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// Lets the answers under way end and closes the connections that wait.
-    pub fn close(&self) {
+    pub fn shut_down(&self) {
         self.close.send_replace(true);
     }
 
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -13,6 +13,6 @@
 mod proxy_state;
 mod stream;
 
-pub use events::Splitter;
+pub use events::EventSplitter;
 pub use frontend::{Frontend, serve_readiness};
-pub use proxy_state::{Counts, DataPlane};
+pub use proxy_state::{Counters, DataPlane};
--- a/crates/data-plane/src/prompt.rs
+++ b/crates/data-plane/src/prompt.rs
@@ -6,7 +6,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
-use mosshead_routing::{Ask, Fault};
+use mosshead_routing::{Prompt, ServerFailure};
 use tinyjson::JsonValue;
 use tokio::time::{Duration, Instant, timeout_at};
 
@@ -15,7 +15,7 @@
 use crate::proxy_state::{DataPlane, Reading, add};
 
 /// The parts of a prompt, as its request names them. `None`: it names none, or they make no sense.
-pub(crate) fn ask(headers: &HeaderMap) -> Option<Ask> {
+pub(crate) fn ask(headers: &HeaderMap) -> Option<Prompt> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let mut counts = text("x-token-count")?.split(',').map(|count| count.trim().parse::<f64>());
     let tokens = counts.next()?.ok()?;
@@ -31,7 +31,7 @@
     }
     let model = text("x-model-name").unwrap_or_default().to_owned();
     let named: f64 = parts.iter().map(|part| part.1).sum();
-    (tokens.is_finite() && tokens >= 0.0).then(|| Ask { tokens: tokens.max(named), parts, answer, model })
+    (tokens.is_finite() && tokens >= 0.0).then(|| Prompt { tokens: tokens.max(named), parts, answer, model })
 }
 
 /// What a server keeps of a prompt until another takes it. Let go of untaken, it is freed.
@@ -65,7 +65,7 @@
         }
         let (data_plane, server) = (self.data_plane.clone(), self.server.clone());
         let Ok(uri) = format!("/kv-handle/{}", self.handle).parse::<Uri>() else { return };
-        add(&data_plane.counts.freed);
+        add(&data_plane.counters.freed_handles);
         tokio::task::spawn_local(async move {
             let message = Message::of_proxy(Method::DELETE, uri);
             let until = Instant::now() + Duration::from_millis(500);
@@ -110,7 +110,7 @@
 
 impl DataPlane {
     /// ClientRequests the readers that a prompt would be weighed between for their figures, where none is fresh.
-    pub(crate) async fn ask_readers(self: &Rc<Self>, job: &Job, ask: &Ask) {
+    pub(crate) async fn ask_readers(self: &Rc<Self>, job: &Job, ask: &Prompt) {
         let ids = self.router.borrow_mut().unknown_readers(self.now(), &job.service.name, ask);
         let servers: Vec<Server> = ids.iter().filter_map(|id| self.server(job, id)).collect();
         let mut asked = Vec::new();
@@ -142,7 +142,7 @@
             }
             Sent::Lost(fault) => self.fault(&server.id, fault),
             // It needs no slot for that.
-            Sent::Late | Sent::Broken => self.fault(&server.id, Fault::Unreachable),
+            Sent::Late | Sent::Broken => self.fault(&server.id, ServerFailure::Unreachable),
             _ => {}
         }
     }
@@ -152,7 +152,7 @@
         self: &Rc<Self>,
         server: &Server,
         message: &Message,
-        ask: &Ask,
+        ask: &Prompt,
         deadline: u64,
         priority: &HeaderValue,
     ) -> Result<Handle, Unread> {
@@ -168,17 +168,17 @@
             Sent::Answer { head, body, link } if head.status.is_success() => {
                 let body = self.whole(&server.id, &head, body, link, until).await;
                 let handle = body.and_then(|body| handle(&body)).ok_or_else(|| {
-                    self.fault(&server.id, Fault::Broken);
+                    self.fault(&server.id, ServerFailure::Broken);
                     Unread::Lost
                 })?;
                 self.router.borrow_mut().served(&server.id);
-                add(&self.counts.handed);
+                add(&self.counters.handed_over);
                 let taken = Cell::new(false);
                 Ok(Handle { data_plane: self.clone(), server: server.clone(), handle, taken })
             }
             Sent::Answer { head, body, link } => {
                 self.spare(&server.id, link, head, body);
-                self.fault(&server.id, Fault::Failed);
+                self.fault(&server.id, ServerFailure::Failed);
                 Err(Unread::Lost)
             }
             Sent::NeverRan(status) => {
@@ -190,7 +190,7 @@
                 Err(Unread::NotSent)
             }
             Sent::Broken | Sent::Late => {
-                self.fault(&server.id, Fault::Broken);
+                self.fault(&server.id, ServerFailure::Broken);
                 Err(Unread::Lost)
             }
         }
@@ -198,8 +198,12 @@
 }
 
 /// What it says of a server that it turned a request away.
-pub(crate) fn refusal(status: hyper::StatusCode) -> Fault {
-    if status == hyper::StatusCode::MISDIRECTED_REQUEST { Fault::Elsewhere } else { Fault::Full }
+pub(crate) fn refusal(status: hyper::StatusCode) -> ServerFailure {
+    if status == hyper::StatusCode::MISDIRECTED_REQUEST {
+        ServerFailure::Elsewhere
+    } else {
+        ServerFailure::Full
+    }
 }
 
 fn handle(body: &[u8]) -> Option<String> {
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/proxy_state.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwapOption;
 use mosshead_config::Config;
 use mosshead_registry::Server;
-use mosshead_routing::{Fault, Millis, Router, Terms};
+use mosshead_routing::{Millis, Router, RoutingWeights, ServerFailure};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{Duration, Instant};
@@ -16,21 +16,21 @@
 
 /// What has been answered since the start.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     /// Requests read whole.
     pub requests: Cell<u64>,
     /// Answers of servers passed on whole.
-    pub served: Cell<u64>,
+    pub completed: Cell<u64>,
     /// Refused: never ran.
-    pub refused: Cell<u64>,
+    pub rejected: Cell<u64>,
     /// Failed: may have run.
     pub failed: Cell<u64>,
     /// Streams that went on at another server.
     pub resumed: Cell<u64>,
     /// Prompts handed over.
-    pub handed: Cell<u64>,
+    pub handed_over: Cell<u64>,
     /// Handles freed untaken.
-    pub freed: Cell<u64>,
+    pub freed_handles: Cell<u64>,
 }
 
 pub(crate) fn add(count: &Cell<u64>) {
@@ -50,12 +50,12 @@
     pub(crate) held: Cell<usize>,
     pub(crate) proxies: Cell<usize>,
     /// What has been answered.
-    pub counts: Counts,
+    pub counters: Counters,
 }
 
 impl DataPlane {
     /// A proxy in `zone` that knows nothing yet.
-    pub fn new(terms: Terms, zone: &str, seed: u64) -> Rc<Self> {
+    pub fn new(terms: RoutingWeights, zone: &str, seed: u64) -> Rc<Self> {
         Rc::new(Self {
             config: ArcSwapOption::empty(),
             router: RefCell::new(Router::new(terms, zone, Pcg64Mcg::seed_from_u64(seed))),
@@ -65,7 +65,7 @@
             open: Cell::new(0),
             held: Cell::new(0),
             proxies: Cell::new(1),
-            counts: Counts::default(),
+            counters: Counters::default(),
         })
     }
 
@@ -92,36 +92,36 @@
     }
 
     /// The register's present list.
-    pub fn list<'a>(&self, servers: impl Iterator<Item = &'a Server>) {
-        self.router.borrow_mut().list(servers);
+    pub fn update_servers<'a>(&self, servers: impl Iterator<Item = &'a Server>) {
+        self.router.borrow_mut().update_servers(servers);
         let router = self.router.borrow();
         self.links.keep(|id| router.board().get(id).is_some());
     }
 
     /// How many proxies share what all may spend.
-    pub fn proxies(&self, count: usize) {
+    pub fn set_proxy_count(&self, count: usize) {
         self.proxies.set(count.max(1));
         self.router.borrow_mut().proxies(count);
     }
 
     /// The process ends soon: clients are told to go elsewhere.
-    pub fn stop(&self) {
+    pub fn start_draining(&self) {
         self.stopping.set(true);
     }
 
     /// Whether it ends soon.
-    pub fn stopping(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.stopping.get()
     }
 
     /// Requests under way.
-    pub fn open(&self) -> usize {
+    pub fn in_flight_requests(&self) -> usize {
         self.open.get()
     }
 
     /// Ready: a configuration is in force, and for some service of its routes there are servers.
-    pub fn ready(&self) -> bool {
-        if self.stopping() {
+    pub fn is_ready(&self) -> bool {
+        if self.is_draining() {
             return false;
         }
         let Some(config) = self.config() else { return false };
@@ -129,7 +129,7 @@
         config.services.keys().any(|service| router.board().serves(service))
     }
 
-    pub(crate) fn fault(&self, id: &str, fault: Fault) {
+    pub(crate) fn fault(&self, id: &str, fault: ServerFailure) {
         let now = self.now();
         self.router.borrow_mut().failed(now, id, fault);
     }
@@ -191,7 +191,7 @@
         self.data_plane.router.borrow_mut().served(&self.id);
     }
 
-    pub(crate) fn failed(&self, fault: Fault) {
+    pub(crate) fn failed(&self, fault: ServerFailure) {
         self.told.set(true);
         self.data_plane.fault(&self.id, fault);
     }
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -8,13 +8,13 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_ENCODING, CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
-use mosshead_routing::{Ask, Fault};
+use mosshead_routing::{Prompt, ServerFailure};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, timeout, timeout_at};
 
 use crate::answer::{Cut, Out, of_server};
 use crate::attempt::{Sent, Server, kept, sealed};
-use crate::events::Splitter;
+use crate::events::EventSplitter;
 use crate::forward::{Job, Ran};
 use crate::links::ServerLink;
 use crate::prompt::{Handle, MUTE, REPORT, refusal};
@@ -51,7 +51,7 @@
     pub(crate) async fn run(
         self: &Rc<Self>,
         job: &Job,
-        ask: &Ask,
+        ask: &Prompt,
         server: &Server,
         handle: Option<Handle>,
         after: Option<u64>,
@@ -70,7 +70,7 @@
             Sent::Answer { head, body, link } => {
                 handle.iter().for_each(Handle::gone);
                 if !head.status.is_success() {
-                    running.failed(Fault::Failed);
+                    running.failed(ServerFailure::Failed);
                     let Some(body) = self.whole(&server.id, &head, body, link, until).await else {
                         return Ran::Broken;
                     };
@@ -81,7 +81,7 @@
                     return Ran::Other(of_server(&head, Out::Whole(Some(body))));
                 }
                 if !sealed(&head) || head.headers.contains_key(CONTENT_ENCODING) {
-                    running.failed(Fault::Broken);
+                    running.failed(ServerFailure::Broken);
                     return Ran::Broken;
                 }
                 let framed =
@@ -105,14 +105,20 @@
             }
             Sent::Broken | Sent::Late => {
                 handle.iter().for_each(Handle::gone);
-                running.failed(Fault::Broken);
+                running.failed(ServerFailure::Broken);
                 Ran::Broken
             }
         }
     }
 
     /// The answer with the stream in it. A task of its own passes the events on.
-    pub(crate) fn pass_on(self: Rc<Self>, job: Job, ask: Ask, start: Start, under: Under) -> Response<Out> {
+    pub(crate) fn pass_on(
+        self: Rc<Self>,
+        job: Job,
+        ask: Prompt,
+        start: Start,
+        under: Under,
+    ) -> Response<Out> {
         let (to, from) = mpsc::channel(WAITING);
         let answer = of_server(&start.head, Out::Flows(from));
         tokio::task::spawn_local(async move {
@@ -122,13 +128,13 @@
         answer
     }
 
-    async fn flow(self: Rc<Self>, job: Job, ask: Ask, start: Start, to: mpsc::Sender<Result<Bytes, Cut>>) {
-        let mut splitter = Splitter::default();
+    async fn flow(self: Rc<Self>, job: Job, ask: Prompt, start: Start, to: mpsc::Sender<Result<Bytes, Cut>>) {
+        let mut splitter = EventSplitter::default();
         let mut avoid = vec![start.server.id.clone()];
         let mut end = self.one_run(&job, start, &mut splitter, &to).await;
         let mut resumed = 0;
         while matches!(end, End::Broken) && job.route.resume && resumed < RESUMED_MOST && !self.over(&job) {
-            splitter.forget_rest();
+            splitter.discard_partial_event();
             resumed += 1;
             let now = self.now();
             if !self.router.borrow_mut().repeat(now, &job.service.name) {
@@ -139,16 +145,18 @@
             pair.reader.iter().for_each(|id| self.router.borrow_mut().unknown(id));
             let Some(server) = self.server(&job, &pair.runner) else { break };
             avoid.push(server.id.clone());
-            if let Ran::Stream(start) = self.run(&job, &ask, &server, None, splitter.last()).await {
-                add(&self.counts.resumed);
+            if let Ran::Stream(start) =
+                self.run(&job, &ask, &server, None, splitter.last_forwarded_id()).await
+            {
+                add(&self.counters.resumed);
                 end = self.one_run(&job, start, &mut splitter, &to).await;
             }
         }
         match end {
-            End::Complete => add(&self.counts.served),
+            End::Complete => add(&self.counters.completed),
             End::Left => {}
             End::Broken | End::Over => {
-                add(&self.counts.failed);
+                add(&self.counters.failed);
                 // Danger: the answer must not look complete.
                 let _ = timeout(Duration::from_secs(1), to.send(Err(Cut))).await;
             }
@@ -160,7 +168,7 @@
         self: &Rc<Self>,
         job: &Job,
         start: Start,
-        splitter: &mut Splitter,
+        splitter: &mut EventSplitter,
         to: &mpsc::Sender<Result<Bytes, Cut>>,
     ) -> End {
         let Start { head, mut body, link, server, running, mut reading, framed } = start;
@@ -171,7 +179,7 @@
                 () = to.closed() => return End::Left,
                 frame = timeout_at(until, body.frame()) => frame,
                 () = self.dark(&server, MUTE, REPORT), if job.route.resume => {
-                    running.failed(Fault::Unreachable);
+                    running.failed(ServerFailure::Unreachable);
                     return End::Broken;
                 }
             };
@@ -183,7 +191,7 @@
                     Err(_) => continue,
                 },
                 Ok(None) if framed => {
-                    let rest = splitter.rest();
+                    let rest = splitter.take_remainder();
                     if !rest.is_empty() && to.send(Ok(rest)).await.is_err() {
                         return End::Left;
                     }
@@ -193,24 +201,24 @@
                 }
                 // Danger: without a length or chunks, what broke off looks whole.
                 Ok(None) | Ok(Some(Err(_))) => {
-                    running.failed(Fault::Broken);
+                    running.failed(ServerFailure::Broken);
                     return End::Broken;
                 }
             };
             reading.take();
             let Some(events) = splitter.push(&data) else {
-                running.failed(Fault::Broken);
+                running.failed(ServerFailure::Broken);
                 return End::Broken;
             };
             for (id, event) in events {
-                let last = splitter.last();
+                let last = splitter.last_forwarded_id();
                 if id.is_some() && last.is_some() && id <= last {
                     continue;
                 }
                 if to.send(Ok(event)).await.is_err() {
                     return End::Left;
                 }
-                splitter.passed(id);
+                splitter.mark_forwarded(id);
             }
         }
     }
--- a/crates/data-plane/tests/bounds.rs
+++ b/crates/data-plane/tests/bounds.rs
@@ -51,7 +51,7 @@
         let stands = stands(3, &Act::Close).await;
         let servers: Vec<_> = stands.iter().map(|stand| &stand.server).collect();
         let proxy = Proxy::spending(1, 0.2, 4.0).await.knows(&servers);
-        proxy.data_plane.proxies(2);
+        proxy.data_plane.set_proxy_count(2);
         for _ in 0..40 {
             assert_eq!(proxy.ask("/again/", &[]).await.status, 502);
         }
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -21,7 +21,7 @@
 use mosshead_config::Config;
 use mosshead_data_plane::{DataPlane, Frontend};
 use mosshead_registry::{OperState, Server, Stage};
-use mosshead_routing::{BudgetTerms, Terms};
+use mosshead_routing::{RetryBudgetLimits, RoutingWeights};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -385,9 +385,9 @@
     }
 
     /// A proxy that knows nothing, with this budget of repeats.
-    pub async fn spending(seed: u64, ratio: f64, extra: f64) -> Self {
-        let budget = BudgetTerms { ratio, extra, window: 10_000 };
-        let data_plane = DataPlane::new(Terms::new(budget), "here", seed);
+    pub async fn spending(seed: u64, retry_ratio: f64, extra_retries: f64) -> Self {
+        let budget = RetryBudgetLimits { retry_ratio, extra_retries, window: Duration::from_secs(10) };
+        let data_plane = DataPlane::new(RoutingWeights::new(budget), "here", seed);
         let door = Frontend::new(data_plane.clone());
         let (listener, front) = bound().await;
         tokio::task::spawn_local(door.clone().serve(listener));
@@ -395,7 +395,7 @@
         let asked = data_plane.clone();
         tokio::task::spawn_local(mosshead_data_plane::serve_readiness(
             listener,
-            move || asked.ready(),
+            move || asked.is_ready(),
             || "status".to_owned(),
         ));
         Self { data_plane, door, front, readiness }
@@ -409,7 +409,7 @@
     /// Gives it the configuration and these servers.
     pub fn knows(self, servers: &[&Server]) -> Self {
         assert!(self.data_plane.configure(Arc::new(config())));
-        self.data_plane.list(servers.iter().copied());
+        self.data_plane.update_servers(servers.iter().copied());
         self
     }
 
--- a/crates/data-plane/tests/own_answers.rs
+++ b/crates/data-plane/tests/own_answers.rs
@@ -222,7 +222,7 @@
                 socket2::SockRef::from(&client).set_linger(linger).expect("an option");
             }
             drop(client);
-            until(|| hostile.count("1") > 0 || proxy.door.open() == 0).await;
+            until(|| hostile.count("1") > 0 || proxy.door.open_connections() == 0).await;
             turns(20).await;
             assert_eq!(hostile.count("1"), 0, "resets: {resets}");
         }
@@ -297,7 +297,7 @@
         let lists = known.clone();
         let refuses = move |arrival: &Arrival| {
             if let Some(data_plane) = lists.borrow().as_ref() {
-                data_plane.list([&changed].into_iter());
+                data_plane.update_servers([&changed].into_iter());
             }
             Reply::Bytes(answer(421, arrival.id(), "", ""), Aftermath::Quiet)
         };
--- a/crates/data-plane/tests/plain.rs
+++ b/crates/data-plane/tests/plain.rs
@@ -189,7 +189,7 @@
         assert_eq!(proxy.ask("/once", &[]).await.status, 404);
         assert!(stand.seen().is_empty());
         let empty = Proxy::empty(1).await;
-        empty.data_plane.list([&stand.server].into_iter());
+        empty.data_plane.update_servers([&stand.server].into_iter());
         let answer = empty.ask("/once/", &[]).await;
         let wait = answer.header("retry-after").and_then(|wait| wait.parse::<f64>().ok());
         assert!(answer.status == 503 && wait.is_some_and(|wait| wait > 0.0), "{answer:?}");
@@ -204,8 +204,8 @@
         let proxy = Proxy::with(1, &[&stand.server]).await;
         assert_eq!(ask(proxy.readiness, "GET", "/readiness", &[], "").await.status, 200);
         assert_eq!(proxy.ask("/once/", &[]).await.header("connection"), None);
-        proxy.data_plane.stop();
-        assert!(proxy.data_plane.stopping());
+        proxy.data_plane.start_draining();
+        assert!(proxy.data_plane.is_draining());
         assert_eq!(ask(proxy.readiness, "GET", "/readiness", &[], "").await.status, 503);
         for (path, status) in [("/once/", 200), ("/nothing/", 404)] {
             let answer = proxy.ask(path, &[]).await;
--- a/crates/data-plane/tests/prompts.rs
+++ b/crates/data-plane/tests/prompts.rs
@@ -52,7 +52,10 @@
             let left = seen.header("x-deadline-ms").and_then(|left| left.parse().ok()).expect("a deadline");
             assert!((1..=WAIT).contains(&left), "{left}");
         }
-        assert_eq!((proxy.data_plane.counts.handed.get(), proxy.data_plane.counts.freed.get()), (1, 0));
+        assert_eq!(
+            (proxy.data_plane.counters.handed_over.get(), proxy.data_plane.counters.freed_handles.get()),
+            (1, 0)
+        );
     });
 }
 
@@ -126,7 +129,7 @@
             assert_eq!(after, ["4"]);
             let from = one.iter().chain(&two).filter(|seen| seen.header("kv-from").is_some()).count();
             assert!(from <= 1, "a handle is taken once");
-            assert_eq!(proxy.data_plane.counts.resumed.get(), 1);
+            assert_eq!(proxy.data_plane.counters.resumed.get(), 1);
         }
     });
 }
@@ -237,7 +240,7 @@
     run(async {
         let (reader, runner) = (reader().await, runner("i-run", |_| stream(3)).await);
         let proxy = Proxy::with(1, &[&reader.server, &runner.server]).await;
-        proxy.data_plane.stop();
+        proxy.data_plane.start_draining();
         let answer = proxy.prompt("/broken/", &[]).await;
         assert_eq!((answer.header("connection"), answer.body.clone()), (Some("close"), events(1..=3)));
         assert!(answer.whole);
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -9,7 +9,7 @@
 use mosshead_data_plane::{DataPlane, Frontend, serve_readiness};
 use mosshead_membership::{Membership, Peer, Settings as MembershipSettings};
 use mosshead_registry::{Registry, SourceId};
-use mosshead_routing::{BudgetTerms, Terms};
+use mosshead_routing::{RetryBudgetLimits, RoutingWeights};
 use mosshead_rpc::Caller;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -49,20 +49,21 @@
     }
 
     fn listed(&self) {
-        self.data_plane.list(self.register.borrow().servers());
+        self.data_plane.update_servers(self.register.borrow().servers());
     }
 
     fn proxies(&self, count: usize) {
         self.told.set(count);
-        self.data_plane.proxies(count.max(self.gossip.count(false)));
+        self.data_plane.set_proxy_count(count.max(self.gossip.count(false)));
     }
 }
 
-/// The terms of the decisions, by the deployment's bounds.
-pub fn terms(settings: &Settings) -> Terms {
-    let window = (settings.bound("retry_window_s", 10.0) * 1000.0) as u64;
-    let (ratio, extra) = (settings.bound("retry_budget_ratio", 0.2), settings.bound("retry_extra", 20.0));
-    Terms::new(BudgetTerms { ratio, extra, window })
+/// The weights of the routing decisions, with the deployment's retry budget.
+pub fn routing_weights(settings: &Settings) -> RoutingWeights {
+    let window = Duration::from_millis((settings.bound("retry_window_s", 10.0) * 1000.0) as u64);
+    let retry_ratio = settings.bound("retry_budget_ratio", 0.2);
+    let extra_retries = settings.bound("retry_extra", 20.0);
+    RoutingWeights::new(RetryBudgetLimits { retry_ratio, extra_retries, window })
 }
 
 /// This process as others of the fleet know it.
@@ -90,7 +91,7 @@
     let front = settings.front_http.ok_or_else(|| missing("listen_addresses.front_http"))?;
     let mut rng = Pcg64Mcg::from_os_rng();
     let life: u64 = rng.random();
-    let data_plane = DataPlane::new(terms(&settings), &settings.zone, rng.random());
+    let data_plane = DataPlane::new(routing_weights(&settings), &settings.zone, rng.random());
     let register = Rc::new(RefCell::new(Registry::follower(SourceId(life), settings.keepalive_ms)));
     let peer = peer(&settings, life, false);
     let membership = MembershipSettings { fleet: FLEET, ..MembershipSettings::default() };
@@ -119,7 +120,7 @@
         let (ready, told) =
             (data_plane.clone(), (data_plane.clone(), puller.clone(), gossip.clone(), door.clone()));
         let status = move || status(&told.0, &told.1, &told.2, &told.3);
-        tokio::task::spawn_local(serve_readiness(listen(address).await?, move || ready.ready(), status));
+        tokio::task::spawn_local(serve_readiness(listen(address).await?, move || ready.is_ready(), status));
     }
     spdlog::info!("router: {} listens.", settings.node_name);
     let mut hangup = signal(SignalKind::hangup())?;
@@ -146,17 +147,17 @@
             }
         }
     }
-    spdlog::info!("router: told to end; {} requests are under way.", data_plane.open());
+    spdlog::info!("router: told to end; {} requests are under way.", data_plane.in_flight_requests());
     let told = Instant::now();
-    data_plane.stop();
+    data_plane.start_draining();
     gossip.leave().await;
     let grace = Duration::from_secs_f64(settings.bound("grace_s", 8.0)).saturating_sub(BEFORE_KILL);
     sleep(HANDED_ON.min(grace)).await;
-    door.close();
-    while told.elapsed() < grace && (data_plane.open() > 0 || door.open() > 0) {
+    door.shut_down();
+    while told.elapsed() < grace && (data_plane.in_flight_requests() > 0 || door.open_connections() > 0) {
         sleep(Duration::from_millis(20)).await;
     }
-    spdlog::info!("router: ends, {} requests under way.", data_plane.open());
+    spdlog::info!("router: ends, {} requests under way.", data_plane.in_flight_requests());
     Ok(())
 }
 
@@ -175,28 +176,28 @@
 fn status(data_plane: &DataPlane, puller: &Puller<Takes>, gossip: &Gossip, door: &Frontend) -> String {
     let config = data_plane.config();
     let heard = puller.heard.get().map_or(-1.0, |heard| heard.elapsed().as_secs_f64());
-    let counts = &data_plane.counts;
+    let counts = &data_plane.counters;
     format!(
         concat!(
             "{{\"ready\":{},\"revision\":{},\"routes\":{},\"servers\":{},\"core_heard_s\":{:.3},\"cores\":{},",
             "\"proxies\":{},\"connections\":{},\"open\":{},\"requests\":{},\"served\":{},\"refused\":{},",
             "\"failed\":{},\"resumed\":{},\"handed_over\":{},\"freed\":{}}}"
         ),
-        data_plane.ready(),
+        data_plane.is_ready(),
         config.as_ref().map_or(0, |config| config.revision),
         config.as_ref().map_or(0, |config| config.routes.len()),
         puller.register.borrow().len(),
         heard,
         puller.cores().len(),
         gossip.count(false),
-        door.open(),
-        data_plane.open(),
+        door.open_connections(),
+        data_plane.in_flight_requests(),
         counts.requests.get(),
-        counts.served.get(),
-        counts.refused.get(),
+        counts.completed.get(),
+        counts.rejected.get(),
         counts.failed.get(),
         counts.resumed.get(),
-        counts.handed.get(),
-        counts.freed.get(),
+        counts.handed_over.get(),
+        counts.freed_handles.get(),
     )
 }
--- a/crates/routing/src/board.rs
+++ b/crates/routing/src/board.rs
@@ -6,11 +6,11 @@
 use mosshead_load_board::Entry;
 use mosshead_registry::{OperState, Server, Stage};
 
-use crate::evidence::Evidence;
+use crate::evidence::OutlierRecord;
 
 /// What a send adds to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum LoadKind {
     /// It reads a prompt for another.
     Reads,
     /// It generates, or does work without an engine.
@@ -19,7 +19,7 @@
 
 /// One server as this proxy sees it.
 #[derive(Debug)]
-pub struct Candidate {
+pub struct Endpoint {
     /// What the register says.
     pub server: Server,
     /// Its id, shared.
@@ -37,7 +37,7 @@
     /// When it last answered anything.
     pub heard_at: u64,
     /// What sends there have shown.
-    pub evidence: Evidence,
+    pub evidence: OutlierRecord,
     /// Until when its handles are not trusted.
     pub lapses_until: u64,
     /// The last shared parts of prompts that this proxy had read there, newest last.
@@ -49,7 +49,7 @@
 /// So many parts are remembered for a server.
 const KEPT: usize = 256;
 
-impl Candidate {
+impl Endpoint {
     /// It has read a prompt with this part.
     pub(crate) fn keeps(&mut self, part: u64) {
         self.kept.retain(|kept| *kept != part);
@@ -76,14 +76,14 @@
 
 /// All servers, by service and part.
 #[derive(Debug, Default)]
-pub struct Board {
-    pub(crate) all: HashMap<Rc<str>, Candidate>,
+pub struct EndpointTable {
+    pub(crate) all: HashMap<Rc<str>, Endpoint>,
     pub(crate) parts: HashMap<String, [Vec<Rc<str>>; 2]>,
 }
 
-impl Board {
+impl EndpointTable {
     /// Takes the register's present list. What is known of servers that stay is kept.
-    pub fn list<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
+    pub fn update_servers<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
         let mut parts: HashMap<String, [Vec<Rc<str>>; 2]> = HashMap::new();
         let mut gone: std::collections::HashSet<Rc<str>> = self.all.keys().cloned().collect();
         for server in servers {
@@ -95,7 +95,7 @@
                 None => Rc::from(server.id.as_str()),
             };
             gone.remove(&id);
-            let candidate = self.all.entry(id.clone()).or_insert_with(|| Candidate {
+            let candidate = self.all.entry(id.clone()).or_insert_with(|| Endpoint {
                 server: server.clone(),
                 id: id.clone(),
                 open: Entry::default(),
@@ -104,7 +104,7 @@
                 own_reading: 0.0,
                 figure_at: 0,
                 heard_at: 0,
-                evidence: Evidence::default(),
+                evidence: OutlierRecord::default(),
                 lapses_until: 0,
                 kept: VecDeque::new(),
                 hash: hash(server.id.as_bytes()),
@@ -131,21 +131,21 @@
     }
 
     /// The servers of a service that may be sent to, by part.
-    pub(crate) fn side(&self, service: &str, side: Side) -> &[Rc<str>] {
-        self.parts.get(service).map_or(&[], |parts| &parts[usize::from(side == Side::Reads)])
+    pub(crate) fn side(&self, service: &str, side: LoadKind) -> &[Rc<str>] {
+        self.parts.get(service).map_or(&[], |parts| &parts[usize::from(side == LoadKind::Reads)])
     }
 
     /// One server.
-    pub fn get(&self, id: &str) -> Option<&Candidate> {
+    pub fn get(&self, id: &str) -> Option<&Endpoint> {
         self.all.get(id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: &str) -> Option<&mut Candidate> {
+    pub(crate) fn get_mut(&mut self, id: &str) -> Option<&mut Endpoint> {
         self.all.get_mut(id)
     }
 
     /// Whether any server of the service may be sent to.
     pub fn serves(&self, service: &str) -> bool {
-        !self.side(service, Side::Runs).is_empty()
+        !self.side(service, LoadKind::Runs).is_empty()
     }
 }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -2,17 +2,19 @@
 
 use std::collections::VecDeque;
 
+use std::time::Duration;
+
 use crate::Millis;
 
 /// What the deployment allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetTerms {
+pub struct RetryBudgetLimits {
     /// Repeats for each request in a window.
-    pub ratio: f64,
+    pub retry_ratio: f64,
     /// Repeats beyond that, all proxies together.
-    pub extra: f64,
+    pub extra_retries: f64,
     /// The window's length.
-    pub window: Millis,
+    pub window: Duration,
 }
 
 /// So many pieces of a window are told apart.
@@ -22,23 +24,27 @@
 
 /// This proxy's count for one service.
 #[derive(Debug)]
-pub struct Budget {
-    terms: BudgetTerms,
+pub struct RetryBudget {
+    terms: RetryBudgetLimits,
     /// Start of a piece, requests and repeats in it.
     pieces: VecDeque<(Millis, f64, f64)>,
     requests: f64,
     repeats: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Nothing counted yet.
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: RetryBudgetLimits) -> Self {
         Self { terms, pieces: VecDeque::new(), requests: 0.0, repeats: 0.0 }
     }
 
+    fn window_millis(&self) -> Millis {
+        self.terms.window.as_millis() as Millis
+    }
+
     fn now(&mut self, now: Millis) -> &mut (Millis, f64, f64) {
-        let length = (self.terms.window / PIECES).max(1);
-        while self.pieces.front().is_some_and(|piece| piece.0 + self.terms.window + length <= now) {
+        let (window, length) = (self.window_millis(), (self.window_millis() / PIECES).max(1));
+        while self.pieces.front().is_some_and(|piece| piece.0 + window + length <= now) {
             if let Some((_, requests, repeats)) = self.pieces.pop_front() {
                 self.requests -= requests;
                 self.repeats -= repeats;
@@ -60,7 +66,8 @@
     /// Takes one repeat out of the budget, if it holds one; `proxies` share what goes beyond the ratio.
     pub fn repeat(&mut self, now: Millis, proxies: usize) -> bool {
         self.now(now);
-        let allowed = self.terms.ratio * self.requests + self.terms.extra / proxies.max(1) as f64;
+        let allowed =
+            self.terms.retry_ratio * self.requests + self.terms.extra_retries / proxies.max(1) as f64;
         // Danger: every proxy that spends its part in full must leave the whole within its bound.
         if self.repeats + 1.0 > MARGIN * allowed {
             return false;
--- a/crates/routing/src/evidence.rs
+++ b/crates/routing/src/evidence.rs
@@ -4,7 +4,7 @@
 
 /// How a send failed that says something of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ServerFailure {
     /// No connection came up, or the machine acknowledged nothing.
     Unreachable,
     /// It reset, broke off or sent what is no answer.
@@ -27,14 +27,14 @@
 
 /// One server's record.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct OutlierRecord {
     doubt: f64,
     strikes: u32,
     until: Millis,
     trial: bool,
 }
 
-impl Evidence {
+impl OutlierRecord {
     /// Whether it may be sent to. After a rest one request goes first.
     pub fn open(&self, now: Millis) -> bool {
         now >= self.until && !self.trial
@@ -57,12 +57,12 @@
     }
 
     /// A send failed.
-    pub fn failed(&mut self, now: Millis, fault: Fault) {
+    pub fn failed(&mut self, now: Millis, fault: ServerFailure) {
         self.trial = false;
         match fault {
-            Fault::Full => self.until = self.until.max(now + FULL_REST),
-            Fault::Unreachable | Fault::Elsewhere => self.rest(now),
-            Fault::Broken | Fault::Failed => {
+            ServerFailure::Full => self.until = self.until.max(now + FULL_REST),
+            ServerFailure::Unreachable | ServerFailure::Elsewhere => self.rest(now),
+            ServerFailure::Broken | ServerFailure::Failed => {
                 self.doubt += 1.0;
                 if self.doubt >= DOUBT || self.strikes > 0 {
                     self.rest(now);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,10 +6,10 @@
 mod evidence;
 mod plan;
 
-pub use board::{Board, Candidate, Side};
-pub use budget::{Budget, BudgetTerms};
-pub use evidence::{Evidence, Fault};
-pub use plan::{Ask, Pair, Router, Terms};
+pub use board::{Endpoint, EndpointTable, LoadKind};
+pub use budget::{RetryBudget, RetryBudgetLimits};
+pub use evidence::{OutlierRecord, ServerFailure};
+pub use plan::{Prompt, Router, RoutingWeights, ServerPair};
 
 /// An instant or a span, in milliseconds.
 pub type Millis = u64;
--- a/crates/routing/src/plan.rs
+++ b/crates/routing/src/plan.rs
@@ -9,18 +9,18 @@
 use rand_core::RngCore;
 
 use crate::Millis;
-use crate::board::{Board, Candidate, Side, mix};
-use crate::budget::{Budget, BudgetTerms};
-use crate::evidence::Fault;
+use crate::board::{Endpoint, EndpointTable, LoadKind, mix};
+use crate::budget::{RetryBudget, RetryBudgetLimits};
+use crate::evidence::ServerFailure;
 
 /// What a zone is worth to a prompt that is to be read, in tokens, for each open stream that it is worth else.
 const NEARER: f64 = 400.0;
 
 /// What the decisions start from.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct RoutingWeights {
     /// The shared retry budget.
-    pub budget: BudgetTerms,
+    pub budget: RetryBudgetLimits,
     /// Prompt tokens that a reader takes in a millisecond; one that generates takes half as many.
     pub pace: f64,
     /// What one open stream weighs at a server that generates, in prompt tokens.
@@ -43,9 +43,9 @@
     pub streams: f64,
 }
 
-impl Terms {
+impl RoutingWeights {
     /// With this budget, and what was measured on the operators' deployments.
-    pub fn new(budget: BudgetTerms) -> Self {
+    pub fn new(budget: RetryBudgetLimits) -> Self {
         Self {
             budget,
             pace: 60.0,
@@ -64,7 +64,7 @@
 
 /// A prompt that is to be read and answered.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Prompt {
     /// Tokens of the prompt.
     pub tokens: f64,
     /// Its parts in order: what they are known by, and their tokens. The last one is its own.
@@ -75,7 +75,7 @@
     pub model: String,
 }
 
-impl Ask {
+impl Prompt {
     /// The last part that others share, too.
     fn last_shared(&self) -> Option<(u64, f64)> {
         self.parts.get(self.parts.len().checked_sub(2)?).copied()
@@ -94,7 +94,7 @@
 
 /// The servers of one prompt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pair {
+pub struct ServerPair {
     /// Reads the prompt; `None` where the other one does.
     pub reader: Option<Rc<str>>,
     /// Generates.
@@ -104,9 +104,9 @@
 /// All that one proxy decides with.
 #[derive(Debug)]
 pub struct Router<R> {
-    terms: Terms,
-    board: Board,
-    budgets: HashMap<String, Budget>,
+    terms: RoutingWeights,
+    board: EndpointTable,
+    budgets: HashMap<String, RetryBudget>,
     zone: String,
     proxies: usize,
     /// What this proxy usually has waiting at one server: that generates, that reads.
@@ -118,8 +118,8 @@
 
 impl<R: RngCore> Router<R> {
     /// A proxy in `zone` that knows nothing yet.
-    pub fn new(terms: Terms, zone: &str, rng: R) -> Self {
-        let (board, budgets) = (Board::default(), HashMap::new());
+    pub fn new(terms: RoutingWeights, zone: &str, rng: R) -> Self {
+        let (board, budgets) = (EndpointTable::default(), HashMap::new());
         Self {
             terms,
             board,
@@ -133,8 +133,8 @@
     }
 
     /// The register's present list.
-    pub fn list<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
-        self.board.list(servers);
+    pub fn update_servers<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
+        self.board.update_servers(servers);
     }
 
     /// How many proxies share the budget.
@@ -143,7 +143,7 @@
     }
 
     /// What is known of the servers.
-    pub fn board(&self) -> &Board {
+    pub fn board(&self) -> &EndpointTable {
         &self.board
     }
 
@@ -152,9 +152,9 @@
         self.budget(service).request(now);
     }
 
-    fn budget(&mut self, service: &str) -> &mut Budget {
+    fn budget(&mut self, service: &str) -> &mut RetryBudget {
         let terms = self.terms.budget;
-        self.budgets.entry(service.to_owned()).or_insert_with(|| Budget::new(terms))
+        self.budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::new(terms))
     }
 
     /// Takes a repeat out of the budget, if there is one.
@@ -170,7 +170,7 @@
 
     /// Those of a part that may be sent to: without those that own sends or the register speak against, unless no
     /// other is left.
-    fn ready(&self, now: Millis, service: &str, side: Side, avoid: &[Rc<str>]) -> Vec<&Candidate> {
+    fn ready(&self, now: Millis, service: &str, side: LoadKind, avoid: &[Rc<str>]) -> Vec<&Endpoint> {
         let listed = || {
             let ids = self.board.side(service, side).iter().filter(|id| !avoid.contains(id));
             ids.filter_map(|id| self.board.get(id)).filter(|one| one.server.state == OperState::Up)
@@ -186,7 +186,7 @@
     /// A server for a request without a prompt.
     pub fn one(&mut self, now: Millis, service: &str, avoid: &[Rc<str>]) -> Option<Rc<str>> {
         let ids: Vec<Rc<str>> =
-            self.ready(now, service, Side::Runs, avoid).iter().map(|one| one.id.clone()).collect();
+            self.ready(now, service, LoadKind::Runs, avoid).iter().map(|one| one.id.clone()).collect();
         let drawn = self.draw_near(&ids);
         let id = self.least(&drawn, |router, id, _| router.open(id) + router.away(id))?.0;
         self.chosen(&id);
@@ -211,7 +211,7 @@
         readers: usize,
     ) -> (Vec<Rc<str>>, Vec<Rc<str>>, bool) {
         let mut all: Vec<(u64, Rc<str>)> = self
-            .ready(now, service, Side::Runs, avoid)
+            .ready(now, service, LoadKind::Runs, avoid)
             .iter()
             .map(|one| (one.hash, one.id.clone()))
             .collect();
@@ -241,8 +241,8 @@
     }
 
     /// What waits at a server before a prompt that comes now, and the prompt itself, in tokens to read.
-    fn value(&self, now: Millis, id: &str, side: Side, ask: &Ask, first: bool) -> f64 {
-        let weight = if side == Side::Runs { self.terms.stream_weight } else { 0.0 };
+    fn value(&self, now: Millis, id: &str, side: LoadKind, ask: &Prompt, first: bool) -> f64 {
+        let weight = if side == LoadKind::Runs { self.terms.stream_weight } else { 0.0 };
         let Some(one) = self.board.get(id) else { return f64::INFINITY };
         let kept = first || ask.last_shared().is_none_or(|part| one.kept.contains(&part.0));
         let again = if kept { 0.0 } else { self.terms.again * ask.shared() };
@@ -251,18 +251,18 @@
     }
 
     /// What other proxies have waiting there: by its last figure, or by what this one usually has.
-    fn others(&self, now: Millis, one: &Candidate, side: Side) -> f64 {
-        if side == Side::Reads && one.figure_at > 0 && now < one.figure_at + self.terms.figure_life {
+    fn others(&self, now: Millis, one: &Endpoint, side: LoadKind) -> f64 {
+        if side == LoadKind::Reads && one.figure_at > 0 && now < one.figure_at + self.terms.figure_life {
             return (one.reading.value() - one.own_reading).max(0.0) * self.mean_read;
         }
-        self.usual[usize::from(side == Side::Reads)] * (self.proxies as f64 - 1.0)
+        self.usual[usize::from(side == LoadKind::Reads)] * (self.proxies as f64 - 1.0)
     }
 
     /// The readers that a prompt would be weighed between, of which no fresh figure is known.
-    pub fn unknown_readers(&mut self, now: Millis, service: &str, ask: &Ask) -> Vec<Rc<str>> {
+    pub fn unknown_readers(&mut self, now: Millis, service: &str, ask: &Prompt) -> Vec<Rc<str>> {
         let Some(key) = ask.last_shared().map(|part| mix(part.0)) else { return Vec::new() };
         let readers: Vec<Rc<str>> =
-            self.ready(now, service, Side::Reads, &[]).into_iter().map(|one| one.id.clone()).collect();
+            self.ready(now, service, LoadKind::Reads, &[]).into_iter().map(|one| one.id.clone()).collect();
         let mut drawn = self.draw(&readers, Some(key));
         drawn.retain(|id| {
             self.board.get(id).is_some_and(|one| now >= one.figure_at + self.terms.figure_fresh)
@@ -293,42 +293,49 @@
     }
 
     /// Learns what this proxy usually has waiting at one server of a part.
-    fn learn(&mut self, service: &str, side: Side) {
+    fn learn(&mut self, service: &str, side: LoadKind) {
         let ids = self.board.side(service, side);
         let sum: f64 = ids.iter().filter_map(|id| self.board.get(id)).map(|one| one.unread).sum();
         let mean = sum / ids.len().max(1) as f64;
-        let usual = &mut self.usual[usize::from(side == Side::Reads)];
+        let usual = &mut self.usual[usize::from(side == LoadKind::Reads)];
         *usual += 0.05 * (mean - *usual);
     }
 
     /// The servers of a prompt.
-    pub fn pair(&mut self, now: Millis, service: &str, ask: &Ask, avoid: &[Rc<str>]) -> Option<Pair> {
+    pub fn pair(
+        &mut self,
+        now: Millis,
+        service: &str,
+        ask: &Prompt,
+        avoid: &[Rc<str>],
+    ) -> Option<ServerPair> {
         let key = ask.last_shared().map(|part| mix(part.0));
-        let lapses = |one: &&Candidate| one.lapses_until <= now;
+        let lapses = |one: &&Endpoint| one.lapses_until <= now;
         let readers: Vec<Rc<str>> = self
-            .ready(now, service, Side::Reads, avoid)
+            .ready(now, service, LoadKind::Reads, avoid)
             .into_iter()
             .filter(lapses)
             .map(|one| one.id.clone())
             .collect();
         let (streams, alone, split) = self.runners(now, service, avoid, readers.len());
-        self.learn(service, Side::Reads);
-        self.learn(service, Side::Runs);
+        self.learn(service, LoadKind::Reads);
+        self.learn(service, LoadKind::Runs);
         let drawn = self.draw(&readers, key);
-        let reader = self.least(&drawn, |router, id, first| router.value(now, id, Side::Reads, ask, first));
+        let reader =
+            self.least(&drawn, |router, id, first| router.value(now, id, LoadKind::Reads, ask, first));
         let drawn = self.draw(&alone, key);
         let (here, here_value) =
-            self.least(&drawn, |router, id, first| router.value(now, id, Side::Runs, ask, first))?;
+            self.least(&drawn, |router, id, first| router.value(now, id, LoadKind::Runs, ask, first))?;
         // Read where it is generated: at half the pace and between the tokens of others, but without a hand-over.
         let alone = here_value / (self.terms.pace / 2.0);
         let short = split && ask.own() <= self.terms.beside && ask.answer <= self.terms.brief;
         let reader =
             reader.filter(|(_, value)| !short || value / self.terms.pace + self.terms.hand_over < alone);
         let pair = match reader {
-            None => Pair { reader: None, runner: here },
+            None => ServerPair { reader: None, runner: here },
             Some((reader, _)) => {
                 let runner = self.runner_for(&streams, Some(&reader))?;
-                Pair { reader: Some(reader), runner }
+                ServerPair { reader: Some(reader), runner }
             }
         };
         let reads = pair.reader.as_ref().unwrap_or(&pair.runner).clone();
@@ -343,8 +350,14 @@
     /// begun to leave or has shown a fault meanwhile.
     ///
     /// Danger: a prompt may take seconds to be read, and a server that leaves must get nothing new for long before that.
-    pub fn runner(&mut self, now: Millis, service: &str, pair: &Pair, avoid: &[Rc<str>]) -> Option<Rc<str>> {
-        let sound = |one: &Candidate| {
+    pub fn runner(
+        &mut self,
+        now: Millis,
+        service: &str,
+        pair: &ServerPair,
+        avoid: &[Rc<str>],
+    ) -> Option<Rc<str>> {
+        let sound = |one: &Endpoint| {
             one.server.state == OperState::Up && !one.server.silent && one.evidence.sound(now)
         };
         if self.board.get(&pair.runner).is_some_and(sound) {
@@ -447,7 +460,7 @@
     }
 
     /// A send failed in a way that says something of the server.
-    pub fn failed(&mut self, now: Millis, id: &str, fault: Fault) {
+    pub fn failed(&mut self, now: Millis, id: &str, fault: ServerFailure) {
         if let Some(one) = self.board.get_mut(id) {
             one.evidence.failed(now, fault);
         }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -1,13 +1,18 @@
 //! The retry budget never goes past its rule, however the proxies' shares fall.
 
-use mosshead_routing::{Budget, BudgetTerms};
+use std::time::Duration;
+
+use mosshead_routing::{RetryBudget, RetryBudgetLimits};
 use quickcheck::quickcheck;
 
-const TERMS: BudgetTerms = BudgetTerms { ratio: 0.2, extra: 52.0, window: 10_000 };
+const TERMS: RetryBudgetLimits =
+    RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 52.0, window: Duration::from_secs(10) };
+
+const WINDOW_MILLIS: u64 = 10_000;
 
 /// Requests and repeats in a window that ends at `end`.
 fn window(times: &[u64], end: u64) -> f64 {
-    times.iter().filter(|at| **at <= end && **at + TERMS.window > end).count() as f64
+    times.iter().filter(|at| **at <= end && **at + WINDOW_MILLIS > end).count() as f64
 }
 
 quickcheck! {
@@ -15,7 +20,7 @@
     /// window or the one before it.
     fn all_proxies_together_stay_within_the_rule(steps: Vec<(u16, u8, bool)>) -> bool {
         let proxies = 4;
-        let mut budgets: Vec<Budget> = (0..proxies).map(|_| Budget::new(TERMS)).collect();
+        let mut budgets: Vec<RetryBudget> = (0..proxies).map(|_| RetryBudget::new(TERMS)).collect();
         let (mut now, mut asked, mut repeated) = (1_000_000, Vec::new(), Vec::new());
         for (step, proxy, repeats) in steps.iter().cycle().take(steps.len() * 20) {
             now += u64::from(step % 300);
@@ -28,16 +33,16 @@
             }
         }
         repeated.iter().all(|end| {
-            let most = [0, TERMS.window / 2, TERMS.window].map(|back| window(&asked, end - back));
+            let most = [0, WINDOW_MILLIS / 2, WINDOW_MILLIS].map(|back| window(&asked, end - back));
             let most = most.into_iter().fold(0.0, f64::max);
-            window(&repeated, *end) <= TERMS.ratio * most + TERMS.extra
+            window(&repeated, *end) <= TERMS.retry_ratio * most + TERMS.extra_retries
         })
     }
 }
 
 #[test]
 fn a_lone_burst_of_failures_spends_the_share_and_no_more() {
-    let mut budget = Budget::new(TERMS);
+    let mut budget = RetryBudget::new(TERMS);
     (0..10).for_each(|at| budget.request(at));
     let spent = (0..1000).filter(|at| budget.repeat(10 + at, 6)).count();
     assert_eq!(spent, 8);
@@ -45,7 +50,7 @@
 
 #[test]
 fn what_was_spent_comes_back_with_the_window() {
-    let mut budget = Budget::new(TERMS);
+    let mut budget = RetryBudget::new(TERMS);
     while budget.repeat(0, 1) {}
     assert!(!budget.repeat(9_000, 1));
     assert!(budget.repeat(10_600, 1));
--- a/crates/routing/tests/plan.rs
+++ b/crates/routing/tests/plan.rs
@@ -2,9 +2,10 @@
 
 use std::collections::HashMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 use mosshead_registry::{OperState, Server, Stage};
-use mosshead_routing::{Ask, BudgetTerms, Fault, Router, Terms};
+use mosshead_routing::{Prompt, RetryBudgetLimits, Router, RoutingWeights, ServerFailure};
 use rand_pcg::Pcg64Mcg;
 
 fn server(id: &str, service: &str, stage: Option<Stage>) -> Server {
@@ -25,9 +26,9 @@
 }
 
 fn router(servers: &[Server]) -> Router<Pcg64Mcg> {
-    let budget = BudgetTerms { ratio: 0.2, extra: 52.0, window: 10_000 };
-    let mut router = Router::new(Terms::new(budget), "here", Pcg64Mcg::new(7));
-    router.list(servers.iter());
+    let budget = RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 52.0, window: Duration::from_secs(10) };
+    let mut router = Router::new(RoutingWeights::new(budget), "here", Pcg64Mcg::new(7));
+    router.update_servers(servers.iter());
     router
 }
 
@@ -37,9 +38,9 @@
     readers.chain(runners).collect()
 }
 
-fn prompt(tokens: f64, shared: u64) -> Ask {
+fn prompt(tokens: f64, shared: u64) -> Prompt {
     let parts = vec![(1, 500.0), (shared, 4000.0), (999, tokens - 4500.0)];
-    Ask { tokens, parts, answer: 40.0, model: "m".into() }
+    Prompt { tokens, parts, answer: 40.0, model: "m".into() }
 }
 
 #[test]
@@ -82,7 +83,7 @@
     let mut router = router(&servers);
     assert!((0..100).all(|_| router.one(0, "s", &[]).as_deref() == Some("c")));
     servers[2].state = OperState::Draining;
-    router.list(servers.iter());
+    router.update_servers(servers.iter());
     assert_eq!(router.one(0, "s", &[]), None);
 }
 
@@ -92,7 +93,7 @@
     let mut router = router(&servers);
     router.runs("b");
     router.runs("c");
-    (0..3).for_each(|_| router.failed(10, "a", Fault::Failed));
+    (0..3).for_each(|_| router.failed(10, "a", ServerFailure::Failed));
     assert!((0..100).all(|_| router.one(20, "s", &[]).as_deref() != Some("a")));
 }
 
@@ -122,9 +123,10 @@
 #[test]
 fn all_proxies_draw_the_same_homes() {
     let reader = |seed| {
-        let budget = BudgetTerms { ratio: 0.2, extra: 52.0, window: 10_000 };
-        let mut router = Router::new(Terms::new(budget), "here", Pcg64Mcg::new(seed));
-        router.list(engines().iter());
+        let budget =
+            RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 52.0, window: Duration::from_secs(10) };
+        let mut router = Router::new(RoutingWeights::new(budget), "here", Pcg64Mcg::new(seed));
+        router.update_servers(engines().iter());
         let mut seen: Vec<_> = (0..60)
             .filter_map(|_| {
                 let reader = router.pair(0, "llm", &prompt(60_000.0, 5), &[])?.reader?;
@@ -142,7 +144,7 @@
 #[test]
 fn a_short_prompt_is_read_where_it_is_generated_and_a_long_one_is_handed_over() {
     let mut router = router(&engines());
-    let short = Ask { tokens: 200.0, parts: vec![(1, 200.0)], answer: 10.0, model: "m".into() };
+    let short = Prompt { tokens: 200.0, parts: vec![(1, 200.0)], answer: 10.0, model: "m".into() };
     assert_eq!(router.pair(0, "llm", &short, &[]).expect("a pair").reader, None);
     assert!(router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair").reader.is_some());
 }
@@ -160,17 +162,17 @@
     let servers = [server("a", "s", None), server("b", "s", None)];
     let mut router = router(&servers);
     router.runs("a");
-    router.list(servers[1..].iter());
+    router.update_servers(servers[1..].iter());
     assert!(router.board().get("a").is_some(), "a request is still out there");
     router.has_run("a");
-    router.list(servers[1..].iter());
+    router.update_servers(servers[1..].iter());
     assert!(router.board().get("a").is_none());
 }
 
 #[test]
 fn a_long_answer_does_not_go_on_beside_the_reading_of_others() {
     let mut router = router(&engines());
-    let long = Ask { tokens: 200.0, parts: vec![(1, 200.0)], answer: 400.0, model: "m".into() };
+    let long = Prompt { tokens: 200.0, parts: vec![(1, 200.0)], answer: 400.0, model: "m".into() };
     let pair = router.pair(0, "llm", &long, &[]).expect("a pair");
     assert!(pair.reader.is_some());
 }
@@ -180,7 +182,7 @@
     let readers = (0..6).map(|at| server(&format!("r{at}"), "llm", Some(Stage::Prefill)));
     let runners = (0..3).map(|at| server(&format!("d{at}"), "llm", Some(Stage::Decode)));
     let mut router = router(&readers.chain(runners).collect::<Vec<_>>());
-    let short = Ask { tokens: 200.0, parts: vec![(1, 200.0)], answer: 10.0, model: "m".into() };
+    let short = Prompt { tokens: 200.0, parts: vec![(1, 200.0)], answer: 10.0, model: "m".into() };
     assert!(router.pair(0, "llm", &short, &[]).expect("a pair").reader.is_some());
 }
 
@@ -193,12 +195,12 @@
         let pair = router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
         let named = servers.iter_mut().find(|one| one.id == *pair.runner).expect("it is listed");
         named.state = OperState::Draining;
-        router.list(servers.iter());
+        router.update_servers(servers.iter());
         let runner = router.runner(2700, "llm", &pair, &[]).expect("another");
         let runner = servers.iter().find(|one| one.id == *runner).expect("it is listed");
         assert_eq!((runner.state, runner.stage), (OperState::Up, Some(Stage::Decode)));
         servers.iter_mut().for_each(|one| one.state = OperState::Up);
-        router.list(servers.iter());
+        router.update_servers(servers.iter());
     }
 }
 
@@ -207,6 +209,6 @@
     let mut router = router(&engines());
     let pair = router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
     assert_eq!(router.runner(2700, "llm", &pair, &[]), Some(pair.runner.clone()));
-    router.failed(2700, &pair.runner, Fault::Unreachable);
+    router.failed(2700, &pair.runner, ServerFailure::Unreachable);
     assert_ne!(router.runner(2701, "llm", &pair, &[]), Some(pair.runner));
 }
