--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddrV4;
 
 use mosshead_programs::calls::{Hand, Handed, Hears, Pull, Pulled};
-use mosshead_programs::control;
-use mosshead_programs::puller::SLOTS;
+use mosshead_programs::control_api;
+use mosshead_programs::update_watcher::SLOTS;
 use mosshead_registry::{Delta, Registry, SourceId, Vector};
 
 use crate::counter::{Counter, encoded};
@@ -307,7 +307,7 @@
         core.counter.count(2);
         let register = &mut core.register;
         let heard = core.counter.time(|| {
-            let server = control::beat(&id, body.as_bytes());
+            let server = control_api::beat(&id, body.as_bytes());
             server.map(|server| register.beat(now, server)).unwrap_or_default()
         });
         self.heard(home, heard.changed, heard.urgent);
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -1,8 +1,6 @@
 //! The part of a proxy's list: the register walked whole into the board, once a second and at each change.
 
-use std::time::Duration;
-
-use mosshead_programs::control;
+use mosshead_programs::control_api;
 use mosshead_registry::{Registry, SourceId};
 use mosshead_routing::{RetryBudgetLimits, Router, RoutingWeights};
 use rand_core::SeedableRng;
@@ -20,7 +18,7 @@
     for &size in sizes {
         let mut register = Registry::new(SourceId(1), KEEPALIVE);
         for at in 0..size {
-            let beat = control::beat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
+            let beat = control_api::beat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
             beat.map(|server| register.beat(1, server));
         }
         let weights = RoutingWeights::new(RetryBudgetLimits {
--- a/crates/programs/src/bin/mosshead-control.rs
+++ b/crates/programs/src/bin/mosshead-control.rs
@@ -2,5 +2,5 @@
 
 fn main() {
     let command = mosshead_programs::command::parser("A machine of the core of the router fleet").run();
-    std::process::exit(mosshead_programs::command::run(command, mosshead_programs::core::serve));
+    std::process::exit(mosshead_programs::command::run(command, mosshead_programs::control_node::serve));
 }
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -88,7 +88,7 @@
 {
     let result = match command {
         Command::Serve { settings, detailed } => path(settings).and_then(|path| {
-            crate::log::start(detailed);
+            crate::logging::start(detailed);
             let settings = Settings::load(&path).map_err(|fault| fault.to_string())?;
             on_one_thread(serve(settings, path)).map_err(|error| error.to_string())
         }),
--- a/crates/programs/src/control.rs
+++ b/crates/programs/src/control_api.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Duration, sleep, timeout};
 
-use crate::core::Core;
+use crate::control_node::Core;
 use crate::limits::MAX_REQUEST_BYTES;
 
 /// Connections at once.
--- a/crates/programs/src/core.rs
+++ b/crates/programs/src/control_node.rs
@@ -1,10 +1,10 @@
 //! The program on `core` machines: the control state on its disk, its part of the register, what others pull.
 
-mod host;
 mod messages;
-mod registrar;
-mod serving;
+mod process;
+mod registry;
 mod status;
+mod updates;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,12 +24,12 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Duration, Instant, timeout};
 
-pub use self::host::serve;
+pub use self::process::serve;
 use crate::config_transfer::OutgoingTransfers;
 use crate::gossip::Gossip;
-use crate::message_lanes::MessageLanes;
-use crate::puller::millis;
+use crate::send_queues::MessageLanes;
 use crate::settings::Settings;
+use crate::update_watcher::millis;
 
 /// One machine of the core.
 pub struct Core {
--- a/crates/programs/src/core/messages.rs
+++ b/crates/programs/src/control_node/messages.rs
@@ -7,7 +7,7 @@
 
 use super::Core;
 use crate::calls::Epoch;
-use crate::message_lanes::Lane;
+use crate::send_queues::Lane;
 
 impl Core {
     pub(super) fn send(self: &Rc<Self>, to: SocketAddrV4, message: Message) {
--- a/crates/programs/src/core/host.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -19,9 +19,9 @@
 use tokio::time::{Duration, Instant, sleep};
 
 use super::Core;
-use super::registrar::open_register;
+use super::registry::open_register;
 use crate::calls::{Epoch, Fetch, Hand, Handed, Hears, Pull};
-use crate::control;
+use crate::control_api;
 use crate::gossip::Gossip;
 use crate::proxy::{FLEET, peer};
 use crate::settings::Settings;
@@ -134,10 +134,10 @@
     let inside = TcpListener::bind(settings.internal()).await?;
     tokio::task::spawn_local(mosshead_rpc::serve(inside, Rc::new(handlers(&core))));
     if let Some(address) = settings.control_plane {
-        tokio::task::spawn_local(control::serve(core.clone(), TcpListener::bind(address).await?));
+        tokio::task::spawn_local(control_api::serve(core.clone(), TcpListener::bind(address).await?));
     }
     tokio::task::spawn_local(core.clone().tell_heard());
-    tokio::task::spawn_local(crate::duties::run(core.clone()));
+    tokio::task::spawn_local(crate::stage_orders::run(core.clone()));
     tokio::task::spawn_local(open_register(core.clone(), folder.clone()));
     tokio::task::spawn_local(open(core.clone(), folder, rng.random()));
     spdlog::info!("control: {} listens.", settings.node_name);
--- a/crates/programs/src/core/registrar.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Duration, sleep};
 
 use super::Core;
-use super::host::{DataFolder, WRITES, data_folder, open_aside};
+use super::process::{DataFolder, WRITES, data_folder, open_aside};
 use crate::calls::{Hand, Hears, Pull};
-use crate::message_lanes::Lane;
+use crate::send_queues::Lane;
 
 /// Where the register is kept.
 const REGISTRY: DataFolder = DataFolder { name: "registry", former_name: "catchment" };
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -18,8 +18,8 @@
 use tokio::time::{Duration, Instant, sleep};
 
 use crate::gossip::Gossip;
-use crate::puller::{ConfigSink, Puller, SLOTS, millis};
 use crate::settings::Settings;
+use crate::update_watcher::{ConfigSink, Puller, SLOTS, millis};
 
 /// The platform needs two misses, a second apart, until it sends no new clients.
 const HANDED_ON: Duration = Duration::from_millis(2600);
--- a/crates/programs/src/duties.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -14,7 +14,7 @@
 use mosshead_stage_scheduler::{Answer, Order, StageScheduler, Terms, fence};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::core::Core;
+use crate::control_node::Core;
 
 /// How often the duty is looked after.
 const TURN: Duration = Duration::from_millis(200);
--- a/crates/programs/tests/pulled.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -5,7 +5,7 @@
 use mosshead_config::Config;
 use mosshead_control_plane::subscription::{Assembled, assemble};
 use mosshead_programs::calls::Fetched;
-use mosshead_programs::puller::{SLOTS, pause};
+use mosshead_programs::update_watcher::{SLOTS, pause};
 use tokio::time::Duration;
 
 const WHOLE: &str = include_str!("samples/replace.json");
--- a/crates/programs/tests/control.rs
+++ b/crates/programs/tests/control_api.rs
@@ -1,6 +1,6 @@
 //! What servers and the operator send.
 
-use mosshead_programs::control::{beat, digest};
+use mosshead_programs::control_api::{beat, digest};
 use mosshead_registry::{Model, OperState, Server, Stage};
 use quickcheck::{TestResult, quickcheck};
 
--- a/crates/programs/tests/message_lanes.rs
+++ b/crates/programs/tests/send_queues.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mosshead_consensus::{Ballot, Message, State};
-use mosshead_programs::message_lanes::{LARGE_MESSAGE_BYTES, Lane, MessageLanes};
+use mosshead_programs::send_queues::{LARGE_MESSAGE_BYTES, Lane, MessageLanes};
 use quickcheck::quickcheck;
 
 fn machine(last: u8) -> SocketAddrV4 {
--- a/crates/programs/tests/orders.rs
+++ b/crates/programs/tests/stage_orders.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mosshead_programs::duties::{OrderMessage, send_order};
+use mosshead_programs::stage_orders::{OrderMessage, send_order};
 use mosshead_registry::Stage;
 use mosshead_stage_scheduler::{Answer, Order};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
