--- a/crates/capacity-bench/src/configuration.rs
+++ b/crates/capacity-bench/src/configuration.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 
 use mosshead_config::Config;
-use mosshead_programs::calls::{Fetch, Fetched};
-use mosshead_programs::config_transfer::{OutgoingTransfers, PieceRequest};
+use mosshead_programs::calls::{ConfigUpdate, FetchConfig};
+use mosshead_programs::config_transfer::{ChunkRequest, OutgoingTransfers};
 
 use crate::counter::{encoded, processor_time};
 use crate::memory;
@@ -106,10 +106,10 @@
                 &format!("/v1/part-{}/x", next / 1800),
             )
         });
-        let answer = Fetched { revision: 2, patches: vec![patch], whole: None };
-        let request = PieceRequest { have: 1, target: 0, offset: 0 };
+        let answer = ConfigUpdate { revision: 2, patches: vec![patch], whole: None };
+        let request = ChunkRequest { have: 1, target: 0, offset: 0 };
         let piece = OutgoingTransfers::default().piece(request, 2, || answer);
-        let bytes = encoded(&Fetch(request)).len() + encoded(&piece).len();
+        let bytes = encoded(&FetchConfig(request)).len() + encoded(&piece).len();
         let share = 1e-6 * 100.0 * CHANGES_A_SECOND;
         table.row(
             size,
@@ -129,6 +129,8 @@
         );
     }
     table.notes.push("find includes the making of its host and path".into());
-    table.notes.push("a change: Fetch and its only piece, one patch packed, without HTTP headers".into());
+    table
+        .notes
+        .push("a change: FetchConfig and its only piece, one patch packed, without HTTP headers".into());
     table
 }
--- a/crates/capacity-bench/src/control_state.rs
+++ b/crates/capacity-bench/src/control_state.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use mosshead_consensus::{CallDigest, Input, Member, Message, Node, Output, Settings, Verdict};
-use mosshead_programs::calls::Epoch;
+use mosshead_programs::calls::ConsensusMessage;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -131,7 +131,7 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    let call = Epoch { from, message };
+                    let call = ConsensusMessage { from, message };
                     let bytes = self.counter.time(|| encoded(&call));
                     self.counter.count(bytes.len() as u64);
                     let place = (0..self.nodes.len()).find(|place| address(*place) == to);
--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddrV4;
 
-use mosshead_programs::calls::{Hand, Handed, Hears, Pull, Pulled};
+use mosshead_programs::calls::{CompareHeartbeats, ReplicateAck, ReplicateEntries, Updates, WatchUpdates};
 use mosshead_programs::control_api;
-use mosshead_programs::update_watcher::SLOTS;
+use mosshead_programs::update_watcher::WATCH_SLOTS;
 use mosshead_registry::{Delta, Registry, SourceId, Vector};
 
 use crate::counter::{Counter, encoded};
@@ -27,12 +27,12 @@
     Proxy(usize, usize),
     /// The call that is made after word of entries.
     Again(usize, usize),
-    Core(usize),
+    ControlNode(usize),
 }
 
 pub(crate) struct Open {
     pub(crate) asker: Asker,
-    pub(crate) call: Pull,
+    pub(crate) call: WatchUpdates,
 }
 
 pub(crate) enum Event {
@@ -42,8 +42,8 @@
     Back(usize),
     Tick(usize),
     Ask(Asker),
-    Expire(usize, u64, Box<Pulled>),
-    Answer(Asker, usize, Box<Pulled>),
+    Expire(usize, u64, Box<Updates>),
+    Answer(Asker, usize, Box<Updates>),
 }
 
 struct Server {
@@ -54,7 +54,7 @@
 }
 
 /// A core process.
-pub struct Core {
+pub struct ControlNode {
     /// In and out.
     pub counter: Counter,
     pub(crate) register: Registry,
@@ -74,7 +74,7 @@
 pub struct Size {
     /// Servers.
     pub servers: usize,
-    /// Core machines, each a source.
+    /// Control node machines, each a source.
     pub sources: usize,
     /// Proxies.
     pub pullers: usize,
@@ -86,8 +86,8 @@
 pub struct Fleet {
     /// Virtual time in milliseconds.
     pub now: u64,
-    /// Core processes.
-    pub cores: Vec<Core>,
+    /// Control node processes.
+    pub cores: Vec<ControlNode>,
     /// Proxies; the real ones first.
     pub proxies: Vec<Proxy>,
     /// Bytes of resident memory of a core process's register.
@@ -108,7 +108,7 @@
 impl Fleet {
     /// All up, everybody with the whole list.
     pub fn new(size: Size) -> Fleet {
-        let core = |at| Core {
+        let core = |at| ControlNode {
             counter: Counter::default(),
             register: Registry::new(SourceId(SOURCE + at as u64), KEEPALIVE),
             open: BTreeMap::new(),
@@ -135,10 +135,10 @@
         }
         for at in 0..size.sources {
             fleet.after(1 + at as u64 * 500 / size.sources as u64, Event::Tick(at));
-            fleet.after(1 + at as u64, Event::Ask(Asker::Core(at)));
+            fleet.after(1 + at as u64, Event::Ask(Asker::ControlNode(at)));
         }
         for at in 0..size.pullers {
-            for slot in 0..SLOTS.min(size.sources) {
+            for slot in 0..WATCH_SLOTS.min(size.sources) {
                 let phase = (at as u64 * WAIT / size.pullers as u64 + slot as u64 * 317) % WAIT;
                 fleet.after(1 + phase, Event::Ask(Asker::Proxy(at, slot)));
             }
@@ -165,13 +165,13 @@
                 let mut have = Vector::default();
                 while let Some(core) = self.cores.first() {
                     let delta = core.register.lacking(&have, PAGE);
-                    let (more, bytes) = (delta.more, encoded(&Hand { delta }));
+                    let (more, bytes) = (delta.more, encoded(&ReplicateEntries { delta }));
                     if at == 0 {
                         self.list_bytes += bytes.len() as u64;
                     }
                     let now = self.now;
                     self.list_time.time(|| {
-                        if let Ok(hand) = minicbor::decode::<Hand>(&bytes) {
+                        if let Ok(hand) = minicbor::decode::<ReplicateEntries>(&bytes) {
                             register.merge(now, hand.delta);
                         }
                     });
@@ -341,7 +341,7 @@
         let bytes = counter.time(|| {
             let mut vector = register.vector();
             vector.0.insert(register.me(), register.version().saturating_sub(64));
-            encoded(&Hand { delta: register.lacking(&vector, 128) })
+            encoded(&ReplicateEntries { delta: register.lacking(&vector, 128) })
         });
         let shown = Vector([(register.me(), register.version())].into());
         register.held(&shown);
@@ -354,18 +354,18 @@
         let entries = core.register.entries().filter(mine).cloned().collect();
         let vector = Vector([(core.register.me(), core.register.version())].into());
         let delta = Delta { entries, vector: vector.clone(), more: true, ..Delta::default() };
-        let bytes = encoded(&Hand { delta });
+        let bytes = encoded(&ReplicateEntries { delta });
         self.take(from, to, &bytes);
         if let Some(core) = self.cores.get_mut(from) {
             core.register.held(&vector);
         }
     }
 
-    /// A `Hand` from one core process to another.
+    /// A `ReplicateEntries` call from one control node to another.
     fn take(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.now;
         let vector = self.cores.get(to).map(|core| core.register.vector()).unwrap_or_default();
-        let answer = encoded(&Handed { changed: true, vector }).len() as u64;
+        let answer = encoded(&ReplicateAck { changed: true, vector }).len() as u64;
         if let Some(core) = self.cores.get_mut(from) {
             core.counter.count(bytes.len() as u64);
             core.counter.count(answer);
@@ -375,7 +375,7 @@
         core.counter.count(answer);
         let register = &mut core.register;
         let changed = core.counter.time(|| {
-            let hand = minicbor::decode::<Hand>(bytes);
+            let hand = minicbor::decode::<ReplicateEntries>(bytes);
             hand.is_ok_and(|hand| register.merge(now, hand.delta))
         });
         if changed {
@@ -385,11 +385,11 @@
 
     fn tell_heard(&mut self, at: usize) {
         let now = self.now;
-        let answer = encoded(&Handed { changed: false, vector: Vector::default() }).len() as u64;
+        let answer = encoded(&ReplicateAck { changed: false, vector: Vector::default() }).len() as u64;
         let Some(core) = self.cores.get_mut(at) else { return };
         let (register, source) = (&core.register, core.register.me());
         let digest = core.counter.time(|| register.alive(now.saturating_sub(1200)));
-        let call = Hears { source: source.0, digest };
+        let call = CompareHeartbeats { source: source.0, digest };
         for to in (0..self.cores.len()).filter(|to| *to != at) {
             let Some(core) = self.cores.get_mut(at) else { return };
             let bytes = core.counter.time(|| encoded(&call));
@@ -400,7 +400,7 @@
             core.counter.count(answer);
             let register = &mut core.register;
             core.counter.time(|| {
-                if let Ok(hears) = minicbor::decode::<Hears>(&bytes) {
+                if let Ok(hears) = minicbor::decode::<CompareHeartbeats>(&bytes) {
                     let digest = hears.digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
                     register.heard_by(now, source, digest);
                 }
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -1,5 +1,7 @@
 //! The part of a proxy's list: the register walked whole into the board, once a second and at each change.
 
+use std::time::Duration;
+
 use mosshead_programs::control_api;
 use mosshead_registry::{Registry, SourceId};
 use mosshead_routing::{RetryBudgetLimits, Router, RoutingWeights};
--- a/crates/capacity-bench/src/pulls.rs
+++ b/crates/capacity-bench/src/pulls.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use mosshead_programs::calls::{Pull, Pulled};
+use mosshead_programs::calls::{Updates, WatchUpdates};
 use mosshead_registry::{Delta, SourceId};
 
 use crate::counter::encoded;
@@ -27,7 +27,7 @@
         }
     }
 
-    fn answer(&mut self, at: usize, id: u64) -> Option<Pulled> {
+    fn answer(&mut self, at: usize, id: u64) -> Option<Updates> {
         let cores: Vec<SocketAddrV4> = (0..self.cores.len()).map(address).collect();
         let proxies = self.proxies.len() as u32;
         let core = self.cores.get_mut(at)?;
@@ -37,13 +37,13 @@
             let behind = !all.entries.is_empty();
             let delta = if call.entries { all } else { Delta::default() };
             let source = register.me().0;
-            Pulled { revision: 9, delta, behind, cores, proxies, current: true, wants: false, source }
+            Updates { revision: 9, delta, behind, cores, proxies, current: true, wants: false, source }
         }))
     }
 
     pub(crate) fn ask(&mut self, asker: Asker) {
         match asker {
-            Asker::Core(at) => {
+            Asker::ControlNode(at) => {
                 for to in (0..self.cores.len()).filter(|to| *to != at) {
                     self.follow(at, to);
                 }
@@ -52,7 +52,7 @@
             Asker::Proxy(at, slot) | Asker::Again(at, slot) => {
                 let Some(proxy) = self.proxies.get_mut(at) else { return };
                 let again = matches!(asker, Asker::Again(..));
-                let call = Pull {
+                let call = WatchUpdates {
                     name: format!("edge-{}-{at}", at % ZONES),
                     life: SOURCE + at as u64,
                     proxy: true,
@@ -75,10 +75,10 @@
             let (name, vector) = (format!("core-{}-{at}", at % REGIONS), register.vector());
             let life = register.me().0;
             let (revision, wait_ms) = (u64::MAX, WAIT);
-            encoded(&Pull { name, life, proxy: false, revision, vector, entries: true, wait_ms })
+            encoded(&WatchUpdates { name, life, proxy: false, revision, vector, entries: true, wait_ms })
         });
         core.counter.count(bytes.len() as u64);
-        self.open(to, Asker::Core(at), &bytes);
+        self.open(to, Asker::ControlNode(at), &bytes);
     }
 
     /// A call comes in.
@@ -87,7 +87,7 @@
         let id = self.order;
         let Some(core) = self.cores.get_mut(at) else { return };
         core.counter.count(bytes.len() as u64);
-        let Ok(call) = core.counter.time(|| minicbor::decode::<Pull>(bytes)) else { return };
+        let Ok(call) = core.counter.time(|| minicbor::decode::<WatchUpdates>(bytes)) else { return };
         if !call.proxy {
             core.register.held(&call.vector);
         }
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(crate) fn reply(&mut self, at: usize, asker: Asker, answer: Pulled) {
+    pub(crate) fn reply(&mut self, at: usize, asker: Asker, answer: Updates) {
         let Some(core) = self.cores.get_mut(at) else { return };
         let bytes = core.counter.time(|| encoded(&answer));
         core.counter.count(bytes.len() as u64);
@@ -112,21 +112,21 @@
             Asker::Proxy(at, _) | Asker::Again(at, _) => {
                 self.proxies.get_mut(at).map(|it| (it.is_real(), &mut it.counter))
             }
-            Asker::Core(at) => self.cores.get_mut(at).map(|it| (true, &mut it.counter)),
+            Asker::ControlNode(at) => self.cores.get_mut(at).map(|it| (true, &mut it.counter)),
         };
         let Some((is_real, counter)) = reader else { return };
         counter.count(bytes.len() as u64);
         // The reading of a hollow one is no cost of anybody.
         if is_real {
-            counter.time(|| drop(minicbor::decode::<Pulled>(&bytes)));
+            counter.time(|| drop(minicbor::decode::<Updates>(&bytes)));
         }
         self.after(2 * WAY, Event::Answer(asker, at, Box::new(answer)));
     }
 
-    pub(crate) fn answered(&mut self, asker: Asker, from: usize, answer: Pulled) {
+    pub(crate) fn answered(&mut self, asker: Asker, from: usize, answer: Updates) {
         let now = self.now;
         match asker {
-            Asker::Core(at) => {
+            Asker::ControlNode(at) => {
                 let Some(core) = self.cores.get_mut(at) else { return };
                 let register = &mut core.register;
                 let source = SourceId(answer.source);
--- a/crates/capacity-bench/tests/slopes.rs
+++ b/crates/capacity-bench/tests/slopes.rs
@@ -6,8 +6,8 @@
 use mosshead_capacity_bench::memory;
 use mosshead_capacity_bench::slope::Slope;
 use mosshead_capacity_bench::table::Table;
-use mosshead_programs::calls::Fetch;
-use mosshead_programs::config_transfer::PieceRequest;
+use mosshead_programs::calls::FetchConfig;
+use mosshead_programs::config_transfer::ChunkRequest;
 use quickcheck::quickcheck;
 
 fn near(one: f64, other: f64) -> bool {
@@ -88,7 +88,7 @@
 
 #[test]
 fn messages_are_as_long_as_they_are_sent() {
-    let fetch = Fetch(PieceRequest { have: 1, target: 0, offset: 2 });
+    let fetch = FetchConfig(ChunkRequest { have: 1, target: 0, offset: 2 });
     assert_eq!(encoded(&fetch), [0x83, 0x01, 0x00, 0x02]);
 }
 
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -8,11 +8,11 @@
 use mosshead_registry::{Delta, Vector};
 use mosshead_rpc::{Call, RetryPolicy};
 
-use crate::config_transfer::{Piece, PieceRequest};
+use crate::config_transfer::{ChunkRequest, ConfigChunk};
 
 /// What is newer than this? Answered when something is, or after `wait_ms`.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Pull {
+pub struct WatchUpdates {
     /// Who asks: the machine's name and the life of its process.
     #[n(0)]
     pub name: String,
@@ -38,7 +38,7 @@
 
 /// The news.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Pulled {
+pub struct Updates {
     /// The newest configuration that the answerer knows to be committed; 0 while it is not in touch.
     #[n(0)]
     pub revision: u64,
@@ -65,20 +65,20 @@
     pub source: u64,
 }
 
-impl Call for Pull {
+impl Call for WatchUpdates {
     const NAME: &'static str = "Pull";
     const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Pulled;
+    type Answer = Updates;
 }
 
 /// A piece of the configuration, from what the asker has.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 #[cbor(transparent)]
-pub struct Fetch(#[n(0)] pub PieceRequest);
+pub struct FetchConfig(#[n(0)] pub ChunkRequest);
 
 /// The way to the newest configuration; none, and revision 0, from a machine that is not in touch or has none.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Fetched {
+pub struct ConfigUpdate {
     /// Where the way leads.
     #[n(0)]
     pub revision: u64,
@@ -90,14 +90,14 @@
     pub whole: Option<String>,
 }
 
-impl Fetched {
+impl ConfigUpdate {
     /// The answer on the wire for what is offered.
-    pub fn from_offer(offer: ConfigOffer) -> Fetched {
+    pub fn from_offer(offer: ConfigOffer) -> ConfigUpdate {
         match offer {
-            ConfigOffer::Withheld => Fetched { revision: 0, patches: Vec::new(), whole: None },
-            ConfigOffer::Patches { revision, patches } => Fetched { revision, patches, whole: None },
+            ConfigOffer::Withheld => ConfigUpdate { revision: 0, patches: Vec::new(), whole: None },
+            ConfigOffer::Patches { revision, patches } => ConfigUpdate { revision, patches, whole: None },
             ConfigOffer::Whole { revision, text } => {
-                Fetched { revision, patches: Vec::new(), whole: Some(text) }
+                ConfigUpdate { revision, patches: Vec::new(), whole: Some(text) }
             }
         }
     }
@@ -105,22 +105,22 @@
     /// What an answer offers.
     pub fn into_offer(self) -> ConfigOffer {
         match self {
-            Fetched { revision, whole: Some(text), .. } => ConfigOffer::Whole { revision, text },
-            Fetched { revision: 0, .. } => ConfigOffer::Withheld,
-            Fetched { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
+            ConfigUpdate { revision, whole: Some(text), .. } => ConfigOffer::Whole { revision, text },
+            ConfigUpdate { revision: 0, .. } => ConfigOffer::Withheld,
+            ConfigUpdate { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
         }
     }
 }
 
-impl Call for Fetch {
+impl Call for FetchConfig {
     const NAME: &'static str = "Fetch";
     const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Piece;
+    type Answer = ConfigChunk;
 }
 
 /// Entries of the register that the other should have: urgent ones, or all after it lost its memory.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Hand {
+pub struct ReplicateEntries {
     /// The entries.
     #[n(0)]
     pub delta: Delta,
@@ -128,7 +128,7 @@
 
 /// Taken.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Handed {
+pub struct ReplicateAck {
     /// Something in it was new.
     #[n(0)]
     pub changed: bool,
@@ -137,15 +137,15 @@
     pub vector: Vector,
 }
 
-impl Call for Hand {
+impl Call for ReplicateEntries {
     const NAME: &'static str = "Hand";
     const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Handed;
+    type Answer = ReplicateAck;
 }
 
 /// Which servers a core machine still hears.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Hears {
+pub struct CompareHeartbeats {
     /// The source.
     #[n(0)]
     pub source: u64,
@@ -154,15 +154,15 @@
     pub digest: Vec<(String, u64)>,
 }
 
-impl Call for Hears {
+impl Call for CompareHeartbeats {
     const NAME: &'static str = "Hears";
     const RETRY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
-    type Answer = Handed;
+    type Answer = ReplicateAck;
 }
 
 /// A message of the control state's machines.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Epoch {
+pub struct ConsensusMessage {
     /// Who sends it.
     #[n(0)]
     pub from: Member,
@@ -171,7 +171,7 @@
     pub message: Message,
 }
 
-impl Call for Epoch {
+impl Call for ConsensusMessage {
     const NAME: &'static str = "Epoch";
     const RETRY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
     type Answer = ();
--- a/crates/programs/src/config_transfer.rs
+++ b/crates/programs/src/config_transfer.rs
@@ -9,21 +9,21 @@
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
 
-use crate::calls::Fetched;
+use crate::calls::ConfigUpdate;
 
 /// The length of a piece, in bytes: 52 ms on a link of 10 Mbit/s.
-pub const PIECE_BYTES: usize = 64 * 1024;
+pub const CHUNK_BYTES: usize = 64 * 1024;
 /// The longest answer that is unpacked, in bytes.
-pub const MOST_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
+pub const MAX_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
 /// The bytes before a packed answer that tell its length.
 const LENGTH_BYTES: usize = 4;
 /// Transfers that a sender keeps, and their length together in bytes.
-const MOST_OUTGOING: usize = 16;
-const MOST_OUTGOING_BYTES: usize = 8 * 1024 * 1024;
+const MAX_OUTGOING: usize = 16;
+const MAX_OUTGOING_BYTES: usize = 8 * 1024 * 1024;
 
 /// ClientRequests for a piece of the way from one configuration to a newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct PieceRequest {
+pub struct ChunkRequest {
     /// The revision that the receiver has; 0: nothing.
     #[n(0)]
     pub have: u64,
@@ -37,7 +37,7 @@
 
 /// A piece of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Piece {
+pub struct ConfigChunk {
     /// The revision that the transfer leads to; 0: the sender offers none.
     #[n(0)]
     pub target: u64,
@@ -52,10 +52,10 @@
     pub bytes: ByteVec,
 }
 
-impl Piece {
+impl ConfigChunk {
     /// Says that nothing is offered.
-    pub fn withheld() -> Piece {
-        Piece { target: 0, length: 0, offset: 0, bytes: Vec::new().into() }
+    pub fn withheld() -> ConfigChunk {
+        ConfigChunk { target: 0, length: 0, offset: 0, bytes: Vec::new().into() }
     }
 }
 
@@ -73,7 +73,12 @@
 
 impl OutgoingTransfers {
     /// Answers a request. `offer` makes the whole answer for what the receiver has, at the newest revision.
-    pub fn piece(&mut self, request: PieceRequest, newest: u64, offer: impl FnOnce() -> Fetched) -> Piece {
+    pub fn piece(
+        &mut self,
+        request: ChunkRequest,
+        newest: u64,
+        offer: impl FnOnce() -> ConfigUpdate,
+    ) -> ConfigChunk {
         if let Some(packed) = self.find(request.have, request.target) {
             return cut(request.target, &packed, request.offset);
         }
@@ -81,7 +86,9 @@
             return cut(newest, &packed, 0);
         }
         let fetched = offer();
-        let Some(packed) = pack(&fetched).filter(|_| fetched.revision > 0) else { return Piece::withheld() };
+        let Some(packed) = pack(&fetched).filter(|_| fetched.revision > 0) else {
+            return ConfigChunk::withheld();
+        };
         let packed: Arc<[u8]> = packed.into();
         self.keep(Outgoing { have: request.have, target: fetched.revision, packed: packed.clone() });
         cut(fetched.revision, &packed, 0)
@@ -94,7 +101,7 @@
 
     fn keep(&mut self, outgoing: Outgoing) {
         self.kept.push_back(outgoing);
-        while self.kept.len() > MOST_OUTGOING || self.bytes() > MOST_OUTGOING_BYTES && self.kept.len() > 1 {
+        while self.kept.len() > MAX_OUTGOING || self.bytes() > MAX_OUTGOING_BYTES && self.kept.len() > 1 {
             self.kept.pop_front();
         }
     }
@@ -104,23 +111,23 @@
     }
 }
 
-fn cut(target: u64, packed: &[u8], offset: u64) -> Piece {
+fn cut(target: u64, packed: &[u8], offset: u64) -> ConfigChunk {
     let start = usize::try_from(offset).unwrap_or(usize::MAX).min(packed.len());
-    let end = start.saturating_add(PIECE_BYTES).min(packed.len());
+    let end = start.saturating_add(CHUNK_BYTES).min(packed.len());
     let bytes = packed.get(start..end).unwrap_or_default().to_vec();
-    Piece { target, length: packed.len() as u64, offset: start as u64, bytes: bytes.into() }
+    ConfigChunk { target, length: packed.len() as u64, offset: start as u64, bytes: bytes.into() }
 }
 
-fn pack(fetched: &Fetched) -> Option<Vec<u8>> {
+fn pack(fetched: &ConfigUpdate) -> Option<Vec<u8>> {
     let encoded = minicbor::to_vec(fetched).ok()?;
-    let fits = encoded.len() <= MOST_UNPACKED_BYTES;
+    let fits = encoded.len() <= MAX_UNPACKED_BYTES;
     fits.then(|| lz4_flex::compress_prepend_size(&encoded))
 }
 
-fn unpack(packed: &[u8]) -> Option<Fetched> {
+fn unpack(packed: &[u8]) -> Option<ConfigUpdate> {
     let length = packed.get(..LENGTH_BYTES)?.try_into().map(u32::from_le_bytes).ok()?;
     // Danger: the length is the sender's word; room is made for it before a byte is unpacked.
-    if length as usize > MOST_UNPACKED_BYTES {
+    if length as usize > MAX_UNPACKED_BYTES {
         return None;
     }
     let encoded = lz4_flex::decompress_size_prepended(packed).ok()?;
@@ -133,7 +140,7 @@
     /// Ask for the next one.
     More,
     /// The whole answer is there.
-    Complete(Fetched),
+    Complete(ConfigUpdate),
     /// The pieces don't make an answer.
     Broken,
 }
@@ -154,14 +161,14 @@
     }
 
     /// What to ask for next.
-    pub fn request(&self) -> PieceRequest {
-        PieceRequest { have: self.have, target: self.target, offset: self.bytes.len() as u64 }
+    pub fn request(&self) -> ChunkRequest {
+        ChunkRequest { have: self.have, target: self.target, offset: self.bytes.len() as u64 }
     }
 
     /// Takes a piece in.
-    pub fn take(&mut self, piece: &Piece) -> TransferProgress {
+    pub fn take(&mut self, piece: &ConfigChunk) -> TransferProgress {
         if piece.target == 0 {
-            let nothing = Fetched { revision: 0, patches: Vec::new(), whole: None };
+            let nothing = ConfigUpdate { revision: 0, patches: Vec::new(), whole: None };
             return TransferProgress::Complete(nothing);
         }
         if piece.target != self.target && !self.begin(piece) {
@@ -183,11 +190,11 @@
     }
 
     /// The sender has no more of the transfer before, or this is the first one.
-    fn begin(&mut self, piece: &Piece) -> bool {
+    fn begin(&mut self, piece: &ConfigChunk) -> bool {
         let length = usize::try_from(piece.length).unwrap_or(usize::MAX);
         self.target = piece.target;
         self.length = length;
         self.bytes.clear();
-        length <= lz4_flex::block::get_maximum_output_size(MOST_UNPACKED_BYTES) + LENGTH_BYTES
+        length <= lz4_flex::block::get_maximum_output_size(MAX_UNPACKED_BYTES) + LENGTH_BYTES
     }
 }
--- a/crates/programs/src/control_api.rs
+++ b/crates/programs/src/control_api.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Duration, sleep, timeout};
 
-use crate::control_node::Core;
+use crate::control_node::ControlNode;
 use crate::limits::MAX_REQUEST_BYTES;
 
 /// Connections at once.
@@ -54,7 +54,7 @@
 }
 
 /// Takes connections for as long as it is polled.
-pub async fn serve(core: Rc<Core>, listener: TcpListener) {
+pub async fn serve(core: Rc<ControlNode>, listener: TcpListener) {
     let open = Rc::new(std::cell::Cell::new(0_usize));
     loop {
         let stream = match listener.accept().await {
@@ -83,7 +83,7 @@
     }
 }
 
-async fn handle(core: Rc<Core>, request: Request<Incoming>) -> Answer {
+async fn handle(core: Rc<ControlNode>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
     let body = match timeout(Duration::from_secs(10), Limited::new(body, MAX_REQUEST_BYTES).collect()).await {
@@ -122,7 +122,7 @@
 }
 
 /// The one that decides on the configuration, as far as it is known here.
-fn elsewhere(core: &Core, leader: SocketAddrV4, path: &str) -> Answer {
+fn elsewhere(core: &ControlNode, leader: SocketAddrV4, path: &str) -> Answer {
     if leader == core.settings.internal() {
         return later();
     }
@@ -134,7 +134,7 @@
     answer
 }
 
-async fn change(core: &Rc<Core>, request: ChangeRequest<Bytes>, path: &str) -> Answer {
+async fn change(core: &Rc<ControlNode>, request: ChangeRequest<Bytes>, path: &str) -> Answer {
     let (state, config) = (core.committed_state(), core.config());
     let (mut admission, mut step) = Admission::begin(request, core.leader(), state.as_ref(), config, None);
     loop {
@@ -149,7 +149,7 @@
     }
 }
 
-fn change_answer(core: &Core, result: ChangeAnswer, path: &str) -> Answer {
+fn change_answer(core: &ControlNode, result: ChangeAnswer, path: &str) -> Answer {
     match result {
         ChangeAnswer::Accepted { revision } => answer(StatusCode::OK, format!("{{\"revision\":{revision}}}")),
         ChangeAnswer::Stale { current } => {
@@ -166,7 +166,7 @@
     }
 }
 
-async fn show(core: &Rc<Core>, path: &str) -> Answer {
+async fn show(core: &Rc<ControlNode>, path: &str) -> Answer {
     let read = match core.leader() {
         Leader::Here => answer_read(core.read().await),
         Leader::Elsewhere(leader) => ReadAnswer::Redirect { leader },
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -27,12 +27,12 @@
 pub use self::process::serve;
 use crate::config_transfer::OutgoingTransfers;
 use crate::gossip::Gossip;
-use crate::send_queues::MessageLanes;
+use crate::send_queues::SendQueues;
 use crate::settings::Settings;
 use crate::update_watcher::millis;
 
 /// One machine of the core.
-pub struct Core {
+pub struct ControlNode {
     /// Its settings.
     pub settings: Settings,
     life: u64,
@@ -51,11 +51,11 @@
     acknowledgements: RefCell<Acknowledgements>,
     news: watch::Sender<u64>,
     askers: RefCell<HashMap<String, Instant>>,
-    message_lanes: RefCell<MessageLanes>,
+    message_lanes: RefCell<SendQueues>,
     gossip: Rc<Gossip>,
 }
 
-impl Core {
+impl ControlNode {
     fn now(&self) -> u64 {
         millis(Instant::now())
     }
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -18,9 +18,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Duration, Instant, sleep};
 
-use super::Core;
+use super::ControlNode;
 use super::registry::open_register;
-use crate::calls::{Epoch, Fetch, Hand, Handed, Hears, Pull};
+use crate::calls::{
+    CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, WatchUpdates,
+};
 use crate::control_api;
 use crate::gossip::Gossip;
 use crate::proxy::{FLEET, peer};
@@ -76,22 +78,22 @@
     from.await.ok()
 }
 
-fn handlers(core: &Rc<Core>) -> Handlers {
+fn handlers(core: &Rc<ControlNode>) -> Handlers {
     let (pull, fetch, hand, hears, epoch) =
         (core.clone(), core.clone(), core.clone(), core.clone(), core.clone());
     Handlers::new()
-        .on::<Pull>(async move |call, _| Ok(pull.clone().pull(call).await))
-        .on::<Fetch>(async move |call, _| Ok(fetch.fetch(call.0)))
-        .on::<Hand>(async move |call, _| {
+        .on::<WatchUpdates>(async move |call, _| Ok(pull.clone().pull(call).await))
+        .on::<FetchConfig>(async move |call, _| Ok(fetch.fetch(call.0)))
+        .on::<ReplicateEntries>(async move |call, _| {
             let changed = hand.hand(call.delta);
-            Ok(Handed { changed, vector: hand.register.borrow().vector() })
+            Ok(ReplicateAck { changed, vector: hand.register.borrow().vector() })
         })
-        .on::<Hears>(async move |call, _| {
+        .on::<CompareHeartbeats>(async move |call, _| {
             let digest = call.digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
             hears.register.borrow_mut().heard_by(hears.now(), SourceId(call.source), digest);
-            Ok(Handed { changed: false, vector: Vector::default() })
+            Ok(ReplicateAck { changed: false, vector: Vector::default() })
         })
-        .on::<Epoch>(async move |call, _| {
+        .on::<ConsensusMessage>(async move |call, _| {
             epoch.step(Input::Message { from: call.from, message: call.message });
             Ok(())
         })
@@ -111,7 +113,7 @@
     let gossip = Gossip::bind(settings.internal(), membership).await?;
     tokio::task::spawn_local(gossip.clone().run());
     let register = RefCell::new(Registry::new(SourceId(life), settings.keepalive_ms));
-    let core = Rc::new(Core {
+    let core = Rc::new(ControlNode {
         settings: settings.clone(),
         life,
         start: Instant::now(),
@@ -183,7 +185,7 @@
     LEAVE.min(Duration::from_secs_f64(settings.bound("grace_s", GRACE_S).min(MOST_GRACE_S) / 3.0))
 }
 
-impl Core {
+impl ControlNode {
     /// Serves on until the others need nothing more of this machine.
     async fn until_it_may_end(self: &Rc<Self>, most: Duration) {
         let told = Instant::now();
@@ -199,7 +201,7 @@
     }
 }
 
-fn reread(core: &Rc<Core>, path: &Path) {
+fn reread(core: &Rc<ControlNode>, path: &Path) {
     match Settings::load(path) {
         Ok(settings) => {
             let seeds = settings.internal_seeds();
@@ -226,7 +228,7 @@
 }
 
 /// Opens the disk aside: it may hang for seconds while the rest of the machine serves.
-async fn open(core: Rc<Core>, folder: PathBuf, seed: u64) {
+async fn open(core: Rc<ControlNode>, folder: PathBuf, seed: u64) {
     let Some((log, records)) = open_aside(data_folder(&folder, CONTROL_STATE)).await else { return };
     spdlog::info!("record-log: {} records on disk.", records.len());
     let (done, mut finished) = mpsc::unbounded_channel::<Done>();
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -13,10 +13,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep};
 
-use super::Core;
+use super::ControlNode;
 use super::process::{DataFolder, WRITES, data_folder, open_aside};
-use crate::calls::{Hand, Hears, Pull};
-use crate::send_queues::Lane;
+use crate::calls::{CompareHeartbeats, ReplicateEntries, WatchUpdates};
+use crate::send_queues::SendQueue;
 
 /// Where the register is kept.
 const REGISTRY: DataFolder = DataFolder { name: "registry", former_name: "catchment" };
@@ -29,7 +29,7 @@
 /// Entries given at once.
 const PAGE: usize = 400;
 
-impl Core {
+impl ControlNode {
     pub(super) fn hand(&self, delta: Delta) -> bool {
         let changed = self.register.borrow_mut().merge(self.now(), delta);
         if changed {
@@ -111,7 +111,7 @@
     }
 
     async fn hand_to(self: &Rc<Self>, other: SocketAddrV4, delta: Delta) -> Option<Vector> {
-        let handed = self.caller.call(other, &Hand { delta }, URGENT).await.ok()?;
+        let handed = self.caller.call(other, &ReplicateEntries { delta }, URGENT).await.ok()?;
         self.register.borrow_mut().held(&handed.vector);
         Some(handed.vector)
     }
@@ -139,7 +139,7 @@
         while failures < 40 {
             let vector = self.register.borrow().vector();
             let name = self.settings.node_name.clone();
-            let call = Pull {
+            let call = WatchUpdates {
                 name,
                 life: self.life,
                 proxy: false,
@@ -155,7 +155,10 @@
                     self.register.borrow_mut().contact(self.now(), SourceId(pulled.source));
                     if pulled.wants {
                         let delta = self.register.borrow().lacking(&Vector::default(), 5000);
-                        let _ = self.caller.call(other, &Hand { delta }, Lane::Small.deadline()).await;
+                        let _ = self
+                            .caller
+                            .call(other, &ReplicateEntries { delta }, SendQueue::Small.deadline())
+                            .await;
                         sleep(Duration::from_millis(300)).await;
                     }
                     if !pulled.current {
@@ -175,7 +178,7 @@
         loop {
             sleep(Duration::from_millis(500)).await;
             let digest = self.register.borrow().alive(self.now().saturating_sub(1500));
-            let call = Hears { source: self.life, digest };
+            let call = CompareHeartbeats { source: self.life, digest };
             for other in self.others() {
                 let (core, call) = (self.clone(), call.clone());
                 tokio::task::spawn_local(async move {
@@ -215,7 +218,7 @@
 }
 
 /// Opens the register's log: what was known of the servers before all memory was lost. It need not be the latest.
-pub(super) async fn open_register(core: Rc<Core>, folder: PathBuf) {
+pub(super) async fn open_register(core: Rc<ControlNode>, folder: PathBuf) {
     let Some((log, records)) = open_aside(data_folder(&folder, REGISTRY)).await else { return };
     let deltas = records.iter().filter_map(|record| minicbor::decode::<Delta>(record).ok());
     let mut changed = false;
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -3,9 +3,9 @@
 use mosshead_consensus::Node;
 use mosshead_record_log::Keeper;
 
-use super::Core;
+use super::ControlNode;
 
-impl Core {
+impl ControlNode {
     /// What this machine knows, as JSON.
     pub fn status(&self) -> String {
         let node = self.node.borrow();
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -7,9 +7,9 @@
 use mosshead_registry::Delta;
 use tokio::time::{Duration, Instant, timeout};
 
-use super::Core;
-use crate::calls::{Fetched, Pull, Pulled};
-use crate::config_transfer::{Piece, PieceRequest};
+use super::ControlNode;
+use crate::calls::{ConfigUpdate, Updates, WatchUpdates};
+use crate::config_transfer::{ChunkRequest, ConfigChunk};
 
 /// Entries given at once.
 const PAGE: usize = 400;
@@ -18,7 +18,7 @@
 /// So long after its start a machine says that it may lack entries.
 const NEW: Duration = Duration::from_secs(6);
 
-impl Core {
+impl ControlNode {
     pub(super) fn committed(&self, state: &State) {
         let committed = self.history.borrow_mut().commit(state);
         match committed {
@@ -31,13 +31,13 @@
         }
     }
 
-    pub(super) fn fetch(&self, request: PieceRequest) -> Piece {
+    pub(super) fn fetch(&self, request: ChunkRequest) -> ConfigChunk {
         let (history, contact) = (self.history.borrow(), self.contact());
         let newest = history.advertised_revision(contact);
         if newest == 0 {
-            return Piece::withheld();
+            return ConfigChunk::withheld();
         }
-        let offer = || Fetched::from_offer(history.offer(request.have, contact));
+        let offer = || ConfigUpdate::from_offer(history.offer(request.have, contact));
         self.transfers.borrow_mut().piece(request, newest, offer)
     }
 
@@ -74,7 +74,7 @@
         all
     }
 
-    pub(super) async fn pull(self: Rc<Self>, call: Pull) -> Pulled {
+    pub(super) async fn pull(self: Rc<Self>, call: WatchUpdates) -> Updates {
         if call.proxy {
             self.askers.borrow_mut().insert(call.name.clone(), Instant::now());
         } else {
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(super) fn answer(&self, call: &Pull) -> Pulled {
+    pub(super) fn answer(&self, call: &WatchUpdates) -> Updates {
         let register = self.register.borrow();
         let all = register.lacking(&call.vector, PAGE);
         let behind = !all.entries.is_empty();
@@ -106,6 +106,6 @@
         let revision = self.history.borrow().advertised_revision(contact);
         let current = contact.is_in_touch();
         let cores = self.all();
-        Pulled { revision, delta, behind, cores, proxies: self.proxies(), current, wants, source: self.life }
+        Updates { revision, delta, behind, cores, proxies: self.proxies(), current, wants, source: self.life }
     }
 }
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -19,7 +19,7 @@
 
 use crate::gossip::Gossip;
 use crate::settings::Settings;
-use crate::update_watcher::{ConfigSink, Puller, SLOTS, millis};
+use crate::update_watcher::{UpdateSink, UpdateWatcher, WATCH_SLOTS, millis};
 
 /// The platform needs two misses, a second apart, until it sends no new clients.
 const HANDED_ON: Duration = Duration::from_millis(2600);
@@ -36,7 +36,7 @@
     gossip: Rc<Gossip>,
 }
 
-impl ConfigSink for Takes {
+impl UpdateSink for Takes {
     fn config(&self) -> Option<Arc<Config>> {
         self.data_plane.config()
     }
@@ -110,8 +110,8 @@
     let takes = Rc::new(takes);
     let seeds = settings.internal_seeds();
     let puller =
-        Puller::new(&settings.node_name, life, Caller::new(), takes.clone(), register.clone(), &seeds);
-    for slot in 0..SLOTS {
+        UpdateWatcher::new(&settings.node_name, life, Caller::new(), takes.clone(), register.clone(), &seeds);
+    for slot in 0..WATCH_SLOTS {
         tokio::task::spawn_local(puller.clone().run(slot));
     }
     let door = Frontend::new(data_plane.clone());
@@ -161,7 +161,7 @@
     Ok(())
 }
 
-fn reread(path: &std::path::Path, puller: &Puller<Takes>, gossip: &Gossip) {
+fn reread(path: &std::path::Path, puller: &UpdateWatcher<Takes>, gossip: &Gossip) {
     match Settings::load(path) {
         Ok(settings) => {
             let seeds = settings.internal_seeds();
@@ -173,7 +173,7 @@
 }
 
 /// What is known here and since when, as JSON.
-fn status(data_plane: &DataPlane, puller: &Puller<Takes>, gossip: &Gossip, door: &Frontend) -> String {
+fn status(data_plane: &DataPlane, puller: &UpdateWatcher<Takes>, gossip: &Gossip, door: &Frontend) -> String {
     let config = data_plane.config();
     let heard = puller.heard.get().map_or(-1.0, |heard| heard.elapsed().as_secs_f64());
     let counts = &data_plane.counters;
--- a/crates/programs/src/settings.rs
+++ b/crates/programs/src/settings.rs
@@ -10,7 +10,7 @@
 quick_error! {
     /// What is wrong with a settings file. The numbers are in docs/codes.md.
     #[derive(Debug)]
-    pub enum Fault {
+    pub enum SettingsError {
         /// It can't be read.
         Unreadable(path: String, why: String) { display("S01 {path}: can't be read: {why}") }
         /// A line is not of the form.
@@ -60,41 +60,41 @@
 }
 
 impl Read {
-    fn text(&self, key: &'static str) -> Result<&str, Fault> {
-        self.values.get(key).map(|value| value.1.as_str()).ok_or(Fault::Missing(key))
+    fn text(&self, key: &'static str) -> Result<&str, SettingsError> {
+        self.values.get(key).map(|value| value.1.as_str()).ok_or(SettingsError::Missing(key))
     }
 
     fn parsed<T: std::str::FromStr>(
         &self,
         key: &'static str,
         must: &'static str,
-    ) -> Result<Option<T>, Fault> {
+    ) -> Result<Option<T>, SettingsError> {
         let Some((line, value)) = self.values.get(key) else { return Ok(None) };
         let parsed = value.trim().parse();
-        parsed.map(Some).map_err(|_| Fault::Value(*line, key.to_owned(), value.clone(), must))
+        parsed.map(Some).map_err(|_| SettingsError::Value(*line, key.to_owned(), value.clone(), must))
     }
 }
 
 impl Settings {
     /// Reads the file that `MOSSHEAD_CONFIG` or the command line names.
-    pub fn load(path: &Path) -> Result<Self, Fault> {
+    pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let unreadable =
-            |error: std::io::Error| Fault::Unreadable(path.display().to_string(), error.to_string());
+            |error: std::io::Error| SettingsError::Unreadable(path.display().to_string(), error.to_string());
         Self::read(&std::fs::read(path).map_err(unreadable)?)
     }
 
     /// Reads settings.
-    pub fn read(text: &[u8]) -> Result<Self, Fault> {
+    pub fn read(text: &[u8]) -> Result<Self, SettingsError> {
         // Danger: the library's decoder panics at the start of a byte order mark that is cut off.
         if let Err(error) = std::str::from_utf8(text) {
             let sound = text.get(..error.valid_up_to()).unwrap_or_default();
             let line = 1 + sound.iter().filter(|byte| **byte == b'\n').count();
-            return Err(Fault::Line(line, "is not UTF-8".into()));
+            return Err(SettingsError::Line(line, "is not UTF-8".into()));
         }
         let mut values = BTreeMap::new();
         for line in PropertiesIter::new(text) {
-            let line =
-                line.map_err(|error| Fault::Line(error.line_number().unwrap_or(0), error.to_string()))?;
+            let line = line
+                .map_err(|error| SettingsError::Line(error.line_number().unwrap_or(0), error.to_string()))?;
             let at = line.line_number();
             if let LineContent::KVPair(key, value) = line.consume_content() {
                 values.insert(key, (at, value));
@@ -109,12 +109,12 @@
             let must = "two ports, joined by a comma";
             text.trim()
                 .parse()
-                .map_err(|_| Fault::Value(line, "internal_port_range".into(), ports.into(), must))
+                .map_err(|_| SettingsError::Value(line, "internal_port_range".into(), ports.into(), must))
         };
         let mut seed_nodes = Vec::new();
         if let Some((line, seeds)) = read.values.get("seed_nodes") {
             for seed in seeds.split(',').map(str::trim).filter(|seed| !seed.is_empty()) {
-                let wrong = |_| Fault::Value(*line, "seed_nodes".into(), seed.into(), ADDRESS);
+                let wrong = |_| SettingsError::Value(*line, "seed_nodes".into(), seed.into(), ADDRESS);
                 seed_nodes.push(seed.parse().map_err(wrong)?);
             }
         }
@@ -132,14 +132,14 @@
                 }
                 _ => {
                     let must = "a number of 0 or more, true or false";
-                    return Err(Fault::Value(*line, key.clone(), value.clone(), must));
+                    return Err(SettingsError::Value(*line, key.clone(), value.clone(), must));
                 }
             }
         }
         Ok(Self {
             node_name: read.text("node_name")?.to_owned(),
             zone: read.text("zone")?.to_owned(),
-            ip: read.parsed("ip_address", "an IPv4 address")?.ok_or(Fault::Missing("ip_address"))?,
+            ip: read.parsed("ip_address", "an IPv4 address")?.ok_or(SettingsError::Missing("ip_address"))?,
             front_http: read.parsed("listen_addresses.front_http", ADDRESS)?,
             readiness: read.parsed("listen_addresses.readiness", ADDRESS)?,
             control_plane: read.parsed("listen_addresses.control_plane", ADDRESS)?,
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -14,7 +14,7 @@
 use mosshead_stage_scheduler::{Answer, Order, StageScheduler, Terms, fence};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::control_node::Core;
+use crate::control_node::ControlNode;
 
 /// How often the duty is looked after.
 const TURN: Duration = Duration::from_millis(200);
@@ -27,7 +27,7 @@
 const SERVER: Side = Side { name: "server", log: |_| {} };
 
 /// Carries the duties out for as long as it is polled, whenever this machine is primary.
-pub async fn run(core: Rc<Core>) {
+pub async fn run(core: Rc<ControlNode>) {
     let lease = Duration::from_millis(core.settings.bound("lease_ms", 3000.0) as u64);
     let mut held: Option<(Ballot, Instant, StageScheduler)> = None;
     loop {
@@ -57,7 +57,7 @@
     }
 }
 
-async fn send(core: &Rc<Core>, order: &Order, ballot: Ballot) -> Answer {
+async fn send(core: &Rc<ControlNode>, order: &Order, ballot: Ballot) -> Answer {
     let Some(address) = core.address_of(&order.id) else { return Answer::Unclear };
     let message = OrderMessage {
         address,
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -12,11 +12,11 @@
 use mosshead_rpc::Caller;
 use tokio::time::{Duration, Instant, sleep};
 
-use crate::calls::{Fetch, Hand, Pull, Pulled};
+use crate::calls::{FetchConfig, ReplicateEntries, Updates, WatchUpdates};
 use crate::config_transfer::{IncomingTransfer, TransferProgress};
 
 /// From so many machines of the core a proxy pulls at once.
-pub const SLOTS: usize = 3;
+pub const WATCH_SLOTS: usize = 3;
 /// A call waits for news so long.
 const WAIT: Duration = Duration::from_millis(1000);
 /// And for its answer so much longer.
@@ -34,7 +34,7 @@
 const FETCH: Duration = Duration::from_millis(1500);
 
 /// Who takes what was pulled.
-pub trait ConfigSink {
+pub trait UpdateSink {
     /// The configuration in force.
     fn config(&self) -> Option<Arc<Config>>;
     /// A newer one.
@@ -46,7 +46,7 @@
 }
 
 /// What one process knows of the core and has pulled from it.
-pub struct Puller<B> {
+pub struct UpdateWatcher<B> {
     name: String,
     life: u64,
     caller: Caller,
@@ -59,7 +59,7 @@
     pub heard: Cell<Option<Instant>>,
 }
 
-impl<B: ConfigSink + 'static> Puller<B> {
+impl<B: UpdateSink + 'static> UpdateWatcher<B> {
     /// Knows the seeds only.
     pub fn new(
         name: &str,
@@ -109,7 +109,7 @@
         let revision = self.basin.config().map_or(0, |config| config.revision);
         let vector = self.register.borrow().vector();
         let wait = if first { Duration::from_millis(1) } else { WAIT };
-        let call = Pull {
+        let call = WatchUpdates {
             name: self.name.clone(),
             life: self.life,
             proxy: true,
@@ -118,7 +118,7 @@
             entries: slot == 0 || first,
             wait_ms: wait.as_millis() as u64,
         };
-        let answer: Pulled = self.caller.call(core, &call, wait + GRACE).await.ok()?;
+        let answer: Updates = self.caller.call(core, &call, wait + GRACE).await.ok()?;
         let contact = Contact::from_flag(answer.current);
         self.take(core, slot, &answer).await;
         if contact.is_in_touch() {
@@ -131,7 +131,7 @@
         Some(contact)
     }
 
-    async fn take(self: &Rc<Self>, core: SocketAddrV4, slot: usize, answer: &Pulled) {
+    async fn take(self: &Rc<Self>, core: SocketAddrV4, slot: usize, answer: &Updates) {
         let now = Instant::now();
         let changed = self.register.borrow_mut().merge(millis(now), answer.delta.clone());
         if changed {
@@ -143,7 +143,7 @@
             sleep(Duration::from_millis(100 * slot as u64)).await;
             let vector = self.register.borrow().vector();
             let name = self.name.clone();
-            let call = Pull {
+            let call = WatchUpdates {
                 name,
                 life: self.life,
                 proxy: true,
@@ -174,7 +174,7 @@
         for _ in 0..64 {
             let delta = self.register.borrow().lacking(&from, PAGE);
             let (more, vector) = (delta.more, delta.vector.clone());
-            if self.caller.call(core, &Hand { delta }, GRACE).await.is_err() || !more {
+            if self.caller.call(core, &ReplicateEntries { delta }, GRACE).await.is_err() || !more {
                 return;
             }
             from = vector;
@@ -206,7 +206,7 @@
     ) -> Option<Assembled> {
         let mut transfer = IncomingTransfer::new(revision);
         loop {
-            let piece = self.caller.call(core, &Fetch(transfer.request()), FETCH).await.ok()?;
+            let piece = self.caller.call(core, &FetchConfig(transfer.request()), FETCH).await.ok()?;
             match transfer.take(&piece) {
                 TransferProgress::More => {}
                 TransferProgress::Complete(fetched) => return Some(assemble(have, &fetched.into_offer())),
@@ -222,7 +222,7 @@
 
 /// How long a slot waits after word of a newer configuration until it asks again.
 pub fn pause(slot: usize) -> Duration {
-    PAUSE * (1 + slot.min(SLOTS - 1) as u32)
+    PAUSE * (1 + slot.min(WATCH_SLOTS - 1) as u32)
 }
 
 /// Milliseconds on the steady clock of the process.
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -6,8 +6,11 @@
 
 use minicbor::{Decode, Encode};
 use mosshead_consensus::{Ballot, Member, MemberId, Message, Record, State, Version};
-use mosshead_programs::calls::{Epoch, Fetch, Fetched, Hand, Handed, Hears, Pull, Pulled};
-use mosshead_programs::config_transfer::PieceRequest;
+use mosshead_programs::calls::{
+    CompareHeartbeats, ConfigUpdate, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates,
+    WatchUpdates,
+};
+use mosshead_programs::config_transfer::ChunkRequest;
 use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, Vector};
 use quickcheck::quickcheck;
 
@@ -97,11 +100,11 @@
     fn a_pull(name: String, numbers: (u64, u64, u64), of: Vec<(u64, u64)>, marks: (bool, bool)) -> bool {
         let (life, revision, wait_ms) = numbers;
         let (proxy, entries) = marks;
-        round(&Pull { name, life, proxy, revision, vector: vector(&of), entries, wait_ms })
+        round(&WatchUpdates { name, life, proxy, revision, vector: vector(&of), entries, wait_ms })
     }
 
     fn what_was_pulled(text: String, number: u64, of: Vec<(u64, u64)>, cores: Vec<(u32, u16)>, mark: bool) -> bool {
-        round(&Pulled {
+        round(&Updates {
             revision: number,
             delta: delta(&text, number, &of, mark),
             behind: mark,
@@ -114,30 +117,30 @@
     }
 
     fn a_fetch(revision: u64, patches: Vec<String>, whole: Option<String>) -> bool {
-        round(&Fetch(PieceRequest { have: revision, target: revision / 2, offset: revision / 3 })) && round(&Fetched { revision, patches, whole })
+        round(&FetchConfig(ChunkRequest { have: revision, target: revision / 2, offset: revision / 3 })) && round(&ConfigUpdate { revision, patches, whole })
     }
 
     fn a_hand_over(text: String, number: u64, of: Vec<(u64, u64)>, mark: bool) -> bool {
-        round(&Hand { delta: delta(&text, number, &of, mark) })
-            && round(&Handed { changed: mark, vector: vector(&of) })
+        round(&ReplicateEntries { delta: delta(&text, number, &of, mark) })
+            && round(&ReplicateAck { changed: mark, vector: vector(&of) })
     }
 
     fn which_servers_are_heard(source: u64, digest: Vec<(String, u64)>) -> bool {
-        round(&Hears { source, digest })
+        round(&CompareHeartbeats { source, digest })
     }
 
     fn a_message_of_the_control_state(number: u64, body: Vec<u8>, mark: bool) -> bool {
         let from = Member { id: MemberId(number), address: address(number as u32, 1) };
-        messages(number, &body, mark).into_iter().all(|message| round(&Epoch { from, message }))
+        messages(number, &body, mark).into_iter().all(|message| round(&ConsensusMessage { from, message }))
     }
 
     fn any_bytes_do_no_harm(bytes: Vec<u8>) -> bool {
-        let _ = minicbor::decode::<Pull>(&bytes);
-        let _ = minicbor::decode::<Pulled>(&bytes);
-        let _ = minicbor::decode::<Fetched>(&bytes);
-        let _ = minicbor::decode::<Hand>(&bytes);
-        let _ = minicbor::decode::<Hears>(&bytes);
-        let _ = minicbor::decode::<Epoch>(&bytes);
+        let _ = minicbor::decode::<WatchUpdates>(&bytes);
+        let _ = minicbor::decode::<Updates>(&bytes);
+        let _ = minicbor::decode::<ConfigUpdate>(&bytes);
+        let _ = minicbor::decode::<ReplicateEntries>(&bytes);
+        let _ = minicbor::decode::<CompareHeartbeats>(&bytes);
+        let _ = minicbor::decode::<ConsensusMessage>(&bytes);
         true
     }
 }
--- a/crates/programs/tests/config_transfer.rs
+++ b/crates/programs/tests/config_transfer.rs
@@ -1,9 +1,9 @@
 //! The configuration in packed pieces: whatever the receiver has, it gets the whole answer or none.
 
 use minicbor::to_vec;
-use mosshead_programs::calls::Fetched;
+use mosshead_programs::calls::ConfigUpdate;
 use mosshead_programs::config_transfer::{
-    IncomingTransfer, OutgoingTransfers, PIECE_BYTES, Piece, PieceRequest, TransferProgress,
+    CHUNK_BYTES, ChunkRequest, ConfigChunk, IncomingTransfer, OutgoingTransfers, TransferProgress,
 };
 use quickcheck::quickcheck;
 
@@ -17,12 +17,12 @@
     (0..length).map(|_| next()).collect()
 }
 
-fn whole(revision: u64, length: usize) -> Fetched {
-    Fetched { revision, patches: Vec::new(), whole: Some(noise(length, revision)) }
+fn whole(revision: u64, length: usize) -> ConfigUpdate {
+    ConfigUpdate { revision, patches: Vec::new(), whole: Some(noise(length, revision)) }
 }
 
 /// Fetches to the end; `newest` says which configuration is there at each piece.
-fn fetch(newest: impl Fn(usize) -> Fetched) -> (TransferProgress, usize) {
+fn fetch(newest: impl Fn(usize) -> ConfigUpdate) -> (TransferProgress, usize) {
     let (mut outgoing, mut incoming) = (OutgoingTransfers::default(), IncomingTransfer::new(4));
     for pieces in 0..1_000 {
         let offer = newest(pieces);
@@ -37,15 +37,15 @@
 
 #[test]
 fn a_large_one_comes_in_pieces() {
-    let (end, pieces) = fetch(|_| whole(6, 10 * PIECE_BYTES));
-    assert_eq!(end, TransferProgress::Complete(whole(6, 10 * PIECE_BYTES)));
+    let (end, pieces) = fetch(|_| whole(6, 10 * CHUNK_BYTES));
+    assert_eq!(end, TransferProgress::Complete(whole(6, 10 * CHUNK_BYTES)));
     assert!((8..=11).contains(&pieces), "{pieces}");
 }
 
 #[test]
 fn a_transfer_goes_on_while_newer_ones_are_committed() {
-    let (end, pieces) = fetch(|piece| whole(6 + piece as u64, 10 * PIECE_BYTES));
-    assert_eq!(end, TransferProgress::Complete(whole(6, 10 * PIECE_BYTES)));
+    let (end, pieces) = fetch(|piece| whole(6 + piece as u64, 10 * CHUNK_BYTES));
+    assert_eq!(end, TransferProgress::Complete(whole(6, 10 * CHUNK_BYTES)));
     assert!(pieces <= 11, "{pieces}");
 }
 
@@ -54,8 +54,8 @@
     let route =
         |at: usize| format!("{{\"name\":\"r-{at}\",\"path_prefix\":\"/p{at}/\",\"timeout_ms\":2500}},");
     let text: String = (0..6_000).map(route).collect();
-    let fetched = Fetched { revision: 6, patches: vec![text.clone()], whole: None };
-    let request = PieceRequest { have: 4, target: 0, offset: 0 };
+    let fetched = ConfigUpdate { revision: 6, patches: vec![text.clone()], whole: None };
+    let request = ChunkRequest { have: 4, target: 0, offset: 0 };
     let piece = OutgoingTransfers::default().piece(request, 6, || fetched);
     assert!(piece.length * 3 < text.len() as u64, "{} of {}", piece.length, text.len());
 }
@@ -63,7 +63,7 @@
 #[test]
 fn what_a_sender_has_forgotten_begins_anew() {
     let (mut outgoing, mut incoming) = (OutgoingTransfers::default(), IncomingTransfer::new(4));
-    let first = outgoing.piece(incoming.request(), 6, || whole(6, 3 * PIECE_BYTES));
+    let first = outgoing.piece(incoming.request(), 6, || whole(6, 3 * CHUNK_BYTES));
     assert_eq!(incoming.take(&first), TransferProgress::More);
     let mut other = OutgoingTransfers::default();
     let restart = other.piece(incoming.request(), 8, || whole(8, 100));
@@ -74,7 +74,7 @@
 #[test]
 fn receivers_of_the_same_share_one() {
     let mut outgoing = OutgoingTransfers::default();
-    let request = PieceRequest { have: 4, target: 0, offset: 0 };
+    let request = ChunkRequest { have: 4, target: 0, offset: 0 };
     let first = outgoing.piece(request, 6, || whole(6, 1_000));
     let second = outgoing.piece(request, 6, || unreachable!("it is kept"));
     assert_eq!(first, second);
@@ -83,17 +83,17 @@
 #[test]
 fn nothing_offered_is_an_answer_too() {
     let mut incoming = IncomingTransfer::new(4);
-    let nothing = Fetched { revision: 0, patches: Vec::new(), whole: None };
-    assert_eq!(incoming.take(&Piece::withheld()), TransferProgress::Complete(nothing));
+    let nothing = ConfigUpdate { revision: 0, patches: Vec::new(), whole: None };
+    assert_eq!(incoming.take(&ConfigChunk::withheld()), TransferProgress::Complete(nothing));
 }
 
 #[test]
 fn a_length_that_is_a_lie_makes_no_room() {
     let mut incoming = IncomingTransfer::new(4);
     let bytes = [u32::MAX.to_le_bytes().as_slice(), &[0; 8]].concat();
-    let piece = Piece { target: 6, length: bytes.len() as u64, offset: 0, bytes: bytes.into() };
+    let piece = ConfigChunk { target: 6, length: bytes.len() as u64, offset: 0, bytes: bytes.into() };
     assert_eq!(incoming.take(&piece), TransferProgress::Broken);
-    let endless = Piece { target: 7, length: u64::MAX, offset: 0, bytes: vec![1].into() };
+    let endless = ConfigChunk { target: 7, length: u64::MAX, offset: 0, bytes: vec![1].into() };
     assert_eq!(IncomingTransfer::new(4).take(&endless), TransferProgress::Broken);
 }
 
@@ -101,14 +101,14 @@
     fn any_pieces_do_no_harm(pieces: Vec<(u64, u64, u64, Vec<u8>)>) -> bool {
         let mut incoming = IncomingTransfer::new(4);
         for (target, length, offset, bytes) in pieces {
-            let piece = Piece { target: target % 3, length: length % 40, offset: offset % 20, bytes: bytes.into() };
+            let piece = ConfigChunk { target: target % 3, length: length % 40, offset: offset % 20, bytes: bytes.into() };
             let _ = incoming.take(&piece);
         }
         to_vec(incoming.request()).is_ok()
     }
 
     fn any_answer_comes_as_it_was(revision: u64, patches: Vec<String>, text: Option<String>) -> bool {
-        let fetched = Fetched { revision: revision.max(1), patches, whole: text };
+        let fetched = ConfigUpdate { revision: revision.max(1), patches, whole: text };
         fetch(|_| fetched.clone()).0 == TransferProgress::Complete(fetched.clone())
     }
 }
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -4,8 +4,8 @@
 
 use mosshead_config::Config;
 use mosshead_control_plane::subscription::{Assembled, assemble};
-use mosshead_programs::calls::Fetched;
-use mosshead_programs::update_watcher::{SLOTS, pause};
+use mosshead_programs::calls::ConfigUpdate;
+use mosshead_programs::update_watcher::{WATCH_SLOTS, pause};
 use tokio::time::Duration;
 
 const WHOLE: &str = include_str!("samples/replace.json");
@@ -21,22 +21,22 @@
 }
 
 /// The configuration that an answer on the wire leads to.
-fn put_together(have: Option<&Config>, fetched: &Fetched) -> Option<Arc<Config>> {
+fn put_together(have: Option<&Config>, fetched: &ConfigUpdate) -> Option<Arc<Config>> {
     match assemble(have, &fetched.clone().into_offer()) {
         Assembled::Config(config) => Some(config),
         Assembled::Withheld | Assembled::Misfit => None,
     }
 }
 
-fn patches(revision: u64, patches: Vec<String>) -> Fetched {
-    Fetched { revision, patches, whole: None }
+fn patches(revision: u64, patches: Vec<String>) -> ConfigUpdate {
+    ConfigUpdate { revision, patches, whole: None }
 }
 
 #[test]
 fn the_whole_is_taken_whatever_was_there() {
     let [first, second, third] = three();
     let whole = Some(third.json().to_string());
-    let fetched = Fetched { revision: 12, patches: Vec::new(), whole };
+    let fetched = ConfigUpdate { revision: 12, patches: Vec::new(), whole };
     for have in [None, Some(&first), Some(&second)] {
         let config = put_together(have, &fetched).expect("whole");
         assert_eq!((config.revision, config.json()), (12, third.json()));
@@ -83,7 +83,7 @@
 fn a_whole_that_is_no_configuration_gives_nothing() {
     let [first, ..] = three();
     for text in ["", "{}x", "[]", "{\"revision\":"] {
-        let fetched = Fetched { revision: 9, patches: Vec::new(), whole: Some(text.into()) };
+        let fetched = ConfigUpdate { revision: 9, patches: Vec::new(), whole: Some(text.into()) };
         assert!(put_together(Some(&first), &fetched).is_none(), "{text}");
     }
 }
@@ -92,9 +92,9 @@
 /// from don't answer; half of that is for the way.
 #[test]
 fn slots_ask_again_soon_after_a_change_and_not_all_at_once() {
-    let pauses: Vec<Duration> = (0..SLOTS).map(pause).collect();
+    let pauses: Vec<Duration> = (0..WATCH_SLOTS).map(pause).collect();
     assert!(pauses.windows(2).all(|pair| pair[0] < pair[1]), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause >= Duration::from_millis(50)), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= Duration::from_millis(150)), "{pauses:?}");
-    assert_eq!(pause(usize::MAX), pause(SLOTS - 1));
+    assert_eq!(pause(usize::MAX), pause(WATCH_SLOTS - 1));
 }
--- a/crates/programs/tests/limits.rs
+++ b/crates/programs/tests/limits.rs
@@ -3,7 +3,7 @@
 use mosshead_consensus::{
     Ballot, Call, CallDigest, MAX_BODY_BYTES, MAX_STATE_BYTES, Member, MemberId, Message, State,
 };
-use mosshead_programs::calls::Epoch;
+use mosshead_programs::calls::ConsensusMessage;
 use mosshead_programs::limits::MAX_REQUEST_BYTES;
 use mosshead_rpc::MAX_BODY;
 
@@ -21,7 +21,7 @@
     let state = largest_state();
     assert!(minicbor::to_vec(&state).is_ok_and(|bytes| bytes.len() <= MAX_STATE_BYTES));
     let from = Member { id: MemberId(u64::MAX), address: "10.0.0.1:7720".parse().expect("an address") };
-    let epoch = Epoch { from, message: Message::Replicate { state } };
+    let epoch = ConsensusMessage { from, message: Message::Replicate { state } };
     assert!(minicbor::to_vec(&epoch).is_ok_and(|bytes| bytes.len() <= MAX_BODY));
 }
 
--- a/crates/programs/tests/send_queues.rs
+++ b/crates/programs/tests/send_queues.rs
@@ -4,33 +4,33 @@
 use std::sync::Arc;
 
 use mosshead_consensus::{Ballot, Message, State};
-use mosshead_programs::send_queues::{LARGE_MESSAGE_BYTES, Lane, MessageLanes};
+use mosshead_programs::send_queues::{LARGE_MESSAGE_BYTES, SendQueue, SendQueues};
 use quickcheck::quickcheck;
 
 fn machine(last: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7720)
 }
 
-fn lane(large: bool) -> Lane {
-    if large { Lane::Large } else { Lane::Small }
+fn lane(large: bool) -> SendQueue {
+    if large { SendQueue::Large } else { SendQueue::Small }
 }
 
-fn fill(lanes: &mut MessageLanes, to: SocketAddrV4, lane: Lane) -> usize {
+fn fill(lanes: &mut SendQueues, to: SocketAddrV4, lane: SendQueue) -> usize {
     (0..100).filter(|_| lanes.enter(to, lane)).count()
 }
 
 #[test]
 fn a_burst_of_states_leaves_room_for_heartbeats() {
-    let mut lanes = MessageLanes::default();
-    assert_eq!(fill(&mut lanes, machine(1), Lane::Large), Lane::Large.capacity());
-    assert_eq!(fill(&mut lanes, machine(1), Lane::Small), Lane::Small.capacity());
+    let mut lanes = SendQueues::default();
+    assert_eq!(fill(&mut lanes, machine(1), SendQueue::Large), SendQueue::Large.capacity());
+    assert_eq!(fill(&mut lanes, machine(1), SendQueue::Small), SendQueue::Small.capacity());
 }
 
 #[test]
 fn one_machine_that_is_gone_takes_no_room_of_another() {
-    let mut lanes = MessageLanes::default();
-    fill(&mut lanes, machine(1), Lane::Small);
-    assert!(lanes.enter(machine(2), Lane::Small));
+    let mut lanes = SendQueues::default();
+    fill(&mut lanes, machine(1), SendQueue::Small);
+    assert!(lanes.enter(machine(2), SendQueue::Small));
 }
 
 #[test]
@@ -43,17 +43,17 @@
         Message::Committed { state: state.clone() },
         Message::Fetched { ballot, state },
     ] {
-        assert_eq!(Lane::of(message.state_bytes()), Lane::Large);
+        assert_eq!(SendQueue::of(message.state_bytes()), SendQueue::Large);
     }
     for message in [Message::Replicate { state: short }, Message::Prepare { ballot }, Message::PreVote] {
-        assert_eq!(Lane::of(message.state_bytes()), Lane::Small);
+        assert_eq!(SendQueue::of(message.state_bytes()), SendQueue::Small);
     }
 }
 
 quickcheck! {
     /// However messages come and go, no lane holds more than its bound, and one that is empty takes the next.
     fn bounds_hold(steps: Vec<(bool, bool)>) -> bool {
-        let mut lanes = MessageLanes::default();
+        let mut lanes = SendQueues::default();
         let mut counts = [0_usize; 2];
         steps.into_iter().all(|(enters, large)| {
             let count = &mut counts[usize::from(large)];
--- a/crates/programs/tests/settings.rs
+++ b/crates/programs/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 
-use mosshead_programs::settings::{Fault, Settings};
+use mosshead_programs::settings::{Settings, SettingsError};
 use quickcheck::quickcheck;
 
 const EDGE: &str = include_str!("samples/edge.properties");
@@ -59,7 +59,7 @@
         let text: String =
             LEAST.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect();
         let fault = Settings::read(text.as_bytes()).expect_err(key);
-        assert!(matches!(fault, Fault::Missing(missing) if missing == key), "{fault}");
+        assert!(matches!(fault, SettingsError::Missing(missing) if missing == key), "{fault}");
         assert_eq!(fault.to_string(), format!("S03 {key} is missing"));
     }
 }
@@ -98,7 +98,7 @@
             .collect();
         let fault = Settings::read(text.as_bytes()).expect_err(key);
         assert!(
-            matches!(&fault, Fault::Value(line, named, was, _)
+            matches!(&fault, SettingsError::Value(line, named, was, _)
             if *line == at && named == key && was == value),
             "{fault}"
         );
@@ -112,7 +112,7 @@
 #[test]
 fn a_line_that_is_not_of_the_form_is_told_with_its_number() {
     let fault = Settings::read(format!("{LEAST}zone=\\u12zz\n").as_bytes()).expect_err("no such character");
-    assert!(matches!(fault, Fault::Line(5, _)), "{fault}");
+    assert!(matches!(fault, SettingsError::Line(5, _)), "{fault}");
     assert!(fault.to_string().starts_with("S02 line 5: "), "{fault}");
 }
 
