--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -129,6 +129,6 @@
 }
 
 fn unknown_service<'r>(route: &'r Route, services: &Services) -> Option<&'r str> {
-    let mut names = route.backends.iter().map(|(service, _)| service.as_str());
+    let mut names = route.backends.iter().map(|backend| backend.service.as_str());
     names.find(|service| !services.contains_key(*service))
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -24,7 +24,7 @@
 pub use config::Config;
 pub use fault::{ConfigError, ConfigErrorKind, ERROR_CODES};
 pub use limits::Limits;
-pub use route::{Route, RouteType};
+pub use route::{Route, RouteType, WeightedBackend};
 pub use routes::Routes;
 pub use scan::{MAX_BYTES, MAX_DEPTH, parse_json, peek_revision};
 pub use service::{Engine, Service};
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,5 +1,7 @@
 //! What a client may send, and how long it may take or stay idle.
 
+use core::time::Duration;
+
 use tinyjson::JsonValue;
 
 use crate::fault::ConfigError;
@@ -13,9 +15,9 @@
     /// The longest body of a request.
     pub max_body_bytes: usize,
     /// How long a client may take for the head of a request.
-    pub header_timeout_ms: u64,
+    pub header_timeout: Duration,
     /// How long a connection may stay without a request.
-    pub idle_timeout_ms: u64,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -23,8 +25,8 @@
         Limits {
             max_header_bytes: 16 << 10,
             max_body_bytes: 4 << 20,
-            header_timeout_ms: 3_000,
-            idle_timeout_ms: 15_000,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -34,8 +36,8 @@
     pub const MINIMUM: Limits = Limits {
         max_header_bytes: 1 << 10,
         max_body_bytes: 1 << 10,
-        header_timeout_ms: 100,
-        idle_timeout_ms: 100,
+        header_timeout: Duration::from_millis(100),
+        idle_timeout: Duration::from_millis(100),
     };
 
     pub(crate) fn read(value: &JsonValue, place: &str) -> Result<Limits, ConfigError> {
@@ -45,14 +47,14 @@
             let given = object.count(key, u64::MAX)?;
             Ok(given.map_or(usual, |given| usize::try_from(given).unwrap_or(usize::MAX)).max(floor))
         };
-        let time = |key, usual: u64, floor: u64| -> Result<u64, ConfigError> {
-            Ok(object.count(key, u64::MAX)?.unwrap_or(usual).max(floor))
+        let span = |key, usual: Duration, floor: Duration| -> Result<Duration, ConfigError> {
+            Ok(object.millis(key)?.unwrap_or(usual).max(floor))
         };
         Ok(Limits {
             max_header_bytes: bytes("max_header_bytes", usual.max_header_bytes, floors.max_header_bytes)?,
             max_body_bytes: bytes("max_body_bytes", usual.max_body_bytes, floors.max_body_bytes)?,
-            header_timeout_ms: time("header_timeout_ms", usual.header_timeout_ms, floors.header_timeout_ms)?,
-            idle_timeout_ms: time("idle_timeout_ms", usual.idle_timeout_ms, floors.idle_timeout_ms)?,
+            header_timeout: span("header_timeout_ms", usual.header_timeout, floors.header_timeout)?,
+            idle_timeout: span("idle_timeout_ms", usual.idle_timeout, floors.idle_timeout)?,
         })
     }
 }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,5 +1,7 @@
 //! A route: where a request goes, and what may be done with it.
 
+use core::time::Duration;
+
 use tinyjson::JsonValue;
 
 use crate::fault::{ConfigError, ConfigErrorKind};
@@ -27,22 +29,31 @@
     pub path_prefix: String,
     /// What may be repeated.
     pub route_type: RouteType,
-    /// The longest that the operator wants a request held; above 0.
-    pub timeout_ms: u64,
-    /// The time within which an answer earns its full worth; the timeout when it is not given.
-    pub target_latency_ms: u64,
+    /// The longest that the operator wants a request held; above 0, in whole milliseconds.
+    pub timeout: Duration,
+    /// The latency target of a response, to the first event of a stream; the timeout when it is not given.
+    pub target_latency: Duration,
     /// Its rank, 0 is highest; 5 when it is not given.
     pub priority: u8,
-    /// Services and their weights. Danger: a weight may be 0, and no request may go there; [`Route::choose_service`] minds it.
-    pub backends: Vec<(String, f64)>,
+    /// The services of the route in the operator's order; the weights add up to more than 0.
+    pub backends: Vec<WeightedBackend>,
     /// The most servers that one try may be sent to, at least 1.
     pub retry_count: u32,
     /// Whether its requests name the parts of a prompt.
     pub persistence: bool,
     /// Whether a stream may be continued at another server.
     pub resume: bool,
-    /// The longest pause between events that keeps an answer in time; 0 when it is not given.
-    pub gap_aim_ms: u64,
+    /// The longest pause between events of a stream that still keeps the response in time; zero when it is not given.
+    pub event_gap_target: Duration,
+}
+
+/// A service of a route and its weight.
+#[derive(Debug, Clone, PartialEq)]
+pub struct WeightedBackend {
+    /// The service's name.
+    pub service: String,
+    /// The share of requests, relative to the sum over the route; a service with weight 0 gets none.
+    pub weight: f64,
 }
 
 impl Route {
@@ -57,16 +68,16 @@
 
     /// The service for a request, by weight; `unit` is a random number from 0 to 1.
     pub fn choose_service(&self, unit: f64) -> Option<&str> {
-        let sum: f64 = self.backends.iter().map(|(_, weight)| weight).sum();
+        let sum: f64 = self.backends.iter().map(|backend| backend.weight).sum();
         let mut left = unit.clamp(0.0, 1.0) * sum;
         let mut last = None;
-        for (service, weight) in &self.backends {
-            if *weight > 0.0 {
-                last = Some(service.as_str());
-                if left < *weight {
+        for backend in &self.backends {
+            if backend.weight > 0.0 {
+                last = Some(backend.service.as_str());
+                if left < backend.weight {
                     break;
                 }
-                left -= weight;
+                left -= backend.weight;
             }
         }
         last
@@ -82,9 +93,11 @@
         if !prefix.starts_with('/') {
             return Err(object.fault("path_prefix", ConfigErrorKind::OutOfRange("begin with a slash")));
         }
-        let timeout_ms = match object.count("timeout_ms", u64::MAX)? {
+        let timeout = match object.millis("timeout_ms")? {
             None => return Err(object.fault("timeout_ms", ConfigErrorKind::Missing)),
-            Some(0) => return Err(object.fault("timeout_ms", ConfigErrorKind::OutOfRange("be above 0"))),
+            Some(Duration::ZERO) => {
+                return Err(object.fault("timeout_ms", ConfigErrorKind::OutOfRange("be above 0")));
+            }
             Some(given) => given,
         };
         let retry_count = object.count("retry_count", u64::from(u32::MAX))?.unwrap_or(1).max(1);
@@ -98,22 +111,22 @@
                 Some("streaming") => RouteType::Streaming,
                 _ => RouteType::NonIdempotent,
             },
-            timeout_ms,
-            target_latency_ms: object
-                .count("target_latency_ms", u64::MAX)?
-                .filter(|given| *given > 0)
-                .unwrap_or(timeout_ms),
+            timeout,
+            target_latency: object
+                .millis("target_latency_ms")?
+                .filter(|given| !given.is_zero())
+                .unwrap_or(timeout),
             priority: u8::try_from(priority).unwrap_or(u8::MAX),
             backends: backends(object)?,
             retry_count: u32::try_from(retry_count).unwrap_or(u32::MAX),
             persistence: object.flag("persistence")?,
             resume: object.flag("resume")?,
-            gap_aim_ms: object.count("gap_aim_ms", u64::MAX)?.unwrap_or(0),
+            event_gap_target: object.millis("gap_aim_ms")?.unwrap_or_default(),
         })
     }
 }
 
-fn backends(object: &Object<'_>) -> Result<Vec<(String, f64)>, ConfigError> {
+fn backends(object: &Object<'_>) -> Result<Vec<WeightedBackend>, ConfigError> {
     let single = object.string("backend_service")?.filter(|name| !name.is_empty());
     let weighted = object.list("weighted_backends")?;
     let mut found = Vec::with_capacity(weighted.map_or(1, <[JsonValue]>::len));
@@ -126,14 +139,16 @@
         if weight > MAX_WHOLE {
             return Err(backend.fault("weight", ConfigErrorKind::OutOfRange("be at most 2^53")));
         }
-        found.push((backend.name("backend_service")?.to_owned(), weight));
+        found.push(WeightedBackend { service: backend.name("backend_service")?.to_owned(), weight });
     }
     match single {
-        Some(name) if found.is_empty() => found.push((name.to_owned(), 1.0)),
+        Some(name) if found.is_empty() => {
+            found.push(WeightedBackend { service: name.to_owned(), weight: 1.0 })
+        }
         None if weighted.is_none() => return Err(object.fault("backend_service", ConfigErrorKind::Missing)),
         _ if sum <= 0.0 => return Err(object.fault("weighted_backends", ConfigErrorKind::ZeroWeight)),
         // Named beside the weights, it must be known as they must, but takes no request.
-        Some(name) => found.push((name.to_owned(), 0.0)),
+        Some(name) => found.push(WeightedBackend { service: name.to_owned(), weight: 0.0 }),
         None => {}
     }
     Ok(found)
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,5 +1,7 @@
 //! A service and the engine of its model servers.
 
+use core::time::Duration;
+
 use tinyjson::JsonValue;
 
 use crate::fault::ConfigError;
@@ -31,10 +33,10 @@
     pub link_mbps: f64,
     /// `stride`, at least 1.
     pub stride: u32,
-    /// How long a handle is kept.
-    pub handle_ttl_ms: u64,
-    /// How long a server takes to change its stage.
-    pub stage_switch_ms: u64,
+    /// How long a server keeps a prefill handle; zero when it is not given.
+    pub handle_ttl: Duration,
+    /// How long a server takes to change its stage; zero when it is not given.
+    pub stage_switch_time: Duration,
     /// The names in `model_list`.
     pub models: Vec<String>,
 }
@@ -68,8 +70,8 @@
             token_size_bytes: object.count("token_size_bytes", u64::MAX)?.unwrap_or(0),
             link_mbps: object.number("link_mbps")?.unwrap_or(0.0),
             stride: small(&object, "stride")?.unwrap_or(1),
-            handle_ttl_ms: object.seconds("handle_ttl_s")?.unwrap_or(0),
-            stage_switch_ms: object.seconds("stage_switch_s")?.unwrap_or(0),
+            handle_ttl: object.seconds("handle_ttl_s")?.unwrap_or_default(),
+            stage_switch_time: object.seconds("stage_switch_s")?.unwrap_or_default(),
             models: models.iter().filter_map(model).collect(),
         })
     }
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,5 +1,6 @@
 //! Fields of `tinyjson` values, read by hand, each fault with its place.
 
+use core::time::Duration;
 use std::borrow::Cow;
 
 use tinyjson::JsonValue;
@@ -164,8 +165,14 @@
         Ok(self.number(key)?.map(|number| (number.min(MAX_WHOLE).ceil() as u64).min(most)))
     }
 
-    /// Seconds of the operator, milliseconds here.
-    pub(crate) fn seconds(&self, key: &str) -> Result<Option<u64>, ConfigError> {
-        Ok(self.number(key)?.map(|number| (number * 1000.0).min(MAX_WHOLE).round() as u64))
+    /// A span given in milliseconds, up to the next whole one.
+    pub(crate) fn millis(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
+        Ok(self.count(key, u64::MAX)?.map(Duration::from_millis))
+    }
+
+    /// A span given in seconds, rounded to whole milliseconds.
+    pub(crate) fn seconds(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
+        let millis = |seconds: f64| (seconds * 1000.0).min(MAX_WHOLE).round() as u64;
+        Ok(self.number(key)?.map(millis).map(Duration::from_millis))
     }
 }
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Items, Sample, SampleChange, read, same, whole};
-use mosshead_config::{Config, ConfigError, Limits, MAX_BYTES};
+use mosshead_config::{Config, ConfigError, Limits, MAX_BYTES, WeightedBackend};
 use quickcheck::quickcheck;
 
 fn modify(text: &str) -> Result<Config, ConfigError> {
@@ -93,7 +93,7 @@
         "withdraw":{"backend_services":["wuno96b"]}}"#;
     let config = modify(text).expect("valid");
     assert!(config.services.keys().eq(["huvo11a", "new"]));
-    assert_eq!(config.routes[1].backends, [("new".to_owned(), 1.0)]);
+    assert_eq!(config.routes[1].backends, [WeightedBackend { service: "new".to_owned(), weight: 1.0 }]);
 }
 
 fn change(list: &mut Items, upsert: &Items, withdraw: &[String]) {
--- a/crates/config/tests/read.rs
+++ b/crates/config/tests/read.rs
@@ -2,8 +2,14 @@
 
 mod common;
 
+use std::time::Duration;
+
 use common::{WHOLE, read, whole};
-use mosshead_config::{Config, Limits, RouteType};
+use mosshead_config::{Config, Limits, RouteType, WeightedBackend};
+
+fn backend(service: &str, weight: f64) -> WeightedBackend {
+    WeightedBackend { service: service.to_owned(), weight }
+}
 
 #[test]
 fn the_example_is_read_whole() {
@@ -12,10 +18,15 @@
     let [first, second] = config.routes.as_ref() else { panic!("two routes") };
     assert_eq!((first.name.as_str(), first.host.as_str()), ("r-1", "ficu95.example"));
     assert_eq!((first.path_prefix.as_str(), first.route_type), ("/pufi791/", RouteType::Streaming));
-    assert_eq!((first.timeout_ms, first.target_latency_ms, first.priority), (2500, 300, 0));
-    assert_eq!(first.backends, [("huvo11a".to_owned(), 1.0)]);
-    assert_eq!((first.retry_count, first.persistence, first.resume, first.gap_aim_ms), (2, true, true, 200));
-    assert_eq!(second.backends, [("huvo11a".to_owned(), 90.0), ("wuno96b".to_owned(), 10.0)]);
+    assert_eq!(
+        (first.timeout, first.target_latency),
+        (Duration::from_millis(2500), Duration::from_millis(300))
+    );
+    assert_eq!(first.priority, 0);
+    assert_eq!(first.backends, [backend("huvo11a", 1.0)]);
+    assert_eq!((first.retry_count, first.persistence, first.resume), (2, true, true));
+    assert_eq!(first.event_gap_target, Duration::from_millis(200));
+    assert_eq!(second.backends, [backend("huvo11a", 90.0), backend("wuno96b", 10.0)]);
     assert_eq!((second.retry_count, second.route_type), (1, RouteType::NonIdempotent));
     assert!(first.is_idempotent() && !second.is_idempotent());
     let service = config.service("huvo11a").expect("a service");
@@ -23,7 +34,10 @@
     let engine = service.engine.as_ref().expect("an engine");
     assert_eq!((engine.slots, engine.cache_tokens, engine.token_size_bytes), (64, 648_485, 163_840));
     assert_eq!((engine.link_mbps, engine.stride), (1_700_000.0, 9));
-    assert_eq!((engine.handle_ttl_ms, engine.stage_switch_ms), (5000, 860));
+    assert_eq!(
+        (engine.handle_ttl, engine.stage_switch_time),
+        (Duration::from_secs(5), Duration::from_millis(860))
+    );
     assert_eq!(engine.models, ["m"]);
     assert!(config.services["wuno96b"].engine.is_none());
     assert_eq!(config.limits, Limits::default());
@@ -50,9 +64,10 @@
     )
     .expect("valid");
     let route = &config.routes[0];
-    assert_eq!((route.host.as_str(), route.timeout_ms, route.target_latency_ms), ("h", 1, 1));
+    let one_milli = Duration::from_millis(1);
+    assert_eq!((route.host.as_str(), route.timeout, route.target_latency), ("h", one_milli, one_milli));
     assert_eq!((route.route_type, route.priority, route.retry_count), (RouteType::NonIdempotent, 5, 1));
-    assert!(!route.persistence && !route.resume && route.gap_aim_ms == 0);
+    assert!(!route.persistence && !route.resume && route.event_gap_target.is_zero());
     let service = &config.services["s"];
     assert_eq!((service.health_path.as_str(), service.max_connections), ("/health", 64));
     assert_eq!(config.limits, Limits::default());
@@ -63,8 +78,8 @@
     let text = WHOLE.replace("16384,", "0,").replace("15000}", "1}").replace("4194304", "5e5");
     let limits = read(&text).expect("valid").limits;
     assert_eq!(limits.max_header_bytes, Limits::MINIMUM.max_header_bytes);
-    assert_eq!(limits.idle_timeout_ms, Limits::MINIMUM.idle_timeout_ms);
-    assert_eq!((limits.max_body_bytes, limits.header_timeout_ms), (500_000, 3000));
+    assert_eq!(limits.idle_timeout, Limits::MINIMUM.idle_timeout);
+    assert_eq!((limits.max_body_bytes, limits.header_timeout), (500_000, Duration::from_secs(3)));
 }
 
 #[test]
@@ -86,7 +101,7 @@
         WHOLE.replace("\"weighted_backends\":[", "\"backend_service\":\"wuno96b\",\"weighted_backends\":[");
     let text = text.replace(",{\"backend_service\":\"wuno96b\",\"weight\":10}", "");
     let config = read(&text).expect("valid");
-    assert_eq!(config.routes[1].backends, [("huvo11a".to_owned(), 90.0), ("wuno96b".to_owned(), 0.0)]);
+    assert_eq!(config.routes[1].backends, [backend("huvo11a", 90.0), backend("wuno96b", 0.0)]);
     assert_eq!(config.routes[1].choose_service(1.0), Some("huvo11a"));
 }
 
@@ -136,7 +151,8 @@
         match (read(&text), number.parse::<tinyjson::JsonValue>()) {
             (Ok(config), Ok(tinyjson::JsonValue::Number(value))) => {
                 let most = 9_007_199_254_740_992.0;
-                assert_eq!(config.routes[0].timeout_ms, f64::min(value, most).ceil() as u64, "{number}");
+                let timeout = Duration::from_millis(f64::min(value, most).ceil() as u64);
+                assert_eq!(config.routes[0].timeout, timeout, "{number}");
             }
             (Err(fault), Err(_)) => assert_eq!(fault.code(), 3, "{number}"),
             (config, value) => panic!("{number}: {config:?}, {value:?}"),
--- a/crates/data-plane/src/forward.rs
+++ b/crates/data-plane/src/forward.rs
@@ -13,7 +13,7 @@
 use mosshead_http_links::RetryPolicy;
 use mosshead_registry::OperState;
 use mosshead_routing::{Prompt, ServerFailure};
-use tokio::time::{Duration, timeout};
+use tokio::time::timeout;
 
 use crate::answer::{Cut, Out, of_server, own, passed_on};
 use crate::attempt::{Message, Sent, Server, sealed};
@@ -77,8 +77,7 @@
             return Ok(own(StatusCode::SERVICE_UNAVAILABLE, Some(0.5)));
         }
         let came = Limited::new(body, config.limits.max_body_bytes).collect();
-        let patience =
-            Duration::from_millis(config.limits.idle_timeout_ms.max(config.limits.header_timeout_ms));
+        let patience = config.limits.idle_timeout.max(config.limits.header_timeout);
         let body = match timeout(patience, came).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
@@ -121,7 +120,7 @@
             .get("x-deadline-ms")
             .and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
         let wait = wait.filter(|wait| wait.is_finite() && *wait >= 0.0).map_or(u64::MAX, |wait| wait as u64);
-        let deadline = self.now() + wait.min(route.timeout_ms);
+        let deadline = self.now() + wait.min(route.timeout.as_millis() as u64);
         let uri = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = uri.parse().map_err(|_| StatusCode::BAD_REQUEST)?;
         // A stream is passed on as it comes, also where its request names no prompt.
@@ -153,7 +152,8 @@
     /// What a request is told that has not run: at once, with the time to come back.
     pub(crate) fn refuse(&self, job: &Job) -> Response<Out> {
         add(&self.counters.rejected);
-        let wait = 0.05 + self.router.borrow_mut().chance() * job.route.target_latency_ms as f64 / 4000.0;
+        let wait =
+            0.05 + self.router.borrow_mut().chance() * job.route.target_latency.as_millis() as f64 / 4000.0;
         own(StatusCode::SERVICE_UNAVAILABLE, Some(wait))
     }
 
@@ -199,7 +199,7 @@
             let until = self.at(job.deadline);
             let priority = [("priority", job.priority.clone())];
             avoid.push(id.clone());
-            let patience = (job.route.target_latency_ms / 2).clamp(40, MUTE);
+            let patience = (job.route.target_latency.as_millis() as u64 / 2).clamp(40, MUTE);
             let sent = tokio::select! {
                 sent = self.send(&server, &job.message, job.deadline, until, &priority) => sent,
                 () = self.dark(&server, patience, patience), if job.may_run_twice() => Sent::Late,
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -68,7 +68,10 @@
 
     async fn connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let idle = self.data_plane.config().map_or(15_000, |config| config.limits.idle_timeout_ms.max(3000));
+        let idle = self
+            .data_plane
+            .config()
+            .map_or(Duration::from_secs(15), |config| config.limits.idle_timeout.max(Duration::from_secs(3)));
         let data_plane = self.data_plane.clone();
         let (resets, without_chunks) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
         let told = without_chunks.clone();
@@ -79,7 +82,7 @@
         let stream = ClientStream::new(stream, resets.clone());
         let connection = Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(Duration::from_millis(idle))
+            .header_read_timeout(idle)
             .max_buf_size(HEAD)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
