--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -3,17 +3,17 @@
 use std::fmt;
 use std::sync::{Arc, OnceLock};
 
-use crate::build::{Services, build, build_on};
-use crate::draft::{self, Draft, Part, REVISION};
-use crate::fault::{ConfigError, ConfigErrorKind};
-use crate::index::Index;
+use crate::document::{self as draft, Draft, Part, REVISION};
+use crate::error::{ConfigError, ConfigErrorKind};
+use crate::item_list::List;
+use crate::json::object as value;
+use crate::json::scanner as scan;
 use crate::limits::Limits;
-use crate::list::List;
 use crate::route::{self, Route};
+use crate::route_table::Index;
 use crate::routes::Routes;
-use crate::scan;
 use crate::service::Service;
-use crate::value;
+use crate::validation::{Services, build, build_on};
 
 /// A whole configuration, valid. Clones share all of it, and one that was made from another by a change or a
 /// patch shares with it all that has not changed.
--- a/crates/config/src/draft.rs
+++ b/crates/config/src/document.rs
@@ -6,13 +6,13 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::{ConfigError, ConfigErrorKind};
-use crate::hash;
-use crate::list::{Item, List, Meaning};
+use crate::error::{ConfigError, ConfigErrorKind};
+use crate::item_list::{Item, List, Meaning};
+use crate::json::object::{self as value, Object};
+use crate::json::scanner as scan;
 use crate::route::Route;
-use crate::scan;
 use crate::service::Service;
-use crate::value::{self, Object};
+use crate::stable_hash as hash;
 
 pub(crate) const ROUTES: &str = "route_entries";
 pub(crate) const SERVICES: &str = "backend_services";
@@ -246,7 +246,7 @@
         let object = Object::new(&fields, &place);
         let name = object.name("name")?;
         if !seen.insert(name.to_owned()) {
-            let name = crate::fault::brief(name.to_owned());
+            let name = crate::error::brief(name.to_owned());
             return Err(object.fault("name", ConfigErrorKind::DuplicateName(name)));
         }
         let meaning = match list {
--- a/crates/config/src/reread.rs
+++ b/crates/config/src/incremental_parse.rs
@@ -5,12 +5,12 @@
 use std::iter::Peekable;
 use std::sync::Arc;
 
-use crate::build::build_on;
 use crate::config::Config;
-use crate::draft::{self, Draft, Field, Part};
-use crate::fault::ConfigError;
-use crate::list::{Item, List, Placed};
-use crate::scan::{self, Cursor};
+use crate::document::{self as draft, Draft, Field, Part};
+use crate::error::ConfigError;
+use crate::item_list::{Item, List, Placed};
+use crate::json::scanner::{self as scan, Cursor};
+use crate::validation::build_on;
 
 /// How deep a field may be nested by itself.
 const FIELD_DEPTH: usize = scan::MAX_DEPTH - 1;
--- a/crates/config/src/list.rs
+++ b/crates/config/src/item_list.rs
@@ -4,10 +4,10 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::chunks::Chunks;
-use crate::hash;
+use crate::chunked_sequence::Chunks;
 use crate::route::Route;
 use crate::service::Service;
+use crate::stable_hash as hash;
 
 /// An item of a list, as text and, where it means something here, as read.
 #[derive(Debug)]
--- a/crates/config/src/value.rs
+++ b/crates/config/src/json/object.rs
@@ -5,8 +5,8 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::{ConfigError, ConfigErrorKind};
-use crate::scan;
+use crate::error::{ConfigError, ConfigErrorKind};
+use crate::json::scanner as scan;
 
 /// The greatest whole number that every reader of JSON keeps exact.
 pub(crate) const MAX_WHOLE: f64 = 9_007_199_254_740_992.0;
--- a/crates/config/src/scan.rs
+++ b/crates/config/src/json/scanner.rs
@@ -7,9 +7,9 @@
 
 use tinyjson::JsonValue;
 
-use crate::draft;
-use crate::fault::{ConfigError, ConfigErrorKind};
-use crate::value;
+use crate::document as draft;
+use crate::error::{ConfigError, ConfigErrorKind};
+use crate::json::object as value;
 
 /// The longest text that is read.
 pub const MAX_BYTES: usize = 4 << 20;
@@ -83,7 +83,7 @@
                     own.sort_unstable();
                     for (one, two) in own.iter().zip(own.iter().skip(1)) {
                         if one.0 == two.0 {
-                            let key = crate::fault::brief(two.0.to_string());
+                            let key = crate::error::brief(two.0.to_string());
                             return Err(ConfigErrorKind::DuplicateKey(key).at(here(two.1)));
                         }
                     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,27 +4,26 @@
 //! shown later differs in nothing from what was sent: unknown fields, the order of fields and the spelling of
 //! numbers are kept. What the data plane needs of it is read into [`Route`], [`Service`] and [`Limits`].
 
-mod build;
-mod chunks;
+mod chunked_sequence;
 mod config;
-mod draft;
-mod fault;
-mod hash;
-mod index;
+mod document;
+mod error;
+mod incremental_parse;
+mod item_list;
+mod json;
 mod limits;
-mod list;
 mod patch;
-mod reread;
 mod route;
+mod route_table;
 mod routes;
-mod scan;
 mod service;
-mod value;
+mod stable_hash;
+mod validation;
 
 pub use config::Config;
-pub use fault::{ConfigError, ConfigErrorKind, ERROR_CODES};
+pub use error::{ConfigError, ConfigErrorKind, ERROR_CODES};
+pub use json::scanner::{MAX_BYTES, MAX_DEPTH, parse_json, peek_revision};
 pub use limits::Limits;
 pub use route::{Route, RouteType, WeightedBackend};
 pub use routes::Routes;
-pub use scan::{MAX_BYTES, MAX_DEPTH, parse_json, peek_revision};
 pub use service::{Engine, Service};
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -4,8 +4,8 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::ConfigError;
-use crate::value::Object;
+use crate::error::ConfigError;
+use crate::json::object::Object;
 
 /// The bounds for clients. No value is below its floor: a limit of nothing would shut every client out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -6,13 +6,13 @@
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-use crate::build::{build, build_on};
 use crate::config::Config;
-use crate::draft::{self, Draft, Field, Part};
-use crate::fault::{ConfigError, ConfigErrorKind};
-use crate::list::List;
-use crate::scan::{self, quote};
-use crate::value;
+use crate::document::{self as draft, Draft, Field, Part};
+use crate::error::{ConfigError, ConfigErrorKind};
+use crate::item_list::List;
+use crate::json::object as value;
+use crate::json::scanner::{self as scan, quote};
+use crate::validation::{build, build_on};
 
 const PLACE: &str = "patch";
 
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -4,8 +4,8 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::{ConfigError, ConfigErrorKind};
-use crate::value::{MAX_WHOLE, Object};
+use crate::error::{ConfigError, ConfigErrorKind};
+use crate::json::object::{MAX_WHOLE, Object};
 
 /// What may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/config/src/index.rs
+++ b/crates/config/src/route_table.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-use crate::chunks::Chunks;
+use crate::chunked_sequence::Chunks;
 use crate::route::Route;
 
 /// Routes in the order of host and prefix. Clones share what isn't changed.
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -4,7 +4,7 @@
 use std::ops::Deref;
 use std::sync::{Arc, OnceLock};
 
-use crate::list::{List, Meaning};
+use crate::item_list::{List, Meaning};
 use crate::route::Route;
 
 /// The routes in the operator's order. They are put side by side, as a slice, only when they are asked for so;
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -4,8 +4,8 @@
 
 use tinyjson::JsonValue;
 
-use crate::fault::ConfigError;
-use crate::value::Object;
+use crate::error::ConfigError;
+use crate::json::object::Object;
 
 /// One of `backend_services`.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/config/src/build.rs
+++ b/crates/config/src/validation.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 
 use crate::config::Config;
-use crate::draft::{Draft, LIMITS, Part, REVISION, ROUTES, SERVICES};
-use crate::fault::{ConfigError, ConfigErrorKind, brief};
-use crate::index::Index;
+use crate::document::{Draft, LIMITS, Part, REVISION, ROUTES, SERVICES};
+use crate::error::{ConfigError, ConfigErrorKind, brief};
+use crate::item_list::{List, Meaning};
+use crate::json::object as value;
+use crate::json::scanner as scan;
 use crate::limits::Limits;
-use crate::list::{List, Meaning};
 use crate::route::Route;
+use crate::route_table::Index;
 use crate::routes::Routes;
-use crate::scan;
 use crate::service::Service;
-use crate::value;
 
 pub(crate) type Services = BTreeMap<String, Arc<Service>>;
 
--- a/crates/config/tests/stepwise.rs
+++ b/crates/config/tests/change_sequences/main.rs
@@ -1,5 +1,6 @@
 //! Changes and patches applied one after the other against the whole read of the text that should have come out.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use common::{Items, pick, read, same};
