--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -67,8 +67,8 @@
 
 impl Call for WatchUpdates {
     const NAME: &'static str = "Pull";
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Updates;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = Updates;
 }
 
 /// A piece of the configuration, from what the asker has.
@@ -114,8 +114,8 @@
 
 impl Call for FetchConfig {
     const NAME: &'static str = "Fetch";
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = ConfigChunk;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = ConfigChunk;
 }
 
 /// Entries of the register that the other should have: urgent ones, or all after it lost its memory.
@@ -139,8 +139,8 @@
 
 impl Call for ReplicateEntries {
     const NAME: &'static str = "Hand";
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = ReplicateAck;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = ReplicateAck;
 }
 
 /// Which servers a core machine still hears.
@@ -156,8 +156,8 @@
 
 impl Call for CompareHeartbeats {
     const NAME: &'static str = "Hears";
-    const RETRY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
-    type Answer = ReplicateAck;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
+    type Response = ReplicateAck;
 }
 
 /// A message of the control state's machines.
@@ -173,6 +173,6 @@
 
 impl Call for ConsensusMessage {
     const NAME: &'static str = "Epoch";
-    const RETRY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
-    type Answer = ();
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
+    type Response = ();
 }
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -17,7 +17,7 @@
 use mosshead_control_plane::acknowledgement::Acknowledgements;
 use mosshead_control_plane::admission::{Leader, Submission};
 use mosshead_control_plane::serving::ConfigHistory;
-use mosshead_record_log::Keeper;
+use mosshead_record_log::LogWriter;
 use mosshead_registry::{Registry, Vector};
 use mosshead_rpc::Caller;
 use rand_pcg::Pcg64Mcg;
@@ -38,9 +38,9 @@
     life: u64,
     start: Instant,
     node: RefCell<Option<Node<Pcg64Mcg>>>,
-    keeper: RefCell<Option<Keeper>>,
+    keeper: RefCell<Option<LogWriter>>,
     /// The register on disk, and how far it has got there.
-    register_keeper: RefCell<Option<Keeper>>,
+    register_keeper: RefCell<Option<LogWriter>>,
     register_kept: RefCell<Vector>,
     register: RefCell<Registry>,
     caller: Caller,
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -8,7 +8,7 @@
 
 use mosshead_consensus::{Input, LEAVE_WITHIN, Node, Settings as NodeSettings, Timings};
 use mosshead_membership::{Membership, Settings as MembershipSettings};
-use mosshead_record_log::{Done, Keeper, RecordLog, Store};
+use mosshead_record_log::{DurableLog, LogWriter, RecordLog, WriteCompletion};
 use mosshead_registry::{Registry, SourceId, Vector};
 use mosshead_rpc::{Caller, Handlers};
 use rand::{Rng, SeedableRng};
@@ -51,11 +51,14 @@
     loop {
         let fault = match RecordLog::open(folder) {
             Ok((mut log, records)) => {
-                if log.ignored() > 0 {
-                    spdlog::warn!("record-log: {} bytes at the end of a log are no records.", log.ignored());
+                if log.discarded_bytes() > 0 {
+                    spdlog::warn!(
+                        "record-log: {} bytes at the end of a log are no records.",
+                        log.discarded_bytes()
+                    );
                 }
                 // Danger: what can't be written again must not be acted on, nor promised anew.
-                match log.is_kept() || log.sync().is_ok() {
+                match log.is_durable() || log.sync().is_ok() {
                     true => return (log, records),
                     false => "it can't be written again".to_owned(),
                 }
@@ -82,18 +85,18 @@
     let (pull, fetch, hand, hears, epoch) =
         (core.clone(), core.clone(), core.clone(), core.clone(), core.clone());
     Handlers::new()
-        .on::<WatchUpdates>(async move |call, _| Ok(pull.clone().pull(call).await))
-        .on::<FetchConfig>(async move |call, _| Ok(fetch.fetch(call.0)))
-        .on::<ReplicateEntries>(async move |call, _| {
+        .with_handler::<WatchUpdates>(async move |call, _| Ok(pull.clone().pull(call).await))
+        .with_handler::<FetchConfig>(async move |call, _| Ok(fetch.fetch(call.0)))
+        .with_handler::<ReplicateEntries>(async move |call, _| {
             let changed = hand.hand(call.delta);
             Ok(ReplicateAck { changed, vector: hand.register.borrow().vector() })
         })
-        .on::<CompareHeartbeats>(async move |call, _| {
+        .with_handler::<CompareHeartbeats>(async move |call, _| {
             let digest = call.digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
             hears.register.borrow_mut().heard_by(hears.now(), SourceId(call.source), digest);
             Ok(ReplicateAck { changed: false, vector: Vector::default() })
         })
-        .on::<ConsensusMessage>(async move |call, _| {
+        .with_handler::<ConsensusMessage>(async move |call, _| {
             epoch.step(Input::Message { from: call.from, message: call.message });
             Ok(())
         })
@@ -231,8 +234,8 @@
 async fn open(core: Rc<ControlNode>, folder: PathBuf, seed: u64) {
     let Some((log, records)) = open_aside(data_folder(&folder, CONTROL_STATE)).await else { return };
     spdlog::info!("record-log: {} records on disk.", records.len());
-    let (done, mut finished) = mpsc::unbounded_channel::<Done>();
-    let keeper = Keeper::start(log, WRITES, move |it| {
+    let (done, mut finished) = mpsc::unbounded_channel::<WriteCompletion>();
+    let keeper = LogWriter::start(log, WRITES, move |it| {
         let _ = done.send(it);
     });
     match keeper {
@@ -258,6 +261,6 @@
     core.step(Input::Tick);
     while let Some(done) = finished.recv().await {
         let token = done.token;
-        core.step(if done.ok { Input::Written { token } } else { Input::WriteFailed { token } });
+        core.step(if done.is_durable { Input::Written { token } } else { Input::WriteFailed { token } });
     }
 }
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -7,7 +7,7 @@
 use mosshead_control_plane::acknowledgement::{
     CopyCollection, Decision, EntryNumber, Membership, Start, latest_entries,
 };
-use mosshead_record_log::Keeper;
+use mosshead_record_log::LogWriter;
 use mosshead_registry::{Delta, Heard, Server, SourceId, Vector};
 use mosshead_stage_scheduler::{Order, StageScheduler};
 use tokio::sync::mpsc;
@@ -229,7 +229,7 @@
     if changed {
         core.tell();
     }
-    match Keeper::start(log, WRITES, |_| {}) {
+    match LogWriter::start(log, WRITES, |_| {}) {
         Ok(keeper) => {
             core.register_keeper.replace(Some(keeper));
         }
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -1,7 +1,7 @@
 //! What a core machine says of itself.
 
 use mosshead_consensus::Node;
-use mosshead_record_log::Keeper;
+use mosshead_record_log::LogWriter;
 
 use super::ControlNode;
 
@@ -26,7 +26,7 @@
             self.config().map_or(0, |config| config.revision),
             self.register.borrow().len(),
             self.gossip.count(false),
-            self.keeper.borrow().as_ref().map_or(0, Keeper::length),
+            self.keeper.borrow().as_ref().map_or(0, LogWriter::length),
         )
     }
 }
--- a/crates/programs/src/limits.rs
+++ b/crates/programs/src/limits.rs
@@ -5,8 +5,8 @@
 
 use mosshead_config::MAX_BYTES as MAX_CONFIGURATION_BYTES;
 use mosshead_consensus::{MAX_BODY_BYTES, MAX_STATE_BYTES};
-use mosshead_record_log::{MAX_FILE, MAX_RECORD};
-use mosshead_rpc::MAX_BODY as MAX_CALL_BYTES;
+use mosshead_record_log::{MAX_FILE_LENGTH, MAX_RECORD_LENGTH};
+use mosshead_rpc::MAX_BODY_BYTES as MAX_CALL_BYTES;
 
 /// The longest body of a request to the control plane: a configuration with some room for what stands around it.
 pub const MAX_REQUEST_BYTES: usize = MAX_CONFIGURATION_BYTES + (1 << 10);
@@ -18,5 +18,6 @@
 
 const _: () = assert!(MAX_CONFIGURATION_BYTES <= MAX_BODY_BYTES, "what is valid can be taken");
 const _: () = assert!(MAX_STATE_BYTES + MESSAGE_HEAD_BYTES <= MAX_CALL_BYTES, "what is taken can be sent");
-const _: () = assert!(MAX_STATE_BYTES + MESSAGE_HEAD_BYTES <= MAX_RECORD, "what is taken can be written");
-const _: () = assert!(STATES_IN_LOG * MAX_STATE_BYTES as u64 <= MAX_FILE, "the log can be rewritten");
+const _: () =
+    assert!(MAX_STATE_BYTES + MESSAGE_HEAD_BYTES <= MAX_RECORD_LENGTH, "what is taken can be written");
+const _: () = assert!(STATES_IN_LOG * MAX_STATE_BYTES as u64 <= MAX_FILE_LENGTH, "the log can be rewritten");
--- a/crates/programs/tests/limits.rs
+++ b/crates/programs/tests/limits.rs
@@ -5,7 +5,7 @@
 };
 use mosshead_programs::calls::ConsensusMessage;
 use mosshead_programs::limits::MAX_REQUEST_BYTES;
-use mosshead_rpc::MAX_BODY;
+use mosshead_rpc::MAX_BODY_BYTES as MAX_CALL_BYTES;
 
 /// A body of that length, and as many calls as are remembered, with the longest numbers.
 fn largest_state() -> State {
@@ -22,11 +22,11 @@
     assert!(minicbor::to_vec(&state).is_ok_and(|bytes| bytes.len() <= MAX_STATE_BYTES));
     let from = Member { id: MemberId(u64::MAX), address: "10.0.0.1:7720".parse().expect("an address") };
     let epoch = ConsensusMessage { from, message: Message::Replicate { state } };
-    assert!(minicbor::to_vec(&epoch).is_ok_and(|bytes| bytes.len() <= MAX_BODY));
+    assert!(minicbor::to_vec(&epoch).is_ok_and(|bytes| bytes.len() <= MAX_CALL_BYTES));
 }
 
 #[test]
 fn a_request_that_is_read_whole_holds_the_largest_configuration() {
     const { assert!(MAX_REQUEST_BYTES > mosshead_config::MAX_BYTES) };
-    const { assert!(MAX_REQUEST_BYTES < MAX_BODY) };
+    const { assert!(MAX_REQUEST_BYTES < MAX_CALL_BYTES) };
 }
--- a/crates/record-log/src/fault.rs
+++ b/crates/record-log/src/fault.rs
@@ -5,7 +5,7 @@
 quick_error! {
     /// What went wrong, numbered.
     #[derive(Debug)]
-    pub enum Fault {
+    pub enum LogError {
         /// 701: a file or the folder can't be read.
         Read(cause: io::Error) {
             display("can't read the store: {cause}")
@@ -22,7 +22,7 @@
             source(cause)
         }
         /// 704: a file can't be created, renamed or removed.
-        Name(cause: io::Error) {
+        Directory(cause: io::Error) {
             display("can't change the store's folder: {cause}")
             source(cause)
         }
@@ -31,7 +31,7 @@
             display("{length} bytes are too many for the store")
         }
         /// 706: the keeper's queue is full.
-        Busy {
+        QueueFull {
             display("the store's queue is full")
         }
         /// 707: the keeper's thread has ended.
@@ -39,32 +39,32 @@
             display("the store is closed")
         }
         /// 708: the keeper's thread can't be started.
-        Thread(cause: io::Error) {
+        StartThread(cause: io::Error) {
             display("can't start the store's thread: {cause}")
             source(cause)
         }
     }
 }
 
-impl Fault {
+impl LogError {
     /// The number of the fault, for logs and the table in the docs.
     pub fn code(&self) -> u16 {
         match self {
-            Fault::Read(_) => 701,
-            Fault::Write(_) => 702,
-            Fault::Sync(_) => 703,
-            Fault::Name(_) => 704,
-            Fault::TooLong(_) => 705,
-            Fault::Busy => 706,
-            Fault::Closed => 707,
-            Fault::Thread(_) => 708,
+            LogError::Read(_) => 701,
+            LogError::Write(_) => 702,
+            LogError::Sync(_) => 703,
+            LogError::Directory(_) => 704,
+            LogError::TooLong(_) => 705,
+            LogError::QueueFull => 706,
+            LogError::Closed => 707,
+            LogError::StartThread(_) => 708,
         }
     }
 
     /// Whether the disk refused because it is full.
-    pub fn is_full(&self) -> bool {
+    pub fn is_disk_full(&self) -> bool {
         match self {
-            Fault::Write(cause) | Fault::Sync(cause) | Fault::Name(cause) => {
+            LogError::Write(cause) | LogError::Sync(cause) | LogError::Directory(cause) => {
                 cause.kind() == io::ErrorKind::StorageFull
             }
             _ => false,
--- a/crates/record-log/src/folder.rs
+++ b/crates/record-log/src/folder.rs
@@ -6,30 +6,30 @@
 
 /// A folder of the machine's disk.
 #[derive(Debug)]
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
 }
 
-/// An open file of a [`Folder`].
+/// An open file of a [`Directory`].
 #[derive(Debug)]
-pub struct FolderFile {
+pub struct DirectoryFile {
     file: File,
     /// Where the file's cursor is, when that is known: an append then needs no seek.
     at: Option<u64>,
 }
 
-impl Folder {
+impl Directory {
     /// The folder at a path, made if it is not there.
-    pub fn new(path: &Path) -> io::Result<Folder> {
+    pub fn new(path: &Path) -> io::Result<Directory> {
         if !path.is_dir() {
             fs::create_dir_all(path)?;
         }
-        Ok(Folder { path: path.to_path_buf() })
+        Ok(Directory { path: path.to_path_buf() })
     }
 }
 
-impl Disk for Folder {
-    type File = FolderFile;
+impl Disk for Directory {
+    type File = DirectoryFile;
 
     fn names(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
@@ -41,15 +41,15 @@
         Ok(names)
     }
 
-    fn create(&mut self, name: &str) -> io::Result<FolderFile> {
+    fn create(&mut self, name: &str) -> io::Result<DirectoryFile> {
         let path = self.path.join(name);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
-        Ok(FolderFile { file, at: Some(0) })
+        Ok(DirectoryFile { file, at: Some(0) })
     }
 
-    fn open(&mut self, name: &str) -> io::Result<FolderFile> {
+    fn open(&mut self, name: &str) -> io::Result<DirectoryFile> {
         let file = OpenOptions::new().read(true).write(true).open(self.path.join(name))?;
-        Ok(FolderFile { file, at: Some(0) })
+        Ok(DirectoryFile { file, at: Some(0) })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -65,7 +65,7 @@
     }
 }
 
-impl FolderFile {
+impl DirectoryFile {
     fn seek(&mut self, offset: u64) -> io::Result<()> {
         if self.at.take() != Some(offset) {
             self.file.seek(SeekFrom::Start(offset))?;
@@ -74,7 +74,7 @@
     }
 }
 
-impl DiskFile for FolderFile {
+impl DiskFile for DirectoryFile {
     fn read(&mut self, most: u64) -> io::Result<Vec<u8>> {
         self.seek(0)?;
         let mut bytes = Vec::new();
--- a/crates/record-log/src/keeper.rs
+++ b/crates/record-log/src/keeper.rs
@@ -3,27 +3,27 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::{self, JoinHandle};
 
-use crate::{Fault, Store};
+use crate::{DurableLog, LogError};
 
 /// The most records that share one sync.
-pub const MAX_GROUP: usize = 256;
+pub const MAX_GROUP_COMMIT: usize = 256;
 /// The most bytes that wait for the disk.
-pub const MAX_QUEUED: u64 = 48 << 20;
+pub const MAX_QUEUED_BYTES: u64 = 48 << 20;
 
-/// The answer to a job of a [`Keeper`].
+/// The answer to a job of a [`LogWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Done {
+pub struct WriteCompletion {
     /// What the job was given with.
     pub token: u64,
     /// Whether it is on disk for good. If not, it may be found there all the same.
-    pub ok: bool,
+    pub is_durable: bool,
 }
 
-/// Runs a [`Store`] on a thread of its own, so that a disk that hangs holds nobody else up.
+/// Runs a [`DurableLog`] on a thread of its own, so that a disk that hangs holds nobody else up.
 ///
 /// Dropping it doesn't wait: what is queued is still done.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct LogWriter {
     jobs: SyncSender<Job>,
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
@@ -42,12 +42,12 @@
     fault: AtomicU16,
 }
 
-impl Keeper {
+impl LogWriter {
     /// Starts the thread. At most `room` jobs wait; `done` gets each answer, in the order of the jobs, on that thread.
-    pub fn start<S, F>(store: S, room: usize, done: F) -> Result<Keeper, Fault>
+    pub fn start<S, F>(store: S, room: usize, done: F) -> Result<LogWriter, LogError>
     where
-        S: Store + Send + 'static,
-        F: Fn(Done) + Send + 'static,
+        S: DurableLog + Send + 'static,
+        F: Fn(WriteCompletion) + Send + 'static,
     {
         let shared = Arc::new(Shared::default());
         shared.length.store(store.length(), Ordering::Relaxed);
@@ -56,18 +56,18 @@
         let thread = thread::Builder::new()
             .name("record_log".to_owned())
             .spawn(move || run(store, &queue, &theirs, done))
-            .map_err(Fault::Thread)?;
-        Ok(Keeper { jobs, shared, thread })
+            .map_err(LogError::StartThread)?;
+        Ok(LogWriter { jobs, shared, thread })
     }
 
     /// ClientRequests for a record to be kept. A fault means that there will be no answer.
-    pub fn append(&self, token: u64, record: Vec<u8>) -> Result<(), Fault> {
+    pub fn append(&self, token: u64, record: Vec<u8>) -> Result<(), LogError> {
         let bytes = record.len() as u64;
         self.send(bytes, Job::Append { token, record })
     }
 
     /// ClientRequests for these records in place of all before. A fault means that there will be no answer.
-    pub fn rewrite(&self, token: u64, records: Vec<Vec<u8>>) -> Result<(), Fault> {
+    pub fn rewrite(&self, token: u64, records: Vec<Vec<u8>>) -> Result<(), LogError> {
         let bytes = size(&records);
         self.send(bytes, Job::Rewrite { token, records })
     }
@@ -78,7 +78,7 @@
     }
 
     /// The code of the last fault of the store; 0 if there was none.
-    pub fn last_fault(&self) -> u16 {
+    pub fn last_error_code(&self) -> u16 {
         self.shared.fault.load(Ordering::Relaxed)
     }
 
@@ -88,14 +88,14 @@
         let _ = self.thread.join();
     }
 
-    fn send(&self, bytes: u64, job: Job) -> Result<(), Fault> {
+    fn send(&self, bytes: u64, job: Job) -> Result<(), LogError> {
         let before = self.shared.queued.fetch_add(bytes, Ordering::Relaxed);
-        let sent = if before.saturating_add(bytes) > MAX_QUEUED {
-            Err(Fault::Busy)
+        let sent = if before.saturating_add(bytes) > MAX_QUEUED_BYTES {
+            Err(LogError::QueueFull)
         } else {
             self.jobs.try_send(job).map_err(|refused| match refused {
-                TrySendError::Full(_) => Fault::Busy,
-                TrySendError::Disconnected(_) => Fault::Closed,
+                TrySendError::Full(_) => LogError::QueueFull,
+                TrySendError::Disconnected(_) => LogError::Closed,
             })
         };
         if sent.is_err() {
@@ -109,8 +109,8 @@
     records.iter().fold(0, |sum: u64, record| sum.saturating_add(record.len() as u64))
 }
 
-fn run<S: Store>(mut store: S, queue: &Receiver<Job>, shared: &Shared, done: impl Fn(Done)) {
-    let note = |result: Result<(), Fault>| match result {
+fn run<S: DurableLog>(mut store: S, queue: &Receiver<Job>, shared: &Shared, done: impl Fn(WriteCompletion)) {
+    let note = |result: Result<(), LogError>| match result {
         Ok(()) => true,
         Err(fault) => {
             shared.fault.store(fault.code(), Ordering::Relaxed);
@@ -126,8 +126,8 @@
                 Job::Append { token, record } => {
                     let ok = note(store.append(&record));
                     shared.queued.fetch_sub(record.len() as u64, Ordering::Relaxed);
-                    group.push(Done { token, ok });
-                    if group.len() < MAX_GROUP {
+                    group.push(WriteCompletion { token, is_durable: ok });
+                    if group.len() < MAX_GROUP_COMMIT {
                         next = queue.try_recv().ok();
                     }
                 }
@@ -135,17 +135,17 @@
             }
         }
         // Danger: no answer before the sync, and all are false if it fails.
-        let kept = group.iter().any(|answer| answer.ok) && note(store.sync());
+        let kept = group.iter().any(|answer| answer.is_durable) && note(store.sync());
         shared.length.store(store.length(), Ordering::Relaxed);
         for answer in group {
-            done(Done { ok: answer.ok && kept, ..answer });
+            done(WriteCompletion { is_durable: answer.is_durable && kept, ..answer });
         }
         if let Some((token, records)) = rewrite {
             let ok = note(store.rewrite(&records));
             shared.queued.fetch_sub(size(&records), Ordering::Relaxed);
             shared.length.store(store.length(), Ordering::Relaxed);
             drop(records);
-            done(Done { token, ok });
+            done(WriteCompletion { token, is_durable: ok });
         }
     }
 }
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -1,7 +1,7 @@
 //! An append-only file of checksummed records, rewritten when it gets long.
 //!
-//! [`RecordLog`] keeps records in one file of a [`Disk`]: a [`Folder`] of the machine, or a [`MemoryDisk`] that
-//! loses power, fills up and hangs when a test says so. [`Keeper`] runs a [`Store`] on a thread of its own.
+//! [`RecordLog`] keeps records in one file of a [`Disk`]: a [`Directory`] of the machine, or a [`MemoryDisk`] that
+//! loses power, fills up and hangs when a test says so. [`LogWriter`] runs a [`DurableLog`] on a thread of its own.
 
 mod disk;
 mod fault;
@@ -12,9 +12,9 @@
 mod store;
 
 pub use disk::{Disk, DiskFile};
-pub use fault::Fault;
-pub use folder::{Folder, FolderFile};
-pub use keeper::{Done, Keeper, MAX_GROUP, MAX_QUEUED};
+pub use fault::LogError;
+pub use folder::{Directory, DirectoryFile};
+pub use keeper::{LogWriter, MAX_GROUP_COMMIT, MAX_QUEUED_BYTES, WriteCompletion};
 pub use memory::{MemoryDisk, MemoryFile};
-pub use record::{FRAME, HEADER, MAX_FILE, MAX_RECORD};
-pub use store::{RecordLog, Store};
+pub use record::{FRAME_LENGTH, HEADER_LENGTH, MAX_FILE_LENGTH, MAX_RECORD_LENGTH};
+pub use store::{DurableLog, RecordLog};
--- a/crates/record-log/src/memory.rs
+++ b/crates/record-log/src/memory.rs
@@ -38,9 +38,9 @@
     next_inode: u64,
     era: u64,
     room: Option<u64>,
-    steps: u64,
+    operation_count: u64,
     steps_left: Option<u64>,
-    syncs: u64,
+    file_sync_count: u64,
     failing_syncs: Vec<u64>,
     held: bool,
 }
@@ -72,7 +72,7 @@
     }
 
     /// Loses power and gets it back; trouble that was set is over, open files are closed.
-    pub fn power_loss(&self, random: &mut dyn RngCore) {
+    pub fn lose_power(&self, random: &mut dyn RngCore) {
         let mut state = self.lock();
         // At some losses everything is gone, at some nothing.
         let whole = random.next_u32() % 8;
@@ -104,45 +104,45 @@
     }
 
     /// Only so many more bytes fit; none once it is full. `None`: there is room.
-    pub fn set_room(&self, bytes: Option<u64>) {
+    pub fn set_free_space(&self, bytes: Option<u64>) {
         self.lock().room = bytes;
     }
 
-    /// After so many more steps every step fails, up to the next loss of power or [`MemoryDisk::repair`].
-    pub fn fail_after(&self, steps: u64) {
-        self.lock().steps_left = Some(steps);
+    /// After this many more operations, each one fails until the power is lost or [`MemoryDisk::clear_failure`] is called.
+    pub fn fail_after_operations(&self, operations: u64) {
+        self.lock().steps_left = Some(operations);
     }
 
     /// Steps succeed again.
-    pub fn repair(&self) {
+    pub fn clear_failure(&self) {
         self.lock().steps_left = None;
     }
 
     /// The next sync of a file fails, and of what it should have covered a part is lost that no later sync brings
     /// back. Several calls add up.
-    pub fn fail_sync(&self, random: &mut dyn RngCore) {
+    pub fn fail_next_sync(&self, random: &mut dyn RngCore) {
         self.lock().failing_syncs.push(random.next_u64());
     }
 
-    /// Hangs: whoever asks the disk for something waits for [`MemoryDisk::release`].
-    pub fn hold(&self) {
+    /// Hangs: whoever asks the disk for something waits for [`MemoryDisk::resume`].
+    pub fn suspend(&self) {
         self.lock().held = true;
     }
 
     /// Ends the hanging.
-    pub fn release(&self) {
+    pub fn resume(&self) {
         self.lock().held = false;
         self.shared.released.notify_all();
     }
 
-    /// The steps so far: creating, writing, setting a length, renaming, removing, syncing.
-    pub fn steps(&self) -> u64 {
-        self.lock().steps
+    /// The number of operations so far: creating, writing, setting a length, renaming, removing, syncing.
+    pub fn operation_count(&self) -> u64 {
+        self.lock().operation_count
     }
 
-    /// The syncs of files so far.
-    pub fn syncs(&self) -> u64 {
-        self.lock().syncs
+    /// The number of file syncs so far.
+    pub fn file_sync_count(&self) -> u64 {
+        self.lock().file_sync_count
     }
 
     /// The names of all files.
@@ -158,7 +158,7 @@
     }
 
     /// Puts a file there, for good.
-    pub fn put(&self, name: &str, bytes: Vec<u8>) {
+    pub fn put_durable_file(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.lock();
         let number = state.new_inode();
         state.inodes.insert(number, Inode { now: bytes.clone(), kept: bytes, changes: Vec::new() });
@@ -185,7 +185,7 @@
             };
             state.steps_left = Some(left);
         }
-        state.steps += 1;
+        state.operation_count += 1;
         Ok(state)
     }
 }
@@ -350,7 +350,7 @@
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.disk.step()?;
-        state.syncs += 1;
+        state.file_sync_count += 1;
         let failing = state.failing_syncs.pop();
         let inode = self.inode(&mut state)?;
         for (position, change) in std::mem::take(&mut inode.changes).into_iter().enumerate() {
--- a/crates/record-log/src/store.rs
+++ b/crates/record-log/src/store.rs
@@ -1,35 +1,37 @@
 use std::io;
 use std::path::Path;
 
-use crate::record::{self, Mark, Scan};
-use crate::{Disk, DiskFile, FRAME, Fault, Folder, HEADER, MAX_FILE, MAX_RECORD};
+use crate::record::{self, LogEnd, Scan};
+use crate::{
+    Directory, Disk, DiskFile, FRAME_LENGTH, HEADER_LENGTH, LogError, MAX_FILE_LENGTH, MAX_RECORD_LENGTH,
+};
 
 /// Records in order, kept over the losses of a disk.
-pub trait Store {
-    /// Adds a record. It counts as kept only after a [`Store::sync`] that succeeded. After a fault it may still be
+pub trait DurableLog {
+    /// Adds a record. It counts as kept only after a [`DurableLog::sync`] that succeeded. After a fault it may still be
     /// found when the store is opened again, until a later sync succeeds.
-    fn append(&mut self, record: &[u8]) -> Result<(), Fault>;
+    fn append(&mut self, record: &[u8]) -> Result<(), LogError>;
     /// Makes the records so far last. After a fault those added since the last good sync are no longer in the store:
     /// whoever wants them adds them again.
-    fn sync(&mut self) -> Result<(), Fault>;
+    fn sync(&mut self) -> Result<(), LogError>;
     /// Puts these records in place of all others and makes them last; all or none of it happens. After a fault the
     /// store holds what it held, but when it is opened again with no good sync in between, either may be found.
-    fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), Fault>;
+    fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), LogError>;
     /// The bytes taken by the records so far.
     fn length(&self) -> u64;
 }
 
 /// The store in a file of a [`Disk`]: `state.N`, the newest complete N wins.
 #[derive(Debug)]
-pub struct RecordLog<D: Disk = Folder> {
+pub struct RecordLog<D: Disk = Directory> {
     disk: D,
     file: D::File,
     generation: u64,
     next_generation: u64,
     /// The end of the records that are in the file.
-    good: Mark,
+    good: LogEnd,
     /// The end of those that a sync has covered.
-    synced: Mark,
+    synced: LogEnd,
     life: u64,
     /// What was found at the opening is known to last.
     kept: bool,
@@ -39,7 +41,7 @@
     unsynced: bool,
     /// Generations that a failed rewrite may have left under their names.
     ghosts: Vec<u64>,
-    ignored: u64,
+    discarded_bytes: u64,
     buffer: Vec<u8>,
 }
 
@@ -47,22 +49,22 @@
 /// Generations are below it; far above what can be counted to.
 const LAST: u64 = 1 << 63;
 
-impl RecordLog<Folder> {
-    /// Opens the store in a folder, and gives the records found; see [`RecordLog::is_kept`].
-    pub fn open(folder: &Path) -> Result<(RecordLog, Vec<Vec<u8>>), Fault> {
-        RecordLog::open_on(Folder::new(folder).map_err(Fault::Name)?)
+impl RecordLog<Directory> {
+    /// Opens the store in a folder, and gives the records found; see [`RecordLog::is_durable`].
+    pub fn open(folder: &Path) -> Result<(RecordLog, Vec<Vec<u8>>), LogError> {
+        RecordLog::open_on_disk(Directory::new(folder).map_err(LogError::Directory)?)
     }
 }
 
 impl<D: Disk> RecordLog<D> {
-    /// Opens the store on a disk, and gives the records found; see [`RecordLog::is_kept`].
-    pub fn open_on(mut disk: D) -> Result<(RecordLog<D>, Vec<Vec<u8>>), Fault> {
-        let names = disk.names().map_err(Fault::Read)?;
+    /// Opens the store on a disk, and gives the records found; see [`RecordLog::is_durable`].
+    pub fn open_on_disk(mut disk: D) -> Result<(RecordLog<D>, Vec<Vec<u8>>), LogError> {
+        let names = disk.names().map_err(LogError::Read)?;
         let mut generations: Vec<u64> = names.iter().filter_map(|name| generation_of(name)).collect();
         generations.sort_unstable();
         let next = names.iter().filter_map(|name| number_of(name)).max().unwrap_or(0).saturating_add(1);
         if next >= LAST {
-            return Err(Fault::Name(io::Error::from(io::ErrorKind::InvalidInput)));
+            return Err(LogError::Directory(io::Error::from(io::ErrorKind::InvalidInput)));
         }
         let Some((generation, file, found, length)) = newest(&mut disk, &generations)? else {
             let (file, mark) = publish(&mut disk, next, 1, &[]).map_err(|(fault, _)| fault)?;
@@ -71,7 +73,7 @@
         let Scan { records, mark, .. } = found;
         let mut store = RecordLog::with(disk, file, generation, mark, mark.life.saturating_add(1));
         store.next_generation = next;
-        store.ignored = length.saturating_sub(mark.offset);
+        store.discarded_bytes = length.saturating_sub(mark.offset);
         store.kept = false;
         // A disk that refuses writes can still be read from.
         if store.replace(&records).is_ok() {
@@ -82,7 +84,7 @@
         Ok((store, records))
     }
 
-    fn with(disk: D, file: D::File, generation: u64, mark: Mark, life: u64) -> RecordLog<D> {
+    fn with(disk: D, file: D::File, generation: u64, mark: LogEnd, life: u64) -> RecordLog<D> {
         RecordLog {
             disk,
             file,
@@ -95,46 +97,46 @@
             torn: false,
             unsynced: false,
             ghosts: Vec::new(),
-            ignored: 0,
+            discarded_bytes: 0,
             buffer: Vec::new(),
         }
     }
 
     /// Whether the records that were found at the opening are known to last. If not, because the disk refused, they
     /// do after the next good sync, which may be called at any time.
-    pub fn is_kept(&self) -> bool {
+    pub fn is_durable(&self) -> bool {
         self.kept
     }
 
-    /// The bytes behind the last good record that were ignored at the opening.
-    pub fn ignored(&self) -> u64 {
-        self.ignored
+    /// The bytes behind the last good record that were discarded at the opening.
+    pub fn discarded_bytes(&self) -> u64 {
+        self.discarded_bytes
     }
 
     /// Danger: what an earlier process left may be in the caches only, and if a sync has failed there, no later one
     /// covers it. So this process writes all of it again, and never adds to a file that it has not begun.
-    fn keep(&mut self) -> Result<(), Fault> {
+    fn keep(&mut self) -> Result<(), LogError> {
         if self.kept {
             return Ok(());
         }
-        let bytes = self.file.read(self.good.offset).map_err(Fault::Read)?;
+        let bytes = self.file.read(self.good.offset).map_err(LogError::Read)?;
         match record::scan(&bytes, self.generation) {
             Some(found) if found.mark == self.good => self.replace(&found.records),
-            _ => Err(Fault::Read(io::Error::from(io::ErrorKind::InvalidData))),
+            _ => Err(LogError::Read(io::Error::from(io::ErrorKind::InvalidData))),
         }
     }
 
     /// Cuts off what stands behind the records.
-    fn mend(&mut self) -> Result<(), Fault> {
+    fn mend(&mut self) -> Result<(), LogError> {
         if self.torn {
             self.unsynced = true;
-            self.file.set_length(self.good.offset).map_err(Fault::Write)?;
+            self.file.set_length(self.good.offset).map_err(LogError::Write)?;
             self.torn = false;
         }
         Ok(())
     }
 
-    fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), Fault> {
+    fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
         let generation = self.next_generation;
         self.next_generation = generation.saturating_add(1);
         match publish(&mut self.disk, generation, self.life, records) {
@@ -163,7 +165,7 @@
     }
 
     /// Something of this life may stand behind `mark`: later records get a higher one.
-    fn fall_back(&mut self, mark: Mark) {
+    fn fall_back(&mut self, mark: LogEnd) {
         self.good = mark;
         self.life = self.life.saturating_add(1);
         self.torn = true;
@@ -172,30 +174,32 @@
     }
 
     /// Removes, for good, what failed rewrites left.
-    fn lay_ghosts(&mut self) -> Result<(), Fault> {
+    fn lay_ghosts(&mut self) -> Result<(), LogError> {
         if self.ghosts.is_empty() {
             return Ok(());
         }
         for ghost in &self.ghosts {
             for name in [name_of(*ghost), new_name_of(*ghost)] {
                 match self.disk.remove(&name) {
-                    Err(cause) if cause.kind() != io::ErrorKind::NotFound => return Err(Fault::Name(cause)),
+                    Err(cause) if cause.kind() != io::ErrorKind::NotFound => {
+                        return Err(LogError::Directory(cause));
+                    }
                     _ => {}
                 }
             }
         }
-        self.disk.sync().map_err(Fault::Sync)?;
+        self.disk.sync().map_err(LogError::Sync)?;
         self.ghosts.clear();
         Ok(())
     }
 }
 
-impl<D: Disk> Store for RecordLog<D> {
-    fn append(&mut self, record: &[u8]) -> Result<(), Fault> {
+impl<D: Disk> DurableLog for RecordLog<D> {
+    fn append(&mut self, record: &[u8]) -> Result<(), LogError> {
         let length = checked_length(record)?;
-        let end = self.good.offset.saturating_add((FRAME + record.len()) as u64);
-        if end > MAX_FILE {
-            return Err(Fault::TooLong(end));
+        let end = self.good.offset.saturating_add((FRAME_LENGTH + record.len()) as u64);
+        if end > MAX_FILE_LENGTH {
+            return Err(LogError::TooLong(end));
         }
         self.keep()?;
         self.mend()?;
@@ -213,18 +217,18 @@
             }
             Err(cause) => {
                 self.fall_back(self.good);
-                Err(Fault::Write(cause))
+                Err(LogError::Write(cause))
             }
         }
     }
 
-    fn sync(&mut self) -> Result<(), Fault> {
+    fn sync(&mut self) -> Result<(), LogError> {
         self.keep()?;
         let _ = self.mend();
         // Danger: while a newer generation may come back, what is written to this one may be lost.
         let mut result = self.lay_ghosts();
         if result.is_ok() && self.unsynced {
-            result = self.file.sync().map_err(Fault::Sync);
+            result = self.file.sync().map_err(LogError::Sync);
         }
         match result {
             Ok(()) => {
@@ -239,7 +243,7 @@
         }
     }
 
-    fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), Fault> {
+    fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
         self.replace(records)
     }
 
@@ -251,12 +255,12 @@
 type Found<D> = (u64, <D as Disk>::File, Scan, u64);
 
 /// The newest complete generation; if there is none, the newest with a header.
-fn newest<D: Disk>(disk: &mut D, generations: &[u64]) -> Result<Option<Found<D>>, Fault> {
+fn newest<D: Disk>(disk: &mut D, generations: &[u64]) -> Result<Option<Found<D>>, LogError> {
     let mut partial = None;
     for generation in generations.iter().rev() {
         // Danger: a file that can't be read now may be the newest, so an older one must not stand in for it.
-        let mut file = disk.open(&name_of(*generation)).map_err(Fault::Read)?;
-        let bytes = file.read(MAX_FILE.saturating_add(1)).map_err(Fault::Read)?;
+        let mut file = disk.open(&name_of(*generation)).map_err(LogError::Read)?;
+        let bytes = file.read(MAX_FILE_LENGTH.saturating_add(1)).map_err(LogError::Read)?;
         let Some(found) = record::scan(&bytes, *generation) else {
             continue;
         };
@@ -275,15 +279,15 @@
     generation: u64,
     life: u64,
     records: &[Vec<u8>],
-) -> Result<(D::File, Mark), (Fault, bool)> {
+) -> Result<(D::File, LogEnd), (LogError, bool)> {
     let new_name = new_name_of(generation);
     let written = write_new(disk, &new_name, generation, life, records);
     let (file, mark) = written.map_err(|fault| {
         let _ = disk.remove(&new_name);
         (fault, false)
     })?;
-    disk.rename(&new_name, &name_of(generation)).map_err(|cause| (Fault::Name(cause), true))?;
-    disk.sync().map_err(|cause| (Fault::Sync(cause), true))?;
+    disk.rename(&new_name, &name_of(generation)).map_err(|cause| (LogError::Directory(cause), true))?;
+    disk.sync().map_err(|cause| (LogError::Sync(cause), true))?;
     Ok((file, mark))
 }
 
@@ -293,15 +297,15 @@
     generation: u64,
     life: u64,
     records: &[Vec<u8>],
-) -> Result<(D::File, Mark), Fault> {
-    let total = records.iter().fold(HEADER as u64, |total, record| {
-        total.saturating_add(FRAME as u64).saturating_add(record.len() as u64)
+) -> Result<(D::File, LogEnd), LogError> {
+    let total = records.iter().fold(HEADER_LENGTH as u64, |total, record| {
+        total.saturating_add(FRAME_LENGTH as u64).saturating_add(record.len() as u64)
     });
-    let base = u32::try_from(records.len()).map_err(|_| Fault::TooLong(total))?;
-    if total > MAX_FILE {
-        return Err(Fault::TooLong(total));
+    let base = u32::try_from(records.len()).map_err(|_| LogError::TooLong(total))?;
+    if total > MAX_FILE_LENGTH {
+        return Err(LogError::TooLong(total));
     }
-    let mut file = disk.create(name).map_err(Fault::Name)?;
+    let mut file = disk.create(name).map_err(LogError::Directory)?;
     let mut buffer = Vec::new();
     let mut written = 0;
     let mut mark = record::put_header(generation, base, &mut buffer);
@@ -309,24 +313,24 @@
         let length = checked_length(record)?;
         mark = record::put_record(&mark, life, length, record, &mut buffer);
         if buffer.len() >= BUFFER {
-            file.write(written, &buffer).map_err(Fault::Write)?;
+            file.write(written, &buffer).map_err(LogError::Write)?;
             written = mark.offset;
             buffer.clear();
         }
     }
     if !buffer.is_empty() {
-        file.write(written, &buffer).map_err(Fault::Write)?;
+        file.write(written, &buffer).map_err(LogError::Write)?;
     }
-    file.sync().map_err(Fault::Sync)?;
+    file.sync().map_err(LogError::Sync)?;
     Ok((file, mark))
 }
 
-fn checked_length(record: &[u8]) -> Result<u32, Fault> {
+fn checked_length(record: &[u8]) -> Result<u32, LogError> {
     let length = record.len();
     u32::try_from(length)
         .ok()
-        .filter(|_| length <= MAX_RECORD)
-        .ok_or_else(|| Fault::TooLong(u64::try_from(length).unwrap_or(u64::MAX)))
+        .filter(|_| length <= MAX_RECORD_LENGTH)
+        .ok_or_else(|| LogError::TooLong(u64::try_from(length).unwrap_or(u64::MAX)))
 }
 
 fn name_of(generation: u64) -> String {
--- a/crates/record-log/tests/contract.rs
+++ b/crates/record-log/tests/contract.rs
@@ -1,7 +1,8 @@
 //! What every store holds to, over both disks.
 
 use mosshead_record_log::{
-    Disk, FRAME, Fault, Folder, HEADER, MAX_FILE, MAX_RECORD, MemoryDisk, RecordLog, Store,
+    Directory, Disk, DurableLog, FRAME_LENGTH, HEADER_LENGTH, LogError, MAX_FILE_LENGTH, MAX_RECORD_LENGTH,
+    MemoryDisk, RecordLog,
 };
 
 /// A disk that can be opened again and again.
@@ -10,7 +11,7 @@
     fn disk(&self) -> Self::Disk;
 
     fn open(&self) -> (RecordLog<Self::Disk>, Vec<Vec<u8>>) {
-        RecordLog::open_on(self.disk()).expect("the store opens")
+        RecordLog::open_on_disk(self.disk()).expect("the store opens")
     }
 }
 
@@ -22,9 +23,9 @@
 }
 
 impl Place for tempfile::TempDir {
-    type Disk = Folder;
-    fn disk(&self) -> Folder {
-        Folder::new(self.path()).expect("the folder is there")
+    type Disk = Directory;
+    fn disk(&self) -> Directory {
+        Directory::new(self.path()).expect("the folder is there")
     }
 }
 
@@ -35,7 +36,7 @@
 fn empty_at_first(place: &impl Place) {
     let (store, found) = place.open();
     assert!(found.is_empty());
-    assert_eq!(store.length(), HEADER as u64);
+    assert_eq!(store.length(), HEADER_LENGTH as u64);
     drop(store);
     assert!(place.open().1.is_empty());
 }
@@ -46,12 +47,12 @@
         store.append(text.as_bytes()).unwrap();
     }
     store.sync().unwrap();
-    assert_eq!(store.length(), (HEADER + 3 * FRAME + 8) as u64);
+    assert_eq!(store.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
     drop(store);
     let (store, found) = place.open();
     assert_eq!(found, records(&["one", "", "three"]));
-    assert_eq!(store.length(), (HEADER + 3 * FRAME + 8) as u64);
-    assert_eq!(store.ignored(), 0);
+    assert_eq!(store.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
+    assert_eq!(store.discarded_bytes(), 0);
 }
 
 fn goes_on_where_it_ended(place: &impl Place) {
@@ -104,11 +105,11 @@
     let (mut store, _) = place.open();
     store.append(b"short").unwrap();
     let before = store.length();
-    let long = vec![1; MAX_RECORD + 1];
-    assert!(matches!(store.append(&long), Err(Fault::TooLong(_))));
-    assert!(matches!(store.rewrite(&[long]), Err(Fault::TooLong(_))));
-    let many = vec![vec![1; MAX_RECORD]; MAX_FILE as usize / MAX_RECORD + 1];
-    assert!(matches!(store.rewrite(&many), Err(Fault::TooLong(_))));
+    let long = vec![1; MAX_RECORD_LENGTH + 1];
+    assert!(matches!(store.append(&long), Err(LogError::TooLong(_))));
+    assert!(matches!(store.rewrite(&[long]), Err(LogError::TooLong(_))));
+    let many = vec![vec![1; MAX_RECORD_LENGTH]; MAX_FILE_LENGTH as usize / MAX_RECORD_LENGTH + 1];
+    assert!(matches!(store.rewrite(&many), Err(LogError::TooLong(_))));
     assert_eq!(store.length(), before);
     let mut held = 0;
     let fault = loop {
@@ -117,7 +118,7 @@
             Err(fault) => break fault,
         }
     };
-    assert!(matches!(fault, Fault::TooLong(_)));
+    assert!(matches!(fault, LogError::TooLong(_)));
     assert_eq!(held, 3);
     store.sync().unwrap();
     drop(store);
--- a/crates/record-log/tests/model.rs
+++ b/crates/record-log/tests/model.rs
@@ -1,7 +1,7 @@
 //! Any sequence of what a store is asked and of what befalls its disk: what was synced is there, in order, and
 //! nothing is made up.
 
-use mosshead_record_log::{MemoryDisk, RecordLog, Store};
+use mosshead_record_log::{DurableLog, MemoryDisk, RecordLog};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand_pcg::Pcg32;
 
@@ -71,7 +71,7 @@
     }
 
     fn open(&mut self) -> Result<(), String> {
-        let Ok((store, found)) = RecordLog::open_on(self.disk.clone()) else {
+        let Ok((store, found)) = RecordLog::open_on_disk(self.disk.clone()) else {
             return Ok(());
         };
         if !self.now.admits(&found) && !self.others.iter().any(|line| line.admits(&found)) {
@@ -79,7 +79,7 @@
         }
         let before = std::mem::replace(&mut self.now, Line { kept: found.len(), records: found });
         // What is found on a disk that refuses may not be found again.
-        if store.is_kept() {
+        if store.is_durable() {
             self.others.clear()
         } else {
             self.others.push(before)
@@ -93,12 +93,12 @@
             Step::Kill => self.store = None,
             Step::PowerLoss(seed) => {
                 self.store = None;
-                self.disk.power_loss(&mut Pcg32::new(*seed, 9));
+                self.disk.lose_power(&mut Pcg32::new(*seed, 9));
             }
-            Step::FailSync(seed) => self.disk.fail_sync(&mut Pcg32::new(*seed, 10)),
-            Step::Room(room) => self.disk.set_room(room.map(u64::from)),
-            Step::FailAfter(steps) => self.disk.fail_after(u64::from(*steps)),
-            Step::Repair => self.disk.repair(),
+            Step::FailSync(seed) => self.disk.fail_next_sync(&mut Pcg32::new(*seed, 10)),
+            Step::Room(room) => self.disk.set_free_space(room.map(u64::from)),
+            Step::FailAfter(steps) => self.disk.fail_after_operations(u64::from(*steps)),
+            Step::Repair => self.disk.clear_failure(),
             Step::Append(_) | Step::Sync | Step::Rewrite(_) => return self.ask(step),
         }
         Ok(())
@@ -111,14 +111,14 @@
         let Some(mut store) = self.store.take() else {
             return Ok(());
         };
-        let was_kept = store.is_kept();
+        let was_kept = store.is_durable();
         match step {
             Step::Append(size) => {
                 let record = self.record(*size);
                 let mut longer = self.now.clone();
                 longer.records.push(record.clone());
                 let done = store.append(&record);
-                if !was_kept && store.is_kept() {
+                if !was_kept && store.is_durable() {
                     self.others.clear();
                 }
                 match done {
@@ -143,7 +143,7 @@
                     self.others.clear();
                 }
                 Err(_) => {
-                    if !was_kept && store.is_kept() {
+                    if !was_kept && store.is_durable() {
                         self.others.clear();
                     }
                     self.others.push(self.now.clone());
@@ -163,9 +163,9 @@
     }
     // At last the power goes, and the disk is well again.
     model.step(&Step::PowerLoss(steps.len() as u64))?;
-    model.disk.repair();
+    model.disk.clear_failure();
     model.open()?;
-    Ok(model.store.is_some_and(|store| store.is_kept()))
+    Ok(model.store.is_some_and(|store| store.is_durable()))
 }
 
 #[test]
--- a/crates/record-log/tests/recovery.rs
+++ b/crates/record-log/tests/recovery.rs
@@ -1,6 +1,6 @@
 //! What is found in a file that was damaged.
 
-use mosshead_record_log::{FRAME, HEADER, MemoryDisk, RecordLog, Store};
+use mosshead_record_log::{DurableLog, FRAME_LENGTH, HEADER_LENGTH, MemoryDisk, RecordLog};
 use quickcheck::quickcheck;
 
 const SIZES: [usize; 6] = [5, 0, 17, 1, 40, 3];
@@ -12,7 +12,7 @@
 /// The bytes of a file with the sample in it, a part of it from a rewrite.
 fn file() -> Vec<u8> {
     let disk = MemoryDisk::new();
-    let (mut store, _) = RecordLog::open_on(disk.clone()).unwrap();
+    let (mut store, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
     let sample = sample();
     store.rewrite(&sample[..2]).unwrap();
     for record in &sample[2..] {
@@ -25,13 +25,13 @@
 /// Opens a disk with these bytes, appends, opens again.
 fn recovered(bytes: Vec<u8>) -> Vec<Vec<u8>> {
     let disk = MemoryDisk::new();
-    disk.put("state.2", bytes);
-    let (mut store, found) = RecordLog::open_on(disk.clone()).unwrap();
+    disk.put_durable_file("state.2", bytes);
+    let (mut store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
     store.append(b"behind").unwrap();
     store.sync().unwrap();
     drop(store);
-    let (store, again) = RecordLog::open_on(disk).unwrap();
-    assert_eq!(store.ignored(), 0);
+    let (store, again) = RecordLog::open_on_disk(disk).unwrap();
+    assert_eq!(store.discarded_bytes(), 0);
     assert_eq!(again[..found.len()], found);
     assert_eq!(again[found.len()..], [b"behind".to_vec()]);
     found
@@ -39,11 +39,11 @@
 
 /// How many records end at or before an offset.
 fn whole_before(offset: usize) -> usize {
-    let mut end = HEADER;
+    let mut end = HEADER_LENGTH;
     SIZES
         .iter()
         .take_while(|size| {
-            end += FRAME + **size;
+            end += FRAME_LENGTH + **size;
             end <= offset
         })
         .count()
@@ -65,7 +65,7 @@
         let mut damaged = file.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
         let found = recovered(damaged);
-        let whole = if bit / 8 < HEADER { 0 } else { whole_before(bit / 8) };
+        let whole = if bit / 8 < HEADER_LENGTH { 0 } else { whole_before(bit / 8) };
         assert_eq!(found, sample()[..whole], "bit {bit}");
     }
 }
@@ -83,7 +83,7 @@
             let found = recovered(damaged);
             assert!(sample().starts_with(&found), "hole {start}..{end}");
             assert!(
-                found.len() >= if start < HEADER { 0 } else { whole_before(start) },
+                found.len() >= if start < HEADER_LENGTH { 0 } else { whole_before(start) },
                 "hole {start}..{end}"
             );
         }
@@ -95,8 +95,8 @@
     let file = file();
     let ends: Vec<usize> = SIZES
         .iter()
-        .scan(HEADER, |end, size| {
-            *end += FRAME + size;
+        .scan(HEADER_LENGTH, |end, size| {
+            *end += FRAME_LENGTH + size;
             Some(*end)
         })
         .collect();
@@ -115,16 +115,16 @@
 fn the_records_of_another_generation_do_not_count() {
     let file = file();
     let disk = MemoryDisk::new();
-    disk.put("state.3", file);
-    assert!(RecordLog::open_on(disk).unwrap().1.is_empty());
+    disk.put_durable_file("state.3", file);
+    assert!(RecordLog::open_on_disk(disk).unwrap().1.is_empty());
 }
 
 #[test]
 fn the_newest_complete_generation_wins() {
     let old = file();
     let disk = MemoryDisk::new();
-    disk.put("state.2", old.clone());
-    let (mut store, _) = RecordLog::open_on(disk.clone()).unwrap();
+    disk.put_durable_file("state.2", old.clone());
+    let (mut store, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
     let newer: Vec<Vec<u8>> = (0..4).map(|number| vec![number; 8]).collect();
     store.rewrite(&newer).unwrap();
     drop(store);
@@ -132,9 +132,9 @@
     let new = disk.contents("state.4").unwrap();
     for cut in 0..=new.len() {
         let disk = MemoryDisk::new();
-        disk.put("state.2", old.clone());
-        disk.put("state.4", new[..cut].to_vec());
-        let (mut store, found) = RecordLog::open_on(disk.clone()).unwrap();
+        disk.put_durable_file("state.2", old.clone());
+        disk.put_durable_file("state.4", new[..cut].to_vec());
+        let (mut store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
         assert_eq!(found, if cut == new.len() { newer.clone() } else { sample() }, "cut at {cut}");
         assert_eq!(disk.list().len(), 1);
         store.rewrite(&[b"next".to_vec()]).unwrap();
@@ -146,20 +146,20 @@
 fn numbers_that_can_not_be_counted_to_are_no_generations() {
     for number in [u64::MAX, 1 << 63] {
         let disk = MemoryDisk::new();
-        disk.put(&format!("state.{number}"), file());
-        assert!(RecordLog::open_on(disk.clone()).unwrap().1.is_empty());
+        disk.put_durable_file(&format!("state.{number}"), file());
+        assert!(RecordLog::open_on_disk(disk.clone()).unwrap().1.is_empty());
         assert_eq!(disk.list(), ["state.1".to_owned(), format!("state.{number}")]);
     }
     let disk = MemoryDisk::new();
-    disk.put(&format!("state.{}", (1u64 << 63) - 1), file());
-    assert_eq!(RecordLog::open_on(disk).unwrap_err().code(), 704);
+    disk.put_durable_file(&format!("state.{}", (1u64 << 63) - 1), file());
+    assert_eq!(RecordLog::open_on_disk(disk).unwrap_err().code(), 704);
 }
 
 quickcheck! {
     fn any_bytes_are_borne(bytes: Vec<u8>, name: u8) -> bool {
         let disk = MemoryDisk::new();
-        disk.put(&format!("state.{name}"), bytes);
-        RecordLog::open_on(disk).unwrap().1.is_empty()
+        disk.put_durable_file(&format!("state.{name}"), bytes);
+        RecordLog::open_on_disk(disk).unwrap().1.is_empty()
     }
 
     fn any_tail_is_borne(tail: Vec<u8>) -> bool {
--- a/crates/record-log/tests/trouble.rs
+++ b/crates/record-log/tests/trouble.rs
@@ -1,6 +1,6 @@
 //! Disks that fail, fill up and lose power.
 
-use mosshead_record_log::{Fault, MemoryDisk, RecordLog, Store};
+use mosshead_record_log::{DurableLog, LogError, MemoryDisk, RecordLog};
 use rand_pcg::Pcg32;
 
 const OLD: [&[u8]; 3] = [b"old one", b"old two", b"old three"];
@@ -11,8 +11,8 @@
 }
 
 fn open(disk: &MemoryDisk) -> (RecordLog<MemoryDisk>, Vec<Vec<u8>>) {
-    let (store, found) = RecordLog::open_on(disk.clone()).expect("the store opens");
-    assert!(store.is_kept());
+    let (store, found) = RecordLog::open_on_disk(disk.clone()).expect("the store opens");
+    assert!(store.is_durable());
     (store, found)
 }
 
@@ -32,14 +32,14 @@
         let mut random = Pcg32::new(seed, 1);
         for steps in 0.. {
             let disk = MemoryDisk::new();
-            disk.fail_after(steps);
-            let done = RecordLog::open_on(disk.clone()).is_ok();
-            disk.power_loss(&mut random);
+            disk.fail_after_operations(steps);
+            let done = RecordLog::open_on_disk(disk.clone()).is_ok();
+            disk.lose_power(&mut random);
             let (mut store, found) = open(&disk);
             assert!(found.is_empty());
             store.append(b"x").unwrap();
             store.sync().unwrap();
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             assert_eq!(open(&disk).1, owned(&[b"x"]));
             if done {
                 break;
@@ -55,9 +55,9 @@
         let mut random = Pcg32::new(seed, 2);
         for steps in 0.. {
             let (disk, mut store) = with_old();
-            disk.fail_after(steps);
+            disk.fail_after_operations(steps);
             let done = store.rewrite(&owned(&NEW)).is_ok();
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             let (mut store, mut found) = open(&disk);
             let is_new = found == owned(&NEW);
             assert!(is_new || (!done && found == owned(&OLD)), "{found:?}");
@@ -65,10 +65,10 @@
             // What is found is kept, and what comes behind it too.
             store.append(b"next").unwrap();
             store.sync().unwrap();
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             found.push(b"next".to_vec());
             assert_eq!(open(&disk).1, found);
-            if done && disk.steps() > 0 && steps > 12 {
+            if done && disk.operation_count() > 0 && steps > 12 {
                 break;
             }
         }
@@ -80,13 +80,13 @@
 fn a_process_killed_in_a_rewrite_finds_one_or_the_other() {
     for steps in 0..12 {
         let (disk, mut store) = with_old();
-        disk.fail_after(steps);
+        disk.fail_after_operations(steps);
         let done = store.rewrite(&owned(&NEW)).is_ok();
         drop(store);
-        disk.repair();
+        disk.clear_failure();
         let (_, found) = open(&disk);
         assert!(found == owned(&NEW) || (!done && found == owned(&OLD)));
-        disk.power_loss(&mut Pcg32::new(steps, 3));
+        disk.lose_power(&mut Pcg32::new(steps, 3));
         assert_eq!(open(&disk).1, found, "what was found once is kept");
     }
 }
@@ -97,12 +97,12 @@
         for steps in 0..12 {
             let mut random = Pcg32::new(seed, 4);
             let (disk, mut store) = with_old();
-            disk.fail_after(steps);
+            disk.fail_after_operations(steps);
             let done = store.rewrite(&owned(&NEW)).is_ok();
-            disk.repair();
+            disk.clear_failure();
             store.append(b"next").unwrap();
             store.sync().unwrap();
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             let mut expected = owned(if done { &NEW } else { &OLD });
             expected.push(b"next".to_vec());
             assert_eq!(open(&disk).1, expected, "cut after {steps}");
@@ -114,22 +114,22 @@
 fn a_full_disk_refuses_and_the_store_goes_on() {
     for room in 0..200 {
         let (disk, mut store) = with_old();
-        disk.set_room(Some(room));
+        disk.set_free_space(Some(room));
         let mut kept = owned(&OLD);
         for number in 0..6u8 {
             match store.append(&[number; 20]) {
                 Ok(()) => kept.push(vec![number; 20]),
-                Err(fault) => assert!(fault.is_full() && fault.code() == 702, "{fault}"),
+                Err(fault) => assert!(fault.is_disk_full() && fault.code() == 702, "{fault}"),
             }
         }
         assert!(kept.len() < 9);
-        assert!(store.rewrite(&owned(&NEW)).unwrap_err().is_full());
+        assert!(store.rewrite(&owned(&NEW)).unwrap_err().is_disk_full());
         store.sync().unwrap();
-        disk.set_room(None);
+        disk.set_free_space(None);
         store.append(b"room again").unwrap();
         store.sync().unwrap();
         kept.push(b"room again".to_vec());
-        disk.power_loss(&mut Pcg32::new(room, 5));
+        disk.lose_power(&mut Pcg32::new(room, 5));
         assert_eq!(open(&disk).1, kept);
     }
 }
@@ -137,21 +137,21 @@
 #[test]
 fn a_store_on_a_full_disk_can_be_read() {
     let (disk, mut store) = with_old();
-    disk.set_room(Some(7));
+    disk.set_free_space(Some(7));
     store.append(b"no").unwrap_err();
     drop(store);
-    disk.set_room(Some(0));
-    let (mut store, found) = RecordLog::open_on(disk.clone()).unwrap();
+    disk.set_free_space(Some(0));
+    let (mut store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
     assert_eq!(found, owned(&OLD));
-    assert!(!store.is_kept());
-    assert!(store.append(b"no").unwrap_err().is_full());
-    assert!(store.sync().unwrap_err().is_full());
-    disk.set_room(None);
+    assert!(!store.is_durable());
+    assert!(store.append(b"no").unwrap_err().is_disk_full());
+    assert!(store.sync().unwrap_err().is_disk_full());
+    disk.set_free_space(None);
     store.sync().unwrap();
-    assert!(store.is_kept());
+    assert!(store.is_durable());
     store.append(b"yes").unwrap();
     store.sync().unwrap();
-    disk.power_loss(&mut Pcg32::new(1, 1));
+    disk.lose_power(&mut Pcg32::new(1, 1));
     assert_eq!(open(&disk).1, [owned(&OLD), owned(&[b"yes"])].concat());
 }
 
@@ -167,23 +167,23 @@
         let mut bytes = disk.contents("state.1").unwrap();
         bytes[end..end + 28].fill(0);
         let disk = MemoryDisk::new();
-        disk.put("state.1", bytes);
+        disk.put_durable_file("state.1", bytes);
         if seed % 3 > 0 {
-            disk.fail_after(seed % 5);
+            disk.fail_after_operations(seed % 5);
         }
-        let (mut store, found) = RecordLog::open_on(disk.clone()).unwrap();
+        let (mut store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
         assert_eq!(found, owned(&OLD));
-        assert!(store.ignored() > 0);
-        disk.repair();
+        assert!(store.discarded_bytes() > 0);
+        disk.clear_failure();
         store.append(b"lost").unwrap();
-        assert!(store.is_kept());
+        assert!(store.is_durable());
         if seed % 2 == 0 {
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             let found = open(&disk).1;
             assert!(found == owned(&OLD) || found == [owned(&OLD), owned(&[b"lost"])].concat(), "{found:?}");
         } else {
             store.sync().unwrap();
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             assert_eq!(open(&disk).1, [owned(&OLD), owned(&[b"lost"])].concat());
         }
     }
@@ -196,7 +196,7 @@
     let end = store.length() as usize;
     store.append(b"stale").unwrap();
     let stale = disk.contents("state.1").unwrap();
-    disk.fail_sync(&mut Pcg32::new(1, 1));
+    disk.fail_next_sync(&mut Pcg32::new(1, 1));
     store.sync().unwrap_err();
     store.append(b"again").unwrap();
     // As if the cut had not reached the disk.
@@ -204,7 +204,7 @@
     assert_eq!(bytes.len(), end);
     bytes.extend_from_slice(&stale[end..]);
     let disk = MemoryDisk::new();
-    disk.put("state.1", bytes);
+    disk.put_durable_file("state.1", bytes);
     assert_eq!(open(&disk).1, [owned(&OLD), owned(&[b"again"])].concat());
 }
 
@@ -215,13 +215,13 @@
         let (disk, mut store) = with_old();
         store.append(b"in the caches").unwrap();
         drop(store);
-        disk.fail_sync(&mut random);
-        let (store, found) = RecordLog::open_on(disk.clone()).unwrap();
-        assert!(!store.is_kept());
+        disk.fail_next_sync(&mut random);
+        let (store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+        assert!(!store.is_durable());
         drop(store);
         let (_, again) = open(&disk);
         assert_eq!(again, found);
-        disk.power_loss(&mut random);
+        disk.lose_power(&mut random);
         assert_eq!(open(&disk).1, found);
     }
 }
@@ -234,8 +234,8 @@
         let length = store.length();
         store.append(b"gone one").unwrap();
         store.append(b"gone two").unwrap();
-        disk.fail_sync(&mut random);
-        assert!(matches!(store.sync(), Err(Fault::Sync(_))));
+        disk.fail_next_sync(&mut random);
+        assert!(matches!(store.sync(), Err(LogError::Sync(_))));
         assert_eq!(store.length(), length);
         if seed % 3 == 0 {
             // A process that starts now doesn't take what is only in the caches for kept.
@@ -246,10 +246,10 @@
         store.append(b"gone one").unwrap();
         if seed % 3 == 1 {
             store.sync().unwrap();
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             assert_eq!(open(&disk).1, [owned(&OLD), owned(&[b"gone one"])].concat());
         } else {
-            disk.power_loss(&mut random);
+            disk.lose_power(&mut random);
             let found = open(&disk).1;
             let whole = [owned(&OLD), owned(&[b"gone one", b"gone two"])].concat();
             assert!(found.len() >= 3 && whole.starts_with(&found), "{found:?}");
@@ -260,9 +260,9 @@
 #[test]
 fn a_sync_with_nothing_new_costs_nothing() {
     let (disk, mut store) = with_old();
-    let before = disk.steps();
+    let before = disk.operation_count();
     store.sync().unwrap();
-    assert_eq!(disk.steps(), before);
+    assert_eq!(disk.operation_count(), before);
 }
 
 #[test]
@@ -273,7 +273,7 @@
         for number in 0..4u8 {
             store.append(&[number; 30]).unwrap();
         }
-        disk.power_loss(&mut Pcg32::new(seed, 8));
+        disk.lose_power(&mut Pcg32::new(seed, 8));
         assert!(store.append(b"late").is_err(), "an open file ends with the power");
         let found = open(&disk).1;
         let whole = [owned(&OLD), (0..4u8).map(|number| vec![number; 30]).collect()].concat();
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -11,11 +11,11 @@
 use mosshead_http_links::{RetryPolicy, SendFault, SendFaultCause, SendProgress};
 use tokio::time::Instant;
 
-use crate::call::{MAX_BODY, decode, encode};
-use crate::fault::{CALL_ID_HEADER, CODE_HEADER};
+use crate::call::{MAX_BODY_BYTES, decode, encode};
+use crate::fault::{CALL_ID_HEADER, RESULT_CODE_HEADER};
 use crate::pool::{Connection, Pool, connect};
 use crate::server::collect;
-use crate::{Call, CallFault, Refusal, Transport};
+use crate::{Call, CallError, CallRejection, Transport};
 
 /// In place of a time limit that no clock holds.
 const FOREVER: Duration = Duration::from_secs(86_400);
@@ -40,20 +40,20 @@
         &self,
         to: SocketAddrV4,
         call: &C,
-        within: Duration,
-    ) -> Result<C::Answer, CallFault> {
+        timeout: Duration,
+    ) -> Result<C::Response, CallError> {
         let body = Bytes::from(encode(call)?);
         let now = Instant::now();
-        let deadline = now.checked_add(within).unwrap_or(now + FOREVER);
+        let deadline = now.checked_add(timeout).unwrap_or(now + FOREVER);
         let message = Message { to, name: C::NAME, body, deadline };
-        let exchange = self.exchange(&message, C::RETRY);
+        let exchange = self.exchange(&message, C::RETRY_POLICY);
         // Danger: the exchange holds its connection, so giving up on it closes the connection: an answer that
         // comes late must not be taken for that to the next call.
-        let answer = tokio::time::timeout_at(deadline, exchange).await.map_err(|_| CallFault::Timeout)??;
-        decode(&answer).ok_or(CallFault::Garbled)
+        let answer = tokio::time::timeout_at(deadline, exchange).await.map_err(|_| CallError::Timeout)??;
+        decode(&answer).ok_or(CallError::Malformed)
     }
 
-    async fn exchange(&self, message: &Message, retry: RetryPolicy) -> Result<Bytes, CallFault> {
+    async fn exchange(&self, message: &Message, retry: RetryPolicy) -> Result<Bytes, CallError> {
         if let Some(connection) = self.pool.take(message.to) {
             match self.send(connection, message).await {
                 Ok(answer) => return self.finish(message, answer).await,
@@ -71,14 +71,17 @@
     async fn send(&self, mut connection: Connection, message: &Message) -> Result<Answer, Unanswered> {
         let nothing_sent = |fault| Unanswered { fault, progress: SendProgress::NotStarted };
         if !connection.ready().await {
-            return Err(nothing_sent(CallFault::Lost));
+            return Err(nothing_sent(CallError::ConnectionLost));
         }
         let call_id = self.next_call_id();
         let request = message.request(&call_id).map_err(nothing_sent)?;
         let response = connection.send_before(request, message.deadline).await.map_err(Unanswered::from)?;
         // Danger: an answer in excess to an earlier call may stand where this one's is due.
         if response.headers().get(CALL_ID_HEADER) != Some(&call_id) {
-            return Err(Unanswered { fault: CallFault::Misplaced, progress: connection.written.progress() });
+            return Err(Unanswered {
+                fault: CallError::ResponseMismatch,
+                progress: connection.written.progress(),
+            });
         }
         Ok(Answer { connection, response })
     }
@@ -88,15 +91,15 @@
         HeaderValue::from(self.last_call_id.get())
     }
 
-    async fn finish(&self, message: &Message, answer: Answer) -> Result<Bytes, CallFault> {
+    async fn finish(&self, message: &Message, answer: Answer) -> Result<Bytes, CallError> {
         let Answer { mut connection, response } = answer;
         let (head, body) = response.into_parts();
-        let body = collect(body, MAX_BODY)
+        let body = collect(body, MAX_BODY_BYTES)
             .await
-            .map_err(|too_long| if too_long { CallFault::TooLong } else { CallFault::Lost })?;
+            .map_err(|too_long| if too_long { CallError::TooLong } else { CallError::ConnectionLost })?;
         // Danger: after a freeze the answer may have lain there for long; what it says is not fresh.
         if Instant::now() >= message.deadline {
-            return Err(CallFault::Timeout);
+            return Err(CallError::Timeout);
         }
         if connection.reusable(SETTLES).await {
             self.pool.put(message.to, connection);
@@ -104,8 +107,8 @@
         if head.status == StatusCode::OK {
             return Ok(body);
         }
-        let code = head.headers.get(CODE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
-        Err(code.map_or(CallFault::Garbled, |code| CallFault::Refused(Refusal::from_code(code))))
+        let code = head.headers.get(RESULT_CODE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
+        Err(code.map_or(CallError::Malformed, |code| CallError::Rejected(CallRejection::from_code(code))))
     }
 }
 
@@ -118,14 +121,14 @@
 }
 
 impl Message {
-    fn request(&self, call_id: &HeaderValue) -> Result<Request<Full<Bytes>>, CallFault> {
+    fn request(&self, call_id: &HeaderValue) -> Result<Request<Full<Bytes>>, CallError> {
         Request::builder()
             .method(Method::POST)
             .uri(format!("/{}", self.name))
             .header(HOST, self.to.to_string())
             .header(CALL_ID_HEADER, call_id)
             .body(Full::new(self.body.clone()))
-            .map_err(|_| CallFault::Garbled)
+            .map_err(|_| CallError::Malformed)
     }
 }
 
@@ -137,14 +140,15 @@
 
 /// A send without an answer of its own.
 struct Unanswered {
-    fault: CallFault,
+    fault: CallError,
     progress: SendProgress,
 }
 
 impl Unanswered {
     /// Whether another connection is worth a try, and does no harm.
     fn may_go_again(&self, retry: RetryPolicy) -> bool {
-        matches!(self.fault, CallFault::Lost | CallFault::Misplaced) && retry.allows(self.progress)
+        matches!(self.fault, CallError::ConnectionLost | CallError::ResponseMismatch)
+            && retry.allows(self.progress)
     }
 }
 
@@ -152,9 +156,9 @@
     fn from(fault: SendFault) -> Unanswered {
         let progress = fault.progress;
         let fault = match fault.cause {
-            SendFaultCause::DeadlinePassed => CallFault::Timeout,
-            SendFaultCause::NotHttp => CallFault::Garbled,
-            SendFaultCause::ConnectionLost => CallFault::Lost,
+            SendFaultCause::DeadlinePassed => CallError::Timeout,
+            SendFaultCause::NotHttp => CallError::Malformed,
+            SendFaultCause::ConnectionLost => CallError::ConnectionLost,
         };
         Unanswered { fault, progress }
     }
@@ -165,8 +169,8 @@
         &self,
         to: SocketAddrV4,
         call: &C,
-        within: Duration,
-    ) -> Result<C::Answer, CallFault> {
-        Caller::call(self, to, call, within).await
+        timeout: Duration,
+    ) -> Result<C::Response, CallError> {
+        Caller::call(self, to, call, timeout).await
     }
 }
--- a/crates/rpc/src/fault.rs
+++ b/crates/rpc/src/fault.rs
@@ -1,22 +1,22 @@
 use quick_error::quick_error;
 
 /// The header of a refusal's number.
-pub const CODE_HEADER: &str = "result-code";
+pub const RESULT_CODE_HEADER: &str = "result-code";
 
 /// The header that names a call; its answer has the same.
 pub const CALL_ID_HEADER: &str = "call-id";
 
 quick_error! {
     /// Why a call was not answered by the other side. Numbers 810 to 819 are for the handling of calls as such;
-    /// a handler refuses with [`Refusal::Other`] and a number of its own.
+    /// a handler refuses with [`CallRejection::Application`] and a number of its own.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum Refusal {
+    pub enum CallRejection {
         /// 810: there is no handler of that name.
-        Unknown {
+        UnknownCall {
             display("no such call")
         }
         /// 811: the body of the call is not what its name says.
-        Garbled {
+        Malformed {
             display("the call can't be read")
         }
         /// 812: the body of the call is too long.
@@ -24,60 +24,60 @@
             display("the call is too long")
         }
         /// 813: the body of the call took too long to arrive.
-        Slow {
+        ReadTimeout {
             display("the call came too slowly")
         }
         /// 814: too many calls are being handled.
-        Busy {
+        Overloaded {
             display("too many calls")
         }
         /// 815: the handler failed, or its answer is too long.
-        Broken {
+        HandlerFailed {
             display("the call could not be handled")
         }
         /// The handler's own number.
-        Other(code: u16) {
+        Application(code: u16) {
             display("refused with {code}")
         }
     }
 }
 
-impl Refusal {
+impl CallRejection {
     /// The number.
     pub fn code(self) -> u16 {
         match self {
-            Refusal::Unknown => 810,
-            Refusal::Garbled => 811,
-            Refusal::TooLong => 812,
-            Refusal::Slow => 813,
-            Refusal::Busy => 814,
-            Refusal::Broken => 815,
-            Refusal::Other(code) => code,
+            CallRejection::UnknownCall => 810,
+            CallRejection::Malformed => 811,
+            CallRejection::TooLong => 812,
+            CallRejection::ReadTimeout => 813,
+            CallRejection::Overloaded => 814,
+            CallRejection::HandlerFailed => 815,
+            CallRejection::Application(code) => code,
         }
     }
 
     /// The refusal of that number.
-    pub fn from_code(code: u16) -> Refusal {
+    pub fn from_code(code: u16) -> CallRejection {
         match code {
-            810 => Refusal::Unknown,
-            811 => Refusal::Garbled,
-            812 => Refusal::TooLong,
-            813 => Refusal::Slow,
-            814 => Refusal::Busy,
-            815 => Refusal::Broken,
-            code => Refusal::Other(code),
+            810 => CallRejection::UnknownCall,
+            811 => CallRejection::Malformed,
+            812 => CallRejection::TooLong,
+            813 => CallRejection::ReadTimeout,
+            814 => CallRejection::Overloaded,
+            815 => CallRejection::HandlerFailed,
+            code => CallRejection::Application(code),
         }
     }
 
     pub(crate) fn status(self) -> u16 {
         match self {
-            Refusal::Unknown => 404,
-            Refusal::Garbled => 400,
-            Refusal::TooLong => 413,
-            Refusal::Slow => 408,
-            Refusal::Busy => 503,
-            Refusal::Broken => 500,
-            Refusal::Other(_) => 409,
+            CallRejection::UnknownCall => 404,
+            CallRejection::Malformed => 400,
+            CallRejection::TooLong => 413,
+            CallRejection::ReadTimeout => 408,
+            CallRejection::Overloaded => 503,
+            CallRejection::HandlerFailed => 500,
+            CallRejection::Application(_) => 409,
         }
     }
 }
@@ -85,7 +85,7 @@
 quick_error! {
     /// Why a call has no answer.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum CallFault {
+    pub enum CallError {
         /// 801: no connection, so the call has not arrived.
         Connect {
             display("can't connect")
@@ -95,11 +95,11 @@
             display("no answer in time")
         }
         /// 803: refused by the other side.
-        Refused(refusal: Refusal) {
-            display("refused: {refusal}")
+        Rejected(rejection: CallRejection) {
+            display("refused: {rejection}")
         }
         /// 804: the answer is not what was called for.
-        Garbled {
+        Malformed {
             display("the answer can't be read")
         }
         /// 805: the call or the answer is too long; a call that is has not been sent.
@@ -107,27 +107,27 @@
             display("the call or its answer is too long")
         }
         /// 806: the connection ended before the answer did.
-        Lost {
+        ConnectionLost {
             display("the connection was lost")
         }
         /// 807: the answer is to another call.
-        Misplaced {
+        ResponseMismatch {
             display("the answer is to another call")
         }
     }
 }
 
-impl CallFault {
+impl CallError {
     /// The number of the fault, for logs and the table in the docs.
     pub fn code(self) -> u16 {
         match self {
-            CallFault::Connect => 801,
-            CallFault::Timeout => 802,
-            CallFault::Refused(_) => 803,
-            CallFault::Garbled => 804,
-            CallFault::TooLong => 805,
-            CallFault::Lost => 806,
-            CallFault::Misplaced => 807,
+            CallError::Connect => 801,
+            CallError::Timeout => 802,
+            CallError::Rejected(_) => 803,
+            CallError::Malformed => 804,
+            CallError::TooLong => 805,
+            CallError::ConnectionLost => 806,
+            CallError::ResponseMismatch => 807,
         }
     }
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,9 +1,9 @@
 //! Calls between own processes: a pair of types, one handler.
 //!
 //! A [`Call`] is `POST /NAME` with a minicbor body over HTTP/1.1, its answer 200 with a minicbor body, a
-//! [`Refusal`] another status with the number in the header [`CODE_HEADER`]. Each call bears a number of its caller's in
+//! [`CallRejection`] another status with the number in the header [`RESULT_CODE_HEADER`]. Each call bears a number of its caller's in
 //! the header [`CALL_ID_HEADER`], and its answer the same. [`serve`] answers by [`Handlers`];
-//! [`Caller`] calls over the network and [`Loopback`] without one, both as a [`Transport`]. Everything runs on one
+//! [`Caller`] calls over the network and [`LoopbackTransport`] without one, both as a [`Transport`]. Everything runs on one
 //! thread, in a `tokio::task::LocalSet`.
 
 mod call;
@@ -14,10 +14,10 @@
 mod pool;
 mod server;
 
-pub use call::{Call, MAX_BODY, Peer, Transport};
+pub use call::{Call, MAX_BODY_BYTES, Peer, Transport};
 pub use caller::Caller;
-pub use fault::{CALL_ID_HEADER, CODE_HEADER, CallFault, Refusal};
-pub use handlers::{Handlers, Limits};
-pub use loopback::Loopback;
+pub use fault::{CALL_ID_HEADER, CallError, CallRejection, RESULT_CODE_HEADER};
+pub use handlers::{Handlers, ServerLimits};
+pub use loopback::LoopbackTransport;
 pub use mosshead_http_links::RetryPolicy;
 pub use server::serve;
--- a/crates/rpc/src/pool.rs
+++ b/crates/rpc/src/pool.rs
@@ -9,7 +9,7 @@
 use mosshead_http_links::{Link, OpenFault, Opening, Side};
 use tokio::time::Instant;
 
-use crate::CallFault;
+use crate::CallError;
 use crate::server::USER_TIMEOUT;
 
 /// How long a connection is kept for the next call.
@@ -28,14 +28,14 @@
 pub(crate) type Connection = Link<Full<Bytes>>;
 
 /// Connects; a lost opening packet would come again only after seconds, so there is a second attempt.
-pub(crate) async fn connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, CallFault> {
+pub(crate) async fn connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, CallError> {
     let connected = match attempt(to, deadline).await {
         Err(OpenFault::Unreachable | OpenFault::TimedOut) if Instant::now() < deadline => {
             attempt(to, deadline).await
         }
         connected => connected,
     };
-    connected.map_err(|_| CallFault::Connect)
+    connected.map_err(|_| CallError::Connect)
 }
 
 async fn attempt(to: SocketAddrV4, deadline: Instant) -> Result<Connection, OpenFault> {
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -17,8 +17,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, Id, JoinSet};
 
-use crate::fault::{CALL_ID_HEADER, CODE_HEADER};
-use crate::{Handlers, Limits, Peer, Refusal};
+use crate::fault::{CALL_ID_HEADER, RESULT_CODE_HEADER};
+use crate::{CallRejection, Handlers, Peer, ServerLimits};
 
 /// A peer that doesn't acknowledge for so long is gone.
 pub(crate) const USER_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -35,7 +35,7 @@
 
 /// Answers calls until it is dropped, which closes its connections; handlers that run go on. Needs a `LocalSet`.
 pub async fn serve(listener: TcpListener, handlers: Rc<Handlers>) {
-    let limits = handlers.bounds();
+    let limits = handlers.limits();
     let turns = Rc::new(Cell::new(0));
     let mut tasks = JoinSet::new();
     let mut seats: HashMap<Id, (Rc<Seat>, AbortHandle)> = HashMap::new();
@@ -47,7 +47,7 @@
                 continue;
             }
         };
-        let full = seats.len() >= limits.connections.max(1);
+        let full = seats.len() >= limits.max_connections.max(1);
         // For want of descriptors, too, the oldest idle one goes.
         if full || accepted.is_err() {
             let idle = seats.iter().filter(|(_, (seat, _))| !seat.busy.get());
@@ -91,7 +91,7 @@
 ) {
     // Without these options it is only slower.
     let _ = tune(&stream);
-    let limits = handlers.bounds();
+    let limits = handlers.limits();
     let service = service_fn(move |request: Request<Incoming>| {
         let call_id = request.headers().get(CALL_ID_HEADER).cloned();
         let (handlers, seat, turns) = (Rc::clone(&handlers), Rc::clone(&seat), Rc::clone(&turns));
@@ -105,7 +105,7 @@
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.header_within)
+        .header_read_timeout(limits.header_read_timeout)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
@@ -122,22 +122,22 @@
 async fn answer(
     request: Request<Incoming>,
     handlers: &Handlers,
-    limits: Limits,
+    limits: ServerLimits,
     peer: Peer,
-) -> Result<Vec<u8>, Refusal> {
+) -> Result<Vec<u8>, CallRejection> {
     let (head, body) = request.into_parts();
     if head.method != Method::POST {
-        return Err(Refusal::Unknown);
+        return Err(CallRejection::UnknownCall);
     }
-    let body = tokio::time::timeout(limits.body_within, collect(body, limits.body))
+    let body = tokio::time::timeout(limits.body_read_timeout, collect(body, limits.max_body_bytes))
         .await
-        .map_err(|_| Refusal::Slow)?
-        .map_err(|too_long| if too_long { Refusal::TooLong } else { Refusal::Garbled })?;
+        .map_err(|_| CallRejection::ReadTimeout)?
+        .map_err(|too_long| if too_long { CallRejection::TooLong } else { CallRejection::Malformed })?;
     let path = head.uri.path();
     handlers.answer(path.strip_prefix('/').unwrap_or(path), &body, peer).await
 }
 
-fn response(answer: Result<Vec<u8>, Refusal>, call_id: Option<HeaderValue>) -> Response<Full<Bytes>> {
+fn response(answer: Result<Vec<u8>, CallRejection>, call_id: Option<HeaderValue>) -> Response<Full<Bytes>> {
     let mut response = match answer {
         Ok(body) => Response::new(Full::new(Bytes::from(body))),
         Err(refusal) => refused(refusal),
@@ -148,10 +148,10 @@
     response
 }
 
-fn refused(refusal: Refusal) -> Response<Full<Bytes>> {
+fn refused(refusal: CallRejection) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() =
         StatusCode::from_u16(refusal.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(CODE_HEADER, HeaderValue::from(refusal.code()));
+    response.headers_mut().insert(RESULT_CODE_HEADER, HeaderValue::from(refusal.code()));
     response
 }
--- a/crates/rpc/tests/common/mod.rs
+++ b/crates/rpc/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use minicbor::{Decode, Encode};
-use mosshead_rpc::{Call, Handlers, Refusal, RetryPolicy, serve};
+use mosshead_rpc::{Call, CallRejection, Handlers, RetryPolicy, serve};
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
@@ -35,8 +35,8 @@
 
 impl Call for Divide {
     const NAME: &'static str = "test/divide";
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Quotient;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = Quotient;
 }
 
 /// Answers as many bytes as it says, and tells the caller's port.
@@ -58,8 +58,8 @@
 
 impl Call for Fill {
     const NAME: &'static str = "fill";
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Filled;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = Filled;
 }
 
 pub fn fill(bytes: u32, ballast: usize) -> Fill {
@@ -75,8 +75,8 @@
 
 impl Call for Once {
     const NAME: &'static str = "once";
-    const RETRY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
-    type Answer = u32;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
+    type Response = u32;
 }
 
 /// Bears the name of `Divide`, and asks for something else.
@@ -88,8 +88,8 @@
 
 impl Call for NotDivide {
     const NAME: &'static str = Divide::NAME;
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = Quotient;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = Quotient;
 }
 
 /// Is `Divide`, but takes the answer for something else.
@@ -103,8 +103,8 @@
 
 impl Call for Misread {
     const NAME: &'static str = Divide::NAME;
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = String;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = String;
 }
 
 /// How often `Once` was handled.
@@ -113,16 +113,16 @@
 pub fn handlers(count: &Count) -> Handlers {
     let count = Rc::clone(count);
     Handlers::new()
-        .on::<Divide>(async |call, _| {
+        .with_handler::<Divide>(async |call, _| {
             if call.by == 0 {
-                return Err(Refusal::Other(NOUGHT));
+                return Err(CallRejection::Application(NOUGHT));
             }
             Ok(Quotient { whole: call.number / call.by, rest: call.number % call.by })
         })
-        .on::<Fill>(async |call, peer| {
+        .with_handler::<Fill>(async |call, peer| {
             Ok(Filled { port: peer.address.port(), ballast: vec![1; call.bytes as usize].into() })
         })
-        .on::<Once>(async move |call, _| {
+        .with_handler::<Once>(async move |call, _| {
             count.set(count.get() + 1);
             Ok(call.number)
         })
--- a/crates/rpc/tests/contract.rs
+++ b/crates/rpc/tests/contract.rs
@@ -8,7 +8,7 @@
 use common::{
     Count, Divide, Fill, LONG, Misread, NOUGHT, NotDivide, Once, Quotient, fill, handlers, host, run,
 };
-use mosshead_rpc::{CallFault, Caller, Handlers, Limits, Loopback, Refusal, Transport};
+use mosshead_rpc::{CallError, CallRejection, Caller, Handlers, LoopbackTransport, ServerLimits, Transport};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
@@ -33,11 +33,11 @@
 }
 
 #[derive(Default)]
-struct Memory(Loopback, u16);
+struct Memory(LoopbackTransport, u16);
 
 impl Net for Memory {
-    type Transport = Loopback;
-    fn transport(&self) -> Loopback {
+    type Transport = LoopbackTransport;
+    fn transport(&self) -> LoopbackTransport {
         self.0.at(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1))
     }
     async fn host(&mut self, handlers: Handlers) -> SocketAddrV4 {
@@ -69,8 +69,8 @@
 async fn refuses_bodies_that_are_too_long(mut net: impl Net) {
     let to = net.host(handlers(&Count::default())).await;
     let transport = net.transport();
-    assert_eq!(transport.call(to, &fill(1, 8 << 20), LONG).await, Err(CallFault::TooLong));
-    let refused = Err(CallFault::Refused(Refusal::Broken));
+    assert_eq!(transport.call(to, &fill(1, 8 << 20), LONG).await, Err(CallError::TooLong));
+    let refused = Err(CallError::Rejected(CallRejection::HandlerFailed));
     assert_eq!(transport.call(to, &fill(8 << 20, 1), LONG).await, refused);
     assert!(transport.call(to, &fill(1, 1), LONG).await.is_ok());
 }
@@ -82,33 +82,38 @@
         let to = if code == NOUGHT {
             to
         } else {
-            net.host(Handlers::new().on::<Divide>(async move |_, _| Err(Refusal::Other(code)))).await
+            net.host(
+                Handlers::new()
+                    .with_handler::<Divide>(async move |_, _| Err(CallRejection::Application(code))),
+            )
+            .await
         };
-        let refused = Err(CallFault::Refused(Refusal::Other(code)));
+        let refused = Err(CallError::Rejected(CallRejection::Application(code)));
         assert_eq!(transport.call(to, &Divide { number: 1, by: 0 }, LONG).await, refused);
     }
 }
 
 async fn refuses_what_it_does_not_know(mut net: impl Net) {
     let to = net.host(Handlers::new()).await;
-    let refused = Err(CallFault::Refused(Refusal::Unknown));
+    let refused = Err(CallError::Rejected(CallRejection::UnknownCall));
     assert_eq!(net.transport().call(to, &Divide { number: 1, by: 1 }, LONG).await, refused);
 }
 
 async fn refuses_what_it_can_not_read(mut net: impl Net) {
     let to = net.host(handlers(&Count::default())).await;
-    let refused = Err(CallFault::Refused(Refusal::Garbled));
+    let refused = Err(CallError::Rejected(CallRejection::Malformed));
     assert_eq!(net.transport().call(to, &NotDivide { text: "x".to_owned() }, LONG).await, refused);
     let answer = net.transport().call(to, &Misread { number: 1, by: 1 }, LONG).await;
-    assert_eq!(answer, Err(CallFault::Garbled));
+    assert_eq!(answer, Err(CallError::Malformed));
 }
 
 async fn a_handler_that_fails_is_a_refusal(mut net: impl Net) {
-    let to =
-        net.host(handlers(&Count::default()).on::<Divide>(async |_, _| panic!("as the test wants"))).await;
+    let to = net
+        .host(handlers(&Count::default()).with_handler::<Divide>(async |_, _| panic!("as the test wants")))
+        .await;
     let transport = net.transport();
     for _ in 0..2 {
-        let refused = Err(CallFault::Refused(Refusal::Broken));
+        let refused = Err(CallError::Rejected(CallRejection::HandlerFailed));
         assert_eq!(transport.call(to, &Divide { number: 1, by: 1 }, LONG).await, refused);
     }
     assert!(transport.call(to, &fill(1, 1), LONG).await.is_ok());
@@ -119,7 +124,7 @@
     // Nobody listens at port 1, and nobody was said to.
     let nobody = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
     let transport = net.transport();
-    assert_eq!(transport.call(nobody, &fill(1, 1), LONG).await, Err(CallFault::Connect));
+    assert_eq!(transport.call(nobody, &fill(1, 1), LONG).await, Err(CallError::Connect));
     assert!(transport.call(to, &fill(1, 1), LONG).await.is_ok());
 }
 
@@ -129,7 +134,7 @@
 fn waiting() -> (Handlers, Begun, mpsc::UnboundedReceiver<bool>) {
     let (begins, begun) = mpsc::unbounded_channel();
     let (ends, ended) = mpsc::unbounded_channel();
-    let handlers = Handlers::new().on::<Divide>(async move |call, _| {
+    let handlers = Handlers::new().with_handler::<Divide>(async move |call, _| {
         let (go, gone) = oneshot::channel();
         let _ = begins.send(go);
         let told = gone.await.is_ok();
@@ -148,7 +153,7 @@
     let go = begun.recv().await.unwrap();
     // From here the clock jumps to the time limit as soon as nothing else is to be done.
     tokio::time::pause();
-    assert_eq!(call.await.unwrap(), Err(CallFault::Timeout));
+    assert_eq!(call.await.unwrap(), Err(CallError::Timeout));
     tokio::time::resume();
     // The handler has not been cut off, and the next call gets its own answer.
     go.send(()).unwrap();
@@ -194,12 +199,14 @@
 
 async fn too_many_at_once_are_refused(mut net: impl Net) {
     let (handlers, mut begun, mut ended) = waiting();
-    let to = net.host(handlers.limits(Limits { running: 1, ..Limits::default() })).await;
+    let to = net
+        .host(handlers.with_limits(ServerLimits { max_concurrent_calls: 1, ..ServerLimits::default() }))
+        .await;
     let transport = net.transport();
     let calling = transport.clone();
     let call = spawn_local(async move { calling.call(to, &Divide { number: 1, by: 1 }, LONG).await });
     let go = begun.recv().await.unwrap();
-    let refused = Err(CallFault::Refused(Refusal::Busy));
+    let refused = Err(CallError::Rejected(CallRejection::Overloaded));
     assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, refused);
     // One whose caller is gone counts as long as it runs.
     call.abort();
@@ -224,9 +231,9 @@
 async fn the_caller_is_told(mut net: impl Net) {
     let (tells, mut told) = mpsc::unbounded_channel();
     let to = net
-        .host(Handlers::new().on::<Fill>(async move |_, peer| {
+        .host(Handlers::new().with_handler::<Fill>(async move |_, peer| {
             let _ = tells.send(*peer.address.ip());
-            Err(Refusal::Other(1))
+            Err(CallRejection::Application(1))
         }))
         .await;
     assert!(net.transport().call(to, &fill(1, 1), LONG).await.is_err());
--- a/crates/rpc/tests/loopback.rs
+++ b/crates/rpc/tests/loopback.rs
@@ -8,7 +8,7 @@
 use common::{Count, LONG, Once, handlers, run};
 use minicbor::encode::{Error, Write};
 use minicbor::{Decode, Encode, Encoder};
-use mosshead_rpc::{Call, CallFault, Loopback, Refusal, RetryPolicy, Transport};
+use mosshead_rpc::{Call, CallError, CallRejection, LoopbackTransport, RetryPolicy, Transport};
 use quickcheck::quickcheck;
 
 const HERE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), 7720);
@@ -17,13 +17,13 @@
 #[test]
 fn a_host_that_stops_is_not_there() {
     run(async {
-        let net = Loopback::new();
+        let net = LoopbackTransport::new();
         let count = Count::default();
         net.serve(THERE, Rc::new(handlers(&count)));
         let here = net.at(HERE);
         assert_eq!(here.call(THERE, &Once { number: 1 }, LONG).await, Ok(1));
-        net.stop(THERE);
-        assert_eq!(here.call(THERE, &Once { number: 2 }, LONG).await, Err(CallFault::Connect));
+        net.stop_serving(THERE);
+        assert_eq!(here.call(THERE, &Once { number: 2 }, LONG).await, Err(CallError::Connect));
         net.serve(THERE, Rc::new(handlers(&count)));
         assert_eq!(here.call(THERE, &Once { number: 3 }, LONG).await, Ok(3));
         assert_eq!(count.get(), 2);
@@ -34,19 +34,19 @@
 fn cuts_are_of_one_way() {
     run(async {
         tokio::time::pause();
-        let net = Loopback::new();
+        let net = LoopbackTransport::new();
         let count = Count::default();
         net.serve(THERE, Rc::new(handlers(&count)));
         let here = net.at(HERE);
-        let late = Err(CallFault::Timeout);
-        net.cut(HERE, THERE);
+        let late = Err(CallError::Timeout);
+        net.partition(HERE, THERE);
         assert_eq!(here.call(THERE, &Once { number: 1 }, LONG).await, late);
         assert_eq!(count.get(), 0, "the call is lost");
-        net.join(HERE, THERE);
-        net.cut(THERE, HERE);
+        net.heal(HERE, THERE);
+        net.partition(THERE, HERE);
         assert_eq!(here.call(THERE, &Once { number: 1 }, LONG).await, late);
         assert_eq!(count.get(), 1, "the answer is lost");
-        net.join(THERE, HERE);
+        net.heal(THERE, HERE);
         assert_eq!(here.call(THERE, &Once { number: 1 }, LONG).await, Ok(1));
     });
 }
@@ -69,13 +69,13 @@
 
 impl Call for Raw {
     const NAME: &'static str = Once::NAME;
-    const RETRY: RetryPolicy = RetryPolicy::Always;
-    type Answer = u32;
+    const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
+    type Response = u32;
 }
 
-fn raw(bytes: Vec<u8>) -> Result<u32, CallFault> {
+fn raw(bytes: Vec<u8>) -> Result<u32, CallError> {
     run(async {
-        let net = Loopback::new();
+        let net = LoopbackTransport::new();
         net.serve(THERE, Rc::new(handlers(&Count::default())));
         net.at(HERE).call(THERE, &Raw(bytes), LONG).await
     })
@@ -85,20 +85,20 @@
 fn bytes_behind_a_call_are_refused() {
     let call = minicbor::to_vec(Once { number: 5 }).unwrap();
     assert_eq!(raw(call.clone()), Ok(5));
-    assert_eq!(raw([call.clone(), vec![0]].concat()), Err(CallFault::Refused(Refusal::Garbled)));
-    assert_eq!(raw(call[..call.len() - 1].to_vec()), Err(CallFault::Refused(Refusal::Garbled)));
+    assert_eq!(raw([call.clone(), vec![0]].concat()), Err(CallError::Rejected(CallRejection::Malformed)));
+    assert_eq!(raw(call[..call.len() - 1].to_vec()), Err(CallError::Rejected(CallRejection::Malformed)));
 }
 
 quickcheck! {
     fn any_bytes_are_borne(bytes: Vec<u8>) -> bool {
         let read = minicbor::decode::<Once>(&bytes).is_ok();
-        matches!(raw(bytes), Err(CallFault::Refused(Refusal::Garbled))) || read
+        matches!(raw(bytes), Err(CallError::Rejected(CallRejection::Malformed))) || read
     }
 }
 
 #[test]
 fn numbers_of_refusals_come_back() {
     for code in 0..=u16::MAX {
-        assert_eq!(Refusal::from_code(code).code(), code);
+        assert_eq!(CallRejection::from_code(code).code(), code);
     }
 }
--- a/crates/rpc/tests/own_answers.rs
+++ b/crates/rpc/tests/own_answers.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use common::{Divide, LONG, Once, address_of, run};
-use mosshead_rpc::{Call, CallFault, Caller};
+use mosshead_rpc::{Call, CallError, Caller};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -202,7 +202,10 @@
                     Err(fault) => assert!(
                         matches!(
                             fault,
-                            CallFault::Lost | CallFault::Timeout | CallFault::Garbled | CallFault::Misplaced
+                            CallError::ConnectionLost
+                                | CallError::Timeout
+                                | CallError::Malformed
+                                | CallError::ResponseMismatch
                         ),
                         "{act:?}: {fault}"
                     ),
@@ -259,7 +262,7 @@
             let peer = Peer::new(move |place| if place == 0 { act } else { Act::Answer }).await;
             let caller = Caller::new();
             let answer = caller.call(peer.address, &Once { number: 1 }, LONG).await;
-            assert_eq!(answer, Err(CallFault::Misplaced), "{act:?}");
+            assert_eq!(answer, Err(CallError::ResponseMismatch), "{act:?}");
             assert_eq!(caller.call(peer.address, &Once { number: 2 }, LONG).await, Ok(2));
             assert_eq!(peer.connections(), [0, 1]);
         }
@@ -276,7 +279,7 @@
         // A task of its own: it runs behind the one that reads the connection.
         let call =
             spawn_local(async move { calling.call(address, &Divide { number: 1, by: 1 }, SHORT).await });
-        assert_eq!(call.await.expect("an end"), Err(CallFault::Timeout));
+        assert_eq!(call.await.expect("an end"), Err(CallError::Timeout));
         assert!(caller.call(peer.address, &Divide { number: 2, by: 1 }, LONG).await.is_ok());
         assert_eq!(peer.connections(), [0, 1]);
     });
--- a/crates/rpc/tests/sockets.rs
+++ b/crates/rpc/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{Count, Divide, LONG, Once, address_of, fill, handlers, host, host_at, run};
-use mosshead_rpc::{CallFault, Caller, Handlers, Limits};
+use mosshead_rpc::{CallError, Caller, Handlers, ServerLimits};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -72,7 +72,7 @@
         // Also after a refusal.
         assert!(matches!(
             caller.call(to, &Divide { number: 1, by: 0 }, LONG).await,
-            Err(CallFault::Refused(_))
+            Err(CallError::Rejected(_))
         ));
         for _ in 0..5 {
             assert_eq!(caller.clone().call(to, &fill(1, 1), LONG).await.unwrap().port, first);
@@ -93,7 +93,7 @@
             read_call(&mut stream).await.unwrap();
             if late {
                 tokio::time::pause();
-                assert_eq!(call.await.unwrap(), Err(CallFault::Timeout));
+                assert_eq!(call.await.unwrap(), Err(CallError::Timeout));
                 tokio::time::resume();
             } else {
                 call.abort();
@@ -114,7 +114,7 @@
         }
         server.abort();
         assert!(server.await.is_err());
-        assert_eq!(caller.call(to, &fill(1, 1), LONG).await, Err(CallFault::Connect));
+        assert_eq!(caller.call(to, &fill(1, 1), LONG).await, Err(CallError::Connect));
         let count = Count::default();
         let (_, _server) = host_at(to, handlers(&count)).await;
         assert!(caller.call(to, &fill(1, 1), LONG).await.is_ok());
@@ -149,9 +149,9 @@
         let caller = Caller::new();
         assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await.is_ok());
         // On the kept one, then on a new one, and no more.
-        assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallFault::Lost));
+        assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!([calls.recv().await, calls.recv().await, calls.recv().await], [Some(0), Some(0), Some(1)]);
-        assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallFault::Lost));
+        assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!(calls.recv().await, Some(2));
         assert!(calls.try_recv().is_err());
     });
@@ -167,9 +167,9 @@
         assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await.is_ok());
         assert_eq!(calls.recv().await, Some(0));
         // On the kept one, whose last byte left; so on no other.
-        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Err(CallFault::Lost));
+        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!(calls.recv().await, Some(0));
-        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Err(CallFault::Lost));
+        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!(calls.recv().await, Some(1));
         assert!(calls.try_recv().is_err());
     });
@@ -180,19 +180,25 @@
     run(async {
         let long = "HTTP/1.1 200 OK\r\ncall-id: 1\r\ncontent-length: 8388609\r\n\r\n";
         let refused = "HTTP/1.1 409 Conflict\r\ncall-id: 1\r\ncontent-length: 0\r\n";
-        let cases: Vec<(Vec<u8>, CallFault)> = vec![
-            (b"what?\r\n\r\n".to_vec(), CallFault::Garbled),
-            (answer(&[0xff; 9]), CallFault::Garbled),
-            (answer(&[]), CallFault::Garbled),
-            (answer(&[0x82, 1, 2, 3]), CallFault::Garbled),
-            (format!("{refused}\r\n").into_bytes(), CallFault::Garbled),
-            (format!("{refused}result-code: 70000\r\n\r\n").into_bytes(), CallFault::Garbled),
-            (answer(&[0x82, 1, 2])[..20].to_vec(), CallFault::Lost),
-            (b"HTTP/1.1 200 OK\r\ncall-id: 1\r\ncontent-length: 9\r\n\r\nx".to_vec(), CallFault::Lost),
-            (b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n\x82\x01\x02".to_vec(), CallFault::Misplaced),
-            (answer_to(2, &[0x82, 1, 2]), CallFault::Misplaced),
-            (Vec::new(), CallFault::Lost),
-            ([long.as_bytes(), &vec![0; (8 << 20) + 1]].concat(), CallFault::TooLong),
+        let cases: Vec<(Vec<u8>, CallError)> = vec![
+            (b"what?\r\n\r\n".to_vec(), CallError::Malformed),
+            (answer(&[0xff; 9]), CallError::Malformed),
+            (answer(&[]), CallError::Malformed),
+            (answer(&[0x82, 1, 2, 3]), CallError::Malformed),
+            (format!("{refused}\r\n").into_bytes(), CallError::Malformed),
+            (format!("{refused}result-code: 70000\r\n\r\n").into_bytes(), CallError::Malformed),
+            (answer(&[0x82, 1, 2])[..20].to_vec(), CallError::ConnectionLost),
+            (
+                b"HTTP/1.1 200 OK\r\ncall-id: 1\r\ncontent-length: 9\r\n\r\nx".to_vec(),
+                CallError::ConnectionLost,
+            ),
+            (
+                b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n\x82\x01\x02".to_vec(),
+                CallError::ResponseMismatch,
+            ),
+            (answer_to(2, &[0x82, 1, 2]), CallError::ResponseMismatch),
+            (Vec::new(), CallError::ConnectionLost),
+            ([long.as_bytes(), &vec![0; (8 << 20) + 1]].concat(), CallError::TooLong),
         ];
         for (bytes, fault) in cases {
             let (listener, to) = listen().await;
@@ -247,15 +253,15 @@
         let nowhere = SocketAddrV4::new(Ipv4Addr::new(192, 0, 2, 1), 7720);
         tokio::time::pause();
         let began = tokio::time::Instant::now();
-        assert_eq!(Caller::new().call(nowhere, &fill(1, 1), LONG).await, Err(CallFault::Connect));
+        assert_eq!(Caller::new().call(nowhere, &fill(1, 1), LONG).await, Err(CallError::Connect));
         assert!(began.elapsed() <= Duration::from_millis(700));
         let short = Duration::from_millis(100);
-        assert_eq!(Caller::new().call(nowhere, &fill(1, 1), short).await, Err(CallFault::Connect));
+        assert_eq!(Caller::new().call(nowhere, &fill(1, 1), short).await, Err(CallError::Connect));
     });
 }
 
-fn limited(limits: Limits) -> Handlers {
-    handlers(&Count::default()).limits(limits)
+fn limited(limits: ServerLimits) -> Handlers {
+    handlers(&Count::default()).with_limits(limits)
 }
 
 /// The status and the code of what a server sends until it closes.
@@ -299,7 +305,7 @@
 #[test]
 fn the_oldest_idle_connection_makes_room() {
     run(async {
-        let (to, _) = host(limited(Limits { connections: 2, ..Limits::default() })).await;
+        let (to, _) = host(limited(ServerLimits { max_connections: 2, ..ServerLimits::default() })).await;
         let mut streams = Vec::new();
         for _ in 0..3 {
             streams.push(TcpStream::connect(to).await.unwrap());
@@ -322,12 +328,12 @@
         let (begins, mut begun) = mpsc::unbounded_channel();
         let (ends, ended) = tokio::sync::watch::channel(false);
         let handlers = Handlers::new()
-            .on::<Once>(async move |call, _| {
+            .with_handler::<Once>(async move |call, _| {
                 let _ = begins.send(());
                 let _ = ended.clone().wait_for(|ended| *ended).await;
                 Ok(call.number)
             })
-            .limits(Limits { connections: 2, ..Limits::default() });
+            .with_limits(ServerLimits { max_connections: 2, ..ServerLimits::default() });
         let (to, _) = host(handlers).await;
         let caller = Caller::new();
         let mut calls = Vec::new();
@@ -336,7 +342,7 @@
             calls.push(spawn_local(async move { calling.call(to, &Once { number }, LONG).await }));
             begun.recv().await.unwrap();
         }
-        assert_eq!(caller.call(to, &Once { number: 9 }, LONG).await, Err(CallFault::Lost));
+        assert_eq!(caller.call(to, &Once { number: 9 }, LONG).await, Err(CallError::ConnectionLost));
         ends.send(true).unwrap();
         for (number, call) in calls.into_iter().enumerate() {
             assert_eq!(call.await.unwrap(), Ok(number as u32));
