--- a/crates/capacity-bench/src/configuration.rs
+++ b/crates/capacity-bench/src/configuration.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 
 use mosshead_config::Config;
-use mosshead_programs::calls::{ConfigUpdate, FetchConfig};
-use mosshead_programs::config_transfer::{ChunkRequest, OutgoingTransfers};
+use mosshead_programs::calls::FetchConfig;
+use mosshead_programs::config_transfer::{ChunkRequest, ConfigUpdate, OutgoingTransfers};
 
 use crate::counter::{encoded, processor_time};
 use crate::memory;
@@ -106,9 +106,9 @@
                 &format!("/v1/part-{}/x", next / 1800),
             )
         });
-        let answer = ConfigUpdate { revision: 2, patches: vec![patch], whole: None };
-        let request = ChunkRequest { have: 1, target: 0, offset: 0 };
-        let piece = OutgoingTransfers::default().piece(request, 2, || answer);
+        let answer = ConfigUpdate { revision: 2, patches: vec![patch], full_text: None };
+        let request = ChunkRequest { base_revision: 1, target_revision: 0, offset: 0 };
+        let piece = OutgoingTransfers::default().next_chunk(request, 2, || answer);
         let bytes = encoded(&FetchConfig(request)).len() + encoded(&piece).len();
         let share = 1e-6 * 100.0 * CHANGES_A_SECOND;
         table.row(
--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -389,7 +389,7 @@
         let Some(core) = self.cores.get_mut(at) else { return };
         let (register, source) = (&core.register, core.register.me());
         let digest = core.counter.time(|| register.alive(now.saturating_sub(1200)));
-        let call = CompareHeartbeats { source: source.0, digest };
+        let call = CompareHeartbeats { source: source.0, sequences: digest };
         for to in (0..self.cores.len()).filter(|to| *to != at) {
             let Some(core) = self.cores.get_mut(at) else { return };
             let bytes = core.counter.time(|| encoded(&call));
@@ -401,7 +401,7 @@
             let register = &mut core.register;
             core.counter.time(|| {
                 if let Ok(hears) = minicbor::decode::<CompareHeartbeats>(&bytes) {
-                    let digest = hears.digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
+                    let digest = hears.sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
                     register.heard_by(now, source, digest);
                 }
             });
--- a/crates/capacity-bench/src/pulls.rs
+++ b/crates/capacity-bench/src/pulls.rs
@@ -1,6 +1,7 @@
 //! Calls that wait for news, and their answers.
 
 use std::net::SocketAddrV4;
+use std::time::Duration;
 
 use mosshead_programs::calls::{Updates, WatchUpdates};
 use mosshead_registry::{Delta, SourceId};
@@ -18,7 +19,7 @@
         let ids: Vec<u64> = self.cores.get(at).map_or(Vec::new(), |core| core.open.keys().copied().collect());
         for id in ids {
             let answer = self.answer(at, id);
-            if answer.as_ref().is_some_and(|answer| answer.behind)
+            if answer.as_ref().is_some_and(|answer| answer.has_newer_entries)
                 && let Some(open) = self.cores.get_mut(at).and_then(|core| core.open.remove(&id))
                 && let Some(answer) = answer
             {
@@ -35,9 +36,18 @@
         Some(core.counter.time(|| {
             let all = register.lacking(&call.vector, PAGE);
             let behind = !all.entries.is_empty();
-            let delta = if call.entries { all } else { Delta::default() };
+            let delta = if call.wants_entries { all } else { Delta::default() };
             let source = register.me().0;
-            Updates { revision: 9, delta, behind, cores, proxies, current: true, wants: false, source }
+            Updates {
+                revision: 9,
+                delta,
+                has_newer_entries: behind,
+                control_nodes: cores,
+                proxy_count: proxies,
+                has_quorum_contact: true,
+                needs_entries: false,
+                source,
+            }
         }))
     }
 
@@ -54,12 +64,12 @@
                 let again = matches!(asker, Asker::Again(..));
                 let call = WatchUpdates {
                     name: format!("edge-{}-{at}", at % ZONES),
-                    life: SOURCE + at as u64,
-                    proxy: true,
+                    incarnation: SOURCE + at as u64,
+                    is_proxy: true,
                     revision: 9,
                     vector: proxy.vector.clone(),
-                    entries: slot == 0 || again,
-                    wait_ms: if again { 0 } else { WAIT },
+                    wants_entries: slot == 0 || again,
+                    wait: Duration::from_millis(if again { 0 } else { WAIT }),
                 };
                 let bytes = proxy.counter.time(|| encoded(&call));
                 proxy.counter.count(bytes.len() as u64);
@@ -74,8 +84,16 @@
         let bytes = core.counter.time(|| {
             let (name, vector) = (format!("core-{}-{at}", at % REGIONS), register.vector());
             let life = register.me().0;
-            let (revision, wait_ms) = (u64::MAX, WAIT);
-            encoded(&WatchUpdates { name, life, proxy: false, revision, vector, entries: true, wait_ms })
+            let (revision, wait) = (u64::MAX, Duration::from_millis(WAIT));
+            encoded(&WatchUpdates {
+                name,
+                incarnation: life,
+                is_proxy: false,
+                revision,
+                vector,
+                wants_entries: true,
+                wait,
+            })
         });
         core.counter.count(bytes.len() as u64);
         self.open(to, Asker::ControlNode(at), &bytes);
@@ -88,13 +106,13 @@
         let Some(core) = self.cores.get_mut(at) else { return };
         core.counter.count(bytes.len() as u64);
         let Ok(call) = core.counter.time(|| minicbor::decode::<WatchUpdates>(bytes)) else { return };
-        if !call.proxy {
+        if !call.is_proxy {
             core.register.held(&call.vector);
         }
-        let wait = call.wait_ms;
+        let wait = call.wait.as_millis() as u64;
         core.open.insert(id, Open { asker, call });
         let Some(answer) = self.answer(at, id) else { return };
-        if answer.behind || wait == 0 {
+        if answer.has_newer_entries || wait == 0 {
             if let Some(core) = self.cores.get_mut(at) {
                 core.open.remove(&id);
             }
@@ -144,7 +162,7 @@
                 let Some(proxy) = self.proxies.get_mut(at) else { return };
                 proxy.take(now, answer.delta);
                 let first = matches!(asker, Asker::Proxy(..));
-                if answer.behind && slot > 0 && first {
+                if answer.has_newer_entries && slot > 0 && first {
                     self.after(100 * slot as u64, Event::Ask(Asker::Again(at, slot)));
                 } else {
                     self.ask(Asker::Proxy(at, slot));
--- a/crates/capacity-bench/tests/slopes.rs
+++ b/crates/capacity-bench/tests/slopes.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn messages_are_as_long_as_they_are_sent() {
-    let fetch = FetchConfig(ChunkRequest { have: 1, target: 0, offset: 2 });
+    let fetch = FetchConfig(ChunkRequest { base_revision: 1, target_revision: 0, offset: 2 });
     assert_eq!(encoded(&fetch), [0x83, 0x01, 0x00, 0x02]);
 }
 
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -1,66 +1,70 @@
-//! The calls between the fleet's own processes: pairs of a call and its answer.
+//! The calls between processes of the fleet, each with its response.
+//!
+//! Names, field indices and encodings are the wire format: processes of two releases meet while the fleet is updated.
 
 use std::net::SocketAddrV4;
 
 use minicbor::{Decode, Encode};
 use mosshead_consensus::{Member, Message};
-use mosshead_control_plane::serving::ConfigOffer;
 use mosshead_registry::{Delta, Vector};
 use mosshead_rpc::{Call, RetryPolicy};
+use mosshead_time::Duration;
 
 use crate::config_transfer::{ChunkRequest, ConfigChunk};
 
-/// What is newer than this? Answered when something is, or after `wait_ms`.
+/// Asks a control node for what is newer than the caller's configuration and registry (a long poll).
+///
+/// The response comes as soon as there is something new, or after [`wait`](WatchUpdates::wait).
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct WatchUpdates {
-    /// Who asks: the machine's name and the life of its process.
+    /// The node name of the caller.
     #[n(0)]
     pub name: String,
-    /// Drawn anew at each start.
+    /// The incarnation of the calling process, drawn at random at each start.
     #[n(1)]
-    pub life: u64,
-    /// A proxy asks, not a machine of the core.
+    pub incarnation: u64,
+    /// Whether the caller is a proxy; otherwise it is a control node.
     #[n(2)]
-    pub proxy: bool,
-    /// The configuration it has.
+    pub is_proxy: bool,
+    /// The revision of the configuration that the caller has; 0: none.
     #[n(3)]
     pub revision: u64,
-    /// What it has of the register.
+    /// The registry entries that the caller has.
     #[n(4)]
     pub vector: Vector,
-    /// It wants the register's entries, not only word of them.
+    /// Whether the response is to carry entries, and not only whether there are newer ones.
     #[n(5)]
-    pub entries: bool,
-    /// The longest time to wait for news.
-    #[n(6)]
-    pub wait_ms: u64,
+    pub wants_entries: bool,
+    /// The longest time to wait for something new.
+    #[cbor(n(6), with = "mosshead_time::duration_millis")]
+    pub wait: Duration,
 }
 
-/// The news.
+/// What a control node has that the caller of [`WatchUpdates`] lacks.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Updates {
-    /// The newest configuration that the answerer knows to be committed; 0 while it is not in touch.
+    /// The newest configuration that the responder knows to be committed; 0 while it has no contact with a quorum.
     #[n(0)]
     pub revision: u64,
-    /// Entries of the register above the asker's vector.
+    /// Registry entries above the caller's vector; empty if the caller wants none.
     #[n(1)]
     pub delta: Delta,
-    /// The register has entries that the asker lacks.
+    /// Whether the responder has registry entries that the caller lacks, in `delta` or not.
     #[n(2)]
-    pub behind: bool,
-    /// The core's machines.
+    pub has_newer_entries: bool,
+    /// The control nodes that the responder knows.
     #[n(3)]
-    pub cores: Vec<SocketAddrV4>,
-    /// Proxies that asked lately.
+    pub control_nodes: Vec<SocketAddrV4>,
+    /// How many proxies are alive, as far as the responder knows.
     #[n(4)]
-    pub proxies: u32,
-    /// The answerer lately heard from more than half of the core.
+    pub proxy_count: u32,
+    /// Whether the responder lately had contact with a quorum of the members.
     #[n(5)]
-    pub current: bool,
-    /// The answerer lacks entries that the asker has.
+    pub has_quorum_contact: bool,
+    /// Whether the responder lacks registry entries that the caller has.
     #[n(6)]
-    pub wants: bool,
-    /// The source that the answerer is.
+    pub needs_entries: bool,
+    /// The registry source that the responder is.
     #[n(7)]
     pub source: u64,
 }
@@ -71,54 +75,19 @@
     type Response = Updates;
 }
 
-/// A piece of the configuration, from what the asker has.
+/// Asks for one chunk of the path from the caller's configuration to the newest.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FetchConfig(#[n(0)] pub ChunkRequest);
 
-/// The way to the newest configuration; none, and revision 0, from a machine that is not in touch or has none.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ConfigUpdate {
-    /// Where the way leads.
-    #[n(0)]
-    pub revision: u64,
-    /// Patches in order; or else
-    #[n(1)]
-    pub patches: Vec<String>,
-    /// the whole.
-    #[n(2)]
-    pub whole: Option<String>,
-}
-
-impl ConfigUpdate {
-    /// The answer on the wire for what is offered.
-    pub fn from_offer(offer: ConfigOffer) -> ConfigUpdate {
-        match offer {
-            ConfigOffer::Withheld => ConfigUpdate { revision: 0, patches: Vec::new(), whole: None },
-            ConfigOffer::Patches { revision, patches } => ConfigUpdate { revision, patches, whole: None },
-            ConfigOffer::Whole { revision, text } => {
-                ConfigUpdate { revision, patches: Vec::new(), whole: Some(text) }
-            }
-        }
-    }
-
-    /// What an answer offers.
-    pub fn into_offer(self) -> ConfigOffer {
-        match self {
-            ConfigUpdate { revision, whole: Some(text), .. } => ConfigOffer::Whole { revision, text },
-            ConfigUpdate { revision: 0, .. } => ConfigOffer::Withheld,
-            ConfigUpdate { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
-        }
-    }
-}
-
 impl Call for FetchConfig {
     const NAME: &'static str = "Fetch";
     const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
     type Response = ConfigChunk;
 }
 
-/// Entries of the register that the other should have: urgent ones, or all after it lost its memory.
+/// Sends registry entries that the receiver should have: those that must be replicated before a server gets its
+/// acknowledgement, or all of them after the receiver lost its memory.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateEntries {
     /// The entries.
@@ -126,13 +95,13 @@
     pub delta: Delta,
 }
 
-/// Taken.
+/// The receiver of [`ReplicateEntries`] has merged the entries.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateAck {
-    /// Something in it was new.
+    /// Whether an entry was new to the receiver.
     #[n(0)]
     pub changed: bool,
-    /// What the other has now.
+    /// The entries that the receiver has now.
     #[n(1)]
     pub vector: Vector,
 }
@@ -143,15 +112,15 @@
     type Response = ReplicateAck;
 }
 
-/// Which servers a core machine still hears.
+/// Says which servers still send heartbeats to a control node, so that others don't time them out.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct CompareHeartbeats {
-    /// The source.
+    /// The registry source that the caller is.
     #[n(0)]
     pub source: u64,
-    /// Servers by id, with the sequence last heard.
+    /// Servers by id, each with the sequence number of its last heartbeat.
     #[n(1)]
-    pub digest: Vec<(String, u64)>,
+    pub sequences: Vec<(String, u64)>,
 }
 
 impl Call for CompareHeartbeats {
@@ -160,10 +129,10 @@
     type Response = ReplicateAck;
 }
 
-/// A message of the control state's machines.
+/// A message between the members of the consensus group.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ConsensusMessage {
-    /// Who sends it.
+    /// The sender.
     #[n(0)]
     pub from: Member,
     /// The message.
--- /dev/null
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -0,0 +1,79 @@
+//! The receiver's side of a transfer.
+
+use super::update::max_packed_bytes;
+use super::{ChunkRequest, ConfigChunk, ConfigUpdate};
+
+/// The state of a transfer after a chunk.
+#[derive(Clone, Debug, PartialEq)]
+pub enum TransferProgress {
+    /// More chunks are needed.
+    Incomplete,
+    /// The update is complete.
+    Complete(ConfigUpdate),
+    /// The chunks don't fit together, or make no update.
+    Corrupt,
+}
+
+/// A transfer as its receiver knows it.
+#[derive(Clone, Debug)]
+pub struct IncomingTransfer {
+    base_revision: u64,
+    /// 0 before the first chunk.
+    target_revision: u64,
+    /// The length of the complete transfer as the sender gave it, in bytes.
+    length: usize,
+    /// What was received; never longer than `length`.
+    bytes: Vec<u8>,
+}
+
+impl IncomingTransfer {
+    /// Begins a transfer to a receiver that has a revision (0: none).
+    pub fn new(base_revision: u64) -> IncomingTransfer {
+        IncomingTransfer { base_revision, target_revision: 0, length: 0, bytes: Vec::new() }
+    }
+
+    /// The request for the next chunk.
+    pub fn next_request(&self) -> ChunkRequest {
+        ChunkRequest {
+            base_revision: self.base_revision,
+            target_revision: self.target_revision,
+            offset: self.bytes.len() as u64,
+        }
+    }
+
+    /// Takes in the response to [`next_request`](IncomingTransfer::next_request).
+    pub fn on_chunk(&mut self, chunk: &ConfigChunk) -> TransferProgress {
+        if chunk.target_revision == 0 {
+            return TransferProgress::Complete(ConfigUpdate::withheld());
+        }
+        if chunk.target_revision != self.target_revision && !self.restart(chunk) {
+            return TransferProgress::Corrupt;
+        }
+        if !self.is_next(chunk) {
+            return TransferProgress::Corrupt;
+        }
+        self.bytes.extend_from_slice(&chunk.bytes);
+        if self.bytes.len() < self.length {
+            return TransferProgress::Incomplete;
+        }
+        let update =
+            ConfigUpdate::unpack(&self.bytes).filter(|update| update.revision == self.target_revision);
+        update.map_or(TransferProgress::Corrupt, TransferProgress::Complete)
+    }
+
+    fn is_next(&self, chunk: &ConfigChunk) -> bool {
+        chunk.offset == self.bytes.len() as u64
+            && chunk.length == self.length as u64
+            && !chunk.bytes.is_empty()
+            && chunk.bytes.len() <= self.length.saturating_sub(self.bytes.len())
+    }
+
+    /// Begins the transfer to another target: this is the first chunk, or the sender has dropped the former transfer.
+    /// False if the new one is too long.
+    fn restart(&mut self, chunk: &ConfigChunk) -> bool {
+        self.target_revision = chunk.target_revision;
+        self.length = usize::try_from(chunk.length).unwrap_or(usize::MAX);
+        self.bytes.clear();
+        self.length <= max_packed_bytes()
+    }
+}
--- /dev/null
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -0,0 +1,80 @@
+//! The sender's side of transfers.
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+use super::{CHUNK_BYTES, ChunkRequest, ConfigChunk, ConfigUpdate};
+
+/// Transfers that a sender keeps in memory at most.
+const MAX_OUTGOING: usize = 16;
+/// Their length together at most, in bytes; the newest one is kept whatever its length.
+const MAX_OUTGOING_BYTES: usize = 8 * 1024 * 1024;
+
+/// A transfer under way.
+struct Outgoing {
+    base_revision: u64,
+    target_revision: u64,
+    packed: Arc<[u8]>,
+}
+
+/// The transfers under way. All receivers with the same configuration share one.
+#[derive(Default)]
+pub struct OutgoingTransfers {
+    /// The oldest first.
+    transfers: VecDeque<Outgoing>,
+}
+
+impl OutgoingTransfers {
+    /// Responds to a request while `newest_revision` is the newest configuration.
+    ///
+    /// A transfer that is kept goes on to its own target; otherwise a new one to the newest begins. `make_update` makes
+    /// the update from the receiver's configuration to the newest.
+    pub fn next_chunk(
+        &mut self,
+        request: ChunkRequest,
+        newest_revision: u64,
+        make_update: impl FnOnce() -> ConfigUpdate,
+    ) -> ConfigChunk {
+        if let Some(packed) = self.find(request.base_revision, request.target_revision) {
+            return cut_chunk(request.target_revision, &packed, request.offset);
+        }
+        if let Some(packed) = self.find(request.base_revision, newest_revision) {
+            return cut_chunk(newest_revision, &packed, 0);
+        }
+        let update = make_update();
+        let target_revision = update.revision;
+        let Some(packed) = update.pack().filter(|_| target_revision > 0) else {
+            return ConfigChunk::withheld();
+        };
+        let packed: Arc<[u8]> = packed.into();
+        self.keep(Outgoing { base_revision: request.base_revision, target_revision, packed: packed.clone() });
+        cut_chunk(target_revision, &packed, 0)
+    }
+
+    fn find(&self, base_revision: u64, target_revision: u64) -> Option<Arc<[u8]>> {
+        let is_wanted = |transfer: &&Outgoing| {
+            transfer.base_revision == base_revision && transfer.target_revision == target_revision
+        };
+        self.transfers.iter().find(is_wanted).map(|transfer| transfer.packed.clone())
+    }
+
+    fn keep(&mut self, transfer: Outgoing) {
+        self.transfers.push_back(transfer);
+        while self.transfers.len() > MAX_OUTGOING
+            || self.total_bytes() > MAX_OUTGOING_BYTES && self.transfers.len() > 1
+        {
+            self.transfers.pop_front();
+        }
+    }
+
+    fn total_bytes(&self) -> usize {
+        self.transfers.iter().map(|transfer| transfer.packed.len()).sum()
+    }
+}
+
+fn cut_chunk(target_revision: u64, packed: &[u8], offset: u64) -> ConfigChunk {
+    let start = usize::try_from(offset).unwrap_or(usize::MAX).min(packed.len());
+    let end = start.saturating_add(CHUNK_BYTES).min(packed.len());
+    let bytes = packed.get(start..end).unwrap_or_default().to_vec();
+    ConfigChunk { target_revision, length: packed.len() as u64, offset: start as u64, bytes: bytes.into() }
+}
--- /dev/null
+++ b/crates/programs/src/config_transfer/update.rs
@@ -0,0 +1,75 @@
+//! What a transfer carries, and its compressed form.
+
+use minicbor::{Decode, Encode};
+use mosshead_control_plane::serving::ConfigOffer;
+
+/// The longest update that is unpacked, in bytes.
+pub const MAX_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
+/// The length prefix of a packed update, in bytes (little-endian, as `lz4_flex` writes it).
+const LENGTH_PREFIX_BYTES: usize = 4;
+
+/// The path to the newest configuration: patches in order, or the full text.
+#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
+pub struct ConfigUpdate {
+    /// The revision that the update leads to; 0 from a control node that has no quorum contact or no configuration.
+    #[n(0)]
+    pub revision: u64,
+    /// Patches from the receiver's configuration, to be applied in order; empty where there is a full text.
+    #[n(1)]
+    pub patches: Vec<String>,
+    /// The full text of the configuration, where no chain of patches leads to it.
+    #[n(2)]
+    pub full_text: Option<String>,
+}
+
+impl ConfigUpdate {
+    /// Nothing is offered.
+    pub fn withheld() -> ConfigUpdate {
+        ConfigUpdate { revision: 0, patches: Vec::new(), full_text: None }
+    }
+
+    /// Encodes and compresses; `None` if the update is longer than [`MAX_UNPACKED_BYTES`].
+    pub(super) fn pack(&self) -> Option<Vec<u8>> {
+        let encoded = minicbor::to_vec(self).ok()?;
+        let is_within_bounds = encoded.len() <= MAX_UNPACKED_BYTES;
+        is_within_bounds.then(|| lz4_flex::compress_prepend_size(&encoded))
+    }
+
+    /// Reverses [`pack`](ConfigUpdate::pack); `None` for bytes that it did not make.
+    pub(super) fn unpack(packed: &[u8]) -> Option<ConfigUpdate> {
+        let length = packed.get(..LENGTH_PREFIX_BYTES)?.try_into().map(u32::from_le_bytes).ok()?;
+        // The sender chose the length prefix, and the decompressor allocates that much before it reads a byte.
+        if length as usize > MAX_UNPACKED_BYTES {
+            return None;
+        }
+        let encoded = lz4_flex::decompress_size_prepended(packed).ok()?;
+        minicbor::decode(&encoded).ok()
+    }
+}
+
+impl From<ConfigOffer> for ConfigUpdate {
+    fn from(offer: ConfigOffer) -> ConfigUpdate {
+        match offer {
+            ConfigOffer::Withheld => ConfigUpdate::withheld(),
+            ConfigOffer::Patches { revision, patches } => ConfigUpdate { revision, patches, full_text: None },
+            ConfigOffer::Whole { revision, text } => {
+                ConfigUpdate { revision, patches: Vec::new(), full_text: Some(text) }
+            }
+        }
+    }
+}
+
+impl From<ConfigUpdate> for ConfigOffer {
+    fn from(update: ConfigUpdate) -> ConfigOffer {
+        match update {
+            ConfigUpdate { revision, full_text: Some(text), .. } => ConfigOffer::Whole { revision, text },
+            ConfigUpdate { revision: 0, .. } => ConfigOffer::Withheld,
+            ConfigUpdate { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
+        }
+    }
+}
+
+/// The longest packed form of an update that [`ConfigUpdate::unpack`] accepts, in bytes.
+pub(super) fn max_packed_bytes() -> usize {
+    lz4_flex::block::get_maximum_output_size(MAX_UNPACKED_BYTES) + LENGTH_PREFIX_BYTES
+}
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -92,7 +92,7 @@
             Ok(ReplicateAck { changed, vector: hand.register.borrow().vector() })
         })
         .with_handler::<CompareHeartbeats>(async move |call, _| {
-            let digest = call.digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
+            let digest = call.sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
             hears.register.borrow_mut().heard_by(hears.now(), SourceId(call.source), digest);
             Ok(ReplicateAck { changed: false, vector: Vector::default() })
         })
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -141,19 +141,19 @@
             let name = self.settings.node_name.clone();
             let call = WatchUpdates {
                 name,
-                life: self.life,
-                proxy: false,
+                incarnation: self.life,
+                is_proxy: false,
                 revision: u64::MAX,
                 vector,
-                entries: true,
-                wait_ms: 1000,
+                wants_entries: true,
+                wait: Duration::from_millis(1000),
             };
             match self.caller.call(other, &call, Duration::from_millis(1400)).await {
                 Ok(pulled) => {
                     failures = 0;
                     self.hand(pulled.delta);
                     self.register.borrow_mut().contact(self.now(), SourceId(pulled.source));
-                    if pulled.wants {
+                    if pulled.needs_entries {
                         let delta = self.register.borrow().lacking(&Vector::default(), 5000);
                         let _ = self
                             .caller
@@ -161,7 +161,7 @@
                             .await;
                         sleep(Duration::from_millis(300)).await;
                     }
-                    if !pulled.current {
+                    if !pulled.has_quorum_contact {
                         sleep(Duration::from_millis(200)).await;
                     }
                 }
@@ -178,7 +178,7 @@
         loop {
             sleep(Duration::from_millis(500)).await;
             let digest = self.register.borrow().alive(self.now().saturating_sub(1500));
-            let call = CompareHeartbeats { source: self.life, digest };
+            let call = CompareHeartbeats { source: self.life, sequences: digest };
             for other in self.others() {
                 let (core, call) = (self.clone(), call.clone());
                 tokio::task::spawn_local(async move {
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -8,8 +8,8 @@
 use tokio::time::{Duration, Instant, timeout};
 
 use super::ControlNode;
-use crate::calls::{ConfigUpdate, Updates, WatchUpdates};
-use crate::config_transfer::{ChunkRequest, ConfigChunk};
+use crate::calls::{Updates, WatchUpdates};
+use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigUpdate};
 
 /// Entries given at once.
 const PAGE: usize = 400;
@@ -37,8 +37,8 @@
         if newest == 0 {
             return ConfigChunk::withheld();
         }
-        let offer = || ConfigUpdate::from_offer(history.offer(request.have, contact));
-        self.transfers.borrow_mut().piece(request, newest, offer)
+        let offer = || ConfigUpdate::from(history.offer(request.base_revision, contact));
+        self.transfers.borrow_mut().next_chunk(request, newest, offer)
     }
 
     pub(super) fn proxies(&self) -> u32 {
@@ -75,17 +75,20 @@
     }
 
     pub(super) async fn pull(self: Rc<Self>, call: WatchUpdates) -> Updates {
-        if call.proxy {
+        if call.is_proxy {
             self.askers.borrow_mut().insert(call.name.clone(), Instant::now());
         } else {
             self.register.borrow_mut().held(&call.vector);
         }
-        let until = Instant::now() + Duration::from_millis(call.wait_ms.min(2000));
+        let until = Instant::now() + call.wait.min(Duration::from_millis(2000));
         let mut news = self.news.subscribe();
         loop {
             news.mark_unchanged();
             let answer = self.answer(&call);
-            let fresh = answer.revision > call.revision || answer.behind || !answer.current || answer.wants;
+            let fresh = answer.revision > call.revision
+                || answer.has_newer_entries
+                || !answer.has_quorum_contact
+                || answer.needs_entries;
             if fresh
                 || timeout(until.saturating_duration_since(Instant::now()), news.changed()).await.is_err()
             {
@@ -98,7 +101,7 @@
         let register = self.register.borrow();
         let all = register.lacking(&call.vector, PAGE);
         let behind = !all.entries.is_empty();
-        let delta = if call.entries { all } else { Delta::default() };
+        let delta = if call.wants_entries { all } else { Delta::default() };
         let wants =
             self.start.elapsed() < NEW && (register.unknown(&call.vector) || register.behind(&call.vector));
         drop(register);
@@ -106,6 +109,15 @@
         let revision = self.history.borrow().advertised_revision(contact);
         let current = contact.is_in_touch();
         let cores = self.all();
-        Updates { revision, delta, behind, cores, proxies: self.proxies(), current, wants, source: self.life }
+        Updates {
+            revision,
+            delta,
+            has_newer_entries: behind,
+            control_nodes: cores,
+            proxy_count: self.proxies(),
+            has_quorum_contact: current,
+            needs_entries: wants,
+            source: self.life,
+        }
     }
 }
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -111,15 +111,15 @@
         let wait = if first { Duration::from_millis(1) } else { WAIT };
         let call = WatchUpdates {
             name: self.name.clone(),
-            life: self.life,
-            proxy: true,
+            incarnation: self.life,
+            is_proxy: true,
             revision,
             vector,
-            entries: slot == 0 || first,
-            wait_ms: wait.as_millis() as u64,
+            wants_entries: slot == 0 || first,
+            wait,
         };
         let answer: Updates = self.caller.call(core, &call, wait + GRACE).await.ok()?;
-        let contact = Contact::from_flag(answer.current);
+        let contact = Contact::from_flag(answer.has_quorum_contact);
         self.take(core, slot, &answer).await;
         if contact.is_in_touch() {
             self.heard.set(Some(Instant::now()));
@@ -127,7 +127,7 @@
         if answer.revision > revision {
             sleep(pause(slot)).await;
         }
-        self.subscription.borrow_mut().named(&answer.cores, contact);
+        self.subscription.borrow_mut().named(&answer.control_nodes, contact);
         Some(contact)
     }
 
@@ -137,20 +137,20 @@
         if changed {
             self.basin.listed();
         }
-        self.basin.proxies(answer.proxies as usize);
-        if answer.behind && slot > 0 {
+        self.basin.proxies(answer.proxy_count as usize);
+        if answer.has_newer_entries && slot > 0 {
             // The machine that gives entries gets its time first.
             sleep(Duration::from_millis(100 * slot as u64)).await;
             let vector = self.register.borrow().vector();
             let name = self.name.clone();
             let call = WatchUpdates {
                 name,
-                life: self.life,
-                proxy: true,
+                incarnation: self.life,
+                is_proxy: true,
                 revision: u64::MAX,
                 vector,
-                entries: true,
-                wait_ms: 0,
+                wants_entries: true,
+                wait: Duration::ZERO,
             };
             if let Ok(answer) = self.caller.call(core, &call, GRACE).await
                 && self.register.borrow_mut().merge(millis(now), answer.delta)
@@ -158,11 +158,11 @@
                 self.basin.listed();
             }
         }
-        if answer.wants {
+        if answer.needs_entries {
             self.hand(core).await;
         }
         let in_force = self.basin.config().map_or(0, |config| config.revision);
-        let contact = Contact::from_flag(answer.current);
+        let contact = Contact::from_flag(answer.has_quorum_contact);
         if self.subscription.borrow().wants_configuration(in_force, answer.revision, contact) {
             self.fetch(core).await;
         }
@@ -206,11 +206,11 @@
     ) -> Option<Assembled> {
         let mut transfer = IncomingTransfer::new(revision);
         loop {
-            let piece = self.caller.call(core, &FetchConfig(transfer.request()), FETCH).await.ok()?;
-            match transfer.take(&piece) {
-                TransferProgress::More => {}
-                TransferProgress::Complete(fetched) => return Some(assemble(have, &fetched.into_offer())),
-                TransferProgress::Broken => return None,
+            let piece = self.caller.call(core, &FetchConfig(transfer.next_request()), FETCH).await.ok()?;
+            match transfer.on_chunk(&piece) {
+                TransferProgress::Incomplete => {}
+                TransferProgress::Complete(fetched) => return Some(assemble(have, &fetched.into())),
+                TransferProgress::Corrupt => return None,
             }
         }
     }
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -7,11 +7,11 @@
 use minicbor::{Decode, Encode};
 use mosshead_consensus::{Ballot, Member, MemberId, Message, Record, State, Version};
 use mosshead_programs::calls::{
-    CompareHeartbeats, ConfigUpdate, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates,
-    WatchUpdates,
+    CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
-use mosshead_programs::config_transfer::ChunkRequest;
+use mosshead_programs::config_transfer::{ChunkRequest, ConfigUpdate};
 use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, Vector};
+use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
 /// Encoded, decoded and encoded again it is the same; cut off or followed by garbage it does no harm.
@@ -98,26 +98,27 @@
 
 quickcheck! {
     fn a_pull(name: String, numbers: (u64, u64, u64), of: Vec<(u64, u64)>, marks: (bool, bool)) -> bool {
-        let (life, revision, wait_ms) = numbers;
-        let (proxy, entries) = marks;
-        round(&WatchUpdates { name, life, proxy, revision, vector: vector(&of), entries, wait_ms })
+        let (incarnation, revision, wait_ms) = numbers;
+        let (is_proxy, wants_entries) = marks;
+        let wait = Duration::from_millis(wait_ms);
+        round(&WatchUpdates { name, incarnation, is_proxy, revision, vector: vector(&of), wants_entries, wait })
     }
 
     fn what_was_pulled(text: String, number: u64, of: Vec<(u64, u64)>, cores: Vec<(u32, u16)>, mark: bool) -> bool {
         round(&Updates {
             revision: number,
             delta: delta(&text, number, &of, mark),
-            behind: mark,
-            cores: cores.into_iter().map(|(at, port)| address(at, port)).collect(),
-            proxies: number as u32,
-            current: !mark,
-            wants: mark,
+            has_newer_entries: mark,
+            control_nodes: cores.into_iter().map(|(at, port)| address(at, port)).collect(),
+            proxy_count: number as u32,
+            has_quorum_contact: !mark,
+            needs_entries: mark,
             source: number,
         })
     }
 
-    fn a_fetch(revision: u64, patches: Vec<String>, whole: Option<String>) -> bool {
-        round(&FetchConfig(ChunkRequest { have: revision, target: revision / 2, offset: revision / 3 })) && round(&ConfigUpdate { revision, patches, whole })
+    fn a_fetch(revision: u64, patches: Vec<String>, full_text: Option<String>) -> bool {
+        round(&FetchConfig(ChunkRequest { base_revision: revision, target_revision: revision / 2, offset: revision / 3 })) && round(&ConfigUpdate { revision, patches, full_text })
     }
 
     fn a_hand_over(text: String, number: u64, of: Vec<(u64, u64)>, mark: bool) -> bool {
@@ -126,7 +127,7 @@
     }
 
     fn which_servers_are_heard(source: u64, digest: Vec<(String, u64)>) -> bool {
-        round(&CompareHeartbeats { source, digest })
+        round(&CompareHeartbeats { source, sequences: digest })
     }
 
     fn a_message_of_the_control_state(number: u64, body: Vec<u8>, mark: bool) -> bool {
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -4,7 +4,7 @@
 
 use mosshead_config::Config;
 use mosshead_control_plane::subscription::{Assembled, assemble};
-use mosshead_programs::calls::ConfigUpdate;
+use mosshead_programs::config_transfer::ConfigUpdate;
 use mosshead_programs::update_watcher::{WATCH_SLOTS, pause};
 use tokio::time::Duration;
 
@@ -22,21 +22,21 @@
 
 /// The configuration that an answer on the wire leads to.
 fn put_together(have: Option<&Config>, fetched: &ConfigUpdate) -> Option<Arc<Config>> {
-    match assemble(have, &fetched.clone().into_offer()) {
+    match assemble(have, &fetched.clone().into()) {
         Assembled::Config(config) => Some(config),
         Assembled::Withheld | Assembled::Misfit => None,
     }
 }
 
 fn patches(revision: u64, patches: Vec<String>) -> ConfigUpdate {
-    ConfigUpdate { revision, patches, whole: None }
+    ConfigUpdate { revision, patches, full_text: None }
 }
 
 #[test]
 fn the_whole_is_taken_whatever_was_there() {
     let [first, second, third] = three();
-    let whole = Some(third.json().to_string());
-    let fetched = ConfigUpdate { revision: 12, patches: Vec::new(), whole };
+    let full_text = Some(third.json().to_string());
+    let fetched = ConfigUpdate { revision: 12, patches: Vec::new(), full_text };
     for have in [None, Some(&first), Some(&second)] {
         let config = put_together(have, &fetched).expect("whole");
         assert_eq!((config.revision, config.json()), (12, third.json()));
@@ -83,7 +83,7 @@
 fn a_whole_that_is_no_configuration_gives_nothing() {
     let [first, ..] = three();
     for text in ["", "{}x", "[]", "{\"revision\":"] {
-        let fetched = ConfigUpdate { revision: 9, patches: Vec::new(), whole: Some(text.into()) };
+        let fetched = ConfigUpdate { revision: 9, patches: Vec::new(), full_text: Some(text.into()) };
         assert!(put_together(Some(&first), &fetched).is_none(), "{text}");
     }
 }
