--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -7,7 +7,7 @@
 use mosshead_programs::calls::{CompareHeartbeats, ReplicateAck, ReplicateEntries, Updates, WatchUpdates};
 use mosshead_programs::control_api;
 use mosshead_programs::update_watcher::WATCH_SLOTS;
-use mosshead_registry::{Delta, Registry, SourceId, Vector};
+use mosshead_registry::{Delta, Registry, SourceId, VersionVector};
 
 use crate::counter::{Counter, encoded};
 use crate::memory;
@@ -66,7 +66,7 @@
     /// In and out; the time only of those with a register.
     pub counter: Counter,
     pub(crate) register: Option<Registry>,
-    pub(crate) vector: Vector,
+    pub(crate) vector: VersionVector,
 }
 
 /// Bounds of one run.
@@ -161,11 +161,11 @@
         let vector = self.cores.first().map(|core| core.register.vector()).unwrap_or_default();
         for at in 0..size.pullers {
             let register = (at < size.real).then(|| {
-                let mut register = Registry::follower(SourceId(1 + at as u64), KEEPALIVE);
-                let mut have = Vector::default();
+                let mut register = Registry::read_replica(SourceId(1 + at as u64), KEEPALIVE);
+                let mut have = VersionVector::default();
                 while let Some(core) = self.cores.first() {
-                    let delta = core.register.lacking(&have, PAGE);
-                    let (more, bytes) = (delta.more, encoded(&ReplicateEntries { delta }));
+                    let delta = core.register.missing_entries(&have, PAGE);
+                    let (more, bytes) = (delta.is_truncated, encoded(&ReplicateEntries { delta }));
                     if at == 0 {
                         self.list_bytes += bytes.len() as u64;
                     }
@@ -308,9 +308,9 @@
         let register = &mut core.register;
         let heard = core.counter.time(|| {
             let server = control_api::beat(&id, body.as_bytes());
-            server.map(|server| register.beat(now, server)).unwrap_or_default()
+            server.map(|server| register.record_heartbeat(now, server)).unwrap_or_default()
         });
-        self.heard(home, heard.changed, heard.urgent);
+        self.heard(home, heard.changed, heard.needs_replication);
     }
 
     fn deregister(&mut self, at: usize) {
@@ -321,7 +321,7 @@
         core.counter.count(2);
         let register = &mut core.register;
         let heard = core.counter.time(|| register.deregister(now, &id));
-        self.heard(home, heard.changed, heard.urgent);
+        self.heard(home, heard.changed, heard.needs_replication);
     }
 
     fn heard(&mut self, home: usize, changed: bool, urgent: bool) {
@@ -340,24 +340,24 @@
         let (register, counter) = (&mut core.register, &mut core.counter);
         let bytes = counter.time(|| {
             let mut vector = register.vector();
-            vector.0.insert(register.me(), register.version().saturating_sub(64));
-            encoded(&ReplicateEntries { delta: register.lacking(&vector, 128) })
+            vector.0.insert(register.local_id(), register.version().saturating_sub(64));
+            encoded(&ReplicateEntries { delta: register.missing_entries(&vector, 128) })
         });
-        let shown = Vector([(register.me(), register.version())].into());
-        register.held(&shown);
+        let shown = VersionVector([(register.local_id(), register.version())].into());
+        register.mark_replicated(&shown);
         self.take(from, to, &bytes);
     }
 
     fn hand_all(&mut self, from: usize, to: usize) {
         let Some(core) = self.cores.get(from) else { return };
-        let mine = |entry: &&mosshead_registry::Entry| entry.source == core.register.me();
+        let mine = |entry: &&mosshead_registry::Entry| entry.source == core.register.local_id();
         let entries = core.register.entries().filter(mine).cloned().collect();
-        let vector = Vector([(core.register.me(), core.register.version())].into());
-        let delta = Delta { entries, vector: vector.clone(), more: true, ..Delta::default() };
+        let vector = VersionVector([(core.register.local_id(), core.register.version())].into());
+        let delta = Delta { entries, vector: vector.clone(), is_truncated: true, ..Delta::default() };
         let bytes = encoded(&ReplicateEntries { delta });
         self.take(from, to, &bytes);
         if let Some(core) = self.cores.get_mut(from) {
-            core.register.held(&vector);
+            core.register.mark_replicated(&vector);
         }
     }
 
@@ -385,10 +385,10 @@
 
     fn tell_heard(&mut self, at: usize) {
         let now = self.now;
-        let answer = encoded(&ReplicateAck { changed: false, vector: Vector::default() }).len() as u64;
+        let answer = encoded(&ReplicateAck { changed: false, vector: VersionVector::default() }).len() as u64;
         let Some(core) = self.cores.get_mut(at) else { return };
-        let (register, source) = (&core.register, core.register.me());
-        let digest = core.counter.time(|| register.alive(now.saturating_sub(1200)));
+        let (register, source) = (&core.register, core.register.local_id());
+        let digest = core.counter.time(|| register.heartbeats_since(now.saturating_sub(1200)));
         let call = CompareHeartbeats { source: source.0, sequences: digest };
         for to in (0..self.cores.len()).filter(|to| *to != at) {
             let Some(core) = self.cores.get_mut(at) else { return };
@@ -402,7 +402,7 @@
             core.counter.time(|| {
                 if let Ok(hears) = minicbor::decode::<CompareHeartbeats>(&bytes) {
                     let digest = hears.sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                    register.heard_by(now, source, digest);
+                    register.record_remote_heartbeats(now, source, digest);
                 }
             });
         }
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -21,7 +21,7 @@
         let mut register = Registry::new(SourceId(1), KEEPALIVE);
         for at in 0..size {
             let beat = control_api::beat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
-            beat.map(|server| register.beat(1, server));
+            beat.map(|server| register.record_heartbeat(1, server));
         }
         let weights = RoutingWeights::new(RetryBudgetLimits {
             retry_ratio: 0.2,
--- a/crates/capacity-bench/src/pulls.rs
+++ b/crates/capacity-bench/src/pulls.rs
@@ -34,10 +34,10 @@
         let core = self.cores.get_mut(at)?;
         let (register, call) = (&core.register, &core.open.get(&id)?.call);
         Some(core.counter.time(|| {
-            let all = register.lacking(&call.vector, PAGE);
+            let all = register.missing_entries(&call.vector, PAGE);
             let behind = !all.entries.is_empty();
             let delta = if call.wants_entries { all } else { Delta::default() };
-            let source = register.me().0;
+            let source = register.local_id().0;
             Updates {
                 revision: 9,
                 delta,
@@ -83,7 +83,7 @@
         let register = &core.register;
         let bytes = core.counter.time(|| {
             let (name, vector) = (format!("core-{}-{at}", at % REGIONS), register.vector());
-            let life = register.me().0;
+            let life = register.local_id().0;
             let (revision, wait) = (u64::MAX, Duration::from_millis(WAIT));
             encoded(&WatchUpdates {
                 name,
@@ -107,7 +107,7 @@
         core.counter.count(bytes.len() as u64);
         let Ok(call) = core.counter.time(|| minicbor::decode::<WatchUpdates>(bytes)) else { return };
         if !call.is_proxy {
-            core.register.held(&call.vector);
+            core.register.mark_replicated(&call.vector);
         }
         let wait = call.wait.as_millis() as u64;
         core.open.insert(id, Open { asker, call });
@@ -150,7 +150,7 @@
                 let source = SourceId(answer.source);
                 let changed = core.counter.time(|| {
                     let changed = register.merge(now, answer.delta);
-                    register.contact(now, source);
+                    register.record_contact(now, source);
                     changed
                 });
                 if changed {
@@ -188,7 +188,7 @@
         }
         for (&source, &version) in &delta.vector.0 {
             let have = self.vector.get(source);
-            if have >= delta.since.get(source) && version > have {
+            if have >= delta.base.get(source) && version > have {
                 self.vector.0.insert(source, version);
             }
         }
--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -6,7 +6,7 @@
 use core::net::SocketAddrV4;
 use std::collections::BTreeSet;
 
-use mosshead_registry::{Delta, Entry, Heard, OperState, Registry, SourceId, Vector};
+use mosshead_registry::{Delta, Entry, HeartbeatOutcome, OperState, Registry, SourceId, VersionVector};
 
 use crate::{Contact, InjectedFault};
 
@@ -34,7 +34,7 @@
     }
 
     /// Whether whoever shows this vector has the entry, or one that holds against it.
-    pub fn is_covered_by(&self, vector: &Vector) -> bool {
+    pub fn is_covered_by(&self, vector: &VersionVector) -> bool {
         vector.get(self.source) >= self.version
     }
 }
@@ -96,7 +96,7 @@
     }
 
     /// A machine has answered with its vector, or not at all.
-    pub fn answered(&mut self, from: SocketAddrV4, shown: Option<&Vector>) {
+    pub fn answered(&mut self, from: SocketAddrV4, shown: Option<&VersionVector>) {
         let covers = shown.is_some_and(|vector| self.entry.is_covered_by(vector));
         if self.open.remove(&from) && covers {
             self.holders.insert(from);
@@ -152,14 +152,14 @@
         &self,
         register: &Registry,
         id: &str,
-        heard: &Heard,
+        heard: &HeartbeatOutcome,
         contact: Contact,
         membership: &Membership,
     ) -> Start {
         let Some(entry) = register.entry(id).and_then(EntryNumber::of_leaving) else {
             return Start::Acknowledge;
         };
-        if has(self.injected, InjectedFault::AcknowledgeRepeats) && !heard.urgent {
+        if has(self.injected, InjectedFault::AcknowledgeRepeats) && !heard.needs_replication {
             return Start::Acknowledge;
         }
         if self.entries.contains(&entry) {
@@ -180,8 +180,8 @@
 /// The latest entries that a register has made itself: the first copy that another machine is given.
 pub fn latest_entries(register: &Registry) -> Delta {
     let mut vector = register.vector();
-    vector.0.insert(register.me(), register.version().saturating_sub(LATEST_VERSIONS));
-    register.lacking(&vector, MOST_LATEST)
+    vector.0.insert(register.local_id(), register.version().saturating_sub(LATEST_VERSIONS));
+    register.missing_entries(&vector, MOST_LATEST)
 }
 
 fn has(injected: Option<InjectedFault>, fault: InjectedFault) -> bool {
--- a/crates/control-plane/tests/acknowledgement.rs
+++ b/crates/control-plane/tests/acknowledgement.rs
@@ -6,7 +6,7 @@
     Acknowledgements, CopyCollection, Decision, EntryNumber, Membership, Start, latest_entries,
 };
 use mosshead_control_plane::{Contact, InjectedFault};
-use mosshead_registry::{Heard, OperState, Registry, Server, SourceId, Vector};
+use mosshead_registry::{HeartbeatOutcome, OperState, Registry, Server, SourceId, VersionVector};
 use quickcheck::quickcheck;
 
 const ID: &str = "i-1";
@@ -26,10 +26,10 @@
         service: "s".into(),
         address: address(99),
         zone: "z".into(),
-        software: "v1".into(),
+        software_revision: "v1".into(),
         slots: 8,
         state,
-        silent: false,
+        is_suspected: false,
         warmup_left_ms: 0,
         stage: None,
         models: Vec::new(),
@@ -38,17 +38,17 @@
 }
 
 /// A register that has heard the server leave, and what came of it.
-fn draining() -> (Registry, Heard) {
+fn draining() -> (Registry, HeartbeatOutcome) {
     let mut register = Registry::new(SourceId(1), 500);
-    register.beat(0, server(OperState::Up, 1));
-    let heard = register.beat(10, server(OperState::Draining, 2));
+    register.record_heartbeat(0, server(OperState::Up, 1));
+    let heard = register.record_heartbeat(10, server(OperState::Draining, 2));
     (register, heard)
 }
 
 fn start(
     acknowledgements: &Acknowledgements,
     register: &Registry,
-    heard: &Heard,
+    heard: &HeartbeatOutcome,
     contact: Contact,
     membership: &Membership,
 ) -> Start {
@@ -64,7 +64,7 @@
     }
 }
 
-fn has_it() -> Vector {
+fn has_it() -> VersionVector {
     let (register, _) = draining();
     register.vector()
 }
@@ -72,7 +72,7 @@
 #[test]
 fn a_server_that_stays_is_acknowledged_at_once() {
     let mut register = Registry::new(SourceId(1), 500);
-    let heard = register.beat(0, server(OperState::Up, 1));
+    let heard = register.record_heartbeat(0, server(OperState::Up, 1));
     let started =
         start(&Acknowledgements::default(), &register, &heard, Contact::OutOfTouch, &membership(3, 1));
     assert!(matches!(started, Start::Acknowledge), "{started:?}");
@@ -85,7 +85,7 @@
     copies.answered(address(2), Some(&has_it()));
     assert_eq!(copies.decision(Contact::InTouch), Decision::Wait);
     copies.answered(address(3), None);
-    copies.answered(address(4), Some(&Vector::default()));
+    copies.answered(address(4), Some(&VersionVector::default()));
     assert_eq!(copies.decision(Contact::InTouch), Decision::Wait);
     copies.answered(address(5), Some(&has_it()));
     assert_eq!(copies.decision(Contact::InTouch), Decision::Acknowledge);
@@ -136,16 +136,16 @@
 #[test]
 fn a_repeat_needs_the_same_copies() {
     let (mut register, _) = draining();
-    register.held(&has_it());
-    let again = register.beat(20, server(OperState::Draining, 3));
-    assert!(!again.urgent);
+    register.mark_replicated(&has_it());
+    let again = register.record_heartbeat(20, server(OperState::Draining, 3));
+    assert!(!again.needs_replication);
     let members = membership(5, 2);
     let started = start(&Acknowledgements::default(), &register, &again, Contact::InTouch, &members);
     assert!(matches!(started, Start::Collect(_)), "{started:?}");
 
     let mut other = Registry::new(SourceId(2), 500);
     other.merge(20, latest_entries(&register));
-    let heard = other.beat(30, server(OperState::Draining, 4));
+    let heard = other.record_heartbeat(30, server(OperState::Draining, 4));
     let there = Membership { me: address(2), ..members };
     let started = start(&Acknowledgements::default(), &other, &heard, Contact::InTouch, &there);
     assert!(matches!(started, Start::Collect(_)), "{started:?}");
@@ -190,8 +190,8 @@
     untouched.answered(address(3), Some(&has_it()));
     assert_eq!(untouched.decision(Contact::OutOfTouch), Decision::Acknowledge);
     let (mut register, _) = draining();
-    register.held(&has_it());
-    let again = register.beat(20, server(OperState::Draining, 3));
+    register.mark_replicated(&has_it());
+    let again = register.record_heartbeat(20, server(OperState::Draining, 3));
     let repeats = Acknowledgements::with_fault(Some(InjectedFault::AcknowledgeRepeats));
     let started = start(&repeats, &register, &again, Contact::OutOfTouch, &membership(5, 2));
     assert!(matches!(started, Start::Acknowledge), "{started:?}");
--- a/crates/control-plane/tests/fleet/control.rs
+++ b/crates/control-plane/tests/fleet/control.rs
@@ -12,7 +12,7 @@
 };
 use mosshead_control_plane::serving::ConfigHistory;
 use mosshead_control_plane::{Contact, InjectedFault};
-use mosshead_registry::{Heard, Registry, SourceId, Vector};
+use mosshead_registry::{HeartbeatOutcome, Registry, SourceId, VersionVector};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -225,8 +225,8 @@
     fn tell_heard(&mut self, core: usize, now: u64) {
         let Some(process) = &mut self.cores[core].process else { return };
         process.register.tick(now);
-        let digest = process.register.alive(now.saturating_sub(1_500));
-        let source = process.register.me().0;
+        let digest = process.register.heartbeats_since(now.saturating_sub(1_500));
+        let source = process.register.local_id().0;
         for other in self.others(core) {
             let call = Call::Hears { source, digest: digest.clone() };
             self.request(Party::Control(core), Party::Control(other), call, Purpose::Nothing, COPY_MS);
@@ -314,7 +314,7 @@
                 let now = self.now;
                 let Some(process) = &mut self.cores[core].process else { return };
                 let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                process.register.heard_by(now, SourceId(source), digest);
+                process.register.record_remote_heartbeats(now, SourceId(source), digest);
             }
             Call::Change { change } => self.admit(core, inbound, change),
             Call::Show => self.show(core, inbound),
@@ -322,7 +322,7 @@
                 let now = self.now;
                 let Some(process) = &mut self.cores[core].process else { return };
                 let id = server.id.clone();
-                let heard = process.register.beat(now, server);
+                let heard = process.register.record_heartbeat(now, server);
                 self.heard(core, inbound, &id, heard);
             }
             Call::Deregister { id } => {
@@ -335,20 +335,20 @@
         }
     }
 
-    fn serve_pull(&mut self, core: usize, inbound: Inbound, vector: &Vector, is_proxy: bool) {
+    fn serve_pull(&mut self, core: usize, inbound: Inbound, vector: &VersionVector, is_proxy: bool) {
         let now = self.now;
         let cores: Vec<SocketAddrV4> =
             self.standing().into_iter().map(|core| self.cores[core].address).collect();
         let Some(process) = &mut self.cores[core].process else { return };
         if !is_proxy {
-            process.register.held(vector);
+            process.register.mark_replicated(vector);
         }
         let contact = process.contact(now);
         let is_new = now < process.started + NEW_MS;
-        let lacks = process.register.unknown(vector) || process.register.behind(vector);
+        let lacks = process.register.has_unknown_source(vector) || process.register.is_behind(vector);
         let answer = Pulled {
             revision: process.history.advertised_revision(contact),
-            delta: process.register.lacking(vector, PAGE),
+            delta: process.register.missing_entries(vector, PAGE),
             cores,
             contact,
             wants: is_new && lacks,
@@ -440,10 +440,10 @@
         }
     }
 
-    fn heard(&mut self, core: usize, inbound: Inbound, id: &str, heard: Heard) {
+    fn heard(&mut self, core: usize, inbound: Inbound, id: &str, heard: HeartbeatOutcome) {
         let (now, failures) = (self.now, self.failures);
         let Some(process) = &mut self.cores[core].process else { return };
-        if heard.refused.is_some() {
+        if heard.error.is_some() {
             return self.reply_heard(core, inbound, false);
         }
         let (contact, membership) = (process.contact(now), process.membership(failures));
@@ -464,11 +464,11 @@
     }
 
     /// Sends a copy: the latest entries, or what the other lacks after these.
-    fn copy(&mut self, core: usize, collection: u64, other: SocketAddrV4, shown: Option<&Vector>) {
+    fn copy(&mut self, core: usize, collection: u64, other: SocketAddrV4, shown: Option<&VersionVector>) {
         let Some(process) = &self.cores[core].process else { return };
         let delta = match shown {
             None => latest_entries(&process.register),
-            Some(shown) => process.register.lacking(shown, PAGE),
+            Some(shown) => process.register.missing_entries(shown, PAGE),
         };
         let purpose = Purpose::Copy { collection, other, again: shown.is_some() };
         if let Some(to) = self.core_at(other) {
@@ -521,7 +521,7 @@
                     && let Some(to) = self.core_at(other)
                 {
                     let Some(process) = &self.cores[core].process else { return };
-                    let delta = process.register.lacking(&Vector::default(), 5_000);
+                    let delta = process.register.missing_entries(&VersionVector::default(), 5_000);
                     let call = Call::Hand { delta };
                     self.request(Party::Control(core), Party::Control(to), call, Purpose::Nothing, CALL_MS);
                 }
@@ -538,7 +538,7 @@
             _ => None,
         };
         if let Some(shown) = &shown {
-            process.register.held(shown);
+            process.register.mark_replicated(shown);
         }
         let Some(collection) = process.collections.get_mut(&number) else { return };
         let lacks = shown.as_ref().is_some_and(|shown| !collection.copies.entry().is_covered_by(shown));
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -6,7 +6,7 @@
 use mosshead_control_plane::Contact;
 use mosshead_control_plane::admission::{ChangeAnswer, ReadAnswer};
 use mosshead_control_plane::serving::ConfigOffer;
-use mosshead_registry::{Delta, Server, Stage, Vector};
+use mosshead_registry::{Delta, Server, Stage, VersionVector};
 use mosshead_stage_scheduler::Answer as OrderAnswer;
 
 /// Who sends and receives.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub enum Call {
     Pull {
-        vector: Vector,
+        vector: VersionVector,
         is_proxy: bool,
     },
     Fetch {
@@ -68,7 +68,7 @@
 pub enum Answer {
     Pulled(Pulled),
     Fetched(Fetched),
-    Handed(Vector),
+    Handed(VersionVector),
     Changed(ChangeAnswer),
     Shown(ReadAnswer),
     Heard(Heard),
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -5,7 +5,7 @@
 
 use mosshead_config::Config;
 use mosshead_control_plane::subscription::{Assembled, Session, Subscription, assemble};
-use mosshead_registry::{Registry, SourceId, Vector};
+use mosshead_registry::{Registry, SourceId, VersionVector};
 use rand_core::RngCore;
 
 use crate::control::KEEPALIVE_MS;
@@ -41,7 +41,7 @@
         self.proxies.push(Proxy {
             life: 0,
             config: None,
-            register: Registry::follower(source, KEEPALIVE_MS),
+            register: Registry::read_replica(source, KEEPALIVE_MS),
             subscription: Subscription::default(),
             slots: Default::default(),
             is_fetching: false,
@@ -59,7 +59,7 @@
         let proxy = &mut self.proxies[index];
         proxy.life += 1;
         proxy.config = None;
-        proxy.register = Registry::follower(source, KEEPALIVE_MS);
+        proxy.register = Registry::read_replica(source, KEEPALIVE_MS);
         proxy.subscription = Subscription::new(seeds).with_fault(injected);
         proxy.slots = Default::default();
         proxy.is_fetching = false;
@@ -137,7 +137,7 @@
         let life = proxy.life;
         let fetches = wants && !proxy.is_fetching;
         if pulled.wants {
-            let delta = proxy.register.lacking(&Vector::default(), HAND_PAGE);
+            let delta = proxy.register.missing_entries(&VersionVector::default(), HAND_PAGE);
             self.proxy_request(index, core, Call::Hand { delta }, Purpose::Nothing, PULL_MS);
         }
         if fetches {
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -50,10 +50,10 @@
             service: "s".into(),
             address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, server as u8 + 1), 8080),
             zone: "z".into(),
-            software: "v1".into(),
+            software_revision: "v1".into(),
             slots: 8,
             state: OperState::Up,
-            silent: false,
+            is_suspected: false,
             warmup_left_ms: 0,
             stage: Some(if server.is_multiple_of(3) { Stage::Prefill } else { Stage::Decode }),
             models: Vec::new(),
@@ -234,7 +234,7 @@
         };
         let cores = self.cores.iter().filter_map(|core| core.process.as_ref());
         let cores: Vec<_> =
-            cores.map(|p| (p.register.me(), entry(&p.register), p.register.vector())).collect();
+            cores.map(|p| (p.register.local_id(), entry(&p.register), p.register.vector())).collect();
         let proxies: Vec<_> =
             self.proxies.iter().map(|p| (entry(&p.register), p.register.vector())).collect();
         format!("{cores:#?}\n{proxies:#?}")
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -6,7 +6,7 @@
 
 use minicbor::{Decode, Encode};
 use mosshead_consensus::{Member, Message};
-use mosshead_registry::{Delta, Vector};
+use mosshead_registry::{Delta, VersionVector};
 use mosshead_rpc::{Call, RetryPolicy};
 use mosshead_time::Duration;
 
@@ -31,7 +31,7 @@
     pub revision: u64,
     /// The registry entries that the caller has.
     #[n(4)]
-    pub vector: Vector,
+    pub vector: VersionVector,
     /// Whether the response is to carry entries, and not only whether there are newer ones.
     #[n(5)]
     pub wants_entries: bool,
@@ -103,7 +103,7 @@
     pub changed: bool,
     /// The entries that the receiver has now.
     #[n(1)]
-    pub vector: Vector,
+    pub vector: VersionVector,
 }
 
 impl Call for ReplicateEntries {
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -18,7 +18,7 @@
 use mosshead_control_plane::admission::{Leader, Submission};
 use mosshead_control_plane::serving::ConfigHistory;
 use mosshead_record_log::LogWriter;
-use mosshead_registry::{Registry, Vector};
+use mosshead_registry::{Registry, VersionVector};
 use mosshead_rpc::Caller;
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::{oneshot, watch};
@@ -41,7 +41,7 @@
     keeper: RefCell<Option<LogWriter>>,
     /// The register on disk, and how far it has got there.
     register_keeper: RefCell<Option<LogWriter>>,
-    register_kept: RefCell<Vector>,
+    register_kept: RefCell<VersionVector>,
     register: RefCell<Registry>,
     caller: Caller,
     asks: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -9,7 +9,7 @@
 use mosshead_consensus::{Input, LEAVE_WITHIN, Node, Settings as NodeSettings, Timings};
 use mosshead_membership::{Membership, Settings as MembershipSettings};
 use mosshead_record_log::{DurableLog, LogWriter, RecordLog, WriteCompletion};
-use mosshead_registry::{Registry, SourceId, Vector};
+use mosshead_registry::{Registry, SourceId, VersionVector};
 use mosshead_rpc::{Caller, Handlers};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -93,8 +93,8 @@
         })
         .with_handler::<CompareHeartbeats>(async move |call, _| {
             let digest = call.sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-            hears.register.borrow_mut().heard_by(hears.now(), SourceId(call.source), digest);
-            Ok(ReplicateAck { changed: false, vector: Vector::default() })
+            hears.register.borrow_mut().record_remote_heartbeats(hears.now(), SourceId(call.source), digest);
+            Ok(ReplicateAck { changed: false, vector: VersionVector::default() })
         })
         .with_handler::<ConsensusMessage>(async move |call, _| {
             epoch.step(Input::Message { from: call.from, message: call.message });
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -8,7 +8,7 @@
     CopyCollection, Decision, EntryNumber, Membership, Start, latest_entries,
 };
 use mosshead_record_log::LogWriter;
-use mosshead_registry::{Delta, Heard, Server, SourceId, Vector};
+use mosshead_registry::{Delta, HeartbeatOutcome, Server, SourceId, VersionVector};
 use mosshead_stage_scheduler::{Order, StageScheduler};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep};
@@ -41,7 +41,7 @@
     /// A server's heartbeat. Whether it may be acknowledged.
     pub async fn beat(self: &Rc<Self>, server: Server) -> bool {
         let id = server.id.clone();
-        let heard = self.register.borrow_mut().beat(self.now(), server);
+        let heard = self.register.borrow_mut().record_heartbeat(self.now(), server);
         self.heard(&id, heard).await
     }
 
@@ -51,8 +51,8 @@
         self.heard(id, heard).await
     }
 
-    async fn heard(self: &Rc<Self>, id: &str, heard: Heard) -> bool {
-        if let Some(fault) = heard.refused {
+    async fn heard(self: &Rc<Self>, id: &str, heard: HeartbeatOutcome) -> bool {
+        if let Some(fault) = heard.error {
             spdlog::warn!("registry: a server's word was not taken: {} {fault}.", fault.code());
             return false;
         }
@@ -66,7 +66,7 @@
         }
     }
 
-    fn start_acknowledgement(&self, id: &str, heard: &Heard) -> Start {
+    fn start_acknowledgement(&self, id: &str, heard: &HeartbeatOutcome) -> Start {
         let (contact, membership) = (self.contact(), self.membership());
         let register = self.register.borrow();
         self.acknowledgements.borrow().start(&register, id, heard, contact, &membership)
@@ -99,20 +99,20 @@
     }
 
     /// Gives another machine an entry. What it has seen then, if it answered.
-    async fn copy_to(self: &Rc<Self>, other: SocketAddrV4, entry: EntryNumber) -> Option<Vector> {
+    async fn copy_to(self: &Rc<Self>, other: SocketAddrV4, entry: EntryNumber) -> Option<VersionVector> {
         let latest = latest_entries(&self.register.borrow());
         let shown = self.hand_to(other, latest).await?;
         if entry.is_covered_by(&shown) {
             return Some(shown);
         }
         // The entry is another source's, or there was a gap before it.
-        let lacking = self.register.borrow().lacking(&shown, PAGE);
+        let lacking = self.register.borrow().missing_entries(&shown, PAGE);
         self.hand_to(other, lacking).await
     }
 
-    async fn hand_to(self: &Rc<Self>, other: SocketAddrV4, delta: Delta) -> Option<Vector> {
+    async fn hand_to(self: &Rc<Self>, other: SocketAddrV4, delta: Delta) -> Option<VersionVector> {
         let handed = self.caller.call(other, &ReplicateEntries { delta }, URGENT).await.ok()?;
-        self.register.borrow_mut().held(&handed.vector);
+        self.register.borrow_mut().mark_replicated(&handed.vector);
         Some(handed.vector)
     }
 
@@ -152,9 +152,9 @@
                 Ok(pulled) => {
                     failures = 0;
                     self.hand(pulled.delta);
-                    self.register.borrow_mut().contact(self.now(), SourceId(pulled.source));
+                    self.register.borrow_mut().record_contact(self.now(), SourceId(pulled.source));
                     if pulled.needs_entries {
-                        let delta = self.register.borrow().lacking(&Vector::default(), 5000);
+                        let delta = self.register.borrow().missing_entries(&VersionVector::default(), 5000);
                         let _ = self
                             .caller
                             .call(other, &ReplicateEntries { delta }, SendQueue::Small.deadline())
@@ -177,7 +177,7 @@
     pub(super) async fn tell_heard(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(500)).await;
-            let digest = self.register.borrow().alive(self.now().saturating_sub(1500));
+            let digest = self.register.borrow().heartbeats_since(self.now().saturating_sub(1500));
             let call = CompareHeartbeats { source: self.life, sequences: digest };
             for other in self.others() {
                 let (core, call) = (self.clone(), call.clone());
@@ -197,7 +197,7 @@
         let Some(keeper) = keeper.as_ref() else { return };
         let register = self.register.borrow();
         if keeper.length() > REGISTER_LONG {
-            let whole = register.lacking(&Vector::default(), ALL);
+            let whole = register.missing_entries(&VersionVector::default(), ALL);
             if let Ok(record) = minicbor::to_vec(&whole)
                 && keeper.rewrite(0, vec![record]).is_ok()
             {
@@ -205,7 +205,7 @@
             }
             return;
         }
-        let delta = register.lacking(&self.register_kept.borrow(), PAGE);
+        let delta = register.missing_entries(&self.register_kept.borrow(), PAGE);
         if delta.is_empty() {
             return;
         }
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -78,7 +78,7 @@
         if call.is_proxy {
             self.askers.borrow_mut().insert(call.name.clone(), Instant::now());
         } else {
-            self.register.borrow_mut().held(&call.vector);
+            self.register.borrow_mut().mark_replicated(&call.vector);
         }
         let until = Instant::now() + call.wait.min(Duration::from_millis(2000));
         let mut news = self.news.subscribe();
@@ -99,11 +99,11 @@
 
     pub(super) fn answer(&self, call: &WatchUpdates) -> Updates {
         let register = self.register.borrow();
-        let all = register.lacking(&call.vector, PAGE);
+        let all = register.missing_entries(&call.vector, PAGE);
         let behind = !all.entries.is_empty();
         let delta = if call.wants_entries { all } else { Delta::default() };
-        let wants =
-            self.start.elapsed() < NEW && (register.unknown(&call.vector) || register.behind(&call.vector));
+        let wants = self.start.elapsed() < NEW
+            && (register.has_unknown_source(&call.vector) || register.is_behind(&call.vector));
         drop(register);
         let contact = self.contact();
         let revision = self.history.borrow().advertised_revision(contact);
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -92,7 +92,7 @@
     let mut rng = Pcg64Mcg::from_os_rng();
     let life: u64 = rng.random();
     let data_plane = DataPlane::new(routing_weights(&settings), &settings.zone, rng.random());
-    let register = Rc::new(RefCell::new(Registry::follower(SourceId(life), settings.keepalive_ms)));
+    let register = Rc::new(RefCell::new(Registry::read_replica(SourceId(life), settings.keepalive_ms)));
     let peer = peer(&settings, life, false);
     let membership = MembershipSettings { fleet: FLEET, ..MembershipSettings::default() };
     let membership =
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -8,7 +8,7 @@
 use mosshead_config::Config;
 use mosshead_control_plane::Contact;
 use mosshead_control_plane::subscription::{Assembled, Session, Subscription, assemble};
-use mosshead_registry::{Registry, Vector};
+use mosshead_registry::{Registry, VersionVector};
 use mosshead_rpc::Caller;
 use tokio::time::{Duration, Instant, sleep};
 
@@ -170,10 +170,10 @@
 
     /// Hands over all that is known of the register to a machine that has lost its memory.
     async fn hand(self: &Rc<Self>, core: SocketAddrV4) {
-        let mut from = Vector::default();
+        let mut from = VersionVector::default();
         for _ in 0..64 {
-            let delta = self.register.borrow().lacking(&from, PAGE);
-            let (more, vector) = (delta.more, delta.vector.clone());
+            let delta = self.register.borrow().missing_entries(&from, PAGE);
+            let (more, vector) = (delta.is_truncated, delta.vector.clone());
             if self.caller.call(core, &ReplicateEntries { delta }, GRACE).await.is_err() || !more {
                 return;
             }
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -10,7 +10,7 @@
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
 use mosshead_programs::config_transfer::{ChunkRequest, ConfigUpdate};
-use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, Vector};
+use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
@@ -29,8 +29,10 @@
     SocketAddrV4::new(Ipv4Addr::from(at), port)
 }
 
-fn vector(of: &[(u64, u64)]) -> Vector {
-    Vector(of.iter().map(|(source, version)| (SourceId(*source), *version)).collect::<BTreeMap<_, _>>())
+fn vector(of: &[(u64, u64)]) -> VersionVector {
+    VersionVector(
+        of.iter().map(|(source, version)| (SourceId(*source), *version)).collect::<BTreeMap<_, _>>(),
+    )
 }
 
 fn delta(text: &str, number: u64, of: &[(u64, u64)], mark: bool) -> Delta {
@@ -39,10 +41,10 @@
         service: format!("{text}-service"),
         address: address(number as u32, number as u16),
         zone: "here".into(),
-        software: String::new(),
+        software_revision: String::new(),
         slots: number as u32,
         state,
-        silent: mark,
+        is_suspected: mark,
         warmup_left_ms: number,
         stage,
         models: vec![Model {
@@ -55,7 +57,7 @@
     let kinds = [
         (OperState::Up, Some(Stage::Prefill)),
         (OperState::Draining, Some(Stage::Decode)),
-        (OperState::Gone, None),
+        (OperState::Removed, None),
     ];
     let entries = kinds.map(|(state, stage)| Entry {
         server: server(state, stage),
@@ -64,9 +66,9 @@
     });
     Delta {
         entries: entries.to_vec(),
-        since: vector(of),
+        base: vector(of),
         vector: vector(of),
-        more: mark,
+        is_truncated: mark,
         fingerprint: number,
     }
 }
--- a/crates/registry/src/delta.rs
+++ b/crates/registry/src/delta.rs
@@ -4,7 +4,7 @@
 
 use minicbor::{Decode, Encode};
 
-use crate::{Server, SourceId, Vector};
+use crate::{Server, SourceId, VersionVector};
 
 /// A server as one source has numbered it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -30,7 +30,7 @@
     /// A tombstone holds no models.
     // Danger: to be done before entries are compared, or the form that is held loses against the one given.
     pub(crate) fn strip(&mut self) {
-        if self.server.is_gone() {
+        if self.server.is_removed() {
             self.server.models = Vec::new();
         }
     }
@@ -41,11 +41,11 @@
         let (a, b) = (&self.server, &other.server);
         (a.sequence.cmp(&b.sequence))
             .then_with(|| a.state.cmp(&b.state))
-            .then_with(|| a.silent.cmp(&b.silent))
+            .then_with(|| a.is_suspected.cmp(&b.is_suspected))
             .then_with(|| a.service.cmp(&b.service))
             .then_with(|| a.address.cmp(&b.address))
             .then_with(|| a.zone.cmp(&b.zone))
-            .then_with(|| a.software.cmp(&b.software))
+            .then_with(|| a.software_revision.cmp(&b.software_revision))
             .then_with(|| a.slots.cmp(&b.slots))
             .then_with(|| a.stage.cmp(&b.stage))
             .then_with(|| a.models.cmp(&b.models))
@@ -80,13 +80,13 @@
     /// The vector that was shown: the delta covers what lies between it and `vector`. A process that has seen
     /// less takes the entries and claims nothing.
     #[n(1)]
-    pub since: Vector,
+    pub base: VersionVector,
     /// What the puller has seen after it took the entries in.
     #[n(2)]
-    pub vector: Vector,
+    pub vector: VersionVector,
     /// The delta was cut; ask again.
     #[n(3)]
-    pub more: bool,
+    pub is_truncated: bool,
     /// Of the giver's whole register. Who has seen the same and has another forgets its vector and asks again.
     #[n(4)]
     pub fingerprint: u64,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,7 +1,7 @@
 //! The register of servers: sources, versions, and what a puller lacks.
 //!
 //! Every core process is a *source* with a random [`SourceId`] for its life. It numbers the changes of what it
-//! heard; a beat that says nothing new makes no number. A puller shows a version [`Vector`] and is given the
+//! heard; a beat that says nothing new makes no number. A puller shows a version [`VersionVector`] and is given the
 //! entries above it as a [`Delta`]. Entries are joined by one total order (see [`Entry::supersedes`]), so that
 //! all processes come to the same register whatever the order in which deltas arrive.
 //!
@@ -16,7 +16,7 @@
 mod vector;
 
 pub use delta::{Delta, Entry};
-pub use registry::{Heard, MOST_SERVERS, MOST_TOMBSTONES, Registry, TOMBSTONE_MS};
-pub use server::{Fault, Model, OperState, Server, Stage};
+pub use registry::{HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, TOMBSTONE_MS};
+pub use server::{Model, OperState, Server, ServerError, Stage};
 pub use silence::{GONE_MS, LOST_MS};
-pub use vector::{MOST_IN_VECTOR, SourceId, Vector};
+pub use vector::{MAX_VECTOR_SOURCES, SourceId, VersionVector};
--- a/crates/registry/src/record.rs
+++ b/crates/registry/src/record.rs
@@ -36,7 +36,9 @@
     }
 
     /// Whether it is leaving and only `me`, of whose versions others hold those up to `held`, is known to have that.
-    pub fn is_pending(&self, me: SourceId, held: u64) -> bool {
-        self.entry.server.state > self.held_state && self.entry.source == me && self.entry.version > held
+    pub fn is_pending(&self, local_id: SourceId, held: u64) -> bool {
+        self.entry.server.state > self.held_state
+            && self.entry.source == local_id
+            && self.entry.version > held
     }
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -7,12 +7,12 @@
 
 use crate::record::Record;
 use crate::sources::Sources;
-use crate::{Delta, Entry, Fault, OperState, Server, SourceId, Vector};
+use crate::{Delta, Entry, OperState, Server, ServerError, SourceId, VersionVector};
 
 /// The most servers that are held, tombstones apart.
-pub const MOST_SERVERS: usize = 32_768;
+pub const MAX_SERVERS: usize = 32_768;
 /// The most tombstones that are held; the oldest go first.
-pub const MOST_TOMBSTONES: usize = 16_384;
+pub const MAX_TOMBSTONES: usize = 16_384;
 /// How long a tombstone is held.
 pub const TOMBSTONE_MS: u64 = 120_000;
 
@@ -26,24 +26,24 @@
 
 /// What a beat or a deregistration has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeartbeatOutcome {
     /// It made a new version.
     pub changed: bool,
     /// The server is draining or gone, and only this source is known to have it: hand it to another core process
-    /// (see [`Registry::held`]) before the acknowledgement. Stays so, over repeats, until that is done.
-    pub urgent: bool,
+    /// (see [`Registry::mark_replicated`]) before the acknowledgement. Stays so, over repeats, until that is done.
+    pub needs_replication: bool,
     /// It was older than what is known, and changed nothing.
-    pub stale: bool,
+    pub is_outdated: bool,
     /// It was not taken in at all.
-    pub refused: Option<Fault>,
+    pub error: Option<ServerError>,
 }
 
 /// The register of servers of one process.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    pub(crate) me: SourceId,
+    pub(crate) local_id: SourceId,
     pub(crate) keepalive_ms: u64,
-    pub(crate) is_follower: bool,
+    pub(crate) is_read_replica: bool,
     pub(crate) records: HashMap<Arc<str>, Record, BuildHasherDefault<DefaultHasher>>,
     pub(crate) sources: Sources,
     pub(crate) timers: BTreeSet<(u64, Arc<str>)>,
@@ -61,11 +61,11 @@
 
 impl Registry {
     /// The register of a core process. `me` has to be drawn anew at every start.
-    pub fn new(me: SourceId, keepalive_ms: u64) -> Registry {
+    pub fn new(local_id: SourceId, keepalive_ms: u64) -> Registry {
         Registry {
-            me,
+            local_id,
             keepalive_ms: keepalive_ms.max(1),
-            is_follower: false,
+            is_read_replica: false,
             records: HashMap::default(),
             sources: Sources::default(),
             timers: BTreeSet::new(),
@@ -83,60 +83,67 @@
     }
 
     /// The register of a process that hears no servers (a proxy): it marks nobody silent.
-    pub fn follower(me: SourceId, keepalive_ms: u64) -> Registry {
-        Registry { is_follower: true, ..Registry::new(me, keepalive_ms) }
+    pub fn read_replica(local_id: SourceId, keepalive_ms: u64) -> Registry {
+        Registry { is_read_replica: true, ..Registry::new(local_id, keepalive_ms) }
     }
 
     /// Takes in a beat of a server.
-    pub fn beat(&mut self, now: u64, mut server: Server) -> Heard {
+    pub fn record_heartbeat(&mut self, now: u64, mut server: Server) -> HeartbeatOutcome {
         if let Err(fault) = server.check() {
-            return Heard { refused: Some(fault), ..Heard::default() };
+            return HeartbeatOutcome { error: Some(fault), ..HeartbeatOutcome::default() };
         }
-        server.silent = false;
+        server.is_suspected = false;
         server.sequence = server.sequence.min(LAST - 1);
         let sequence = server.sequence;
         let Some(record) = self.records.get_mut(server.id.as_str()) else {
             return self.first_beat(now, server);
         };
         if sequence < record.heard_sequence {
-            let urgent = self.is_pending(&server.id);
-            return Heard { stale: true, urgent, ..Heard::default() };
+            let needs_replication = self.is_pending(&server.id);
+            return HeartbeatOutcome { is_outdated: true, needs_replication, ..HeartbeatOutcome::default() };
         }
         let known = &record.entry;
         if sequence == record.heard_sequence {
             // A repeat. It may only go down in life.
             if server.state <= known.server.state {
-                let urgent = self.is_pending(&server.id);
-                return Heard { urgent, ..Heard::default() };
+                let needs_replication = self.is_pending(&server.id);
+                return HeartbeatOutcome { needs_replication, ..HeartbeatOutcome::default() };
             }
         }
         record.heard_sequence = sequence;
         record.heard_at = now;
-        record.heard_by = self.me;
+        record.heard_by = self.local_id;
         record.direct_at = Some(now);
-        let says_new = !known.server.says_same(&server);
+        let says_new = !known.server.has_same_properties(&server);
         let moved = known.server.address != server.address;
         let (source, version) = (known.source, known.version);
         // An entry that others can't be given, or of which there are too many owners.
         let orphan = version > self.sources.known(source)
             || (self.sources.with_entries() > MANY_SOURCES
                 && !self.sources.is_in_contact(now, source)
-                && source != self.me);
+                && source != self.local_id);
         if !says_new && !orphan {
-            let urgent = self.is_pending(&server.id);
-            return Heard { urgent, ..Heard::default() };
+            let needs_replication = self.is_pending(&server.id);
+            return HeartbeatOutcome { needs_replication, ..HeartbeatOutcome::default() };
         }
         let id = server.id.clone();
         self.publish(now, server);
         if moved {
             self.shadow(now, &id);
         }
-        Heard { changed: true, urgent: self.is_pending(&id), ..Heard::default() }
+        HeartbeatOutcome {
+            changed: true,
+            needs_replication: self.is_pending(&id),
+            ..HeartbeatOutcome::default()
+        }
     }
 
-    fn first_beat(&mut self, now: u64, server: Server) -> Heard {
-        if self.is_full() && !server.is_gone() {
-            return Heard { refused: Some(Fault::Full), ..Heard::default() };
+    fn first_beat(&mut self, now: u64, server: Server) -> HeartbeatOutcome {
+        if self.is_full() && !server.is_removed() {
+            return HeartbeatOutcome {
+                error: Some(ServerError::RegistryFull),
+                ..HeartbeatOutcome::default()
+            };
         }
         let id = server.id.clone();
         self.publish(now, server);
@@ -144,14 +151,21 @@
             record.direct_at = Some(now);
         }
         self.shadow(now, &id);
-        Heard { changed: true, urgent: self.is_pending(&id), ..Heard::default() }
+        HeartbeatOutcome {
+            changed: true,
+            needs_replication: self.is_pending(&id),
+            ..HeartbeatOutcome::default()
+        }
     }
 
     /// Takes in the end of a server. No beat of this instance counts any more.
-    pub fn deregister(&mut self, now: u64, id: &str) -> Heard {
+    pub fn deregister(&mut self, now: u64, id: &str) -> HeartbeatOutcome {
         let mut server = match self.records.get(id) {
-            Some(record) if record.entry.server.sequence == LAST && record.entry.server.is_gone() => {
-                return Heard { urgent: self.is_pending(id), ..Heard::default() };
+            Some(record) if record.entry.server.sequence == LAST && record.entry.server.is_removed() => {
+                return HeartbeatOutcome {
+                    needs_replication: self.is_pending(id),
+                    ..HeartbeatOutcome::default()
+                };
             }
             Some(record) => record.entry.server.clone(),
             None => Server {
@@ -159,10 +173,10 @@
                 service: String::new(),
                 address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
                 zone: String::new(),
-                software: String::new(),
+                software_revision: String::new(),
                 slots: 0,
-                state: OperState::Gone,
-                silent: false,
+                state: OperState::Removed,
+                is_suspected: false,
                 warmup_left_ms: 0,
                 stage: None,
                 models: Vec::new(),
@@ -170,27 +184,31 @@
             },
         };
         if let Err(fault) = server.check() {
-            return Heard { refused: Some(fault), ..Heard::default() };
+            return HeartbeatOutcome { error: Some(fault), ..HeartbeatOutcome::default() };
         }
-        server.state = OperState::Gone;
-        server.silent = false;
+        server.state = OperState::Removed;
+        server.is_suspected = false;
         server.sequence = LAST;
         self.publish(now, server);
-        Heard { changed: true, urgent: self.is_pending(id), ..Heard::default() }
+        HeartbeatOutcome {
+            changed: true,
+            needs_replication: self.is_pending(id),
+            ..HeartbeatOutcome::default()
+        }
     }
 
     /// A core process other than this one has shown this vector: what it covers need not be handed over again.
     ///
-    /// To hand over, give the other what it lacks, take its answer in, `lacking` of the vector shown here, and
+    /// To hand over, give the other what it lacks, take its answer in, `missing_entries` of the vector shown here, and
     /// call this with the answer's vector. Where the other has something that supersedes the entry, it never
     /// comes to hold it, and only its answer ends the urgency.
-    pub fn held(&mut self, theirs: &Vector) {
-        self.held = self.held.max(theirs.get(self.me).min(self.version));
+    pub fn mark_replicated(&mut self, theirs: &VersionVector) {
+        self.held = self.held.max(theirs.get(self.local_id).min(self.version));
     }
 
     /// Whether another core process is known to hold every entry made here that is in force.
-    pub fn is_all_held(&self) -> bool {
-        self.held >= self.sources.last(self.me)
+    pub fn is_fully_replicated(&self) -> bool {
+        self.held >= self.sources.last(self.local_id)
     }
 
     /// The last version that was made here.
@@ -199,22 +217,25 @@
     }
 
     /// What has been seen of each source.
-    pub fn vector(&self) -> Vector {
+    pub fn vector(&self) -> VersionVector {
         self.sources.vector()
     }
 
     /// Whether the puller names a source of which nothing is known here. Ask it to hand over.
-    pub fn unknown(&self, theirs: &Vector) -> bool {
-        theirs.0.iter().any(|(&id, &version)| version > 0 && id != self.me && !self.sources.is_known(id))
+    pub fn has_unknown_source(&self, theirs: &VersionVector) -> bool {
+        theirs
+            .0
+            .iter()
+            .any(|(&id, &version)| version > 0 && id != self.local_id && !self.sources.is_known(id))
     }
 
     /// Whether the puller has seen more of any source than this process.
-    pub fn behind(&self, theirs: &Vector) -> bool {
-        theirs.0.iter().any(|(&id, &version)| id != self.me && version > self.sources.known(id))
+    pub fn is_behind(&self, theirs: &VersionVector) -> bool {
+        theirs.0.iter().any(|(&id, &version)| id != self.local_id && version > self.sources.known(id))
     }
 
     /// At most `most` (one at least) entries above the vector. The delta's vector covers what it holds.
-    pub fn lacking(&self, theirs: &Vector, most: usize) -> Delta {
+    pub fn missing_entries(&self, theirs: &VersionVector, most: usize) -> Delta {
         let most = most.max(1);
         let mut delta = Delta { fingerprint: self.fingerprint, ..Delta::default() };
         for (source, known) in self.sources.each() {
@@ -222,7 +243,7 @@
             let mut covered = base;
             for (version, id) in self.sources.above(source, base) {
                 if delta.entries.len() >= most {
-                    delta.more = true;
+                    delta.is_truncated = true;
                     break;
                 }
                 if let Some(record) = self.records.get(id) {
@@ -230,16 +251,16 @@
                     covered = version;
                 }
             }
-            if !delta.more {
+            if !delta.is_truncated {
                 covered = known;
             }
             if base > 0 {
-                delta.since.0.insert(source, base);
+                delta.base.0.insert(source, base);
             }
             if covered > 0 {
                 delta.vector.0.insert(source, covered);
             }
-            if delta.more {
+            if delta.is_truncated {
                 break;
             }
         }
@@ -255,13 +276,16 @@
         }
         for (&source, &version) in &delta.vector.0 {
             // Danger: a claim over a gap would hide what lies in it for good.
-            if source != self.me && self.sources.known(source) >= delta.since.get(source) {
+            if source != self.local_id && self.sources.known(source) >= delta.base.get(source) {
                 self.sources.claim(source, version);
             }
         }
         self.sources.trim();
         let may_doubt = self.doubted_at.is_none_or(|at| now.saturating_sub(at) >= DOUBT_MS);
-        if !delta.more && may_doubt && delta.fingerprint != self.fingerprint && self.vector() == delta.vector
+        if !delta.is_truncated
+            && may_doubt
+            && delta.fingerprint != self.fingerprint
+            && self.vector() == delta.vector
         {
             self.doubted_at = Some(now);
             self.doubts = true;
@@ -274,13 +298,13 @@
         // A number that this source never gave, or that stands for another instance: no process says so.
         let owner = self.sources.instance(entry.source, entry.version);
         if entry.server.check().is_err()
-            || (entry.source == self.me && entry.version > self.version)
+            || (entry.source == self.local_id && entry.version > self.version)
             || owner.is_some_and(|id| **id != *entry.server.id)
         {
             return false;
         }
         let Some(record) = self.records.get_mut(entry.server.id.as_str()) else {
-            if self.is_full() && !entry.server.is_gone() {
+            if self.is_full() && !entry.server.is_removed() {
                 return false;
             }
             self.put(now, entry);
@@ -290,12 +314,12 @@
             return false;
         }
         let sequence = entry.server.sequence;
-        if record.heard_by == self.me && record.heard_sequence > sequence && !self.is_follower {
+        if record.heard_by == self.local_id && record.heard_sequence > sequence && !self.is_read_replica {
             // Beats that made no version have come here since: the entry is late.
-            if !record.entry.server.says_same(&entry.server) {
+            if !record.entry.server.has_same_properties(&entry.server) {
                 let mut server = record.entry.server.clone();
                 server.sequence = record.heard_sequence;
-                if entry.source != self.me {
+                if entry.source != self.local_id {
                     record.held_state = record.held_state.max(entry.server.state);
                 }
                 self.publish(now, server);
@@ -317,13 +341,13 @@
     }
 
     /// The servers of a service that have not gone, by id.
-    pub fn by_service(&self, service: &str) -> impl Iterator<Item = &Server> + '_ {
+    pub fn servers_of_service(&self, service: &str) -> impl Iterator<Item = &Server> + '_ {
         self.by_service.get(service).into_iter().flatten().filter_map(|id| self.get(id))
     }
 
     /// The servers at an address that are neither gone nor silent. Where there are several, all but one have
     /// ended, and nobody has told yet which.
-    pub fn by_address(&self, address: SocketAddrV4) -> impl Iterator<Item = &Server> + '_ {
+    pub fn servers_at_address(&self, address: SocketAddrV4) -> impl Iterator<Item = &Server> + '_ {
         self.by_address.get(&address).into_iter().flatten().filter_map(|id| self.get(id))
     }
 
@@ -358,22 +382,22 @@
     }
 
     /// Who this is.
-    pub fn me(&self) -> SourceId {
-        self.me
+    pub fn local_id(&self) -> SourceId {
+        self.local_id
     }
 
     fn is_full(&self) -> bool {
-        self.len() >= MOST_SERVERS
+        self.len() >= MAX_SERVERS
     }
 
     /// Whether the server is leaving, and only this process is known to hold that.
     fn is_pending(&self, id: &str) -> bool {
-        self.records.get(id).is_some_and(|record| record.is_pending(self.me, self.held))
+        self.records.get(id).is_some_and(|record| record.is_pending(self.local_id, self.held))
     }
 
     /// Servers that were at the address of this newcomer have ended.
     fn shadow(&mut self, now: u64, id: &str) {
-        let Some(address) = self.get(id).filter(|server| !server.is_gone()).map(|server| server.address)
+        let Some(address) = self.get(id).filter(|server| !server.is_removed()).map(|server| server.address)
         else {
             return;
         };
@@ -386,7 +410,7 @@
             .cloned()
             .collect();
         for other in ended {
-            self.mark(now, &other, |server| server.silent = true);
+            self.mark(now, &other, |server| server.is_suspected = true);
         }
     }
 
@@ -396,7 +420,7 @@
         let mut server = record.entry.server.clone();
         // Danger: a sequence that was only told by a digest may stand for a state that is not known here; a mark
         // that carried it would undo a drain.
-        if record.heard_by == self.me {
+        if record.heard_by == self.local_id {
             server.sequence = record.heard_sequence;
         }
         set(&mut server);
@@ -406,8 +430,8 @@
     // Danger: what is published has to supersede the present entry, or nobody else takes it in.
     pub(crate) fn publish(&mut self, now: u64, server: Server) {
         self.version = self.version.saturating_add(1);
-        self.put(now, Entry { server, source: self.me, version: self.version });
-        self.sources.claim(self.me, self.version);
+        self.put(now, Entry { server, source: self.local_id, version: self.version });
+        self.sources.claim(self.local_id, self.version);
     }
 
     fn put(&mut self, now: u64, mut entry: Entry) {
@@ -421,10 +445,10 @@
         match self.records.get_mut(&id) {
             Some(record) => {
                 let before = &record.entry.server;
-                if !record.is_pending(self.me, self.held) {
+                if !record.is_pending(self.local_id, self.held) {
                     record.held_state = before.state;
                 }
-                if before.silent != entry.server.silent || before.state != entry.server.state {
+                if before.is_suspected != entry.server.is_suspected || before.state != entry.server.state {
                     record.since = now;
                 }
                 record.heard_sequence = record.heard_sequence.max(entry.server.sequence);
@@ -434,11 +458,11 @@
                 self.records.insert(id.clone(), Record::new(now, entry));
             }
         }
-        if let Some(record) = self.records.get(&id).filter(|record| record.entry.server.is_gone()) {
+        if let Some(record) = self.records.get(&id).filter(|record| record.entry.server.is_removed()) {
             self.tombstones.insert((record.since, id.clone()));
         }
         self.arm(&id);
-        while self.tombstones.len() > MOST_TOMBSTONES {
+        while self.tombstones.len() > MAX_TOMBSTONES {
             let Some((_, oldest)) = self.tombstones.first().cloned() else { break };
             self.drop_record(&oldest);
         }
@@ -446,12 +470,12 @@
 
     fn index(&mut self, now: u64, id: &Arc<str>, entry: &Entry) {
         self.sources.insert(now, entry.source, entry.version, id.clone());
-        if entry.server.is_gone() {
+        if entry.server.is_removed() {
             return;
         }
         self.fingerprint ^= entry.fingerprint();
         self.by_service.entry(entry.server.service.clone()).or_default().insert(id.clone());
-        if !entry.server.silent {
+        if !entry.server.is_suspected {
             self.by_address.entry(entry.server.address).or_default().insert(id.clone());
         }
     }
@@ -460,7 +484,7 @@
         let Some(record) = self.records.get(id) else { return };
         let entry = &record.entry;
         self.sources.remove(entry.source, entry.version);
-        if entry.server.is_gone() {
+        if entry.server.is_removed() {
             self.tombstones.remove(&(record.since, id.clone()));
             return;
         }
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -20,7 +20,7 @@
     Draining,
     /// Deregistered, or silent for so long that it counts as ended: a tombstone.
     #[n(2)]
-    Gone,
+    Removed,
 }
 
 /// The part that a server plays for prompts.
@@ -66,7 +66,7 @@
     pub zone: String,
     /// Revision of its software (`revision` on the wire).
     #[n(4)]
-    pub software: String,
+    pub software_revision: String,
     /// Requests that it works on at once.
     #[n(5)]
     pub slots: u32,
@@ -75,7 +75,7 @@
     pub state: OperState,
     /// Its beats have stopped: a mark, weighed by proxies with their own evidence.
     #[n(7)]
-    pub silent: bool,
+    pub is_suspected: bool,
     /// How long it stayed slow when the entry was made. No change by itself.
     #[n(8)]
     pub warmup_left_ms: u64,
@@ -92,12 +92,15 @@
 
 impl Server {
     /// Whether it may be taken into a register: has an id, and all texts are of a bounded length.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), ServerError> {
         if self.id.is_empty() {
-            return Err(Fault::NoId);
+            return Err(ServerError::MissingId);
         }
-        if [&self.id, &self.service, &self.zone, &self.software].iter().any(|text| text.len() > MOST_NAME) {
-            return Err(Fault::LongName);
+        if [&self.id, &self.service, &self.zone, &self.software_revision]
+            .iter()
+            .any(|text| text.len() > MOST_NAME)
+        {
+            return Err(ServerError::NameTooLong);
         }
         let mut text = 0_usize;
         for model in &self.models {
@@ -107,60 +110,60 @@
             }
         }
         if text > MOST_TEXT {
-            return Err(Fault::ManyModels);
+            return Err(ServerError::ModelsTooLong);
         }
         Ok(())
     }
 
     /// Whether both say the same, sequence and warm-up left out.
-    pub(crate) fn says_same(&self, other: &Server) -> bool {
+    pub(crate) fn has_same_properties(&self, other: &Server) -> bool {
         self.state == other.state
-            && self.silent == other.silent
+            && self.is_suspected == other.is_suspected
             && self.address == other.address
             && self.stage == other.stage
             && self.slots == other.slots
             && self.service == other.service
             && self.zone == other.zone
-            && self.software == other.software
+            && self.software_revision == other.software_revision
             && self.models == other.models
     }
 
-    pub(crate) fn is_gone(&self) -> bool {
-        self.state == OperState::Gone
+    pub(crate) fn is_removed(&self) -> bool {
+        self.state == OperState::Removed
     }
 }
 
 quick_error! {
     /// Why a server is not taken into the register.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum Fault {
+    pub enum ServerError {
         /// The instance has no id.
-        NoId {
+        MissingId {
             display("registry 1: instance without an id")
         }
         /// The id, service, zone or software is too long.
-        LongName {
+        NameTooLong {
             display("registry 2: id, service, zone or revision over {} bytes", MOST_NAME)
         }
         /// The list of models and adapters is too long.
-        ManyModels {
+        ModelsTooLong {
             display("registry 3: models and adapters over {} bytes", MOST_TEXT)
         }
         /// The register holds as many servers as it can.
-        Full {
+        RegistryFull {
             display("registry 4: the register is full")
         }
     }
 }
 
-impl Fault {
+impl ServerError {
     /// The number of this fault.
     pub fn code(self) -> u16 {
         match self {
-            Fault::NoId => 1,
-            Fault::LongName => 2,
-            Fault::ManyModels => 3,
-            Fault::Full => 4,
+            ServerError::MissingId => 1,
+            ServerError::NameTooLong => 2,
+            ServerError::ModelsTooLong => 3,
+            ServerError::RegistryFull => 4,
         }
     }
 }
--- a/crates/registry/src/silence.rs
+++ b/crates/registry/src/silence.rs
@@ -17,31 +17,33 @@
 
 impl Registry {
     /// Another core process has been in touch.
-    pub fn contact(&mut self, now: u64, source: SourceId) {
-        if source != self.me {
-            self.sources.contact(now, source);
+    pub fn record_contact(&mut self, now: u64, source: SourceId) {
+        if source != self.local_id {
+            self.sources.record_contact(now, source);
         }
     }
 
     /// The servers whose beats came to this very process at `since` or later, with their last sequences. To be
     /// told to the other core processes every few hundred milliseconds; `since` well before the last one that
     /// arrived there.
-    pub fn alive(&self, since: u64) -> Vec<(String, u64)> {
+    pub fn heartbeats_since(&self, since: u64) -> Vec<(String, u64)> {
         self.records
             .values()
-            .filter(|record| record.heard_by == self.me && record.direct_at.is_some_and(|at| at >= since))
+            .filter(|record| {
+                record.heard_by == self.local_id && record.direct_at.is_some_and(|at| at >= since)
+            })
             .map(|record| (record.entry.server.id.clone(), record.heard_sequence))
             .collect()
     }
 
     /// Takes in what `source` has heard.
-    pub fn heard_by<'a>(
+    pub fn record_remote_heartbeats<'a>(
         &mut self,
         now: u64,
         source: SourceId,
         digest: impl IntoIterator<Item = (&'a str, u64)>,
     ) {
-        self.contact(now, source);
+        self.record_contact(now, source);
         for (id, sequence) in digest {
             if let Some(record) = self.records.get_mut(id)
                 && sequence > record.heard_sequence
@@ -71,7 +73,7 @@
         self.sources.trim();
         // Not at once in the merge: the vector shown after it tells the giver what is held.
         if std::mem::take(&mut self.doubts) {
-            self.sources.forget(self.me);
+            self.sources.forget(self.local_id);
         }
         let mut due = Vec::new();
         while let Some((at, _)) = self.timers.first()
@@ -95,17 +97,17 @@
             return false;
         }
         let Some(record) = self.records.get(id) else { return false };
-        let is_silent = record.entry.server.silent;
+        let is_silent = record.entry.server.is_suspected;
         let speaker = if is_silent { record.entry.source } else { record.heard_by };
-        if speaker != self.me && !self.is_lost(now, speaker) {
+        if speaker != self.local_id && !self.is_lost(now, speaker) {
             self.arm_at(id, now.saturating_add(AGAIN_MS));
             return false;
         }
         self.mark(now, id, |server| {
             if is_silent {
-                server.state = OperState::Gone;
+                server.state = OperState::Removed;
             } else {
-                server.silent = true;
+                server.is_suspected = true;
             }
         });
         true
@@ -115,12 +117,12 @@
     fn due(&self, id: &str) -> Option<u64> {
         let record = self.records.get(id)?;
         let server = &record.entry.server;
-        if self.is_follower || server.is_gone() {
+        if self.is_read_replica || server.is_removed() {
             return None;
         }
         let sign = record.heard_at.max(self.awake_since);
         let silence = self.keepalive_ms.saturating_mul(16) / 5;
-        let at = match server.silent {
+        let at = match server.is_suspected {
             true => sign.saturating_add(silence).max(record.since.saturating_add(GONE_MS)),
             false => sign.saturating_add(silence),
         };
@@ -154,7 +156,7 @@
 
     /// Whether a source has not been in touch for so long that others speak for it.
     pub(crate) fn is_lost(&self, now: u64, source: SourceId) -> bool {
-        source != self.me
+        source != self.local_id
             && self
                 .sources
                 .seen(source)
--- a/crates/registry/src/sources.rs
+++ b/crates/registry/src/sources.rs
@@ -4,7 +4,7 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-use crate::{LOST_MS, SourceId, Vector};
+use crate::{LOST_MS, SourceId, VersionVector};
 
 /// Contacts that are remembered; the oldest go first.
 const MOST_CONTACTS: usize = 64;
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn contact(&mut self, now: u64, id: SourceId) {
+    pub fn record_contact(&mut self, now: u64, id: SourceId) {
         let at = self.contacts.entry(id).or_insert(now);
         *at = now.max(*at);
         if self.contacts.len() > MOST_CONTACTS
@@ -97,8 +97,8 @@
         self.all.len().saturating_sub(self.empty)
     }
 
-    pub fn vector(&self) -> Vector {
-        Vector(self.each().collect())
+    pub fn vector(&self) -> VersionVector {
+        VersionVector(self.each().collect())
     }
 
     /// Sources and what has been seen of them.
@@ -123,9 +123,9 @@
     }
 
     /// Claims nothing any more, but of `me`.
-    pub fn forget(&mut self, me: SourceId) {
+    pub fn forget(&mut self, local_id: SourceId) {
         for (&id, source) in &mut self.all {
-            if id != me {
+            if id != local_id {
                 source.known = 0;
             }
         }
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -12,8 +12,8 @@
     Registry::new(SourceId(number), KEEPALIVE)
 }
 
-pub fn follower(number: u64) -> Registry {
-    Registry::follower(SourceId(number), KEEPALIVE)
+pub fn read_replica(number: u64) -> Registry {
+    Registry::read_replica(SourceId(number), KEEPALIVE)
 }
 
 pub fn address(number: u8) -> SocketAddrV4 {
@@ -26,10 +26,10 @@
         service: format!("service-{}", number % 2),
         address: address(number),
         zone: "east-a".into(),
-        software: "v1".into(),
+        software_revision: "v1".into(),
         slots: 64,
         state: OperState::Up,
-        silent: false,
+        is_suspected: false,
         warmup_left_ms: 0,
         stage: if number.is_multiple_of(2) { Some(Stage::Prefill) } else { None },
         models: vec![Model { name: "m".into(), revision: 1, adapters: vec!["a".into()] }],
@@ -44,8 +44,8 @@
 /// Gives `to` all that it lacks, in pieces.
 pub fn pull(now: u64, from: &Registry, to: &mut Registry, most: usize) {
     for _ in 0..100_000 {
-        let delta = from.lacking(&to.vector(), most);
-        let more = delta.more;
+        let delta = from.missing_entries(&to.vector(), most);
+        let more = delta.is_truncated;
         to.merge(now, delta);
         if !more {
             return;
@@ -83,8 +83,8 @@
         for from in 0..all.len() {
             for to in 0..all.len() {
                 if from != to {
-                    let delta = all[from].lacking(&all[to].vector(), usize::MAX);
-                    assert!(!delta.more);
+                    let delta = all[from].missing_entries(&all[to].vector(), usize::MAX);
+                    assert!(!delta.is_truncated);
                     changed |= all[to].merge(now, delta);
                 }
             }
@@ -99,15 +99,18 @@
 /// The indices agree with the entries.
 pub fn check(register: &Registry) {
     let entries = said(register);
-    let live = entries.iter().filter(|e| e.server.state != OperState::Gone).count();
+    let live = entries.iter().filter(|e| e.server.state != OperState::Removed).count();
     assert_eq!(register.len(), live);
     assert_eq!(register.servers().count(), live);
     for entry in &entries {
         let server = &entry.server;
         assert_eq!(register.get(&server.id), Some(server));
-        let is_live = server.state != OperState::Gone;
-        assert_eq!(register.by_service(&server.service).any(|s| s == server), is_live);
-        assert_eq!(register.by_address(server.address).any(|s| s == server), is_live && !server.silent);
+        let is_live = server.state != OperState::Removed;
+        assert_eq!(register.servers_of_service(&server.service).any(|s| s == server), is_live);
+        assert_eq!(
+            register.servers_at_address(server.address).any(|s| s == server),
+            is_live && !server.is_suspected
+        );
     }
 }
 
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use common::{below, check, core, follower, pull, said, server, settle};
-use mosshead_registry::{Delta, Entry, OperState, Registry, Server, SourceId, Vector};
+use common::{below, check, core, pull, read_replica, said, server, settle};
+use mosshead_registry::{Delta, Entry, OperState, Registry, Server, SourceId, VersionVector};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,14 +17,14 @@
 impl Arbitrary for Said {
     fn arbitrary(g: &mut Gen) -> Said {
         let number = u8::arbitrary(g) % 4;
-        let state = *g.choose(&[OperState::Up, OperState::Draining, OperState::Gone]).unwrap();
+        let state = *g.choose(&[OperState::Up, OperState::Draining, OperState::Removed]).unwrap();
         let source = SourceId(u64::arbitrary(g) % 4);
         let sequence = u64::arbitrary(g) % 6;
         // Under one number a source says one thing.
         let version = 1 + sequence * 64 + u64::from(number) * 8 + state as u64 * 2;
-        let silent = bool::arbitrary(g);
-        let version = version + u64::from(silent);
-        Said(Entry { server: Server { state, silent, ..server(number, sequence) }, source, version })
+        let is_suspected = bool::arbitrary(g);
+        let version = version + u64::from(is_suspected);
+        Said(Entry { server: Server { state, is_suspected, ..server(number, sequence) }, source, version })
     }
 }
 
@@ -35,7 +35,7 @@
 quickcheck! {
     fn order_and_duplicates_do_not_matter(entries: Vec<Said>, seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut a, mut b) = (follower(100), core(101));
+        let (mut a, mut b) = (read_replica(100), core(101));
         for said in &entries {
             a.merge(0, delta([said.0.clone()]));
         }
@@ -81,10 +81,10 @@
         let mut cores = [core(1), core(2), core(3)];
         for (number, sequence) in beats {
             let at = (sequence % 3) as usize;
-            cores[at].beat(0, Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
+            cores[at].record_heartbeat(0, Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
         }
         settle(0, &mut cores);
-        let (mut whole, mut pieces) = (follower(8), follower(9));
+        let (mut whole, mut pieces) = (read_replica(8), read_replica(9));
         pull(0, &cores[0], &mut whole, usize::MAX);
         pull(0, &cores[0], &mut pieces, most as usize % 5);
         said(&whole) == said(&pieces) && whole.vector() == pieces.vector() && said(&whole) == said(&cores[0])
@@ -104,7 +104,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let cores = 3 + below(&mut rng, 3) as usize;
     let mut all: Vec<Registry> = (0..cores as u64).map(|n| core(10 + n)).collect();
-    all.extend((0..4).map(|n| follower(100 + n)));
+    all.extend((0..4).map(|n| read_replica(100 + n)));
     let mut truths: Vec<Truth> =
         (0..12).map(|n| Truth { now: server(n, 0), arrived: None, ended: false }).collect();
     let mut under_way: Vec<Server> = Vec::new();
@@ -139,7 +139,7 @@
                         truth.arrived = Some(beat.clone());
                     }
                 }
-                all[to].beat(0, beat);
+                all[to].record_heartbeat(0, beat);
             }
             7 if rng.next_u32().is_multiple_of(20) => {
                 let truth = &mut truths[below(&mut rng, 12) as usize];
@@ -149,16 +149,16 @@
             8 => {
                 let from = below(&mut rng, cores as u64) as usize;
                 let to = below(&mut rng, cores as u64) as usize;
-                let alive = all[from].alive(0);
-                let source = all[from].me();
-                all[to].heard_by(0, source, alive.iter().map(|(id, s)| (id.as_str(), *s)));
+                let alive = all[from].heartbeats_since(0);
+                let source = all[from].local_id();
+                all[to].record_remote_heartbeats(0, source, alive.iter().map(|(id, s)| (id.as_str(), *s)));
             }
             _ => {
                 let from = below(&mut rng, all.len() as u64) as usize;
                 let to = below(&mut rng, all.len() as u64) as usize;
                 let most = below(&mut rng, 6) as usize;
                 if from != to {
-                    deltas.push((to, all[from].lacking(&all[to].vector(), most)));
+                    deltas.push((to, all[from].missing_entries(&all[to].vector(), most)));
                 }
             }
         }
@@ -192,7 +192,7 @@
     for truth in truths {
         let known = all[0].get(&truth.now.id);
         if truth.ended {
-            assert_eq!(known.unwrap().state, OperState::Gone, "seed {seed}");
+            assert_eq!(known.unwrap().state, OperState::Removed, "seed {seed}");
             continue;
         }
         let Some(arrived) = truth.arrived else {
@@ -217,29 +217,29 @@
     // An answer to the process that was here before.
     let (mut a, mut old, mut new) = (core(1), core(2), core(3));
     for number in 0..10 {
-        a.beat(0, server(number, 1));
+        a.record_heartbeat(0, server(number, 1));
     }
     pull(0, &a, &mut old, 100);
-    a.beat(0, server(10, 1));
-    let late = a.lacking(&old.vector(), 100);
+    a.record_heartbeat(0, server(10, 1));
+    let late = a.missing_entries(&old.vector(), 100);
     assert_eq!(late.entries.len(), 1);
     new.merge(0, late);
     assert_eq!(new.len(), 1);
-    assert_eq!(new.vector(), Vector::default());
-    assert!(new.lacking(&Vector::default(), 100).is_empty());
+    assert_eq!(new.vector(), VersionVector::default());
+    assert!(new.missing_entries(&VersionVector::default(), 100).is_empty());
     pull(0, &a, &mut new, 3);
     assert_eq!(said(&new), said(&a));
-    assert_eq!(new.lacking(&Vector::default(), 100).entries.len(), 11);
+    assert_eq!(new.missing_entries(&VersionVector::default(), 100).entries.len(), 11);
 }
 
 #[test]
 fn a_register_with_a_gap_finds_out_and_asks_again() {
     // A claim over a gap, however it came about, shows in the fingerprint.
-    let (mut a, mut p) = (core(1), follower(9));
+    let (mut a, mut p) = (core(1), read_replica(9));
     for number in 0..10 {
-        a.beat(0, server(number, 1));
+        a.record_heartbeat(0, server(number, 1));
     }
-    let mut delta = a.lacking(&Vector::default(), 100);
+    let mut delta = a.missing_entries(&VersionVector::default(), 100);
     delta.entries.remove(4);
     p.merge(0, delta);
     assert_eq!(p.len(), 9);
@@ -249,7 +249,7 @@
     pull(1, &a, &mut p, 4);
     assert_eq!(said(&p), said(&a));
     // But not over and over, where it doesn't help.
-    let mut odd = a.lacking(&p.vector(), 100);
+    let mut odd = a.missing_entries(&p.vector(), 100);
     odd.fingerprint ^= 1;
     p.merge(2, odd.clone());
     p.tick(2);
@@ -263,12 +263,12 @@
 
 #[test]
 fn steady_beats_bring_pullers_nothing() {
-    let (mut a, mut p) = (core(1), follower(9));
+    let (mut a, mut p) = (core(1), read_replica(9));
     for sequence in 1..100 {
         for number in 0..50 {
-            a.beat(sequence * 1200, server(number, sequence));
+            a.record_heartbeat(sequence * 1200, server(number, sequence));
         }
-        let delta = a.lacking(&p.vector(), 100);
+        let delta = a.missing_entries(&p.vector(), 100);
         assert_eq!(delta.is_empty(), sequence > 1);
         p.merge(sequence * 1200, delta);
     }
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{address, below, check, core, follower, server};
+use common::{address, below, check, core, read_replica, server};
 use mosshead_registry::{Entry, OperState, Registry, Server, SourceId};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -47,7 +47,7 @@
 }
 
 fn digest(from: &Registry, now: u64) -> (SourceId, Vec<(String, u64)>) {
-    (from.me(), from.alive(now.saturating_sub(1500)))
+    (from.local_id(), from.heartbeats_since(now.saturating_sub(1500)))
 }
 
 impl Fleet {
@@ -56,7 +56,7 @@
             seed,
             rng: Pcg64Mcg::seed_from_u64(seed),
             cores: Vec::new(),
-            proxies: (0..PROXIES as u64).map(|n| follower(1_000_000 + n)).collect(),
+            proxies: (0..PROXIES as u64).map(|n| read_replica(1_000_000 + n)).collect(),
             leaving: vec![BTreeSet::new(); PROXIES],
             servers: Vec::new(),
             core_cuts: BTreeSet::new(),
@@ -110,7 +110,7 @@
         }
         if self.chance(60) {
             let at = below(&mut self.rng, PROXIES as u64) as usize;
-            self.proxies[at] = follower(1_000_100 + now);
+            self.proxies[at] = read_replica(1_000_100 + now);
             self.leaving[at].clear();
         }
         if self.chance(20) {
@@ -139,10 +139,10 @@
     /// Another core is given what it lacks of this one, and answers with what it has.
     fn hand(&mut self, now: u64, from: usize, to: usize) {
         let shown = self.cores[from].vector();
-        let delta = self.cores[from].lacking(&self.cores[to].vector(), 1000);
+        let delta = self.cores[from].missing_entries(&self.cores[to].vector(), 1000);
         self.cores[to].merge(now, delta);
-        let answer = self.cores[to].lacking(&shown, 1000);
-        self.cores[from].held(&answer.vector);
+        let answer = self.cores[to].missing_entries(&shown, 1000);
+        self.cores[from].mark_replicated(&answer.vector);
         self.cores[from].merge(now, answer);
     }
 
@@ -153,9 +153,9 @@
         }
         let heard = match ends {
             true => self.cores[at].deregister(now, &says.id),
-            false => self.cores[at].beat(now, says.clone()),
+            false => self.cores[at].record_heartbeat(now, says.clone()),
         };
-        if !heard.urgent {
+        if !heard.needs_replication {
             return true;
         }
         let Some(other) = (0..CORES).find(|&other| other != at && !self.is_cut(at, other)) else {
@@ -164,13 +164,17 @@
         self.hand(now, at, other);
         let again = match ends {
             true => self.cores[at].deregister(now, &says.id),
-            false => self.cores[at].beat(now, says.clone()),
+            false => self.cores[at].record_heartbeat(now, says.clone()),
         };
-        assert!(!again.urgent, "seed {}: handed over, and still urgent", self.seed);
+        assert!(
+            !again.needs_replication,
+            "seed {}: still needs replication after it was replicated",
+            self.seed
+        );
         true
     }
 
-    fn beat(&mut self, now: u64, number: usize) {
+    fn heartbeat(&mut self, now: u64, number: usize) {
         if matches!(self.servers[number].life, Life::Ended(_)) {
             return;
         }
@@ -218,7 +222,7 @@
     fn step(&mut self, now: u64) {
         for number in 0..self.servers.len() {
             if now % 1200 == self.servers[number].phase {
-                self.beat(now, number);
+                self.heartbeat(now, number);
             }
         }
         // Another starts at the address of one that has ended.
@@ -233,7 +237,11 @@
                 for to in 0..CORES {
                     if from != to && !self.is_cut(from, to) && !(now < TROUBLE && self.chance(5)) {
                         let (source, alive) = digest(&self.cores[from], now);
-                        self.cores[to].heard_by(now, source, alive.iter().map(|(i, s)| (i.as_str(), *s)));
+                        self.cores[to].record_remote_heartbeats(
+                            now,
+                            source,
+                            alive.iter().map(|(i, s)| (i.as_str(), *s)),
+                        );
                         self.hand(now, from, to);
                     }
                 }
@@ -257,10 +265,10 @@
         let most = 1 + below(&mut self.rng, 40) as usize;
         let (proxy, core) = (&mut self.proxies[at], &mut self.cores[from]);
         let shown = proxy.vector();
-        if core.unknown(&shown) || core.behind(&shown) {
-            core.merge(now, proxy.lacking(&core.vector(), most));
+        if core.has_unknown_source(&shown) || core.is_behind(&shown) {
+            core.merge(now, proxy.missing_entries(&core.vector(), most));
         }
-        let delta = core.lacking(&shown, most);
+        let delta = core.missing_entries(&shown, most);
         if now < TROUBLE && below(&mut self.rng, 8) == 0 {
             return;
         }
@@ -366,7 +374,7 @@
                 let truth = &mut fleet.servers[number];
                 truth.says.sequence += 1;
                 let at = (truth.says.sequence / 5) as usize % CORES;
-                fleet.cores[at].beat(now, truth.says.clone());
+                fleet.cores[at].record_heartbeat(now, truth.says.clone());
             }
         }
         let lives = std::mem::take(&mut fleet.servers);
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -2,19 +2,19 @@
 
 mod common;
 
-use common::{KEEPALIVE, check, core, follower, pull, pull_within, said, server, settle, with_state};
+use common::{KEEPALIVE, check, core, pull, pull_within, read_replica, said, server, settle, with_state};
 use mosshead_registry::{
-    Delta, Entry, MOST_TOMBSTONES, OperState, Registry, Server, SourceId, TOMBSTONE_MS, Vector,
+    Delta, Entry, MAX_TOMBSTONES, OperState, Registry, Server, SourceId, TOMBSTONE_MS, VersionVector,
 };
 
 #[test]
 fn proxies_hand_over_after_the_loss_of_all_cores() {
     let mut cores = vec![core(1), core(2), core(3)];
-    let mut proxies = vec![follower(100), follower(101)];
+    let mut proxies = vec![read_replica(100), read_replica(101)];
     for number in 0..30 {
-        cores[number as usize % 3].beat(0, server(number, 1));
+        cores[number as usize % 3].record_heartbeat(0, server(number, 1));
     }
-    cores[0].beat(1, with_state(0, 2, OperState::Draining));
+    cores[0].record_heartbeat(1, with_state(0, 2, OperState::Draining));
     cores[1].deregister(1, "i-1");
     settle(1, &mut cores);
     for proxy in &mut proxies {
@@ -25,48 +25,48 @@
     let mut cores = vec![core(4), core(5), core(6)];
     for (number, core) in cores.iter_mut().enumerate() {
         let proxy = &mut proxies[number % 2];
-        assert!(core.unknown(&proxy.vector()));
-        assert!(core.lacking(&proxy.vector(), 100).is_empty());
+        assert!(core.has_unknown_source(&proxy.vector()));
+        assert!(core.missing_entries(&proxy.vector(), 100).is_empty());
         // The vector that the core shows is that of the whole hand-over.
         let shown = core.vector();
         let mut most = 7;
         loop {
-            let delta = proxy.lacking(&shown, most);
-            let more = delta.more;
+            let delta = proxy.missing_entries(&shown, most);
+            let more = delta.is_truncated;
             core.merge(1000, delta);
             if !more {
                 break;
             }
             most += 10;
         }
-        assert!(!core.unknown(&proxy.vector()));
+        assert!(!core.has_unknown_source(&proxy.vector()));
         assert_eq!(said(core), before);
     }
     // Original sources and versions: nothing goes round twice.
     for from in &cores {
         for proxy in &proxies {
-            assert!(from.lacking(&proxy.vector(), 100).is_empty());
+            assert!(from.missing_entries(&proxy.vector(), 100).is_empty());
         }
     }
     // A late beat of the time before brings nobody back.
-    assert!(cores[0].beat(1000, server(0, 1)).stale);
-    assert!(cores[1].beat(1000, server(1, 3)).stale);
+    assert!(cores[0].record_heartbeat(1000, server(0, 1)).is_outdated);
+    assert!(cores[1].record_heartbeat(1000, server(1, 3)).is_outdated);
     // Those that beat stay, without a version; the others are marked by the new ones after a while.
     for now in (1000..8000).step_by(100) {
         for number in 0..3 {
             let peer = SourceId(4 + (number + 1) % 3);
-            cores[number as usize].contact(now, peer);
+            cores[number as usize].record_contact(now, peer);
         }
         if now % 1000 == 0 {
             for number in 2..20 {
-                let heard = cores[0].beat(now, server(number, 5 + now / 1000));
+                let heard = cores[0].record_heartbeat(now, server(number, 5 + now / 1000));
                 assert!(!heard.changed, "{now} {number}");
             }
         }
         if now % 300 == 0 {
-            let alive = cores[0].alive(0);
+            let alive = cores[0].heartbeats_since(0);
             for other in &mut cores[1..] {
-                other.heard_by(now, SourceId(4), alive.iter().map(|(i, s)| (i.as_str(), *s)));
+                other.record_remote_heartbeats(now, SourceId(4), alive.iter().map(|(i, s)| (i.as_str(), *s)));
             }
         }
         for core in &mut cores {
@@ -77,23 +77,23 @@
     for core in &cores {
         check(core);
         for number in 2..30 {
-            assert_eq!(core.get(&format!("i-{number}")).unwrap().silent, number >= 20, "{number}");
+            assert_eq!(core.get(&format!("i-{number}")).unwrap().is_suspected, number >= 20, "{number}");
         }
     }
 }
 
 #[test]
 fn a_change_that_died_with_its_core_comes_back_by_a_proxy() {
-    let (mut a, mut b, mut p) = (core(1), core(2), follower(9));
-    a.beat(0, server(1, 1));
+    let (mut a, mut b, mut p) = (core(1), core(2), read_replica(9));
+    a.record_heartbeat(0, server(1, 1));
     pull(0, &a, &mut b, 10);
-    a.beat(0, server(2, 1));
+    a.record_heartbeat(0, server(2, 1));
     pull(0, &a, &mut p, 10);
     drop(a);
-    assert!(!b.unknown(&p.vector()));
-    assert!(b.behind(&p.vector()));
+    assert!(!b.has_unknown_source(&p.vector()));
+    assert!(b.is_behind(&p.vector()));
     pull(0, &p, &mut b, 10);
-    assert!(!b.behind(&p.vector()));
+    assert!(!b.is_behind(&p.vector()));
     assert_eq!(said(&b), said(&p));
 }
 
@@ -101,13 +101,13 @@
 fn a_restarted_core_gets_all_from_another_and_numbers_anew() {
     let (mut a, mut b) = (core(1), core(2));
     for number in 0..20 {
-        a.beat(0, server(number, 1));
+        a.record_heartbeat(0, server(number, 1));
     }
     pull(0, &a, &mut b, 3);
     let mut again = core(3);
     pull(0, &b, &mut again, 3);
     assert_eq!(said(&again), said(&a));
-    again.beat(1, Server { slots: 1, ..server(1, 2) });
+    again.record_heartbeat(1, Server { slots: 1, ..server(1, 2) });
     pull(1, &again, &mut b, 3);
     assert_eq!(said(&again), said(&b));
     assert_eq!(b.vector().get(SourceId(3)), 1);
@@ -117,7 +117,7 @@
 #[test]
 fn the_vector_stays_small_over_thousands_of_lives() {
     let mut cores: Vec<Registry> = (1..=3).map(core).collect();
-    let mut proxy = follower(u64::MAX);
+    let mut proxy = read_replica(u64::MAX);
     let mut sequence = 0;
     let mut most = 0;
     for life in 0..3000_u64 {
@@ -130,13 +130,13 @@
             // One server changes in each life, the others are steady at any core.
             let to = usize::from(number) % 3;
             let slots = 1 + (life.saturating_sub(u64::from(number)) / 60) as u32;
-            cores[to].beat(now, Server { slots, ..server(number, sequence) });
+            cores[to].record_heartbeat(now, Server { slots, ..server(number, sequence) });
         }
         for from in 0..3 {
             for to in 0..3 {
                 if from != to {
-                    let peer = cores[from].me();
-                    cores[to].contact(now, peer);
+                    let peer = cores[from].local_id();
+                    cores[to].record_contact(now, peer);
                     pull_within(now, &mut cores, from, to, 50);
                 }
             }
@@ -159,14 +159,18 @@
         sequence += 1;
         for number in 0..60_u8 {
             let server = Server { slots: 9999, ..server(number, sequence) };
-            cores[usize::from(number) % 3].beat(now, server);
+            cores[usize::from(number) % 3].record_heartbeat(now, server);
         }
         for from in 0..3 {
             for to in 0..3 {
                 if from != to {
-                    let peer = cores[from].me();
-                    let alive = cores[from].alive(now.saturating_sub(1500));
-                    cores[to].heard_by(now, peer, alive.iter().map(|(i, s)| (i.as_str(), *s)));
+                    let peer = cores[from].local_id();
+                    let alive = cores[from].heartbeats_since(now.saturating_sub(1500));
+                    cores[to].record_remote_heartbeats(
+                        now,
+                        peer,
+                        alive.iter().map(|(i, s)| (i.as_str(), *s)),
+                    );
                     pull_within(now, &mut cores, from, to, 50);
                 }
             }
@@ -177,23 +181,23 @@
     }
     for core in &cores {
         assert_eq!(core.vector().len(), 3);
-        assert!(core.servers().all(|server| !server.silent));
+        assert!(core.servers().all(|server| !server.is_suspected));
     }
 }
 
 #[test]
 fn tombstones_are_bounded() {
     let mut register = core(1);
-    let count = MOST_TOMBSTONES as u64 + 500;
+    let count = MAX_TOMBSTONES as u64 + 500;
     for number in 0..count {
         register.deregister(number, &number.to_string());
     }
     assert!(register.get("0").is_none());
     assert!(register.get(&(count - 1).to_string()).is_some());
-    assert_eq!(register.entries().count(), MOST_TOMBSTONES);
-    let mut other = follower(2);
+    assert_eq!(register.entries().count(), MAX_TOMBSTONES);
+    let mut other = read_replica(2);
     pull(count, &register, &mut other, 1000);
-    assert_eq!(other.entries().count(), MOST_TOMBSTONES);
+    assert_eq!(other.entries().count(), MAX_TOMBSTONES);
     register.tick(count + TOMBSTONE_MS);
     other.tick(count + TOMBSTONE_MS);
     assert_eq!(register.entries().count() + other.entries().count(), 0);
@@ -203,41 +207,41 @@
 #[test]
 fn sources_without_entries_are_not_named() {
     let mut register = core(1);
-    let vector = Vector((10..4000).map(|n| (SourceId(n), n)).collect());
+    let vector = VersionVector((10..4000).map(|n| (SourceId(n), n)).collect());
     register.merge(0, Delta { vector: vector.clone(), ..Delta::default() });
     for source in 5000..9000 {
-        register.contact(source, SourceId(source));
+        register.record_contact(source, SourceId(source));
     }
     assert!(register.vector().is_empty());
     // One's own is no exception, and goes on counting.
-    register.beat(0, server(1, 1));
+    register.record_heartbeat(0, server(1, 1));
     let mut other = core(2);
     pull(0, &register, &mut other, 10);
     assert_eq!(other.vector().len(), 1);
-    other.beat(0, Server { slots: 3, ..server(1, 2) });
-    assert_eq!(other.vector(), Vector([(SourceId(2), 1)].into()));
+    other.record_heartbeat(0, Server { slots: 3, ..server(1, 2) });
+    assert_eq!(other.vector(), VersionVector([(SourceId(2), 1)].into()));
     pull(0, &other, &mut register, 10);
     assert_eq!(register.vector(), other.vector());
-    assert!(register.is_all_held());
-    register.beat(0, Server { slots: 4, ..server(1, 3) });
-    assert!(!register.is_all_held());
+    assert!(register.is_fully_replicated());
+    register.record_heartbeat(0, Server { slots: 4, ..server(1, 3) });
+    assert!(!register.is_fully_replicated());
     pull(0, &register, &mut other, 10);
     assert_eq!(said(&other), said(&register));
-    assert_eq!(other.vector(), Vector([(SourceId(1), 2)].into()));
+    assert_eq!(other.vector(), VersionVector([(SourceId(1), 2)].into()));
 }
 
 #[test]
 fn nobody_else_speaks_for_this_source() {
     let mut register = core(1);
-    register.beat(0, server(1, 1));
+    register.record_heartbeat(0, server(1, 1));
     let entry = Entry { server: server(2, 1), source: SourceId(1), version: 50 };
-    let vector = Vector([(SourceId(1), 70)].into());
+    let vector = VersionVector([(SourceId(1), 70)].into());
     assert!(!register.merge(0, Delta { entries: vec![entry], vector: vector.clone(), ..Delta::default() }));
     assert_eq!(register.vector().get(SourceId(1)), 1);
-    assert!(!register.unknown(&vector) && !register.behind(&vector));
-    register.held(&vector);
-    assert!(register.is_all_held());
-    assert!(register.beat(1, with_state(1, 2, OperState::Draining)).urgent);
+    assert!(!register.has_unknown_source(&vector) && !register.is_behind(&vector));
+    register.mark_replicated(&vector);
+    assert!(register.is_fully_replicated());
+    assert!(register.record_heartbeat(1, with_state(1, 2, OperState::Draining)).needs_replication);
 }
 
 #[test]
@@ -251,7 +255,7 @@
     let mut other = core(2);
     for sequence in 1..=10 {
         for number in 0..10_000 {
-            let heard = register.beat(sequence * KEEPALIVE, placed(number, sequence));
+            let heard = register.record_heartbeat(sequence * KEEPALIVE, placed(number, sequence));
             assert_eq!(heard.changed, sequence == 1);
         }
         assert!(!register.tick(sequence * KEEPALIVE));
@@ -259,5 +263,5 @@
     pull(0, &register, &mut other, 1000);
     assert_eq!(other.len(), 10_000);
     assert_eq!(register.version(), 10_000);
-    assert_eq!(other.by_service("service-1").count(), 10_000);
+    assert_eq!(other.servers_of_service("service-1").count(), 10_000);
 }
--- a/crates/registry/tests/silence.rs
+++ b/crates/registry/tests/silence.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{KEEPALIVE, check, core, follower, pull, server, settle, with_state};
+use common::{KEEPALIVE, check, core, pull, read_replica, server, settle, with_state};
 use mosshead_registry::{GONE_MS, LOST_MS, OperState, Registry, SourceId, TOMBSTONE_MS};
 
 /// Ticks from one time to another; who changed anything is told by the time of the first change.
@@ -17,12 +17,16 @@
 }
 
 fn digest(from: &Registry, since: u64, now: u64, to: &mut Registry) {
-    let alive = from.alive(since);
-    to.heard_by(now, from.me(), alive.iter().map(|(id, sequence)| (id.as_str(), *sequence)));
+    let alive = from.heartbeats_since(since);
+    to.record_remote_heartbeats(
+        now,
+        from.local_id(),
+        alive.iter().map(|(id, sequence)| (id.as_str(), *sequence)),
+    );
 }
 
 fn is_silent(register: &Registry) -> bool {
-    register.get("i-1").unwrap().silent
+    register.get("i-1").unwrap().is_suspected
 }
 
 #[test]
@@ -31,7 +35,7 @@
     register.tick(0);
     for beat in 0..5 {
         assert_eq!(run(&mut register, beat * 1200, beat * 1200 + 1100), None);
-        register.beat(beat * 1200, server(1, beat + 1));
+        register.record_heartbeat(beat * 1200, server(1, beat + 1));
     }
     let last = 4 * 1200;
     let marked = run(&mut register, last, last + 10_000).unwrap();
@@ -41,7 +45,7 @@
     assert_eq!(register.get("i-1").unwrap().sequence, 5);
     let gone = run(&mut register, last + 10_100, last + 40_000).unwrap();
     assert!((marked + GONE_MS..=marked + GONE_MS + 200).contains(&gone), "{gone}");
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Gone);
+    assert_eq!(register.get("i-1").unwrap().state, OperState::Removed);
     assert!(register.is_empty());
     run(&mut register, last + 40_100, gone + TOMBSTONE_MS - 100);
     assert!(register.get("i-1").is_some());
@@ -53,17 +57,17 @@
 #[test]
 fn a_beat_wakes_a_silent_and_a_gone_server() {
     let mut register = core(1);
-    register.beat(0, server(1, 1));
+    register.record_heartbeat(0, server(1, 1));
     run(&mut register, 0, 8_000);
     assert!(is_silent(&register));
     // The last one again is no sign of life.
-    assert!(!register.beat(8_000, server(1, 1)).changed);
-    assert!(register.beat(8_000, server(1, 2)).changed);
+    assert!(!register.record_heartbeat(8_000, server(1, 1)).changed);
+    assert!(register.record_heartbeat(8_000, server(1, 2)).changed);
     assert!(!is_silent(&register));
     run(&mut register, 8_100, 60_000);
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Gone);
-    assert!(!register.beat(60_100, server(1, 2)).changed);
-    assert!(register.beat(60_100, server(1, 3)).changed);
+    assert_eq!(register.get("i-1").unwrap().state, OperState::Removed);
+    assert!(!register.record_heartbeat(60_100, server(1, 2)).changed);
+    assert!(register.record_heartbeat(60_100, server(1, 3)).changed);
     assert_eq!(register.get("i-1").unwrap().state, OperState::Up);
     // Its timer is that of a live one again.
     run(&mut register, 60_100, 70_000);
@@ -74,12 +78,12 @@
 #[test]
 fn who_hears_it_elsewhere_keeps_quiet() {
     let (mut a, mut b) = (core(1), core(2));
-    a.beat(0, server(1, 1));
+    a.record_heartbeat(0, server(1, 1));
     pull(0, &a, &mut b, 10);
     // From now on the server beats at b only, and says nothing new.
     for now in (100..30_000).step_by(100) {
         if now % 1200 == 0 {
-            b.beat(now, server(1, 1 + now / 1200));
+            b.record_heartbeat(now, server(1, 1 + now / 1200));
         }
         if now % 300 == 0 {
             digest(&b, now.saturating_sub(1500), now, &mut a);
@@ -107,11 +111,11 @@
 
 #[test]
 fn a_false_mark_is_refuted_by_who_hears() {
-    let (mut a, mut b, mut p) = (core(1), core(2), follower(9));
-    a.beat(0, server(1, 1));
+    let (mut a, mut b, mut p) = (core(1), core(2), read_replica(9));
+    a.record_heartbeat(0, server(1, 1));
     pull(0, &a, &mut b, 10);
     for beat in 1..10 {
-        b.beat(beat * 1200, server(1, 1 + beat));
+        b.record_heartbeat(beat * 1200, server(1, 1 + beat));
     }
     // a was cut off: no digest came.
     run(&mut a, 0, 10 * 1200);
@@ -119,7 +123,7 @@
     pull(12_000, &a, &mut p, 10);
     assert!(is_silent(&p));
     // The proxy has seen more of a than b has: b asks for it, and knows better.
-    assert!(b.behind(&p.vector()));
+    assert!(b.is_behind(&p.vector()));
     pull(12_000, &p, &mut b, 10);
     assert!(!is_silent(&b));
     pull(12_000, &b, &mut p, 10);
@@ -130,17 +134,17 @@
 #[test]
 fn a_lost_source_is_spoken_for() {
     let (mut a, mut b, mut c) = (core(1), core(2), core(3));
-    a.beat(0, server(1, 1));
+    a.record_heartbeat(0, server(1, 1));
     pull(0, &a, &mut b, 10);
     pull(0, &a, &mut c, 10);
     // b and c are in touch with each other, a is too for a while.
     for now in (0..60_000).step_by(100) {
         if now <= 10_000 {
-            b.contact(now, SourceId(1));
-            c.contact(now, SourceId(1));
+            b.record_contact(now, SourceId(1));
+            c.record_contact(now, SourceId(1));
         }
-        b.contact(now, SourceId(3));
-        c.contact(now, SourceId(2));
+        b.record_contact(now, SourceId(3));
+        c.record_contact(now, SourceId(2));
         let marked = b.tick(now) | c.tick(now);
         if now <= 10_000 + LOST_MS {
             assert!(!marked, "a is in touch and speaks for itself");
@@ -152,24 +156,24 @@
             assert_eq!(common::said(&all[0]), common::said(&all[1]));
         }
     }
-    assert_eq!(b.get("i-1").unwrap().state, OperState::Gone);
+    assert_eq!(b.get("i-1").unwrap().state, OperState::Removed);
     // a comes back with its old word: it isn't heard.
     pull(60_000, &a, &mut b, 10);
-    assert_eq!(b.get("i-1").unwrap().state, OperState::Gone);
+    assert_eq!(b.get("i-1").unwrap().state, OperState::Removed);
     // A beat is.
-    assert!(b.beat(60_000, server(1, 2)).changed);
+    assert!(b.record_heartbeat(60_000, server(1, 2)).changed);
 }
 
 #[test]
 fn a_mark_never_undoes_a_drain_that_it_does_not_know() {
     // a knows the server as up with 1; b has it draining with 2, and steady beats up to 9 that a knows of by
     // digest alone. a's mark must not hold against the drain.
-    let (mut a, mut b, mut p) = (core(1), core(2), follower(9));
-    a.beat(0, server(1, 1));
+    let (mut a, mut b, mut p) = (core(1), core(2), read_replica(9));
+    a.record_heartbeat(0, server(1, 1));
     pull(0, &a, &mut b, 10);
-    b.beat(100, with_state(1, 2, OperState::Draining));
+    b.record_heartbeat(100, with_state(1, 2, OperState::Draining));
     pull(100, &b, &mut p, 10);
-    b.beat(200, with_state(1, 9, OperState::Draining));
+    b.record_heartbeat(200, with_state(1, 9, OperState::Draining));
     a.tick(0);
     digest(&b, 0, 200, &mut a);
     run(&mut a, 0, 10_000);
@@ -184,11 +188,11 @@
 #[test]
 fn a_process_that_stood_still_blames_nobody() {
     let mut register = core(1);
-    register.beat(0, server(1, 1));
+    register.record_heartbeat(0, server(1, 1));
     run(&mut register, 0, 1000);
     assert!(!register.tick(30_000));
     assert!(!is_silent(&register));
-    register.beat(30_200, server(1, 20));
+    register.record_heartbeat(30_200, server(1, 20));
     assert_eq!(run(&mut register, 30_100, 33_000), None);
     // And if it really is silent, that is told after the usual time.
     assert!(run(&mut register, 33_000, 36_000).is_some());
@@ -196,9 +200,9 @@
 
 #[test]
 fn followers_mark_nobody_but_drop_tombstones() {
-    let (mut a, mut p) = (core(1), follower(9));
-    a.beat(0, server(1, 1));
-    a.beat(0, server(2, 1));
+    let (mut a, mut p) = (core(1), read_replica(9));
+    a.record_heartbeat(0, server(1, 1));
+    a.record_heartbeat(0, server(2, 1));
     a.deregister(0, "i-2");
     pull(0, &a, &mut p, 10);
     assert_eq!(run(&mut p, 0, TOMBSTONE_MS * 2), None);
@@ -211,45 +215,45 @@
 #[test]
 fn a_digest_names_only_what_was_heard_here_lately() {
     let (mut a, mut b) = (core(1), core(2));
-    a.beat(0, server(1, 1));
-    a.beat(1000, server(2, 1));
-    a.beat(1100, server(2, 2));
+    a.record_heartbeat(0, server(1, 1));
+    a.record_heartbeat(1000, server(2, 1));
+    a.record_heartbeat(1100, server(2, 2));
     pull(1100, &a, &mut b, 10);
-    assert!(b.alive(0).is_empty());
-    assert_eq!(a.alive(500), [("i-2".to_string(), 2)]);
-    let mut all = a.alive(0);
+    assert!(b.heartbeats_since(0).is_empty());
+    assert_eq!(a.heartbeats_since(500), [("i-2".to_string(), 2)]);
+    let mut all = a.heartbeats_since(0);
     all.sort();
     assert_eq!(all, [("i-1".to_string(), 1), ("i-2".to_string(), 2)]);
     // What was heard later elsewhere is left to those.
-    a.heard_by(1200, SourceId(2), [("i-2", 3), ("nobody", 5)]);
-    assert_eq!(a.alive(500), []);
+    a.record_remote_heartbeats(1200, SourceId(2), [("i-2", 3), ("nobody", 5)]);
+    assert_eq!(a.heartbeats_since(500), []);
     // An older word changes nothing.
-    a.heard_by(1300, SourceId(3), [("i-1", 0), ("i-1", u64::MAX)]);
-    assert_eq!(a.alive(0), [("i-1".to_string(), 1)]);
+    a.record_remote_heartbeats(1300, SourceId(3), [("i-1", 0), ("i-1", u64::MAX)]);
+    assert_eq!(a.heartbeats_since(0), [("i-1".to_string(), 1)]);
 }
 
 #[test]
 fn a_drain_that_another_holds_is_not_urgent_again_for_a_refuted_mark() {
     // a drains with beats up to 8 that made no version, b has marked what it knew of it.
     let (mut a, mut b) = (core(1), core(2));
-    a.beat(0, with_state(1, 2, OperState::Draining));
+    a.record_heartbeat(0, with_state(1, 2, OperState::Draining));
     pull(0, &a, &mut b, 10);
-    assert!(a.beat(100, with_state(1, 8, OperState::Draining)).urgent);
+    assert!(a.record_heartbeat(100, with_state(1, 8, OperState::Draining)).needs_replication);
     run(&mut b, 0, 10_000);
     assert!(is_silent(&b));
     let shown = a.vector();
     pull(10_000, &a, &mut b, 10);
-    let answer = b.lacking(&shown, 10);
-    a.held(&answer.vector);
+    let answer = b.missing_entries(&shown, 10);
+    a.mark_replicated(&answer.vector);
     a.merge(10_000, answer);
     assert!(!is_silent(&a));
-    assert!(!a.beat(10_100, with_state(1, 9, OperState::Draining)).urgent);
+    assert!(!a.record_heartbeat(10_100, with_state(1, 9, OperState::Draining)).needs_replication);
     // If it comes up and leaves again, that is another matter.
-    assert!(!a.beat(10_200, server(1, 10)).urgent);
-    assert!(a.beat(10_300, with_state(1, 11, OperState::Draining)).urgent);
+    assert!(!a.record_heartbeat(10_200, server(1, 10)).needs_replication);
+    assert!(a.record_heartbeat(10_300, with_state(1, 11, OperState::Draining)).needs_replication);
     // And the end is urgent though the drain is held.
     pull(10_300, &a, &mut b, 10);
-    a.held(&b.vector());
-    assert!(!a.beat(10_400, with_state(1, 12, OperState::Draining)).urgent);
-    assert!(a.deregister(10_500, "i-1").urgent);
+    a.mark_replicated(&b.vector());
+    assert!(!a.record_heartbeat(10_400, with_state(1, 12, OperState::Draining)).needs_replication);
+    assert!(a.deregister(10_500, "i-1").needs_replication);
 }
--- a/crates/registry/tests/wire.rs
+++ b/crates/registry/tests/wire.rs
@@ -5,9 +5,11 @@
 use std::fmt::Debug;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use common::{check, core, follower, server};
+use common::{check, core, read_replica, server};
 use minicbor::{Decode, Encode};
-use mosshead_registry::{Delta, Entry, MOST_IN_VECTOR, Model, OperState, Server, SourceId, Stage, Vector};
+use mosshead_registry::{
+    Delta, Entry, MAX_VECTOR_SOURCES, Model, OperState, Server, SourceId, Stage, VersionVector,
+};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 #[derive(Clone, Debug)]
@@ -19,10 +21,10 @@
         service: String::arbitrary(g),
         address: SocketAddrV4::new(Ipv4Addr::from(u32::arbitrary(g)), u16::arbitrary(g)),
         zone: String::arbitrary(g),
-        software: String::arbitrary(g),
+        software_revision: String::arbitrary(g),
         slots: u32::arbitrary(g),
-        state: *g.choose(&[OperState::Up, OperState::Draining, OperState::Gone]).unwrap(),
-        silent: bool::arbitrary(g),
+        state: *g.choose(&[OperState::Up, OperState::Draining, OperState::Removed]).unwrap(),
+        is_suspected: bool::arbitrary(g),
         warmup_left_ms: u64::arbitrary(g),
         stage: *g.choose(&[None, Some(Stage::Prefill), Some(Stage::Decode)]).unwrap(),
         models: (0..usize::arbitrary(g) % 4)
@@ -36,8 +38,8 @@
     }
 }
 
-fn any_vector(g: &mut Gen) -> Vector {
-    Vector(Vec::<(u64, u64)>::arbitrary(g).into_iter().map(|(s, v)| (SourceId(s), v)).collect())
+fn any_vector(g: &mut Gen) -> VersionVector {
+    VersionVector(Vec::<(u64, u64)>::arbitrary(g).into_iter().map(|(s, v)| (SourceId(s), v)).collect())
 }
 
 impl Arbitrary for AnyDelta {
@@ -52,9 +54,9 @@
             .collect();
         AnyDelta(Delta {
             entries,
-            since: any_vector(g),
+            base: any_vector(g),
             vector: any_vector(g),
-            more: bool::arbitrary(g),
+            is_truncated: bool::arbitrary(g),
             fingerprint: u64::arbitrary(g),
         })
     }
@@ -66,7 +68,7 @@
 }
 
 fn read_all(bytes: &[u8]) {
-    let _ = minicbor::decode::<Vector>(bytes);
+    let _ = minicbor::decode::<VersionVector>(bytes);
     let _ = minicbor::decode::<Server>(bytes);
     let _ = minicbor::decode::<Entry>(bytes);
     let _ = minicbor::decode::<OperState>(bytes);
@@ -105,16 +107,16 @@
 
     /// Deltas that no honest process makes leave the register whole.
     fn odd_deltas_do_no_harm(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
-        let (mut a, mut p) = (core(1), follower(2));
-        a.beat(0, server(1, 1));
+        let (mut a, mut p) = (core(1), read_replica(2));
+        a.record_heartbeat(0, server(1, 1));
         for (delta, now) in deltas.into_iter().zip(times.into_iter().chain([u64::MAX, 0])) {
             a.merge(now, delta.0.clone());
             p.merge(now, delta.0.clone());
-            a.unknown(&delta.0.vector);
-            a.held(&delta.0.vector);
-            a.lacking(&delta.0.vector, 3);
+            a.has_unknown_source(&delta.0.vector);
+            a.mark_replicated(&delta.0.vector);
+            a.missing_entries(&delta.0.vector, 3);
             for entry in delta.0.entries {
-                a.beat(now, entry.server.clone());
+                a.record_heartbeat(now, entry.server.clone());
                 a.deregister(now, &entry.server.service);
             }
             a.tick(now);
@@ -128,12 +130,14 @@
 
 #[test]
 fn a_vector_from_outside_is_bounded() {
-    let sources = |count: u64| Vector((0..count).map(|n| (SourceId(n), n)).collect());
-    let most = MOST_IN_VECTOR as u64;
-    assert!(minicbor::decode::<Vector>(&minicbor::to_vec(sources(most)).unwrap()).is_ok());
-    assert!(minicbor::decode::<Vector>(&minicbor::to_vec(sources(most + 1)).unwrap()).is_err());
+    let sources = |count: u64| VersionVector((0..count).map(|n| (SourceId(n), n)).collect());
+    let most = MAX_VECTOR_SOURCES as u64;
+    assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(most)).unwrap()).is_ok());
+    assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(most + 1)).unwrap()).is_err());
     // A length that isn't there asks for no memory.
-    assert!(minicbor::decode::<Vector>(&[0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err());
+    assert!(
+        minicbor::decode::<VersionVector>(&[0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err()
+    );
     assert!(
         minicbor::decode::<Delta>(&[0x85, 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err()
     );
--- a/crates/routing/src/board.rs
+++ b/crates/routing/src/board.rs
@@ -87,7 +87,7 @@
         let mut parts: HashMap<String, [Vec<Rc<str>>; 2]> = HashMap::new();
         let mut gone: std::collections::HashSet<Rc<str>> = self.all.keys().cloned().collect();
         for server in servers {
-            if server.state == OperState::Gone {
+            if server.state == OperState::Removed {
                 continue;
             }
             let id: Rc<str> = match self.all.get_key_value(server.id.as_str()) {
@@ -120,7 +120,7 @@
         for id in gone {
             // Danger: a server with requests out is still counted down when they end; it is only no candidate.
             if let Some(candidate) = self.all.get_mut(&id) {
-                candidate.server.state = OperState::Gone;
+                candidate.server.state = OperState::Removed;
                 if candidate.open.value() <= 0.0 && candidate.unread <= 0.0 {
                     self.all.remove(&id);
                 }
--- a/crates/routing/src/plan.rs
+++ b/crates/routing/src/plan.rs
@@ -175,11 +175,12 @@
             let ids = self.board.side(service, side).iter().filter(|id| !avoid.contains(id));
             ids.filter_map(|id| self.board.get(id)).filter(|one| one.server.state == OperState::Up)
         };
-        let sound: Vec<_> = listed().filter(|one| !one.server.silent && one.evidence.open(now)).collect();
+        let sound: Vec<_> =
+            listed().filter(|one| !one.server.is_suspected && one.evidence.open(now)).collect();
         if !sound.is_empty() {
             return sound;
         }
-        let heard: Vec<_> = listed().filter(|one| !one.server.silent).collect();
+        let heard: Vec<_> = listed().filter(|one| !one.server.is_suspected).collect();
         if heard.is_empty() { listed().collect() } else { heard }
     }
 
@@ -358,7 +359,7 @@
         avoid: &[Rc<str>],
     ) -> Option<Rc<str>> {
         let sound = |one: &Endpoint| {
-            one.server.state == OperState::Up && !one.server.silent && one.evidence.sound(now)
+            one.server.state == OperState::Up && !one.server.is_suspected && one.evidence.sound(now)
         };
         if self.board.get(&pair.runner).is_some_and(sound) {
             return Some(pair.runner.clone());
--- a/crates/routing/tests/plan.rs
+++ b/crates/routing/tests/plan.rs
@@ -14,10 +14,10 @@
         service: service.into(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "here".into(),
-        software: "v1".into(),
+        software_revision: "v1".into(),
         slots: 64,
         state: OperState::Up,
-        silent: false,
+        is_suspected: false,
         warmup_left_ms: 0,
         stage,
         models: Vec::new(),
@@ -79,7 +79,7 @@
 fn draining_and_gone_servers_get_nothing() {
     let mut servers = [server("a", "s", None), server("b", "s", None), server("c", "s", None)];
     servers[0].state = OperState::Draining;
-    servers[1].state = OperState::Gone;
+    servers[1].state = OperState::Removed;
     let mut router = router(&servers);
     assert!((0..100).all(|_| router.one(0, "s", &[]).as_deref() == Some("c")));
     servers[2].state = OperState::Draining;
@@ -100,7 +100,7 @@
 #[test]
 fn silent_servers_are_the_last_resort() {
     let mut servers = [server("a", "s", None), server("b", "s", None)];
-    servers[0].silent = true;
+    servers[0].is_suspected = true;
     let mut router = router(&servers);
     assert!((0..50).all(|_| router.one(0, "s", &[]).as_deref() == Some("b")));
     assert_eq!(router.one(0, "s", &[Rc::from("b")]).as_deref(), Some("a"));
--- a/crates/stage-scheduler/src/lib.rs
+++ b/crates/stage-scheduler/src/lib.rs
@@ -94,7 +94,7 @@
         }
         let mut services: BTreeMap<&str, Vec<(&Server, Stage)>> = BTreeMap::new();
         for server in servers {
-            if let (OperState::Up, false, Some(stage)) = (server.state, server.silent, server.stage) {
+            if let (OperState::Up, false, Some(stage)) = (server.state, server.is_suspected, server.stage) {
                 let ordered = self.ordered.get(&server.id).filter(|order| now < order.0 + self.terms.rest);
                 let stage = ordered.map_or(stage, |order| order.1);
                 services.entry(server.service.as_str()).or_default().push((server, stage));
