--- a/crates/routing/src/board.rs
+++ b/crates/routing/src/endpoint_table.rs
@@ -6,7 +6,7 @@
 use mosshead_load_board::Entry;
 use mosshead_registry::{OperState, Server, Stage};
 
-use crate::evidence::OutlierRecord;
+use crate::outlier::OutlierRecord;
 
 /// What a send adds to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/routing/src/plan.rs
+++ b/crates/routing/src/router.rs
@@ -9,9 +9,9 @@
 use rand_core::RngCore;
 
 use crate::Millis;
-use crate::board::{Endpoint, EndpointTable, LoadKind, mix};
-use crate::budget::{RetryBudget, RetryBudgetLimits};
-use crate::evidence::ServerFailure;
+use crate::endpoint_table::{Endpoint, EndpointTable, LoadKind, mix};
+use crate::outlier::ServerFailure;
+use crate::retry_budget::{RetryBudget, RetryBudgetLimits};
 
 /// What a zone is worth to a prompt that is to be read, in tokens, for each open stream that it is worth else.
 const NEARER: f64 = 400.0;
