--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -134,7 +134,7 @@
         self: &Rc<Self>,
         server: &Server,
         message: &Message,
-        deadline: u64,
+        deadline: mosshead_time::Instant,
         until: Instant,
         extra: &[(&'static str, HeaderValue)],
     ) -> Sent {
@@ -149,7 +149,7 @@
                     let (left, to) = (until.saturating_duration_since(Instant::now()), server.address);
                     match self.links.open(&server.id, message.origin, to, server.most, left).await {
                         Opened::Link(link) => (link, false),
-                        Opened::TooMany => return Sent::Lost(ServerFailure::Full),
+                        Opened::TooMany => return Sent::Lost(ServerFailure::Overloaded),
                         Opened::Unreachable => return Sent::Lost(ServerFailure::Unreachable),
                     }
                 }
@@ -158,9 +158,9 @@
                 if reused {
                     continue;
                 }
-                return Sent::Lost(ServerFailure::Broken);
+                return Sent::Lost(ServerFailure::BrokenResponse);
             }
-            let request = message.request(server, deadline.saturating_sub(self.now()), extra);
+            let request = message.request(server, mosshead_time::whole_millis(deadline - self.now()), extra);
             // Danger: this may be dropped at any moment, and the request may have arrived all the same.
             message.sent_to.borrow_mut().push(server.id.clone());
             let response = match link.link.send_before(request, until).await {
@@ -175,7 +175,7 @@
                     match (late, reused) {
                         (true, _) => return Sent::Lost(ServerFailure::Unreachable),
                         (false, true) => continue,
-                        (false, false) => return Sent::Lost(ServerFailure::Broken),
+                        (false, false) => return Sent::Lost(ServerFailure::BrokenResponse),
                     }
                 }
             };
@@ -192,26 +192,26 @@
             }
             return Sent::Answer { head, body, link };
         }
-        Sent::Lost(ServerFailure::Broken)
+        Sent::Lost(ServerFailure::BrokenResponse)
     }
 
     pub(crate) fn heard(&self, id: &str) {
         let now = self.now();
-        self.router.borrow_mut().heard(now, id);
+        self.router.borrow_mut().record_received(now, id);
     }
 
     /// Ends once a server has shown that it is dark: it has been mute for `patience`, and then does not answer within
     /// `within` even what needs no slot. Danger: a long queue is silent, too, and is no reason to ask elsewhere.
-    pub(crate) async fn dark(self: &Rc<Self>, server: &Server, patience: u64, within: u64) {
+    pub(crate) async fn dark(self: &Rc<Self>, server: &Server, patience: Duration, within: Duration) {
         loop {
-            tokio::time::sleep(Duration::from_millis(patience)).await;
-            let since = self.now().saturating_sub(patience);
-            if !self.router.borrow().mute(since, &server.id) {
+            tokio::time::sleep(patience).await;
+            let since = self.now() - patience;
+            if !self.router.borrow().is_silent_since(since, &server.id) {
                 continue;
             }
             let asked = self.now();
             self.ask_figure(server, within).await;
-            if self.router.borrow().mute(asked, &server.id) {
+            if self.router.borrow().is_silent_since(asked, &server.id) {
                 return;
             }
         }
--- a/crates/data-plane/src/forward.rs
+++ b/crates/data-plane/src/forward.rs
@@ -13,7 +13,7 @@
 use mosshead_http_links::RetryPolicy;
 use mosshead_registry::OperState;
 use mosshead_routing::{Prompt, ServerFailure};
-use tokio::time::timeout;
+use tokio::time::{Duration, timeout};
 
 use crate::answer::{Cut, Out, of_server, own, passed_on};
 use crate::attempt::{Message, Sent, Server, sealed};
@@ -31,7 +31,7 @@
     pub(crate) service: Arc<Service>,
     pub(crate) message: Message,
     pub(crate) ask: Option<Prompt>,
-    pub(crate) deadline: u64,
+    pub(crate) deadline: mosshead_time::Instant,
     pub(crate) priority: HeaderValue,
     /// When it may be sent to another server.
     pub(crate) retry: RetryPolicy,
@@ -120,7 +120,7 @@
             .get("x-deadline-ms")
             .and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
         let wait = wait.filter(|wait| wait.is_finite() && *wait >= 0.0).map_or(u64::MAX, |wait| wait as u64);
-        let deadline = self.now() + wait.min(route.timeout.as_millis() as u64);
+        let deadline = self.now() + Duration::from_millis(wait).min(route.timeout);
         let uri = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = uri.parse().map_err(|_| StatusCode::BAD_REQUEST)?;
         // A stream is passed on as it comes, also where its request names no prompt.
@@ -132,19 +132,19 @@
         let message = Message::of_client(head.method.clone(), uri, headers, body);
         let retry = if route.is_idempotent() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
         let priority = HeaderValue::from(u16::from(route.priority.min(9)));
-        self.router.borrow_mut().asked(self.now(), &service.name);
+        self.router.borrow_mut().record_request(self.now(), &service.name);
         Ok(Job { route, service, message, ask, deadline, priority, retry })
     }
 
     /// The service of a request: by weight, where a route has several.
     fn pick(&self, config: &Config, route: &Route) -> Option<Arc<Service>> {
-        let unit = self.router.borrow_mut().chance();
+        let unit = self.router.borrow_mut().random_fraction();
         config.service(route.choose_service(unit)?).cloned()
     }
 
     pub(crate) fn server(&self, job: &Job, id: &Rc<str>) -> Option<Server> {
         let router = self.router.borrow();
-        let address = router.board().get(id)?.server.address;
+        let address = router.endpoints().get(id)?.server.address;
         let share = 2.0 * f64::from(job.service.max_connections) / self.proxies.get().max(2) as f64;
         Some(Server { id: id.clone(), address, most: (share as usize).max(6) })
     }
@@ -152,8 +152,9 @@
     /// What a request is told that has not run: at once, with the time to come back.
     pub(crate) fn refuse(&self, job: &Job) -> Response<Out> {
         add(&self.counters.rejected);
-        let wait =
-            0.05 + self.router.borrow_mut().chance() * job.route.target_latency.as_millis() as f64 / 4000.0;
+        let wait = 0.05
+            + self.router.borrow_mut().random_fraction() * job.route.target_latency.as_millis() as f64
+                / 4000.0;
         own(StatusCode::SERVICE_UNAVAILABLE, Some(wait))
     }
 
@@ -165,11 +166,11 @@
 
     /// Whether a server still takes what is new.
     fn takes(&self, id: &str) -> bool {
-        self.router.borrow().board().get(id).is_some_and(|one| one.server.state == OperState::Up)
+        self.router.borrow().endpoints().get(id).is_some_and(|one| one.server.state == OperState::Up)
     }
 
     pub(crate) fn over(&self, job: &Job) -> bool {
-        self.now() + 2 >= job.deadline
+        self.now() + Duration::from_millis(2) >= job.deadline
     }
 
     /// A request whose answer is held whole before it is passed on.
@@ -186,20 +187,21 @@
                 return Ok(give_up(last));
             }
             let now = self.now();
-            let id = self.router.borrow_mut().one(now, &job.service.name, &avoid);
+            let id = self.router.borrow_mut().select_server(now, &job.service.name, &avoid);
             let Some((id, server)) = id.and_then(|id| self.server(&job, &id).map(|server| (id, server)))
             else {
                 return Ok(give_up(last));
             };
-            if arrived > 0 && !self.router.borrow_mut().repeat(now, &job.service.name) {
-                self.router.borrow_mut().unknown(&id);
+            if arrived > 0 && !self.router.borrow_mut().try_withdraw_retry(now, &job.service.name) {
+                self.router.borrow_mut().record_inconclusive(&id);
                 return Ok(give_up(last));
             }
             let running = Running::new(self, &id);
             let until = self.at(job.deadline);
             let priority = [("priority", job.priority.clone())];
             avoid.push(id.clone());
-            let patience = (job.route.target_latency.as_millis() as u64 / 2).clamp(40, MUTE);
+            let patience = Duration::from_millis(job.route.target_latency.as_millis() as u64 / 2)
+                .clamp(Duration::from_millis(40), MUTE);
             let sent = tokio::select! {
                 sent = self.send(&server, &job.message, job.deadline, until, &priority) => sent,
                 () = self.dark(&server, patience, patience), if job.may_run_twice() => Sent::Late,
@@ -210,7 +212,7 @@
                     ran = true;
                     let success = head.status.is_success();
                     if success && !sealed(&head) {
-                        running.failed(ServerFailure::Broken);
+                        running.failed(ServerFailure::BrokenResponse);
                     } else if let Some(body) = self.whole(&id, &head, body, link, until).await {
                         let answer = of_server(&head, Out::Whole(Some(body)));
                         if success {
@@ -218,12 +220,12 @@
                             add(&self.counters.completed);
                             return Ok(answer);
                         }
-                        running.failed(ServerFailure::Failed);
+                        running.failed(ServerFailure::ErrorResponse);
                         // Danger: these promise that the request never ran; without the server's proof they lie.
                         let promise = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
                         last = (!promise || job.may_run_twice()).then_some(answer);
                     } else {
-                        running.failed(ServerFailure::Broken);
+                        running.failed(ServerFailure::BrokenResponse);
                     }
                     if !job.may_run_twice() {
                         return Ok(last.unwrap_or_else(|| self.fail()));
@@ -238,7 +240,7 @@
                     arrived += 1;
                 }
                 Sent::Broken | Sent::Late => {
-                    running.failed(ServerFailure::Broken);
+                    running.failed(ServerFailure::BrokenResponse);
                     arrived += 1;
                     ran = true;
                     if !job.may_run_twice() {
@@ -261,17 +263,18 @@
             }
             self.ask_readers(&job, &ask).await;
             let now = self.now();
-            let pair = self.router.borrow_mut().pair(now, &job.service.name, &ask, &avoid);
+            let pair = self.router.borrow_mut().select_pair(now, &job.service.name, &ask, &avoid);
             let Some(pair) = pair else {
                 return Ok(if ran { self.fail() } else { self.refuse(&job) });
             };
-            if arrived > 0 && !self.router.borrow_mut().repeat(now, &job.service.name) {
-                self.router.borrow_mut().unknown(&pair.runner);
+            if arrived > 0 && !self.router.borrow_mut().try_withdraw_retry(now, &job.service.name) {
+                self.router.borrow_mut().record_inconclusive(&pair.decode);
                 return Ok(if ran { self.fail() } else { self.refuse(&job) });
             }
             let mut handle: Option<Handle> = None;
-            if let Some(reader) = pair.reader.as_ref().and_then(|id| self.server(&job, id)) {
-                let granted = reads == 0 || self.router.borrow_mut().repeat(now, &job.service.name);
+            if let Some(reader) = pair.prefill.as_ref().and_then(|id| self.server(&job, id)) {
+                let granted =
+                    reads == 0 || self.router.borrow_mut().try_withdraw_retry(now, &job.service.name);
                 if granted {
                     match self.read_prompt(&reader, &job.message, &ask, job.deadline, &job.priority).await {
                         Ok(read) => {
@@ -279,12 +282,14 @@
                             handle = Some(read);
                         }
                         Err(unread) => {
-                            self.router.borrow_mut().unknown(&pair.runner);
+                            self.router.borrow_mut().record_inconclusive(&pair.decode);
                             unsent += 1;
                             reads += u32::from(!matches!(unread, Unread::NotSent));
                             // What a server rejects has arrived there: it is a repeat by the rules.
                             let rejected = matches!(unread, Unread::Refused);
-                            if rejected && !self.router.borrow_mut().repeat(now, &job.service.name) {
+                            if rejected
+                                && !self.router.borrow_mut().try_withdraw_retry(now, &job.service.name)
+                            {
                                 return Ok(self.refuse(&job));
                             }
                             avoid.push(reader.id.clone());
@@ -292,14 +297,15 @@
                         }
                     }
                 } else {
-                    self.router.borrow_mut().unknown(&reader.id);
+                    self.router.borrow_mut().record_inconclusive(&reader.id);
                 }
             }
             let now = self.now();
-            let runner = self.router.borrow_mut().runner(now, &job.service.name, &pair, &avoid);
+            let runner =
+                self.router.borrow_mut().confirm_decode_server(now, &job.service.name, &pair, &avoid);
             let Some(server) = runner.as_ref().and_then(|runner| self.server(&job, runner)) else {
                 unsent += 1;
-                avoid.push(pair.runner.clone());
+                avoid.push(pair.decode.clone());
                 continue;
             };
             let mut again = false;
@@ -310,7 +316,7 @@
                         if let (true, Some(reader)) = (again, &reader) {
                             // The server had room: what it could not have was the memory.
                             let now = self.now();
-                            self.router.borrow_mut().lapsed(now, reader);
+                            self.router.borrow_mut().distrust_handles(now, reader);
                         }
                         if let Some(under) = under.take() {
                             return Ok(self.clone().pass_on(job, ask, start, under));
@@ -329,7 +335,7 @@
                         // The memory could not be had: the same server reads the prompt itself.
                         again = true;
                         let now = self.now();
-                        if self.router.borrow_mut().repeat(now, &job.service.name) {
+                        if self.router.borrow_mut().try_withdraw_retry(now, &job.service.name) {
                             continue;
                         }
                         return Ok(self.refuse(&job));
--- a/crates/data-plane/src/prompt.rs
+++ b/crates/data-plane/src/prompt.rs
@@ -6,9 +6,10 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
-use mosshead_routing::{Prompt, ServerFailure};
+use mosshead_routing::{Prompt, PromptPart, ServerFailure};
+use mosshead_time::Duration;
 use tinyjson::JsonValue;
-use tokio::time::{Duration, Instant, timeout_at};
+use tokio::time::{Instant, timeout_at};
 
 use crate::attempt::{Message, Sent, Server, kept, whole_body};
 use crate::forward::Job;
@@ -19,19 +20,23 @@
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let mut counts = text("x-token-count")?.split(',').map(|count| count.trim().parse::<f64>());
     let tokens = counts.next()?.ok()?;
-    let answer = counts.next().and_then(Result::ok).filter(|answer| answer.is_finite()).unwrap_or(0.0);
+    let max_output_tokens =
+        counts.next().and_then(Result::ok).filter(|answer| answer.is_finite()).unwrap_or(0.0);
     let mut parts = Vec::new();
     for part in text("x-prompt-prefix").unwrap_or_default().split(',').take(64) {
         if let Some((id, count)) = part.trim().split_once(':')
             && let (Ok(id), Ok(count)) = (u64::from_str_radix(id, 16), count.parse::<f64>())
             && count.is_finite()
         {
-            parts.push((id, count.max(0.0)));
+            parts.push(PromptPart { id, tokens: count.max(0.0) });
         }
     }
-    let model = text("x-model-name").unwrap_or_default().to_owned();
-    let named: f64 = parts.iter().map(|part| part.1).sum();
-    (tokens.is_finite() && tokens >= 0.0).then(|| Prompt { tokens: tokens.max(named), parts, answer, model })
+    let named: f64 = parts.iter().map(|part| part.tokens).sum();
+    (tokens.is_finite() && tokens >= 0.0).then(|| Prompt {
+        tokens: tokens.max(named),
+        parts,
+        max_output_tokens,
+    })
 }
 
 /// What a server keeps of a prompt until another takes it. Let go of untaken, it is freed.
@@ -69,7 +74,7 @@
         tokio::task::spawn_local(async move {
             let message = Message::of_proxy(Method::DELETE, uri);
             let until = Instant::now() + Duration::from_millis(500);
-            let deadline = data_plane.now() + 500;
+            let deadline = data_plane.now() + Duration::from_millis(500);
             if let Sent::Answer { head, body, link } =
                 data_plane.send(&server, &message, deadline, until, &[]).await
             {
@@ -80,9 +85,9 @@
 }
 
 /// A server that works answers for its figure within so many milliseconds.
-pub(crate) const REPORT: u64 = 300;
+pub(crate) const REPORT: Duration = Duration::from_millis(300);
 /// A server that has been mute for so many is asked whether it is there.
-pub(crate) const MUTE: u64 = 250;
+pub(crate) const MUTE: Duration = Duration::from_millis(250);
 /// A figure is waited for so long.
 const FIGURE: Duration = Duration::from_millis(12);
 
@@ -111,7 +116,7 @@
 impl DataPlane {
     /// ClientRequests the readers that a prompt would be weighed between for their figures, where none is fresh.
     pub(crate) async fn ask_readers(self: &Rc<Self>, job: &Job, ask: &Prompt) {
-        let ids = self.router.borrow_mut().unknown_readers(self.now(), &job.service.name, ask);
+        let ids = self.router.borrow_mut().prefill_servers_to_query(self.now(), &job.service.name, ask);
         let servers: Vec<Server> = ids.iter().filter_map(|id| self.server(job, id)).collect();
         let mut asked = Vec::new();
         for server in servers {
@@ -126,9 +131,9 @@
     }
 
     /// ClientRequests a server for its figure.
-    pub(crate) async fn ask_figure(self: &Rc<Self>, server: &Server, within: u64) {
+    pub(crate) async fn ask_figure(self: &Rc<Self>, server: &Server, within: Duration) {
         let message = Message::of_proxy(Method::GET, Uri::from_static("/report"));
-        let until = Instant::now() + Duration::from_millis(within);
+        let until = Instant::now() + within;
         let deadline = self.now() + within;
         match self.send(server, &message, deadline, until, &[]).await {
             Sent::Answer { head, body, link } if head.status.is_success() => {
@@ -136,7 +141,7 @@
                 // Danger: what is no report answers another call, so the report may come yet: the connection goes.
                 if let Some(figure) = body.and_then(|body| figure(&body)) {
                     let now = self.now();
-                    self.router.borrow_mut().figure(now, &server.id, figure);
+                    self.router.borrow_mut().record_load(now, &server.id, figure);
                     self.links.put(&server.id, link, kept(&head), until).await;
                 }
             }
@@ -153,10 +158,10 @@
         server: &Server,
         message: &Message,
         ask: &Prompt,
-        deadline: u64,
+        deadline: mosshead_time::Instant,
         priority: &HeaderValue,
     ) -> Result<Handle, Unread> {
-        let _reading = Reading::new(self, &server.id, ask.own());
+        let _reading = Reading::new(self, &server.id, ask.unshared_tokens());
         let until = self.at(deadline);
         let stage =
             [("x-serving-stage", HeaderValue::from_static("prefill")), ("priority", priority.clone())];
@@ -168,17 +173,17 @@
             Sent::Answer { head, body, link } if head.status.is_success() => {
                 let body = self.whole(&server.id, &head, body, link, until).await;
                 let handle = body.and_then(|body| handle(&body)).ok_or_else(|| {
-                    self.fault(&server.id, ServerFailure::Broken);
+                    self.fault(&server.id, ServerFailure::BrokenResponse);
                     Unread::Lost
                 })?;
-                self.router.borrow_mut().served(&server.id);
+                self.router.borrow_mut().record_success(&server.id);
                 add(&self.counters.handed_over);
                 let taken = Cell::new(false);
                 Ok(Handle { data_plane: self.clone(), server: server.clone(), handle, taken })
             }
             Sent::Answer { head, body, link } => {
                 self.spare(&server.id, link, head, body);
-                self.fault(&server.id, ServerFailure::Failed);
+                self.fault(&server.id, ServerFailure::ErrorResponse);
                 Err(Unread::Lost)
             }
             Sent::NeverRan(status) => {
@@ -190,7 +195,7 @@
                 Err(Unread::NotSent)
             }
             Sent::Broken | Sent::Late => {
-                self.fault(&server.id, ServerFailure::Broken);
+                self.fault(&server.id, ServerFailure::BrokenResponse);
                 Err(Unread::Lost)
             }
         }
@@ -200,9 +205,9 @@
 /// What it says of a server that it turned a request away.
 pub(crate) fn refusal(status: hyper::StatusCode) -> ServerFailure {
     if status == hyper::StatusCode::MISDIRECTED_REQUEST {
-        ServerFailure::Elsewhere
+        ServerFailure::WrongInstance
     } else {
-        ServerFailure::Full
+        ServerFailure::Overloaded
     }
 }
 
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/proxy_state.rs
@@ -7,10 +7,10 @@
 use arc_swap::ArcSwapOption;
 use mosshead_config::Config;
 use mosshead_registry::Server;
-use mosshead_routing::{Millis, Router, RoutingWeights, ServerFailure};
+use mosshead_routing::{Router, RoutingWeights, ServerFailure};
+use mosshead_time::{Duration, Instant};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use tokio::time::{Duration, Instant};
 
 use crate::links::Links;
 
@@ -42,7 +42,7 @@
     config: ArcSwapOption<Config>,
     pub(crate) router: RefCell<Router<Pcg64Mcg>>,
     pub(crate) links: Links,
-    start: Instant,
+    start: tokio::time::Instant,
     stopping: Cell<bool>,
     /// Requests under way.
     pub(crate) open: Cell<usize>,
@@ -60,7 +60,7 @@
             config: ArcSwapOption::empty(),
             router: RefCell::new(Router::new(terms, zone, Pcg64Mcg::seed_from_u64(seed))),
             links: Links::default(),
-            start: Instant::now(),
+            start: tokio::time::Instant::now(),
             stopping: Cell::new(false),
             open: Cell::new(0),
             held: Cell::new(0),
@@ -69,12 +69,12 @@
         })
     }
 
-    pub(crate) fn now(&self) -> Millis {
-        self.start.elapsed().as_millis() as Millis
+    pub(crate) fn now(&self) -> Instant {
+        Instant::from_millis(self.start.elapsed().as_millis() as u64)
     }
 
-    pub(crate) fn at(&self, at: Millis) -> Instant {
-        self.start + Duration::from_millis(at)
+    pub(crate) fn at(&self, at: Instant) -> tokio::time::Instant {
+        self.start + Duration::from_millis(at.as_millis())
     }
 
     /// The configuration in force.
@@ -95,13 +95,13 @@
     pub fn update_servers<'a>(&self, servers: impl Iterator<Item = &'a Server>) {
         self.router.borrow_mut().update_servers(servers);
         let router = self.router.borrow();
-        self.links.keep(|id| router.board().get(id).is_some());
+        self.links.keep(|id| router.endpoints().get(id).is_some());
     }
 
     /// How many proxies share what all may spend.
     pub fn set_proxy_count(&self, count: usize) {
         self.proxies.set(count.max(1));
-        self.router.borrow_mut().proxies(count);
+        self.router.borrow_mut().set_proxy_count(count);
     }
 
     /// The process ends soon: clients are told to go elsewhere.
@@ -126,12 +126,12 @@
         }
         let Some(config) = self.config() else { return false };
         let router = self.router.borrow();
-        config.services.keys().any(|service| router.board().serves(service))
+        config.services.keys().any(|service| router.endpoints().serves(service))
     }
 
     pub(crate) fn fault(&self, id: &str, fault: ServerFailure) {
         let now = self.now();
-        self.router.borrow_mut().failed(now, id, fault);
+        self.router.borrow_mut().record_failure(now, id, fault);
     }
 }
 
@@ -162,14 +162,14 @@
 
 impl Reading {
     pub(crate) fn new(data_plane: &Rc<DataPlane>, id: &Rc<str>, tokens: f64) -> Self {
-        data_plane.router.borrow_mut().reads(id, tokens);
+        data_plane.router.borrow_mut().start_prefill(id, tokens);
         Self { data_plane: data_plane.clone(), id: id.clone(), tokens }
     }
 }
 
 impl Drop for Reading {
     fn drop(&mut self) {
-        self.data_plane.router.borrow_mut().has_read(&self.id, self.tokens);
+        self.data_plane.router.borrow_mut().finish_prefill(&self.id, self.tokens);
     }
 }
 
@@ -182,13 +182,13 @@
 
 impl Running {
     pub(crate) fn new(data_plane: &Rc<DataPlane>, id: &Rc<str>) -> Self {
-        data_plane.router.borrow_mut().runs(id);
+        data_plane.router.borrow_mut().start_request(id);
         Self { data_plane: data_plane.clone(), id: id.clone(), told: Cell::new(false) }
     }
 
     pub(crate) fn served(&self) {
         self.told.set(true);
-        self.data_plane.router.borrow_mut().served(&self.id);
+        self.data_plane.router.borrow_mut().record_success(&self.id);
     }
 
     pub(crate) fn failed(&self, fault: ServerFailure) {
@@ -200,9 +200,9 @@
 impl Drop for Running {
     fn drop(&mut self) {
         let mut router = self.data_plane.router.borrow_mut();
-        router.has_run(&self.id);
+        router.finish_request(&self.id);
         if !self.told.get() {
-            router.unknown(&self.id);
+            router.record_inconclusive(&self.id);
         }
     }
 }
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -57,7 +57,7 @@
         after: Option<u64>,
     ) -> Ran {
         let running = Running::new(self, &server.id);
-        let reading = handle.is_none().then(|| Reading::new(self, &server.id, 2.0 * ask.own()));
+        let reading = handle.is_none().then(|| Reading::new(self, &server.id, 2.0 * ask.unshared_tokens()));
         let mut extra = vec![("priority", job.priority.clone())];
         extra.extend(handle.as_ref().and_then(Handle::from).map(|from| ("kv-from", from)));
         extra.extend(after.map(|after| ("last-event-id", HeaderValue::from(after))));
@@ -70,7 +70,7 @@
             Sent::Answer { head, body, link } => {
                 handle.iter().for_each(Handle::gone);
                 if !head.status.is_success() {
-                    running.failed(ServerFailure::Failed);
+                    running.failed(ServerFailure::ErrorResponse);
                     let Some(body) = self.whole(&server.id, &head, body, link, until).await else {
                         return Ran::Broken;
                     };
@@ -81,7 +81,7 @@
                     return Ran::Other(of_server(&head, Out::Whole(Some(body))));
                 }
                 if !sealed(&head) || head.headers.contains_key(CONTENT_ENCODING) {
-                    running.failed(ServerFailure::Broken);
+                    running.failed(ServerFailure::BrokenResponse);
                     return Ran::Broken;
                 }
                 let framed =
@@ -105,7 +105,7 @@
             }
             Sent::Broken | Sent::Late => {
                 handle.iter().for_each(Handle::gone);
-                running.failed(ServerFailure::Broken);
+                running.failed(ServerFailure::BrokenResponse);
                 Ran::Broken
             }
         }
@@ -137,13 +137,13 @@
             splitter.discard_partial_event();
             resumed += 1;
             let now = self.now();
-            if !self.router.borrow_mut().repeat(now, &job.service.name) {
+            if !self.router.borrow_mut().try_withdraw_retry(now, &job.service.name) {
                 break;
             }
-            let pair = self.router.borrow_mut().pair(now, &job.service.name, &ask, &avoid);
+            let pair = self.router.borrow_mut().select_pair(now, &job.service.name, &ask, &avoid);
             let Some(pair) = pair else { break };
-            pair.reader.iter().for_each(|id| self.router.borrow_mut().unknown(id));
-            let Some(server) = self.server(&job, &pair.runner) else { break };
+            pair.prefill.iter().for_each(|id| self.router.borrow_mut().record_inconclusive(id));
+            let Some(server) = self.server(&job, &pair.decode) else { break };
             avoid.push(server.id.clone());
             if let Ran::Stream(start) =
                 self.run(&job, &ask, &server, None, splitter.last_forwarded_id()).await
@@ -201,13 +201,13 @@
                 }
                 // Danger: without a length or chunks, what broke off looks whole.
                 Ok(None) | Ok(Some(Err(_))) => {
-                    running.failed(ServerFailure::Broken);
+                    running.failed(ServerFailure::BrokenResponse);
                     return End::Broken;
                 }
             };
             reading.take();
             let Some(events) = splitter.push(&data) else {
-                running.failed(ServerFailure::Broken);
+                running.failed(ServerFailure::BrokenResponse);
                 return End::Broken;
             };
             for (id, event) in events {
--- /dev/null
+++ b/crates/routing/src/endpoint.rs
@@ -0,0 +1,122 @@
+//! One server as this proxy sees it: what the registry says, the load that this proxy put there, and what its attempts
+//! showed.
+
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+use mosshead_load_board::Entry;
+use mosshead_registry::{Server, Stage};
+use mosshead_time::Instant;
+
+use crate::affinity::hash_id;
+use crate::outlier::OutlierRecord;
+
+/// How many shared prompt parts are remembered for a server.
+const MAX_CACHED_PARTS: usize = 256;
+
+/// What a request adds to a server's load.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum LoadKind {
+    /// The server prefills a prompt for another one.
+    Prefill,
+    /// The server generates tokens, or works on a request of a service without an engine.
+    Decode,
+}
+
+impl LoadKind {
+    /// What a server of this stage takes.
+    pub(crate) fn of_stage(stage: Option<Stage>) -> Self {
+        if stage == Some(Stage::Prefill) { Self::Prefill } else { Self::Decode }
+    }
+}
+
+/// One value for each kind of load.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PerLoadKind<T> {
+    pub(crate) prefill: T,
+    pub(crate) decode: T,
+}
+
+impl<T> PerLoadKind<T> {
+    pub(crate) fn get(&self, kind: LoadKind) -> &T {
+        match kind {
+            LoadKind::Prefill => &self.prefill,
+            LoadKind::Decode => &self.decode,
+        }
+    }
+
+    pub(crate) fn get_mut(&mut self, kind: LoadKind) -> &mut T {
+        match kind {
+            LoadKind::Prefill => &mut self.prefill,
+            LoadKind::Decode => &mut self.decode,
+        }
+    }
+}
+
+/// One server as this proxy sees it.
+#[derive(Debug)]
+pub struct Endpoint {
+    /// The registry's newest entry.
+    pub server: Server,
+    /// The server's instance id, shared by all who name it.
+    pub(crate) id: Rc<str>,
+    /// Hash of the id, the same in every proxy.
+    pub(crate) id_hash: u64,
+    /// Requests of this proxy in flight there.
+    pub(crate) in_flight: Entry,
+    /// Prompt tokens of this proxy that it still has to prefill.
+    pub(crate) pending_prefill_tokens: f64,
+    /// Prompts that it prefills for all proxies: its last load report and what this proxy sent since.
+    pub(crate) prefill_load: Entry,
+    /// Prompts of this proxy that it prefills.
+    pub(crate) own_prefills: f64,
+    /// When the last load report came; the origin of the clock where none ever came.
+    pub(crate) load_reported_at: Instant,
+    /// When the last byte of any response came; the origin of the clock where none ever came.
+    pub(crate) last_received_at: Instant,
+    /// What this proxy's attempts showed.
+    pub(crate) outlier: OutlierRecord,
+    /// Until then its handles count as likely to expire before a decode server fetches them.
+    pub(crate) handles_distrusted_until: Instant,
+    /// The shared prompt parts that this proxy had prefilled there most recently, the newest last.
+    cached_parts: VecDeque<u64>,
+}
+
+impl Endpoint {
+    /// A server of which this proxy knows only the registry's entry.
+    pub(crate) fn new(server: &Server) -> Self {
+        Self {
+            server: server.clone(),
+            id: Rc::from(server.id.as_str()),
+            id_hash: hash_id(server.id.as_bytes()),
+            in_flight: Entry::default(),
+            pending_prefill_tokens: 0.0,
+            prefill_load: Entry::default(),
+            own_prefills: 0.0,
+            load_reported_at: Instant::ORIGIN,
+            last_received_at: Instant::ORIGIN,
+            outlier: OutlierRecord::default(),
+            handles_distrusted_until: Instant::ORIGIN,
+            cached_parts: VecDeque::new(),
+        }
+    }
+
+    /// Whether requests of this proxy are still in flight there.
+    pub(crate) fn has_own_work(&self) -> bool {
+        self.in_flight.value() > 0.0 || self.pending_prefill_tokens > 0.0
+    }
+
+    /// Whether the server has likely kept this prompt part in its prefix cache.
+    pub(crate) fn has_cached(&self, part_id: u64) -> bool {
+        self.cached_parts.contains(&part_id)
+    }
+
+    /// Remembers that the server was given a prompt with this shared part.
+    pub(crate) fn remember_part(&mut self, part_id: u64) {
+        self.cached_parts.retain(|cached| *cached != part_id);
+        self.cached_parts.push_back(part_id);
+        if self.cached_parts.len() > MAX_CACHED_PARTS {
+            self.cached_parts.pop_front();
+        }
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,15 +1,23 @@
-//! Decisions of the data plane: which server reads a prompt and which one generates, whether a request is sent once more,
-//! what is refused. No I/O, no clock: instants are milliseconds that the host hands in.
+//! Decisions of the data plane: which server prefills a prompt and which one decodes it, whether an attempt may be
+//! retried, and which servers are ejected as outliers.
+//!
+//! No I/O and no clock: the host hands in each [`Instant`](mosshead_time::Instant) and reports what its attempts showed.
 
+mod affinity;
+mod endpoint;
 mod endpoint_table;
 mod outlier;
+mod p2c;
+mod pairing;
+mod prompt;
 mod retry_budget;
 mod router;
+mod weights;
 
-pub use endpoint_table::{Endpoint, EndpointTable, LoadKind};
+pub use endpoint::Endpoint;
+pub use endpoint_table::EndpointTable;
 pub use outlier::{OutlierRecord, ServerFailure};
+pub use prompt::{Prompt, PromptPart, ServerPair};
 pub use retry_budget::{RetryBudget, RetryBudgetLimits};
-pub use router::{Prompt, Router, RoutingWeights, ServerPair};
-
-/// An instant or a span, in milliseconds.
-pub type Millis = u64;
+pub use router::Router;
+pub use weights::RoutingWeights;
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,86 +1,99 @@
-//! What a proxy's own sends say of a server.
+//! Outlier ejection: what this proxy's own attempts say of a server, and when the server gets requests again.
 
-use crate::Millis;
+use mosshead_time::{Duration, Instant};
 
-/// How a send failed that says something of its server.
+/// A failure of an attempt that says something of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFailure {
     /// No connection came up, or the machine acknowledged nothing.
     Unreachable,
-    /// It reset, broke off or sent what is no answer.
-    Broken,
-    /// It answered with a failure of its own.
-    Failed,
-    /// It said that it is full.
-    Full,
-    /// Another instance answers at its address.
-    Elsewhere,
+    /// The server reset the connection, broke a response off or sent what is no valid response.
+    BrokenResponse,
+    /// The server answered with an error of its own.
+    ErrorResponse,
+    /// The server rejected the request because it is full.
+    Overloaded,
+    /// Another instance answers at the server's address.
+    WrongInstance,
 }
 
-/// How long a server is left alone at first, and at most.
-const REST: Millis = 500;
-const REST_MOST: Millis = 4000;
-/// A full one.
-const FULL_REST: Millis = 60;
-/// Faults that may be chance: so many more than successes before a server is left alone.
-const DOUBT: f64 = 3.0;
+/// The first ejection lasts this long; each further one twice as long.
+const BASE_EJECTION: Duration = Duration::from_millis(500);
+/// No ejection lasts longer.
+const MAX_EJECTION: Duration = Duration::from_millis(4000);
+/// An ejection is doubled at most this often.
+const MAX_DOUBLINGS: u32 = 3;
+/// How long a full server gets no requests.
+const OVERLOAD_PAUSE: Duration = Duration::from_millis(60);
+/// Failures that may be chance eject a server once they outweigh its successes by this much.
+const SUSPICION_LIMIT: f64 = 3.0;
+/// What one success takes off the suspicion that one failure adds.
+const SUCCESS_CREDIT: f64 = 0.5;
 
-/// One server's record.
+/// What is known of one server's failures.
+///
+/// A server that was ejected gets a single trial request once its ejection is over; only a success ends the trial.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierRecord {
-    doubt: f64,
-    strikes: u32,
-    until: Millis,
-    trial: bool,
+    /// Failures that may be chance, less the credit of successes; never negative.
+    suspicion: f64,
+    /// Ejections since the last success.
+    consecutive_ejections: u32,
+    ejected_until: Instant,
+    trial_in_flight: bool,
 }
 
 impl OutlierRecord {
-    /// Whether it may be sent to. After a rest one request goes first.
-    pub fn open(&self, now: Millis) -> bool {
-        now >= self.until && !self.trial
+    /// Whether the server may be selected: it is not ejected, and no trial request is in flight.
+    pub fn is_selectable(&self, now: Instant) -> bool {
+        self.is_healthy(now) && !self.trial_in_flight
     }
 
-    /// Whether it rests; a trial that is under way does not count.
-    pub fn sound(&self, now: Millis) -> bool {
-        now >= self.until
+    /// Whether the server is not ejected; a trial in flight doesn't count against it.
+    pub fn is_healthy(&self, now: Instant) -> bool {
+        now >= self.ejected_until
     }
 
-    /// It is chosen: after a rest this is its trial.
-    pub fn chosen(&mut self) {
-        self.trial = self.strikes > 0;
+    /// The server was selected: after an ejection this request is its trial.
+    pub fn record_selection(&mut self) {
+        self.trial_in_flight = self.consecutive_ejections > 0;
     }
 
-    /// A request there was answered.
-    pub fn served(&mut self) {
-        self.doubt = (self.doubt - 0.5).max(0.0);
-        (self.strikes, self.trial, self.until) = (0, false, 0);
+    /// A request there was answered as it should be.
+    pub fn record_success(&mut self) {
+        self.suspicion = (self.suspicion - SUCCESS_CREDIT).max(0.0);
+        self.consecutive_ejections = 0;
+        self.trial_in_flight = false;
+        self.ejected_until = Instant::ORIGIN;
     }
 
-    /// A send failed.
-    pub fn failed(&mut self, now: Millis, fault: ServerFailure) {
-        self.trial = false;
-        match fault {
-            ServerFailure::Full => self.until = self.until.max(now + FULL_REST),
-            ServerFailure::Unreachable | ServerFailure::Elsewhere => self.rest(now),
-            ServerFailure::Broken | ServerFailure::Failed => {
-                self.doubt += 1.0;
-                if self.doubt >= DOUBT || self.strikes > 0 {
-                    self.rest(now);
+    /// An attempt there failed.
+    pub fn record_failure(&mut self, now: Instant, failure: ServerFailure) {
+        self.trial_in_flight = false;
+        match failure {
+            ServerFailure::Overloaded => self.ejected_until = self.ejected_until.max(now + OVERLOAD_PAUSE),
+            ServerFailure::Unreachable | ServerFailure::WrongInstance => self.eject(now),
+            ServerFailure::BrokenResponse | ServerFailure::ErrorResponse => {
+                self.suspicion += 1.0;
+                if self.suspicion >= SUSPICION_LIMIT || self.consecutive_ejections > 0 {
+                    self.eject(now);
                 }
             }
         }
     }
 
-    /// A trial ended without a word on the server.
-    pub fn unknown(&mut self) {
-        self.trial = false;
+    /// An attempt ended without showing anything of the server.
+    pub fn record_inconclusive(&mut self) {
+        self.trial_in_flight = false;
     }
 
-    fn rest(&mut self, now: Millis) {
-        if now < self.until {
+    /// Does nothing during an ejection: failures of requests that were already in flight don't prolong it.
+    fn eject(&mut self, now: Instant) {
+        if now < self.ejected_until {
             return;
         }
-        self.until = now + (REST << self.strikes.min(3)).min(REST_MOST);
-        self.strikes += 1;
+        let doubled = BASE_EJECTION * (1 << self.consecutive_ejections.min(MAX_DOUBLINGS));
+        self.ejected_until = now + doubled.min(MAX_EJECTION);
+        self.consecutive_ejections += 1;
     }
 }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,79 +1,83 @@
-//! The retry budget: one for all proxies, of which each may spend the part that follows from the number of members.
+//! The retry budget: one for all proxies, of which each may spend its share by the number of proxies (RULES.md, BUDGET).
 
 use std::collections::VecDeque;
 
-use std::time::Duration;
+use mosshead_time::{Duration, Instant, whole_millis};
 
-use crate::Millis;
-
-/// What the deployment allows.
+/// What the deployment allows for one service, all proxies together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetLimits {
-    /// Repeats for each request in a window.
+    /// Retries for each request in a window.
     pub retry_ratio: f64,
-    /// Repeats beyond that, all proxies together.
+    /// Retries in a window beyond that.
     pub extra_retries: f64,
-    /// The window's length.
+    /// The length of the sliding window.
     pub window: Duration,
 }
 
-/// So many pieces of a window are told apart.
-const PIECES: u64 = 20;
-/// The share of what is allowed that is spent: the windows of the rule slide, and members come and go.
-const MARGIN: f64 = 0.8;
+/// The window slides in this many steps.
+const SLICES_PER_WINDOW: u64 = 20;
+/// The share of the allowed retries that is spent: the rule's windows may begin at any instant, and proxies come and go.
+const SAFETY_MARGIN: f64 = 0.8;
 
-/// This proxy's count for one service.
+/// What was counted in one step of the window.
+#[derive(Debug)]
+struct WindowSlice {
+    start: Instant,
+    requests: f64,
+    retries: f64,
+}
+
+/// This proxy's requests and retries of one service in the present window.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: RetryBudgetLimits,
-    /// Start of a piece, requests and repeats in it.
-    pieces: VecDeque<(Millis, f64, f64)>,
+    limits: RetryBudgetLimits,
+    slice_length: Duration,
+    /// Slices in order of their start; the sums below are those over all of them.
+    slices: VecDeque<WindowSlice>,
     requests: f64,
-    repeats: f64,
+    retries: f64,
 }
 
 impl RetryBudget {
-    /// Nothing counted yet.
-    pub fn new(terms: RetryBudgetLimits) -> Self {
-        Self { terms, pieces: VecDeque::new(), requests: 0.0, repeats: 0.0 }
-    }
-
-    fn window_millis(&self) -> Millis {
-        self.terms.window.as_millis() as Millis
+    /// An empty window.
+    pub fn new(limits: RetryBudgetLimits) -> Self {
+        let slice_millis = (whole_millis(limits.window) / SLICES_PER_WINDOW).max(1);
+        let slice_length = Duration::from_millis(slice_millis);
+        Self { limits, slice_length, slices: VecDeque::new(), requests: 0.0, retries: 0.0 }
     }
 
-    fn now(&mut self, now: Millis) -> &mut (Millis, f64, f64) {
-        let (window, length) = (self.window_millis(), (self.window_millis() / PIECES).max(1));
-        while self.pieces.front().is_some_and(|piece| piece.0 + window + length <= now) {
-            if let Some((_, requests, repeats)) = self.pieces.pop_front() {
-                self.requests -= requests;
-                self.repeats -= repeats;
-            }
+    /// Drops the slices that have left the window, and returns the one that `now` falls into.
+    fn current_slice(&mut self, now: Instant) -> &mut WindowSlice {
+        let kept_for = self.limits.window + self.slice_length;
+        while let Some(slice) = self.slices.pop_front_if(|slice| slice.start + kept_for <= now) {
+            self.requests -= slice.requests;
+            self.retries -= slice.retries;
         }
-        if self.pieces.back().is_none_or(|piece| piece.0 + length <= now) {
-            self.pieces.push_back((now, 0.0, 0.0));
+        if self.slices.back().is_none_or(|slice| slice.start + self.slice_length <= now) {
+            self.slices.push_back(WindowSlice { start: now, requests: 0.0, retries: 0.0 });
         }
-        let last = self.pieces.len() - 1;
-        &mut self.pieces[last]
+        let last = self.slices.len() - 1;
+        &mut self.slices[last]
     }
 
-    /// A client's request for the service.
-    pub fn request(&mut self, now: Millis) {
-        self.now(now).1 += 1.0;
+    /// Counts a client's request for the service.
+    pub fn record_request(&mut self, now: Instant) {
+        self.current_slice(now).requests += 1.0;
         self.requests += 1.0;
     }
 
-    /// Takes one repeat out of the budget, if it holds one; `proxies` share what goes beyond the ratio.
-    pub fn repeat(&mut self, now: Millis, proxies: usize) -> bool {
-        self.now(now);
-        let allowed =
-            self.terms.retry_ratio * self.requests + self.terms.extra_retries / proxies.max(1) as f64;
-        // Danger: every proxy that spends its part in full must leave the whole within its bound.
-        if self.repeats + 1.0 > MARGIN * allowed {
+    /// Takes one retry out of the budget; false if none is left. `proxy_count` proxies share the extra retries.
+    pub fn try_withdraw(&mut self, now: Instant, proxy_count: usize) -> bool {
+        self.current_slice(now);
+        let share_of_extra = self.limits.extra_retries / proxy_count.max(1) as f64;
+        let allowed = self.limits.retry_ratio * self.requests + share_of_extra;
+        // Every proxy may spend its share in full at the same time, and their sum must still keep the rule.
+        if self.retries + 1.0 > SAFETY_MARGIN * allowed {
             return false;
         }
-        self.now(now).2 += 1.0;
-        self.repeats += 1.0;
+        self.current_slice(now).retries += 1.0;
+        self.retries += 1.0;
         true
     }
 }
--- a/crates/routing/tests/outlier.rs
+++ b/crates/routing/tests/outlier.rs
@@ -1,78 +1,83 @@
-//! What own sends say of a server: when it is left alone, and how it comes back.
+//! Outlier ejection: when a server is ejected, and how it comes back.
 
 use mosshead_routing::{OutlierRecord, ServerFailure};
+use mosshead_time::{Duration, Instant};
 use quickcheck::quickcheck;
 
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
 #[test]
-fn one_unreachable_send_lets_a_server_rest_and_one_request_tries_it() {
-    let mut evidence = OutlierRecord::default();
-    evidence.failed(1000, ServerFailure::Unreachable);
-    assert!(!evidence.open(1400));
-    assert!(evidence.open(1500));
-    evidence.chosen();
-    assert!(!evidence.open(1500), "one trial at a time");
-    evidence.served();
-    assert!(evidence.open(1501));
-    evidence.chosen();
-    assert!(evidence.open(1501), "a proven server takes any number");
+fn one_unreachable_attempt_ejects_a_server_until_one_trial_request_succeeds() {
+    let mut record = OutlierRecord::default();
+    record.record_failure(at(1000), ServerFailure::Unreachable);
+    assert!(!record.is_selectable(at(1400)));
+    assert!(record.is_selectable(at(1500)));
+    record.record_selection();
+    assert!(!record.is_selectable(at(1500)), "one trial at a time");
+    record.record_success();
+    assert!(record.is_selectable(at(1501)));
+    record.record_selection();
+    assert!(record.is_selectable(at(1501)), "a proven server takes any number of requests");
 }
 
 #[test]
-fn rests_grow_while_trials_fail_but_stay_bounded() {
-    let (mut evidence, mut now, mut last) = (OutlierRecord::default(), 0, 0);
+fn ejections_grow_while_trials_fail_but_stay_bounded() {
+    let (mut record, mut now, mut last) = (OutlierRecord::default(), 0, 0);
     for _ in 0..10 {
-        evidence.failed(now, ServerFailure::Unreachable);
-        let rest = (0..20_000).find(|wait| evidence.open(now + wait)).expect("it comes back");
-        assert!(rest >= last && rest <= 4000);
-        (now, last) = (now + rest, rest);
-        evidence.chosen();
+        record.record_failure(at(now), ServerFailure::Unreachable);
+        let ejection = (0..20_000).find(|wait| record.is_selectable(at(now + wait))).expect("it comes back");
+        assert!(ejection >= last && ejection <= 4000);
+        (now, last) = (now + ejection, ejection);
+        record.record_selection();
     }
     assert_eq!(last, 4000);
 }
 
 #[test]
-fn a_chance_failure_among_successes_is_forgiven() {
-    let mut evidence = OutlierRecord::default();
-    for at in 0..100 {
-        evidence.failed(at * 10, ServerFailure::Broken);
-        assert!(evidence.open(at * 10));
-        (0..4).for_each(|_| evidence.served());
+fn an_occasional_failure_among_successes_ejects_no_server() {
+    let mut record = OutlierRecord::default();
+    for round in 0..100 {
+        record.record_failure(at(round * 10), ServerFailure::BrokenResponse);
+        assert!(record.is_selectable(at(round * 10)));
+        (0..4).for_each(|_| record.record_success());
     }
 }
 
 #[test]
-fn failures_in_a_row_are_not() {
-    let mut evidence = OutlierRecord::default();
-    (0..3).for_each(|at| evidence.failed(at, ServerFailure::Failed));
-    assert!(!evidence.open(3));
+fn consecutive_failures_eject_a_server() {
+    let mut record = OutlierRecord::default();
+    (0..3).for_each(|millis| record.record_failure(at(millis), ServerFailure::ErrorResponse));
+    assert!(!record.is_selectable(at(3)));
 }
 
 #[test]
-fn a_full_server_rests_for_a_moment_only() {
-    let mut evidence = OutlierRecord::default();
-    evidence.failed(100, ServerFailure::Full);
-    assert!(!evidence.open(110) && evidence.open(160));
-    evidence.chosen();
-    assert!(evidence.open(161), "it needs no trial");
+fn a_full_server_is_left_out_for_a_moment_only() {
+    let mut record = OutlierRecord::default();
+    record.record_failure(at(100), ServerFailure::Overloaded);
+    assert!(!record.is_selectable(at(110)) && record.is_selectable(at(160)));
+    record.record_selection();
+    assert!(record.is_selectable(at(161)), "it needs no trial");
 }
 
 quickcheck! {
-    /// Whatever happened, a server is tried again within the longest rest once its trials have ended.
-    fn nobody_is_left_alone_for_good(events: Vec<u8>) -> bool {
-        let (mut evidence, mut now) = (OutlierRecord::default(), 0);
+    /// Whatever happened, a server is tried again within the longest ejection once its trials have ended.
+    fn no_server_stays_ejected_for_good(events: Vec<u8>) -> bool {
+        let (mut record, mut now) = (OutlierRecord::default(), Instant::ORIGIN);
         for event in events {
-            now += u64::from(event);
+            now += Duration::from_millis(u64::from(event));
             match event % 7 {
-                0 => evidence.failed(now, ServerFailure::Unreachable),
-                1 => evidence.failed(now, ServerFailure::Broken),
-                2 => evidence.failed(now, ServerFailure::Failed),
-                3 => evidence.failed(now, ServerFailure::Full),
-                4 => evidence.chosen(),
-                5 => evidence.unknown(),
-                _ => evidence.served(),
+                0 => record.record_failure(now, ServerFailure::Unreachable),
+                1 => record.record_failure(now, ServerFailure::BrokenResponse),
+                2 => record.record_failure(now, ServerFailure::ErrorResponse),
+                3 => record.record_failure(now, ServerFailure::Overloaded),
+                4 => record.record_selection(),
+                5 => record.record_inconclusive(),
+                _ => record.record_success(),
             }
         }
-        evidence.unknown();
-        evidence.open(now + 4000)
+        record.record_inconclusive();
+        record.is_selectable(now + Duration::from_millis(4000))
     }
 }
--- a/crates/routing/tests/server_selection.rs
+++ b/crates/routing/tests/server_selection.rs
@@ -1,13 +1,19 @@
-//! Whom requests go to.
+//! Which servers requests and prompts are sent to.
 
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
-use std::time::Duration;
 
 use mosshead_registry::{OperState, Server, Stage};
-use mosshead_routing::{Prompt, RetryBudgetLimits, Router, RoutingWeights, ServerFailure};
+use mosshead_routing::{Prompt, PromptPart, RetryBudgetLimits, Router, RoutingWeights, ServerFailure};
+use mosshead_time::{Duration, Instant};
 use rand_pcg::Pcg64Mcg;
 
+const START: Instant = Instant::ORIGIN;
+
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
 fn server(id: &str, service: &str, stage: Option<Stage>) -> Server {
     Server {
         id: id.into(),
@@ -25,76 +31,95 @@
     }
 }
 
-fn router(servers: &[Server]) -> Router<Pcg64Mcg> {
-    let budget = RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 52.0, window: Duration::from_secs(10) };
-    let mut router = Router::new(RoutingWeights::new(budget), "here", Pcg64Mcg::new(7));
+fn seeded_router(servers: &[Server], seed: u128) -> Router<Pcg64Mcg> {
+    let window = Duration::from_secs(10);
+    let limits = RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 52.0, window };
+    let mut router = Router::new(RoutingWeights::new(limits), "here", Pcg64Mcg::new(seed));
     router.update_servers(servers.iter());
     router
 }
 
+fn router(servers: &[Server]) -> Router<Pcg64Mcg> {
+    seeded_router(servers, 7)
+}
+
+fn engines_of(prefill: usize, decode: usize) -> Vec<Server> {
+    let prefill = (0..prefill).map(|index| server(&format!("r{index}"), "llm", Some(Stage::Prefill)));
+    let decode = (0..decode).map(|index| server(&format!("d{index}"), "llm", Some(Stage::Decode)));
+    prefill.chain(decode).collect()
+}
+
 fn engines() -> Vec<Server> {
-    let readers = (0..4).map(|at| server(&format!("r{at}"), "llm", Some(Stage::Prefill)));
-    let runners = (0..5).map(|at| server(&format!("d{at}"), "llm", Some(Stage::Decode)));
-    readers.chain(runners).collect()
+    engines_of(4, 5)
+}
+
+fn part(id: u64, tokens: f64) -> PromptPart {
+    PromptPart { id, tokens }
 }
 
+/// A prompt whose last shared part is `shared`.
 fn prompt(tokens: f64, shared: u64) -> Prompt {
-    let parts = vec![(1, 500.0), (shared, 4000.0), (999, tokens - 4500.0)];
-    Prompt { tokens, parts, answer: 40.0, model: "m".into() }
+    let parts = vec![part(1, 500.0), part(shared, 4000.0), part(999, tokens - 4500.0)];
+    Prompt { tokens, parts, max_output_tokens: 40.0 }
+}
+
+/// A short prompt that shares nothing.
+fn short_prompt(max_output_tokens: f64) -> Prompt {
+    Prompt { tokens: 200.0, parts: vec![part(1, 200.0)], max_output_tokens }
 }
 
 #[test]
-fn the_lower_of_two_gets_the_request() {
+fn the_lower_loaded_of_two_gets_the_request() {
     let servers = [server("a", "s", None), server("b", "s", None)];
     let mut router = router(&servers);
-    (0..3).for_each(|_| router.runs("a"));
+    (0..3).for_each(|_| router.start_request("a"));
     for _ in 0..50 {
-        assert_eq!(router.one(0, "s", &[]).as_deref(), Some("b"));
+        assert_eq!(router.select_server(START, "s", &[]).as_deref(), Some("b"));
     }
-    (0..3).for_each(|_| router.has_run("a"));
-    router.runs("b");
-    assert_eq!(router.one(0, "s", &[]).as_deref(), Some("a"));
+    (0..3).for_each(|_| router.finish_request("a"));
+    router.start_request("b");
+    assert_eq!(router.select_server(START, "s", &[]).as_deref(), Some("a"));
 }
 
 #[test]
-fn with_one_ready_server_it_goes_there_and_with_none_nowhere() {
+fn a_request_goes_to_the_only_ready_server_and_nowhere_if_there_is_none() {
     let mut router = router(&[server("a", "s", None)]);
-    assert_eq!(router.one(0, "s", &[]).as_deref(), Some("a"));
-    assert_eq!(router.one(0, "s", &[Rc::from("a")]), None);
-    assert_eq!(router.one(0, "other", &[]), None);
+    assert_eq!(router.select_server(START, "s", &[]).as_deref(), Some("a"));
+    assert_eq!(router.select_server(START, "s", &[Rc::from("a")]), None);
+    assert_eq!(router.select_server(START, "other", &[]), None);
 }
 
 #[test]
-fn ties_fall_evenly_over_all() {
-    let servers: Vec<_> = (0..5).map(|at| server(&format!("s{at}"), "s", None)).collect();
+fn ties_fall_evenly_on_all_servers() {
+    let servers: Vec<_> = (0..5).map(|index| server(&format!("s{index}"), "s", None)).collect();
     let mut router = router(&servers);
     let mut counts: HashMap<Rc<str>, u32> = HashMap::new();
     for _ in 0..5000 {
-        *counts.entry(router.one(0, "s", &[]).expect("one")).or_default() += 1;
+        *counts.entry(router.select_server(START, "s", &[]).expect("one")).or_default() += 1;
     }
     assert!(counts.len() == 5 && counts.values().all(|count| (850..1150).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn draining_and_gone_servers_get_nothing() {
+fn draining_and_gone_servers_get_no_requests() {
     let mut servers = [server("a", "s", None), server("b", "s", None), server("c", "s", None)];
     servers[0].state = OperState::Draining;
     servers[1].state = OperState::Removed;
     let mut router = router(&servers);
-    assert!((0..100).all(|_| router.one(0, "s", &[]).as_deref() == Some("c")));
+    assert!((0..100).all(|_| router.select_server(START, "s", &[]).as_deref() == Some("c")));
     servers[2].state = OperState::Draining;
     router.update_servers(servers.iter());
-    assert_eq!(router.one(0, "s", &[]), None);
+    assert_eq!(router.select_server(START, "s", &[]), None);
 }
 
 #[test]
-fn a_server_that_fails_fast_is_left_alone_though_it_looks_idle() {
+fn a_server_that_fails_fast_is_ejected_though_it_looks_idle() {
     let servers = [server("a", "s", None), server("b", "s", None), server("c", "s", None)];
     let mut router = router(&servers);
-    router.runs("b");
-    router.runs("c");
-    (0..3).for_each(|_| router.failed(10, "a", ServerFailure::Failed));
-    assert!((0..100).all(|_| router.one(20, "s", &[]).as_deref() != Some("a")));
+    router.start_request("b");
+    router.start_request("c");
+    (0..3).for_each(|_| router.record_failure(at(10), "a", ServerFailure::ErrorResponse));
+    assert!((0..100).all(|_| router.select_server(at(20), "s", &[]).as_deref() != Some("a")));
 }
 
 #[test]
@@ -102,113 +127,107 @@
     let mut servers = [server("a", "s", None), server("b", "s", None)];
     servers[0].is_suspected = true;
     let mut router = router(&servers);
-    assert!((0..50).all(|_| router.one(0, "s", &[]).as_deref() == Some("b")));
-    assert_eq!(router.one(0, "s", &[Rc::from("b")]).as_deref(), Some("a"));
+    assert!((0..50).all(|_| router.select_server(START, "s", &[]).as_deref() == Some("b")));
+    assert_eq!(router.select_server(START, "s", &[Rc::from("b")]).as_deref(), Some("a"));
 }
 
 #[test]
-fn prompts_that_share_a_part_meet_at_the_same_two_readers() {
+fn prompts_that_share_a_prefix_meet_at_the_same_two_prefill_servers() {
     let mut router = router(&engines());
-    let mut seen = std::collections::HashSet::new();
+    let mut selected = HashSet::new();
     for _ in 0..200 {
-        let pair = router.pair(0, "llm", &prompt(60_000.0, 77), &[]).expect("a pair");
-        if let Some(reader) = pair.reader {
-            router.reads(&reader, 1000.0);
-            seen.insert(reader);
+        let pair = router.select_pair(START, "llm", &prompt(60_000.0, 77), &[]).expect("a pair");
+        if let Some(prefill) = pair.prefill {
+            router.start_prefill(&prefill, 1000.0);
+            selected.insert(prefill);
         }
     }
-    assert_eq!(seen.len(), 2);
+    assert_eq!(selected.len(), 2);
 }
 
 #[test]
-fn all_proxies_draw_the_same_homes() {
-    let reader = |seed| {
-        let budget =
-            RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 52.0, window: Duration::from_secs(10) };
-        let mut router = Router::new(RoutingWeights::new(budget), "here", Pcg64Mcg::new(seed));
-        router.update_servers(engines().iter());
-        let mut seen: Vec<_> = (0..60)
+fn all_proxies_find_the_same_homes_of_a_prefix() {
+    let homes = |seed| {
+        let mut router = seeded_router(&engines(), seed);
+        let mut selected: Vec<_> = (0..60)
             .filter_map(|_| {
-                let reader = router.pair(0, "llm", &prompt(60_000.0, 5), &[])?.reader?;
-                router.reads(&reader, 10.0);
-                Some(reader)
+                let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[])?;
+                let prefill = pair.prefill?;
+                router.start_prefill(&prefill, 10.0);
+                Some(prefill)
             })
             .collect();
-        seen.sort();
-        seen.dedup();
-        seen
+        selected.sort();
+        selected.dedup();
+        selected
     };
-    assert_eq!(reader(1), reader(2));
+    assert_eq!(homes(1), homes(2));
 }
 
 #[test]
-fn a_short_prompt_is_read_where_it_is_generated_and_a_long_one_is_handed_over() {
+fn a_short_prompt_is_prefilled_by_its_decode_server_and_a_long_one_is_handed_over() {
     let mut router = router(&engines());
-    let short = Prompt { tokens: 200.0, parts: vec![(1, 200.0)], answer: 10.0, model: "m".into() };
-    assert_eq!(router.pair(0, "llm", &short, &[]).expect("a pair").reader, None);
-    assert!(router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair").reader.is_some());
+    assert_eq!(router.select_pair(START, "llm", &short_prompt(10.0), &[]).expect("a pair").prefill, None);
+    let long = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]);
+    assert!(long.expect("a pair").prefill.is_some());
 }
 
 #[test]
-fn without_readers_those_that_generate_read_themselves() {
-    let servers: Vec<_> = engines().into_iter().filter(|one| one.stage == Some(Stage::Decode)).collect();
-    let mut router = router(&servers);
-    let pair = router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
-    assert_eq!(pair.reader, None);
+fn without_prefill_servers_decode_servers_prefill_prompts_themselves() {
+    let mut router = router(&engines_of(0, 5));
+    let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
+    assert_eq!(pair.prefill, None);
 }
 
 #[test]
-fn a_server_that_leaves_the_list_is_counted_down_and_forgotten() {
+fn a_server_that_is_no_longer_listed_is_kept_until_its_requests_end() {
     let servers = [server("a", "s", None), server("b", "s", None)];
     let mut router = router(&servers);
-    router.runs("a");
+    router.start_request("a");
     router.update_servers(servers[1..].iter());
-    assert!(router.board().get("a").is_some(), "a request is still out there");
-    router.has_run("a");
+    assert!(router.endpoints().get("a").is_some(), "a request is still in flight");
+    router.finish_request("a");
     router.update_servers(servers[1..].iter());
-    assert!(router.board().get("a").is_none());
+    assert!(router.endpoints().get("a").is_none());
 }
 
 #[test]
-fn a_long_answer_does_not_go_on_beside_the_reading_of_others() {
+fn a_prompt_with_a_long_answer_is_not_prefilled_beside_the_streams_of_others() {
     let mut router = router(&engines());
-    let long = Prompt { tokens: 200.0, parts: vec![(1, 200.0)], answer: 400.0, model: "m".into() };
-    let pair = router.pair(0, "llm", &long, &[]).expect("a pair");
-    assert!(pair.reader.is_some());
+    let pair = router.select_pair(START, "llm", &short_prompt(400.0), &[]).expect("a pair");
+    assert!(pair.prefill.is_some());
 }
 
 #[test]
-fn where_readers_are_many_they_read_everything() {
-    let readers = (0..6).map(|at| server(&format!("r{at}"), "llm", Some(Stage::Prefill)));
-    let runners = (0..3).map(|at| server(&format!("d{at}"), "llm", Some(Stage::Decode)));
-    let mut router = router(&readers.chain(runners).collect::<Vec<_>>());
-    let short = Prompt { tokens: 200.0, parts: vec![(1, 200.0)], answer: 10.0, model: "m".into() };
-    assert!(router.pair(0, "llm", &short, &[]).expect("a pair").reader.is_some());
+fn where_prefill_servers_are_many_they_prefill_every_prompt() {
+    let mut router = router(&engines_of(6, 3));
+    let pair = router.select_pair(START, "llm", &short_prompt(10.0), &[]).expect("a pair");
+    assert!(pair.prefill.is_some());
 }
 
-/// A prompt was read for 2.7 s; the server named to generate had said meanwhile that it leaves.
+/// A prefill took 2.7 s; the decode server that had been selected had meanwhile announced that it was draining.
 #[test]
-fn who_begins_to_leave_while_the_prompt_is_read_gets_nothing_any_more() {
+fn a_decode_server_that_begins_to_drain_during_the_prefill_gets_no_request() {
     let mut servers = engines();
     let mut router = router(&servers);
     for _ in 0..50 {
-        let pair = router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
-        let named = servers.iter_mut().find(|one| one.id == *pair.runner).expect("it is listed");
-        named.state = OperState::Draining;
+        let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
+        let selected = servers.iter_mut().find(|server| server.id == *pair.decode).expect("it is listed");
+        selected.state = OperState::Draining;
         router.update_servers(servers.iter());
-        let runner = router.runner(2700, "llm", &pair, &[]).expect("another");
-        let runner = servers.iter().find(|one| one.id == *runner).expect("it is listed");
-        assert_eq!((runner.state, runner.stage), (OperState::Up, Some(Stage::Decode)));
-        servers.iter_mut().for_each(|one| one.state = OperState::Up);
+        let confirmed = router.confirm_decode_server(at(2700), "llm", &pair, &[]).expect("another");
+        let confirmed = servers.iter().find(|server| server.id == *confirmed).expect("it is listed");
+        assert_eq!((confirmed.state, confirmed.stage), (OperState::Up, Some(Stage::Decode)));
+        servers.iter_mut().for_each(|server| server.state = OperState::Up);
         router.update_servers(servers.iter());
     }
 }
 
 #[test]
-fn who_stays_keeps_the_run_that_it_was_named_for() {
+fn a_decode_server_that_stays_healthy_keeps_the_request_that_it_was_selected_for() {
     let mut router = router(&engines());
-    let pair = router.pair(0, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
-    assert_eq!(router.runner(2700, "llm", &pair, &[]), Some(pair.runner.clone()));
-    router.failed(2700, &pair.runner, ServerFailure::Unreachable);
-    assert_ne!(router.runner(2701, "llm", &pair, &[]), Some(pair.runner));
+    let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
+    assert_eq!(router.confirm_decode_server(at(2700), "llm", &pair, &[]), Some(pair.decode.clone()));
+    router.record_failure(at(2700), &pair.decode, ServerFailure::Unreachable);
+    assert_ne!(router.confirm_decode_server(at(2701), "llm", &pair, &[]), Some(pair.decode));
 }
