--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -307,7 +307,7 @@
         core.counter.count(2);
         let register = &mut core.register;
         let heard = core.counter.time(|| {
-            let server = control_api::beat(&id, body.as_bytes());
+            let server = control_api::parse_heartbeat(&id, body.as_bytes());
             server.map(|server| register.record_heartbeat(now, server)).unwrap_or_default()
         });
         self.heard(home, heard.changed, heard.needs_replication);
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -20,7 +20,8 @@
     for &size in sizes {
         let mut register = Registry::new(SourceId(1), KEEPALIVE);
         for at in 0..size {
-            let beat = control_api::beat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
+            let beat =
+                control_api::parse_heartbeat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
             beat.map(|server| register.record_heartbeat(1, server));
         }
         let weights = RoutingWeights::new(RetryBudgetLimits {
--- a/crates/capacity-bench/tests/small.rs
+++ b/crates/capacity-bench/tests/small.rs
@@ -42,7 +42,7 @@
     assert!(fleet.agree());
     fleet.run(10 * KEEPALIVE);
     assert_eq!(fleet.known(), 60);
-    let server = mosshead_programs::control_api::beat("instance-1", body(1, 2, "up").as_bytes());
+    let server = mosshead_programs::control_api::parse_heartbeat("instance-1", body(1, 2, "up").as_bytes());
     let server = server.expect("a beat as in the protocol");
     assert_eq!((server.sequence, server.slots), (2, 64));
 }
--- /dev/null
+++ b/crates/programs/src/control_api/instances.rs
@@ -0,0 +1,26 @@
+//! The endpoints of model servers: heartbeats and deregistration.
+
+use std::rc::Rc;
+
+use hyper::StatusCode;
+
+use super::heartbeat::parse_heartbeat;
+use super::response::{ApiResponse, ResultCode, code_only, json, unavailable};
+use crate::control_node::ControlNode;
+
+/// `/Instances.Keepalive/ID`: a heartbeat of a server.
+pub(super) async fn keepalive(control_node: &Rc<ControlNode>, id: &str, body: &[u8]) -> ApiResponse {
+    match parse_heartbeat(id, body) {
+        Some(server) => acknowledgement(control_node.record_heartbeat(server).await),
+        None => code_only(StatusCode::BAD_REQUEST, ResultCode::InvalidHeartbeat),
+    }
+}
+
+/// `/Instances.Deregister/ID`: a server has shut down.
+pub(super) async fn deregister(control_node: &Rc<ControlNode>, id: &str) -> ApiResponse {
+    acknowledgement(control_node.deregister(id).await)
+}
+
+fn acknowledgement(is_acknowledged: bool) -> ApiResponse {
+    if is_acknowledged { json(StatusCode::OK, "{}") } else { unavailable() }
+}
--- /dev/null
+++ b/crates/programs/src/control_api/server.rs
@@ -0,0 +1,120 @@
+//! The HTTP server: connections, bodies, and which endpoint a request goes to.
+
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::server::conn::http1::Builder;
+use hyper::service::service_fn;
+use hyper::{Method, Request, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use mosshead_control_plane::admission::ChangeKind;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{Duration, sleep, timeout};
+
+use super::response::{ApiResponse, ResultCode, code_only, json};
+use super::{configuration, instances};
+use crate::control_node::ControlNode;
+use crate::limits::MAX_REQUEST_BYTES;
+
+/// Open connections at most; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 3000;
+/// The wait after a connection could not be accepted, as without a free file descriptor.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// The head of a request arrives within this time.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// The body of a request arrives within this time.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+
+const KEEPALIVE_PREFIX: &str = "/Instances.Keepalive/";
+const DEREGISTER_PREFIX: &str = "/Instances.Deregister/";
+const REPLACE_PATH: &str = "/Configuration.Replace";
+const MODIFY_PATH: &str = "/Configuration.Modify";
+const SHOW_PATH: &str = "/Configuration.Show";
+
+/// Counts a connection as open for as long as it lives.
+struct ConnectionGuard {
+    open: Rc<Cell<usize>>,
+}
+
+impl ConnectionGuard {
+    fn new(open: &Rc<Cell<usize>>) -> ConnectionGuard {
+        open.set(open.get() + 1);
+        ConnectionGuard { open: open.clone() }
+    }
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        self.open.set(self.open.get().saturating_sub(1));
+    }
+}
+
+/// Accepts connections for as long as the future is polled. Connections are served by tasks of their own, which end with
+/// the connection.
+pub async fn serve(control_node: Rc<ControlNode>, listener: TcpListener) {
+    let open = Rc::new(Cell::new(0_usize));
+    loop {
+        let stream = match listener.accept().await {
+            Ok((stream, _)) if open.get() < MAX_CONNECTIONS => stream,
+            Ok(_) => continue,
+            Err(_) => {
+                sleep(ACCEPT_BACKOFF).await;
+                continue;
+            }
+        };
+        let guard = ConnectionGuard::new(&open);
+        tokio::task::spawn_local(serve_connection(control_node.clone(), stream, guard));
+    }
+}
+
+async fn serve_connection(control_node: Rc<ControlNode>, stream: TcpStream, _guard: ConnectionGuard) {
+    let _ = stream.set_nodelay(true);
+    let service = service_fn(move |request| {
+        let control_node = control_node.clone();
+        async move { Ok::<_, Infallible>(respond(control_node, request).await) }
+    });
+    let connection = Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEADER_READ_TIMEOUT)
+        .serve_connection(TokioIo::new(stream), service);
+    let _ = connection.await;
+}
+
+async fn respond(control_node: Rc<ControlNode>, request: Request<Incoming>) -> ApiResponse {
+    let (head, body) = request.into_parts();
+    let path = head.uri.path().to_owned();
+    let body = match read_body(body).await {
+        Ok(body) => body,
+        Err(response) => return response,
+    };
+    if let Some(id) = path.strip_prefix(KEEPALIVE_PREFIX) {
+        return instances::keepalive(&control_node, id, &body).await;
+    }
+    if let Some(id) = path.strip_prefix(DEREGISTER_PREFIX) {
+        return instances::deregister(&control_node, id).await;
+    }
+    match (&head.method, path.as_str()) {
+        (&Method::POST, REPLACE_PATH) => {
+            configuration::change(&control_node, ChangeKind::Replace, &path, &head.headers, body).await
+        }
+        (&Method::POST, MODIFY_PATH) => {
+            configuration::change(&control_node, ChangeKind::Modify, &path, &head.headers, body).await
+        }
+        (&Method::GET, SHOW_PATH) => configuration::show(&control_node, &path).await,
+        (&Method::GET, "/Status" | "/status") => json(StatusCode::OK, control_node.status()),
+        _ => code_only(StatusCode::NOT_FOUND, ResultCode::NotFound),
+    }
+}
+
+/// The complete body, or the response that rejects it.
+async fn read_body(body: Incoming) -> Result<Bytes, ApiResponse> {
+    match timeout(BODY_READ_TIMEOUT, Limited::new(body, MAX_REQUEST_BYTES).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(_)) => Err(code_only(StatusCode::PAYLOAD_TOO_LARGE, ResultCode::BodyTooLarge)),
+        Err(_) => Err(code_only(StatusCode::REQUEST_TIMEOUT, ResultCode::BodyTimeout)),
+    }
+}
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -110,13 +110,13 @@
     }
 
     /// ClientRequests for a change of the configuration.
-    pub async fn change(self: &Rc<Self>, change: Submission) -> Verdict {
+    pub async fn submit_change(self: &Rc<Self>, change: Submission) -> Verdict {
         let Submission { base, revision, body, digest } = change;
         self.ask(|ask| Input::Change { ask, base, revision, body, digest }).await
     }
 
     /// Reads the newest configuration, after the others have confirmed that it is.
-    pub async fn read(self: &Rc<Self>) -> Verdict {
+    pub async fn read_confirmed(self: &Rc<Self>) -> Verdict {
         self.ask(|ask| Input::Read { ask }).await
     }
 
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -39,7 +39,7 @@
     }
 
     /// A server's heartbeat. Whether it may be acknowledged.
-    pub async fn beat(self: &Rc<Self>, server: Server) -> bool {
+    pub async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
         let id = server.id.clone();
         let heard = self.register.borrow_mut().record_heartbeat(self.now(), server);
         self.heard(&id, heard).await
--- a/crates/programs/tests/control_api.rs
+++ b/crates/programs/tests/control_api.rs
@@ -1,15 +1,15 @@
 //! What servers and the operator send.
 
-use mosshead_programs::control_api::{beat, digest};
+use mosshead_programs::control_api::{parse_heartbeat, request_digest};
 use mosshead_registry::{Model, OperState, Server, Stage};
 use quickcheck::{TestResult, quickcheck};
 
-const BEAT: &str = include_str!("samples/beat.json");
+const HEARTBEAT: &str = include_str!("samples/beat.json");
 
 fn changed(from: &str, to: &str) -> Option<Server> {
-    let text = BEAT.replace(from, to);
-    assert_ne!(text, BEAT, "{from} is in the sample");
-    beat("i-7f3a91c2", text.as_bytes())
+    let text = HEARTBEAT.replace(from, to);
+    assert_ne!(text, HEARTBEAT, "{from} is in the sample");
+    parse_heartbeat("i-7f3a91c2", text.as_bytes())
 }
 
 #[test]
@@ -28,7 +28,7 @@
         models: vec![Model { name: "m".into(), revision: 1, adapters: Vec::new() }],
         sequence: 4,
     };
-    assert_eq!(beat("i-7f3a91c2", BEAT.as_bytes()), Some(wanted));
+    assert_eq!(parse_heartbeat("i-7f3a91c2", HEARTBEAT.as_bytes()), Some(wanted));
 }
 
 #[test]
@@ -48,62 +48,62 @@
     assert_eq!(changed("\"backend_service\"", "\"other\""), None);
     assert_eq!(changed("\"address\"", "\"other\""), None);
     assert_eq!(changed("10.128.0.9:8080", "10.128.0.9"), None);
-    assert_eq!(beat("", BEAT.as_bytes()), None);
-    assert_eq!(beat(&"i".repeat(201), BEAT.as_bytes()), None);
-    let long = format!("{BEAT}{}", " ".repeat(256 * 1024));
-    assert_eq!(beat("i", long.as_bytes()), None);
+    assert_eq!(parse_heartbeat("", HEARTBEAT.as_bytes()), None);
+    assert_eq!(parse_heartbeat(&"i".repeat(201), HEARTBEAT.as_bytes()), None);
+    let long = format!("{HEARTBEAT}{}", " ".repeat(256 * 1024));
+    assert_eq!(parse_heartbeat("i", long.as_bytes()), None);
     for text in ["", "null", "[]", "{}", "4", "{\"backend_service\":4,\"address\":4}"] {
-        assert_eq!(beat("i", text.as_bytes()), None, "{text}");
+        assert_eq!(parse_heartbeat("i", text.as_bytes()), None, "{text}");
     }
 }
 
 quickcheck! {
     fn any_bytes_do_no_harm(id: String, body: Vec<u8>) -> bool {
-        let _ = beat(&id, &body);
+        let _ = parse_heartbeat(&id, &body);
         true
     }
 
     /// The sample with a piece of it replaced.
     fn nearly_the_sample_does_no_harm(at: usize, length: u8, with: Vec<u8>) -> bool {
-        let mut bytes = BEAT.as_bytes().to_vec();
+        let mut bytes = HEARTBEAT.as_bytes().to_vec();
         let from = at % bytes.len();
         let to = (from + usize::from(length)).min(bytes.len());
         bytes.splice(from..to, with);
-        let _ = beat("i", &bytes);
+        let _ = parse_heartbeat("i", &bytes);
         true
     }
 
     /// Any number may stand where a number does.
     fn any_number_does_no_harm(number: f64) -> bool {
-        let text = BEAT.replace("\"slots\":64", &format!("\"slots\":{number}"));
+        let text = HEARTBEAT.replace("\"slots\":64", &format!("\"slots\":{number}"));
         let text = text.replace("\"sequence\":4", &format!("\"sequence\":{number}"));
-        let _ = beat("i", text.as_bytes());
+        let _ = parse_heartbeat("i", text.as_bytes());
         true
     }
 
     fn the_same_call_has_the_same_digest(path: String, base: u64, body: Vec<u8>) -> bool {
-        digest(&path, base, &body) == digest(&path, base, &body.clone())
+        request_digest(&path, base, &body) == request_digest(&path, base, &body.clone())
     }
 
     fn another_path_has_another_digest(path: String, other: String, base: u64, body: Vec<u8>) -> TestResult {
         if path == other {
             return TestResult::discard();
         }
-        TestResult::from_bool(digest(&path, base, &body) != digest(&other, base, &body))
+        TestResult::from_bool(request_digest(&path, base, &body) != request_digest(&other, base, &body))
     }
 
     fn another_base_has_another_digest(path: String, base: u64, other: u64, body: Vec<u8>) -> TestResult {
         if base == other {
             return TestResult::discard();
         }
-        TestResult::from_bool(digest(&path, base, &body) != digest(&path, other, &body))
+        TestResult::from_bool(request_digest(&path, base, &body) != request_digest(&path, other, &body))
     }
 
     fn another_body_has_another_digest(path: String, base: u64, body: Vec<u8>, other: Vec<u8>) -> TestResult {
         if body == other {
             return TestResult::discard();
         }
-        TestResult::from_bool(digest(&path, base, &body) != digest(&path, base, &other))
+        TestResult::from_bool(request_digest(&path, base, &body) != request_digest(&path, base, &other))
     }
 
     /// A single byte that differs is always seen.
@@ -114,17 +114,17 @@
         let mut other = body.clone();
         other[at % body.len()] ^= by;
         let path = "/Configuration.Replace";
-        TestResult::from_bool(digest(path, base, &body) != digest(path, base, &other))
+        TestResult::from_bool(request_digest(path, base, &body) != request_digest(path, base, &other))
     }
 }
 
 #[test]
 fn the_two_calls_of_the_operator_differ() {
     let (replace, modify) = ("/Configuration.Replace", "/Configuration.Modify");
-    assert_ne!(digest(replace, 5, b"{}"), digest(modify, 5, b"{}"));
-    assert_ne!(digest(replace, 5, b"{}"), digest(replace, 6, b"{}"));
-    assert_ne!(digest(replace, 5, b"{}"), digest(replace, 5, b"{} "));
-    assert_ne!(digest(replace, 5, b""), digest(replace, 5, b"\0"));
+    assert_ne!(request_digest(replace, 5, b"{}"), request_digest(modify, 5, b"{}"));
+    assert_ne!(request_digest(replace, 5, b"{}"), request_digest(replace, 6, b"{}"));
+    assert_ne!(request_digest(replace, 5, b"{}"), request_digest(replace, 5, b"{} "));
+    assert_ne!(request_digest(replace, 5, b""), request_digest(replace, 5, b"\0"));
 }
 
 /// The two bodies had one digest of 64 bits, c26c5b9c75a6ffec, under the function that was used before: both operators
@@ -133,14 +133,14 @@
 fn bodies_that_shared_a_short_digest_are_told_apart() {
     let path = "/Configuration.Replace";
     let body = |text: &str| format!("{{\"revision\":1,\"x\":\"{text}\"}}").into_bytes();
-    assert_ne!(digest(path, 0, &body("hHh6mvhYQDH")), digest(path, 0, &body("pRkmGoE1dMI")));
+    assert_ne!(request_digest(path, 0, &body("hHh6mvhYQDH")), request_digest(path, 0, &body("pRkmGoE1dMI")));
 }
 
 /// SHA-256 of path, base and body, each behind its length in eight bytes; computed by another implementation.
 #[test]
 fn the_digest_is_a_well_known_one() {
     let wanted = "c4fe1c8d04f00fa9be601e0475c40d7c7bba7bb26d093c614b49ffb490e3b756";
-    assert_eq!(format!("{:?}", digest("/Configuration.Replace", 5, b"{}")), wanted);
+    assert_eq!(format!("{:?}", request_digest("/Configuration.Replace", 5, b"{}")), wanted);
 }
 
 /// Prints what the digest of a large configuration costs: `cargo test --release -p mosshead-programs a_digest_costs -- --nocapture`.
@@ -150,7 +150,7 @@
     let start = std::time::Instant::now();
     let rounds = 5;
     for round in 0..rounds {
-        assert_ne!(digest("/Configuration.Replace", round, &body), digest("", round, b""));
+        assert_ne!(request_digest("/Configuration.Replace", round, &body), request_digest("", round, b""));
     }
     println!("3 MiB: {:?} each", start.elapsed() / rounds as u32);
 }
@@ -158,6 +158,6 @@
 #[test]
 fn a_deep_heartbeat_does_no_harm() {
     for text in ["[".repeat(250_000), "{\"a\":".repeat(40_000)] {
-        assert_eq!(beat("i", text.as_bytes()), None);
+        assert_eq!(parse_heartbeat("i", text.as_bytes()), None);
     }
 }
