--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -14,8 +14,8 @@
 use mosshead_routing::ServerFailure;
 use tokio::time::{Duration, Instant, timeout_at};
 
-use crate::links::{Opened, Origin, ServerLink};
-use crate::proxy_state::DataPlane;
+use crate::connection_pool::{Opened, Origin, ServerLink};
+use crate::data_plane::DataPlane;
 
 /// An answer that is held is at most this long.
 const HELD: usize = 4 * 1024 * 1024;
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::links::Links;
+use crate::connection_pool::Links;
 
 /// What has been answered since the start.
 #[derive(Debug, Default)]
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Duration, sleep};
 
 use crate::client_stream::ClientStream;
-use crate::proxy_state::DataPlane;
+use crate::data_plane::DataPlane;
 
 /// Clients' connections at once.
 const MOST: usize = 2600;
--- a/crates/data-plane/src/forward.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -15,10 +15,10 @@
 use mosshead_routing::{Prompt, ServerFailure};
 use tokio::time::{Duration, timeout};
 
-use crate::answer::{Cut, Out, of_server, own, passed_on};
 use crate::attempt::{Message, Sent, Server, sealed};
-use crate::prompt::{Handle, MUTE, Unread, ask, refusal};
-use crate::proxy_state::{DataPlane, Running, Under, add};
+use crate::data_plane::{DataPlane, Running, Under, add};
+use crate::prefill::{Handle, MUTE, Unread, ask, refusal};
+use crate::response::{Cut, Out, of_server, own, passed_on};
 
 /// Bytes of bodies that may be held at once.
 const HELD_MOST: usize = 96 * 1024 * 1024;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! Everything here runs on one thread. What is decided is decided by `router`; this host sends, waits and passes on.
 
-mod answer;
 mod attempt;
 mod client_stream;
-mod events;
-mod forward;
+mod connection_pool;
+mod data_plane;
+mod event_splitter;
 mod frontend;
-mod links;
-mod prompt;
-mod proxy_state;
+mod ingress;
+mod prefill;
+mod response;
 mod stream;
 
-pub use events::EventSplitter;
+pub use data_plane::{Counters, DataPlane};
+pub use event_splitter::EventSplitter;
 pub use frontend::{Frontend, serve_readiness};
-pub use proxy_state::{Counters, DataPlane};
--- a/crates/data-plane/src/prompt.rs
+++ b/crates/data-plane/src/prefill.rs
@@ -12,8 +12,8 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::attempt::{Message, Sent, Server, kept, whole_body};
-use crate::forward::Job;
-use crate::proxy_state::{DataPlane, Reading, add};
+use crate::data_plane::{DataPlane, Reading, add};
+use crate::ingress::Job;
 
 /// The parts of a prompt, as its request names them. `None`: it names none, or they make no sense.
 pub(crate) fn ask(headers: &HeaderMap) -> Option<Prompt> {
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, timeout, timeout_at};
 
-use crate::answer::{Cut, Out, of_server};
 use crate::attempt::{Sent, Server, kept, sealed};
-use crate::events::EventSplitter;
-use crate::forward::{Job, Ran};
-use crate::links::ServerLink;
-use crate::prompt::{Handle, MUTE, REPORT, refusal};
-use crate::proxy_state::{DataPlane, Reading, Running, Under, add};
+use crate::connection_pool::ServerLink;
+use crate::data_plane::{DataPlane, Reading, Running, Under, add};
+use crate::event_splitter::EventSplitter;
+use crate::ingress::{Job, Ran};
+use crate::prefill::{Handle, MUTE, REPORT, refusal};
+use crate::response::{Cut, Out, of_server};
 
 /// So many pieces wait for a client that does not read.
 const WAITING: usize = 16;
--- a/crates/data-plane/tests/own_answers.rs
+++ b/crates/data-plane/tests/response_matching.rs
@@ -1,14 +1,14 @@
 //! Each caller gets its own answer or none, and nothing that may not be repeated arrives twice.
 
 mod common;
-mod hostile;
+mod hostile_server;
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
 use common::{Proxy, event, events};
-use hostile::{Aftermath, Arrival, Hostile, Reply, answer, never_ran, own_answer, turns, until};
+use hostile_server::{Aftermath, Arrival, Hostile, Reply, answer, never_ran, own_answer, turns, until};
 use mosshead_registry::Stage;
 
 const AFTERMATHS: [Aftermath; 5] =
