--- a/crates/config/src/chunked_sequence.rs
+++ b/crates/config/src/chunked_sequence.rs
@@ -1,43 +1,43 @@
-//! A sorted sequence in chunks that clones share: a change copies the chunk that it touches, and no other one.
+//! A persistent sorted sequence, stored in chunks that clones share: a change copies only the chunk that it touches.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-/// A chunk that grows beyond this is cut in two.
-const CHUNK_MOST: usize = 64;
-/// How full chunks are made when a whole sequence is given.
-const CHUNK_FILL: usize = 48;
+/// A chunk that grows longer than this is split.
+const MAX_CHUNK_LENGTH: usize = 64;
+/// The length of the chunks of a sequence that is built at once.
+const INITIAL_CHUNK_LENGTH: usize = 48;
 
-/// A sorted sequence. The order is the caller's: each call is given how an element compares with what is sought,
-/// and all calls on one sequence must agree. No chunk is empty.
+/// A sorted sequence without equal elements. The order is the caller's: each call is given how an element compares
+/// with what is sought, and all calls on one sequence must agree. No chunk is empty.
 #[derive(Debug)]
-pub(crate) struct Chunks<T> {
+pub(crate) struct ChunkedSequence<T> {
     chunks: Vec<Arc<Vec<T>>>,
     length: usize,
 }
 
-impl<T> Clone for Chunks<T> {
+impl<T> Clone for ChunkedSequence<T> {
     fn clone(&self) -> Self {
-        Chunks { chunks: self.chunks.clone(), length: self.length }
+        ChunkedSequence { chunks: self.chunks.clone(), length: self.length }
     }
 }
 
-impl<T> Default for Chunks<T> {
+impl<T> Default for ChunkedSequence<T> {
     fn default() -> Self {
-        Chunks { chunks: Vec::new(), length: 0 }
+        ChunkedSequence { chunks: Vec::new(), length: 0 }
     }
 }
 
-impl<T: Clone> Chunks<T> {
-    /// Elements that are in order already.
+impl<T: Clone> ChunkedSequence<T> {
+    /// Builds a sequence of elements that are sorted already.
     pub(crate) fn from_sorted(elements: Vec<T>) -> Self {
         let length = elements.len();
-        let mut chunks = Vec::with_capacity(length.div_ceil(CHUNK_FILL));
+        let mut chunks = Vec::with_capacity(length.div_ceil(INITIAL_CHUNK_LENGTH));
         let mut elements = elements.into_iter().peekable();
         while elements.peek().is_some() {
-            chunks.push(Arc::new(elements.by_ref().take(CHUNK_FILL).collect()));
+            chunks.push(Arc::new(elements.by_ref().take(INITIAL_CHUNK_LENGTH).collect()));
         }
-        Chunks { chunks, length }
+        ChunkedSequence { chunks, length }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -52,102 +52,103 @@
         self.chunks.last()?.last()
     }
 
-    /// The element that compares as equal.
+    /// Finds the element that compares as equal.
     pub(crate) fn get(&self, compare: impl Fn(&T) -> Ordering) -> Option<&T> {
-        self.last_up_to(&compare).filter(|found| compare(found).is_eq())
+        self.last_not_greater(&compare).filter(|found| compare(found).is_eq())
     }
 
-    /// The last element that does not compare as greater.
-    pub(crate) fn last_up_to(&self, compare: impl Fn(&T) -> Ordering) -> Option<&T> {
-        let chunk = self.chunks.get(self.chunk_for(&compare)?)?;
+    /// Finds the last element that does not compare as greater.
+    pub(crate) fn last_not_greater(&self, compare: impl Fn(&T) -> Ordering) -> Option<&T> {
+        let chunk = self.chunks.get(self.chunk_index_for(&compare)?)?;
         chunk.get(chunk.partition_point(|element| compare(element).is_le()).checked_sub(1)?)
     }
 
-    /// The last element that compares as less, and the first one that compares as greater.
+    /// Finds the last element that compares as less and the first one that compares as greater.
     pub(crate) fn neighbours(&self, compare: impl Fn(&T) -> Ordering) -> (Option<&T>, Option<&T>) {
-        let before = self.last_up_to(|element| match compare(element) {
+        let before = self.last_not_greater(|element| match compare(element) {
             Ordering::Equal => Ordering::Greater,
             other => other,
         });
-        let Some(place) = self.chunk_for(&compare) else { return (before, self.iter().next()) };
-        let Some(chunk) = self.chunks.get(place) else { return (before, None) };
+        let Some(chunk_index) = self.chunk_index_for(&compare) else { return (before, self.iter().next()) };
+        let Some(chunk) = self.chunks.get(chunk_index) else { return (before, None) };
         let after = chunk.get(chunk.partition_point(|element| compare(element).is_le()));
-        let next = || self.chunks.get(place + 1).and_then(|chunk| chunk.first());
-        (before, after.or_else(next))
+        let first_of_next = || self.chunks.get(chunk_index + 1).and_then(|chunk| chunk.first());
+        (before, after.or_else(first_of_next))
     }
 
-    /// Puts an element in its place. The one that compares as equal is replaced and given back.
+    /// Inserts an element. The one that compares as equal is replaced and returned.
     pub(crate) fn insert(&mut self, element: T, compare: impl Fn(&T) -> Ordering) -> Option<T> {
-        let place = self.chunk_for(&compare).unwrap_or(0);
-        let Some(chunk) = self.chunks.get_mut(place) else {
+        let chunk_index = self.chunk_index_for(&compare).unwrap_or(0);
+        let Some(chunk) = self.chunks.get_mut(chunk_index) else {
             self.chunks.push(Arc::new(vec![element]));
             self.length += 1;
             return None;
         };
         let chunk = Arc::make_mut(chunk);
-        let at = chunk.partition_point(|element| compare(element).is_lt());
-        match chunk.get_mut(at) {
+        let index = chunk.partition_point(|element| compare(element).is_lt());
+        match chunk.get_mut(index) {
             Some(own) if compare(own).is_eq() => return Some(std::mem::replace(own, element)),
-            _ => chunk.insert(at, element),
+            _ => chunk.insert(index, element),
         }
         self.length += 1;
-        if chunk.len() > CHUNK_MOST {
+        if chunk.len() > MAX_CHUNK_LENGTH {
             // A sequence that only grows at its end keeps full chunks.
-            let cut = if at + 1 == chunk.len() { CHUNK_FILL } else { chunk.len() / 2 };
-            let rest = chunk.split_off(cut);
-            self.chunks.insert(place + 1, Arc::new(rest));
+            let is_at_end = index + 1 == chunk.len();
+            let split_index = if is_at_end { INITIAL_CHUNK_LENGTH } else { chunk.len() / 2 };
+            let rest = chunk.split_off(split_index);
+            self.chunks.insert(chunk_index + 1, Arc::new(rest));
         }
         None
     }
 
-    /// Takes out the element that compares as equal.
+    /// Removes the element that compares as equal.
     pub(crate) fn remove(&mut self, compare: impl Fn(&T) -> Ordering) -> Option<T> {
-        let place = self.chunk_for(&compare)?;
-        let chunk = self.chunks.get_mut(place)?;
-        let at = chunk.binary_search_by(compare).ok()?;
+        let chunk_index = self.chunk_index_for(&compare)?;
+        let chunk = self.chunks.get_mut(chunk_index)?;
+        let index = chunk.binary_search_by(compare).ok()?;
         let chunk = Arc::make_mut(chunk);
-        let found = chunk.remove(at);
+        let removed = chunk.remove(index);
         self.length -= 1;
         if chunk.is_empty() {
-            self.chunks.remove(place);
+            self.chunks.remove(chunk_index);
         } else {
-            self.join(place);
+            self.merge_with_next(chunk_index);
         }
-        Some(found)
+        Some(removed)
     }
 
-    /// Puts a chunk that has become small together with the next one, so that removals leave no long list of
-    /// small chunks.
-    fn join(&mut self, place: usize) {
-        let room = |chunk: Option<&Arc<Vec<T>>>| chunk.map_or(CHUNK_MOST, |chunk| chunk.len());
-        if room(self.chunks.get(place)) + room(self.chunks.get(place + 1)) > CHUNK_FILL {
+    /// Merges a chunk that has become small with the next one, so that removals leave no long list of small chunks.
+    fn merge_with_next(&mut self, chunk_index: usize) {
+        let length_of = |index: usize| self.chunks.get(index).map_or(MAX_CHUNK_LENGTH, |chunk| chunk.len());
+        if length_of(chunk_index) + length_of(chunk_index + 1) > INITIAL_CHUNK_LENGTH {
             return;
         }
-        let next = self.chunks.remove(place + 1);
-        if let Some(chunk) = self.chunks.get_mut(place) {
+        let next = self.chunks.remove(chunk_index + 1);
+        if let Some(chunk) = self.chunks.get_mut(chunk_index) {
             Arc::make_mut(chunk).extend(next.iter().cloned());
         }
     }
 
-    /// The chunk that holds what is sought, if any does: the last one whose first element isn't greater.
-    fn chunk_for(&self, compare: impl Fn(&T) -> Ordering) -> Option<usize> {
+    /// The index of the chunk that contains what is sought, if any does: the last one whose first element isn't greater.
+    fn chunk_index_for(&self, compare: impl Fn(&T) -> Ordering) -> Option<usize> {
         let first_is_le = |chunk: &Arc<Vec<T>>| chunk.first().is_some_and(|first| compare(first).is_le());
         self.chunks.partition_point(first_is_le).checked_sub(1)
     }
 
-    /// Calls `found` with each element of only the one or only the other sequence, and with both of a pair that
-    /// compares as equal but isn't shared. Chunks that are shared are passed over whole.
+    /// Calls `on_difference` with each element of only the one or only the other sequence, and with both of a pair that
+    /// compares as equal but may differ otherwise. Chunks that both share are skipped without a look at their elements.
     pub(crate) fn compare<'a>(
         &'a self,
-        other: &'a Chunks<T>,
+        other: &'a ChunkedSequence<T>,
         order: impl Fn(&T, &T) -> Ordering,
-        mut found: impl FnMut(Option<&'a T>, Option<&'a T>),
+        mut on_difference: impl FnMut(Option<&'a T>, Option<&'a T>),
     ) {
-        let (mut own, mut others) = (Cursor::new(self), Cursor::new(other));
+        let mut own = Cursor::new(self);
+        let mut others = Cursor::new(other);
         loop {
-            if own.at_same_chunk(&others) {
-                own.next_chunk();
-                others.next_chunk();
+            if own.is_at_same_chunk(&others) {
+                own.skip_chunk();
+                others.skip_chunk();
                 continue;
             }
             let pair = (own.peek(), others.peek());
@@ -155,55 +156,55 @@
                 (None, None) => return,
                 (Some(_), None) => Ordering::Less,
                 (None, Some(_)) => Ordering::Greater,
-                (Some(one), Some(two)) => order(one, two),
+                (Some(one), Some(other)) => order(one, other),
             };
             match order {
-                Ordering::Less => found(pair.0, None),
-                Ordering::Greater => found(None, pair.1),
-                Ordering::Equal => found(pair.0, pair.1),
+                Ordering::Less => on_difference(pair.0, None),
+                Ordering::Greater => on_difference(None, pair.1),
+                Ordering::Equal => on_difference(pair.0, pair.1),
             }
             if order.is_le() {
-                own.step();
+                own.advance();
             }
             if order.is_ge() {
-                others.step();
+                others.advance();
             }
         }
     }
 }
 
-/// A place in a sequence.
+/// A position in a sequence.
 struct Cursor<'a, T> {
     chunks: &'a [Arc<Vec<T>>],
-    chunk: usize,
-    at: usize,
+    chunk_index: usize,
+    /// Within the chunk.
+    index: usize,
 }
 
 impl<'a, T> Cursor<'a, T> {
-    fn new(of: &'a Chunks<T>) -> Self {
-        Cursor { chunks: &of.chunks, chunk: 0, at: 0 }
+    fn new(sequence: &'a ChunkedSequence<T>) -> Self {
+        Cursor { chunks: &sequence.chunks, chunk_index: 0, index: 0 }
     }
 
     fn peek(&self) -> Option<&'a T> {
-        self.chunks.get(self.chunk)?.get(self.at)
+        self.chunks.get(self.chunk_index)?.get(self.index)
     }
 
-    fn step(&mut self) {
-        self.at += 1;
-        if self.chunks.get(self.chunk).is_some_and(|chunk| self.at >= chunk.len()) {
-            self.next_chunk();
+    fn advance(&mut self) {
+        self.index += 1;
+        if self.chunks.get(self.chunk_index).is_some_and(|chunk| self.index >= chunk.len()) {
+            self.skip_chunk();
         }
     }
 
-    fn next_chunk(&mut self) {
-        self.chunk += 1;
-        self.at = 0;
+    fn skip_chunk(&mut self) {
+        self.chunk_index += 1;
+        self.index = 0;
     }
 
-    fn at_same_chunk(&self, other: &Self) -> bool {
-        let (Some(own), Some(others)) = (self.chunks.get(self.chunk), other.chunks.get(other.chunk)) else {
-            return false;
-        };
-        self.at == 0 && other.at == 0 && Arc::ptr_eq(own, others)
+    fn is_at_same_chunk(&self, other: &Self) -> bool {
+        let (own, others) = (self.chunks.get(self.chunk_index), other.chunks.get(other.chunk_index));
+        let (Some(own), Some(others)) = (own, others) else { return false };
+        self.index == 0 && other.index == 0 && Arc::ptr_eq(own, others)
     }
 }
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,119 +1,82 @@
-//! A configuration that has passed every check.
+//! A valid configuration.
 
+use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::{Arc, OnceLock};
 
-use crate::document::{self as draft, Draft, Part, REVISION};
-use crate::error::{ConfigError, ConfigErrorKind};
-use crate::item_list::List;
-use crate::json::object as value;
-use crate::json::scanner as scan;
+use crate::document::Document;
+use crate::item_list::ItemList;
 use crate::limits::Limits;
-use crate::route::{self, Route};
-use crate::route_table::Index;
+use crate::route::{Route, normalize_host};
+use crate::route_table::RouteTable;
 use crate::routes::Routes;
 use crate::service::Service;
-use crate::validation::{Services, build, build_on};
 
-/// A whole configuration, valid. Clones share all of it, and one that was made from another by a change or a
-/// patch shares with it all that has not changed.
+/// Services by name.
+pub(crate) type Services = BTreeMap<String, Arc<Service>>;
+
+/// A configuration that passed every check.
+///
+/// Clones share all of it. One that was made from another by a change or a patch shares with it all that has not
+/// changed.
 #[derive(Clone)]
 pub struct Config {
-    /// Its version.
+    /// Its revision; a configuration replaces only one with a lower revision.
     pub revision: u64,
     /// Its routes, in the operator's order.
     pub routes: Routes,
-    /// Its services by name.
+    /// Its services by name; contains every service that a route names.
     pub services: Arc<Services>,
-    /// What clients may send.
+    /// The bounds for clients.
     pub limits: Limits,
-    body: Arc<Body>,
+    content: Arc<Content>,
 }
 
-struct Body {
-    draft: Draft,
-    index: Index,
-    text: OnceLock<Arc<str>>,
+/// What is read from a document when it is validated.
+pub(crate) struct ValidatedParts {
+    pub(crate) revision: u64,
+    pub(crate) limits: Limits,
+    pub(crate) services: Arc<Services>,
+    pub(crate) routes: Routes,
+    pub(crate) route_table: RouteTable,
 }
 
-impl Config {
-    /// A whole configuration, with every check.
-    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
-        let text = scan::text(text, scan::MAX_BYTES)?;
-        scan::guard(text, scan::MAX_DEPTH)?;
-        build(Draft::read(text)?)
-    }
-
-    /// `Configuration.Replace`: a whole configuration, above the current one (above 0, if there is none).
-    pub fn parse_replacement(current: Option<&Config>, text: &[u8]) -> Result<Config, ConfigError> {
-        let config = match current {
-            Some(current) => current.parse_sharing(text)?,
-            None => Config::parse(text)?,
-        };
-        above(config.revision, current.map_or(0, |current| current.revision))?;
-        Ok(config)
-    }
+struct Content {
+    document: Document,
+    route_table: RouteTable,
+    /// The document as text, once it was asked for.
+    json: OnceLock<Arc<str>>,
+}
 
-    /// `Configuration.Modify`: this configuration with items withdrawn, then others put in.
-    pub fn modify(&self, text: &[u8]) -> Result<Config, ConfigError> {
-        let text = scan::text(text, scan::MAX_BYTES)?;
-        scan::guard(text, scan::MAX_DEPTH)?;
-        let mut revision = None;
-        let mut upsert = Vec::new();
-        let mut withdraw = Vec::new();
-        for (key, value) in draft::object(text, "body")? {
-            match key.as_ref() {
-                REVISION => revision = Some(value::whole(&value::parse(value, REVISION)?, REVISION)?),
-                "upsert" if value != "null" => upsert = draft::lists(value, "upsert")?,
-                "withdraw" if value != "null" => withdraw = draft::object(value, "withdraw")?,
-                key => drop(value::parse(value, key)?),
-            }
-        }
-        let revision = revision.ok_or_else(|| ConfigErrorKind::Missing.at(REVISION))?;
-        above(revision, self.revision)?;
-
-        let mut draft = self.body.draft.clone();
-        for (list, value) in withdraw {
-            let names = draft::names(value, &format!("withdraw.{list}"))?;
-            draft.withdraw(&list, &names);
-        }
-        for (key, value, elements) in upsert {
-            let place = format!("upsert.{key}");
-            match elements {
-                Some(elements) => {
-                    let items = draft::items(&key, elements, &place)?;
-                    draft.upsert(&key, items, &place)?;
-                }
-                None => {
-                    let part = draft::part(&key, value, None, &place)?;
-                    draft.set(&key, part);
-                }
-            }
-        }
-        draft.set(REVISION, Part::plain(&revision.to_string()));
-        build_on(self, draft)
+impl Config {
+    /// Puts together what a validation has found; no check is left to this.
+    pub(crate) fn new(parts: ValidatedParts, document: Document) -> Config {
+        let ValidatedParts { revision, limits, services, routes, route_table } = parts;
+        let content = Arc::new(Content { document, route_table, json: OnceLock::new() });
+        Config { revision, routes, services, limits, content }
     }
 
-    /// The configuration whole, as JSON without white space: to be shown and stored. It is put together when it is
-    /// first asked for, and kept; [`Config::to_json`] keeps nothing.
+    /// The whole configuration as JSON without white space, to be shown and stored. It is built when it is first asked
+    /// for, and kept; [`Config::to_json`] keeps nothing.
     pub fn json(&self) -> &Arc<str> {
-        self.body.text.get_or_init(|| self.to_json().into())
+        self.content.json.get_or_init(|| self.to_json().into())
     }
 
-    /// The same text, put together anew.
+    /// Builds the same text anew.
     pub fn to_json(&self) -> String {
-        self.body.draft.text()
+        self.content.document.to_json()
     }
 
-    /// How long the text is, in bytes.
+    /// The length of the text in bytes, without building it.
     pub fn json_length(&self) -> usize {
-        self.body.draft.text_length()
+        self.content.document.json_length()
     }
 
-    /// Of the routes of that host, the one with the longest prefix that begins the path.
+    /// Finds the route of a request: of the routes of its host, the one with the longest prefix that begins the path
+    /// (PROTOCOL, "Requests"). The host may have a port, the path a query.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
-        self.body.index.find(&route::host_name(host), path)
+        self.content.route_table.find(&normalize_host(host), path)
     }
 
     /// The service of that name.
@@ -121,49 +84,30 @@
         self.services.get(name)
     }
 
-    pub(crate) fn draft(&self) -> &Draft {
-        &self.body.draft
-    }
-
-    pub(crate) fn index(&self) -> &Index {
-        &self.body.index
+    pub(crate) fn document(&self) -> &Document {
+        &self.content.document
     }
 
-    pub(crate) fn list(&self, key: &str) -> Option<&List> {
-        self.body.draft.list(key)
+    pub(crate) fn route_table(&self) -> &RouteTable {
+        &self.content.route_table
     }
 
-    pub(crate) fn assemble(
-        revision: u64,
-        routes: Routes,
-        services: Arc<Services>,
-        limits: Limits,
-        index: Index,
-        draft: Draft,
-    ) -> Config {
-        let body = Arc::new(Body { draft, index, text: OnceLock::new() });
-        Config { revision, routes, services, limits, body }
-    }
-}
-
-fn above(revision: u64, current: u64) -> Result<(), ConfigError> {
-    if revision > current {
-        Ok(())
-    } else {
-        Err(ConfigErrorKind::StaleRevision(revision, current).at(REVISION))
+    /// The list in a top-level field, if it contains one.
+    pub(crate) fn list(&self, key: &str) -> Option<&ItemList> {
+        self.content.document.list(key)
     }
 }
 
-/// Equal when the texts are.
+/// Two configurations are equal when their texts are.
 impl PartialEq for Config {
     fn eq(&self, other: &Self) -> bool {
-        self.body.draft.same(&other.body.draft)
+        self.content.document.has_same_text(&other.content.document)
     }
 }
 
 impl fmt::Debug for Config {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.debug_struct("Config")
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Config")
             .field("revision", &self.revision)
             .field("routes", &self.routes.len())
             .field("services", &self.services.len())
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,65 +1,60 @@
-//! A configuration in pieces: taken apart, changed by item, put together again by `build`.
+//! A configuration as a JSON document whose lists are changed item by item.
 
-use std::borrow::Cow;
-use std::collections::HashSet;
+use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use tinyjson::JsonValue;
-
 use crate::error::{ConfigError, ConfigErrorKind};
-use crate::item_list::{Item, List, Meaning};
-use crate::json::object::{self as value, Object};
-use crate::json::scanner as scan;
-use crate::route::Route;
-use crate::service::Service;
-use crate::stable_hash as hash;
+use crate::item::Item;
+use crate::item_list::ItemList;
+use crate::json::string::quote;
+use crate::stable_hash::{hash_text, mix};
 
+/// The top-level fields with a meaning here (PROTOCOL, "The operator's API").
 pub(crate) const ROUTES: &str = "route_entries";
 pub(crate) const SERVICES: &str = "backend_services";
 pub(crate) const REVISION: &str = "revision";
 pub(crate) const LIMITS: &str = "limits";
 
-/// The value of a top-level field. Which of both it is follows from the text alone.
+/// The value of a top-level field. Which variant it is depends on the text alone.
 #[derive(Debug, Clone)]
-pub(crate) enum Part {
+pub(crate) enum FieldValue {
     /// A list of items, each with a name of its own; the empty list too.
-    Items(List),
-    Plain(Arc<str>),
+    Items(ItemList),
+    /// Any other value, as minified JSON.
+    Json(Arc<str>),
 }
 
-impl Part {
-    pub(crate) fn plain(text: &str) -> Self {
-        Part::Plain(text.into())
-    }
-
-    pub(crate) fn text_length(&self) -> usize {
+impl FieldValue {
+    fn json_length(&self) -> usize {
         match self {
-            Part::Items(list) => list.text_length(),
-            Part::Plain(text) => text.len(),
+            FieldValue::Items(list) => list.json_length(),
+            FieldValue::Json(text) => text.len(),
         }
     }
 
-    pub(crate) fn write(&self, to: &mut String) {
+    /// Appends the value as JSON.
+    pub(crate) fn write_json(&self, output: &mut String) {
         match self {
-            Part::Items(list) => list.write(to),
-            Part::Plain(text) => to.push_str(text),
+            FieldValue::Items(list) => list.write_json(output),
+            FieldValue::Json(text) => output.push_str(text),
         }
     }
 
-    /// Over the text.
-    pub(crate) fn hash(&self) -> u64 {
+    /// The hash of the text.
+    fn hash(&self) -> u64 {
         match self {
-            Part::Items(list) => list.hash(),
-            Part::Plain(text) => hash::text(text),
+            FieldValue::Items(list) => mix(1, list.hash()),
+            FieldValue::Json(text) => mix(0, hash_text(text)),
         }
     }
 
-    /// Of the same text.
-    pub(crate) fn same(&self, other: &Part) -> bool {
+    /// Whether both have the same text.
+    pub(crate) fn has_same_text(&self, other: &FieldValue) -> bool {
         match (self, other) {
-            (Part::Plain(one), Part::Plain(two)) => one == two,
-            (Part::Items(one), Part::Items(two)) => {
-                one.len() == two.len() && one.iter().zip(two.iter()).all(|(one, two)| Item::same(one, two))
+            (FieldValue::Json(one), FieldValue::Json(other)) => one == other,
+            (FieldValue::Items(one), FieldValue::Items(other)) => {
+                let mut pairs = one.iter().zip(other.iter());
+                one.len() == other.len() && pairs.all(|(one, other)| Item::has_same_text(one, other))
             }
             _ => false,
         }
@@ -70,191 +65,140 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Field {
     pub(crate) key: Arc<str>,
-    pub(crate) part: Part,
+    pub(crate) value: FieldValue,
 }
 
-/// Its top-level fields in order. A clone shares all items.
+/// The top-level fields of a configuration in the operator's order. A clone shares all items.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Draft {
-    pub(crate) fields: Vec<Field>,
+pub(crate) struct Document {
+    fields: Vec<Field>,
 }
 
-impl Draft {
-    /// From a text that has passed the guard.
-    pub(crate) fn read(text: &str) -> Result<Self, ConfigError> {
-        let mut draft = Draft::default();
-        for (key, value, elements) in lists(text, "body")? {
-            let part = part(&key, value, elements, &key)?;
-            draft.fields.push(Field { key: key.as_ref().into(), part });
-        }
-        Ok(draft)
-    }
-
-    pub(crate) fn part(&self, key: &str) -> Option<&Part> {
-        self.fields.iter().find(|field| field.key.as_ref() == key).map(|field| &field.part)
+impl Document {
+    pub(crate) fn fields(&self) -> &[Field] {
+        &self.fields
     }
 
     pub(crate) fn keys(&self) -> impl Iterator<Item = &str> {
         self.fields.iter().map(|field| field.key.as_ref())
     }
 
-    /// The list in a field, if it holds one.
-    pub(crate) fn list(&self, key: &str) -> Option<&List> {
-        match self.part(key) {
-            Some(Part::Items(list)) => Some(list),
+    pub(crate) fn get(&self, key: &str) -> Option<&FieldValue> {
+        self.fields.iter().find(|field| field.key.as_ref() == key).map(|field| &field.value)
+    }
+
+    /// The list in a field, if it contains one.
+    pub(crate) fn list(&self, key: &str) -> Option<&ItemList> {
+        match self.get(key) {
+            Some(FieldValue::Items(list)) => Some(list),
             _ => None,
         }
     }
 
-    pub(crate) fn list_mut(&mut self, key: &str) -> Option<&mut List> {
+    /// The list in a field, if it contains one.
+    pub(crate) fn list_mut(&mut self, key: &str) -> Option<&mut ItemList> {
         let field = self.fields.iter_mut().find(|field| field.key.as_ref() == key)?;
-        match &mut field.part {
-            Part::Items(list) => Some(list),
-            Part::Plain(_) => None,
+        match &mut field.value {
+            FieldValue::Items(list) => Some(list),
+            FieldValue::Json(_) => None,
         }
     }
 
-    /// How long the whole is as text.
-    pub(crate) fn text_length(&self) -> usize {
-        let field = |field: &Field| scan::quote(&field.key).len() + 1 + field.part.text_length();
-        2 + self.fields.iter().map(field).sum::<usize>() + self.fields.len().saturating_sub(1)
+    /// The length of the document as JSON, in bytes.
+    pub(crate) fn json_length(&self) -> usize {
+        let field_length = |field: &Field| quote(&field.key).len() + 1 + field.value.json_length();
+        let braces = 2;
+        let commas = self.fields.len().saturating_sub(1);
+        braces + self.fields.iter().map(field_length).sum::<usize>() + commas
     }
 
-    /// The whole as text.
-    pub(crate) fn text(&self) -> String {
-        let mut text = String::with_capacity(self.text_length());
-        text.push('{');
+    /// The document as JSON without white space.
+    pub(crate) fn to_json(&self) -> String {
+        let mut json = String::with_capacity(self.json_length());
+        json.push('{');
         for field in &self.fields {
-            if text.len() > 1 {
-                text.push(',');
+            if json.len() > 1 {
+                json.push(',');
             }
-            text.push_str(&scan::quote(&field.key));
-            text.push(':');
-            field.part.write(&mut text);
+            json.push_str(&quote(&field.key));
+            json.push(':');
+            field.value.write_json(&mut json);
         }
-        text.push('}');
-        text
+        json.push('}');
+        json
     }
 
-    /// Over the whole text, without a look at items that haven't changed.
+    /// The hash of the whole text, computed without a look at items that haven't changed.
     pub(crate) fn hash(&self) -> u64 {
-        self.fields.iter().fold(0, |sum, field| {
-            let kind = u64::from(matches!(field.part, Part::Items(_)));
-            let part = hash::mix(kind, field.part.hash());
-            hash::mix(sum, hash::mix(hash::text(&field.key), part))
-        })
+        self.fields.iter().fold(0, |hash, field| mix(hash, mix(hash_text(&field.key), field.value.hash())))
     }
 
-    /// Of the same text.
-    pub(crate) fn same(&self, other: &Draft) -> bool {
-        let equal = |(one, two): (&Field, &Field)| one.key == two.key && one.part.same(&two.part);
-        self.fields.len() == other.fields.len() && self.fields.iter().zip(&other.fields).all(equal)
+    /// Whether both have the same text.
+    pub(crate) fn has_same_text(&self, other: &Document) -> bool {
+        let is_same =
+            |(one, other): (&Field, &Field)| one.key == other.key && one.value.has_same_text(&other.value);
+        self.fields.len() == other.fields.len() && self.fields.iter().zip(&other.fields).all(is_same)
     }
 
-    /// Sets a field, in its place or at the end.
-    pub(crate) fn set(&mut self, key: &str, part: Part) {
-        match self.fields.iter_mut().find(|field| field.key.as_ref() == key) {
-            Some(field) => field.part = part,
-            None => self.fields.push(Field { key: key.into(), part }),
-        }
+    /// Appends a field whose key is not there yet.
+    pub(crate) fn push(&mut self, key: &str, value: FieldValue) {
+        self.fields.push(Field { key: key.into(), value });
     }
 
-    /// Takes items out of a list; names and lists that aren't there don't matter.
-    pub(crate) fn withdraw(&mut self, list: &str, names: &[Cow<'_, str>]) {
-        if let Some(list) = self.list_mut(list) {
-            names.iter().for_each(|name| list.withdraw(name));
-        }
-    }
-
-    /// Puts items into a list: in the place of those that have their names, else at the end.
-    pub(crate) fn upsert(&mut self, key: &str, new: Vec<Arc<Item>>, place: &str) -> Result<(), ConfigError> {
-        if self.part(key).is_none() {
-            self.set(key, Part::Items(List::new(new)));
-            return Ok(());
+    /// Replaces the value of a field, or appends the field.
+    pub(crate) fn set(&mut self, key: &str, value: FieldValue) {
+        match self.fields.iter_mut().find(|field| field.key.as_ref() == key) {
+            Some(field) => field.value = value,
+            None => self.push(key, value),
         }
-        let list = self.list_mut(key);
-        let list = list.ok_or_else(|| ConfigErrorKind::WrongType("for a list of named items").at(place))?;
-        new.into_iter().for_each(|item| list.upsert(item));
-        Ok(())
-    }
-}
-
-/// The fields of an object.
-pub(crate) fn object<'a>(text: &'a str, place: &str) -> Result<Vec<(Cow<'a, str>, &'a str)>, ConfigError> {
-    match scan::fields(text) {
-        Some(fields) => Ok(fields),
-        None => Err(value::not(text, place, "an object")),
     }
-}
 
-/// The elements of a list.
-pub(crate) fn list<'a>(text: &'a str, place: &str) -> Result<Vec<&'a str>, ConfigError> {
-    match scan::elements(text) {
-        Some(elements) => Ok(elements),
-        None => Err(value::not(text, place, "a list")),
+    /// Removes fields; unknown keys are ignored.
+    pub(crate) fn remove_fields(&mut self, keys: &[impl AsRef<str>]) {
+        let removed: HashSet<&str> = keys.iter().map(AsRef::as_ref).collect();
+        self.fields.retain(|field| !removed.contains(field.key.as_ref()));
     }
-}
 
-/// Names in a list.
-pub(crate) fn names<'a>(text: &'a str, place: &str) -> Result<Vec<Cow<'a, str>>, ConfigError> {
-    let mut found = Vec::new();
-    for (at, element) in list(text, place)?.into_iter().enumerate() {
-        let place = format!("{place}[{at}]");
-        match value::parse(element, &place)? {
-            JsonValue::String(name) => found.push(Cow::Owned(name)),
-            _ => return Err(ConfigErrorKind::WrongType("a name").at(place)),
+    /// Brings the fields into the order of `keys`; returns false, and changes nothing, unless these are exactly the
+    /// keys.
+    #[must_use]
+    pub(crate) fn reorder_fields(&mut self, keys: &[impl AsRef<str>]) -> bool {
+        let indices: HashMap<&str, usize> =
+            keys.iter().enumerate().map(|(index, key)| (key.as_ref(), index)).collect();
+        let is_known = |field: &Field| indices.contains_key(field.key.as_ref());
+        if indices.len() != self.fields.len() || !self.fields.iter().all(is_known) {
+            return false;
         }
+        self.fields.sort_by_key(|field| indices.get(field.key.as_ref()).copied());
+        true
     }
-    Ok(found)
-}
 
-/// The fields of an object, each as [`part`] and [`items`] take it.
-pub(crate) fn lists<'a>(text: &'a str, place: &str) -> Result<Vec<scan::Listed<'a>>, ConfigError> {
-    scan::lists(text).ok_or_else(|| value::not(text, place, "an object"))
-}
-
-/// A top-level field. Of unknown lists, those whose items have names of their own can be changed by item.
-pub(crate) fn part(
-    key: &str,
-    text: &str,
-    elements: Option<Vec<&str>>,
-    place: &str,
-) -> Result<Part, ConfigError> {
-    let known = matches!(key, ROUTES | SERVICES);
-    match elements {
-        None if known => return Err(value::not(text, place, "a list")),
-        Some(elements) if !matches!(key, REVISION | LIMITS) => match items(key, elements, place) {
-            Ok(items) => return Ok(Part::Items(List::new(items))),
-            Err(fault) if known || matches!(fault.kind, ConfigErrorKind::MalformedJson(..)) => {
-                return Err(fault);
-            }
-            Err(_) => {}
-        },
-        _ => {}
+    /// Removes items of a list; unknown names and lists are ignored.
+    pub(crate) fn remove_items(&mut self, key: &str, names: &[impl AsRef<str>]) {
+        if let Some(list) = self.list_mut(key) {
+            names.iter().for_each(|name| list.remove(name.as_ref()));
+        }
     }
-    value::parse(text, place)?;
-    Ok(Part::plain(&scan::minify(text)))
-}
 
-/// The items of a list, each with a name of its own.
-pub(crate) fn items(list: &str, elements: Vec<&str>, place: &str) -> Result<Vec<Arc<Item>>, ConfigError> {
-    let mut found: Vec<Arc<Item>> = Vec::with_capacity(elements.len());
-    let mut seen: HashSet<String> = HashSet::with_capacity(elements.len());
-    for (at, text) in elements.into_iter().enumerate() {
-        let place = format!("{place}[{at}]");
-        let fields = value::fields(text, &place)?;
-        let object = Object::new(&fields, &place);
-        let name = object.name("name")?;
-        if !seen.insert(name.to_owned()) {
-            let name = crate::error::brief(name.to_owned());
-            return Err(object.fault("name", ConfigErrorKind::DuplicateName(name)));
+    /// Puts items into a list: in place of those that have their names, else at the end.
+    ///
+    /// # Errors
+    ///
+    /// The field is not a list of named items.
+    pub(crate) fn upsert_items(
+        &mut self,
+        key: &str,
+        items: Vec<Arc<Item>>,
+        location: &str,
+    ) -> Result<(), ConfigError> {
+        if self.get(key).is_none() {
+            self.push(key, FieldValue::Items(ItemList::new(items)));
+            return Ok(());
         }
-        let meaning = match list {
-            ROUTES => Meaning::Route(Arc::new(Route::read(&object)?)),
-            SERVICES => Meaning::Service(Arc::new(Service::read(&object)?)),
-            _ => Meaning::Unknown(name.into()),
+        let Some(list) = self.list_mut(key) else {
+            return Err(ConfigErrorKind::WrongType("for a list of named items").at(location));
         };
-        found.push(Item::new(&scan::minify(text), meaning));
+        items.into_iter().for_each(|item| list.upsert(item));
+        Ok(())
     }
-    Ok(found)
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with a configuration, numbered.
+//! What can be wrong with a configuration, with numbered codes. The codes and their texts are in docs/codes.md.
 
 use std::fmt;
 
 use quick_error::quick_error;
 
-/// The result codes with what they say: for the table in the docs.
+/// The error codes with their meaning.
 pub const ERROR_CODES: [(u16, &str); 14] = [
     (1, "the text is too long"),
     (2, "the text is not UTF-8"),
@@ -23,43 +23,43 @@
 ];
 
 quick_error! {
-    /// What is wrong.
+    /// What is wrong with a configuration.
     #[derive(Debug, Clone, PartialEq, Eq)]
     #[non_exhaustive]
     pub enum ConfigErrorKind {
-        /// More bytes than are read.
-        TooLong(most: usize) {
-            display("longer than {} bytes", most)
+        /// The text is longer than this number of bytes.
+        TooLong(max: usize) {
+            display("longer than {} bytes", max)
         }
-        /// Not UTF-8.
+        /// The text is not UTF-8.
         NotUtf8 {
             display("not UTF-8")
         }
-        /// Not one whole JSON value.
-        MalformedJson(why: String) {
-            display("not one whole JSON value: {}", why)
+        /// The text is not exactly one JSON value.
+        MalformedJson(reason: String) {
+            display("not one whole JSON value: {}", reason)
         }
-        /// Nested too deep.
-        TooDeep(most: usize) {
-            display("nested deeper than {} levels", most)
+        /// The text is nested deeper than this number of levels.
+        TooDeep(max: usize) {
+            display("nested deeper than {} levels", max)
         }
-        /// An object with the same key twice.
+        /// An object has the same key twice.
         DuplicateKey(key: String) {
             display("the key {:?} is there twice", key)
         }
-        /// Another type than the field has.
-        WrongType(wanted: &'static str) {
-            display("must be {}", wanted)
+        /// A value is not of the type that its field has.
+        WrongType(expected: &'static str) {
+            display("must be {}", expected)
         }
-        /// Missing, or an empty string.
+        /// A field is missing, or is an empty string.
         Missing {
             display("must be there and not empty")
         }
-        /// Outside the values that the field may have.
-        OutOfRange(wanted: &'static str) {
-            display("must {}", wanted)
+        /// A value is outside the range of its field.
+        OutOfRange(expected: &'static str) {
+            display("must {}", expected)
         }
-        /// A route names a service that is not in the configuration.
+        /// A route names a service that the configuration lacks.
         UnknownService(route: String, service: String) {
             display("route {:?} names the unknown service {:?}", route, service)
         }
@@ -67,27 +67,27 @@
         DuplicateMatch(route: String, other: String) {
             display("route {:?} has the host and path prefix of route {:?}", route, other)
         }
-        /// A route's weights add up to nothing.
+        /// The weights of a route add up to 0.
         ZeroWeight {
             display("weights must add up to more than 0")
         }
-        /// Not above the revision that is in place.
-        StaleRevision(sent: u64, current: u64) {
-            display("{} is not above the current revision, {}", sent, current)
+        /// The revision is not above the current one.
+        StaleRevision(given: u64, current: u64) {
+            display("{} is not above the current revision, {}", given, current)
         }
         /// Two items of one list share a name.
         DuplicateName(name: String) {
             display("the name {:?} is there twice", name)
         }
-        /// A patch for another configuration.
-        PatchMismatch(why: &'static str) {
-            display("patch does not fit: {}", why)
+        /// A patch was made for another configuration.
+        PatchMismatch(reason: &'static str) {
+            display("patch does not fit: {}", reason)
         }
     }
 }
 
 impl ConfigErrorKind {
-    /// The result code.
+    /// The error code, one of [`ERROR_CODES`].
     pub fn code(&self) -> u16 {
         match self {
             ConfigErrorKind::TooLong(..) => 1,
@@ -107,17 +107,18 @@
         }
     }
 
-    pub(crate) fn at(self, place: impl Into<String>) -> ConfigError {
-        ConfigError { kind: self, location: brief(place.into()) }
+    /// An error of this kind at a location.
+    pub(crate) fn at(self, location: impl Into<String>) -> ConfigError {
+        ConfigError { kind: self, location: truncate(location.into()) }
     }
 
-    /// Words of the operator's own come back to him, but not by the megabyte.
-    pub(crate) fn malformed_json(why: impl Into<String>) -> ConfigErrorKind {
-        ConfigErrorKind::MalformedJson(brief(why.into()))
+    /// A malformed text. The reason may quote the text, of which only the beginning is kept.
+    pub(crate) fn malformed_json(reason: impl Into<String>) -> ConfigErrorKind {
+        ConfigErrorKind::MalformedJson(truncate(reason.into()))
     }
 }
 
-/// Why a configuration is refused, and where in it.
+/// Why a configuration is rejected, and where in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
     /// What is wrong.
@@ -127,25 +128,25 @@
 }
 
 impl ConfigError {
-    /// The result code, one of [`ERROR_CODES`].
+    /// The error code, one of [`ERROR_CODES`].
     pub fn code(&self) -> u16 {
         self.kind.code()
     }
 
-    /// The HTTP status of the answer to the operator.
+    /// The HTTP status of the response to the operator.
     pub fn status(&self) -> u16 {
         400
     }
 
-    /// What is wrong, without code and place.
+    /// What is wrong, without code and location.
     pub fn message(&self) -> String {
         self.kind.to_string()
     }
 }
 
 impl fmt::Display for ConfigError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "M{:02} at {}: {}", self.code(), self.location, self.kind)
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "M{:02} at {}: {}", self.code(), self.location, self.kind)
     }
 }
 
@@ -155,12 +156,13 @@
     }
 }
 
-const MOST: usize = 160;
+/// How many bytes of a text of the operator an error repeats.
+const MAX_QUOTED_BYTES: usize = 160;
 
-/// At most [`MOST`] bytes of a text.
-pub(crate) fn brief(mut text: String) -> String {
-    if text.len() > MOST {
-        let end = (0..=MOST).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
+/// Cuts a text to [`MAX_QUOTED_BYTES`].
+pub(crate) fn truncate(mut text: String) -> String {
+    if text.len() > MAX_QUOTED_BYTES {
+        let end = (0..=MAX_QUOTED_BYTES).rev().find(|&index| text.is_char_boundary(index)).unwrap_or(0);
         text.truncate(end);
         text.push_str("...");
     }
--- a/crates/config/src/incremental_parse.rs
+++ b/crates/config/src/incremental_parse.rs
@@ -1,139 +1,159 @@
-//! A whole text read beside a configuration that it has most items in common with: these are compared as bytes and
-//! shared, not read again.
+//! A whole text, parsed beside a configuration with which it has most items in common: these are compared as bytes and
+//! shared instead of parsed again.
 
 use std::collections::HashSet;
 use std::iter::Peekable;
 use std::sync::Arc;
 
 use crate::config::Config;
-use crate::document::{self as draft, Draft, Field, Part};
+use crate::document::{Document, FieldValue};
+use crate::document_parser::{parse_field_value, parse_items};
 use crate::error::ConfigError;
-use crate::item_list::{Item, List, Placed};
-use crate::json::scanner::{self as scan, Cursor};
-use crate::validation::build_on;
+use crate::item::Item;
+use crate::item_list::{ItemList, PositionedItem};
+use crate::json::containers::split_array;
+use crate::json::cursor::Cursor;
+use crate::json::string::unquote;
+use crate::json::structure::{MAX_BYTES, MAX_DEPTH, check_structure, decode_utf8};
+use crate::validation::validate_changes;
 
-/// How deep a field may be nested by itself.
-const FIELD_DEPTH: usize = scan::MAX_DEPTH - 1;
-/// How deep an item of a list may be nested by itself.
-const ITEM_DEPTH: usize = scan::MAX_DEPTH - 2;
+/// How deep the value of a top-level field may be nested.
+const MAX_FIELD_DEPTH: usize = MAX_DEPTH - 1;
+/// How deep an item of a list may be nested.
+const MAX_ITEM_DEPTH: usize = MAX_DEPTH - 2;
 
 impl Config {
-    /// What [`Config::parse`] gives, or its fault. It costs little where the text has most of its items in common with
-    /// this configuration, and the new configuration shares them.
+    /// Parses a whole configuration as [`Config::parse`] does, with the same result. It costs little where the text has
+    /// most of its items in common with this configuration, and the new configuration shares them.
+    ///
+    /// # Errors
+    ///
+    /// As [`Config::parse`].
     pub fn parse_sharing(&self, text: &[u8]) -> Result<Config, ConfigError> {
-        let text_read = scan::text(text, scan::MAX_BYTES)?;
-        match read(self.draft(), text_read) {
-            Some(draft) => build_on(self, draft),
+        match parse_document_sharing(self.document(), decode_utf8(text, MAX_BYTES)?) {
+            Some(document) => validate_changes(self, document),
             None => Config::parse(text),
         }
     }
 }
 
-/// `None`: something is wrong, or is not as expected. The whole read says what it is.
-fn read(base: &Draft, text: &str) -> Option<Draft> {
+/// `None` when something is wrong, or not as expected; the whole text must then be parsed to say what it is.
+fn parse_document_sharing(base: &Document, text: &str) -> Option<Document> {
     let mut cursor = Cursor::new(text);
-    let mut draft = Draft::default();
-    cursor.take(b'{').then_some(())?;
+    let mut document = Document::default();
+    if !cursor.consume(b'{') {
+        return None;
+    }
     loop {
-        let key = scan::unquote(cursor.value()?)?;
-        if !cursor.take(b':') || draft.part(&key).is_some() {
+        let key = unquote(cursor.next_value()?)?;
+        if !cursor.consume(b':') || document.get(&key).is_some() {
             return None;
         }
-        let part = field(&mut cursor, &key, base.part(&key))?;
-        draft.fields.push(Field { key: key.as_ref().into(), part });
-        if !cursor.goes_on(b'}')? {
+        let value = parse_value_sharing(&mut cursor, &key, base.get(&key))?;
+        document.push(&key, value);
+        if !cursor.continues_until(b'}')? {
             break;
         }
     }
-    cursor.end().then_some(draft)
+    cursor.is_at_end().then_some(document)
 }
 
-fn field(cursor: &mut Cursor<'_>, key: &str, base: Option<&Part>) -> Option<Part> {
-    if let Some(Part::Items(base)) = base {
-        return list(cursor, key, base).map(Part::Items);
+fn parse_value_sharing(cursor: &mut Cursor<'_>, key: &str, base: Option<&FieldValue>) -> Option<FieldValue> {
+    if let Some(FieldValue::Items(base)) = base {
+        return parse_list_sharing(cursor, key, base).map(FieldValue::Items);
     }
-    let value = cursor.value()?;
-    scan::guard(value, FIELD_DEPTH).ok()?;
-    draft::part(key, value, scan::elements(value), key).ok()
+    let value = cursor.next_value()?;
+    check_structure(value, MAX_FIELD_DEPTH).ok()?;
+    parse_field_value(key, value, split_array(value), key).ok()
 }
 
-fn list(cursor: &mut Cursor<'_>, key: &str, base: &List) -> Option<List> {
-    let mut walk = Walk::new(base, base.placed_items());
-    cursor.take(b'[').then_some(())?;
-    let mut more = !cursor.take(b']');
-    while more {
-        match walk.next_old().filter(|old| cursor.take_text(&old.text)) {
-            Some(_) => walk.keep(),
-            None => {
-                let value = cursor.value()?;
-                scan::guard(value, ITEM_DEPTH).ok()?;
-                walk.put(draft::items(key, vec![value], key).ok()?.pop()?);
-            }
+fn parse_list_sharing(cursor: &mut Cursor<'_>, key: &str, base: &ItemList) -> Option<ItemList> {
+    let mut merge = ListMerge::new(base, base.positioned_items());
+    if !cursor.consume(b'[') {
+        return None;
+    }
+    let mut has_more = !cursor.consume(b']');
+    while has_more {
+        if merge.next_old().is_some_and(|old| cursor.consume_text(old.text())) {
+            merge.keep_next_old();
+        } else {
+            let value = cursor.next_value()?;
+            check_structure(value, MAX_ITEM_DEPTH).ok()?;
+            let item = parse_items(key, vec![value], key).ok()?.pop()?;
+            merge.push_parsed(item);
         }
-        more = cursor.goes_on(b']')?;
+        has_more = cursor.continues_until(b']')?;
     }
-    walk.end()
+    merge.finish()
 }
 
-/// A way along the items of an old list and of a new one at once.
-struct Walk<'a, I: Iterator<Item = &'a Placed>> {
-    base: &'a List,
+/// Walks along the items of an old list while those of a new one are read.
+struct ListMerge<'a, I: Iterator<Item = &'a PositionedItem>> {
+    base: &'a ItemList,
+    /// The old items that are still to come.
     old: Peekable<I>,
-    /// Old items that were not found where they were.
-    passed: Vec<&'a Arc<Item>>,
-    /// Items that were read, as they are not the next old ones.
-    read: Vec<Arc<Item>>,
+    /// Old items that were not found where they had been.
+    skipped: Vec<&'a Arc<Item>>,
+    /// New items that were parsed, as they were not the next old ones.
+    parsed: Vec<Arc<Item>>,
     /// All items of the new list.
     all: Vec<Arc<Item>>,
 }
 
-impl<'a, I: Iterator<Item = &'a Placed>> Walk<'a, I> {
-    fn new(base: &'a List, old: I) -> Self {
+impl<'a, I: Iterator<Item = &'a PositionedItem>> ListMerge<'a, I> {
+    fn new(base: &'a ItemList, old: I) -> Self {
         let all = Vec::with_capacity(base.len());
-        Walk { base, old: old.peekable(), passed: Vec::new(), read: Vec::new(), all }
+        ListMerge { base, old: old.peekable(), skipped: Vec::new(), parsed: Vec::new(), all }
     }
 
     fn next_old(&mut self) -> Option<&'a Arc<Item>> {
-        self.old.peek().map(|placed| &placed.item)
+        self.old.peek().map(|positioned| &positioned.item)
     }
 
-    /// The next old item is the next new one.
-    fn keep(&mut self) {
-        self.all.extend(self.old.next().map(|placed| placed.item.clone()));
+    /// Takes the next old item as the next new one.
+    fn keep_next_old(&mut self) {
+        self.all.extend(self.old.next().map(|positioned| positioned.item.clone()));
     }
 
-    /// Another item is the next new one. If it is an old one, the way goes on behind it.
-    fn put(&mut self, new: Arc<Item>) {
-        let before = self.base.placed(new.name());
-        let new = before.filter(|old| Item::same(&old.item, &new)).map_or(new, |old| old.item.clone());
-        if let Some(before) = before {
-            while let Some(old) = self.old.next_if(|old| old.position <= before.position) {
-                self.passed.push(&old.item);
+    /// Takes another item as the next new one. If it is an old one, the walk goes on behind it.
+    fn push_parsed(&mut self, item: Arc<Item>) {
+        let old = self.base.get_positioned(item.name());
+        let unchanged = old.filter(|old| Item::has_same_text(&old.item, &item));
+        let item = unchanged.map_or(item, |old| old.item.clone());
+        if let Some(old) = old {
+            while let Some(skipped) = self.old.next_if(|next| next.position <= old.position) {
+                self.skipped.push(&skipped.item);
             }
         }
-        self.read.push(new.clone());
-        self.all.push(new);
+        self.parsed.push(item.clone());
+        self.all.push(item);
     }
 
-    /// The new list; `None` when a name is there twice.
-    fn end(mut self) -> Option<List> {
-        self.passed.extend(self.old.by_ref().map(|placed| &placed.item));
-        let read: HashSet<&str> = self.read.iter().map(|item| item.name()).collect();
-        let mut list = self.base.clone();
-        for gone in self.passed.iter().filter(|old| !read.contains(old.name())) {
-            list.withdraw(gone.name());
-        }
-        for item in &self.read {
-            list.upsert(item.clone());
-        }
-        // New ones elsewhere than at the end, or old ones in another order: nothing but the items is shared.
-        let in_place = list.len() == self.all.len()
+    /// The new list; `None` when two items have the same name.
+    fn finish(mut self) -> Option<ItemList> {
+        self.skipped.extend(self.old.by_ref().map(|positioned| &positioned.item));
+        let list = self.apply_as_changes();
+        let has_expected_order = list.len() == self.all.len()
             && list.iter().zip(&self.all).all(|(one, other)| Arc::ptr_eq(one, other));
-        if in_place {
+        if has_expected_order {
             return Some(list);
         }
+        // New items elsewhere than at the end, or old ones in another order: only the items themselves are shared.
         let mut names = HashSet::with_capacity(self.all.len());
-        let all_differ = self.all.iter().all(|item| names.insert(item.name()));
-        all_differ.then(|| List::new(self.all.clone()))
+        let all_names_differ = self.all.iter().all(|item| names.insert(item.name()));
+        all_names_differ.then(|| ItemList::new(self.all.clone()))
+    }
+
+    /// The old list with the skipped items removed and the parsed ones put in.
+    fn apply_as_changes(&self) -> ItemList {
+        let parsed_names: HashSet<&str> = self.parsed.iter().map(|item| item.name()).collect();
+        let mut list = self.base.clone();
+        for removed in self.skipped.iter().filter(|old| !parsed_names.contains(old.name())) {
+            list.remove(removed.name());
+        }
+        for item in &self.parsed {
+            list.upsert(item.clone());
+        }
+        list
     }
 }
--- a/crates/config/src/item_list.rs
+++ b/crates/config/src/item_list.rs
@@ -4,200 +4,178 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::chunked_sequence::Chunks;
-use crate::route::Route;
-use crate::service::Service;
-use crate::stable_hash as hash;
-
-/// An item of a list, as text and, where it means something here, as read.
-#[derive(Debug)]
-pub(crate) struct Item {
-    pub(crate) text: Box<str>,
-    pub(crate) meaning: Meaning,
-    hash: u64,
-}
-
-/// What an item was read as.
-#[derive(Debug)]
-pub(crate) enum Meaning {
-    Route(Arc<Route>),
-    Service(Arc<Service>),
-    /// An item of a list that means nothing here, with its name.
-    Unknown(Box<str>),
-}
-
-impl Item {
-    pub(crate) fn new(text: &str, meaning: Meaning) -> Arc<Self> {
-        Arc::new(Item { text: text.into(), meaning, hash: hash::text(text) })
-    }
-
-    pub(crate) fn name(&self) -> &str {
-        match &self.meaning {
-            Meaning::Route(route) => &route.name,
-            Meaning::Service(service) => &service.name,
-            Meaning::Unknown(name) => name,
-        }
-    }
-
-    /// Of the same text.
-    pub(crate) fn same(one: &Arc<Item>, other: &Arc<Item>) -> bool {
-        Arc::ptr_eq(one, other) || (one.hash == other.hash && one.text == other.text)
-    }
-}
+use crate::chunked_sequence::ChunkedSequence;
+use crate::item::Item;
+use crate::stable_hash::hash_pair;
 
-/// An item with its position, which it keeps for as long as it stays in the list. Positions rise, with gaps.
+/// An item with its position, which it keeps for as long as it stays in the list. Positions ascend, with gaps.
 #[derive(Debug, Clone)]
-pub(crate) struct Placed {
+pub(crate) struct PositionedItem {
     pub(crate) position: u64,
     pub(crate) item: Arc<Item>,
 }
 
-/// The items of a list, each with a name of its own. Clones share what isn't changed.
+/// The items of a list, no two with the same name. Clones share what isn't changed.
 #[derive(Debug, Clone)]
-pub(crate) struct List {
-    order: Chunks<Placed>,
-    names: Chunks<Placed>,
-    /// The texts' bytes together.
-    bytes: usize,
-    /// The sum over all pairs of neighbours, see [`hash::pair`].
+pub(crate) struct ItemList {
+    by_position: ChunkedSequence<PositionedItem>,
+    /// The same items, sorted by name.
+    by_name: ChunkedSequence<PositionedItem>,
+    /// The sum of the lengths of the items' texts.
+    item_bytes: usize,
+    /// The sum over all pairs of neighbours, see [`hash_pair`].
     hash: u64,
 }
 
-impl List {
-    /// Items in order, each with a name of its own.
+impl ItemList {
+    /// Builds a list of items that are given in order, no two with the same name.
     pub(crate) fn new(items: Vec<Arc<Item>>) -> Self {
-        let bytes = items.iter().map(|item| item.text.len()).sum();
-        let order: Vec<Placed> = (0..).zip(items).map(|(position, item)| Placed { position, item }).collect();
-        let hashes = order.iter().map(|placed| placed.item.hash);
-        let after = hashes.clone().map(Some).chain([None]);
-        let before = [None].into_iter().chain(hashes.map(Some));
-        let hash = before.zip(after).fold(0_u64, |sum, (one, two)| sum.wrapping_add(hash::pair(one, two)));
-        let mut names = order.clone();
-        names.sort_by(|one, two| one.item.name().cmp(two.item.name()));
-        List { order: Chunks::from_sorted(order), names: Chunks::from_sorted(names), bytes, hash }
+        let item_bytes = items.iter().map(|item| item.text().len()).sum();
+        let hash = hash_neighbours(&items);
+        let positioned = |(position, item)| PositionedItem { position, item };
+        let by_position: Vec<PositionedItem> = (0..).zip(items).map(positioned).collect();
+        let mut by_name = by_position.clone();
+        by_name.sort_by(|one, other| one.item.name().cmp(other.item.name()));
+        ItemList {
+            by_position: ChunkedSequence::from_sorted(by_position),
+            by_name: ChunkedSequence::from_sorted(by_name),
+            item_bytes,
+            hash,
+        }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.order.len()
+        self.by_position.len()
     }
 
     /// The items in the operator's order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Arc<Item>> {
-        self.order.iter().map(|placed| &placed.item)
+        self.by_position.iter().map(|positioned| &positioned.item)
     }
 
-    pub(crate) fn get(&self, name: &str) -> Option<&Arc<Item>> {
-        self.placed(name).map(|placed| &placed.item)
+    /// The items in the operator's order, with their positions.
+    pub(crate) fn positioned_items(&self) -> impl Iterator<Item = &PositionedItem> {
+        self.by_position.iter()
     }
 
-    /// The items in the operator's order, with their positions.
-    pub(crate) fn placed_items(&self) -> impl Iterator<Item = &Placed> {
-        self.order.iter()
+    pub(crate) fn get(&self, name: &str) -> Option<&Arc<Item>> {
+        self.get_positioned(name).map(|positioned| &positioned.item)
     }
 
-    pub(crate) fn placed(&self, name: &str) -> Option<&Placed> {
-        self.names.get(|own| own.item.name().cmp(name))
+    pub(crate) fn get_positioned(&self, name: &str) -> Option<&PositionedItem> {
+        self.by_name.get(compare_name(name))
     }
 
-    /// How long the list is as text.
-    pub(crate) fn text_length(&self) -> usize {
-        2 + self.bytes + self.len().saturating_sub(1)
+    /// The length of the list as JSON, in bytes.
+    pub(crate) fn json_length(&self) -> usize {
+        let brackets = 2;
+        let commas = self.len().saturating_sub(1);
+        brackets + self.item_bytes + commas
     }
 
-    /// Adds the list's text.
-    pub(crate) fn write(&self, to: &mut String) {
-        to.push('[');
-        for (at, item) in self.iter().enumerate() {
-            if at > 0 {
-                to.push(',');
+    /// Appends the list as JSON.
+    pub(crate) fn write_json(&self, output: &mut String) {
+        output.push('[');
+        for (index, item) in self.iter().enumerate() {
+            if index > 0 {
+                output.push(',');
             }
-            to.push_str(&item.text);
+            output.push_str(item.text());
         }
-        to.push(']');
+        output.push(']');
     }
 
-    /// Over the texts of all items in their order; it does not depend on how the list came about.
+    /// The hash of the texts of all items in their order. It does not depend on how the list came about.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Puts an item in the place of the one that has its name, else at the end.
+    /// Replaces the item that has the same name, in its position, else appends the item.
     pub(crate) fn upsert(&mut self, item: Arc<Item>) {
-        let kept = self.placed(item.name()).map(|placed| placed.position);
-        let next = self.order.last().map_or(0, |last| last.position + 1);
+        let kept = self.get_positioned(item.name()).map(|positioned| positioned.position);
+        let next = self.by_position.last().map_or(0, |last| last.position + 1);
         let position = kept.unwrap_or(next);
-        let placed = Placed { position, item };
-        let (hash, bytes) = (placed.item.hash, placed.item.text.len());
-        self.names.insert(placed.clone(), |own| own.item.name().cmp(placed.item.name()));
-        let old = self.order.insert(placed, by_position(position));
-        let (before, after) = self.neighbours(position);
-        self.bytes += bytes;
-        self.unlink(before, after, old.as_ref());
-        self.hash = self.hash.wrapping_add(hash::pair(before, Some(hash)));
-        self.hash = self.hash.wrapping_add(hash::pair(Some(hash), after));
-    }
-
-    /// Takes an item out; a name that isn't there doesn't matter.
-    pub(crate) fn withdraw(&mut self, name: &str) {
-        let Some(gone) = self.names.remove(|own| own.item.name().cmp(name)) else { return };
-        self.order.remove(by_position(gone.position));
-        let (before, after) = self.neighbours(gone.position);
-        self.unlink(before, after, Some(&gone));
-        self.hash = self.hash.wrapping_add(hash::pair(before, after));
-    }
-
-    /// The hashes of the items around a position.
-    fn neighbours(&self, position: u64) -> (Option<u64>, Option<u64>) {
-        let (before, after) = self.order.neighbours(by_position(position));
-        (before.map(|placed| placed.item.hash), after.map(|placed| placed.item.hash))
-    }
-
-    /// Takes the pairs between two neighbours, with the item that was between them, out of the sums.
-    fn unlink(&mut self, before: Option<u64>, after: Option<u64>, old: Option<&Placed>) {
-        match old {
+        let new = PositionedItem { position, item };
+        let (hash, bytes) = (new.item.hash(), new.item.text().len());
+        self.by_name.insert(new.clone(), compare_name(new.item.name()));
+        let old = self.by_position.insert(new, compare_position(position));
+        let (before, after) = self.neighbour_hashes(position);
+        self.item_bytes += bytes;
+        self.remove_from_sums(before, after, old.as_ref());
+        self.hash = self.hash.wrapping_add(hash_pair(before, Some(hash)));
+        self.hash = self.hash.wrapping_add(hash_pair(Some(hash), after));
+    }
+
+    /// Removes an item; an unknown name is ignored.
+    pub(crate) fn remove(&mut self, name: &str) {
+        let Some(removed) = self.by_name.remove(compare_name(name)) else { return };
+        self.by_position.remove(compare_position(removed.position));
+        let (before, after) = self.neighbour_hashes(removed.position);
+        self.remove_from_sums(before, after, Some(&removed));
+        self.hash = self.hash.wrapping_add(hash_pair(before, after));
+    }
+
+    /// The hashes of the items before and after a position.
+    fn neighbour_hashes(&self, position: u64) -> (Option<u64>, Option<u64>) {
+        let (before, after) = self.by_position.neighbours(compare_position(position));
+        (before.map(|positioned| positioned.item.hash()), after.map(|positioned| positioned.item.hash()))
+    }
+
+    /// Subtracts the pairs between two neighbours, and the item that was between them if any, from the sums.
+    fn remove_from_sums(&mut self, before: Option<u64>, after: Option<u64>, old: Option<&PositionedItem>) {
+        match old.map(|old| &old.item) {
             Some(old) => {
-                self.bytes -= old.item.text.len();
-                self.hash = self.hash.wrapping_sub(hash::pair(before, Some(old.item.hash)));
-                self.hash = self.hash.wrapping_sub(hash::pair(Some(old.item.hash), after));
+                self.item_bytes -= old.text().len();
+                self.hash = self.hash.wrapping_sub(hash_pair(before, Some(old.hash())));
+                self.hash = self.hash.wrapping_sub(hash_pair(Some(old.hash()), after));
             }
-            None => self.hash = self.hash.wrapping_sub(hash::pair(before, after)),
+            None => self.hash = self.hash.wrapping_sub(hash_pair(before, after)),
         }
     }
 
-    /// The same items in the order of their names in `names`; `None` unless these are just the names.
-    pub(crate) fn arranged(&self, names: &[impl AsRef<str>]) -> Option<List> {
-        let places: HashMap<&str, usize> =
-            names.iter().enumerate().map(|(at, name)| (name.as_ref(), at)).collect();
-        if places.len() != self.len() {
+    /// The same items in the order of their names in `names`; `None` unless these are exactly the names.
+    pub(crate) fn reordered(&self, names: &[impl AsRef<str>]) -> Option<ItemList> {
+        let indices: HashMap<&str, usize> =
+            names.iter().enumerate().map(|(index, name)| (name.as_ref(), index)).collect();
+        if indices.len() != self.len() {
             return None;
         }
         let items: Option<Vec<_>> = names.iter().map(|name| self.get(name.as_ref()).cloned()).collect();
-        items.filter(|items| items.len() == self.len()).map(List::new)
+        items.filter(|items| items.len() == self.len()).map(ItemList::new)
     }
 
-    /// What differs from a newer list: calls `found` with the item before and the item after, by name.
+    /// Calls `on_difference` with the older and the newer item of each name at which a newer list differs, `None` where
+    /// one of them does not have the name.
     pub(crate) fn compare<'a>(
         &'a self,
-        newer: &'a List,
-        mut found: impl FnMut(Option<&'a Arc<Item>>, Option<&'a Arc<Item>>),
+        newer: &'a ItemList,
+        mut on_difference: impl FnMut(Option<&'a Arc<Item>>, Option<&'a Arc<Item>>),
     ) {
-        let order = |one: &Placed, two: &Placed| match Arc::ptr_eq(&one.item, &two.item) {
-            true => Ordering::Equal,
-            false => one.item.name().cmp(two.item.name()),
+        let order = |one: &PositionedItem, other: &PositionedItem| {
+            if Arc::ptr_eq(&one.item, &other.item) {
+                Ordering::Equal
+            } else {
+                one.item.name().cmp(other.item.name())
+            }
         };
-        self.names.compare(&newer.names, order, |old, new| match (old, new) {
-            (Some(old), Some(new)) if Item::same(&old.item, &new.item) => {}
-            (old, new) => found(old.map(|placed| &placed.item), new.map(|placed| &placed.item)),
+        self.by_name.compare(&newer.by_name, order, |old, new| match (old, new) {
+            (Some(old), Some(new)) if Item::has_same_text(&old.item, &new.item) => {}
+            (old, new) => {
+                on_difference(old.map(|positioned| &positioned.item), new.map(|positioned| &positioned.item));
+            }
         });
     }
 
     /// Sorts items of this list into its order.
-    pub(crate) fn sort_by_order(&self, items: &mut [&Arc<Item>]) {
-        items.sort_by_cached_key(|item| self.placed(item.name()).map(|placed| placed.position));
+    pub(crate) fn sort_by_position(&self, items: &mut [&Arc<Item>]) {
+        items.sort_by_cached_key(|item| {
+            self.get_positioned(item.name()).map(|positioned| positioned.position)
+        });
     }
 
-    /// Whether the order follows from the older list by itself: its items in their places, new ones behind them.
-    pub(crate) fn follows_order_of(&self, older: &List) -> bool {
+    /// Whether upserts into the older list result in the order of this list: the older items in their order, then the
+    /// new ones.
+    pub(crate) fn has_upsert_order(&self, older: &ItemList) -> bool {
         let mut own = self.iter().peekable();
         for old in older.iter() {
             let stays = own.next_if(|new| Arc::ptr_eq(new, old) || new.name() == old.name()).is_some();
@@ -209,6 +187,19 @@
     }
 }
 
-fn by_position(position: u64) -> impl Fn(&Placed) -> Ordering {
-    move |placed| placed.position.cmp(&position)
+/// The sum over all pairs of neighbours, the ends of the list included.
+fn hash_neighbours(items: &[Arc<Item>]) -> u64 {
+    let hashes = items.iter().map(|item| Some(item.hash()));
+    let after = hashes.clone().chain([None]);
+    let before = [None].into_iter().chain(hashes);
+    let pairs = before.zip(after);
+    pairs.fold(0_u64, |sum, (before, after)| sum.wrapping_add(hash_pair(before, after)))
+}
+
+fn compare_name(name: &str) -> impl Fn(&PositionedItem) -> Ordering {
+    move |positioned| positioned.item.name().cmp(name)
+}
+
+fn compare_position(position: u64) -> impl Fn(&PositionedItem) -> Ordering {
+    move |positioned| positioned.position.cmp(&position)
 }
--- a/crates/config/src/json/object.rs
+++ b/crates/config/src/json/object.rs
@@ -1,115 +1,61 @@
-//! Fields of `tinyjson` values, read by hand, each fault with its place.
+//! Typed access to the fields of an object; each error names the field's location.
 
 use core::time::Duration;
 use std::borrow::Cow;
 
 use tinyjson::JsonValue;
 
+use super::containers::{RawField, split_object};
+use super::parse::{MAX_WHOLE_NUMBER, parse_value, type_error};
 use crate::error::{ConfigError, ConfigErrorKind};
-use crate::json::scanner as scan;
 
-/// The greatest whole number that every reader of JSON keeps exact.
-pub(crate) const MAX_WHOLE: f64 = 9_007_199_254_740_992.0;
+/// The parsed fields of an object in their order. For many small objects this is quicker than a map for each.
+pub(crate) type ParsedFields<'a> = Vec<(Cow<'a, str>, JsonValue)>;
 
-pub(crate) fn parse(text: &str, place: &str) -> Result<JsonValue, ConfigError> {
-    if let Some(value) = quick(text) {
-        return Ok(value);
-    }
-    // What is wrong is for the library to say.
-    text.parse().map_err(|fault: tinyjson::JsonParseError| {
-        ConfigErrorKind::malformed_json(fault.to_string()).at(place)
-    })
-}
-
-/// The longest whole number in digits that is read without rounding.
-const EXACT_DIGITS: usize = 15;
-
-/// A value that has passed the guard. Only numbers and strings that need it go through the library's reader, which
-/// takes several times as long. `None`: something is wrong.
+/// Parses the fields of an object.
 ///
-/// Danger: it descends by recursion, as the library does; the guard bounds how deep.
-fn quick(text: &str) -> Option<JsonValue> {
-    match text.as_bytes() {
-        b"true" => Some(JsonValue::Boolean(true)),
-        b"false" => Some(JsonValue::Boolean(false)),
-        b"null" => Some(JsonValue::Null),
-        b"0" => Some(JsonValue::Number(0.0)),
-        [b'1'..=b'9', rest @ ..] if rest.len() < EXACT_DIGITS && rest.iter().all(u8::is_ascii_digit) => {
-            text.parse::<u64>().ok().map(|number| JsonValue::Number(number as f64))
-        }
-        [b'"', ..] if scan::is_plain_string(text) => {
-            scan::unquote(text).map(|text| JsonValue::String(text.into_owned()))
-        }
-        [b'[', ..] => {
-            let elements: Option<Vec<_>> = scan::elements(text)?.into_iter().map(quick).collect();
-            elements.map(JsonValue::Array)
-        }
-        [b'{', ..] => {
-            let field = |(key, value): (Cow<'_, str>, &str)| Some((key.into_owned(), quick(value)?));
-            let fields: Option<_> = scan::fields(text)?.into_iter().map(field).collect();
-            fields.map(JsonValue::Object)
-        }
-        _ => text.parse().ok(),
-    }
-}
-
-/// A number without a fraction, from 0 to 2^53: what a revision may be.
-pub(crate) fn whole(value: &JsonValue, place: &str) -> Result<u64, ConfigError> {
-    match value {
-        JsonValue::Number(number) if (0.0..=MAX_WHOLE).contains(number) && number.fract() == 0.0 => {
-            Ok(*number as u64)
-        }
-        JsonValue::Number(_) => {
-            Err(ConfigErrorKind::OutOfRange("be a whole number from 0 to 2^53").at(place))
-        }
-        _ => Err(ConfigErrorKind::WrongType("a number").at(place)),
-    }
-}
-
-/// An object, parsed field by field: quicker than a map of its own for each of many small ones.
-pub(crate) type Fields<'a> = Vec<(Cow<'a, str>, JsonValue)>;
-
-/// The fields of an object in a text.
-pub(crate) fn fields<'a>(text: &'a str, place: &str) -> Result<Fields<'a>, ConfigError> {
-    let Some(fields) = scan::fields(text) else { return Err(not(text, place, "an object")) };
-    fields.into_iter().map(|(key, value)| Ok((key, parse(value, place)?))).collect()
-}
-
-/// Why a text isn't what it was taken for.
-pub(crate) fn not(text: &str, place: &str, wanted: &'static str) -> ConfigError {
-    match parse(text, place) {
-        Err(fault) => fault,
-        Ok(_) => ConfigErrorKind::WrongType(wanted).at(place),
-    }
+/// # Errors
+///
+/// The text is not an object, or a value is malformed.
+pub(crate) fn parse_fields<'a>(text: &'a str, location: &str) -> Result<ParsedFields<'a>, ConfigError> {
+    let Some(fields) = split_object(text) else { return Err(type_error(text, location, "an object")) };
+    fields.into_iter().map(|RawField { key, value }| Ok((key, parse_value(value, location)?))).collect()
 }
 
-/// An object at its place. A field that is null counts as absent.
+/// An object with its location. A field that is null counts as absent.
+///
+/// All accessors fail with [`ConfigErrorKind::WrongType`] where a field has another type.
 pub(crate) struct Object<'a> {
     fields: Vec<(&'a str, &'a JsonValue)>,
-    place: &'a str,
+    location: &'a str,
 }
 
 impl<'a> Object<'a> {
-    pub(crate) fn new(fields: &'a Fields<'_>, place: &'a str) -> Self {
-        Object { fields: fields.iter().map(|(key, value)| (key.as_ref(), value)).collect(), place }
+    pub(crate) fn from_fields(fields: &'a ParsedFields<'_>, location: &'a str) -> Self {
+        let fields = fields.iter().map(|(key, value)| (key.as_ref(), value)).collect();
+        Object { fields, location }
     }
 
-    /// An object within a value.
-    pub(crate) fn within(value: &'a JsonValue, place: &'a str) -> Result<Self, ConfigError> {
-        match value {
-            JsonValue::Object(map) => {
-                Ok(Object { fields: map.iter().map(|(key, value)| (key.as_str(), value)).collect(), place })
-            }
-            _ => Err(ConfigErrorKind::WrongType("an object").at(place)),
-        }
+    /// Takes a value as an object.
+    ///
+    /// # Errors
+    ///
+    /// The value is not an object.
+    pub(crate) fn from_value(value: &'a JsonValue, location: &'a str) -> Result<Self, ConfigError> {
+        let JsonValue::Object(map) = value else {
+            return Err(ConfigErrorKind::WrongType("an object").at(location));
+        };
+        Ok(Object { fields: map.iter().map(|(key, value)| (key.as_str(), value)).collect(), location })
     }
 
-    pub(crate) fn place(&self, key: &str) -> String {
-        if self.place.is_empty() { key.to_owned() } else { format!("{}.{key}", self.place) }
+    /// The location of a field.
+    pub(crate) fn location_of(&self, key: &str) -> String {
+        if self.location.is_empty() { key.to_owned() } else { format!("{}.{key}", self.location) }
     }
 
-    pub(crate) fn fault(&self, key: &str, cause: ConfigErrorKind) -> ConfigError {
-        cause.at(self.place(key))
+    /// An error at a field.
+    pub(crate) fn error_at(&self, key: &str, kind: ConfigErrorKind) -> ConfigError {
+        kind.at(self.location_of(key))
     }
 
     pub(crate) fn get(&self, key: &str) -> Option<&'a JsonValue> {
@@ -121,58 +67,63 @@
         match self.get(key) {
             None => Ok(None),
             Some(JsonValue::String(text)) => Ok(Some(text)),
-            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("a string"))),
+            Some(_) => Err(self.error_at(key, ConfigErrorKind::WrongType("a string"))),
         }
     }
 
-    /// A string that must be there and hold something.
-    pub(crate) fn name(&self, key: &str) -> Result<&'a str, ConfigError> {
-        self.string(key)?
-            .filter(|text| !text.is_empty())
-            .ok_or_else(|| self.fault(key, ConfigErrorKind::Missing))
+    /// A string that must be present and not empty.
+    pub(crate) fn required_string(&self, key: &str) -> Result<&'a str, ConfigError> {
+        let given = self.string(key)?.filter(|text| !text.is_empty());
+        given.ok_or_else(|| self.error_at(key, ConfigErrorKind::Missing))
     }
 
-    pub(crate) fn flag(&self, key: &str) -> Result<bool, ConfigError> {
+    /// A flag, false when absent.
+    pub(crate) fn boolean(&self, key: &str) -> Result<bool, ConfigError> {
         match self.get(key) {
             None => Ok(false),
             Some(JsonValue::Boolean(flag)) => Ok(*flag),
-            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("true or false"))),
+            Some(_) => Err(self.error_at(key, ConfigErrorKind::WrongType("true or false"))),
         }
     }
 
-    pub(crate) fn list(&self, key: &str) -> Result<Option<&'a [JsonValue]>, ConfigError> {
+    pub(crate) fn array(&self, key: &str) -> Result<Option<&'a [JsonValue]>, ConfigError> {
         match self.get(key) {
             None => Ok(None),
-            Some(JsonValue::Array(list)) => Ok(Some(list)),
-            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("a list"))),
+            Some(JsonValue::Array(elements)) => Ok(Some(elements)),
+            Some(_) => Err(self.error_at(key, ConfigErrorKind::WrongType("a list"))),
         }
     }
 
-    /// A number that isn't below 0.
+    /// A finite number that isn't below 0.
     pub(crate) fn number(&self, key: &str) -> Result<Option<f64>, ConfigError> {
         match self.get(key) {
             None => Ok(None),
             Some(JsonValue::Number(number)) if number.is_finite() && *number >= 0.0 => Ok(Some(*number)),
             Some(JsonValue::Number(_)) => {
-                Err(self.fault(key, ConfigErrorKind::OutOfRange("be finite and not below 0")))
+                Err(self.error_at(key, ConfigErrorKind::OutOfRange("be finite and not below 0")))
             }
-            Some(_) => Err(self.fault(key, ConfigErrorKind::WrongType("a number"))),
+            Some(_) => Err(self.error_at(key, ConfigErrorKind::WrongType("a number"))),
         }
     }
 
-    /// A number that isn't below 0, up to the next whole one and at most `most`.
-    pub(crate) fn count(&self, key: &str, most: u64) -> Result<Option<u64>, ConfigError> {
-        Ok(self.number(key)?.map(|number| (number.min(MAX_WHOLE).ceil() as u64).min(most)))
+    /// A number that isn't below 0, rounded up to a whole one, at most 2^53.
+    pub(crate) fn count(&self, key: &str) -> Result<Option<u64>, ConfigError> {
+        Ok(self.number(key)?.map(|number| number.min(MAX_WHOLE_NUMBER).ceil() as u64))
+    }
+
+    /// The same, at most `u32::MAX`.
+    pub(crate) fn small_count(&self, key: &str) -> Result<Option<u32>, ConfigError> {
+        Ok(self.count(key)?.map(|count| u32::try_from(count).unwrap_or(u32::MAX)))
     }
 
-    /// A span given in milliseconds, up to the next whole one.
+    /// A span in milliseconds, rounded up to a whole one.
     pub(crate) fn millis(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
-        Ok(self.count(key, u64::MAX)?.map(Duration::from_millis))
+        Ok(self.count(key)?.map(Duration::from_millis))
     }
 
-    /// A span given in seconds, rounded to whole milliseconds.
+    /// A span in seconds, rounded to whole milliseconds.
     pub(crate) fn seconds(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
-        let millis = |seconds: f64| (seconds * 1000.0).min(MAX_WHOLE).round() as u64;
-        Ok(self.number(key)?.map(millis).map(Duration::from_millis))
+        let to_millis = |seconds: f64| (seconds * 1000.0).min(MAX_WHOLE_NUMBER).round() as u64;
+        Ok(self.number(key)?.map(to_millis).map(Duration::from_millis))
     }
 }
--- /dev/null
+++ b/crates/config/src/json/parse.rs
@@ -0,0 +1,92 @@
+//! Texts parsed to JSON values.
+
+use tinyjson::{JsonParseError, JsonValue};
+
+use super::containers::{RawField, split_array, split_object};
+use super::string::{is_unescaped_string, unquote};
+use super::structure::{MAX_DEPTH, check_structure};
+use crate::error::{ConfigError, ConfigErrorKind};
+
+/// 2^53, the greatest whole number that every reader of JSON keeps exact.
+pub(crate) const MAX_WHOLE_NUMBER: f64 = 9_007_199_254_740_992.0;
+
+/// How many digits a whole number may have to be parsed without rounding.
+const EXACT_DIGITS: usize = 15;
+
+/// Parses JSON that somebody else wrote; `None` if it is not one well-formed value of UTF-8 within [`MAX_DEPTH`].
+///
+/// The library's parser descends by recursion, so that a text of brackets alone would overflow the stack; the depth is
+/// checked before.
+pub fn parse_json(text: &[u8]) -> Option<JsonValue> {
+    let text = std::str::from_utf8(text).ok()?;
+    check_structure(text, MAX_DEPTH).ok()?;
+    text.parse().ok()
+}
+
+/// Parses a value whose structure has been checked.
+///
+/// # Errors
+///
+/// The text is not one JSON value, as the library says it.
+pub(crate) fn parse_value(text: &str, location: &str) -> Result<JsonValue, ConfigError> {
+    if let Some(value) = parse_fast(text) {
+        return Ok(value);
+    }
+    // The library says what is wrong.
+    text.parse()
+        .map_err(|error: JsonParseError| ConfigErrorKind::malformed_json(error.to_string()).at(location))
+}
+
+/// Parses a value whose structure has been checked; `None` when something is wrong.
+///
+/// Only numbers and strings that need it go through the library's parser, which takes several times as long. It
+/// descends by recursion; the check of the structure bounds how deep.
+fn parse_fast(text: &str) -> Option<JsonValue> {
+    match text.as_bytes() {
+        b"true" => Some(JsonValue::Boolean(true)),
+        b"false" => Some(JsonValue::Boolean(false)),
+        b"null" => Some(JsonValue::Null),
+        b"0" => Some(JsonValue::Number(0.0)),
+        [b'1'..=b'9', rest @ ..] if rest.len() < EXACT_DIGITS && rest.iter().all(u8::is_ascii_digit) => {
+            text.parse::<u64>().ok().map(|number| JsonValue::Number(number as f64))
+        }
+        [b'"', ..] if is_unescaped_string(text) => {
+            unquote(text).map(|content| JsonValue::String(content.into_owned()))
+        }
+        [b'[', ..] => {
+            let elements: Option<Vec<_>> = split_array(text)?.into_iter().map(parse_fast).collect();
+            elements.map(JsonValue::Array)
+        }
+        [b'{', ..] => {
+            let parse_field = |RawField { key, value }| Some((key.into_owned(), parse_fast(value)?));
+            let fields: Option<_> = split_object(text)?.into_iter().map(parse_field).collect();
+            fields.map(JsonValue::Object)
+        }
+        _ => text.parse().ok(),
+    }
+}
+
+/// Parses a whole number from 0 to 2^53, as a revision is one.
+///
+/// # Errors
+///
+/// The text is not such a number.
+pub(crate) fn parse_whole_number(text: &str, location: &str) -> Result<u64, ConfigError> {
+    match parse_value(text, location)? {
+        JsonValue::Number(number) if (0.0..=MAX_WHOLE_NUMBER).contains(&number) && number.fract() == 0.0 => {
+            Ok(number as u64)
+        }
+        JsonValue::Number(_) => {
+            Err(ConfigErrorKind::OutOfRange("be a whole number from 0 to 2^53").at(location))
+        }
+        _ => Err(ConfigErrorKind::WrongType("a number").at(location)),
+    }
+}
+
+/// Says why a text isn't the object or array that it was taken for: it is malformed or of another type.
+pub(crate) fn type_error(text: &str, location: &str, expected: &'static str) -> ConfigError {
+    match parse_value(text, location) {
+        Err(error) => error,
+        Ok(_) => ConfigErrorKind::WrongType(expected).at(location),
+    }
+}
--- /dev/null
+++ b/crates/config/src/json/string.rs
@@ -0,0 +1,58 @@
+//! JSON strings: where they end, and what they stand for.
+
+use std::borrow::Cow;
+
+use tinyjson::JsonValue;
+
+/// What is said of a text that ends within a value.
+pub(super) const CUT_SHORT: &str = "cut short";
+
+/// Finds the position behind the string that begins at `start`.
+///
+/// # Errors
+///
+/// What is wrong with the string.
+pub(super) fn find_string_end(text: &str, start: usize) -> Result<usize, &'static str> {
+    let bytes = text.as_bytes();
+    let mut position = start + 1;
+    while let Some(&byte) = bytes.get(position) {
+        match byte {
+            b' '..=b'!' | b'#'..=b'[' | b']'.. => position += 1,
+            b'"' => return Ok(position + 1),
+            b'\\' if bytes.get(position + 1) == Some(&b'u') => {
+                let digits = bytes.get(position + 2..position + 6).ok_or(CUT_SHORT)?;
+                // tinyjson skips white space between these digits; a text that is shown again must not contain it.
+                if !digits.iter().all(u8::is_ascii_hexdigit) {
+                    return Err("\\u without four hexadecimal digits");
+                }
+                position += 6;
+            }
+            b'\\' => position += 2,
+            _ => return Err("a string with a control character"),
+        }
+    }
+    Err(CUT_SHORT)
+}
+
+/// Whether the text is exactly one JSON string without escapes.
+pub(super) fn is_unescaped_string(text: &str) -> bool {
+    !text.contains('\\') && find_string_end(text, 0) == Ok(text.len())
+}
+
+/// Decodes a JSON string; `None` if the text is not one.
+pub(crate) fn unquote(quoted: &str) -> Option<Cow<'_, str>> {
+    let content = quoted.strip_prefix('"')?.strip_suffix('"')?;
+    if !content.contains('\\') {
+        return Some(Cow::Borrowed(content));
+    }
+    match quoted.parse() {
+        Ok(JsonValue::String(decoded)) => Some(Cow::Owned(decoded)),
+        _ => None,
+    }
+}
+
+/// Encodes a string as JSON.
+pub(crate) fn quote(content: &str) -> String {
+    // To stringify a string does not fail; tinyjson has no infallible way.
+    JsonValue::from(content.to_owned()).stringify().unwrap_or_default()
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,17 +1,26 @@
-//! The operator's configuration: read and checked by hand, routes, patches.
+//! The operator's configuration: parsed and validated, changed by item, and sent between processes as patches.
 //!
-//! A [`Config`] holds the text as the operator sent it, item by item, without the white space between values, so that what is
-//! shown later differs in nothing from what was sent: unknown fields, the order of fields and the spelling of
+//! A [`Config`] keeps the text as the operator sent it, item by item, without the white space between values, so that
+//! what is shown later differs in nothing from what was sent: unknown fields, the order of fields and the spelling of
 //! numbers are kept. What the data plane needs of it is read into [`Route`], [`Service`] and [`Limits`].
+//!
+//! A text goes through [`Config::parse`] (or [`Config::parse_sharing`], which reuses the items of another
+//! configuration): its structure is checked (`json`), it is cut into fields and items (`document_parser`), and what must
+//! hold between these is validated (`validation`). The operator's changes (`operator_calls`) and the patches of other
+//! processes (`patch`) edit the `document` of a configuration and validate only what they touch.
 
 mod chunked_sequence;
 mod config;
 mod document;
+mod document_parser;
 mod error;
 mod incremental_parse;
+mod item;
 mod item_list;
 mod json;
 mod limits;
+mod operator_calls;
+mod parse;
 mod patch;
 mod route;
 mod route_table;
@@ -22,8 +31,10 @@
 
 pub use config::Config;
 pub use error::{ConfigError, ConfigErrorKind, ERROR_CODES};
-pub use json::scanner::{MAX_BYTES, MAX_DEPTH, parse_json, peek_revision};
+pub use json::parse::parse_json;
+pub use json::structure::{MAX_BYTES, MAX_DEPTH};
 pub use limits::Limits;
+pub use parse::peek_revision;
 pub use route::{Route, RouteType, WeightedBackend};
 pub use routes::Routes;
 pub use service::{Engine, Service};
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,4 +1,4 @@
-//! What a client may send, and how long it may take or stay idle.
+//! The bounds for what clients send and how long they take.
 
 use core::time::Duration;
 
@@ -7,12 +7,13 @@
 use crate::error::ConfigError;
 use crate::json::object::Object;
 
-/// The bounds for clients. No value is below its floor: a limit of nothing would shut every client out.
+/// The bounds for clients (PROTOCOL, "The operator's API", `limits`). No value is below [`Limits::MINIMUM`]: a limit
+/// of zero would reject every client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest head of a request.
+    /// The longest head of a request, in bytes.
     pub max_header_bytes: usize,
-    /// The longest body of a request.
+    /// The longest body of a request, in bytes.
     pub max_body_bytes: usize,
     /// How long a client may take for the head of a request.
     pub header_timeout: Duration,
@@ -32,7 +33,7 @@
 }
 
 impl Limits {
-    /// The lowest value of each limit.
+    /// The lowest value of each limit; what the operator sets below is raised to it.
     pub const MINIMUM: Limits = Limits {
         max_header_bytes: 1 << 10,
         max_body_bytes: 1 << 10,
@@ -40,21 +41,22 @@
         idle_timeout: Duration::from_millis(100),
     };
 
-    pub(crate) fn read(value: &JsonValue, place: &str) -> Result<Limits, ConfigError> {
-        let object = Object::within(value, place)?;
-        let (usual, floors) = (Limits::default(), Limits::MINIMUM);
-        let bytes = |key, usual: usize, floor: usize| -> Result<usize, ConfigError> {
-            let given = object.count(key, u64::MAX)?;
-            Ok(given.map_or(usual, |given| usize::try_from(given).unwrap_or(usize::MAX)).max(floor))
+    pub(crate) fn from_value(value: &JsonValue, location: &str) -> Result<Limits, ConfigError> {
+        let object = Object::from_value(value, location)?;
+        let (default, minimum) = (Limits::default(), Limits::MINIMUM);
+        let bytes = |key, default: usize, minimum: usize| -> Result<usize, ConfigError> {
+            let given = object.count(key)?;
+            let given = given.map(|given| usize::try_from(given).unwrap_or(usize::MAX));
+            Ok(given.unwrap_or(default).max(minimum))
         };
-        let span = |key, usual: Duration, floor: Duration| -> Result<Duration, ConfigError> {
-            Ok(object.millis(key)?.unwrap_or(usual).max(floor))
+        let timeout = |key, default: Duration, minimum: Duration| -> Result<Duration, ConfigError> {
+            Ok(object.millis(key)?.unwrap_or(default).max(minimum))
         };
         Ok(Limits {
-            max_header_bytes: bytes("max_header_bytes", usual.max_header_bytes, floors.max_header_bytes)?,
-            max_body_bytes: bytes("max_body_bytes", usual.max_body_bytes, floors.max_body_bytes)?,
-            header_timeout: span("header_timeout_ms", usual.header_timeout, floors.header_timeout)?,
-            idle_timeout: span("idle_timeout_ms", usual.idle_timeout, floors.idle_timeout)?,
+            max_header_bytes: bytes("max_header_bytes", default.max_header_bytes, minimum.max_header_bytes)?,
+            max_body_bytes: bytes("max_body_bytes", default.max_body_bytes, minimum.max_body_bytes)?,
+            header_timeout: timeout("header_timeout_ms", default.header_timeout, minimum.header_timeout)?,
+            idle_timeout: timeout("idle_timeout_ms", default.idle_timeout, minimum.idle_timeout)?,
         })
     }
 }
--- /dev/null
+++ b/crates/config/src/parse.rs
@@ -0,0 +1,41 @@
+//! A whole configuration, parsed with every check.
+
+use crate::config::Config;
+use crate::document::REVISION;
+use crate::document_parser::parse_document;
+use crate::error::ConfigError;
+use crate::json::containers::split_object;
+use crate::json::parse::parse_whole_number;
+use crate::json::structure::{MAX_BYTES, MAX_DEPTH, check_structure, decode_utf8};
+use crate::validation::validate;
+
+impl Config {
+    /// Parses a whole configuration.
+    ///
+    /// # Errors
+    ///
+    /// The first thing that is wrong with it, of any kind but [`StaleRevision`](crate::ConfigErrorKind::StaleRevision)
+    /// and [`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch).
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
+        validate(parse_document(check_text(text)?)?)
+    }
+}
+
+/// Decodes a text of the operator and checks its structure.
+///
+/// # Errors
+///
+/// The text is too long, not UTF-8, nested too deep, malformed, or has an object with the same key twice.
+pub(crate) fn check_text(text: &[u8]) -> Result<&str, ConfigError> {
+    let text = decode_utf8(text, MAX_BYTES)?;
+    check_structure(text, MAX_DEPTH)?;
+    Ok(text)
+}
+
+/// Reads the revision that the text of a configuration or a change has, before the whole is parsed; `None` if it has
+/// none or can't be read.
+pub fn peek_revision(text: &[u8]) -> Option<u64> {
+    let fields = split_object(check_text(text).ok()?)?;
+    let revision = fields.into_iter().find(|field| field.key == REVISION)?;
+    parse_whole_number(revision.value, REVISION).ok()
+}
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,33 +1,38 @@
-//! A route: where a request goes, and what may be done with it.
+//! A route: which requests it matches, which services run them, and on what terms.
 
 use core::time::Duration;
+use std::borrow::Cow;
 
 use tinyjson::JsonValue;
 
 use crate::error::{ConfigError, ConfigErrorKind};
-use crate::json::object::{MAX_WHOLE, Object};
+use crate::json::object::Object;
+use crate::json::parse::MAX_WHOLE_NUMBER;
 
-/// What may be repeated.
+const DEFAULT_PRIORITY: u64 = 5;
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// How often a request may run (PROTOCOL, "Requests", `route_type`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// A request may run more than once.
     Idempotent,
-    /// A request runs at most once; also where the type is absent or unknown.
+    /// A request runs at most once. This is also taken where the type is absent or unknown.
     NonIdempotent,
-    /// A request is answered by a stream of events, and runs at most once unless it may be resumed.
+    /// The response is a stream of events; a request runs at most once unless its route has `resume`.
     Streaming,
 }
 
 /// One of `route_entries`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Its name, not empty, unique among the routes.
     pub name: String,
-    /// The host that it is for, in lower case and without a port.
+    /// The host of its requests, in lower case and without a port; not empty.
     pub host: String,
-    /// What its paths begin with.
+    /// What the paths of its requests begin with; it begins with a slash itself.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// How often a request may run.
     pub route_type: RouteType,
     /// The longest that the operator wants a request held; above 0, in whole milliseconds.
     pub timeout: Duration,
@@ -37,13 +42,14 @@
     pub priority: u8,
     /// The services of the route in the operator's order; the weights add up to more than 0.
     pub backends: Vec<WeightedBackend>,
-    /// The most servers that one try may be sent to, at least 1.
+    /// The most servers that one attempt of a client may be sent to, at least 1; 1 when it is not given.
     pub retry_count: u32,
-    /// Whether its requests name the parts of a prompt.
+    /// Whether its requests name the parts of their prompt (`X-Prompt-Prefix`).
     pub persistence: bool,
-    /// Whether a stream may be continued at another server.
+    /// Whether a stream may be resumed at another server.
     pub resume: bool,
-    /// The longest pause between events of a stream that still keeps the response in time; zero when it is not given.
+    /// The longest pause between events of a stream that still keeps the response in time (`gap_aim_ms`); zero when it
+    /// is not given.
     pub event_gap_target: Duration,
 }
 
@@ -57,7 +63,7 @@
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Whether a request may run more than once: those of an idempotent route, and streams that may be resumed.
     pub fn is_idempotent(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent => true,
@@ -66,106 +72,122 @@
         }
     }
 
-    /// The service for a request, by weight; `unit` is a random number from 0 to 1.
-    pub fn choose_service(&self, unit: f64) -> Option<&str> {
-        let sum: f64 = self.backends.iter().map(|backend| backend.weight).sum();
-        let mut left = unit.clamp(0.0, 1.0) * sum;
-        let mut last = None;
-        for backend in &self.backends {
-            if backend.weight > 0.0 {
-                last = Some(backend.service.as_str());
-                if left < backend.weight {
-                    break;
-                }
-                left -= backend.weight;
+    /// Chooses a service by weight; `random` is a uniform random number from 0 to 1.
+    pub fn choose_service(&self, random: f64) -> Option<&str> {
+        let total: f64 = self.backends.iter().map(|backend| backend.weight).sum();
+        let mut remaining = random.clamp(0.0, 1.0) * total;
+        let mut chosen = None;
+        for backend in self.backends.iter().filter(|backend| backend.weight > 0.0) {
+            chosen = Some(backend.service.as_str());
+            if remaining < backend.weight {
+                break;
             }
+            remaining -= backend.weight;
         }
-        last
+        chosen
     }
 
-    pub(crate) fn read(object: &Object<'_>) -> Result<Route, ConfigError> {
-        let name = object.name("name")?.to_owned();
-        let host = host_name(object.name("host_header")?).into_owned();
-        if host.is_empty() {
-            return Err(object.fault("host_header", ConfigErrorKind::Missing));
-        }
-        let prefix = object.name("path_prefix")?.to_owned();
-        if !prefix.starts_with('/') {
-            return Err(object.fault("path_prefix", ConfigErrorKind::OutOfRange("begin with a slash")));
-        }
-        let timeout = match object.millis("timeout_ms")? {
-            None => return Err(object.fault("timeout_ms", ConfigErrorKind::Missing)),
-            Some(Duration::ZERO) => {
-                return Err(object.fault("timeout_ms", ConfigErrorKind::OutOfRange("be above 0")));
-            }
-            Some(given) => given,
+    pub(crate) fn from_object(object: &Object<'_>) -> Result<Route, ConfigError> {
+        let name = object.required_string("name")?.to_owned();
+        let host = parse_host(object)?;
+        let path_prefix = parse_path_prefix(object)?;
+        let timeout = parse_timeout(object)?;
+        let retry_count = object.small_count("retry_count")?.unwrap_or(1).max(1);
+        let priority = object.count("priority")?.unwrap_or(DEFAULT_PRIORITY);
+        let route_type = match object.string("route_type")? {
+            Some("idempotent") => RouteType::Idempotent,
+            Some("streaming") => RouteType::Streaming,
+            _ => RouteType::NonIdempotent,
         };
-        let retry_count = object.count("retry_count", u64::from(u32::MAX))?.unwrap_or(1).max(1);
-        let priority = object.count("priority", u64::from(u8::MAX))?.unwrap_or(5);
+        let target_latency = object.millis("target_latency_ms")?.filter(|given| !given.is_zero());
         Ok(Route {
             name,
             host,
-            path_prefix: prefix,
-            route_type: match object.string("route_type")? {
-                Some("idempotent") => RouteType::Idempotent,
-                Some("streaming") => RouteType::Streaming,
-                _ => RouteType::NonIdempotent,
-            },
+            path_prefix,
+            route_type,
             timeout,
-            target_latency: object
-                .millis("target_latency_ms")?
-                .filter(|given| !given.is_zero())
-                .unwrap_or(timeout),
+            target_latency: target_latency.unwrap_or(timeout),
             priority: u8::try_from(priority).unwrap_or(u8::MAX),
-            backends: backends(object)?,
-            retry_count: u32::try_from(retry_count).unwrap_or(u32::MAX),
-            persistence: object.flag("persistence")?,
-            resume: object.flag("resume")?,
+            backends: parse_backends(object)?,
+            retry_count,
+            persistence: object.boolean("persistence")?,
+            resume: object.boolean("resume")?,
             event_gap_target: object.millis("gap_aim_ms")?.unwrap_or_default(),
         })
     }
 }
 
-fn backends(object: &Object<'_>) -> Result<Vec<WeightedBackend>, ConfigError> {
+fn parse_host(object: &Object<'_>) -> Result<String, ConfigError> {
+    let host = normalize_host(object.required_string("host_header")?);
+    if host.is_empty() {
+        return Err(object.error_at("host_header", ConfigErrorKind::Missing));
+    }
+    Ok(host.into_owned())
+}
+
+fn parse_path_prefix(object: &Object<'_>) -> Result<String, ConfigError> {
+    let path_prefix = object.required_string("path_prefix")?;
+    if !path_prefix.starts_with('/') {
+        return Err(object.error_at("path_prefix", ConfigErrorKind::OutOfRange("begin with a slash")));
+    }
+    Ok(path_prefix.to_owned())
+}
+
+fn parse_timeout(object: &Object<'_>) -> Result<Duration, ConfigError> {
+    match object.millis("timeout_ms")? {
+        None => Err(object.error_at("timeout_ms", ConfigErrorKind::Missing)),
+        Some(Duration::ZERO) => Err(object.error_at("timeout_ms", ConfigErrorKind::OutOfRange("be above 0"))),
+        Some(timeout) => Ok(timeout),
+    }
+}
+
+fn parse_backends(object: &Object<'_>) -> Result<Vec<WeightedBackend>, ConfigError> {
     let single = object.string("backend_service")?.filter(|name| !name.is_empty());
-    let weighted = object.list("weighted_backends")?;
-    let mut found = Vec::with_capacity(weighted.map_or(1, <[JsonValue]>::len));
-    let mut sum = 0.0;
-    for (at, value) in weighted.unwrap_or_default().iter().enumerate() {
-        let place = object.place(&format!("weighted_backends[{at}]"));
-        let backend = Object::within(value, &place)?;
-        let weight = backend.number("weight")?.unwrap_or(1.0);
-        sum += weight;
-        if weight > MAX_WHOLE {
-            return Err(backend.fault("weight", ConfigErrorKind::OutOfRange("be at most 2^53")));
-        }
-        found.push(WeightedBackend { service: backend.name("backend_service")?.to_owned(), weight });
+    let weighted = object.array("weighted_backends")?;
+    let mut backends = Vec::with_capacity(weighted.map_or(1, <[JsonValue]>::len));
+    let mut total = 0.0;
+    for (index, value) in weighted.unwrap_or_default().iter().enumerate() {
+        let location = object.location_of(&format!("weighted_backends[{index}]"));
+        let backend = parse_backend(&Object::from_value(value, &location)?)?;
+        total += backend.weight;
+        backends.push(backend);
     }
+    let backend = |name: &str, weight| WeightedBackend { service: name.to_owned(), weight };
     match single {
-        Some(name) if found.is_empty() => {
-            found.push(WeightedBackend { service: name.to_owned(), weight: 1.0 })
+        Some(name) if backends.is_empty() => backends.push(backend(name, DEFAULT_WEIGHT)),
+        None if weighted.is_none() => {
+            return Err(object.error_at("backend_service", ConfigErrorKind::Missing));
         }
-        None if weighted.is_none() => return Err(object.fault("backend_service", ConfigErrorKind::Missing)),
-        _ if sum <= 0.0 => return Err(object.fault("weighted_backends", ConfigErrorKind::ZeroWeight)),
-        // Named beside the weights, it must be known as they must, but takes no request.
-        Some(name) => found.push(WeightedBackend { service: name.to_owned(), weight: 0.0 }),
+        _ if total <= 0.0 => return Err(object.error_at("weighted_backends", ConfigErrorKind::ZeroWeight)),
+        // A single service beside weighted ones must exist as they must, but gets no request.
+        Some(name) => backends.push(backend(name, 0.0)),
         None => {}
     }
-    Ok(found)
+    Ok(backends)
+}
+
+fn parse_backend(object: &Object<'_>) -> Result<WeightedBackend, ConfigError> {
+    let weight = object.number("weight")?.unwrap_or(DEFAULT_WEIGHT);
+    if weight > MAX_WHOLE_NUMBER {
+        return Err(object.error_at("weight", ConfigErrorKind::OutOfRange("be at most 2^53")));
+    }
+    Ok(WeightedBackend { service: object.required_string("backend_service")?.to_owned(), weight })
 }
 
 /// A host in lower case, without its port.
 ///
-/// Danger: what comes out must come out again when it is put in, or a route that is there is not found.
-pub(crate) fn host_name(host: &str) -> std::borrow::Cow<'_, str> {
-    let bare = match (host.trim_ascii_start().starts_with('['), host.find(']')) {
+/// A normalized host stays as it is when it is normalized again; otherwise a route would not be found by the host that
+/// it shows.
+pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
+    let is_ipv6 = host.trim_ascii_start().starts_with('[');
+    let without_port = match (is_ipv6, host.find(']')) {
         (true, Some(end)) => host.get(..=end).unwrap_or(host),
-        _ => host.split_once(':').map_or(host, |(bare, _)| bare),
-    }
-    .trim_ascii();
-    if bare.bytes().any(|byte| byte.is_ascii_uppercase()) {
-        bare.to_ascii_lowercase().into()
+        _ => host.split_once(':').map_or(host, |(name, _)| name),
+    };
+    let without_port = without_port.trim_ascii();
+    if without_port.bytes().any(|byte| byte.is_ascii_uppercase()) {
+        without_port.to_ascii_lowercase().into()
     } else {
-        bare.into()
+        without_port.into()
     }
 }
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -4,42 +4,39 @@
 use std::ops::Deref;
 use std::sync::{Arc, OnceLock};
 
-use crate::item_list::{List, Meaning};
+use crate::item_list::ItemList;
 use crate::route::Route;
 
-/// The routes in the operator's order. They are put side by side, as a slice, only when they are asked for so;
-/// [`Routes::len`] and [`Routes::iter`] do without.
+/// The routes in the operator's order. The slice is built when it is first asked for; [`Routes::len`] and
+/// [`Routes::iter`] do without.
 #[derive(Clone)]
 pub struct Routes {
-    shared: Arc<Shared>,
+    shared: Arc<SharedRoutes>,
 }
 
-struct Shared {
-    list: List,
+struct SharedRoutes {
+    list: ItemList,
     slice: OnceLock<Box<[Arc<Route>]>>,
 }
 
 impl Routes {
-    pub(crate) fn new(list: List) -> Self {
-        Routes { shared: Arc::new(Shared { list, slice: OnceLock::new() }) }
+    pub(crate) fn new(list: ItemList) -> Self {
+        Routes { shared: Arc::new(SharedRoutes { list, slice: OnceLock::new() }) }
     }
 
-    /// How many there are.
+    /// The number of routes.
     pub fn len(&self) -> usize {
         self.shared.list.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// One after the other.
+    /// Iterates over the routes without building the slice.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
-        self.shared.list.iter().filter_map(|item| match &item.meaning {
-            Meaning::Route(route) => Some(route),
-            _ => None,
-        })
+        self.shared.list.iter().filter_map(|item| item.as_route())
     }
 }
 
@@ -64,7 +61,7 @@
 }
 
 impl fmt::Debug for Routes {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.debug_list().entries(self.iter()).finish()
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_list().entries(self.iter()).finish()
     }
 }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,68 +1,70 @@
-//! From the pieces to a configuration: what is checked over all items.
+//! From a document to a configuration: what must hold over all fields (PROTOCOL, "The operator's API").
 
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::config::Config;
-use crate::document::{Draft, LIMITS, Part, REVISION, ROUTES, SERVICES};
-use crate::error::{ConfigError, ConfigErrorKind, brief};
-use crate::item_list::{List, Meaning};
-use crate::json::object as value;
-use crate::json::scanner as scan;
+use crate::config::{Config, Services, ValidatedParts};
+use crate::document::{Document, FieldValue, LIMITS, REVISION, ROUTES, SERVICES};
+use crate::error::{ConfigError, ConfigErrorKind, truncate};
+use crate::item_list::ItemList;
+use crate::json::parse::{parse_value, parse_whole_number};
+use crate::json::structure::MAX_BYTES;
 use crate::limits::Limits;
 use crate::route::Route;
-use crate::route_table::Index;
+use crate::route_table::{DuplicateRoutes, RouteTable};
 use crate::routes::Routes;
-use crate::service::Service;
 
-pub(crate) type Services = BTreeMap<String, Arc<Service>>;
-
-/// Checks all of it.
-pub(crate) fn build(draft: Draft) -> Result<Config, ConfigError> {
-    let (revision, limits) = head(&draft)?;
-    let services = services(items(&draft, SERVICES)?);
-    let routes = Routes::new(items(&draft, ROUTES)?.clone());
-    for (at, route) in routes.iter().enumerate() {
-        if let Some(service) = unknown_service(route, &services) {
-            let cause = ConfigErrorKind::UnknownService(brief(route.name.clone()), brief(service.to_owned()));
-            return Err(cause.at(format!("{ROUTES}[{at}]")));
-        }
-    }
-    let slice: Vec<Arc<Route>> = routes.iter().cloned().collect();
-    let index = Index::new(&slice).map_err(|(one, two)| {
-        let (first, second) = (one.min(two), one.max(two));
-        let name = |at: usize| slice.get(at).map(|route| brief(route.name.clone())).unwrap_or_default();
-        ConfigErrorKind::DuplicateMatch(name(second), name(first)).at(format!("{ROUTES}[{second}]"))
-    })?;
-    if draft.text_length() > scan::MAX_BYTES {
-        return Err(ConfigErrorKind::TooLong(scan::MAX_BYTES).at("body"));
+/// Validates a document.
+///
+/// # Errors
+///
+/// The first violation: a field that is missing or of another type, a route with an unknown service, two routes with
+/// the same host and path prefix, or a text that is too long.
+pub(crate) fn validate(document: Document) -> Result<Config, ConfigError> {
+    let revision = parse_revision(&document)?;
+    let limits = parse_limits(&document)?;
+    let services = collect_services(required_list(&document, SERVICES)?);
+    let routes = Routes::new(required_list(&document, ROUTES)?.clone());
+    check_services_known(&routes, &services)?;
+    let route_table = build_route_table(&routes)?;
+    if document.json_length() > MAX_BYTES {
+        return Err(ConfigErrorKind::TooLong(MAX_BYTES).at("body"));
     }
-    Ok(Config::assemble(revision, routes, Arc::new(services), limits, index, draft))
+    let services = Arc::new(services);
+    Ok(Config::new(ValidatedParts { revision, limits, services, routes, route_table }, document))
 }
 
-/// Checks what differs from a configuration that has passed every check.
+/// Validates a document of which `base` has most items in common; only what differs is looked at.
 ///
-/// What is found wrong is left to [`build`] to say, so that the fault is the same one whichever way it is found.
-pub(crate) fn build_on(base: &Config, draft: Draft) -> Result<Config, ConfigError> {
-    let (Some(routes), Some(services)) = (draft.list(ROUTES), draft.list(SERVICES)) else {
-        return build(draft);
-    };
-    let Some(services) = services_on(base, services) else { return build(draft) };
-    let Some(index) = index_on(base, routes, &services) else { return build(draft) };
-    if draft.text_length() > scan::MAX_BYTES {
-        return build(draft);
+/// # Errors
+///
+/// As [`validate`], which says what is wrong, so that the error does not depend on the way in which it was found.
+pub(crate) fn validate_changes(base: &Config, document: Document) -> Result<Config, ConfigError> {
+    match check_changes(base, &document) {
+        Some(parts) => Ok(Config::new(parts, document)),
+        None => validate(document),
+    }
+}
+
+/// `None` when something is wrong, or not as expected.
+fn check_changes(base: &Config, document: &Document) -> Option<ValidatedParts> {
+    let routes = document.list(ROUTES)?;
+    let services = update_services(base, document.list(SERVICES)?)?;
+    let route_table = update_route_table(base, routes, &services)?;
+    if document.json_length() > MAX_BYTES {
+        return None;
     }
-    let Ok((revision, limits)) = head(&draft) else { return build(draft) };
+    let revision = parse_revision(document).ok()?;
+    let limits = parse_limits(document).ok()?;
     let routes = Routes::new(routes.clone());
-    Ok(Config::assemble(revision, routes, services, limits, index, draft))
+    Some(ValidatedParts { revision, limits, services, routes, route_table })
 }
 
 /// The services after a change.
-fn services_on(base: &Config, newer: &List) -> Option<Arc<Services>> {
+fn update_services(base: &Config, newer: &ItemList) -> Option<Arc<Services>> {
     let mut services = base.services.clone();
     base.list(SERVICES)?.compare(newer, |old, new| match (old, new) {
         (_, Some(new)) => {
-            if let Meaning::Service(service) = &new.meaning {
+            if let Some(service) = new.as_service() {
                 Arc::make_mut(&mut services).insert(service.name.clone(), service.clone());
             }
         }
@@ -74,61 +76,80 @@
     Some(services)
 }
 
-/// The index after a change; `None` where a place is taken or a service unknown.
-fn index_on(base: &Config, newer: &List, services: &Services) -> Option<Index> {
-    let mut come: Vec<&Arc<Route>> = Vec::new();
-    let mut index = base.index().clone();
+/// The route table after a change; `None` where host and path prefix are taken or a service is unknown.
+fn update_route_table(base: &Config, newer: &ItemList, services: &Services) -> Option<RouteTable> {
+    let mut added: Vec<&Arc<Route>> = Vec::new();
+    let mut route_table = base.route_table().clone();
+    // All old routes leave the table before the new ones enter: routes may exchange their prefixes.
     base.list(ROUTES)?.compare(newer, |old, new| {
-        if let Some(Meaning::Route(old)) = old.map(|item| &item.meaning) {
-            index.remove(old);
-        }
-        if let Some(Meaning::Route(new)) = new.map(|item| &item.meaning) {
-            come.push(new);
+        if let Some(old) = old.and_then(|item| item.as_route()) {
+            route_table.remove(old);
         }
+        added.extend(new.and_then(|item| item.as_route()));
     });
-    let known = |route: &Route| unknown_service(route, services).is_none();
-    // Only where a service is gone can a route be wrong that was not touched.
-    let all_stay = base.services.keys().all(|service| services.contains_key(service));
-    let routes_known = match all_stay {
-        true => come.iter().all(|route| known(route)),
-        false => Routes::new(newer.clone()).iter().all(|route| known(route)),
+    let has_known_services = |route: &Route| unknown_service(route, services).is_none();
+    // A route that has not changed can name an unknown service only if a service was removed.
+    let all_services_stay = base.services.keys().all(|service| services.contains_key(service));
+    let all_services_known = if all_services_stay {
+        added.iter().all(|route| has_known_services(route))
+    } else {
+        Routes::new(newer.clone()).iter().all(|route| has_known_services(route))
     };
-    let free = come.into_iter().all(|route| index.insert(route));
-    (routes_known && free).then_some(index)
+    let all_differ = added.into_iter().all(|route| route_table.insert(route));
+    (all_services_known && all_differ).then_some(route_table)
 }
 
-fn head(draft: &Draft) -> Result<(u64, Limits), ConfigError> {
-    let revision = match draft.part(REVISION) {
-        None => return Err(ConfigErrorKind::Missing.at(REVISION)),
-        Some(Part::Items(_)) => return Err(ConfigErrorKind::WrongType("a number").at(REVISION)),
-        Some(Part::Plain(text)) => value::whole(&value::parse(text, REVISION)?, REVISION)?,
-    };
-    let limits = match draft.part(LIMITS) {
-        None => Limits::default(),
-        Some(Part::Plain(text)) if text.as_ref() == "null" => Limits::default(),
-        Some(Part::Items(_)) => return Err(ConfigErrorKind::WrongType("an object").at(LIMITS)),
-        Some(Part::Plain(text)) => Limits::read(&value::parse(text, LIMITS)?, LIMITS)?,
-    };
-    Ok((revision, limits))
+fn parse_revision(document: &Document) -> Result<u64, ConfigError> {
+    match document.get(REVISION) {
+        None => Err(ConfigErrorKind::Missing.at(REVISION)),
+        Some(FieldValue::Items(_)) => Err(ConfigErrorKind::WrongType("a number").at(REVISION)),
+        Some(FieldValue::Json(text)) => parse_whole_number(text, REVISION),
+    }
 }
 
-fn items<'d>(draft: &'d Draft, list: &str) -> Result<&'d List, ConfigError> {
-    match draft.part(list) {
-        None => Err(ConfigErrorKind::Missing.at(list)),
-        Some(Part::Items(items)) => Ok(items),
-        Some(Part::Plain(_)) => Err(ConfigErrorKind::WrongType("a list").at(list)),
+fn parse_limits(document: &Document) -> Result<Limits, ConfigError> {
+    match document.get(LIMITS) {
+        None => Ok(Limits::default()),
+        Some(FieldValue::Json(text)) if text.as_ref() == "null" => Ok(Limits::default()),
+        Some(FieldValue::Items(_)) => Err(ConfigErrorKind::WrongType("an object").at(LIMITS)),
+        Some(FieldValue::Json(text)) => Limits::from_value(&parse_value(text, LIMITS)?, LIMITS),
     }
 }
 
-fn services(list: &List) -> Services {
-    let read = list.iter().filter_map(|item| match &item.meaning {
-        Meaning::Service(service) => Some((service.name.clone(), service.clone())),
-        _ => None,
-    });
-    read.collect()
+fn required_list<'d>(document: &'d Document, key: &str) -> Result<&'d ItemList, ConfigError> {
+    match document.get(key) {
+        None => Err(ConfigErrorKind::Missing.at(key)),
+        Some(FieldValue::Items(list)) => Ok(list),
+        Some(FieldValue::Json(_)) => Err(ConfigErrorKind::WrongType("a list").at(key)),
+    }
+}
+
+fn collect_services(list: &ItemList) -> Services {
+    let services = list.iter().filter_map(|item| item.as_service());
+    services.map(|service| (service.name.clone(), service.clone())).collect()
+}
+
+fn check_services_known(routes: &Routes, services: &Services) -> Result<(), ConfigError> {
+    for (index, route) in routes.iter().enumerate() {
+        if let Some(service) = unknown_service(route, services) {
+            let (route, service) = (truncate(route.name.clone()), truncate(service.to_owned()));
+            return Err(ConfigErrorKind::UnknownService(route, service).at(format!("{ROUTES}[{index}]")));
+        }
+    }
+    Ok(())
 }
 
 fn unknown_service<'r>(route: &'r Route, services: &Services) -> Option<&'r str> {
     let mut names = route.backends.iter().map(|backend| backend.service.as_str());
     names.find(|service| !services.contains_key(*service))
 }
+
+fn build_route_table(routes: &Routes) -> Result<RouteTable, ConfigError> {
+    let routes: Vec<Arc<Route>> = routes.iter().cloned().collect();
+    RouteTable::new(&routes).map_err(|DuplicateRoutes { first, second }| {
+        let name_of =
+            |index: usize| routes.get(index).map(|route| truncate(route.name.clone())).unwrap_or_default();
+        let kind = ConfigErrorKind::DuplicateMatch(name_of(second), name_of(first));
+        kind.at(format!("{ROUTES}[{second}]"))
+    })
+}
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use mosshead_config::{Config, ConfigError};
 use quickcheck::{Arbitrary, Gen};
 
-pub const WHOLE: &str = r#"{
+pub(crate) const WHOLE: &str = r#"{
   "revision": 7,
   "route_entries": [
     {"name":"r-1","host_header":"Ficu95.example","path_prefix":"/pufi791/","route_type":"streaming",
@@ -25,16 +25,16 @@
   "later": {"big": 12345678901234567890, "text": "a b\t\u0041"}
 }"#;
 
-pub fn whole() -> Config {
+pub(crate) fn whole() -> Config {
     read(WHOLE).expect("the example is valid")
 }
 
-pub fn read(text: &str) -> Result<Config, ConfigError> {
+pub(crate) fn read(text: &str) -> Result<Config, ConfigError> {
     Config::parse(text.as_bytes())
 }
 
 /// Equal as text, and as everything that was read of it.
-pub fn same(one: &Config, other: &Config) {
+pub(crate) fn same(one: &Config, other: &Config) {
     assert_eq!(one.json(), other.json());
     assert_eq!(one, other);
     assert_eq!(one.revision, other.revision);
@@ -53,12 +53,12 @@
     }
 }
 
-pub fn pick<T: Copy>(g: &mut Gen, from: &[T]) -> T {
+pub(crate) fn pick<T: Copy>(g: &mut Gen, from: &[T]) -> T {
     *g.choose(from).expect("not empty")
 }
 
 /// Names and texts of items.
-pub type Items = Vec<(String, String)>;
+pub(crate) type Items = Vec<(String, String)>;
 
 const ROUTES: [&str; 10] = ["r0", "r1", "r2", "r3", "r-4", "r \"5\"", "é6", "r\\7", "", "r9\u{1}"];
 const SERVICES: [&str; 4] = ["s0", "s 1", "sé2", "s\"3"];
@@ -119,16 +119,16 @@
 
 /// A valid configuration.
 #[derive(Debug, Clone)]
-pub struct Sample {
-    pub revision: u64,
-    pub routes: Items,
-    pub services: Items,
-    pub others: Vec<(String, String)>,
+pub(crate) struct Sample {
+    pub(crate) revision: u64,
+    pub(crate) routes: Items,
+    pub(crate) services: Items,
+    pub(crate) others: Vec<(String, String)>,
     order: Vec<u8>,
 }
 
 impl Sample {
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         let list = |items: &Items| {
             let texts: Vec<&str> = items.iter().map(|(_, text)| text.as_str()).collect();
             format!("[{}]", texts.join(","))
@@ -195,15 +195,15 @@
 
 /// A change of items; whether it is valid depends on what it is applied to.
 #[derive(Debug, Clone)]
-pub struct SampleChange {
-    pub routes: Items,
-    pub services: Items,
-    pub gone_routes: Vec<String>,
-    pub gone_services: Vec<String>,
+pub(crate) struct SampleChange {
+    pub(crate) routes: Items,
+    pub(crate) services: Items,
+    pub(crate) gone_routes: Vec<String>,
+    pub(crate) gone_services: Vec<String>,
 }
 
 impl SampleChange {
-    pub fn text(&self, revision: u64) -> String {
+    pub(crate) fn text(&self, revision: u64) -> String {
         let list = |items: &Items| items.iter().map(|(_, text)| text.clone()).collect::<Vec<_>>().join(",");
         let names = |names: &[String]| names.iter().map(|name| quote(name)).collect::<Vec<_>>().join(",");
         format!(
