--- a/crates/capacity-bench/src/membership.rs
+++ b/crates/capacity-bench/src/membership.rs
@@ -85,7 +85,7 @@
     let start = processor_time();
     let turns = 200;
     for _ in 0..turns {
-        let cores = membership.members().filter(|(peer, health)| peer.core && health.lives());
+        let cores = membership.members().filter(|(peer, health)| peer.is_control_node && health.is_live());
         black_box(cores.map(|(peer, _)| peer.address).collect::<Vec<_>>());
     }
     processor_time().saturating_sub(start).as_secs_f64() * 1e6 / f64::from(turns)
--- a/crates/capacity-bench/src/pool.rs
+++ b/crates/capacity-bench/src/pool.rs
@@ -4,7 +4,8 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use mosshead_membership::{Membership, Peer, Settings};
+use mosshead_membership::{Datagram, Membership, Peer, Settings};
+use mosshead_time::Instant;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -90,7 +91,13 @@
         for machine in 0..size {
             let zone = format!("region-{}-zone-{}", machine % REGIONS, machine % ZONES);
             let name = format!("edge-{}-{machine}", machine % ZONES);
-            let peer = Peer { name, life: 0, address: address(machine), core: machine < cores, zone };
+            let peer = Peer {
+                name,
+                instance_id: 0,
+                address: address(machine),
+                is_control_node: machine < cores,
+                zone,
+            };
             pool.places.insert(peer.address, machine);
             pool.members.push(Member { peer, membership: None, wake: u64::MAX });
             let at = pool.generator.next_u64() % 3000;
@@ -105,7 +112,7 @@
         let generator = Pcg64Mcg::seed_from_u64(self.generator.next_u64());
         let seeds = self.seeds.clone();
         let Some(member) = self.members.get_mut(machine) else { return };
-        member.peer.life = life;
+        member.peer.instance_id = life;
         member.membership = Membership::new(member.peer.clone(), seeds, Settings::default(), generator).ok();
         member.wake = u64::MAX;
         self.wake(machine, at);
@@ -147,15 +154,17 @@
     /// Whether each that runs counts as many members as run.
     pub fn agree(&self) -> bool {
         let running = self.running();
-        self.ripples().all(|membership| membership.count(true) + membership.count(false) == running)
+        self.ripples()
+            .all(|membership| membership.live_control_nodes() + membership.live_proxies() == running)
     }
 
     /// Whether all that run know a member by its present life.
     pub fn knows_life_of(&self, machine: usize) -> bool {
         let Some(member) = self.members.get(machine) else { return false };
-        let is_it = |peer: &Peer| peer.life == member.peer.life && peer.name == member.peer.name;
+        let is_it =
+            |peer: &Peer| peer.instance_id == member.peer.instance_id && peer.name == member.peer.name;
         self.ripples()
-            .all(|membership| membership.members().any(|(peer, health)| health.lives() && is_it(peer)))
+            .all(|membership| membership.members().any(|(peer, health)| health.is_live() && is_it(peer)))
     }
 
     /// The members' state machines.
@@ -194,17 +203,17 @@
         let (from, mut out) = (member.peer.address, Vec::new());
         let next = counter.time(|| {
             if let Act::Deliver(from, bytes) = &due.act {
-                out = membership.receive(now, *from, bytes);
+                out = membership.receive(Instant::from_millis(now), *from, bytes);
             }
-            out.extend(membership.tick(now));
+            out.extend(membership.tick(Instant::from_millis(now)));
             // The host folds its views of them; kept here, they would only grow.
-            drop(membership.changes());
-            membership.next_wake(now).clamp(now + WAKE.0, now + WAKE.1)
+            drop(membership.drain_events());
+            membership.next_wake(Instant::from_millis(now)).as_millis().clamp(now + WAKE.0, now + WAKE.1)
         });
         if member.wake <= now || next < member.wake {
             self.wake(due.member, next);
         }
-        for (to, bytes) in out {
+        for Datagram { destination: to, payload: bytes } in out {
             self.counter.count(bytes.len() as u64 + DATAGRAM_HEADERS);
             let Some(&place) = self.places.get(&to) else { continue };
             if self.is_apart && place % REGIONS != due.member % REGIONS {
--- a/crates/control-plane/tests/fleet/duty.rs
+++ b/crates/control-plane/tests/fleet/duty.rs
@@ -1,7 +1,8 @@
 //! The holder of the stages duty on a control machine, wired as the program wires it.
 
 use mosshead_consensus::Ballot;
-use mosshead_stage_scheduler::{Answer as OrderAnswer, StageScheduler, Terms, fence};
+use mosshead_stage_scheduler::{AssignmentOutcome, StagePolicy, StageScheduler, fencing_token};
+use mosshead_time::Instant;
 
 use crate::messages::{Answer, Call, Party, Purpose};
 use crate::world::World;
@@ -29,7 +30,7 @@
             return;
         };
         if process.duty.held.as_ref().is_none_or(|held| held.0 != ballot) {
-            process.duty.held = Some((ballot, now, StageScheduler::new(Terms::default())));
+            process.duty.held = Some((ballot, now, StageScheduler::new(StagePolicy::default())));
         }
         let Some((_, since, scheduler)) = &mut process.duty.held else { return };
         if now < *since + LEASE_MS + MARGIN_MS {
@@ -37,14 +38,14 @@
         }
         let fence = match self.mutant.fence_without_ballot {
             true => 1,
-            false => fence(ballot.round, ballot.member.0),
+            false => fencing_token(ballot.round, ballot.member.0),
         };
-        for order in scheduler.due(now, process.register.servers()) {
+        for order in scheduler.due_assignments(Instant::from_millis(now), process.register.servers()) {
             self.ledger.order_sent((core, self.cores[core].life), fence);
-            let server = self.servers.iter().position(|server| server.word.id == order.id);
+            let server = self.servers.iter().position(|server| server.word.id == order.instance_id);
             let Some(server) = server else { continue };
-            let purpose = Purpose::Order { id: order.id.clone() };
-            let call = Call::Order { id: order.id, stage: order.stage, fence };
+            let purpose = Purpose::Order { id: order.instance_id.clone() };
+            let call = Call::Order { id: order.instance_id, stage: order.stage, fence };
             self.request(Party::Control(core), Party::Server(server), call, purpose, ORDER_MS);
         }
     }
@@ -52,11 +53,11 @@
     pub fn order_answered(&mut self, core: usize, id: &str, answer: Option<Answer>) {
         let answer = match answer {
             Some(Answer::Ordered(answer)) => answer,
-            _ => OrderAnswer::Unclear,
+            _ => AssignmentOutcome::Unknown,
         };
         let Some(process) = &mut self.cores[core].process else { return };
         if let Some((_, _, scheduler)) = &mut process.duty.held {
-            scheduler.answered(id, answer);
+            scheduler.record_outcome(id, answer);
         }
     }
 }
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -7,7 +7,7 @@
 use mosshead_control_plane::admission::{ChangeAnswer, ReadAnswer};
 use mosshead_control_plane::serving::ConfigOffer;
 use mosshead_registry::{Delta, Server, Stage, VersionVector};
-use mosshead_stage_scheduler::Answer as OrderAnswer;
+use mosshead_stage_scheduler::AssignmentOutcome;
 
 /// Who sends and receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,7 +72,7 @@
     Changed(ChangeAnswer),
     Shown(ReadAnswer),
     Heard(Heard),
-    Ordered(OrderAnswer),
+    Ordered(AssignmentOutcome),
 }
 
 #[derive(Clone, Debug)]
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_registry::{OperState, Server, Stage};
-use mosshead_stage_scheduler::Answer as OrderAnswer;
+use mosshead_stage_scheduler::AssignmentOutcome;
 
 use crate::control::KEEPALIVE_MS;
 use crate::ledger::{Drain, ISOLATED_MS};
@@ -243,13 +243,13 @@
     pub fn server_order(&mut self, index: usize, inbound: Inbound, id: &str, stage: Stage, fence: u64) {
         let server = &mut self.servers[index];
         let answer = if server.word.id != id {
-            OrderAnswer::Unclear
+            AssignmentOutcome::Unknown
         } else if fence < server.fence {
-            OrderAnswer::Fenced
+            AssignmentOutcome::StaleFence
         } else {
             server.fence = fence;
             server.word.stage = Some(stage);
-            OrderAnswer::Taken
+            AssignmentOutcome::Accepted
         };
         let packet = Packet::Response { request: inbound.request, answer: Answer::Ordered(answer) };
         self.send(Party::Server(index), inbound.from, packet);
--- a/crates/membership/src/claims.rs
+++ b/crates/membership/src/claims.rs
@@ -2,7 +2,7 @@
 
 use crate::journal::Event;
 use crate::membership::Membership;
-use crate::peer::Health;
+use crate::peer::MemberState;
 use crate::wire::{Claim, INCARNATION_MAX};
 
 /// How a claim came.
@@ -30,18 +30,20 @@
         };
         if claim.key() > key {
             match claim.health {
-                Health::Alive => self.enter(claim, via),
+                MemberState::Alive => self.enter(claim, via),
                 // Believed only as far as a suspicion: the member may have refuted it already.
-                Health::Suspect | Health::Dead if claim.health == Health::Suspect || health.lives() => {
+                MemberState::Suspect | MemberState::Dead
+                    if claim.health == MemberState::Suspect || health.is_live() =>
+                {
                     self.enter(claim, Via::Page);
                     self.suspect(&claim.name);
                 }
-                Health::Suspect | Health::Dead => {
+                MemberState::Suspect | MemberState::Dead => {
                     self.roster.put(claim.peer(), claim.incarnation, health);
                 }
-                Health::Left => {
+                MemberState::Left => {
                     self.roster.put(claim.peer(), claim.incarnation, health);
-                    self.bury(&claim.name, Health::Left);
+                    self.bury(&claim.name, MemberState::Left);
                 }
             }
         } else if claim.key() == key {
@@ -51,15 +53,15 @@
                     let limit = self.settings.sendings(self.roster.size());
                     self.rumours.sent(std::slice::from_ref(&claim.name), limit);
                 }
-                (Health::Alive, Health::Suspect) => self.suspect(&claim.name),
-                (Health::Suspect, Health::Dead) => self.bury(&claim.name, Health::Dead),
+                (MemberState::Alive, MemberState::Suspect) => self.suspect(&claim.name),
+                (MemberState::Suspect, MemberState::Dead) => self.bury(&claim.name, MemberState::Dead),
                 // Danger: to believe this would spread the losses of one side of a cut to the other when it heals.
                 // The member is asked itself, and refutes if it can.
-                (Health::Alive, Health::Dead) => self.ring.recheck(&claim.name),
-                (Health::Alive | Health::Suspect | Health::Dead, Health::Left) => {
-                    self.bury(&claim.name, Health::Left);
+                (MemberState::Alive, MemberState::Dead) => self.ring.recheck(&claim.name),
+                (MemberState::Alive | MemberState::Suspect | MemberState::Dead, MemberState::Left) => {
+                    self.bury(&claim.name, MemberState::Left);
                 }
-                (Health::Dead, Health::Alive | Health::Suspect) if via != Via::Direct => {
+                (MemberState::Dead, MemberState::Alive | MemberState::Suspect) if via != Via::Direct => {
                     self.ask_dead(&claim.name);
                 }
                 _ => {}
@@ -69,10 +71,10 @@
 
     /// Declares a member suspect and tells it.
     pub(crate) fn suspect(&mut self, name: &str) {
-        if self.roster.get(name).is_none_or(|record| record.health != Health::Alive) {
+        if self.roster.get(name).is_none_or(|record| record.health != MemberState::Alive) {
             return;
         }
-        self.roster.set_health(name, Health::Suspect);
+        self.roster.set_health(name, MemberState::Suspect);
         let until = self.now + self.settings.suspect_ms(self.roster.size());
         self.suspects.insert(name.to_owned(), until);
         self.journal.append(Event::Suspected(name.to_owned()));
@@ -80,19 +82,19 @@
     }
 
     /// Declares a member dead or left and tells it.
-    pub(crate) fn bury(&mut self, name: &str, health: Health) {
+    pub(crate) fn bury(&mut self, name: &str, health: MemberState) {
         let Some(record) = self.roster.get(name) else { return };
-        let (lived, address) = (record.health.lives(), record.peer.address);
+        let (lived, address) = (record.health.is_live(), record.peer.address);
         self.roster.set_health(name, health);
         self.suspects.remove(name);
         self.roster.bury(name, self.now + self.settings.remember_ms);
-        if health == Health::Dead {
+        if health == MemberState::Dead {
             self.contacts.lose(address);
         } else {
             self.contacts.found(address);
         }
         if lived {
-            let event = if health == Health::Dead { Event::Died } else { Event::Left };
+            let event = if health == MemberState::Dead { Event::Died } else { Event::Left };
             self.journal.append(event(name.to_owned()));
             self.changes += 1;
             self.changed_at = self.now;
@@ -104,19 +106,19 @@
     pub(crate) fn above(&self, claim: &Claim) -> Option<Claim> {
         let record = self.roster.get(&claim.name)?;
         let above = (record.key(), record.health) > (claim.key(), claim.health);
-        (above && claim.health != Health::Left).then(|| record.claim())
+        (above && claim.health != MemberState::Left).then(|| record.claim())
     }
 
     fn hear_of_stranger(&mut self, claim: &Claim, via: Via) {
         // Dead that one hasn't known, or has forgotten, are let lie; a suspect is believed only in a list.
         let wanted = match claim.health {
-            Health::Alive => true,
-            Health::Suspect => via == Via::Page,
-            Health::Dead | Health::Left => false,
+            MemberState::Alive => true,
+            MemberState::Suspect => via == Via::Page,
+            MemberState::Dead | MemberState::Left => false,
         };
         if wanted && self.roster.has_room() {
             self.enter(claim, via);
-            if claim.health == Health::Suspect {
+            if claim.health == MemberState::Suspect {
                 self.suspect(&claim.name);
             }
         }
@@ -126,12 +128,12 @@
     fn enter(&mut self, claim: &Claim, via: Via) {
         let peer = claim.peer();
         let old = self.roster.get(&claim.name);
-        let known = old.is_some_and(|record| record.health.lives() && record.peer == peer);
+        let known = old.is_some_and(|record| record.health.is_live() && record.peer == peer);
         if let Some(record) = old.filter(|record| record.peer.address != peer.address) {
             self.contacts.found(record.peer.address);
         }
         self.contacts.found(peer.address);
-        self.roster.put(peer.clone(), claim.incarnation, Health::Alive);
+        self.roster.put(peer.clone(), claim.incarnation, MemberState::Alive);
         let suspected = self.suspects.remove(&claim.name).is_some();
         if !known {
             self.journal.append(Event::Joined(peer));
@@ -147,16 +149,18 @@
     }
 
     fn hear_of_me(&mut self, claim: &Claim) {
-        let same = claim.life == self.me.life;
+        let same = claim.instance_id == self.me.instance_id;
         if self.leaving || (same && !self.settings.refutes) {
             return;
         }
         // One's own former word, or an older life that is overridden already.
-        if (same && claim.health == Health::Alive) || claim.key() < (self.incarnation, self.me.life) {
+        if (same && claim.health == MemberState::Alive)
+            || claim.key() < (self.incarnation, self.me.instance_id)
+        {
             return;
         }
         self.incarnation = claim.incarnation.saturating_add(1).min(INCARNATION_MAX);
-        self.roster.put(self.me.clone(), self.incarnation, Health::Alive);
+        self.roster.put(self.me.clone(), self.incarnation, MemberState::Alive);
         self.changed_at = self.now;
         self.refuted = true;
     }
--- a/crates/membership/src/journal.rs
+++ b/crates/membership/src/journal.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::peer::{Health, Peer};
+use crate::peer::{MemberState, Peer};
 
 /// A change of what is believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,19 +45,19 @@
 /// Who lives, folded from events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    members: BTreeMap<String, (Peer, Health)>,
+    members: BTreeMap<String, (Peer, MemberState)>,
     stale: bool,
 }
 
 impl View {
     /// Takes one event in.
-    pub fn fold(&mut self, event: &Event) {
+    pub fn apply(&mut self, event: &Event) {
         match event {
             Event::Joined(peer) => {
-                self.members.insert(peer.name.clone(), (peer.clone(), Health::Alive));
+                self.members.insert(peer.name.clone(), (peer.clone(), MemberState::Alive));
             }
-            Event::Suspected(name) => self.mark(name, Health::Suspect),
-            Event::Refuted(name) => self.mark(name, Health::Alive),
+            Event::Suspected(name) => self.mark(name, MemberState::Suspect),
+            Event::Refuted(name) => self.mark(name, MemberState::Alive),
             Event::Died(name) | Event::Left(name) => {
                 self.members.remove(name);
             }
@@ -66,25 +66,25 @@
     }
 
     /// Takes the whole list in, after [`Event::Overflowed`].
-    pub fn refill<'a>(&mut self, members: impl Iterator<Item = (&'a Peer, Health)>) {
+    pub fn rebuild<'a>(&mut self, members: impl Iterator<Item = (&'a Peer, MemberState)>) {
         self.members = members
-            .filter(|(_, health)| health.lives())
+            .filter(|(_, health)| health.is_live())
             .map(|(peer, health)| (peer.name.clone(), (peer.clone(), health)))
             .collect();
         self.stale = false;
     }
 
     /// Whether events were dropped since the last refill.
-    pub fn stale(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         self.stale
     }
 
     /// Alive and suspect members by name, oneself included.
-    pub fn living(&self) -> impl Iterator<Item = (&Peer, Health)> {
+    pub fn live_members(&self) -> impl Iterator<Item = (&Peer, MemberState)> {
         self.members.values().map(|(peer, health)| (peer, *health))
     }
 
-    fn mark(&mut self, name: &str, to: Health) {
+    fn mark(&mut self, name: &str, to: MemberState) {
         if let Some((_, health)) = self.members.get_mut(name) {
             *health = to;
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,7 +28,7 @@
 mod wire;
 
 pub use journal::{Event, View};
-pub use membership::{Datagrams, Membership};
-pub use peer::{Error, Health, NAME_MAX, Peer, ZONE_MAX};
+pub use membership::{Datagram, Membership};
+pub use peer::{MAX_NAME_LEN, MAX_ZONE_LEN, MemberState, Peer, PeerError};
 pub use settings::Settings;
-pub use wire::DATAGRAM_MAX;
+pub use wire::MAX_DATAGRAM_LEN;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -3,19 +3,26 @@
 use core::net::SocketAddrV4;
 use std::collections::{BTreeMap, VecDeque};
 
+use mosshead_time::Instant;
 use rand_core::RngCore;
 
 use crate::contacts::Contacts;
 use crate::journal::{Event, Journal};
-use crate::peer::{Error, Health, Peer};
+use crate::peer::{MemberState, Peer, PeerError};
 use crate::probe::{Probe, Relay, Ring};
 use crate::roster::Roster;
 use crate::rumours::Rumours;
 use crate::settings::Settings;
 use crate::wire::{Body, Claim, Frame};
 
-/// What the host is to send, and where to.
-pub type Datagrams = Vec<(SocketAddrV4, Vec<u8>)>;
+/// A datagram that the host is to send.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Datagram {
+    /// Where to send it.
+    pub destination: SocketAddrV4,
+    /// Its content, at most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
+    pub payload: Vec<u8>,
+}
 
 /// Those who leave tell it for so many periods.
 const FAREWELLS: u32 = 3;
@@ -24,7 +31,7 @@
 /// Later times are taken for this one, so that sums can't overflow.
 const NOW_MAX: u64 = 1 << 62;
 
-/// One member of a fleet. The times handed in are milliseconds of a clock that doesn't go back; if it does, it stands.
+/// One member of a fleet. The clock that the host hands in should not go back; if it does, it stands still.
 pub struct Membership {
     pub(crate) me: Peer,
     pub(crate) incarnation: u64,
@@ -70,11 +77,11 @@
         seeds: Vec<SocketAddrV4>,
         settings: Settings,
         generator: impl RngCore + Send + 'static,
-    ) -> Result<Membership, Error> {
+    ) -> Result<Membership, PeerError> {
         me.check()?;
         let settings = settings.bounded();
         let mut roster = Roster::new(settings.members_max);
-        roster.put(me.clone(), 1, Health::Alive);
+        roster.put(me.clone(), 1, MemberState::Alive);
         let mut journal = Journal::default();
         journal.append(Event::Joined(me.clone()));
         let mut contacts = Contacts::default();
@@ -114,7 +121,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: u64) -> Datagrams {
+    pub fn tick(&mut self, now: Instant) -> Vec<Datagram> {
         let mut out = Vec::new();
         self.advance(now);
         if self.leaving {
@@ -133,13 +140,13 @@
     }
 
     /// Tells of the planned end. Further ticks tell it a few times more; from then on nothing else is done.
-    pub fn leave(&mut self, now: u64) -> Datagrams {
+    pub fn leave(&mut self, now: Instant) -> Vec<Datagram> {
         let mut out = Vec::new();
         self.advance(now);
         if !self.leaving {
             self.leaving = true;
             self.farewells = FAREWELLS;
-            self.roster.set_health(&self.me.name, Health::Left);
+            self.roster.set_health(&self.me.name, MemberState::Left);
             self.journal.append(Event::Left(self.me.name.clone()));
             self.next_probe = self.now + self.settings.probe_every_ms;
             self.tell(FAREWELL_FAN_OUT, &mut out);
@@ -148,32 +155,37 @@
     }
 
     /// When a tick is wanted, at the latest; `now` if it is due, or before the first one.
-    pub fn next_wake(&self, now: u64) -> u64 {
-        if self.started { self.due().max(now) } else { now }
+    pub fn next_wake(&self, now: Instant) -> Instant {
+        if self.started { Instant::from_millis(self.due()).max(now) } else { now }
     }
 
     /// Oneself.
-    pub fn me(&self) -> &Peer {
+    pub fn local_peer(&self) -> &Peer {
         &self.me
     }
 
     /// Everybody believed in, oneself and the remembered dead included.
-    pub fn members(&self) -> impl Iterator<Item = (&Peer, Health)> {
+    pub fn members(&self) -> impl Iterator<Item = (&Peer, MemberState)> {
         self.roster.iter().map(|record| (&record.peer, record.health))
     }
 
-    /// Members of the core, or others, that are alive or suspect, oneself included.
-    pub fn count(&self, core: bool) -> usize {
-        self.roster.count(core)
+    /// How many control nodes are alive or suspect, the local one included.
+    pub fn live_control_nodes(&self) -> usize {
+        self.roster.count(true)
+    }
+
+    /// How many proxies are alive or suspect, the local one included.
+    pub fn live_proxies(&self) -> usize {
+        self.roster.count(false)
     }
 
     /// Events since the last call. The first one is one's own arrival.
-    pub fn changes(&mut self) -> Vec<Event> {
+    pub fn drain_events(&mut self) -> Vec<Event> {
         self.journal.drain()
     }
 
     /// Has had the whole list of another member, and isn't alone.
-    pub fn joined(&self) -> bool {
+    pub fn has_joined(&self) -> bool {
         self.joined
     }
 
@@ -183,15 +195,15 @@
     }
 
     /// Addresses of members known from elsewhere, to be tried when nobody known is there.
-    pub fn learn(&mut self, addresses: impl IntoIterator<Item = SocketAddrV4>) {
+    pub fn add_contacts(&mut self, addresses: impl IntoIterator<Item = SocketAddrV4>) {
         for address in addresses {
             self.contacts.learn(address);
         }
     }
 
     /// Danger: a process that stood still must not judge others by the time that it has missed: all that is due is put off by it.
-    pub(crate) fn advance(&mut self, now: u64) {
-        let now = now.clamp(self.now, NOW_MAX);
+    pub(crate) fn advance(&mut self, now: Instant) {
+        let now = now.as_millis().clamp(self.now, NOW_MAX);
         if !self.started {
             self.started = true;
             self.next_ask = now;
@@ -237,7 +249,7 @@
         let now = self.now;
         let due = self.suspects.iter().filter(|(_, until)| **until <= now).map(|(name, _)| name.clone());
         for name in due.collect::<Vec<String>>() {
-            self.bury(&name, Health::Dead);
+            self.bury(&name, MemberState::Dead);
         }
         self.roster.forget_until(now);
         let spread = u64::from(self.settings.sendings(self.roster.size())) * self.settings.probe_every_ms;
@@ -277,7 +289,7 @@
     }
 
     pub(crate) fn frame(&self, body: Body) -> Frame {
-        let health = if self.leaving { Health::Left } else { Health::Alive };
+        let health = if self.leaving { MemberState::Left } else { MemberState::Alive };
         Frame {
             fleet: self.settings.fleet,
             sender: Claim::of(&self.me, self.incarnation, health),
@@ -289,10 +301,10 @@
     }
 
     /// Tells the news, and oneself, to so many others.
-    pub(crate) fn tell(&mut self, others: usize, out: &mut Datagrams) {
+    pub(crate) fn tell(&mut self, others: usize, out: &mut Vec<Datagram>) {
         for address in self.some(others, "") {
             let datagram = self.datagram(Body::Tell, None);
-            out.push((address, datagram));
+            out.push(Datagram { destination: address, payload: datagram });
         }
     }
 }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -6,9 +6,9 @@
 use quick_error::quick_error;
 
 /// Longest name in bytes.
-pub const NAME_MAX: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 /// Longest zone in bytes.
-pub const ZONE_MAX: usize = 64;
+pub const MAX_ZONE_LEN: usize = 64;
 
 /// A process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -16,34 +16,34 @@
     /// Name of its node; stays over restarts.
     pub name: String,
     /// Drawn at random at each start of the process.
-    pub life: u64,
+    pub instance_id: u64,
     /// Where it takes datagrams.
     pub address: SocketAddrV4,
     /// Whether it belongs to the core.
-    pub core: bool,
+    pub is_control_node: bool,
     /// Its zone.
     pub zone: String,
 }
 
 impl Peer {
-    pub(crate) fn check(&self) -> Result<(), Error> {
-        if self.name.is_empty() || self.name.len() > NAME_MAX {
-            return Err(Error::Name(self.name.len()));
+    pub(crate) fn check(&self) -> Result<(), PeerError> {
+        if self.name.is_empty() || self.name.len() > MAX_NAME_LEN {
+            return Err(PeerError::InvalidName(self.name.len()));
         }
-        if self.zone.len() > ZONE_MAX {
-            return Err(Error::Zone(self.zone.len()));
+        if self.zone.len() > MAX_ZONE_LEN {
+            return Err(PeerError::ZoneTooLong(self.zone.len()));
         }
         if self.address.port() == 0 || self.address.ip().is_unspecified() {
-            return Err(Error::Address(self.address));
+            return Err(PeerError::UnreachableAddress(self.address));
         }
         Ok(())
     }
 }
 
-/// What is believed of a member. The order is that of claims with the same incarnation and life: the higher holds.
+/// What is believed of a member. The order is that of claims with the same incarnation and instance_id: the higher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, CborLen)]
 #[cbor(index_only)]
-pub enum Health {
+pub enum MemberState {
     /// Answers, or was heard of lately.
     #[n(0)]
     Alive,
@@ -58,27 +58,27 @@
     Left,
 }
 
-impl Health {
+impl MemberState {
     /// Counted as a member: alive or suspect.
-    pub fn lives(self) -> bool {
-        matches!(self, Health::Alive | Health::Suspect)
+    pub fn is_live(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
 quick_error! {
     /// Why a peer can't be a member.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum Error {
+    pub enum PeerError {
         /// Its name is empty or too long.
-        Name(length: usize) {
-            display("701 a name has 1 to {} bytes, this one {}", NAME_MAX, length)
+        InvalidName(length: usize) {
+            display("701 a name has 1 to {} bytes, this one {}", MAX_NAME_LEN, length)
         }
         /// Its zone is too long.
-        Zone(length: usize) {
-            display("702 a zone has at most {} bytes, this one {}", ZONE_MAX, length)
+        ZoneTooLong(length: usize) {
+            display("702 a zone has at most {} bytes, this one {}", MAX_ZONE_LEN, length)
         }
         /// Nobody could send to its address.
-        Address(address: SocketAddrV4) {
+        UnreachableAddress(address: SocketAddrV4) {
             display("703 {} is no address to send to", address)
         }
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -5,8 +5,8 @@
 
 use rand_core::RngCore;
 
-use crate::membership::{Datagrams, Membership};
-use crate::peer::Health;
+use crate::membership::{Datagram, Membership};
+use crate::peer::MemberState;
 use crate::random::{index, shuffle};
 use crate::wire::Body;
 
@@ -86,7 +86,7 @@
 }
 
 impl Membership {
-    pub(crate) fn tick_probe(&mut self, out: &mut Datagrams) {
+    pub(crate) fn tick_probe(&mut self, out: &mut Vec<Datagram>) {
         if self.now >= self.next_probe {
             if let Some(probe) = self.probe.take().filter(|probe| !probe.acked)
                 && self.roster.get(&probe.name).is_some_and(|record| record.key() == probe.key)
@@ -110,7 +110,7 @@
     }
 
     /// An answer to a probe, maybe through a helper.
-    pub(crate) fn hear_ack(&mut self, sequence: u32, target: &str, out: &mut Datagrams) {
+    pub(crate) fn hear_ack(&mut self, sequence: u32, target: &str, out: &mut Vec<Datagram>) {
         if let Some(probe) =
             self.probe.as_mut().filter(|probe| probe.sequence == sequence && probe.name == target)
         {
@@ -120,7 +120,7 @@
         if let Some(relay) = self.relays.iter().position(mine).and_then(|at| self.relays.remove(at)) {
             let ack = Body::Ack { sequence: relay.origin_sequence, target: relay.target };
             let datagram = self.datagram(ack, None);
-            out.push((relay.origin, datagram));
+            out.push(Datagram { destination: relay.origin, payload: datagram });
         }
     }
 
@@ -131,7 +131,7 @@
         origin_sequence: u32,
         target: String,
         address: SocketAddrV4,
-        out: &mut Datagrams,
+        out: &mut Vec<Datagram>,
     ) {
         let sequence = self.generator.next_u32();
         if self.relays.len() >= RELAYS_MAX {
@@ -150,7 +150,7 @@
             }
             let Some(name) = self.ring.draw(&mut *self.generator) else { break };
             let alive =
-                self.roster.get(name).filter(|record| record.health == Health::Alive && name != except);
+                self.roster.get(name).filter(|record| record.health == MemberState::Alive && name != except);
             if let Some(address) = alive.map(|record| record.peer.address)
                 && !drawn.contains(&address)
             {
@@ -160,7 +160,7 @@
         drawn
     }
 
-    fn start_probe(&mut self, out: &mut Datagrams) {
+    fn start_probe(&mut self, out: &mut Vec<Datagram>) {
         let (roster, ring) = (&self.roster, &mut self.ring);
         let Some(name) = ring.next(|name| roster.lives(name), &mut *self.generator) else { return };
         let Some((key, address)) = self.roster.get(&name).map(|record| (record.key(), record.peer.address))
@@ -173,28 +173,28 @@
         self.ping(name, sequence, address, out);
     }
 
-    fn second_opinions(&mut self, name: &str, sequence: u32, out: &mut Datagrams) {
+    fn second_opinions(&mut self, name: &str, sequence: u32, out: &mut Vec<Datagram>) {
         let Some(address) = self.roster.get(name).map(|record| record.peer.address) else { return };
         for helper in self.some(self.settings.helpers, name) {
             let request = Body::PingRequest { sequence, target: name.to_owned(), address };
             let datagram = self.datagram(request, None);
-            out.push((helper, datagram));
+            out.push(Datagram { destination: helper, payload: datagram });
         }
         self.ping(name.to_owned(), sequence, address, out);
     }
 
     /// A suspect or dead one is told what is believed of it, so that it can refute.
-    fn ping(&mut self, target: String, sequence: u32, address: SocketAddrV4, out: &mut Datagrams) {
-        let doubted = self.roster.get(&target).filter(|record| record.health != Health::Alive);
+    fn ping(&mut self, target: String, sequence: u32, address: SocketAddrV4, out: &mut Vec<Datagram>) {
+        let doubted = self.roster.get(&target).filter(|record| record.health != MemberState::Alive);
         let first = doubted.map(|record| record.claim());
         let datagram = self.datagram(Body::Ping { sequence, target }, first);
-        out.push((address, datagram));
+        out.push(Datagram { destination: address, payload: datagram });
     }
 
-    fn recheck(&mut self, out: &mut Datagrams) {
+    fn recheck(&mut self, out: &mut Vec<Datagram>) {
         for _ in 0..RECHECKS {
             let Some(name) = self.rechecks.pop_front() else { break };
-            let dead = self.roster.get(&name).filter(|record| record.health == Health::Dead);
+            let dead = self.roster.get(&name).filter(|record| record.health == MemberState::Dead);
             if let Some(address) = dead.map(|record| record.peer.address) {
                 let sequence = self.generator.next_u32();
                 self.ping(name, sequence, address, out);
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -3,7 +3,7 @@
 use core::net::SocketAddrV4;
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::peer::{Health, Peer};
+use crate::peer::{MemberState, Peer};
 use crate::wire::{Claim, TABLE_BYTES};
 
 const PARTS: usize = TABLE_BYTES / 4;
@@ -13,7 +13,7 @@
 pub(crate) struct Record {
     pub peer: Peer,
     pub incarnation: u64,
-    pub health: Health,
+    pub health: MemberState,
     /// Hash of name, life and incarnation.
     mark: u64,
     part: usize,
@@ -21,7 +21,7 @@
 
 impl Record {
     pub(crate) fn key(&self) -> (u64, u64) {
-        (self.incarnation, self.peer.life)
+        (self.incarnation, self.peer.instance_id)
     }
 
     pub(crate) fn claim(&self) -> Claim {
@@ -59,7 +59,7 @@
     }
 
     pub(crate) fn lives(&self, name: &str) -> bool {
-        self.get(name).is_some_and(|record| record.health.lives())
+        self.get(name).is_some_and(|record| record.health.is_live())
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Record> {
@@ -80,7 +80,7 @@
     }
 
     pub(crate) fn has_address(&self, address: SocketAddrV4) -> bool {
-        self.iter().any(|record| record.peer.address == address && record.health.lives())
+        self.iter().any(|record| record.peer.address == address && record.health.is_live())
     }
 
     /// Whether a name that isn't known yet can be taken; the oldest dead make room.
@@ -93,8 +93,8 @@
     }
 
     /// Danger: the only place where records change, since the hashes must follow.
-    pub(crate) fn put(&mut self, peer: Peer, incarnation: u64, health: Health) {
-        let mark = mark(&peer.name, peer.life, incarnation);
+    pub(crate) fn put(&mut self, peer: Peer, incarnation: u64, health: MemberState) {
+        let mark = mark(&peer.name, peer.instance_id, incarnation);
         let part = (mark_of_name(&peer.name) % PARTS as u64) as usize;
         let name = peer.name.clone();
         let record = Record { peer, incarnation, health, mark, part };
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(crate) fn set_health(&mut self, name: &str, health: Health) {
+    pub(crate) fn set_health(&mut self, name: &str, health: MemberState) {
         if let Some(record) = self.records.get(name).cloned() {
             self.put(record.peer, record.incarnation, health);
         }
@@ -148,7 +148,7 @@
 
     fn forget(&mut self, name: &str) {
         // One that came back meanwhile has a stale grave.
-        if self.get(name).is_some_and(|record| !record.health.lives())
+        if self.get(name).is_some_and(|record| !record.health.is_live())
             && let Some(old) = self.records.remove(name)
         {
             self.weigh(&old, false);
@@ -156,14 +156,14 @@
     }
 
     fn weigh(&mut self, record: &Record, enters: bool) {
-        if !record.health.lives() {
+        if !record.health.is_live() {
             return;
         }
         self.digest ^= record.mark;
         if let Some(part) = self.parts.get_mut(record.part) {
             *part ^= (record.mark >> 32) as u32;
         }
-        let core = usize::from(record.peer.core);
+        let core = usize::from(record.peer.is_control_node);
         if enters {
             self.living += 1;
             self.core += core;
@@ -175,8 +175,8 @@
 }
 
 /// Any fixed mixing does, as long as all members have the same.
-fn mark(name: &str, life: u64, incarnation: u64) -> u64 {
-    mix(mix(mark_of_name(name) ^ life).wrapping_add(incarnation))
+fn mark(name: &str, instance_id: u64, incarnation: u64) -> u64 {
+    mix(mix(mark_of_name(name) ^ instance_id).wrapping_add(incarnation))
 }
 
 fn mark_of_name(name: &str) -> u64 {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -29,7 +29,7 @@
     pub sync_quiet_ms: u64,
     /// With news all the time, differing digests lead to a sync after so long.
     pub sync_anyway_ms: u64,
-    /// Datagrams in the answer to one asking.
+    /// Datagram in the answer to one asking.
     pub pages: usize,
     /// How long the dead and those who left are remembered, so that old news doesn't revive them.
     pub remember_ms: u64,
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -5,9 +5,9 @@
 use rand_core::RngCore;
 
 use crate::claims::Via;
-use crate::membership::{Datagrams, Membership};
+use crate::membership::{Datagram, Membership};
 use crate::random::{below, index};
-use crate::wire::{Body, Claim, DATAGRAM_MAX, Frame, TABLE_BYTES};
+use crate::wire::{Body, Claim, Frame, MAX_DATAGRAM_LEN, TABLE_BYTES};
 
 /// So many contacts at a time are tried by one that doesn't have the list.
 const HEARERS: usize = 3;
@@ -20,7 +20,7 @@
 
 impl Membership {
     /// A newcomer, or one that lost all others, asks somebody for the list.
-    pub(crate) fn tick_ask(&mut self, out: &mut Datagrams) {
+    pub(crate) fn tick_ask(&mut self, out: &mut Vec<Datagram>) {
         if self.joined && self.roster.size() <= 1 {
             self.joined = false;
             self.next_ask = self.now;
@@ -39,13 +39,13 @@
             } else {
                 let ping = Body::Ping { sequence: self.generator.next_u32(), target: String::new() };
                 let datagram = self.datagram(ping, None);
-                out.push((address, datagram));
+                out.push(Datagram { destination: address, payload: datagram });
             }
         }
     }
 
     /// Tries an address where somebody should be that isn't known as a member.
-    pub(crate) fn tick_reach(&mut self, out: &mut Datagrams) {
+    pub(crate) fn tick_reach(&mut self, out: &mut Vec<Datagram>) {
         if self.now < self.next_reach {
             return;
         }
@@ -54,7 +54,7 @@
         if let Some(address) = self.contacts.draw(&mut *self.generator, member) {
             let ping = Body::Ping { sequence: self.generator.next_u32(), target: String::new() };
             let datagram = self.datagram(ping, None);
-            out.push((address, datagram));
+            out.push(Datagram { destination: address, payload: datagram });
         }
     }
 
@@ -63,10 +63,10 @@
         to: SocketAddrV4,
         table: &[u8],
         first: Option<Claim>,
-        out: &mut Datagrams,
+        out: &mut Vec<Datagram>,
     ) {
         // More than fit, so that it shows when something is left.
-        let most = self.settings.pages * DATAGRAM_MAX / CLAIM_MIN;
+        let most = self.settings.pages * MAX_DATAGRAM_LEN / CLAIM_MIN;
         let start = index(&mut *self.generator, TABLE_BYTES / 4);
         let mut claims = first.into_iter().chain(self.roster.differing(table, start, most)).peekable();
         for page in 1..=self.settings.pages {
@@ -79,7 +79,7 @@
             let more = claims.peek().is_some();
             let last = !more || page == self.settings.pages;
             frame.body = Body::Page { last, more };
-            out.extend(frame.write().map(|bytes| (to, bytes)));
+            out.extend(frame.write().map(|payload| Datagram { destination: to, payload }));
             if last {
                 break;
             }
@@ -92,7 +92,7 @@
         page: &Frame,
         last: bool,
         more: bool,
-        out: &mut Datagrams,
+        out: &mut Vec<Datagram>,
     ) {
         for claim in &page.claims {
             self.hear(claim, Via::Page);
@@ -113,7 +113,7 @@
 
     /// Compares what another takes for living. It is asked if it knows many more, if several in a row agree with each other
     /// but not with oneself, or if views differ though there is no news.
-    pub(crate) fn compare(&mut self, from: SocketAddrV4, digest: u64, size: u32, out: &mut Datagrams) {
+    pub(crate) fn compare(&mut self, from: SocketAddrV4, digest: u64, size: u32, out: &mut Vec<Datagram>) {
         let same = digest == self.foreign.0;
         self.foreign = (digest, if same { self.foreign.1.saturating_add(1) } else { 1 });
         if digest == self.roster.digest() || !self.joined || self.leaving {
@@ -138,11 +138,11 @@
         }
     }
 
-    fn ask(&mut self, address: SocketAddrV4, out: &mut Datagrams) {
+    fn ask(&mut self, address: SocketAddrV4, out: &mut Vec<Datagram>) {
         self.asked_at = self.now;
         self.patience = below(&mut *self.generator, self.settings.sync_quiet_ms / 2);
         self.changes_asked = self.changes;
         let frame = self.frame(Body::Ask { table: self.roster.table() });
-        out.extend(frame.write().map(|bytes| (address, bytes)));
+        out.extend(frame.write().map(|payload| Datagram { destination: address, payload }));
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,13 +1,13 @@
-//! Datagrams.
+//! Datagram.
 
 use core::net::SocketAddrV4;
 
 use minicbor::{CborLen, Decode, Encode};
 
-use crate::peer::{Health, Peer};
+use crate::peer::{MemberState, Peer};
 
 /// Longest datagram in bytes.
-pub const DATAGRAM_MAX: usize = 1_200;
+pub const MAX_DATAGRAM_LEN: usize = 1_200;
 
 /// Bytes of the table of parts: 64 hashes of 4 bytes.
 pub(crate) const TABLE_BYTES: usize = 256;
@@ -21,28 +21,28 @@
     #[n(0)]
     pub name: String,
     #[n(1)]
-    pub life: u64,
+    pub instance_id: u64,
     #[n(2)]
     pub incarnation: u64,
     #[n(3)]
-    pub health: Health,
+    pub health: MemberState,
     #[n(4)]
     pub address: SocketAddrV4,
     #[n(5)]
-    pub core: bool,
+    pub is_control_node: bool,
     #[n(6)]
     pub zone: String,
 }
 
 impl Claim {
-    pub(crate) fn of(peer: &Peer, incarnation: u64, health: Health) -> Claim {
+    pub(crate) fn of(peer: &Peer, incarnation: u64, health: MemberState) -> Claim {
         Claim {
             name: peer.name.clone(),
-            life: peer.life,
+            instance_id: peer.instance_id,
             incarnation,
             health,
             address: peer.address,
-            core: peer.core,
+            is_control_node: peer.is_control_node,
             zone: peer.zone.clone(),
         }
     }
@@ -50,15 +50,15 @@
     pub(crate) fn peer(&self) -> Peer {
         Peer {
             name: self.name.clone(),
-            life: self.life,
+            instance_id: self.instance_id,
             address: self.address,
-            core: self.core,
+            is_control_node: self.is_control_node,
             zone: self.zone.clone(),
         }
     }
 
     pub(crate) fn key(&self) -> (u64, u64) {
-        (self.incarnation, self.life)
+        (self.incarnation, self.instance_id)
     }
 
     fn sound(&self) -> bool {
@@ -136,11 +136,11 @@
 impl Frame {
     /// `None` for garbage, too much, or another fleet.
     pub(crate) fn read(fleet: u64, bytes: &[u8]) -> Option<Frame> {
-        if bytes.len() > DATAGRAM_MAX {
+        if bytes.len() > MAX_DATAGRAM_LEN {
             return None;
         }
         let frame: Frame = minicbor::decode(bytes).ok()?;
-        let told = matches!(frame.sender.health, Health::Alive | Health::Left);
+        let told = matches!(frame.sender.health, MemberState::Alive | MemberState::Left);
         let body = match &frame.body {
             Body::Ask { table } => table.len() == TABLE_BYTES,
             _ => true,
@@ -152,11 +152,11 @@
     /// Bytes left for claims.
     pub(crate) fn room(&self) -> usize {
         // The header of the list grows by 2 bytes at most.
-        DATAGRAM_MAX.saturating_sub(minicbor::len(self) + 2)
+        MAX_DATAGRAM_LEN.saturating_sub(minicbor::len(self) + 2)
     }
 
     /// `None` if it would be too long, which nobody who fills by `room` sees.
     pub(crate) fn write(&self) -> Option<Vec<u8>> {
-        minicbor::to_vec(self).ok().filter(|bytes| bytes.len() <= DATAGRAM_MAX)
+        minicbor::to_vec(self).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_LEN)
     }
 }
--- a/crates/membership/tests/cluster/mod.rs
+++ b/crates/membership/tests/cluster/mod.rs
@@ -5,7 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use mosshead_membership::{DATAGRAM_MAX, Datagrams, Event, Health, Membership, Peer, Settings, View};
+use mosshead_membership::{Datagram, Event, MAX_DATAGRAM_LEN, MemberState, Membership, Peer, Settings, View};
+use mosshead_time::Instant;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -91,9 +92,9 @@
     /// One more member, at an address of its own; it wakes at once.
     pub fn add(&mut self) -> usize {
         let node = self.nodes.len();
-        let (name, core) = (name(node), node < 3);
+        let (name, is_control_node) = (name(node), node < 3);
         let zone = format!("dixie-east-{}", ["a", "b", "c"][node % 3]);
-        let peer = Peer { name, life: 0, address: address(node), core, zone };
+        let peer = Peer { name, instance_id: 0, address: address(node), is_control_node, zone };
         self.places.insert(peer.address, node);
         self.nodes.push(Node {
             peer,
@@ -115,7 +116,7 @@
         let life = self.generator.next_u64();
         let generator = Pcg64::seed_from_u64(self.generator.next_u64());
         let place = &mut self.nodes[node];
-        place.peer.life = life;
+        place.peer.instance_id = life;
         let membership =
             Membership::new(place.peer.clone(), self.seeds.clone(), self.settings.clone(), generator);
         place.membership = Some(membership.expect("sound peer"));
@@ -136,16 +137,16 @@
     pub fn stranger(&mut self, node: usize) -> Vec<u8> {
         let peer = Peer {
             name: name(node),
-            life: self.generator.next_u64(),
+            instance_id: self.generator.next_u64(),
             address: address(node),
-            core: false,
+            is_control_node: false,
             zone: "dixie-east-a".to_owned(),
         };
         let generator = Pcg64::seed_from_u64(node as u64);
         let mut membership =
             Membership::new(peer, vec![address(0)], self.settings.clone(), generator).expect("sound peer");
-        let (_, bytes) = membership.tick(0).into_iter().next().expect("asks a seed");
-        bytes
+        let first = membership.tick(Instant::ORIGIN).into_iter().next();
+        first.expect("asks a seed").payload
     }
 
     pub fn kill(&mut self, node: usize) {
@@ -155,7 +156,7 @@
     /// A planned end: tells it, and is gone after `grace` ms.
     pub fn leave(&mut self, node: usize, grace: u64) {
         let now = self.now;
-        let out = self.nodes[node].membership.as_mut().expect("runs").leave(now);
+        let out = self.nodes[node].membership.as_mut().expect("runs").leave(Instant::from_millis(now));
         self.after(node, out);
         self.run_to(now + grace);
         self.kill(node);
@@ -220,13 +221,13 @@
     /// All that run believe in exactly those that run, and none is suspected.
     pub fn agree(&self) -> bool {
         let mut living: Vec<(&str, u64)> =
-            self.running().map(|node| (node.peer.name.as_str(), node.peer.life)).collect();
+            self.running().map(|node| (node.peer.name.as_str(), node.peer.instance_id)).collect();
         living.sort_unstable();
-        self.running().all(|node| node.view.living().count() == living.len())
+        self.running().all(|node| node.view.live_members().count() == living.len())
             && self.running().all(|node| {
-                let known = node.view.living().zip(&living);
+                let known = node.view.live_members().zip(&living);
                 known.into_iter().all(|((peer, health), (name, life))| {
-                    health == Health::Alive && peer.name == *name && peer.life == *life
+                    health == MemberState::Alive && peer.name == *name && peer.instance_id == *life
                 })
             })
     }
@@ -234,7 +235,7 @@
     /// How many of those that run, others than itself, believe that it lives.
     pub fn believers(&self, node: usize) -> usize {
         let of = &self.nodes[node].peer;
-        let believes = |other: &&Node| other.view.living().any(|(peer, _)| peer == of);
+        let believes = |other: &&Node| other.view.live_members().any(|(peer, _)| peer == of);
         self.running().filter(|other| other.peer.name != of.name).filter(believes).count()
     }
 
@@ -246,19 +247,22 @@
     pub fn check_views(&self) {
         for node in self.running() {
             let membership = node.membership.as_ref().expect("runs");
-            let living: BTreeMap<String, (Peer, Health)> = membership
+            let living: BTreeMap<String, (Peer, MemberState)> = membership
                 .members()
-                .filter(|(_, health)| health.lives())
+                .filter(|(_, health)| health.is_live())
                 .map(|(peer, health)| (peer.name.clone(), (peer.clone(), health)))
                 .collect();
-            let folded: BTreeMap<String, (Peer, Health)> = node
+            let folded: BTreeMap<String, (Peer, MemberState)> = node
                 .view
-                .living()
+                .live_members()
                 .map(|(peer, health)| (peer.name.clone(), (peer.clone(), health)))
                 .collect();
             assert_eq!(folded, living, "the view folded by {}", node.peer.name);
-            let count = |core| living.values().filter(|(peer, _)| peer.core == core).count();
-            assert_eq!((membership.count(true), membership.count(false)), (count(true), count(false)));
+            let count = |core| living.values().filter(|(peer, _)| peer.is_control_node == core).count();
+            assert_eq!(
+                (membership.live_control_nodes(), membership.live_proxies()),
+                (count(true), count(false))
+            );
         }
     }
 
@@ -280,7 +284,7 @@
             Act::Wake if place.frozen || place.wake > now => return,
             Act::Wake => {
                 place.wake = u64::MAX;
-                membership.tick(now)
+                membership.tick(Instant::from_millis(now))
             }
             Act::Deliver(from, bytes) if place.frozen => {
                 // A socket's queue is bounded.
@@ -291,21 +295,21 @@
             }
             Act::Deliver(from, bytes) => {
                 place.received += bytes.len() as u64 + HEADERS;
-                membership.receive(now, from, &bytes)
+                membership.receive(Instant::from_millis(now), from, &bytes)
             }
         };
         self.after(node, out);
     }
 
-    fn after(&mut self, node: usize, out: Datagrams) {
+    fn after(&mut self, node: usize, out: Vec<Datagram>) {
         let now = self.now;
         let place = &mut self.nodes[node];
         let membership = place.membership.as_mut().expect("runs");
-        for event in membership.changes() {
-            place.view.fold(&event);
+        for event in membership.drain_events() {
+            place.view.apply(&event);
             place.journal.push((now, event));
         }
-        let wake = membership.next_wake(now);
+        let wake = membership.next_wake(Instant::from_millis(now)).as_millis();
         if wake < place.wake || place.wake <= now {
             // Timers are late by a few milliseconds.
             let at = wake.saturating_add(1 + now % 3);
@@ -315,8 +319,8 @@
             }
         }
         let from = self.nodes[node].peer.address;
-        for (to, bytes) in out {
-            assert!(!bytes.is_empty() && bytes.len() <= DATAGRAM_MAX, "{} bytes", bytes.len());
+        for Datagram { destination: to, payload: bytes } in out {
+            assert!(!bytes.is_empty() && bytes.len() <= MAX_DATAGRAM_LEN, "{} bytes", bytes.len());
             self.nodes[node].sent += bytes.len() as u64 + HEADERS;
             let Some(&target) = self.places.get(&to) else { continue };
             let way = (node, target);
--- a/crates/membership/tests/garbage.rs
+++ b/crates/membership/tests/garbage.rs
@@ -3,7 +3,8 @@
 mod cluster;
 
 use cluster::{Cluster, FLEET, address};
-use mosshead_membership::{DATAGRAM_MAX, Membership, NAME_MAX, Peer, Settings, ZONE_MAX};
+use mosshead_membership::{MAX_DATAGRAM_LEN, MAX_NAME_LEN, MAX_ZONE_LEN, Membership, Peer, Settings};
+use mosshead_time::Instant;
 use quickcheck::{Gen, QuickCheck, TestResult, quickcheck};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
@@ -25,9 +26,9 @@
     let settings = Settings { fleet: FLEET, ..Settings::default() };
     let peer = |node: usize, name: &str| Peer {
         name: name.to_owned(),
-        life: node as u64 + 1,
+        instance_id: node as u64 + 1,
         address: address(node),
-        core: node == 0,
+        is_control_node: node == 0,
         zone: "zone".to_owned(),
     };
     let make = |node, name, seeds| {
@@ -41,19 +42,24 @@
         let running = if now < 2_000 { 3 } else { 2 };
         let mut under_way = Vec::new();
         for (node, member) in members.iter_mut().enumerate().take(running) {
-            under_way.extend(member.tick(now).into_iter().map(|(to, bytes)| (address(node), to, bytes)));
+            under_way.extend(
+                member
+                    .tick(Instant::from_millis(now))
+                    .into_iter()
+                    .map(|sent| (address(node), sent.destination, sent.payload)),
+            );
         }
         for _ in 0..6 {
             for (from, to, bytes) in std::mem::take(&mut under_way) {
                 kept.push(bytes.clone());
                 let target = (0..running).find(|node| address(*node) == to);
                 let Some(node) = target else { continue };
-                let out = members[node].receive(now, from, &bytes);
-                under_way.extend(out.into_iter().map(|(next, bytes)| (address(node), next, bytes)));
+                let out = members[node].receive(Instant::from_millis(now), from, &bytes);
+                under_way.extend(out.into_iter().map(|sent| (address(node), sent.destination, sent.payload)));
             }
         }
     }
-    kept.extend(members[0].leave(15_000).into_iter().map(|(_, bytes)| bytes));
+    kept.extend(members[0].leave(Instant::from_millis(15_000)).into_iter().map(|sent| sent.payload));
     kept
 }
 
@@ -62,9 +68,9 @@
     let membership = cluster.nodes[0].membership.as_mut().expect("runs");
     let mut answers = 0;
     for (turn, bytes) in datagrams.iter().enumerate() {
-        let mut out = membership.receive(now + turn as u64, address(turn % 9), bytes);
-        out.extend(membership.tick(now + turn as u64));
-        assert!(out.iter().all(|(_, bytes)| !bytes.is_empty() && bytes.len() <= DATAGRAM_MAX));
+        let mut out = membership.receive(Instant::from_millis(now + turn as u64), address(turn % 9), bytes);
+        out.extend(membership.tick(Instant::from_millis(now + turn as u64)));
+        assert!(out.iter().all(|sent| !sent.payload.is_empty() && sent.payload.len() <= MAX_DATAGRAM_LEN));
         answers += out.len();
     }
     answers
@@ -107,7 +113,7 @@
             .collect();
         feed(&mut cluster, &spoilt);
         // It still works.
-        cluster.nodes[0].membership.as_mut().expect("runs").changes();
+        cluster.nodes[0].membership.as_mut().expect("runs").drain_events();
         cluster.run(1_000);
         TestResult::passed()
     }
@@ -146,11 +152,11 @@
     let mut other = Cluster::empty(2, Settings::default());
     let mut bytes = other.stranger(5);
     let membership = cluster.nodes[0].membership.as_mut().expect("runs");
-    assert!(!membership.receive(400, address(5), &bytes).is_empty());
-    bytes.resize(DATAGRAM_MAX + 1, 0);
-    assert!(membership.receive(400, address(5), &bytes).is_empty());
+    assert!(!membership.receive(Instant::from_millis(400), address(5), &bytes).is_empty());
+    bytes.resize(MAX_DATAGRAM_LEN + 1, 0);
+    assert!(membership.receive(Instant::from_millis(400), address(5), &bytes).is_empty());
     other.settings.fleet += 1;
-    assert!(membership.receive(400, address(6), &other.stranger(6)).is_empty());
+    assert!(membership.receive(Instant::from_millis(400), address(6), &other.stranger(6)).is_empty());
     assert_eq!(membership.members().count(), 2);
 }
 
@@ -159,9 +165,9 @@
     let mut cluster = experienced();
     let membership = cluster.nodes[0].membership.as_mut().expect("runs");
     for now in [0, 1, u64::MAX / 2, 5, u64::MAX - 1, u64::MAX, 0] {
-        membership.tick(now);
-        membership.receive(now, address(1), &[]);
-        membership.next_wake(now);
+        membership.tick(Instant::from_millis(now));
+        membership.receive(Instant::from_millis(now), address(1), &[]);
+        membership.next_wake(Instant::from_millis(now));
     }
 }
 
@@ -200,8 +206,8 @@
     for node in 0..60 {
         cluster.add();
         let peer = &mut cluster.nodes[node].peer;
-        peer.name = format!("{node:0width$}", width = NAME_MAX);
-        peer.zone = "z".repeat(ZONE_MAX);
+        peer.name = format!("{node:0width$}", width = MAX_NAME_LEN);
+        peer.zone = "z".repeat(MAX_ZONE_LEN);
         peer.address.set_port(65_535);
     }
     cluster.moved();
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -129,7 +129,8 @@
         let sound = 6..12;
         for node in sound.clone() {
             let peer = &cluster.nodes[node].peer;
-            let lives = |other: usize| cluster.nodes[other].view.living().any(|(known, _)| known == peer);
+            let lives =
+                |other: usize| cluster.nodes[other].view.live_members().any(|(known, _)| known == peer);
             missed += sound.clone().filter(|other| !lives(*other)).count();
         }
     }
@@ -167,7 +168,8 @@
     cluster.run(10_000);
     (0..30).all(|_| {
         cluster.run(1_000);
-        let lacking = |cluster: &Cluster| cluster.running().any(|node| node.view.living().count() != size);
+        let lacking =
+            |cluster: &Cluster| cluster.running().any(|node| node.view.live_members().count() != size);
         if lacking(&cluster) {
             cluster.run(3_000);
         }
--- a/crates/membership/tests/steady.rs
+++ b/crates/membership/tests/steady.rs
@@ -3,7 +3,8 @@
 mod cluster;
 
 use cluster::{Cluster, address, name};
-use mosshead_membership::{Error, Event, Health, Membership, Settings};
+use mosshead_membership::{Event, MemberState, Membership, PeerError, Settings};
+use mosshead_time::Instant;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
 
@@ -55,8 +56,8 @@
         cluster.run(10_000);
         let node = cluster.add();
         cluster.run(100);
-        assert!(cluster.nodes[node].membership.as_ref().expect("runs").joined());
-        assert_eq!(cluster.nodes[node].view.living().count(), size + 1, "has the whole list at once");
+        assert!(cluster.nodes[node].membership.as_ref().expect("runs").has_joined());
+        assert_eq!(cluster.nodes[node].view.live_members().count(), size + 1, "has the whole list at once");
         let took = cluster.settle(most).unwrap_or_else(|| panic!("{size} don't know the newcomer"));
         println!("newcomer to {size}: known to all after {} ms", took + 100);
     }
@@ -74,7 +75,7 @@
         cluster.run(10_000);
         assert_eq!(cluster.told(&Event::Died(name(1))), 0);
         let other = cluster.nodes[0].membership.as_ref().expect("runs");
-        assert!(other.members().any(|(peer, health)| peer.name == name(1) && health == Health::Left));
+        assert!(other.members().any(|(peer, health)| peer.name == name(1) && health == MemberState::Left));
         cluster.start(1);
         assert!(cluster.settle(3_000).is_some(), "and may come back");
         cluster.check_views();
@@ -94,13 +95,13 @@
         let knows = |cluster: &Cluster| {
             cluster
                 .running()
-                .filter(|node| node.view.living().any(|(peer, _)| *peer == cluster.nodes[5].peer))
+                .filter(|node| node.view.live_members().any(|(peer, _)| *peer == cluster.nodes[5].peer))
                 .count()
         };
         assert!(knows(&cluster) >= 2, "known within a few round trips");
         cluster.settle(2_000).expect("replaced");
         assert_eq!(knows(&cluster), 9);
-        assert!(cluster.running().all(|node| node.view.living().all(|(peer, _)| *peer != old)));
+        assert!(cluster.running().all(|node| node.view.live_members().all(|(peer, _)| *peer != old)));
         assert_eq!(cluster.told(&Event::Died(name(5))), 0);
         cluster.run(20_000);
         assert!(cluster.agree());
@@ -145,9 +146,9 @@
     cluster.run(20_000);
     for (place, node) in cluster.running().enumerate() {
         let own = |other: &str| (0..8).filter(|n| name(*n) == other).all(|n| (n < 4) == (place < 4));
-        assert!(node.view.living().all(|(peer, _)| own(&peer.name)));
+        assert!(node.view.live_members().all(|(peer, _)| own(&peer.name)));
     }
-    assert_eq!(cluster.nodes[0].view.living().count(), 4);
+    assert_eq!(cluster.nodes[0].view.live_members().count(), 4);
 }
 
 #[test]
@@ -162,13 +163,16 @@
     };
     let mut peer = sound.clone();
     peer.name = "n".repeat(65);
-    assert_eq!(refusal(peer), Error::Name(65));
+    assert_eq!(refusal(peer), PeerError::InvalidName(65));
     let mut peer = sound.clone();
     peer.zone = "z".repeat(65);
-    assert_eq!(refusal(peer), Error::Zone(65));
+    assert_eq!(refusal(peer), PeerError::ZoneTooLong(65));
     let mut peer = sound;
     peer.address.set_port(0);
-    assert_eq!(refusal(peer), Error::Address(std::net::SocketAddrV4::new(*address(0).ip(), 0)));
+    assert_eq!(
+        refusal(peer),
+        PeerError::UnreachableAddress(std::net::SocketAddrV4::new(*address(0).ip(), 0))
+    );
 }
 
 #[test]
@@ -188,13 +192,13 @@
     let mut maker = Cluster::empty(2, Settings::default());
     for node in 1..9_000 {
         let other = maker.stranger(node);
-        membership.receive(node as u64, address(node), &other);
+        membership.receive(Instant::from_millis(node as u64), address(node), &other);
     }
-    membership.changes().iter().for_each(|event| view.fold(event));
-    assert!(view.stale());
-    view.refill(membership.members());
-    assert!(!view.stale());
-    assert_eq!(view.living().count(), 9_000);
+    membership.drain_events().iter().for_each(|event| view.apply(event));
+    assert!(view.is_stale());
+    view.rebuild(membership.members());
+    assert!(!view.is_stale());
+    assert_eq!(view.live_members().count(), 9_000);
 }
 
 #[test]
@@ -205,7 +209,7 @@
     let mut maker = Cluster::empty(2, Settings::default());
     for node in 1..500 {
         let other = maker.stranger(node);
-        membership.receive(node as u64, address(node), &other);
+        membership.receive(Instant::from_millis(node as u64), address(node), &other);
     }
     assert_eq!(membership.members().count(), 50);
 }
--- a/crates/membership/tests/troubles.rs
+++ b/crates/membership/tests/troubles.rs
@@ -3,7 +3,7 @@
 mod cluster;
 
 use cluster::{Cluster, address, name};
-use mosshead_membership::{Event, Health, Settings};
+use mosshead_membership::{Event, MemberState, Settings};
 
 fn deaths(cluster: &Cluster) -> usize {
     let died = |event: &(u64, Event)| matches!(event.1, Event::Died(_));
@@ -18,7 +18,7 @@
         cluster.run(120_000);
         println!("{size} with {loss} of 1,000 lost: {} deaths", deaths(&cluster));
         assert_eq!(deaths(&cluster), 0);
-        let living = |node: &cluster::Node| node.view.living().count() == size;
+        let living = |node: &cluster::Node| node.view.live_members().count() == size;
         assert!(cluster.running().all(living));
     }
 }
@@ -118,7 +118,7 @@
             cluster.run(300);
             cluster.start(node);
             cluster.run(gap);
-            assert!(cluster.running().all(|other| other.view.living().count() + 3 >= size));
+            assert!(cluster.running().all(|other| other.view.live_members().count() + 3 >= size));
         }
         let took = cluster.settle(5_000).expect("all agree after the last");
         println!("{size} restarted in turn: agreed after {took} ms");
@@ -169,7 +169,7 @@
     }
     let node = cluster.add();
     cluster.settle(8_000).expect("agreed after the exchange");
-    assert_eq!(cluster.nodes[node].view.living().count(), 13);
+    assert_eq!(cluster.nodes[node].view.live_members().count(), 13);
     // All those that were told of the first seeds only still know each other, though none of these is left.
     cluster.run(90_000);
     assert!(cluster.agree());
@@ -184,20 +184,20 @@
     cluster.run(8_000);
     let node = cluster.add();
     cluster.run(1_500);
-    assert_eq!(cluster.nodes[node].view.living().count(), 8);
+    assert_eq!(cluster.nodes[node].view.live_members().count(), 8);
     // With no seed up it waits, and is there when one is back, or when told by others of a member.
     cluster.kill(2);
     cluster.run(8_000);
     let late = cluster.add();
     cluster.run(20_000);
-    assert_eq!(cluster.nodes[late].view.living().count(), 1);
+    assert_eq!(cluster.nodes[late].view.live_members().count(), 1);
     cluster.start(1);
     cluster.settle(5_000).expect("found through the seed that came back");
     cluster.kill(1);
     let other = cluster.add();
     cluster.run(10_000);
-    assert_eq!(cluster.nodes[other].view.living().count(), 1);
-    cluster.nodes[other].membership.as_mut().expect("runs").learn([address(5)]);
+    assert_eq!(cluster.nodes[other].view.live_members().count(), 1);
+    cluster.nodes[other].membership.as_mut().expect("runs").add_contacts([address(5)]);
     cluster.settle(8_000).expect("found through the one that was told");
 }
 
@@ -208,7 +208,7 @@
     cluster.seeds = vec![address(900), address(901)];
     let node = cluster.add();
     cluster.run(5_000);
-    assert_eq!(cluster.nodes[node].view.living().count(), 1);
+    assert_eq!(cluster.nodes[node].view.live_members().count(), 1);
     cluster.nodes[node].membership.as_mut().expect("runs").set_seeds(vec![address(900), address(3)]);
     cluster.settle(8_000).expect("found");
 }
@@ -224,7 +224,7 @@
         cluster.cut(&one, &other);
         cluster.run(span);
         if span >= 20_000 {
-            assert!(cluster.running().all(|node| node.view.living().count() == size / 2));
+            assert!(cluster.running().all(|node| node.view.live_members().count() == size / 2));
         }
         cluster.cuts.clear();
         let took = cluster.settle(most).unwrap_or_else(|| panic!("{size} cut for {span}: not one again"));
@@ -291,9 +291,9 @@
     cluster.start(twin);
     cluster.run(20_000);
     for node in [0, 1, 2, 3, 5] {
-        let known: Vec<Health> = cluster.nodes[node]
+        let known: Vec<MemberState> = cluster.nodes[node]
             .view
-            .living()
+            .live_members()
             .filter(|(peer, _)| peer.name == name(4))
             .map(|(_, health)| health)
             .collect();
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -9,7 +9,8 @@
 };
 use mosshead_record_log::LogWriter;
 use mosshead_registry::{Delta, HeartbeatOutcome, Server, SourceId, VersionVector};
-use mosshead_stage_scheduler::{Order, StageScheduler};
+use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
+use mosshead_time::Instant;
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep};
 
@@ -123,9 +124,9 @@
     }
 
     /// The orders that are due.
-    pub fn orders(&self, scheduler: &mut StageScheduler) -> Vec<Order> {
+    pub fn orders(&self, scheduler: &mut StageScheduler) -> Vec<StageAssignment> {
         let register = self.register.borrow();
-        scheduler.due(self.now(), register.servers())
+        scheduler.due_assignments(Instant::from_millis(self.now()), register.servers())
     }
 
     /// Where a server is.
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -25,7 +25,7 @@
             node.as_ref().is_some_and(|node| node.in_touch(self.now())),
             self.config().map_or(0, |config| config.revision),
             self.register.borrow().len(),
-            self.gossip.count(false),
+            self.gossip.live_proxies(),
             self.keeper.borrow().as_ref().map_or(0, LogWriter::length),
         )
     }
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -44,7 +44,7 @@
     pub(super) fn proxies(&self) -> u32 {
         let mut askers = self.askers.borrow_mut();
         askers.retain(|_, asked| asked.elapsed() < ASKED);
-        askers.len().max(self.gossip.count(false)) as u32
+        askers.len().max(self.gossip.live_proxies()) as u32
     }
 
     /// The core's machines as far as they are known here, without this one.
@@ -63,7 +63,7 @@
         all.extend(
             membership
                 .members()
-                .filter(|(peer, health)| peer.core && health.lives())
+                .filter(|(peer, health)| peer.is_control_node && health.is_live())
                 .map(|(peer, _)| peer.address),
         );
         if all.is_empty() {
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -4,36 +4,40 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 
-use mosshead_membership::Membership;
+use mosshead_membership::{Datagram, Membership};
+use mosshead_time::{Duration, Instant};
 use tokio::net::UdpSocket;
-use tokio::time::{Duration, Instant, sleep};
+use tokio::time::sleep;
 
 /// A datagram is at most this long.
 const LONGEST: usize = 1500;
+/// Shortest and longest sleep between two ticks.
+const MIN_SLEEP: Duration = Duration::from_millis(20);
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
 /// Membership on its socket.
 pub struct Gossip {
     /// The state.
     pub membership: RefCell<Membership>,
     socket: UdpSocket,
-    start: Instant,
+    start: tokio::time::Instant,
 }
 
 impl Gossip {
     /// Binds its socket.
     pub async fn bind(address: SocketAddrV4, membership: Membership) -> std::io::Result<Rc<Self>> {
         let socket = UdpSocket::bind(address).await?;
-        Ok(Rc::new(Self { membership: RefCell::new(membership), socket, start: Instant::now() }))
+        Ok(Rc::new(Self { membership: RefCell::new(membership), socket, start: tokio::time::Instant::now() }))
     }
 
-    fn now(&self) -> u64 {
-        self.start.elapsed().as_millis() as u64
+    fn now(&self) -> Instant {
+        Instant::ORIGIN + self.start.elapsed()
     }
 
-    async fn send(&self, datagrams: Vec<(SocketAddrV4, Vec<u8>)>) {
-        for (to, datagram) in datagrams {
+    async fn send(&self, datagrams: Vec<Datagram>) {
+        for datagram in datagrams {
             // Danger: a full link drops datagrams; waiting here would hold up what was heard.
-            let _ = self.socket.try_send_to(&datagram, SocketAddr::V4(to));
+            let _ = self.socket.try_send_to(&datagram.payload, SocketAddr::V4(datagram.destination));
         }
     }
 
@@ -44,8 +48,8 @@
             let now = self.now();
             let due = self.membership.borrow_mut().tick(now);
             self.send(due).await;
-            let wake = self.membership.borrow().next_wake(now).clamp(now + 20, now + 500);
-            let wait = sleep(Duration::from_millis(wake - now));
+            let wake = self.membership.borrow().next_wake(now).clamp(now + MIN_SLEEP, now + MAX_SLEEP);
+            let wait = sleep(wake - now);
             tokio::select! {
                 () = wait => {}
                 came = self.socket.recv_from(&mut buffer) => {
@@ -66,8 +70,8 @@
         self.send(last).await;
     }
 
-    /// Living proxies, or machines of the core.
-    pub fn count(&self, core: bool) -> usize {
-        self.membership.borrow().count(core)
+    /// How many proxies are alive or suspect.
+    pub fn live_proxies(&self) -> usize {
+        self.membership.borrow().live_proxies()
     }
 }
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -54,7 +54,7 @@
 
     fn proxies(&self, count: usize) {
         self.told.set(count);
-        self.data_plane.set_proxy_count(count.max(self.gossip.count(false)));
+        self.data_plane.set_proxy_count(count.max(self.gossip.live_proxies()));
     }
 }
 
@@ -67,9 +67,9 @@
 }
 
 /// This process as others of the fleet know it.
-pub fn peer(settings: &Settings, life: u64, core: bool) -> Peer {
+pub fn peer(settings: &Settings, life: u64, is_control_node: bool) -> Peer {
     let (name, zone) = (settings.node_name.clone(), settings.zone.clone());
-    Peer { name, life, address: settings.internal(), core, zone }
+    Peer { name, instance_id: life, address: settings.internal(), is_control_node, zone }
 }
 
 async fn listen(address: std::net::SocketAddrV4) -> std::io::Result<TcpListener> {
@@ -139,7 +139,7 @@
                 takes.listed();
                 takes.proxies(takes.told.get());
                 let cores: Vec<_> = gossip.membership.borrow().members()
-                    .filter(|(peer, health)| peer.core && health.lives()).map(|(peer, _)| peer.address).collect();
+                    .filter(|(peer, health)| peer.is_control_node && health.is_live()).map(|(peer, _)| peer.address).collect();
                 puller.learn(&cores);
                 if turns.is_multiple_of(4) {
                     reread(&path, &puller, &gossip);
@@ -189,7 +189,7 @@
         puller.register.borrow().len(),
         heard,
         puller.cores().len(),
-        gossip.count(false),
+        gossip.live_proxies(),
         door.open_connections(),
         data_plane.in_flight_requests(),
         counts.requests.get(),
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -11,7 +11,9 @@
 use mosshead_consensus::Ballot;
 use mosshead_http_links::{Link, Opening, Side};
 use mosshead_registry::Stage;
-use mosshead_stage_scheduler::{Answer, Order, StageScheduler, Terms, fence};
+use mosshead_stage_scheduler::{
+    AssignmentOutcome, StageAssignment, StagePolicy, StageScheduler, fencing_token,
+};
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::control_node::ControlNode;
@@ -38,7 +40,7 @@
         };
         let same = held.as_ref().is_some_and(|held| held.0 == ballot);
         if !same {
-            held = Some((ballot, Instant::now(), StageScheduler::new(Terms::default())));
+            held = Some((ballot, Instant::now(), StageScheduler::new(StagePolicy::default())));
         }
         let Some((_, since, scheduler)) = &mut held else { continue };
         // Danger: the former holder's last order may be on its way for as long as its lease ran.
@@ -51,19 +53,19 @@
                 break;
             }
             let answer = send(&core, &order, ballot).await;
-            spdlog::info!("stages: {} is to be {:?}: {:?}.", order.id, order.stage, answer);
-            scheduler.answered(&order.id, answer);
+            spdlog::info!("stages: {} is to be {:?}: {:?}.", order.instance_id, order.stage, answer);
+            scheduler.record_outcome(&order.instance_id, answer);
         }
     }
 }
 
-async fn send(core: &Rc<ControlNode>, order: &Order, ballot: Ballot) -> Answer {
-    let Some(address) = core.address_of(&order.id) else { return Answer::Unclear };
+async fn send(core: &Rc<ControlNode>, order: &StageAssignment, ballot: Ballot) -> AssignmentOutcome {
+    let Some(address) = core.address_of(&order.instance_id) else { return AssignmentOutcome::Unknown };
     let message = OrderMessage {
         address,
         order,
         owner: &core.settings.node_name,
-        fence: fence(ballot.round, ballot.member.0),
+        fence: fencing_token(ballot.round, ballot.member.0),
     };
     send_order(&message, || core.holds() == Some(ballot)).await
 }
@@ -74,7 +76,7 @@
     /// Where the server listens.
     pub address: SocketAddrV4,
     /// What it is to do.
-    pub order: &'a Order,
+    pub order: &'a StageAssignment,
     /// Who holds the duty.
     pub owner: &'a str,
     /// The fencing token of the holder.
@@ -94,7 +96,7 @@
             .header(HOST, self.address.to_string())
             .header(CONTENT_TYPE, "application/json")
             .header(CONTENT_LENGTH, body.len())
-            .header("x-target-instance", &self.order.id)
+            .header("x-target-instance", &self.order.instance_id)
             .body(Full::new(Bytes::from(body)))
             .ok()
     }
@@ -102,12 +104,12 @@
 
 /// Sends an order once, on a connection of its own, and never again: what came of one without an answer nobody knows.
 /// `may_send` is asked right before the first byte.
-pub async fn send_order(message: &OrderMessage<'_>, may_send: impl Fn() -> bool) -> Answer {
+pub async fn send_order(message: &OrderMessage<'_>, may_send: impl Fn() -> bool) -> AssignmentOutcome {
     let deadline = Instant::now() + WITHIN;
     match timeout_at(deadline, exchange(message, may_send, deadline)).await {
-        Ok(Some(status)) if status.is_success() => Answer::Taken,
-        Ok(Some(StatusCode::PRECONDITION_FAILED)) => Answer::Fenced,
-        _ => Answer::Unclear,
+        Ok(Some(status)) if status.is_success() => AssignmentOutcome::Accepted,
+        Ok(Some(StatusCode::PRECONDITION_FAILED)) => AssignmentOutcome::StaleFence,
+        _ => AssignmentOutcome::Unknown,
     }
 }
 
--- a/crates/programs/tests/stage_orders.rs
+++ b/crates/programs/tests/stage_orders.rs
@@ -9,7 +9,7 @@
 
 use mosshead_programs::stage_orders::{OrderMessage, send_order};
 use mosshead_registry::Stage;
-use mosshead_stage_scheduler::{Answer, Order};
+use mosshead_stage_scheduler::{AssignmentOutcome, StageAssignment};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -71,8 +71,8 @@
     }
 }
 
-async fn sent(address: SocketAddrV4, may_send: impl Fn() -> bool) -> Answer {
-    let order = Order { id: "i-1".into(), stage: Stage::Prefill };
+async fn sent(address: SocketAddrV4, may_send: impl Fn() -> bool) -> AssignmentOutcome {
+    let order = StageAssignment { instance_id: "i-1".into(), stage: Stage::Prefill };
     let message = OrderMessage { address, order: &order, owner: "node-7", fence: 41 };
     send_order(&message, may_send).await
 }
@@ -81,7 +81,7 @@
 fn an_order_looks_like_this() {
     run(async {
         let (address, orders) = server(Act::Answer(202)).await;
-        assert_eq!(sent(address, || true).await, Answer::Taken);
+        assert_eq!(sent(address, || true).await, AssignmentOutcome::Accepted);
         let text = format!(
             "POST /order HTTP/1.1\r\nhost: {address}\r\ncontent-type: application/json\r\ncontent-length: 70\r\n\
              x-target-instance: i-1\r\n\r\n\
@@ -95,12 +95,12 @@
 fn whatever_comes_of_an_order_it_arrives_once() {
     run(async {
         for (act, answer) in [
-            (Act::Answer(200), Answer::Taken),
-            (Act::Answer(412), Answer::Fenced),
-            (Act::Answer(409), Answer::Unclear),
-            (Act::Answer(421), Answer::Unclear),
-            (Act::Close, Answer::Unclear),
-            (Act::Silence, Answer::Unclear),
+            (Act::Answer(200), AssignmentOutcome::Accepted),
+            (Act::Answer(412), AssignmentOutcome::StaleFence),
+            (Act::Answer(409), AssignmentOutcome::Unknown),
+            (Act::Answer(421), AssignmentOutcome::Unknown),
+            (Act::Close, AssignmentOutcome::Unknown),
+            (Act::Silence, AssignmentOutcome::Unknown),
         ] {
             let (address, orders) = server(act).await;
             assert_eq!(sent(address, || true).await, answer, "{act:?}");
@@ -127,7 +127,7 @@
         });
         // The bytes are there before the order leaves.
         let answer = sent(address, || told.recv_timeout(Duration::from_secs(5)).is_ok()).await;
-        assert_eq!(answer, Answer::Unclear);
+        assert_eq!(answer, AssignmentOutcome::Unknown);
         tokio::task::yield_now().await;
         assert!(server.join().expect("no fault").is_empty(), "nothing was written");
     });
@@ -142,7 +142,7 @@
             asked.set(asked.get() + 1);
             false
         });
-        assert_eq!((answer.await, asked.get()), (Answer::Unclear, 1));
+        assert_eq!((answer.await, asked.get()), (AssignmentOutcome::Unknown, 1));
         tokio::time::sleep(Duration::from_millis(5)).await;
         assert!(orders.borrow().is_empty());
     });
@@ -157,7 +157,7 @@
             std::thread::sleep(Duration::from_millis(650));
             true
         };
-        assert_eq!(sent(address, frozen).await, Answer::Unclear);
+        assert_eq!(sent(address, frozen).await, AssignmentOutcome::Unknown);
         tokio::time::sleep(Duration::from_millis(5)).await;
         assert!(orders.borrow().is_empty());
     });
