--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -84,7 +84,7 @@
 
 /// Redirects to the primary. Its API is taken to listen on this node's port, which is the same on all control nodes.
 fn redirect(control_node: &ControlNode, primary: SocketAddrV4, path: &str) -> ApiResponse {
-    if primary == control_node.settings.internal() {
+    if primary == control_node.settings.internal_address() {
         return unavailable();
     }
     let Some(own_address) = control_node.settings.control_plane else { return unavailable() };
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -92,7 +92,7 @@
         let primary = node.as_ref().and_then(|node| node.primary_at(self.now()));
         match primary.map(|primary| primary.address) {
             // While a primary takes over from itself, what is asked of it waits there for a moment.
-            Some(address) if address == self.settings.internal() => Leader::Here,
+            Some(address) if address == self.settings.internal_address() => Leader::Here,
             Some(address) => Leader::Elsewhere(address),
             None => Leader::Unknown,
         }
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -111,11 +111,12 @@
     let peer = peer(&settings, life, true);
     let membership = MembershipSettings { fleet: FLEET, ..MembershipSettings::default() };
     let membership =
-        Membership::new(peer, settings.internal_seeds(), membership, Pcg64Mcg::from_rng(&mut rng));
+        Membership::new(peer, settings.internal_seed_addresses(), membership, Pcg64Mcg::from_rng(&mut rng));
     let membership = membership.map_err(std::io::Error::other)?;
-    let gossip = Gossip::bind(settings.internal(), membership).await?;
+    let gossip = Gossip::bind(settings.internal_address(), membership).await?;
     tokio::task::spawn_local(gossip.clone().run());
-    let register = RefCell::new(Registry::new(SourceId(life), settings.keepalive_ms));
+    let register =
+        RefCell::new(Registry::new(SourceId(life), settings.heartbeat_interval.as_millis() as u64));
     let core = Rc::new(ControlNode {
         settings: settings.clone(),
         life,
@@ -136,7 +137,7 @@
         message_lanes: RefCell::default(),
         gossip,
     });
-    let inside = TcpListener::bind(settings.internal()).await?;
+    let inside = TcpListener::bind(settings.internal_address()).await?;
     tokio::task::spawn_local(mosshead_rpc::serve(inside, Rc::new(handlers(&core))));
     if let Some(address) = settings.control_plane {
         tokio::task::spawn_local(control_api::serve(core.clone(), TcpListener::bind(address).await?));
@@ -207,7 +208,7 @@
 fn reread(core: &Rc<ControlNode>, path: &Path) {
     match Settings::load(path) {
         Ok(settings) => {
-            let seeds = settings.internal_seeds();
+            let seeds = settings.internal_seed_addresses();
             core.gossip.membership.borrow_mut().set_seeds(seeds.clone());
             core.step(Input::Seeds(seeds));
         }
@@ -245,11 +246,11 @@
             return;
         }
     };
-    let (failures, seeds) = (core.settings.node_failures, core.settings.internal_seeds());
+    let (failures, seeds) = (core.settings.node_failures, core.settings.internal_seed_addresses());
     let sync = core.settings.bound("sync_s", SYNC_S).min(MOST_SYNC_S);
     let settings = NodeSettings {
         timings: Timings::for_sync((1_000.0 * sync) as u64),
-        ..NodeSettings::new(core.settings.internal(), failures, core.settings.bootstrap, seeds)
+        ..NodeSettings::new(core.settings.internal_address(), failures, core.settings.bootstrap, seeds)
     };
     match Node::new(settings, &records, core.now(), Pcg64Mcg::seed_from_u64(seed)) {
         Ok(node) => core.node.replace(Some(node)),
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -120,7 +120,7 @@
     fn membership(&self) -> Membership {
         let node = self.node.borrow();
         let members = node.iter().flat_map(|node| node.members()).map(|member| member.address).collect();
-        Membership { me: self.settings.internal(), members, failures: self.settings.node_failures }
+        Membership { me: self.settings.internal_address(), members, failures: self.settings.node_failures }
     }
 
     /// The orders that are due.
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -49,7 +49,7 @@
 
     /// The core's machines as far as they are known here, without this one.
     pub(super) fn others(&self) -> Vec<SocketAddrV4> {
-        let me = self.settings.internal();
+        let me = self.settings.internal_address();
         let mut others = self.all();
         others.retain(|other| *other != me);
         others
@@ -67,7 +67,7 @@
                 .map(|(peer, _)| peer.address),
         );
         if all.is_empty() {
-            all = self.settings.internal_seeds();
+            all = self.settings.internal_seed_addresses();
         }
         all.sort_unstable();
         all.dedup();
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -69,7 +69,7 @@
 /// This process as others of the fleet know it.
 pub fn peer(settings: &Settings, life: u64, is_control_node: bool) -> Peer {
     let (name, zone) = (settings.node_name.clone(), settings.zone.clone());
-    Peer { name, instance_id: life, address: settings.internal(), is_control_node, zone }
+    Peer { name, instance_id: life, address: settings.internal_address(), is_control_node, zone }
 }
 
 async fn listen(address: std::net::SocketAddrV4) -> std::io::Result<TcpListener> {
@@ -92,13 +92,16 @@
     let mut rng = Pcg64Mcg::from_os_rng();
     let life: u64 = rng.random();
     let data_plane = DataPlane::new(routing_weights(&settings), &settings.zone, rng.random());
-    let register = Rc::new(RefCell::new(Registry::read_replica(SourceId(life), settings.keepalive_ms)));
+    let register = Rc::new(RefCell::new(Registry::read_replica(
+        SourceId(life),
+        settings.heartbeat_interval.as_millis() as u64,
+    )));
     let peer = peer(&settings, life, false);
     let membership = MembershipSettings { fleet: FLEET, ..MembershipSettings::default() };
     let membership =
-        Membership::new(peer, settings.internal_seeds(), membership, Pcg64Mcg::from_rng(&mut rng));
+        Membership::new(peer, settings.internal_seed_addresses(), membership, Pcg64Mcg::from_rng(&mut rng));
     let membership = membership.map_err(std::io::Error::other)?;
-    let gossip = Gossip::bind(settings.internal(), membership).await?;
+    let gossip = Gossip::bind(settings.internal_address(), membership).await?;
     tokio::task::spawn_local(gossip.clone().run());
     let (register_of, gossip_of) = (register.clone(), gossip.clone());
     let takes = Takes {
@@ -108,7 +111,7 @@
         gossip: gossip_of,
     };
     let takes = Rc::new(takes);
-    let seeds = settings.internal_seeds();
+    let seeds = settings.internal_seed_addresses();
     let puller =
         UpdateWatcher::new(&settings.node_name, life, Caller::new(), takes.clone(), register.clone(), &seeds);
     for slot in 0..WATCH_SLOTS {
@@ -164,7 +167,7 @@
 fn reread(path: &std::path::Path, puller: &UpdateWatcher<Takes>, gossip: &Gossip) {
     match Settings::load(path) {
         Ok(settings) => {
-            let seeds = settings.internal_seeds();
+            let seeds = settings.internal_seed_addresses();
             puller.learn(&seeds);
             gossip.membership.borrow_mut().set_seeds(seeds);
         }
--- /dev/null
+++ b/crates/programs/src/settings/error.rs
@@ -0,0 +1,31 @@
+//! Errors of a settings file.
+
+use std::io;
+use std::path::PathBuf;
+
+use quick_error::quick_error;
+
+quick_error! {
+    /// What is wrong with a settings file. The codes are listed in docs/codes.md.
+    #[derive(Debug)]
+    #[non_exhaustive]
+    pub enum SettingsError {
+        /// The file can't be read.
+        Unreadable(path: PathBuf, error: io::Error) {
+            display("S01 {}: can't be read: {}", path.display(), error)
+            source(error)
+        }
+        /// A line is no `key=value`, or not UTF-8.
+        InvalidLine(line: usize, reason: String) {
+            display("S02 line {line}: {reason}")
+        }
+        /// A required field is missing.
+        Missing(key: &'static str) {
+            display("S03 {key} is missing")
+        }
+        /// A field has a value that is not of its type, or out of its range.
+        InvalidValue(line: usize, key: String, value: String, expected: &'static str) {
+            display("S04 line {line}: {key} is '{value}': it must be {expected}")
+        }
+    }
+}
--- /dev/null
+++ b/crates/programs/src/settings/properties.rs
@@ -0,0 +1,130 @@
+//! The `key=value` lines of a settings file, with typed access to the values.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+use std::str::FromStr;
+
+use java_properties::{LineContent, PropertiesIter};
+
+use super::error::SettingsError;
+
+/// What the value of an address field must be.
+const ADDRESS: &str = "an IPv4 address and port";
+/// What the value of `internal_port_range` must be.
+const PORT_RANGE: &str = "two ports, joined by a comma";
+/// What the value of a bound must be.
+const BOUND: &str = "a number of 0 or more, true or false";
+/// The keys of bounds begin with this.
+const BOUND_PREFIX: &str = "bounds.";
+
+/// A value with the line that it stands in, counted from 1.
+struct Property {
+    line: usize,
+    value: String,
+}
+
+impl Property {
+    fn parse<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, SettingsError> {
+        self.value.trim().parse().map_err(|_| self.invalid(key, &self.value, expected))
+    }
+
+    fn invalid(&self, key: &str, value: &str, expected: &'static str) -> SettingsError {
+        SettingsError::InvalidValue(self.line, key.to_owned(), value.to_owned(), expected)
+    }
+
+    /// A bound: `true` is 1, `false` is 0.
+    fn parse_bound(&self, key: &str) -> Result<f64, SettingsError> {
+        let number: f64 = match self.value.trim() {
+            "true" => 1.0,
+            "false" => 0.0,
+            _ => self.parse(key, BOUND)?,
+        };
+        let is_valid = number.is_finite() && number >= 0.0;
+        if is_valid { Ok(number) } else { Err(self.invalid(key, &self.value, BOUND)) }
+    }
+}
+
+/// The fields of a settings file by key. The last of several lines with one key counts.
+pub(super) struct Properties {
+    by_key: BTreeMap<String, Property>,
+}
+
+impl Properties {
+    pub(super) fn parse(text: &[u8]) -> Result<Properties, SettingsError> {
+        check_utf8(text)?;
+        let mut by_key = BTreeMap::new();
+        for line in PropertiesIter::new(text) {
+            let line = line.map_err(|error| {
+                SettingsError::InvalidLine(error.line_number().unwrap_or(0), error.to_string())
+            })?;
+            let number = line.line_number();
+            if let LineContent::KVPair(key, value) = line.consume_content() {
+                by_key.insert(key, Property { line: number, value });
+            }
+        }
+        Ok(Properties { by_key })
+    }
+
+    pub(super) fn text(&self, key: &str) -> Option<&str> {
+        self.by_key.get(key).map(|property| property.value.as_str())
+    }
+
+    pub(super) fn required_text(&self, key: &'static str) -> Result<&str, SettingsError> {
+        self.text(key).ok_or(SettingsError::Missing(key))
+    }
+
+    pub(super) fn parsed<T: FromStr>(
+        &self,
+        key: &str,
+        expected: &'static str,
+    ) -> Result<Option<T>, SettingsError> {
+        self.by_key.get(key).map(|property| property.parse(key, expected)).transpose()
+    }
+
+    pub(super) fn required<T: FromStr>(
+        &self,
+        key: &'static str,
+        expected: &'static str,
+    ) -> Result<T, SettingsError> {
+        self.parsed(key, expected)?.ok_or(SettingsError::Missing(key))
+    }
+
+    pub(super) fn address(&self, key: &str) -> Result<Option<SocketAddrV4>, SettingsError> {
+        self.parsed(key, ADDRESS)
+    }
+
+    /// Addresses with commas between them; empty items are skipped.
+    pub(super) fn addresses(&self, key: &str) -> Result<Vec<SocketAddrV4>, SettingsError> {
+        let Some(property) = self.by_key.get(key) else { return Ok(Vec::new()) };
+        let items = property.value.split(',').map(str::trim).filter(|item| !item.is_empty());
+        items.map(|item| item.parse().map_err(|_| property.invalid(key, item, ADDRESS))).collect()
+    }
+
+    /// Two ports with a comma between them; one port stands for both.
+    pub(super) fn required_port_range(&self, key: &'static str) -> Result<(u16, u16), SettingsError> {
+        let property = self.by_key.get(key).ok_or(SettingsError::Missing(key))?;
+        let text = property.value.as_str();
+        let (first, last) = text.split_once(',').unwrap_or((text, text));
+        let port =
+            |text: &str| text.trim().parse().map_err(|_| property.invalid(key, &property.value, PORT_RANGE));
+        Ok((port(first)?, port(last)?))
+    }
+
+    /// All bounds, by their names without the prefix.
+    pub(super) fn bounds(&self) -> Result<BTreeMap<String, f64>, SettingsError> {
+        let bounds = self
+            .by_key
+            .iter()
+            .filter_map(|(key, property)| Some((key, key.strip_prefix(BOUND_PREFIX)?, property)));
+        bounds.map(|(key, name, property)| Ok((name.to_owned(), property.parse_bound(key)?))).collect()
+    }
+}
+
+/// The decoder of the library panics at the start of a byte order mark that is cut off, so bytes that are not UTF-8 are
+/// rejected before it sees them.
+fn check_utf8(text: &[u8]) -> Result<(), SettingsError> {
+    let Err(error) = std::str::from_utf8(text) else { return Ok(()) };
+    let valid = text.get(..error.valid_up_to()).unwrap_or_default();
+    let line = 1 + valid.iter().filter(|byte| **byte == b'\n').count();
+    Err(SettingsError::InvalidLine(line, "is not UTF-8".into()))
+}
--- a/crates/programs/tests/settings.rs
+++ b/crates/programs/tests/settings.rs
@@ -1,71 +1,87 @@
-//! The settings file: the sample of the pages, and every fault with its place.
+//! The settings file: the documented sample, and every error with its line.
 
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 
 use mosshead_programs::settings::{Settings, SettingsError};
+use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
 const EDGE: &str = include_str!("samples/edge.properties");
 
-/// As few lines as will do.
-const LEAST: &str = "node_name=n\nzone=z\nip_address=127.0.0.1\ninternal_port_range=7720,7735\n";
+/// `keepalive_ms` of the sample, and its default.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
+
+/// A file with the required fields only.
+const MINIMAL: &str = "node_name=n\nzone=z\nip_address=127.0.0.1\ninternal_port_range=7720,7735\n";
 
 fn address(text: &str) -> std::net::SocketAddrV4 {
     text.parse().expect("an address")
 }
 
 #[test]
-fn the_sample_of_the_pages_passes() {
-    let read = Settings::read(EDGE.as_bytes()).expect("sound");
-    assert_eq!((read.node_name.as_str(), read.zone.as_str()), ("edge-dixie-east-a-1", "dixie-east-a"));
-    assert_eq!(read.ip, Ipv4Addr::new(10, 1, 0, 10));
-    assert_eq!(read.front_http, Some(address("10.1.0.10:8161")));
-    assert_eq!(read.readiness, Some(address("10.1.0.10:8167")));
-    assert_eq!((read.control_plane, read.data_directory.clone()), (None, None));
-    assert_eq!(read.internal_ports, (7720, 7735));
+fn the_documented_sample_is_valid() {
+    let settings = Settings::parse(EDGE.as_bytes()).expect("valid");
+    assert_eq!(
+        (settings.node_name.as_str(), settings.zone.as_str()),
+        ("edge-dixie-east-a-1", "dixie-east-a")
+    );
+    assert_eq!(settings.ip_address, Ipv4Addr::new(10, 1, 0, 10));
+    assert_eq!(settings.front_http, Some(address("10.1.0.10:8161")));
+    assert_eq!(settings.readiness, Some(address("10.1.0.10:8167")));
+    assert_eq!((settings.control_plane, settings.data_directory.clone()), (None, None));
+    assert_eq!(settings.internal_ports, (7720, 7735));
     let seeds = ["10.1.0.12:8166", "10.2.0.42:8166", "10.3.0.9:8166"].map(address);
-    assert_eq!(read.seed_nodes, seeds);
-    assert_eq!((read.bootstrap, read.keepalive_ms, read.node_failures), (true, 1200, 1));
-    assert_eq!(read.bound("lease_ms", 1.0), 3000.0);
-    assert_eq!(read.bound("retry_budget_ratio", 1.0), 0.2);
-    assert_eq!(read.bound("fencing", 0.0), 1.0);
-    assert_eq!(read.bounds.len(), 20);
-    assert_eq!(read.internal(), address("10.1.0.10:7720"));
-    assert_eq!(read.internal_seeds(), ["10.1.0.12:7720", "10.2.0.42:7720", "10.3.0.9:7720"].map(address));
+    assert_eq!(settings.seed_nodes, seeds);
+    assert_eq!(
+        (settings.bootstrap, settings.heartbeat_interval, settings.node_failures),
+        (true, HEARTBEAT_INTERVAL, 1)
+    );
+    assert_eq!(settings.bound("lease_ms", 1.0), 3000.0);
+    assert_eq!(settings.bound("retry_budget_ratio", 1.0), 0.2);
+    assert_eq!(settings.bound("fencing", 0.0), 1.0);
+    assert_eq!(settings.bounds.len(), 20);
+    assert_eq!(settings.internal_address(), address("10.1.0.10:7720"));
+    assert_eq!(
+        settings.internal_seed_addresses(),
+        ["10.1.0.12:7720", "10.2.0.42:7720", "10.3.0.9:7720"].map(address)
+    );
 }
 
 #[test]
-fn what_a_core_machine_is_given_is_read() {
-    let text = format!("{LEAST}listen_addresses.control_plane=127.0.0.1:8166\ndata_directory=/data/x\n");
-    let read = Settings::read(text.as_bytes()).expect("sound");
-    assert_eq!(read.control_plane, Some(address("127.0.0.1:8166")));
-    assert_eq!(read.data_directory, Some(PathBuf::from("/data/x")));
-    assert_eq!((read.bootstrap, read.keepalive_ms, read.node_failures), (false, 1200, 1));
-    assert!(read.seed_nodes.is_empty());
-    assert_eq!(read.bound("lease_ms", 7.5), 7.5);
+fn fields_of_a_control_node_are_read() {
+    let text = format!("{MINIMAL}listen_addresses.control_plane=127.0.0.1:8166\ndata_directory=/data/x\n");
+    let settings = Settings::parse(text.as_bytes()).expect("valid");
+    assert_eq!(settings.control_plane, Some(address("127.0.0.1:8166")));
+    assert_eq!(settings.data_directory, Some(PathBuf::from("/data/x")));
+    assert_eq!(
+        (settings.bootstrap, settings.heartbeat_interval, settings.node_failures),
+        (false, HEARTBEAT_INTERVAL, 1)
+    );
+    assert!(settings.seed_nodes.is_empty());
+    assert_eq!(settings.bound("lease_ms", 7.5), 7.5);
 }
 
 #[test]
-fn fields_that_are_not_known_are_ignored() {
+fn unknown_fields_are_ignored() {
     let more = "weather=wet\nbounds.of_tomorrow=4\nzones.a=b\n# a remark\n\n! another\nempty=\n";
-    let read = Settings::read(format!("{LEAST}{more}").as_bytes()).expect("sound");
-    assert_eq!(read.bound("of_tomorrow", 0.0), 4.0);
+    let settings = Settings::parse(format!("{MINIMAL}{more}").as_bytes()).expect("valid");
+    assert_eq!(settings.bound("of_tomorrow", 0.0), 4.0);
 }
 
 #[test]
-fn what_is_missing_is_named() {
+fn a_missing_field_is_named() {
     for key in ["node_name", "zone", "ip_address", "internal_port_range"] {
         let text: String =
-            LEAST.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect();
-        let fault = Settings::read(text.as_bytes()).expect_err(key);
-        assert!(matches!(fault, SettingsError::Missing(missing) if missing == key), "{fault}");
-        assert_eq!(fault.to_string(), format!("S03 {key} is missing"));
+            MINIMAL.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect();
+        let error = Settings::parse(text.as_bytes()).expect_err(key);
+        assert!(matches!(error, SettingsError::Missing(missing) if missing == key), "{error}");
+        assert_eq!(error.to_string(), format!("S03 {key} is missing"));
     }
 }
 
 #[test]
-fn a_value_that_makes_no_sense_is_told_with_line_and_key() {
+fn an_invalid_value_is_reported_with_line_and_key() {
     let wrong = [
         ("listen_addresses.front_http", "10.1.0.10"),
         ("listen_addresses.readiness", "localhost:80"),
@@ -81,76 +97,77 @@
         ("seed_nodes", "10.1.0.12"),
     ];
     for (key, value) in wrong {
-        let text = format!("{LEAST}# a remark\n{key}={value}\nweather=wet\n");
-        let fault = Settings::read(text.as_bytes()).expect_err(key);
+        let text = format!("{MINIMAL}# a remark\n{key}={value}\nweather=wet\n");
+        let error = Settings::parse(text.as_bytes()).expect_err(key);
         let place = format!("S04 line 6: {key} is '{value}': it must be ");
-        assert!(fault.to_string().starts_with(&place), "{fault}");
-        assert!(fault.to_string().len() > place.len(), "{fault}");
+        assert!(error.to_string().starts_with(&place), "{error}");
+        assert!(error.to_string().len() > place.len(), "{error}");
     }
     for (at, key, value) in [
         (3, "ip_address", "::1"),
         (4, "internal_port_range", "7720-7735"),
         (4, "internal_port_range", "7720,x"),
     ] {
-        let text: String = LEAST
+        let text: String = MINIMAL
             .lines()
             .map(|line| if line.starts_with(key) { format!("{key}={value}\n") } else { format!("{line}\n") })
             .collect();
-        let fault = Settings::read(text.as_bytes()).expect_err(key);
+        let error = Settings::parse(text.as_bytes()).expect_err(key);
         assert!(
-            matches!(&fault, SettingsError::Value(line, named, was, _)
+            matches!(&error, SettingsError::InvalidValue(line, named, was, _)
             if *line == at && named == key && was == value),
-            "{fault}"
+            "{error}"
         );
     }
     // Of a list, the item that is wrong.
-    let text = format!("{LEAST}seed_nodes=10.1.0.12:8166, nowhere,10.3.0.9:8166\n");
-    let fault = Settings::read(text.as_bytes()).expect_err("an item");
-    assert!(fault.to_string().starts_with("S04 line 5: seed_nodes is 'nowhere'"), "{fault}");
+    let text = format!("{MINIMAL}seed_nodes=10.1.0.12:8166, nowhere,10.3.0.9:8166\n");
+    let error = Settings::parse(text.as_bytes()).expect_err("an item");
+    assert!(error.to_string().starts_with("S04 line 5: seed_nodes is 'nowhere'"), "{error}");
 }
 
 #[test]
-fn a_line_that_is_not_of_the_form_is_told_with_its_number() {
-    let fault = Settings::read(format!("{LEAST}zone=\\u12zz\n").as_bytes()).expect_err("no such character");
-    assert!(matches!(fault, SettingsError::Line(5, _)), "{fault}");
-    assert!(fault.to_string().starts_with("S02 line 5: "), "{fault}");
+fn a_malformed_line_is_reported_with_its_number() {
+    let error =
+        Settings::parse(format!("{MINIMAL}zone=\\u12zz\n").as_bytes()).expect_err("no such character");
+    assert!(matches!(error, SettingsError::InvalidLine(5, _)), "{error}");
+    assert!(error.to_string().starts_with("S02 line 5: "), "{error}");
 }
 
 #[test]
-fn a_file_that_can_t_be_read_is_named() {
-    let fault = Settings::load(Path::new("/nonexistent/settings")).expect_err("no file");
-    assert!(fault.to_string().starts_with("S01 /nonexistent/settings: can't be read: "), "{fault}");
+fn an_unreadable_file_is_named() {
+    let error = Settings::load(Path::new("/nonexistent/settings")).expect_err("no file");
+    assert!(error.to_string().starts_with("S01 /nonexistent/settings: can't be read: "), "{error}");
 }
 
 #[test]
-fn a_file_is_read() {
+fn a_file_is_loaded() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("settings");
     std::fs::write(&path, EDGE).expect("written");
-    assert_eq!(Settings::load(&path).expect("sound").keepalive_ms, 1200);
+    assert_eq!(Settings::load(&path).expect("valid").heartbeat_interval, HEARTBEAT_INTERVAL);
 }
 
 #[test]
-fn a_byte_order_mark_that_is_cut_off_is_a_fault_of_its_line() {
+fn a_truncated_byte_order_mark_is_an_invalid_line() {
     for bytes in [&[0xEF][..], &[0xEF, 0xBB], b"a=b\n\xEF"] {
-        let fault = Settings::read(bytes).expect_err("no text");
-        assert!(fault.to_string().starts_with("S02 line"), "{fault}");
+        let error = Settings::parse(bytes).expect_err("no text");
+        assert!(error.to_string().starts_with("S02 line"), "{error}");
     }
 }
 
 quickcheck! {
-    fn any_bytes_do_no_harm(bytes: Vec<u8>) -> bool {
-        let _ = Settings::read(&bytes);
+    fn arbitrary_bytes_never_panic(bytes: Vec<u8>) -> bool {
+        let _ = Settings::parse(&bytes);
         true
     }
 
-    /// The sample with a piece of it replaced.
-    fn nearly_the_sample_does_no_harm(at: usize, length: u8, with: Vec<u8>) -> bool {
+    /// The sample with a part of it replaced.
+    fn a_mutated_sample_never_panics(at: usize, length: u8, with: Vec<u8>) -> bool {
         let mut bytes = EDGE.as_bytes().to_vec();
         let from = at % bytes.len();
         let to = (from + usize::from(length)).min(bytes.len());
         bytes.splice(from..to, with);
-        let _ = Settings::read(&bytes);
+        let _ = Settings::parse(&bytes);
         true
     }
 }
