--- /dev/null
+++ b/crates/consensus/tests/former_formats.rs
@@ -0,0 +1,317 @@
+//! Bytes that earlier versions have written: messages, states and log records. Processes of two versions meet while a
+//! fleet is upgraded, and disks outlive programs, so these bytes must be read, and written again in the same way.
+
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::PathBuf;
+
+use minicbor::{Decode, Encode};
+use mosshead_consensus::{
+    Ballot, Call, CallDigest, ContactStamp, Delta, Input, Member, MemberId, Message, Node, Offer, Output,
+    Piece, Record, Settings, State, StateChange, StatePurpose, Version, checksum,
+};
+use rand_core::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+
+/// The messages that exist, by their number on the wire; 21 to 24 are not used.
+const MESSAGE_NUMBERS: [u32; 26] =
+    [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 25, 26, 27, 28, 29];
+
+fn folder(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former").join(name)
+}
+
+fn file(folder_name: &str, name: &str) -> Vec<u8> {
+    let path = folder(folder_name).join(format!("{name}.cbor"));
+    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+fn file_names(folder_name: &str) -> BTreeSet<String> {
+    let entries = std::fs::read_dir(folder(folder_name)).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    names.filter_map(|name| name.strip_suffix(".cbor").map(str::to_owned)).collect()
+}
+
+/// The file holds this value, and the value makes the same bytes.
+fn check<T>(folder_name: &str, name: &str, value: &T)
+where
+    T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug,
+{
+    let bytes = file(folder_name, name);
+    assert_eq!(&minicbor::decode::<T>(&bytes).unwrap(), value, "{name}");
+    assert_eq!(minicbor::to_vec(value).unwrap(), bytes, "{name}");
+}
+
+fn address(last: u8) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7720)
+}
+
+fn member(id: u64) -> Member {
+    Member { id: MemberId(id), address: address(id as u8) }
+}
+
+fn ballot(round: u64, member: u64) -> Ballot {
+    Ballot { round, member: MemberId(member) }
+}
+
+fn digest(first: u8) -> CallDigest {
+    let mut bytes = [0; 32];
+    bytes.iter_mut().zip(first..).for_each(|(byte, value)| *byte = value);
+    CallDigest(bytes)
+}
+
+fn version(round: u64, revision: u64, first_round: u64) -> Version {
+    Version { stamp: ballot(round, 2), revision, origin: ballot(first_round, 2) }
+}
+
+/// While members change: the fourth takes the place of the third.
+fn record() -> Record {
+    Record {
+        ballot: ballot(7, 2),
+        previous: vec![member(1), member(2), member(3)],
+        members: vec![member(1), member(2), member(4)],
+        primary: MemberId(2),
+        backups: vec![MemberId(1)],
+    }
+}
+
+fn state() -> State {
+    State {
+        ballot: ballot(7, 2),
+        origin: ballot(5, 2),
+        revision: 1_000,
+        body: b"service chat\n"[..].into(),
+        taken: vec![Call { revision: 12, digest: digest(1) }, Call { revision: 1_000, digest: digest(100) }]
+            .into(),
+        forgotten: 11,
+    }
+}
+
+/// A body that is long enough for a change of it to pay.
+fn long_body(ending: &str) -> Vec<u8> {
+    let lines: String = (0..40).map(|number| format!("route /chat/{number} to chat\n")).collect();
+    (lines + ending).into_bytes()
+}
+
+fn change() -> StateChange {
+    let delta = Delta::between(&long_body("old"), &long_body("a new ending")).unwrap();
+    let call = Call { revision: 1_001, digest: digest(7) };
+    StateChange { previous: version(7, 1_000, 5), ballot: ballot(7, 2), call, delta }
+}
+
+fn offer(purpose: StatePurpose) -> Offer {
+    Offer { purpose, version: version(7, 1_000, 5), length: 70_000, checksum: checksum(b"service chat\n") }
+}
+
+fn stamp() -> ContactStamp {
+    ContactStamp { life: 0x0123_4567_89ab_cdef, at: 123_456 }
+}
+
+/// Messages of the election of a primary and of the first accepted record.
+fn election_messages() -> Vec<(&'static str, Message)> {
+    let answer = |willing, founder, record| Message::PreVoteAnswer { willing, founder, record };
+    let promise = |founder, fit, record, version| Message::Promise {
+        ballot: ballot(8, 3),
+        founder,
+        fit,
+        record,
+        version,
+    };
+    vec![
+        ("00-pre-vote", Message::PreVote),
+        ("01-pre-vote-answer", answer(true, false, Some(record()))),
+        ("01-pre-vote-answer-without-record", answer(false, true, None)),
+        ("02-prepare", Message::Prepare { ballot: ballot(8, 3) }),
+        ("03-promise", promise(false, true, Some(record()), Some(version(7, 1_000, 5)))),
+        ("03-promise-of-an-empty-disk", promise(true, false, None, None)),
+        ("04-reject", Message::Reject { ballot: ballot(7, 2), promised: ballot(8, 3) }),
+        ("05-fetch", Message::Fetch { ballot: ballot(8, 3), version: version(7, 1_000, 5) }),
+        ("06-fetched", Message::Fetched { ballot: ballot(8, 3), state: state() }),
+        ("11-accept", Message::Accept { record: record() }),
+        ("12-accepted", Message::Accepted { ballot: ballot(7, 2), founder: true }),
+        ("16-join", Message::Join { founder: true, seen: ballot(6, 1) }),
+        ("17-members", Message::Members { record: record() }),
+        ("18-hand-over", Message::HandOver { ballot: ballot(7, 2) }),
+        ("19-leaving", Message::Leaving),
+        ("20-may-leave", Message::MayLeave { ballot: ballot(7, 2) }),
+    ]
+}
+
+/// Messages by which a state gets from one node to another.
+fn state_messages() -> Vec<(&'static str, Message)> {
+    let version = version(7, 1_000, 5);
+    let piece = Piece { version, offset: 65_536, bytes: b"route"[..].into() };
+    let fetched = StatePurpose::Fetched { ballot: ballot(8, 3) };
+    vec![
+        ("07-replicate", Message::Replicate { state: state() }),
+        ("07-replicate-empty-state", Message::Replicate { state: State::default() }),
+        ("08-restamp", Message::Restamp { version }),
+        ("09-replicated", Message::Replicated { version }),
+        ("10-lacks-body", Message::LacksBody { version }),
+        ("15-committed", Message::Committed { state: state() }),
+        ("25-replicate-change", Message::ReplicateChange { change: change() }),
+        ("26-committed-changes", Message::CommittedChanges { changes: vec![change(), change()] }),
+        ("27-offer-state-committed", Message::OfferState { offer: offer(StatePurpose::Committed) }),
+        ("27-offer-state-replicate", Message::OfferState { offer: offer(StatePurpose::Replicate) }),
+        ("27-offer-state-fetched", Message::OfferState { offer: offer(fetched) }),
+        ("28-fetch-piece", Message::FetchPiece { version, offset: 65_536 }),
+        ("29-piece", Message::Piece { piece }),
+    ]
+}
+
+fn heartbeat_messages() -> Vec<(&'static str, Message)> {
+    let heartbeat = |record, echo| Message::Heartbeat {
+        ballot: ballot(7, 2),
+        sequence: 4_242,
+        committed: version(7, 1_000, 5),
+        record,
+        echo,
+    };
+    let answer = |committed, fit| Message::HeartbeatAnswer {
+        ballot: ballot(7, 2),
+        sequence: 4_242,
+        promised: ballot(7, 2),
+        accepted: ballot(7, 2),
+        seen: ballot(6, 1),
+        committed,
+        fit,
+        stamp: stamp(),
+    };
+    vec![
+        ("13-heartbeat", heartbeat(Some(record()), Some(stamp()))),
+        ("13-heartbeat-without-record", heartbeat(None, None)),
+        ("14-heartbeat-answer", answer(Some(1_000), true)),
+        ("14-heartbeat-answer-of-an-empty-disk", answer(None, false)),
+    ]
+}
+
+#[test]
+fn messages_of_earlier_versions_are_read_and_written_alike() {
+    let messages = [election_messages(), state_messages(), heartbeat_messages()].concat();
+    for (name, message) in &messages {
+        check("messages", name, message);
+    }
+    let names: BTreeSet<String> = messages.iter().map(|(name, _)| (*name).to_owned()).collect();
+    assert_eq!(names, file_names("messages"));
+    let number = |name: &String| name.split('-').next().unwrap().parse().unwrap();
+    assert_eq!(names.iter().map(number).collect::<BTreeSet<u32>>(), BTreeSet::from(MESSAGE_NUMBERS));
+}
+
+#[test]
+fn states_of_earlier_versions_are_read_and_written_alike() {
+    check("states", "state", &state());
+    check("states", "empty-state", &State::default());
+    check("states", "change", &change());
+    check("states", "record", &record());
+    check("states", "version", &version(7, 1_000, 5));
+    check("states", "member", &member(3));
+}
+
+#[test]
+fn a_change_of_an_earlier_version_still_makes_the_same_body() {
+    let change: StateChange = minicbor::decode(&file("states", "change")).unwrap();
+    assert_eq!(change.delta.apply(&long_body("old")), Some(long_body("a new ending")));
+}
+
+type TestNode = Node<Pcg64Mcg>;
+
+fn open(records: &[Vec<u8>], founder: bool) -> TestNode {
+    let settings = Settings::new(address(1), 1, founder, vec![address(1), address(2), address(3)]);
+    Node::new(settings, records, 0, Pcg64Mcg::seed_from_u64(1)).unwrap()
+}
+
+/// Steps a node, does its writes at once, and says what it wrote and sent.
+fn step(node: &mut TestNode, input: Input) -> (Vec<Vec<u8>>, Vec<Message>) {
+    let (mut written, mut sent, mut inputs) = (Vec::new(), Vec::new(), vec![input]);
+    while let Some(input) = inputs.pop() {
+        for output in node.step(1, input) {
+            match output {
+                Output::Write { token, record } => {
+                    written.push(record);
+                    inputs.push(Input::Written { token });
+                }
+                Output::Send { message, .. } => sent.push(message),
+                _ => {}
+            }
+        }
+    }
+    (written, sent)
+}
+
+fn receive(node: &mut TestNode, message: Message) -> (Vec<Vec<u8>>, Vec<Message>) {
+    step(node, Input::Message { from: member(2), message })
+}
+
+/// The state before the change, and the same after it and under a later ballot.
+fn logged_states() -> (State, State) {
+    let before = State { ballot: ballot(7, 2), body: long_body("old").into(), ..state() };
+    let after = State { ballot: ballot(9, 2), ..change().apply(&before).unwrap() };
+    (before, after)
+}
+
+/// A node that keeps the state for the primary, and what makes it write each kind of record.
+fn backup_inputs() -> Vec<(&'static str, Input)> {
+    let (before, after) = logged_states();
+    let message = |message| Input::Message { from: member(2), message };
+    vec![
+        ("0-identity", Input::Tick),
+        ("1-promise", message(Message::Prepare { ballot: ballot(6, 2) })),
+        ("2-accept", message(Message::Accept { record: record() })),
+        ("3-state", message(Message::Replicate { state: before })),
+        ("4-change", message(Message::ReplicateChange { change: change() })),
+        ("5-restamp", message(Message::Restamp { version: after.version() })),
+    ]
+}
+
+fn log(folder_name: &str) -> Vec<Vec<u8>> {
+    file_names(folder_name).iter().map(|name| file(folder_name, name)).collect()
+}
+
+#[test]
+fn a_backup_writes_the_records_that_earlier_versions_wrote() {
+    let mut node = open(&[], true);
+    for (name, input) in backup_inputs() {
+        assert_eq!(step(&mut node, input).0, [file("backup-log", name)], "{name}");
+    }
+    assert_eq!(node.snapshot(), Some(file("snapshots", "backup")));
+}
+
+/// An encoded record is an array of two: the number of its kind, and what it says.
+#[test]
+fn each_kind_of_log_record_is_among_the_records_of_earlier_versions() {
+    let records = [log("backup-log"), log("learner-log"), log("snapshots")].concat();
+    let kinds = records.iter().map(|record| minicbor::Decoder::new(&record[1..]).u32().unwrap());
+    assert_eq!(kinds.collect::<BTreeSet<u32>>(), BTreeSet::from_iter(0..=7));
+}
+
+#[test]
+fn a_learner_writes_the_records_that_earlier_versions_wrote() {
+    let mut node = open(&[], false);
+    assert_eq!(step(&mut node, Input::Tick).0, [file("learner-log", "0-identity")]);
+    let record = Record { previous: vec![member(2)], members: vec![member(2)], ..record() };
+    let seen = Message::Members { record: record.clone() };
+    assert_eq!(receive(&mut node, seen).0, [file("learner-log", "1-seen")]);
+    assert_eq!(node.snapshot(), Some(file("snapshots", "learner")));
+    let opened = open(&log("learner-log"), false);
+    assert_eq!((opened.record(), opened.me()), (Some(&record), node.me()));
+    assert_eq!(opened.snapshot(), Some(file("snapshots", "learner")));
+}
+
+#[test]
+fn logs_and_snapshots_of_earlier_versions_hold_the_same_state() {
+    let (_, after) = logged_states();
+    let version = after.version();
+    for records in [log("backup-log"), vec![file("snapshots", "backup")]] {
+        let mut node = open(&records, true);
+        assert_eq!(node.snapshot(), Some(file("snapshots", "backup")));
+        assert_eq!((node.record(), node.me().id), (Some(&record()), open(&[], true).me().id));
+        let fetch = Message::Fetch { ballot: ballot(9, 2), version };
+        let fetched = Message::Fetched { ballot: ballot(9, 2), state: after.clone() };
+        assert!(receive(&mut node, fetch).1.contains(&fetched));
+        // What was promised before still holds.
+        let lower = Message::Prepare { ballot: ballot(8, 2) };
+        let reject = Message::Reject { ballot: ballot(8, 2), promised: ballot(9, 2) };
+        assert_eq!(receive(&mut node, lower), (vec![], vec![reject]));
+    }
+}
--- /dev/null
+++ b/crates/known/tests/former_formats.rs
@@ -0,0 +1,64 @@
+//! A snapshot that an earlier version has written: a new program starts from what the one before it has left.
+
+use std::collections::BTreeMap;
+use std::path::Path;
+
+use mosshead_decide::interface::Readiness;
+use mosshead_known::listing::{Listing, Machine};
+use mosshead_known::snapshot::{FILE, FRESH, LOCK, Left, Snapshot, frame, read, write};
+
+fn file() -> Vec<u8> {
+    std::fs::read(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/former/snapshot")).unwrap()
+}
+
+fn machine(id: &str, port: u16, readiness: Readiness) -> Machine {
+    Machine {
+        id: id.to_owned(),
+        addr: format!("127.0.0.1:{port}").parse().unwrap(),
+        zone: "east-a".to_owned(),
+        kind: "large".to_owned(),
+        cell: 2,
+        readiness,
+        weight: 1.5,
+        started_ms: 1_799_999_000_000.0,
+    }
+}
+
+fn snapshot() -> Snapshot {
+    let machines = vec![
+        machine("s-1", 5001, Readiness::Ready),
+        machine("s-2", 5002, Readiness::Draining),
+        machine("s-3", 5003, Readiness::Gone),
+    ];
+    let left = Left { id: "s-0".to_owned(), started_ms: 1_799_998_000_000.0, told_ms: 1_799_999_990_000 };
+    let figures = BTreeMap::from([("price".to_owned(), -3.5), ("service".to_owned(), 0.25)]);
+    let owners = ["all", "class/chat", "kind/large", "zone/east-a", "node/s-1"];
+    Snapshot {
+        instance: "proxy-1".to_owned(),
+        life: 4,
+        written_ms: 1_799_999_999_000,
+        list: Listing { version: 12, full: true, machines },
+        told_ms: 1_799_999_998_500,
+        left: vec![left],
+        learnt: owners.map(|owner| (owner.to_owned(), figures.clone())).into(),
+    }
+}
+
+#[test]
+fn a_snapshot_of_an_earlier_version_is_read() {
+    assert_eq!(read(&file()), Ok(snapshot()));
+    assert_eq!(read(&write(&snapshot())), Ok(snapshot()));
+}
+
+/// The order of the members of its JSON objects is not fixed; the frame around them is.
+#[test]
+fn the_frame_of_an_earlier_version_is_written_alike() {
+    let text = String::from_utf8(file()).unwrap();
+    let (_, body) = text.split_once('\n').unwrap();
+    assert_eq!(frame(body), file());
+}
+
+#[test]
+fn the_files_of_a_folder_have_the_names_of_earlier_versions() {
+    assert_eq!([FILE, FRESH, LOCK], ["snapshot", "snapshot.new", "lock"]);
+}
--- /dev/null
+++ b/crates/programs/tests/former_formats.rs
@@ -0,0 +1,203 @@
+//! Calls and responses that an earlier version has sent: processes of two versions meet while a fleet is upgraded, so
+//! these bytes must be read, and written again in the same way, under the same names.
+
+use std::collections::BTreeSet;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::PathBuf;
+
+use minicbor::{Decode, Encode};
+use mosshead_consensus::{Ballot, Member, MemberId, Message};
+use mosshead_programs::calls::{
+    CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
+};
+use mosshead_programs::config_transfer::{
+    ChunkRequest, ConfigChunk, ConfigUpdate, IncomingTransfer, TransferProgress,
+};
+use mosshead_registry::{Delta, Entry, OperState, Server, SourceId, Stage, VersionVector};
+use mosshead_rpc::Call;
+use mosshead_time::Duration;
+
+const NAMES: [&str; 16] = [
+    "call-epoch",
+    "call-fetch",
+    "call-fetch-next-piece",
+    "call-hand",
+    "call-hears",
+    "call-pull",
+    "call-pull-of-a-proxy",
+    "config-patches",
+    "config-whole",
+    "config-withheld",
+    "response-epoch",
+    "response-fetch",
+    "response-fetch-withheld",
+    "response-hand",
+    "response-pull",
+    "response-pull-out-of-contact",
+];
+
+fn folder() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former")
+}
+
+fn file(name: &str) -> Vec<u8> {
+    let path = folder().join(format!("{name}.cbor"));
+    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// The file holds this value: both, and the value that is read from the file, make the same bytes.
+fn check<T: Encode<()> + for<'b> Decode<'b, ()>>(name: &str, value: &T) {
+    let bytes = file(name);
+    assert_eq!(minicbor::to_vec(value).unwrap(), bytes, "{name}");
+    let read: T = minicbor::decode(&bytes).unwrap();
+    assert_eq!(minicbor::to_vec(&read).unwrap(), bytes, "{name}");
+}
+
+fn address(last: u8) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7720)
+}
+
+fn vector() -> VersionVector {
+    VersionVector([(SourceId(7), 301), (SourceId(0x0123_4567_89ab_cdef), 12)].into())
+}
+
+fn delta() -> Delta {
+    let server = Server {
+        id: "i-1".into(),
+        service: "chat".into(),
+        address: address(9),
+        zone: "east-a".into(),
+        software_revision: "v1".into(),
+        slots: 64,
+        state: OperState::Draining,
+        is_suspected: false,
+        warmup_left_ms: 4_500,
+        stage: Some(Stage::Decode),
+        models: Vec::new(),
+        sequence: 70_000,
+    };
+    Delta {
+        entries: vec![Entry { server, source: SourceId(7), version: 301 }],
+        base: VersionVector::default(),
+        vector: vector(),
+        is_truncated: true,
+        fingerprint: 0xfedc_ba98_7654_3210,
+    }
+}
+
+fn watch_updates() -> WatchUpdates {
+    WatchUpdates {
+        name: "control-2".into(),
+        incarnation: 0x0123_4567_89ab_cdef,
+        is_proxy: false,
+        revision: u64::MAX,
+        vector: vector(),
+        wants_entries: true,
+        wait: Duration::from_millis(1_000),
+    }
+}
+
+fn updates() -> Updates {
+    Updates {
+        revision: 1_000,
+        delta: delta(),
+        has_newer_entries: true,
+        control_nodes: vec![address(1), address(2), address(3)],
+        proxy_count: 4,
+        has_quorum_contact: true,
+        needs_entries: true,
+        source: 7,
+    }
+}
+
+fn patches() -> ConfigUpdate {
+    let patches = vec!["{\"revision\":999}".to_owned(), "{\"revision\":1000}".to_owned()];
+    ConfigUpdate { revision: 1_000, patches, full_text: None }
+}
+
+fn full() -> ConfigUpdate {
+    let text = "{\"name\":\"r\",\"path_prefix\":\"/chat/\"}".repeat(20);
+    ConfigUpdate { revision: 1_000, patches: Vec::new(), full_text: Some(text) }
+}
+
+#[test]
+fn calls_of_an_earlier_version_are_read_and_written_alike() {
+    check("call-pull", &watch_updates());
+    check(
+        "call-pull-of-a-proxy",
+        &WatchUpdates {
+            is_proxy: true,
+            revision: 0,
+            vector: VersionVector::default(),
+            wants_entries: false,
+            ..watch_updates()
+        },
+    );
+    check("call-fetch", &FetchConfig(ChunkRequest { base_revision: 0, target_revision: 0, offset: 0 }));
+    check(
+        "call-fetch-next-piece",
+        &FetchConfig(ChunkRequest { base_revision: 999, target_revision: 1_000, offset: 65_536 }),
+    );
+    check("call-hand", &ReplicateEntries { delta: delta() });
+    check(
+        "call-hears",
+        &CompareHeartbeats { source: 7, sequences: vec![("i-1".into(), 70_000), ("i-2".into(), 3)] },
+    );
+    let message = Message::Prepare { ballot: Ballot { round: 8, member: MemberId(3) } };
+    check("call-epoch", &ConsensusMessage { from: Member { id: MemberId(3), address: address(3) }, message });
+}
+
+#[test]
+fn responses_of_an_earlier_version_are_read_and_written_alike() {
+    check("response-pull", &updates());
+    check(
+        "response-pull-out-of-contact",
+        &Updates {
+            revision: 0,
+            delta: Delta::default(),
+            has_quorum_contact: false,
+            needs_entries: false,
+            ..updates()
+        },
+    );
+    check("response-fetch-withheld", &ConfigChunk::withheld());
+    check("response-hand", &ReplicateAck { changed: true, vector: vector() });
+    check("response-epoch", &());
+}
+
+#[test]
+fn configurations_of_an_earlier_version_are_read_and_written_alike() {
+    check("config-patches", &patches());
+    check("config-whole", &full());
+    check("config-withheld", &ConfigUpdate { revision: 0, patches: Vec::new(), full_text: None });
+}
+
+/// Its bytes are packed; another packer may make others of the same answer, so only reading them is tested.
+#[test]
+fn a_packed_configuration_of_an_earlier_version_is_unpacked() {
+    let chunk: ConfigChunk = minicbor::decode(&file("response-fetch")).unwrap();
+    assert_eq!((chunk.target_revision, chunk.offset, chunk.length), (1_000, 0, chunk.bytes.len() as u64));
+    assert_eq!(minicbor::to_vec(&chunk).unwrap(), file("response-fetch"));
+    assert_eq!(IncomingTransfer::new(4).on_chunk(&chunk), TransferProgress::Complete(full()));
+}
+
+#[test]
+fn calls_have_the_names_of_earlier_versions() {
+    let names = [
+        WatchUpdates::NAME,
+        FetchConfig::NAME,
+        ReplicateEntries::NAME,
+        CompareHeartbeats::NAME,
+        ConsensusMessage::NAME,
+    ];
+    assert_eq!(names, ["Pull", "Fetch", "Hand", "Hears", "Epoch"]);
+}
+
+#[test]
+fn each_file_of_an_earlier_version_is_tested() {
+    let entries = std::fs::read_dir(folder()).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    let found: BTreeSet<String> =
+        names.filter_map(|name| name.strip_suffix(".cbor").map(str::to_owned)).collect();
+    assert_eq!(found, NAMES.iter().map(|name| (*name).to_owned()).collect());
+}
--- /dev/null
+++ b/crates/record-log/tests/former_formats.rs
@@ -0,0 +1,95 @@
+//! Folders that an earlier version has written: disks outlive programs, so these are opened with all their records, and
+//! the same calls write the same files.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+use mosshead_record_log::{DurableLog, RecordLog};
+use tempfile::TempDir;
+
+fn former_folder(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/former").join(name)
+}
+
+/// The files of a folder and their bytes.
+fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
+    let file = |entry: std::fs::DirEntry| {
+        (entry.file_name().into_string().unwrap(), std::fs::read(entry.path()).unwrap())
+    };
+    entries.map(file).collect()
+}
+
+fn copy_of(name: &str) -> TempDir {
+    let copy = tempfile::tempdir().unwrap();
+    for (file, bytes) in files(&former_folder(name)) {
+        std::fs::write(copy.path().join(file), bytes).unwrap();
+    }
+    copy
+}
+
+fn records() -> Vec<Vec<u8>> {
+    vec![b"first".to_vec(), Vec::new(), vec![0xa5; 300], b"last".to_vec()]
+}
+
+/// Three folders: after appends, after a rewrite and an append, and when that was opened again.
+fn write(folder: &Path) -> [BTreeMap<String, Vec<u8>>; 3] {
+    let records = records();
+    let (mut log, found) = RecordLog::open(folder).unwrap();
+    assert_eq!(found, Vec::<Vec<u8>>::new());
+    records.iter().for_each(|record| log.append(record).unwrap());
+    log.sync().unwrap();
+    let appended = files(folder);
+    log.rewrite(&records[1..3]).unwrap();
+    log.append(&records[3]).unwrap();
+    log.sync().unwrap();
+    let rewritten = files(folder);
+    drop(log);
+    let (mut log, found) = RecordLog::open(folder).unwrap();
+    assert_eq!(found, records[1..]);
+    log.append(&records[0]).unwrap();
+    log.sync().unwrap();
+    [appended, rewritten, files(folder)]
+}
+
+#[test]
+fn the_same_calls_write_the_files_of_an_earlier_version() {
+    let folder = tempfile::tempdir().unwrap();
+    let [appended, rewritten, reopened] = write(folder.path());
+    assert_eq!(appended, files(&former_folder("appended")));
+    assert_eq!(rewritten, files(&former_folder("rewritten")));
+    assert_eq!(reopened, files(&former_folder("reopened")));
+}
+
+#[test]
+fn folders_of_an_earlier_version_are_opened_with_all_their_records() {
+    let records = records();
+    let reopened = [&records[1..], &records[..1]].concat();
+    for (name, expected) in
+        [("appended", &records[..]), ("rewritten", &records[1..]), ("reopened", &reopened[..])]
+    {
+        let folder = copy_of(name);
+        for _ in 0..2 {
+            let (log, found) = RecordLog::open(folder.path()).unwrap();
+            assert_eq!(
+                (found.as_slice(), log.is_durable(), log.discarded_bytes()),
+                (expected, true, 0),
+                "{name}"
+            );
+        }
+    }
+}
+
+/// A process that was killed while it wrote leaves half a record, or half a file that has not got its name yet.
+#[test]
+fn what_an_earlier_version_left_half_written_is_ignored() {
+    let folder = copy_of("rewritten");
+    let (name, mut bytes) = files(folder.path()).pop_first().unwrap();
+    bytes.truncate(bytes.len() - 1);
+    std::fs::write(folder.path().join(&name), &bytes).unwrap();
+    std::fs::write(folder.path().join("state.7.new"), &bytes[..40]).unwrap();
+    let (log, found) = RecordLog::open(folder.path()).unwrap();
+    assert_eq!(found, records()[1..3]);
+    assert!(log.discarded_bytes() > 0);
+    assert_eq!(files(folder.path()).into_keys().collect::<Vec<_>>(), ["state.8"]);
+}
--- /dev/null
+++ b/crates/registry/tests/former_formats.rs
@@ -0,0 +1,140 @@
+//! Bytes that earlier versions have written: they go between processes of two versions while a fleet is upgraded, and
+//! the registry's log holds encoded deltas, so they must be read, and written again in the same way.
+
+mod common;
+
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::path::PathBuf;
+
+use common::{address, core};
+use minicbor::{Decode, Encode};
+use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
+
+const NAMES: [&str; 9] = [
+    "delta",
+    "delta-with-more-to-come",
+    "empty-delta",
+    "empty-vector",
+    "entry-draining",
+    "entry-gone",
+    "entry-up",
+    "source-id",
+    "vector",
+];
+
+fn folder() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former")
+}
+
+fn file(name: &str) -> Vec<u8> {
+    let path = folder().join(format!("{name}.cbor"));
+    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// The file holds this value, and the value makes the same bytes.
+fn check<T>(name: &str, value: &T)
+where
+    T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug,
+{
+    let bytes = file(name);
+    assert_eq!(&minicbor::decode::<T>(&bytes).unwrap(), value, "{name}");
+    assert_eq!(minicbor::to_vec(value).unwrap(), bytes, "{name}");
+}
+
+/// A prefill server with a model and adapters.
+fn up() -> Entry {
+    let model = Model { name: "moss-7b".into(), revision: 3, adapters: vec!["tutor".into(), "legal".into()] };
+    let server = Server {
+        id: "i-1".into(),
+        service: "chat".into(),
+        address: address(1),
+        zone: "east-a".into(),
+        software_revision: "v1".into(),
+        slots: 64,
+        state: OperState::Up,
+        is_suspected: false,
+        warmup_left_ms: 4_500,
+        stage: Some(Stage::Prefill),
+        models: vec![model],
+        sequence: 70_000,
+    };
+    Entry { server, source: SourceId(0x0123_4567_89ab_cdef), version: 12 }
+}
+
+/// A decode server that drains and is not heard.
+fn draining() -> Entry {
+    let server = Server {
+        id: "i-2".into(),
+        address: address(2),
+        state: OperState::Draining,
+        is_suspected: true,
+        warmup_left_ms: 0,
+        stage: Some(Stage::Decode),
+        ..up().server
+    };
+    Entry { server, source: SourceId(7), version: 300 }
+}
+
+/// A deregistered server of a service without an engine.
+fn gone() -> Entry {
+    let server = Server {
+        id: "i-3".into(),
+        state: OperState::Removed,
+        warmup_left_ms: 0,
+        stage: None,
+        models: Vec::new(),
+        sequence: u64::MAX,
+        ..up().server
+    };
+    Entry { server, source: SourceId(7), version: 301 }
+}
+
+fn vector() -> VersionVector {
+    VersionVector([(SourceId(7), 301), (SourceId(0x0123_4567_89ab_cdef), 12)].into())
+}
+
+fn delta() -> Delta {
+    Delta {
+        entries: vec![draining(), gone(), up()],
+        base: VersionVector([(SourceId(7), 299)].into()),
+        vector: vector(),
+        is_truncated: false,
+        fingerprint: 0xfedc_ba98_7654_3210,
+    }
+}
+
+#[test]
+fn values_of_earlier_versions_are_read_and_written_alike() {
+    check("source-id", &SourceId(0x0123_4567_89ab_cdef));
+    check("vector", &vector());
+    check("empty-vector", &VersionVector::default());
+    check("entry-up", &up());
+    check("entry-draining", &draining());
+    check("entry-gone", &gone());
+    check("delta", &delta());
+    check("delta-with-more-to-come", &Delta { entries: vec![up()], is_truncated: true, ..delta() });
+    check("empty-delta", &Delta::default());
+}
+
+#[test]
+fn each_file_of_an_earlier_version_is_tested() {
+    let entries = std::fs::read_dir(folder()).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    let found: BTreeSet<String> =
+        names.filter_map(|name| name.strip_suffix(".cbor").map(str::to_owned)).collect();
+    assert_eq!(found, NAMES.iter().map(|name| (*name).to_owned()).collect());
+}
+
+/// As after a start: the log of an earlier version holds deltas.
+#[test]
+fn a_registry_takes_in_the_deltas_of_an_earlier_version() {
+    let mut registry = core(1);
+    assert!(registry.merge(0, minicbor::decode(&file("delta")).unwrap()));
+    assert_eq!(registry.get("i-1"), Some(&up().server));
+    assert_eq!(registry.get("i-2"), Some(&draining().server));
+    assert_eq!(registry.vector().get(SourceId(7)), 0);
+    let whole = Delta { base: VersionVector::default(), ..delta() };
+    assert!(!registry.merge(0, whole));
+    assert_eq!(registry.vector().get(SourceId(7)), 301);
+}
