--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,270 +1,158 @@
-//! One send to one server, and what it proves.
+//! One attempt: a request is sent to one server, and what comes of it is judged by what has been proven.
 
-use std::cell::RefCell;
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue};
-use hyper::http::response::Parts;
-use hyper::{Method, Request, StatusCode, Uri};
-use mosshead_http_links::{RetryPolicy, SendFaultCause};
+use hyper::header::{HeaderName, HeaderValue};
+use hyper::{Response, StatusCode};
+use mosshead_config::Service;
+use mosshead_http_links::{RetryPolicy, SendFault, SendFaultCause};
 use mosshead_routing::ServerFailure;
-use tokio::time::{Duration, Instant, timeout_at};
+use tokio::time::Instant;
 
-use crate::connection_pool::{Opened, Origin, ServerLink};
+use crate::connection_pool::{OpenError, PooledConnection};
 use crate::data_plane::DataPlane;
-
-/// An answer that is held is at most this long.
-const HELD: usize = 4 * 1024 * 1024;
-/// What is left of an answer that nobody wants is read for so long, for the connection's sake.
-const REST: Duration = Duration::from_millis(200);
-
-pub(crate) const ATTEMPT: HeaderName = HeaderName::from_static("x-attempt-id");
-const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
-const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-
-/// A connection that turns out to have ended is replaced so often for one send.
-const CONNECTIONS_MOST: usize = 4;
-
-/// A request as it is sent to servers.
-#[derive(Debug)]
-pub(crate) struct Message {
-    method: Method,
-    uri: Uri,
-    headers: HeaderMap,
-    body: Bytes,
-    origin: Origin,
-    /// What the client calls it, and its answer echoes.
-    id: Option<HeaderValue>,
-    /// The servers that it may have reached.
-    sent_to: RefCell<Vec<Rc<str>>>,
-}
-
-/// Which server, and how many connections to it this proxy may have.
-#[derive(Clone, Debug)]
-pub(crate) struct Server {
-    pub(crate) id: Rc<str>,
-    pub(crate) address: SocketAddrV4,
-    pub(crate) most: usize,
-}
-
-/// What came of a send.
-pub(crate) enum Sent {
-    /// The head of the answer to this very request.
-    Answer { head: Parts, body: Incoming, link: ServerLink },
-    /// It never arrived whole.
-    Lost(ServerFailure),
-    /// The server says that it did not run and never will.
-    NeverRan(StatusCode),
-    /// It may have run.
+use crate::deadline::Deadline;
+use crate::headers::NOT_EXECUTED;
+use crate::server_request::{ServerRequest, Target};
+use crate::server_response::ServerResponse;
+
+/// How many connections one attempt may use: a pooled one may turn out to have been closed by the server.
+const MAX_CONNECTIONS_PER_ATTEMPT: usize = 4;
+/// Clients are spread unevenly over the proxies: each may have this many times its even share of a server's connections.
+const CONNECTION_SHARE_FACTOR: f64 = 2.0;
+/// Each proxy may have at least this many connections to a server.
+const MIN_CONNECTIONS: usize = 6;
+
+/// What came of one attempt.
+pub(crate) enum AttemptOutcome {
+    /// The head of the response to this very request has come.
+    Responded(ServerResponse),
+    /// The request never left as a whole, so no server can have run it.
+    NotDelivered(ServerFailure),
+    /// The server says that it did not run the request and never will.
+    Rejected(StatusCode),
+    /// The exchange broke; the request may have run.
     Broken,
-    /// Nothing came in time; it may have run.
-    Late,
-}
-
-fn number(value: u64) -> HeaderValue {
-    HeaderValue::from(value)
+    /// No response came in time; the request may have run.
+    TimedOut,
 }
 
-impl Message {
-    /// A client's request.
-    pub(crate) fn of_client(method: Method, uri: Uri, headers: HeaderMap, body: Bytes) -> Self {
-        let id = headers.get(ATTEMPT).filter(|id| !id.is_empty()).cloned();
-        Self { method, uri, headers, body, origin: Origin::Client, id, sent_to: RefCell::default() }
-    }
-
-    /// A call of the proxy's own.
-    pub(crate) fn of_proxy(method: Method, uri: Uri) -> Self {
-        let (headers, body) = (HeaderMap::new(), Bytes::new());
-        Self { method, uri, headers, body, origin: Origin::Proxy, id: None, sent_to: RefCell::default() }
+impl From<OpenError> for ServerFailure {
+    fn from(error: OpenError) -> Self {
+        match error {
+            OpenError::LimitReached => Self::Overloaded,
+            OpenError::Unreachable => Self::Unreachable,
+        }
     }
+}
 
-    /// Whether it needs a connection that has carried nothing: no id would tell its answer from a late one to what
-    /// went before.
-    fn needs_new_connection(&self, server: &Server) -> bool {
-        let nameless = self.origin == Origin::Client && self.id.is_none();
-        nameless || self.sent_to.borrow().contains(&server.id)
+/// What it says of a server that it rejected a request with this status.
+pub(crate) fn failure_of_rejection(status: StatusCode) -> ServerFailure {
+    if status == StatusCode::MISDIRECTED_REQUEST {
+        ServerFailure::WrongInstance
+    } else {
+        ServerFailure::Overloaded
     }
+}
 
-    /// Whether this can be the head of its answer: an answer echoes the id, and has none where there was none. Own
-    /// calls are told apart by their connections, which carry nothing else.
-    fn is_answered_by(&self, head: &Parts) -> bool {
-        let echo = head.headers.get(ATTEMPT).filter(|id| !id.is_empty());
-        self.origin == Origin::Proxy || echo == self.id.as_ref()
+/// What a failed exchange proves; `None` where the attempt may go on over another connection.
+fn failed_exchange(request: &ServerRequest, error: SendFault, is_reused: bool) -> Option<AttemptOutcome> {
+    let timed_out = error.cause == SendFaultCause::DeadlinePassed;
+    // A server may begin with the last byte: only a request that has not left as a whole cannot have run.
+    if !RetryPolicy::OnlyIfNeverSent.allows(error.progress) {
+        return Some(if timed_out { AttemptOutcome::TimedOut } else { AttemptOutcome::Broken });
     }
-
-    fn request(
-        &self,
-        server: &Server,
-        left: u64,
-        extra: &[(&'static str, HeaderValue)],
-    ) -> Request<Full<Bytes>> {
-        let mut request = Request::new(Full::new(self.body.clone()));
-        *request.method_mut() = self.method.clone();
-        *request.uri_mut() = self.uri.clone();
-        let headers = request.headers_mut();
-        *headers = self.headers.clone();
-        headers.remove(CONTENT_LENGTH);
-        if !self.body.is_empty() || self.method != Method::GET {
-            headers.insert(CONTENT_LENGTH, number(self.body.len() as u64));
-        }
-        headers.insert("x-deadline-ms", number(left.max(1)));
-        if let Ok(id) = HeaderValue::from_str(&server.id) {
-            headers.insert("x-target-instance", id);
-        }
-        for (name, value) in extra {
-            headers.insert(*name, value.clone());
-        }
-        request
+    request.revoke_send();
+    match (timed_out, is_reused) {
+        (true, _) => Some(AttemptOutcome::NotDelivered(ServerFailure::Unreachable)),
+        (false, true) => None,
+        (false, false) => Some(AttemptOutcome::NotDelivered(ServerFailure::BrokenResponse)),
     }
 }
 
-pub(crate) fn kept(head: &Parts) -> Option<Duration> {
-    let value = head.headers.get("keep-alive")?.to_str().ok()?;
-    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    seconds.trim().parse().ok().map(Duration::from_secs)
-}
-
 impl DataPlane {
-    /// Sends once. `until`: for how long the head of an answer is waited for.
-    pub(crate) async fn send(
+    /// The server with this id as the target of an attempt; `None` where it is no longer known.
+    pub(crate) fn target(&self, service: &Service, id: &Rc<str>) -> Option<Target> {
+        let router = self.router.borrow();
+        let address = router.endpoints().get(id)?.server.address;
+        let proxies = self.proxy_count.get().max(2) as f64;
+        let share = CONNECTION_SHARE_FACTOR * f64::from(service.max_connections) / proxies;
+        Some(Target { id: id.clone(), address, max_connections: (share as usize).max(MIN_CONNECTIONS) })
+    }
+
+    /// Sends a request once and waits for the head of its response.
+    pub(crate) async fn send_attempt(
         self: &Rc<Self>,
-        server: &Server,
-        message: &Message,
-        deadline: mosshead_time::Instant,
-        until: Instant,
-        extra: &[(&'static str, HeaderValue)],
-    ) -> Sent {
-        for _ in 0..CONNECTIONS_MOST {
-            let kept = match message.needs_new_connection(server) {
-                true => None,
-                false => self.links.idle(&server.id, message.origin),
+        target: &Target,
+        request: &ServerRequest,
+        deadline: Deadline,
+        extra_headers: &[(HeaderName, HeaderValue)],
+    ) -> AttemptOutcome {
+        for _ in 0..MAX_CONNECTIONS_PER_ATTEMPT {
+            let (mut connection, is_reused) = match self.connect(target, request, deadline).await {
+                Ok(connected) => connected,
+                Err(error) => return AttemptOutcome::NotDelivered(error.into()),
             };
-            let (mut link, reused) = match kept {
-                Some(link) => (link, true),
-                None => {
-                    let (left, to) = (until.saturating_duration_since(Instant::now()), server.address);
-                    match self.links.open(&server.id, message.origin, to, server.most, left).await {
-                        Opened::Link(link) => (link, false),
-                        Opened::TooMany => return Sent::Lost(ServerFailure::Overloaded),
-                        Opened::Unreachable => return Sent::Lost(ServerFailure::Unreachable),
-                    }
-                }
-            };
-            if !link.link.ready().await {
-                if reused {
+            if !connection.link.ready().await {
+                if is_reused {
                     continue;
                 }
-                return Sent::Lost(ServerFailure::BrokenResponse);
+                return AttemptOutcome::NotDelivered(ServerFailure::BrokenResponse);
             }
-            let request = message.request(server, mosshead_time::whole_millis(deadline - self.now()), extra);
-            // Danger: this may be dropped at any moment, and the request may have arrived all the same.
-            message.sent_to.borrow_mut().push(server.id.clone());
-            let response = match link.link.send_before(request, until).await {
-                Ok(response) => response,
-                Err(fault) => {
-                    let late = fault.cause == SendFaultCause::DeadlinePassed;
-                    // Danger: only what has not left whole never ran; a server may begin with the last byte.
-                    if !RetryPolicy::OnlyIfNeverSent.allows(fault.progress) {
-                        return if late { Sent::Late } else { Sent::Broken };
-                    }
-                    message.sent_to.borrow_mut().pop();
-                    match (late, reused) {
-                        (true, _) => return Sent::Lost(ServerFailure::Unreachable),
-                        (false, true) => continue,
-                        (false, false) => return Sent::Lost(ServerFailure::BrokenResponse),
+            let time_left = deadline.instant - self.now();
+            let http_request = request.to_http(target, time_left, extra_headers);
+            request.record_send(target);
+            match connection.link.send_before(http_request, deadline.timer).await {
+                Ok(response) => return self.check_response(target, request, response, connection),
+                Err(error) => {
+                    if let Some(outcome) = failed_exchange(request, error, is_reused) {
+                        return outcome;
                     }
                 }
-            };
-            let (head, body) = response.into_parts();
-            self.heard(&server.id);
-            // Danger: an answer in excess to an earlier request may stand where this one's is due.
-            if !message.is_answered_by(&head) {
-                return Sent::Broken;
-            }
-            if head.status == StatusCode::MISDIRECTED_REQUEST || head.headers.contains_key(NOT_EXECUTED) {
-                let status = head.status;
-                self.spare(&server.id, link, head, body);
-                return Sent::NeverRan(status);
             }
-            return Sent::Answer { head, body, link };
         }
-        Sent::Lost(ServerFailure::BrokenResponse)
+        AttemptOutcome::NotDelivered(ServerFailure::BrokenResponse)
     }
 
-    pub(crate) fn heard(&self, id: &str) {
-        let now = self.now();
-        self.router.borrow_mut().record_received(now, id);
-    }
-
-    /// Ends once a server has shown that it is dark: it has been mute for `patience`, and then does not answer within
-    /// `within` even what needs no slot. Danger: a long queue is silent, too, and is no reason to ask elsewhere.
-    pub(crate) async fn dark(self: &Rc<Self>, server: &Server, patience: Duration, within: Duration) {
-        loop {
-            tokio::time::sleep(patience).await;
-            let since = self.now() - patience;
-            if !self.router.borrow().is_silent_since(since, &server.id) {
-                continue;
-            }
-            let asked = self.now();
-            self.ask_figure(server, within).await;
-            if self.router.borrow().is_silent_since(asked, &server.id) {
-                return;
-            }
+    /// A connection for the request, and whether it has carried requests before.
+    async fn connect(
+        &self,
+        target: &Target,
+        request: &ServerRequest,
+        deadline: Deadline,
+    ) -> Result<(PooledConnection, bool), OpenError> {
+        if !request.needs_new_connection(target)
+            && let Some(connection) = self.connections.take_idle(&target.id, request.origin)
+        {
+            return Ok((connection, true));
         }
+        let time_left = deadline.timer.saturating_duration_since(Instant::now());
+        let connection = self.connections.open(target, request.origin, time_left).await?;
+        Ok((connection, false))
     }
 
-    /// Reads what is left of an answer aside, and keeps the connection.
-    pub(crate) fn spare(self: &Rc<Self>, id: &Rc<str>, link: ServerLink, head: Parts, mut body: Incoming) {
-        let (data_plane, id) = (self.clone(), id.clone());
-        let until = Instant::now() + REST;
-        tokio::task::spawn_local(async move {
-            let rest = async {
-                while let Some(frame) = body.frame().await {
-                    if frame.is_err() {
-                        return false;
-                    }
-                }
-                true
-            };
-            if timeout_at(until, rest).await == Ok(true) {
-                data_plane.links.put(&id, link, kept(&head), until).await;
-            }
-        });
-    }
-
-    /// The whole answer; `None` where it broke off or was too late or too long. The connection is kept.
-    pub(crate) async fn whole(
+    fn check_response(
         self: &Rc<Self>,
-        id: &Rc<str>,
-        head: &Parts,
-        body: Incoming,
-        link: ServerLink,
-        until: Instant,
-    ) -> Option<Bytes> {
-        let body = whole_body(head, body, until).await?;
-        self.links.put(id, link, kept(head), until).await;
-        Some(body)
-    }
-}
-
-/// The whole body of an answer; `None` where it broke off or was too late or too long.
-pub(crate) async fn whole_body(head: &Parts, body: Incoming, until: Instant) -> Option<Bytes> {
-    // Danger: without a length or chunks, what broke off looks whole.
-    let framed = head.headers.contains_key(CONTENT_LENGTH)
-        || head.headers.contains_key(hyper::header::TRANSFER_ENCODING)
-        || head.status == StatusCode::NO_CONTENT;
-    if !framed || head.headers.contains_key(hyper::header::CONTENT_ENCODING) {
-        return None;
+        target: &Target,
+        request: &ServerRequest,
+        response: Response<Incoming>,
+        connection: PooledConnection,
+    ) -> AttemptOutcome {
+        let (head, body) = response.into_parts();
+        self.record_received(&target.id);
+        // A surplus response to an earlier request may come where this one's is due (PROTOCOL.md, Servers).
+        if !request.is_answered_by(&head) {
+            return AttemptOutcome::Broken;
+        }
+        let status = head.status;
+        let is_rejected =
+            status == StatusCode::MISDIRECTED_REQUEST || head.headers.contains_key(NOT_EXECUTED);
+        let response = ServerResponse { head, body, connection };
+        if is_rejected {
+            self.discard_response(&target.id, response);
+            return AttemptOutcome::Rejected(status);
+        }
+        AttemptOutcome::Responded(response)
     }
-    let body = timeout_at(until, Limited::new(body, HELD).collect()).await;
-    Some(body.ok()?.ok()?.to_bytes())
-}
-
-/// Whether a success bears the server's stamp.
-pub(crate) fn sealed(head: &Parts) -> bool {
-    head.headers.contains_key(SEAL)
 }
--- /dev/null
+++ b/crates/data-plane/src/buffered_request.rs
@@ -0,0 +1,140 @@
+//! Requests without a prompt: the response is buffered before it is forwarded, so that a broken one can be replaced.
+
+use std::rc::Rc;
+
+use hyper::Response;
+use mosshead_routing::ServerFailure;
+use mosshead_time::Duration;
+
+use crate::attempt::{AttemptOutcome, failure_of_rejection};
+use crate::client_request::ClientRequest;
+use crate::data_plane::DataPlane;
+use crate::headers::PRIORITY;
+use crate::load_guards::ServerRequestGuard;
+use crate::load_report::SILENT_SERVER_TIMEOUT;
+use crate::response::{ResponseBody, forwarded_response};
+use crate::retry::AttemptHistory;
+use crate::server_request::Target;
+use crate::server_response::{ServerResponse, is_sealed, promises_not_executed};
+
+/// A server is not taken for unresponsive sooner.
+const MIN_SILENCE: Duration = Duration::from_millis(40);
+
+/// A server's response once its body has been read.
+enum BufferedResponse {
+    /// A success that bears the server's seal.
+    Success(Response<ResponseBody>),
+    /// An error of the server's own.
+    Error(Response<ResponseBody>),
+    /// No complete response, or a success without a seal.
+    Invalid,
+}
+
+impl DataPlane {
+    /// Makes attempts until one succeeds or none may follow.
+    pub(crate) async fn forward_buffered(self: &Rc<Self>, request: &ClientRequest) -> Response<ResponseBody> {
+        let mut history = AttemptHistory::default();
+        let mut last_error: Option<Response<ResponseBody>> = None;
+        loop {
+            let Some(target) = self.select_target(request, &history) else {
+                return last_error.unwrap_or_else(|| self.give_up(request, &history));
+            };
+            let guard = ServerRequestGuard::new(self, &target.id);
+            match self.attempt_while_responsive(&target, request).await {
+                AttemptOutcome::Responded(response) => {
+                    history.record_run(&target.id);
+                    match self.buffer_response(&target, request, response, &guard).await {
+                        BufferedResponse::Success(response) => return response,
+                        BufferedResponse::Error(response) => {
+                            let is_forwardable =
+                                request.is_repeatable() || !promises_not_executed(response.status());
+                            last_error = is_forwardable.then_some(response);
+                        }
+                        BufferedResponse::Invalid => {}
+                    }
+                    if !request.is_repeatable() {
+                        return last_error.unwrap_or_else(|| self.fail());
+                    }
+                }
+                AttemptOutcome::NotDelivered(failure) => {
+                    guard.record_failure(failure);
+                    history.record_undelivered(&target.id);
+                }
+                AttemptOutcome::Rejected(status) => {
+                    guard.record_failure(failure_of_rejection(status));
+                    history.record_rejection(&target.id);
+                }
+                AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
+                    guard.record_failure(ServerFailure::BrokenResponse);
+                    history.record_run(&target.id);
+                    if !request.is_repeatable() {
+                        return self.fail();
+                    }
+                }
+            }
+        }
+    }
+
+    /// The server of the next attempt; `None` where none may follow.
+    fn select_target(&self, request: &ClientRequest, history: &AttemptHistory) -> Option<Target> {
+        if self.is_exhausted(request, history) {
+            return None;
+        }
+        let now = self.now();
+        let service = &request.service;
+        let id = self.router.borrow_mut().select_server(now, &service.name, &history.avoid)?;
+        let target = self.target(service, &id)?;
+        if history.delivered > 0 && !self.try_withdraw_retry(request) {
+            self.router.borrow_mut().record_inconclusive(&id);
+            return None;
+        }
+        Some(target)
+    }
+
+    /// One attempt. If the request may run twice, it is given up once the server has proven unresponsive.
+    async fn attempt_while_responsive(
+        self: &Rc<Self>,
+        target: &Target,
+        request: &ClientRequest,
+    ) -> AttemptOutcome {
+        let half_target_millis = request.route.target_latency.as_millis() as u64 / 2;
+        let silence = Duration::from_millis(half_target_millis).clamp(MIN_SILENCE, SILENT_SERVER_TIMEOUT);
+        let extra_headers = [(PRIORITY, request.priority.clone())];
+        tokio::select! {
+            outcome = self.send_attempt(target, &request.message, request.deadline, &extra_headers) => outcome,
+            () = self.wait_until_unresponsive(target, silence, silence), if request.is_repeatable() => {
+                AttemptOutcome::TimedOut
+            }
+        }
+    }
+
+    /// Reads a response to its end, and records what it says of the server.
+    async fn buffer_response(
+        &self,
+        target: &Target,
+        request: &ClientRequest,
+        response: ServerResponse,
+        guard: &ServerRequestGuard,
+    ) -> BufferedResponse {
+        let ServerResponse { head, body, connection } = response;
+        let is_success = head.status.is_success();
+        let body = if is_success && !is_sealed(&head) {
+            None
+        } else {
+            self.buffer_body(&target.id, &head, body, connection, request.deadline.timer).await
+        };
+        let Some(body) = body else {
+            guard.record_failure(ServerFailure::BrokenResponse);
+            return BufferedResponse::Invalid;
+        };
+        let response = forwarded_response(&head, ResponseBody::Buffered(Some(body)));
+        if is_success {
+            guard.record_success();
+            self.counters.completed.increment();
+            BufferedResponse::Success(response)
+        } else {
+            guard.record_failure(ServerFailure::ErrorResponse);
+            BufferedResponse::Error(response)
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/client_request.rs
@@ -0,0 +1,155 @@
+//! A client's request, looked up in the configuration and ready to be sent to servers.
+
+use std::sync::Arc;
+
+use bytes::Bytes;
+use hyper::header::{HOST, HeaderMap, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{StatusCode, Uri};
+use mosshead_config::{Config, Route, RouteType, Service};
+use mosshead_http_links::RetryPolicy;
+use mosshead_routing::Prompt;
+use mosshead_time::{Duration, Instant};
+use quick_error::quick_error;
+
+use crate::data_plane::DataPlane;
+use crate::deadline::Deadline;
+use crate::headers::{DEADLINE_MS, RESERVED_REQUEST_HEADERS, end_to_end};
+use crate::prompt_headers::parse_prompt;
+use crate::server_request::ServerRequest;
+
+/// With less time left nothing is sent any more.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(2);
+/// The least urgent priority.
+const MAX_PRIORITY: u8 = 9;
+/// When a client whose service is not known here may come back, in seconds.
+const UNKNOWN_SERVICE_RETRY_AFTER: f64 = 0.3;
+
+/// What stays the same over all attempts of one client request.
+pub(crate) struct ClientRequest {
+    pub(crate) route: Arc<Route>,
+    pub(crate) service: Arc<Service>,
+    pub(crate) message: ServerRequest,
+    pub(crate) deadline: Deadline,
+    pub(crate) priority: HeaderValue,
+    retry_policy: RetryPolicy,
+}
+
+impl ClientRequest {
+    /// Whether it may be sent again though it may have run (RULES.md, TWICE).
+    pub(crate) fn is_repeatable(&self) -> bool {
+        self.retry_policy == RetryPolicy::Always
+    }
+
+    /// Whether too little time is left for another attempt.
+    pub(crate) fn is_expired(&self, now: Instant) -> bool {
+        now + MIN_TIME_LEFT >= self.deadline.instant
+    }
+}
+
+quick_error! {
+    /// Why a client's request can't be sent to any server.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+    pub enum RequestError {
+        /// No configuration is in force.
+        NotConfigured {
+            display("no configuration is in force")
+        }
+        /// No route fits host and path.
+        NoRoute {
+            display("no route fits the host and path of the request")
+        }
+        /// The route has no service.
+        NoService {
+            display("the route of the request has no service")
+        }
+        /// The path can't be forwarded.
+        InvalidPath {
+            display("the path of the request is invalid")
+        }
+    }
+}
+
+impl RequestError {
+    pub(crate) fn status(self) -> StatusCode {
+        match self {
+            Self::NotConfigured | Self::NoService => StatusCode::SERVICE_UNAVAILABLE,
+            Self::NoRoute => StatusCode::NOT_FOUND,
+            Self::InvalidPath => StatusCode::BAD_REQUEST,
+        }
+    }
+
+    /// When the client may come back, in seconds; `None` where that would not help.
+    pub(crate) fn retry_after(self) -> Option<f64> {
+        (self.status() == StatusCode::SERVICE_UNAVAILABLE).then_some(UNKNOWN_SERVICE_RETRY_AFTER)
+    }
+}
+
+fn host(head: &Parts) -> &str {
+    let header = head.headers.get(HOST).and_then(|host| host.to_str().ok());
+    header.or_else(|| head.uri.authority().map(|authority| authority.as_str())).unwrap_or_default()
+}
+
+/// How long the client waits; the longest possible time where it doesn't say.
+fn client_timeout(headers: &HeaderMap) -> Duration {
+    let millis = headers
+        .get(DEADLINE_MS)
+        .and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok())
+        .filter(|millis| millis.is_finite() && *millis >= 0.0);
+    Duration::from_millis(millis.map_or(u64::MAX, |millis| millis as u64))
+}
+
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end(headers);
+    for name in RESERVED_REQUEST_HEADERS {
+        forwarded.remove(name);
+    }
+    forwarded
+}
+
+/// The request's prompt; an empty one for a stream that names none, since it is forwarded as it comes all the same.
+fn prompt_of(headers: &HeaderMap, route: &Route, service: &Service) -> Option<Prompt> {
+    let prompt = service.engine.as_ref().and_then(|_| parse_prompt(headers));
+    prompt.or_else(|| (route.route_type == RouteType::Streaming).then(Prompt::default))
+}
+
+impl DataPlane {
+    /// Looks a request up in the newest configuration, which may have changed while its body came, and counts it in
+    /// the retry budget.
+    ///
+    /// # Errors
+    ///
+    /// The request can't be sent to any server.
+    pub(crate) fn prepare_request(
+        &self,
+        head: &Parts,
+        body: Bytes,
+    ) -> Result<(ClientRequest, Option<Prompt>), RequestError> {
+        let config = self.config().ok_or(RequestError::NotConfigured)?;
+        let route = config.find_route(host(head), head.uri.path()).ok_or(RequestError::NoRoute)?.clone();
+        let service = self.choose_service(&config, &route).ok_or(RequestError::NoService)?;
+        let headers = forwarded_headers(&head.headers);
+        let deadline = self.now() + client_timeout(&head.headers).min(route.timeout);
+        let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
+        let uri: Uri = path.parse().map_err(|_| RequestError::InvalidPath)?;
+        let prompt = prompt_of(&head.headers, &route, &service);
+        let retry_policy =
+            if route.is_idempotent() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
+        self.router.borrow_mut().record_request(self.now(), &service.name);
+        let request = ClientRequest {
+            message: ServerRequest::of_client(head.method.clone(), uri, headers, body),
+            deadline: self.deadline_at(deadline),
+            priority: HeaderValue::from(u16::from(route.priority.min(MAX_PRIORITY))),
+            retry_policy,
+            route,
+            service,
+        };
+        Ok((request, prompt))
+    }
+
+    /// The service of a request: by weight, where the route has several.
+    fn choose_service(&self, config: &Config, route: &Route) -> Option<Arc<Service>> {
+        let fraction = self.router.borrow_mut().random_fraction();
+        config.service(route.choose_service(fraction)?).cloned()
+    }
+}
--- a/crates/data-plane/src/client_stream.rs
+++ b/crates/data-plane/src/client_stream.rs
@@ -1,52 +1,56 @@
-//! A client's connection, which can be made to end with a reset.
+//! A client's connection, which can be closed with a TCP reset.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use std::time::Duration;
 
+use mosshead_time::Duration;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream that ends with a reset where it is told to.
+/// A stream that is closed with a reset if `reset_on_drop` is set when it is dropped.
 pub(crate) struct ClientStream {
     stream: TcpStream,
-    resets: Rc<Cell<bool>>,
+    reset_on_drop: Rc<Cell<bool>>,
 }
 
 impl ClientStream {
-    /// `resets` is looked at when it is dropped.
-    pub(crate) fn new(stream: TcpStream, resets: Rc<Cell<bool>>) -> Self {
-        Self { stream, resets }
+    /// `reset_on_drop` is read when the stream is dropped.
+    pub(crate) fn new(stream: TcpStream, reset_on_drop: Rc<Cell<bool>>) -> Self {
+        Self { stream, reset_on_drop }
     }
 }
 
 impl Drop for ClientStream {
     fn drop(&mut self) {
-        if self.resets.get() {
+        if self.reset_on_drop.get() {
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
 impl AsyncRead for ClientStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for ClientStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        parts: &[IoSlice],
+        cx: &mut Context<'_>,
+        parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write_vectored(cx, parts)
     }
@@ -55,11 +59,11 @@
         self.stream.is_write_vectored()
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -1,162 +1,159 @@
-//! Connections to servers that wait for their next request.
+//! Connections to servers, and those of them that wait for their next request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 
 use bytes::Bytes;
 use http_body_util::Full;
 use mosshead_http_links::{Link, Opening, Side};
-use tokio::time::{Duration, Instant};
+use mosshead_time::Duration;
+use quick_error::quick_error;
+use tokio::time::Instant;
 
-/// On whose account a message goes to a server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Origin {
-    /// A client sent it; it bears the client's id, which the answer echoes.
-    Client,
-    /// The proxy asks for itself; neither the call nor its answer bears an id.
-    Proxy,
-}
+use crate::count_guard::CountGuard;
+use crate::server_request::{RequestOrigin, Target};
 
-/// A connection to a server. It carries messages of one origin only: a late answer to the one kind can't stand where
-/// an answer to the other is due.
+/// A connection to a server. It carries requests of one origin only: a late response to the one kind can't come where a
+/// response to the other is due.
 #[derive(Debug)]
-pub(crate) struct ServerLink {
+pub(crate) struct PooledConnection {
     pub(crate) link: Link<Full<Bytes>>,
-    origin: Origin,
+    origin: RequestOrigin,
 }
 
-/// An idle connection is kept for so long where the server doesn't say.
-const KEPT: Duration = Duration::from_secs(12);
-/// It is let go of so long before the server would close it.
-const EARLY: Duration = Duration::from_millis(700);
-/// So many wait at one server for requests of clients.
-const MOST_IDLE: usize = 24;
-/// So many wait at one server for the proxy's own calls.
-const MOST_IDLE_OWN: usize = 2;
-/// After an answer it has to show within this that it can carry the next message.
-const SETTLES: Duration = Duration::from_millis(2);
-/// A connection comes up within this.
-const CONNECT: Duration = Duration::from_millis(250);
-/// A machine that acknowledges nothing for so long is dark.
-const DARK: Duration = Duration::from_millis(400);
+/// An idle connection is kept for at most this long.
+const MAX_IDLE: Duration = Duration::from_secs(12);
+/// An idle connection is closed this long before the server would close it.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// How many idle connections to one server are kept for clients' requests.
+const MAX_IDLE_FOR_CLIENTS: usize = 24;
+/// How many idle connections to one server are kept for the proxy's own calls.
+const MAX_IDLE_FOR_PROXY: usize = 2;
+/// Within this time after a response a connection must show that it can carry the next request.
+const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
+/// A connection must come up within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// The kernel breaks a connection whose bytes have gone unacknowledged for this long.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Ends of these connections are not logged one by one.
 const SERVER: Side = Side { name: "server", log: |_| {} };
 
-/// Counts a connection as open until it is closed.
-struct Held(Rc<Cell<usize>>);
-
-impl Drop for Held {
-    fn drop(&mut self) {
-        self.0.set(self.0.get().saturating_sub(1));
+quick_error! {
+    /// Why no connection could be opened.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+    pub enum OpenError {
+        /// This proxy already has as many connections to the server as it may.
+        LimitReached {
+            display("as many connections to the server are open as this proxy may have")
+        }
+        /// The connection did not come up in time, or was refused.
+        Unreachable {
+            display("no connection to the server came up")
+        }
     }
 }
 
-struct Idle {
-    link: ServerLink,
-    until: Instant,
+struct IdleConnection {
+    connection: PooledConnection,
+    expires_at: Instant,
 }
 
 #[derive(Default)]
-struct Server {
-    for_clients: Vec<Idle>,
-    for_own_calls: Vec<Idle>,
+struct ServerConnections {
+    idle_for_clients: Vec<IdleConnection>,
+    idle_for_proxy: Vec<IdleConnection>,
+    /// Connections that are open, idle or not.
     open: Rc<Cell<usize>>,
 }
 
-impl Server {
-    fn idle(&mut self, origin: Origin) -> &mut Vec<Idle> {
+impl ServerConnections {
+    fn idle(&mut self, origin: RequestOrigin) -> &mut Vec<IdleConnection> {
         match origin {
-            Origin::Client => &mut self.for_clients,
-            Origin::Proxy => &mut self.for_own_calls,
+            RequestOrigin::Client => &mut self.idle_for_clients,
+            RequestOrigin::Proxy => &mut self.idle_for_proxy,
         }
     }
 }
 
-/// By instance: an address may pass on to another one.
+/// Connections by the server's instance id: an address may pass on to another instance.
 #[derive(Default)]
-pub(crate) struct Links {
-    servers: RefCell<HashMap<Rc<str>, Server>>,
+pub(crate) struct ConnectionPool {
+    servers: RefCell<HashMap<Rc<str>, ServerConnections>>,
 }
 
-impl Links {
-    /// A connection that waits, if there is one. The newest one first: old ones may have been closed unseen.
-    pub(crate) fn idle(&self, id: &str, origin: Origin) -> Option<ServerLink> {
+impl ConnectionPool {
+    /// Takes an idle connection, if there is one. The newest comes first: the server may have closed old ones.
+    pub(crate) fn take_idle(&self, server_id: &str, origin: RequestOrigin) -> Option<PooledConnection> {
         let now = Instant::now();
         let mut servers = self.servers.borrow_mut();
-        let waiting = servers.get_mut(id)?.idle(origin);
-        while let Some(idle) = waiting.pop() {
-            if !idle.link.link.closed() && idle.until > now {
-                return Some(idle.link);
+        let idle = servers.get_mut(server_id)?.idle(origin);
+        while let Some(candidate) = idle.pop() {
+            if !candidate.connection.link.closed() && candidate.expires_at > now {
+                return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// A new connection; `most` may be open at once.
+    /// Opens a connection within `time_left`.
     pub(crate) async fn open(
         &self,
-        id: &Rc<str>,
-        origin: Origin,
-        to: SocketAddrV4,
-        most: usize,
-        left: Duration,
-    ) -> Opened {
-        let open = self.servers.borrow_mut().entry(id.clone()).or_default().open.clone();
-        if open.get() >= most {
-            return Opened::TooMany;
+        target: &Target,
+        origin: RequestOrigin,
+        time_left: Duration,
+    ) -> Result<PooledConnection, OpenError> {
+        let open = self.servers.borrow_mut().entry(target.id.clone()).or_default().open.clone();
+        if open.get() >= target.max_connections {
+            return Err(OpenError::LimitReached);
         }
-        open.set(open.get() + 1);
-        let held = Held(open);
-        let how = Opening { within: CONNECT.min(left), user_timeout: Some(DARK) };
-        match Link::open(SERVER, to.into(), how, held).await {
-            Some(link) => Opened::Link(ServerLink { link, origin }),
-            None => Opened::Unreachable,
+        let guard = CountGuard::new(&open, 1);
+        let options =
+            Opening { within: CONNECT_TIMEOUT.min(time_left), user_timeout: Some(TCP_USER_TIMEOUT) };
+        match Link::open(SERVER, target.address.into(), options, guard).await {
+            Some(link) => Ok(PooledConnection { link, origin }),
+            None => Err(OpenError::Unreachable),
         }
     }
 
-    /// The answer on this connection has been read to its end: it waits for the next message, if that was in time and
-    /// nothing stands behind it. `kept`: for how long the server keeps it.
+    /// Puts a connection back whose response was read to its end. It is closed instead if `until` has passed: after a
+    /// freeze of this process nobody knows for how long the response lay there, nor what the server has done since. It
+    /// is closed, too, if further bytes follow the response.
     pub(crate) async fn put(
         &self,
-        id: &Rc<str>,
-        mut link: ServerLink,
-        kept: Option<Duration>,
+        server_id: &Rc<str>,
+        mut connection: PooledConnection,
+        keep_alive: Option<Duration>,
         until: Instant,
     ) {
-        let kept = kept.map_or(KEPT, |kept| kept.saturating_sub(EARLY)).min(KEPT);
-        // Danger: after a freeze nobody knows for how long the answer lay there, nor what the server has done since.
-        if kept.is_zero() || Instant::now() >= until || !link.link.reusable(SETTLES).await {
+        let idle_time =
+            keep_alive.map_or(MAX_IDLE, |timeout| timeout.saturating_sub(IDLE_MARGIN)).min(MAX_IDLE);
+        if idle_time.is_zero()
+            || Instant::now() >= until
+            || !connection.link.reusable(REUSE_CHECK_TIMEOUT).await
+        {
             return;
         }
-        let most = match link.origin {
-            Origin::Client => MOST_IDLE,
-            Origin::Proxy => MOST_IDLE_OWN,
+        let max_idle = match connection.origin {
+            RequestOrigin::Client => MAX_IDLE_FOR_CLIENTS,
+            RequestOrigin::Proxy => MAX_IDLE_FOR_PROXY,
         };
         let mut servers = self.servers.borrow_mut();
-        let waiting = servers.entry(id.clone()).or_default().idle(link.origin);
-        if waiting.len() < most {
-            waiting.push(Idle { link, until: Instant::now() + kept });
+        let idle = servers.entry(server_id.clone()).or_default().idle(connection.origin);
+        if idle.len() < max_idle {
+            idle.push(IdleConnection { connection, expires_at: Instant::now() + idle_time });
         }
     }
 
-    /// Lets go of the connections to servers that are gone and of those that waited too long.
-    pub(crate) fn keep(&self, known: impl Fn(&str) -> bool) {
+    /// Drops idle connections that have expired, and the entries of servers that are no longer known.
+    pub(crate) fn remove_expired(&self, is_known: impl Fn(&str) -> bool) {
         let now = Instant::now();
-        self.servers.borrow_mut().retain(|id, server| {
-            for waiting in [&mut server.for_clients, &mut server.for_own_calls] {
-                waiting.retain(|idle| idle.until > now && !idle.link.link.closed());
+        self.servers.borrow_mut().retain(|server_id, server| {
+            for idle in [&mut server.idle_for_clients, &mut server.idle_for_proxy] {
+                idle.retain(|idle| idle.expires_at > now && !idle.connection.link.closed());
             }
-            known(id) || server.open.get() > 0
+            is_known(server_id) || server.open.get() > 0
         });
     }
 }
-
-/// What came of opening one.
-pub(crate) enum Opened {
-    Link(ServerLink),
-    TooMany,
-    Unreachable,
-}
--- /dev/null
+++ b/crates/data-plane/src/decode.rs
@@ -0,0 +1,144 @@
+//! The start of a stream at a decode server.
+
+use std::rc::Rc;
+
+use hyper::body::Incoming;
+use hyper::header::{CONTENT_ENCODING, HeaderName, HeaderValue};
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode};
+use mosshead_routing::{Prompt, ServerFailure};
+
+use crate::attempt::{AttemptOutcome, failure_of_rejection};
+use crate::client_request::ClientRequest;
+use crate::connection_pool::PooledConnection;
+use crate::data_plane::DataPlane;
+use crate::headers::{KV_FROM, LAST_EVENT_ID, PRIORITY};
+use crate::load_guards::{PrefillGuard, ServerRequestGuard};
+use crate::load_report::{LOAD_REPORT_TIMEOUT, SILENT_SERVER_TIMEOUT};
+use crate::prefill::KvHandle;
+use crate::response::{ResponseBody, forwarded_response};
+use crate::server_request::Target;
+use crate::server_response::{ServerResponse, is_sealed, promises_not_executed};
+
+/// A decode server prefills at half the speed of a prefill server: each token weighs twice.
+const LOCAL_PREFILL_WEIGHT: f64 = 2.0;
+
+/// A stream whose head has come.
+pub(crate) struct DecodeStream {
+    pub(crate) head: Parts,
+    pub(crate) body: Incoming,
+    pub(crate) connection: PooledConnection,
+    pub(crate) target: Target,
+    pub(crate) request_guard: ServerRequestGuard,
+    /// Held until the first event, where the decode server prefills the prompt itself.
+    pub(crate) prefill_guard: Option<PrefillGuard>,
+}
+
+/// What came of an attempt at a decode server.
+pub(crate) enum DecodeOutcome {
+    /// The stream begins.
+    Streaming(DecodeStream),
+    /// An error of the server's own, which is no stream; the request ran.
+    Error(Response<ResponseBody>),
+    /// The KV cache could not be fetched, or the server is full; the request did not run.
+    HandleUnavailable,
+    /// The server rejected the request; it did not run.
+    Rejected,
+    /// The request did not reach the server.
+    NotDelivered,
+    /// The request may have run.
+    Broken,
+}
+
+impl DataPlane {
+    /// Sends the request to a decode server: with a handle, or without one for the server to prefill the prompt itself;
+    /// behind `last_event_id`, where a stream is resumed.
+    pub(crate) async fn start_decode(
+        self: &Rc<Self>,
+        request: &ClientRequest,
+        prompt: &Prompt,
+        target: &Target,
+        handle: Option<KvHandle>,
+        last_event_id: Option<u64>,
+    ) -> DecodeOutcome {
+        let request_guard = ServerRequestGuard::new(self, &target.id);
+        let local_prefill_tokens = LOCAL_PREFILL_WEIGHT * prompt.unshared_tokens();
+        let prefill_guard =
+            handle.is_none().then(|| PrefillGuard::new(self, &target.id, local_prefill_tokens));
+        let extra_headers = decode_headers(request, handle.as_ref(), last_event_id);
+        let outcome = tokio::select! {
+            outcome = self.send_attempt(target, &request.message, request.deadline, &extra_headers) => outcome,
+            () = self.wait_until_unresponsive(target, SILENT_SERVER_TIMEOUT, LOAD_REPORT_TIMEOUT),
+                if request.is_repeatable() => AttemptOutcome::TimedOut,
+        };
+        match outcome {
+            AttemptOutcome::Responded(response) => {
+                handle.iter().for_each(KvHandle::mark_consumed);
+                self.accept_response(request, target, response, request_guard, prefill_guard).await
+            }
+            // One status for both: the KV cache can't be fetched, and the server is full.
+            AttemptOutcome::Rejected(StatusCode::SERVICE_UNAVAILABLE) if handle.is_some() => {
+                DecodeOutcome::HandleUnavailable
+            }
+            AttemptOutcome::Rejected(status) => {
+                request_guard.record_failure(failure_of_rejection(status));
+                DecodeOutcome::Rejected
+            }
+            AttemptOutcome::NotDelivered(failure) => {
+                request_guard.record_failure(failure);
+                DecodeOutcome::NotDelivered
+            }
+            AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
+                handle.iter().for_each(KvHandle::mark_consumed);
+                request_guard.record_failure(ServerFailure::BrokenResponse);
+                DecodeOutcome::Broken
+            }
+        }
+    }
+
+    async fn accept_response(
+        &self,
+        request: &ClientRequest,
+        target: &Target,
+        response: ServerResponse,
+        request_guard: ServerRequestGuard,
+        prefill_guard: Option<PrefillGuard>,
+    ) -> DecodeOutcome {
+        let ServerResponse { head, body, connection } = response;
+        if !head.status.is_success() {
+            request_guard.record_failure(ServerFailure::ErrorResponse);
+            let until = request.deadline.timer;
+            let body = self.buffer_body(&target.id, &head, body, connection, until).await;
+            return match body {
+                Some(body) if !promises_not_executed(head.status) => {
+                    DecodeOutcome::Error(forwarded_response(&head, ResponseBody::Buffered(Some(body))))
+                }
+                _ => DecodeOutcome::Broken,
+            };
+        }
+        if !is_sealed(&head) || head.headers.contains_key(CONTENT_ENCODING) {
+            request_guard.record_failure(ServerFailure::BrokenResponse);
+            return DecodeOutcome::Broken;
+        }
+        let target = target.clone();
+        DecodeOutcome::Streaming(DecodeStream {
+            head,
+            body,
+            connection,
+            target,
+            request_guard,
+            prefill_guard,
+        })
+    }
+}
+
+fn decode_headers(
+    request: &ClientRequest,
+    handle: Option<&KvHandle>,
+    last_event_id: Option<u64>,
+) -> Vec<(HeaderName, HeaderValue)> {
+    let mut headers = vec![(PRIORITY, request.priority.clone())];
+    headers.extend(handle.and_then(KvHandle::location).map(|location| (KV_FROM, location)));
+    headers.extend(last_event_id.map(|id| (LAST_EVENT_ID, HeaderValue::from(id))));
+    headers
+}
--- a/crates/data-plane/src/event_splitter.rs
+++ b/crates/data-plane/src/event_splitter.rs
@@ -1,64 +1,93 @@
-//! Events of a stream, as they come in pieces.
+//! Splits a stream of server-sent events, which comes in chunks of any size, into complete events.
+
+use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 
 /// An event is at most this long.
-const LONGEST: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
+
+/// One complete event.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StreamEvent {
+    /// What its `id:` line says, if it has one with a number.
+    pub id: Option<u64>,
+    /// The event as it came, with the empty line that ends it.
+    pub bytes: Bytes,
+}
+
+/// An event is longer than a proxy holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EventTooLong;
+
+impl fmt::Display for EventTooLong {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "an event of the stream is longer than {MAX_EVENT_BYTES} bytes")
+    }
+}
+
+impl std::error::Error for EventTooLong {}
 
-/// Cuts a stream into whole events and remembers the id of the last one.
+/// Splits a stream into complete events, and remembers the id of the last one that was forwarded.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    last: Option<u64>,
+    /// The beginning of an event that is not complete yet.
+    partial: BytesMut,
+    last_forwarded_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes what came; the whole events in it, with the id of each where it tells one. `None`: an event is too long.
-    pub fn push(&mut self, data: &[u8]) -> Option<Vec<(Option<u64>, Bytes)>> {
-        self.held.extend_from_slice(data);
+    /// Takes a chunk, and returns the events that it completes.
+    ///
+    /// # Errors
+    ///
+    /// The event that is not complete yet is already longer than 256 KiB.
+    pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<StreamEvent>, EventTooLong> {
+        self.partial.extend_from_slice(chunk);
         let mut events = Vec::new();
-        while let Some(end) = end_of_event(&self.held) {
-            let event = self.held.split_to(end).freeze();
-            events.push((id_of(&event), event));
+        while let Some(end) = end_of_event(&self.partial) {
+            let bytes = self.partial.split_to(end).freeze();
+            events.push(StreamEvent { id: id_of_event(&bytes), bytes });
         }
-        if self.held.len() > LONGEST { None } else { Some(events) }
+        if self.partial.len() > MAX_EVENT_BYTES { Err(EventTooLong) } else { Ok(events) }
     }
 
-    /// An event has been passed on.
+    /// An event with this id was forwarded.
     pub fn mark_forwarded(&mut self, id: Option<u64>) {
-        self.last = id.or(self.last);
+        self.last_forwarded_id = id.or(self.last_forwarded_id);
     }
 
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was forwarded.
     pub fn last_forwarded_id(&self) -> Option<u64> {
-        self.last
+        self.last_forwarded_id
     }
 
-    /// Lets go of an event that never became whole; the next run starts at its beginning.
+    /// Drops an event that never became complete: the server that resumes the stream begins with it anew.
     pub fn discard_partial_event(&mut self) {
-        self.held.clear();
+        self.partial.clear();
     }
 
-    /// What follows the last whole event.
+    /// Takes what follows the last complete event.
     pub fn take_remainder(&mut self) -> Bytes {
-        self.held.split().freeze()
+        self.partial.split().freeze()
     }
 }
 
+/// Where the first event ends: behind its empty line, with or without carriage returns.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let mut from = 0;
-    while let Some(at) = bytes.get(from..)?.iter().position(|byte| *byte == b'\n') {
-        let after = from + at + 1;
-        match bytes.get(after..) {
-            Some([b'\n', ..]) => return Some(after + 1),
-            Some([b'\r', b'\n', ..]) => return Some(after + 2),
-            _ => from = after,
+    let mut start = 0;
+    while let Some(line_end) = bytes.get(start..)?.iter().position(|byte| *byte == b'\n') {
+        let next_line = start + line_end + 1;
+        match bytes.get(next_line..) {
+            Some([b'\n', ..]) => return Some(next_line + 1),
+            Some([b'\r', b'\n', ..]) => return Some(next_line + 2),
+            _ => start = next_line,
         }
     }
     None
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn id_of_event(event: &[u8]) -> Option<u64> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -1,140 +1,110 @@
-//! Where clients come in, and where the platform asks whether a proxy is ready.
+//! Where clients connect.
 
 use std::cell::Cell;
-use std::convert::Infallible;
-use std::future::Future;
+use std::pin::pin;
 use std::rc::Rc;
 
-use bytes::Bytes;
-use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode, Version};
+use hyper::{Request, Version};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use mosshead_time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::time::{Duration, sleep};
+use tokio::time::sleep;
 
 use crate::client_stream::ClientStream;
+use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
 
-/// Clients' connections at once.
-const MOST: usize = 2600;
-/// The most of a head.
-const HEAD: usize = 64 * 1024;
+/// How many connections clients may have at once.
+const MAX_CONNECTIONS: usize = 2600;
+/// The longest head of a request.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// For how long a connection may be idle before a configuration is in force.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// A connection may be idle for at least this long.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A failed accept is repeated after this time: out of file descriptors it would fail at once, again and again.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The door for clients.
+/// The listener for clients.
 pub struct Frontend {
     data_plane: Rc<DataPlane>,
-    open: Rc<Cell<usize>>,
-    close: watch::Sender<bool>,
+    open_connections: Rc<Cell<usize>>,
+    shutdown: watch::Sender<bool>,
 }
 
 impl Frontend {
-    /// A door to this data plane.
+    /// A listener for the clients of this data plane.
     pub fn new(data_plane: Rc<DataPlane>) -> Rc<Self> {
-        Rc::new(Self { data_plane, open: Rc::default(), close: watch::Sender::new(false) })
+        Rc::new(Self { data_plane, open_connections: Rc::default(), shutdown: watch::Sender::new(false) })
     }
 
-    /// Connections of clients.
+    /// How many connections clients have.
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
-    /// Lets the answers under way end and closes the connections that wait.
+    /// Closes idle connections, and the others once their response is complete.
     pub fn shut_down(&self) {
-        self.close.send_replace(true);
+        self.shutdown.send_replace(true);
     }
 
-    /// Takes connections for as long as it is polled.
+    /// Accepts connections for as long as it is polled. Has to be polled within a `LocalSet`.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.open.get() < MOST => {
-                    let door = self.clone();
-                    door.open.set(door.open.get() + 1);
+                Ok((stream, _)) if self.open_connections.get() < MAX_CONNECTIONS => {
+                    let frontend = self.clone();
+                    let guard = CountGuard::new(&self.open_connections, 1);
                     tokio::task::spawn_local(async move {
-                        door.connection(stream).await;
-                        door.open.set(door.open.get().saturating_sub(1));
+                        frontend.serve_connection(stream).await;
+                        drop(guard);
                     });
                 }
                 Ok(_) => {}
-                // Danger: out of descriptors, accept fails at once, again and again.
-                Err(_) => sleep(Duration::from_millis(20)).await,
+                Err(_) => sleep(ACCEPT_BACKOFF).await,
             }
         }
     }
 
-    async fn connection(&self, stream: TcpStream) {
+    fn idle_timeout(&self) -> Duration {
+        let config = self.data_plane.config();
+        config.map_or(DEFAULT_IDLE_TIMEOUT, |config| config.limits.idle_timeout.max(MIN_IDLE_TIMEOUT))
+    }
+
+    async fn serve_connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let idle = self
-            .data_plane
-            .config()
-            .map_or(Duration::from_secs(15), |config| config.limits.idle_timeout.max(Duration::from_secs(3)));
         let data_plane = self.data_plane.clone();
-        let (resets, without_chunks) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
-        let told = without_chunks.clone();
-        let service = service_fn(move |request: Request<Incoming>| {
-            told.set(request.version() < Version::HTTP_11);
-            data_plane.clone().answer(request)
+        let lacks_chunks = Rc::new(Cell::new(false));
+        let service = service_fn({
+            let lacks_chunks = lacks_chunks.clone();
+            move |request: Request<Incoming>| {
+                lacks_chunks.set(request.version() < Version::HTTP_11);
+                data_plane.clone().handle_request(request)
+            }
         });
-        let stream = ClientStream::new(stream, resets.clone());
+        let reset_on_drop = Rc::new(Cell::new(false));
+        let stream = ClientStream::new(stream, reset_on_drop.clone());
         let connection = Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(idle)
-            .max_buf_size(HEAD)
+            .header_read_timeout(self.idle_timeout())
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
-        let mut connection = std::pin::pin!(connection);
-        let mut close = self.close.subscribe();
-        let ended = tokio::select! {
-            ended = connection.as_mut() => ended,
-            _ = close.wait_for(|close| *close) => {
+        let mut connection = pin!(connection);
+        let mut shutdown = self.shutdown.subscribe();
+        let result = tokio::select! {
+            result = connection.as_mut() => result,
+            _ = shutdown.wait_for(|is_shut_down| *is_shut_down) => {
                 connection.as_mut().graceful_shutdown();
                 connection.as_mut().await
             }
         };
-        // Danger: to a client that knows no chunks the end of the connection is the end of the body, and what was cut
-        // off would look complete.
-        resets.set(without_chunks.get() && ended.is_err_and(|fault| fault.is_user()));
-    }
-}
-
-/// Answers the platform's `GET /readiness`, and `GET /status` with what `status` says.
-pub async fn serve_readiness<S>(listener: TcpListener, ready: impl Fn() -> bool + 'static, status: S)
-where
-    S: Fn() -> String + 'static,
-{
-    let (ready, status) = (Rc::new(ready), Rc::new(status));
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(20)).await;
-            continue;
-        };
-        let (ready, status) = (ready.clone(), status.clone());
-        tokio::task::spawn_local(async move {
-            let service = service_fn(move |request| says(request, ready.clone(), status.clone()));
-            let connection = Builder::new()
-                .timer(TokioTimer::new())
-                .header_read_timeout(Duration::from_secs(20))
-                .serve_connection(TokioIo::new(stream), service);
-            let _ = connection.await;
-        });
+        // To a client that knows no chunks the end of the connection is the end of the body: an aborted response would
+        // look complete (RULES.md, MIXED), so the connection is reset instead.
+        let is_aborted = result.is_err_and(|error| error.is_user());
+        reset_on_drop.set(lacks_chunks.get() && is_aborted);
     }
 }
-
-fn says<B, S: Fn() -> String>(
-    request: Request<B>,
-    ready: Rc<impl Fn() -> bool>,
-    status: Rc<S>,
-) -> impl Future<Output = Result<Response<Full<Bytes>>, Infallible>> {
-    let (code, body) = match request.uri().path() {
-        "/readiness" if ready() => (StatusCode::OK, String::new()),
-        "/readiness" => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
-        "/status" => (StatusCode::OK, status()),
-        _ => (StatusCode::NOT_FOUND, String::new()),
-    };
-    let mut response = Response::new(Full::new(Bytes::from(body)));
-    *response.status_mut() = code;
-    std::future::ready(Ok(response))
-}
--- /dev/null
+++ b/crates/data-plane/src/headers.rs
@@ -0,0 +1,64 @@
+//! Names of headers (PROTOCOL.md, Requests and Answers), and which of them are forwarded.
+
+use hyper::header::{
+    CONNECTION, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
+    TRANSFER_ENCODING, UPGRADE,
+};
+use mosshead_time::Duration;
+
+/// What a client calls its attempt; servers echo it.
+pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
+/// How many milliseconds the sender waits for the response.
+pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// The only instance that may run the request; every other one answers 421.
+pub(crate) const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
+/// A server's proof that it made the response.
+pub(crate) const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
+/// A server's word that it did not run the request and never will.
+pub(crate) const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
+/// From 0, the most urgent, to 9.
+pub(crate) const PRIORITY: HeaderName = HeaderName::from_static("priority");
+/// `prefill`: the server prefills the prompt and does not run the request.
+pub(crate) const SERVING_STAGE: HeaderName = HeaderName::from_static("x-serving-stage");
+/// Where a decode server fetches the KV cache: IP:PORT/HANDLE.
+pub(crate) const KV_FROM: HeaderName = HeaderName::from_static("kv-from");
+/// The last event that a client has of a stream; the stream goes on behind it.
+pub(crate) const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
+
+/// Headers that only the system may set: what a client says of stages, handles or instances is dropped.
+pub(crate) const RESERVED_REQUEST_HEADERS: [&str; 6] =
+    ["x-serving-stage", "kv-from", "x-target-instance", "priority", "expect-version", "expect"];
+
+const HOP_BY_HOP: [HeaderName; 7] =
+    [CONNECTION, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+
+/// Room for the headers that are added to those forwarded.
+const ADDED_HEADERS: usize = 6;
+
+/// The headers without those that concern one connection only.
+pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+    let named_by_connection: Vec<String> = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
+        .collect();
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + ADDED_HEADERS);
+    for (name, value) in headers {
+        let is_hop_by_hop = HOP_BY_HOP.contains(name)
+            || name == "keep-alive"
+            || name == "proxy-connection"
+            || named_by_connection.iter().any(|named| named == name.as_str());
+        if !is_hop_by_hop {
+            forwarded.append(name.clone(), value.clone());
+        }
+    }
+    forwarded
+}
+
+/// For how long a server keeps an idle connection, if `Keep-Alive` says so.
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let value = headers.get("keep-alive")?.to_str().ok()?;
+    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    seconds.trim().parse().ok().map(Duration::from_secs)
+}
--- /dev/null
+++ b/crates/data-plane/src/load_report.rs
@@ -0,0 +1,109 @@
+//! Load reports of servers, and what it says of a server that it doesn't even answer those.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use hyper::{Method, Uri};
+use mosshead_config::Service;
+use mosshead_routing::{Prompt, ServerFailure};
+use mosshead_time::Duration;
+use tinyjson::JsonValue;
+use tokio::time::{Instant, timeout_at};
+
+use crate::attempt::AttemptOutcome;
+use crate::data_plane::DataPlane;
+use crate::headers::keep_alive_timeout;
+use crate::server_request::{ServerRequest, Target};
+use crate::server_response::{ServerResponse, read_body};
+
+/// A server that works answers a request for its load within this time: it needs no slot for that.
+pub(crate) const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A server from which nothing has come for this long is asked for its load, to see whether it responds at all.
+pub(crate) const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(250);
+/// For how long a client's request waits for load reports: a fresh one is not worth more.
+const LOAD_REPORT_WAIT: Duration = Duration::from_millis(12);
+/// A longer report is not read.
+const MAX_REPORT_BYTES: usize = 64 * 1024;
+
+/// The requests that a server has, queued or active, by its report (PROTOCOL.md, Requests: `GET /report`).
+fn parse_load(body: &[u8]) -> Option<f64> {
+    if body.len() > MAX_REPORT_BYTES {
+        return None;
+    }
+    let value = mosshead_config::parse_json(body)?;
+    let fields: &HashMap<String, JsonValue> = value.get()?;
+    let count = |name: &str| fields.get(name).and_then(|value| value.get::<f64>().copied());
+    let load = count("queued")? + count("active")?;
+    load.is_finite().then_some(load.max(0.0))
+}
+
+impl DataPlane {
+    /// Asks the prefill servers between which the prompt would be placed for their load, where no report is fresh.
+    pub(crate) async fn refresh_prefill_loads(self: &Rc<Self>, service: &Service, prompt: &Prompt) {
+        let now = self.now();
+        let ids = self.router.borrow_mut().prefill_servers_to_query(now, &service.name, prompt);
+        let targets: Vec<Target> = ids.iter().filter_map(|id| self.target(service, id)).collect();
+        let mut queries = Vec::new();
+        for target in targets {
+            // A task of its own goes on when the wait is over, and its report serves the next request.
+            let data_plane = self.clone();
+            queries.push(tokio::task::spawn_local(async move {
+                data_plane.query_load(&target, LOAD_REPORT_TIMEOUT).await;
+            }));
+        }
+        let until = Instant::now() + LOAD_REPORT_WAIT;
+        for query in queries {
+            let _ = timeout_at(until, query).await;
+        }
+    }
+
+    /// Asks a server for its load and records what it reports.
+    async fn query_load(self: &Rc<Self>, target: &Target, timeout: Duration) {
+        let request = ServerRequest::of_proxy(Method::GET, Uri::from_static("/report"));
+        let deadline = self.deadline_in(timeout);
+        match self.send_attempt(target, &request, deadline, &[]).await {
+            AttemptOutcome::Responded(response) if response.head.status.is_success() => {
+                self.record_load_report(target, response, deadline.timer).await;
+            }
+            AttemptOutcome::NotDelivered(failure) => self.record_failure(&target.id, failure),
+            AttemptOutcome::TimedOut | AttemptOutcome::Broken => {
+                self.record_failure(&target.id, ServerFailure::Unreachable);
+            }
+            AttemptOutcome::Responded(_) | AttemptOutcome::Rejected(_) => {}
+        }
+    }
+
+    /// The connection is closed where the body is no report: it then belongs to another call, and the report may still
+    /// come where the next response is due.
+    async fn record_load_report(&self, target: &Target, response: ServerResponse, until: Instant) {
+        let ServerResponse { head, body, connection } = response;
+        let body = read_body(&head, body, until).await;
+        let Some(load) = body.and_then(|body| parse_load(&body)) else { return };
+        let now = self.now();
+        self.router.borrow_mut().record_load(now, &target.id, load);
+        self.connections.put(&target.id, connection, keep_alive_timeout(&head.headers), until).await;
+    }
+
+    /// Completes once the server has shown that it is unresponsive: nothing has come from it for `silence`, and then it
+    /// does not even report its load within `report_timeout`. Silence alone proves nothing: a request in a long queue
+    /// is silent, too, and must not be sent elsewhere for that.
+    pub(crate) async fn wait_until_unresponsive(
+        self: &Rc<Self>,
+        target: &Target,
+        silence: Duration,
+        report_timeout: Duration,
+    ) {
+        loop {
+            tokio::time::sleep(silence).await;
+            let silent_since = self.now() - silence;
+            if !self.router.borrow().is_silent_since(silent_since, &target.id) {
+                continue;
+            }
+            let queried_at = self.now();
+            self.query_load(target, report_timeout).await;
+            if self.router.borrow().is_silent_since(queried_at, &target.id) {
+                return;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/prompt_request.rs
@@ -0,0 +1,182 @@
+//! Requests with a prompt: servers are selected, the prompt is prefilled and handed over, and a decode server streams.
+
+use std::rc::Rc;
+
+use hyper::Response;
+use mosshead_registry::OperState;
+use mosshead_routing::{Prompt, ServerPair};
+use mosshead_time::Instant;
+
+use crate::client_request::ClientRequest;
+use crate::count_guard::CountGuard;
+use crate::data_plane::DataPlane;
+use crate::decode::DecodeOutcome;
+use crate::prefill::{KvHandle, PrefillError};
+use crate::response::ResponseBody;
+use crate::retry::AttemptHistory;
+use crate::server_request::Target;
+
+/// The retry budget of the service is spent.
+struct RetryBudgetExhausted;
+
+/// How a request goes on after the prefill of its prompt.
+enum PrefillStep {
+    /// The decode server fetches the handle's KV cache, or prefills the prompt itself.
+    Decode(Option<KvHandle>),
+    /// Another pair of servers is selected.
+    SelectAgain,
+}
+
+impl DataPlane {
+    /// Makes attempts until a stream begins or none may follow. `in_flight` is held until the stream has ended.
+    pub(crate) async fn forward_prompt(
+        self: &Rc<Self>,
+        request: ClientRequest,
+        prompt: Prompt,
+        in_flight: CountGuard,
+    ) -> Response<ResponseBody> {
+        let mut history = AttemptHistory::default();
+        loop {
+            if self.is_exhausted(&request, &history) {
+                return self.give_up(&request, &history);
+            }
+            self.refresh_prefill_loads(&request.service, &prompt).await;
+            let now = self.now();
+            let Some(pair) = self.select_pair(now, &request, &prompt, &history) else {
+                return self.give_up(&request, &history);
+            };
+            let prefill = self.prefill_for_pair(now, &request, &prompt, &pair, &mut history);
+            let handle = match prefill.await {
+                Ok(PrefillStep::Decode(handle)) => handle,
+                Ok(PrefillStep::SelectAgain) => continue,
+                Err(RetryBudgetExhausted) => return self.reject(&request),
+            };
+            let Some(target) = self.confirm_decode_target(&request, &pair, &history) else {
+                history.record_undelivered(&pair.decode);
+                continue;
+            };
+            match self.decode_or_prefill_locally(&request, &prompt, &target, handle).await {
+                Err(RetryBudgetExhausted) => return self.reject(&request),
+                Ok(DecodeOutcome::Streaming(stream)) => {
+                    return self.clone().forward_stream(request, prompt, stream, in_flight);
+                }
+                Ok(DecodeOutcome::Error(response)) => {
+                    history.record_run(&target.id);
+                    if !request.is_repeatable() || history.has_reached_retry_count(&request) {
+                        return response;
+                    }
+                }
+                Ok(DecodeOutcome::HandleUnavailable | DecodeOutcome::Rejected) => {
+                    history.record_rejection(&target.id);
+                }
+                Ok(DecodeOutcome::NotDelivered) => history.record_undelivered(&target.id),
+                Ok(DecodeOutcome::Broken) => {
+                    history.record_run(&target.id);
+                    if !request.is_repeatable() {
+                        return self.fail();
+                    }
+                }
+            }
+        }
+    }
+
+    /// The servers of the next attempt; `None` where none may follow.
+    fn select_pair(
+        &self,
+        now: Instant,
+        request: &ClientRequest,
+        prompt: &Prompt,
+        history: &AttemptHistory,
+    ) -> Option<ServerPair> {
+        let service = &request.service.name;
+        let mut router = self.router.borrow_mut();
+        let pair = router.select_pair(now, service, prompt, &history.avoid)?;
+        if history.delivered > 0 && !router.try_withdraw_retry(now, service) {
+            router.record_inconclusive(&pair.decode);
+            return None;
+        }
+        Some(pair)
+    }
+
+    /// Has the prompt prefilled, if the pair has a prefill server. The first prefill that a server takes up is free;
+    /// further ones, and those that are rejected, take a retry out of the budget (RULES.md, BUDGET).
+    async fn prefill_for_pair(
+        self: &Rc<Self>,
+        now: Instant,
+        request: &ClientRequest,
+        prompt: &Prompt,
+        pair: &ServerPair,
+        history: &mut AttemptHistory,
+    ) -> Result<PrefillStep, RetryBudgetExhausted> {
+        let service = &request.service;
+        let Some(target) = pair.prefill.as_ref().and_then(|id| self.target(service, id)) else {
+            return Ok(PrefillStep::Decode(None));
+        };
+        let withdraw = || self.router.borrow_mut().try_withdraw_retry(now, &service.name);
+        if history.delivered_prefills > 0 && !withdraw() {
+            self.router.borrow_mut().record_inconclusive(&target.id);
+            return Ok(PrefillStep::Decode(None));
+        }
+        let error = match self.prefill_prompt(&target, request, prompt).await {
+            Ok(handle) => {
+                history.delivered_prefills += 1;
+                return Ok(PrefillStep::Decode(Some(handle)));
+            }
+            Err(error) => error,
+        };
+        self.router.borrow_mut().record_inconclusive(&pair.decode);
+        if error != PrefillError::NotDelivered {
+            history.delivered_prefills += 1;
+        }
+        if error == PrefillError::Rejected && !withdraw() {
+            return Err(RetryBudgetExhausted);
+        }
+        history.record_undelivered(&target.id);
+        Ok(PrefillStep::SelectAgain)
+    }
+
+    /// The decode server, as it is to be chosen now that the prompt has been prefilled.
+    fn confirm_decode_target(
+        &self,
+        request: &ClientRequest,
+        pair: &ServerPair,
+        history: &AttemptHistory,
+    ) -> Option<Target> {
+        let (now, service) = (self.now(), &request.service);
+        let id = self.router.borrow_mut().confirm_decode_server(now, &service.name, pair, &history.avoid)?;
+        self.target(service, &id)
+    }
+
+    /// Sends the request to the decode server. If that cannot fetch the KV cache, it is asked once more to prefill the
+    /// prompt itself, which takes a retry out of the budget.
+    async fn decode_or_prefill_locally(
+        self: &Rc<Self>,
+        request: &ClientRequest,
+        prompt: &Prompt,
+        target: &Target,
+        handle: Option<KvHandle>,
+    ) -> Result<DecodeOutcome, RetryBudgetExhausted> {
+        let prefill_server = handle.as_ref().map(|handle| handle.prefill_server_id().clone());
+        let outcome = self.start_decode(request, prompt, target, handle, None).await;
+        let may_send_again = !request.is_expired(self.now()) && self.accepts_requests(&target.id);
+        if !matches!(outcome, DecodeOutcome::HandleUnavailable) || !may_send_again {
+            return Ok(outcome);
+        }
+        if !self.try_withdraw_retry(request) {
+            return Err(RetryBudgetExhausted);
+        }
+        let outcome = self.start_decode(request, prompt, target, None, None).await;
+        if let (DecodeOutcome::Streaming(_), Some(prefill_server)) = (&outcome, &prefill_server) {
+            // The server was not full: it was the KV cache that could not be fetched.
+            let now = self.now();
+            self.router.borrow_mut().distrust_handles(now, prefill_server);
+        }
+        Ok(outcome)
+    }
+
+    /// Whether the server has not begun to drain: a draining one must get no new request (RULES.md, DRAIN).
+    fn accepts_requests(&self, server_id: &str) -> bool {
+        let router = self.router.borrow();
+        router.endpoints().get(server_id).is_some_and(|endpoint| endpoint.server.state == OperState::Up)
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/readiness.rs
@@ -0,0 +1,60 @@
+//! Answers the platform's question whether a proxy is ready, and operators' question for its status.
+
+use std::convert::Infallible;
+use std::future::Future;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::server::conn::http1::Builder;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use mosshead_time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+/// For how long a connection may be idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// A failed accept is repeated after this time: out of file descriptors it would fail at once, again and again.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// Answers `GET /readiness` with 200 or 503 (PROTOCOL.md, Ingress), and `GET /status` with what `status` returns, for as
+/// long as it is polled. Has to be polled within a `LocalSet`.
+pub async fn serve_readiness<S>(listener: TcpListener, is_ready: impl Fn() -> bool + 'static, status: S)
+where
+    S: Fn() -> String + 'static,
+{
+    let (is_ready, status) = (Rc::new(is_ready), Rc::new(status));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(ACCEPT_BACKOFF).await;
+            continue;
+        };
+        let (is_ready, status) = (is_ready.clone(), status.clone());
+        tokio::task::spawn_local(async move {
+            let service = service_fn(move |request| respond(request, is_ready.clone(), status.clone()));
+            let connection = Builder::new()
+                .timer(TokioTimer::new())
+                .header_read_timeout(IDLE_TIMEOUT)
+                .serve_connection(TokioIo::new(stream), service);
+            let _ = connection.await;
+        });
+    }
+}
+
+fn respond<B, S: Fn() -> String>(
+    request: Request<B>,
+    is_ready: Rc<impl Fn() -> bool>,
+    status: Rc<S>,
+) -> impl Future<Output = Result<Response<Full<Bytes>>, Infallible>> {
+    let (code, body) = match request.uri().path() {
+        "/readiness" if is_ready() => (StatusCode::OK, String::new()),
+        "/readiness" => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
+        "/status" => (StatusCode::OK, status()),
+        _ => (StatusCode::NOT_FOUND, String::new()),
+    };
+    let mut response = Response::new(Full::new(Bytes::from(body)));
+    *response.status_mut() = code;
+    std::future::ready(Ok(response))
+}
--- /dev/null
+++ b/crates/data-plane/src/retry.rs
@@ -0,0 +1,97 @@
+//! When a request is sent once more, and what its client is told if it is not.
+
+use std::rc::Rc;
+
+use hyper::{Response, StatusCode};
+
+use crate::client_request::ClientRequest;
+use crate::data_plane::DataPlane;
+use crate::response::{ResponseBody, proxy_response};
+
+/// After more attempts that reached no server a request is given up.
+const MAX_UNDELIVERED_ATTEMPTS: u32 = 4;
+/// The least time after which a rejected client may come back, in seconds.
+const MIN_RETRY_AFTER: f64 = 0.05;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
+/// Rejected clients are spread over this part of the route's target latency.
+const RETRY_AFTER_PARTS: f64 = 4.0;
+
+/// What has come of the attempts of one client request so far.
+#[derive(Debug, Default)]
+pub(crate) struct AttemptHistory {
+    /// Servers that are not selected again.
+    pub(crate) avoid: Vec<Rc<str>>,
+    /// Attempts that reached a server. The route's `retry_count` bounds them, and from the second on each takes a retry
+    /// out of the budget.
+    pub(crate) delivered: u32,
+    /// Prefills that reached a server. The first one is free, further ones take a retry out of the budget.
+    pub(crate) delivered_prefills: u32,
+    /// Attempts that reached no server.
+    undelivered: u32,
+    /// Whether a server may have run the request.
+    may_have_run: bool,
+}
+
+impl AttemptHistory {
+    /// The server may have run the request.
+    pub(crate) fn record_run(&mut self, server_id: &Rc<str>) {
+        self.may_have_run = true;
+        self.record_rejection(server_id);
+    }
+
+    /// The request reached the server, which did not run it.
+    pub(crate) fn record_rejection(&mut self, server_id: &Rc<str>) {
+        self.delivered += 1;
+        self.avoid.push(server_id.clone());
+    }
+
+    /// The request did not reach the server.
+    pub(crate) fn record_undelivered(&mut self, server_id: &Rc<str>) {
+        self.undelivered += 1;
+        self.avoid.push(server_id.clone());
+    }
+
+    /// Whether the request has been sent to as many servers as its route allows.
+    pub(crate) fn has_reached_retry_count(&self, request: &ClientRequest) -> bool {
+        self.delivered >= request.route.retry_count
+    }
+}
+
+impl DataPlane {
+    /// Whether no further attempt may be made.
+    pub(crate) fn is_exhausted(&self, request: &ClientRequest, history: &AttemptHistory) -> bool {
+        request.is_expired(self.now())
+            || history.undelivered > MAX_UNDELIVERED_ATTEMPTS
+            || history.has_reached_retry_count(request)
+    }
+
+    /// Takes a retry out of the budget of the request's service; false if none is left.
+    pub(crate) fn try_withdraw_retry(&self, request: &ClientRequest) -> bool {
+        let now = self.now();
+        self.router.borrow_mut().try_withdraw_retry(now, &request.service.name)
+    }
+
+    /// The response to a request for which no further attempt is made.
+    pub(crate) fn give_up(
+        &self,
+        request: &ClientRequest,
+        history: &AttemptHistory,
+    ) -> Response<ResponseBody> {
+        if history.may_have_run { self.fail() } else { self.reject(request) }
+    }
+
+    /// The response to a request that no server has run: 503, with the time after which the client may come back.
+    pub(crate) fn reject(&self, request: &ClientRequest) -> Response<ResponseBody> {
+        self.counters.rejected.increment();
+        let target_latency = request.route.target_latency.as_millis() as f64;
+        let fraction = self.router.borrow_mut().random_fraction();
+        let spread = fraction * target_latency / (MILLIS_PER_SECOND * RETRY_AFTER_PARTS);
+        proxy_response(StatusCode::SERVICE_UNAVAILABLE, Some(MIN_RETRY_AFTER + spread))
+    }
+
+    /// The response to a request that a server may have run: 502, which promises nothing.
+    pub(crate) fn fail(&self) -> Response<ResponseBody> {
+        self.counters.failed.increment();
+        proxy_response(StatusCode::BAD_GATEWAY, None)
+    }
+}
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: events are passed on as they come; where the route says so, a stream goes on at another server.
+//! Streams: events are forwarded as they come. Where the route says so, a broken stream is resumed at another server.
 
 use std::rc::Rc;
 
@@ -6,220 +6,209 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::body::Incoming;
-use hyper::header::{CONTENT_ENCODING, CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
-use hyper::http::response::Parts;
 use mosshead_routing::{Prompt, ServerFailure};
+use mosshead_time::Duration;
 use tokio::sync::mpsc;
-use tokio::time::{Duration, timeout, timeout_at};
+use tokio::time::{timeout, timeout_at};
 
-use crate::attempt::{Sent, Server, kept, sealed};
-use crate::connection_pool::ServerLink;
-use crate::data_plane::{DataPlane, Reading, Running, Under, add};
+use crate::client_request::ClientRequest;
+use crate::count_guard::CountGuard;
+use crate::data_plane::DataPlane;
+use crate::decode::{DecodeOutcome, DecodeStream};
 use crate::event_splitter::EventSplitter;
-use crate::ingress::{Job, Ran};
-use crate::prefill::{Handle, MUTE, REPORT, refusal};
-use crate::response::{Cut, Out, of_server};
+use crate::headers::keep_alive_timeout;
+use crate::load_report::{LOAD_REPORT_TIMEOUT, SILENT_SERVER_TIMEOUT};
+use crate::response::{ResponseAborted, ResponseBody, forwarded_response};
+use crate::server_request::Target;
+use crate::server_response::is_framed;
 
-/// So many pieces wait for a client that does not read.
-const WAITING: usize = 16;
-/// A stream is taken up at another server so many times.
-const RESUMED_MOST: u32 = 3;
+/// How many events wait for a client that does not read.
+const MAX_QUEUED_EVENTS: usize = 16;
+/// How often a stream is resumed.
+const MAX_RESUMES: u32 = 3;
+/// For how long the abort of a response waits for a client that does not read.
+const ABORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A stream whose head has come.
-pub(crate) struct Start {
-    head: Parts,
-    body: Incoming,
-    link: ServerLink,
-    server: Server,
-    running: Running,
-    reading: Option<Reading>,
-    framed: bool,
-}
+/// Where a client's response body takes its bytes from.
+type EventSender = mpsc::Sender<Result<Bytes, ResponseAborted>>;
 
-/// How a run's stream ended.
-enum End {
+/// How the relay of one server's stream ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RelayEnd {
     Complete,
+    /// The server broke off or became unresponsive: the stream may be resumed at another one.
     Broken,
-    /// The client has gone.
-    Left,
-    /// Its time is over.
-    Over,
+    ClientGone,
+    DeadlinePassed,
 }
 
-impl DataPlane {
-    /// Sends the request to the server that generates.
-    pub(crate) async fn run(
-        self: &Rc<Self>,
-        job: &Job,
-        ask: &Prompt,
-        server: &Server,
-        handle: Option<Handle>,
-        after: Option<u64>,
-    ) -> Ran {
-        let running = Running::new(self, &server.id);
-        let reading = handle.is_none().then(|| Reading::new(self, &server.id, 2.0 * ask.unshared_tokens()));
-        let mut extra = vec![("priority", job.priority.clone())];
-        extra.extend(handle.as_ref().and_then(Handle::from).map(|from| ("kv-from", from)));
-        extra.extend(after.map(|after| ("last-event-id", HeaderValue::from(after))));
-        let until = self.at(job.deadline);
-        let sent = tokio::select! {
-            sent = self.send(server, &job.message, job.deadline, until, &extra) => sent,
-            () = self.dark(server, MUTE, REPORT), if job.may_run_twice() => Sent::Late,
-        };
-        match sent {
-            Sent::Answer { head, body, link } => {
-                handle.iter().for_each(Handle::gone);
-                if !head.status.is_success() {
-                    running.failed(ServerFailure::ErrorResponse);
-                    let Some(body) = self.whole(&server.id, &head, body, link, until).await else {
-                        return Ran::Broken;
-                    };
-                    // Danger: these promise that the request never ran; without the server's proof they lie.
-                    if matches!(head.status.as_u16(), 408 | 421 | 429 | 503) {
-                        return Ran::Broken;
-                    }
-                    return Ran::Other(of_server(&head, Out::Whole(Some(body))));
-                }
-                if !sealed(&head) || head.headers.contains_key(CONTENT_ENCODING) {
-                    running.failed(ServerFailure::BrokenResponse);
-                    return Ran::Broken;
-                }
-                let framed =
-                    head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
-                Ran::Stream(Start { head, body, link, server: server.clone(), running, reading, framed })
-            }
-            Sent::NeverRan(status) => match handle {
-                // The memory can't be had, or the server is full: the same answer says both.
-                Some(handle) if status.as_u16() == 503 => {
-                    drop(handle);
-                    Ran::Lapsed
-                }
-                _ => {
-                    running.failed(refusal(status));
-                    Ran::Refused
-                }
-            },
-            Sent::Lost(fault) => {
-                running.failed(fault);
-                Ran::NotSent
-            }
-            Sent::Broken | Sent::Late => {
-                handle.iter().for_each(Handle::gone);
-                running.failed(ServerFailure::BrokenResponse);
-                Ran::Broken
-            }
-        }
-    }
+/// What came next of a server's stream.
+enum Received {
+    Data(Bytes),
+    /// A frame that carries no data.
+    Trailers,
+    End,
+    ConnectionBroken,
+    Unresponsive,
+    ClientGone,
+    DeadlinePassed,
+}
 
-    /// The answer with the stream in it. A task of its own passes the events on.
-    pub(crate) fn pass_on(
+impl DataPlane {
+    /// The response that carries the stream. A task of its own forwards the events.
+    pub(crate) fn forward_stream(
         self: Rc<Self>,
-        job: Job,
-        ask: Prompt,
-        start: Start,
-        under: Under,
-    ) -> Response<Out> {
-        let (to, from) = mpsc::channel(WAITING);
-        let answer = of_server(&start.head, Out::Flows(from));
+        request: ClientRequest,
+        prompt: Prompt,
+        stream: DecodeStream,
+        in_flight: CountGuard,
+    ) -> Response<ResponseBody> {
+        let (client, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let response = forwarded_response(&stream.head, ResponseBody::Streaming(receiver));
         tokio::task::spawn_local(async move {
-            self.clone().flow(job, ask, start, to).await;
-            drop(under);
+            self.relay_with_resumes(request, prompt, stream, client).await;
+            drop(in_flight);
         });
-        answer
+        response
     }
 
-    async fn flow(self: Rc<Self>, job: Job, ask: Prompt, start: Start, to: mpsc::Sender<Result<Bytes, Cut>>) {
+    async fn relay_with_resumes(
+        self: &Rc<Self>,
+        request: ClientRequest,
+        prompt: Prompt,
+        stream: DecodeStream,
+        client: EventSender,
+    ) {
         let mut splitter = EventSplitter::default();
-        let mut avoid = vec![start.server.id.clone()];
-        let mut end = self.one_run(&job, start, &mut splitter, &to).await;
-        let mut resumed = 0;
-        while matches!(end, End::Broken) && job.route.resume && resumed < RESUMED_MOST && !self.over(&job) {
-            splitter.discard_partial_event();
-            resumed += 1;
-            let now = self.now();
-            if !self.router.borrow_mut().try_withdraw_retry(now, &job.service.name) {
+        let mut avoid = vec![stream.target.id.clone()];
+        let mut end = self.relay(&request, stream, &mut splitter, &client).await;
+        for _ in 0..MAX_RESUMES {
+            if end != RelayEnd::Broken || !request.route.resume || request.is_expired(self.now()) {
                 break;
             }
-            let pair = self.router.borrow_mut().select_pair(now, &job.service.name, &ask, &avoid);
-            let Some(pair) = pair else { break };
-            pair.prefill.iter().for_each(|id| self.router.borrow_mut().record_inconclusive(id));
-            let Some(server) = self.server(&job, &pair.decode) else { break };
-            avoid.push(server.id.clone());
-            if let Ran::Stream(start) =
-                self.run(&job, &ask, &server, None, splitter.last_forwarded_id()).await
-            {
-                add(&self.counters.resumed);
-                end = self.one_run(&job, start, &mut splitter, &to).await;
+            splitter.discard_partial_event();
+            let Some(target) = self.select_resume_target(&request, &prompt, &mut avoid) else { break };
+            let last_event_id = splitter.last_forwarded_id();
+            let outcome = self.start_decode(&request, &prompt, &target, None, last_event_id).await;
+            if let DecodeOutcome::Streaming(stream) = outcome {
+                self.counters.resumed.increment();
+                end = self.relay(&request, stream, &mut splitter, &client).await;
             }
         }
         match end {
-            End::Complete => add(&self.counters.completed),
-            End::Left => {}
-            End::Broken | End::Over => {
-                add(&self.counters.failed);
-                // Danger: the answer must not look complete.
-                let _ = timeout(Duration::from_secs(1), to.send(Err(Cut))).await;
+            RelayEnd::Complete => self.counters.completed.increment(),
+            RelayEnd::ClientGone => {}
+            RelayEnd::Broken | RelayEnd::DeadlinePassed => {
+                self.counters.failed.increment();
+                // Without the abort the response would look complete (RULES.md, MIXED).
+                let _ = timeout(ABORT_TIMEOUT, client.send(Err(ResponseAborted))).await;
             }
         }
     }
 
-    /// Passes on the events of one run.
-    async fn one_run(
+    /// Another decode server that prefills the prompt itself, for one retry out of the budget.
+    fn select_resume_target(
+        &self,
+        request: &ClientRequest,
+        prompt: &Prompt,
+        avoid: &mut Vec<Rc<str>>,
+    ) -> Option<Target> {
+        let (now, service) = (self.now(), &request.service);
+        let mut router = self.router.borrow_mut();
+        if !router.try_withdraw_retry(now, &service.name) {
+            return None;
+        }
+        let pair = router.select_pair(now, &service.name, prompt, avoid)?;
+        pair.prefill.iter().for_each(|id| router.record_inconclusive(id));
+        drop(router);
+        let target = self.target(service, &pair.decode)?;
+        avoid.push(target.id.clone());
+        Some(target)
+    }
+
+    /// Forwards the events of one server's stream.
+    async fn relay(
         self: &Rc<Self>,
-        job: &Job,
-        start: Start,
+        request: &ClientRequest,
+        stream: DecodeStream,
         splitter: &mut EventSplitter,
-        to: &mpsc::Sender<Result<Bytes, Cut>>,
-    ) -> End {
-        let Start { head, mut body, link, server, running, mut reading, framed } = start;
-        let until = self.at(job.deadline);
+        client: &EventSender,
+    ) -> RelayEnd {
+        let DecodeStream { head, mut body, connection, target, request_guard, mut prefill_guard } = stream;
         loop {
-            let frame = tokio::select! {
-                biased;
-                () = to.closed() => return End::Left,
-                frame = timeout_at(until, body.frame()) => frame,
-                () = self.dark(&server, MUTE, REPORT), if job.route.resume => {
-                    running.failed(ServerFailure::Unreachable);
-                    return End::Broken;
-                }
-            };
-            self.heard(&server.id);
-            let data = match frame {
-                Err(_) => return End::Over,
-                Ok(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(data) => data,
-                    Err(_) => continue,
-                },
-                Ok(None) if framed => {
-                    let rest = splitter.take_remainder();
-                    if !rest.is_empty() && to.send(Ok(rest)).await.is_err() {
-                        return End::Left;
+            match self.receive(request, &target, &mut body, client).await {
+                Received::Data(data) => {
+                    prefill_guard.take();
+                    match forward_events(&data, splitter, client).await {
+                        Ok(()) => {}
+                        Err(RelayEnd::Broken) => break,
+                        Err(end) => return end,
                     }
-                    running.served();
-                    self.links.put(&server.id, link, kept(&head), until).await;
-                    return End::Complete;
-                }
-                // Danger: without a length or chunks, what broke off looks whole.
-                Ok(None) | Ok(Some(Err(_))) => {
-                    running.failed(ServerFailure::BrokenResponse);
-                    return End::Broken;
                 }
-            };
-            reading.take();
-            let Some(events) = splitter.push(&data) else {
-                running.failed(ServerFailure::BrokenResponse);
-                return End::Broken;
-            };
-            for (id, event) in events {
-                let last = splitter.last_forwarded_id();
-                if id.is_some() && last.is_some() && id <= last {
-                    continue;
+                Received::Trailers => {}
+                Received::End if is_framed(&head) => {
+                    let remainder = splitter.take_remainder();
+                    if !remainder.is_empty() && client.send(Ok(remainder)).await.is_err() {
+                        return RelayEnd::ClientGone;
+                    }
+                    request_guard.record_success();
+                    let keep_alive = keep_alive_timeout(&head.headers);
+                    self.connections.put(&target.id, connection, keep_alive, request.deadline.timer).await;
+                    return RelayEnd::Complete;
                 }
-                if to.send(Ok(event)).await.is_err() {
-                    return End::Left;
+                // Without a length or chunks, a stream that broke off looks complete.
+                Received::End | Received::ConnectionBroken => break,
+                Received::Unresponsive => {
+                    request_guard.record_failure(ServerFailure::Unreachable);
+                    return RelayEnd::Broken;
                 }
-                splitter.mark_forwarded(id);
+                Received::ClientGone => return RelayEnd::ClientGone,
+                Received::DeadlinePassed => return RelayEnd::DeadlinePassed,
             }
         }
+        request_guard.record_failure(ServerFailure::BrokenResponse);
+        RelayEnd::Broken
+    }
+
+    /// Waits for the next frame of a stream.
+    async fn receive(
+        self: &Rc<Self>,
+        request: &ClientRequest,
+        target: &Target,
+        body: &mut Incoming,
+        client: &EventSender,
+    ) -> Received {
+        let frame = tokio::select! {
+            biased;
+            () = client.closed() => return Received::ClientGone,
+            frame = timeout_at(request.deadline.timer, body.frame()) => frame,
+            () = self.wait_until_unresponsive(target, SILENT_SERVER_TIMEOUT, LOAD_REPORT_TIMEOUT),
+                if request.route.resume => return Received::Unresponsive,
+        };
+        self.record_received(&target.id);
+        match frame {
+            Err(_) => Received::DeadlinePassed,
+            Ok(None) => Received::End,
+            Ok(Some(Err(_))) => Received::ConnectionBroken,
+            Ok(Some(Ok(frame))) => frame.into_data().map_or(Received::Trailers, Received::Data),
+        }
+    }
+}
+
+/// Forwards the events that these bytes complete, except those that the client already has from another server.
+async fn forward_events(
+    data: &[u8],
+    splitter: &mut EventSplitter,
+    client: &EventSender,
+) -> Result<(), RelayEnd> {
+    let events = splitter.push(data).map_err(|_| RelayEnd::Broken)?;
+    for event in events {
+        let last_forwarded_id = splitter.last_forwarded_id();
+        if event.id.is_some() && last_forwarded_id.is_some() && event.id <= last_forwarded_id {
+            continue;
+        }
+        client.send(Ok(event.bytes)).await.map_err(|_| RelayEnd::ClientGone)?;
+        splitter.mark_forwarded(event.id);
     }
+    Ok(())
 }
