--- a/crates/config/tests/arbitrary_bytes.rs
+++ b/crates/config/tests/arbitrary_bytes.rs
@@ -1,17 +1,17 @@
-//! Bytes of any kind: no panic, and nothing taken that isn't JSON.
+//! Arbitrary bytes: no panic, and nothing is accepted that isn't valid JSON.
 
 mod common;
 
-use common::{Sample, WHOLE, pick, read, same, whole};
+use common::{EXAMPLE, Sample, assert_same, choose, example, parse};
 use mosshead_config::Config;
 use quickcheck::{Arbitrary, Gen, QuickCheck, quickcheck};
 use tinyjson::JsonValue;
 
-/// A text with a few bytes put in, taken out, exchanged or doubled.
+/// A text with a few bytes inserted, removed, replaced or doubled.
 #[derive(Debug, Clone)]
-struct Bent(Vec<u8>);
+struct MutatedText(Vec<u8>);
 
-const PIECES: [&str; 24] = [
+const FRAGMENTS: [&str; 24] = [
     "{",
     "}",
     "[",
@@ -38,44 +38,44 @@
     "[{\"name\":\"x\"}]",
 ];
 
-fn bend(g: &mut Gen, text: &str) -> Bent {
+fn mutate(g: &mut Gen, text: &str) -> MutatedText {
     let mut bytes = text.as_bytes().to_vec();
-    for _ in 0..pick(g, &[1, 1, 1, 2, 3, 8]) {
+    for _ in 0..choose(g, &[1, 1, 1, 2, 3, 8]) {
         let at = usize::arbitrary(g) % (bytes.len() + 1);
         let end = (at + usize::arbitrary(g) % 12).min(bytes.len());
         let new: Vec<u8> = match u8::arbitrary(g) % 5 {
             0 => Vec::new(),
             1 => vec![u8::arbitrary(g)],
             2 => bytes[at..end].repeat(2),
-            _ => pick(g, &PIECES).as_bytes().to_vec(),
+            _ => choose(g, &FRAGMENTS).as_bytes().to_vec(),
         };
         let end = if bool::arbitrary(g) { at } else { end };
         bytes.splice(at..end, new);
     }
-    Bent(bytes)
+    MutatedText(bytes)
 }
 
-impl Arbitrary for Bent {
+impl Arbitrary for MutatedText {
     fn arbitrary(g: &mut Gen) -> Self {
         let sample = Sample::arbitrary(g).text();
-        let text = if bool::arbitrary(g) { WHOLE } else { &sample };
-        bend(g, text)
+        let text = if bool::arbitrary(g) { EXAMPLE } else { &sample };
+        mutate(g, text)
     }
 }
 
-/// A change or a patch, bent.
+/// A change or a patch, mutated.
 #[derive(Debug, Clone)]
-struct BentChange(Vec<u8>);
+struct MutatedChange(Vec<u8>);
 
-impl Arbitrary for BentChange {
+impl Arbitrary for MutatedChange {
     fn arbitrary(g: &mut Gen) -> Self {
         let text = if bool::arbitrary(g) {
             common::SampleChange::arbitrary(g).text(u64::from(u8::arbitrary(g)))
         } else {
-            let other = WHOLE.replace("2500", "2600").replace("r-2", "r-3");
-            whole().patch_to(&read(&other).expect("valid"))
+            let other = EXAMPLE.replace("2500", "2600").replace("r-2", "r-3");
+            example().patch_to(&parse(&other).expect("valid"))
         };
-        BentChange(bend(g, &text).0)
+        MutatedChange(mutate(g, &text).0)
     }
 }
 
@@ -83,14 +83,14 @@
     text.parse().expect("JSON")
 }
 
-fn taken(config: &Config) {
-    same(config, &read(config.json()).expect("its own text is valid"));
+fn assert_round_trips(config: &Config) {
+    assert_same(config, &parse(config.json()).expect("its own text is valid"));
     json(config.json());
 }
 
 quickcheck! {
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>, text: String) -> bool {
-        let config = whole();
+    fn arbitrary_bytes_never_panic(bytes: Vec<u8>, text: String) -> bool {
+        let config = example();
         for bytes in [bytes.as_slice(), text.as_bytes()] {
             let _ = (Config::parse(bytes), config.modify(bytes), Config::parse_replacement(Some(&config), bytes));
         }
@@ -100,38 +100,38 @@
 }
 
 #[test]
-fn what_is_taken_is_the_value_that_was_sent() {
-    fn property(bent: Bent) -> bool {
-        if let Ok(config) = Config::parse(&bent.0) {
-            assert_eq!(json(std::str::from_utf8(&bent.0).expect("UTF-8")), json(config.json()));
-            taken(&config);
+fn an_accepted_text_keeps_its_json_value() {
+    fn property(mutated: MutatedText) -> bool {
+        if let Ok(config) = Config::parse(&mutated.0) {
+            assert_eq!(json(std::str::from_utf8(&mutated.0).expect("UTF-8")), json(config.json()));
+            assert_round_trips(&config);
         }
         true
     }
-    QuickCheck::new().tests(3_000).quickcheck(property as fn(Bent) -> bool);
+    QuickCheck::new().tests(3_000).quickcheck(property as fn(MutatedText) -> bool);
 }
 
 #[test]
-fn bent_changes_and_patches_are_taken_whole_or_refused() {
-    fn property(bent: BentChange) -> bool {
-        let config = whole();
-        if let Ok(config) = config.modify(&bent.0) {
-            json(std::str::from_utf8(&bent.0).expect("UTF-8"));
-            taken(&config);
+fn accepted_changes_and_patches_result_in_valid_configurations() {
+    fn property(mutated: MutatedChange) -> bool {
+        let config = example();
+        if let Ok(config) = config.modify(&mutated.0) {
+            json(std::str::from_utf8(&mutated.0).expect("UTF-8"));
+            assert_round_trips(&config);
         }
-        if let Ok(Ok(config)) = std::str::from_utf8(&bent.0).map(|text| config.apply_patch(text)) {
-            taken(&config);
+        if let Ok(Ok(config)) = std::str::from_utf8(&mutated.0).map(|text| config.apply_patch(text)) {
+            assert_round_trips(&config);
         }
         true
     }
-    QuickCheck::new().tests(3_000).quickcheck(property as fn(BentChange) -> bool);
+    QuickCheck::new().tests(3_000).quickcheck(property as fn(MutatedChange) -> bool);
 }
 
 #[test]
-fn bent_texts_are_read_beside_another_as_alone() {
-    fn property(base: Sample, bent: Bent) -> bool {
-        let bases = [whole(), read(&base.text()).expect("valid")];
-        bases.iter().all(|base| base.parse_sharing(&bent.0) == Config::parse(&bent.0))
+fn incremental_parsing_of_mutated_texts_equals_full_parsing() {
+    fn property(base: Sample, mutated: MutatedText) -> bool {
+        let bases = [example(), parse(&base.text()).expect("valid")];
+        bases.iter().all(|base| base.parse_sharing(&mutated.0) == Config::parse(&mutated.0))
     }
-    QuickCheck::new().tests(3_000).quickcheck(property as fn(Sample, Bent) -> bool);
+    QuickCheck::new().tests(3_000).quickcheck(property as fn(Sample, MutatedText) -> bool);
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Configurations for the tests.
+//! Configurations and generators of configurations for the tests.
 #![allow(dead_code)] // each test file uses a part of these
 
 use mosshead_config::{Config, ConfigError};
 use quickcheck::{Arbitrary, Gen};
 
-pub(crate) const WHOLE: &str = r#"{
+pub(crate) const EXAMPLE: &str = r#"{
   "revision": 7,
   "route_entries": [
     {"name":"r-1","host_header":"Ficu95.example","path_prefix":"/pufi791/","route_type":"streaming",
@@ -25,16 +25,16 @@
   "later": {"big": 12345678901234567890, "text": "a b\t\u0041"}
 }"#;
 
-pub(crate) fn whole() -> Config {
-    read(WHOLE).expect("the example is valid")
+pub(crate) fn example() -> Config {
+    parse(EXAMPLE).expect("the example is valid")
 }
 
-pub(crate) fn read(text: &str) -> Result<Config, ConfigError> {
+pub(crate) fn parse(text: &str) -> Result<Config, ConfigError> {
     Config::parse(text.as_bytes())
 }
 
-/// Equal as text, and as everything that was read of it.
-pub(crate) fn same(one: &Config, other: &Config) {
+/// Asserts that two configurations are equal as text and in everything that was parsed from it.
+pub(crate) fn assert_same(one: &Config, other: &Config) {
     assert_eq!(one.json(), other.json());
     assert_eq!(one, other);
     assert_eq!(one.revision, other.revision);
@@ -53,13 +53,29 @@
     }
 }
 
-pub(crate) fn pick<T: Copy>(g: &mut Gen, from: &[T]) -> T {
+pub(crate) fn choose<T: Copy>(g: &mut Gen, from: &[T]) -> T {
     *g.choose(from).expect("not empty")
 }
 
 /// Names and texts of items.
 pub(crate) type Items = Vec<(String, String)>;
 
+/// Applies a change in the simplest way: withdraws, then replaces in place or appends.
+pub(crate) fn apply_change(list: &mut Items, upsert: &Items, withdraw: &[String]) {
+    list.retain(|(name, _)| !withdraw.contains(name));
+    for (name, text) in upsert {
+        match list.iter_mut().find(|(own, _)| own == name) {
+            Some(own) => own.1 = text.clone(),
+            None => list.push((name.clone(), text.clone())),
+        }
+    }
+}
+
+/// The texts of items as the elements of an array.
+pub(crate) fn join_texts(items: &Items) -> String {
+    items.iter().map(|(_, text)| text.as_str()).collect::<Vec<_>>().join(",")
+}
+
 const ROUTES: [&str; 10] = ["r0", "r1", "r2", "r3", "r-4", "r \"5\"", "é6", "r\\7", "", "r9\u{1}"];
 const SERVICES: [&str; 4] = ["s0", "s 1", "sé2", "s\"3"];
 const HOSTS: [&str; 3] = ["a.example", "B.example", "c.example:80"];
@@ -68,56 +84,56 @@
     tinyjson::JsonValue::from(text.to_owned()).stringify().expect("a string")
 }
 
-fn name(at: usize) -> String {
-    format!("n{}", ROUTES[at])
+fn name(index: usize) -> String {
+    format!("n{}", ROUTES[index])
 }
 
-/// Each route has a place of its own among 30, most of the time the one of its number.
-fn a_route(g: &mut Gen, at: usize, services: &[&str]) -> (String, String) {
+/// A route with host and path prefix of its own.
+fn arbitrary_route(g: &mut Gen, index: usize, services: &[&str]) -> (String, String) {
     let space = if u8::arbitrary(g) % 4 == 0 { " " } else { "" };
-    let host = HOSTS[at % HOSTS.len()];
+    let host = HOSTS[index % HOSTS.len()];
     let mut text = format!(
-        "{{\"name\":{space}{},\"host_header\":\"{host}\",\"path_prefix\":\"/p{at}/\",\"timeout_ms\":{}",
-        quote(&name(at)),
-        pick(g, &["1", "2500", "1e3", "7.0"]),
+        "{{\"name\":{space}{},\"host_header\":\"{host}\",\"path_prefix\":\"/p{index}/\",\"timeout_ms\":{}",
+        quote(&name(index)),
+        choose(g, &["1", "2500", "1e3", "7.0"]),
     );
     if bool::arbitrary(g) {
-        text += &format!(",\"backend_service\":{}", quote(pick(g, services)));
+        text += &format!(",\"backend_service\":{}", quote(choose(g, services)));
     } else {
-        let (one, two) = (quote(pick(g, services)), quote(pick(g, services)));
-        let weight = pick(g, &["0", "0.5", "10"]);
+        let (one, two) = (quote(choose(g, services)), quote(choose(g, services)));
+        let weight = choose(g, &["0", "0.5", "10"]);
         text += &format!(
             ",\"weighted_backends\":[{{\"backend_service\":{one},\"weight\":{weight}}},{{\"backend_service\":{two}}}]"
         );
     }
-    text += pick(
+    text += choose(
         g,
         &["", ",\"x\":null", ",\"route_type\":\"streaming\",\"resume\":true", ",\"y\":[{\"z\":\"\\n\"}]"],
     );
-    (name(at), text + "}")
+    (name(index), text + "}")
 }
 
-fn a_service(g: &mut Gen, name: &str) -> (String, String) {
-    let more = pick(
+fn arbitrary_service(g: &mut Gen, name: &str) -> (String, String) {
+    let more = choose(
         g,
         &["", ",\"max_connections\":9", ",\"engine\":{\"slots\":4,\"model_list\":[{\"name\":\"m\"}]}"],
     );
     (name.to_owned(), format!("{{\"name\":{}{more}}}", quote(name)))
 }
 
-fn shuffled<T>(g: &mut Gen, mut all: Vec<T>) -> Vec<T> {
-    for at in 0..all.len() {
+fn shuffle<T>(g: &mut Gen, mut all: Vec<T>) -> Vec<T> {
+    for index in 0..all.len() {
         let other = usize::arbitrary(g) % all.len();
-        all.swap(at, other);
+        all.swap(index, other);
     }
     all
 }
 
-fn some<T: Clone>(g: &mut Gen, of: &[T]) -> Vec<T> {
-    of.iter().filter(|_| bool::arbitrary(g)).cloned().collect()
+fn arbitrary_subset<T: Clone>(g: &mut Gen, all: &[T]) -> Vec<T> {
+    all.iter().filter(|_| bool::arbitrary(g)).cloned().collect()
 }
 
-/// A valid configuration.
+/// A valid configuration as lists of items.
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
     pub(crate) revision: u64,
@@ -129,10 +145,7 @@
 
 impl Sample {
     pub(crate) fn text(&self) -> String {
-        let list = |items: &Items| {
-            let texts: Vec<&str> = items.iter().map(|(_, text)| text.as_str()).collect();
-            format!("[{}]", texts.join(","))
-        };
+        let list = |items: &Items| format!("[{}]", join_texts(items));
         let mut fields = vec![
             ("revision".to_owned(), self.revision.to_string()),
             ("route_entries".to_owned(), list(&self.routes)),
@@ -150,18 +163,18 @@
 
 impl Arbitrary for Sample {
     fn arbitrary(g: &mut Gen) -> Self {
-        let mut names = some(g, &SERVICES);
+        let mut names = arbitrary_subset(g, &SERVICES);
         if names.is_empty() {
             names.push(SERVICES[0]);
         }
-        let names = shuffled(g, names);
-        let numbers: Vec<usize> = (0..ROUTES.len()).collect();
-        let numbers = some(g, &numbers);
-        let numbers = if bool::arbitrary(g) { shuffled(g, numbers) } else { numbers };
+        let names = shuffle(g, names);
+        let indices: Vec<usize> = (0..ROUTES.len()).collect();
+        let indices = arbitrary_subset(g, &indices);
+        let indices = if bool::arbitrary(g) { shuffle(g, indices) } else { indices };
         let mut others = Vec::new();
         for key in ["limits", "list", "odd \"key\"", "é"] {
             if key != "limits" && bool::arbitrary(g) {
-                let value = pick(
+                let value = choose(
                     g,
                     &[
                         "[]",
@@ -179,58 +192,57 @@
             } else if key == "limits" && bool::arbitrary(g) {
                 others.push((
                     key.to_owned(),
-                    pick(g, &["{}", "null", "{\"max_body_bytes\":5000}"]).to_string(),
+                    choose(g, &["{}", "null", "{\"max_body_bytes\":5000}"]).to_string(),
                 ));
             }
         }
         Sample {
             revision: 1 + u64::from(u8::arbitrary(g)),
-            routes: numbers.iter().map(|at| a_route(g, *at, &names)).collect(),
-            services: names.iter().map(|name| a_service(g, name)).collect(),
+            routes: indices.iter().map(|index| arbitrary_route(g, *index, &names)).collect(),
+            services: names.iter().map(|name| arbitrary_service(g, name)).collect(),
             others,
             order: (0..7).map(|_| u8::arbitrary(g) % 3).collect(),
         }
     }
 }
 
-/// A change of items; whether it is valid depends on what it is applied to.
+/// A change of items; whether it is valid depends on the configuration that it is applied to.
 #[derive(Debug, Clone)]
 pub(crate) struct SampleChange {
     pub(crate) routes: Items,
     pub(crate) services: Items,
-    pub(crate) gone_routes: Vec<String>,
-    pub(crate) gone_services: Vec<String>,
+    pub(crate) withdrawn_routes: Vec<String>,
+    pub(crate) withdrawn_services: Vec<String>,
 }
 
 impl SampleChange {
     pub(crate) fn text(&self, revision: u64) -> String {
-        let list = |items: &Items| items.iter().map(|(_, text)| text.clone()).collect::<Vec<_>>().join(",");
         let names = |names: &[String]| names.iter().map(|name| quote(name)).collect::<Vec<_>>().join(",");
         format!(
             "{{\"upsert\":{{\"route_entries\":[{}],\"backend_services\":[{}]}}, \"revision\":{revision},\
              \"withdraw\":{{\"backend_services\":[{}],\"route_entries\":[{}]}}}}",
-            list(&self.routes),
-            list(&self.services),
-            names(&self.gone_services),
-            names(&self.gone_routes),
+            join_texts(&self.routes),
+            join_texts(&self.services),
+            names(&self.withdrawn_services),
+            names(&self.withdrawn_routes),
         )
     }
 }
 
 impl Arbitrary for SampleChange {
     fn arbitrary(g: &mut Gen) -> Self {
-        let few = |g: &mut Gen, most: usize| usize::arbitrary(g) % (most + 1);
+        let up_to = |g: &mut Gen, max: usize| usize::arbitrary(g) % (max + 1);
         let mut routes: Items = Vec::new();
-        for _ in 0..few(g, 4) {
-            let at = few(g, ROUTES.len() - 1);
-            if routes.iter().all(|(own, _)| *own != name(at)) {
-                routes.push(a_route(g, at, &SERVICES[..2]));
+        for _ in 0..up_to(g, 4) {
+            let index = up_to(g, ROUTES.len() - 1);
+            if routes.iter().all(|(own, _)| *own != name(index)) {
+                routes.push(arbitrary_route(g, index, &SERVICES[..2]));
             }
         }
-        let services = some(g, &SERVICES).iter().map(|name| a_service(g, name)).collect();
-        let gone_routes = (0..few(g, 3)).map(|_| name(few(g, ROUTES.len() - 1))).collect();
-        let gone_services =
-            if u8::arbitrary(g) % 3 == 0 { vec![pick(g, &SERVICES).to_string()] } else { Vec::new() };
-        SampleChange { routes, services, gone_routes, gone_services }
+        let services = arbitrary_subset(g, &SERVICES).iter().map(|name| arbitrary_service(g, name)).collect();
+        let withdrawn_routes = (0..up_to(g, 3)).map(|_| name(up_to(g, ROUTES.len() - 1))).collect();
+        let withdrawn_services =
+            if u8::arbitrary(g) % 3 == 0 { vec![choose(g, &SERVICES).to_string()] } else { Vec::new() };
+        SampleChange { routes, services, withdrawn_routes, withdrawn_services }
     }
 }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,90 +1,90 @@
-//! Every fault, with its place.
+//! Every error, with its location.
 
 mod common;
 
-use common::{WHOLE, read, whole};
+use common::{EXAMPLE, example, parse};
 use mosshead_config::{Config, ConfigError, ConfigErrorKind, ERROR_CODES, MAX_BYTES, MAX_DEPTH};
 
-/// The example with one piece of text exchanged.
-fn with(old: &str, new: &str) -> ConfigError {
-    assert!(WHOLE.contains(old), "{old} is in the example");
-    read(&WHOLE.replacen(old, new, 1)).expect_err("must be refused")
+/// The error of the example with one part of its text replaced.
+fn error_with(old: &str, new: &str) -> ConfigError {
+    assert!(EXAMPLE.contains(old), "{old} is in the example");
+    parse(&EXAMPLE.replacen(old, new, 1)).expect_err("must be rejected")
 }
 
-fn at(fault: ConfigError) -> (u16, String) {
-    (fault.code(), fault.location)
+fn code_and_location(error: ConfigError) -> (u16, String) {
+    (error.code(), error.location)
 }
 
-fn is(fault: ConfigError, code: u16, place: &str) {
-    assert_eq!(at(fault), (code, place.to_owned()));
+fn assert_error(error: ConfigError, code: u16, location: &str) {
+    assert_eq!(code_and_location(error), (code, location.to_owned()));
 }
 
 #[test]
-fn a_text_cut_short_anywhere_is_refused() {
-    for end in 0..WHOLE.len() {
-        let fault = read(&WHOLE[..end]).expect_err("cut short");
-        assert_eq!(fault.code(), 3, "cut at {end}: {fault}");
+fn a_truncated_text_is_malformed() {
+    for end in 0..EXAMPLE.len() {
+        let error = parse(&EXAMPLE[..end]).expect_err("cut short");
+        assert_eq!(error.code(), 3, "cut at {end}: {error}");
     }
-    for end in 0..WHOLE.len() {
-        let tail = WHOLE.get(end + 1..).unwrap_or_default();
-        let _ = read(&format!("{}{tail}", &WHOLE[..end]));
+    for end in 0..EXAMPLE.len() {
+        let tail = EXAMPLE.get(end + 1..).unwrap_or_default();
+        let _ = parse(&format!("{}{tail}", &EXAMPLE[..end]));
     }
 }
 
 #[test]
-fn a_text_that_is_not_json_is_refused() {
-    is(Config::parse(b"{\"revision\":\xff1}").expect_err("bytes"), 2, "byte 12");
-    is(Config::parse(&vec![b' '; MAX_BYTES + 1]).expect_err("long"), 1, "body");
+fn a_text_that_is_not_json_is_malformed() {
+    assert_error(Config::parse(b"{\"revision\":\xff1}").expect_err("bytes"), 2, "byte 12");
+    assert_error(Config::parse(&vec![b' '; MAX_BYTES + 1]).expect_err("long"), 1, "body");
     for text in
         ["", " ", "x", "{]", "{}}", "{} {}", "{\"a\" 1}", "{\"a\":1,}", "{,}", "{\"a\":}", "{1:1}", "nul"]
     {
-        assert_eq!(read(text).expect_err(text).code(), 3, "{text}");
+        assert_eq!(parse(text).expect_err(text).code(), 3, "{text}");
     }
-    assert_eq!(read(&format!("{WHOLE}x")).expect_err("trailing").code(), 3);
-    assert_eq!(read(&format!("{WHOLE},")).expect_err("trailing").code(), 3);
+    assert_eq!(parse(&format!("{EXAMPLE}x")).expect_err("trailing").code(), 3);
+    assert_eq!(parse(&format!("{EXAMPLE},")).expect_err("trailing").code(), 3);
     assert_eq!(
-        read("[]").expect_err("a list"),
+        parse("[]").expect_err("a list"),
         ConfigError { kind: ConfigErrorKind::WrongType("an object"), location: "body".into() }
     );
-    is(with("\"blue\"", "blue"), 3, "route_entries[1]");
-    is(with("\"blue\"", "01"), 3, "route_entries[1]");
-    is(with("\"blue\"", "1 2"), 3, "route_entries[1]");
-    is(with("\"blue\"", "\"\\ud800\""), 3, "route_entries[1]");
-    is(with("\"later\": {", "\"later\": {1:"), 3, "later");
-    assert_eq!(with("\"blue\"", "\"\\u 0041\"").code(), 3);
-    assert_eq!(with("\"blue\"", "\"a\nb\"").code(), 3);
-    assert_eq!(with("\"later\"", "\"la\nter\"").code(), 3);
-    assert_eq!(with("\"later\"", "\"la\\ud800ter\"").code(), 3);
-    assert_eq!(with("\"later\": {", "\"later\" {").code(), 3);
+    assert_error(error_with("\"blue\"", "blue"), 3, "route_entries[1]");
+    assert_error(error_with("\"blue\"", "01"), 3, "route_entries[1]");
+    assert_error(error_with("\"blue\"", "1 2"), 3, "route_entries[1]");
+    assert_error(error_with("\"blue\"", "\"\\ud800\""), 3, "route_entries[1]");
+    assert_error(error_with("\"later\": {", "\"later\": {1:"), 3, "later");
+    assert_eq!(error_with("\"blue\"", "\"\\u 0041\"").code(), 3);
+    assert_eq!(error_with("\"blue\"", "\"a\nb\"").code(), 3);
+    assert_eq!(error_with("\"later\"", "\"la\nter\"").code(), 3);
+    assert_eq!(error_with("\"later\"", "\"la\\ud800ter\"").code(), 3);
+    assert_eq!(error_with("\"later\": {", "\"later\" {").code(), 3);
 }
 
 #[test]
-fn a_text_nested_too_deep_is_refused() {
+fn a_text_nested_too_deep_is_rejected() {
     for (open, close) in [("[", "]"), ("{\"a\":", "}")] {
         let deep = |levels: usize| format!("{}0{}", open.repeat(levels), close.repeat(levels));
-        let text = |levels: usize| WHOLE.replace("\"blue\"", &deep(levels));
-        // The item lies three levels down.
-        assert!(read(&text(MAX_DEPTH - 3)).is_ok());
-        assert_eq!(read(&text(MAX_DEPTH - 2)).expect_err("deep").code(), 4);
-        assert_eq!(read(&text(100_000)).expect_err("deep").code(), 4);
-        assert_eq!(read(&open.repeat(500_000)).expect_err("deep").code(), 4);
+        let text = |levels: usize| EXAMPLE.replace("\"blue\"", &deep(levels));
+        // The value of the field is three levels down.
+        assert!(parse(&text(MAX_DEPTH - 3)).is_ok());
+        assert_eq!(parse(&text(MAX_DEPTH - 2)).expect_err("deep").code(), 4);
+        assert_eq!(parse(&text(100_000)).expect_err("deep").code(), 4);
+        assert_eq!(parse(&open.repeat(500_000)).expect_err("deep").code(), 4);
     }
 }
 
 #[test]
-fn a_key_that_comes_twice_is_refused() {
-    assert_eq!(with("\"colour\":", "\"name\":").code(), 5);
-    assert_eq!(with("\"colour\":", "\"n\\u0061me\":").code(), 5);
-    assert_eq!(with("\"later\":", "\"limits\":").code(), 5);
-    let fault = with("\"text\":", "\"big\":");
-    assert_eq!(fault.kind, ConfigErrorKind::DuplicateKey("big".into()));
-    assert_eq!(fault.location, format!("byte {}", WHOLE.find("\"text\"").expect("there")));
-    assert!(read(&WHOLE.replace("\"blue\"", "[{\"a\":1},{\"a\":{\"a\":2}},\"a\",\"a\"]")).is_ok());
+fn duplicate_keys_are_rejected() {
+    assert_eq!(error_with("\"colour\":", "\"name\":").code(), 5);
+    assert_eq!(error_with("\"colour\":", "\"n\\u0061me\":").code(), 5);
+    assert_eq!(error_with("\"later\":", "\"limits\":").code(), 5);
+    let error = error_with("\"text\":", "\"big\":");
+    assert_eq!(error.kind, ConfigErrorKind::DuplicateKey("big".into()));
+    assert_eq!(error.location, format!("byte {}", EXAMPLE.find("\"text\"").expect("there")));
+    assert!(parse(&EXAMPLE.replace("\"blue\"", "[{\"a\":1},{\"a\":{\"a\":2}},\"a\",\"a\"]")).is_ok());
 }
 
 #[test]
-fn wrong_types_are_refused() {
-    for (old, new, place) in [
+fn wrong_types_are_rejected() {
+    for (old, new, location) in [
         ("7,", "\"7\",", "revision"),
         ("2500", "\"2500\"", "route_entries[0].timeout_ms"),
         ("\"Ficu95.example\"", "1", "route_entries[0].host_header"),
@@ -107,15 +107,15 @@
         ("\"route_entries\": [", "\"route_entries\": [3,", "route_entries[0]"),
         ("\"backend_services\": [", "\"backend_services\": null, \"other\": [", "backend_services"),
     ] {
-        is(with(old, new), 6, place);
+        assert_error(error_with(old, new), 6, location);
     }
 }
 
 #[test]
-fn numbers_out_of_range_are_refused() {
-    let fault = with("2500", "0");
-    assert_eq!(fault.to_string(), "M07 at route_entries[0].timeout_ms: must be above 0");
-    for (old, new, place) in [
+fn numbers_out_of_range_are_rejected() {
+    let error = error_with("2500", "0");
+    assert_eq!(error.to_string(), "M07 at route_entries[0].timeout_ms: must be above 0");
+    for (old, new, location) in [
         ("2500", "-1", "route_entries[0].timeout_ms"),
         ("2500", "1e999", "route_entries[0].timeout_ms"),
         ("2500", "0.0", "route_entries[0].timeout_ms"),
@@ -129,14 +129,14 @@
         ("\"/pufi791/\"", "\"pufi791/\"", "route_entries[0].path_prefix"),
         ("4194304", "-1", "limits.max_body_bytes"),
     ] {
-        is(with(old, new), 7, place);
+        assert_error(error_with(old, new), 7, location);
     }
-    assert!(read(&WHOLE.replacen("7,", "9007199254740992,", 1)).is_ok());
+    assert!(parse(&EXAMPLE.replacen("7,", "9007199254740992,", 1)).is_ok());
 }
 
 #[test]
-fn what_is_missing_is_refused() {
-    for (old, new, place) in [
+fn missing_fields_are_rejected() {
+    for (old, new, location) in [
         ("\"revision\": 7,", "", "revision"),
         ("\"timeout_ms\":2500,", "", "route_entries[0].timeout_ms"),
         ("2500", "null", "route_entries[0].timeout_ms"),
@@ -151,101 +151,113 @@
         ("\"route_entries\"", "\"routes\"", "route_entries"),
         ("\"backend_services\"", "\"services\"", "backend_services"),
     ] {
-        is(with(old, new), 8, place);
+        assert_error(error_with(old, new), 8, location);
     }
 }
 
 #[test]
-fn an_unknown_service_is_refused() {
-    let fault = with("\"backend_service\":\"huvo11a\"", "\"backend_service\":\"huvo11\"");
+fn an_unknown_service_is_rejected() {
+    let error = error_with("\"backend_service\":\"huvo11a\"", "\"backend_service\":\"huvo11\"");
     assert_eq!(
-        fault.to_string(),
+        error.to_string(),
         "M09 at route_entries[0]: route \"r-1\" names the unknown service \"huvo11\""
     );
-    is(
-        with("{\"backend_service\":\"wuno96b\",\"weight\":10}", "{\"backend_service\":\"x\",\"weight\":0}"),
+    assert_error(
+        error_with(
+            "{\"backend_service\":\"wuno96b\",\"weight\":10}",
+            "{\"backend_service\":\"x\",\"weight\":0}",
+        ),
         9,
         "route_entries[1]",
     );
-    is(
-        with("\"weighted_backends\":[", "\"backend_service\":\"x\",\"weighted_backends\":["),
+    assert_error(
+        error_with("\"weighted_backends\":[", "\"backend_service\":\"x\",\"weighted_backends\":["),
         9,
         "route_entries[1]",
     );
-    is(with("{\"name\":\"wuno96b\"", "{\"name\":\"wuno\""), 9, "route_entries[1]");
+    assert_error(error_with("{\"name\":\"wuno96b\"", "{\"name\":\"wuno\""), 9, "route_entries[1]");
 }
 
 #[test]
-fn two_routes_at_one_place_are_refused() {
-    let fault = with("/lohu930/", "/pufi791/");
-    assert_eq!(fault.kind, ConfigErrorKind::DuplicateMatch("r-2".into(), "r-1".into()));
-    is(fault, 10, "route_entries[1]");
-    let text = WHOLE.replace("/lohu930/", "/pufi791/");
-    assert!(read(&text.replace("Ficu95.example", "other.example")).is_ok());
-    is(read(&text.replace("Ficu95.example", "FICU95.example:80")).expect_err("same"), 10, "route_entries[1]");
+fn routes_with_the_same_host_and_prefix_are_rejected() {
+    let error = error_with("/lohu930/", "/pufi791/");
+    assert_eq!(error.kind, ConfigErrorKind::DuplicateMatch("r-2".into(), "r-1".into()));
+    assert_error(error, 10, "route_entries[1]");
+    let text = EXAMPLE.replace("/lohu930/", "/pufi791/");
+    assert!(parse(&text.replace("Ficu95.example", "other.example")).is_ok());
+    assert_error(
+        parse(&text.replace("Ficu95.example", "FICU95.example:80")).expect_err("same"),
+        10,
+        "route_entries[1]",
+    );
 }
 
 #[test]
-fn weights_that_add_up_to_nothing_are_refused() {
-    let none = WHOLE.replace("\"weight\":90", "\"weight\":0").replace("\"weight\":10", "\"weight\":0.0");
-    is(read(&none).expect_err("no weight"), 11, "route_entries[1].weighted_backends");
+fn weights_that_add_up_to_zero_are_rejected() {
+    let none = EXAMPLE.replace("\"weight\":90", "\"weight\":0").replace("\"weight\":10", "\"weight\":0.0");
+    assert_error(parse(&none).expect_err("no weight"), 11, "route_entries[1].weighted_backends");
     let beside =
         none.replace("\"weighted_backends\":[", "\"backend_service\":\"huvo11a\",\"weighted_backends\":[");
-    is(read(&beside).expect_err("no weight"), 11, "route_entries[1].weighted_backends");
+    assert_error(parse(&beside).expect_err("no weight"), 11, "route_entries[1].weighted_backends");
     let empty = "\"weighted_backends\":[],\"other\":[";
-    is(with("\"weighted_backends\":[", empty), 11, "route_entries[1].weighted_backends");
+    assert_error(error_with("\"weighted_backends\":[", empty), 11, "route_entries[1].weighted_backends");
 }
 
 #[test]
-fn a_revision_that_is_not_above_the_current_one_is_refused() {
-    let config = whole();
+fn a_stale_revision_is_rejected() {
+    let config = example();
     let replace = |revision: u64| {
-        let text = WHOLE.replacen("7,", &format!("{revision},"), 1);
+        let text = EXAMPLE.replacen("7,", &format!("{revision},"), 1);
         Config::parse_replacement(Some(&config), text.as_bytes())
     };
     assert_eq!(
         replace(7).expect_err("equal").to_string(),
         "M12 at revision: 7 is not above the current revision, 7"
     );
-    is(replace(6).expect_err("below"), 12, "revision");
+    assert_error(replace(6).expect_err("below"), 12, "revision");
     assert_eq!(replace(8).map(|config| config.revision), Ok(8));
     let modify = |revision: u64| config.modify(format!("{{\"revision\":{revision}}}").as_bytes());
-    is(modify(7).expect_err("equal"), 12, "revision");
-    is(modify(0).expect_err("below"), 12, "revision");
+    assert_error(modify(7).expect_err("equal"), 12, "revision");
+    assert_error(modify(0).expect_err("below"), 12, "revision");
     assert_eq!(modify(12).map(|config| config.revision), Ok(12));
-    assert_eq!(Config::parse_replacement(None, WHOLE.as_bytes()), Ok(config.clone()));
-    let nothing = WHOLE.replacen("7,", "0,", 1);
-    is(Config::parse_replacement(None, nothing.as_bytes()).expect_err("0 is none"), 12, "revision");
+    assert_eq!(Config::parse_replacement(None, EXAMPLE.as_bytes()), Ok(config.clone()));
+    let nothing = EXAMPLE.replacen("7,", "0,", 1);
+    assert_error(Config::parse_replacement(None, nothing.as_bytes()).expect_err("0 is none"), 12, "revision");
 }
 
 #[test]
-fn two_items_of_one_name_are_refused() {
-    is(with("\"r-2\"", "\"r-1\""), 13, "route_entries[1].name");
-    is(with("\"r-2\"", "\"r-\\u0031\""), 13, "route_entries[1].name");
-    is(with("{\"name\":\"wuno96b\"", "{\"name\":\"huvo11a\""), 13, "backend_services[1].name");
-    // In lists that mean nothing here names may be as they like.
+fn duplicate_names_are_rejected() {
+    assert_error(error_with("\"r-2\"", "\"r-1\""), 13, "route_entries[1].name");
+    assert_error(error_with("\"r-2\"", "\"r-\\u0031\""), 13, "route_entries[1].name");
+    assert_error(
+        error_with("{\"name\":\"wuno96b\"", "{\"name\":\"huvo11a\""),
+        13,
+        "backend_services[1].name",
+    );
+    // In lists that are not known here names may be equal.
     assert!(
-        read(&WHOLE.replace("\"later\":", "\"more\":[{\"name\":\"a\"},{\"name\":\"a\"}],\"later\":")).is_ok()
+        parse(&EXAMPLE.replace("\"later\":", "\"more\":[{\"name\":\"a\"},{\"name\":\"a\"}],\"later\":"))
+            .is_ok()
     );
 }
 
 #[test]
-fn what_a_fault_says_is_short() {
+fn error_messages_quote_only_the_beginning_of_a_text() {
     let long = "x".repeat(100_000);
-    for fault in [
-        with("\"r-1\"", &format!("\"r-1\",\"backend_service\":\"{long}\",\"o\":\"")),
-        with("\"backend_service\":\"wuno96b\"", &format!("\"backend_service\":\"é{long}\"")),
-        with("\"blue\"", &format!("{{[\"{long}\"]:1}}")),
-        with("\"later\": {", &format!("\"{long}\":{{\"{long}\":1,\"{long}\":2}},\"later\":{{")),
-        with("\"later\":", &format!("\"{long}\":x,\"later\":")),
+    for error in [
+        error_with("\"r-1\"", &format!("\"r-1\",\"backend_service\":\"{long}\",\"o\":\"")),
+        error_with("\"backend_service\":\"wuno96b\"", &format!("\"backend_service\":\"é{long}\"")),
+        error_with("\"blue\"", &format!("{{[\"{long}\"]:1}}")),
+        error_with("\"later\": {", &format!("\"{long}\":{{\"{long}\":1,\"{long}\":2}},\"later\":{{")),
+        error_with("\"later\":", &format!("\"{long}\":x,\"later\":")),
     ] {
-        assert!(fault.to_string().len() < 600, "{} bytes", fault.to_string().len());
+        assert!(error.to_string().len() < 600, "{} bytes", error.to_string().len());
     }
 }
 
 #[test]
-fn the_table_has_every_code_once() {
+fn the_table_of_codes_is_complete() {
     assert!(ERROR_CODES.iter().map(|(code, _)| *code).eq(1..=14));
-    let fault = with("2500", "0");
-    assert_eq!((fault.status(), fault.message().as_str()), (400, "must be above 0"));
+    let error = error_with("2500", "0");
+    assert_eq!((error.status(), error.message().as_str()), (400, "must be above 0"));
 }
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Items, Sample, SampleChange, read, same, whole};
+use common::{Sample, SampleChange, apply_change, assert_same, example, parse};
 use mosshead_config::{Config, ConfigError, Limits, MAX_BYTES, WeightedBackend};
 use quickcheck::quickcheck;
 
 fn modify(text: &str) -> Result<Config, ConfigError> {
-    whole().modify(text.as_bytes())
+    example().modify(text.as_bytes())
 }
 
 const ROUTE: &str =
@@ -27,11 +27,11 @@
         config.json().starts_with(&format!(r#"{{"revision":9,"route_entries":[{first},{ROUTE}],"backend_"#))
     );
     assert!(config.json().ends_with(r#""text":"a b\t\u0041"}}"#));
-    same(&config, &read(config.json()).expect("valid"));
+    assert_same(&config, &parse(config.json()).expect("valid"));
 }
 
 #[test]
-fn an_item_withdrawn_and_put_in_again_is_at_the_end() {
+fn an_item_withdrawn_and_upserted_moves_to_the_end() {
     let second = ROUTE.replace("r-9", "r-1");
     let config = modify(&format!(
         r#"{{"revision":9,"upsert":{{"route_entries":[{second}]}},"withdraw":{{"route_entries":["r-1"]}}}}"#
@@ -53,37 +53,41 @@
         .expect("valid");
     assert!(config.json().contains(r#""walls":[{"name":"b","x":2}]"#));
     assert!(config.json().contains(r#""limits":{"max_header_bytes":20000}"#));
-    same(&config, &read(config.json()).expect("valid"));
+    assert_same(&config, &parse(config.json()).expect("valid"));
 }
 
 #[test]
-fn a_change_is_checked_whole() {
-    let at = |text: &str| modify(text).map_err(|fault| (fault.code(), fault.location)).expect_err("refused");
-    let is = |text: &str, code: u16, place: &str| assert_eq!(at(text), (code, place.to_owned()), "{text}");
-    is(r#"{"revision":9,"withdraw":{"backend_services":["wuno96b"]}}"#, 9, "route_entries[1]");
+fn every_part_of_a_change_is_validated() {
+    let code_and_location = |text: &str| {
+        modify(text).map_err(|error| (error.code(), error.location)).expect_err("must be rejected")
+    };
+    let assert_error = |text: &str, code: u16, location: &str| {
+        assert_eq!(code_and_location(text), (code, location.to_owned()), "{text}")
+    };
+    assert_error(r#"{"revision":9,"withdraw":{"backend_services":["wuno96b"]}}"#, 9, "route_entries[1]");
     let one = |route: &str| format!(r#"{{"revision":9,"upsert":{{"route_entries":[{route}]}}}}"#);
-    is(&one(&ROUTE.replace("wuno96b", "w")), 9, "route_entries[2]");
-    is(
+    assert_error(&one(&ROUTE.replace("wuno96b", "w")), 9, "route_entries[2]");
+    assert_error(
         &one(&ROUTE.replace("\"h\"", "\"ficu95.example\"").replace("\"/\"", "\"/lohu930/\"")),
         10,
         "route_entries[2]",
     );
-    is(&one(&ROUTE.replace(":1", ":0")), 7, "upsert.route_entries[0].timeout_ms");
-    is(&one(&format!("{ROUTE},{ROUTE}")), 13, "upsert.route_entries[1].name");
-    is(&one("{}"), 8, "upsert.route_entries[0].name");
-    is(r#"{"upsert":{}}"#, 8, "revision");
-    is(r#"{"revision":null}"#, 6, "revision");
-    is(r#"{"revision":9,"upsert":[]}"#, 6, "upsert");
-    is(r#"{"revision":9,"withdraw":{"route_entries":"r-1"}}"#, 6, "withdraw.route_entries");
-    is(r#"{"revision":9,"withdraw":{"route_entries":[1]}}"#, 6, "withdraw.route_entries[0]");
-    is(r#"{"revision":9,"upsert":{"route_entries":{}}}"#, 6, "upsert.route_entries");
-    is(r#"{"revision":9,"upsert":{"later":[{"name":"a"}]}}"#, 6, "upsert.later");
-    is(r#"{"revision":9,"upsert":{"limits":[]}}"#, 6, "upsert.limits");
-    is(r#"{"revision":9,"upsert":{"limits":{"max_body_bytes":-1}}}"#, 7, "limits.max_body_bytes");
-    is(r#"{"revision":9,"upsert":{"route_entries":[]},"why":nothing}"#, 3, "why");
-    assert_eq!(at(r#"{"revision":9,"revision":10}"#).0, 5);
-    assert_eq!(at(r#"{"revision":9"#).0, 3);
-    is("[]", 6, "body");
+    assert_error(&one(&ROUTE.replace(":1", ":0")), 7, "upsert.route_entries[0].timeout_ms");
+    assert_error(&one(&format!("{ROUTE},{ROUTE}")), 13, "upsert.route_entries[1].name");
+    assert_error(&one("{}"), 8, "upsert.route_entries[0].name");
+    assert_error(r#"{"upsert":{}}"#, 8, "revision");
+    assert_error(r#"{"revision":null}"#, 6, "revision");
+    assert_error(r#"{"revision":9,"upsert":[]}"#, 6, "upsert");
+    assert_error(r#"{"revision":9,"withdraw":{"route_entries":"r-1"}}"#, 6, "withdraw.route_entries");
+    assert_error(r#"{"revision":9,"withdraw":{"route_entries":[1]}}"#, 6, "withdraw.route_entries[0]");
+    assert_error(r#"{"revision":9,"upsert":{"route_entries":{}}}"#, 6, "upsert.route_entries");
+    assert_error(r#"{"revision":9,"upsert":{"later":[{"name":"a"}]}}"#, 6, "upsert.later");
+    assert_error(r#"{"revision":9,"upsert":{"limits":[]}}"#, 6, "upsert.limits");
+    assert_error(r#"{"revision":9,"upsert":{"limits":{"max_body_bytes":-1}}}"#, 7, "limits.max_body_bytes");
+    assert_error(r#"{"revision":9,"upsert":{"route_entries":[]},"why":nothing}"#, 3, "why");
+    assert_eq!(code_and_location(r#"{"revision":9,"revision":10}"#).0, 5);
+    assert_eq!(code_and_location(r#"{"revision":9"#).0, 3);
+    assert_error("[]", 6, "body");
 }
 
 #[test]
@@ -96,29 +100,19 @@
     assert_eq!(config.routes[1].backends, [WeightedBackend { service: "new".to_owned(), weight: 1.0 }]);
 }
 
-fn change(list: &mut Items, upsert: &Items, withdraw: &[String]) {
-    list.retain(|(name, _)| !withdraw.contains(name));
-    for (name, text) in upsert {
-        match list.iter_mut().find(|(own, _)| own == name) {
-            Some(own) => own.1 = text.clone(),
-            None => list.push((name.clone(), text.clone())),
-        }
-    }
-}
-
 quickcheck! {
-    /// Modify gives what Replace gives with the same lists, or both refuse for the same cause.
-    fn modify_is_replace_of_the_changed_lists(sample: Sample, changes: SampleChange) -> bool {
-        let before = read(&sample.text()).expect("samples are valid");
+    /// Modify and Replace with the same resulting lists give the same configuration or the same error.
+    fn modify_equals_replace_with_the_changed_lists(sample: Sample, changes: SampleChange) -> bool {
+        let before = parse(&sample.text()).expect("samples are valid");
         let mut after = sample.clone();
         after.revision += 1 + sample.revision % 3;
-        change(&mut after.routes, &changes.routes, &changes.gone_routes);
-        change(&mut after.services, &changes.services, &changes.gone_services);
+        apply_change(&mut after.routes, &changes.routes, &changes.withdrawn_routes);
+        apply_change(&mut after.services, &changes.services, &changes.withdrawn_services);
         let modified = before.modify(changes.text(after.revision).as_bytes());
         let replaced = Config::parse_replacement(Some(&before), after.text().as_bytes());
         match (modified, replaced) {
             (Ok(modified), Ok(replaced)) => {
-                same(&modified, &replaced);
+                assert_same(&modified, &replaced);
                 true
             }
             (Err(one), Err(other)) => one == other,
@@ -128,16 +122,16 @@
 }
 
 #[test]
-fn a_change_may_not_make_the_whole_too_long() {
+fn a_change_may_not_make_the_text_too_long() {
     let upsert = |key: &str| {
         let big = "x".repeat(MAX_BYTES * 2 / 3);
         format!(r#"{{"revision":9,"upsert":{{"{key}":"{big}"}}}}"#)
     };
     let config = modify(&upsert("one")).expect("there is room");
-    let fault = config.modify(upsert("two").replace(":9", ":10").as_bytes()).expect_err("no room");
-    assert_eq!((fault.code(), fault.location.as_str()), (1, "body"));
+    let error = config.modify(upsert("two").replace(":9", ":10").as_bytes()).expect_err("no room");
+    assert_eq!((error.code(), error.location.as_str()), (1, "body"));
     let smaller = config.modify(br#"{"revision":11,"upsert":{"one":1}}"#).expect("valid");
     for (from, to) in [(&config, &smaller), (&smaller, &config)] {
-        same(&from.apply_patch(&from.patch_to(to)).expect("fits"), to);
+        assert_same(&from.apply_patch(&from.patch_to(to)).expect("fits"), to);
     }
 }
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -1,10 +1,10 @@
-//! What is read of a valid configuration.
+//! What is parsed from a valid configuration.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{WHOLE, read, whole};
+use common::{EXAMPLE, example, parse};
 use mosshead_config::{Config, Limits, RouteType, WeightedBackend};
 
 fn backend(service: &str, weight: f64) -> WeightedBackend {
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn the_example_is_read_whole() {
-    let config = whole();
+fn the_example_is_parsed() {
+    let config = example();
     assert_eq!(config.revision, 7);
     let [first, second] = config.routes.as_ref() else { panic!("two routes") };
     assert_eq!((first.name.as_str(), first.host.as_str()), ("r-1", "ficu95.example"));
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_text_is_kept_but_for_white_space() {
-    let config = whole();
+fn the_text_is_kept_without_white_space() {
+    let config = example();
     let text = config.json();
     assert!(
         text.starts_with(r#"{"revision":7,"route_entries":[{"name":"r-1","host_header":"Ficu95.example","#)
@@ -58,7 +58,7 @@
 
 #[test]
 fn absent_fields_have_defaults() {
-    let config = read(
+    let config = parse(
         r#"{"revision":1.0,"route_entries":[{"name":"r","host_header":"h:8080","path_prefix":"/","timeout_ms":0.5,
             "backend_service":"s","resume":null,"weighted_backends":[]}],"backend_services":[{"name":"s"}]}"#,
     )
@@ -74,33 +74,33 @@
 }
 
 #[test]
-fn limits_have_floors() {
-    let text = WHOLE.replace("16384,", "0,").replace("15000}", "1}").replace("4194304", "5e5");
-    let limits = read(&text).expect("valid").limits;
+fn limits_have_minimums() {
+    let text = EXAMPLE.replace("16384,", "0,").replace("15000}", "1}").replace("4194304", "5e5");
+    let limits = parse(&text).expect("valid").limits;
     assert_eq!(limits.max_header_bytes, Limits::MINIMUM.max_header_bytes);
     assert_eq!(limits.idle_timeout, Limits::MINIMUM.idle_timeout);
     assert_eq!((limits.max_body_bytes, limits.header_timeout), (500_000, Duration::from_secs(3)));
 }
 
 #[test]
-fn a_weight_of_nothing_is_never_drawn() {
-    let text = WHOLE.replace("\"weight\":90", "\"weight\":0.0");
-    let config = read(&text).expect("one weight may be 0");
+fn a_service_with_weight_zero_is_never_chosen() {
+    let text = EXAMPLE.replace("\"weight\":90", "\"weight\":0.0");
+    let config = parse(&text).expect("one weight may be 0");
     let route = &config.routes[1];
     for unit in [0.0, 0.3, 1.0, -1.0, 2.0, f64::NAN] {
         assert_eq!(route.choose_service(unit), Some("wuno96b"));
     }
-    let both = whole();
-    assert_eq!(both.routes[1].choose_service(0.89), Some("huvo11a"));
-    assert_eq!(both.routes[1].choose_service(0.91), Some("wuno96b"));
+    let with_both = example();
+    assert_eq!(with_both.routes[1].choose_service(0.89), Some("huvo11a"));
+    assert_eq!(with_both.routes[1].choose_service(0.91), Some("wuno96b"));
 }
 
 #[test]
-fn a_service_beside_the_weights_takes_nothing() {
+fn a_single_service_beside_weights_gets_no_request() {
     let text =
-        WHOLE.replace("\"weighted_backends\":[", "\"backend_service\":\"wuno96b\",\"weighted_backends\":[");
+        EXAMPLE.replace("\"weighted_backends\":[", "\"backend_service\":\"wuno96b\",\"weighted_backends\":[");
     let text = text.replace(",{\"backend_service\":\"wuno96b\",\"weight\":10}", "");
-    let config = read(&text).expect("valid");
+    let config = parse(&text).expect("valid");
     assert_eq!(config.routes[1].backends, [backend("huvo11a", 90.0), backend("wuno96b", 0.0)]);
     assert_eq!(config.routes[1].choose_service(1.0), Some("huvo11a"));
 }
@@ -108,9 +108,9 @@
 const ONE_ROUTE: &str = r#"{"revision":1,"route_entries":[{"name":NAME,"host_header":"h","path_prefix":"/",
     "timeout_ms":TIMEOUT,"backend_service":"s"}],"backend_services":[{"name":"s"}]}"#;
 
-/// Most values are read without the library, which is slower: they must come out as it gives them.
+/// Most values are parsed without the library, which is slower; the results must be the same.
 #[test]
-fn numbers_are_read_as_the_library_reads_them() {
+fn numbers_are_parsed_as_the_library_parses_them() {
     let numbers = [
         "1",
         "9",
@@ -148,22 +148,22 @@
     ];
     for number in numbers {
         let text = ONE_ROUTE.replace("NAME", "\"r\"").replace("TIMEOUT", number);
-        match (read(&text), number.parse::<tinyjson::JsonValue>()) {
+        match (parse(&text), number.parse::<tinyjson::JsonValue>()) {
             (Ok(config), Ok(tinyjson::JsonValue::Number(value))) => {
-                let most = 9_007_199_254_740_992.0;
-                let timeout = Duration::from_millis(f64::min(value, most).ceil() as u64);
+                let max_whole_number = 9_007_199_254_740_992.0;
+                let timeout = Duration::from_millis(f64::min(value, max_whole_number).ceil() as u64);
                 assert_eq!(config.routes[0].timeout, timeout, "{number}");
             }
-            (Err(fault), Err(_)) => assert_eq!(fault.code(), 3, "{number}"),
+            (Err(error), Err(_)) => assert_eq!(error.code(), 3, "{number}"),
             (config, value) => panic!("{number}: {config:?}, {value:?}"),
         }
     }
 }
 
 quickcheck::quickcheck! {
-    fn any_name_is_read_as_it_was_written(name: String) -> bool {
+    fn any_name_is_parsed_as_it_was_written(name: String) -> bool {
         let quoted = tinyjson::JsonValue::from(name.clone()).stringify().expect("a string");
-        let config = read(&ONE_ROUTE.replace("TIMEOUT", "1").replace("NAME", &quoted));
+        let config = parse(&ONE_ROUTE.replace("TIMEOUT", "1").replace("NAME", &quoted));
         config.map_or(name.is_empty(), |config| config.routes[0].name == name)
     }
 }
