--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -1,19 +1,36 @@
 //! The command line of the fleet's programs.
 
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
 use std::path::PathBuf;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
+use mosshead_config::{Config, ConfigError};
+use mosshead_time::Duration;
+use quick_error::quick_error;
 
-use crate::settings::Settings;
+use crate::process::ProcessError;
+use crate::settings::{Settings, SettingsError};
 
-/// What a program is told to do.
+/// The environment variable that names the settings file.
+const SETTINGS_VARIABLE: &str = "MOSSHEAD_CONFIG";
+/// How long the status command waits for a connection, and for each read.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest status that is read, in bytes.
+const MAX_STATUS_BYTES: u64 = 1024 * 1024;
+/// How long the runtime may take to drop its tasks when a process ends.
+const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(50);
+const EXIT_SUCCESS: i32 = 0;
+const EXIT_FAILURE: i32 = 1;
+
+/// A command of a program.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Serve.
     Serve {
         /// The settings file.
         settings: Option<PathBuf>,
-        /// Say more in the log.
+        /// Whether to log more.
         detailed: bool,
     },
     /// Read a settings file and say what is wrong with it.
@@ -26,13 +43,53 @@
         /// The configuration.
         file: PathBuf,
     },
-    /// Ask a running process what it knows.
+    /// Ask a running process for its status.
     Status {
         /// Its settings file.
         settings: Option<PathBuf>,
     },
 }
 
+quick_error! {
+    /// Why a command failed.
+    #[derive(Debug)]
+    #[non_exhaustive]
+    pub enum CommandError {
+        /// Neither the command line nor the environment names a settings file.
+        NoSettingsFile {
+            display("no settings file: neither --settings nor {SETTINGS_VARIABLE}")
+        }
+        /// The settings file can't be used.
+        Settings(error: SettingsError) {
+            display("{error}")
+            source(error)
+            from()
+        }
+        /// The configuration is invalid.
+        Config(error: ConfigError) {
+            display("{error}")
+            source(error)
+            from()
+        }
+        /// The process could not start or go on.
+        Process(error: ProcessError) {
+            display("{error}")
+            source(error)
+            from()
+        }
+        /// The settings name no address that serves the status.
+        NoStatusAddress {
+            display("nothing listens")
+        }
+        /// A file, the runtime or the connection to a process failed.
+        Io(error: io::Error) {
+            display("{error}")
+            source(error)
+            from()
+        }
+    }
+}
+
 fn settings() -> impl Parser<Option<PathBuf>> {
     long("settings")
         .help("The settings file; without it MOSSHEAD_CONFIG names it")
@@ -74,71 +131,76 @@
     construct!([serve, check_settings, check_config, status]).to_options().descr(about)
 }
 
-/// Where the settings are.
-pub fn path(given: Option<PathBuf>) -> Result<PathBuf, String> {
-    given
-        .or_else(|| std::env::var_os("MOSSHEAD_CONFIG").map(PathBuf::from))
-        .ok_or_else(|| "no settings file: neither --settings nor MOSSHEAD_CONFIG".to_owned())
-}
-
-/// Runs a program: `serve` does its work. The exit code.
+/// Runs a command and gives the exit code. An error goes to standard error. `serve` is the program's own work.
 pub fn run<F>(command: Command, serve: impl FnOnce(Settings, PathBuf) -> F) -> i32
 where
-    F: Future<Output = std::io::Result<()>>,
+    F: Future<Output = Result<(), ProcessError>>,
 {
     let result = match command {
-        Command::Serve { settings, detailed } => path(settings).and_then(|path| {
-            crate::logging::start(detailed);
-            let settings = Settings::load(&path).map_err(|fault| fault.to_string())?;
-            on_one_thread(serve(settings, path)).map_err(|error| error.to_string())
-        }),
-        Command::CheckSettings { settings } => path(settings).and_then(|path| {
-            let settings = Settings::load(&path).map_err(|fault| fault.to_string())?;
-            println!("{}: sound.", settings.node_name);
-            Ok(())
-        }),
-        Command::CheckConfig { file } => {
-            std::fs::read(&file).map_err(|error| error.to_string()).and_then(|text| {
-                let config = mosshead_config::Config::parse(&text).map_err(|fault| fault.to_string())?;
-                println!("Configuration {}: {} routes, sound.", config.revision, config.routes.len());
-                Ok(())
-            })
-        }
-        Command::Status { settings } => path(settings).and_then(|path| {
-            let settings = Settings::load(&path).map_err(|fault| fault.to_string())?;
-            println!("{}", ask_status(&settings).map_err(|error| error.to_string())?);
-            Ok(())
-        }),
+        Command::Serve { settings, detailed } => run_process(settings, detailed, serve),
+        Command::CheckSettings { settings } => check_settings(settings),
+        Command::CheckConfig { file } => check_config(file),
+        Command::Status { settings } => print_status(settings),
     };
     match result {
-        Ok(()) => 0,
-        Err(why) => {
-            eprintln!("{why}");
-            1
+        Ok(()) => EXIT_SUCCESS,
+        Err(error) => {
+            eprintln!("{error}");
+            EXIT_FAILURE
         }
     }
 }
 
-fn on_one_thread(work: impl Future<Output = std::io::Result<()>>) -> std::io::Result<()> {
+fn run_process<F>(
+    settings_path: Option<PathBuf>,
+    detailed: bool,
+    serve: impl FnOnce(Settings, PathBuf) -> F,
+) -> Result<(), CommandError>
+where
+    F: Future<Output = Result<(), ProcessError>>,
+{
+    let path = find_settings(settings_path)?;
+    crate::logging::start(detailed);
+    let settings = Settings::load(&path)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let local = tokio::task::LocalSet::new();
-    let result = local.block_on(&runtime, work);
-    // Danger: a task that never ends must not hold the process.
-    runtime.shutdown_timeout(std::time::Duration::from_millis(50));
-    result
+    let tasks = tokio::task::LocalSet::new();
+    let result = tasks.block_on(&runtime, serve(settings, path));
+    // A blocking task that never ends must not keep the process alive.
+    runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
+    Ok(result?)
+}
+
+fn check_settings(settings_path: Option<PathBuf>) -> Result<(), CommandError> {
+    let settings = Settings::load(&find_settings(settings_path)?)?;
+    println!("{}: sound.", settings.node_name);
+    Ok(())
+}
+
+fn check_config(file: PathBuf) -> Result<(), CommandError> {
+    let config = Config::parse(&std::fs::read(&file)?)?;
+    println!("Configuration {}: {} routes, sound.", config.revision, config.routes.len());
+    Ok(())
+}
+
+fn print_status(settings_path: Option<PathBuf>) -> Result<(), CommandError> {
+    let settings = Settings::load(&find_settings(settings_path)?)?;
+    println!("{}", fetch_status(&settings)?);
+    Ok(())
+}
+
+fn find_settings(from_command_line: Option<PathBuf>) -> Result<PathBuf, CommandError> {
+    from_command_line
+        .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from))
+        .ok_or(CommandError::NoSettingsFile)
 }
 
-fn ask_status(settings: &Settings) -> std::io::Result<String> {
-    use std::io::{Read, Write};
-    let address = settings
-        .readiness
-        .or(settings.control_plane)
-        .ok_or_else(|| std::io::Error::other("nothing listens"))?;
-    let within = std::time::Duration::from_secs(2);
-    let mut stream = std::net::TcpStream::connect_timeout(&address.into(), within)?;
-    stream.set_read_timeout(Some(within))?;
+/// The body of the response to `GET /status` of the process with these settings.
+fn fetch_status(settings: &Settings) -> Result<String, CommandError> {
+    let address = settings.readiness.or(settings.control_plane).ok_or(CommandError::NoStatusAddress)?;
+    let mut stream = TcpStream::connect_timeout(&address.into(), STATUS_TIMEOUT)?;
+    stream.set_read_timeout(Some(STATUS_TIMEOUT))?;
     stream.write_all(b"GET /status HTTP/1.1\r\nHost: status\r\nConnection: close\r\n\r\n")?;
-    let mut text = String::new();
-    stream.take(1024 * 1024).read_to_string(&mut text)?;
-    Ok(text.split_once("\r\n\r\n").map_or(String::new(), |(_, body)| body.to_owned()))
+    let mut response = String::new();
+    stream.take(MAX_STATUS_BYTES).read_to_string(&mut response)?;
+    Ok(response.split_once("\r\n\r\n").map_or(String::new(), |(_, body)| body.to_owned()))
 }
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -25,11 +25,11 @@
 use tokio::time::{Duration, Instant, timeout};
 
 pub use self::process::serve;
+use crate::clock::Clock;
 use crate::config_transfer::OutgoingTransfers;
 use crate::gossip::Gossip;
 use crate::send_queues::SendQueues;
 use crate::settings::Settings;
-use crate::update_watcher::millis;
 
 /// One machine of the core.
 pub struct ControlNode {
@@ -37,6 +37,7 @@
     pub settings: Settings,
     life: u64,
     start: Instant,
+    clock: Clock,
     node: RefCell<Option<Node<Pcg64Mcg>>>,
     keeper: RefCell<Option<LogWriter>>,
     /// The register on disk, and how far it has got there.
@@ -57,7 +58,7 @@
 
 impl ControlNode {
     fn now(&self) -> u64 {
-        millis(Instant::now())
+        self.clock.now().as_millis()
     }
 
     fn tell(&self) {
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -7,14 +7,12 @@
 use std::rc::Rc;
 
 use mosshead_consensus::{Input, LEAVE_WITHIN, Node, Settings as NodeSettings, Timings};
-use mosshead_membership::{Membership, Settings as MembershipSettings};
 use mosshead_record_log::{DurableLog, LogWriter, RecordLog, WriteCompletion};
 use mosshead_registry::{Registry, SourceId, VersionVector};
 use mosshead_rpc::{Caller, Handlers};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Duration, Instant, sleep};
 
@@ -24,9 +22,8 @@
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, WatchUpdates,
 };
 use crate::control_api;
-use crate::gossip::Gossip;
-use crate::proxy::{FLEET, peer};
-use crate::settings::Settings;
+use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
+use crate::settings::{Settings, SettingsError};
 
 /// How often the control state is looked after.
 const TICK: Duration = Duration::from_millis(50);
@@ -102,25 +99,24 @@
         })
 }
 
-/// Serves until it is told to end.
-pub async fn serve(settings: Settings, path: PathBuf) -> std::io::Result<()> {
-    let missing = |what| std::io::Error::other(format!("S03 {what} is missing"));
-    let folder = settings.data_directory.clone().ok_or_else(|| missing("data_directory"))?;
-    let mut rng = Pcg64Mcg::from_os_rng();
-    let life: u64 = rng.random();
-    let peer = peer(&settings, life, true);
-    let membership = MembershipSettings { fleet: FLEET, ..MembershipSettings::default() };
-    let membership =
-        Membership::new(peer, settings.internal_seed_addresses(), membership, Pcg64Mcg::from_rng(&mut rng));
-    let membership = membership.map_err(std::io::Error::other)?;
-    let gossip = Gossip::bind(settings.internal_address(), membership).await?;
-    tokio::task::spawn_local(gossip.clone().run());
-    let register =
-        RefCell::new(Registry::new(SourceId(life), settings.heartbeat_interval.as_millis() as u64));
+/// Serves until the process is signalled to shut down.
+///
+/// # Errors
+///
+/// The settings lack what a control node needs, an address can't be listened on, or signals can't be handled.
+pub async fn serve(settings: Settings, path: PathBuf) -> Result<(), ProcessError> {
+    let folder = settings.data_directory.clone().ok_or(SettingsError::Missing("data_directory"))?;
+    let mut process = FleetProcess::start(settings, path, true).await?;
+    let settings = process.settings.clone();
+    let register = RefCell::new(Registry::new(
+        SourceId(process.incarnation),
+        settings.heartbeat_interval.as_millis() as u64,
+    ));
     let core = Rc::new(ControlNode {
         settings: settings.clone(),
-        life,
+        life: process.incarnation,
         start: Instant::now(),
+        clock: process.clock,
         node: RefCell::default(),
         keeper: RefCell::default(),
         register_keeper: RefCell::default(),
@@ -135,55 +131,60 @@
         news: watch::Sender::new(0),
         askers: RefCell::default(),
         message_lanes: RefCell::default(),
-        gossip,
+        gossip: process.gossip.clone(),
     });
-    let inside = TcpListener::bind(settings.internal_address()).await?;
-    tokio::task::spawn_local(mosshead_rpc::serve(inside, Rc::new(handlers(&core))));
+    let inside = listen(settings.internal_address()).await?;
+    process.tasks.spawn_local(mosshead_rpc::serve(inside, Rc::new(handlers(&core))));
     if let Some(address) = settings.control_plane {
-        tokio::task::spawn_local(control_api::serve(core.clone(), TcpListener::bind(address).await?));
+        process.tasks.spawn_local(control_api::serve(core.clone(), listen(address).await?));
     }
-    tokio::task::spawn_local(core.clone().tell_heard());
-    tokio::task::spawn_local(crate::stage_orders::run(core.clone()));
-    tokio::task::spawn_local(open_register(core.clone(), folder.clone()));
-    tokio::task::spawn_local(open(core.clone(), folder, rng.random()));
-    spdlog::info!("control: {} listens.", settings.node_name);
-    let mut hangup = signal(SignalKind::hangup())?;
-    let mut term = signal(SignalKind::terminate())?;
-    let mut stop = signal(SignalKind::interrupt())?;
+    process.tasks.spawn_local(core.clone().tell_heard());
+    process.tasks.spawn_local(crate::stage_orders::run(core.clone()));
+    process.tasks.spawn_local(open_register(core.clone(), folder.clone()));
+    let seed = process.random.random();
+    process.tasks.spawn_local(open(core.clone(), folder, seed));
+    spdlog::info!("control: listening node={}", settings.node_name);
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut events = ProcessEvents::new(tick)?;
     let mut followed: HashMap<SocketAddrV4, tokio::task::JoinHandle<()>> = HashMap::new();
     let mut turns = 0_u64;
     loop {
-        tokio::select! {
-            _ = term.recv() => break,
-            _ = stop.recv() => break,
-            _ = hangup.recv() => reread(&core, &path),
-            _ = tick.tick() => {
+        match events.next().await {
+            ProcessEvent::Shutdown => break,
+            ProcessEvent::ReloadSettings => {
+                if let Some(seeds) = process.reload_seeds() {
+                    core.step(Input::Seeds(seeds));
+                }
+            }
+            ProcessEvent::Tick => {
                 core.step(Input::Tick);
                 core.keep_register();
                 turns += 1;
                 if turns.is_multiple_of(10) {
                     followed.retain(|_, task| !task.is_finished());
                     for other in core.others() {
-                        followed.entry(other).or_insert_with(|| tokio::task::spawn_local(core.clone().follow(other)));
+                        followed
+                            .entry(other)
+                            .or_insert_with(|| tokio::task::spawn_local(core.clone().follow(other)));
                     }
                 }
-                if turns.is_multiple_of(80) {
-                    reread(&core, &path);
-                }
             }
         }
     }
-    spdlog::info!("control: told to end.");
+    spdlog::info!("control: shutting down");
     core.step(Input::Stop);
     core.until_it_may_end(leave_within(&settings)).await;
-    core.gossip.leave().await;
+    process.gossip.announce_departure();
     sleep(Duration::from_millis(150)).await;
-    spdlog::info!("control: ends.");
+    spdlog::info!("control: exiting");
     Ok(())
 }
 
+async fn listen(address: SocketAddrV4) -> Result<TcpListener, ProcessError> {
+    TcpListener::bind(address).await.map_err(|error| ProcessError::Bind(address, error))
+}
+
 /// How long a planned end waits for the word of the others at most: well below the platform's grace.
 fn leave_within(settings: &Settings) -> Duration {
     LEAVE.min(Duration::from_secs_f64(settings.bound("grace_s", GRACE_S).min(MOST_GRACE_S) / 3.0))
@@ -205,17 +206,6 @@
     }
 }
 
-fn reread(core: &Rc<ControlNode>, path: &Path) {
-    match Settings::load(path) {
-        Ok(settings) => {
-            let seeds = settings.internal_seed_addresses();
-            core.gossip.membership.borrow_mut().set_seeds(seeds.clone());
-            core.step(Input::Seeds(seeds));
-        }
-        Err(fault) => spdlog::warn!("settings: {fault}. Nothing has changed."),
-    }
-}
-
 /// A folder of data: its name now, and its name in the first releases, which stays where it is.
 pub(super) struct DataFolder {
     pub(super) name: &'static str,
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -59,13 +59,7 @@
         let node = self.node.borrow();
         let mut all: Vec<SocketAddrV4> =
             node.iter().flat_map(|node| node.members().iter().map(|member| member.address)).collect();
-        let membership = self.gossip.membership.borrow();
-        all.extend(
-            membership
-                .members()
-                .filter(|(peer, health)| peer.is_control_node && health.is_live())
-                .map(|(peer, _)| peer.address),
-        );
+        all.extend(self.gossip.live_control_nodes());
         if all.is_empty() {
             all = self.settings.internal_seed_addresses();
         }
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -1,77 +1,96 @@
-//! The socket of membership: datagrams to and from `membership`.
+//! The socket of the membership protocol: datagrams to and from [`Membership`].
 
 use std::cell::RefCell;
+use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 
 use mosshead_membership::{Datagram, Membership};
-use mosshead_time::{Duration, Instant};
+use mosshead_time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// A datagram is at most this long.
-const LONGEST: usize = 1500;
-/// Shortest and longest sleep between two ticks.
+use crate::clock::Clock;
+
+/// The longest datagram that is read, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1500;
+/// The shortest sleep between two ticks.
 const MIN_SLEEP: Duration = Duration::from_millis(20);
+/// The longest sleep between two ticks.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// Membership on its socket.
+/// The membership protocol on its socket.
 pub struct Gossip {
-    /// The state.
-    pub membership: RefCell<Membership>,
+    membership: RefCell<Membership>,
     socket: UdpSocket,
-    start: tokio::time::Instant,
+    clock: Clock,
 }
 
 impl Gossip {
-    /// Binds its socket.
-    pub async fn bind(address: SocketAddrV4, membership: Membership) -> std::io::Result<Rc<Self>> {
+    /// Binds the socket.
+    ///
+    /// # Errors
+    ///
+    /// The address is in use, or is not one of this machine.
+    pub async fn bind(address: SocketAddrV4, membership: Membership, clock: Clock) -> io::Result<Rc<Gossip>> {
         let socket = UdpSocket::bind(address).await?;
-        Ok(Rc::new(Self { membership: RefCell::new(membership), socket, start: tokio::time::Instant::now() }))
-    }
-
-    fn now(&self) -> Instant {
-        Instant::ORIGIN + self.start.elapsed()
-    }
-
-    async fn send(&self, datagrams: Vec<Datagram>) {
-        for datagram in datagrams {
-            // Danger: a full link drops datagrams; waiting here would hold up what was heard.
-            let _ = self.socket.try_send_to(&datagram.payload, SocketAddr::V4(datagram.destination));
-        }
+        Ok(Rc::new(Gossip { membership: RefCell::new(membership), socket, clock }))
     }
 
-    /// Runs for as long as it is polled.
+    /// Sends and receives datagrams for as long as the future is polled.
     pub async fn run(self: Rc<Self>) {
-        let mut buffer = vec![0; LONGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let now = self.now();
+            let now = self.clock.now();
             let due = self.membership.borrow_mut().tick(now);
-            self.send(due).await;
+            self.send(due);
             let wake = self.membership.borrow().next_wake(now).clamp(now + MIN_SLEEP, now + MAX_SLEEP);
-            let wait = sleep(wake - now);
             tokio::select! {
-                () = wait => {}
-                came = self.socket.recv_from(&mut buffer) => {
-                    if let Ok((length, SocketAddr::V4(from))) = came
-                        && let Some(bytes) = buffer.get(..length)
+                () = sleep(wake - now) => {}
+                received = self.socket.recv_from(&mut buffer) => {
+                    if let Ok((length, SocketAddr::V4(sender))) = received
+                        && let Some(payload) = buffer.get(..length)
                     {
-                        let answers = self.membership.borrow_mut().receive(self.now(), from, bytes);
-                        self.send(answers).await;
+                        self.on_datagram(sender, payload);
                     }
                 }
             }
         }
     }
 
-    /// Tells others of the planned end.
-    pub async fn leave(&self) {
-        let last = self.membership.borrow_mut().leave(self.now());
-        self.send(last).await;
+    fn on_datagram(&self, sender: SocketAddrV4, payload: &[u8]) {
+        let replies = self.membership.borrow_mut().receive(self.clock.now(), sender, payload);
+        self.send(replies);
+    }
+
+    fn send(&self, datagrams: Vec<Datagram>) {
+        for datagram in datagrams {
+            // A full link drops the datagram. The protocol repeats what matters, and to wait for room here would delay
+            // the datagrams that arrive.
+            let _ = self.socket.try_send_to(&datagram.payload, SocketAddr::V4(datagram.destination));
+        }
+    }
+
+    /// Tells the other members that this process shuts down.
+    pub fn announce_departure(&self) {
+        let datagrams = self.membership.borrow_mut().leave(self.clock.now());
+        self.send(datagrams);
+    }
+
+    /// Replaces the seeds; members that are known already stay.
+    pub fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
+        self.membership.borrow_mut().set_seeds(seeds);
     }
 
     /// How many proxies are alive or suspect.
     pub fn live_proxies(&self) -> usize {
         self.membership.borrow().live_proxies()
     }
+
+    /// The addresses of the control nodes that are alive or suspect.
+    pub fn live_control_nodes(&self) -> Vec<SocketAddrV4> {
+        let membership = self.membership.borrow();
+        let live = membership.members().filter(|(peer, state)| peer.is_control_node && state.is_live());
+        live.map(|(peer, _)| peer.address).collect()
+    }
 }
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -1,6 +1,8 @@
-//! The programs of the fleet: what each one is put together from. Thin: the planes are libraries of their own.
+//! The programs of the fleet, `mosshead-router` and `mosshead-control`: processes, sockets, settings and logs around the
+//! libraries that decide.
 
 pub mod calls;
+pub mod clock;
 pub mod command;
 pub mod config_transfer;
 pub mod control_api;
@@ -8,6 +10,7 @@
 pub mod gossip;
 pub mod limits;
 pub mod logging;
+pub mod process;
 pub mod proxy;
 pub mod send_queues;
 pub mod settings;
--- /dev/null
+++ b/crates/programs/src/process.rs
@@ -0,0 +1,169 @@
+//! What both programs of the fleet have in common: identity, membership, signals, and settings that are read again.
+
+use std::io;
+use std::net::SocketAddrV4;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use mosshead_membership::{Membership, Peer, PeerError, Settings as MembershipSettings};
+use mosshead_time::Duration;
+use quick_error::quick_error;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::JoinSet;
+use tokio::time::Interval;
+
+use crate::clock::Clock;
+use crate::gossip::Gossip;
+use crate::settings::{Settings, SettingsError};
+
+/// The tag of the fleet in datagrams of membership; datagrams with another one are dropped.
+const FLEET_TAG: u64 = 0x6d6f_7373_6865_6164;
+/// How often the settings are read again.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(4);
+
+quick_error! {
+    /// Why a program can't start or go on.
+    #[derive(Debug)]
+    #[non_exhaustive]
+    pub enum ProcessError {
+        /// The settings lack what this program needs.
+        Settings(error: SettingsError) {
+            display("{error}")
+            source(error)
+            from()
+        }
+        /// The settings make no valid member of the fleet.
+        Peer(error: PeerError) {
+            display("{error}")
+            source(error)
+            from()
+        }
+        /// An address can't be listened on.
+        Bind(address: SocketAddrV4, error: io::Error) {
+            display("can't listen on {address}: {error}")
+            source(error)
+        }
+        /// Signals can't be handled, or the runtime can't be started.
+        System(error: io::Error) {
+            display("{error}")
+            source(error)
+            from()
+        }
+    }
+}
+
+/// A process that takes part in the fleet's membership.
+pub(crate) struct FleetProcess {
+    pub(crate) settings: Settings,
+    settings_path: PathBuf,
+    /// Drawn at random at each start.
+    pub(crate) incarnation: u64,
+    pub(crate) clock: Clock,
+    pub(crate) random: Pcg64Mcg,
+    pub(crate) gossip: Rc<Gossip>,
+    /// The tasks that run until the process ends.
+    pub(crate) tasks: JoinSet<()>,
+}
+
+impl FleetProcess {
+    /// Joins the fleet.
+    pub(crate) async fn start(
+        settings: Settings,
+        settings_path: PathBuf,
+        is_control_node: bool,
+    ) -> Result<FleetProcess, ProcessError> {
+        let clock = Clock::start();
+        let mut random = Pcg64Mcg::from_os_rng();
+        let incarnation: u64 = random.random();
+        let local_peer = Peer {
+            name: settings.node_name.clone(),
+            instance_id: incarnation,
+            address: settings.internal_address(),
+            is_control_node,
+            zone: settings.zone.clone(),
+        };
+        let membership = Membership::new(
+            local_peer,
+            settings.internal_seed_addresses(),
+            MembershipSettings { fleet: FLEET_TAG, ..MembershipSettings::default() },
+            Pcg64Mcg::from_rng(&mut random),
+        )?;
+        let address = settings.internal_address();
+        let gossip = Gossip::bind(address, membership, clock)
+            .await
+            .map_err(|error| ProcessError::Bind(address, error))?;
+        let mut tasks = JoinSet::new();
+        tasks.spawn_local(gossip.clone().run());
+        Ok(FleetProcess { settings, settings_path, incarnation, clock, random, gossip, tasks })
+    }
+
+    /// Reads the settings again. Gives the seeds, which alone may change while the process runs, unless the file is at
+    /// fault; that is logged.
+    pub(crate) fn reload_seeds(&self) -> Option<Vec<SocketAddrV4>> {
+        match Settings::load(&self.settings_path) {
+            Ok(settings) => {
+                let seeds = settings.internal_seed_addresses();
+                self.gossip.set_seeds(seeds.clone());
+                Some(seeds)
+            }
+            Err(error) => {
+                spdlog::warn!("settings: reload failed, settings unchanged error={error}");
+                None
+            }
+        }
+    }
+}
+
+/// What the main loop of a process reacts to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ProcessEvent {
+    /// SIGTERM or SIGINT: the process is to shut down.
+    Shutdown,
+    /// SIGHUP, or the time to read the settings again.
+    ReloadSettings,
+    /// The interval of the main loop has passed.
+    Tick,
+}
+
+/// The source of [`ProcessEvent`]s.
+pub(crate) struct ProcessEvents {
+    hangup: Signal,
+    terminate: Signal,
+    interrupt: Signal,
+    ticks: Interval,
+    ticks_per_reload: u128,
+    ticks_since_reload: u128,
+}
+
+impl ProcessEvents {
+    /// Installs the signal handlers.
+    pub(crate) fn new(ticks: Interval) -> io::Result<ProcessEvents> {
+        Ok(ProcessEvents {
+            hangup: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            ticks_per_reload: RELOAD_INTERVAL.as_millis() / ticks.period().as_millis(),
+            ticks_since_reload: 0,
+            ticks,
+        })
+    }
+
+    /// Waits for the next event.
+    pub(crate) async fn next(&mut self) -> ProcessEvent {
+        if self.ticks_since_reload >= self.ticks_per_reload {
+            self.ticks_since_reload = 0;
+            return ProcessEvent::ReloadSettings;
+        }
+        tokio::select! {
+            _ = self.terminate.recv() => ProcessEvent::Shutdown,
+            _ = self.interrupt.recv() => ProcessEvent::Shutdown,
+            _ = self.hangup.recv() => ProcessEvent::ReloadSettings,
+            _ = self.ticks.tick() => {
+                self.ticks_since_reload += 1;
+                ProcessEvent::Tick
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/programs/src/proxy/process.rs
@@ -0,0 +1,183 @@
+//! The process: start, main loop and graceful shutdown.
+
+use std::cell::RefCell;
+use std::net::SocketAddrV4;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use mosshead_data_plane::{DataPlane, Frontend, serve_readiness};
+use mosshead_registry::{Registry, SourceId};
+use mosshead_routing::{RetryBudgetLimits, RoutingWeights};
+use mosshead_time::Duration;
+use rand::Rng;
+use tokio::net::TcpListener;
+use tokio::time::{Instant, interval, sleep};
+
+use super::sink::DataPlaneSink;
+use super::status::status;
+use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
+use crate::settings::{Settings, SettingsError};
+use crate::update_watcher::{UpdateWatcher, WATCH_SLOTS};
+
+/// How long new connections are accepted after the shutdown began: the platform sends no new clients once two health
+/// checks, a second apart, have failed.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2600);
+/// The process ends so long before the platform would kill it.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// How often the shutdown looks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval of the main loop.
+const TICK_INTERVAL: Duration = Duration::from_millis(1000);
+/// Further attempts to bind an address that may still belong to a former process.
+const MAX_BIND_RETRIES: usize = 20;
+/// The pause between these attempts.
+const BIND_RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// `bounds.retry_window_s` where the settings have none, in seconds.
+const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
+/// `bounds.retry_budget_ratio` where the settings have none.
+const DEFAULT_RETRY_RATIO: f64 = 0.2;
+/// `bounds.retry_extra` where the settings have none.
+const DEFAULT_EXTRA_RETRIES: f64 = 20.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// Serves clients until the process is signalled to shut down.
+///
+/// # Errors
+///
+/// The settings lack what a proxy needs, an address can't be listened on, or signals can't be handled.
+pub async fn serve(settings: Settings, settings_path: PathBuf) -> Result<(), ProcessError> {
+    let proxy = ProxyProcess::start(settings, settings_path).await?;
+    proxy.run().await?;
+    proxy.shut_down().await;
+    Ok(())
+}
+
+struct ProxyProcess {
+    process: FleetProcess,
+    data_plane: Rc<DataPlane>,
+    registry: Rc<RefCell<Registry>>,
+    sink: Rc<DataPlaneSink>,
+    watcher: Rc<UpdateWatcher<DataPlaneSink>>,
+    frontend: Rc<Frontend>,
+}
+
+impl ProxyProcess {
+    async fn start(settings: Settings, settings_path: PathBuf) -> Result<ProxyProcess, ProcessError> {
+        let front_address =
+            settings.front_http.ok_or(SettingsError::Missing("listen_addresses.front_http"))?;
+        let mut process = FleetProcess::start(settings, settings_path, false).await?;
+        let settings = &process.settings;
+        let data_plane = DataPlane::new(routing_weights(settings), &settings.zone, process.random.random());
+        let registry = Rc::new(RefCell::new(Registry::read_replica(
+            SourceId(process.incarnation),
+            settings.heartbeat_interval.as_millis() as u64,
+        )));
+        let sink = Rc::new(DataPlaneSink::new(data_plane.clone(), registry.clone(), process.gossip.clone()));
+        let watcher = UpdateWatcher::new(
+            &settings.node_name,
+            process.incarnation,
+            process.clock,
+            sink.clone(),
+            registry.clone(),
+            &settings.internal_seed_addresses(),
+        );
+        let frontend = Frontend::new(data_plane.clone());
+        let mut proxy = ProxyProcess { process, data_plane, registry, sink, watcher, frontend };
+        proxy.spawn_watchers();
+        proxy.serve_clients(front_address).await?;
+        proxy.serve_health_checks().await?;
+        spdlog::info!("router: listening node={}", proxy.process.settings.node_name);
+        Ok(proxy)
+    }
+
+    fn spawn_watchers(&mut self) {
+        for slot in 0..WATCH_SLOTS {
+            self.process.tasks.spawn_local(self.watcher.clone().run(slot));
+        }
+    }
+
+    async fn serve_clients(&mut self, address: SocketAddrV4) -> Result<(), ProcessError> {
+        let listener = bind_with_retries(address).await?;
+        self.process.tasks.spawn_local(self.frontend.clone().serve(listener));
+        Ok(())
+    }
+
+    async fn serve_health_checks(&mut self) -> Result<(), ProcessError> {
+        let Some(address) = self.process.settings.readiness else { return Ok(()) };
+        let listener = bind_with_retries(address).await?;
+        let data_plane = self.data_plane.clone();
+        let is_ready = move || data_plane.is_ready();
+        let (data_plane, registry, watcher) =
+            (self.data_plane.clone(), self.registry.clone(), self.watcher.clone());
+        let (gossip, frontend) = (self.process.gossip.clone(), self.frontend.clone());
+        let status = move || status(&data_plane, &registry.borrow(), &watcher, &gossip, &frontend);
+        self.process.tasks.spawn_local(serve_readiness(listener, is_ready, status));
+        Ok(())
+    }
+
+    /// The main loop, until the process is signalled to shut down.
+    async fn run(&self) -> Result<(), ProcessError> {
+        let mut events = ProcessEvents::new(interval(TICK_INTERVAL))?;
+        loop {
+            match events.next().await {
+                ProcessEvent::Shutdown => return Ok(()),
+                ProcessEvent::ReloadSettings => self.reload_settings(),
+                ProcessEvent::Tick => self.tick(),
+            }
+        }
+    }
+
+    fn reload_settings(&self) {
+        if let Some(seeds) = self.process.reload_seeds() {
+            self.watcher.add_control_nodes(&seeds);
+        }
+    }
+
+    fn tick(&self) {
+        self.registry.borrow_mut().tick(self.process.clock.now().as_millis());
+        self.sink.refresh();
+        self.watcher.add_control_nodes(&self.process.gossip.live_control_nodes());
+    }
+
+    /// Drains: first health checks fail while connections are still accepted, then only the requests in flight go on.
+    async fn shut_down(&self) {
+        let start = Instant::now();
+        spdlog::info!("router: shutting down in_flight_requests={}", self.data_plane.in_flight_requests());
+        self.data_plane.start_draining();
+        self.process.gossip.announce_departure();
+        let grace = self.process.settings.grace().saturating_sub(KILL_MARGIN);
+        sleep(DEREGISTRATION_DELAY.min(grace)).await;
+        self.frontend.shut_down();
+        while start.elapsed() < grace && self.has_open_work() {
+            sleep(DRAIN_POLL_INTERVAL).await;
+        }
+        spdlog::info!("router: exiting in_flight_requests={}", self.data_plane.in_flight_requests());
+    }
+
+    fn has_open_work(&self) -> bool {
+        self.data_plane.in_flight_requests() > 0 || self.frontend.open_connections() > 0
+    }
+}
+
+/// The weights of the routing decisions, with the deployment's retry budget.
+fn routing_weights(settings: &Settings) -> RoutingWeights {
+    let window_seconds = settings.bound("retry_window_s", DEFAULT_RETRY_WINDOW_SECONDS);
+    RoutingWeights::new(RetryBudgetLimits {
+        retry_ratio: settings.bound("retry_budget_ratio", DEFAULT_RETRY_RATIO),
+        extra_retries: settings.bound("retry_extra", DEFAULT_EXTRA_RETRIES),
+        window: Duration::from_millis((window_seconds * MILLIS_PER_SECOND) as u64),
+    })
+}
+
+async fn bind_with_retries(address: SocketAddrV4) -> Result<TcpListener, ProcessError> {
+    let mut retries = 0;
+    loop {
+        match TcpListener::bind(address).await {
+            Ok(listener) => return Ok(listener),
+            Err(_) if retries < MAX_BIND_RETRIES => retries += 1,
+            Err(error) => return Err(ProcessError::Bind(address, error)),
+        }
+        sleep(BIND_RETRY_PAUSE).await;
+    }
+}
--- /dev/null
+++ b/crates/programs/src/proxy/status.rs
@@ -0,0 +1,47 @@
+//! The status of a proxy.
+
+use mosshead_data_plane::{DataPlane, Frontend};
+use mosshead_registry::Registry;
+
+use super::sink::DataPlaneSink;
+use crate::gossip::Gossip;
+use crate::update_watcher::UpdateWatcher;
+
+/// `core_heard_s` before a control node has responded.
+const NEVER: f64 = -1.0;
+
+/// What the process knows, as a JSON object. docs/operators/fleet.md says what the fields mean.
+pub(super) fn status(
+    data_plane: &DataPlane,
+    registry: &Registry,
+    watcher: &UpdateWatcher<DataPlaneSink>,
+    gossip: &Gossip,
+    frontend: &Frontend,
+) -> String {
+    let config = data_plane.config();
+    let since_contact = watcher.last_contact().map_or(NEVER, |contact| contact.elapsed().as_secs_f64());
+    let counters = &data_plane.counters;
+    format!(
+        concat!(
+            "{{\"ready\":{},\"revision\":{},\"routes\":{},\"servers\":{},\"core_heard_s\":{:.3},\"cores\":{},",
+            "\"proxies\":{},\"connections\":{},\"open\":{},\"requests\":{},\"served\":{},\"refused\":{},",
+            "\"failed\":{},\"resumed\":{},\"handed_over\":{},\"freed\":{}}}"
+        ),
+        data_plane.is_ready(),
+        config.as_ref().map_or(0, |config| config.revision),
+        config.as_ref().map_or(0, |config| config.routes.len()),
+        registry.len(),
+        since_contact,
+        watcher.control_node_count(),
+        gossip.live_proxies(),
+        frontend.open_connections(),
+        data_plane.in_flight_requests(),
+        counters.requests.get(),
+        counters.completed.get(),
+        counters.rejected.get(),
+        counters.failed.get(),
+        counters.resumed.get(),
+        counters.handed_over.get(),
+        counters.freed_handles.get(),
+    )
+}
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -1,4 +1,5 @@
-//! How a process keeps up: it pulls from a few machines of the core at a time what it lacks, by a vector of versions.
+//! How a proxy keeps up with the control nodes: it watches a few of them at a time, and says by a version vector which
+//! entries of the registry it has.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -8,227 +9,267 @@
 use mosshead_config::Config;
 use mosshead_control_plane::Contact;
 use mosshead_control_plane::subscription::{Assembled, Session, Subscription, assemble};
-use mosshead_registry::{Registry, VersionVector};
+use mosshead_registry::{Delta, Registry, VersionVector};
 use mosshead_rpc::Caller;
-use tokio::time::{Duration, Instant, sleep};
+use mosshead_time::Duration;
+use tokio::time::{Instant, sleep};
 
 use crate::calls::{FetchConfig, ReplicateEntries, Updates, WatchUpdates};
+use crate::clock::Clock;
 use crate::config_transfer::{IncomingTransfer, TransferProgress};
 
-/// From so many machines of the core a proxy pulls at once.
+/// How many control nodes a proxy watches at once. The first slot is given entries of the registry as they change; the
+/// others are only told that there are newer ones, and fetch them if the first slot does not bring them.
 pub const WATCH_SLOTS: usize = 3;
-/// A call waits for news so long.
-const WAIT: Duration = Duration::from_millis(1000);
-/// And for its answer so much longer.
-const GRACE: Duration = Duration::from_millis(400);
-/// Entries handed over at once.
-const PAGE: usize = 400;
-/// After word of a newer configuration the slots ask again so much later, one after the other: changes that follow
-/// each other closely come together, and a slot whose machine is gone holds none up by more than the next one's pause.
-const PAUSE: Duration = Duration::from_millis(50);
-/// A process that has nobody to ask looks again after this.
-const IDLE: Duration = Duration::from_millis(150);
-/// The revision to ask from for the whole configuration.
-const WHOLE: u64 = 0;
-/// A piece of the configuration comes within this.
-const FETCH: Duration = Duration::from_millis(1500);
-
-/// Who takes what was pulled.
+
+/// How long a control node may wait for something new until it responds.
+const WATCH_WAIT: Duration = Duration::from_millis(1000);
+/// The same for the first call to a control node, whose response is to come at once.
+const FIRST_WATCH_WAIT: Duration = Duration::from_millis(1);
+/// How much longer than the wait a response may take.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
+/// After a newer configuration was announced, the slots call again after this time, one after the other: changes that
+/// follow each other closely are fetched together, and a slot whose control node is lost delays none by more than the
+/// pause of the next one.
+const REQUERY_PAUSE: Duration = Duration::from_millis(50);
+/// The pause of a slot before it looks for a control node again when there is none.
+const IDLE_PAUSE: Duration = Duration::from_millis(150);
+/// The pause of the first slot between two control nodes.
+const SWITCH_PAUSE: Duration = Duration::from_millis(60);
+/// How much longer that pause is with each further slot.
+const SWITCH_PAUSE_PER_SLOT: Duration = Duration::from_millis(40);
+/// How long a slot waits, for each slot before it, until it fetches entries that the first slot has not brought.
+const ENTRY_PAUSE_PER_SLOT: Duration = Duration::from_millis(100);
+/// A chunk of the configuration arrives within this time.
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Entries that are sent with one call.
+const MAX_ENTRIES_PER_CALL: usize = 400;
+/// Calls with entries to a control node that has lost its memory.
+const MAX_REPLICATION_CALLS: usize = 64;
+/// The revision from which the full text of a configuration is sent.
+const NO_REVISION: u64 = 0;
+
+/// Who uses what the watcher receives.
 pub trait UpdateSink {
     /// The configuration in force.
     fn config(&self) -> Option<Arc<Config>>;
-    /// A newer one.
-    fn configure(&self, config: Arc<Config>);
-    /// The register has changed.
-    fn listed(&self);
-    /// So many proxies there are.
-    fn proxies(&self, count: usize);
+    /// Puts a newer configuration into force.
+    fn apply_config(&self, config: Arc<Config>);
+    /// The registry has changed.
+    fn on_registry_change(&self);
+    /// A control node has told how many proxies there are.
+    fn on_proxy_count(&self, count: usize);
+}
+
+/// Marks a configuration as being fetched, until it is dropped.
+struct FetchGuard<'a> {
+    is_fetching: &'a Cell<bool>,
 }
 
-/// What one process knows of the core and has pulled from it.
-pub struct UpdateWatcher<B> {
+impl FetchGuard<'_> {
+    /// `None` while another slot is fetching.
+    fn try_new(is_fetching: &Cell<bool>) -> Option<FetchGuard<'_>> {
+        (!is_fetching.replace(true)).then_some(FetchGuard { is_fetching })
+    }
+}
+
+impl Drop for FetchGuard<'_> {
+    fn drop(&mut self) {
+        self.is_fetching.set(false);
+    }
+}
+
+/// Watches control nodes, and brings what they have into the registry and the [`UpdateSink`].
+pub struct UpdateWatcher<S> {
     name: String,
-    life: u64,
+    incarnation: u64,
+    clock: Clock,
     caller: Caller,
-    basin: Rc<B>,
-    /// The register as far as it is known here.
-    pub register: Rc<RefCell<Registry>>,
+    sink: Rc<S>,
+    registry: Rc<RefCell<Registry>>,
     subscription: RefCell<Subscription>,
-    fetching: Cell<bool>,
-    /// When a machine of the core that is in touch last answered.
-    pub heard: Cell<Option<Instant>>,
+    is_fetching: Cell<bool>,
+    last_contact: Cell<Option<Instant>>,
 }
 
-impl<B: UpdateSink + 'static> UpdateWatcher<B> {
-    /// Knows the seeds only.
+impl<S: UpdateSink + 'static> UpdateWatcher<S> {
+    /// A watcher that knows the seeds only. `name` and `incarnation` are those of the process.
     pub fn new(
         name: &str,
-        life: u64,
-        caller: Caller,
-        basin: Rc<B>,
-        register: Rc<RefCell<Registry>>,
+        incarnation: u64,
+        clock: Clock,
+        sink: Rc<S>,
+        registry: Rc<RefCell<Registry>>,
         seeds: &[SocketAddrV4],
     ) -> Rc<Self> {
-        let subscription = RefCell::new(Subscription::new(seeds));
-        let (name, fetching, heard) = (name.to_owned(), Cell::new(false), Cell::new(None));
-        Rc::new(Self { name, life, caller, basin, register, subscription, fetching, heard })
+        Rc::new(UpdateWatcher {
+            name: name.to_owned(),
+            incarnation,
+            clock,
+            caller: Caller::new(),
+            sink,
+            registry,
+            subscription: RefCell::new(Subscription::new(seeds)),
+            is_fetching: Cell::new(false),
+            last_contact: Cell::new(None),
+        })
+    }
+
+    /// Adds control nodes to those that may be watched.
+    pub fn add_control_nodes(&self, addresses: &[SocketAddrV4]) {
+        self.subscription.borrow_mut().learn(addresses);
     }
 
-    /// These are machines of the core, too.
-    pub fn learn(&self, cores: &[SocketAddrV4]) {
-        self.subscription.borrow_mut().learn(cores);
+    /// How many control nodes are known, lost ones perhaps among them.
+    pub fn control_node_count(&self) -> usize {
+        self.subscription.borrow().cores().len()
     }
 
-    /// Machines of the core that are known.
-    pub fn cores(&self) -> Vec<SocketAddrV4> {
-        self.subscription.borrow().cores()
+    /// When a control node with quorum contact last responded.
+    pub fn last_contact(&self) -> Option<Instant> {
+        self.last_contact.get()
     }
 
-    /// Pulls for as long as it is polled, from one machine at a time.
+    /// Watches one control node after the other for as long as the future is polled. Slots count from 0.
     pub async fn run(self: Rc<Self>, slot: usize) {
         loop {
-            let chosen = self.subscription.borrow_mut().choose(now());
-            let Some(core) = chosen else {
-                sleep(IDLE).await;
+            let now = self.clock.now().as_millis();
+            let chosen = self.subscription.borrow_mut().choose(now);
+            let Some(control_node) = chosen else {
+                sleep(IDLE_PAUSE).await;
                 continue;
             };
-            let mut session = Session::default();
-            let mut first = true;
-            while let Some(contact) = self.pull(core, slot, first).await
-                && session.goes_on(now(), contact)
-            {
-                first = false;
-            }
-            self.subscription.borrow_mut().release(now(), core);
-            sleep(Duration::from_millis(60 + 40 * slot as u64)).await;
+            self.watch_until_failure(control_node, slot).await;
+            self.subscription.borrow_mut().release(self.clock.now().as_millis(), control_node);
+            sleep(SWITCH_PAUSE + SWITCH_PAUSE_PER_SLOT * slot as u32).await;
         }
     }
 
-    /// One call. `None`: it failed; else whether the answerer is in touch with the core.
-    async fn pull(self: &Rc<Self>, core: SocketAddrV4, slot: usize, first: bool) -> Option<Contact> {
-        let revision = self.basin.config().map_or(0, |config| config.revision);
-        let vector = self.register.borrow().vector();
-        let wait = if first { Duration::from_millis(1) } else { WAIT };
-        let call = WatchUpdates {
-            name: self.name.clone(),
-            incarnation: self.life,
-            is_proxy: true,
-            revision,
-            vector,
-            wants_entries: slot == 0 || first,
-            wait,
-        };
-        let answer: Updates = self.caller.call(core, &call, wait + GRACE).await.ok()?;
-        let contact = Contact::from_flag(answer.has_quorum_contact);
-        self.take(core, slot, &answer).await;
+    async fn watch_until_failure(&self, control_node: SocketAddrV4, slot: usize) {
+        let mut session = Session::default();
+        let mut is_first = true;
+        while let Some(contact) = self.watch_once(control_node, slot, is_first).await
+            && session.goes_on(self.clock.now().as_millis(), contact)
+        {
+            is_first = false;
+        }
+    }
+
+    /// One call. `None` if it failed, else whether the control node has quorum contact.
+    async fn watch_once(&self, control_node: SocketAddrV4, slot: usize, is_first: bool) -> Option<Contact> {
+        let revision = self.revision_in_force();
+        let wait = if is_first { FIRST_WATCH_WAIT } else { WATCH_WAIT };
+        let call = self.watch_call(revision, slot == 0 || is_first, wait);
+        let mut updates = self.caller.call(control_node, &call, wait + RESPONSE_MARGIN).await.ok()?;
+        let contact = Contact::from_flag(updates.has_quorum_contact);
+        self.take_in(control_node, slot, &mut updates).await;
         if contact.is_in_touch() {
-            self.heard.set(Some(Instant::now()));
+            self.last_contact.set(Some(Instant::now()));
         }
-        if answer.revision > revision {
-            sleep(pause(slot)).await;
+        if updates.revision > revision {
+            sleep(requery_pause(slot)).await;
         }
-        self.subscription.borrow_mut().named(&answer.control_nodes, contact);
+        self.subscription.borrow_mut().named(&updates.control_nodes, contact);
         Some(contact)
     }
 
-    async fn take(self: &Rc<Self>, core: SocketAddrV4, slot: usize, answer: &Updates) {
-        let now = Instant::now();
-        let changed = self.register.borrow_mut().merge(millis(now), answer.delta.clone());
-        if changed {
-            self.basin.listed();
+    async fn take_in(&self, control_node: SocketAddrV4, slot: usize, updates: &mut Updates) {
+        let now = self.clock.now();
+        self.merge(now, std::mem::take(&mut updates.delta));
+        self.sink.on_proxy_count(updates.proxy_count as usize);
+        if updates.has_newer_entries && slot > 0 {
+            sleep(ENTRY_PAUSE_PER_SLOT * slot as u32).await;
+            self.fetch_entries(control_node, now).await;
         }
-        self.basin.proxies(answer.proxy_count as usize);
-        if answer.has_newer_entries && slot > 0 {
-            // The machine that gives entries gets its time first.
-            sleep(Duration::from_millis(100 * slot as u64)).await;
-            let vector = self.register.borrow().vector();
-            let name = self.name.clone();
-            let call = WatchUpdates {
-                name,
-                incarnation: self.life,
-                is_proxy: true,
-                revision: u64::MAX,
-                vector,
-                wants_entries: true,
-                wait: Duration::ZERO,
-            };
-            if let Ok(answer) = self.caller.call(core, &call, GRACE).await
-                && self.register.borrow_mut().merge(millis(now), answer.delta)
-            {
-                self.basin.listed();
-            }
+        if updates.needs_entries {
+            self.replicate_all_entries(control_node).await;
+        }
+        let contact = Contact::from_flag(updates.has_quorum_contact);
+        let in_force = self.revision_in_force();
+        if self.subscription.borrow().wants_configuration(in_force, updates.revision, contact) {
+            self.fetch_config(control_node).await;
         }
-        if answer.needs_entries {
-            self.hand(core).await;
+    }
+
+    async fn fetch_entries(&self, control_node: SocketAddrV4, now: mosshead_time::Instant) {
+        let call = self.watch_call(u64::MAX, true, Duration::ZERO);
+        if let Ok(updates) = self.caller.call(control_node, &call, RESPONSE_MARGIN).await {
+            self.merge(now, updates.delta);
         }
-        let in_force = self.basin.config().map_or(0, |config| config.revision);
-        let contact = Contact::from_flag(answer.has_quorum_contact);
-        if self.subscription.borrow().wants_configuration(in_force, answer.revision, contact) {
-            self.fetch(core).await;
+    }
+
+    fn merge(&self, now: mosshead_time::Instant, delta: Delta) {
+        let changed = self.registry.borrow_mut().merge(now.as_millis(), delta);
+        if changed {
+            self.sink.on_registry_change();
+        }
+    }
+
+    fn watch_call(&self, revision: u64, wants_entries: bool, wait: Duration) -> WatchUpdates {
+        WatchUpdates {
+            name: self.name.clone(),
+            incarnation: self.incarnation,
+            is_proxy: true,
+            revision,
+            vector: self.registry.borrow().vector(),
+            wants_entries,
+            wait,
         }
     }
 
-    /// Hands over all that is known of the register to a machine that has lost its memory.
-    async fn hand(self: &Rc<Self>, core: SocketAddrV4) {
-        let mut from = VersionVector::default();
-        for _ in 0..64 {
-            let delta = self.register.borrow().missing_entries(&from, PAGE);
-            let (more, vector) = (delta.is_truncated, delta.vector.clone());
-            if self.caller.call(core, &ReplicateEntries { delta }, GRACE).await.is_err() || !more {
+    fn revision_in_force(&self) -> u64 {
+        self.sink.config().map_or(NO_REVISION, |config| config.revision)
+    }
+
+    /// Sends all entries of the registry to a control node that has lost its memory.
+    async fn replicate_all_entries(&self, control_node: SocketAddrV4) {
+        let mut base = VersionVector::default();
+        for _ in 0..MAX_REPLICATION_CALLS {
+            let delta = self.registry.borrow().missing_entries(&base, MAX_ENTRIES_PER_CALL);
+            let (is_truncated, vector) = (delta.is_truncated, delta.vector.clone());
+            let call = ReplicateEntries { delta };
+            let result = self.caller.call(control_node, &call, RESPONSE_MARGIN).await;
+            if result.is_err() || !is_truncated {
                 return;
             }
-            from = vector;
+            base = vector;
         }
     }
 
-    async fn fetch(self: &Rc<Self>, core: SocketAddrV4) {
-        if self.fetching.replace(true) {
-            return;
-        }
-        let have = self.basin.config();
-        let revision = have.as_ref().map_or(0, |config| config.revision);
-        let mut assembled = self.fetch_from(core, revision, have.as_deref()).await;
+    async fn fetch_config(&self, control_node: SocketAddrV4) {
+        let Some(_guard) = FetchGuard::try_new(&self.is_fetching) else { return };
+        let current = self.sink.config();
+        let revision = current.as_ref().map_or(NO_REVISION, |config| config.revision);
+        let mut assembled = self.fetch_config_from(control_node, revision, current.as_deref()).await;
         if assembled == Some(Assembled::Misfit) {
-            assembled = self.fetch_from(core, WHOLE, have.as_deref()).await;
+            assembled = self.fetch_config_from(control_node, NO_REVISION, current.as_deref()).await;
         }
         if let Some(Assembled::Config(config)) = assembled {
-            self.basin.configure(config);
+            self.sink.apply_config(config);
         }
-        self.fetching.set(false);
     }
 
-    /// ClientRequests for the way from a revision to the newest.
-    async fn fetch_from(
-        self: &Rc<Self>,
-        core: SocketAddrV4,
-        revision: u64,
-        have: Option<&Config>,
+    /// Fetches the update from a revision to the newest. `None` if a call fails or the chunks are corrupt.
+    async fn fetch_config_from(
+        &self,
+        control_node: SocketAddrV4,
+        base_revision: u64,
+        current: Option<&Config>,
     ) -> Option<Assembled> {
-        let mut transfer = IncomingTransfer::new(revision);
+        let mut transfer = IncomingTransfer::new(base_revision);
         loop {
-            let piece = self.caller.call(core, &FetchConfig(transfer.next_request()), FETCH).await.ok()?;
-            match transfer.on_chunk(&piece) {
+            let call = FetchConfig(transfer.next_request());
+            let chunk = self.caller.call(control_node, &call, CHUNK_TIMEOUT).await.ok()?;
+            match transfer.on_chunk(&chunk) {
                 TransferProgress::Incomplete => {}
-                TransferProgress::Complete(fetched) => return Some(assemble(have, &fetched.into())),
+                TransferProgress::Complete(update) => return Some(assemble(current, &update.into())),
                 TransferProgress::Corrupt => return None,
             }
         }
     }
 }
 
-fn now() -> u64 {
-    millis(Instant::now())
-}
-
-/// How long a slot waits after word of a newer configuration until it asks again.
-pub fn pause(slot: usize) -> Duration {
-    PAUSE * (1 + slot.min(WATCH_SLOTS - 1) as u32)
-}
-
-/// Milliseconds on the steady clock of the process.
-pub fn millis(now: Instant) -> u64 {
-    thread_local! {
-        static START: Instant = Instant::now();
-    }
-    START.with(|start| now.saturating_duration_since(*start).as_millis() as u64) + 1
+/// How long a slot waits after a newer configuration was announced until it calls again.
+pub fn requery_pause(slot: usize) -> Duration {
+    REQUERY_PAUSE * (1 + slot.min(WATCH_SLOTS - 1) as u32)
 }
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -1,11 +1,11 @@
-//! The configuration that a proxy puts together from what it pulled.
+//! The configuration that a proxy assembles from an update.
 
 use std::sync::Arc;
 
 use mosshead_config::Config;
 use mosshead_control_plane::subscription::{Assembled, assemble};
 use mosshead_programs::config_transfer::ConfigUpdate;
-use mosshead_programs::update_watcher::{WATCH_SLOTS, pause};
+use mosshead_programs::update_watcher::{WATCH_SLOTS, requery_pause};
 use tokio::time::Duration;
 
 const WHOLE: &str = include_str!("samples/replace.json");
@@ -20,9 +20,9 @@
     [first, second, third]
 }
 
-/// The configuration that an answer on the wire leads to.
-fn put_together(have: Option<&Config>, fetched: &ConfigUpdate) -> Option<Arc<Config>> {
-    match assemble(have, &fetched.clone().into()) {
+/// The configuration that an update on the wire leads to.
+fn assemble_update(have: Option<&Config>, update: &ConfigUpdate) -> Option<Arc<Config>> {
+    match assemble(have, &update.clone().into()) {
         Assembled::Config(config) => Some(config),
         Assembled::Withheld | Assembled::Misfit => None,
     }
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn the_whole_is_taken_whatever_was_there() {
+fn a_full_text_replaces_any_configuration() {
     let [first, second, third] = three();
     let full_text = Some(third.json().to_string());
-    let fetched = ConfigUpdate { revision: 12, patches: Vec::new(), full_text };
+    let update = ConfigUpdate { revision: 12, patches: Vec::new(), full_text };
     for have in [None, Some(&first), Some(&second)] {
-        let config = put_together(have, &fetched).expect("whole");
+        let config = assemble_update(have, &update).expect("the full text is valid");
         assert_eq!((config.revision, config.json()), (12, third.json()));
     }
 }
@@ -47,26 +47,26 @@
 fn a_chain_of_patches_leads_to_the_same_text() {
     let [first, second, third] = three();
     let chain = vec![first.patch_to(&second), second.patch_to(&third)];
-    let config = put_together(Some(&first), &patches(12, chain)).expect("fits");
+    let config = assemble_update(Some(&first), &patches(12, chain)).expect("fits");
     assert_eq!((config.revision, config.json()), (12, third.json()));
-    let config = put_together(Some(&first), &patches(9, vec![first.patch_to(&second)])).expect("fits");
+    let config = assemble_update(Some(&first), &patches(9, vec![first.patch_to(&second)])).expect("fits");
     assert_eq!(config.json(), second.json());
     assert!(config.find_route("ficu95.example", "/lohu930/2f").is_some_and(|route| route.retry_count == 1));
 }
 
 #[test]
-fn patches_that_don_t_fit_give_nothing() {
+fn patches_that_do_not_fit_are_rejected() {
     let [first, second, third] = three();
     let (one, two) = (first.patch_to(&second), second.patch_to(&third));
     let nothing = [
-        ("made for another", put_together(Some(&first), &patches(12, vec![two.clone()]))),
-        ("in another order", put_together(Some(&first), &patches(12, vec![two.clone(), one.clone()]))),
-        ("taken twice", put_together(Some(&first), &patches(9, vec![one.clone(), one.clone()]))),
-        ("leads elsewhere", put_together(Some(&first), &patches(12, vec![one.clone()]))),
-        ("no patch", put_together(Some(&first), &patches(12, Vec::new()))),
-        ("no patch of none", put_together(None, &patches(0, Vec::new()))),
-        ("no patch at all", put_together(Some(&first), &patches(9, vec!["garbage".into()]))),
-        ("cut off", put_together(Some(&first), &patches(9, vec![one[..one.len() - 1].into()]))),
+        ("made for another", assemble_update(Some(&first), &patches(12, vec![two.clone()]))),
+        ("in another order", assemble_update(Some(&first), &patches(12, vec![two.clone(), one.clone()]))),
+        ("taken twice", assemble_update(Some(&first), &patches(9, vec![one.clone(), one.clone()]))),
+        ("leads elsewhere", assemble_update(Some(&first), &patches(12, vec![one.clone()]))),
+        ("no patch", assemble_update(Some(&first), &patches(12, Vec::new()))),
+        ("no patch of none", assemble_update(None, &patches(0, Vec::new()))),
+        ("no patch at all", assemble_update(Some(&first), &patches(9, vec!["garbage".into()]))),
+        ("cut off", assemble_update(Some(&first), &patches(9, vec![one[..one.len() - 1].into()]))),
     ];
     for (how, config) in nothing {
         assert!(config.is_none(), "{how}");
@@ -74,27 +74,27 @@
 }
 
 #[test]
-fn a_patch_that_holds_parts_needs_what_it_was_made_for() {
+fn a_patch_needs_the_configuration_it_was_made_for() {
     let [first, second, _] = three();
-    assert!(put_together(None, &patches(9, vec![first.patch_to(&second)])).is_none());
+    assert!(assemble_update(None, &patches(9, vec![first.patch_to(&second)])).is_none());
 }
 
 #[test]
-fn a_whole_that_is_no_configuration_gives_nothing() {
+fn a_full_text_that_is_no_configuration_is_rejected() {
     let [first, ..] = three();
     for text in ["", "{}x", "[]", "{\"revision\":"] {
-        let fetched = ConfigUpdate { revision: 9, patches: Vec::new(), full_text: Some(text.into()) };
-        assert!(put_together(Some(&first), &fetched).is_none(), "{text}");
+        let update = ConfigUpdate { revision: 9, patches: Vec::new(), full_text: Some(text.into()) };
+        assert!(assemble_update(Some(&first), &update).is_none(), "{text}");
     }
 }
 
-/// A change has to be in force 300 ms after it is committed, also where two of the three machines that a proxy pulls
-/// from don't answer; half of that is for the way.
+/// A change has to be in force 300 ms after it is committed, also where two of the three control nodes that a proxy
+/// watches don't respond; half of that is for the way.
 #[test]
-fn slots_ask_again_soon_after_a_change_and_not_all_at_once() {
-    let pauses: Vec<Duration> = (0..WATCH_SLOTS).map(pause).collect();
+fn slots_call_again_soon_after_a_change_and_not_all_at_once() {
+    let pauses: Vec<Duration> = (0..WATCH_SLOTS).map(requery_pause).collect();
     assert!(pauses.windows(2).all(|pair| pair[0] < pair[1]), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause >= Duration::from_millis(50)), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= Duration::from_millis(150)), "{pauses:?}");
-    assert_eq!(pause(usize::MAX), pause(WATCH_SLOTS - 1));
+    assert_eq!(requery_pause(usize::MAX), requery_pause(WATCH_SLOTS - 1));
 }
