--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -8,7 +8,7 @@
 
 use mosshead_registry::{Delta, Entry, HeartbeatOutcome, OperState, Registry, SourceId, VersionVector};
 
-use crate::{Contact, InjectedFault};
+use crate::{InjectedFault, QuorumContact};
 
 /// Acknowledged entries that are remembered; one that is forgotten is only handed to the members again.
 const MOST_REMEMBERED: usize = 4_096;
@@ -19,18 +19,18 @@
 
 /// The number of an entry of the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct EntryNumber {
+pub struct EntryVersion {
     /// Who made the entry.
     pub source: SourceId,
     /// The number that its source gave it.
     pub version: u64,
 }
 
-impl EntryNumber {
+impl EntryVersion {
     /// The number of an entry by which a server leaves; none where it does not leave.
-    pub fn of_leaving(entry: &Entry) -> Option<EntryNumber> {
+    pub fn of_shutdown(entry: &Entry) -> Option<EntryVersion> {
         let leaves = entry.server.state >= OperState::Draining;
-        leaves.then_some(EntryNumber { source: entry.source, version: entry.version })
+        leaves.then_some(EntryVersion { source: entry.source, version: entry.version })
     }
 
     /// Whether whoever shows this vector has the entry, or one that holds against it.
@@ -41,30 +41,30 @@
 
 /// Who is to hold the copies.
 #[derive(Clone, Debug)]
-pub struct Membership {
+pub struct ReplicaSet {
     /// The machine that heard the server.
-    pub me: SocketAddrV4,
+    pub local_address: SocketAddrV4,
     /// The members of the newest record of the control state that it knows.
     pub members: Vec<SocketAddrV4>,
     /// How many members may be lost at once.
-    pub failures: usize,
+    pub tolerated_failures: usize,
 }
 
 /// Whether a leaving server's word is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum AcknowledgementDecision {
     /// Yes.
     Acknowledge,
     /// More copies are needed, and may come.
     Wait,
     /// No; the server comes again.
-    Refuse,
+    Reject,
 }
 
 /// The copies of one entry that are being made.
 #[derive(Clone, Debug)]
-pub struct CopyCollection {
-    entry: EntryNumber,
+pub struct EntryReplication {
+    entry: EntryVersion,
     needed: usize,
     /// Members that have not answered.
     open: BTreeSet<SocketAddrV4>,
@@ -72,31 +72,32 @@
     injected: Option<InjectedFault>,
 }
 
-impl CopyCollection {
+impl EntryReplication {
     /// No other machine is known to have the entry yet.
     pub fn new(
-        entry: EntryNumber,
-        membership: &Membership,
+        entry: EntryVersion,
+        membership: &ReplicaSet,
         injected: Option<InjectedFault>,
-    ) -> CopyCollection {
+    ) -> EntryReplication {
         let members: BTreeSet<SocketAddrV4> = membership.members.iter().copied().collect();
-        let is_member = members.contains(&membership.me);
+        let is_member = members.contains(&membership.local_address);
         let open: BTreeSet<SocketAddrV4> =
-            members.into_iter().filter(|member| *member != membership.me).collect();
+            members.into_iter().filter(|member| *member != membership.local_address).collect();
         // Danger: what a machine that is no member holds does not count, for it may go beside the others.
-        let wanted = if is_member { membership.failures.max(1) } else { membership.failures + 1 };
-        let wanted = if has(injected, InjectedFault::AcknowledgeAfterOneCopy) { 1 } else { wanted };
+        let wanted =
+            if is_member { membership.tolerated_failures.max(1) } else { membership.tolerated_failures + 1 };
+        let wanted = if has(injected, InjectedFault::AcknowledgeAfterOneReplica) { 1 } else { wanted };
         let needed = wanted.min(open.len());
-        CopyCollection { entry, needed, open, holders: BTreeSet::new(), injected }
+        EntryReplication { entry, needed, open, holders: BTreeSet::new(), injected }
     }
 
     /// Which entry is copied.
-    pub fn entry(&self) -> EntryNumber {
+    pub fn entry(&self) -> EntryVersion {
         self.entry
     }
 
     /// A machine has answered with its vector, or not at all.
-    pub fn answered(&mut self, from: SocketAddrV4, shown: Option<&VersionVector>) {
+    pub fn record_reply(&mut self, from: SocketAddrV4, shown: Option<&VersionVector>) {
         let covers = shown.is_some_and(|vector| self.entry.is_covered_by(vector));
         if self.open.remove(&from) && covers {
             self.holders.insert(from);
@@ -104,72 +105,72 @@
     }
 
     /// What is answered to the server now.
-    pub fn decision(&self, contact: Contact) -> Decision {
+    pub fn decision(&self, contact: QuorumContact) -> AcknowledgementDecision {
         let may_acknowledge =
-            contact.is_in_touch() || has(self.injected, InjectedFault::AcknowledgeOutOfTouch);
+            contact.is_confirmed() || has(self.injected, InjectedFault::AcknowledgeWithoutQuorum);
         if self.holders.len() + self.open.len() < self.needed {
-            Decision::Refuse
+            AcknowledgementDecision::Reject
         } else if self.holders.len() < self.needed {
-            Decision::Wait
+            AcknowledgementDecision::Wait
         } else if may_acknowledge {
-            Decision::Acknowledge
+            AcknowledgementDecision::Acknowledge
         } else {
-            Decision::Refuse
+            AcknowledgementDecision::Reject
         }
     }
 }
 
 /// What comes of a server's word.
 #[derive(Clone, Debug)]
-pub enum Start {
+pub enum ShutdownStep {
     /// The server is told at once: it doesn't leave, or was told before.
     Acknowledge,
     /// The server is told to come again.
-    Refuse,
+    Reject,
     /// Copies are needed first.
-    Collect(CopyCollection),
+    Replicate(EntryReplication),
 }
 
 /// The entries that were acknowledged, so that a server which repeats its word costs no further copies.
 #[derive(Clone, Debug, Default)]
-pub struct Acknowledgements {
-    entries: BTreeSet<EntryNumber>,
+pub struct ShutdownAcknowledgements {
+    entries: BTreeSet<EntryVersion>,
     injected: Option<InjectedFault>,
 }
 
-impl Acknowledgements {
+impl ShutdownAcknowledgements {
     /// Nothing is acknowledged yet; with a fault built in, for tests.
     #[doc(hidden)]
-    pub fn with_fault(injected: Option<InjectedFault>) -> Acknowledgements {
-        Acknowledgements { injected, ..Acknowledgements::default() }
+    pub fn with_injected_fault(injected: Option<InjectedFault>) -> ShutdownAcknowledgements {
+        ShutdownAcknowledgements { injected, ..ShutdownAcknowledgements::default() }
     }
 
     /// Looks at the word of a server that the register has taken in.
     ///
     /// What counts is the entry in force, whoever made it: a server that repeats its word elsewhere, because it was not
     /// acknowledged, is not acknowledged there before there are copies enough.
-    pub fn start(
+    pub fn begin(
         &self,
         register: &Registry,
         id: &str,
         heard: &HeartbeatOutcome,
-        contact: Contact,
-        membership: &Membership,
-    ) -> Start {
-        let Some(entry) = register.entry(id).and_then(EntryNumber::of_leaving) else {
-            return Start::Acknowledge;
+        contact: QuorumContact,
+        membership: &ReplicaSet,
+    ) -> ShutdownStep {
+        let Some(entry) = register.entry(id).and_then(EntryVersion::of_shutdown) else {
+            return ShutdownStep::Acknowledge;
         };
-        if has(self.injected, InjectedFault::AcknowledgeRepeats) && !heard.needs_replication {
-            return Start::Acknowledge;
+        if has(self.injected, InjectedFault::AcknowledgeRepeatsUnchecked) && !heard.needs_replication {
+            return ShutdownStep::Acknowledge;
         }
         if self.entries.contains(&entry) {
-            return if contact.is_in_touch() { Start::Acknowledge } else { Start::Refuse };
+            return if contact.is_confirmed() { ShutdownStep::Acknowledge } else { ShutdownStep::Reject };
         }
-        Start::Collect(CopyCollection::new(entry, membership, self.injected))
+        ShutdownStep::Replicate(EntryReplication::new(entry, membership, self.injected))
     }
 
     /// Remembers that a server was told.
-    pub fn acknowledged(&mut self, entry: EntryNumber) {
+    pub fn record_acknowledged(&mut self, entry: EntryVersion) {
         if self.entries.len() >= MOST_REMEMBERED {
             self.entries.pop_first();
         }
@@ -178,7 +179,7 @@
 }
 
 /// The latest entries that a register has made itself: the first copy that another machine is given.
-pub fn latest_entries(register: &Registry) -> Delta {
+pub fn latest_local_entries(register: &Registry) -> Delta {
     let mut vector = register.vector();
     vector.0.insert(register.local_id(), register.version().saturating_sub(LATEST_VERSIONS));
     register.missing_entries(&vector, MOST_LATEST)
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -11,7 +11,7 @@
 use mosshead_consensus::{Call, CallDigest, Judgement, State, Verdict};
 
 use crate::InjectedFault;
-use crate::serving::read_beside;
+use crate::config_history::read_beside;
 
 /// What an operator's change does with the configuration in place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// What it does.
     pub kind: ChangeKind,
     /// The revision that it builds on, if it names one.
-    pub base: Option<u64>,
+    pub base_revision: Option<u64>,
     /// The body, not read yet.
     pub body: B,
     /// What tells a repeat of this call from another one.
@@ -37,31 +37,31 @@
 
 /// Who decides on changes, as far as the machine that was called knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leader {
+pub enum KnownPrimary {
     /// The machine itself, unless it has lost its place without knowing.
-    Here,
+    Local,
     /// Another machine, by its internal address.
-    Elsewhere(SocketAddrV4),
+    Remote(SocketAddrV4),
     /// Nobody is known.
     Unknown,
 }
 
 /// What the host does next for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Hand the change to the consensus state, then call [`Admission::submitted`].
-    Submit(Submission),
-    /// Read the state that a majority confirms, then call [`Admission::confirmed`].
-    Confirm,
+pub enum AdmissionStep {
+    /// Hand the change to the consensus state, then call [`ChangeAdmission::on_proposal_result`].
+    Submit(ChangeProposal),
+    /// Read the state that a majority confirms, then call [`ChangeAdmission::on_state_confirmed`].
+    ConfirmState,
     /// Answer the operator.
-    Answer(ChangeAnswer),
+    Respond(ChangeResponse),
 }
 
 /// A change for the consensus state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Submission {
+pub struct ChangeProposal {
     /// The revision that it builds on.
-    pub base: u64,
+    pub base_revision: u64,
     /// The revision that it makes.
     pub revision: u64,
     /// The new configuration, whole; empty where the change is known to be taken already.
@@ -72,7 +72,7 @@
 
 /// The answer to an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeAnswer {
+pub enum ChangeResponse {
     /// The change is committed.
     Accepted {
         /// Its revision.
@@ -86,24 +86,24 @@
     /// The change is no valid configuration.
     Invalid {
         /// What is wrong with it, with its code.
-        fault: String,
+        reason: String,
     },
     /// The configuration that the change makes is too large to be taken, whatever the state is.
     TooLarge,
     /// Another machine decides.
     Redirect {
         /// Its internal address.
-        leader: SocketAddrV4,
+        primary: SocketAddrV4,
     },
     /// No clear answer: the change can't be told from one that was taken long ago.
-    Forgotten,
+    Expired,
     /// No clear answer: the change may be taken or not.
     Unavailable,
 }
 
 /// The answer to a read-back.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadAnswer {
+pub enum ReadResponse {
     /// The configuration that a majority has confirmed.
     Current(State),
     /// A majority has confirmed that there is none yet.
@@ -111,7 +111,7 @@
     /// Another machine decides.
     Redirect {
         /// Its internal address.
-        leader: SocketAddrV4,
+        primary: SocketAddrV4,
     },
     /// No clear answer.
     Unavailable,
@@ -119,7 +119,7 @@
 
 /// One change on its way to an answer.
 #[derive(Clone, Debug)]
-pub struct Admission<B> {
+pub struct ChangeAdmission<B> {
     request: ChangeRequest<B>,
     base: u64,
     revision: u64,
@@ -135,30 +135,32 @@
     Confirmed,
 }
 
-impl<B: AsRef<[u8]>> Admission<B> {
+impl<B: AsRef<[u8]>> ChangeAdmission<B> {
     /// Takes a change in. Gives the first step, and what takes the result of that step.
     ///
     /// `state` is the newest committed state that the machine knows, `config` the configuration read from it.
     pub fn begin(
         request: ChangeRequest<B>,
-        leader: Leader,
+        primary: KnownPrimary,
         state: Option<&State>,
         config: Option<Arc<Config>>,
         injected: Option<InjectedFault>,
-    ) -> (Admission<B>, Step) {
-        let mut admission = Admission { request, base: 0, revision: 0, local: config, injected };
-        let step = admission.first_step(leader, state);
+    ) -> (ChangeAdmission<B>, AdmissionStep) {
+        let mut admission = ChangeAdmission { request, base: 0, revision: 0, local: config, injected };
+        let step = admission.first_step(primary, state);
         (admission, step)
     }
 
-    fn first_step(&mut self, leader: Leader, state: Option<&State>) -> Step {
-        match leader {
-            Leader::Here => {}
-            Leader::Elsewhere(leader) => return Step::Answer(ChangeAnswer::Redirect { leader }),
-            Leader::Unknown => return Step::Answer(ChangeAnswer::Unavailable),
+    fn first_step(&mut self, primary: KnownPrimary, state: Option<&State>) -> AdmissionStep {
+        match primary {
+            KnownPrimary::Local => {}
+            KnownPrimary::Remote(primary) => {
+                return AdmissionStep::Respond(ChangeResponse::Redirect { primary });
+            }
+            KnownPrimary::Unknown => return AdmissionStep::Respond(ChangeResponse::Unavailable),
         }
         // These two are refused whatever the state is, so no majority needs to be asked.
-        let Some(base) = self.request.base else {
+        let Some(base) = self.request.base_revision else {
             return invalid("C07 X-Base-Revision is missing");
         };
         let Some(revision) = mosshead_config::peek_revision(self.request.body.as_ref()) else {
@@ -174,73 +176,79 @@
         self.judge(self.local.clone().as_deref(), Certainty::Local)
     }
 
-    /// Takes in the verdict on a [`Step::Confirm`].
-    pub fn confirmed(&mut self, verdict: Verdict) -> Step {
+    /// Takes in the verdict on a [`AdmissionStep::ConfirmState`].
+    pub fn on_state_confirmed(&mut self, verdict: Verdict) -> AdmissionStep {
         let state = match verdict {
             Verdict::Current { state } => state,
             other => return unconfirmed(other),
         };
         match state.judge(self.base, self.call()) {
-            Judgement::Taken => return Step::Answer(ChangeAnswer::Accepted { revision: self.revision }),
-            Judgement::Forgotten => return Step::Answer(ChangeAnswer::Forgotten),
+            Judgement::Taken => {
+                return AdmissionStep::Respond(ChangeResponse::Accepted { revision: self.revision });
+            }
+            Judgement::Forgotten => return AdmissionStep::Respond(ChangeResponse::Expired),
             Judgement::Acceptable | Judgement::Stale => {}
         }
         if self.base != state.revision {
-            return Step::Answer(ChangeAnswer::Stale { current: state.revision });
+            return AdmissionStep::Respond(ChangeResponse::Stale { current: state.revision });
         }
         let known = self.local.clone().filter(|config| config.revision == state.revision);
         let config = match known {
             None if state.revision > 0 => match read_beside(self.local.as_deref(), &state.body) {
                 Ok(config) => Some(Arc::new(config)),
-                Err(_) => return Step::Answer(ChangeAnswer::Unavailable),
+                Err(_) => return AdmissionStep::Respond(ChangeResponse::Unavailable),
             },
             known => known,
         };
         self.judge(config.as_deref(), Certainty::Confirmed)
     }
 
-    /// Takes in the verdict on a [`Step::Submit`].
-    pub fn submitted(&self, verdict: Verdict) -> ChangeAnswer {
+    /// Takes in the verdict on a [`AdmissionStep::Submit`].
+    pub fn on_proposal_result(&self, verdict: Verdict) -> ChangeResponse {
         match verdict {
-            Verdict::Taken { revision } => ChangeAnswer::Accepted { revision },
-            Verdict::Stale { current } => ChangeAnswer::Stale { current },
-            Verdict::TooLarge => ChangeAnswer::TooLarge,
-            Verdict::Forgotten => ChangeAnswer::Forgotten,
-            Verdict::NotPrimary { primary: Some(leader) } => ChangeAnswer::Redirect { leader },
+            Verdict::Taken { revision } => ChangeResponse::Accepted { revision },
+            Verdict::Stale { current } => ChangeResponse::Stale { current },
+            Verdict::TooLarge => ChangeResponse::TooLarge,
+            Verdict::Forgotten => ChangeResponse::Expired,
+            Verdict::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
             Verdict::NotPrimary { primary: None } | Verdict::Unavailable | Verdict::Current { .. } => {
-                ChangeAnswer::Unavailable
+                ChangeResponse::Unavailable
             }
         }
     }
 
-    fn judge(&self, config: Option<&Config>, certainty: Certainty) -> Step {
+    fn judge(&self, config: Option<&Config>, certainty: Certainty) -> AdmissionStep {
         let current = config.map_or(0, |config| config.revision);
         if self.base != current {
-            return self.refuse(ChangeAnswer::Stale { current }, certainty);
+            return self.refuse(ChangeResponse::Stale { current }, certainty);
         }
         let body = self.request.body.as_ref();
         let changed = match (self.request.kind, config) {
             (ChangeKind::Replace, current) => Config::parse_replacement(current, body),
             (ChangeKind::Modify, Some(current)) => current.modify(body),
             (ChangeKind::Modify, None) => {
-                return self.refuse(ChangeAnswer::Stale { current }, certainty);
+                return self.refuse(ChangeResponse::Stale { current }, certainty);
             }
         };
         match changed {
             Ok(config) => self.submit(config.to_json().into_bytes()),
-            Err(fault) => self.refuse(ChangeAnswer::Invalid { fault: fault.to_string() }, certainty),
+            Err(fault) => self.refuse(ChangeResponse::Invalid { reason: fault.to_string() }, certainty),
         }
     }
 
     /// A refusal by a state that nobody has confirmed waits for the confirmation.
-    fn refuse(&self, answer: ChangeAnswer, certainty: Certainty) -> Step {
-        let unconfirmed = self.injected == Some(InjectedFault::RefuseFromLocalState);
-        if certainty == Certainty::Confirmed || unconfirmed { Step::Answer(answer) } else { Step::Confirm }
+    fn refuse(&self, answer: ChangeResponse, certainty: Certainty) -> AdmissionStep {
+        let unconfirmed = self.injected == Some(InjectedFault::RejectFromLocalState);
+        if certainty == Certainty::Confirmed || unconfirmed {
+            AdmissionStep::Respond(answer)
+        } else {
+            AdmissionStep::ConfirmState
+        }
     }
 
-    fn submit(&self, body: Vec<u8>) -> Step {
+    fn submit(&self, body: Vec<u8>) -> AdmissionStep {
         let (base, revision, digest) = (self.base, self.revision, self.request.digest);
-        Step::Submit(Submission { base, revision, body, digest })
+        AdmissionStep::Submit(ChangeProposal { base_revision: base, revision, body, digest })
     }
 
     fn call(&self) -> Call {
@@ -249,22 +257,22 @@
 }
 
 /// How a read-back is answered, by the verdict of the consensus state.
-pub fn answer_read(verdict: Verdict) -> ReadAnswer {
+pub fn read_response(verdict: Verdict) -> ReadResponse {
     match verdict {
-        Verdict::Current { state } if state.revision > 0 => ReadAnswer::Current(state),
-        Verdict::Current { .. } => ReadAnswer::Empty,
-        Verdict::NotPrimary { primary: Some(leader) } => ReadAnswer::Redirect { leader },
-        _ => ReadAnswer::Unavailable,
+        Verdict::Current { state } if state.revision > 0 => ReadResponse::Current(state),
+        Verdict::Current { .. } => ReadResponse::Empty,
+        Verdict::NotPrimary { primary: Some(primary) } => ReadResponse::Redirect { primary },
+        _ => ReadResponse::Unavailable,
     }
 }
 
-fn invalid(fault: impl Into<String>) -> Step {
-    Step::Answer(ChangeAnswer::Invalid { fault: fault.into() })
+fn invalid(fault: impl Into<String>) -> AdmissionStep {
+    AdmissionStep::Respond(ChangeResponse::Invalid { reason: fault.into() })
 }
 
-fn unconfirmed(verdict: Verdict) -> Step {
-    Step::Answer(match verdict {
-        Verdict::NotPrimary { primary: Some(leader) } => ChangeAnswer::Redirect { leader },
-        _ => ChangeAnswer::Unavailable,
+fn unconfirmed(verdict: Verdict) -> AdmissionStep {
+    AdmissionStep::Respond(match verdict {
+        Verdict::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
+        _ => ChangeResponse::Unavailable,
     })
 }
--- a/crates/control-plane/src/serving.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -9,7 +9,7 @@
 use mosshead_config::{Config, ConfigError};
 use mosshead_consensus::State;
 
-use crate::{Contact, InjectedFault};
+use crate::{InjectedFault, QuorumContact};
 
 /// Patches that are kept for those that are behind.
 const MOST_PATCHES: usize = 1024;
@@ -37,7 +37,7 @@
         patches: Vec<String>,
     },
     /// The whole.
-    Whole {
+    Full {
         /// Its revision.
         revision: u64,
         /// Its text.
@@ -56,7 +56,7 @@
 impl ConfigHistory {
     /// Nothing is committed yet; with a fault built in, for tests.
     #[doc(hidden)]
-    pub fn with_fault(injected: Option<InjectedFault>) -> ConfigHistory {
+    pub fn with_injected_fault(injected: Option<InjectedFault>) -> ConfigHistory {
         ConfigHistory { injected, ..ConfigHistory::default() }
     }
 
@@ -92,19 +92,19 @@
     }
 
     /// The revision that those who pull are told of; 0: none.
-    pub fn advertised_revision(&self, contact: Contact) -> u64 {
+    pub fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         let served = self.current.as_ref().filter(|_| self.may_serve(contact));
         served.map_or(0, |config| config.revision)
     }
 
     /// What is offered to an asker that has the revision `have` (0: nothing).
-    pub fn offer(&self, have: u64, contact: Contact) -> ConfigOffer {
+    pub fn offer(&self, have: u64, contact: QuorumContact) -> ConfigOffer {
         let Some(config) = self.current.as_ref().filter(|_| self.may_serve(contact)) else {
             return ConfigOffer::Withheld;
         };
         match self.patches_from(have, config) {
             Some(patches) => ConfigOffer::Patches { revision: config.revision, patches },
-            None => ConfigOffer::Whole { revision: config.revision, text: config.to_json() },
+            None => ConfigOffer::Full { revision: config.revision, text: config.to_json() },
         }
     }
 
@@ -117,8 +117,8 @@
         (length < config.json_length()).then_some(patches)
     }
 
-    fn may_serve(&self, contact: Contact) -> bool {
-        contact.is_in_touch() || self.injected == Some(InjectedFault::ServeOutOfTouch)
+    fn may_serve(&self, contact: QuorumContact) -> bool {
+        contact.is_confirmed() || self.injected == Some(InjectedFault::ServeWithoutQuorum)
     }
 }
 
--- a/crates/control-plane/src/subscription.rs
+++ b/crates/control-plane/src/control_node_pool.rs
@@ -8,8 +8,8 @@
 
 use mosshead_config::Config;
 
-use crate::serving::{ConfigOffer, read_beside};
-use crate::{Contact, InjectedFault};
+use crate::config_history::{ConfigOffer, read_beside};
+use crate::{InjectedFault, QuorumContact};
 
 /// Control machines that a proxy knows at most.
 const MOST_CORES: usize = 64;
@@ -30,38 +30,38 @@
 
 /// What comes of an offer of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Assembled {
+pub enum AssembledConfig {
     /// The configuration that the offer leads to.
     Config(Arc<Config>),
     /// The machine offered none.
     Withheld,
     /// The offer does not fit what is in force: the whole is needed.
-    Misfit,
+    Mismatch,
 }
 
 /// The control machines that a proxy knows, and which of them it asks.
 #[derive(Clone, Debug, Default)]
-pub struct Subscription {
+pub struct ControlNodePool {
     cores: Vec<KnownCore>,
     injected: Option<InjectedFault>,
 }
 
-impl Subscription {
+impl ControlNodePool {
     /// Knows the seeds only.
-    pub fn new(seeds: &[SocketAddrV4]) -> Subscription {
-        let mut subscription = Subscription::default();
-        subscription.learn(seeds);
+    pub fn new(seeds: &[SocketAddrV4]) -> ControlNodePool {
+        let mut subscription = ControlNodePool::default();
+        subscription.add(seeds);
         subscription
     }
 
     /// The same with a fault built in, for tests.
     #[doc(hidden)]
-    pub fn with_fault(self, injected: Option<InjectedFault>) -> Subscription {
-        Subscription { injected, ..self }
+    pub fn with_injected_fault(self, injected: Option<InjectedFault>) -> ControlNodePool {
+        ControlNodePool { injected, ..self }
     }
 
     /// These are control machines, too.
-    pub fn learn(&mut self, cores: &[SocketAddrV4]) {
+    pub fn add(&mut self, cores: &[SocketAddrV4]) {
         for &address in cores {
             let is_known = self.cores.iter().any(|core| core.address == address);
             if !is_known && self.cores.len() < MOST_CORES {
@@ -72,20 +72,20 @@
 
     /// Takes in the control machines that an answer names. Those of a machine in touch are all that there are: others
     /// that fail are forgotten.
-    pub fn named(&mut self, cores: &[SocketAddrV4], contact: Contact) {
-        self.learn(cores);
-        if contact.is_in_touch() && !cores.is_empty() {
+    pub fn update_members(&mut self, cores: &[SocketAddrV4], contact: QuorumContact) {
+        self.add(cores);
+        if contact.is_confirmed() && !cores.is_empty() {
             self.cores.retain(|core| core.busy || core.failed.is_none() || cores.contains(&core.address));
         }
     }
 
     /// The control machines that are known.
-    pub fn cores(&self) -> Vec<SocketAddrV4> {
+    pub fn addresses(&self) -> Vec<SocketAddrV4> {
         self.cores.iter().map(|core| core.address).collect()
     }
 
     /// The machine to ask next: one that is not being asked, the one that failed longest ago first.
-    pub fn choose(&mut self, now: u64) -> Option<SocketAddrV4> {
+    pub fn acquire(&mut self, now: u64) -> Option<SocketAddrV4> {
         let free = self.cores.iter_mut().filter(|core| !core.busy);
         let core = free.min_by_key(|core| core.failed)?;
         // Danger: a machine that refuses at once must not be asked in a circle.
@@ -105,27 +105,27 @@
     }
 
     /// Whether the configuration is fetched from a machine that answered so, where `in_force` is the revision here.
-    pub fn wants_configuration(&self, in_force: u64, advertised: u64, contact: Contact) -> bool {
-        let may_fetch = contact.is_in_touch() || self.injected == Some(InjectedFault::FetchOutOfTouch);
+    pub fn should_fetch_config(&self, in_force: u64, advertised: u64, contact: QuorumContact) -> bool {
+        let may_fetch = contact.is_confirmed() || self.injected == Some(InjectedFault::FetchWithoutQuorum);
         may_fetch && advertised > in_force
     }
 }
 
 /// How long a proxy stays with one machine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Session {
+pub struct WatchSession {
     out_of_touch_since: Option<u64>,
 }
 
-impl Session {
+impl WatchSession {
     /// Whether the proxy goes on asking the machine after this answer.
-    pub fn goes_on(&mut self, now: u64, contact: Contact) -> bool {
+    pub fn should_continue(&mut self, now: u64, contact: QuorumContact) -> bool {
         match contact {
-            Contact::InTouch => {
+            QuorumContact::Confirmed => {
                 self.out_of_touch_since = None;
                 true
             }
-            Contact::OutOfTouch => {
+            QuorumContact::Unconfirmed => {
                 let since = *self.out_of_touch_since.get_or_insert(now);
                 now.saturating_sub(since) < OUT_OF_TOUCH_MS
             }
@@ -134,15 +134,15 @@
 }
 
 /// The configuration that an offer leads to, from the one in force.
-pub fn assemble(have: Option<&Config>, offer: &ConfigOffer) -> Assembled {
+pub fn assemble_config(have: Option<&Config>, offer: &ConfigOffer) -> AssembledConfig {
     let config = match offer {
-        ConfigOffer::Withheld => return Assembled::Withheld,
-        ConfigOffer::Whole { text, .. } => read_beside(have, text.as_bytes()).ok(),
+        ConfigOffer::Withheld => return AssembledConfig::Withheld,
+        ConfigOffer::Full { text, .. } => read_beside(have, text.as_bytes()).ok(),
         ConfigOffer::Patches { revision, patches } => {
             apply(have, patches).filter(|config| config.revision == *revision)
         }
     };
-    config.map_or(Assembled::Misfit, |config| Assembled::Config(Arc::new(config)))
+    config.map_or(AssembledConfig::Mismatch, |config| AssembledConfig::Config(Arc::new(config)))
 }
 
 fn apply(have: Option<&Config>, patches: &[String]) -> Option<Config> {
--- a/crates/control-plane/src/injected_fault.rs
+++ b/crates/control-plane/src/injected_fault.rs
@@ -3,29 +3,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// A change is refused by the local state, which no majority has confirmed.
-    RefuseFromLocalState,
+    RejectFromLocalState,
     /// The configuration is handed out by a machine that is out of touch.
-    ServeOutOfTouch,
+    ServeWithoutQuorum,
     /// A proxy fetches the configuration from a machine that says that it is out of touch.
-    FetchOutOfTouch,
+    FetchWithoutQuorum,
     /// A leaving server is acknowledged by a machine that is out of touch.
-    AcknowledgeOutOfTouch,
+    AcknowledgeWithoutQuorum,
     /// A leaving server is acknowledged when one other machine has its word, however many may be lost.
-    AcknowledgeAfterOneCopy,
+    AcknowledgeAfterOneReplica,
     /// The contact and copies of a leaving server's word are not looked at again once one other machine has it.
-    AcknowledgeRepeats,
+    AcknowledgeRepeatsUnchecked,
     /// All three faults of acknowledgements at once.
-    AcknowledgeCarelessly,
+    AcknowledgeUnchecked,
 }
 
 impl InjectedFault {
     /// Whether this fault is, or holds, another one.
     pub(crate) fn includes(self, other: InjectedFault) -> bool {
         let all = [
-            InjectedFault::AcknowledgeOutOfTouch,
-            InjectedFault::AcknowledgeAfterOneCopy,
-            InjectedFault::AcknowledgeRepeats,
+            InjectedFault::AcknowledgeWithoutQuorum,
+            InjectedFault::AcknowledgeAfterOneReplica,
+            InjectedFault::AcknowledgeRepeatsUnchecked,
         ];
-        self == other || self == InjectedFault::AcknowledgeCarelessly && all.contains(&other)
+        self == other || self == InjectedFault::AcknowledgeUnchecked && all.contains(&other)
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,16 +1,26 @@
-//! Decisions of the control machines and of the proxies that follow them, without I/O and without a clock.
+//! Decisions of the control nodes and of the proxies that follow them, without I/O and without a clock.
 //!
-//! The programs carry these decisions out: [`admission`] says how an operator's change is answered, [`serving`] which
-//! configuration a control machine hands out, [`subscription`] what a proxy takes and whom it asks, and
-//! [`acknowledgement`] when a server that leaves is told so. Times are milliseconds of any steady clock.
+//! The programs carry these decisions out: [`ChangeAdmission`] decides how an operator's change is answered,
+//! [`ConfigHistory`] which configuration a control node hands out, [`ControlNodePool`] which control node a proxy asks
+//! and whose configuration it fetches, and [`ShutdownAcknowledgements`] when a server that shuts down is acknowledged.
 
-pub mod acknowledgement;
-pub mod admission;
-mod contact;
+mod acknowledgement;
+mod admission;
+mod config_history;
+mod control_node_pool;
 mod injected_fault;
-pub mod serving;
-pub mod subscription;
+mod quorum_contact;
 
-pub use contact::Contact;
+pub use acknowledgement::{
+    AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownAcknowledgements,
+    ShutdownStep, latest_local_entries,
+};
+pub use admission::{
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeProposal, ChangeRequest, ChangeResponse, KnownPrimary,
+    ReadResponse, read_response,
+};
+pub use config_history::{ConfigHistory, ConfigOffer};
+pub use control_node_pool::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
 #[doc(hidden)]
 pub use injected_fault::InjectedFault;
+pub use quorum_contact::QuorumContact;
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/quorum_contact.rs
@@ -1,20 +1,20 @@
 /// Whether a control machine has lately been in contact with a majority of the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Contact {
+pub enum QuorumContact {
     /// A majority has confirmed the epoch that this machine follows.
-    InTouch,
+    Confirmed,
     /// What this machine knows may be old.
-    OutOfTouch,
+    Unconfirmed,
 }
 
-impl Contact {
+impl QuorumContact {
     /// From the word of the consensus state.
-    pub fn from_flag(in_touch: bool) -> Contact {
-        if in_touch { Contact::InTouch } else { Contact::OutOfTouch }
+    pub fn from_flag(in_touch: bool) -> QuorumContact {
+        if in_touch { QuorumContact::Confirmed } else { QuorumContact::Unconfirmed }
     }
 
     /// Whether the machine is in touch.
-    pub fn is_in_touch(self) -> bool {
-        self == Contact::InTouch
+    pub fn is_confirmed(self) -> bool {
+        self == QuorumContact::Confirmed
     }
 }
--- a/crates/control-plane/tests/admission.rs
+++ b/crates/control-plane/tests/admission.rs
@@ -6,8 +6,9 @@
 use mosshead_config::Config;
 use mosshead_consensus::{Call, CallDigest, REMEMBERED_CALLS, State, Verdict};
 use mosshead_control_plane::InjectedFault;
-use mosshead_control_plane::admission::{
-    Admission, ChangeAnswer, ChangeKind, ChangeRequest, Leader, ReadAnswer, Step, answer_read,
+use mosshead_control_plane::{
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeRequest, ChangeResponse, KnownPrimary, ReadResponse,
+    read_response,
 };
 use quickcheck::quickcheck;
 
@@ -39,7 +40,7 @@
 }
 
 fn request(kind: ChangeKind, base: Option<u64>, body: &str) -> ChangeRequest<Vec<u8>> {
-    ChangeRequest { kind, base, body: body.as_bytes().to_vec(), digest: DIGEST }
+    ChangeRequest { kind, base_revision: base, body: body.as_bytes().to_vec(), digest: DIGEST }
 }
 
 fn replace(base: u64, revision: u64) -> ChangeRequest<Vec<u8>> {
@@ -51,94 +52,100 @@
     request: ChangeRequest<Vec<u8>>,
     known: Option<&State>,
     injected: Option<InjectedFault>,
-) -> (Admission<Vec<u8>>, Step) {
+) -> (ChangeAdmission<Vec<u8>>, AdmissionStep) {
     let config = known.map(|state| Arc::new(Config::parse(&state.body).expect("a configuration")));
-    Admission::begin(request, Leader::Here, known, config, injected)
+    ChangeAdmission::begin(request, KnownPrimary::Local, known, config, injected)
 }
 
 fn current(state: &State) -> Verdict {
     Verdict::Current { state: state.clone() }
 }
 
-fn stale(current: u64) -> Step {
-    Step::Answer(ChangeAnswer::Stale { current })
+fn stale(current: u64) -> AdmissionStep {
+    AdmissionStep::Respond(ChangeResponse::Stale { current })
 }
 
-fn is_invalid(step: &Step) -> bool {
-    matches!(step, Step::Answer(ChangeAnswer::Invalid { .. }))
+fn is_invalid(step: &AdmissionStep) -> bool {
+    matches!(step, AdmissionStep::Respond(ChangeResponse::Invalid { .. }))
 }
 
 #[test]
 fn a_proper_change_needs_no_confirmation_of_its_own() {
     let (admission, step) = begin(replace(5, 6), Some(&state(5, 1)), None);
-    let Step::Submit(submission) = step else { panic!("{step:?}") };
-    assert_eq!((submission.base, submission.revision, submission.digest), (5, 6, DIGEST));
+    let AdmissionStep::Submit(submission) = step else { panic!("{step:?}") };
+    assert_eq!((submission.base_revision, submission.revision, submission.digest), (5, 6, DIGEST));
     assert_eq!(submission.body, text(6).into_bytes());
-    assert_eq!(admission.submitted(Verdict::Taken { revision: 6 }), ChangeAnswer::Accepted { revision: 6 });
-    assert_eq!(admission.submitted(Verdict::TooLarge), ChangeAnswer::TooLarge);
+    assert_eq!(
+        admission.on_proposal_result(Verdict::Taken { revision: 6 }),
+        ChangeResponse::Accepted { revision: 6 }
+    );
+    assert_eq!(admission.on_proposal_result(Verdict::TooLarge), ChangeResponse::TooLarge);
 }
 
 #[test]
 fn the_first_change_is_submitted_where_nothing_is_known() {
     let (_, step) = begin(replace(0, 1), None, None);
-    assert!(matches!(step, Step::Submit(_)), "{step:?}");
+    assert!(matches!(step, AdmissionStep::Submit(_)), "{step:?}");
 }
 
 #[test]
 fn a_stale_base_is_refused_only_by_the_confirmed_state() {
     let known = state(5, 1);
     let (mut admission, step) = begin(replace(7, 8), Some(&known), None);
-    assert_eq!(step, Step::Confirm);
-    assert_eq!(admission.confirmed(current(&state(9, 2))), stale(9));
+    assert_eq!(step, AdmissionStep::ConfirmState);
+    assert_eq!(admission.on_state_confirmed(current(&state(9, 2))), stale(9));
 }
 
 #[test]
 fn what_old_knowledge_calls_stale_is_taken_by_the_newer_state() {
     let (mut admission, step) = begin(replace(7, 8), Some(&state(5, 1)), None);
-    assert_eq!(step, Step::Confirm);
-    let step = admission.confirmed(current(&state(7, 2)));
-    let Step::Submit(submission) = step else { panic!("{step:?}") };
-    assert_eq!((submission.base, submission.body), (7, text(8).into_bytes()));
+    assert_eq!(step, AdmissionStep::ConfirmState);
+    let step = admission.on_state_confirmed(current(&state(7, 2)));
+    let AdmissionStep::Submit(submission) = step else { panic!("{step:?}") };
+    assert_eq!((submission.base_revision, submission.body), (7, text(8).into_bytes()));
 }
 
 #[test]
 fn a_repeat_of_what_the_others_have_taken_is_accepted() {
     let (mut admission, step) = begin(replace(5, 8), Some(&state(4, 1)), None);
-    assert_eq!(step, Step::Confirm);
-    let step = admission.confirmed(current(&state(8, CALL)));
-    assert_eq!(step, Step::Answer(ChangeAnswer::Accepted { revision: 8 }));
+    assert_eq!(step, AdmissionStep::ConfirmState);
+    let step = admission.on_state_confirmed(current(&state(8, CALL)));
+    assert_eq!(step, AdmissionStep::Respond(ChangeResponse::Accepted { revision: 8 }));
 }
 
 #[test]
 fn a_repeat_of_what_is_known_here_is_confirmed_by_the_consensus_state() {
     let (admission, step) = begin(replace(5, 8), Some(&state(8, CALL)), None);
-    let Step::Submit(submission) = step else { panic!("{step:?}") };
+    let AdmissionStep::Submit(submission) = step else { panic!("{step:?}") };
     assert!(submission.body.is_empty());
-    assert_eq!(admission.submitted(Verdict::Taken { revision: 8 }), ChangeAnswer::Accepted { revision: 8 });
-    assert_eq!(admission.submitted(Verdict::Unavailable), ChangeAnswer::Unavailable);
+    assert_eq!(
+        admission.on_proposal_result(Verdict::Taken { revision: 8 }),
+        ChangeResponse::Accepted { revision: 8 }
+    );
+    assert_eq!(admission.on_proposal_result(Verdict::Unavailable), ChangeResponse::Unavailable);
 }
 
 #[test]
 fn an_invalid_change_is_refused_only_by_the_confirmed_state() {
     let bad = request(ChangeKind::Replace, Some(5), r#"{"revision":6,"route_entries":4}"#);
     let (mut admission, step) = begin(bad.clone(), Some(&state(5, 1)), None);
-    assert_eq!(step, Step::Confirm);
-    assert!(is_invalid(&admission.confirmed(current(&state(5, 1)))));
+    assert_eq!(step, AdmissionStep::ConfirmState);
+    assert!(is_invalid(&admission.on_state_confirmed(current(&state(5, 1)))));
     let (mut admission, _) = begin(bad, Some(&state(5, 1)), None);
-    assert_eq!(admission.confirmed(current(&state(6, 2))), stale(6));
+    assert_eq!(admission.on_state_confirmed(current(&state(6, 2))), stale(6));
 }
 
 #[test]
 fn an_unconfirmed_refusal_is_no_answer() {
     let elsewhere = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7);
     let answers = [
-        (Verdict::Unavailable, ChangeAnswer::Unavailable),
-        (Verdict::NotPrimary { primary: None }, ChangeAnswer::Unavailable),
-        (Verdict::NotPrimary { primary: Some(elsewhere) }, ChangeAnswer::Redirect { leader: elsewhere }),
+        (Verdict::Unavailable, ChangeResponse::Unavailable),
+        (Verdict::NotPrimary { primary: None }, ChangeResponse::Unavailable),
+        (Verdict::NotPrimary { primary: Some(elsewhere) }, ChangeResponse::Redirect { primary: elsewhere }),
     ];
     for (verdict, answer) in answers {
         let (mut admission, _) = begin(replace(7, 8), Some(&state(5, 1)), None);
-        assert_eq!(admission.confirmed(verdict), Step::Answer(answer));
+        assert_eq!(admission.on_state_confirmed(verdict), AdmissionStep::Respond(answer));
     }
 }
 
@@ -148,21 +155,24 @@
     let newest = 99 + REMEMBERED_CALLS as u64;
     let remembered = State { taken: calls.collect(), forgotten: 99, ..state(newest, 1) };
     let (mut admission, _) = begin(replace(98, 99), Some(&remembered), None);
-    assert_eq!(admission.confirmed(current(&remembered)), Step::Answer(ChangeAnswer::Forgotten));
+    assert_eq!(
+        admission.on_state_confirmed(current(&remembered)),
+        AdmissionStep::Respond(ChangeResponse::Expired)
+    );
     let (mut admission, _) = begin(replace(99, 100), Some(&remembered), None);
-    assert_eq!(admission.confirmed(current(&remembered)), stale(newest));
+    assert_eq!(admission.on_state_confirmed(current(&remembered)), stale(newest));
 }
 
 #[test]
 fn who_does_not_lead_judges_nothing() {
     let other = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7);
     for (leader, answer) in [
-        (Leader::Unknown, ChangeAnswer::Unavailable),
-        (Leader::Elsewhere(other), ChangeAnswer::Redirect { leader: other }),
+        (KnownPrimary::Unknown, ChangeResponse::Unavailable),
+        (KnownPrimary::Remote(other), ChangeResponse::Redirect { primary: other }),
     ] {
         let bad = request(ChangeKind::Replace, None, "no JSON");
-        let (_, step) = Admission::begin(bad, leader, None, None, None);
-        assert_eq!(step, Step::Answer(answer));
+        let (_, step) = ChangeAdmission::begin(bad, leader, None, None, None);
+        assert_eq!(step, AdmissionStep::Respond(answer));
     }
 }
 
@@ -181,7 +191,7 @@
 /// The code as it was: the first lead of point 1.
 #[test]
 fn the_former_refusals_by_local_state_are_found() {
-    let injected = Some(InjectedFault::RefuseFromLocalState);
+    let injected = Some(InjectedFault::RejectFromLocalState);
     assert_eq!(begin(replace(7, 8), Some(&state(5, 1)), injected).1, stale(5));
     let bad = request(ChangeKind::Replace, Some(5), r#"{"revision":6,"route_entries":4}"#);
     assert!(is_invalid(&begin(bad, Some(&state(5, 1)), injected).1));
@@ -189,9 +199,9 @@
 
 #[test]
 fn a_read_back_tells_what_a_majority_has_confirmed() {
-    assert_eq!(answer_read(current(&state(5, 1))), ReadAnswer::Current(state(5, 1)));
-    assert_eq!(answer_read(current(&State::default())), ReadAnswer::Empty);
-    assert_eq!(answer_read(Verdict::Unavailable), ReadAnswer::Unavailable);
+    assert_eq!(read_response(current(&state(5, 1))), ReadResponse::Current(state(5, 1)));
+    assert_eq!(read_response(current(&State::default())), ReadResponse::Empty);
+    assert_eq!(read_response(Verdict::Unavailable), ReadResponse::Unavailable);
 }
 
 quickcheck! {
@@ -203,21 +213,21 @@
         let call = replace(base, if taken { confirmed.revision } else { base + 1 });
         let known = (known > 0).then(|| state(known, 1));
         let (mut admission, mut step) = begin(call, known.as_ref(), None);
-        if step == Step::Confirm {
-            step = admission.confirmed(current(&confirmed));
+        if step == AdmissionStep::ConfirmState {
+            step = admission.on_state_confirmed(current(&confirmed));
         }
         match step {
-            Step::Answer(ChangeAnswer::Accepted { .. }) => taken,
-            Step::Answer(ChangeAnswer::Stale { current }) => !taken && current == confirmed.revision && base != current,
-            Step::Submit(_) => true,
+            AdmissionStep::Respond(ChangeResponse::Accepted { .. }) => taken,
+            AdmissionStep::Respond(ChangeResponse::Stale { current }) => !taken && current == confirmed.revision && base != current,
+            AdmissionStep::Submit(_) => true,
             _ => false,
         }
     }
 
     fn any_bytes_do_no_harm(body: Vec<u8>, base: Option<u64>) -> bool {
-        let call = ChangeRequest { kind: ChangeKind::Modify, base, body, digest: DIGEST };
+        let call = ChangeRequest { kind: ChangeKind::Modify, base_revision: base, body, digest: DIGEST };
         let (mut admission, _) = begin(call, Some(&state(5, 1)), None);
-        let _ = admission.confirmed(current(&state(6, 1)));
+        let _ = admission.on_state_confirmed(current(&state(6, 1)));
         true
     }
 }
--- a/crates/control-plane/tests/fleet/control.rs
+++ b/crates/control-plane/tests/fleet/control.rs
@@ -4,14 +4,15 @@
 use std::net::SocketAddrV4;
 
 use mosshead_consensus::{Input, Member, Message, Node, Output, Settings, Verdict};
-use mosshead_control_plane::acknowledgement::{
-    Acknowledgements, CopyCollection, Decision, EntryNumber, Membership, Start, latest_entries,
+use mosshead_control_plane::ConfigHistory;
+use mosshead_control_plane::{
+    AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownAcknowledgements,
+    ShutdownStep, latest_local_entries,
 };
-use mosshead_control_plane::admission::{
-    Admission, ChangeAnswer, ChangeRequest, Leader, ReadAnswer, Step, answer_read,
+use mosshead_control_plane::{
+    AdmissionStep, ChangeAdmission, ChangeRequest, ChangeResponse, KnownPrimary, ReadResponse, read_response,
 };
-use mosshead_control_plane::serving::ConfigHistory;
-use mosshead_control_plane::{Contact, InjectedFault};
+use mosshead_control_plane::{InjectedFault, QuorumContact};
 use mosshead_registry::{HeartbeatOutcome, Registry, SourceId, VersionVector};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -50,7 +51,7 @@
     pub node: Node<Pcg64Mcg>,
     pub register: Registry,
     history: ConfigHistory,
-    acknowledgements: Acknowledgements,
+    acknowledgements: ShutdownAcknowledgements,
     asks: BTreeMap<u64, Ask>,
     next_ask: u64,
     collections: BTreeMap<u64, Collection>,
@@ -62,12 +63,12 @@
 
 enum Ask {
     Show(Inbound),
-    Confirm(Inbound, Box<Admission<Vec<u8>>>),
-    Submit(Inbound, Box<Admission<Vec<u8>>>),
+    Confirm(Inbound, Box<ChangeAdmission<Vec<u8>>>),
+    Submit(Inbound, Box<ChangeAdmission<Vec<u8>>>),
 }
 
 struct Collection {
-    copies: CopyCollection,
+    copies: EntryReplication,
     inbound: Inbound,
     server: String,
 }
@@ -89,22 +90,22 @@
 }
 
 impl Process {
-    fn contact(&self, now: u64) -> Contact {
-        Contact::from_flag(self.node.in_touch(now))
+    fn contact(&self, now: u64) -> QuorumContact {
+        QuorumContact::from_flag(self.node.in_touch(now))
     }
 
-    fn leader(&self, now: u64, by_role: bool) -> Leader {
+    fn leader(&self, now: u64, by_role: bool) -> KnownPrimary {
         let primary = if by_role { self.node.primary() } else { self.node.primary_at(now) };
         match primary.map(|primary| primary.address) {
-            Some(address) if address == self.node.me().address => Leader::Here,
-            Some(address) => Leader::Elsewhere(address),
-            None => Leader::Unknown,
+            Some(address) if address == self.node.me().address => KnownPrimary::Local,
+            Some(address) => KnownPrimary::Remote(address),
+            None => KnownPrimary::Unknown,
         }
     }
 
-    fn membership(&self, failures: usize) -> Membership {
+    fn membership(&self, failures: usize) -> ReplicaSet {
         let members = self.node.members().iter().map(|member| member.address).collect();
-        Membership { me: self.node.me().address, members, failures }
+        ReplicaSet { local_address: self.node.me().address, members, tolerated_failures: failures }
     }
 }
 
@@ -145,8 +146,8 @@
         machine.process = Some(Process {
             node,
             register: Registry::new(source, KEEPALIVE_MS),
-            history: ConfigHistory::with_fault(injected),
-            acknowledgements: Acknowledgements::with_fault(injected),
+            history: ConfigHistory::with_injected_fault(injected),
+            acknowledgements: ShutdownAcknowledgements::with_injected_fault(injected),
             asks: BTreeMap::new(),
             next_ask: 0,
             collections: BTreeMap::new(),
@@ -367,14 +368,14 @@
         let change = &self.ledger.changes[change];
         let request = ChangeRequest {
             kind: change.kind,
-            base: Some(change.base),
+            base_revision: Some(change.base),
             body: change.body.clone(),
             digest: change.digest,
         };
         let injected: Option<InjectedFault> = self.mutant.control;
         let Some(process) = &self.cores[core].process else { return };
         let (state, config) = (process.node.committed().cloned(), process.history.current().cloned());
-        let (admission, step) = Admission::begin(
+        let (admission, step) = ChangeAdmission::begin(
             request,
             process.leader(self.now, self.mutant.leader_by_role),
             state.as_ref(),
@@ -384,16 +385,22 @@
         self.next_step(core, inbound, Box::new(admission), step);
     }
 
-    fn next_step(&mut self, core: usize, inbound: Inbound, admission: Box<Admission<Vec<u8>>>, step: Step) {
+    fn next_step(
+        &mut self,
+        core: usize,
+        inbound: Inbound,
+        admission: Box<ChangeAdmission<Vec<u8>>>,
+        step: AdmissionStep,
+    ) {
         match step {
-            Step::Answer(answer) => self.reply(core, inbound, Answer::Changed(answer)),
-            Step::Confirm => {
+            AdmissionStep::Respond(answer) => self.reply(core, inbound, Answer::Changed(answer)),
+            AdmissionStep::ConfirmState => {
                 let ask = self.new_ask(core, Ask::Confirm(inbound, admission));
                 self.control_step(core, Input::Read { ask });
             }
-            Step::Submit(submission) => {
+            AdmissionStep::Submit(submission) => {
                 let ask = self.new_ask(core, Ask::Submit(inbound, admission));
-                let (base, revision) = (submission.base, submission.revision);
+                let (base, revision) = (submission.base_revision, submission.revision);
                 let (body, digest) = (submission.body, submission.digest);
                 self.control_step(core, Input::Change { ask, base, revision, body, digest });
             }
@@ -403,12 +410,12 @@
     fn show(&mut self, core: usize, inbound: Inbound) {
         let Some(process) = &self.cores[core].process else { return };
         let answer = match process.leader(self.now, self.mutant.leader_by_role) {
-            Leader::Here => {
+            KnownPrimary::Local => {
                 let ask = self.new_ask(core, Ask::Show(inbound));
                 return self.control_step(core, Input::Read { ask });
             }
-            Leader::Elsewhere(leader) => ReadAnswer::Redirect { leader },
-            Leader::Unknown => ReadAnswer::Unavailable,
+            KnownPrimary::Remote(leader) => ReadResponse::Redirect { primary: leader },
+            KnownPrimary::Unknown => ReadResponse::Unavailable,
         };
         self.reply(core, inbound, Answer::Shown(answer));
     }
@@ -424,14 +431,14 @@
         let Some(process) = &mut self.cores[core].process else { return };
         match process.asks.remove(&ask) {
             None => {}
-            Some(Ask::Show(inbound)) => self.reply(core, inbound, Answer::Shown(answer_read(verdict))),
+            Some(Ask::Show(inbound)) => self.reply(core, inbound, Answer::Shown(read_response(verdict))),
             Some(Ask::Confirm(inbound, mut admission)) => {
-                let step = admission.confirmed(verdict);
+                let step = admission.on_state_confirmed(verdict);
                 self.next_step(core, inbound, admission, step);
             }
             Some(Ask::Submit(inbound, admission)) => {
-                let answer = admission.submitted(verdict);
-                let is_accepted = matches!(answer, ChangeAnswer::Accepted { .. });
+                let answer = admission.on_proposal_result(verdict);
+                let is_accepted = matches!(answer, ChangeResponse::Accepted { .. });
                 self.reply(core, inbound, Answer::Changed(answer));
                 if is_accepted && let Some(act) = self.after_change.take() {
                     self.after(0, Event::Act(act));
@@ -447,10 +454,10 @@
             return self.reply_heard(core, inbound, false);
         }
         let (contact, membership) = (process.contact(now), process.membership(failures));
-        match process.acknowledgements.start(&process.register, id, &heard, contact, &membership) {
-            Start::Acknowledge => self.acknowledge(core, inbound, id),
-            Start::Refuse => self.reply_heard(core, inbound, false),
-            Start::Collect(copies) => {
+        match process.acknowledgements.begin(&process.register, id, &heard, contact, &membership) {
+            ShutdownStep::Acknowledge => self.acknowledge(core, inbound, id),
+            ShutdownStep::Reject => self.reply_heard(core, inbound, false),
+            ShutdownStep::Replicate(copies) => {
                 process.next_collection += 1;
                 let number = process.next_collection;
                 let server = id.to_owned();
@@ -467,7 +474,7 @@
     fn copy(&mut self, core: usize, collection: u64, other: SocketAddrV4, shown: Option<&VersionVector>) {
         let Some(process) = &self.cores[core].process else { return };
         let delta = match shown {
-            None => latest_entries(&process.register),
+            None => latest_local_entries(&process.register),
             Some(shown) => process.register.missing_entries(shown, PAGE),
         };
         let purpose = Purpose::Copy { collection, other, again: shown.is_some() };
@@ -482,12 +489,12 @@
         let contact = process.contact(now);
         let Some(collection) = process.collections.get(&number) else { return };
         let (decision, entry) = (collection.copies.decision(contact), collection.copies.entry());
-        if decision == Decision::Wait {
+        if decision == AcknowledgementDecision::Wait {
             return;
         }
         let Some(collection) = process.collections.remove(&number) else { return };
-        if decision == Decision::Acknowledge {
-            process.acknowledgements.acknowledged(entry);
+        if decision == AcknowledgementDecision::Acknowledge {
+            process.acknowledgements.record_acknowledged(entry);
             self.acknowledge(core, collection.inbound, &collection.server);
         } else {
             self.reply_heard(core, collection.inbound, false);
@@ -502,7 +509,8 @@
     fn acknowledge(&mut self, core: usize, inbound: Inbound, id: &str) {
         self.reply_heard(core, inbound, true);
         let process = self.cores[core].process.as_ref();
-        let leaves = process.and_then(|process| process.register.entry(id)).and_then(EntryNumber::of_leaving);
+        let leaves =
+            process.and_then(|process| process.register.entry(id)).and_then(EntryVersion::of_shutdown);
         if leaves.is_some() && self.is_first_word_of_leaving(inbound.from) {
             self.drain_acknowledged(core, inbound.from, id);
         }
@@ -545,7 +553,7 @@
         if lacks && !again {
             return self.copy(core, number, other, shown.as_ref());
         }
-        collection.copies.answered(other, shown.as_ref());
+        collection.copies.record_reply(other, shown.as_ref());
         self.decide(core, number);
     }
 }
--- a/crates/control-plane/tests/fleet/ledger.rs
+++ b/crates/control-plane/tests/fleet/ledger.rs
@@ -4,7 +4,7 @@
 
 use mosshead_config::Config;
 use mosshead_consensus::CallDigest;
-use mosshead_control_plane::admission::ChangeKind;
+use mosshead_control_plane::ChangeKind;
 
 /// A machine that was cut off from a majority for so long hands out no configuration.
 pub const ISOLATED_MS: u64 = 2_000;
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddrV4;
 
 use mosshead_consensus::{Member, Message};
-use mosshead_control_plane::Contact;
-use mosshead_control_plane::admission::{ChangeAnswer, ReadAnswer};
-use mosshead_control_plane::serving::ConfigOffer;
+use mosshead_control_plane::ConfigOffer;
+use mosshead_control_plane::QuorumContact;
+use mosshead_control_plane::{ChangeResponse, ReadResponse};
 use mosshead_registry::{Delta, Server, Stage, VersionVector};
 use mosshead_stage_scheduler::AssignmentOutcome;
 
@@ -69,8 +69,8 @@
     Pulled(Pulled),
     Fetched(Fetched),
     Handed(VersionVector),
-    Changed(ChangeAnswer),
-    Shown(ReadAnswer),
+    Changed(ChangeResponse),
+    Shown(ReadResponse),
     Heard(Heard),
     Ordered(AssignmentOutcome),
 }
@@ -80,7 +80,7 @@
     pub revision: u64,
     pub delta: Delta,
     pub cores: Vec<SocketAddrV4>,
-    pub contact: Contact,
+    pub contact: QuorumContact,
     pub wants: bool,
 }
 
--- a/crates/control-plane/tests/fleet/mutants.rs
+++ b/crates/control-plane/tests/fleet/mutants.rs
@@ -32,8 +32,8 @@
 #[test]
 fn configurations_of_machines_out_of_touch() {
     let mutant = Mutant {
-        control: Some(InjectedFault::ServeOutOfTouch),
-        proxy: Some(InjectedFault::FetchOutOfTouch),
+        control: Some(InjectedFault::ServeWithoutQuorum),
+        proxy: Some(InjectedFault::FetchWithoutQuorum),
         ..Mutant::default()
     };
     finds(100, mutant, &["touch:"]);
@@ -41,7 +41,7 @@
 
 #[test]
 fn repeats_of_a_leaving_server_s_word_without_copies() {
-    finds(40, control(InjectedFault::AcknowledgeRepeats), &["drain:", "acknowledged out of touch:"]);
+    finds(40, control(InjectedFault::AcknowledgeRepeatsUnchecked), &["drain:", "acknowledged out of touch:"]);
 }
 
 #[test]
--- a/crates/control-plane/tests/fleet/operator.rs
+++ b/crates/control-plane/tests/fleet/operator.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use mosshead_control_plane::admission::{ChangeAnswer, ChangeKind, ReadAnswer};
+use mosshead_control_plane::{ChangeKind, ChangeResponse, ReadResponse};
 
 use crate::ledger::marks;
 use crate::messages::{Answer, Call, Party, Pending, Purpose};
@@ -105,10 +105,10 @@
         }
     }
 
-    fn change_answered(&mut self, index: usize, change: usize, acknowledged: u64, answer: ChangeAnswer) {
+    fn change_answered(&mut self, index: usize, change: usize, acknowledged: u64, answer: ChangeResponse) {
         let is_current = self.operators[index].change == Some(change);
         match answer {
-            ChangeAnswer::Accepted { revision } => {
+            ChangeResponse::Accepted { revision } => {
                 if revision != self.ledger.changes[change].revision {
                     self.ledger.broken("accepted", format!("change {change} as {revision}"));
                 }
@@ -117,19 +117,19 @@
                     self.change_accepted(index, change);
                 }
             }
-            ChangeAnswer::Stale { current } => {
+            ChangeResponse::Stale { current } => {
                 self.ledger.stale(change, current, acknowledged);
                 self.forget_change(index, is_current);
             }
-            ChangeAnswer::Invalid { .. } => {
+            ChangeResponse::Invalid { .. } => {
                 self.ledger.invalid(change);
                 self.forget_change(index, is_current);
             }
-            ChangeAnswer::TooLarge => {
+            ChangeResponse::TooLarge => {
                 self.ledger.broken("refused", format!("change {change} is small, and refused as too large"));
             }
-            ChangeAnswer::Redirect { leader } if is_current => self.redirect(index, leader),
-            ChangeAnswer::Redirect { .. } | ChangeAnswer::Forgotten | ChangeAnswer::Unavailable => {}
+            ChangeResponse::Redirect { primary: leader } if is_current => self.redirect(index, leader),
+            ChangeResponse::Redirect { .. } | ChangeResponse::Expired | ChangeResponse::Unavailable => {}
         }
     }
 
@@ -156,22 +156,22 @@
         }
     }
 
-    fn show_answered(&mut self, index: usize, acknowledged: u64, answer: ReadAnswer) {
-        if matches!(answer, ReadAnswer::Current(_) | ReadAnswer::Empty) {
+    fn show_answered(&mut self, index: usize, acknowledged: u64, answer: ReadResponse) {
+        if matches!(answer, ReadResponse::Current(_) | ReadResponse::Empty) {
             self.operators[index].reads_next = false;
         }
         match answer {
-            ReadAnswer::Current(state) => {
+            ReadResponse::Current(state) => {
                 let text = String::from_utf8_lossy(&state.body).into_owned();
                 self.ledger.shown(state.revision, &text, acknowledged);
                 self.operators[index].base = Some((state.revision, marks(&text)));
             }
-            ReadAnswer::Empty => {
+            ReadResponse::Empty => {
                 self.ledger.shown(0, "", acknowledged);
                 self.operators[index].base = Some((0, BTreeSet::new()));
             }
-            ReadAnswer::Redirect { leader } => self.redirect(index, leader),
-            ReadAnswer::Unavailable => {}
+            ReadResponse::Redirect { primary: leader } => self.redirect(index, leader),
+            ReadResponse::Unavailable => {}
         }
     }
 
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_control_plane::subscription::{Assembled, Session, Subscription, assemble};
+use mosshead_control_plane::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
 use mosshead_registry::{Registry, SourceId, VersionVector};
 use rand_core::RngCore;
 
@@ -22,7 +22,7 @@
     pub life: u64,
     pub config: Option<Arc<Config>>,
     pub register: Registry,
-    subscription: Subscription,
+    subscription: ControlNodePool,
     slots: [Slot; SLOTS],
     is_fetching: bool,
     /// When something last happened to it or to its links.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Default)]
 struct Slot {
     core: Option<SocketAddrV4>,
-    session: Session,
+    session: WatchSession,
 }
 
 impl World {
@@ -42,7 +42,7 @@
             life: 0,
             config: None,
             register: Registry::read_replica(source, KEEPALIVE_MS),
-            subscription: Subscription::default(),
+            subscription: ControlNodePool::default(),
             slots: Default::default(),
             is_fetching: false,
             disturbed: self.now,
@@ -60,7 +60,7 @@
         proxy.life += 1;
         proxy.config = None;
         proxy.register = Registry::read_replica(source, KEEPALIVE_MS);
-        proxy.subscription = Subscription::new(seeds).with_fault(injected);
+        proxy.subscription = ControlNodePool::new(seeds).with_injected_fault(injected);
         proxy.slots = Default::default();
         proxy.is_fetching = false;
         proxy.disturbed = now;
@@ -80,8 +80,8 @@
         let now = self.now;
         let proxy = &mut self.proxies[index];
         if proxy.slots[slot].core.is_none() {
-            let core = proxy.subscription.choose(now);
-            proxy.slots[slot] = Slot { core, session: Session::default() };
+            let core = proxy.subscription.acquire(now);
+            proxy.slots[slot] = Slot { core, session: WatchSession::default() };
         }
         let Some(core) = proxy.slots[slot].core else {
             return self.after(150, Event::ProxySlot { proxy: index, life, slot });
@@ -130,10 +130,10 @@
         let proxy = &mut self.proxies[index];
         proxy.register.merge(now, pulled.delta);
         proxy.register.tick(now);
-        proxy.subscription.named(&pulled.cores, pulled.contact);
+        proxy.subscription.update_members(&pulled.cores, pulled.contact);
         let in_force = proxy.config.as_ref().map_or(0, |config| config.revision);
-        let wants = proxy.subscription.wants_configuration(in_force, pulled.revision, pulled.contact);
-        let goes_on = proxy.slots[slot].session.goes_on(now, pulled.contact);
+        let wants = proxy.subscription.should_fetch_config(in_force, pulled.revision, pulled.contact);
+        let goes_on = proxy.slots[slot].session.should_continue(now, pulled.contact);
         let life = proxy.life;
         let fetches = wants && !proxy.is_fetching;
         if pulled.wants {
@@ -156,20 +156,20 @@
         let proxy = &mut self.proxies[index];
         proxy.is_fetching = false;
         let have = proxy.config.clone().filter(|_| !whole);
-        match assemble(have.as_deref(), &fetched.offer) {
-            Assembled::Config(config) => {
+        match assemble_config(have.as_deref(), &fetched.offer) {
+            AssembledConfig::Config(config) => {
                 // As the data plane does: what is in force never goes back.
                 if proxy.config.as_ref().is_none_or(|own| own.revision < config.revision) {
                     proxy.config = Some(config.clone());
                     self.ledger.in_force(self.now, index, &config, fetched.isolated_ms);
                 }
             }
-            Assembled::Misfit if !whole => {
+            AssembledConfig::Mismatch if !whole => {
                 proxy.is_fetching = true;
                 let purpose = Purpose::ProxyFetch { core, whole: true };
                 self.proxy_request(index, core, Call::Fetch { have: 0 }, purpose, FETCH_MS);
             }
-            Assembled::Misfit | Assembled::Withheld => {}
+            AssembledConfig::Mismatch | AssembledConfig::Withheld => {}
         }
     }
 }
--- a/crates/control-plane/tests/fleet/scenarios.rs
+++ b/crates/control-plane/tests/fleet/scenarios.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn former_refusals_of_a_thawed_primary_are_found() {
-    let mutant = Mutant { leader_by_role: true, ..control(InjectedFault::RefuseFromLocalState) };
+    let mutant = Mutant { leader_by_role: true, ..control(InjectedFault::RejectFromLocalState) };
     finds(thawed_primary, mutant, "old knowledge:");
 }
 
@@ -88,8 +88,8 @@
 #[test]
 fn former_configurations_beside_the_cut_are_found() {
     let mutant = Mutant {
-        control: Some(InjectedFault::ServeOutOfTouch),
-        proxy: Some(InjectedFault::FetchOutOfTouch),
+        control: Some(InjectedFault::ServeWithoutQuorum),
+        proxy: Some(InjectedFault::FetchWithoutQuorum),
         ..Mutant::default()
     };
     finds(proxy_beside_the_cut, mutant, "touch:");
@@ -127,7 +127,7 @@
 
 #[test]
 fn the_former_single_copy_is_found() {
-    finds(lost_holders, control(InjectedFault::AcknowledgeAfterOneCopy), "drain:");
+    finds(lost_holders, control(InjectedFault::AcknowledgeAfterOneReplica), "drain:");
 }
 
 /// Two of five machines are cut off together; servers that leave reach them as well as the others.
@@ -150,5 +150,5 @@
 
 #[test]
 fn former_acknowledgements_of_a_minority_are_found() {
-    finds(minority_of_two, control(InjectedFault::AcknowledgeCarelessly), "acknowledged out of touch:");
+    finds(minority_of_two, control(InjectedFault::AcknowledgeUnchecked), "acknowledged out of touch:");
 }
--- a/crates/programs/src/config_transfer/update.rs
+++ b/crates/programs/src/config_transfer/update.rs
@@ -1,7 +1,7 @@
 //! What a transfer carries, and its compressed form.
 
 use minicbor::{Decode, Encode};
-use mosshead_control_plane::serving::ConfigOffer;
+use mosshead_control_plane::ConfigOffer;
 
 /// The longest update that is unpacked, in bytes.
 pub const MAX_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
@@ -52,7 +52,7 @@
         match offer {
             ConfigOffer::Withheld => ConfigUpdate::withheld(),
             ConfigOffer::Patches { revision, patches } => ConfigUpdate { revision, patches, full_text: None },
-            ConfigOffer::Whole { revision, text } => {
+            ConfigOffer::Full { revision, text } => {
                 ConfigUpdate { revision, patches: Vec::new(), full_text: Some(text) }
             }
         }
@@ -62,7 +62,7 @@
 impl From<ConfigUpdate> for ConfigOffer {
     fn from(update: ConfigUpdate) -> ConfigOffer {
         match update {
-            ConfigUpdate { revision, full_text: Some(text), .. } => ConfigOffer::Whole { revision, text },
+            ConfigUpdate { revision, full_text: Some(text), .. } => ConfigOffer::Full { revision, text },
             ConfigUpdate { revision: 0, .. } => ConfigOffer::Withheld,
             ConfigUpdate { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
         }
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -6,8 +6,9 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue, LOCATION};
-use mosshead_control_plane::admission::{
-    Admission, ChangeAnswer, ChangeKind, ChangeRequest, Leader, ReadAnswer, Step, answer_read,
+use mosshead_control_plane::{
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeRequest, ChangeResponse, KnownPrimary, ReadResponse,
+    read_response,
 };
 use tinyjson::JsonValue;
 
@@ -28,7 +29,7 @@
 ) -> ApiResponse {
     let base = headers.get(BASE_REVISION_HEADER).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let digest = request_digest(path, base.unwrap_or(0), &body);
-    let request = ChangeRequest { kind, base, body, digest };
+    let request = ChangeRequest { kind, base_revision: base, body, digest };
     let answer = admit(control_node, request).await;
     change_response(control_node, answer, path)
 }
@@ -36,49 +37,51 @@
 /// `GET /Configuration.Show`: the configuration that a quorum has confirmed.
 pub(super) async fn show(control_node: &Rc<ControlNode>, path: &str) -> ApiResponse {
     let answer = match control_node.leader() {
-        Leader::Here => answer_read(control_node.read_confirmed().await),
-        Leader::Elsewhere(leader) => ReadAnswer::Redirect { leader },
-        Leader::Unknown => ReadAnswer::Unavailable,
+        KnownPrimary::Local => read_response(control_node.read_confirmed().await),
+        KnownPrimary::Remote(leader) => ReadResponse::Redirect { primary: leader },
+        KnownPrimary::Unknown => ReadResponse::Unavailable,
     };
     match answer {
-        ReadAnswer::Current(state) => json(StatusCode::OK, state.body.to_vec()),
-        ReadAnswer::Empty => code_only(StatusCode::NOT_FOUND, ResultCode::NoConfiguration),
-        ReadAnswer::Redirect { leader } => redirect(control_node, leader, path),
-        ReadAnswer::Unavailable => unavailable(),
+        ReadResponse::Current(state) => json(StatusCode::OK, state.body.to_vec()),
+        ReadResponse::Empty => code_only(StatusCode::NOT_FOUND, ResultCode::NoConfiguration),
+        ReadResponse::Redirect { primary: leader } => redirect(control_node, leader, path),
+        ReadResponse::Unavailable => unavailable(),
     }
 }
 
-async fn admit(control_node: &Rc<ControlNode>, request: ChangeRequest<Bytes>) -> ChangeAnswer {
+async fn admit(control_node: &Rc<ControlNode>, request: ChangeRequest<Bytes>) -> ChangeResponse {
     let (state, config) = (control_node.committed_state(), control_node.config());
     let (mut admission, mut step) =
-        Admission::begin(request, control_node.leader(), state.as_ref(), config, None);
+        ChangeAdmission::begin(request, control_node.leader(), state.as_ref(), config, None);
     loop {
         step = match step {
-            Step::Answer(answer) => return answer,
-            Step::Confirm => admission.confirmed(control_node.read_confirmed().await),
-            Step::Submit(submission) => {
+            AdmissionStep::Respond(answer) => return answer,
+            AdmissionStep::ConfirmState => admission.on_state_confirmed(control_node.read_confirmed().await),
+            AdmissionStep::Submit(submission) => {
                 let verdict = control_node.submit_change(submission).await;
-                Step::Answer(admission.submitted(verdict))
+                AdmissionStep::Respond(admission.on_proposal_result(verdict))
             }
         };
     }
 }
 
-fn change_response(control_node: &ControlNode, answer: ChangeAnswer, path: &str) -> ApiResponse {
+fn change_response(control_node: &ControlNode, answer: ChangeResponse, path: &str) -> ApiResponse {
     match answer {
-        ChangeAnswer::Accepted { revision } => json(StatusCode::OK, format!("{{\"revision\":{revision}}}")),
-        ChangeAnswer::Stale { current } => {
+        ChangeResponse::Accepted { revision } => json(StatusCode::OK, format!("{{\"revision\":{revision}}}")),
+        ChangeResponse::Stale { current } => {
             let code = ResultCode::StaleRevision.as_str();
             let body = format!("{{\"code\":\"{code}\",\"revision\":{current}}}");
             json(StatusCode::PRECONDITION_FAILED, body)
         }
-        ChangeAnswer::Invalid { fault } => {
+        ChangeResponse::Invalid { reason: fault } => {
             json(StatusCode::BAD_REQUEST, format!("{{\"fault\":{}}}", json_string(&fault)))
         }
-        ChangeAnswer::TooLarge => code_only(StatusCode::PAYLOAD_TOO_LARGE, ResultCode::ConfigurationTooLarge),
-        ChangeAnswer::Redirect { leader } => redirect(control_node, leader, path),
-        ChangeAnswer::Forgotten => expired(),
-        ChangeAnswer::Unavailable => unavailable(),
+        ChangeResponse::TooLarge => {
+            code_only(StatusCode::PAYLOAD_TOO_LARGE, ResultCode::ConfigurationTooLarge)
+        }
+        ChangeResponse::Redirect { primary: leader } => redirect(control_node, leader, path),
+        ChangeResponse::Expired => expired(),
+        ChangeResponse::Unavailable => unavailable(),
     }
 }
 
--- a/crates/programs/src/control_api/server.rs
+++ b/crates/programs/src/control_api/server.rs
@@ -11,7 +11,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use mosshead_control_plane::admission::ChangeKind;
+use mosshead_control_plane::ChangeKind;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Duration, sleep, timeout};
 
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -13,10 +13,10 @@
 
 use mosshead_config::Config;
 use mosshead_consensus::{Ballot, Input, Node, Output, State, Verdict};
-use mosshead_control_plane::Contact;
-use mosshead_control_plane::acknowledgement::Acknowledgements;
-use mosshead_control_plane::admission::{Leader, Submission};
-use mosshead_control_plane::serving::ConfigHistory;
+use mosshead_control_plane::ConfigHistory;
+use mosshead_control_plane::QuorumContact;
+use mosshead_control_plane::ShutdownAcknowledgements;
+use mosshead_control_plane::{ChangeProposal, KnownPrimary};
 use mosshead_record_log::LogWriter;
 use mosshead_registry::{Registry, VersionVector};
 use mosshead_rpc::Caller;
@@ -49,7 +49,7 @@
     next_ask: Cell<u64>,
     history: RefCell<ConfigHistory>,
     transfers: RefCell<OutgoingTransfers>,
-    acknowledgements: RefCell<Acknowledgements>,
+    acknowledgements: RefCell<ShutdownAcknowledgements>,
     news: watch::Sender<u64>,
     askers: RefCell<HashMap<String, Instant>>,
     message_lanes: RefCell<SendQueues>,
@@ -76,9 +76,9 @@
     }
 
     /// Whether this machine lately heard from a majority.
-    pub fn contact(&self) -> Contact {
+    pub fn contact(&self) -> QuorumContact {
         let node = self.node.borrow();
-        Contact::from_flag(node.as_ref().is_some_and(|node| node.in_touch(self.now())))
+        QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.in_touch(self.now())))
     }
 
     /// Whether this machine decides on the configuration and its lease holds at this moment.
@@ -88,14 +88,14 @@
     }
 
     /// Who decides on the configuration, as far as this machine knows.
-    pub fn leader(&self) -> Leader {
+    pub fn leader(&self) -> KnownPrimary {
         let node = self.node.borrow();
         let primary = node.as_ref().and_then(|node| node.primary_at(self.now()));
         match primary.map(|primary| primary.address) {
             // While a primary takes over from itself, what is asked of it waits there for a moment.
-            Some(address) if address == self.settings.internal_address() => Leader::Here,
-            Some(address) => Leader::Elsewhere(address),
-            None => Leader::Unknown,
+            Some(address) if address == self.settings.internal_address() => KnownPrimary::Local,
+            Some(address) => KnownPrimary::Remote(address),
+            None => KnownPrimary::Unknown,
         }
     }
 
@@ -111,8 +111,8 @@
     }
 
     /// ClientRequests for a change of the configuration.
-    pub async fn submit_change(self: &Rc<Self>, change: Submission) -> Verdict {
-        let Submission { base, revision, body, digest } = change;
+    pub async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> Verdict {
+        let ChangeProposal { base_revision: base, revision, body, digest } = change;
         self.ask(|ask| Input::Change { ask, base, revision, body, digest }).await
     }
 
--- a/crates/programs/src/control_node/registry.rs
+++ b/crates/programs/src/control_node/registry.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use mosshead_control_plane::acknowledgement::{
-    CopyCollection, Decision, EntryNumber, Membership, Start, latest_entries,
+use mosshead_control_plane::{
+    AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownStep, latest_local_entries,
 };
 use mosshead_record_log::LogWriter;
 use mosshead_registry::{Delta, HeartbeatOutcome, Server, SourceId, VersionVector};
@@ -61,21 +61,21 @@
             self.tell();
         }
         match self.start_acknowledgement(id, &heard) {
-            Start::Acknowledge => true,
-            Start::Refuse => false,
-            Start::Collect(copies) => self.collect(copies).await,
+            ShutdownStep::Acknowledge => true,
+            ShutdownStep::Reject => false,
+            ShutdownStep::Replicate(copies) => self.collect(copies).await,
         }
     }
 
-    fn start_acknowledgement(&self, id: &str, heard: &HeartbeatOutcome) -> Start {
+    fn start_acknowledgement(&self, id: &str, heard: &HeartbeatOutcome) -> ShutdownStep {
         let (contact, membership) = (self.contact(), self.membership());
         let register = self.register.borrow();
-        self.acknowledgements.borrow().start(&register, id, heard, contact, &membership)
+        self.acknowledgements.borrow().begin(&register, id, heard, contact, &membership)
     }
 
     /// Hands a leaving server's word to the other machines until enough have it. Whether it may be acknowledged.
     // Danger: if all machines that have the word are lost, requests go on to the server.
-    async fn collect(self: &Rc<Self>, mut copies: CopyCollection) -> bool {
+    async fn collect(self: &Rc<Self>, mut copies: EntryReplication) -> bool {
         let entry = copies.entry();
         let (to, mut from) = mpsc::unbounded_channel();
         for other in self.others() {
@@ -87,21 +87,21 @@
         drop(to);
         loop {
             match copies.decision(self.contact()) {
-                Decision::Acknowledge => {
-                    self.acknowledgements.borrow_mut().acknowledged(entry);
+                AcknowledgementDecision::Acknowledge => {
+                    self.acknowledgements.borrow_mut().record_acknowledged(entry);
                     return true;
                 }
-                Decision::Refuse => return false,
-                Decision::Wait => {}
+                AcknowledgementDecision::Reject => return false,
+                AcknowledgementDecision::Wait => {}
             }
             let Some((other, shown)) = from.recv().await else { return false };
-            copies.answered(other, shown.as_ref());
+            copies.record_reply(other, shown.as_ref());
         }
     }
 
     /// Gives another machine an entry. What it has seen then, if it answered.
-    async fn copy_to(self: &Rc<Self>, other: SocketAddrV4, entry: EntryNumber) -> Option<VersionVector> {
-        let latest = latest_entries(&self.register.borrow());
+    async fn copy_to(self: &Rc<Self>, other: SocketAddrV4, entry: EntryVersion) -> Option<VersionVector> {
+        let latest = latest_local_entries(&self.register.borrow());
         let shown = self.hand_to(other, latest).await?;
         if entry.is_covered_by(&shown) {
             return Some(shown);
@@ -117,10 +117,14 @@
         Some(handed.vector)
     }
 
-    fn membership(&self) -> Membership {
+    fn membership(&self) -> ReplicaSet {
         let node = self.node.borrow();
         let members = node.iter().flat_map(|node| node.members()).map(|member| member.address).collect();
-        Membership { me: self.settings.internal_address(), members, failures: self.settings.node_failures }
+        ReplicaSet {
+            local_address: self.settings.internal_address(),
+            members,
+            tolerated_failures: self.settings.node_failures,
+        }
     }
 
     /// The orders that are due.
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -101,7 +101,7 @@
         drop(register);
         let contact = self.contact();
         let revision = self.history.borrow().advertised_revision(contact);
-        let current = contact.is_in_touch();
+        let current = contact.is_confirmed();
         let cores = self.all();
         Updates {
             revision,
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_control_plane::Contact;
-use mosshead_control_plane::subscription::{Assembled, Session, Subscription, assemble};
+use mosshead_control_plane::QuorumContact;
+use mosshead_control_plane::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
 use mosshead_registry::{Delta, Registry, VersionVector};
 use mosshead_rpc::Caller;
 use mosshead_time::Duration;
@@ -87,7 +87,7 @@
     caller: Caller,
     sink: Rc<S>,
     registry: Rc<RefCell<Registry>>,
-    subscription: RefCell<Subscription>,
+    subscription: RefCell<ControlNodePool>,
     is_fetching: Cell<bool>,
     last_contact: Cell<Option<Instant>>,
 }
@@ -109,7 +109,7 @@
             caller: Caller::new(),
             sink,
             registry,
-            subscription: RefCell::new(Subscription::new(seeds)),
+            subscription: RefCell::new(ControlNodePool::new(seeds)),
             is_fetching: Cell::new(false),
             last_contact: Cell::new(None),
         })
@@ -117,12 +117,12 @@
 
     /// Adds control nodes to those that may be watched.
     pub fn add_control_nodes(&self, addresses: &[SocketAddrV4]) {
-        self.subscription.borrow_mut().learn(addresses);
+        self.subscription.borrow_mut().add(addresses);
     }
 
     /// How many control nodes are known, lost ones perhaps among them.
     pub fn control_node_count(&self) -> usize {
-        self.subscription.borrow().cores().len()
+        self.subscription.borrow().addresses().len()
     }
 
     /// When a control node with quorum contact last responded.
@@ -134,7 +134,7 @@
     pub async fn run(self: Rc<Self>, slot: usize) {
         loop {
             let now = self.clock.now().as_millis();
-            let chosen = self.subscription.borrow_mut().choose(now);
+            let chosen = self.subscription.borrow_mut().acquire(now);
             let Some(control_node) = chosen else {
                 sleep(IDLE_PAUSE).await;
                 continue;
@@ -146,30 +146,35 @@
     }
 
     async fn watch_until_failure(&self, control_node: SocketAddrV4, slot: usize) {
-        let mut session = Session::default();
+        let mut session = WatchSession::default();
         let mut is_first = true;
         while let Some(contact) = self.watch_once(control_node, slot, is_first).await
-            && session.goes_on(self.clock.now().as_millis(), contact)
+            && session.should_continue(self.clock.now().as_millis(), contact)
         {
             is_first = false;
         }
     }
 
     /// One call. `None` if it failed, else whether the control node has quorum contact.
-    async fn watch_once(&self, control_node: SocketAddrV4, slot: usize, is_first: bool) -> Option<Contact> {
+    async fn watch_once(
+        &self,
+        control_node: SocketAddrV4,
+        slot: usize,
+        is_first: bool,
+    ) -> Option<QuorumContact> {
         let revision = self.revision_in_force();
         let wait = if is_first { FIRST_WATCH_WAIT } else { WATCH_WAIT };
         let call = self.watch_call(revision, slot == 0 || is_first, wait);
         let mut updates = self.caller.call(control_node, &call, wait + RESPONSE_MARGIN).await.ok()?;
-        let contact = Contact::from_flag(updates.has_quorum_contact);
+        let contact = QuorumContact::from_flag(updates.has_quorum_contact);
         self.take_in(control_node, slot, &mut updates).await;
-        if contact.is_in_touch() {
+        if contact.is_confirmed() {
             self.last_contact.set(Some(Instant::now()));
         }
         if updates.revision > revision {
             sleep(requery_pause(slot)).await;
         }
-        self.subscription.borrow_mut().named(&updates.control_nodes, contact);
+        self.subscription.borrow_mut().update_members(&updates.control_nodes, contact);
         Some(contact)
     }
 
@@ -184,9 +189,9 @@
         if updates.needs_entries {
             self.replicate_all_entries(control_node).await;
         }
-        let contact = Contact::from_flag(updates.has_quorum_contact);
+        let contact = QuorumContact::from_flag(updates.has_quorum_contact);
         let in_force = self.revision_in_force();
-        if self.subscription.borrow().wants_configuration(in_force, updates.revision, contact) {
+        if self.subscription.borrow().should_fetch_config(in_force, updates.revision, contact) {
             self.fetch_config(control_node).await;
         }
     }
@@ -241,10 +246,10 @@
         let current = self.sink.config();
         let revision = current.as_ref().map_or(NO_REVISION, |config| config.revision);
         let mut assembled = self.fetch_config_from(control_node, revision, current.as_deref()).await;
-        if assembled == Some(Assembled::Misfit) {
+        if assembled == Some(AssembledConfig::Mismatch) {
             assembled = self.fetch_config_from(control_node, NO_REVISION, current.as_deref()).await;
         }
-        if let Some(Assembled::Config(config)) = assembled {
+        if let Some(AssembledConfig::Config(config)) = assembled {
             self.sink.apply_config(config);
         }
     }
@@ -255,14 +260,14 @@
         control_node: SocketAddrV4,
         base_revision: u64,
         current: Option<&Config>,
-    ) -> Option<Assembled> {
+    ) -> Option<AssembledConfig> {
         let mut transfer = IncomingTransfer::new(base_revision);
         loop {
             let call = FetchConfig(transfer.next_request());
             let chunk = self.caller.call(control_node, &call, CHUNK_TIMEOUT).await.ok()?;
             match transfer.on_chunk(&chunk) {
                 TransferProgress::Incomplete => {}
-                TransferProgress::Complete(update) => return Some(assemble(current, &update.into())),
+                TransferProgress::Complete(update) => return Some(assemble_config(current, &update.into())),
                 TransferProgress::Corrupt => return None,
             }
         }
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_control_plane::subscription::{Assembled, assemble};
+use mosshead_control_plane::{AssembledConfig, assemble_config};
 use mosshead_programs::config_transfer::ConfigUpdate;
 use mosshead_programs::update_watcher::{WATCH_SLOTS, requery_pause};
 use tokio::time::Duration;
@@ -22,9 +22,9 @@
 
 /// The configuration that an update on the wire leads to.
 fn assemble_update(have: Option<&Config>, update: &ConfigUpdate) -> Option<Arc<Config>> {
-    match assemble(have, &update.clone().into()) {
-        Assembled::Config(config) => Some(config),
-        Assembled::Withheld | Assembled::Misfit => None,
+    match assemble_config(have, &update.clone().into()) {
+        AssembledConfig::Config(config) => Some(config),
+        AssembledConfig::Withheld | AssembledConfig::Mismatch => None,
     }
 }
 
