--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -31,10 +31,6 @@
 const LEAVE_TICK: Duration = Duration::from_millis(20);
 /// A planned end waits no longer than the control state does.
 const LEAVE: Duration = Duration::from_millis(LEAVE_WITHIN);
-/// The usual grace of the platform.
-const GRACE_S: f64 = 8.0;
-/// A longer one changes nothing here.
-const MOST_GRACE_S: f64 = 3_600.0;
 /// The usual span from a machine's start to the next loss.
 const SYNC_S: f64 = 4.5;
 /// A longer one changes nothing here.
@@ -187,7 +183,7 @@
 
 /// How long a planned end waits for the word of the others at most: well below the platform's grace.
 fn leave_within(settings: &Settings) -> Duration {
-    LEAVE.min(Duration::from_secs_f64(settings.bound("grace_s", GRACE_S).min(MOST_GRACE_S) / 3.0))
+    LEAVE.min(settings.grace() / 3)
 }
 
 impl ControlNode {
--- a/crates/programs/src/settings.rs
+++ b/crates/programs/src/settings.rs
@@ -103,9 +103,10 @@
         self.bounds.get(name).copied().unwrap_or(default)
     }
 
-    /// `bounds.grace_s`: the time from SIGTERM to SIGKILL.
+    /// `bounds.grace_s`: the time from SIGTERM to SIGKILL. A number that is no `Duration` stands for the longest one.
     pub fn grace(&self) -> Duration {
-        Duration::from_secs_f64(self.bound("grace_s", DEFAULT_GRACE_SECONDS))
+        let seconds = self.bound("grace_s", DEFAULT_GRACE_SECONDS);
+        Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
     /// `bounds.sync_s`: the time after its start by which a control node counts as synchronised, at most one hour.
--- a/crates/programs/tests/settings.rs
+++ b/crates/programs/tests/settings.rs
@@ -69,6 +69,21 @@
     assert_eq!(settings.bound("of_tomorrow", 0.0), 4.0);
 }
 
+#[test]
+fn spans_have_defaults_and_may_be_any_valid_number() {
+    let spans = |more: &str| {
+        let settings = Settings::parse(format!("{MINIMAL}{more}").as_bytes()).expect("valid");
+        (settings.grace(), settings.sync_time(), settings.lease())
+    };
+    let (grace, sync_time, lease) =
+        (Duration::from_secs(8), Duration::from_millis(4500), Duration::from_millis(3000));
+    assert_eq!(spans(""), (grace, sync_time, lease));
+    assert_eq!(spans("bounds.grace_s=0.25\n").0, Duration::from_millis(250));
+    assert_eq!(spans("bounds.grace_s=1e300\n").0, Duration::MAX);
+    assert_eq!(spans("bounds.sync_s=1e300\n").1, Duration::from_secs(3600));
+    assert_eq!(spans("bounds.lease_ms=1e300\n").2, Duration::from_millis(u64::MAX));
+}
+
 #[test]
 fn a_missing_field_is_named() {
     for key in ["node_name", "zone", "ip_address", "internal_port_range"] {
