--- a/crates/capacity-bench/src/control_state.rs
+++ b/crates/capacity-bench/src/control_state.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use mosshead_consensus::{CallDigest, Input, Member, Message, Node, Output, Settings, Verdict};
+use mosshead_consensus::{ClientReply, Input, Member, Message, Node, Output, RequestDigest, Settings};
 use mosshead_programs::calls::ConsensusMessage;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -107,11 +107,11 @@
         let (primary, start, taken) = (self.primary()?, self.now, self.taken);
         let base = revision - 1;
         let input = Input::Change {
-            ask: revision,
-            base,
+            request_id: revision,
+            base_revision: base,
             revision,
             body: body.to_vec(),
-            digest: CallDigest([revision as u8; 32]),
+            digest: RequestDigest([revision as u8; 32]),
         };
         self.step(primary, input);
         while self.taken == taken {
@@ -127,7 +127,7 @@
         let now = self.now;
         let Some(node) = self.nodes.get_mut(place) else { return };
         let outputs = self.counter.time(|| node.step(now, input));
-        let from = node.me();
+        let from = node.local_member();
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
@@ -141,7 +141,7 @@
                 Output::Write { token, .. } | Output::Rewrite { token, .. } => {
                     self.push(now + SYNC, place, Act::Written(token));
                 }
-                Output::Answer { result: Verdict::Taken { .. }, .. } => self.taken += 1,
+                Output::Reply { reply: ClientReply::Committed { .. }, .. } => self.taken += 1,
                 _ => {}
             }
         }
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,76 +1,78 @@
 use rand_core::RngCore;
 
-use crate::change::StateChange;
+use crate::change::StateDelta;
 use crate::log::{Effect, LogRecord, Pending};
 use crate::message::Message;
 use crate::node::{Node, Role};
 use crate::settings::InjectedFault;
 use crate::transfer::StatePurpose;
-use crate::types::{Ballot, Member, Record, State, Version};
+use crate::types::{ControlState, EpochConfig, Member, StateVersion, Term};
 
 impl<R: RngCore> Node<R> {
-    pub(crate) fn is_founder(&self) -> bool {
-        self.founders().is_some()
+    pub(crate) fn is_bootstrap_voter(&self) -> bool {
+        self.bootstrap_voters().is_some()
     }
 
-    pub(crate) fn founders(&self) -> Option<&[core::net::SocketAddrV4]> {
-        if self.settings.has(InjectedFault::AnyFounder) && self.settings.seeds.contains(&self.me.address) {
+    pub(crate) fn bootstrap_voters(&self) -> Option<&[core::net::SocketAddrV4]> {
+        if self.settings.has(InjectedFault::AnyBootstrapVoter)
+            && self.settings.seeds.contains(&self.me.address)
+        {
             return Some(&self.settings.seeds);
         }
-        self.identity.founders.as_deref()
+        self.identity.bootstrap_voters.as_deref()
     }
 
-    /// Whether a ballot may be taken. One that is refused is told what was promised.
-    pub(crate) fn admit(&mut self, from: Member, ballot: Ballot) -> bool {
-        self.highest = self.highest.max(ballot.round);
-        if ballot < self.promised {
-            self.send(from.address, Message::Reject { ballot, promised: self.promised });
+    /// Whether a term may be taken. One that is refused is told what was promised.
+    pub(crate) fn admit(&mut self, from: Member, term: Term) -> bool {
+        self.highest = self.highest.max(term.number);
+        if term < self.promised {
+            self.send(from.address, Message::Reject { term, promised: self.promised });
         }
-        // Danger: a ballot belongs to one disk; a write of another under it would be taken for its own.
-        ballot >= self.promised && ballot.member == from.id && !self.writes.is_full()
+        // Danger: a term belongs to one disk; a write of another under it would be taken for its own.
+        term >= self.promised && term.proposer == from.id && !self.writes.is_full()
     }
 
-    fn raise_promise(&mut self, ballot: Ballot) {
-        if ballot > self.promised {
-            self.promised = ballot;
-            self.outranked(ballot);
+    fn raise_promise(&mut self, term: Term) {
+        if term > self.promised {
+            self.promised = term;
+            self.outranked(term);
         }
     }
 
-    pub(crate) fn on_prepare(&mut self, from: Member, ballot: Ballot) {
-        if !self.admit(from, ballot) {
+    pub(crate) fn on_prepare(&mut self, from: Member, term: Term) {
+        if !self.admit(from, term) {
             return;
         }
-        if ballot > self.promised {
+        if term > self.promised {
             // From here on nothing lower is taken, also before the promise is on disk.
-            self.raise_promise(ballot);
-            self.election.quiet_until = self.now + self.settings.timings.suspect / 2;
-            self.write(Effect::Promise(ballot), Some(from));
-        } else if self.stable.promised == ballot {
-            self.promise(from, ballot);
+            self.raise_promise(term);
+            self.election.quiet_until = self.now + self.settings.timings.suspicion_timeout / 2;
+            self.write(Effect::Promise(term), Some(from));
+        } else if self.stable.promised == term {
+            self.promise(from, term);
         }
     }
 
-    fn promise(&mut self, to: Member, ballot: Ballot) {
+    fn promise(&mut self, to: Member, term: Term) {
         let promise = Message::Promise {
-            ballot,
-            founder: self.is_founder(),
-            fit: self.is_fit(),
-            record: self.view.clone(),
+            term,
+            is_bootstrap_voter: self.is_bootstrap_voter(),
+            is_healthy: self.is_healthy(),
+            config: self.view.clone(),
             version: self.stable.version(),
         };
         self.send(to.address, promise);
     }
 
-    pub(crate) fn on_fetch(&mut self, from: Member, ballot: Ballot, version: Version) {
+    pub(crate) fn on_fetch(&mut self, from: Member, term: Term, version: StateVersion) {
         let held = [self.stable.state.as_ref(), self.committed.as_ref()];
         let found = held.into_iter().flatten().find(|s| s.version().same_body(&version));
-        if let Some(state) = found.map(|s| s.stamped(version.stamp)) {
-            self.send_state(from, StatePurpose::Fetched { ballot }, state);
+        if let Some(state) = found.map(|s| s.stamped(version.write_term)) {
+            self.send_state(from, StatePurpose::FetchedState { term }, state);
         }
     }
 
-    pub(crate) fn on_replicate(&mut self, from: Member, state: State) {
+    pub(crate) fn on_replicate(&mut self, from: Member, state: ControlState) {
         if !self.takes_state(from, &state.version()) {
             return;
         }
@@ -78,12 +80,13 @@
     }
 
     /// Whether a state is to be written.
-    fn takes_state(&mut self, from: Member, version: &Version) -> bool {
-        let forgets = self.settings.has(InjectedFault::ForgetPromise) && version.stamp.member == from.id;
-        (forgets || self.admit(from, version.stamp)) && !self.is_known(from, version)
+    fn takes_state(&mut self, from: Member, version: &StateVersion) -> bool {
+        let forgets =
+            self.settings.has(InjectedFault::ForgetPromise) && version.write_term.proposer == from.id;
+        (forgets || self.admit(from, version.write_term)) && !self.is_known(from, version)
     }
 
-    pub(crate) fn on_replicate_change(&mut self, from: Member, change: StateChange) {
+    pub(crate) fn on_replicate_change(&mut self, from: Member, change: StateDelta) {
         let version = change.version();
         if !self.takes_state(from, &version) {
             return;
@@ -93,22 +96,22 @@
             pending.or(self.stable.state.as_ref()).and_then(|previous| self.changed(previous, &change));
         match state {
             Some(state) => self.write_replica(from, Some(change), state),
-            None => self.send(from.address, Message::LacksBody { version }),
+            None => self.send(from.address, Message::MissingBody { version }),
         }
     }
 
-    fn changed(&self, previous: &State, change: &StateChange) -> Option<State> {
-        match self.settings.has(InjectedFault::ChangeOnAnyState) {
+    fn changed(&self, previous: &ControlState, change: &StateDelta) -> Option<ControlState> {
+        match self.settings.has(InjectedFault::ApplyDeltaToAnyState) {
             true => change.apply_to_any(previous),
             false => change.apply(previous),
         }
     }
 
-    pub(crate) fn on_committed_changes(&mut self, changes: Vec<StateChange>) {
-        if self.settings.has(InjectedFault::ChangeOnAnyState) {
+    pub(crate) fn on_committed_changes(&mut self, changes: Vec<StateDelta>) {
+        if self.settings.has(InjectedFault::ApplyDeltaToAnyState) {
             let last = changes
                 .last()
-                .filter(|c| self.committed.as_ref().is_some_and(|s| s.revision < c.call.revision));
+                .filter(|c| self.committed.as_ref().is_some_and(|s| s.revision < c.request.revision));
             let state = last.and_then(|change| change.apply_to_any(self.committed.as_ref()?));
             return state.into_iter().for_each(|state| self.show(state));
         }
@@ -124,23 +127,23 @@
         }
     }
 
-    fn write_replica(&mut self, from: Member, change: Option<StateChange>, state: State) {
-        if self.settings.has(InjectedFault::ShowUncommitted) {
+    fn write_replica(&mut self, from: Member, change: Option<StateDelta>, state: ControlState) {
+        if self.settings.has(InjectedFault::PublishUncommitted) {
             self.show(state.clone());
         }
-        self.raise_promise(state.ballot);
+        self.raise_promise(state.write_term);
         self.write_state(change, state, from);
     }
 
     /// Writes a state: only what changed where the state before it stands in the log for certain.
-    pub(crate) fn write_state(&mut self, change: Option<StateChange>, state: State, to: Member) {
+    pub(crate) fn write_state(&mut self, change: Option<StateDelta>, state: ControlState, to: Member) {
         let in_log =
-            |change: &StateChange| self.stable.version().is_some_and(|v| v.same_body(&change.previous));
-        let certain = self.may_refer() || self.settings.has(InjectedFault::ChangeOnUnsureState);
+            |change: &StateDelta| self.stable.version().is_some_and(|v| v.same_body(&change.previous));
+        let certain = self.may_refer() || self.settings.has(InjectedFault::WriteDeltaOnUncertainState);
         let change = change.filter(|change| certain && in_log(change));
         let effect = match change {
             Some(change) => Effect::Change(change, state),
-            None => Effect::State(state),
+            None => Effect::ControlState(state),
         };
         self.write(effect, Some(to));
     }
@@ -152,10 +155,10 @@
     }
 
     /// Answers what is on disk already; says whether it is, or is about to be, or an even newer one.
-    pub(crate) fn is_known(&mut self, from: Member, version: &Version) -> bool {
+    pub(crate) fn is_known(&mut self, from: Member, version: &StateVersion) -> bool {
         let pending = self.writes.queue.iter().any(|w| match &w.effect {
-            Effect::State(state) | Effect::Change(_, state) => state.version() >= *version,
-            Effect::Restamp(pending) => pending >= version,
+            Effect::ControlState(state) | Effect::Change(_, state) => state.version() >= *version,
+            Effect::RewriteUnderNewTerm(pending) => pending >= version,
             _ => false,
         });
         match self.stable.version() {
@@ -167,8 +170,8 @@
         }
     }
 
-    pub(crate) fn on_restamp(&mut self, from: Member, version: Version) {
-        if !self.admit(from, version.stamp) || self.is_known(from, &version) {
+    pub(crate) fn on_restamp(&mut self, from: Member, version: StateVersion) {
+        if !self.admit(from, version.write_term) || self.is_known(from, &version) {
             return;
         }
         let held = self.stable.state.as_ref().filter(|s| s.version().same_body(&version)).cloned();
@@ -176,46 +179,42 @@
         match (held, shown) {
             // What the record refers to has to stand before it in the log, for certain.
             (Some(_), _) if self.may_refer() => {
-                self.raise_promise(version.stamp);
-                self.write(Effect::Restamp(version), Some(from));
+                self.raise_promise(version.write_term);
+                self.write(Effect::RewriteUnderNewTerm(version), Some(from));
             }
             (Some(state), _) | (None, Some(state)) => {
-                self.raise_promise(version.stamp);
-                self.write(Effect::State(state.stamped(version.stamp)), Some(from));
+                self.raise_promise(version.write_term);
+                self.write(Effect::ControlState(state.stamped(version.write_term)), Some(from));
             }
-            (None, None) => self.send(from.address, Message::LacksBody { version }),
+            (None, None) => self.send(from.address, Message::MissingBody { version }),
         }
     }
 
-    pub(crate) fn on_accept(&mut self, from: Member, record: Record) {
-        if record.primary != from.id || !self.admit(from, record.ballot) {
+    pub(crate) fn on_accept(&mut self, from: Member, record: EpochConfig) {
+        if record.primary != from.id || !self.admit(from, record.term) {
             return;
         }
-        let ballot = record.ballot;
+        let term = record.term;
         self.note_record(&record);
-        if self.stable.accepted_ballot() == ballot {
-            self.accepted(from, ballot);
-        } else if !self
-            .writes
-            .queue
-            .iter()
-            .any(|w| matches!(&w.effect, Effect::Accept(r) if r.ballot == ballot))
+        if self.stable.accepted_ballot() == term {
+            self.accepted(from, term);
+        } else if !self.writes.queue.iter().any(|w| matches!(&w.effect, Effect::Accept(r) if r.term == term))
         {
-            self.raise_promise(ballot);
+            self.raise_promise(term);
             self.write(Effect::Accept(record), Some(from));
         }
     }
 
-    fn accepted(&mut self, to: Member, ballot: Ballot) {
-        let founder = self.is_founder();
-        self.send(to.address, Message::Accepted { ballot, founder });
+    fn accepted(&mut self, to: Member, term: Term) {
+        let is_bootstrap_voter = self.is_bootstrap_voter();
+        self.send(to.address, Message::Accepted { term, is_bootstrap_voter });
     }
 
     /// A write is on disk.
     pub(crate) fn written(&mut self, pending: Pending) {
         let record = match &pending.effect {
             // It was made when the change was queued.
-            Effect::Change(_, state) => Some(LogRecord::State(state.clone())),
+            Effect::Change(_, state) => Some(LogRecord::ControlState(state.clone())),
             effect => effect.record(),
         };
         match record {
@@ -228,7 +227,7 @@
                 self.writes.body_unsure = false;
             }
         }
-        if matches!(pending.effect, Effect::State(_)) {
+        if matches!(pending.effect, Effect::ControlState(_)) {
             self.writes.body_unsure = false;
         }
         let Some(to) = pending.to else { return };
@@ -237,22 +236,22 @@
         }
         match pending.effect {
             // Promised higher meanwhile: the answer would be of no use.
-            Effect::Promise(ballot) if self.promised == ballot => self.promise(to, ballot),
-            Effect::Accept(record) => self.accepted(to, record.ballot),
-            Effect::State(state) | Effect::Change(_, state) => {
+            Effect::Promise(term) if self.promised == term => self.promise(to, term),
+            Effect::Accept(record) => self.accepted(to, record.term),
+            Effect::ControlState(state) | Effect::Change(_, state) => {
                 self.send(to.address, Message::Replicated { version: state.version() })
             }
-            Effect::Restamp(version) => self.send(to.address, Message::Replicated { version }),
+            Effect::RewriteUnderNewTerm(version) => self.send(to.address, Message::Replicated { version }),
             _ => {}
         }
     }
 
     fn own_written(&mut self, effect: Effect) {
         match effect {
-            Effect::Promise(ballot) => self.own_promise_written(ballot),
-            Effect::State(state) | Effect::Change(_, state) => self.own_state_written(state.version()),
-            Effect::Restamp(version) => self.own_state_written(version),
-            Effect::Accept(record) => self.own_record_written(record.ballot),
+            Effect::Promise(term) => self.own_promise_written(term),
+            Effect::ControlState(state) | Effect::Change(_, state) => self.own_state_written(state.version()),
+            Effect::RewriteUnderNewTerm(version) => self.own_state_written(version),
+            Effect::Accept(record) => self.own_record_written(record.term),
             _ => {}
         }
     }
--- a/crates/consensus/src/change.rs
+++ b/crates/consensus/src/change.rs
@@ -4,51 +4,52 @@
 
 use minicbor::{Decode, Encode};
 
-use crate::delta::Delta;
-use crate::types::{Ballot, Call, State, Version};
+use crate::delta::BodyDelta;
+use crate::types::{AppliedRequest, ControlState, StateVersion, Term};
 
 /// A change of the state, for those that have the state before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct StateChange {
+pub struct StateDelta {
     /// The state before; its stamp does not matter.
     #[n(0)]
-    pub previous: Version,
-    /// The ballot under which the change was written first.
+    pub previous: StateVersion,
+    /// The term under which the change was written first.
     #[n(1)]
-    pub ballot: Ballot,
+    pub term: Term,
     /// The call that made it.
     #[n(2)]
-    pub call: Call,
+    pub request: AppliedRequest,
     /// What makes the new body of the one before.
     #[n(3)]
-    pub delta: Delta,
+    pub delta: BodyDelta,
 }
 
-impl StateChange {
+impl StateDelta {
     /// The change from one state to the one right after it; none where the whole state is no longer, or where the
     /// second is not the first after one call.
-    pub fn between(previous: &State, next: &State) -> Option<StateChange> {
-        let call = *next.taken.last()?;
-        let followed = previous.after(next.ballot, call, next.body.clone()) == *next;
-        let delta = Delta::between(&previous.body, &next.body).filter(|_| followed)?;
-        Some(StateChange { previous: previous.version(), ballot: next.ballot, call, delta })
+    pub fn between(previous: &ControlState, next: &ControlState) -> Option<StateDelta> {
+        let call = *next.applied_requests.last()?;
+        let followed = previous.with_request_applied(next.write_term, call, next.body.clone()) == *next;
+        let delta = BodyDelta::between(&previous.body, &next.body).filter(|_| followed)?;
+        Some(StateDelta { previous: previous.version(), term: next.write_term, request: call, delta })
     }
 
     /// Which state it makes.
-    pub fn version(&self) -> Version {
-        Version { stamp: self.ballot, revision: self.call.revision, origin: self.ballot }
+    pub fn version(&self) -> StateVersion {
+        StateVersion { write_term: self.term, revision: self.request.revision, first_write_term: self.term }
     }
 
     /// The state after the change, if this is the state before it.
-    pub fn apply(&self, previous: &State) -> Option<State> {
-        let follows = previous.version().same_body(&self.previous) && self.call.revision > previous.revision;
+    pub fn apply(&self, previous: &ControlState) -> Option<ControlState> {
+        let follows =
+            previous.version().same_body(&self.previous) && self.request.revision > previous.revision;
         if follows { self.apply_to_any(previous) } else { None }
     }
 
-    /// As [`StateChange::apply`], but trusts that this is the state before it.
-    pub(crate) fn apply_to_any(&self, previous: &State) -> Option<State> {
+    /// As [`StateDelta::apply`], but trusts that this is the state before it.
+    pub(crate) fn apply_to_any(&self, previous: &ControlState) -> Option<ControlState> {
         let body = self.delta.apply(&previous.body)?;
-        Some(previous.after(self.ballot, self.call, body.into()))
+        Some(previous.with_request_applied(self.term, self.request, body.into()))
     }
 
     pub(crate) fn bytes(&self) -> usize {
@@ -67,7 +68,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RecentChanges {
     /// With the time at which each was committed.
-    changes: VecDeque<(u64, StateChange)>,
+    changes: VecDeque<(u64, StateDelta)>,
     bytes: usize,
 }
 
@@ -78,7 +79,7 @@
     }
 
     /// Adds one; what it does not follow is forgotten.
-    pub(crate) fn push(&mut self, now: u64, change: StateChange) {
+    pub(crate) fn push(&mut self, now: u64, change: StateDelta) {
         let follows = self.changes.back().is_none_or(|(_, last)| change.previous.same_body(&last.version()));
         if !follows || change.bytes() > MOST_BYTES {
             self.clear();
@@ -92,7 +93,7 @@
     }
 
     /// The changes from a committed revision to the present state, oldest first; none if some are gone.
-    pub(crate) fn since(&self, revision: u64, present: &State) -> Option<Vec<StateChange>> {
+    pub(crate) fn since(&self, revision: u64, present: &ControlState) -> Option<Vec<StateDelta>> {
         self.changes.back().filter(|(_, last)| last.version().same_body(&present.version()))?;
         let first = self.changes.iter().position(|(_, change)| change.previous.revision == revision)?;
         Some(self.changes.iter().skip(first).map(|(_, change)| change.clone()).collect())
@@ -108,13 +109,13 @@
 /// Committed changes whose previous state is not there yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct EarlyChanges {
-    changes: VecDeque<StateChange>,
+    changes: VecDeque<StateDelta>,
     bytes: usize,
 }
 
 impl EarlyChanges {
     /// Keeps a change until its previous state comes; the oldest give way.
-    pub(crate) fn push(&mut self, change: StateChange) {
+    pub(crate) fn push(&mut self, change: StateDelta) {
         if self.changes.iter().any(|known| known.version().same_body(&change.version())) {
             return;
         }
@@ -127,7 +128,7 @@
     }
 
     /// The newest state that the kept changes make of this one.
-    pub(crate) fn advance(&self, mut state: State) -> State {
+    pub(crate) fn advance(&self, mut state: ControlState) -> ControlState {
         while let Some(next) = self.changes.iter().find_map(|change| change.apply(&state)) {
             state = next;
         }
@@ -136,7 +137,7 @@
 
     /// Forgets what leads to a state that is known.
     pub(crate) fn forget_up_to(&mut self, revision: u64) {
-        self.changes.retain(|change| change.call.revision > revision);
-        self.bytes = self.changes.iter().map(StateChange::bytes).sum();
+        self.changes.retain(|change| change.request.revision > revision);
+        self.bytes = self.changes.iter().map(StateDelta::bytes).sum();
     }
 }
--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/client_requests.rs
@@ -1,40 +1,40 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::event::{Output, Verdict};
+use crate::event::{ClientReply, Output};
 use crate::node::{Node, Role};
 use crate::settings::InjectedFault;
-use crate::types::{Call, Judgement, State};
+use crate::types::{AppliedRequest, ControlState, RequestStatus};
 use rand_core::RngCore;
 
 /// An operator's change, not judged yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Change {
-    ask: u64,
+    request_id: u64,
     since: u64,
     base: u64,
-    call: Call,
+    call: AppliedRequest,
     body: Arc<[u8]>,
 }
 
-/// What is true if the ballot still holds.
+/// What is true if the term still holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Claim {
     Read,
     Stale { current: u64 },
 }
 
-/// An answer that waits until a majority has confirmed the ballot.
+/// An answer that waits until a majority has confirmed the term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Unconfirmed {
-    ask: u64,
+    request_id: u64,
     since: u64,
     /// The first heartbeat that confirms; none while a take-over from oneself is under way.
     sequence: Option<u64>,
     claim: Claim,
 }
 
-/// The asks that have no answer yet.
+/// The client requests that have no reply yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ClientRequests {
     queue: VecDeque<Change>,
@@ -52,41 +52,41 @@
         !matches!(self.role, Role::Follower) && self.stopping.is_none()
     }
 
-    pub(crate) fn answer(&mut self, ask: u64, result: Verdict) {
-        self.out.push(Output::Answer { ask, result });
+    pub(crate) fn answer(&mut self, request_id: u64, result: ClientReply) {
+        self.out.push(Output::Reply { request_id, reply: result });
     }
 
-    fn refuse(&mut self, ask: u64) {
+    fn refuse(&mut self, request_id: u64) {
         let primary = self.hint();
-        self.answer(ask, Verdict::NotPrimary { primary });
+        self.answer(request_id, ClientReply::NotPrimary { primary });
     }
 
-    pub(crate) fn on_change(&mut self, ask: u64, base: u64, call: Call, body: Vec<u8>) {
+    pub(crate) fn on_change(&mut self, request_id: u64, base: u64, call: AppliedRequest, body: Vec<u8>) {
         if !self.leads_or_may() {
-            self.refuse(ask);
-        } else if self.asks.queue.len() >= ClientRequests::MOST {
-            self.answer(ask, Verdict::Unavailable);
+            self.refuse(request_id);
+        } else if self.client_requests.queue.len() >= ClientRequests::MOST {
+            self.answer(request_id, ClientReply::Unavailable);
         } else {
-            let change = Change { ask, since: self.now, base, call, body: body.into() };
-            self.asks.queue.push_back(change);
+            let change = Change { request_id, since: self.now, base, call, body: body.into() };
+            self.client_requests.queue.push_back(change);
         }
     }
 
-    pub(crate) fn on_read(&mut self, ask: u64) {
+    pub(crate) fn on_read(&mut self, request_id: u64) {
         if !self.leads_or_may() {
-            self.refuse(ask);
+            self.refuse(request_id);
         } else if self.settings.has(InjectedFault::ReadUnconfirmed)
             && let (Role::Primary(_), Some(state)) = (&self.role, self.committed.clone())
         {
-            self.answer(ask, Verdict::Current { state });
+            self.answer(request_id, ClientReply::CurrentState { state });
         } else {
-            self.await_confirmation(ask, self.now, Claim::Read);
+            self.await_confirmation(request_id, self.now, Claim::Read);
         }
     }
 
-    fn await_confirmation(&mut self, ask: u64, since: u64, claim: Claim) {
-        if self.asks.unconfirmed.len() >= ClientRequests::MOST {
-            self.answer(ask, Verdict::Unavailable);
+    fn await_confirmation(&mut self, request_id: u64, since: u64, claim: Claim) {
+        if self.client_requests.unconfirmed.len() >= ClientRequests::MOST {
+            self.answer(request_id, ClientReply::Unavailable);
             return;
         }
         let sequence = match &self.role {
@@ -94,16 +94,16 @@
             Role::Primary(lead) => Some(lead.sequence + 1),
             _ => None,
         };
-        self.asks.unconfirmed.push_back(Unconfirmed { ask, since, sequence, claim });
+        self.client_requests.unconfirmed.push_back(Unconfirmed { request_id, since, sequence, claim });
     }
 
     /// Judges changes in turn, one being written at a time.
     pub(crate) fn pump(&mut self) {
         while matches!(self.role, Role::Primary(_)) {
-            if self.asks.pending_write.is_some() || self.stopping.is_some() {
+            if self.client_requests.pending_write.is_some() || self.stopping.is_some() {
                 break;
             }
-            let Some(change) = self.asks.queue.pop_front() else { break };
+            let Some(change) = self.client_requests.queue.pop_front() else { break };
             self.judge(change);
         }
         self.confirm();
@@ -113,28 +113,30 @@
         let Role::Primary(lead) = &self.role else { return };
         let current = lead.state.revision;
         match self.judgement(&lead.state, &change) {
-            Judgement::Taken => self.answer(change.ask, Verdict::Taken { revision: change.call.revision }),
-            Judgement::Forgotten => self.answer(change.ask, Verdict::Forgotten),
-            Judgement::Stale if self.settings.has(InjectedFault::StaleUnconfirmed) => {
-                self.answer(change.ask, Verdict::Stale { current });
+            RequestStatus::AlreadyApplied => {
+                self.answer(change.request_id, ClientReply::Committed { revision: change.call.revision })
             }
-            Judgement::Stale => {
-                self.await_confirmation(change.ask, change.since, Claim::Stale { current });
+            RequestStatus::Expired => self.answer(change.request_id, ClientReply::Expired),
+            RequestStatus::Stale if self.settings.has(InjectedFault::StaleUnconfirmed) => {
+                self.answer(change.request_id, ClientReply::Stale { current_revision: current });
             }
-            Judgement::Acceptable => {
-                let state = lead.state.after(lead.ballot, change.call, change.body.clone());
-                self.asks.pending_write = Some((change, false));
+            RequestStatus::Stale => {
+                self.await_confirmation(change.request_id, change.since, Claim::Stale { current });
+            }
+            RequestStatus::Acceptable => {
+                let state = lead.state.with_request_applied(lead.term, change.call, change.body.clone());
+                self.client_requests.pending_write = Some((change, false));
                 self.start_write(state);
             }
         }
     }
 
-    fn judgement(&self, state: &State, change: &Change) -> Judgement {
-        let forgets = self.settings.has(InjectedFault::ForgetTaken);
-        match state.judge(change.base, change.call) {
-            Judgement::Taken if forgets => Judgement::Stale,
-            Judgement::Forgotten if forgets || self.settings.has(InjectedFault::RefuseForgotten) => {
-                Judgement::Stale
+    fn judgement(&self, state: &ControlState, change: &Change) -> RequestStatus {
+        let forgets = self.settings.has(InjectedFault::ForgetAppliedRequests);
+        match state.classify_request(change.base, change.call) {
+            RequestStatus::AlreadyApplied if forgets => RequestStatus::Stale,
+            RequestStatus::Expired if forgets || self.settings.has(InjectedFault::RejectExpired) => {
+                RequestStatus::Stale
             }
             judgement => judgement,
         }
@@ -144,22 +146,27 @@
     pub(crate) fn confirm(&mut self) {
         let confirmed = self.confirmed_sequence();
         let Role::Primary(lead) = &self.role else { return };
-        for waiting in &mut self.asks.unconfirmed {
+        for waiting in &mut self.client_requests.unconfirmed {
             waiting.sequence.get_or_insert(lead.sequence + 1);
         }
         let (state, sent) = (lead.state.clone(), lead.sequence);
-        while let Some(first) = self.asks.unconfirmed.front() {
+        while let Some(first) = self.client_requests.unconfirmed.front() {
             if first.sequence.is_none_or(|s| s > confirmed) {
                 break;
             }
-            let Some(first) = self.asks.unconfirmed.pop_front() else { break };
+            let Some(first) = self.client_requests.unconfirmed.pop_front() else { break };
             match first.claim {
-                Claim::Read => self.answer(first.ask, Verdict::Current { state: state.clone() }),
-                Claim::Stale { current } => self.answer(first.ask, Verdict::Stale { current }),
+                Claim::Read => {
+                    self.answer(first.request_id, ClientReply::CurrentState { state: state.clone() })
+                }
+                Claim::Stale { current } => {
+                    self.answer(first.request_id, ClientReply::Stale { current_revision: current })
+                }
             }
         }
-        // One round at a time, whatever the number of asks.
-        let waits_for_new = self.asks.unconfirmed.front().and_then(|w| w.sequence).is_some_and(|s| s > sent);
+        // One round at a time, whatever the number of requests.
+        let waits_for_new =
+            self.client_requests.unconfirmed.front().and_then(|w| w.sequence).is_some_and(|s| s > sent);
         if waits_for_new {
             self.send_heartbeats(false);
             if self.confirmed_sequence() > sent {
@@ -170,83 +177,87 @@
 
     /// The pending_write is committed.
     pub(crate) fn finish_write(&mut self) {
-        if let Some((change, answered)) = self.asks.pending_write.take()
+        if let Some((change, answered)) = self.client_requests.pending_write.take()
             && !answered
         {
-            self.answer(change.ask, Verdict::Taken { revision: change.call.revision });
+            self.answer(change.request_id, ClientReply::Committed { revision: change.call.revision });
         }
     }
 
     /// A take-over from oneself is done: the pending_write is in the committed state, or never will be.
     pub(crate) fn settle_pending_write(&mut self) {
         let Role::Primary(lead) = &self.role else { return };
-        let Some((change, _)) = &self.asks.pending_write else { return };
-        if lead.state.has_taken(change.call) {
+        let Some((change, _)) = &self.client_requests.pending_write else { return };
+        if lead.state.has_applied(change.call) {
             self.finish_write();
-        } else if let Some((change, answered)) = self.asks.pending_write.take()
+        } else if let Some((change, answered)) = self.client_requests.pending_write.take()
             && !answered
         {
-            self.asks.queue.push_front(change);
+            self.client_requests.queue.push_front(change);
         }
     }
 
     /// A new epoch has heartbeats of its own.
     pub(crate) fn renumber_client_requests(&mut self) {
-        for waiting in &mut self.asks.unconfirmed {
+        for waiting in &mut self.client_requests.unconfirmed {
             waiting.sequence = None;
         }
     }
 
     /// This node judges nothing any more.
     pub(crate) fn drop_client_requests(&mut self) {
-        let asks = std::mem::take(&mut self.asks);
-        if self.settings.has(InjectedFault::DropAsks) {
+        let client_requests = std::mem::take(&mut self.client_requests);
+        if self.settings.has(InjectedFault::DropClientRequests) {
             return;
         }
-        if let Some((change, false)) = asks.pending_write {
-            self.answer(change.ask, Verdict::Unavailable);
+        if let Some((change, false)) = client_requests.pending_write {
+            self.answer(change.request_id, ClientReply::Unavailable);
         }
-        let unjudged = asks.queue.iter().map(|c| c.ask).chain(asks.unconfirmed.iter().map(|u| u.ask));
-        unjudged.for_each(|ask| self.refuse(ask));
+        let unjudged = client_requests
+            .queue
+            .iter()
+            .map(|c| c.request_id)
+            .chain(client_requests.unconfirmed.iter().map(|u| u.request_id));
+        unjudged.for_each(|request_id| self.refuse(request_id));
     }
 
     /// Others led between: what was judged before them counts no more.
     pub(crate) fn refuse_unconfirmed(&mut self) {
-        let stale = std::mem::take(&mut self.asks.unconfirmed);
+        let stale = std::mem::take(&mut self.client_requests.unconfirmed);
         for waiting in stale {
             match waiting.claim {
-                Claim::Read => self.asks.unconfirmed.push_back(waiting),
-                Claim::Stale { .. } => self.refuse(waiting.ask),
+                Claim::Read => self.client_requests.unconfirmed.push_back(waiting),
+                Claim::Stale { .. } => self.refuse(waiting.request_id),
             }
         }
     }
 
     pub(crate) fn expire_client_requests(&mut self) {
-        let late_by = if self.settings.has(InjectedFault::AnswerLate) { 350 } else { 0 };
-        let (now, most) = (self.now, self.settings.timings.ask + late_by);
+        let late_by = if self.settings.has(InjectedFault::ReplyLate) { 350 } else { 0 };
+        let (now, most) = (self.now, self.settings.timings.request_timeout + late_by);
         let late = |since: u64| now.saturating_sub(since) >= most;
         let mut expired = Vec::new();
-        if let Some((change, answered)) = &mut self.asks.pending_write
+        if let Some((change, answered)) = &mut self.client_requests.pending_write
             && !*answered
             && late(change.since)
         {
             *answered = true;
-            expired.push(change.ask);
+            expired.push(change.request_id);
         }
-        self.asks.queue.retain(|c| {
+        self.client_requests.queue.retain(|c| {
             !late(c.since) || {
-                expired.push(c.ask);
+                expired.push(c.request_id);
                 false
             }
         });
-        self.asks.unconfirmed.retain(|u| {
+        self.client_requests.unconfirmed.retain(|u| {
             !late(u.since) || {
-                expired.push(u.ask);
+                expired.push(u.request_id);
                 false
             }
         });
-        for ask in expired {
-            self.answer(ask, Verdict::Unavailable);
+        for request_id in expired {
+            self.answer(request_id, ClientReply::Unavailable);
         }
     }
 }
--- a/crates/consensus/src/contact.rs
+++ b/crates/consensus/src/contact.rs
@@ -1,6 +1,6 @@
 //! A follower's contact with a majority, proven by round trips.
 //!
-//! Each heartbeat answer carries a [`ContactStamp`]: the sender's own steady time. The primary sends the newest stamp of each
+//! Each heartbeat answer carries a [`LeaseStamp`]: the sender's own steady time. The primary sends the newest stamp of each
 //! peer back in its next heartbeat to it. That a heartbeat arrives proves nothing: it may have waited in the queue of a
 //! network or of a frozen process. That it carries a stamp proves that the primary sent it after the time in the stamp.
 
@@ -14,25 +14,27 @@
 
 /// The steady time at which a node answered a heartbeat. Only that node reads it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct ContactStamp {
+pub struct LeaseStamp {
     /// A random number of this run of the process: steady clocks start anew with each run.
     #[n(0)]
-    pub life: u64,
+    pub incarnation: u64,
     /// The time, in milliseconds.
     #[n(1)]
-    pub at: u64,
+    pub answered_at: u64,
 }
 
-impl ContactStamp {
+impl LeaseStamp {
     /// Whether this stamp tells of a peer that was long out of touch, by the last stamp that it sent.
-    pub(crate) fn is_return(&self, last: Option<ContactStamp>, lease: u64) -> bool {
-        last.is_none_or(|last| last.life != self.life || self.at.saturating_sub(last.at) > lease)
+    pub(crate) fn is_return(&self, last: Option<LeaseStamp>, lease: u64) -> bool {
+        last.is_none_or(|last| {
+            last.incarnation != self.incarnation || self.answered_at.saturating_sub(last.answered_at) > lease
+        })
     }
 
     /// The newer one of the stamps of a peer; they may arrive out of order.
-    pub(crate) fn newest(self, last: Option<ContactStamp>) -> ContactStamp {
+    pub(crate) fn newest(self, last: Option<LeaseStamp>) -> LeaseStamp {
         match last {
-            Some(last) if last.life == self.life && last.at > self.at => last,
+            Some(last) if last.incarnation == self.incarnation && last.answered_at > self.answered_at => last,
             _ => self,
         }
     }
@@ -61,13 +63,13 @@
         Contact { life, proven: None, waiting: VecDeque::new() }
     }
 
-    pub(crate) fn stamp(&self, now: u64) -> ContactStamp {
-        ContactStamp { life: self.life, at: now }
+    pub(crate) fn stamp(&self, now: u64) -> LeaseStamp {
+        LeaseStamp { incarnation: self.life, answered_at: now }
     }
 
     /// The time in a stamp that came back, if it is one of this run of the process.
-    pub(crate) fn time_of(&self, echo: ContactStamp, now: u64) -> Option<u64> {
-        (echo.life == self.life && echo.at <= now).then_some(echo.at)
+    pub(crate) fn time_of(&self, echo: LeaseStamp, now: u64) -> Option<u64> {
+        (echo.incarnation == self.life && echo.answered_at <= now).then_some(echo.answered_at)
     }
 
     /// The primary was in touch after `at`, and its committed state was of this revision.
@@ -95,16 +97,16 @@
     /// Whatever was acknowledged, by whomever, longer ago than this is in that state. A follower is in touch for `lease`
     /// after it has answered a heartbeat, if a later heartbeat of the primary proves that, and only once it shows what that
     /// later one told to be committed. A primary sends heartbeats for `lease` after it has sent one that a majority has
-    /// answered without having promised a higher ballot; until then nobody else has acknowledged anything.
-    pub fn oldest_shown(&self) -> u64 {
+    /// answered without having promised a higher term; until then nobody else has acknowledged anything.
+    pub fn max_staleness(&self) -> u64 {
         self.lease + self.lease
     }
 }
 
 impl<R: RngCore> Node<R> {
     /// Whether this node was lately in touch with a majority: as primary, or by a primary that is. What it shows then is
-    /// not older than [`Timings::oldest_shown`].
-    pub fn in_touch(&self, now: u64) -> bool {
+    /// not older than [`Timings::max_staleness`].
+    pub fn has_quorum_contact(&self, now: u64) -> bool {
         let since = match &self.role {
             Role::Primary(_) => self.touched,
             Role::TakingOver(t) if t.is_renewal() => self.touched,
@@ -114,7 +116,7 @@
     }
 
     /// Whether this node is primary and its lease holds at this moment, also if it was not stepped for a while.
-    pub fn leads(&self, now: u64) -> bool {
+    pub fn holds_primary_lease(&self, now: u64) -> bool {
         matches!(self.role, Role::Primary(_)) && self.is_within_lease(self.touched, now)
     }
 
--- a/crates/consensus/src/delta.rs
+++ b/crates/consensus/src/delta.rs
@@ -25,15 +25,15 @@
 
 /// What makes one body of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Delta {
+pub struct BodyDelta {
     /// The length of the result, then the instructions; all numbers in groups of seven bits.
     #[cbor(n(0), encode_with = "encode_body", decode_with = "decode_body")]
     instructions: Arc<[u8]>,
 }
 
-impl Delta {
+impl BodyDelta {
     /// The difference of two bodies; none where the target itself is hardly longer.
-    pub fn between(base: &[u8], target: &[u8]) -> Option<Delta> {
+    pub fn between(base: &[u8], target: &[u8]) -> Option<BodyDelta> {
         if target.len() > MAX_BODY_BYTES {
             return None;
         }
@@ -47,7 +47,7 @@
         differ(&mut writer, base_middle, target_middle, prefix)?;
         writer.copy(base.len() - suffix, suffix);
         (writer.instructions.len() <= target.len() / LARGEST_SHARE)
-            .then(|| Delta { instructions: writer.instructions.into() })
+            .then(|| BodyDelta { instructions: writer.instructions.into() })
     }
 
     /// The target, if the instructions fit the base.
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,7 +1,7 @@
 use core::net::SocketAddrV4;
 
 use crate::message::Message;
-use crate::types::{Ballot, CallDigest, Member, State};
+use crate::types::{ControlState, Member, RequestDigest, Term};
 
 /// What happens to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -28,23 +28,23 @@
     /// An operator's call, valid by what the host knows.
     Change {
         /// The number of the ask, unique within the node's life.
-        ask: u64,
+        request_id: u64,
         /// The revision that it builds on.
-        base: u64,
+        base_revision: u64,
         /// The revision that it makes.
         revision: u64,
         /// The new body, whole.
         body: Vec<u8>,
         /// The digest of the call.
-        digest: CallDigest,
+        digest: RequestDigest,
     },
-    /// ClientRequests for the newest committed state.
+    /// Requests the newest committed state.
     Read {
         /// The number of the ask, unique within the node's life.
-        ask: u64,
+        request_id: u64,
     },
     /// The process is about to end.
-    Stop,
+    ShutDown,
     /// The seeds have changed.
     Seeds(Vec<SocketAddrV4>),
 }
@@ -74,43 +74,43 @@
         record: Vec<u8>,
     },
     /// Answer an ask; each is answered once.
-    Answer {
+    Reply {
         /// Which one.
-        ask: u64,
+        request_id: u64,
         /// How.
-        result: Verdict,
+        reply: ClientReply,
     },
     /// A newer state is committed; revisions rise.
     Committed {
         /// The state.
-        state: State,
+        state: ControlState,
     },
     /// This node is primary now.
-    Primary {
-        /// Its ballot.
-        ballot: Ballot,
+    BecamePrimary {
+        /// Its term.
+        term: Term,
         /// Whether it was primary just before, and nobody between: its duties need no pause.
         continued: bool,
     },
     /// This node is primary no more.
-    Deposed,
+    SteppedDown,
 }
 
 /// The answer to an ask.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum ClientReply {
     /// The change is committed.
-    Taken {
+    Committed {
         /// Its revision.
         revision: u64,
     },
     /// The change builds on another revision than the current one, and never will be taken.
     Stale {
         /// The current revision.
-        current: u64,
+        current_revision: u64,
     },
     /// The change can't be told from one that was taken long ago: no clear answer.
-    Forgotten,
+    Expired,
     /// Another node is to be asked; nothing was done.
     NotPrimary {
         /// The primary's internal address, if known.
@@ -121,8 +121,8 @@
     /// No answer in time: the change may be taken or not.
     Unavailable,
     /// The newest committed state.
-    Current {
+    CurrentState {
         /// The state.
-        state: State,
+        state: ControlState,
     },
 }
--- a/crates/consensus/src/join.rs
+++ b/crates/consensus/src/join.rs
@@ -2,13 +2,13 @@
 
 use crate::message::Message;
 use crate::node::{Leader, Node, Role};
-use crate::types::{Ballot, Member};
+use crate::types::{Member, Term};
 
 /// Somebody who looks for the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Joiner {
     pub(crate) member: Member,
-    pub(crate) founder: bool,
+    pub(crate) is_bootstrap_voter: bool,
     pub(crate) heard: u64,
 }
 
@@ -18,12 +18,13 @@
 const JOINER_TELLS: u64 = 400;
 
 impl<R: RngCore> Node<R> {
-    /// Before there is a record: whether this founder knows the others, or has waited for them long enough.
-    pub(crate) fn knows_founders(&self) -> bool {
-        let Some(founders) = self.founders() else { return false };
-        let waited = self.now.saturating_sub(self.started) >= self.settings.timings.founding;
-        let known = |address| self.joiners.values().any(|j| j.founder && j.member.address == address);
-        waited || founders.iter().all(|a| *a == self.me.address || known(*a))
+    /// Before there is a record: whether this bootstrap voter knows the others, or has waited for them long enough.
+    pub(crate) fn knows_bootstrap_voters(&self) -> bool {
+        let Some(bootstrap_voters) = self.bootstrap_voters() else { return false };
+        let waited = self.now.saturating_sub(self.started) >= self.settings.timings.bootstrap_timeout;
+        let known =
+            |address| self.joiners.values().any(|j| j.is_bootstrap_voter && j.member.address == address);
+        waited || bootstrap_voters.iter().all(|a| *a == self.me.address || known(*a))
     }
 
     /// Whoever knows no primary, or is no member, looks for the others.
@@ -46,27 +47,27 @@
                 (false, true) => 100,
                 (false, false) => JOINER_TELLS,
             };
-        let seen = self.view.as_ref().map(|r| r.ballot).unwrap_or_default();
-        let join = Message::Join { founder: self.is_founder(), seen };
+        let seen = self.view.as_ref().map(|r| r.term).unwrap_or_default();
+        let join = Message::Join { is_bootstrap_voter: self.is_bootstrap_voter(), known_term: seen };
         for address in self.contacts.clone() {
             self.send(address, join.clone());
         }
     }
 
-    pub(crate) fn on_join(&mut self, from: Member, founder: bool, seen: Ballot) {
+    pub(crate) fn on_join(&mut self, from: Member, is_bootstrap_voter: bool, seen: Term) {
         let now = self.now;
         self.joiners.retain(|_, j| now - j.heard <= JOINER_LASTS);
         self.note_address(from.address);
         if self.joiners.len() < MOST_JOINERS || self.joiners.contains_key(&from.id) {
-            self.joiners.insert(from.id, Joiner { member: from, founder, heard: now });
+            self.joiners.insert(from.id, Joiner { member: from, is_bootstrap_voter, heard: now });
         }
         if let Role::Primary(_) = self.role {
             self.welcome(from);
         } else if let Some(record) = &self.view
-            && record.ballot > seen
+            && record.term > seen
         {
             let record = record.clone();
-            self.send(from.address, Message::Members { record });
+            self.send(from.address, Message::KnownConfig { config: record });
         }
     }
 
--- a/crates/consensus/src/leaving.rs
+++ b/crates/consensus/src/leaving.rs
@@ -9,28 +9,28 @@
 use crate::node::{Node, Role};
 use crate::primary::{Lead, Peer};
 use crate::settings::InjectedFault;
-use crate::types::{Ballot, Member, MemberId, Record};
+use crate::types::{EpochConfig, Member, MemberId, Term};
 
 /// A node that stops may end after so many milliseconds, let go or not.
-pub const LEAVE_WITHIN: u64 = 2_500;
+pub const SHUTDOWN_TIMEOUT: u64 = 2_500;
 /// The word of a leaver counts for so long; after it, only its silence does.
 const LEAVER_LASTS: u64 = 3_000;
 const MOST_LEAVERS: usize = 64;
-/// A node with [`InjectedFault::LeaveAtOnce`] ends after so long.
+/// A node with [`InjectedFault::ShutDownAtOnce`] ends after so long.
 const FLAWED_LEAVE: u64 = 150;
 
 /// What a node knows of those that stop, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Leaving {
+pub(crate) struct RequestRemoval {
     /// When this node last told the others that it stops.
     told: Option<u64>,
     /// The epoch whose primary has let this node go.
-    granted: Option<Ballot>,
+    granted: Option<Term>,
     /// Who has told this node that it stops, and when last.
     leavers: BTreeMap<MemberId, u64>,
 }
 
-impl Leaving {
+impl RequestRemoval {
     /// Whether the member has lately told that it stops.
     pub(crate) fn includes(&self, id: MemberId, now: u64) -> bool {
         self.leavers.get(&id).is_some_and(|at| now.saturating_sub(*at) <= LEAVER_LASTS)
@@ -52,16 +52,16 @@
 impl<R: RngCore> Node<R> {
     /// After [`crate::Input::Stop`]: whether the process may end. The others need nothing more of this node, or it has waited
     /// for their word for long enough. Looked at after each step.
-    pub fn may_end(&self) -> bool {
+    pub fn may_shut_down(&self) -> bool {
         let Some(since) = self.stopping else { return false };
         let waited = self.now.saturating_sub(since);
-        if waited >= LEAVE_WITHIN {
+        if waited >= SHUTDOWN_TIMEOUT {
             return true;
         }
         if !matches!(self.role, Role::Follower) {
             return false;
         }
-        if self.settings.has(InjectedFault::LeaveAtOnce) {
+        if self.settings.has(InjectedFault::ShutDownAtOnce) {
             return waited >= FLAWED_LEAVE;
         }
         match &self.view {
@@ -71,48 +71,48 @@
     }
 
     /// Whether a primary has let this node go, and nobody has taken over since who may have chosen it again.
-    fn is_let_go(&self, record: &Record) -> bool {
-        self.leaving.granted.is_some_and(|ballot| ballot >= self.promised && ballot >= record.ballot)
+    fn is_let_go(&self, record: &EpochConfig) -> bool {
+        self.leaving.granted.is_some_and(|term| term >= self.promised && term >= record.term)
     }
 
     /// Whether a decided record has no place for this node. Only decided ones are told by heartbeats.
-    fn is_outside(&self, record: &Record) -> bool {
-        let decided = self.leader.as_ref().is_some_and(|leader| leader.ballot == record.ballot);
+    fn is_outside(&self, record: &EpochConfig) -> bool {
+        let decided = self.leader.as_ref().is_some_and(|leader| leader.term == record.term);
         decided && record.voters().iter().all(|m| m.id != self.me.id)
     }
 
-    fn is_alone(&self, record: &Record) -> bool {
+    fn is_alone(&self, record: &EpochConfig) -> bool {
         record.voters().iter().all(|m| m.address == self.me.address)
     }
 
     pub(crate) fn leave_timers(&mut self) {
-        let resend = self.settings.timings.resend;
+        let resend = self.settings.timings.resend_interval;
         let rested = self.leaving.told.is_none_or(|at| self.now.saturating_sub(at) >= resend);
-        if self.stopping.is_none() || !rested || self.settings.has(InjectedFault::LeaveAtOnce) {
+        if self.stopping.is_none() || !rested || self.settings.has(InjectedFault::ShutDownAtOnce) {
             return;
         }
         self.leaving.told = Some(self.now);
         for member in self.electorate() {
-            self.send(member.address, Message::Leaving);
+            self.send(member.address, Message::RequestRemoval);
         }
     }
 
     pub(crate) fn on_leaving(&mut self, from: Member) {
         self.leaving.note(from.id, self.now);
         let Role::Primary(lead) = &self.role else { return };
-        let ballot = lead.ballot;
+        let term = lead.term;
         let dispensable = self.is_dispensable(lead, from.id);
         if let Some(peer) = self.peers.get_mut(&from.id) {
-            peer.fit = false;
+            peer.is_healthy = false;
         }
         if dispensable {
-            self.send(from.address, Message::MayLeave { ballot });
+            self.send(from.address, Message::RemovalGranted { term });
         }
     }
 
-    pub(crate) fn on_may_leave(&mut self, ballot: Ballot) {
+    pub(crate) fn on_may_leave(&mut self, term: Term) {
         if self.stopping.is_some() {
-            self.leaving.granted = self.leaving.granted.max(Some(ballot));
+            self.leaving.granted = self.leaving.granted.max(Some(term));
         }
     }
 
@@ -128,11 +128,11 @@
     /// Whether somebody was heard lately that could be a member, or has not said yet whether it can.
     fn has_newcomer_waiting(&self, lead: &Lead) -> bool {
         let waits = |peer: &&Peer| {
-            let unknown = peer.answered == Ballot::default();
+            let unknown = peer.answered == Term::default();
             lead.record.member(peer.member.id).is_none()
                 && !self.leaving.includes(peer.member.id, self.now)
                 && self.is_heard_lately(peer)
-                && (peer.fit || unknown)
+                && (peer.is_healthy || unknown)
         };
         self.peers.values().any(|peer| waits(&peer))
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -25,19 +25,20 @@
 mod transfer;
 mod types;
 
-pub use change::StateChange;
-pub use contact::ContactStamp;
-pub use delta::Delta;
-pub use event::{Input, Output, Verdict};
-pub use leaving::LEAVE_WITHIN;
+pub use change::StateDelta;
+pub use contact::LeaseStamp;
+pub use delta::BodyDelta;
+pub use event::{ClientReply, Input, Output};
+pub use leaving::SHUTDOWN_TIMEOUT;
 pub use limits::{MAX_BODY_BYTES, MAX_STATE_BYTES};
-pub use log::Fault;
+pub use log::StoredStateError;
 pub use message::Message;
 pub use node::Node;
 #[doc(hidden)]
 pub use settings::InjectedFault;
 pub use settings::{Settings, Timings};
-pub use transfer::{Offer, Piece, PieceSizes, StatePurpose, checksum};
+pub use transfer::{ChunkSizes, SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
 pub use types::{
-    Ballot, Call, CallDigest, Judgement, Member, MemberId, REMEMBERED_CALLS, Record, State, Version,
+    AppliedRequest, ControlState, DEDUPLICATION_WINDOW, EpochConfig, Member, MemberId, RequestDigest,
+    RequestStatus, StateVersion, Term,
 };
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -4,13 +4,13 @@
 use minicbor::{Decode, Encode};
 use quick_error::quick_error;
 
-use crate::change::StateChange;
-use crate::types::{Ballot, Member, MemberId, Record, State, Version};
+use crate::change::StateDelta;
+use crate::types::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
 
 quick_error! {
     /// What can be wrong with a log, numbered.
     #[derive(Clone, Debug, PartialEq, Eq)]
-    pub enum Fault {
+    pub enum StoredStateError {
         /// 721: a record can't be read. A disk whose records are lost is to be emptied: its promises are forgotten.
         Unreadable(index: usize) {
             display("record {index} of the control state can't be read")
@@ -27,9 +27,9 @@
 pub(crate) struct Identity {
     #[n(0)]
     pub(crate) id: MemberId,
-    /// The founders' addresses, if this disk is one of theirs.
+    /// The bootstrap voters' addresses, if this disk is one of theirs.
     #[n(1)]
-    pub(crate) founders: Option<Vec<SocketAddrV4>>,
+    pub(crate) bootstrap_voters: Option<Vec<SocketAddrV4>>,
 }
 
 /// One record of the log.
@@ -38,22 +38,22 @@
     #[n(0)]
     Identity(#[n(0)] Identity),
     #[n(1)]
-    Promise(#[n(0)] Ballot),
+    Promise(#[n(0)] Term),
     #[n(2)]
-    Accept(#[n(0)] Record),
+    Accept(#[n(0)] EpochConfig),
     #[n(3)]
-    State(#[n(0)] State),
+    ControlState(#[n(0)] ControlState),
     /// The state before this one with another stamp.
     #[n(4)]
-    Restamp(#[n(0)] Version),
+    RewriteUnderNewTerm(#[n(0)] StateVersion),
     #[n(5)]
     Snapshot(#[n(0)] Box<Stable>),
     /// A record that this disk has no say in; it tells where the others are.
     #[n(6)]
-    Seen(#[n(0)] Record),
+    Seen(#[n(0)] EpochConfig),
     /// The state before this one with a change.
     #[n(7)]
-    Change(#[n(0)] StateChange),
+    Change(#[n(0)] StateDelta),
 }
 
 impl LogRecord {
@@ -69,24 +69,24 @@
     #[n(0)]
     pub(crate) identity: Option<Identity>,
     #[n(1)]
-    pub(crate) promised: Ballot,
+    pub(crate) promised: Term,
     #[n(2)]
-    pub(crate) accepted: Option<Record>,
+    pub(crate) accepted: Option<EpochConfig>,
     #[n(3)]
-    pub(crate) state: Option<State>,
+    pub(crate) state: Option<ControlState>,
     #[n(4)]
-    pub(crate) seen: Option<Record>,
+    pub(crate) seen: Option<EpochConfig>,
 }
 
 impl Stable {
     /// Reads a log from its start; says how many bytes of bodies it has made out of changes, too.
-    pub(crate) fn replay(records: &[Vec<u8>]) -> Result<(Stable, usize), Fault> {
+    pub(crate) fn replay(records: &[Vec<u8>]) -> Result<(Stable, usize), StoredStateError> {
         let (mut stable, mut rebuilt_bytes) = (Stable::default(), 0_usize);
         for (index, bytes) in records.iter().enumerate() {
-            let record = minicbor::decode(bytes).map_err(|_| Fault::Unreadable(index))?;
+            let record = minicbor::decode(bytes).map_err(|_| StoredStateError::Unreadable(index))?;
             let changes = matches!(record, LogRecord::Change(_));
             if !stable.apply(record) {
-                return Err(Fault::Disordered(index));
+                return Err(StoredStateError::Disordered(index));
             }
             let body = stable.state.as_ref().filter(|_| changes).map_or(0, |state| state.body.len());
             rebuilt_bytes = rebuilt_bytes.saturating_add(body);
@@ -94,12 +94,12 @@
         Ok((stable, rebuilt_bytes))
     }
 
-    pub(crate) fn version(&self) -> Option<Version> {
-        self.state.as_ref().map(State::version)
+    pub(crate) fn version(&self) -> Option<StateVersion> {
+        self.state.as_ref().map(ControlState::version)
     }
 
-    pub(crate) fn accepted_ballot(&self) -> Ballot {
-        self.accepted.as_ref().map(|r| r.ballot).unwrap_or_default()
+    pub(crate) fn accepted_ballot(&self) -> Term {
+        self.accepted.as_ref().map(|r| r.term).unwrap_or_default()
     }
 
     /// Says whether the record fits.
@@ -111,24 +111,24 @@
                 }
                 self.identity = Some(identity);
             }
-            LogRecord::Promise(ballot) => self.promised = self.promised.max(ballot),
+            LogRecord::Promise(term) => self.promised = self.promised.max(term),
             LogRecord::Accept(record) => {
-                self.promised = self.promised.max(record.ballot);
-                if record.ballot >= self.accepted_ballot() {
+                self.promised = self.promised.max(record.term);
+                if record.term >= self.accepted_ballot() {
                     self.accepted = Some(record);
                 }
             }
-            LogRecord::State(state) => {
-                self.promised = self.promised.max(state.ballot);
+            LogRecord::ControlState(state) => {
+                self.promised = self.promised.max(state.write_term);
                 if self.version().is_none_or(|held| held <= state.version()) {
                     self.state = Some(state);
                 }
             }
-            LogRecord::Restamp(version) => {
-                self.promised = self.promised.max(version.stamp);
+            LogRecord::RewriteUnderNewTerm(version) => {
+                self.promised = self.promised.max(version.write_term);
                 match &mut self.state {
                     Some(state) if state.version().same_body(&version) => {
-                        state.ballot = state.ballot.max(version.stamp);
+                        state.write_term = state.write_term.max(version.write_term);
                     }
                     _ => return false,
                 }
@@ -139,7 +139,7 @@
                 let Some(state) = self.state.as_ref().and_then(|held| change.apply(held)) else {
                     return false;
                 };
-                return self.apply(LogRecord::State(state));
+                return self.apply(LogRecord::ControlState(state));
             }
         }
         true
@@ -160,13 +160,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Effect {
     Identity(Identity),
-    Promise(Ballot),
-    Accept(Record),
-    State(State),
+    Promise(Term),
+    Accept(EpochConfig),
+    ControlState(ControlState),
     /// A change of the state before it, and the state that it makes.
-    Change(StateChange, State),
-    Restamp(Version),
-    Seen(Record),
+    Change(StateDelta, ControlState),
+    RewriteUnderNewTerm(StateVersion),
+    Seen(EpochConfig),
     Rewrite,
 }
 
@@ -174,20 +174,20 @@
     pub(crate) fn record(&self) -> Option<LogRecord> {
         Some(match self {
             Effect::Identity(identity) => LogRecord::Identity(identity.clone()),
-            Effect::Promise(ballot) => LogRecord::Promise(*ballot),
+            Effect::Promise(term) => LogRecord::Promise(*term),
             Effect::Accept(record) => LogRecord::Accept(record.clone()),
-            Effect::State(state) => LogRecord::State(state.clone()),
+            Effect::ControlState(state) => LogRecord::ControlState(state.clone()),
             Effect::Change(change, _) => LogRecord::Change(change.clone()),
-            Effect::Restamp(version) => LogRecord::Restamp(*version),
+            Effect::RewriteUnderNewTerm(version) => LogRecord::RewriteUnderNewTerm(*version),
             Effect::Seen(record) => LogRecord::Seen(record.clone()),
             Effect::Rewrite => return None,
         })
     }
 
     /// The state that it writes, if it writes one.
-    pub(crate) fn state(&self) -> Option<&State> {
+    pub(crate) fn state(&self) -> Option<&ControlState> {
         match self {
-            Effect::State(state) | Effect::Change(_, state) => Some(state),
+            Effect::ControlState(state) | Effect::Change(_, state) => Some(state),
             _ => None,
         }
     }
@@ -230,6 +230,8 @@
     }
 
     pub(crate) fn has_state(&self) -> bool {
-        self.queue.iter().any(|w| w.effect.state().is_some() || matches!(w.effect, Effect::Restamp(_)))
+        self.queue
+            .iter()
+            .any(|w| w.effect.state().is_some() || matches!(w.effect, Effect::RewriteUnderNewTerm(_)))
     }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,256 +1,256 @@
 use minicbor::{Decode, Encode};
 
-use crate::change::{MOST_CHANGES, StateChange};
-use crate::contact::ContactStamp;
-use crate::transfer::{Offer, Piece};
-use crate::types::{Ballot, Record, State, Version};
+use crate::change::{MOST_CHANGES, StateDelta};
+use crate::contact::LeaseStamp;
+use crate::transfer::{SnapshotChunk, SnapshotOffer};
+use crate::types::{ControlState, EpochConfig, StateVersion, Term};
 
 /// What nodes tell each other, one way; any of it may be lost, late, doubled or out of order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// Would you promise? Asked before a ballot is raised, so that a lone node disturbs nobody.
+    /// Would you promise? Asked before a term is raised, so that a lone node disturbs nobody.
     #[n(0)]
     PreVote,
     /// The answer to a [`Message::PreVote`].
     #[n(1)]
-    PreVoteAnswer {
+    PreVoteResponse {
         /// Whether the sender misses a primary too.
         #[n(0)]
-        willing: bool,
-        /// Whether the sender is a founder.
+        granted: bool,
+        /// Whether the sender is a bootstrap voter.
         #[n(1)]
-        founder: bool,
+        is_bootstrap_voter: bool,
         /// The highest record that the sender has seen.
         #[n(2)]
-        record: Option<Record>,
+        config: Option<EpochConfig>,
     },
-    /// ClientRequests for the promise to take nothing of a lower ballot.
+    /// Requests the promise to take nothing of a lower term.
     #[n(2)]
     Prepare {
-        /// The ballot.
+        /// The term.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
     },
     /// The promise, on disk.
     #[n(3)]
     Promise {
-        /// The ballot.
+        /// The term.
         #[n(0)]
-        ballot: Ballot,
-        /// Whether the sender is a founder.
+        term: Term,
+        /// Whether the sender is a bootstrap voter.
         #[n(1)]
-        founder: bool,
+        is_bootstrap_voter: bool,
         /// Whether the sender's disk takes writes.
         #[n(2)]
-        fit: bool,
+        is_healthy: bool,
         /// The highest record that the sender has seen.
         #[n(3)]
-        record: Option<Record>,
+        config: Option<EpochConfig>,
         /// The state on the sender's disk.
         #[n(4)]
-        version: Option<Version>,
+        version: Option<StateVersion>,
     },
-    /// A higher ballot was promised.
+    /// A higher term was promised.
     #[n(4)]
     Reject {
-        /// The ballot that is refused.
+        /// The term that is refused.
         #[n(0)]
-        ballot: Ballot,
-        /// The ballot that was promised.
+        term: Term,
+        /// The term that was promised.
         #[n(1)]
-        promised: Ballot,
+        promised: Term,
     },
-    /// ClientRequests for a state whole.
+    /// Requests a whole state.
     #[n(5)]
-    Fetch {
-        /// The ballot of the take-over.
+    FetchState {
+        /// The term of the take-over.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
         /// The state as the holder told it.
         #[n(1)]
-        version: Version,
+        version: StateVersion,
     },
-    /// The answer to a [`Message::Fetch`].
+    /// The answer to a [`Message::FetchState`].
     #[n(6)]
-    Fetched {
-        /// The ballot of the take-over.
+    FetchedState {
+        /// The term of the take-over.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
         /// The state.
         #[n(1)]
-        state: State,
+        state: ControlState,
     },
-    /// A state to be written; its ballot is the sender's.
+    /// A state to be written; its term is the sender's.
     #[n(7)]
-    Replicate {
+    ReplicateState {
         /// The state.
         #[n(0)]
-        state: State,
+        state: ControlState,
     },
     /// A state to be written whose body the backup has.
     #[n(8)]
-    Restamp {
-        /// The state; its stamp is the sender's ballot.
+    RewriteUnderNewTerm {
+        /// The state; its stamp is the sender's term.
         #[n(0)]
-        version: Version,
+        version: StateVersion,
     },
     /// The state is on disk.
     #[n(9)]
     Replicated {
         /// The state.
         #[n(0)]
-        version: Version,
+        version: StateVersion,
     },
     /// The body is not there: it has to come whole.
     #[n(10)]
-    LacksBody {
+    MissingBody {
         /// The state.
         #[n(0)]
-        version: Version,
+        version: StateVersion,
     },
     /// A record to be accepted.
     #[n(11)]
     Accept {
         /// The record.
         #[n(0)]
-        record: Record,
+        config: EpochConfig,
     },
     /// The record is accepted, on disk.
     #[n(12)]
     Accepted {
-        /// Its ballot.
+        /// Its term.
         #[n(0)]
-        ballot: Ballot,
-        /// Whether the sender is a founder.
+        term: Term,
+        /// Whether the sender is a bootstrap voter.
         #[n(1)]
-        founder: bool,
+        is_bootstrap_voter: bool,
     },
     /// The primary lives, and is in touch with a majority.
     #[n(13)]
     Heartbeat {
-        /// The primary's ballot.
+        /// The primary's term.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
         /// The number of this heartbeat.
         #[n(1)]
         sequence: u64,
         /// The committed state.
         #[n(2)]
-        committed: Version,
+        committed: StateVersion,
         /// The record, for those that lack it.
         #[n(3)]
-        record: Option<Record>,
+        config: Option<EpochConfig>,
         /// The newest stamp that the receiver has sent to this primary.
         #[n(4)]
-        echo: Option<ContactStamp>,
+        echoed_stamp: Option<LeaseStamp>,
     },
     /// The answer to a [`Message::Heartbeat`].
     #[n(14)]
-    HeartbeatAnswer {
-        /// The primary's ballot.
+    HeartbeatResponse {
+        /// The primary's term.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
         /// The number of the heartbeat.
         #[n(1)]
         sequence: u64,
         /// What the sender has promised.
         #[n(2)]
-        promised: Ballot,
-        /// The record that the sender has accepted, by its ballot.
+        promised: Term,
+        /// The record that the sender has accepted, by its term.
         #[n(3)]
-        accepted: Ballot,
-        /// The record that the sender has seen, by its ballot.
+        accepted_term: Term,
+        /// The record that the sender has seen, by its term.
         #[n(4)]
-        seen: Ballot,
+        known_term: Term,
         /// The revision that the sender knows to be committed.
         #[n(5)]
-        committed: Option<u64>,
+        committed_revision: Option<u64>,
         /// Whether the sender's disk takes writes.
         #[n(6)]
-        fit: bool,
+        is_healthy: bool,
         /// When the sender answers, by its own clock; it wants this back.
         #[n(7)]
-        stamp: ContactStamp,
+        lease_stamp: LeaseStamp,
     },
     /// This state is committed.
     #[n(15)]
-    Committed {
+    CommittedState {
         /// The state.
         #[n(0)]
-        state: State,
+        state: ControlState,
     },
     /// The sender looks for the others.
     #[n(16)]
     Join {
-        /// Whether the sender is a founder.
+        /// Whether the sender is a bootstrap voter.
         #[n(0)]
-        founder: bool,
-        /// The record that the sender has seen, by its ballot.
+        is_bootstrap_voter: bool,
+        /// The record that the sender has seen, by its term.
         #[n(1)]
-        seen: Ballot,
+        known_term: Term,
     },
     /// The answer to a [`Message::Join`]: whom the sender knows.
     #[n(17)]
-    Members {
+    KnownConfig {
         /// The highest record that the sender has seen.
         #[n(0)]
-        record: Record,
+        config: EpochConfig,
     },
     /// The primary gives its place to the one that it sends this to.
     #[n(18)]
-    HandOver {
-        /// The primary's ballot.
+    TransferLeadership {
+        /// The primary's term.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
     },
     /// The sender's process is about to end, and serves on until it may.
     #[n(19)]
-    Leaving,
-    /// The primary's answer to a [`Message::Leaving`]: the process may end.
+    RequestRemoval,
+    /// The primary's answer to a [`Message::RequestRemoval`]: the process may end.
     #[n(20)]
-    MayLeave {
-        /// The primary's ballot.
+    RemovalGranted {
+        /// The primary's term.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
     },
-    /// A change to be written on top of the state before it; the stamp is the sender's ballot. One that has not that
-    /// state answers [`Message::LacksBody`].
+    /// A change to be written on top of the state before it; the stamp is the sender's term. One that has not that
+    /// state answers [`Message::MissingBody`].
     #[n(25)]
-    ReplicateChange {
+    ReplicateDelta {
         /// The change.
         #[n(0)]
-        change: StateChange,
+        delta: StateDelta,
     },
     /// These changes are committed, one after the other.
     #[n(26)]
-    CommittedChanges {
+    CommittedDeltas {
         /// The changes, oldest first.
         #[n(0)]
-        changes: Vec<StateChange>,
+        deltas: Vec<StateDelta>,
     },
     /// A large state is there in pieces.
     #[n(27)]
-    OfferState {
+    OfferSnapshot {
         /// Which one, and what for.
         #[n(0)]
-        offer: Offer,
+        offer: SnapshotOffer,
     },
-    /// ClientRequests for the next piece of an offered state.
+    /// Requests the next chunk of an offered state.
     #[n(28)]
-    FetchPiece {
+    FetchChunk {
         /// The state.
         #[n(0)]
-        version: Version,
+        version: StateVersion,
         /// How many bytes of it are there.
         #[n(1)]
         offset: u64,
     },
-    /// The answer to a [`Message::FetchPiece`].
+    /// The answer to a [`Message::FetchChunk`].
     #[n(29)]
-    Piece {
+    SnapshotChunk {
         /// The piece.
         #[n(0)]
-        piece: Piece,
+        chunk: SnapshotChunk,
     },
 }
 
@@ -258,26 +258,30 @@
     /// How many bytes of state it carries, about: what makes a message large.
     pub fn state_bytes(&self) -> usize {
         match self {
-            Message::Fetched { state, .. } | Message::Replicate { state } | Message::Committed { state } => {
-                state.body.len()
-            }
-            Message::ReplicateChange { change } => change.bytes(),
-            Message::CommittedChanges { changes } => changes.iter().map(StateChange::bytes).sum(),
-            Message::Piece { piece } => piece.bytes.len(),
+            Message::FetchedState { state, .. }
+            | Message::ReplicateState { state }
+            | Message::CommittedState { state } => state.body.len(),
+            Message::ReplicateDelta { delta: change } => change.bytes(),
+            Message::CommittedDeltas { deltas: changes } => changes.iter().map(StateDelta::bytes).sum(),
+            Message::SnapshotChunk { chunk: piece } => piece.bytes.len(),
             _ => 0,
         }
     }
 
-    pub(crate) fn is_sane(&self) -> bool {
+    pub(crate) fn is_within_bounds(&self) -> bool {
         match self {
-            Message::PreVoteAnswer { record, .. }
-            | Message::Promise { record, .. }
-            | Message::Heartbeat { record, .. } => record.as_ref().is_none_or(Record::is_sane),
-            Message::Accept { record } | Message::Members { record } => record.is_sane(),
-            Message::Fetched { state, .. } | Message::Replicate { state } | Message::Committed { state } => {
-                state.is_sane()
+            Message::PreVoteResponse { config: record, .. }
+            | Message::Promise { config: record, .. }
+            | Message::Heartbeat { config: record, .. } => {
+                record.as_ref().is_none_or(EpochConfig::is_within_bounds)
+            }
+            Message::Accept { config: record } | Message::KnownConfig { config: record } => {
+                record.is_within_bounds()
             }
-            Message::CommittedChanges { changes } => changes.len() <= MOST_CHANGES,
+            Message::FetchedState { state, .. }
+            | Message::ReplicateState { state }
+            | Message::CommittedState { state } => state.is_within_bounds(),
+            Message::CommittedDeltas { deltas: changes } => changes.len() <= MOST_CHANGES,
             _ => true,
         }
     }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -7,24 +7,24 @@
 use crate::client_requests::ClientRequests;
 use crate::contact::Contact;
 use crate::election::Election;
-use crate::event::{Input, Output, Verdict};
+use crate::event::{ClientReply, Input, Output};
 use crate::join::Joiner;
-use crate::leaving::Leaving;
+use crate::leaving::RequestRemoval;
 use crate::limits::MAX_BODY_BYTES;
-use crate::log::{Effect, Fault, Identity, LogRecord, Pending, Stable, Writes};
+use crate::log::{Effect, Identity, LogRecord, Pending, Stable, StoredStateError, Writes};
 use crate::message::Message;
 use crate::primary::{Lead, Peer};
 use crate::settings::{InjectedFault, MOST_FAILURES, MOST_MEMBERS, Settings};
 use crate::take_over::TakeOver;
 use crate::transfer::Transfers;
-use crate::types::{Ballot, Call, Member, MemberId, Record, State};
+use crate::types::{AppliedRequest, ControlState, EpochConfig, Member, MemberId, Term};
 
 /// The primary as its heartbeats tell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Leader {
     pub(crate) member: Member,
-    pub(crate) ballot: Ballot,
-    /// When the first heartbeat of this ballot arrived.
+    pub(crate) term: Term,
+    /// When the first heartbeat of this term arrived.
     pub(crate) since: u64,
     /// When the newest heartbeat arrived: it may have waited on its way. Good for hints only.
     pub(crate) heard: u64,
@@ -33,8 +33,8 @@
 }
 
 impl Leader {
-    pub(crate) fn new(member: Member, ballot: Ballot, now: u64) -> Leader {
-        Leader { member, ballot, since: now, heard: now, echoed: None }
+    pub(crate) fn new(member: Member, term: Term, now: u64) -> Leader {
+        Leader { member, term, since: now, heard: now, echoed: None }
     }
 
     /// When this primary is known to have lived. A new one has the benefit of the doubt.
@@ -62,12 +62,12 @@
     pub(crate) stable: Stable,
     pub(crate) writes: Writes,
     /// Nothing below is taken; on disk sooner or later.
-    pub(crate) promised: Ballot,
+    pub(crate) promised: Term,
     /// The highest round seen anywhere.
     pub(crate) highest: u64,
     /// The highest record seen, decided or not.
-    pub(crate) view: Option<Record>,
-    pub(crate) committed: Option<State>,
+    pub(crate) view: Option<EpochConfig>,
+    pub(crate) committed: Option<ControlState>,
     pub(crate) leader: Option<Leader>,
     pub(crate) contact: Contact,
     pub(crate) role: Role,
@@ -76,9 +76,9 @@
     pub(crate) joiners: BTreeMap<MemberId, Joiner>,
     pub(crate) contacts: BTreeSet<SocketAddrV4>,
     pub(crate) join_at: u64,
-    pub(crate) asks: ClientRequests,
+    pub(crate) client_requests: ClientRequests,
     pub(crate) stopping: Option<u64>,
-    pub(crate) leaving: Leaving,
+    pub(crate) leaving: RequestRemoval,
     pub(crate) handing: Option<Handing>,
     /// When a majority was last in touch with this node as primary.
     pub(crate) touched: Option<u64>,
@@ -94,26 +94,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Handing {
     pub(crate) to: SocketAddrV4,
-    pub(crate) ballot: Ballot,
+    pub(crate) term: Term,
     pub(crate) since: u64,
     pub(crate) sent: u64,
 }
 
 impl<R: RngCore> Node<R> {
     /// A node from the records of its log, oldest first.
-    pub fn new(mut settings: Settings, records: &[Vec<u8>], now: u64, mut rng: R) -> Result<Node<R>, Fault> {
-        settings.failures = settings.failures.min(MOST_FAILURES);
+    pub fn new(
+        mut settings: Settings,
+        records: &[Vec<u8>],
+        now: u64,
+        mut rng: R,
+    ) -> Result<Node<R>, StoredStateError> {
+        settings.max_failures = settings.max_failures.min(MOST_FAILURES);
         let (stable, rebuilt_bytes) = Stable::replay(records)?;
         let identity = match &stable.identity {
             Some(identity) => identity.clone(),
             // Promises without a name: the disk is not whole.
-            None if !records.is_empty() => return Err(Fault::Disordered(0)),
+            None if !records.is_empty() => return Err(StoredStateError::Disordered(0)),
             None => {
                 let founds = settings.bootstrap && settings.seeds.contains(&settings.address);
-                let founders: BTreeSet<SocketAddrV4> =
+                let bootstrap_voters: BTreeSet<SocketAddrV4> =
                     settings.seeds.iter().take(MOST_MEMBERS).copied().collect();
-                let founders = founds.then(|| founders.into_iter().collect());
-                Identity { id: MemberId(rng.next_u64().max(1)), founders }
+                let bootstrap_voters = founds.then(|| bootstrap_voters.into_iter().collect());
+                Identity { id: MemberId(rng.next_u64().max(1)), bootstrap_voters }
             }
         };
         let writes =
@@ -121,7 +126,7 @@
         let mut node = Node {
             me: Member { id: identity.id, address: settings.address },
             promised: stable.promised,
-            highest: stable.promised.round,
+            highest: stable.promised.number,
             view: None,
             committed: None,
             leader: None,
@@ -132,9 +137,9 @@
             joiners: BTreeMap::new(),
             contacts: BTreeSet::new(),
             join_at: now,
-            asks: ClientRequests::default(),
+            client_requests: ClientRequests::default(),
             stopping: None,
-            leaving: Leaving::default(),
+            leaving: RequestRemoval::default(),
             handing: None,
             touched: None,
             recent_changes: RecentChanges::default(),
@@ -165,7 +170,7 @@
         match input {
             Input::Tick => {}
             Input::Message { from, message } => {
-                if self.is_ready() && message.is_sane() && from.id != self.me.id {
+                if self.is_ready() && message.is_within_bounds() && from.id != self.me.id {
                     self.on_message(from, message);
                 }
             }
@@ -180,14 +185,14 @@
                     self.write_failed(pending);
                 }
             }
-            Input::Change { ask, body, .. } if body.len() > MAX_BODY_BYTES => {
-                self.answer(ask, Verdict::TooLarge);
+            Input::Change { request_id, body, .. } if body.len() > MAX_BODY_BYTES => {
+                self.answer(request_id, ClientReply::TooLarge);
             }
-            Input::Change { ask, base, revision, body, digest } => {
-                self.on_change(ask, base, Call { revision, digest }, body);
+            Input::Change { request_id, base_revision: base, revision, body, digest } => {
+                self.on_change(request_id, base, AppliedRequest { revision, digest }, body);
             }
-            Input::Read { ask } => self.on_read(ask),
-            Input::Stop => {
+            Input::Read { request_id } => self.on_read(request_id),
+            Input::ShutDown => {
                 self.stopping.get_or_insert(self.now);
             }
             Input::Seeds(seeds) => {
@@ -210,7 +215,7 @@
     }
 
     /// The number of this disk and the address of this machine.
-    pub fn me(&self) -> Member {
+    pub fn local_member(&self) -> Member {
         self.me
     }
 
@@ -227,9 +232,9 @@
             Role::Follower => false,
         };
         if leads {
-            return self.in_touch(now).then_some(self.me);
+            return self.has_quorum_contact(now).then_some(self.me);
         }
-        let lately = 2 * self.settings.timings.suspect;
+        let lately = 2 * self.settings.timings.suspicion_timeout;
         self.leader.as_ref().filter(|l| now.saturating_sub(l.heard) <= lately).map(|l| l.member)
     }
 
@@ -244,29 +249,29 @@
     }
 
     /// The newest committed state that this node knows.
-    pub fn committed(&self) -> Option<&State> {
+    pub fn committed_state(&self) -> Option<&ControlState> {
         self.committed.as_ref()
     }
 
-    /// The ballot of the epoch; its round is the fencing token.
-    pub fn ballot(&self) -> Ballot {
+    /// The term of the epoch; its round is the fencing token.
+    pub fn term(&self) -> Term {
         match (&self.role, &self.leader) {
-            (Role::Primary(lead), _) => lead.ballot,
-            (_, Some(leader)) => leader.ballot,
-            _ => self.view.as_ref().map(|r| r.ballot).unwrap_or_default(),
+            (Role::Primary(lead), _) => lead.term,
+            (_, Some(leader)) => leader.term,
+            _ => self.view.as_ref().map(|r| r.term).unwrap_or_default(),
         }
     }
 
     /// The record of the highest epoch that this node has seen.
-    pub fn record(&self) -> Option<&Record> {
+    pub fn epoch_config(&self) -> Option<&EpochConfig> {
         self.view.as_ref()
     }
 
     /// Whether the disk takes writes.
-    pub fn is_fit(&self) -> bool {
-        let works =
-            self.writes.failed.is_none() && self.writes.age(self.now) <= self.settings.timings.unfit_write;
-        self.stopping.is_none() && (works || self.settings.has(InjectedFault::AlwaysFit))
+    pub fn is_healthy(&self) -> bool {
+        let works = self.writes.failed.is_none()
+            && self.writes.age(self.now) <= self.settings.timings.unhealthy_write_timeout;
+        self.stopping.is_none() && (works || self.settings.has(InjectedFault::AlwaysHealthy))
     }
 
     /// One record that replaces the whole log; none while writes are under way.
@@ -297,7 +302,7 @@
         let token = self.writes.next_token;
         self.writes.next_token += 1;
         let unsynced =
-            self.settings.has(InjectedFault::AnswerUnsynced) && !matches!(effect, Effect::Identity(_));
+            self.settings.has(InjectedFault::RespondUnsynced) && !matches!(effect, Effect::Identity(_));
         let pending = Pending { token, since: self.now, effect, to };
         match pending.effect.record() {
             Some(record) => {
@@ -316,7 +321,7 @@
         }
         if unsynced {
             self.writes.queue.push_back(Pending {
-                effect: Effect::Promise(Ballot::default()),
+                effect: Effect::Promise(Term::default()),
                 to: None,
                 ..pending
             });
@@ -330,11 +335,11 @@
         if !self.writes.queue.is_empty() {
             return;
         }
-        let retry = self.settings.timings.disk_retry;
+        let retry = self.settings.timings.disk_retry_interval;
         if self.writes.failed.is_some_and(|at| self.now.saturating_sub(at) < retry) {
             return;
         }
-        let most = self.settings.rewrite_bytes.max(4 * self.writes.snapshot_bytes);
+        let most = self.settings.log_rewrite_bytes.max(4 * self.writes.snapshot_bytes);
         if !self.is_ready() {
             self.write(Effect::Identity(self.identity.clone()), None);
         } else if self.writes.failed.is_some() {
@@ -347,9 +352,9 @@
     }
 
     /// The record that a learner needs to find the others after its next start.
-    fn unwritten_record(&self) -> Option<Record> {
-        let known = [&self.stable.accepted, &self.stable.seen].into_iter().flatten().map(|r| r.ballot).max();
-        let view = self.view.as_ref().filter(|r| known.is_none_or(|k| k < r.ballot))?;
+    fn unwritten_record(&self) -> Option<EpochConfig> {
+        let known = [&self.stable.accepted, &self.stable.seen].into_iter().flatten().map(|r| r.term).max();
+        let view = self.view.as_ref().filter(|r| known.is_none_or(|k| k < r.term))?;
         let voter = view.voters().iter().any(|m| m.id == self.me.id);
         (!voter && matches!(self.role, Role::Follower)).then(|| view.clone())
     }
@@ -370,9 +375,9 @@
     }
 
     /// Remembers a record that somebody has proposed.
-    pub(crate) fn note_record(&mut self, record: &Record) {
-        self.highest = self.highest.max(record.ballot.round);
-        if self.view.as_ref().is_some_and(|known| known.ballot >= record.ballot) {
+    pub(crate) fn note_record(&mut self, record: &EpochConfig) {
+        self.highest = self.highest.max(record.term.number);
+        if self.view.as_ref().is_some_and(|known| known.term >= record.term) {
             return;
         }
         for member in record.voters() {
@@ -381,16 +386,16 @@
             }
         }
         self.view = Some(record.clone());
-        self.outranked(record.ballot);
+        self.outranked(record.term);
     }
 
     /// Shows a committed state with the committed changes that follow it; never an older one.
-    pub(crate) fn show(&mut self, state: State) {
+    pub(crate) fn show(&mut self, state: ControlState) {
         let state = self.early_changes.advance(state);
         self.early_changes.forget_up_to(state.revision);
         let known = self.committed.as_ref().map(|s| s.revision);
         if known.is_none_or(|r| {
-            r < state.revision || self.settings.has(InjectedFault::ShowOlder) && r != state.revision
+            r < state.revision || self.settings.has(InjectedFault::PublishOlderState) && r != state.revision
         }) {
             self.out.push(Output::Committed { state: state.clone() });
             self.contact.show(state.revision);
@@ -400,7 +405,7 @@
 
     /// The address to ask instead of this node.
     pub(crate) fn hint(&self) -> Option<SocketAddrV4> {
-        let lately = 2 * self.settings.timings.suspect;
+        let lately = 2 * self.settings.timings.suspicion_timeout;
         let handing = self.handing.filter(|h| self.now - h.since <= lately).map(|h| h.to);
         handing.or_else(|| self.primary().filter(|m| m.id != self.me.id).map(|m| m.address))
     }
@@ -408,35 +413,39 @@
     fn on_message(&mut self, from: Member, message: Message) {
         match message {
             Message::PreVote => self.on_pre_vote(from),
-            Message::PreVoteAnswer { willing, founder, record } => {
-                self.on_pre_vote_answer(from, willing, founder, record);
+            Message::PreVoteResponse { granted: willing, is_bootstrap_voter, config: record } => {
+                self.on_pre_vote_answer(from, willing, is_bootstrap_voter, record);
             }
-            Message::Prepare { ballot } => self.on_prepare(from, ballot),
-            Message::Promise { ballot, founder, fit, record, version } => {
-                self.on_promise(from, ballot, founder, fit, record, version);
+            Message::Prepare { term } => self.on_prepare(from, term),
+            Message::Promise { term, is_bootstrap_voter, is_healthy, config: record, version } => {
+                self.on_promise(from, term, is_bootstrap_voter, is_healthy, record, version);
             }
-            Message::Reject { ballot, promised } => self.on_reject(ballot, promised),
-            Message::Fetch { ballot, version } => self.on_fetch(from, ballot, version),
-            Message::Fetched { ballot, state } => self.on_fetched(ballot, state),
-            Message::Replicate { state } => self.on_replicate(from, state),
-            Message::Restamp { version } => self.on_restamp(from, version),
+            Message::Reject { term, promised } => self.on_reject(term, promised),
+            Message::FetchState { term, version } => self.on_fetch(from, term, version),
+            Message::FetchedState { term, state } => self.on_fetched(term, state),
+            Message::ReplicateState { state } => self.on_replicate(from, state),
+            Message::RewriteUnderNewTerm { version } => self.on_restamp(from, version),
             Message::Replicated { version } => self.on_replicated(from, version),
-            Message::LacksBody { version } => self.on_lacks_body(from, version),
-            Message::Accept { record } => self.on_accept(from, record),
-            Message::Accepted { ballot, founder } => self.on_accepted(from, ballot, founder),
+            Message::MissingBody { version } => self.on_lacks_body(from, version),
+            Message::Accept { config: record } => self.on_accept(from, record),
+            Message::Accepted { term, is_bootstrap_voter } => {
+                self.on_accepted(from, term, is_bootstrap_voter)
+            }
             heartbeat @ Message::Heartbeat { .. } => self.on_heartbeat(from, heartbeat),
-            answer @ Message::HeartbeatAnswer { .. } => self.on_heartbeat_answer(from, answer),
-            Message::Committed { state } => self.show(state),
-            Message::Join { founder, seen } => self.on_join(from, founder, seen),
-            Message::Members { record } => self.note_record(&record),
-            Message::HandOver { ballot } => self.on_hand_over(from, ballot),
-            Message::ReplicateChange { change } => self.on_replicate_change(from, change),
-            Message::CommittedChanges { changes } => self.on_committed_changes(changes),
-            Message::OfferState { offer } => self.on_offer(from, offer),
-            Message::FetchPiece { version, offset } => self.on_fetch_piece(from, version, offset),
-            Message::Piece { piece } => self.on_piece(from, piece),
-            Message::Leaving => self.on_leaving(from),
-            Message::MayLeave { ballot } => self.on_may_leave(ballot),
+            answer @ Message::HeartbeatResponse { .. } => self.on_heartbeat_answer(from, answer),
+            Message::CommittedState { state } => self.show(state),
+            Message::Join { is_bootstrap_voter, known_term: seen } => {
+                self.on_join(from, is_bootstrap_voter, seen)
+            }
+            Message::KnownConfig { config: record } => self.note_record(&record),
+            Message::TransferLeadership { term } => self.on_hand_over(from, term),
+            Message::ReplicateDelta { delta: change } => self.on_replicate_change(from, change),
+            Message::CommittedDeltas { deltas: changes } => self.on_committed_changes(changes),
+            Message::OfferSnapshot { offer } => self.on_offer(from, offer),
+            Message::FetchChunk { version, offset } => self.on_fetch_piece(from, version, offset),
+            Message::SnapshotChunk { chunk: piece } => self.on_piece(from, piece),
+            Message::RequestRemoval => self.on_leaving(from),
+            Message::RemovalGranted { term } => self.on_may_leave(term),
         }
     }
 }
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/primary.rs
@@ -2,14 +2,14 @@
 
 use rand_core::RngCore;
 
-use crate::change::StateChange;
-use crate::contact::ContactStamp;
+use crate::change::StateDelta;
+use crate::contact::LeaseStamp;
 use crate::message::Message;
 use crate::node::{Node, Role};
 use crate::quorum::Votes;
 use crate::settings::InjectedFault;
 use crate::transfer::StatePurpose;
-use crate::types::{Ballot, Member, MemberId, Record, State, Version};
+use crate::types::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
 
 /// What the primary knows of another node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -21,26 +21,26 @@
     pub(crate) contact: u64,
     /// The number of that heartbeat.
     pub(crate) acked: u64,
-    pub(crate) fit: bool,
+    pub(crate) is_healthy: bool,
     /// When it was fit last.
     pub(crate) well: u64,
-    pub(crate) founder: bool,
-    pub(crate) seen: Ballot,
-    /// The ballot of the latest heartbeat that it has answered.
-    pub(crate) answered: Ballot,
+    pub(crate) is_bootstrap_voter: bool,
+    pub(crate) seen: Term,
+    /// The term of the latest heartbeat that it has answered.
+    pub(crate) answered: Term,
     /// When a state was sent to it last.
     pub(crate) state_sent: u64,
     /// The newest stamp of its answers.
-    stamp: Option<ContactStamp>,
+    stamp: Option<LeaseStamp>,
 }
 
 /// What a primary keeps of its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Lead {
-    pub(crate) ballot: Ballot,
-    pub(crate) record: Record,
+    pub(crate) term: Term,
+    pub(crate) record: EpochConfig,
     /// The committed state.
-    pub(crate) state: State,
+    pub(crate) state: ControlState,
     /// The number of the last heartbeat.
     pub(crate) sequence: u64,
     /// The first heartbeat that tells of the last state that was sent whole.
@@ -56,9 +56,9 @@
 /// A change on its way to the disks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingWrite {
-    pub(crate) state: State,
+    pub(crate) state: ControlState,
     /// What it changes of the state before, where that is shorter.
-    change: Option<StateChange>,
+    change: Option<StateDelta>,
     /// Backups that have not the state before.
     lacking: BTreeSet<MemberId>,
     pub(crate) own: bool,
@@ -81,11 +81,11 @@
             heard: now,
             contact: 0,
             acked: 0,
-            fit: false,
+            is_healthy: false,
             well: now,
-            founder: false,
-            seen: Ballot::default(),
-            answered: Ballot::default(),
+            is_bootstrap_voter: false,
+            seen: Term::default(),
+            answered: Term::default(),
             state_sent: 0,
             stamp: None,
         }
@@ -93,9 +93,9 @@
 }
 
 impl Lead {
-    pub(crate) fn new(ballot: Ballot, record: Record, state: State, now: u64) -> Lead {
+    pub(crate) fn new(term: Term, record: EpochConfig, state: ControlState, now: u64) -> Lead {
         Lead {
-            ballot,
+            term,
             record,
             state,
             sequence: 0,
@@ -111,11 +111,11 @@
     /// What a peer is told.
     fn heartbeat_for(&self, peer: &Peer) -> Message {
         Message::Heartbeat {
-            ballot: self.ballot,
+            term: self.term,
             sequence: self.sequence,
             committed: self.state.version(),
-            record: (peer.seen < self.ballot).then(|| self.record.clone()),
-            echo: peer.stamp,
+            config: (peer.seen < self.term).then(|| self.record.clone()),
+            echoed_stamp: peer.stamp,
         }
     }
 
@@ -126,7 +126,7 @@
 
 impl<R: RngCore> Node<R> {
     /// The peers of a new epoch.
-    pub(crate) fn settle_peers(&mut self, record: &Record, votes: &Votes, since: u64, renewal: bool) {
+    pub(crate) fn settle_peers(&mut self, record: &EpochConfig, votes: &Votes, since: u64, renewal: bool) {
         let now = self.now;
         if !renewal {
             self.peers.clear();
@@ -140,11 +140,11 @@
         let silent_leader = self.silent_leader(votes);
         let timings = &self.settings.timings;
         // Who has no part in the take-over is missed for nearly as long as its primary was: it has two heartbeats to answer.
-        let unheard = match self.settings.has(InjectedFault::ForgetSilence) {
+        let unheard = match self.settings.has(InjectedFault::ForgetSilenceOfMembers) {
             true => 0,
-            false => timings.suspect.saturating_sub(2 * timings.heartbeat),
+            false => timings.suspicion_timeout.saturating_sub(2 * timings.heartbeat_interval),
         };
-        let suspect = timings.suspect;
+        let suspect = timings.suspicion_timeout;
         let silence = |id| if silent_leader == Some(id) { suspect } else { unheard };
         for member in record.voters() {
             if member.id == self.me.id || member.id == MemberId(0) {
@@ -154,18 +154,18 @@
             peer.member = member;
             if !renewal {
                 // Until it says otherwise.
-                peer.fit = true;
+                peer.is_healthy = true;
             }
             if !renewal {
                 peer.well = now.saturating_sub(silence(member.id));
             }
             if votes.covers(&member) {
-                peer.founder = votes.is_founder(member.id);
+                peer.is_bootstrap_voter = votes.is_bootstrap_voter(member.id);
                 peer.contact = peer.contact.max(since);
-                peer.seen = record.ballot;
+                peer.seen = record.term;
                 peer.heard = now;
                 peer.well = now;
-                peer.fit = true;
+                peer.is_healthy = true;
             }
         }
     }
@@ -173,23 +173,25 @@
     /// The primary before, if it has no part in this take-over and is suspected.
     fn silent_leader(&self, votes: &Votes) -> Option<MemberId> {
         let leader = self.leader.as_ref().filter(|leader| !votes.covers(&leader.member))?;
-        let suspected = self.now.saturating_sub(leader.heard) >= self.settings.timings.suspect;
-        (suspected && !self.settings.has(InjectedFault::ForgetSilence)).then_some(leader.member.id)
+        let suspected = self.now.saturating_sub(leader.heard) >= self.settings.timings.suspicion_timeout;
+        (suspected && !self.settings.has(InjectedFault::ForgetSilenceOfMembers)).then_some(leader.member.id)
     }
 
     /// The highest value that a majority of the members has reached, as the primary knows it.
-    fn majority_of(&self, record: &Record, value: impl Fn(&Peer) -> u64) -> u64 {
+    fn majority_of(&self, record: &EpochConfig, value: impl Fn(&Peer) -> u64) -> u64 {
         let reached = |members: &[Member]| {
             let mut values: Vec<u64> = members
                 .iter()
                 .map(|m| match m.id {
                     id if id == self.me.id => u64::MAX,
-                    // Danger: a disk that came after the founders has no say for them.
+                    // Danger: a disk that came after the bootstrap voters has no say for them.
                     MemberId(0) if m.address == self.me.address => u64::MAX,
                     MemberId(0) => {
-                        let founders =
-                            self.peers.values().filter(|p| p.founder && p.member.address == m.address);
-                        founders.map(&value).max().unwrap_or(0)
+                        let bootstrap_voters = self
+                            .peers
+                            .values()
+                            .filter(|p| p.is_bootstrap_voter && p.member.address == m.address);
+                        bootstrap_voters.map(&value).max().unwrap_or(0)
                     }
                     id => self.peers.get(&id).map_or(0, &value),
                 })
@@ -197,7 +199,7 @@
             values.sort_unstable_by(|a, b| b.cmp(a));
             values.get(members.len() / 2).copied().unwrap_or(0)
         };
-        reached(&record.members).min(reached(&record.previous))
+        reached(&record.members).min(reached(&record.outgoing_members))
     }
 
     /// The newest heartbeat that a majority has confirmed.
@@ -221,7 +223,7 @@
         if !self.may_send_heartbeats() {
             return;
         }
-        let (now, heartbeat) = (self.now, self.settings.timings.heartbeat);
+        let (now, heartbeat) = (self.now, self.settings.timings.heartbeat_interval);
         let Role::Primary(lead) = &mut self.role else { return };
         lead.sequence += 1;
         lead.heartbeats.push_back((lead.sequence, now));
@@ -233,8 +235,12 @@
         }
         let mut messages = Vec::new();
         for peer in self.peers.values() {
-            let voter =
-                lead.record.members.iter().chain(&lead.record.previous).any(|m| m.id == peer.member.id);
+            let voter = lead
+                .record
+                .members
+                .iter()
+                .chain(&lead.record.outgoing_members)
+                .any(|m| m.id == peer.member.id);
             if all || voter {
                 messages.push((peer.member.address, lead.heartbeat_for(peer)));
             }
@@ -264,15 +270,23 @@
     }
 
     pub(crate) fn on_heartbeat_answer(&mut self, from: Member, answer: Message) {
-        let Message::HeartbeatAnswer { ballot, sequence, promised, accepted, seen, committed, fit, stamp } =
-            answer
+        let Message::HeartbeatResponse {
+            term,
+            sequence,
+            promised,
+            accepted_term: accepted,
+            known_term: seen,
+            committed_revision: committed,
+            is_healthy,
+            lease_stamp: stamp,
+        } = answer
         else {
             return;
         };
-        self.highest = self.highest.max(promised.round);
+        self.highest = self.highest.max(promised.number);
         let (now, lease) = (self.now, self.settings.timings.lease);
         let Role::Primary(lead) = &mut self.role else { return };
-        if lead.ballot != ballot {
+        if lead.term != term {
             return;
         }
         if !self.peers.contains_key(&from.id) {
@@ -280,19 +294,19 @@
         }
         let Role::Primary(lead) = &mut self.role else { return };
         let Some(peer) = self.peers.get_mut(&from.id) else { return };
-        (peer.heard, peer.fit, peer.seen, peer.answered) = (now, fit, seen, ballot);
+        (peer.heard, peer.is_healthy, peer.seen, peer.answered) = (now, is_healthy, seen, term);
         // It was out of touch: it need not wait for the next heartbeat of all.
         let returns = stamp.is_return(peer.stamp, lease);
         peer.stamp = Some(stamp.newest(peer.stamp));
-        if fit {
+        if is_healthy {
             peer.well = now;
             self.leaving.forget(from.id);
         }
         let voter = lead.record.voters().iter().any(|m| m.id == from.id);
-        if promised > ballot && voter {
+        if promised > term && voter {
             lead.outbid.get_or_insert(now);
         }
-        if promised <= ballot
+        if promised <= term
             && let Some(sent) = lead.sent_at(sequence)
         {
             peer.contact = peer.contact.max(sent);
@@ -301,19 +315,19 @@
         // What is told by this answer may be older than what was sent last.
         let settled = self
             .recent_changes
-            .revision_at(now.saturating_sub(self.settings.timings.resend), lead.state.revision);
+            .revision_at(now.saturating_sub(self.settings.timings.resend_interval), lead.state.revision);
         let lacks = sequence >= lead.told && committed.is_none_or(|r| r < settled);
-        let rested = now.saturating_sub(peer.state_sent) >= self.settings.timings.resend_state;
+        let rested = now.saturating_sub(peer.state_sent) >= self.settings.timings.state_resend_interval;
         let state = (lacks && (rested || peer.state_sent == 0)).then(|| lead.state.clone());
         if state.is_some() {
             peer.state_sent = now;
         }
-        let record = (voter && accepted < ballot && promised <= ballot).then(|| lead.record.clone());
+        let record = (voter && accepted < term && promised <= term).then(|| lead.record.clone());
         if let Some(state) = state {
             self.send_news(from, committed, state);
         }
         if let Some(record) = record {
-            self.send(from.address, Message::Accept { record });
+            self.send(from.address, Message::Accept { config: record });
         }
         if returns {
             self.send_heartbeat_to(from.id);
@@ -321,22 +335,22 @@
     }
 
     /// Sends the committed state to one that knows an older one: the changes since then, or the whole.
-    fn send_news(&mut self, to: Member, known: Option<u64>, state: State) {
-        let large = self.settings.piece_sizes.large;
+    fn send_news(&mut self, to: Member, known: Option<u64>, state: ControlState) {
+        let large = self.settings.chunk_sizes.large_state_bytes;
         let changes = known.and_then(|revision| self.recent_changes.since(revision, &state));
-        let bytes = |changes: &Vec<StateChange>| changes.iter().map(StateChange::bytes).sum::<usize>();
+        let bytes = |changes: &Vec<StateDelta>| changes.iter().map(StateDelta::bytes).sum::<usize>();
         match changes.filter(|changes| bytes(changes) <= large.min(state.body.len())) {
-            Some(changes) => self.send(to.address, Message::CommittedChanges { changes }),
+            Some(changes) => self.send(to.address, Message::CommittedDeltas { deltas: changes }),
             None => self.send_state(to, StatePurpose::Committed, state),
         }
     }
 
     /// Sends a change to the disks that have to hold it.
-    pub(crate) fn start_write(&mut self, state: State) {
+    pub(crate) fn start_write(&mut self, state: ControlState) {
         let now = self.now;
         let whole = self.settings.has(InjectedFault::WholeStates);
         let Role::Primary(lead) = &mut self.role else { return };
-        let change = if whole { None } else { StateChange::between(&lead.state, &state) };
+        let change = if whole { None } else { StateDelta::between(&lead.state, &state) };
         let pending_write = PendingWrite {
             state: state.clone(),
             change: change.clone(),
@@ -353,7 +367,7 @@
     }
 
     /// A backup is on its way to have the state: it is not slow.
-    pub(crate) fn flight_progressed(&mut self, version: Version) {
+    pub(crate) fn flight_progressed(&mut self, version: StateVersion) {
         let now = self.now;
         let Role::Primary(lead) = &mut self.role else { return };
         let Some(pending_write) = lead.pending_write.as_mut().filter(|f| f.state.version() == version) else {
@@ -370,16 +384,17 @@
         let backups = lead.record.backups.iter().filter(|id| !pending_write.done.contains(id));
         let backups: Vec<Member> = backups.filter_map(|id| lead.record.member(*id)).copied().collect();
         let (state, lacking) = (pending_write.state.clone(), pending_write.lacking.clone());
-        let change = pending_write.change.clone().filter(|c| c.bytes() <= self.settings.piece_sizes.large);
+        let change =
+            pending_write.change.clone().filter(|c| c.bytes() <= self.settings.chunk_sizes.large_state_bytes);
         for backup in backups {
             match change.clone().filter(|_| !lacking.contains(&backup.id)) {
-                Some(change) => self.send(backup.address, Message::ReplicateChange { change }),
-                None => self.send_state(backup, StatePurpose::Replicate, state.clone()),
+                Some(change) => self.send(backup.address, Message::ReplicateDelta { delta: change }),
+                None => self.send_state(backup, StatePurpose::ReplicateState, state.clone()),
             }
         }
     }
 
-    pub(crate) fn own_state_written(&mut self, version: Version) {
+    pub(crate) fn own_state_written(&mut self, version: StateVersion) {
         let me = self.me.id;
         match &mut self.role {
             Role::Primary(lead) => {
@@ -395,7 +410,7 @@
         }
     }
 
-    pub(crate) fn on_replicated(&mut self, from: Member, version: Version) {
+    pub(crate) fn on_replicated(&mut self, from: Member, version: StateVersion) {
         match &mut self.role {
             Role::Primary(lead) => {
                 if let Some(pending_write) =
@@ -410,7 +425,7 @@
         }
     }
 
-    pub(crate) fn on_lacks_body(&mut self, from: Member, version: Version) {
+    pub(crate) fn on_lacks_body(&mut self, from: Member, version: StateVersion) {
         let Role::Primary(lead) = &mut self.role else { return self.stamp_lacks_body(from, version) };
         let is_backup = lead.record.backups.contains(&from.id);
         let Some(pending_write) = lead.pending_write.as_mut().filter(|f| f.state.version() == version) else {
@@ -418,14 +433,14 @@
         };
         if is_backup && pending_write.lacking.insert(from.id) {
             let state = pending_write.state.clone();
-            self.send_state(from, StatePurpose::Replicate, state);
+            self.send_state(from, StatePurpose::ReplicateState, state);
         }
     }
 
     /// A change is committed when it is on the disks of the primary and of all backups.
     fn commit(&mut self) {
         let alone = self.settings.has(InjectedFault::CommitAlone);
-        let (now, suspect) = (self.now, self.settings.timings.suspect);
+        let (now, suspect) = (self.now, self.settings.timings.suspicion_timeout);
         let Role::Primary(lead) = &mut self.role else { return };
         let Some(pending_write) = &lead.pending_write else { return };
         if !pending_write.own
@@ -435,7 +450,7 @@
         }
         let Some(pending_write) = lead.pending_write.take() else { return };
         lead.state = pending_write.state.clone();
-        let large = self.settings.piece_sizes.large;
+        let large = self.settings.chunk_sizes.large_state_bytes;
         let change = pending_write.change.filter(|c| c.bytes() <= large);
         if change.is_none() {
             lead.told = lead.sequence + 1;
@@ -461,7 +476,7 @@
         for member in others {
             match change.clone() {
                 Some(change) => {
-                    self.send(member.address, Message::CommittedChanges { changes: vec![change] });
+                    self.send(member.address, Message::CommittedDeltas { deltas: vec![change] });
                 }
                 None => self.send_state(member, StatePurpose::Committed, pending_write.state.clone()),
             }
@@ -472,7 +487,7 @@
     pub(crate) fn primary_timers(&mut self) {
         self.hand_over_again();
         let now = self.now;
-        let resend = self.settings.timings.resend_state;
+        let resend = self.settings.timings.state_resend_interval;
         let Role::Primary(lead) = &mut self.role else { return };
         let heartbeats = now >= lead.next_heartbeat;
         let again = lead.pending_write.as_mut().is_some_and(|f| {
@@ -485,7 +500,7 @@
         if heartbeats {
             let record = lead.record.clone();
             self.peers.retain(|id, p| {
-                let voter = record.members.iter().chain(&record.previous).any(|m| m.id == *id);
+                let voter = record.members.iter().chain(&record.outgoing_members).any(|m| m.id == *id);
                 voter || now.saturating_sub(p.heard) <= LEARNER_LASTS
             });
             self.send_heartbeats(true);
--- a/crates/consensus/src/renewal.rs
+++ b/crates/consensus/src/renewal.rs
@@ -5,7 +5,7 @@
 use crate::node::{Handing, Node, Role};
 use crate::primary::{Lead, Peer};
 use crate::settings::{InjectedFault, Timings};
-use crate::types::{Ballot, Member, MemberId};
+use crate::types::{Member, MemberId, Term};
 
 const LATELY: u64 = 350;
 
@@ -15,8 +15,8 @@
         let timings = self.settings.timings.clone();
         let now = self.now;
         let Role::Primary(lead) = &self.role else { return };
-        let stalled =
-            self.writes.age(now) > timings.own_write && !self.settings.has(InjectedFault::KeepStalledPrimary);
+        let stalled = self.writes.age(now) > timings.local_write_timeout
+            && !self.settings.has(InjectedFault::KeepStalledPrimary);
         let stops = self.stopping.is_some_and(|at| lead.pending_write.is_none() || now - at >= 300);
         let refused = self.writes.failed.is_some() && self.successor().is_some();
         if stalled || stops || refused {
@@ -25,15 +25,15 @@
         if self.stopping.is_some() || !self.writes.queue.is_empty() && lead.pending_write.is_none() {
             return;
         }
-        let decided = Some(lead.ballot);
-        let late = |since| now - since >= timings.backup_write || self.wants_other_backups();
+        let decided = Some(lead.term);
+        let late = |since| now - since >= timings.backup_write_timeout || self.wants_other_backups();
         let slow = lead.pending_write.as_ref().is_some_and(|f| f.own && late(f.since));
         let slow = slow && !self.settings.has(InjectedFault::KeepStalledBackup);
-        let outbid = lead.outbid.is_some_and(|at| now - at >= timings.suspect / 2);
+        let outbid = lead.outbid.is_some_and(|at| now - at >= timings.suspicion_timeout / 2);
         if lead.record.is_joint() || slow || outbid {
             return self.start_take_over(decided, None);
         }
-        if now - lead.since < timings.heartbeat || lead.pending_write.is_some() {
+        if now - lead.since < timings.heartbeat_interval || lead.pending_write.is_some() {
             return;
         }
         if let Some(wish) = self.wanted_members() {
@@ -48,14 +48,14 @@
     }
 
     fn is_near(&self, peer: &Peer) -> bool {
-        peer.fit && self.is_heard_lately(peer) && !self.leaving.includes(peer.member.id, self.now)
+        peer.is_healthy && self.is_heard_lately(peer) && !self.leaving.includes(peer.member.id, self.now)
     }
 
     fn lost_backup(&self, lead: &Lead) -> bool {
-        let suspect = self.settings.timings.suspect;
+        let suspect = self.settings.timings.suspicion_timeout;
         let good = |p: &Peer| {
             let leaves = self.leaving.includes(p.member.id, self.now);
-            p.fit && !leaves && self.now.saturating_sub(p.heard) <= suspect
+            p.is_healthy && !leaves && self.now.saturating_sub(p.heard) <= suspect
         };
         lead.record.backups.iter().any(|id| !self.peers.get(id).is_some_and(good))
     }
@@ -100,7 +100,7 @@
     /// address the one heard last takes the place in the end.
     fn newcomers(&self, lead: &Lead) -> Vec<Member> {
         // Danger: a disk that was wiped is heard lately, too. Only what has answered in this epoch is there.
-        let is_here = |p: &Peer| p.answered == lead.ballot || self.settings.has(InjectedFault::StaleNewcomer);
+        let is_here = |p: &Peer| p.answered == lead.term || self.settings.has(InjectedFault::StaleNewcomer);
         let mut found: Vec<&Peer> = self
             .peers
             .values()
@@ -118,7 +118,7 @@
             *place = newcomer;
             return true;
         }
-        if members.len() < 2 * self.settings.failures + 1 {
+        if members.len() < 2 * self.settings.max_failures + 1 {
             members.push(newcomer);
             return true;
         }
@@ -139,8 +139,8 @@
         let timings = &self.settings.timings;
         let silence = self.silence(member);
         member.id != self.me.id
-            && silence <= timings.replace_after
-            && silence + timings.heartbeat > timings.replace_after
+            && silence <= timings.replacement_timeout
+            && silence + timings.heartbeat_interval > timings.replacement_timeout
     }
 
     /// The member that was silent for longest, and for long enough to lose its place.
@@ -148,15 +148,15 @@
         let others = members.iter().filter(|m| m.id != self.me.id);
         let silent = others.max_by_key(|m| self.silence(m))?;
         let replace_after = match self.settings.has(InjectedFault::SlowReplacement) {
-            true => Timings::default().replace_after,
-            false => self.settings.timings.replace_after,
+            true => Timings::default().replacement_timeout,
+            false => self.settings.timings.replacement_timeout,
         };
         (self.silence(silent) > replace_after).then_some(silent.id)
     }
 
     /// A member that has told that it stops, if others are there to hold the state in the epoch between.
     fn leaver_to_replace(&self, members: &[Member]) -> Option<MemberId> {
-        if self.settings.has(InjectedFault::KeepLeavers) {
+        if self.settings.has(InjectedFault::KeepDepartingMembers) {
             return None;
         }
         let others = || members.iter().filter(|m| m.id != self.me.id);
@@ -165,7 +165,7 @@
         let Role::Primary(lead) = &self.role else { return None };
         let old = |m: &Member| lead.record.member(m.id).is_some();
         let staying = others().filter(|m| m.id != leaver.id && old(m) && is_here(m)).count();
-        (staying >= self.settings.failures).then_some(leaver.id)
+        (staying >= self.settings.max_failures).then_some(leaver.id)
     }
 
     /// The one that should lead next: a backup that is fit, or another voter that is.
@@ -174,7 +174,10 @@
         let lease = self.settings.timings.lease;
         let able = |m: &&Member| {
             m.id != self.me.id
-                && self.peers.get(&m.id).is_some_and(|p| p.fit && self.now.saturating_sub(p.heard) <= lease)
+                && self
+                    .peers
+                    .get(&m.id)
+                    .is_some_and(|p| p.is_healthy && self.now.saturating_sub(p.heard) <= lease)
         };
         let members = &lead.record.members;
         let rank = |m: &&Member| {
@@ -187,11 +190,11 @@
     /// Gives the place away.
     pub(crate) fn resign(&mut self) {
         let Role::Primary(lead) = &self.role else { return };
-        let ballot = lead.ballot;
+        let term = lead.term;
         if let Some(successor) = self.successor() {
-            let handing = Handing { to: successor.address, ballot, since: self.now, sent: self.now };
+            let handing = Handing { to: successor.address, term, since: self.now, sent: self.now };
             self.handing = Some(handing);
-            self.send(successor.address, Message::HandOver { ballot });
+            self.send(successor.address, Message::TransferLeadership { term });
         }
         self.step_down();
     }
@@ -199,24 +202,27 @@
     pub(crate) fn hand_over_again(&mut self) {
         let now = self.now;
         let Some(handing) = &mut self.handing else { return };
-        let taken = self.promised > handing.ballot;
-        if now - handing.since > 2 * self.settings.timings.suspect {
+        let taken = self.promised > handing.term;
+        if now - handing.since > 2 * self.settings.timings.suspicion_timeout {
             self.handing = None;
-        } else if !taken && now - handing.since <= 300 && now - handing.sent >= self.settings.timings.resend {
+        } else if !taken
+            && now - handing.since <= 300
+            && now - handing.sent >= self.settings.timings.resend_interval
+        {
             handing.sent = now;
-            let (to, ballot) = (handing.to, handing.ballot);
-            self.send(to, Message::HandOver { ballot });
+            let (to, term) = (handing.to, handing.term);
+            self.send(to, Message::TransferLeadership { term });
         }
     }
 
-    /// Somebody else's ballot is higher than the own one.
-    pub(crate) fn outranked(&mut self, ballot: Ballot) {
+    /// Somebody else's term is higher than the own one.
+    pub(crate) fn outranked(&mut self, term: Term) {
         let own = match &self.role {
             Role::Follower => return,
-            Role::TakingOver(t) => t.ballot,
-            Role::Primary(lead) => lead.ballot,
+            Role::TakingOver(t) => t.term,
+            Role::Primary(lead) => lead.term,
         };
-        if ballot > own {
+        if term > own {
             self.step_down();
         }
     }
@@ -232,7 +238,7 @@
         self.leader = self.leader.take().filter(|l| l.member.id != self.me.id);
         self.await_leader();
         if led {
-            self.out.push(Output::Deposed);
+            self.out.push(Output::SteppedDown);
         } else {
             self.election.at = self.now + 100 + self.below(250);
         }
@@ -242,7 +248,8 @@
     pub(crate) fn take_over_timers(&mut self) {
         let now = self.now;
         let timings = &self.settings.timings;
-        let (step, resend, resend_state) = (timings.take_over_step, timings.resend, timings.resend_state);
+        let (step, resend, resend_state) =
+            (timings.take_over_step_timeout, timings.resend_interval, timings.state_resend_interval);
         let Role::TakingOver(t) = &mut self.role else { return };
         // A primary that takes over from itself finishes, so that it can name its successor.
         let stops = self.stopping.is_some() && !t.is_renewal();
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,6 +1,6 @@
 use core::net::SocketAddrV4;
 
-use crate::transfer::PieceSizes;
+use crate::transfer::ChunkSizes;
 
 /// Records that name more members are not taken.
 pub(crate) const MOST_MEMBERS: usize = 32;
@@ -16,31 +16,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Timings {
     /// From one sign of life of the primary to the next.
-    pub heartbeat: u64,
+    pub heartbeat_interval: u64,
     /// A primary that was not heard for so long may be replaced.
-    pub suspect: u64,
+    pub suspicion_timeout: u64,
     /// A primary that did not hear a majority for so long steps down.
     pub lease: u64,
     /// A member that was not heard for so long gives its place to a newcomer.
-    pub replace_after: u64,
+    pub replacement_timeout: u64,
     /// A backup that has not written a change for so long is replaced.
-    pub backup_write: u64,
+    pub backup_write_timeout: u64,
     /// A primary whose own write takes so long gives up its place.
-    pub own_write: u64,
+    pub local_write_timeout: u64,
     /// A node whose write takes so long is unfit.
-    pub unfit_write: u64,
+    pub unhealthy_write_timeout: u64,
     /// A node whose write failed tries its disk again after so long.
-    pub disk_retry: u64,
+    pub disk_retry_interval: u64,
     /// An ask that waited so long is answered as unavailable, while its caller still listens.
-    pub ask: u64,
+    pub request_timeout: u64,
     /// A step of a take-over that takes so long ends it.
-    pub take_over_step: u64,
+    pub take_over_step_timeout: u64,
     /// What was lost on the way is sent again after so long.
-    pub resend: u64,
+    pub resend_interval: u64,
     /// The same, for what may be as big as a state.
-    pub resend_state: u64,
+    pub state_resend_interval: u64,
     /// Founders wait so long to know each other, all of them.
-    pub founding: u64,
+    pub bootstrap_timeout: u64,
 }
 
 /// A machine ends so long at most after the one that replaces it has started.
@@ -55,26 +55,29 @@
     pub fn for_sync(sync: u64) -> Timings {
         let usual = Timings::default();
         let replace_after = sync.saturating_sub(LATE_END + CHANGE_OF_MEMBERS);
-        Timings { replace_after: replace_after.clamp(usual.suspect, usual.replace_after), ..usual }
+        Timings {
+            replacement_timeout: replace_after.clamp(usual.suspicion_timeout, usual.replacement_timeout),
+            ..usual
+        }
     }
 }
 
 impl Default for Timings {
     fn default() -> Timings {
         Timings {
-            heartbeat: 100,
-            suspect: 600,
+            heartbeat_interval: 100,
+            suspicion_timeout: 600,
             lease: 600,
-            replace_after: 2_500,
-            backup_write: 400,
-            own_write: 700,
-            unfit_write: 400,
-            disk_retry: 500,
-            ask: CALLER_PATIENCE - CALLER_MARGIN,
-            take_over_step: 500,
-            resend: 100,
-            resend_state: 250,
-            founding: 1_500,
+            replacement_timeout: 2_500,
+            backup_write_timeout: 400,
+            local_write_timeout: 700,
+            unhealthy_write_timeout: 400,
+            disk_retry_interval: 500,
+            request_timeout: CALLER_PATIENCE - CALLER_MARGIN,
+            take_over_step_timeout: 500,
+            resend_interval: 100,
+            state_resend_interval: 250,
+            bootstrap_timeout: 1_500,
         }
     }
 }
@@ -85,17 +88,17 @@
     /// The internal address of this machine.
     pub address: SocketAddrV4,
     /// How many disks may be lost at a time; the backups are as many.
-    pub failures: usize,
+    pub max_failures: usize,
     /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// The internal addresses of the seeds. With `bootstrap` and an empty disk, these are the founders.
+    /// The internal addresses of the seeds. With `bootstrap` and an empty disk, these are the bootstrap voters.
     pub seeds: Vec<SocketAddrV4>,
     /// All spans.
     pub timings: Timings,
     /// The log is rewritten when the records since the last time are longer than this.
-    pub rewrite_bytes: usize,
+    pub log_rewrite_bytes: usize,
     /// From which length on states go in pieces, and how long those are.
-    pub piece_sizes: PieceSizes,
+    pub chunk_sizes: ChunkSizes,
     /// A fault built in, to see that the checkers of the tests find it.
     #[doc(hidden)]
     pub injected_fault: Option<InjectedFault>,
@@ -112,12 +115,12 @@
         let rewrite_bytes = 4 << 20;
         Settings {
             address,
-            failures,
+            max_failures: failures,
             bootstrap,
             seeds,
             timings: Timings::default(),
-            rewrite_bytes,
-            piece_sizes: PieceSizes::default(),
+            log_rewrite_bytes: rewrite_bytes,
+            chunk_sizes: ChunkSizes::default(),
             injected_fault: None,
         }
     }
@@ -135,8 +138,8 @@
     /// A change is acknowledged when it is on the primary's disk.
     CommitAlone,
     /// Promises, states and records are answered before they are synced.
-    AnswerUnsynced,
-    /// A backup takes writes of a ballot below its promise.
+    RespondUnsynced,
+    /// A backup takes writes of a term below its promise.
     ForgetPromise,
     /// A take-over takes the highest revision, whatever its stamp.
     NewestByRevision,
@@ -145,15 +148,15 @@
     /// A primary answers that a base is stale without a majority's word.
     StaleUnconfirmed,
     /// A backup shows what it has written.
-    ShowUncommitted,
+    PublishUncommitted,
     /// The calls that were taken aren't remembered.
-    ForgetTaken,
-    /// ClientRequests are answered when their callers have long gone elsewhere.
-    AnswerLate,
+    ForgetAppliedRequests,
+    /// Client requests are answered when their callers have long gone elsewhere.
+    ReplyLate,
     /// A call that can't be told from a forgotten one is refused.
-    RefuseForgotten,
+    RejectExpired,
     /// What is shown may go back.
-    ShowOlder,
+    PublishOlderState,
     /// A follower is in touch from the moment at which any heartbeat arrives.
     ContactByArrival,
     /// A follower is in touch before it shows what the primary has committed.
@@ -163,43 +166,43 @@
     /// A take-over that was frozen goes on with the answers that came meanwhile.
     LateTakeOver,
     /// A follower takes stamps of other runs of its process for its own.
-    ContactOfOtherLives,
+    ContactOfOtherIncarnations,
     /// A primary without contact to a majority goes on telling that it lives.
     NoLease,
     /// Only the new members decide on a change of members.
     NewMembersOnly,
-    /// A machine at a founder's address votes as one, also with another disk.
-    AnyFounder,
-    /// A ballot is used before it is on the own disk.
-    BallotUnsynced,
+    /// A machine at a bootstrap voter's address votes as one, also with another disk.
+    AnyBootstrapVoter,
+    /// A term is used before it is on the own disk.
+    TermUnsynced,
     /// A primary keeps its place when its disk stalls.
     KeepStalledPrimary,
     /// A backup keeps its place when its disk stalls.
     KeepStalledBackup,
     /// Members are never replaced.
     KeepMembers,
-    /// ClientRequests are forgotten when the primary steps down.
-    DropAsks,
+    /// Client requests are forgotten when the primary steps down.
+    DropClientRequests,
     /// A node with a full disk says that it is fit.
-    AlwaysFit,
+    AlwaysHealthy,
     /// The state is not stamped before the record is proposed.
-    NoStamp,
+    SkipRewriteUnderNewTerm,
     /// Every change sends and writes the whole state, and every state goes in one message.
     WholeStates,
     /// A step of a take-over ends though a state that it waits for is on its way.
-    StepBoundKept,
+    IgnoreTransferProgress,
     /// A change is applied to whatever state is there.
-    ChangeOnAnyState,
+    ApplyDeltaToAnyState,
     /// A change is written though the state before it may not stand before it in the log.
-    ChangeOnUnsureState,
+    WriteDeltaOnUncertainState,
     /// A member that stops just ends.
-    LeaveAtOnce,
+    ShutDownAtOnce,
     /// A member that has told that it stops keeps its place until it was silent for long.
-    KeepLeavers,
+    KeepDepartingMembers,
     /// A silent member keeps its place for as long as the usual spans say, whatever the platform's are.
     SlowReplacement,
     /// The silence of a primary that is gone counts from the take-over.
-    ForgetSilence,
+    ForgetSilenceOfMembers,
     /// Newcomers get places one after the other, each by a take-over.
     OneNewcomerAtATime,
     /// A disk that was wiped counts as a newcomer while its last word is fresh.
--- a/crates/consensus/src/stored.rs
+++ b/crates/consensus/src/stored.rs
@@ -5,15 +5,15 @@
 use minicbor::decode::Error;
 use minicbor::{Decode, Decoder};
 
-use crate::types::{Ballot, Call, CallDigest, REMEMBERED_CALLS, State};
+use crate::types::{AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest, Term};
 
 /// A state as it is encoded. Fields that older versions did not write are optional.
 #[derive(Decode)]
 pub(crate) struct StoredState {
     #[n(0)]
-    ballot: Ballot,
+    term: Term,
     #[n(1)]
-    origin: Ballot,
+    first_write_term: Term,
     #[n(2)]
     revision: u64,
     #[n(3)]
@@ -21,7 +21,7 @@
     #[n(4)]
     taken: Vec<StoredCall>,
     #[n(5)]
-    forgotten: Option<u64>,
+    highest_expired_revision: Option<u64>,
 }
 
 /// A call as it is encoded.
@@ -31,30 +31,31 @@
     revision: u64,
     /// None where an older version wrote a digest of 64 bits: it tells nothing of calls that come now.
     #[cbor(n(1), decode_with = "decode_digest")]
-    digest: Option<CallDigest>,
+    digest: Option<RequestDigest>,
 }
 
-fn decode_digest<C>(d: &mut Decoder<'_>, context: &mut C) -> Result<Option<CallDigest>, Error> {
+fn decode_digest<C>(d: &mut Decoder<'_>, context: &mut C) -> Result<Option<RequestDigest>, Error> {
     if d.datatype()? == Type::Bytes {
-        return CallDigest::decode(d, context).map(Some);
+        return RequestDigest::decode(d, context).map(Some);
     }
     d.u64()?;
     Ok(None)
 }
 
-impl From<StoredState> for State {
-    fn from(stored: StoredState) -> State {
-        let floor = stored.forgotten.unwrap_or_else(|| floor_of(&stored.taken));
+impl From<StoredState> for ControlState {
+    fn from(stored: StoredState) -> ControlState {
+        let floor = stored.highest_expired_revision.unwrap_or_else(|| floor_of(&stored.taken));
         let without_digest = stored.taken.iter().filter(|call| call.digest.is_none());
-        let forgotten = without_digest.map(|call| call.revision).fold(floor, u64::max);
-        let call = |call: &StoredCall| call.digest.map(|digest| Call { revision: call.revision, digest });
-        State {
-            ballot: stored.ballot,
-            origin: stored.origin,
+        let highest_expired_revision = without_digest.map(|call| call.revision).fold(floor, u64::max);
+        let call =
+            |call: &StoredCall| call.digest.map(|digest| AppliedRequest { revision: call.revision, digest });
+        ControlState {
+            write_term: stored.term,
+            first_write_term: stored.first_write_term,
             revision: stored.revision,
             body: Vec::from(stored.body).into(),
-            taken: stored.taken.iter().filter_map(call).collect(),
-            forgotten,
+            applied_requests: stored.taken.iter().filter_map(call).collect(),
+            highest_expired_revision,
         }
     }
 }
@@ -63,7 +64,7 @@
 /// below the oldest one that is remembered, and none was dropped before the list was full.
 fn floor_of(taken: &[StoredCall]) -> u64 {
     match taken.first() {
-        Some(oldest) if taken.len() >= REMEMBERED_CALLS => oldest.revision.saturating_sub(1),
+        Some(oldest) if taken.len() >= DEDUPLICATION_WINDOW => oldest.revision.saturating_sub(1),
         _ => 0,
     }
 }
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -10,14 +10,14 @@
 use crate::quorum::Votes;
 use crate::settings::InjectedFault;
 use crate::transfer::StatePurpose;
-use crate::types::{Ballot, Member, MemberId, Record, State, Version};
+use crate::types::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
 
 /// An attempt to lead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TakeOver {
-    pub(crate) ballot: Ballot,
+    pub(crate) term: Term,
     /// The epoch that this node leads until now, known to be decided.
-    decided: Option<Ballot>,
+    decided: Option<Term>,
     /// The members that the primary wants.
     wish: Option<Vec<Member>>,
     phase: Phase,
@@ -28,8 +28,8 @@
     sent: u64,
     tries: u8,
     promises: BTreeMap<MemberId, Promised>,
-    /// The ballot of the record that the new one follows.
-    base: Ballot,
+    /// The term of the record that the new one follows.
+    base: Term,
     /// The members of the new record, before and after.
     target: (Vec<Member>, Vec<Member>),
 }
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Promised {
     member: Member,
-    founder: bool,
-    fit: bool,
-    version: Option<Version>,
+    is_bootstrap_voter: bool,
+    is_healthy: bool,
+    version: Option<StateVersion>,
     /// It has said that it has not the state that is to be stamped.
     lacks_body: bool,
     order: usize,
@@ -52,11 +52,11 @@
     /// The others are asked for theirs.
     Prepare,
     /// The newest state is fetched.
-    Fetch { version: Version, order: Vec<MemberId> },
-    /// The newest state gets this ballot's stamp, here and at the backups to be.
-    Stamp { state: State, order: Vec<MemberId>, asked: usize, done: Vec<MemberId>, own: bool },
+    FetchState { version: StateVersion, order: Vec<MemberId> },
+    /// The newest state gets this term's stamp, here and at the backups to be.
+    Stamp { state: ControlState, order: Vec<MemberId>, asked: usize, done: Vec<MemberId>, own: bool },
     /// The record is proposed.
-    Accept { record: Record, state: State, votes: Votes, own: bool },
+    Accept { record: EpochConfig, state: ControlState, votes: Votes, own: bool },
 }
 
 impl TakeOver {
@@ -68,7 +68,7 @@
     fn votes(&self) -> Votes {
         let mut votes = Votes::default();
         for p in self.promises.values() {
-            votes.add(p.member, p.founder);
+            votes.add(p.member, p.is_bootstrap_voter);
         }
         votes
     }
@@ -86,17 +86,17 @@
         self.start_take_over(None, None);
     }
 
-    pub(crate) fn start_take_over(&mut self, decided: Option<Ballot>, wish: Option<Vec<Member>>) {
-        let round = self.highest.max(self.promised.round).saturating_add(1);
-        let ballot = Ballot { round, member: self.me.id };
-        if ballot <= self.promised || self.writes.is_full() {
+    pub(crate) fn start_take_over(&mut self, decided: Option<Term>, wish: Option<Vec<Member>>) {
+        let round = self.highest.max(self.promised.number).saturating_add(1);
+        let term = Term { number: round, proposer: self.me.id };
+        if term <= self.promised || self.writes.is_full() {
             return;
         }
         self.highest = round;
-        self.promised = ballot;
+        self.promised = term;
         self.leader = self.leader.take().filter(|l| l.member.id != self.me.id);
         let take_over = TakeOver {
-            ballot,
+            term,
             decided,
             wish,
             phase: Phase::OwnPromise,
@@ -105,67 +105,70 @@
             sent: self.now,
             tries: 0,
             promises: BTreeMap::new(),
-            base: Ballot::default(),
+            base: Term::default(),
             target: Default::default(),
         };
         self.role = Role::TakingOver(Box::new(take_over));
         self.renumber_client_requests();
-        self.write(Effect::Promise(ballot), Some(self.me));
-        if self.settings.has(InjectedFault::BallotUnsynced) {
-            self.own_promise_written(ballot);
+        self.write(Effect::Promise(term), Some(self.me));
+        if self.settings.has(InjectedFault::TermUnsynced) {
+            self.own_promise_written(term);
         }
     }
 
-    /// Danger: others hear of a ballot only when it is on the own disk, so that it isn't used twice after a loss of power.
-    pub(crate) fn own_promise_written(&mut self, ballot: Ballot) {
+    /// Danger: others hear of a term only when it is on the own disk, so that it isn't used twice after a loss of power.
+    pub(crate) fn own_promise_written(&mut self, term: Term) {
         let Role::TakingOver(t) = &mut self.role else { return };
-        if t.ballot != ballot || t.phase != Phase::OwnPromise {
+        if t.term != term || t.phase != Phase::OwnPromise {
             return;
         }
         t.enter(Phase::Prepare, self.now);
         self.ask_for_promises();
-        let (founder, fit, version) = (self.is_founder(), self.is_fit(), self.stable.version());
-        self.on_promise(self.me, ballot, founder, fit, None, version);
+        let (is_bootstrap_voter, is_healthy, version) =
+            (self.is_bootstrap_voter(), self.is_healthy(), self.stable.version());
+        self.on_promise(self.me, term, is_bootstrap_voter, is_healthy, None, version);
     }
 
     fn ask_for_promises(&mut self) {
         let Role::TakingOver(t) = &self.role else { return };
-        let ballot = t.ballot;
+        let term = t.term;
         let mut all = self.electorate();
         if self.view.is_none() {
-            all.extend(self.fresh_joiners().iter().filter(|j| !j.founder).map(|j| j.member));
+            all.extend(self.fresh_joiners().iter().filter(|j| !j.is_bootstrap_voter).map(|j| j.member));
         }
         let promised = t.votes();
         for member in all.iter().filter(|m| !promised.covers(m)) {
-            self.send(member.address, Message::Prepare { ballot });
+            self.send(member.address, Message::Prepare { term });
         }
     }
 
     pub(crate) fn on_promise(
         &mut self,
         from: Member,
-        ballot: Ballot,
-        founder: bool,
-        fit: bool,
-        record: Option<Record>,
-        version: Option<Version>,
+        term: Term,
+        is_bootstrap_voter: bool,
+        is_healthy: bool,
+        record: Option<EpochConfig>,
+        version: Option<StateVersion>,
     ) {
         if let Some(record) = record {
             self.note_record(&record);
         }
         let Role::TakingOver(t) = &mut self.role else { return };
-        if t.ballot == ballot && t.promises.len() < 64 && !t.promises.contains_key(&from.id) {
+        if t.term == term && t.promises.len() < 64 && !t.promises.contains_key(&from.id) {
             let order = t.promises.len();
-            t.promises
-                .insert(from.id, Promised { member: from, founder, fit, version, lacks_body: false, order });
+            t.promises.insert(
+                from.id,
+                Promised { member: from, is_bootstrap_voter, is_healthy, version, lacks_body: false, order },
+            );
             self.weigh_promises();
         }
     }
 
-    pub(crate) fn on_reject(&mut self, ballot: Ballot, promised: Ballot) {
-        self.highest = self.highest.max(promised.round);
+    pub(crate) fn on_reject(&mut self, term: Term, promised: Term) {
+        self.highest = self.highest.max(promised.number);
         match &mut self.role {
-            Role::TakingOver(t) if t.ballot == ballot && promised > ballot => {
+            Role::TakingOver(t) if t.term == term && promised > term => {
                 let (decided, wish, tries) = (t.decided, t.wish.clone(), t.tries + 1);
                 if decided.is_none() || tries > 3 {
                     return self.step_down();
@@ -176,7 +179,7 @@
                     t.tries = tries;
                 }
             }
-            Role::Primary(lead) if lead.ballot == ballot && promised > ballot => {
+            Role::Primary(lead) if lead.term == term && promised > term => {
                 lead.outbid.get_or_insert(self.now);
             }
             _ => {}
@@ -184,28 +187,28 @@
     }
 
     /// The members of the record to be: `(previous, members)`.
-    fn next_members(&self, t: &TakeOver, base: Option<&Record>) -> (Vec<Member>, Vec<Member>) {
+    fn next_members(&self, t: &TakeOver, base: Option<&EpochConfig>) -> (Vec<Member>, Vec<Member>) {
         let Some(base) = base else { return self.first_members(t) };
         // Danger: members change only from a record that is known to be decided; any other may have to be completed.
-        if t.decided != Some(base.ballot) {
-            return (base.previous.clone(), base.members.clone());
+        if t.decided != Some(base.term) {
+            return (base.outgoing_members.clone(), base.members.clone());
         }
         let wish = t.wish.clone().filter(|_| !base.is_joint());
         (base.members.clone(), wish.unwrap_or_else(|| base.members.clone()))
     }
 
-    /// The founders decide by their addresses on the first members, those founders that have told their numbers first.
+    /// The bootstrap voters decide by their addresses on the first members, those bootstrap voters that have told their numbers first.
     fn first_members(&self, t: &TakeOver) -> (Vec<Member>, Vec<Member>) {
         let slots: Vec<Member> =
-            self.founders().unwrap_or_default().iter().map(|a| Member::founder(*a)).collect();
+            self.bootstrap_voters().unwrap_or_default().iter().map(|a| Member::bootstrap_voter(*a)).collect();
         let mut members = vec![self.me];
         let mut known: Vec<(bool, Member)> =
-            self.fresh_joiners().iter().map(|j| (j.founder, j.member)).collect();
-        known.extend(t.promises.values().map(|p| (p.founder, p.member)));
-        known.sort_by_key(|(founder, member)| (!founder, *member));
+            self.fresh_joiners().iter().map(|j| (j.is_bootstrap_voter, j.member)).collect();
+        known.extend(t.promises.values().map(|p| (p.is_bootstrap_voter, p.member)));
+        known.sort_by_key(|(is_bootstrap_voter, member)| (!is_bootstrap_voter, *member));
         for (_, member) in known {
             let new = members.iter().all(|m| m.id != member.id && m.address != member.address);
-            if new && members.len() < 2 * self.settings.failures + 1 {
+            if new && members.len() < 2 * self.settings.max_failures + 1 {
                 members.push(member);
             }
         }
@@ -221,7 +224,7 @@
         let votes = t.votes();
         let new_only = self.settings.has(InjectedFault::NewMembersOnly);
         // The highest record seen is as good as one accepted: somebody has proposed it.
-        let base = self.view.clone().filter(|r| r.ballot < t.ballot);
+        let base = self.view.clone().filter(|r| r.term < t.term);
         if base.as_ref().is_some_and(|r| r.member(self.me.id).is_none()) {
             return self.step_down();
         }
@@ -234,25 +237,25 @@
         }
         let target = self.next_members(t, base.as_ref());
         let Some(order) = self.choose_backups(t, &target.1) else { return };
-        let key = |v: &Version| match self.settings.has(InjectedFault::NewestByRevision) {
-            true => (Ballot::default(), v.revision, v.stamp, v.origin),
-            false => (v.stamp, v.revision, v.origin, v.origin),
+        let key = |v: &StateVersion| match self.settings.has(InjectedFault::NewestByRevision) {
+            true => (Term::default(), v.revision, v.write_term, v.first_write_term),
+            false => (v.write_term, v.revision, v.first_write_term, v.first_write_term),
         };
         let newest = t.promises.values().filter_map(|p| p.version).max_by_key(key);
         let own = [self.stable.state.as_ref(), self.committed.as_ref()];
         let state = match newest {
-            // Only founders start from nothing.
-            None => base.is_none().then(State::default),
+            // Only bootstrap voters start from nothing.
+            None => base.is_none().then(ControlState::default),
             Some(newest) => own.into_iter().flatten().find(|s| s.version().same_body(&newest)).cloned(),
         };
         let now = self.now;
         let Role::TakingOver(t) = &mut self.role else { return };
-        t.base = base.map(|b| b.ballot).unwrap_or_default();
+        t.base = base.map(|b| b.term).unwrap_or_default();
         t.target = target;
         match (state, newest) {
             (Some(state), _) => self.stamp(state, order),
             (None, Some(version)) => {
-                t.enter(Phase::Fetch { version, order }, now);
+                t.enter(Phase::FetchState { version, order }, now);
                 self.fetch();
             }
             (None, None) => self.step_down(),
@@ -261,14 +264,14 @@
 
     /// Those that may be backups, best first; none if others are worth waiting for.
     fn choose_backups(&self, t: &TakeOver, members: &[Member]) -> Option<Vec<MemberId>> {
-        let wanted = self.settings.failures;
+        let wanted = self.settings.max_failures;
         let own = self.stable.version();
         let mut able: Vec<(&MemberId, &Promised)> = t.promises.iter().collect();
         able.retain(|(id, _)| **id != self.me.id && members.iter().any(|m| m.id == **id));
-        able.sort_by_key(|(_, p)| (!p.fit, p.version.is_none() || p.version != own, p.order));
-        let fit = able.iter().filter(|(_, p)| p.fit).count();
+        able.sort_by_key(|(_, p)| (!p.is_healthy, p.version.is_none() || p.version != own, p.order));
+        let is_healthy = able.iter().filter(|(_, p)| p.is_healthy).count();
         let waited = self.now.saturating_sub(t.since) >= 200;
-        let enough = fit >= wanted || able.len() >= wanted && waited;
+        let enough = is_healthy >= wanted || able.len() >= wanted && waited;
         enough.then(|| able.into_iter().map(|(id, _)| *id).collect())
     }
 
@@ -277,61 +280,61 @@
             return;
         }
         let Role::TakingOver(t) = &self.role else { return };
-        let Phase::Fetch { version, .. } = t.phase else { return };
-        let (ballot, now) = (t.ballot, self.now);
+        let Phase::FetchState { version, .. } = t.phase else { return };
+        let (term, now) = (t.term, self.now);
         let holders = t.promises.values().filter(|p| p.version.is_some_and(|v| v.same_body(&version)));
         let addresses: Vec<_> = holders.map(|p| p.member.address).collect();
         // One after the other: a state may be big.
-        let turn = (now.saturating_sub(t.since) / self.settings.timings.resend_state) as usize;
+        let turn = (now.saturating_sub(t.since) / self.settings.timings.state_resend_interval) as usize;
         if let Some(address) = addresses.get(turn % addresses.len().max(1)) {
-            self.send(*address, Message::Fetch { ballot, version });
+            self.send(*address, Message::FetchState { term, version });
         }
     }
 
     /// Whether a state is the one that a take-over looks for.
-    pub(crate) fn fetches(&self, ballot: Ballot, wanted: &Version) -> bool {
+    pub(crate) fn fetches(&self, term: Term, wanted: &StateVersion) -> bool {
         let Role::TakingOver(t) = &self.role else { return false };
-        let Phase::Fetch { version, .. } = &t.phase else { return false };
-        t.ballot == ballot && version.same_body(wanted)
+        let Phase::FetchState { version, .. } = &t.phase else { return false };
+        t.term == term && version.same_body(wanted)
     }
 
     /// A piece of the state that this take-over waits for has come or was asked for.
-    pub(crate) fn take_over_progressed(&mut self, progressed: Version) {
+    pub(crate) fn take_over_progressed(&mut self, progressed: StateVersion) {
         let now = self.now;
         let Role::TakingOver(t) = &mut self.role else { return };
         let waits = match &t.phase {
-            Phase::Fetch { version, .. } => version.same_body(&progressed),
+            Phase::FetchState { version, .. } => version.same_body(&progressed),
             Phase::Stamp { state, .. } => state.version() == progressed,
             _ => false,
         };
-        let bound = if self.settings.has(InjectedFault::StepBoundKept) { 0 } else { MOST_TRANSFER };
+        let bound = if self.settings.has(InjectedFault::IgnoreTransferProgress) { 0 } else { MOST_TRANSFER };
         if waits && now.saturating_sub(t.entered) < bound {
             t.since = now;
         }
     }
 
-    pub(crate) fn on_fetched(&mut self, ballot: Ballot, state: State) {
+    pub(crate) fn on_fetched(&mut self, term: Term, state: ControlState) {
         let Role::TakingOver(t) = &self.role else { return };
-        let Phase::Fetch { version, order } = &t.phase else { return };
-        if t.ballot == ballot && state.version().same_body(version) {
+        let Phase::FetchState { version, order } = &t.phase else { return };
+        if t.term == term && state.version().same_body(version) {
             let order = order.clone();
             self.stamp(state, order);
         }
     }
 
-    fn stamp(&mut self, state: State, order: Vec<MemberId>) {
+    fn stamp(&mut self, state: ControlState, order: Vec<MemberId>) {
         let now = self.now;
-        let skip = self.settings.has(InjectedFault::NoStamp);
-        let wanted = self.settings.failures;
+        let skip = self.settings.has(InjectedFault::SkipRewriteUnderNewTerm);
+        let wanted = self.settings.max_failures;
         let Role::TakingOver(t) = &mut self.role else { return };
-        let state = state.stamped(t.ballot);
+        let state = state.stamped(t.term);
         let done = if skip { order.iter().take(wanted).copied().collect() } else { Vec::new() };
         let asked = wanted.min(order.len());
         t.enter(Phase::Stamp { state: state.clone(), order, asked, done, own: false }, now);
         let held = self.stable.version().is_some_and(|v| v.same_body(&state.version()));
         let effect = match held && self.may_refer() {
-            true => Effect::Restamp(state.version()),
-            false => Effect::State(state),
+            true => Effect::RewriteUnderNewTerm(state.version()),
+            false => Effect::ControlState(state),
         };
         self.write(effect, Some(self.me));
         if !skip {
@@ -345,7 +348,7 @@
         let Phase::Stamp { state, order, asked, done, .. } = &t.phase else { return };
         let (state, version) = (state.clone(), state.version());
         // One that has not written the state may know it all the same: worth a question where it is large.
-        let ask_first = state.body.len() > self.settings.piece_sizes.large
+        let ask_first = state.body.len() > self.settings.chunk_sizes.large_state_bytes
             && !self.settings.has(InjectedFault::WholeStates);
         let mut targets = Vec::new();
         for id in order.iter().take(*asked).skip(from).filter(|id| !done.contains(id)) {
@@ -355,13 +358,13 @@
         }
         for (member, restamp) in targets {
             match restamp {
-                true => self.send(member.address, Message::Restamp { version }),
-                false => self.send_state(member, StatePurpose::Replicate, state.clone()),
+                true => self.send(member.address, Message::RewriteUnderNewTerm { version }),
+                false => self.send_state(member, StatePurpose::ReplicateState, state.clone()),
             }
         }
     }
 
-    pub(crate) fn stamp_lacks_body(&mut self, from: Member, version: Version) {
+    pub(crate) fn stamp_lacks_body(&mut self, from: Member, version: StateVersion) {
         let Role::TakingOver(t) = &mut self.role else { return };
         let Phase::Stamp { state, .. } = &t.phase else { return };
         if state.version() == version
@@ -369,13 +372,13 @@
             && !std::mem::replace(&mut p.lacks_body, true)
         {
             let state = state.clone();
-            self.send_state(from, StatePurpose::Replicate, state);
+            self.send_state(from, StatePurpose::ReplicateState, state);
         }
     }
 
-    /// A state with this ballot's stamp is on a disk.
-    pub(crate) fn stamped_at(&mut self, id: MemberId, version: Version) {
-        let (me, wanted) = (self.me.id, self.settings.failures);
+    /// A state with this term's stamp is on a disk.
+    pub(crate) fn stamped_at(&mut self, id: MemberId, version: StateVersion) {
+        let (me, wanted) = (self.me.id, self.settings.max_failures);
         let Role::TakingOver(t) = &mut self.role else { return };
         let Phase::Stamp { state, order, done, own, .. } = &mut t.phase else { return };
         if state.version() != version {
@@ -391,7 +394,7 @@
         }
         let (state, backups) = (state.clone(), done.iter().take(wanted).copied().collect());
         let (previous, members) = t.target.clone();
-        let record = Record { ballot: t.ballot, previous, members, primary: me, backups };
+        let record = EpochConfig { term: t.term, outgoing_members: previous, members, primary: me, backups };
         self.note_record(&record);
         let now = self.now;
         let Role::TakingOver(t) = &mut self.role else { return };
@@ -406,29 +409,29 @@
         let record = record.clone();
         let missing: Vec<Member> = record.voters().into_iter().filter(|m| !votes.covers(m)).collect();
         for member in missing {
-            self.send(member.address, Message::Accept { record: record.clone() });
+            self.send(member.address, Message::Accept { config: record.clone() });
         }
     }
 
-    pub(crate) fn own_record_written(&mut self, ballot: Ballot) {
+    pub(crate) fn own_record_written(&mut self, term: Term) {
         if let Role::TakingOver(t) = &mut self.role
-            && t.ballot == ballot
+            && t.term == term
             && let Phase::Accept { own, .. } = &mut t.phase
         {
             *own = true;
-            let founder = self.is_founder();
-            self.on_accepted(self.me, ballot, founder);
+            let is_bootstrap_voter = self.is_bootstrap_voter();
+            self.on_accepted(self.me, term, is_bootstrap_voter);
         }
     }
 
-    pub(crate) fn on_accepted(&mut self, from: Member, ballot: Ballot, founder: bool) {
+    pub(crate) fn on_accepted(&mut self, from: Member, term: Term, is_bootstrap_voter: bool) {
         let new_only = self.settings.has(InjectedFault::NewMembersOnly);
         let Role::TakingOver(t) = &mut self.role else { return };
         let Phase::Accept { record, state, votes, own } = &mut t.phase else { return };
-        if t.ballot != ballot {
+        if t.term != term {
             return;
         }
-        votes.add(from, founder);
+        votes.add(from, is_bootstrap_voter);
         if !*own || !votes.decide(record, new_only) {
             return;
         }
@@ -436,12 +439,12 @@
         let votes = votes.clone();
         let (renewal, continued) = (t.is_renewal(), t.decided == Some(t.base));
         self.settle_peers(&record, &votes, since, renewal);
-        self.leader = Some(Leader::new(self.me, ballot, self.now));
-        self.role = Role::Primary(Box::new(Lead::new(ballot, record, state.clone(), self.now)));
+        self.leader = Some(Leader::new(self.me, term, self.now));
+        self.role = Role::Primary(Box::new(Lead::new(term, record, state.clone(), self.now)));
         self.touched = Some(since);
         self.handing = None;
         self.show(state);
-        self.out.push(Output::Primary { ballot, continued });
+        self.out.push(Output::BecamePrimary { term, continued });
         if !continued {
             self.refuse_unconfirmed();
         }
@@ -452,7 +455,7 @@
     pub(crate) fn take_over_resend(&mut self, resend: u64, resend_state: u64) {
         let now = self.now;
         let Role::TakingOver(t) = &mut self.role else { return };
-        let big = matches!(t.phase, Phase::Fetch { .. } | Phase::Stamp { .. });
+        let big = matches!(t.phase, Phase::FetchState { .. } | Phase::Stamp { .. });
         let pause = if big { resend_state } else { resend };
         let due = now.saturating_sub(t.sent) >= pause;
         if due {
@@ -467,10 +470,10 @@
                 }
                 self.weigh_promises();
             }
-            Phase::Fetch { .. } if due => self.fetch(),
+            Phase::FetchState { .. } if due => self.fetch(),
             Phase::Stamp { order, asked, .. } => {
                 // A backup that is slow gets company.
-                let more = (self.settings.failures + (waited / 150) as usize).min(order.len());
+                let more = (self.settings.max_failures + (waited / 150) as usize).min(order.len());
                 let first_new = *asked;
                 if more > first_new {
                     *asked = more;
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/transfer.rs
@@ -12,7 +12,7 @@
 use crate::message::Message;
 use crate::node::{Node, Role};
 use crate::settings::InjectedFault;
-use crate::types::{Ballot, Member, State, Version, decode_body, encode_body};
+use crate::types::{ControlState, Member, StateVersion, Term, decode_body, encode_body};
 
 /// An outgoing transfer that nobody asked for pieces of for so long is forgotten.
 const OUTGOING_LASTS: u64 = 2_000;
@@ -33,13 +33,13 @@
     Committed,
     /// Write it and answer [`Message::Replicated`].
     #[n(1)]
-    Replicate,
+    ReplicateState,
     /// It was fetched for a take-over.
     #[n(2)]
-    Fetched {
-        /// The ballot of the take-over.
+    FetchedState {
+        /// The term of the take-over.
         #[n(0)]
-        ballot: Ballot,
+        term: Term,
     },
 }
 
@@ -51,13 +51,13 @@
 
 /// A state that is there in pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Offer {
+pub struct SnapshotOffer {
     /// What to do with it.
     #[n(0)]
     pub purpose: StatePurpose,
     /// Which state it is.
     #[n(1)]
-    pub version: Version,
+    pub version: StateVersion,
     /// The bytes of the encoded state.
     #[n(2)]
     pub length: u64,
@@ -68,10 +68,10 @@
 
 /// A piece of an encoded state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Piece {
+pub struct SnapshotChunk {
     /// Which state it is of.
     #[n(0)]
-    pub version: Version,
+    pub version: StateVersion,
     /// Where it begins.
     #[n(1)]
     pub offset: u64,
@@ -82,16 +82,16 @@
 
 /// From which length on states go in pieces, and how long those are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct PieceSizes {
+pub struct ChunkSizes {
     /// Bodies and deltas that are longer are large.
-    pub large: usize,
+    pub large_state_bytes: usize,
     /// The bytes of a piece.
-    pub piece: usize,
+    pub chunk_bytes: usize,
 }
 
-impl Default for PieceSizes {
-    fn default() -> PieceSizes {
-        PieceSizes { large: 256 << 10, piece: 256 << 10 }
+impl Default for ChunkSizes {
+    fn default() -> ChunkSizes {
+        ChunkSizes { large_state_bytes: 256 << 10, chunk_bytes: 256 << 10 }
     }
 }
 
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Outgoing {
     to: Member,
-    offer: Offer,
+    offer: SnapshotOffer,
     encoded: Arc<[u8]>,
     /// When a piece was asked for last, or the offer was made.
     touched: u64,
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Incoming {
     from: Member,
-    offer: Offer,
+    offer: SnapshotOffer,
     bytes: Vec<u8>,
     /// When the last piece came.
     progress: u64,
@@ -132,7 +132,7 @@
 }
 
 impl Transfers {
-    fn is_under_way(&self, to: Member, purpose: StatePurpose, version: Version, since: u64) -> bool {
+    fn is_under_way(&self, to: Member, purpose: StatePurpose, version: StateVersion, since: u64) -> bool {
         let same = |o: &Outgoing| o.to.id == to.id && o.offer.purpose == purpose;
         // Whoever gets a committed state learns the changes after it on its own.
         let state = |o: &Outgoing| purpose.is_committed() || o.offer.version == version;
@@ -140,7 +140,7 @@
     }
 
     /// The encoded state; shared by all that get it.
-    fn encoded(&self, state: &State) -> Arc<[u8]> {
+    fn encoded(&self, state: &ControlState) -> Arc<[u8]> {
         let known = self.outgoing.iter().find(|o| o.offer.version == state.version());
         // Writing to memory doesn't fail.
         known.map_or_else(|| minicbor::to_vec(state).unwrap_or_default().into(), |o| o.encoded.clone())
@@ -148,7 +148,7 @@
 
     /// Makes room for one more transfer of the version; the one that was idle for longest gives way. A peer has one of a
     /// committed state and another one at most, which the first must not end.
-    fn make_room(&mut self, to: Member, purpose: StatePurpose, version: Version) {
+    fn make_room(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
         self.outgoing
             .retain(|o| o.to.id != to.id || o.offer.purpose.is_committed() != purpose.is_committed());
         while self.outgoing.len() >= MOST_OUTGOING || self.states_beside(version) >= MOST_OUTGOING_STATES {
@@ -158,45 +158,45 @@
         }
     }
 
-    fn states_beside(&self, version: Version) -> usize {
+    fn states_beside(&self, version: StateVersion) -> usize {
         let others = self.outgoing.iter().map(|o| o.offer.version).filter(|v| *v != version);
-        others.collect::<std::collections::BTreeSet<Version>>().len()
+        others.collect::<std::collections::BTreeSet<StateVersion>>().len()
     }
 }
 
 impl<R: RngCore> Node<R> {
     /// Sends a state whole: in one message, or by an offer where it is large.
-    pub(crate) fn send_state(&mut self, to: Member, purpose: StatePurpose, state: State) {
-        if state.body.len() <= self.settings.piece_sizes.large
+    pub(crate) fn send_state(&mut self, to: Member, purpose: StatePurpose, state: ControlState) {
+        if state.body.len() <= self.settings.chunk_sizes.large_state_bytes
             || self.settings.has(InjectedFault::WholeStates)
         {
             let message = match purpose {
-                StatePurpose::Committed => Message::Committed { state },
-                StatePurpose::Replicate => Message::Replicate { state },
-                StatePurpose::Fetched { ballot } => Message::Fetched { ballot, state },
+                StatePurpose::Committed => Message::CommittedState { state },
+                StatePurpose::ReplicateState => Message::ReplicateState { state },
+                StatePurpose::FetchedState { term } => Message::FetchedState { term, state },
             };
             return self.send(to.address, message);
         }
         let (version, now) = (state.version(), self.now);
-        let pause = self.settings.timings.resend_state;
+        let pause = self.settings.timings.state_resend_interval;
         if self.transfers.is_under_way(to, purpose, version, now.saturating_sub(pause)) {
             return;
         }
         let encoded = self.transfers.encoded(&state);
         self.transfers.make_room(to, purpose, version);
         let (length, checksum) = (encoded.len() as u64, checksum(&encoded));
-        let offer = Offer { purpose, version, length, checksum };
+        let offer = SnapshotOffer { purpose, version, length, checksum };
         self.transfers.outgoing.push(Outgoing { to, offer, encoded, touched: now });
-        self.send(to.address, Message::OfferState { offer });
+        self.send(to.address, Message::OfferSnapshot { offer });
     }
 
-    pub(crate) fn on_offer(&mut self, from: Member, offer: Offer) {
+    pub(crate) fn on_offer(&mut self, from: Member, offer: SnapshotOffer) {
         if offer.length > MAX_STATE_BYTES as u64 || !self.wants(from, &offer) {
             return;
         }
         let held = [self.stable.state.as_ref(), self.committed.as_ref()];
         let held = held.into_iter().flatten().find(|s| s.version().same_body(&offer.version));
-        if let Some(state) = held.map(|s| s.stamped(offer.version.stamp)) {
+        if let Some(state) = held.map(|s| s.stamped(offer.version.write_term)) {
             return self.take_state(from, offer.purpose, state);
         }
         let now = self.now;
@@ -215,15 +215,15 @@
     }
 
     /// Whether the offered state is of use.
-    fn wants(&mut self, from: Member, offer: &Offer) -> bool {
+    fn wants(&mut self, from: Member, offer: &SnapshotOffer) -> bool {
         match offer.purpose {
             StatePurpose::Committed => {
                 self.committed.as_ref().is_none_or(|s| s.revision < offer.version.revision)
             }
-            StatePurpose::Replicate => {
-                self.admit(from, offer.version.stamp) && !self.is_known(from, &offer.version)
+            StatePurpose::ReplicateState => {
+                self.admit(from, offer.version.write_term) && !self.is_known(from, &offer.version)
             }
-            StatePurpose::Fetched { ballot } => self.fetches(ballot, &offer.version),
+            StatePurpose::FetchedState { term } => self.fetches(term, &offer.version),
         }
     }
 
@@ -233,11 +233,11 @@
         incoming.asked = now;
         let (to, version, offset) =
             (incoming.from.address, incoming.offer.version, incoming.bytes.len() as u64);
-        self.send(to, Message::FetchPiece { version, offset });
+        self.send(to, Message::FetchChunk { version, offset });
     }
 
-    pub(crate) fn on_fetch_piece(&mut self, from: Member, version: Version, offset: u64) {
-        let (now, piece_bytes) = (self.now, self.settings.piece_sizes.piece.max(1));
+    pub(crate) fn on_fetch_piece(&mut self, from: Member, version: StateVersion, offset: u64) {
+        let (now, piece_bytes) = (self.now, self.settings.chunk_sizes.chunk_bytes.max(1));
         let asked = |o: &&mut Outgoing| o.to.id == from.id && o.offer.version == version;
         let outgoing = self.transfers.outgoing.iter_mut().filter(asked).max_by_key(|o| o.offer.purpose);
         let Some(outgoing) = outgoing else { return };
@@ -247,12 +247,15 @@
         let bytes: Arc<[u8]> = rest.get(..piece_bytes.min(rest.len())).unwrap_or_default().into();
         let purpose = outgoing.offer.purpose;
         if !bytes.is_empty() {
-            self.send(from.address, Message::Piece { piece: Piece { version, offset, bytes } });
+            self.send(
+                from.address,
+                Message::SnapshotChunk { chunk: SnapshotChunk { version, offset, bytes } },
+            );
         }
         self.transfer_progressed(from, purpose, version);
     }
 
-    pub(crate) fn on_piece(&mut self, from: Member, piece: Piece) {
+    pub(crate) fn on_piece(&mut self, from: Member, piece: SnapshotChunk) {
         let now = self.now;
         let Some(incoming) = &mut self.transfers.incoming else { return };
         let expected = incoming.from.id == from.id && incoming.offer.version == piece.version;
@@ -263,7 +266,7 @@
         }
         incoming.bytes.extend_from_slice(&piece.bytes);
         incoming.progress = now;
-        if let StatePurpose::Fetched { .. } = incoming.offer.purpose {
+        if let StatePurpose::FetchedState { .. } = incoming.offer.purpose {
             self.take_over_progressed(piece.version);
         }
         let complete =
@@ -273,32 +276,32 @@
 
     fn finish_transfer(&mut self) {
         let Some(incoming) = self.transfers.incoming.take() else { return };
-        let Offer { purpose, version, checksum: expected, .. } = incoming.offer;
+        let SnapshotOffer { purpose, version, checksum: expected, .. } = incoming.offer;
         if checksum(&incoming.bytes) != expected {
             return;
         }
-        let Ok(state) = minicbor::decode::<State>(&incoming.bytes) else { return };
-        if state.version() == version && state.is_sane() {
+        let Ok(state) = minicbor::decode::<ControlState>(&incoming.bytes) else { return };
+        if state.version() == version && state.is_within_bounds() {
             self.take_state(incoming.from, purpose, state);
         }
     }
 
-    fn take_state(&mut self, from: Member, purpose: StatePurpose, state: State) {
+    fn take_state(&mut self, from: Member, purpose: StatePurpose, state: ControlState) {
         match purpose {
             StatePurpose::Committed => self.show(state),
-            StatePurpose::Replicate => self.on_replicate(from, state),
-            StatePurpose::Fetched { ballot } => self.on_fetched(ballot, state),
+            StatePurpose::ReplicateState => self.on_replicate(from, state),
+            StatePurpose::FetchedState { term } => self.on_fetched(term, state),
         }
     }
 
     /// The receiver of a state has asked for a piece: what waits for it is given more time.
-    fn transfer_progressed(&mut self, to: Member, purpose: StatePurpose, version: Version) {
+    fn transfer_progressed(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
         match (purpose, &self.role) {
-            (StatePurpose::Replicate, Role::Primary(_)) => self.flight_progressed(version),
-            (StatePurpose::Replicate, Role::TakingOver(_)) => self.take_over_progressed(version),
+            (StatePurpose::ReplicateState, Role::Primary(_)) => self.flight_progressed(version),
+            (StatePurpose::ReplicateState, Role::TakingOver(_)) => self.take_over_progressed(version),
             // Whoever fetches the newest state is about to lead: others are not promised anything meanwhile.
-            (StatePurpose::Fetched { ballot }, _) if ballot.member == to.id && ballot == self.promised => {
-                self.election.quiet_until = self.now + self.settings.timings.suspect / 2;
+            (StatePurpose::FetchedState { term }, _) if term.proposer == to.id && term == self.promised => {
+                self.election.quiet_until = self.now + self.settings.timings.suspicion_timeout / 2;
             }
             _ => {}
         }
@@ -306,7 +309,7 @@
 
     /// Whether the newest state is on its way in for a take-over.
     pub(crate) fn is_fetching(&self) -> bool {
-        let fetched = |i: &Incoming| matches!(i.offer.purpose, StatePurpose::Fetched { .. });
+        let fetched = |i: &Incoming| matches!(i.offer.purpose, StatePurpose::FetchedState { .. });
         let lately = |i: &Incoming| self.now.saturating_sub(i.progress) < INCOMING_STALLS;
         self.transfers.incoming.as_ref().is_some_and(|i| fetched(i) && lately(i))
     }
@@ -317,7 +320,7 @@
         let Some(incoming) = &self.transfers.incoming else { return };
         if now.saturating_sub(incoming.progress) >= INCOMING_LASTS {
             self.transfers.incoming = None;
-        } else if now.saturating_sub(incoming.asked) >= self.settings.timings.resend_state {
+        } else if now.saturating_sub(incoming.asked) >= self.settings.timings.state_resend_interval {
             self.ask_for_piece();
         }
     }
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -7,9 +7,9 @@
 use crate::stored::StoredState;
 
 /// How many of the latest calls a state remembers.
-pub const REMEMBERED_CALLS: usize = 256;
+pub const DEDUPLICATION_WINDOW: usize = 256;
 
-/// The random number of a disk. Zero stands for a founder that is known by its address only.
+/// The random number of a disk. Zero stands for a bootstrap voter that is known by its address only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct MemberId(#[n(0)] pub u64);
@@ -26,31 +26,31 @@
 }
 
 impl Member {
-    pub(crate) fn founder(address: SocketAddrV4) -> Member {
+    pub(crate) fn bootstrap_voter(address: SocketAddrV4) -> Member {
         Member { id: MemberId(0), address }
     }
 }
 
 /// The number of an attempt to lead; its round is the fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Ballot {
+pub struct Term {
     /// Rises with every attempt.
     #[n(0)]
-    pub round: u64,
+    pub number: u64,
     /// Whose attempt it is.
     #[n(1)]
-    pub member: MemberId,
+    pub proposer: MemberId,
 }
 
 /// An epoch: who leads, who holds the state, who votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Record {
+pub struct EpochConfig {
     /// The attempt that proposed it.
     #[n(0)]
-    pub ballot: Ballot,
+    pub term: Term,
     /// The members before; other than `members` only while members change. A majority of both decides.
     #[n(1)]
-    pub previous: Vec<Member>,
+    pub outgoing_members: Vec<Member>,
     /// The members.
     #[n(2)]
     pub members: Vec<Member>,
@@ -62,10 +62,10 @@
     pub backups: Vec<MemberId>,
 }
 
-impl Record {
+impl EpochConfig {
     /// Whether members are changing: the old ones have a say still.
     pub fn is_joint(&self) -> bool {
-        self.previous != self.members
+        self.outgoing_members != self.members
     }
 
     pub(crate) fn member(&self, id: MemberId) -> Option<&Member> {
@@ -79,42 +79,42 @@
     /// All that have a say, each address and number once.
     pub(crate) fn voters(&self) -> Vec<Member> {
         let mut all = self.members.clone();
-        all.extend(self.previous.iter().filter(|m| !self.members.contains(m)));
+        all.extend(self.outgoing_members.iter().filter(|m| !self.members.contains(m)));
         all
     }
 
-    pub(crate) fn is_sane(&self) -> bool {
+    pub(crate) fn is_within_bounds(&self) -> bool {
         let most = crate::settings::MOST_MEMBERS;
-        self.members.len() <= most && self.previous.len() <= most && self.backups.len() <= most
+        self.members.len() <= most && self.outgoing_members.len() <= most && self.backups.len() <= most
     }
 }
 
-/// Which state it is: of two, the one that is higher holds. One body belongs to each pair of revision and origin.
+/// Which state it is: of two, the one that is higher holds. One body belongs to each pair of revision and first_write_term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Version {
-    /// The ballot under which it was written here.
+pub struct StateVersion {
+    /// The term under which it was written here.
     #[n(0)]
-    pub stamp: Ballot,
+    pub write_term: Term,
     /// The operator's number.
     #[n(1)]
     pub revision: u64,
-    /// The ballot under which it was written first.
+    /// The term under which it was written first.
     #[n(2)]
-    pub origin: Ballot,
+    pub first_write_term: Term,
 }
 
-impl Version {
-    pub(crate) fn same_body(&self, other: &Version) -> bool {
-        self.revision == other.revision && self.origin == other.origin
+impl StateVersion {
+    pub(crate) fn same_body(&self, other: &StateVersion) -> bool {
+        self.revision == other.revision && self.first_write_term == other.first_write_term
     }
 }
 
 /// What tells an operator's call from every other one: the SHA-256 of all that it says.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
-pub struct CallDigest(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; 32]);
+pub struct RequestDigest(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; 32]);
 
-impl fmt::Debug for CallDigest {
+impl fmt::Debug for RequestDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -122,37 +122,37 @@
 
 /// A call that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct Call {
+pub struct AppliedRequest {
     /// The revision that it made.
     #[n(0)]
     pub revision: u64,
     /// The digest of the call.
     #[n(1)]
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
 }
 
 /// What a state says of an operator's call, before anything is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum RequestStatus {
     /// Exactly this call has been taken.
-    Taken,
+    AlreadyApplied,
     /// It builds on the current revision and numbers above it.
     Acceptable,
     /// It has never been taken, and never will be.
     Stale,
     /// It is so old that it can't be told from a call that was taken and has been forgotten: no clear answer.
-    Forgotten,
+    Expired,
 }
 
 /// The control state. Cheap to clone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode)]
-pub struct State {
-    /// The ballot under which it was written.
+pub struct ControlState {
+    /// The term under which it was written.
     #[n(0)]
-    pub ballot: Ballot,
-    /// The ballot under which this revision was written first.
+    pub write_term: Term,
+    /// The term under which this revision was written first.
     #[n(1)]
-    pub origin: Ballot,
+    pub first_write_term: Term,
     /// The operator's number; zero before the first change.
     #[n(2)]
     pub revision: u64,
@@ -160,52 +160,68 @@
     #[cbor(n(3), encode_with = "encode_body")]
     pub body: Arc<[u8]>,
     /// The latest calls that were taken, oldest first.
-    #[cbor(n(4), encode_with = "encode_taken")]
-    pub taken: Arc<[Call]>,
+    #[cbor(n(4), encode_with = "encode_applied_requests")]
+    pub applied_requests: Arc<[AppliedRequest]>,
     /// The highest revision whose call was taken and is remembered no more; zero while all are remembered.
     #[n(5)]
-    pub forgotten: u64,
+    pub highest_expired_revision: u64,
 }
 
-impl State {
+impl ControlState {
     /// Which state it is.
-    pub fn version(&self) -> Version {
-        Version { stamp: self.ballot, revision: self.revision, origin: self.origin }
+    pub fn version(&self) -> StateVersion {
+        StateVersion {
+            write_term: self.write_term,
+            revision: self.revision,
+            first_write_term: self.first_write_term,
+        }
     }
 
-    pub(crate) fn stamped(&self, ballot: Ballot) -> State {
-        State { ballot, ..self.clone() }
+    pub(crate) fn stamped(&self, term: Term) -> ControlState {
+        ControlState { write_term: term, ..self.clone() }
     }
 
-    pub(crate) fn has_taken(&self, call: Call) -> bool {
-        self.taken.contains(&call)
+    pub(crate) fn has_applied(&self, call: AppliedRequest) -> bool {
+        self.applied_requests.contains(&call)
     }
 
     /// What is to be said of a call that builds on the revision `base`, if this state is the newest one.
-    pub fn judge(&self, base: u64, call: Call) -> Judgement {
-        if self.has_taken(call) {
-            Judgement::Taken
+    pub fn classify_request(&self, base: u64, call: AppliedRequest) -> RequestStatus {
+        if self.has_applied(call) {
+            RequestStatus::AlreadyApplied
         } else if base == self.revision {
             // A call that was taken on this base would have made another revision current.
-            if call.revision > base { Judgement::Acceptable } else { Judgement::Stale }
-        } else if call.revision <= base || call.revision > self.forgotten {
+            if call.revision > base { RequestStatus::Acceptable } else { RequestStatus::Stale }
+        } else if call.revision <= base || call.revision > self.highest_expired_revision {
             // Each call that was taken numbers above its base, and all above `forgotten` are remembered.
-            Judgement::Stale
+            RequestStatus::Stale
         } else {
-            Judgement::Forgotten
+            RequestStatus::Expired
         }
     }
 
     /// The state after a call.
-    pub fn after(&self, ballot: Ballot, call: Call, body: Arc<[u8]>) -> State {
-        let dropped = (self.taken.len() + 1).saturating_sub(REMEMBERED_CALLS);
-        let forgotten = self.taken.iter().take(dropped).map(|c| c.revision).fold(self.forgotten, u64::max);
-        let taken = self.taken.iter().skip(dropped).copied().chain([call]).collect();
-        State { ballot, origin: ballot, revision: call.revision, body, taken, forgotten }
+    pub fn with_request_applied(&self, term: Term, call: AppliedRequest, body: Arc<[u8]>) -> ControlState {
+        let dropped = (self.applied_requests.len() + 1).saturating_sub(DEDUPLICATION_WINDOW);
+        let highest_expired_revision = self
+            .applied_requests
+            .iter()
+            .take(dropped)
+            .map(|c| c.revision)
+            .fold(self.highest_expired_revision, u64::max);
+        let taken = self.applied_requests.iter().skip(dropped).copied().chain([call]).collect();
+        ControlState {
+            write_term: term,
+            first_write_term: term,
+            revision: call.revision,
+            body,
+            applied_requests: taken,
+            highest_expired_revision,
+        }
     }
 
-    pub(crate) fn is_sane(&self) -> bool {
-        self.taken.len() <= REMEMBERED_CALLS
+    pub(crate) fn is_within_bounds(&self) -> bool {
+        self.applied_requests.len() <= DEDUPLICATION_WINDOW
     }
 }
 
@@ -225,8 +241,8 @@
     Ok(d.bytes()?.into())
 }
 
-fn encode_taken<C, W: minicbor::encode::Write>(
-    taken: &Arc<[Call]>,
+fn encode_applied_requests<C, W: minicbor::encode::Write>(
+    taken: &Arc<[AppliedRequest]>,
     e: &mut minicbor::Encoder<W>,
     context: &mut C,
 ) -> Result<(), minicbor::encode::Error<W::Error>> {
@@ -237,8 +253,11 @@
     Ok(())
 }
 
-impl<'b, C> Decode<'b, C> for State {
-    fn decode(d: &mut minicbor::Decoder<'b>, context: &mut C) -> Result<State, minicbor::decode::Error> {
-        StoredState::decode(d, context).map(State::from)
+impl<'b, C> Decode<'b, C> for ControlState {
+    fn decode(
+        d: &mut minicbor::Decoder<'b>,
+        context: &mut C,
+    ) -> Result<ControlState, minicbor::decode::Error> {
+        StoredState::decode(d, context).map(ControlState::from)
     }
 }
