--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -2,9 +2,9 @@
 
 use minicbor::{decode, to_vec};
 use mosshead_consensus::{
-    Ballot, Call, CallDigest, ContactStamp, Delta, Fault, Input, Member, MemberId, Message, Node, Offer,
-    Output, Piece, PieceSizes, Record, Settings, State, StateChange, StatePurpose, Verdict, Version,
-    checksum,
+    AppliedRequest, BodyDelta, ChunkSizes, ClientReply, ControlState, EpochConfig, Input, LeaseStamp, Member,
+    MemberId, Message, Node, Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta,
+    StatePurpose, StateVersion, StoredStateError, Term, checksum,
 };
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::SeedableRng;
@@ -22,13 +22,13 @@
     MemberId(u64::arbitrary(g) % 5)
 }
 
-fn ballot(g: &mut Gen) -> Ballot {
+fn term(g: &mut Gen) -> Term {
     let round = if u8::arbitrary(g) % 8 == 0 { u64::arbitrary(g) } else { u64::arbitrary(g) % 6 };
-    Ballot { round, member: id(g) }
+    Term { number: round, proposer: id(g) }
 }
 
-fn stamp(g: &mut Gen) -> ContactStamp {
-    ContactStamp { life: u64::arbitrary(g) % 3, at: u64::arbitrary(g) }
+fn stamp(g: &mut Gen) -> LeaseStamp {
+    LeaseStamp { incarnation: u64::arbitrary(g) % 3, answered_at: u64::arbitrary(g) }
 }
 
 fn member(g: &mut Gen) -> Member {
@@ -39,53 +39,61 @@
     (0..u8::arbitrary(g) % 40).map(|_| member(g)).collect()
 }
 
-fn record(g: &mut Gen) -> Record {
+fn record(g: &mut Gen) -> EpochConfig {
     let backups = (0..u8::arbitrary(g) % 4).map(|_| id(g)).collect();
-    Record { ballot: ballot(g), previous: members(g), members: members(g), primary: id(g), backups }
+    EpochConfig { term: term(g), outgoing_members: members(g), members: members(g), primary: id(g), backups }
 }
 
-fn digest(number: u64) -> CallDigest {
+fn digest(number: u64) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
-    CallDigest(bytes)
+    RequestDigest(bytes)
 }
 
-fn version(g: &mut Gen) -> Version {
-    Version { stamp: ballot(g), revision: u64::arbitrary(g) % 6, origin: ballot(g) }
+fn version(g: &mut Gen) -> StateVersion {
+    StateVersion { write_term: term(g), revision: u64::arbitrary(g) % 6, first_write_term: term(g) }
 }
 
-fn state(g: &mut Gen) -> State {
+fn state(g: &mut Gen) -> ControlState {
     let v = version(g);
-    let call = |g: &mut Gen| Call { revision: u64::arbitrary(g), digest: digest(u64::arbitrary(g)) };
-    let taken: Vec<Call> = (0..u8::arbitrary(g) % 4).map(|_| call(g)).collect();
+    let call =
+        |g: &mut Gen| AppliedRequest { revision: u64::arbitrary(g), digest: digest(u64::arbitrary(g)) };
+    let taken: Vec<AppliedRequest> = (0..u8::arbitrary(g) % 4).map(|_| call(g)).collect();
     let body = Vec::<u8>::arbitrary(g).into();
     let forgotten = u64::arbitrary(g) % 3;
-    State { ballot: v.stamp, origin: v.origin, revision: v.revision, body, taken: taken.into(), forgotten }
+    ControlState {
+        write_term: v.write_term,
+        first_write_term: v.first_write_term,
+        revision: v.revision,
+        body,
+        applied_requests: taken.into(),
+        highest_expired_revision: forgotten,
+    }
 }
 
-fn change(g: &mut Gen) -> StateChange {
+fn change(g: &mut Gen) -> StateDelta {
     let previous = state(g);
-    let longer = Delta::between(&previous.body, &[&previous.body[..], &[7; 9]].concat());
-    let shorter = Delta::between(&[1; 50], &[1; 40]).expect("a delta");
-    let call = Call { revision: u64::arbitrary(g) % 6, digest: digest(u64::arbitrary(g)) };
+    let longer = BodyDelta::between(&previous.body, &[&previous.body[..], &[7; 9]].concat());
+    let shorter = BodyDelta::between(&[1; 50], &[1; 40]).expect("a delta");
+    let call = AppliedRequest { revision: u64::arbitrary(g) % 6, digest: digest(u64::arbitrary(g)) };
     let delta = longer.unwrap_or(shorter);
-    StateChange { previous: previous.version(), ballot: ballot(g), call, delta }
+    StateDelta { previous: previous.version(), term: term(g), request: call, delta }
 }
 
-fn offer(g: &mut Gen) -> Offer {
+fn offer(g: &mut Gen) -> SnapshotOffer {
     let purpose = match u8::arbitrary(g) % 3 {
         0 => StatePurpose::Committed,
-        1 => StatePurpose::Replicate,
-        _ => StatePurpose::Fetched { ballot: ballot(g) },
+        1 => StatePurpose::ReplicateState,
+        _ => StatePurpose::FetchedState { term: term(g) },
     };
     let encoded = to_vec(state(g)).unwrap_or_default();
     let length = if bool::arbitrary(g) { encoded.len() as u64 } else { u64::arbitrary(g) };
-    Offer { purpose, version: version(g), length, checksum: checksum(&encoded) }
+    SnapshotOffer { purpose, version: version(g), length, checksum: checksum(&encoded) }
 }
 
-fn piece(g: &mut Gen) -> Piece {
+fn piece(g: &mut Gen) -> SnapshotChunk {
     let offset = if bool::arbitrary(g) { 0 } else { u64::arbitrary(g) };
-    Piece { version: version(g), offset, bytes: to_vec(state(g)).unwrap_or_default().into() }
+    SnapshotChunk { version: version(g), offset, bytes: to_vec(state(g)).unwrap_or_default().into() }
 }
 
 fn flip<T>(g: &mut Gen, make: impl Fn(&mut Gen) -> T) -> Option<T> {
@@ -97,56 +105,56 @@
         let yes = bool::arbitrary(g);
         Any(match u8::arbitrary(g) % 26 {
             0 => Message::PreVote,
-            1 => {
-                Message::PreVoteAnswer { willing: yes, founder: bool::arbitrary(g), record: flip(g, record) }
-            }
-            2 => Message::Prepare { ballot: ballot(g) },
+            1 => Message::PreVoteResponse {
+                granted: yes,
+                is_bootstrap_voter: bool::arbitrary(g),
+                config: flip(g, record),
+            },
+            2 => Message::Prepare { term: term(g) },
             3 => Message::Promise {
-                ballot: ballot(g),
-                founder: yes,
-                fit: bool::arbitrary(g),
-                record: flip(g, record),
+                term: term(g),
+                is_bootstrap_voter: yes,
+                is_healthy: bool::arbitrary(g),
+                config: flip(g, record),
                 version: flip(g, version),
             },
-            4 => Message::Reject { ballot: ballot(g), promised: ballot(g) },
-            5 => Message::Fetch { ballot: ballot(g), version: version(g) },
-            6 => Message::Fetched { ballot: ballot(g), state: state(g) },
-            7 => Message::Replicate { state: state(g) },
-            8 => Message::Restamp { version: version(g) },
+            4 => Message::Reject { term: term(g), promised: term(g) },
+            5 => Message::FetchState { term: term(g), version: version(g) },
+            6 => Message::FetchedState { term: term(g), state: state(g) },
+            7 => Message::ReplicateState { state: state(g) },
+            8 => Message::RewriteUnderNewTerm { version: version(g) },
             9 => Message::Replicated { version: version(g) },
-            10 => Message::LacksBody { version: version(g) },
-            11 => Message::Accept { record: record(g) },
-            12 => Message::Accepted { ballot: ballot(g), founder: yes },
+            10 => Message::MissingBody { version: version(g) },
+            11 => Message::Accept { config: record(g) },
+            12 => Message::Accepted { term: term(g), is_bootstrap_voter: yes },
             13 => Message::Heartbeat {
-                ballot: ballot(g),
+                term: term(g),
                 sequence: u64::arbitrary(g),
                 committed: version(g),
-                record: flip(g, record),
-                echo: flip(g, stamp),
+                config: flip(g, record),
+                echoed_stamp: flip(g, stamp),
             },
-            14 => Message::HeartbeatAnswer {
-                ballot: ballot(g),
+            14 => Message::HeartbeatResponse {
+                term: term(g),
                 sequence: u64::arbitrary(g),
-                promised: ballot(g),
-                accepted: ballot(g),
-                seen: ballot(g),
-                committed: flip(g, u64::arbitrary),
-                fit: yes,
-                stamp: stamp(g),
+                promised: term(g),
+                accepted_term: term(g),
+                known_term: term(g),
+                committed_revision: flip(g, u64::arbitrary),
+                is_healthy: yes,
+                lease_stamp: stamp(g),
             },
-            15 => Message::Committed { state: state(g) },
-            16 => Message::Join { founder: yes, seen: ballot(g) },
-            17 => Message::Members { record: record(g) },
-            18 => Message::HandOver { ballot: ballot(g) },
-            19 => Message::ReplicateChange { change: change(g) },
-            20 => {
-                Message::CommittedChanges { changes: (0..u8::arbitrary(g) % 4).map(|_| change(g)).collect() }
-            }
-            21 => Message::OfferState { offer: offer(g) },
-            22 => Message::FetchPiece { version: version(g), offset: u64::arbitrary(g) % 100 },
-            23 => Message::Piece { piece: piece(g) },
-            24 => Message::Leaving,
-            _ => Message::MayLeave { ballot: ballot(g) },
+            15 => Message::CommittedState { state: state(g) },
+            16 => Message::Join { is_bootstrap_voter: yes, known_term: term(g) },
+            17 => Message::KnownConfig { config: record(g) },
+            18 => Message::TransferLeadership { term: term(g) },
+            19 => Message::ReplicateDelta { delta: change(g) },
+            20 => Message::CommittedDeltas { deltas: (0..u8::arbitrary(g) % 4).map(|_| change(g)).collect() },
+            21 => Message::OfferSnapshot { offer: offer(g) },
+            22 => Message::FetchChunk { version: version(g), offset: u64::arbitrary(g) % 100 },
+            23 => Message::SnapshotChunk { chunk: piece(g) },
+            24 => Message::RequestRemoval,
+            _ => Message::RemovalGranted { term: term(g) },
         })
     }
 }
@@ -160,36 +168,41 @@
     }
 }
 
-fn node(records: &[Vec<u8>], failures: usize) -> Result<Node<Pcg64Mcg>, Fault> {
+fn node(records: &[Vec<u8>], failures: usize) -> Result<Node<Pcg64Mcg>, StoredStateError> {
     let here = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7720);
     let other = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 7720);
     let mut settings = Settings::new(here, failures, true, vec![here, other]);
-    settings.rewrite_bytes = 500;
-    settings.piece_sizes = PieceSizes { large: 30, piece: 20 };
+    settings.log_rewrite_bytes = 500;
+    settings.chunk_sizes = ChunkSizes { large_state_bytes: 30, chunk_bytes: 20 };
     Node::new(settings, records, 0, Pcg64Mcg::seed_from_u64(1))
 }
 
 type Log = Vec<Vec<u8>>;
 
 /// A node on made-up messages; its log, and the asks with their answers.
-fn run(steps: Vec<Step>, failures: usize) -> (Log, Vec<u64>, Vec<(u64, Verdict)>) {
+fn run(steps: Vec<Step>, failures: usize) -> (Log, Vec<u64>, Vec<(u64, ClientReply)>) {
     let (mut log, mut asked, mut answers) = (Vec::new(), Vec::new(), Vec::new());
     let Ok(mut node) = node(&[], failures) else { return (log, asked, answers) };
     let (mut now, mut waiting) = (0, Vec::new());
-    let end = Step(2_000, 0, Any(Message::PreVote), Member { id: MemberId(9), address: node.me().address });
+    let end = Step(
+        2_000,
+        0,
+        Any(Message::PreVote),
+        Member { id: MemberId(9), address: node.local_member().address },
+    );
     for (ask, Step(span, kind, message, from)) in steps.into_iter().chain([end]).enumerate() {
         let ask = ask as u64;
         now += span;
         let mut inputs = match kind {
             0 => vec![Input::Tick],
             1 => vec![Input::Change {
-                ask,
-                base: span % 3,
+                request_id: ask,
+                base_revision: span % 3,
                 revision: 1 + span % 5,
                 body: vec![1],
                 digest: digest(span),
             }],
-            2 => vec![Input::Read { ask }],
+            2 => vec![Input::Read { request_id: ask }],
             _ => vec![Input::Message { from, message: message.0 }],
         };
         if matches!(kind, 1 | 2) {
@@ -200,7 +213,7 @@
                 match output {
                     Output::Write { token, record } => waiting.push((token, false, record)),
                     Output::Rewrite { token, record } => waiting.push((token, true, record)),
-                    Output::Answer { ask, result } => answers.push((ask, result)),
+                    Output::Reply { request_id: ask, reply: result } => answers.push((ask, result)),
                     _ => {}
                 }
             }
@@ -258,7 +271,7 @@
 
 #[test]
 fn a_log_that_tells_no_number_is_refused() {
-    let settings = node(&[], 1).map(|n| n.me());
+    let settings = node(&[], 1).map(|n| n.local_member());
     assert!(settings.is_ok());
-    assert_eq!(node(&[vec![0xff]], 1).err(), Some(Fault::Unreadable(0)));
+    assert_eq!(node(&[vec![0xff]], 1).err(), Some(StoredStateError::Unreadable(0)));
 }
--- a/crates/consensus/tests/delta.rs
+++ b/crates/consensus/tests/delta.rs
@@ -1,7 +1,7 @@
 //! Deltas give back the target, pay, and do no harm when they are made up.
 
 use minicbor::Encoder;
-use mosshead_consensus::{Delta, MAX_BODY_BYTES};
+use mosshead_consensus::{BodyDelta, MAX_BODY_BYTES};
 use quickcheck::{TestResult, quickcheck};
 
 /// Lines as in a configuration, each with its number.
@@ -12,11 +12,11 @@
 }
 
 fn gives_back(base: &[u8], target: &[u8]) -> bool {
-    Delta::between(base, target).is_none_or(|delta| delta.apply(base).as_deref() == Some(target))
+    BodyDelta::between(base, target).is_none_or(|delta| delta.apply(base).as_deref() == Some(target))
 }
 
 /// A delta of the given bytes, as a message may bring it.
-fn made_up(instructions: &[u8]) -> Option<Delta> {
+fn made_up(instructions: &[u8]) -> Option<BodyDelta> {
     let mut bytes = Vec::new();
     Encoder::new(&mut bytes).array(1).ok()?.bytes(instructions).ok()?;
     minicbor::decode(&bytes).ok()
@@ -55,11 +55,11 @@
     /// A sound delta with a bit turned over, on its base and on another one.
     fn broken_deltas_do_no_harm(at: usize, bit: u8, other: Vec<u8>) -> bool {
         let (base, target) = (lines(0, 50), [lines(10, 30), lines(90, 3)].concat());
-        let Some(delta) = Delta::between(&base, &target) else { return false };
+        let Some(delta) = BodyDelta::between(&base, &target) else { return false };
         let Ok(mut bytes) = minicbor::to_vec(&delta) else { return false };
         let place = at % bytes.len();
         bytes[place] ^= 1 << (bit % 8);
-        let broken: Option<Delta> = minicbor::decode(&bytes).ok();
+        let broken: Option<BodyDelta> = minicbor::decode(&bytes).ok();
         let fits = |body: Vec<u8>| body.len() <= MAX_BODY_BYTES;
         broken.is_none_or(|d| d.apply(&base).is_none_or(fits) && d.apply(&other).is_none_or(fits))
     }
@@ -71,7 +71,7 @@
     let mut target = base.clone();
     let middle = target.len() / 2;
     target.splice(middle..middle + 5, *b"another text");
-    let delta = Delta::between(&base, &target).expect("a delta");
+    let delta = BodyDelta::between(&base, &target).expect("a delta");
     assert!(delta.len() < 60, "{}", delta.len());
     assert_eq!(delta.apply(&base), Some(target));
 }
@@ -81,33 +81,33 @@
     let base = lines(0, 3_000);
     let target =
         [lines(1_000, 2_000), lines(9_000, 2), lines(0, 500), lines(9_100, 1), lines(500, 500)].concat();
-    let delta = Delta::between(&base, &target).expect("a delta");
+    let delta = BodyDelta::between(&base, &target).expect("a delta");
     assert!(delta.len() < 600, "{}", delta.len());
     assert_eq!(delta.apply(&base), Some(target));
 }
 
 #[test]
 fn a_body_that_has_nothing_in_common_goes_whole() {
-    assert_eq!(Delta::between(&[1; 1_000], &[2; 1_000]), None);
-    assert_eq!(Delta::between(b"", b"some text"), None);
-    assert_eq!(Delta::between(b"some text", b""), None);
+    assert_eq!(BodyDelta::between(&[1; 1_000], &[2; 1_000]), None);
+    assert_eq!(BodyDelta::between(b"", b"some text"), None);
+    assert_eq!(BodyDelta::between(b"some text", b""), None);
 }
 
 #[test]
 fn a_delta_that_does_not_pay_is_none() {
     let base = lines(0, 20_000);
     let much_new = |bytes: usize| [&base[..1_000], &vec![b'#'; bytes][..], &base[1_000..]].concat();
-    assert!(Delta::between(&base, &much_new(250 << 10)).is_some());
-    assert_eq!(Delta::between(&base, &much_new(257 << 10)), None);
+    assert!(BodyDelta::between(&base, &much_new(250 << 10)).is_some());
+    assert_eq!(BodyDelta::between(&base, &much_new(257 << 10)), None);
     // Most of a short body is new.
-    assert_eq!(Delta::between(&base[..100], &much_new(1_000)[..1_600]), None);
+    assert_eq!(BodyDelta::between(&base[..100], &much_new(1_000)[..1_600]), None);
 }
 
 #[test]
 fn a_body_over_the_limit_has_no_delta() {
     let base = vec![7; MAX_BODY_BYTES];
-    assert!(Delta::between(&base, &base).is_some());
-    assert_eq!(Delta::between(&base, &vec![7; MAX_BODY_BYTES + 1]), None);
+    assert!(BodyDelta::between(&base, &base).is_some());
+    assert_eq!(BodyDelta::between(&base, &vec![7; MAX_BODY_BYTES + 1]), None);
 }
 
 #[test]
--- a/crates/consensus/tests/fleet/book.rs
+++ b/crates/consensus/tests/fleet/book.rs
@@ -2,23 +2,25 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mosshead_consensus::{Ballot, CallDigest, MAX_BODY_BYTES, MemberId, REMEMBERED_CALLS, State, Verdict};
+use mosshead_consensus::{
+    ClientReply, ControlState, DEDUPLICATION_WINDOW, MAX_BODY_BYTES, MemberId, RequestDigest, Term,
+};
 
 /// A machine and the life of its process.
 pub type Life = (usize, u64);
 
 /// A digest that no other number has.
-pub fn digest(number: u64) -> CallDigest {
+pub fn digest(number: u64) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
-    CallDigest(bytes)
+    RequestDigest(bytes)
 }
 
 #[derive(Clone, Debug)]
 pub struct Change {
     pub base: u64,
     pub revision: u64,
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
     pub body: Vec<u8>,
 }
 
@@ -40,14 +42,14 @@
 pub struct Book {
     pub asks: BTreeMap<u64, Ask>,
     open: BTreeSet<u64>,
-    answered: BTreeMap<u64, Verdict>,
-    changes: BTreeMap<CallDigest, Change>,
-    stale: BTreeMap<CallDigest, u64>,
-    taken_on: BTreeMap<u64, CallDigest>,
-    committed: BTreeMap<u64, CallDigest>,
-    committed_on: BTreeMap<u64, CallDigest>,
+    answered: BTreeMap<u64, ClientReply>,
+    changes: BTreeMap<RequestDigest, Change>,
+    stale: BTreeMap<RequestDigest, u64>,
+    taken_on: BTreeMap<u64, RequestDigest>,
+    committed: BTreeMap<u64, RequestDigest>,
+    committed_on: BTreeMap<u64, RequestDigest>,
     shown: BTreeMap<Life, u64>,
-    primaries: BTreeMap<Ballot, (MemberId, Life)>,
+    primaries: BTreeMap<Term, (MemberId, Life)>,
     /// The highest revision that was acknowledged.
     pub acknowledged: u64,
     /// When each revision became the highest that was acknowledged.
@@ -81,7 +83,7 @@
         self.open.contains(&id) && self.asks.get(&id).is_some_and(|a| a.life.0 == machine)
     }
 
-    pub fn verdict(&self, id: u64) -> Option<&Verdict> {
+    pub fn verdict(&self, id: u64) -> Option<&ClientReply> {
         self.answered.get(&id)
     }
 
@@ -91,7 +93,7 @@
         self.open.retain(|id| asks.get(id).is_some_and(|a| a.life != life));
     }
 
-    pub fn answer(&mut self, id: u64, life: Life, verdict: Verdict) {
+    pub fn answer(&mut self, id: u64, life: Life, verdict: ClientReply) {
         let Some(ask) = self.asks.get(&id).cloned() else {
             return self.broken("one answer", format!("ask {id} was never asked at {life:?}"));
         };
@@ -99,26 +101,26 @@
             self.broken("one answer", format!("ask {id} was answered again by {life:?}: {verdict:?}"));
         }
         match (&ask.kind, &verdict) {
-            (Kind::Change(change), Verdict::Taken { revision }) => {
+            (Kind::Change(change), ClientReply::Committed { revision }) => {
                 if *revision != change.revision {
                     self.broken("taken", format!("{change:?} as {revision}"));
                 }
                 self.taken(change);
             }
-            (Kind::Change(change), Verdict::Stale { current }) => {
+            (Kind::Change(change), ClientReply::Stale { current_revision: current }) => {
                 if self.committed.get(&change.revision) == Some(&change.digest) {
                     self.broken("stale", format!("{change:?} is committed, got stale by {current}"));
                 }
                 self.stale.insert(change.digest, *current);
             }
-            (Kind::Change(change), Verdict::Forgotten) => {
+            (Kind::Change(change), ClientReply::Expired) => {
                 // Only what so many others came after is forgotten.
                 let later = self.committed.range(change.revision..).count();
-                if later < REMEMBERED_CALLS {
+                if later < DEDUPLICATION_WINDOW {
                     self.broken("forgotten", format!("{change:?} has {later} after it"));
                 }
             }
-            (Kind::Read, Verdict::Current { state }) => {
+            (Kind::Read, ClientReply::CurrentState { state }) => {
                 if state.revision < ask.acknowledged {
                     let acknowledged = ask.acknowledged;
                     self.broken(
@@ -129,10 +131,10 @@
                 self.seen(state);
             }
             // Never taken: as a stale one it may not be committed later.
-            (Kind::Change(change), Verdict::TooLarge) if change.body.len() > MAX_BODY_BYTES => {
+            (Kind::Change(change), ClientReply::TooLarge) if change.body.len() > MAX_BODY_BYTES => {
                 self.stale.insert(change.digest, 0);
             }
-            (_, Verdict::NotPrimary { .. } | Verdict::Unavailable) => {}
+            (_, ClientReply::NotPrimary { .. } | ClientReply::Unavailable) => {}
             (kind, verdict) => self.broken("one answer", format!("{kind:?} got {verdict:?}")),
         }
         self.open.remove(&id);
@@ -159,14 +161,14 @@
     }
 
     /// A committed state, from wherever.
-    fn seen(&mut self, state: &State) {
+    fn seen(&mut self, state: &ControlState) {
         if state.revision == 0 {
-            if !state.body.is_empty() || !state.taken.is_empty() {
+            if !state.body.is_empty() || !state.applied_requests.is_empty() {
                 self.broken("committed", format!("{state:?}"));
             }
             return;
         }
-        let mut calls = state.taken.iter().rev();
+        let mut calls = state.applied_requests.iter().rev();
         let Some(last) = calls.next() else {
             return self.broken("committed", format!("{state:?} without its call"));
         };
@@ -185,7 +187,7 @@
             );
         }
         let newest = self.newest.clone().filter(|n| n.revision <= state.revision);
-        if let Some(newest) = newest.filter(|n| state.taken.iter().all(|c| c.digest != n.digest)) {
+        if let Some(newest) = newest.filter(|n| state.applied_requests.iter().all(|c| c.digest != n.digest)) {
             self.broken("lost", format!("{newest:?} was taken, and {} came without it", state.revision));
         }
         if self.stale.contains_key(&change.digest) {
@@ -214,7 +216,7 @@
         }
     }
 
-    pub fn shown(&mut self, life: Life, state: &State) {
+    pub fn shown(&mut self, life: Life, state: &ControlState) {
         self.seen(state);
         let last = self.shown.insert(life, state.revision);
         if last.is_some_and(|last| last >= state.revision) {
@@ -223,22 +225,22 @@
     }
 
     /// Whether somebody has led under a ballot.
-    pub fn was_led(&self, ballot: Ballot) -> bool {
-        self.primaries.contains_key(&ballot)
+    pub fn was_led(&self, term: Term) -> bool {
+        self.primaries.contains_key(&term)
     }
 
-    pub fn primary(&mut self, member: MemberId, life: Life, ballot: Ballot, continued: bool) {
-        if let Some(other) = self.primaries.get(&ballot) {
+    pub fn primary(&mut self, member: MemberId, life: Life, term: Term, continued: bool) {
+        if let Some(other) = self.primaries.get(&term) {
             let other = *other;
-            self.broken("ballot", format!("{ballot:?} is led by {other:?} and {life:?}"));
+            self.broken("term", format!("{term:?} is led by {other:?} and {life:?}"));
         }
-        let below = self.primaries.range(..ballot).next_back().map(|(_, who)| *who);
+        let below = self.primaries.range(..term).next_back().map(|(_, who)| *who);
         if continued && below != Some((member, life)) {
-            self.broken("ballot", format!("{life:?} continued at {ballot:?} after {below:?}"));
+            self.broken("term", format!("{life:?} continued at {term:?} after {below:?}"));
         }
-        if self.primaries.range(ballot..).any(|(_, who)| who.0 == member) {
-            self.broken("ballot", format!("{member:?} went back to {ballot:?}"));
+        if self.primaries.range(term..).any(|(_, who)| who.0 == member) {
+            self.broken("term", format!("{member:?} went back to {term:?}"));
         }
-        self.primaries.insert(ballot, (member, life));
+        self.primaries.insert(term, (member, life));
     }
 }
--- a/crates/consensus/tests/fleet/contact.rs
+++ b/crates/consensus/tests/fleet/contact.rs
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_stamp_of_another_life_proves_nothing() {
-    told(another_life, InjectedFault::ContactOfOtherLives);
+    told(another_life, InjectedFault::ContactOfOtherIncarnations);
 }
 
 /// A node is frozen so long after it has proposed its record; others lead meanwhile.
@@ -159,7 +159,9 @@
     let old = lead(&world)?;
     world.kill(old, false);
     let proposes = |w: &World, m: &usize| {
-        w.node(*m).is_some_and(|n| !n.is_primary() && n.record().is_some_and(|r| r.primary == n.me().id))
+        w.node(*m).is_some_and(|n| {
+            !n.is_primary() && n.epoch_config().is_some_and(|r| r.primary == n.local_member().id)
+        })
     };
     let candidate = loop {
         world.run(1)?;
@@ -168,9 +170,9 @@
         }
         want(world.now < 10_000, "nobody takes over")?;
     };
-    let ballot = world.node(candidate).and_then(|n| n.record()).map(|r| r.ballot).ok_or("down")?;
+    let term = world.node(candidate).and_then(|n| n.epoch_config()).map(|r| r.term).ok_or("down")?;
     world.run(delay)?;
-    if world.book.was_led(ballot) {
+    if world.book.was_led(term) {
         return Ok(());
     }
     world.act(Act::Freeze(vec![candidate]));
@@ -179,7 +181,7 @@
     world.run(CUT)?;
     other_lead(&world, candidate)?;
     world.heal();
-    want(!world.book.was_led(ballot), "a take-over from before a freeze comes to its end")?;
+    want(!world.book.was_led(term), "a take-over from before a freeze comes to its end")?;
     world.settle()
 }
 
@@ -220,14 +222,17 @@
     let story = || {
         let mut world = calm(470, 3, 1, None)?;
         let old = lead(&world)?;
-        want(world.node(old).is_some_and(|n| n.leads(world.clock(old))), "it doesn't lead before")?;
+        want(
+            world.node(old).is_some_and(|n| n.holds_primary_lease(world.clock(old))),
+            "it doesn't lead before",
+        )?;
         world.act(Act::Freeze(vec![old]));
         world.run(CUT)?;
         let node = world.node(old).ok_or("down")?;
         let clock = world.clock(old);
         want(node.is_primary(), "it was stepped")?;
-        want(!node.leads(clock) && node.primary_at(clock).is_none(), "it claims to lead")?;
-        want(!node.in_touch(clock), "it claims to be in touch")?;
+        want(!node.holds_primary_lease(clock) && node.primary_at(clock).is_none(), "it claims to lead")?;
+        want(!node.has_quorum_contact(clock), "it claims to be in touch")?;
         world.thaw(old);
         world.settle()
     };
--- a/crates/consensus/tests/fleet/day.rs
+++ b/crates/consensus/tests/fleet/day.rs
@@ -83,7 +83,7 @@
             }
             Act::Full(machines) => machines.into_iter().for_each(|m| self.machines[m].disk.full = true),
             Act::Terminate(machine) => {
-                self.step(machine, Input::Stop);
+                self.step(machine, Input::ShutDown);
                 let span = 200 + self.below(1_500);
                 self.after(span, Event::Act(Act::Kill(vec![machine])));
                 let pause = self.below(500);
@@ -91,7 +91,7 @@
             }
             Act::Leave(machine, then) => {
                 self.machines[machine].leave = Some(Leave { since: self.now, then });
-                self.step(machine, Input::Stop);
+                self.step(machine, Input::ShutDown);
             }
             Act::Seeds => {
                 let seeds = self.some_seeds();
@@ -224,9 +224,9 @@
         let read = self.ask(primary, Kind::Read);
         self.run(700)?;
         let (change, read) = (self.book.verdict(ask).cloned(), self.book.verdict(read).cloned());
-        use mosshead_consensus::Verdict::{Current, Stale, Taken};
-        let change_fine = matches!(change, Some(Taken { .. } | Stale { .. }));
-        if !change_fine || !matches!(read, Some(Current { .. })) || self.book.taken == taken {
+        use mosshead_consensus::ClientReply::{Committed, CurrentState, Stale};
+        let change_fine = matches!(change, Some(Committed { .. } | Stale { .. }));
+        if !change_fine || !matches!(read, Some(CurrentState { .. })) || self.book.taken == taken {
             return Err(format!("at {}: liveness: m{primary} answered {change:?}, {read:?}", self.now));
         }
         self.noise = noise;
@@ -271,11 +271,11 @@
         let primary = self.primary();
         for machine in &standing {
             let Some(node) = self.node(*machine) else { return Err(format!("m{machine} doesn't run")) };
-            let committed = node.committed().map(|s| s.revision);
+            let committed = node.committed_state().map(|s| s.revision);
             let members = node.members().len();
             let wanted = standing.len().min(2 * self.failures + 1);
             let member = |m: &usize| {
-                self.node(*m).is_some_and(|n| node.members().iter().any(|other| *other == n.me()))
+                self.node(*m).is_some_and(|n| node.members().iter().any(|other| *other == n.local_member()))
             };
             let alive = standing.iter().filter(|m| member(m)).count();
             let led = node.primary().map(|p| p.address) == primary.map(|p| self.machines[p].address);
@@ -296,7 +296,7 @@
         let reads: Vec<u64> = primary.into_iter().map(|p| self.ask(p, Kind::Read)).collect();
         self.run(300)?;
         match reads.first().and_then(|r| self.book.verdict(*r)) {
-            Some(mosshead_consensus::Verdict::Current { .. }) => Ok(()),
+            Some(mosshead_consensus::ClientReply::CurrentState { .. }) => Ok(()),
             other => Err(format!("at {}: settled: read {other:?}", self.now)),
         }
     }
@@ -396,5 +396,5 @@
 /// Whether all machines have their numbers on disk.
 fn all_named(world: &World) -> bool {
     world.machines.iter().all(|m| !m.disk.records.is_empty())
-        && world.running().iter().all(|m| world.node(*m).map(Node::me).is_some())
+        && world.running().iter().all(|m| world.node(*m).map(Node::local_member).is_some())
 }
--- a/crates/consensus/tests/fleet/large.rs
+++ b/crates/consensus/tests/fleet/large.rs
@@ -3,7 +3,7 @@
 //! Sizes, links and disks are a tenth of the real ones, so that all times are real: a body of 300 KB stands for 3 MB, a link
 //! of 1,500 bytes a millisecond for one of 120 Mbit/s.
 
-use mosshead_consensus::{InjectedFault, Input, MAX_BODY_BYTES, Message, Node, PieceSizes, Verdict};
+use mosshead_consensus::{ChunkSizes, ClientReply, InjectedFault, Input, MAX_BODY_BYTES, Message, Node};
 use rand_core::RngCore;
 
 use crate::book::{Change, Kind, digest};
@@ -27,9 +27,12 @@
 ) -> Result<World, String> {
     let mut world = World::new(seed, machines, failures, injected_fault);
     for machine in &mut world.machines {
-        machine.settings.rewrite_bytes = (4 << 20) / SCALE;
-        let sizes = PieceSizes::default();
-        machine.settings.piece_sizes = PieceSizes { large: sizes.large / SCALE, piece: sizes.piece / SCALE };
+        machine.settings.log_rewrite_bytes = (4 << 20) / SCALE;
+        let sizes = ChunkSizes::default();
+        machine.settings.chunk_sizes = ChunkSizes {
+            large_state_bytes: sizes.large_state_bytes / SCALE,
+            chunk_bytes: sizes.chunk_bytes / SCALE,
+        };
     }
     let mut world = calm_with(world)?;
     world.bandwidth = Some(SLOW);
@@ -43,12 +46,15 @@
     let primary = lead(world)?;
     let change = Change { body, ..world.fresh_change(primary) };
     let verdict = verdict_at(world, primary, Kind::Change(change), 1_200)?;
-    want(matches!(verdict, Some(Verdict::Taken { .. })), &format!("the large one is answered {verdict:?}"))
+    want(
+        matches!(verdict, Some(ClientReply::Committed { .. })),
+        &format!("the large one is answered {verdict:?}"),
+    )
 }
 
 /// A change of a few bytes somewhere in the present configuration.
 fn small_change(world: &mut World, machine: usize) -> Option<Change> {
-    let state = world.node(machine)?.committed()?.clone();
+    let state = world.node(machine)?.committed_state()?.clone();
     let number = world.rng.next_u64();
     let mut body = state.body.to_vec();
     let at = world.below(body.len() as u64) as usize;
@@ -76,9 +82,9 @@
 
 /// How far a machine is behind the newest committed state, in revisions.
 fn behind(world: &World, machine: usize) -> Result<u64, String> {
-    let known = world.node(machine).and_then(Node::committed).map_or(0, |s| s.revision);
+    let known = world.node(machine).and_then(Node::committed_state).map_or(0, |s| s.revision);
     let primary = lead(world)?;
-    let newest = world.node(primary).and_then(Node::committed).map_or(0, |s| s.revision);
+    let newest = world.node(primary).and_then(Node::committed_state).map_or(0, |s| s.revision);
     Ok(newest.saturating_sub(known))
 }
 
@@ -87,7 +93,8 @@
     let start = world.now;
     while world.now < start + most {
         stream(world, 90)?;
-        if world.node(machine).is_some_and(|n| n.committed().is_some()) && behind(world, machine)? <= 3 {
+        if world.node(machine).is_some_and(|n| n.committed_state().is_some()) && behind(world, machine)? <= 3
+        {
             return Ok(world.now - start);
         }
     }
@@ -152,7 +159,10 @@
                 world.run(2_000)?;
                 let new = other_lead(&world, old)?;
                 let verdict = verdict_at(&mut world, new, Kind::Read, 300)?;
-                want(matches!(verdict, Some(Verdict::Current { .. })), "the new primary doesn't answer")?;
+                want(
+                    matches!(verdict, Some(ClientReply::CurrentState { .. })),
+                    "the new primary doesn't answer",
+                )?;
                 world.start(old);
                 catches_up(&mut world, old, 3_000)?;
                 // The fleet makes up for the lost disk.
@@ -171,12 +181,12 @@
     // A third of the usual link: the state needs 0.8 s.
     world.bandwidth = Some(Bandwidth { link: 500, ..SLOW });
     let (primary, backups, witnesses) = roles(&world)?;
-    let (from, ballot) = world.node(primary).map(|n| (n.me(), n.ballot())).ok_or("none")?;
+    let (from, term) = world.node(primary).map(|n| (n.local_member(), n.term())).ok_or("none")?;
     // The witness knows what is committed in memory only.
     world.kill(witnesses[0], false);
     world.start(witnesses[0]);
     world.act(Act::Kill(vec![primary]));
-    world.step(witnesses[0], Input::Message { from, message: Message::HandOver { ballot } });
+    world.step(witnesses[0], Input::Message { from, message: Message::TransferLeadership { term } });
     world.run(1_400)?;
     want(world.node(witnesses[0]).is_some_and(Node::is_primary), "the witness doesn't lead")?;
     want(world.node(backups[0]).is_some_and(|n| !n.is_primary()), "two lead")?;
@@ -186,14 +196,14 @@
 
 #[test]
 fn a_take_over_waits_for_a_large_state_that_is_on_its_way() {
-    told(fetched_state, InjectedFault::StepBoundKept);
+    told(fetched_state, InjectedFault::IgnoreTransferProgress);
 }
 
 #[test]
 fn the_largest_configuration_is_taken_and_one_byte_more_is_refused() {
     let story = || {
         let mut world = World::new(10, 3, 1, None);
-        world.machines.iter_mut().for_each(|m| m.settings.piece_sizes = PieceSizes::default());
+        world.machines.iter_mut().for_each(|m| m.settings.chunk_sizes = ChunkSizes::default());
         world.noise = 0;
         world.run(3_000)?;
         let primary = lead(&world)?;
@@ -202,8 +212,8 @@
             let change = Change { body: vec![b'x'; length], ..change };
             let verdict = verdict_at(&mut world, primary, Kind::Change(change), 1_000)?;
             let fine = match taken {
-                true => matches!(verdict, Some(Verdict::Taken { .. })),
-                false => verdict == Some(Verdict::TooLarge),
+                true => matches!(verdict, Some(ClientReply::Committed { .. })),
+                false => verdict == Some(ClientReply::TooLarge),
             };
             want(fine, &format!("{length} bytes: {verdict:?}"))?;
         }
@@ -310,7 +320,7 @@
                 let limits = Bandwidth { link: fast, disk: fast, most_message: fast, large_message: fast };
                 world.bandwidth = Some(limits);
                 for machine in &mut world.machines {
-                    machine.settings.rewrite_bytes = 4 << 20;
+                    machine.settings.log_rewrite_bytes = 4 << 20;
                 }
                 // New settings hold from a start on.
                 for machine in 0..3 {
--- a/crates/consensus/tests/fleet/mutants.rs
+++ b/crates/consensus/tests/fleet/mutants.rs
@@ -25,37 +25,37 @@
 
 #[test]
 fn answered_before_the_sync() {
-    finds(InjectedFault::AnswerUnsynced, &["disk"]);
+    finds(InjectedFault::RespondUnsynced, &["disk"]);
 }
 
 #[test]
 fn a_ballot_used_before_the_sync() {
-    finds(InjectedFault::BallotUnsynced, &["disk"]);
+    finds(InjectedFault::TermUnsynced, &["disk"]);
 }
 
 #[test]
 fn an_uncommitted_state_shown() {
-    finds(InjectedFault::ShowUncommitted, &["race", "stale", "back", "lost"]);
+    finds(InjectedFault::PublishUncommitted, &["race", "stale", "back", "lost"]);
 }
 
 #[test]
 fn calls_forgotten() {
-    finds(InjectedFault::ForgetTaken, &["stale"]);
+    finds(InjectedFault::ForgetAppliedRequests, &["stale"]);
 }
 
 #[test]
 fn an_older_state_shown() {
-    finds(InjectedFault::ShowOlder, &["back"]);
+    finds(InjectedFault::PublishOlderState, &["back"]);
 }
 
 #[test]
 fn asks_forgotten() {
-    finds(InjectedFault::DropAsks, &["one answer"]);
+    finds(InjectedFault::DropClientRequests, &["one answer"]);
 }
 
 #[test]
 fn backups_without_the_state() {
-    finds(InjectedFault::NoStamp, &["lost", "settled", "race", "stale", "contact"]);
+    finds(InjectedFault::SkipRewriteUnderNewTerm, &["lost", "settled", "race", "stale", "contact"]);
 }
 
 #[test]
@@ -80,10 +80,10 @@
 
 #[test]
 fn a_change_applied_to_another_state() {
-    finds(InjectedFault::ChangeOnAnyState, &["committed", "race", "stale", "lost", "settled"]);
+    finds(InjectedFault::ApplyDeltaToAnyState, &["committed", "race", "stale", "lost", "settled"]);
 }
 
 #[test]
 fn answered_when_the_caller_has_left() {
-    finds(InjectedFault::AnswerLate, &["one answer"]);
+    finds(InjectedFault::ReplyLate, &["one answer"]);
 }
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -1,6 +1,6 @@
 //! Operators that race: each call is repeated unchanged until it has a clear answer.
 
-use mosshead_consensus::Verdict;
+use mosshead_consensus::ClientReply;
 
 use crate::book::{Change, Kind, digest};
 use crate::world::{Event, World, body};
@@ -100,18 +100,18 @@
         let pause = 100 + self.below(200);
         let now = self.now;
         let hint = match &verdict {
-            Verdict::NotPrimary { primary: Some(address) } => self.at(*address),
+            ClientReply::NotPrimary { primary: Some(address) } => self.at(*address),
             _ => None,
         };
         let hint = hint.filter(|m| self.machines[*m].node.is_some());
         let operator = &mut self.operators[index];
         operator.ask = None;
         match (verdict, &operator.call) {
-            (Verdict::Current { state }, _) => {
+            (ClientReply::CurrentState { state }, _) => {
                 operator.base = Some(state.revision);
                 operator.call = None;
             }
-            (Verdict::Taken { revision }, Some(Kind::Change(change))) => {
+            (ClientReply::Committed { revision }, Some(Kind::Change(change))) => {
                 if operator.taken.len() >= 1_000 {
                     operator.taken.remove(0);
                 }
@@ -121,13 +121,13 @@
                 operator.call = None;
                 operator.wait_until = now + pause;
             }
-            (Verdict::Stale { current }, _) => {
+            (ClientReply::Stale { current_revision: current }, _) => {
                 operator.base = Some(current);
                 operator.call = None;
             }
             // Neither taken nor refused, however often it comes.
-            (Verdict::Forgotten, _) => operator.call = None,
-            (Verdict::NotPrimary { .. }, _) if operator.hops < 2 && hint.is_some() => {
+            (ClientReply::Expired, _) => operator.call = None,
+            (ClientReply::NotPrimary { .. }, _) if operator.hops < 2 && hint.is_some() => {
                 operator.hops += 1;
                 if let Some(target) = hint {
                     self.call(index, target);
--- a/crates/consensus/tests/fleet/orders.rs
+++ b/crates/consensus/tests/fleet/orders.rs
@@ -45,8 +45,8 @@
 fn one_of_two_changes_under_one_number_is_taken_among_hundreds() {
     for seed in 0..SEEDS {
         let world = play(seed, None).unwrap_or_else(|what| panic!("{what}"));
-        let state = world.primary().and_then(|p| world.node(p)).and_then(Node::committed);
-        let forgotten = state.map_or(0, |s| s.forgotten);
+        let state = world.primary().and_then(|p| world.node(p)).and_then(Node::committed_state);
+        let forgotten = state.map_or(0, |s| s.highest_expired_revision);
         assert!(forgotten > 0, "seed {seed}: fewer changes than are remembered, of {}", world.book.taken);
     }
 }
@@ -61,10 +61,10 @@
 
 #[test]
 fn forgotten_calls_refused() {
-    finds(InjectedFault::RefuseForgotten, &["stale"]);
+    finds(InjectedFault::RejectExpired, &["stale"]);
 }
 
 #[test]
 fn taken_calls_refused() {
-    finds(InjectedFault::ForgetTaken, &["stale"]);
+    finds(InjectedFault::ForgetAppliedRequests, &["stale"]);
 }
--- a/crates/consensus/tests/fleet/recovery.rs
+++ b/crates/consensus/tests/fleet/recovery.rs
@@ -3,7 +3,7 @@
 //! A few seeds run always. `CONSENSUS_RECOVERY=1000` runs as many and prints the table of
 //! `docs/measurements/control-recovery.md`.
 
-use mosshead_consensus::{Node, Verdict};
+use mosshead_consensus::{ClientReply, Node};
 
 use crate::book::Kind;
 use crate::day::Act;
@@ -69,7 +69,7 @@
 impl Prober {
     fn probe(&mut self, world: &mut World, reachable: &[usize]) {
         for machine in reachable {
-            let leads = world.node(*machine).is_some_and(|n| n.leads(world.clock(*machine)));
+            let leads = world.node(*machine).is_some_and(|n| n.holds_primary_lease(world.clock(*machine)));
             let waits = self.asks.iter().any(|ask| world.book.is_open_at(*ask, *machine));
             if leads && !waits {
                 let change = world.fresh_change(*machine);
@@ -79,15 +79,15 @@
     }
 
     fn is_acknowledged(&self, world: &World) -> bool {
-        self.asks.iter().any(|ask| matches!(world.book.verdict(*ask), Some(Verdict::Taken { .. })))
+        self.asks.iter().any(|ask| matches!(world.book.verdict(*ask), Some(ClientReply::Committed { .. })))
     }
 }
 
 /// The machines of the members that run and can be reached, by the record of the highest epoch, and how many members it names.
 fn live_members(world: &World, reachable: &[usize]) -> (Vec<usize>, usize) {
-    let records = reachable.iter().filter_map(|m| world.node(*m).and_then(Node::record));
-    let Some(record) = records.max_by_key(|r| r.ballot) else { return (Vec::new(), 0) };
-    let is_member = |m: &usize| world.node(*m).is_some_and(|n| record.members.contains(&n.me()));
+    let records = reachable.iter().filter_map(|m| world.node(*m).and_then(Node::epoch_config));
+    let Some(record) = records.max_by_key(|r| r.term) else { return (Vec::new(), 0) };
+    let is_member = |m: &usize| world.node(*m).is_some_and(|n| record.members.contains(&n.local_member()));
     (reachable.iter().copied().filter(is_member).collect(), record.members.len())
 }
 
--- a/crates/consensus/tests/fleet/repeats.rs
+++ b/crates/consensus/tests/fleet/repeats.rs
@@ -1,6 +1,6 @@
 //! Calls that are sent again, also hundreds of changes later: acknowledged or left without a clear answer, never refused.
 
-use mosshead_consensus::{InjectedFault, Node, Timings, Verdict};
+use mosshead_consensus::{ClientReply, InjectedFault, Node, Timings};
 
 use crate::book::Kind;
 use crate::day::Act;
@@ -21,14 +21,14 @@
     let mut acknowledged = 0;
     for change in changes {
         let verdict = verdict_at(&mut world, primary, Kind::Change(change), 250)?;
-        acknowledged += usize::from(matches!(verdict, Some(Verdict::Taken { .. })));
+        acknowledged += usize::from(matches!(verdict, Some(ClientReply::Committed { .. })));
     }
-    want(acknowledged == mosshead_consensus::REMEMBERED_CALLS, "the latest calls are acknowledged again")
+    want(acknowledged == mosshead_consensus::DEDUPLICATION_WINDOW, "the latest calls are acknowledged again")
 }
 
 #[test]
 fn a_call_taken_hundreds_of_changes_ago_is_never_refused() {
-    told(repeated_after_hundreds, InjectedFault::RefuseForgotten);
+    told(repeated_after_hundreds, InjectedFault::RejectExpired);
 }
 
 /// The backup's disk stalls for longer than the caller listens: no clear answer in time, but the write goes on.
@@ -36,23 +36,27 @@
     let mut world = World::new(12, 3, 1, None);
     for machine in &mut world.machines {
         let patient = Timings::default();
-        machine.settings.timings =
-            Timings { backup_write: 10_000, unfit_write: 10_000, own_write: 10_000, ..patient };
+        machine.settings.timings = Timings {
+            backup_write_timeout: 10_000,
+            unhealthy_write_timeout: 10_000,
+            local_write_timeout: 10_000,
+            ..patient
+        };
     }
     let mut world = calm_with(world)?;
     let (primary, backups, _) = roles(&world)?;
     world.act(Act::Stall(backups, 1_500));
     let change = world.fresh_change(primary);
     let first = verdict_at(&mut world, primary, Kind::Change(change.clone()), CALLER_LISTENS)?;
-    want(first == Some(Verdict::Unavailable), "the caller gets no answer in time")?;
+    want(first == Some(ClientReply::Unavailable), "the caller gets no answer in time")?;
     world.run(1_000)?;
-    let committed = world.node(primary).and_then(Node::committed).map(|s| s.revision);
+    let committed = world.node(primary).and_then(Node::committed_state).map(|s| s.revision);
     want(committed == Some(change.revision), "the write under way is finished")?;
     for machine in world.running() {
         let again = verdict_at(&mut world, machine, Kind::Change(change.clone()), 500)?;
         let fine = match again {
-            Some(Verdict::Taken { .. }) => machine == primary,
-            Some(Verdict::NotPrimary { .. }) => machine != primary,
+            Some(ClientReply::Committed { .. }) => machine == primary,
+            Some(ClientReply::NotPrimary { .. }) => machine != primary,
             _ => false,
         };
         want(fine, "the repeat is acknowledged, or sent on to who acknowledges it")?;
--- a/crates/consensus/tests/fleet/scenarios.rs
+++ b/crates/consensus/tests/fleet/scenarios.rs
@@ -1,6 +1,6 @@
 //! Single stories, each told of nodes as they are and of nodes with the flaw that the story is about.
 
-use mosshead_consensus::{InjectedFault, Input, Message, Node, Timings, Verdict};
+use mosshead_consensus::{ClientReply, InjectedFault, Input, Message, Node, Timings};
 
 use crate::book::{Change, Kind, digest};
 use crate::day::Act;
@@ -52,7 +52,7 @@
     let ask = world.ask(machine, Kind::Change(change.clone()));
     world.run(span)?;
     match world.book.verdict(ask) {
-        Some(Verdict::Taken { .. }) => Ok(change),
+        Some(ClientReply::Committed { .. }) => Ok(change),
         other => Err(format!("at {}: m{machine} answered {other:?}", world.now)),
     }
 }
@@ -62,7 +62,7 @@
     machine: usize,
     kind: Kind,
     span: u64,
-) -> Result<Option<Verdict>, String> {
+) -> Result<Option<ClientReply>, String> {
     let ask = world.ask(machine, kind);
     world.run(span)?;
     Ok(world.book.verdict(ask).cloned())
@@ -71,8 +71,9 @@
 /// The record of the primary, by machines.
 pub fn roles(world: &World) -> Result<(usize, Vec<usize>, Vec<usize>), String> {
     let primary = lead(world)?;
-    let record = world.node(primary).and_then(|n| n.record()).cloned().ok_or("no record")?;
-    let machine = |id| world.running().into_iter().find(|m| world.node(*m).is_some_and(|n| n.me().id == id));
+    let record = world.node(primary).and_then(|n| n.epoch_config()).cloned().ok_or("no record")?;
+    let machine =
+        |id| world.running().into_iter().find(|m| world.node(*m).is_some_and(|n| n.local_member().id == id));
     let backups: Vec<usize> = record.backups.iter().filter_map(|id| machine(*id)).collect();
     let others = record.members.iter().filter_map(|m| machine(m.id));
     let witnesses = others.filter(|m| *m != primary && !backups.contains(m)).collect();
@@ -114,7 +115,7 @@
 fn read_at_old_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let (mut world, old, _, _) = long_lease(injected_fault)?;
     let verdict = verdict_at(&mut world, old, Kind::Read, 1_400)?;
-    want(verdict == Some(Verdict::Unavailable), "the old primary answers a read")
+    want(verdict == Some(ClientReply::Unavailable), "the old primary answers a read")
 }
 
 fn change_at_old_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
@@ -122,8 +123,8 @@
     let next = Change { base: last.revision, revision: last.revision + 1, digest: digest(77), body: vec![7] };
     let old_verdict = verdict_at(&mut world, old, Kind::Change(next.clone()), 1_400)?;
     let verdict = verdict_at(&mut world, new, Kind::Change(next), 500)?;
-    want(matches!(verdict, Some(Verdict::Taken { .. })), "the new primary doesn't take it")?;
-    want(old_verdict == Some(Verdict::Unavailable), "the old primary judges")
+    want(matches!(verdict, Some(ClientReply::Committed { .. })), "the new primary doesn't take it")?;
+    want(old_verdict == Some(ClientReply::Unavailable), "the old primary judges")
 }
 
 #[test]
@@ -148,15 +149,15 @@
     world.act(Act::Cut(vec![(old, witness), (witness, old)]));
     world.act(Act::Stall(vec![backup], 60));
     // The old primary's word to give up its place was late: it leads again.
-    let (from, ballot) = world.node(old).map(|n| (n.me(), n.ballot())).ok_or("none")?;
-    world.step(witness, Input::Message { from, message: Message::HandOver { ballot } });
+    let (from, term) = world.node(old).map(|n| (n.local_member(), n.term())).ok_or("none")?;
+    world.step(witness, Input::Message { from, message: Message::TransferLeadership { term } });
     world.run(20)?;
     let change = world.fresh_change(old);
     world.ask(old, Kind::Change(change));
     world.run(300)?;
     let new = other_lead(&world, old)?;
     let verdict = verdict_at(&mut world, new, Kind::Read, 300)?;
-    want(matches!(verdict, Some(Verdict::Current { .. })), "the new primary doesn't answer")
+    want(matches!(verdict, Some(ClientReply::CurrentState { .. })), "the new primary doesn't answer")
 }
 
 #[test]
@@ -182,7 +183,7 @@
     world.run(1_500)?;
     let third = lead(&world)?;
     let verdict = verdict_at(&mut world, third, Kind::Read, 300)?;
-    want(matches!(verdict, Some(Verdict::Current { .. })), "the third primary doesn't answer")
+    want(matches!(verdict, Some(ClientReply::CurrentState { .. })), "the third primary doesn't answer")
 }
 
 #[test]
@@ -227,10 +228,10 @@
     world.act(Act::Stall(vec![old], 6_000));
     let change = world.fresh_change(old);
     let verdict = verdict_at(&mut world, old, Kind::Change(change.clone()), 1_000)?;
-    want(verdict == Some(Verdict::Unavailable), "the stalled primary answers")?;
+    want(verdict == Some(ClientReply::Unavailable), "the stalled primary answers")?;
     let new = other_lead(&world, old)?;
     let verdict = verdict_at(&mut world, new, Kind::Change(change), 300)?;
-    want(matches!(verdict, Some(Verdict::Taken { .. })), "the next primary doesn't take it")?;
+    want(matches!(verdict, Some(ClientReply::Committed { .. })), "the next primary doesn't take it")?;
     world.run(6_000)?;
     taken(&mut world, 300).map(|_| ())
 }
@@ -262,7 +263,7 @@
 
 #[test]
 fn a_full_disk_is_told() {
-    told(full_backup, InjectedFault::AlwaysFit);
+    told(full_backup, InjectedFault::AlwaysHealthy);
 }
 
 #[test]
@@ -273,12 +274,12 @@
         world.act(Act::Full(vec![old]));
         let change = world.fresh_change(old);
         let verdict = verdict_at(&mut world, old, Kind::Change(change), 200)?;
-        want(verdict == Some(Verdict::Unavailable), "the full one answers")?;
+        want(verdict == Some(ClientReply::Unavailable), "the full one answers")?;
         let new = other_lead(&world, old)?;
         taken_at(&mut world, new, 200)?;
         world.heal();
         world.run(1_000)?;
-        want(world.node(old).is_some_and(Node::is_fit), "it doesn't try its disk again")
+        want(world.node(old).is_some_and(Node::is_healthy), "it doesn't try its disk again")
     };
     story().unwrap_or_else(|what: String| panic!("{what}"));
 }
@@ -287,14 +288,14 @@
 fn two_sides(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = World::new(11, 5, 1, injected_fault);
     for machine in &mut world.machines {
-        machine.settings.timings = Timings { replace_after: 200, lease: 60_000, ..Timings::default() };
+        machine.settings.timings = Timings { replacement_timeout: 200, lease: 60_000, ..Timings::default() };
     }
     let mut world = calm_with(world)?;
     let (primary, backups, witnesses) = roles(&world)?;
     let (backup, silent) = (backups[0], witnesses[0]);
     let links = around(&world, silent);
     world.act(Act::Cut(links));
-    let joint = |w: &World| w.node(primary).and_then(Node::record).is_some_and(|r| r.is_joint());
+    let joint = |w: &World| w.node(primary).and_then(Node::epoch_config).is_some_and(|r| r.is_joint());
     while !joint(&world) && world.now < 10_000 {
         world.run(1)?;
     }
@@ -342,13 +343,13 @@
 
 #[test]
 fn only_founders_found() {
-    told(late_founder, InjectedFault::AnyFounder);
+    told(late_founder, InjectedFault::AnyBootstrapVoter);
 }
 
 fn wiped_member(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = calm(13, 3, 1, injected_fault)?;
     let (_, backups, _) = roles(&world)?;
-    let old = world.node(backups[0]).map(|n| n.me()).ok_or("none")?;
+    let old = world.node(backups[0]).map(|n| n.local_member()).ok_or("none")?;
     world.act(Act::Wipe(backups.clone()));
     world.start(backups[0]);
     world.run(700)?;
@@ -368,7 +369,7 @@
     let story = || {
         let mut world = calm(14, 4, 1, None)?;
         let (_, backups, _) = roles(&world)?;
-        let back = world.node(backups[0]).map(|n| n.me()).ok_or("none")?;
+        let back = world.node(backups[0]).map(|n| n.local_member()).ok_or("none")?;
         let links = around(&world, backups[0]);
         world.act(Act::Cut(links));
         world.run(4_500)?;
@@ -379,7 +380,7 @@
         world.heal();
         world.run(1_000)?;
         let node = world.node(backups[0]).ok_or("down")?;
-        want(node.committed().is_some_and(|s| s.revision == change.revision), "it doesn't learn")?;
+        want(node.committed_state().is_some_and(|s| s.revision == change.revision), "it doesn't learn")?;
         want(world.in_touch(backups[0]), "it isn't in touch")?;
         // Another one is lost: its old place is free again.
         let (_, backups, _) = roles(&world)?;
@@ -399,13 +400,19 @@
             let old = lead(&world)?;
             let change = world.fresh_change(old);
             let ask = world.ask(old, Kind::Change(change));
-            world.step(old, Input::Stop);
+            world.step(old, Input::ShutDown);
             world.run(200)?;
-            want(matches!(world.book.verdict(ask), Some(Verdict::Taken { .. })), "the last change is lost")?;
+            want(
+                matches!(world.book.verdict(ask), Some(ClientReply::Committed { .. })),
+                "the last change is lost",
+            )?;
             let new = other_lead(&world, old)?;
             want(!world.node(old).is_some_and(Node::is_primary), "it leads still")?;
             let verdict = verdict_at(&mut world, old, Kind::Read, 10)?;
-            want(verdict == Some(Verdict::NotPrimary { primary: Some(address(new)) }), "the hint is wrong")?;
+            want(
+                verdict == Some(ClientReply::NotPrimary { primary: Some(address(new)) }),
+                "the hint is wrong",
+            )?;
             taken_at(&mut world, new, 100)
         };
         story().map_err(|what: String| panic!("seed {seed}: {what}")).ok();
@@ -512,7 +519,7 @@
 /// A backup's write of a change is on disk but told to have failed, and comes again.
 fn change_written_twice(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = World::new(16, 3, 1, injected_fault);
-    world.machines.iter_mut().for_each(|m| m.settings.rewrite_bytes = 1 << 20);
+    world.machines.iter_mut().for_each(|m| m.settings.log_rewrite_bytes = 1 << 20);
     let mut world = calm_with(world)?;
     let (primary, backups, witnesses) = roles(&world)?;
     // Nobody is there to take the backup's place.
@@ -529,5 +536,5 @@
 
 #[test]
 fn a_change_is_written_only_after_the_state_before_it() {
-    told(change_written_twice, InjectedFault::ChangeOnUnsureState);
+    told(change_written_twice, InjectedFault::WriteDeltaOnUncertainState);
 }
--- a/crates/consensus/tests/fleet/storm.rs
+++ b/crates/consensus/tests/fleet/storm.rs
@@ -8,19 +8,19 @@
 fn any_timings(world: &mut World) -> Timings {
     let mut between = |low: u64, high: u64| low + world.below(high - low + 1);
     Timings {
-        heartbeat: between(30, 100),
-        suspect: between(100, 600),
+        heartbeat_interval: between(30, 100),
+        suspicion_timeout: between(100, 600),
         lease: between(100, 20_000),
-        replace_after: between(150, 2_500),
-        backup_write: between(50, 400),
-        own_write: between(100, 5_000),
-        unfit_write: between(50, 400),
-        disk_retry: between(50, 1_000),
-        ask: Timings::default().ask,
-        take_over_step: between(100, 2_000),
-        resend: between(30, 200),
-        resend_state: between(50, 400),
-        founding: between(0, 1_500),
+        replacement_timeout: between(150, 2_500),
+        backup_write_timeout: between(50, 400),
+        local_write_timeout: between(100, 5_000),
+        unhealthy_write_timeout: between(50, 400),
+        disk_retry_interval: between(50, 1_000),
+        request_timeout: Timings::default().request_timeout,
+        take_over_step_timeout: between(100, 2_000),
+        resend_interval: between(30, 200),
+        state_resend_interval: between(50, 400),
+        bootstrap_timeout: between(0, 1_500),
     }
 }
 
@@ -59,7 +59,7 @@
                 self.kind_loss[kind] = [300, 800, 1_000][self.below(3) as usize];
             }
             24..=26 => self.kind_loss.fill(0),
-            _ => self.step(machine, mosshead_consensus::Input::Stop),
+            _ => self.step(machine, mosshead_consensus::Input::ShutDown),
         }
     }
 
@@ -73,11 +73,12 @@
         self.noise = noise;
         let standing = self.standing();
         let wanted = standing.len().min(2 * self.failures + 1);
-        let Some(record) = self.primary().and_then(|p| self.node(p)).and_then(|n| n.record()).cloned() else {
+        let Some(record) = self.primary().and_then(|p| self.node(p)).and_then(|n| n.epoch_config()).cloned()
+        else {
             return Ok(false);
         };
         let alive = |m: &&mosshead_consensus::Member| {
-            standing.iter().any(|s| self.node(*s).is_some_and(|n| n.me() == **m))
+            standing.iter().any(|s| self.node(*s).is_some_and(|n| n.local_member() == **m))
         };
         let here = record.members.iter().filter(alive).count();
         Ok(!record.is_joint() && here == wanted && record.members.len() == wanted)
--- a/crates/consensus/tests/fleet/turnover.rs
+++ b/crates/consensus/tests/fleet/turnover.rs
@@ -1,7 +1,7 @@
 //! Planned changes of machines, and the losses that the platform may add right after them: a machine that has started counts
 //! as back after a span of the platform, and others may be lost then.
 
-use mosshead_consensus::{InjectedFault, Node, Record, Timings};
+use mosshead_consensus::{EpochConfig, InjectedFault, Node, Timings};
 
 use crate::day::Act;
 use crate::scenarios::{calm, lead, roles, taken, want};
@@ -86,19 +86,20 @@
     }
 
     /// The record of a primary, so a decided one.
-    fn decided(&self) -> Option<Record> {
+    fn decided(&self) -> Option<EpochConfig> {
         let primary = self.running().into_iter().find(|m| self.node(*m).is_some_and(Node::is_primary))?;
-        self.node(primary).and_then(Node::record).cloned()
+        self.node(primary).and_then(Node::epoch_config).cloned()
     }
 
     fn round(&self) -> Result<u64, String> {
-        self.decided().map(|record| record.ballot.round).ok_or("no record".to_string())
+        self.decided().map(|record| record.term.number).ok_or("no record".to_string())
     }
 
     /// Whether as many may be lost as should be: all members run, and nothing is changing.
     fn is_whole(&self) -> bool {
         let Some(record) = self.decided() else { return false };
-        let here = |id| self.running().into_iter().any(|m| self.node(m).is_some_and(|n| n.me().id == id));
+        let here =
+            |id| self.running().into_iter().any(|m| self.node(m).is_some_and(|n| n.local_member().id == id));
         let holders = record.backups.len() == self.failures && record.backups.iter().all(|id| here(*id));
         !record.is_joint() && holders && record.members.iter().all(|m| here(m.id))
     }
@@ -322,12 +323,12 @@
 
 #[test]
 fn a_leaver_that_just_ends_is_missed() {
-    finds(replaced_after_a_wait, InjectedFault::LeaveAtOnce, &["no primary"]);
+    finds(replaced_after_a_wait, InjectedFault::ShutDownAtOnce, &["no primary"]);
 }
 
 #[test]
 fn a_leaver_that_keeps_its_place_is_missed() {
-    finds(replaced_after_a_wait, InjectedFault::KeepLeavers, &["no primary"]);
+    finds(replaced_after_a_wait, InjectedFault::KeepDepartingMembers, &["no primary"]);
 }
 
 #[test]
@@ -338,7 +339,7 @@
 #[test]
 fn a_record_names_no_holder_without_the_state() {
     let lax = |seed, sync| {
-        let mut world = World::new(seed, 3, 1, Some(InjectedFault::NoStamp));
+        let mut world = World::new(seed, 3, 1, Some(InjectedFault::SkipRewriteUnderNewTerm));
         world.checks_holders = true;
         replaced(&mut world, sync).map(|()| world)
     };
@@ -479,7 +480,7 @@
 #[test]
 fn a_lost_primary_was_silent_before_the_take_over() {
     let found = figures(after_a_lost_primary, None);
-    let flawed = figures(after_a_lost_primary, Some(InjectedFault::ForgetSilence));
+    let flawed = figures(after_a_lost_primary, Some(InjectedFault::ForgetSilenceOfMembers));
     assert!(found.1 <= 1_200 && found.0 + 300 <= flawed.0, "{found:?}, {flawed:?}");
 }
 
--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -5,8 +5,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_consensus::{
-    Ballot, InjectedFault, Input, Member, MemberId, Message, Node, Output, PieceSizes, Record, Settings,
-    Verdict, Version,
+    ChunkSizes, ClientReply, EpochConfig, InjectedFault, Input, Member, MemberId, Message, Node, Output,
+    Settings, StateVersion, Term,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -114,7 +114,7 @@
     /// Whether holders of the state are held to what is on their disks.
     pub checks_holders: bool,
     /// The ballots whose records were looked at before they were proposed.
-    proposed: BTreeSet<Ballot>,
+    proposed: BTreeSet<Term>,
     /// Kinds of messages that are lost, in a thousand, by their place in `KINDS`.
     pub kind_loss: [u64; KINDS.len()],
     /// The longest time of a sync in calm.
@@ -205,7 +205,7 @@
             at_end: None,
             longest_leave: 0,
             // This flaw is to be found by what callers see, too.
-            checks_holders: injected_fault != Some(InjectedFault::NoStamp),
+            checks_holders: injected_fault != Some(InjectedFault::SkipRewriteUnderNewTerm),
             proposed: BTreeSet::new(),
             kind_loss: [0; KINDS.len()],
             disk_span: 4,
@@ -237,12 +237,12 @@
         let seeds = (0..3).map(address).collect();
         let mut settings = Settings::new(address(index), self.failures, bootstrap, seeds);
         settings.injected_fault = self.injected_fault;
-        settings.rewrite_bytes = 2_000;
+        settings.log_rewrite_bytes = 2_000;
         // Some fleets send every state in pieces, some the longer ones, some none. A remembered call has 38 bytes, so a full
         // list of them goes in 5 pieces or 33.
         let sizes = [(10, 2_100), (180, 300), (1 << 20, 1 << 20)];
         let (large, piece) = sizes[self.sizes];
-        settings.piece_sizes = PieceSizes { large, piece };
+        settings.chunk_sizes = ChunkSizes { large_state_bytes: large, chunk_bytes: piece };
         let disk = Disk {
             records: vec![],
             queue: VecDeque::new(),
@@ -351,7 +351,7 @@
 
     /// Whether the process on a machine says, at this moment, that it is in touch with a majority.
     pub fn in_touch(&self, machine: usize) -> bool {
-        self.node(machine).is_some_and(|n| n.in_touch(self.clock(machine)))
+        self.node(machine).is_some_and(|n| n.has_quorum_contact(self.clock(machine)))
     }
 
     /// Whoever says that it is in touch shows no state older than the documented bound.
@@ -359,11 +359,11 @@
         for machine in 0..self.machines.len() {
             let m = &self.machines[machine];
             let Some(node) = m.node.as_ref().filter(|_| !m.frozen) else { continue };
-            if !node.in_touch(self.clock(machine)) {
+            if !node.has_quorum_contact(self.clock(machine)) {
                 continue;
             }
-            let shown = node.committed().map_or(0, |s| s.revision);
-            let (life, bound) = ((machine, m.life), m.settings.timings.oldest_shown());
+            let shown = node.committed_state().map_or(0, |s| s.revision);
+            let (life, bound) = ((machine, m.life), m.settings.timings.max_staleness());
             self.book.claimed_contact(life, shown, bound);
         }
     }
@@ -388,9 +388,9 @@
     /// The primary by its own word, the highest ballot first; it may be taking over from itself.
     pub fn primary(&self) -> Option<usize> {
         let lead = |m: &usize| {
-            self.node(*m).is_some_and(|n| n.primary() == Some(n.me())) && !self.machines[*m].frozen
+            self.node(*m).is_some_and(|n| n.primary() == Some(n.local_member())) && !self.machines[*m].frozen
         };
-        self.running().into_iter().filter(lead).max_by_key(|m| self.node(*m).map(Node::ballot))
+        self.running().into_iter().filter(lead).max_by_key(|m| self.node(*m).map(Node::term))
     }
 
     pub fn step(&mut self, machine: usize, input: Input) {
@@ -411,8 +411,8 @@
         {
             println!("{now} m{machine} {input}");
         }
-        let (member, life) = (node.me(), m.life);
-        let proven = node.in_touch(clock) || outputs.contains(&Output::Deposed);
+        let (member, life) = (node.local_member(), m.life);
+        let proven = node.has_quorum_contact(clock) || outputs.contains(&Output::SteppedDown);
         for output in outputs {
             if self.trace {
                 println!("{now} m{machine}    -> {output:?}");
@@ -428,8 +428,8 @@
                 }
                 Output::Write { token, record } => self.enqueue(machine, (token, false, record)),
                 Output::Rewrite { token, record } => self.enqueue(machine, (token, true, record)),
-                Output::Answer { ask, result } => {
-                    let taken = matches!(result, Verdict::Taken { .. });
+                Output::Reply { request_id: ask, reply: result } => {
+                    let taken = matches!(result, ClientReply::Committed { .. });
                     self.book.answer(ask, (machine, life), result);
                     self.answered(ask);
                     if taken && let Some(act) = self.armed.take() {
@@ -437,28 +437,28 @@
                     }
                 }
                 Output::Committed { state } => self.book.shown((machine, life), &state),
-                Output::Primary { ballot, continued } => {
-                    let record = self.node(machine).and_then(Node::record).cloned();
-                    if let Some(record) = record.filter(|r| r.ballot == ballot) {
+                Output::BecamePrimary { term, continued } => {
+                    let record = self.node(machine).and_then(Node::epoch_config).cloned();
+                    if let Some(record) = record.filter(|r| r.term == term) {
                         self.check_holders(&record);
                     }
-                    self.book.primary(member.id, (machine, life), ballot, continued);
+                    self.book.primary(member.id, (machine, life), term, continued);
                 }
-                Output::Deposed => {}
+                Output::SteppedDown => {}
             }
         }
     }
 
     /// What a node tells of its disk is on it, synced.
     fn check_word(&mut self, machine: usize, message: &Message) {
-        let ballot = match message {
-            Message::Prepare { ballot }
-            | Message::Promise { ballot, .. }
-            | Message::Accepted { ballot, .. } => ballot,
-            Message::Replicated { version } => &version.stamp,
+        let term = match message {
+            Message::Prepare { term } | Message::Promise { term, .. } | Message::Accepted { term, .. } => {
+                term
+            }
+            Message::Replicated { version } => &version.write_term,
             _ => return,
         };
-        let Ok(word) = minicbor::to_vec(ballot) else { return };
+        let Ok(word) = minicbor::to_vec(term) else { return };
         let records = &self.machines[machine].disk.records;
         if !records.iter().rev().any(|r| r.windows(word.len()).any(|w| w == word)) {
             self.book.broken("disk", format!("m{machine} says {message:?} before it is on disk"));
@@ -468,37 +468,36 @@
     /// A record that is proposed names holders that have the state of its epoch, or a newer one, on their disks. A disk that
     /// was lost meanwhile is no witness against it.
     fn check_proposal(&mut self, message: &Message) {
-        let Message::Accept { record } = message else { return };
-        if self.proposed.insert(record.ballot) {
+        let Message::Accept { config: record } = message else { return };
+        if self.proposed.insert(record.term) {
             self.check_holders(record);
         }
     }
 
-    fn check_holders(&mut self, record: &Record) {
+    fn check_holders(&mut self, record: &EpochConfig) {
         if !self.checks_holders {
             return;
         }
         let holders = record.backups.iter().chain([&record.primary]);
         for id in holders {
             let told = (0..self.machines.len()).find_map(|m| self.version_on_disk(m, *id));
-            if let Some(version) = told.filter(|v| v.is_none_or(|v| v.stamp < record.ballot)) {
+            if let Some(version) = told.filter(|v| v.is_none_or(|v| v.write_term < record.term)) {
                 self.book.broken("holders", format!("{record:?} names {id:?}, whose disk holds {version:?}"));
             }
         }
     }
 
     /// The state that the disk of that number would tell of after a restart; none if this machine has another disk.
-    fn version_on_disk(&self, machine: usize, id: MemberId) -> Option<Option<Version>> {
+    fn version_on_disk(&self, machine: usize, id: MemberId) -> Option<Option<StateVersion>> {
         let m = &self.machines[machine];
         let rng = Pcg64Mcg::seed_from_u64(1);
         let mut node = Node::new(m.settings.clone(), &m.disk.records, self.now, rng).ok()?;
-        if m.disk.records.is_empty() || node.me().id != id {
+        if m.disk.records.is_empty() || node.local_member().id != id {
             return None;
         }
         let asker = Member { id: MemberId(u64::MAX), address: address(9_999) };
-        let ballot = Ballot { round: u64::MAX, member: asker.id };
-        let mut inputs =
-            VecDeque::from([Input::Message { from: asker, message: Message::Prepare { ballot } }]);
+        let term = Term { number: u64::MAX, proposer: asker.id };
+        let mut inputs = VecDeque::from([Input::Message { from: asker, message: Message::Prepare { term } }]);
         while let Some(input) = inputs.pop_front() {
             for output in node.step(self.now, input) {
                 match output {
@@ -517,10 +516,10 @@
         self.sent += 1;
         let big = matches!(
             message,
-            Message::Replicate { .. }
-                | Message::Committed { .. }
-                | Message::Fetched { .. }
-                | Message::OfferState { .. }
+            Message::ReplicateState { .. }
+                | Message::CommittedState { .. }
+                | Message::FetchedState { .. }
+                | Message::OfferSnapshot { .. }
         );
         self.sent_states += u64::from(big);
         let Some(target) = self.at(to) else { return };
@@ -640,7 +639,7 @@
     fn end_leave(&mut self, machine: usize) {
         let Some(leave) = self.machines[machine].leave else { return };
         let waited = self.now - leave.since;
-        if waited < GRACE && !self.node(machine).is_some_and(Node::may_end) {
+        if waited < GRACE && !self.node(machine).is_some_and(Node::may_shut_down) {
             return;
         }
         if self.trace {
@@ -700,9 +699,9 @@
         self.next_ask += 1;
         let life = (machine, self.machines[machine].life);
         let input = match kind.clone() {
-            Kind::Read => Input::Read { ask },
+            Kind::Read => Input::Read { request_id: ask },
             Kind::Change(Change { base, revision, digest, body }) => {
-                Input::Change { ask, base, revision, body, digest }
+                Input::Change { request_id: ask, base_revision: base, revision, body, digest }
             }
         };
         if self.machines[machine].node.is_some() {
@@ -719,7 +718,7 @@
 
     /// A change on the newest state that the machine knows.
     pub fn fresh_change(&mut self, machine: usize) -> Change {
-        let base = self.node(machine).and_then(Node::committed).map_or(0, |s| s.revision);
+        let base = self.node(machine).and_then(Node::committed_state).map_or(0, |s| s.revision);
         let revision = base + 1 + self.below(3);
         let number = self.rng.next_u64();
         let length = self.below(4) as usize;
--- a/crates/consensus/tests/former_formats.rs
+++ b/crates/consensus/tests/former_formats.rs
@@ -8,8 +8,9 @@
 
 use minicbor::{Decode, Encode};
 use mosshead_consensus::{
-    Ballot, Call, CallDigest, ContactStamp, Delta, Input, Member, MemberId, Message, Node, Offer, Output,
-    Piece, Record, Settings, State, StateChange, StatePurpose, Version, checksum,
+    AppliedRequest, BodyDelta, ControlState, EpochConfig, Input, LeaseStamp, Member, MemberId, Message, Node,
+    Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta, StatePurpose, StateVersion,
+    Term, checksum,
 };
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -51,40 +52,43 @@
     Member { id: MemberId(id), address: address(id as u8) }
 }
 
-fn ballot(round: u64, member: u64) -> Ballot {
-    Ballot { round, member: MemberId(member) }
+fn ballot(round: u64, member: u64) -> Term {
+    Term { number: round, proposer: MemberId(member) }
 }
 
-fn digest(first: u8) -> CallDigest {
+fn digest(first: u8) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes.iter_mut().zip(first..).for_each(|(byte, value)| *byte = value);
-    CallDigest(bytes)
+    RequestDigest(bytes)
 }
 
-fn version(round: u64, revision: u64, first_round: u64) -> Version {
-    Version { stamp: ballot(round, 2), revision, origin: ballot(first_round, 2) }
+fn version(round: u64, revision: u64, first_round: u64) -> StateVersion {
+    StateVersion { write_term: ballot(round, 2), revision, first_write_term: ballot(first_round, 2) }
 }
 
 /// While members change: the fourth takes the place of the third.
-fn record() -> Record {
-    Record {
-        ballot: ballot(7, 2),
-        previous: vec![member(1), member(2), member(3)],
+fn record() -> EpochConfig {
+    EpochConfig {
+        term: ballot(7, 2),
+        outgoing_members: vec![member(1), member(2), member(3)],
         members: vec![member(1), member(2), member(4)],
         primary: MemberId(2),
         backups: vec![MemberId(1)],
     }
 }
 
-fn state() -> State {
-    State {
-        ballot: ballot(7, 2),
-        origin: ballot(5, 2),
+fn state() -> ControlState {
+    ControlState {
+        write_term: ballot(7, 2),
+        first_write_term: ballot(5, 2),
         revision: 1_000,
         body: b"service chat\n"[..].into(),
-        taken: vec![Call { revision: 12, digest: digest(1) }, Call { revision: 1_000, digest: digest(100) }]
-            .into(),
-        forgotten: 11,
+        applied_requests: vec![
+            AppliedRequest { revision: 12, digest: digest(1) },
+            AppliedRequest { revision: 1_000, digest: digest(100) },
+        ]
+        .into(),
+        highest_expired_revision: 11,
     }
 }
 
@@ -94,89 +98,98 @@
     (lines + ending).into_bytes()
 }
 
-fn change() -> StateChange {
-    let delta = Delta::between(&long_body("old"), &long_body("a new ending")).unwrap();
-    let call = Call { revision: 1_001, digest: digest(7) };
-    StateChange { previous: version(7, 1_000, 5), ballot: ballot(7, 2), call, delta }
+fn change() -> StateDelta {
+    let delta = BodyDelta::between(&long_body("old"), &long_body("a new ending")).unwrap();
+    let call = AppliedRequest { revision: 1_001, digest: digest(7) };
+    StateDelta { previous: version(7, 1_000, 5), term: ballot(7, 2), request: call, delta }
 }
 
-fn offer(purpose: StatePurpose) -> Offer {
-    Offer { purpose, version: version(7, 1_000, 5), length: 70_000, checksum: checksum(b"service chat\n") }
+fn offer(purpose: StatePurpose) -> SnapshotOffer {
+    SnapshotOffer {
+        purpose,
+        version: version(7, 1_000, 5),
+        length: 70_000,
+        checksum: checksum(b"service chat\n"),
+    }
 }
 
-fn stamp() -> ContactStamp {
-    ContactStamp { life: 0x0123_4567_89ab_cdef, at: 123_456 }
+fn stamp() -> LeaseStamp {
+    LeaseStamp { incarnation: 0x0123_4567_89ab_cdef, answered_at: 123_456 }
 }
 
 /// Messages of the election of a primary and of the first accepted record.
 fn election_messages() -> Vec<(&'static str, Message)> {
-    let answer = |willing, founder, record| Message::PreVoteAnswer { willing, founder, record };
+    let answer = |willing, founder, record| Message::PreVoteResponse {
+        granted: willing,
+        is_bootstrap_voter: founder,
+        config: record,
+    };
     let promise = |founder, fit, record, version| Message::Promise {
-        ballot: ballot(8, 3),
-        founder,
-        fit,
-        record,
+        term: ballot(8, 3),
+        is_bootstrap_voter: founder,
+        is_healthy: fit,
+        config: record,
         version,
     };
     vec![
         ("00-pre-vote", Message::PreVote),
         ("01-pre-vote-answer", answer(true, false, Some(record()))),
         ("01-pre-vote-answer-without-record", answer(false, true, None)),
-        ("02-prepare", Message::Prepare { ballot: ballot(8, 3) }),
+        ("02-prepare", Message::Prepare { term: ballot(8, 3) }),
         ("03-promise", promise(false, true, Some(record()), Some(version(7, 1_000, 5)))),
         ("03-promise-of-an-empty-disk", promise(true, false, None, None)),
-        ("04-reject", Message::Reject { ballot: ballot(7, 2), promised: ballot(8, 3) }),
-        ("05-fetch", Message::Fetch { ballot: ballot(8, 3), version: version(7, 1_000, 5) }),
-        ("06-fetched", Message::Fetched { ballot: ballot(8, 3), state: state() }),
-        ("11-accept", Message::Accept { record: record() }),
-        ("12-accepted", Message::Accepted { ballot: ballot(7, 2), founder: true }),
-        ("16-join", Message::Join { founder: true, seen: ballot(6, 1) }),
-        ("17-members", Message::Members { record: record() }),
-        ("18-hand-over", Message::HandOver { ballot: ballot(7, 2) }),
-        ("19-leaving", Message::Leaving),
-        ("20-may-leave", Message::MayLeave { ballot: ballot(7, 2) }),
+        ("04-reject", Message::Reject { term: ballot(7, 2), promised: ballot(8, 3) }),
+        ("05-fetch", Message::FetchState { term: ballot(8, 3), version: version(7, 1_000, 5) }),
+        ("06-fetched", Message::FetchedState { term: ballot(8, 3), state: state() }),
+        ("11-accept", Message::Accept { config: record() }),
+        ("12-accepted", Message::Accepted { term: ballot(7, 2), is_bootstrap_voter: true }),
+        ("16-join", Message::Join { is_bootstrap_voter: true, known_term: ballot(6, 1) }),
+        ("17-members", Message::KnownConfig { config: record() }),
+        ("18-hand-over", Message::TransferLeadership { term: ballot(7, 2) }),
+        ("19-leaving", Message::RequestRemoval),
+        ("20-may-leave", Message::RemovalGranted { term: ballot(7, 2) }),
     ]
 }
 
 /// Messages by which a state gets from one node to another.
 fn state_messages() -> Vec<(&'static str, Message)> {
     let version = version(7, 1_000, 5);
-    let piece = Piece { version, offset: 65_536, bytes: b"route"[..].into() };
-    let fetched = StatePurpose::Fetched { ballot: ballot(8, 3) };
+    let piece = SnapshotChunk { version, offset: 65_536, bytes: b"route"[..].into() };
+    let fetched = StatePurpose::FetchedState { term: ballot(8, 3) };
     vec![
-        ("07-replicate", Message::Replicate { state: state() }),
-        ("07-replicate-empty-state", Message::Replicate { state: State::default() }),
-        ("08-restamp", Message::Restamp { version }),
+        ("07-replicate", Message::ReplicateState { state: state() }),
+        ("07-replicate-empty-state", Message::ReplicateState { state: ControlState::default() }),
+        ("08-restamp", Message::RewriteUnderNewTerm { version }),
         ("09-replicated", Message::Replicated { version }),
-        ("10-lacks-body", Message::LacksBody { version }),
-        ("15-committed", Message::Committed { state: state() }),
-        ("25-replicate-change", Message::ReplicateChange { change: change() }),
-        ("26-committed-changes", Message::CommittedChanges { changes: vec![change(), change()] }),
-        ("27-offer-state-committed", Message::OfferState { offer: offer(StatePurpose::Committed) }),
-        ("27-offer-state-replicate", Message::OfferState { offer: offer(StatePurpose::Replicate) }),
-        ("27-offer-state-fetched", Message::OfferState { offer: offer(fetched) }),
-        ("28-fetch-piece", Message::FetchPiece { version, offset: 65_536 }),
-        ("29-piece", Message::Piece { piece }),
+        ("10-lacks-body", Message::MissingBody { version }),
+        ("15-committed", Message::CommittedState { state: state() }),
+        ("25-replicate-change", Message::ReplicateDelta { delta: change() }),
+        ("26-committed-changes", Message::CommittedDeltas { deltas: vec![change(), change()] }),
+        ("27-offer-state-committed", Message::OfferSnapshot { offer: offer(StatePurpose::Committed) }),
+        ("27-offer-state-replicate", Message::OfferSnapshot { offer: offer(StatePurpose::ReplicateState) }),
+        ("27-offer-state-fetched", Message::OfferSnapshot { offer: offer(fetched) }),
+        ("28-fetch-piece", Message::FetchChunk { version, offset: 65_536 }),
+        ("29-piece", Message::SnapshotChunk { chunk: piece }),
     ]
 }
 
 fn heartbeat_messages() -> Vec<(&'static str, Message)> {
     let heartbeat = |record, echo| Message::Heartbeat {
-        ballot: ballot(7, 2),
+        term: ballot(7, 2),
         sequence: 4_242,
         committed: version(7, 1_000, 5),
-        record,
-        echo,
+        config: record,
+        echoed_stamp: echo,
     };
-    let answer = |committed, fit| Message::HeartbeatAnswer {
-        ballot: ballot(7, 2),
+    let answer = |committed, fit| Message::HeartbeatResponse {
+        term: ballot(7, 2),
         sequence: 4_242,
         promised: ballot(7, 2),
-        accepted: ballot(7, 2),
-        seen: ballot(6, 1),
-        committed,
-        fit,
-        stamp: stamp(),
+        accepted_term: ballot(7, 2),
+        known_term: ballot(6, 1),
+        committed_revision: committed,
+        is_healthy: fit,
+        lease_stamp: stamp(),
     };
     vec![
         ("13-heartbeat", heartbeat(Some(record()), Some(stamp()))),
@@ -201,7 +214,7 @@
 #[test]
 fn states_of_earlier_versions_are_read_and_written_alike() {
     check("states", "state", &state());
-    check("states", "empty-state", &State::default());
+    check("states", "empty-state", &ControlState::default());
     check("states", "change", &change());
     check("states", "record", &record());
     check("states", "version", &version(7, 1_000, 5));
@@ -210,7 +223,7 @@
 
 #[test]
 fn a_change_of_an_earlier_version_still_makes_the_same_body() {
-    let change: StateChange = minicbor::decode(&file("states", "change")).unwrap();
+    let change: StateDelta = minicbor::decode(&file("states", "change")).unwrap();
     assert_eq!(change.delta.apply(&long_body("old")), Some(long_body("a new ending")));
 }
 
@@ -244,9 +257,9 @@
 }
 
 /// The state before the change, and the same after it and under a later ballot.
-fn logged_states() -> (State, State) {
-    let before = State { ballot: ballot(7, 2), body: long_body("old").into(), ..state() };
-    let after = State { ballot: ballot(9, 2), ..change().apply(&before).unwrap() };
+fn logged_states() -> (ControlState, ControlState) {
+    let before = ControlState { write_term: ballot(7, 2), body: long_body("old").into(), ..state() };
+    let after = ControlState { write_term: ballot(9, 2), ..change().apply(&before).unwrap() };
     (before, after)
 }
 
@@ -256,11 +269,11 @@
     let message = |message| Input::Message { from: member(2), message };
     vec![
         ("0-identity", Input::Tick),
-        ("1-promise", message(Message::Prepare { ballot: ballot(6, 2) })),
-        ("2-accept", message(Message::Accept { record: record() })),
-        ("3-state", message(Message::Replicate { state: before })),
-        ("4-change", message(Message::ReplicateChange { change: change() })),
-        ("5-restamp", message(Message::Restamp { version: after.version() })),
+        ("1-promise", message(Message::Prepare { term: ballot(6, 2) })),
+        ("2-accept", message(Message::Accept { config: record() })),
+        ("3-state", message(Message::ReplicateState { state: before })),
+        ("4-change", message(Message::ReplicateDelta { delta: change() })),
+        ("5-restamp", message(Message::RewriteUnderNewTerm { version: after.version() })),
     ]
 }
 
@@ -289,12 +302,12 @@
 fn a_learner_writes_the_records_that_earlier_versions_wrote() {
     let mut node = open(&[], false);
     assert_eq!(step(&mut node, Input::Tick).0, [file("learner-log", "0-identity")]);
-    let record = Record { previous: vec![member(2)], members: vec![member(2)], ..record() };
-    let seen = Message::Members { record: record.clone() };
+    let record = EpochConfig { outgoing_members: vec![member(2)], members: vec![member(2)], ..record() };
+    let seen = Message::KnownConfig { config: record.clone() };
     assert_eq!(receive(&mut node, seen).0, [file("learner-log", "1-seen")]);
     assert_eq!(node.snapshot(), Some(file("snapshots", "learner")));
     let opened = open(&log("learner-log"), false);
-    assert_eq!((opened.record(), opened.me()), (Some(&record), node.me()));
+    assert_eq!((opened.epoch_config(), opened.local_member()), (Some(&record), node.local_member()));
     assert_eq!(opened.snapshot(), Some(file("snapshots", "learner")));
 }
 
@@ -305,13 +318,16 @@
     for records in [log("backup-log"), vec![file("snapshots", "backup")]] {
         let mut node = open(&records, true);
         assert_eq!(node.snapshot(), Some(file("snapshots", "backup")));
-        assert_eq!((node.record(), node.me().id), (Some(&record()), open(&[], true).me().id));
-        let fetch = Message::Fetch { ballot: ballot(9, 2), version };
-        let fetched = Message::Fetched { ballot: ballot(9, 2), state: after.clone() };
+        assert_eq!(
+            (node.epoch_config(), node.local_member().id),
+            (Some(&record()), open(&[], true).local_member().id)
+        );
+        let fetch = Message::FetchState { term: ballot(9, 2), version };
+        let fetched = Message::FetchedState { term: ballot(9, 2), state: after.clone() };
         assert!(receive(&mut node, fetch).1.contains(&fetched));
         // What was promised before still holds.
-        let lower = Message::Prepare { ballot: ballot(8, 2) };
-        let reject = Message::Reject { ballot: ballot(8, 2), promised: ballot(9, 2) };
+        let lower = Message::Prepare { term: ballot(8, 2) };
+        let reject = Message::Reject { term: ballot(8, 2), promised: ballot(9, 2) };
         assert_eq!(receive(&mut node, lower), (vec![], vec![reject]));
     }
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -7,8 +7,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_consensus::{
-    Ballot, CallDigest, ContactStamp, InjectedFault, Input, Member, Message, Node, Output, Record, Settings,
-    Verdict,
+    ClientReply, EpochConfig, InjectedFault, Input, LeaseStamp, Member, Message, Node, Output, RequestDigest,
+    Settings, Term,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -50,7 +50,7 @@
     crashes: u8,
     changes: u64,
     /// What was taken, and the lowest ballot under which it was.
-    taken: BTreeMap<u64, Ballot>,
+    taken: BTreeMap<u64, Term>,
     taken_on: BTreeMap<u64, u64>,
     bases: BTreeMap<u64, u64>,
     /// The revision that each ask is about.
@@ -107,15 +107,15 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, machine as u8), 7720)
 }
 
-fn digest(number: u64) -> CallDigest {
-    CallDigest([number as u8; 32])
+fn digest(number: u64) -> RequestDigest {
+    RequestDigest([number as u8; 32])
 }
 
 impl Core {
     fn node(&self, machine: usize, log: &[Vec<u8>], now: u64) -> Node<Count> {
         let mut settings = Settings::new(address(machine), 1, true, (0..3).map(address).collect());
         settings.injected_fault = self.injected_fault;
-        settings.rewrite_bytes = 1 << 30;
+        settings.log_rewrite_bytes = 1 << 30;
         Node::new(settings, log, now, Count(100 * (machine as u64 + 1))).expect("its own log")
     }
 
@@ -123,7 +123,7 @@
     fn fresh_node(&self, machine: usize, now: u64, wipes_left: u8) -> Node<Count> {
         let mut settings = Settings::new(address(machine), 1, false, (0..3).map(address).collect());
         settings.injected_fault = self.injected_fault;
-        settings.rewrite_bytes = 1 << 30;
+        settings.log_rewrite_bytes = 1 << 30;
         Node::new(settings, &[], now, Count(10_000 * (u64::from(wipes_left) + 1))).expect("an empty log")
     }
 }
@@ -145,19 +145,19 @@
                         let core = !matches!(
                             message,
                             Message::Heartbeat { .. }
-                                | Message::HeartbeatAnswer { .. }
-                                | Message::Committed { .. }
+                                | Message::HeartbeatResponse { .. }
+                                | Message::CommittedState { .. }
                                 | Message::Join { .. }
                                 | Message::PreVote
-                                | Message::PreVoteAnswer { .. }
+                                | Message::PreVoteResponse { .. }
                                 | Message::Reject { .. }
                         );
                         let send_heartbeats =
-                            matches!(message, Message::Heartbeat { .. } | Message::HeartbeatAnswer { .. });
+                            matches!(message, Message::Heartbeat { .. } | Message::HeartbeatResponse { .. });
                         if core || all || heartbeats && send_heartbeats {
                             let to = to.ip().octets()[3] as usize;
                             let bytes = minicbor::to_vec(&message).expect("it fits in memory");
-                            let from = self.nodes[machine].me();
+                            let from = self.nodes[machine].local_member();
                             self.net.insert(Envelope { from, to, bytes });
                         }
                     }
@@ -165,12 +165,14 @@
                         self.disks[machine].push(record);
                         inputs.insert(0, Input::Written { token });
                     }
-                    Output::Answer { result: Verdict::Taken { revision }, .. } => {
+                    Output::Reply { reply: ClientReply::Committed { revision }, .. } => {
                         self.take(machine, revision)
                     }
-                    Output::Answer { ask, result: Verdict::Stale { .. } } => self.judge_stale(ask),
+                    Output::Reply { request_id: ask, reply: ClientReply::Stale { .. } } => {
+                        self.judge_stale(ask)
+                    }
                     Output::Committed { state } => {
-                        self.show(machine, state.taken.iter().map(|c| c.revision).collect())
+                        self.show(machine, state.applied_requests.iter().map(|c| c.revision).collect())
                     }
                     _ => {}
                 }
@@ -197,8 +199,8 @@
         if *self.taken_on.entry(base).or_insert(revision) != revision {
             self.broken = Some(format!("two changes on {base}"));
         }
-        let ballot = self.nodes[machine].ballot();
-        self.taken.entry(revision).or_insert(ballot);
+        let term = self.nodes[machine].term();
+        self.taken.entry(revision).or_insert(term);
         self.check_stale();
     }
 
@@ -222,8 +224,8 @@
     /// A primary knows all that was taken under lower ballots.
     fn check_primary(&mut self, machine: usize) {
         let node = &self.nodes[machine];
-        let (known, ballot) = (node.committed().map_or(0, |s| s.revision), node.ballot());
-        if node.is_primary() && self.taken.iter().any(|(revision, b)| *b < ballot && *revision > known) {
+        let (known, term) = (node.committed_state().map_or(0, |s| s.revision), node.term());
+        if node.is_primary() && self.taken.iter().any(|(revision, b)| *b < term && *revision > known) {
             self.broken = Some(format!("primary {machine} has {known} of {:?}", self.taken));
         }
     }
@@ -231,28 +233,30 @@
     /// Whether a primary leads all the disks that there are: one may be lost then.
     fn is_whole(&self) -> bool {
         let leads_all = |node: &Node<Count>| {
-            let all = |r: &Record| !r.is_joint() && self.nodes.iter().all(|n| r.members.contains(&n.me()));
-            node.is_primary() && node.record().is_some_and(all)
+            let all = |r: &EpochConfig| {
+                !r.is_joint() && self.nodes.iter().all(|n| r.members.contains(&n.local_member()))
+            };
+            node.is_primary() && node.epoch_config().is_some_and(all)
         };
         self.nodes.iter().any(leads_all)
     }
 
     /// The primary hears a machine with a new disk, and looks after its members.
     fn join(&mut self, wiped: usize, primary: usize) {
-        let from = self.nodes[wiped].me();
-        let ballot = self.nodes[primary].ballot();
-        let seen = Ballot::default();
-        let answer = Message::HeartbeatAnswer {
-            ballot,
+        let from = self.nodes[wiped].local_member();
+        let term = self.nodes[primary].term();
+        let seen = Term::default();
+        let answer = Message::HeartbeatResponse {
+            term,
             sequence: 0,
             promised: seen,
-            accepted: seen,
-            seen,
-            committed: None,
-            fit: true,
-            stamp: ContactStamp::default(),
+            accepted_term: seen,
+            known_term: seen,
+            committed_revision: None,
+            is_healthy: true,
+            lease_stamp: LeaseStamp::default(),
         };
-        for message in [Message::Join { founder: false, seen }, answer] {
+        for message in [Message::Join { is_bootstrap_voter: false, known_term: seen }, answer] {
             self.step(primary, Input::Message { from, message }, false);
         }
         self.clocks[primary] += 100;
@@ -350,23 +354,30 @@
                 fleet.step(machine, Input::Tick, false);
                 fleet.clocks[machine] += 2_000;
                 fleet.step(machine, Input::Tick, false);
-                let me = fleet.nodes[machine].me();
-                let others: Vec<Member> = fleet.nodes.iter().map(Node::me).filter(|o| *o != me).collect();
+                let me = fleet.nodes[machine].local_member();
+                let others: Vec<Member> =
+                    fleet.nodes.iter().map(Node::local_member).filter(|o| *o != me).collect();
                 for from in others {
-                    let message = Message::PreVoteAnswer { willing: true, founder: true, record: None };
+                    let message =
+                        Message::PreVoteResponse { granted: true, is_bootstrap_voter: true, config: None };
                     fleet.step(machine, Input::Message { from, message }, false);
                 }
             }
             Act::Change(machine) => {
                 fleet.changes += 1;
-                let base = fleet.nodes[machine].committed().map_or(0, |s| s.revision);
+                let base = fleet.nodes[machine].committed_state().map_or(0, |s| s.revision);
                 // Later changes have lower numbers at times.
                 let revision = base + 10 - fleet.changes;
                 fleet.bases.insert(revision, base);
                 let ask = fleet.changes;
                 fleet.asks.insert(ask, revision);
-                let change =
-                    Input::Change { ask, base, revision, body: body(revision), digest: digest(revision) };
+                let change = Input::Change {
+                    request_id: ask,
+                    base_revision: base,
+                    revision,
+                    body: body(revision),
+                    digest: digest(revision),
+                };
                 fleet.step(machine, change, false);
             }
             Act::Crash(machine) => {
@@ -391,8 +402,13 @@
                 let ask = FIRST_REPEAT + u64::from(fleet.repeats);
                 fleet.asks.insert(ask, revision);
                 let base = fleet.bases.get(&revision).copied().unwrap_or(0);
-                let change =
-                    Input::Change { ask, base, revision, body: body(revision), digest: digest(revision) };
+                let change = Input::Change {
+                    request_id: ask,
+                    base_revision: base,
+                    revision,
+                    body: body(revision),
+                    digest: digest(revision),
+                };
                 fleet.step(machine, change, false);
             }
         }
@@ -503,7 +519,7 @@
 /// A wiped disk and repeats find what take-overs alone don't.
 #[test]
 fn flaws_are_found_by_walks() {
-    for injected_fault in [InjectedFault::NoStamp, InjectedFault::ForgetTaken] {
+    for injected_fault in [InjectedFault::SkipRewriteUnderNewTerm, InjectedFault::ForgetAppliedRequests] {
         let found =
             (0..20).find_map(|seed| walk(Core { injected_fault: Some(injected_fault), ..ALL }, seed, 50_000));
         println!("{injected_fault:?}: {found:?}");
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_consensus::{Call, CallDigest, Judgement, State, Verdict};
+use mosshead_consensus::{AppliedRequest, ClientReply, ControlState, RequestDigest, RequestStatus};
 
 use crate::InjectedFault;
 use crate::config_history::read_beside;
@@ -32,7 +32,7 @@
     /// The body, not read yet.
     pub body: B,
     /// What tells a repeat of this call from another one.
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
 }
 
 /// Who decides on changes, as far as the machine that was called knows.
@@ -67,7 +67,7 @@
     /// The new configuration, whole; empty where the change is known to be taken already.
     pub body: Vec<u8>,
     /// What tells a repeat of the call.
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
 }
 
 /// The answer to an operator's change.
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResponse {
     /// The configuration that a majority has confirmed.
-    Current(State),
+    Current(ControlState),
     /// A majority has confirmed that there is none yet.
     Empty,
     /// Another machine decides.
@@ -142,7 +142,7 @@
     pub fn begin(
         request: ChangeRequest<B>,
         primary: KnownPrimary,
-        state: Option<&State>,
+        state: Option<&ControlState>,
         config: Option<Arc<Config>>,
         injected: Option<InjectedFault>,
     ) -> (ChangeAdmission<B>, AdmissionStep) {
@@ -151,7 +151,7 @@
         (admission, step)
     }
 
-    fn first_step(&mut self, primary: KnownPrimary, state: Option<&State>) -> AdmissionStep {
+    fn first_step(&mut self, primary: KnownPrimary, state: Option<&ControlState>) -> AdmissionStep {
         match primary {
             KnownPrimary::Local => {}
             KnownPrimary::Remote(primary) => {
@@ -170,24 +170,26 @@
             );
         };
         (self.base, self.revision) = (base, revision);
-        if state.is_some_and(|state| state.judge(base, self.call()) == Judgement::Taken) {
+        if state
+            .is_some_and(|state| state.classify_request(base, self.call()) == RequestStatus::AlreadyApplied)
+        {
             return self.submit(Vec::new());
         }
         self.judge(self.local.clone().as_deref(), Certainty::Local)
     }
 
     /// Takes in the verdict on a [`AdmissionStep::ConfirmState`].
-    pub fn on_state_confirmed(&mut self, verdict: Verdict) -> AdmissionStep {
+    pub fn on_state_confirmed(&mut self, verdict: ClientReply) -> AdmissionStep {
         let state = match verdict {
-            Verdict::Current { state } => state,
+            ClientReply::CurrentState { state } => state,
             other => return unconfirmed(other),
         };
-        match state.judge(self.base, self.call()) {
-            Judgement::Taken => {
+        match state.classify_request(self.base, self.call()) {
+            RequestStatus::AlreadyApplied => {
                 return AdmissionStep::Respond(ChangeResponse::Accepted { revision: self.revision });
             }
-            Judgement::Forgotten => return AdmissionStep::Respond(ChangeResponse::Expired),
-            Judgement::Acceptable | Judgement::Stale => {}
+            RequestStatus::Expired => return AdmissionStep::Respond(ChangeResponse::Expired),
+            RequestStatus::Acceptable | RequestStatus::Stale => {}
         }
         if self.base != state.revision {
             return AdmissionStep::Respond(ChangeResponse::Stale { current: state.revision });
@@ -204,16 +206,16 @@
     }
 
     /// Takes in the verdict on a [`AdmissionStep::Submit`].
-    pub fn on_proposal_result(&self, verdict: Verdict) -> ChangeResponse {
+    pub fn on_proposal_result(&self, verdict: ClientReply) -> ChangeResponse {
         match verdict {
-            Verdict::Taken { revision } => ChangeResponse::Accepted { revision },
-            Verdict::Stale { current } => ChangeResponse::Stale { current },
-            Verdict::TooLarge => ChangeResponse::TooLarge,
-            Verdict::Forgotten => ChangeResponse::Expired,
-            Verdict::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
-            Verdict::NotPrimary { primary: None } | Verdict::Unavailable | Verdict::Current { .. } => {
-                ChangeResponse::Unavailable
-            }
+            ClientReply::Committed { revision } => ChangeResponse::Accepted { revision },
+            ClientReply::Stale { current_revision: current } => ChangeResponse::Stale { current },
+            ClientReply::TooLarge => ChangeResponse::TooLarge,
+            ClientReply::Expired => ChangeResponse::Expired,
+            ClientReply::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
+            ClientReply::NotPrimary { primary: None }
+            | ClientReply::Unavailable
+            | ClientReply::CurrentState { .. } => ChangeResponse::Unavailable,
         }
     }
 
@@ -251,17 +253,17 @@
         AdmissionStep::Submit(ChangeProposal { base_revision: base, revision, body, digest })
     }
 
-    fn call(&self) -> Call {
-        Call { revision: self.revision, digest: self.request.digest }
+    fn call(&self) -> AppliedRequest {
+        AppliedRequest { revision: self.revision, digest: self.request.digest }
     }
 }
 
 /// How a read-back is answered, by the verdict of the consensus state.
-pub fn read_response(verdict: Verdict) -> ReadResponse {
+pub fn read_response(verdict: ClientReply) -> ReadResponse {
     match verdict {
-        Verdict::Current { state } if state.revision > 0 => ReadResponse::Current(state),
-        Verdict::Current { .. } => ReadResponse::Empty,
-        Verdict::NotPrimary { primary: Some(primary) } => ReadResponse::Redirect { primary },
+        ClientReply::CurrentState { state } if state.revision > 0 => ReadResponse::Current(state),
+        ClientReply::CurrentState { .. } => ReadResponse::Empty,
+        ClientReply::NotPrimary { primary: Some(primary) } => ReadResponse::Redirect { primary },
         _ => ReadResponse::Unavailable,
     }
 }
@@ -270,9 +272,9 @@
     AdmissionStep::Respond(ChangeResponse::Invalid { reason: fault.into() })
 }
 
-fn unconfirmed(verdict: Verdict) -> AdmissionStep {
+fn unconfirmed(verdict: ClientReply) -> AdmissionStep {
     AdmissionStep::Respond(match verdict {
-        Verdict::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
+        ClientReply::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
         _ => ChangeResponse::Unavailable,
     })
 }
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use mosshead_config::{Config, ConfigError};
-use mosshead_consensus::State;
+use mosshead_consensus::ControlState;
 
 use crate::{InjectedFault, QuorumContact};
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes in a committed state. Gives the configuration if it is newer than the one before.
-    pub fn commit(&mut self, state: &State) -> Result<Option<Arc<Config>>, ConfigError> {
+    pub fn commit(&mut self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
         let known = self.current.as_ref().map_or(0, |config| config.revision);
         if state.revision <= known {
             return Ok(None);
--- a/crates/control-plane/tests/admission.rs
+++ b/crates/control-plane/tests/admission.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_consensus::{Call, CallDigest, REMEMBERED_CALLS, State, Verdict};
+use mosshead_consensus::{AppliedRequest, ClientReply, ControlState, DEDUPLICATION_WINDOW, RequestDigest};
 use mosshead_control_plane::InjectedFault;
 use mosshead_control_plane::{
     AdmissionStep, ChangeAdmission, ChangeKind, ChangeRequest, ChangeResponse, KnownPrimary, ReadResponse,
@@ -14,10 +14,10 @@
 
 /// The number that stands for the call under test.
 const CALL: u64 = 77;
-const DIGEST: CallDigest = digest(CALL);
+const DIGEST: RequestDigest = digest(CALL);
 
 /// A digest of its own for each number.
-const fn digest(number: u64) -> CallDigest {
+const fn digest(number: u64) -> RequestDigest {
     let mut bytes = [0; 32];
     let number = number.to_be_bytes();
     let mut at = 0;
@@ -25,7 +25,7 @@
         bytes[at] = number[at];
         at += 1;
     }
-    CallDigest(bytes)
+    RequestDigest(bytes)
 }
 
 fn text(revision: u64) -> String {
@@ -33,10 +33,10 @@
 }
 
 /// The state that the call of this number made under this revision.
-fn state(revision: u64, call: u64) -> State {
-    let taken: Arc<[Call]> = Arc::from([Call { revision, digest: digest(call) }]);
+fn state(revision: u64, call: u64) -> ControlState {
+    let taken: Arc<[AppliedRequest]> = Arc::from([AppliedRequest { revision, digest: digest(call) }]);
     let body = text(revision).into_bytes().into();
-    State { revision, body, taken, ..State::default() }
+    ControlState { revision, body, applied_requests: taken, ..ControlState::default() }
 }
 
 fn request(kind: ChangeKind, base: Option<u64>, body: &str) -> ChangeRequest<Vec<u8>> {
@@ -50,15 +50,15 @@
 /// Begins at a machine that believes to lead and knows this state.
 fn begin(
     request: ChangeRequest<Vec<u8>>,
-    known: Option<&State>,
+    known: Option<&ControlState>,
     injected: Option<InjectedFault>,
 ) -> (ChangeAdmission<Vec<u8>>, AdmissionStep) {
     let config = known.map(|state| Arc::new(Config::parse(&state.body).expect("a configuration")));
     ChangeAdmission::begin(request, KnownPrimary::Local, known, config, injected)
 }
 
-fn current(state: &State) -> Verdict {
-    Verdict::Current { state: state.clone() }
+fn current(state: &ControlState) -> ClientReply {
+    ClientReply::CurrentState { state: state.clone() }
 }
 
 fn stale(current: u64) -> AdmissionStep {
@@ -76,10 +76,10 @@
     assert_eq!((submission.base_revision, submission.revision, submission.digest), (5, 6, DIGEST));
     assert_eq!(submission.body, text(6).into_bytes());
     assert_eq!(
-        admission.on_proposal_result(Verdict::Taken { revision: 6 }),
+        admission.on_proposal_result(ClientReply::Committed { revision: 6 }),
         ChangeResponse::Accepted { revision: 6 }
     );
-    assert_eq!(admission.on_proposal_result(Verdict::TooLarge), ChangeResponse::TooLarge);
+    assert_eq!(admission.on_proposal_result(ClientReply::TooLarge), ChangeResponse::TooLarge);
 }
 
 #[test]
@@ -119,10 +119,10 @@
     let AdmissionStep::Submit(submission) = step else { panic!("{step:?}") };
     assert!(submission.body.is_empty());
     assert_eq!(
-        admission.on_proposal_result(Verdict::Taken { revision: 8 }),
+        admission.on_proposal_result(ClientReply::Committed { revision: 8 }),
         ChangeResponse::Accepted { revision: 8 }
     );
-    assert_eq!(admission.on_proposal_result(Verdict::Unavailable), ChangeResponse::Unavailable);
+    assert_eq!(admission.on_proposal_result(ClientReply::Unavailable), ChangeResponse::Unavailable);
 }
 
 #[test]
@@ -139,9 +139,12 @@
 fn an_unconfirmed_refusal_is_no_answer() {
     let elsewhere = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7);
     let answers = [
-        (Verdict::Unavailable, ChangeResponse::Unavailable),
-        (Verdict::NotPrimary { primary: None }, ChangeResponse::Unavailable),
-        (Verdict::NotPrimary { primary: Some(elsewhere) }, ChangeResponse::Redirect { primary: elsewhere }),
+        (ClientReply::Unavailable, ChangeResponse::Unavailable),
+        (ClientReply::NotPrimary { primary: None }, ChangeResponse::Unavailable),
+        (
+            ClientReply::NotPrimary { primary: Some(elsewhere) },
+            ChangeResponse::Redirect { primary: elsewhere },
+        ),
     ];
     for (verdict, answer) in answers {
         let (mut admission, _) = begin(replace(7, 8), Some(&state(5, 1)), None);
@@ -151,9 +154,11 @@
 
 #[test]
 fn a_call_older_than_what_is_remembered_is_left_without_a_clear_answer() {
-    let calls = (0..REMEMBERED_CALLS as u64).map(|at| Call { revision: 100 + at, digest: digest(at) });
-    let newest = 99 + REMEMBERED_CALLS as u64;
-    let remembered = State { taken: calls.collect(), forgotten: 99, ..state(newest, 1) };
+    let calls =
+        (0..DEDUPLICATION_WINDOW as u64).map(|at| AppliedRequest { revision: 100 + at, digest: digest(at) });
+    let newest = 99 + DEDUPLICATION_WINDOW as u64;
+    let remembered =
+        ControlState { applied_requests: calls.collect(), highest_expired_revision: 99, ..state(newest, 1) };
     let (mut admission, _) = begin(replace(98, 99), Some(&remembered), None);
     assert_eq!(
         admission.on_state_confirmed(current(&remembered)),
@@ -200,8 +205,8 @@
 #[test]
 fn a_read_back_tells_what_a_majority_has_confirmed() {
     assert_eq!(read_response(current(&state(5, 1))), ReadResponse::Current(state(5, 1)));
-    assert_eq!(read_response(current(&State::default())), ReadResponse::Empty);
-    assert_eq!(read_response(Verdict::Unavailable), ReadResponse::Unavailable);
+    assert_eq!(read_response(current(&ControlState::default())), ReadResponse::Empty);
+    assert_eq!(read_response(ClientReply::Unavailable), ReadResponse::Unavailable);
 }
 
 quickcheck! {
--- a/crates/control-plane/tests/fleet/control.rs
+++ b/crates/control-plane/tests/fleet/control.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-use mosshead_consensus::{Input, Member, Message, Node, Output, Settings, Verdict};
+use mosshead_consensus::{ClientReply, Input, Member, Message, Node, Output, Settings};
 use mosshead_control_plane::ConfigHistory;
 use mosshead_control_plane::{
     AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownAcknowledgements,
@@ -91,13 +91,13 @@
 
 impl Process {
     fn contact(&self, now: u64) -> QuorumContact {
-        QuorumContact::from_flag(self.node.in_touch(now))
+        QuorumContact::from_flag(self.node.has_quorum_contact(now))
     }
 
     fn leader(&self, now: u64, by_role: bool) -> KnownPrimary {
         let primary = if by_role { self.node.primary() } else { self.node.primary_at(now) };
         match primary.map(|primary| primary.address) {
-            Some(address) if address == self.node.me().address => KnownPrimary::Local,
+            Some(address) if address == self.node.local_member().address => KnownPrimary::Local,
             Some(address) => KnownPrimary::Remote(address),
             None => KnownPrimary::Unknown,
         }
@@ -105,7 +105,7 @@
 
     fn membership(&self, failures: usize) -> ReplicaSet {
         let members = self.node.members().iter().map(|member| member.address).collect();
-        ReplicaSet { local_address: self.node.me().address, members, tolerated_failures: failures }
+        ReplicaSet { local_address: self.node.local_member().address, members, tolerated_failures: failures }
     }
 }
 
@@ -115,7 +115,7 @@
         let seeds = (0..3).map(address).collect();
         let mut settings = Settings::new(address(core), self.failures, bootstrap, seeds);
         settings.injected_fault = self.mutant.consensus;
-        settings.rewrite_bytes = 20_000;
+        settings.log_rewrite_bytes = 20_000;
         self.cores.push(ControlMachine {
             address: address(core),
             settings,
@@ -242,7 +242,7 @@
         let now = self.now;
         let Some(process) = &mut self.cores[core].process else { return };
         let outputs = process.node.step(now, input);
-        let member = process.node.me();
+        let member = process.node.local_member();
         for output in outputs {
             self.carry_out(core, member, output);
         }
@@ -258,14 +258,14 @@
             }
             Output::Write { token, record } => self.write(core, token, false, record),
             Output::Rewrite { token, record } => self.write(core, token, true, record),
-            Output::Answer { ask, result } => self.asked(core, ask, result),
+            Output::Reply { request_id: ask, reply: result } => self.asked(core, ask, result),
             Output::Committed { state } => {
                 let Some(process) = &mut self.cores[core].process else { return };
                 if let Err(fault) = process.history.commit(&state) {
                     self.ledger.broken("invalid", format!("what is committed can't be read: {fault}"));
                 }
             }
-            Output::Primary { .. } | Output::Deposed => {}
+            Output::BecamePrimary { .. } | Output::SteppedDown => {}
         }
     }
 
@@ -374,7 +374,7 @@
         };
         let injected: Option<InjectedFault> = self.mutant.control;
         let Some(process) = &self.cores[core].process else { return };
-        let (state, config) = (process.node.committed().cloned(), process.history.current().cloned());
+        let (state, config) = (process.node.committed_state().cloned(), process.history.current().cloned());
         let (admission, step) = ChangeAdmission::begin(
             request,
             process.leader(self.now, self.mutant.leader_by_role),
@@ -396,13 +396,16 @@
             AdmissionStep::Respond(answer) => self.reply(core, inbound, Answer::Changed(answer)),
             AdmissionStep::ConfirmState => {
                 let ask = self.new_ask(core, Ask::Confirm(inbound, admission));
-                self.control_step(core, Input::Read { ask });
+                self.control_step(core, Input::Read { request_id: ask });
             }
             AdmissionStep::Submit(submission) => {
                 let ask = self.new_ask(core, Ask::Submit(inbound, admission));
                 let (base, revision) = (submission.base_revision, submission.revision);
                 let (body, digest) = (submission.body, submission.digest);
-                self.control_step(core, Input::Change { ask, base, revision, body, digest });
+                self.control_step(
+                    core,
+                    Input::Change { request_id: ask, base_revision: base, revision, body, digest },
+                );
             }
         }
     }
@@ -412,7 +415,7 @@
         let answer = match process.leader(self.now, self.mutant.leader_by_role) {
             KnownPrimary::Local => {
                 let ask = self.new_ask(core, Ask::Show(inbound));
-                return self.control_step(core, Input::Read { ask });
+                return self.control_step(core, Input::Read { request_id: ask });
             }
             KnownPrimary::Remote(leader) => ReadResponse::Redirect { primary: leader },
             KnownPrimary::Unknown => ReadResponse::Unavailable,
@@ -427,7 +430,7 @@
         process.next_ask
     }
 
-    fn asked(&mut self, core: usize, ask: u64, verdict: Verdict) {
+    fn asked(&mut self, core: usize, ask: u64, verdict: ClientReply) {
         let Some(process) = &mut self.cores[core].process else { return };
         match process.asks.remove(&ask) {
             None => {}
--- a/crates/control-plane/tests/fleet/duty.rs
+++ b/crates/control-plane/tests/fleet/duty.rs
@@ -1,6 +1,6 @@
 //! The holder of the stages duty on a control machine, wired as the program wires it.
 
-use mosshead_consensus::Ballot;
+use mosshead_consensus::Term;
 use mosshead_stage_scheduler::{AssignmentOutcome, StagePolicy, StageScheduler, fencing_token};
 use mosshead_time::Instant;
 
@@ -13,13 +13,13 @@
 
 #[derive(Default)]
 pub struct Duty {
-    held: Option<(Ballot, u64, StageScheduler)>,
+    held: Option<(Term, u64, StageScheduler)>,
 }
 
 impl World {
-    fn holds(&self, core: usize) -> Option<Ballot> {
+    fn holds(&self, core: usize) -> Option<Term> {
         let node = &self.cores[core].process.as_ref()?.node;
-        node.leads(self.now).then(|| node.ballot())
+        node.holds_primary_lease(self.now).then(|| node.term())
     }
 
     pub fn duty_turn(&mut self, core: usize) {
@@ -38,7 +38,7 @@
         }
         let fence = match self.mutant.fence_without_ballot {
             true => 1,
-            false => fencing_token(ballot.round, ballot.member.0),
+            false => fencing_token(ballot.number, ballot.proposer.0),
         };
         for order in scheduler.due_assignments(Instant::from_millis(now), process.register.servers()) {
             self.ledger.order_sent((core, self.cores[core].life), fence);
--- a/crates/control-plane/tests/fleet/ledger.rs
+++ b/crates/control-plane/tests/fleet/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use mosshead_config::Config;
-use mosshead_consensus::CallDigest;
+use mosshead_consensus::RequestDigest;
 use mosshead_control_plane::ChangeKind;
 
 /// A machine that was cut off from a majority for so long hands out no configuration.
@@ -13,17 +13,17 @@
 type Holder = (usize, u64);
 
 /// A digest of its own for each change.
-fn digest(change: usize) -> CallDigest {
+fn digest(change: usize) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&(change as u64 + 1).to_be_bytes());
-    CallDigest(bytes)
+    RequestDigest(bytes)
 }
 
 pub struct ChangeRecord {
     pub kind: ChangeKind,
     pub base: u64,
     pub revision: u64,
-    pub digest: CallDigest,
+    pub digest: RequestDigest,
     pub body: Vec<u8>,
     pub is_valid: bool,
     /// The changes that the configuration is made of when this one is in force.
--- a/crates/control-plane/tests/fleet/mutants.rs
+++ b/crates/control-plane/tests/fleet/mutants.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn states_shown_before_they_are_committed() {
-    finds(140, consensus(ConsensusFault::ShowUncommitted), &["lost:", "winners:", "refused:"]);
+    finds(140, consensus(ConsensusFault::PublishUncommitted), &["lost:", "winners:", "refused:"]);
 }
 
 #[test]
@@ -62,5 +62,5 @@
 
 #[test]
 fn taken_calls_that_are_forgotten() {
-    finds(0, consensus(ConsensusFault::ForgetTaken), &["refused:"]);
+    finds(0, consensus(ConsensusFault::ForgetAppliedRequests), &["refused:"]);
 }
--- a/crates/control-plane/tests/fleet/world.rs
+++ b/crates/control-plane/tests/fleet/world.rs
@@ -227,11 +227,11 @@
 
     /// The machine that believes to be primary, under the highest ballot.
     pub fn primary(&self) -> Option<usize> {
-        let ballot = |core: &usize| self.cores[*core].process.as_ref().map(|process| process.node.ballot());
+        let term = |core: &usize| self.cores[*core].process.as_ref().map(|process| process.node.term());
         let leads = |core: &usize| {
             let process = self.cores[*core].process.as_ref();
             process.is_some_and(|process| process.node.is_primary())
         };
-        self.running().into_iter().filter(leads).max_by_key(ballot)
+        self.running().into_iter().filter(leads).max_by_key(term)
     }
 }
--- a/crates/control-plane/tests/serving.rs
+++ b/crates/control-plane/tests/serving.rs
@@ -2,17 +2,17 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use mosshead_consensus::State;
+use mosshead_consensus::ControlState;
 use mosshead_control_plane::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
 use mosshead_control_plane::{ConfigHistory, ConfigOffer};
 use mosshead_control_plane::{InjectedFault, QuorumContact};
 
-fn state(revision: u64) -> State {
+fn state(revision: u64) -> ControlState {
     let filler = "x".repeat(2_000);
     let body = format!(
         r#"{{"revision":{revision},"route_entries":[],"backend_services":[],"note":"{filler}","marks":[{{"name":"m{revision}"}}]}}"#
     );
-    State { revision, body: body.into_bytes().into(), ..State::default() }
+    ControlState { revision, body: body.into_bytes().into(), ..ControlState::default() }
 }
 
 fn history(revisions: std::ops::RangeInclusive<u64>, injected: Option<InjectedFault>) -> ConfigHistory {
--- a/crates/programs/src/control_api/request_digest.rs
+++ b/crates/programs/src/control_api/request_digest.rs
@@ -1,16 +1,16 @@
 //! The digest that tells a repeat of an operator's request from another request.
 
-use mosshead_consensus::CallDigest;
+use mosshead_consensus::RequestDigest;
 use sha2::{Digest, Sha256};
 
 /// The SHA-256 digest of a request: its path, the revision that it builds on, and its body.
 ///
 /// Each part is hashed behind its length, so that no byte of one part can be taken for one of another.
-pub fn request_digest(path: &str, base_revision: u64, body: &[u8]) -> CallDigest {
+pub fn request_digest(path: &str, base_revision: u64, body: &[u8]) -> RequestDigest {
     let mut hash = Sha256::new();
     for part in [path.as_bytes(), &base_revision.to_be_bytes(), body] {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    CallDigest(hash.finalize().into())
+    RequestDigest(hash.finalize().into())
 }
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_consensus::{Ballot, Input, Node, Output, State, Verdict};
+use mosshead_consensus::{ClientReply, ControlState, Input, Node, Output, Term};
 use mosshead_control_plane::ConfigHistory;
 use mosshead_control_plane::QuorumContact;
 use mosshead_control_plane::ShutdownAcknowledgements;
@@ -45,7 +45,7 @@
     register_kept: RefCell<VersionVector>,
     register: RefCell<Registry>,
     caller: Caller,
-    asks: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
+    asks: RefCell<HashMap<u64, oneshot::Sender<ClientReply>>>,
     next_ask: Cell<u64>,
     history: RefCell<ConfigHistory>,
     transfers: RefCell<OutgoingTransfers>,
@@ -71,20 +71,20 @@
     }
 
     /// The newest state that is committed, as far as it is known here.
-    pub fn committed_state(&self) -> Option<State> {
-        self.node.borrow().as_ref().and_then(|node| node.committed().cloned())
+    pub fn committed_state(&self) -> Option<ControlState> {
+        self.node.borrow().as_ref().and_then(|node| node.committed_state().cloned())
     }
 
     /// Whether this machine lately heard from a majority.
     pub fn contact(&self) -> QuorumContact {
         let node = self.node.borrow();
-        QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.in_touch(self.now())))
+        QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.now())))
     }
 
     /// Whether this machine decides on the configuration and its lease holds at this moment.
     pub fn is_primary(&self) -> bool {
         let node = self.node.borrow();
-        node.as_ref().is_some_and(|node| node.leads(self.now()))
+        node.as_ref().is_some_and(|node| node.holds_primary_lease(self.now()))
     }
 
     /// Who decides on the configuration, as far as this machine knows.
@@ -99,7 +99,7 @@
         }
     }
 
-    async fn ask(self: &Rc<Self>, input: impl FnOnce(u64) -> Input) -> Verdict {
+    async fn ask(self: &Rc<Self>, input: impl FnOnce(u64) -> Input) -> ClientReply {
         let ask = self.next_ask.get();
         self.next_ask.set(ask + 1);
         let (to, from) = oneshot::channel();
@@ -107,18 +107,18 @@
         self.step(input(ask));
         let verdict = timeout(Duration::from_millis(3000), from).await;
         self.asks.borrow_mut().remove(&ask);
-        verdict.ok().and_then(Result::ok).unwrap_or(Verdict::Unavailable)
+        verdict.ok().and_then(Result::ok).unwrap_or(ClientReply::Unavailable)
     }
 
     /// ClientRequests for a change of the configuration.
-    pub async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> Verdict {
+    pub async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> ClientReply {
         let ChangeProposal { base_revision: base, revision, body, digest } = change;
-        self.ask(|ask| Input::Change { ask, base, revision, body, digest }).await
+        self.ask(|ask| Input::Change { request_id: ask, base_revision: base, revision, body, digest }).await
     }
 
     /// Reads the newest configuration, after the others have confirmed that it is.
-    pub async fn read_confirmed(self: &Rc<Self>) -> Verdict {
-        self.ask(|ask| Input::Read { ask }).await
+    pub async fn read_confirmed(self: &Rc<Self>) -> ClientReply {
+        self.ask(|ask| Input::Read { request_id: ask }).await
     }
 
     /// One step of the control state, and what follows from it.
@@ -128,10 +128,10 @@
             Some(node) => node.step(now, input),
             None => {
                 // Not open yet: whoever asks is told so.
-                if let Input::Change { ask, .. } | Input::Read { ask } = input
+                if let Input::Change { request_id: ask, .. } | Input::Read { request_id: ask } = input
                     && let Some(to) = self.asks.borrow_mut().remove(&ask)
                 {
-                    let _ = to.send(Verdict::Unavailable);
+                    let _ = to.send(ClientReply::Unavailable);
                 }
                 return;
             }
@@ -151,7 +151,7 @@
                     self.write_failed(token);
                 }
             }
-            Output::Answer { ask, result } => {
+            Output::Reply { request_id: ask, reply: result } => {
                 if let Some(to) = self.asks.borrow_mut().remove(&ask) {
                     let _ = to.send(result);
                 }
@@ -167,11 +167,11 @@
                     self.write_failed(token);
                 }
             }
-            Output::Primary { ballot, .. } => {
-                spdlog::info!("consensus: this machine is primary under round {}.", ballot.round);
+            Output::BecamePrimary { term: ballot, .. } => {
+                spdlog::info!("consensus: this machine is primary under round {}.", ballot.number);
                 self.tell();
             }
-            Output::Deposed => {
+            Output::SteppedDown => {
                 spdlog::info!("consensus: this machine is primary no more.");
                 self.tell();
             }
@@ -185,9 +185,9 @@
     }
 
     /// The ballot under which this machine holds the duties, while it is in touch.
-    pub fn holds(&self) -> Option<Ballot> {
+    pub fn holds(&self) -> Option<Term> {
         let node = self.node.borrow();
-        let node = node.as_ref().filter(|node| node.leads(self.now()))?;
-        Some(node.ballot())
+        let node = node.as_ref().filter(|node| node.holds_primary_lease(self.now()))?;
+        Some(node.term())
     }
 }
--- a/crates/programs/src/control_node/messages.rs
+++ b/crates/programs/src/control_node/messages.rs
@@ -11,7 +11,7 @@
 
 impl ControlNode {
     pub(super) fn send(self: &Rc<Self>, to: SocketAddrV4, message: Message) {
-        let Some(from) = self.node.borrow().as_ref().map(Node::me) else { return };
+        let Some(from) = self.node.borrow().as_ref().map(Node::local_member) else { return };
         let lane = SendQueue::of(message.state_bytes());
         // Danger: messages to a machine that is gone must not pile up; the state is made for lost ones.
         if !self.message_lanes.borrow_mut().enter(to, lane) {
--- a/crates/programs/src/control_node/process.rs
+++ b/crates/programs/src/control_node/process.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use mosshead_consensus::{Input, LEAVE_WITHIN, Node, Settings as NodeSettings, Timings};
+use mosshead_consensus::{Input, Node, SHUTDOWN_TIMEOUT, Settings as NodeSettings, Timings};
 use mosshead_record_log::{DurableLog, LogWriter, RecordLog, WriteCompletion};
 use mosshead_registry::{Registry, SourceId, VersionVector};
 use mosshead_rpc::{Caller, Handlers};
@@ -30,7 +30,7 @@
 /// How often it is looked after while this machine waits to be let go.
 const LEAVE_TICK: Duration = Duration::from_millis(20);
 /// A planned end waits no longer than the control state does.
-const LEAVE: Duration = Duration::from_millis(LEAVE_WITHIN);
+const LEAVE: Duration = Duration::from_millis(SHUTDOWN_TIMEOUT);
 /// The usual span from a machine's start to the next loss.
 const SYNC_S: f64 = 4.5;
 /// A longer one changes nothing here.
@@ -169,7 +169,7 @@
         }
     }
     spdlog::info!("control: shutting down");
-    core.step(Input::Stop);
+    core.step(Input::ShutDown);
     core.until_it_may_end(leave_within(&settings)).await;
     process.gossip.announce_departure();
     sleep(Duration::from_millis(150)).await;
@@ -198,7 +198,7 @@
     }
 
     fn may_end(&self) -> bool {
-        self.node.borrow().as_ref().is_none_or(Node::may_end)
+        self.node.borrow().as_ref().is_none_or(Node::may_shut_down)
     }
 }
 
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use mosshead_consensus::State;
+use mosshead_consensus::ControlState;
 use mosshead_registry::Delta;
 use tokio::time::{Duration, Instant, timeout};
 
@@ -19,7 +19,7 @@
 const NEW: Duration = Duration::from_secs(6);
 
 impl ControlNode {
-    pub(super) fn committed(&self, state: &State) {
+    pub(super) fn committed(&self, state: &ControlState) {
         let committed = self.history.borrow_mut().commit(state);
         match committed {
             Ok(Some(config)) => {
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, HOST};
 use hyper::{Request, StatusCode};
-use mosshead_consensus::Ballot;
+use mosshead_consensus::Term;
 use mosshead_http_links::{Link, Opening, Side};
 use mosshead_registry::Stage;
 use mosshead_stage_scheduler::{
@@ -31,7 +31,7 @@
 /// Carries the duties out for as long as it is polled, whenever this machine is primary.
 pub async fn run(core: Rc<ControlNode>) {
     let lease = Duration::from_millis(core.settings.bound("lease_ms", 3000.0) as u64);
-    let mut held: Option<(Ballot, Instant, StageScheduler)> = None;
+    let mut held: Option<(Term, Instant, StageScheduler)> = None;
     loop {
         sleep(TURN).await;
         let Some(ballot) = core.holds() else {
@@ -59,13 +59,13 @@
     }
 }
 
-async fn send(core: &Rc<ControlNode>, order: &StageAssignment, ballot: Ballot) -> AssignmentOutcome {
+async fn send(core: &Rc<ControlNode>, order: &StageAssignment, ballot: Term) -> AssignmentOutcome {
     let Some(address) = core.address_of(&order.instance_id) else { return AssignmentOutcome::Unknown };
     let message = OrderMessage {
         address,
         order,
         owner: &core.settings.node_name,
-        fence: fencing_token(ballot.round, ballot.member.0),
+        fence: fencing_token(ballot.number, ballot.proposer.0),
     };
     send_order(&message, || core.holds() == Some(ballot)).await
 }
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use minicbor::{Decode, Encode};
-use mosshead_consensus::{Ballot, Member, MemberId, Message, Record, State, Version};
+use mosshead_consensus::{ControlState, EpochConfig, Member, MemberId, Message, StateVersion, Term};
 use mosshead_programs::calls::{
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
@@ -74,27 +74,45 @@
 }
 
 fn messages(number: u64, body: &[u8], mark: bool) -> Vec<Message> {
-    let ballot = Ballot { round: number, member: MemberId(number / 2) };
+    let ballot = Term { number, proposer: MemberId(number / 2) };
     let member = Member { id: MemberId(number), address: address(number as u32, 7720) };
-    let record = Record {
-        ballot,
-        previous: Vec::new(),
+    let record = EpochConfig {
+        term: ballot,
+        outgoing_members: Vec::new(),
         members: vec![member; 3],
         primary: member.id,
         backups: vec![member.id],
     };
-    let version = Version { stamp: ballot, revision: number, origin: Ballot::default() };
-    let state = State { ballot, origin: ballot, revision: number, body: body.into(), ..State::default() };
+    let version = StateVersion { write_term: ballot, revision: number, first_write_term: Term::default() };
+    let state = ControlState {
+        write_term: ballot,
+        first_write_term: ballot,
+        revision: number,
+        body: body.into(),
+        ..ControlState::default()
+    };
     vec![
         Message::PreVote,
-        Message::PreVoteAnswer { willing: mark, founder: !mark, record: Some(record.clone()) },
-        Message::Prepare { ballot },
-        Message::Promise { ballot, founder: mark, fit: !mark, record: Some(record), version: Some(version) },
-        Message::Promise { ballot, founder: mark, fit: mark, record: None, version: None },
-        Message::Reject { ballot, promised: Ballot::default() },
-        Message::Fetch { ballot, version },
-        Message::Fetched { ballot, state: state.clone() },
-        Message::Replicate { state },
+        Message::PreVoteResponse { granted: mark, is_bootstrap_voter: !mark, config: Some(record.clone()) },
+        Message::Prepare { term: ballot },
+        Message::Promise {
+            term: ballot,
+            is_bootstrap_voter: mark,
+            is_healthy: !mark,
+            config: Some(record),
+            version: Some(version),
+        },
+        Message::Promise {
+            term: ballot,
+            is_bootstrap_voter: mark,
+            is_healthy: mark,
+            config: None,
+            version: None,
+        },
+        Message::Reject { term: ballot, promised: Term::default() },
+        Message::FetchState { term: ballot, version },
+        Message::FetchedState { term: ballot, state: state.clone() },
+        Message::ReplicateState { state },
     ]
 }
 
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use minicbor::{Decode, Encode};
-use mosshead_consensus::{Ballot, Member, MemberId, Message};
+use mosshead_consensus::{Member, MemberId, Message, Term};
 use mosshead_programs::calls::{
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
@@ -143,7 +143,7 @@
         "call-hears",
         &CompareHeartbeats { source: 7, sequences: vec![("i-1".into(), 70_000), ("i-2".into(), 3)] },
     );
-    let message = Message::Prepare { ballot: Ballot { round: 8, member: MemberId(3) } };
+    let message = Message::Prepare { term: Term { number: 8, proposer: MemberId(3) } };
     check("call-epoch", &ConsensusMessage { from: Member { id: MemberId(3), address: address(3) }, message });
 }
 
--- a/crates/programs/tests/limits.rs
+++ b/crates/programs/tests/limits.rs
@@ -1,19 +1,25 @@
 //! The largest state that may be taken can be sent and written.
 
 use mosshead_consensus::{
-    Ballot, Call, CallDigest, MAX_BODY_BYTES, MAX_STATE_BYTES, Member, MemberId, Message, State,
+    AppliedRequest, ControlState, MAX_BODY_BYTES, MAX_STATE_BYTES, Member, MemberId, Message, RequestDigest,
+    Term,
 };
 use mosshead_programs::calls::ConsensusMessage;
 use mosshead_programs::limits::MAX_REQUEST_BYTES;
 use mosshead_rpc::MAX_BODY_BYTES as MAX_CALL_BYTES;
 
 /// A body of that length, and as many calls as are remembered, with the longest numbers.
-fn largest_state() -> State {
-    let ballot = Ballot { round: u64::MAX, member: MemberId(u64::MAX) };
-    let empty = State { ballot, origin: ballot, revision: u64::MAX, ..State::default() };
+fn largest_state() -> ControlState {
+    let ballot = Term { number: u64::MAX, proposer: MemberId(u64::MAX) };
+    let empty = ControlState {
+        write_term: ballot,
+        first_write_term: ballot,
+        revision: u64::MAX,
+        ..ControlState::default()
+    };
     let body: std::sync::Arc<[u8]> = vec![b'x'; MAX_BODY_BYTES].into();
-    let call = |back: u64| Call { revision: u64::MAX - back, digest: CallDigest([u8::MAX; 32]) };
-    (0..2_000).rev().fold(empty, |state, back| state.after(ballot, call(back), body.clone()))
+    let call = |back: u64| AppliedRequest { revision: u64::MAX - back, digest: RequestDigest([u8::MAX; 32]) };
+    (0..2_000).rev().fold(empty, |state, back| state.with_request_applied(ballot, call(back), body.clone()))
 }
 
 #[test]
@@ -21,7 +27,7 @@
     let state = largest_state();
     assert!(minicbor::to_vec(&state).is_ok_and(|bytes| bytes.len() <= MAX_STATE_BYTES));
     let from = Member { id: MemberId(u64::MAX), address: "10.0.0.1:7720".parse().expect("an address") };
-    let epoch = ConsensusMessage { from, message: Message::Replicate { state } };
+    let epoch = ConsensusMessage { from, message: Message::ReplicateState { state } };
     assert!(minicbor::to_vec(&epoch).is_ok_and(|bytes| bytes.len() <= MAX_CALL_BYTES));
 }
 
--- a/crates/programs/tests/send_queues.rs
+++ b/crates/programs/tests/send_queues.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use mosshead_consensus::{Ballot, Message, State};
+use mosshead_consensus::{ControlState, Message, Term};
 use mosshead_programs::send_queues::{LARGE_MESSAGE_BYTES, SendQueue, SendQueues};
 use quickcheck::quickcheck;
 
@@ -35,17 +35,19 @@
 
 #[test]
 fn states_are_large_and_the_rest_is_small() {
-    let state = State { body: vec![b'x'; LARGE_MESSAGE_BYTES + 1].into(), ..State::default() };
-    let short = State { body: Arc::from(&b"short"[..]), ..State::default() };
-    let ballot = Ballot::default();
+    let state = ControlState { body: vec![b'x'; LARGE_MESSAGE_BYTES + 1].into(), ..ControlState::default() };
+    let short = ControlState { body: Arc::from(&b"short"[..]), ..ControlState::default() };
+    let ballot = Term::default();
     for message in [
-        Message::Replicate { state: state.clone() },
-        Message::Committed { state: state.clone() },
-        Message::Fetched { ballot, state },
+        Message::ReplicateState { state: state.clone() },
+        Message::CommittedState { state: state.clone() },
+        Message::FetchedState { term: ballot, state },
     ] {
         assert_eq!(SendQueue::of(message.state_bytes()), SendQueue::Large);
     }
-    for message in [Message::Replicate { state: short }, Message::Prepare { ballot }, Message::PreVote] {
+    for message in
+        [Message::ReplicateState { state: short }, Message::Prepare { term: ballot }, Message::PreVote]
+    {
         assert_eq!(SendQueue::of(message.state_bytes()), SendQueue::Small);
     }
 }
