--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -18,7 +18,7 @@
 
 ids! {
     /// A client's request. Never reused: a client's own retry carries a new one.
-    JobId(u64),
+    RequestId(u64),
     /// A server, numbered from 0 by the host in the order in which this sidecar first heard of it.
     EndpointId(u32),
     /// A request class: its place in [`Settings::classes`].
@@ -28,13 +28,13 @@
     /// A zone: its place in the host's table of zones.
     ZoneId(usize),
     /// A kind of machine: its place in the host's table, below [`Settings::machine_kinds`].
-    KindId(usize),
+    MachineKindId(usize),
     /// A group of servers that discards repeats of a keyed request together.
     GroupId(u64),
     /// The number of an attempt within its request: 0, 1, 2 and so on, in the order of the sends.
-    Round(u32),
+    AttemptNumber(u32),
     /// A timer that the balancer set.
-    Token(u64),
+    TimerToken(u64),
 }
 
 /// Which servers discard the repeats of a keyed request.
@@ -50,7 +50,7 @@
 
 /// What a second execution of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum RepeatEffect {
     /// Harmless: the request may be repeated and refused freely.
     Safe,
     /// Discarded by the servers of `scope` for `window` after the first send that may have run.
@@ -68,31 +68,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// The wanted time: answers within it earn the full worth.
-    pub target: Seconds,
+    pub latency_target: Seconds,
     /// How long a client waits in total, over all of its tries.
     pub deadline: Seconds,
     /// What one request is worth.
-    pub worth: f64,
+    pub value: f64,
     /// The fraction of the worth that an answer after the wanted time still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a second execution would do.
-    pub effect: Effect,
+    pub repeat_effect: RepeatEffect,
     /// The only kinds of machine that may be sent this class; `None` leaves the kind open.
-    pub runs_on: Option<Vec<KindId>>,
+    pub machine_kinds: Option<Vec<MachineKindId>>,
     /// The only zones that may be sent this class; `None` leaves the zone open.
-    pub runs_in: Option<Vec<ZoneId>>,
+    pub zones: Option<Vec<ZoneId>>,
 }
 
 impl Class {
     /// Whether it may go to some servers only.
-    pub fn bound(&self) -> bool {
-        self.runs_on.is_some() || self.runs_in.is_some()
+    pub fn is_restricted(&self) -> bool {
+        self.machine_kinds.is_some() || self.zones.is_some()
     }
 
     /// Whether a server of this kind in this zone is among those that it may go to.
     pub fn permits(&self, entry: &ListEntry) -> bool {
-        self.runs_on.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
-            && self.runs_in.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
+        self.machine_kinds.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
+            && self.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
     }
 }
 
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
     /// Inside answers and probe results.
-    Answers,
+    Responses,
     /// Inside probe results only.
     Probes,
     /// Not at all.
@@ -128,57 +128,57 @@
 pub enum Membership {
     /// Changes show up on their own.
     Push,
-    /// Only after [`Action::Watch`].
-    Ask,
+    /// Only after [`Action::WatchList`].
+    Pull,
 }
 
 /// What the host allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Attempts can be called off.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Servers can be probed.
-    pub probes: bool,
+    pub can_probe: bool,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub can_hedge: bool,
     /// The most attempts that one request may have.
     pub max_attempts: u32,
     /// Whether clients of the simulator are told when to come back; on sockets they always are.
-    pub retry_after: bool,
+    pub can_advise_retry_after: bool,
     /// The longest wait that a client can be advised to keep before it comes back.
     pub max_retry_after: Seconds,
     /// How many attempts one connection carries at once.
-    pub streams: u32,
+    pub streams_per_connection: u32,
     /// The host closes connections that were idle for this long.
-    pub keepalive: Seconds,
+    pub idle_timeout: Seconds,
     /// A connection that is not up after this long has failed.
     pub connect_timeout: Seconds,
     /// How many requests may be held at once.
-    pub most_held: usize,
+    pub max_pending_requests: usize,
 }
 
 /// The figures behind the rules of drains and cold servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A server starts at this fraction of its capacity or higher.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this long at most.
-    pub warm_up: Seconds,
+    pub slow_start: Seconds,
     /// Too much work within this long, from all sidecars together, pushes a cold server over.
-    pub fall: Seconds,
+    pub overload_window: Seconds,
     /// Too much is more than this many times what the server can do at the moment.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// A sidecar without a subscription that asks for no list for this long is treated as told of changes.
-    pub ask_within: Seconds,
+    pub refresh_within: Seconds,
     /// Servers also turn away work that they have begun: [`Outcome::Rejected`] proves nothing.
-    pub shed_after_start: bool,
+    pub may_reject_after_start: bool,
 }
 
 impl Rules {
     /// Whether an attempt that ended so provably never ran.
     pub fn never_ran(&self, outcome: Outcome) -> bool {
         match outcome {
-            Outcome::Rejected => !self.shed_after_start,
+            Outcome::Rejected => !self.may_reject_after_start,
             outcome => matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent),
         }
     }
@@ -186,15 +186,15 @@
 
 /// What the service is measured by, where it is stated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Goal {
+pub struct ServiceObjective {
     /// The weight of availability: over short spans, how many tenfold steps the unserved share lies below all.
-    pub availability: Option<f64>,
+    pub availability_weight: Option<f64>,
     /// So many such steps count in full.
-    pub nines_wanted: Option<f64>,
+    pub target_nines: Option<f64>,
     /// The weight of the tail: over short spans, worth in full only while few requests miss their wanted time.
-    pub tail_part: Option<f64>,
+    pub tail_weight: Option<f64>,
     /// The share of misses that the tail allows.
-    pub tail_slack: Option<f64>,
+    pub allowed_miss_fraction: Option<f64>,
 }
 
 /// What an instance is told when it starts.
@@ -203,7 +203,7 @@
     /// The zone that this sidecar lives in.
     pub zone: ZoneId,
     /// How many sidecars there are, as far as that is known; 1 otherwise.
-    pub fleet: f64,
+    pub proxy_count: f64,
     /// How many kinds of machine there are.
     pub machine_kinds: usize,
     /// The request classes.
@@ -211,15 +211,15 @@
     /// The tenants; there may be none.
     pub tenants: Vec<Tenant>,
     /// What a request past its tenant's share is worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// The price of one crossing between zones, in units of a mean request's worth.
-    pub cross_zone_price: f64,
+    pub cross_zone_cost: f64,
     /// The price of one probe, in the same units.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     /// The price of one new connection, in the same units.
-    pub connection_price: f64,
+    pub connection_cost: f64,
     /// The shortest gap between two calls with events.
-    pub tick: Seconds,
+    pub timer_resolution: Seconds,
     /// How load reports arrive.
     pub reporting: Reporting,
     /// What the weights of list entries say.
@@ -231,7 +231,7 @@
     /// The figures behind the rules.
     pub rules: Rules,
     /// What the service is measured by.
-    pub goal: Goal,
+    pub objective: ServiceObjective,
 }
 
 /// Why settings were turned down: the value's name, the value, and what it must be.
@@ -259,55 +259,56 @@
             ),
             (
                 "rules.cold_from",
-                self.rules.cold_from,
-                (0.0..=1.0).contains(&self.rules.cold_from),
+                self.rules.initial_capacity,
+                (0.0..=1.0).contains(&self.rules.initial_capacity),
                 "from 0 to 1",
             ),
         ];
-        let Goal { availability, nines_wanted, tail_part, tail_slack } = self.goal;
+        let ServiceObjective { availability_weight, target_nines, tail_weight, allowed_miss_fraction } =
+            self.objective;
         let mut positive = |name, value: f64| {
             figures.push((name, value, value.is_finite() && value > 0.0, "finite and above 0"));
         };
-        positive("tick", self.tick);
-        positive("limits.keepalive", self.limits.keepalive);
+        positive("tick", self.timer_resolution);
+        positive("limits.keepalive", self.limits.idle_timeout);
         positive("limits.connect_timeout", self.limits.connect_timeout);
-        nines_wanted.into_iter().for_each(|value| positive("goal.nines_wanted", value));
-        positive("limits.streams", f64::from(self.limits.streams));
-        positive("rules.fall", self.rules.fall);
-        positive("rules.fall_multiple", self.rules.fall_multiple);
-        positive("rules.ask_within", self.rules.ask_within);
+        target_nines.into_iter().for_each(|value| positive("goal.nines_wanted", value));
+        positive("limits.streams", f64::from(self.limits.streams_per_connection));
+        positive("rules.fall", self.rules.overload_window);
+        positive("rules.fall_multiple", self.rules.overload_factor);
+        positive("rules.ask_within", self.rules.refresh_within);
         for class in &self.classes {
-            positive("classes.target", class.target);
+            positive("classes.target", class.latency_target);
             positive("classes.deadline", class.deadline);
         }
         let mut not_negative = |name, value: f64| {
             figures.push((name, value, value.is_finite() && value >= 0.0, "finite and not below 0"));
         };
-        not_negative("fleet", self.fleet);
+        not_negative("fleet", self.proxy_count);
         not_negative("limits.max_retry_after", self.limits.max_retry_after);
-        not_negative("rules.warm_up", self.rules.warm_up);
-        not_negative("cross_zone_price", self.cross_zone_price);
-        not_negative("probe_price", self.probe_price);
-        not_negative("connection_price", self.connection_price);
-        not_negative("over_share_worth", self.over_share_worth);
+        not_negative("rules.warm_up", self.rules.slow_start);
+        not_negative("cross_zone_price", self.cross_zone_cost);
+        not_negative("probe_price", self.probe_cost);
+        not_negative("connection_price", self.connection_cost);
+        not_negative("over_share_worth", self.over_share_value);
         for class in &self.classes {
-            not_negative("classes.worth", class.worth);
-            not_negative("classes.late_worth", class.late_worth);
-            if let Effect::Keyed { window, .. } = class.effect {
+            not_negative("classes.worth", class.value);
+            not_negative("classes.late_worth", class.late_value);
+            if let RepeatEffect::Keyed { window, .. } = class.repeat_effect {
                 not_negative("classes.window", window);
             }
         }
         for tenant in &self.tenants {
             not_negative("tenants.share", tenant.share);
         }
-        availability.into_iter().for_each(|value| not_negative("goal.availability", value));
-        tail_part.into_iter().for_each(|value| not_negative("goal.tail_part", value));
+        availability_weight.into_iter().for_each(|value| not_negative("goal.availability", value));
+        tail_weight.into_iter().for_each(|value| not_negative("goal.tail_part", value));
         let slack = |value| ("goal.tail_slack", value, (0.0..=1.0).contains(&value), "from 0 to 1");
-        figures.extend(tail_slack.map(slack));
+        figures.extend(allowed_miss_fraction.map(slack));
         for class in &self.classes {
             let counts = [
-                ("classes.runs_on", class.runs_on.as_ref().map(Vec::len)),
-                ("classes.runs_in", class.runs_in.as_ref().map(Vec::len)),
+                ("classes.runs_on", class.machine_kinds.as_ref().map(Vec::len)),
+                ("classes.runs_in", class.zones.as_ref().map(Vec::len)),
             ];
             for (name, count) in counts {
                 figures.extend(count.map(|count| (name, count as f64, count > 0, "absent or at least one")));
@@ -329,7 +330,7 @@
     /// It wraps up its work: nothing new may be sent.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of servers.
@@ -343,7 +344,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind of machine.
-    pub kind: KindId,
+    pub kind: MachineKindId,
     /// The group whose members discard the repeats of keyed requests together.
     pub group: GroupId,
     /// See [`Settings::weights`].
@@ -373,7 +374,7 @@
     /// Requests it holds, waiting ones included.
     pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
 }
 
 /// How an attempt ended.
@@ -384,7 +385,7 @@
     Served,
     /// The server answered with an error; it may have run.
     Errored,
-    /// Turned away; it never ran, unless [`Rules::shed_after_start`] says that this proves nothing.
+    /// Turned away; it never ran, unless [`Rules::may_reject_after_start`] says that this proves nothing.
     Rejected,
     /// No answer came in time; it may have run.
     TimedOut,
@@ -403,7 +404,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Request {
     /// Its id.
-    pub job: JobId,
+    pub id: RequestId,
     /// How long until the client gives up on this try.
     pub time_left: Seconds,
     /// Its class.
@@ -417,24 +418,24 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
     /// News of the list of servers.
-    List(ListUpdate),
+    ListUpdated(ListUpdate),
     /// A client's request; one final answer is now owed.
-    Request(Request),
-    /// A request whose body still comes: it may be sent on, and its time counts from [`Event::Whole`].
-    Coming(Request),
+    RequestReceived(Request),
+    /// A request whose body still comes: it may be sent on, and its time counts from [`Event::BodyReceived`].
+    HeadReceived(Request),
     /// The last byte of such a request has come.
-    Whole {
+    BodyReceived {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// How long until the client gives up on it.
         time_left: Seconds,
     },
     /// An attempt ended. There is exactly one of these for each send.
-    Outcome {
+    AttemptEnded {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// The attempt.
-        round: Round,
+        attempt: AttemptNumber,
         /// The server it went to.
         endpoint: EndpointId,
         /// How it ended.
@@ -447,14 +448,14 @@
         report: LoadReport,
     },
     /// A streamed answer has started: the attempt now belongs to the client.
-    Begun {
+    ResponseStarted {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// The attempt.
-        round: Round,
+        attempt: AttemptNumber,
     },
     /// A probe came back.
-    Probed {
+    ProbeEnded {
         /// The server.
         endpoint: EndpointId,
         /// What the probe found.
@@ -465,12 +466,12 @@
         report: LoadReport,
     },
     /// The client walked away; nothing more is owed.
-    Withdrawn {
+    RequestWithdrawn {
         /// The request.
-        job: JobId,
+        request: RequestId,
     },
     /// A timer came due.
-    Timer(Token),
+    TimerFired(TimerToken),
 }
 
 /// Something that the balancer wants done.
@@ -480,30 +481,30 @@
     /// Send an attempt: a first try, a retry or a second copy.
     Send {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// The server.
         endpoint: EndpointId,
         /// The instant at which the attempt is given up.
-        until: Seconds,
+        deadline: Seconds,
     },
     /// Final answer: turned away, and a retry does no harm.
-    Refuse {
+    Reject {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// How long the client ought to wait before it comes back.
-        not_before: Seconds,
+        retry_after: Seconds,
     },
     /// Final answer: failed, with no promise about whether it took effect.
     Fail {
         /// The request.
-        job: JobId,
+        request: RequestId,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// The attempt.
-        round: Round,
+        attempt: AttemptNumber,
     },
     /// Probe a server.
     Probe {
@@ -511,17 +512,17 @@
         endpoint: EndpointId,
     },
     /// Close the idle connections to a server, so that the next send opens a new one.
-    Close {
+    CloseIdleConnections {
         /// The server.
         endpoint: EndpointId,
     },
     /// Ask for a subscription to the list of servers.
-    Watch,
-    /// Ask for one [`Event::Timer`].
-    Timer {
+    WatchList,
+    /// Ask for one [`Event::TimerFired`].
+    SetTimer {
         /// How far from now.
         delay: Seconds,
         /// Given back by the event.
-        token: Token,
+        token: TimerToken,
     },
 }
--- a/crates/decide/src/learnt.rs
+++ b/crates/decide/src/learnt.rs
@@ -18,24 +18,24 @@
 
 /// Whom a figure is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Of {
+pub enum Subject {
     /// All servers and classes.
-    All,
+    Fleet,
     /// A class.
     Class(ClassId),
     /// A kind of machine.
-    Kind(KindId),
+    MachineKind(MachineKindId),
     /// A zone, or the part of it that some class is bound to.
     Zone(ZoneId, bool),
     /// A server.
-    Node(EndpointId),
+    Endpoint(EndpointId),
 }
 
 /// A figure that was learnt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figure {
+pub struct LearnedValue {
     /// Whom it is of.
-    pub of: Of,
+    pub subject: Subject,
     /// What it is.
     pub name: String,
     /// How much.
@@ -53,42 +53,42 @@
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         match &event {
-            Event::List(ListUpdate::Full(_) | ListUpdate::Changes(_)) => self.seen.life.told(now),
-            Event::List(ListUpdate::Failed) => self.seen.life.failed(),
-            Event::Outcome { job, outcome: Outcome::Served, settled: true, .. } => {
+            Event::ListUpdated(ListUpdate::Full(_) | ListUpdate::Changes(_)) => self.seen.life.told(now),
+            Event::ListUpdated(ListUpdate::Failed) => self.seen.life.failed(),
+            Event::AttemptEnded { request: job, outcome: Outcome::Served, settled: true, .. } => {
                 let in_time = self.seen.job(*job).map(|job| now <= job.aim);
                 in_time.into_iter().for_each(|in_time| self.seen.life.answered(in_time));
             }
             _ => {}
         }
-        let (listed, from) = (matches!(event, Event::List(_)), actions.len());
+        let (listed, from) = (matches!(event, Event::ListUpdated(_)), actions.len());
         self.event(now, event, actions);
         if listed {
             let ready = [&self.seen.near, &self.seen.far, &self.seen.cold];
             self.seen.life.servers(ready.into_iter().any(|some| !some.is_empty()));
         }
-        let unserved = |action: &&Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+        let unserved = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
         actions[from..].iter().filter(unserved).for_each(|_| self.seen.life.answered(false));
         // Full service, once reached, stays: each instant counts.
-        self.way_back(now);
+        self.recovery_stage(now);
     }
 
     /// How far this life has come, and what it waits for.
-    pub fn way_back(&mut self, now: Seconds) -> (Stage, Wants) {
-        self.seen.life.stage(now, self.settings.rules.ask_within)
+    pub fn recovery_stage(&mut self, now: Seconds) -> (Stage, Wants) {
+        self.seen.life.stage(now, self.settings.rules.refresh_within)
     }
 
     /// The process stood still and has gone on: whatever was told meanwhile is not known.
-    pub fn stood_still(&mut self) {
+    pub fn on_process_suspended(&mut self) {
         self.seen.life.stood_still();
     }
 
     /// All that another life may start from.
-    pub fn learnt(&self, now: Seconds) -> Vec<Figure> {
+    pub fn learned_values(&self, now: Seconds) -> Vec<LearnedValue> {
         let mut all = Vec::new();
         let mut add = |of, name: &str, value: f64| {
             if value.is_finite() {
-                all.push(Figure { of, name: name.to_owned(), value });
+                all.push(LearnedValue { subject: of, name: name.to_owned(), value });
             }
         };
         let seen = &self.seen;
@@ -98,27 +98,29 @@
                 add(of, &format!("{name}-samples"), mean.samples);
             }
         };
-        of_mean(Of::All, "service", &seen.mean_service);
-        of_mean(Of::All, "pace", &seen.fleet_pace);
-        of_mean(Of::All, "load", &seen.fleet_usual);
-        of_mean(Of::All, "failures", &seen.failures);
+        of_mean(Subject::Fleet, "service", &seen.mean_service);
+        of_mean(Subject::Fleet, "pace", &seen.fleet_pace);
+        of_mean(Subject::Fleet, "load", &seen.fleet_usual);
+        of_mean(Subject::Fleet, "failures", &seen.failures);
         for (at, class) in seen.classes.iter().enumerate() {
-            of_mean(Of::Class(ClassId(at)), "service", &class.service);
+            of_mean(Subject::Class(ClassId(at)), "service", &class.service);
         }
         for (at, kind) in seen.kinds.iter().enumerate() {
-            of_mean(Of::Kind(KindId(at)), "slots", &kind.slots);
-            of_mean(Of::Kind(KindId(at)), "pace", &kind.pace);
+            of_mean(Subject::MachineKind(MachineKindId(at)), "slots", &kind.slots);
+            of_mean(Subject::MachineKind(MachineKindId(at)), "pace", &kind.pace);
         }
         for (at, zone) in seen.zones.iter().enumerate() {
-            of_mean(Of::Zone(ZoneId(at / 2), at % 2 == 1), "load", &zone.usual);
+            of_mean(Subject::Zone(ZoneId(at / 2), at % 2 == 1), "load", &zone.usual);
         }
-        add(Of::All, "report-age", seen.report_age);
-        add(Of::All, "strain", seen.strain.read(now, STRAIN_LIFE * seen.mean_deadline));
+        add(Subject::Fleet, "report-age", seen.report_age);
+        add(Subject::Fleet, "strain", seen.strain.read(now, STRAIN_LIFE * seen.mean_deadline));
         for at in 0..seen.classes.len() {
-            add(Of::Class(ClassId(at)), "price", seen.prices[seen.markets[at]]);
+            add(Subject::Class(ClassId(at)), "price", seen.prices[seen.markets[at]]);
         }
-        for endpoint in seen.endpoints.iter().filter(|endpoint| endpoint.entry.readiness != Readiness::Gone) {
-            let of = Of::Node(endpoint.entry.endpoint);
+        for endpoint in
+            seen.endpoints.iter().filter(|endpoint| endpoint.entry.readiness != Readiness::Removed)
+        {
+            let of = Subject::Endpoint(endpoint.entry.endpoint);
             if endpoint.pace != 0.0 {
                 add(of, "pace", endpoint.pace);
             }
@@ -133,37 +135,39 @@
 
     /// Starts from what a former life learnt, `age` ago. What makes no sense is left out, and nothing of it decides for long:
     /// whatever this life sees weighs more within some dozens of answers.
-    pub fn recall(&mut self, now: Seconds, figures: &[Figure], age: Seconds) {
+    pub fn restore_learned(&mut self, now: Seconds, figures: &[LearnedValue], age: Seconds) {
         let age = age.max(0.0);
         let (life, mean_deadline) = ((-age / LIFE).exp(), self.seen.mean_deadline);
         let load_life = (-age / (LOAD_LIFE * mean_deadline)).exp();
-        let find = |of: Of, name: &str| {
+        let find = |of: Subject, name: &str| {
             let sound = |value: &f64| value.is_finite() && value.abs() <= LARGEST;
-            figures.iter().find(|at| at.of == of && at.name == name).map(|at| at.value).filter(sound)
+            figures.iter().find(|at| at.subject == of && at.name == name).map(|at| at.value).filter(sound)
         };
         let with_samples =
-            |of: Of, name: &str| Some((find(of, name)?, find(of, &format!("{name}-samples"))?));
+            |of: Subject, name: &str| Some((find(of, name)?, find(of, &format!("{name}-samples"))?));
         let positive = |pair: Option<(f64, f64)>| pair.filter(|(value, _)| *value > 0.0);
-        if let Some((value, samples)) = positive(with_samples(Of::All, "service")) {
+        if let Some((value, samples)) = positive(with_samples(Subject::Fleet, "service")) {
             mean(&mut self.seen.mean_service, value, samples, life);
         }
-        if let Some((value, samples)) = with_samples(Of::All, "pace") {
+        if let Some((value, samples)) = with_samples(Subject::Fleet, "pace") {
             mean(&mut self.seen.fleet_pace, value, samples, life);
         }
-        if let Some((value, samples)) = with_samples(Of::All, "load").filter(|(value, _)| *value >= 0.0) {
+        if let Some((value, samples)) =
+            with_samples(Subject::Fleet, "load").filter(|(value, _)| *value >= 0.0)
+        {
             mean(&mut self.seen.fleet_usual, value * load_life, samples, life);
         }
-        if let Some((value, samples)) = with_samples(Of::All, "failures") {
+        if let Some((value, samples)) = with_samples(Subject::Fleet, "failures") {
             mean(&mut self.seen.failures, value.clamp(0.0, 1.0), samples, life);
         }
-        if let Some(value) = find(Of::All, "report-age").filter(|value| *value >= 0.0) {
+        if let Some(value) = find(Subject::Fleet, "report-age").filter(|value| *value >= 0.0) {
             self.seen.report_age = value;
         }
-        if let Some(value) = find(Of::All, "strain").filter(|value| *value >= 0.0) {
+        if let Some(value) = find(Subject::Fleet, "strain").filter(|value| *value >= 0.0) {
             self.seen.strain.recall(now, value.min(2.0) * load_life);
         }
         for at in 0..self.seen.classes.len() {
-            let of = Of::Class(ClassId(at));
+            let of = Subject::Class(ClassId(at));
             if let Some((value, samples)) = positive(with_samples(of, "service")) {
                 mean(&mut self.seen.classes[at].service, value, samples, life);
             }
@@ -174,7 +178,7 @@
             }
         }
         for at in 0..self.seen.kinds.len() {
-            let of = Of::Kind(KindId(at));
+            let of = Subject::MachineKind(MachineKindId(at));
             if let Some((value, samples)) = positive(with_samples(of, "slots")) {
                 mean(&mut self.seen.kinds[at].slots, value.max(1.0), samples, life);
             }
@@ -183,13 +187,13 @@
             }
         }
         for at in 0..self.seen.zones.len() {
-            let load = with_samples(Of::Zone(ZoneId(at / 2), at % 2 == 1), "load");
+            let load = with_samples(Subject::Zone(ZoneId(at / 2), at % 2 == 1), "load");
             if let Some((value, samples)) = load.filter(|(value, _)| *value >= 0.0) {
                 mean(&mut self.seen.zones[at].usual, value * load_life, samples, life);
             }
         }
         for endpoint in &mut self.seen.endpoints {
-            let of = Of::Node(endpoint.entry.endpoint);
+            let of = Subject::Endpoint(endpoint.entry.endpoint);
             endpoint.pace = find(of, "pace").unwrap_or(0.0).clamp(-3.0, 3.0) * life;
             let left = find(of, "shunned").map_or(0.0, |left| (left - age).min(4.0 * mean_deadline));
             if left > 0.0 {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod policy;
 mod state;
 
-pub use learnt::{Figure, Of};
+pub use learnt::{LearnedValue, Subject};
 pub use mosshead_comeback::{Stage, Wants};
-pub use names::Names;
+pub use names::NameTable;
 pub use policy::Balancer;
--- a/crates/decide/src/names.rs
+++ b/crates/decide/src/names.rs
@@ -4,14 +4,14 @@
 
 /// Interned names, numbered in the order of their first appearance.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     numbers: HashMap<String, usize>,
     names: Vec<String>,
 }
 
-impl Names {
+impl NameTable {
     /// A table of these names, numbered in their order.
-    pub fn of<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for name in names {
             table.intern(name);
@@ -30,12 +30,12 @@
     }
 
     /// The number of a name, where it is known.
-    pub fn number(&self, name: &str) -> Option<usize> {
+    pub fn find_number(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
     /// The name that has a number, where one has it.
-    pub fn find(&self, number: usize) -> Option<&str> {
+    pub fn find_name(&self, number: usize) -> Option<&str> {
         self.names.get(number).map(String::as_str)
     }
 
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -56,20 +56,20 @@
     /// Takes one event and appends what is to be done about it.
     pub(crate) fn event(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List(update) => self.list(now, update, actions),
-            Event::Request(request) => self.request(now, request, actions),
-            Event::Coming(request) => {
-                let job = request.job;
+            Event::ListUpdated(update) => self.list(now, update, actions),
+            Event::RequestReceived(request) => self.request(now, request, actions),
+            Event::HeadReceived(request) => {
+                let job = request.id;
                 self.request(now, request, actions);
                 self.seen.job(job).into_iter().for_each(|job| job.coming = true);
             }
-            Event::Whole { job, time_left } => {
+            Event::BodyReceived { request: job, time_left } => {
                 self.seen.job(job).into_iter().for_each(|job| job.whole(now, time_left));
                 if let Some(&token) = self.seen.tokens.get(&job) {
                     self.wake(now, token, actions);
                 }
             }
-            Event::Outcome { job, round, endpoint, outcome, rtt, settled, report } => {
+            Event::AttemptEnded { request: job, attempt: round, endpoint, outcome, rtt, settled, report } => {
                 self.report(now, endpoint, report);
                 let token = self.seen.tokens.get(&job).copied();
                 self.ended(now, token.map(|token| (token, round)), endpoint, outcome, rtt);
@@ -79,8 +79,8 @@
                     None => {}
                 }
             }
-            Event::Begun { job, round } => self.begun(job, round, actions),
-            Event::Probed { endpoint, outcome, rtt, report } => {
+            Event::ResponseStarted { request: job, attempt: round } => self.begun(job, round, actions),
+            Event::ProbeEnded { endpoint, outcome, rtt, report } => {
                 self.report(now, endpoint, report);
                 // Danger: where probes wait like requests, they crowd out what they are sent for.
                 match outcome {
@@ -92,33 +92,37 @@
                 }
                 self.probed(now, endpoint, actions);
             }
-            Event::Withdrawn { job } => {
+            Event::RequestWithdrawn { request: job } => {
                 if let Some(&token) = self.seen.tokens.get(&job) {
                     self.drop_job(token, None, actions);
                 }
             }
-            Event::Timer(Token(WATCH_TOKEN)) => actions.push(Action::Watch),
-            Event::Timer(Token(token)) => self.wake(now, token, actions),
+            Event::TimerFired(TimerToken(WATCH_TOKEN)) => actions.push(Action::WatchList),
+            Event::TimerFired(TimerToken(token)) => self.wake(now, token, actions),
         }
     }
 
     fn list(&mut self, now: Seconds, update: ListUpdate, actions: &mut Vec<Action>) {
-        let asking = self.settings.membership == Membership::Ask;
+        let asking = self.settings.membership == Membership::Pull;
         match update {
             ListUpdate::Failed if !asking => return,
             ListUpdate::Failed => {
                 let chance = self.chance();
-                let delay =
-                    self.seen.pace.failed(self.settings.rules.ask_within, self.settings.fleet, chance);
-                return actions.push(Action::Timer { delay, token: Token(WATCH_TOKEN) });
+                let delay = self.seen.pace.failed(
+                    self.settings.rules.refresh_within,
+                    self.settings.proxy_count,
+                    chance,
+                );
+                return actions.push(Action::SetTimer { delay, token: TimerToken(WATCH_TOKEN) });
             }
             ListUpdate::Changes(entries) => self.seen.changes(now, entries, &mut self.rng),
             ListUpdate::Saved(entries) => {
-                let spread = self.seen.pace.first(self.settings.rules.ask_within, self.settings.fleet);
+                let spread =
+                    self.seen.pace.first(self.settings.rules.refresh_within, self.settings.proxy_count);
                 let delay = if spread > 0.0 && !entries.is_empty() { spread * self.chance() } else { 0.0 };
-                let later = Action::Timer { delay, token: Token(WATCH_TOKEN) };
+                let later = Action::SetTimer { delay, token: TimerToken(WATCH_TOKEN) };
                 self.seen.replace(now, entries, &mut self.rng);
-                actions.extend(asking.then_some(if delay > 0.0 { later } else { Action::Watch }));
+                actions.extend(asking.then_some(if delay > 0.0 { later } else { Action::WatchList }));
             }
             ListUpdate::Full(entries) => self.seen.replace(now, entries, &mut self.rng),
         }
@@ -139,12 +143,12 @@
         self.seen.strain.listed(able);
         let rules = &self.settings.rules;
         // Danger: where most of the fleet is cold, a share of what it can do now is more than the server can.
-        let fleet = able.max(size * COLD_LOAD / rules.fall_multiple).max(f64::MIN_POSITIVE);
+        let fleet = able.max(size * COLD_LOAD / rules.overload_factor).max(f64::MIN_POSITIVE);
         let reserve = sum(&|other| if self.reserved(&other.entry) { self.size(other) } else { 0.0 })
             / size.max(f64::MIN_POSITIVE);
         let (cold, warm): (Vec<_>, Vec<_>) =
             ready.into_iter().partition(|index| self.warmth(of(index), now) < 1.0);
-        let review = if cold.is_empty() { f64::INFINITY } else { now + COLD_REVIEW * rules.warm_up };
+        let review = if cold.is_empty() { f64::INFINITY } else { now + COLD_REVIEW * rules.slow_start };
         let home = self.settings.zone;
         let (near, far) = warm.into_iter().partition(|index| of(index).entry.zone == home);
         (self.seen.near, self.seen.far, self.seen.cold, self.seen.fleet, self.seen.review_at) =
@@ -179,8 +183,8 @@
             }
             actions.extend(ask.iter().map(|&index| Action::Probe { endpoint: EndpointId(index as u32) }));
             self.seen.asking.push(token);
-            let delay = (job.ask_until - now).max(self.settings.tick);
-            actions.push(Action::Timer { delay, token: Token(token) });
+            let delay = (job.ask_until - now).max(self.settings.timer_resolution);
+            actions.push(Action::SetTimer { delay, token: TimerToken(token) });
             return;
         }
         // Danger: jobs held until there is room pile up; then all of them go out late.
--- a/crates/decide/src/policy/again.rs
+++ b/crates/decide/src/policy/again.rs
@@ -22,29 +22,29 @@
         chosen: Option<EndpointId>,
         actions: &mut Vec<Action>,
     ) {
-        let tick = self.settings.tick;
+        let tick = self.settings.timer_resolution;
         let Some(job) = self.seen.jobs.get(&token) else { return };
         let class = job.class;
         let mut wake = self.end(job) - tick;
         let Some(id) = chosen else {
             wake = wake.min(now + HOLD_TICKS * tick);
-            actions.push(Action::Timer { delay: (wake - now).max(tick), token: Token(token) });
+            actions.push(Action::SetTimer { delay: (wake - now).max(tick), token: TimerToken(token) });
             return;
         };
         let endpoint = &self.seen.endpoints[id.0 as usize];
         let crowding = 1.0 + self.crowding(endpoint, now);
         let expected = self.expected(endpoint, class, now);
         if self.repeatable(class) {
-            let copy = COPY_AFTER * self.settings.classes[class.0].target;
+            let copy = COPY_AFTER * self.settings.classes[class.0].latency_target;
             wake = wake.min(now + copy.max(2.0 * expected));
         }
         let connected = self.connected(endpoint, now);
         let endpoint = &mut self.seen.endpoints[id.0 as usize];
         if !connected {
             // Danger: closing for want of a free one would close those that are counted too low.
-            let streams = f64::from(self.settings.limits.streams);
+            let streams = f64::from(self.settings.limits.streams_per_connection);
             let aged = endpoint.connections * streams > endpoint.out;
-            actions.extend(aged.then_some(Action::Close { endpoint: id }));
+            actions.extend(aged.then_some(Action::CloseIdleConnections { endpoint: id }));
             endpoint.connections = (endpoint.out / streams).ceil() + 1.0;
         }
         if endpoint.out == 0.0 {
@@ -57,10 +57,10 @@
             if !job.attempts.is_empty() {
                 self.seen.retries -= 1.0;
             }
-            actions.push(Action::Send { job: job.id, endpoint: id, until: job.deadline });
+            actions.push(Action::Send { request: job.id, endpoint: id, deadline: job.deadline });
             job.attempts.push(attempt);
         }
-        actions.push(Action::Timer { delay: (wake - now).max(tick), token: Token(token) });
+        actions.push(Action::SetTimer { delay: (wake - now).max(tick), token: TimerToken(token) });
     }
 
     pub(super) fn wake(&mut self, now: Seconds, token: u64, actions: &mut Vec<Action>) {
@@ -68,7 +68,7 @@
         if job.begun || (job.coming && !job.attempts.is_empty()) {
             return;
         }
-        if now + self.settings.tick >= self.end(job) {
+        if now + self.settings.timer_resolution >= self.end(job) {
             let crowding = job.crowding();
             self.move_price(job.class, crowding);
             self.finish(token, crowding, actions);
@@ -84,16 +84,16 @@
             };
             let late = job.out().all(|(_, at)| now - at.sent >= STALL_AFTER * at.expected && silent(at));
             let limits = &self.settings.limits;
-            if limits.second_copies && self.repeatable(job.class) && copies < 2 && late {
+            if limits.can_hedge && self.repeatable(job.class) && copies < 2 && late {
                 let chosen = self.retry(now, token);
                 if chosen.is_some_and(|id| self.crowding(&self.seen.endpoints[id.0 as usize], now) < CROWDED)
                 {
                     return self.send(now, token, chosen, actions);
                 }
             }
-            let delay =
-                (self.end(&self.seen.jobs[&token]) - self.settings.tick - now).max(self.settings.tick);
-            actions.push(Action::Timer { delay, token: Token(token) });
+            let delay = (self.end(&self.seen.jobs[&token]) - self.settings.timer_resolution - now)
+                .max(self.settings.timer_resolution);
+            actions.push(Action::SetTimer { delay, token: TimerToken(token) });
         }
     }
 
@@ -119,7 +119,7 @@
     pub(super) fn ended(
         &mut self,
         now: Seconds,
-        of: Option<(u64, Round)>,
+        of: Option<(u64, AttemptNumber)>,
         id: EndpointId,
         end: Outcome,
         rtt: Seconds,
@@ -127,15 +127,15 @@
         let pool = self.pool(&self.seen.endpoints[id.0 as usize].entry);
         let endpoint = &mut self.seen.endpoints[id.0 as usize];
         endpoint.out = (endpoint.out - 1.0).max(0.0);
-        let unheard = now - rtt + self.settings.tick >= endpoint.heard;
+        let unheard = now - rtt + self.settings.timer_resolution >= endpoint.heard;
         if end != Outcome::NotSent {
-            let late = rtt + self.settings.tick >= self.seen.least_target;
+            let late = rtt + self.settings.timer_resolution >= self.seen.least_target;
             let served = end == Outcome::Served;
             endpoint.room.judge(now, endpoint.out + 1.0, late, served, self.seen.mean_service.value);
         }
         let overdue = rtt >= 2.0 * STALL_AFTER * endpoint.expected;
         let given_up = matches!(end, Outcome::TimedOut | Outcome::Cancelled);
-        if end == Outcome::ConnectFailed || (self.settings.limits.streams == 1 && given_up) {
+        if end == Outcome::ConnectFailed || (self.settings.limits.streams_per_connection == 1 && given_up) {
             endpoint.connections = (endpoint.connections - 1.0).max(endpoint.out);
         }
         if given_up && unheard && rtt >= STALL_AFTER * endpoint.expected {
@@ -181,9 +181,9 @@
             Outcome::Cancelled if unheard && overdue => self.blame(now, id, Fault::Silence),
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
-        let missed = given_up && rtt + self.settings.tick >= STRAIN_WAIT * self.seen.least_target;
+        let missed = given_up && rtt + self.settings.timer_resolution >= STRAIN_WAIT * self.seen.least_target;
         if let Some((class, _)) = attempt.as_ref().filter(|_| missed || end == Outcome::Served) {
-            let share = (rtt / self.settings.classes[class.0].target).min(1.0);
+            let share = (rtt / self.settings.classes[class.0].latency_target).min(1.0);
             let sample = if missed { STRAIN_MISS } else { share };
             self.seen.strain.add(now, STRAIN_LIFE * self.seen.mean_deadline, sample, STRAIN_GAIN);
         }
@@ -191,7 +191,7 @@
         let tells =
             matches!(end, Outcome::Served | Outcome::Rejected) || (end == Outcome::TimedOut && !unheard);
         if let Some((class, attempt)) = attempt.filter(|_| tells) {
-            let missed = end != Outcome::Served || rtt > self.settings.classes[class.0].target;
+            let missed = end != Outcome::Served || rtt > self.settings.classes[class.0].latency_target;
             self.move_price(class, if missed { attempt.crowding - 1.0 } else { 0.0 });
         }
     }
@@ -199,7 +199,7 @@
     /// What follows for the request from the end of one of its attempts.
     pub(super) fn proceed(&mut self, now: Seconds, token: u64, outcome: Outcome, actions: &mut Vec<Action>) {
         let job = &self.seen.jobs[&token];
-        if outcome == Outcome::NotSent || now + self.settings.tick >= self.end(job) {
+        if outcome == Outcome::NotSent || now + self.settings.timer_resolution >= self.end(job) {
             return self.finish(token, job.crowding(), actions);
         }
         if job.out().next().is_none() {
@@ -207,10 +207,10 @@
         }
     }
 
-    pub(super) fn begun(&mut self, id: JobId, round: Round, actions: &mut Vec<Action>) {
+    pub(super) fn begun(&mut self, id: RequestId, round: AttemptNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.seen.job(id) else { return };
         job.begun = true;
-        if self.settings.limits.cancel {
+        if self.settings.limits.can_cancel {
             let others = job.out().filter(|&(at, _)| at != round.0 as usize);
             actions.extend(others.map(|(at, _)| job.cancel(at)));
         }
@@ -222,7 +222,11 @@
         let (job, ran) = (self.seen.jobs[&token].id, self.seen.jobs[&token].may_have_run().is_some());
         let wait = crowding * self.seen.mean_service.value * self.chance();
         let not_before = wait.min(self.settings.limits.max_retry_after);
-        let answer = if ran { Action::Fail { job } } else { Action::Refuse { job, not_before } };
+        let answer = if ran {
+            Action::Fail { request: job }
+        } else {
+            Action::Reject { request: job, retry_after: not_before }
+        };
         self.drop_job(token, Some(answer), actions);
     }
 
@@ -233,7 +237,7 @@
             self.seen.classes[job.class.0].failed(job.origin, self.settings.classes[job.class.0].deadline);
         }
         // Danger: work nobody waits for any more keeps a server busy.
-        if self.settings.limits.cancel && !job.begun {
+        if self.settings.limits.can_cancel && !job.begun {
             actions.extend(job.out().map(|(at, _)| job.cancel(at)));
         }
         actions.extend(answer);
--- a/crates/decide/src/policy/figures.rs
+++ b/crates/decide/src/policy/figures.rs
@@ -40,8 +40,8 @@
     pub(super) fn warmth(&self, endpoint: &Endpoint, now: Seconds) -> f64 {
         let Some(started) = endpoint.entry.started_at else { return 1.0 };
         let rules = &self.settings.rules;
-        let risen = ((now - started) / rules.warm_up.max(self.settings.tick)).clamp(0.0, 1.0);
-        rules.cold_from + (1.0 - rules.cold_from) * risen
+        let risen = ((now - started) / rules.slow_start.max(self.settings.timer_resolution)).clamp(0.0, 1.0);
+        rules.initial_capacity + (1.0 - rules.initial_capacity) * risen
     }
 
     /// Requests at the server: what others had by the last report, fading to the zone's usual, and own ones.
@@ -77,16 +77,16 @@
     pub(super) fn figure(&self, endpoint: &Endpoint, now: Seconds) -> f64 {
         // Danger: new connections can be costly, and those to rarely used servers are always new.
         let open = self.connected(endpoint, now);
-        let setup = if open { 0.0 } else { SETUP_PRICE * self.settings.connection_price };
+        let setup = if open { 0.0 } else { SETUP_PRICE * self.settings.connection_cost };
         ((self.load(endpoint, now) + 1.0) / self.capacity(endpoint, now) + setup) * self.drag(endpoint, now)
     }
 
     /// Whether a send finds an open connection with room that can be taken to work.
     pub(super) fn connected(&self, endpoint: &Endpoint, now: Seconds) -> bool {
-        let streams = f64::from(self.settings.limits.streams);
+        let streams = f64::from(self.settings.limits.streams_per_connection);
         let shared = endpoint.out > 0.0 && streams > 1.0;
         endpoint.connections * streams > endpoint.out
-            && (shared || now - endpoint.used < self.settings.limits.keepalive)
+            && (shared || now - endpoint.used < self.settings.limits.idle_timeout)
     }
 
     /// How many times its service time a request would take there, waiting included.
@@ -103,7 +103,7 @@
     }
 
     pub(super) fn report(&mut self, now: Seconds, id: EndpointId, report: LoadReport) {
-        let Some(load) = report.in_flight.or(report.queue) else { return };
+        let Some(load) = report.in_flight.or(report.queued) else { return };
         let capacity = self.capacity(&self.seen.endpoints[id.0 as usize], now);
         let faded = self.trust(&self.seen.endpoints[id.0 as usize], now) < PROBE_TRUST;
         let endpoint = &mut self.seen.endpoints[id.0 as usize];
@@ -123,7 +123,7 @@
         endpoint.others = (load.min(REPORT_CAP) - endpoint.out).max(0.0);
         // Danger: one absurd report would be everybody's usual load from then on.
         let sample = endpoint.others / capacity;
-        if let (Some(held), Some(queue)) = (report.in_flight, report.queue)
+        if let (Some(held), Some(queue)) = (report.in_flight, report.queued)
             && (queue >= 1.0
                 || held - queue > (1.0 + PACE_NOISE) * self.seen.kinds[endpoint.entry.kind.0].slots.value)
         {
--- a/crates/decide/src/policy/whether.rs
+++ b/crates/decide/src/policy/whether.rs
@@ -47,7 +47,7 @@
 impl Balancer {
     /// The share of a request's worth that it will likely earn when it takes `time` from now.
     fn earning(&self, job: &Job, time: Seconds, now: Seconds) -> f64 {
-        let late = self.settings.classes[job.class.0].late_worth;
+        let late = self.settings.classes[job.class.0].late_value;
         let by = |instant: Seconds| 1.0 - (-(instant - now).max(0.0) / time).exp();
         late * by(job.deadline) + (1.0 - late) * by(job.aim)
     }
@@ -62,24 +62,24 @@
         let stats = &mut self.seen.classes[request.class.0];
         // First tries mostly get the same time. A later one gets the rest of the deadline, which tells when
         // the first came. Danger: who merely waits less is refused as late. Late is who came then, unserved.
-        let mut first = (request.time_left - stats.usual).abs() < self.settings.tick;
+        let mut first = (request.time_left - stats.usual).abs() < self.settings.timer_resolution;
         stats.votes = (stats.votes + if first { 2.0 } else { -1.0 }).min(USUAL_VOTES);
         if stats.votes < 0.0 {
             (stats.usual, stats.votes, first) = (request.time_left, 1.0, true);
         }
         let elapsed = (class.deadline - request.time_left).max(0.0);
-        let late = !first && stats.has_failed(now - elapsed, AGAIN_TICKS * self.settings.tick);
+        let late = !first && stats.has_failed(now - elapsed, AGAIN_TICKS * self.settings.timer_resolution);
         let elapsed = if late { elapsed } else { 0.0 };
-        let aim = now + (class.target - elapsed).min(request.time_left);
+        let aim = now + (class.latency_target - elapsed).min(request.time_left);
         let mut job = Job::new(now, &request, elapsed, aim, self.settings.limits.max_attempts);
-        self.seen.mean_worth.add(class.worth, MEAN_GAIN);
+        self.seen.mean_worth.add(class.value, MEAN_GAIN);
         self.seen.mean_service.add(stats.service.value, MEAN_GAIN);
         self.seen.rate.add(now, self.seen.mean_deadline);
         job.within = self.within_share(now, request.tenant);
         job.lot = self.chance();
         // Danger: work that may go anywhere crowds out what is bound to a few servers. Of it those get only
         // what is left of an even load: so many of the requests that are not bound leave them alone.
-        let bound = self.settings.classes[request.class.0].bound();
+        let bound = self.settings.classes[request.class.0].is_restricted();
         self.seen.bound.add(if bound { self.cost(request.class) } else { 0.0 }, MEAN_GAIN);
         let open = (1.0 - self.seen.bound.value / self.seen.reserve)
             / (1.0 - self.seen.bound.value).max(f64::MIN_POSITIVE);
@@ -88,8 +88,8 @@
             self.order(now);
         }
         // Danger: a request with hardly any time left must not spend it on waiting for probes.
-        let latest = self.end(&job) - 2.0 * self.settings.tick;
-        job.ask_until = (now + PROBE_WAIT * self.settings.classes[job.class.0].target).min(latest);
+        let latest = self.end(&job) - 2.0 * self.settings.timer_resolution;
+        job.ask_until = (now + PROBE_WAIT * self.settings.classes[job.class.0].latency_target).min(latest);
         self.seen.retries = (self.seen.retries + RETRY_SHARE).min(RETRY_BURST);
         let token = self.seen.next_token;
         self.seen.next_token += 1;
@@ -107,20 +107,20 @@
         let share = self.settings.tenants[tenant].share;
         let fair = share / (1.0 - share).max(f64::MIN_POSITIVE) * rest;
         let inside = (fair / own).clamp(0.0, 1.0);
-        inside + (1.0 - inside) * self.settings.over_share_worth
+        inside + (1.0 - inside) * self.settings.over_share_value
     }
 
     /// What the request may hope for there: while work is scarce, the less it earns the sooner it is refused.
     fn odds(&self, now: Seconds, job: &Job, endpoint: &Endpoint) -> Odds {
         let earning = self.earning(job, self.expected(endpoint, job.class, now), now);
-        let worth = self.settings.classes[job.class.0].worth * job.within * earning;
+        let worth = self.settings.classes[job.class.0].value * job.within * earning;
         let density = worth / self.seen.mean_worth.value / self.cost(job.class);
         // Danger: answers also miss their time for want of health; work on an idle server displaces nothing.
         let crowding = self.crowding(endpoint, now);
         let learnt = self.seen.prices[self.seen.markets[job.class.0]];
         let learnt = if learnt > PRICE_RANGE.0.ln() { learnt.exp() } else { 0.0 };
         // Danger: a queue can outgrow the wanted time before the first late answer tells of it.
-        let limit = (WAIT_SHARE * (job.aim - now)).max(self.settings.tick);
+        let limit = (WAIT_SHARE * (job.aim - now)).max(self.settings.timer_resolution);
         let ahead = (crowding * self.seen.mean_service.value / limit).powi(AHEAD_POWER);
         // Danger: a hundred that send on until a learnt price tells them to stop jam the fleet for good; but
         // where a service is much of the wanted time and reports hold, what servers say is better evidence.
@@ -149,22 +149,22 @@
         // Danger: the edge of the wait hardly asks for worth, and keeps away the late answers that would move
         // the price. A late try is no sign: little of its time is left wherever it goes.
         let class = &self.settings.classes[job.class.0];
-        if !taken && job.aim - now >= FRESH * class.target {
+        if !taken && job.aim - now >= FRESH * class.latency_target {
             // Danger: where few are taken on, their answers bring the price down too slowly for short queues.
             let short = ahead < 0.5_f64.powi(AHEAD_POWER);
-            let missed = if short { -PRICE_RELIEF } else { (1.0 - class.late_worth) * ahead / price };
+            let missed = if short { -PRICE_RELIEF } else { (1.0 - class.late_value) * ahead / price };
             self.move_price(job.class, missed);
         }
         taken
     }
 
     pub(super) fn repeatable(&self, class: ClassId) -> bool {
-        self.settings.classes[class.0].effect != Effect::Unsafe
+        self.settings.classes[class.0].repeat_effect != RepeatEffect::Unsafe
     }
 
     /// When nothing that could still arrive is worth anything.
     pub(super) fn end(&self, job: &Job) -> Seconds {
-        let late = self.settings.classes[job.class.0].late_worth > 0.0;
+        let late = self.settings.classes[job.class.0].late_value > 0.0;
         if late { job.deadline } else { job.aim.min(job.deadline) }
     }
 
--- a/crates/decide/src/policy/whom.rs
+++ b/crates/decide/src/policy/whom.rs
@@ -58,7 +58,7 @@
         // The more of a report holds on arrival, the sooner a new one is worth its price.
         let trust = PROBE_TRUST.powf(1.0 - self.credence());
         let stale = |index: usize| self.trust(&self.seen.endpoints[index], now) < trust;
-        let cheap = self.settings.limits.probes && 2.0 * self.settings.probe_price <= PROBE_CHEAP;
+        let cheap = self.settings.limits.can_probe && 2.0 * self.settings.probe_cost <= PROBE_CHEAP;
         let due = job.attempts.is_empty() && now < job.ask_until && now >= self.seen.rest_until;
         let known = self.credence() >= PROBE_HOLDS && job.met.len() < PROBE_MOST;
         let ask = match asked.len() {
@@ -139,12 +139,12 @@
         }
         let Some(ran) = job.may_have_run() else { return true };
         // Danger: an effect twice. What may have run goes out again only where a repeat is discarded.
-        match self.settings.classes[job.class.0].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { scope, window } => {
+        match self.settings.classes[job.class.0].repeat_effect {
+            RepeatEffect::Safe => true,
+            RepeatEffect::Unsafe => false,
+            RepeatEffect::Keyed { scope, window } => {
                 let first = &self.seen.endpoints[ran.endpoint.0 as usize].entry;
-                let remembered = now + self.settings.tick < ran.sent + window;
+                let remembered = now + self.settings.timer_resolution < ran.sent + window;
                 remembered
                     && match scope {
                         DedupScope::All => true,
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn reserved(&self, entry: &ListEntry) -> bool {
-        self.settings.classes.iter().any(|class| class.bound() && class.permits(entry))
+        self.settings.classes.iter().any(|class| class.is_restricted() && class.permits(entry))
     }
 
     /// Whether the server looks healthy, or is due a trial that this request can bear.
@@ -174,7 +174,7 @@
     /// request's lot falls once, however often it looks again, and all lots together keep within the budget.
     fn allotted(&self, now: Seconds, job: &Job, index: usize, draws: f64) -> bool {
         let endpoint = &self.seen.endpoints[index];
-        let budget = COLD_SHARE * self.settings.rules.fall_multiple;
+        let budget = COLD_SHARE * self.settings.rules.overload_factor;
         let share = budget * self.capacity(endpoint, now) / self.seen.fleet;
         (job.lot + f64::from(endpoint.rank) / f64::from(u32::MAX)).fract() < share * draws.max(1.0)
     }
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -23,7 +23,7 @@
 
 /// This balancer's part of the room that its fleet starts with at a server.
 fn first_room(settings: &Settings) -> f64 {
-    (ROOM / settings.fleet).clamp(1.0, ROOM)
+    (ROOM / settings.proxy_count).clamp(1.0, ROOM)
 }
 
 /// Why a server is shunned.
@@ -56,7 +56,7 @@
     pub(crate) fleet: f64,
     pub(crate) review_at: Seconds,
     pub(crate) jobs: BTreeMap<u64, Job>,
-    pub(crate) tokens: HashMap<JobId, u64>,
+    pub(crate) tokens: HashMap<RequestId, u64>,
     /// Requests that wait for probes.
     pub(crate) asking: Vec<u64>,
     /// Until when no probes are sent.
@@ -119,13 +119,13 @@
             zones: Vec::new(),
             fleet_pace: Mean::default(),
             fleet_usual: Mean::default(),
-            mean_service: Mean::new(mean(|class| class.target / WAITING), 0.0),
+            mean_service: Mean::new(mean(|class| class.latency_target / WAITING), 0.0),
             report_age: 0.0,
             failures: Mean::new(0.0, 64.0),
             strain: Strain::default(),
-            mean_worth: Mean::new(mean(|class| class.worth), 0.0),
+            mean_worth: Mean::new(mean(|class| class.value), 0.0),
             mean_deadline: mean(|class| class.deadline),
-            least_target: all.iter().map(|class| class.target).fold(f64::INFINITY, f64::min),
+            least_target: all.iter().map(|class| class.latency_target).fold(f64::INFINITY, f64::min),
             retries: 0.0,
             room: first_room(settings),
             prices: vec![0.0; all.len()],
@@ -138,7 +138,7 @@
     }
 
     /// A request that is held.
-    pub(crate) fn job(&mut self, id: JobId) -> Option<&mut Job> {
+    pub(crate) fn job(&mut self, id: RequestId) -> Option<&mut Job> {
         self.jobs.get_mut(self.tokens.get(&id)?)
     }
 
@@ -147,7 +147,7 @@
         let listed: HashSet<usize> = entries.iter().map(|entry| entry.endpoint.0 as usize).collect();
         entries.into_iter().for_each(|entry| self.entry(now, entry, ranks));
         let others = self.endpoints.iter_mut().enumerate().filter(|(index, _)| !listed.contains(index));
-        others.for_each(|(_, endpoint)| endpoint.entry.readiness = Readiness::Gone);
+        others.for_each(|(_, endpoint)| endpoint.entry.readiness = Readiness::Removed);
     }
 
     /// What has changed of the list.
@@ -163,12 +163,12 @@
         self.zones.resize(self.zones.len().max(2 * entry.zone.0 + 2), zone);
         while self.endpoints.len() <= index {
             let endpoint = EndpointId(self.endpoints.len() as u32);
-            let unheard = ListEntry { endpoint, readiness: Readiness::Gone, ..entry };
+            let unheard = ListEntry { endpoint, readiness: Readiness::Removed, ..entry };
             let rank = ranks.next_u32();
             self.endpoints.push(Endpoint { rank, ..Endpoint::new(now, unheard, self.room) });
         }
         let endpoint = &mut self.endpoints[index];
-        if endpoint.entry.started_at != entry.started_at || endpoint.entry.readiness == Readiness::Gone {
+        if endpoint.entry.started_at != entry.started_at || endpoint.entry.readiness == Readiness::Removed {
             // Danger: a restarted process, or whoever has the number of one that has gone, judged by what its
             // predecessor did. Attempts out stay counted.
             let (out, rank) = (endpoint.out, endpoint.rank);
@@ -181,7 +181,7 @@
 
 /// For each class the first one that is open to the same servers.
 fn markets(all: &[Class]) -> Vec<usize> {
-    let open = |class: &Class| (class.runs_on.clone(), class.runs_in.clone());
+    let open = |class: &Class| (class.machine_kinds.clone(), class.zones.clone());
     let market = |class| all.iter().position(|first| open(first) == open(class)).unwrap_or(0);
     all.iter().map(market).collect()
 }
@@ -190,7 +190,7 @@
     /// Other settings are in force. Requests that are held keep their classes: of those only such change that no
     /// request holds. `open` are the classes that new requests come under; of two `heirs` the second goes on with what
     /// is known of the first.
-    pub fn retune(
+    pub fn apply_settings(
         &mut self,
         settings: Settings,
         open: &[ClassId],
@@ -217,7 +217,7 @@
         seen.tenant_rates.resize(settings.tenants.len(), Rate::default());
         let open = || open.iter().map(|class| &all[class.0]);
         seen.mean_deadline = open().map(|class| class.deadline).sum::<f64>() / open().count().max(1) as f64;
-        seen.least_target = open().map(|class| class.target).fold(f64::INFINITY, f64::min);
+        seen.least_target = open().map(|class| class.latency_target).fold(f64::INFINITY, f64::min);
         seen.room = first_room(&settings);
         self.settings = settings;
         Ok(())
@@ -268,7 +268,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    pub(crate) id: JobId,
+    pub(crate) id: RequestId,
     pub(crate) class: ClassId,
     pub(crate) aim: Seconds,
     pub(crate) deadline: Seconds,
@@ -298,7 +298,7 @@
     /// A request that came now, first tried so long ago, with its wanted time ending at `aim`.
     pub(crate) fn new(now: Seconds, request: &Request, elapsed: Seconds, aim: Seconds, most: u32) -> Self {
         Self {
-            id: request.job,
+            id: request.id,
             class: request.class,
             aim,
             deadline: now + request.time_left,
@@ -339,7 +339,7 @@
     }
 
     pub(crate) fn cancel(&self, at: usize) -> Action {
-        Action::Cancel { job: self.id, round: Round(at as u32) }
+        Action::Cancel { request: self.id, attempt: AttemptNumber(at as u32) }
     }
 }
 
@@ -453,7 +453,7 @@
 impl ClassStats {
     /// Guesses until there are answers.
     pub(crate) fn new(class: &Class) -> Self {
-        let (service, unserved) = (Mean::new(class.target / WAITING, 1.0), VecDeque::new());
+        let (service, unserved) = (Mean::new(class.latency_target / WAITING, 1.0), VecDeque::new());
         Self { service, usual: class.deadline, votes: 0.0, unserved }
     }
 
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -8,50 +8,58 @@
 pub const UNSAFE: ClassId = ClassId(1);
 pub const KEYED: ClassId = ClassId(2);
 
-pub fn class(effect: Effect) -> Class {
-    Class { target: 0.5, deadline: 2.0, worth: 1.0, late_worth: 0.5, effect, runs_on: None, runs_in: None }
+pub fn class(effect: RepeatEffect) -> Class {
+    Class {
+        latency_target: 0.5,
+        deadline: 2.0,
+        value: 1.0,
+        late_value: 0.5,
+        repeat_effect: effect,
+        machine_kinds: None,
+        zones: None,
+    }
 }
 
 pub fn settings() -> Settings {
     Settings {
         zone: ZoneId(0),
-        fleet: 1.0,
+        proxy_count: 1.0,
         machine_kinds: 1,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Keyed { scope: DedupScope::Group, window: 1.0 }),
+            class(RepeatEffect::Safe),
+            class(RepeatEffect::Unsafe),
+            class(RepeatEffect::Keyed { scope: DedupScope::Group, window: 1.0 }),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        cross_zone_price: 0.1,
-        probe_price: 0.01,
-        connection_price: 0.0,
-        tick: 0.005,
-        reporting: Reporting::Answers,
+        over_share_value: 0.1,
+        cross_zone_cost: 0.1,
+        probe_cost: 0.01,
+        connection_cost: 0.0,
+        timer_resolution: 0.005,
+        reporting: Reporting::Responses,
         weights: Weights::Size,
         membership: Membership::Push,
         limits: Limits {
-            cancel: true,
-            probes: false,
-            second_copies: true,
+            can_cancel: true,
+            can_probe: false,
+            can_hedge: true,
             max_attempts: 3,
-            retry_after: true,
+            can_advise_retry_after: true,
             max_retry_after: 0.2,
-            streams: 100,
-            keepalive: 30.0,
+            streams_per_connection: 100,
+            idle_timeout: 30.0,
             connect_timeout: 0.25,
-            most_held: 1000,
+            max_pending_requests: 1000,
         },
         rules: Rules {
-            cold_from: 0.15,
-            warm_up: 20.0,
-            fall: 2.0,
-            fall_multiple: 3.0,
-            ask_within: 10.0,
-            shed_after_start: false,
+            initial_capacity: 0.15,
+            slow_start: 20.0,
+            overload_window: 2.0,
+            overload_factor: 3.0,
+            refresh_within: 10.0,
+            may_reject_after_start: false,
         },
-        goal: Goal::default(),
+        objective: ServiceObjective::default(),
     }
 }
 
@@ -60,7 +68,7 @@
         endpoint: EndpointId(endpoint),
         readiness: Readiness::Ready,
         zone: ZoneId(0),
-        kind: KindId(0),
+        kind: MachineKindId(0),
         group: GroupId(u64::from(endpoint) / 2),
         weight: 1.0,
         started_at: None,
@@ -73,8 +81,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
-    pub job: JobId,
-    pub round: Round,
+    pub job: RequestId,
+    pub round: AttemptNumber,
     pub endpoint: EndpointId,
     pub at: Seconds,
     pub until: Seconds,
@@ -87,8 +95,8 @@
     pub actions: Vec<Action>,
     /// Attempts whose outcome is still owed to the balancer.
     pub out: Vec<Sent>,
-    pub timers: Vec<(Seconds, Token)>,
-    rounds: std::collections::BTreeMap<JobId, u32>,
+    pub timers: Vec<(Seconds, TimerToken)>,
+    rounds: std::collections::BTreeMap<RequestId, u32>,
     next: u64,
 }
 
@@ -108,7 +116,7 @@
             rounds: Default::default(),
             next: 0,
         };
-        host.tell(Event::List(ListUpdate::Saved(servers)));
+        host.tell(Event::ListUpdated(ListUpdate::Saved(servers)));
         host
     }
 
@@ -118,12 +126,12 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match *action {
-                Action::Send { job, endpoint, until } => {
+                Action::Send { request: job, endpoint, deadline: until } => {
                     let round = self.rounds.entry(job).or_default();
-                    self.out.push(Sent { job, round: Round(*round), endpoint, at: self.now, until });
+                    self.out.push(Sent { job, round: AttemptNumber(*round), endpoint, at: self.now, until });
                     *round += 1;
                 }
-                Action::Timer { delay, token } => self.timers.push((self.now + delay, token)),
+                Action::SetTimer { delay, token } => self.timers.push((self.now + delay, token)),
                 _ => {}
             }
         }
@@ -131,7 +139,7 @@
         actions
     }
 
-    pub fn ask(&mut self, class: ClassId) -> (JobId, Vec<Action>) {
+    pub fn ask(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.ask_as(class, None, 2.0)
     }
 
@@ -140,10 +148,10 @@
         class: ClassId,
         tenant: Option<TenantId>,
         time_left: Seconds,
-    ) -> (JobId, Vec<Action>) {
-        let job = JobId(self.next);
+    ) -> (RequestId, Vec<Action>) {
+        let job = RequestId(self.next);
         self.next += 1;
-        let actions = self.tell(Event::Request(Request { job, time_left, class, tenant }));
+        let actions = self.tell(Event::RequestReceived(Request { id: job, time_left, class, tenant }));
         (job, actions)
     }
 
@@ -161,9 +169,9 @@
 
     pub fn end(&mut self, sent: Sent, outcome: Outcome, report: LoadReport) -> Vec<Action> {
         self.out.retain(|other| (other.job, other.round) != (sent.job, sent.round));
-        self.tell(Event::Outcome {
-            job: sent.job,
-            round: sent.round,
+        self.tell(Event::AttemptEnded {
+            request: sent.job,
+            attempt: sent.round,
             endpoint: sent.endpoint,
             outcome,
             rtt: self.now - sent.at,
@@ -185,19 +193,19 @@
         {
             let (due, token) = self.timers.swap_remove(at);
             self.now = self.now.max(due);
-            actions.extend(self.tell(Event::Timer(token)));
+            actions.extend(self.tell(Event::TimerFired(token)));
         }
         self.now = until;
         actions
     }
 
     pub fn change(&mut self, entry: ListEntry) -> Vec<Action> {
-        self.tell(Event::List(ListUpdate::Changes(vec![entry])))
+        self.tell(Event::ListUpdated(ListUpdate::Changes(vec![entry])))
     }
 }
 
 pub fn load(in_flight: f64, queue: f64) -> LoadReport {
-    LoadReport { in_flight: Some(in_flight), queue: Some(queue) }
+    LoadReport { in_flight: Some(in_flight), queued: Some(queue) }
 }
 
 pub fn sends(actions: &[Action]) -> Vec<EndpointId> {
@@ -208,10 +216,10 @@
     actions.iter().filter_map(of).collect()
 }
 
-pub fn refused(actions: &[Action], id: JobId) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { job, .. } if *job == id))
+pub fn refused(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { request: job, .. } if *job == id))
 }
 
-pub fn failed(actions: &[Action], id: JobId) -> bool {
-    actions.contains(&Action::Fail { job: id })
+pub fn failed(actions: &[Action], id: RequestId) -> bool {
+    actions.contains(&Action::Fail { request: id })
 }
--- a/crates/decide/tests/decisions.rs
+++ b/crates/decide/tests/decisions.rs
@@ -114,7 +114,7 @@
     host.now += if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) { 0.7 } else { 0.0 };
     for sent in there {
         if outcome == Outcome::Cancelled {
-            host.tell(Event::Withdrawn { job: sent.job });
+            host.tell(Event::RequestWithdrawn { request: sent.job });
         }
         host.end(sent, outcome, LoadReport::default());
     }
@@ -126,13 +126,13 @@
 #[test]
 fn late_answers_leave_a_server_less_room() {
     let mut all = settings();
-    all.classes[SAFE.0].target = 0.1;
+    all.classes[SAFE.0].latency_target = 0.1;
     // Nothing but the room can refuse these.
-    all.classes[UNSAFE.0].target = 100.0;
+    all.classes[UNSAFE.0].latency_target = 100.0;
     all.classes[UNSAFE.0].deadline = 100.0;
     let mut host = Host::new(all, fleet(1));
     let mut serve_after = |wait: Seconds| {
-        let jobs: Vec<JobId> = (0..40).map(|_| host.ask_as(UNSAFE, None, 100.0).0).collect();
+        let jobs: Vec<RequestId> = (0..40).map(|_| host.ask_as(UNSAFE, None, 100.0).0).collect();
         let sent: Vec<Sent> = std::mem::take(&mut host.out);
         let refusals = jobs.iter().filter(|job| refused(&host.actions, **job)).count();
         assert_eq!(sent.len() + refusals, 40, "each is sent or refused at once");
@@ -157,8 +157,8 @@
 #[case::hundred(100.0, 1)]
 fn what_is_sent_to_an_unknown_server_is_a_part_of_the_fleets_room(#[case] proxies: f64, #[case] room: usize) {
     let mut all = settings();
-    all.fleet = proxies;
-    all.classes[UNSAFE.0].target = 100.0;
+    all.proxy_count = proxies;
+    all.classes[UNSAFE.0].latency_target = 100.0;
     all.classes[UNSAFE.0].deadline = 100.0;
     let mut host = Host::new(all, fleet(1));
     let sent = |host: &mut Host| {
@@ -309,7 +309,7 @@
 fn who_gets_the_number_of_one_that_has_gone_starts_afresh() {
     let mut host = Host::new(settings(), fleet(3));
     fail_twice(&mut host, UNSAFE, EndpointId(1), Outcome::Reset);
-    host.tell(Event::List(ListUpdate::Full(vec![entry(0), entry(2)])));
+    host.tell(Event::ListUpdated(ListUpdate::Full(vec![entry(0), entry(2)])));
     host.change(entry(1));
     let placed = (0..20).filter(|_| host.place(UNSAFE).endpoint.0 == 1).count();
     assert!(placed > 3, "{placed} of 20");
@@ -347,27 +347,30 @@
 #[test]
 fn without_a_home_server_the_other_zone_serves() {
     let mut host = Host::new(settings(), two_zones());
-    host.tell(Event::List(ListUpdate::Full(two_zones().split_off(2))));
+    host.tell(Event::ListUpdated(ListUpdate::Full(two_zones().split_off(2))));
     assert!(host.place(UNSAFE).endpoint.0 >= 2);
 }
 
 #[test]
 fn a_subscription_is_asked_for_and_renewed_with_growing_waits() {
-    let mut host = Host::new(Settings { membership: Membership::Ask, ..settings() }, fleet(2));
-    assert!(host.actions.contains(&Action::Watch));
+    let mut host = Host::new(Settings { membership: Membership::Pull, ..settings() }, fleet(2));
+    assert!(host.actions.contains(&Action::WatchList));
     let mut waits = Vec::new();
     for _ in 0..4 {
-        let actions = host.tell(Event::List(ListUpdate::Failed));
-        let [Action::Timer { delay, .. }] = actions[..] else { panic!("{actions:?}") };
+        let actions = host.tell(Event::ListUpdated(ListUpdate::Failed));
+        let [Action::SetTimer { delay, .. }] = actions[..] else { panic!("{actions:?}") };
         waits.push(delay);
-        assert_eq!(host.pass(delay + 0.001), [Action::Watch]);
+        assert_eq!(host.pass(delay + 0.001), [Action::WatchList]);
     }
     assert!(waits[3] > 2.0 * waits[0] && waits.iter().all(|wait| *wait < 10.0), "{waits:?}");
-    host.tell(Event::List(ListUpdate::Full(fleet(2))));
-    let actions = host.tell(Event::List(ListUpdate::Failed));
-    assert!(matches!(actions[..], [Action::Timer { delay, .. }] if delay < 1.0), "success resets the wait");
+    host.tell(Event::ListUpdated(ListUpdate::Full(fleet(2))));
+    let actions = host.tell(Event::ListUpdated(ListUpdate::Failed));
+    assert!(
+        matches!(actions[..], [Action::SetTimer { delay, .. }] if delay < 1.0),
+        "success resets the wait"
+    );
     let mut host = Host::new(settings(), fleet(2));
-    assert!(host.tell(Event::List(ListUpdate::Failed)).is_empty() && host.actions.is_empty());
+    assert!(host.tell(Event::ListUpdated(ListUpdate::Failed)).is_empty() && host.actions.is_empty());
 }
 
 #[test]
@@ -379,7 +382,7 @@
     let copies = sends(&host.pass(0.5));
     assert!(copies.len() == 1 && copies[0] != first.endpoint, "{copies:?}");
     let copy = *host.out.last().expect("the copy");
-    assert_eq!(host.serve(copy), [Action::Cancel { job: first.job, round: first.round }]);
+    assert_eq!(host.serve(copy), [Action::Cancel { request: first.job, attempt: first.round }]);
     let unsafe_one = host.place(UNSAFE);
     assert!(sends(&host.pass(1.5)).is_empty(), "{unsafe_one:?}");
 }
@@ -388,17 +391,18 @@
 #[test]
 fn without_second_copies_no_attempt_is_called_off_before_its_end() {
     let mut all = settings();
-    all.limits.second_copies = false;
+    all.limits.can_hedge = false;
     let mut host = Host::new(all, fleet(4));
     let sent = host.place(SAFE);
     let early = host.pass(1.9);
     assert!(
-        early.iter().all(|action| matches!(action, Action::Timer { .. })),
+        early.iter().all(|action| matches!(action, Action::SetTimer { .. })),
         "it may still be served: {early:?}"
     );
     let actions = host.pass(0.2);
     assert!(
-        actions.contains(&Action::Cancel { job: sent.job, round: sent.round }) && failed(&actions, sent.job)
+        actions.contains(&Action::Cancel { request: sent.job, attempt: sent.round })
+            && failed(&actions, sent.job)
     );
 }
 
@@ -535,8 +539,8 @@
 #[test]
 fn worth_decides_who_is_refused_under_lasting_overload() {
     let mut settings = settings();
-    settings.classes[1].worth = 4.0;
-    settings.classes.iter_mut().for_each(|class| class.late_worth = 0.0);
+    settings.classes[1].value = 4.0;
+    settings.classes.iter_mut().for_each(|class| class.late_value = 0.0);
     let mut host = Host::new(settings, fleet(1));
     let mut refusals = [0_i32; 2];
     for at in 0..3000 {
@@ -562,7 +566,7 @@
 fn refusing_at_short_queues_lowers_the_price() {
     let mut host = Host::new(settings(), fleet(1));
     let flood = |host: &mut Host, count: usize| {
-        (0..count).filter(|_| matches!(host.ask(UNSAFE).1[..], [Action::Refuse { .. }])).count()
+        (0..count).filter(|_| matches!(host.ask(UNSAFE).1[..], [Action::Reject { .. }])).count()
     };
     let rush = flood(&mut host, 400);
     assert!(rush > 350, "{rush} of 400 refused in the rush");
@@ -616,7 +620,7 @@
 #[test]
 fn who_waits_less_than_others_is_not_late() {
     let mut all = settings();
-    all.classes[SAFE.0].late_worth = 0.0;
+    all.classes[SAFE.0].late_value = 0.0;
     let mut host = Host::new(all, fleet(6));
     let mut refusals = 0;
     for at in 0..200 {
@@ -673,8 +677,8 @@
     fail_twice(&mut host, UNSAFE, first.endpoint, Outcome::Reset);
     host.pass(0.6);
     let copy = *host.out.last().expect("a copy");
-    let actions = host.tell(Event::Begun { job: first.job, round: first.round });
-    assert_eq!(actions, [Action::Cancel { job: copy.job, round: copy.round }]);
+    let actions = host.tell(Event::ResponseStarted { request: first.job, attempt: first.round });
+    assert_eq!(actions, [Action::Cancel { request: copy.job, attempt: copy.round }]);
     assert!(host.pass(10.0).is_empty());
     assert!(host.serve(first).iter().all(|action| matches!(action, Action::Cancel { .. })));
 }
@@ -731,11 +735,11 @@
 }
 
 /// Asks, and takes back what was sent, so that nothing is out for the next one.
-fn ask_only(host: &mut Host) -> (JobId, Vec<Action>) {
+fn ask_only(host: &mut Host) -> (RequestId, Vec<Action>) {
     ask_only_as(host, UNSAFE)
 }
 
-fn ask_only_as(host: &mut Host, class: ClassId) -> (JobId, Vec<Action>) {
+fn ask_only_as(host: &mut Host, class: ClassId) -> (RequestId, Vec<Action>) {
     let asked = host.ask(class);
     if let Some(sent) = host.out.last().copied() {
         host.end(sent, Outcome::NotSent, LoadReport::default());
@@ -812,7 +816,7 @@
 }
 
 fn probed(host: &mut Host, endpoint: EndpointId, rtt: Seconds, report: LoadReport) -> Vec<Action> {
-    host.tell(Event::Probed { endpoint, outcome: Outcome::Served, rtt, report })
+    host.tell(Event::ProbeEnded { endpoint, outcome: Outcome::Served, rtt, report })
 }
 
 fn probes(actions: &[Action]) -> Vec<EndpointId> {
@@ -824,8 +828,8 @@
 }
 
 fn probing(probe_price: f64) -> Settings {
-    let mut all = Settings { reporting: Reporting::Probes, probe_price, ..settings() };
-    all.limits.probes = true;
+    let mut all = Settings { reporting: Reporting::Probes, probe_cost: probe_price, ..settings() };
+    all.limits.can_probe = true;
     all
 }
 
@@ -953,12 +957,12 @@
     let error = Balancer::new(Settings { classes: Vec::new(), ..settings() }, 1).expect_err("no classes");
     assert_eq!(error.to_string(), "setting classes is 0: it must be at least one class");
     let mut all = settings();
-    all.classes[0].target = f64::NAN;
+    all.classes[0].latency_target = f64::NAN;
     assert_eq!(Balancer::new(all, 1).expect_err("no aim").name, "classes.target");
     let mut all = settings();
-    all.rules.fall_multiple = 0.0;
+    all.rules.overload_factor = 0.0;
     assert_eq!(Balancer::new(all.clone(), 1).expect_err("no multiple").name, "rules.fall_multiple");
-    all.rules.fall = 0.0;
+    all.rules.overload_window = 0.0;
     assert_eq!(Balancer::new(all, 1).expect_err("no window").name, "rules.fall");
 }
 
@@ -970,7 +974,8 @@
     let mut closed = 0;
     for outcome in [Outcome::Served, Outcome::TimedOut, Outcome::TimedOut, Outcome::Served].repeat(3) {
         let (_, actions) = host.ask(UNSAFE);
-        closed += actions.iter().filter(|action| matches!(action, Action::Close { .. })).count();
+        closed +=
+            actions.iter().filter(|action| matches!(action, Action::CloseIdleConnections { .. })).count();
         host.now += if outcome == Outcome::Served { 0.05 } else { 2.0 };
         for sent in std::mem::take(&mut host.out) {
             host.end(sent, outcome, LoadReport::default());
@@ -985,7 +990,7 @@
 fn dear_connections_are_used_again() {
     for (price, least, most) in [(0.5, 20, 20), (0.0, 4, 16)] {
         let mut all = settings();
-        all.connection_price = price;
+        all.connection_cost = price;
         let mut host = Host::new(all, fleet(2));
         let first = host.place(SAFE);
         host.now += 0.05;
@@ -1007,8 +1012,9 @@
 fn with_bound_class() -> Host {
     let mut all = settings();
     all.machine_kinds = 2;
-    all.classes[UNSAFE.0].runs_on = Some(vec![KindId(1)]);
-    let kind = |entry: ListEntry| ListEntry { kind: KindId(usize::from(entry.endpoint.0 >= 8)), ..entry };
+    all.classes[UNSAFE.0].machine_kinds = Some(vec![MachineKindId(1)]);
+    let kind =
+        |entry: ListEntry| ListEntry { kind: MachineKindId(usize::from(entry.endpoint.0 >= 8)), ..entry };
     Host::new(all, fleet(12).into_iter().map(kind).collect())
 }
 
@@ -1070,7 +1076,7 @@
 fn reports_seen_renewed_often_are_believed_more() {
     for (renewed, expected) in [(true, 3), (false, 2)] {
         let mut all = settings();
-        all.classes.iter_mut().for_each(|class| class.target = 2.0);
+        all.classes.iter_mut().for_each(|class| class.latency_target = 2.0);
         let mut host = Host::new(all, fleet(2));
         let tell = |host: &mut Host, endpoint: u32, held: f64| {
             probed(host, EndpointId(endpoint), 0.001, load(held, 0.0));
@@ -1112,15 +1118,15 @@
 fn a_body_that_still_comes_uses_up_no_time() {
     let mut host = Host::new(settings(), fleet(3));
     host.place(UNSAFE);
-    let job = JobId(1000);
-    let request = Request { job, time_left: 2.0, class: UNSAFE, tenant: None };
-    let actions = host.tell(Event::Coming(request));
+    let job = RequestId(1000);
+    let request = Request { id: job, time_left: 2.0, class: UNSAFE, tenant: None };
+    let actions = host.tell(Event::HeadReceived(request));
     assert_eq!(sends(&actions).len(), 1, "{actions:?}");
     let sent = *host.out.last().expect("an attempt");
     let actions = host.pass(30.0);
     assert!(!refused(&actions, job) && !failed(&actions, job), "{actions:?}");
-    let actions = host.tell(Event::Whole { job, time_left: 2.0 });
-    assert!(actions.iter().all(|action| matches!(action, Action::Timer { .. })), "{actions:?}");
+    let actions = host.tell(Event::BodyReceived { request: job, time_left: 2.0 });
+    assert!(actions.iter().all(|action| matches!(action, Action::SetTimer { .. })), "{actions:?}");
     let actions = host.pass(0.1);
     assert!(!failed(&actions, job));
     let actions = host.pass(3.0);
@@ -1132,8 +1138,8 @@
 #[test]
 fn a_body_that_broke_off_before_its_end_never_ran() {
     let mut host = Host::new(settings(), fleet(3));
-    let job = JobId(1000);
-    host.tell(Event::Coming(Request { job, time_left: 2.0, class: UNSAFE, tenant: None }));
+    let job = RequestId(1000);
+    host.tell(Event::HeadReceived(Request { id: job, time_left: 2.0, class: UNSAFE, tenant: None }));
     let sent = *host.out.last().expect("an attempt");
     host.pass(0.1);
     let actions = host.end(sent, Outcome::ConnectFailed, LoadReport::default());
@@ -1150,10 +1156,10 @@
     let old = host.place(UNSAFE);
     let mut other = settings();
     other.limits.max_attempts = 1;
-    other.classes.push(class(Effect::Unsafe));
+    other.classes.push(class(RepeatEffect::Unsafe));
     let added = ClassId(other.classes.len() - 1);
     let open = [SAFE, KEYED, added];
-    host.balancer.retune(other, &open, &[(UNSAFE, added)]).expect("legal settings");
+    host.balancer.apply_settings(other, &open, &[(UNSAFE, added)]).expect("legal settings");
     let new = host.place(added);
     let actions = host.end(new, Outcome::ConnectFailed, LoadReport::default());
     assert!(refused(&actions, new.job), "one attempt is all it has: {actions:?}");
@@ -1168,7 +1174,7 @@
     let mut other = settings();
     other.limits.max_attempts = 7;
     other.classes[0].deadline = -1.0;
-    assert!(host.balancer.retune(other, &[SAFE], &[]).is_err());
+    assert!(host.balancer.apply_settings(other, &[SAFE], &[]).is_err());
     let first = host.place(UNSAFE);
     let mut tries = 1;
     let mut sent = first;
--- a/crates/decide/tests/random.rs
+++ b/crates/decide/tests/random.rs
@@ -26,35 +26,36 @@
 fn varied(draw: &mut Draw, scale: f64) -> Settings {
     let mut all = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Group];
-    all.classes[KEYED.0].effect = Effect::Keyed { scope: scopes[draw.below(3) as usize], window: 0.3 };
-    all.classes[SAFE.0].late_worth = if draw.one_in(2) { 0.0 } else { 0.5 };
-    all.classes[UNSAFE.0].late_worth = if draw.one_in(2) { 0.0 } else { 0.5 };
-    all.limits.second_copies = draw.one_in(2);
-    all.limits.cancel = draw.one_in(2);
-    all.limits.probes = draw.one_in(2);
+    all.classes[KEYED.0].repeat_effect =
+        RepeatEffect::Keyed { scope: scopes[draw.below(3) as usize], window: 0.3 };
+    all.classes[SAFE.0].late_value = if draw.one_in(2) { 0.0 } else { 0.5 };
+    all.classes[UNSAFE.0].late_value = if draw.one_in(2) { 0.0 } else { 0.5 };
+    all.limits.can_hedge = draw.one_in(2);
+    all.limits.can_cancel = draw.one_in(2);
+    all.limits.can_probe = draw.one_in(2);
     all.limits.max_attempts = 1 + draw.below(5);
-    all.limits.streams = 1 + 9 * draw.below(2);
-    all.reporting = [Reporting::Answers, Reporting::Probes, Reporting::None][draw.below(3) as usize];
-    all.membership = if draw.one_in(2) { Membership::Ask } else { Membership::Push };
+    all.limits.streams_per_connection = 1 + 9 * draw.below(2);
+    all.reporting = [Reporting::Responses, Reporting::Probes, Reporting::None][draw.below(3) as usize];
+    all.membership = if draw.one_in(2) { Membership::Pull } else { Membership::Push };
     all.weights = if draw.one_in(2) { Weights::Size } else { Weights::Unused };
     all.tenants = vec![Tenant { share: 0.5 }; draw.below(3) as usize];
-    all.rules.shed_after_start = draw.one_in(2);
-    all.tick *= scale;
+    all.rules.may_reject_after_start = draw.one_in(2);
+    all.timer_resolution *= scale;
     let (limits, rules) = (&mut all.limits, &mut all.rules);
-    for time in [&mut limits.max_retry_after, &mut limits.keepalive, &mut limits.connect_timeout] {
+    for time in [&mut limits.max_retry_after, &mut limits.idle_timeout, &mut limits.connect_timeout] {
         *time *= scale;
     }
-    for time in [&mut rules.warm_up, &mut rules.fall, &mut rules.ask_within] {
+    for time in [&mut rules.slow_start, &mut rules.overload_window, &mut rules.refresh_within] {
         *time *= scale;
     }
     for class in &mut all.classes {
-        class.target *= scale;
+        class.latency_target *= scale;
         class.deadline *= scale;
-        if let Effect::Keyed { window, .. } = &mut class.effect {
+        if let RepeatEffect::Keyed { window, .. } = &mut class.repeat_effect {
             *window *= scale;
         }
-        class.runs_on = draw.one_in(4).then(|| vec![KindId(draw.below(2) as usize)]);
-        class.runs_in = draw.one_in(4).then(|| vec![ZoneId(0), ZoneId(draw.below(3) as usize)]);
+        class.machine_kinds = draw.one_in(4).then(|| vec![MachineKindId(draw.below(2) as usize)]);
+        class.zones = draw.one_in(4).then(|| vec![ZoneId(0), ZoneId(draw.below(3) as usize)]);
     }
     all
 }
@@ -69,8 +70,8 @@
 struct Checker {
     scale: f64,
     settings: Settings,
-    open: BTreeMap<JobId, Open>,
-    done: BTreeMap<JobId, ()>,
+    open: BTreeMap<RequestId, Open>,
+    done: BTreeMap<RequestId, ()>,
     ready: BTreeMap<EndpointId, ListEntry>,
     listed: BTreeMap<EndpointId, ListEntry>,
     asked: u64,
@@ -83,9 +84,14 @@
         outcome.is_some_and(|outcome| self.settings.rules.never_ran(outcome))
     }
 
-    fn act(&mut self, now: Seconds, action: Action, owed: &mut Vec<(JobId, Round, EndpointId, Seconds)>) {
+    fn act(
+        &mut self,
+        now: Seconds,
+        action: Action,
+        owed: &mut Vec<(RequestId, AttemptNumber, EndpointId, Seconds)>,
+    ) {
         match action {
-            Action::Send { job, endpoint, until } => {
+            Action::Send { request: job, endpoint, deadline: until } => {
                 assert!(!self.done.contains_key(&job), "sent after the final answer");
                 let request = self.open.get(&job).expect("an open request");
                 let class = &self.settings.classes[request.class.0];
@@ -93,16 +99,19 @@
                 assert!(until <= request.deadline + 1e-6 && now < request.deadline);
                 assert!((request.attempts.len() as u32) < self.settings.limits.max_attempts);
                 let out = request.attempts.iter().filter(|attempt| attempt.2.is_none()).count();
-                assert!(out == 0 || self.settings.limits.second_copies);
-                assert!(class.runs_on.as_ref().is_none_or(|kinds| kinds.contains(&target.kind)), "kind");
-                assert!(class.runs_in.as_ref().is_none_or(|zones| zones.contains(&target.zone)), "zone");
+                assert!(out == 0 || self.settings.limits.can_hedge);
+                assert!(
+                    class.machine_kinds.as_ref().is_none_or(|kinds| kinds.contains(&target.kind)),
+                    "kind"
+                );
+                assert!(class.zones.as_ref().is_none_or(|zones| zones.contains(&target.zone)), "zone");
                 let ran = request.attempts.iter().find(|attempt| !self.never_ran(attempt.2));
                 if let Some((first, sent, _)) = ran {
                     let first = &self.listed[first];
-                    match class.effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request that may have run was sent again"),
-                        Effect::Keyed { scope, window } => {
+                    match class.repeat_effect {
+                        RepeatEffect::Safe => {}
+                        RepeatEffect::Unsafe => panic!("an unsafe request that may have run was sent again"),
+                        RepeatEffect::Keyed { scope, window } => {
                             assert!(now < sent + window, "past the window");
                             match scope {
                                 DedupScope::All => {}
@@ -119,27 +128,28 @@
                     // A hundred mean requests a second x 0.8 x a quarter x two seconds; cheap ones may be more.
                     assert!(*sent <= 60, "{sent} to a server cold since {started}");
                 }
-                owed.push((job, Round(request.attempts.len() as u32), endpoint, now));
+                owed.push((job, AttemptNumber(request.attempts.len() as u32), endpoint, now));
                 self.open.get_mut(&job).expect("an open request").attempts.push((endpoint, now, None));
             }
-            Action::Refuse { job, not_before } => {
+            Action::Reject { request: job, retry_after: not_before } => {
                 assert!((0.0..=0.2 * self.scale).contains(&not_before));
                 let request = self.open.remove(&job).expect("one final answer");
                 let may_have_run = request.attempts.iter().any(|attempt| !self.never_ran(attempt.2));
-                let effect = self.settings.classes[request.class.0].effect;
-                let harmless = matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+                let effect = self.settings.classes[request.class.0].repeat_effect;
+                let harmless =
+                    matches!(effect, RepeatEffect::Safe | RepeatEffect::Keyed { scope: DedupScope::All, .. });
                 assert!(!may_have_run || harmless, "refused what may have run");
                 self.done.insert(job, ());
             }
-            Action::Fail { job } => {
+            Action::Fail { request: job } => {
                 assert!(self.open.remove(&job).is_some(), "one final answer");
                 self.done.insert(job, ());
             }
-            Action::Cancel { .. } => assert!(self.settings.limits.cancel),
-            Action::Probe { .. } => assert!(self.settings.limits.probes),
-            Action::Watch => assert_eq!(self.settings.membership, Membership::Ask),
-            Action::Close { endpoint } => assert!(self.listed.contains_key(&endpoint)),
-            Action::Timer { delay, .. } => assert!(delay >= 0.0),
+            Action::Cancel { .. } => assert!(self.settings.limits.can_cancel),
+            Action::Probe { .. } => assert!(self.settings.limits.can_probe),
+            Action::WatchList => assert_eq!(self.settings.membership, Membership::Pull),
+            Action::CloseIdleConnections { endpoint } => assert!(self.listed.contains_key(&endpoint)),
+            Action::SetTimer { delay, .. } => assert!(delay >= 0.0),
         }
     }
 }
@@ -160,30 +170,30 @@
         starts: BTreeMap::new(),
     };
     let (mut now, mut all, mut owed, mut timers) =
-        (50.0 * scale, Vec::new(), Vec::new(), Vec::<(Seconds, Token)>::new());
+        (50.0 * scale, Vec::new(), Vec::new(), Vec::<(Seconds, TimerToken)>::new());
     let servers = draw.below(12);
     let mut first = Vec::new();
     for at in 0..servers {
         let zone = ZoneId(draw.below(3) as usize);
         let weight = f64::from(draw.below(4));
         let started_at = draw.one_in(4).then_some(now - scale * f64::from(draw.below(30)));
-        let kind = KindId(draw.below(2) as usize);
+        let kind = MachineKindId(draw.below(2) as usize);
         first.push(ListEntry { zone, kind, weight, started_at, ..entry(at) });
     }
     let mut probes = Vec::new();
-    let mut pending = vec![Event::List(ListUpdate::Saved(first))];
+    let mut pending = vec![Event::ListUpdated(ListUpdate::Saved(first))];
     for step in 0..4000 {
         now += scale * 0.005 * f64::from(1 + if draw.one_in(200) { draw.below(600) } else { 0 });
         timers.retain(|&(due, token)| {
             if due <= now {
-                pending.push(Event::Timer(token));
+                pending.push(Event::TimerFired(token));
             }
             due > now
         });
         for endpoint in std::mem::take(&mut probes) {
             let outcome = if draw.one_in(9) { Outcome::TimedOut } else { Outcome::Served };
             let report = load(f64::from(draw.below(9)), f64::from(draw.below(5)));
-            pending.push(Event::Probed { endpoint, outcome, rtt: 0.001 * scale, report });
+            pending.push(Event::ProbeEnded { endpoint, outcome, rtt: 0.001 * scale, report });
         }
         let mut still = Vec::new();
         for (job, round, endpoint, sent) in owed.drain(..) {
@@ -208,37 +218,46 @@
                 _ => load(f64::from(draw.below(9)), f64::from(draw.below(5))),
             };
             let settled = !checker.open.contains_key(&job) || outcome == Outcome::Served;
-            pending.push(Event::Outcome { job, round, endpoint, outcome, rtt: now - sent, settled, report });
+            pending.push(Event::AttemptEnded {
+                request: job,
+                attempt: round,
+                endpoint,
+                outcome,
+                rtt: now - sent,
+                settled,
+                report,
+            });
         }
         owed = still;
         if draw.one_in(60) && servers > 0 {
-            let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Gone][draw.below(3) as usize];
+            let readiness =
+                [Readiness::Ready, Readiness::Draining, Readiness::Removed][draw.below(3) as usize];
             let started_at = draw.one_in(2).then_some(now);
             let endpoint = EndpointId(draw.below(servers));
             let old = checker.listed.get(&endpoint).cloned().unwrap_or_else(|| entry(endpoint.0));
-            let kind = if draw.one_in(4) { KindId(draw.below(2) as usize) } else { old.kind };
+            let kind = if draw.one_in(4) { MachineKindId(draw.below(2) as usize) } else { old.kind };
             let changed = ListEntry { readiness, started_at, kind, ..old };
-            pending.push(Event::List(ListUpdate::Changes(vec![changed])));
+            pending.push(Event::ListUpdated(ListUpdate::Changes(vec![changed])));
         }
         if draw.one_in(300) {
-            pending.push(Event::List(ListUpdate::Failed));
+            pending.push(Event::ListUpdated(ListUpdate::Failed));
         }
         if step < 3000 && draw.one_in(2) {
-            let job = JobId(checker.asked);
+            let job = RequestId(checker.asked);
             checker.asked += 1;
             let tenant = (!checker.settings.tenants.is_empty()).then_some(TenantId(0));
             let time_left = scale * (0.05 + f64::from(draw.below(40)) / 20.0);
             let class = ClassId(draw.below(3) as usize);
-            pending.push(Event::Request(Request { job, time_left, class, tenant }));
+            pending.push(Event::RequestReceived(Request { id: job, time_left, class, tenant }));
         }
         if draw.one_in(40)
             && let Some(&job) = checker.open.keys().next()
         {
-            pending.push(Event::Withdrawn { job });
+            pending.push(Event::RequestWithdrawn { request: job });
         }
         for event in std::mem::take(&mut pending) {
             match &event {
-                Event::List(ListUpdate::Saved(entries) | ListUpdate::Changes(entries)) => {
+                Event::ListUpdated(ListUpdate::Saved(entries) | ListUpdate::Changes(entries)) => {
                     for entry in entries {
                         checker.listed.insert(entry.endpoint, entry.clone());
                         checker.starts.remove(&entry.endpoint);
@@ -251,13 +270,13 @@
                         }
                     }
                 }
-                Event::Request(request) => {
+                Event::RequestReceived(request) => {
                     let deadline = now + request.time_left;
                     checker
                         .open
-                        .insert(request.job, Open { class: request.class, deadline, attempts: Vec::new() });
+                        .insert(request.id, Open { class: request.class, deadline, attempts: Vec::new() });
                 }
-                Event::Outcome { job, round, outcome, settled, .. } => {
+                Event::AttemptEnded { request: job, attempt: round, outcome, settled, .. } => {
                     if let Some(request) = checker.open.get_mut(job) {
                         request.attempts[round.0 as usize].2 = Some(*outcome);
                         if *settled {
@@ -266,7 +285,7 @@
                         }
                     }
                 }
-                Event::Withdrawn { job } => {
+                Event::RequestWithdrawn { request: job } => {
                     checker.open.remove(job);
                     checker.done.insert(*job, ());
                 }
@@ -275,7 +294,7 @@
             let mut actions = Vec::new();
             balancer.handle(now, event, &mut actions);
             for action in actions {
-                if let Action::Timer { delay, token } = action {
+                if let Action::SetTimer { delay, token } = action {
                     timers.push((now + delay, token));
                 }
                 if let Action::Probe { endpoint } = action {
@@ -283,13 +302,13 @@
                 }
                 checker.act(now, action, &mut owed);
                 all.push(match action {
-                    Action::Send { job, endpoint, until } => {
-                        Action::Send { job, endpoint, until: until / scale }
+                    Action::Send { request: job, endpoint, deadline: until } => {
+                        Action::Send { request: job, endpoint, deadline: until / scale }
                     }
-                    Action::Refuse { job, not_before } => {
-                        Action::Refuse { job, not_before: not_before / scale }
+                    Action::Reject { request: job, retry_after: not_before } => {
+                        Action::Reject { request: job, retry_after: not_before / scale }
                     }
-                    Action::Timer { delay, token } => Action::Timer { delay: delay / scale, token },
+                    Action::SetTimer { delay, token } => Action::SetTimer { delay: delay / scale, token },
                     action => action,
                 });
             }
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -49,10 +49,13 @@
     let mut host = Host::new(settings(), fleet(4));
     let (first, second) = (host.place(SAFE), host.place(SAFE));
     host.serve(first);
-    let actions = host.tell(Event::Withdrawn { job: second.job });
-    assert!(actions.contains(&Action::Cancel { job: second.job, round: second.round }));
+    let actions = host.tell(Event::RequestWithdrawn { request: second.job });
+    assert!(actions.contains(&Action::Cancel { request: second.job, attempt: second.round }));
     assert!(host.end(second, Outcome::Cancelled, LoadReport::default()).is_empty());
-    assert!(host.tell(Event::Withdrawn { job: first.job }).is_empty(), "an id that is no longer held");
+    assert!(
+        host.tell(Event::RequestWithdrawn { request: first.job }).is_empty(),
+        "an id that is no longer held"
+    );
     assert!(host.pass(5.0).is_empty());
 }
 
@@ -103,7 +106,7 @@
 fn a_keyed_request_stays_with_those_that_discard_its_repeats() {
     for (scope, same) in [(DedupScope::Group, true), (DedupScope::Zone, false)] {
         let mut all = settings();
-        all.classes[KEYED.0].effect = Effect::Keyed { scope, window: 1.0 };
+        all.classes[KEYED.0].repeat_effect = RepeatEffect::Keyed { scope, window: 1.0 };
         let servers = fleet(8)
             .into_iter()
             .map(|entry| ListEntry { zone: ZoneId(entry.endpoint.0 as usize % 2), ..entry });
@@ -129,7 +132,7 @@
 #[test]
 fn a_keyed_request_is_not_repeated_past_its_window() {
     let mut all = settings();
-    all.limits.second_copies = false;
+    all.limits.can_hedge = false;
     for (wait, again) in [(0.9, 1), (1.0, 0)] {
         let mut host = Host::new(all.clone(), fleet(2));
         let sent = host.place(KEYED);
@@ -142,7 +145,7 @@
 
 #[test]
 fn a_draining_or_gone_server_gets_nothing_from_the_moment_it_is_told() {
-    for readiness in [Readiness::Draining, Readiness::Gone] {
+    for readiness in [Readiness::Draining, Readiness::Removed] {
         let mut host = Host::new(settings(), fleet(3));
         host.change(ListEntry { readiness, ..entry(1) });
         for _ in 0..50 {
@@ -150,7 +153,7 @@
             assert_ne!(sent.endpoint, EndpointId(1));
             host.serve(sent);
         }
-        host.tell(Event::List(ListUpdate::Full(vec![entry(2)])));
+        host.tell(Event::ListUpdated(ListUpdate::Full(vec![entry(2)])));
         for _ in 0..20 {
             let sent = host.place(SAFE);
             assert_eq!(sent.endpoint, EndpointId(2), "what a full list leaves out is gone");
@@ -270,7 +273,7 @@
     for seed in 0..400 {
         let mut host = Host::new(settings(), fleet(40));
         host.balancer = Balancer::new(settings(), seed).expect("legal settings");
-        host.tell(Event::List(ListUpdate::Saved(fleet(40))));
+        host.tell(Event::ListUpdated(ListUpdate::Saved(fleet(40))));
         host.change(ListEntry { started_at: Some(host.now), ..entry(0) });
         host.now += 8.0 - before as f64;
         for _ in 0..before {
@@ -281,7 +284,7 @@
         host.now += idle;
         for endpoint in (1..40).map(EndpointId) {
             let (outcome, rtt, report) = (Outcome::TimedOut, 1.0, LoadReport::default());
-            host.tell(Event::Probed { endpoint, outcome, rtt, report });
+            host.tell(Event::ProbeEnded { endpoint, outcome, rtt, report });
         }
         for _ in 0..10 {
             host.now += 0.002;
@@ -307,7 +310,7 @@
 #[test]
 fn looking_again_does_not_win_a_cold_server() {
     let mut all = settings();
-    all.rules.warm_up = 2000.0;
+    all.rules.slow_start = 2000.0;
     let mut host = Host::new(all, vec![ListEntry { started_at: Some(100.0), ..entry(0) }]);
     for _ in 0..100 {
         host.ask(SAFE);
@@ -323,7 +326,7 @@
     bind(&mut all.classes[SAFE.0]);
     let servers = fleet(6).into_iter().map(|entry| {
         let apart = usize::from(entry.endpoint.0 >= 2);
-        ListEntry { kind: KindId(apart), zone: ZoneId(apart), ..entry }
+        ListEntry { kind: MachineKindId(apart), zone: ZoneId(apart), ..entry }
     });
     let mut host = Host::new(all, servers.collect());
     let mut sent = Vec::new();
@@ -344,15 +347,15 @@
     for outcome in
         [Outcome::Served, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Errored, Outcome::TimedOut]
     {
-        let by_kind = bound(outcome, |class| class.runs_on = Some(vec![KindId(0)]));
-        let by_zone = bound(outcome, |class| class.runs_in = Some(vec![ZoneId(0)]));
+        let by_kind = bound(outcome, |class| class.machine_kinds = Some(vec![MachineKindId(0)]));
+        let by_zone = bound(outcome, |class| class.zones = Some(vec![ZoneId(0)]));
         for sent in [by_kind, by_zone] {
             assert!(!sent.is_empty(), "{outcome:?}");
             assert!(sent.iter().all(|endpoint| endpoint.0 < 2), "{outcome:?}: {sent:?}");
         }
         let both = |class: &mut Class| {
-            class.runs_on = Some(vec![KindId(0)]);
-            class.runs_in = Some(vec![ZoneId(1)]);
+            class.machine_kinds = Some(vec![MachineKindId(0)]);
+            class.zones = Some(vec![ZoneId(1)]);
         };
         assert!(bound(outcome, both).is_empty(), "no server is of that kind in that zone");
     }
@@ -361,12 +364,12 @@
 #[test]
 fn a_bound_class_follows_the_list_and_is_refused_while_nobody_may_take_it() {
     let mut all = settings();
-    all.classes[SAFE.0].runs_on = Some(vec![KindId(3)]);
+    all.classes[SAFE.0].machine_kinds = Some(vec![MachineKindId(3)]);
     let mut host = Host::new(all, fleet(3));
     let (job, actions) = host.ask(SAFE);
     assert!(sends(&actions).is_empty());
     assert!(refused(&host.pass(2.1), job));
-    host.change(ListEntry { kind: KindId(3), ..entry(1) });
+    host.change(ListEntry { kind: MachineKindId(3), ..entry(1) });
     assert_eq!(host.place(SAFE).endpoint, EndpointId(1));
     host.change(entry(1));
     let (job, actions) = host.ask(SAFE);
@@ -378,8 +381,8 @@
 fn full_proves_nothing_where_servers_shed_what_they_began() {
     for class in [UNSAFE, KEYED] {
         let mut all = settings();
-        all.rules.shed_after_start = true;
-        all.limits.second_copies = false;
+        all.rules.may_reject_after_start = true;
+        all.limits.can_hedge = false;
         let mut host = Host::new(all, fleet(8));
         let sent = host.place(class);
         let mut actions = host.end(sent, Outcome::Rejected, LoadReport::default());
@@ -404,7 +407,7 @@
             host.ask(UNSAFE);
         }
         let advice = host.actions.iter().filter_map(|action| match action {
-            Action::Refuse { not_before, .. } => Some(*not_before),
+            Action::Reject { retry_after: not_before, .. } => Some(*not_before),
             _ => None,
         });
         let waits: Vec<f64> = advice.collect();
@@ -443,7 +446,7 @@
 #[test]
 fn a_hundred_proxies_send_less_to_a_strained_fleet_within_a_few_jobs() {
     let mut all = settings();
-    all.classes[UNSAFE.0].worth = 8.0;
+    all.classes[UNSAFE.0].value = 8.0;
     let mut hosts: Vec<Host> = (0..100).map(|seed| Host::seeded(all.clone(), fleet(6), seed)).collect();
     // Asks for so many jobs of each class everywhere, answered after `wait`; says what share of each was sent.
     let mut round = |jobs: usize, wait: Seconds, gap: Seconds| {
@@ -483,7 +486,7 @@
             host.now += 0.002;
             for server in 0..6 {
                 let (outcome, rtt, report) = (Outcome::Served, 0.001, load(f64::from(step % 2), 0.0));
-                host.tell(Event::Probed { endpoint: EndpointId(server), outcome, rtt, report });
+                host.tell(Event::ProbeEnded { endpoint: EndpointId(server), outcome, rtt, report });
             }
         }
         host.ask(SAFE);
@@ -501,7 +504,7 @@
 #[test]
 fn a_fleet_that_the_list_makes_smaller_is_spared_before_an_answer_tells() {
     let mut all = settings();
-    all.classes[UNSAFE.0].worth = 8.0;
+    all.classes[UNSAFE.0].value = 8.0;
     let mut hosts: Vec<Host> = (0..100).map(|seed| Host::seeded(all.clone(), fleet(10), seed)).collect();
     // Asks for so many jobs of each class everywhere, all answered after the same time.
     let round = |hosts: &mut [Host], jobs: usize| {
@@ -522,9 +525,9 @@
     let sound = round(&mut hosts, 20);
     assert!(sound[0] > 0.95, "of a sound fleet's jobs {sound:?} are sent");
     let drains = |at: u32| ListEntry { readiness: Readiness::Draining, ..entry(at) };
-    hosts
-        .iter_mut()
-        .for_each(|host| _ = host.tell(Event::List(ListUpdate::Changes((0..5).map(drains).collect()))));
+    hosts.iter_mut().for_each(|host| {
+        _ = host.tell(Event::ListUpdated(ListUpdate::Changes((0..5).map(drains).collect())))
+    });
     let fewer = round(&mut hosts, 2);
     assert!(fewer[0] < 0.8 && fewer[0] < fewer[1], "{fewer:?} are sent on to half of the servers");
     round(&mut hosts, 100);
--- a/crates/known/src/listing.rs
+++ b/crates/known/src/listing.rs
@@ -40,7 +40,7 @@
 
 /// The states by their names.
 const STATES: [(&str, Readiness); 3] =
-    [("SERVING", Readiness::Ready), ("DRAINING", Readiness::Draining), ("DELETED", Readiness::Gone)];
+    [("SERVING", Readiness::Ready), ("DRAINING", Readiness::Draining), ("DELETED", Readiness::Removed)];
 
 /// An object of these members.
 pub(crate) fn object<const N: usize>(members: [(&str, JsonValue); N]) -> JsonValue {
--- a/crates/known/tests/former_formats.rs
+++ b/crates/known/tests/former_formats.rs
@@ -28,7 +28,7 @@
     let machines = vec![
         machine("s-1", 5001, Readiness::Ready),
         machine("s-2", 5002, Readiness::Draining),
-        machine("s-3", 5003, Readiness::Gone),
+        machine("s-3", 5003, Readiness::Removed),
     ];
     let left = Left { id: "s-0".to_owned(), started_ms: 1_799_998_000_000.0, told_ms: 1_799_999_990_000 };
     let figures = BTreeMap::from([("price".to_owned(), -3.5), ("service".to_owned(), 0.25)]);
--- a/crates/known/tests/known.rs
+++ b/crates/known/tests/known.rs
@@ -138,7 +138,7 @@
 }
 
 fn readiness() -> impl Strategy<Value = Readiness> {
-    prop::sample::select(vec![Readiness::Ready, Readiness::Draining, Readiness::Gone])
+    prop::sample::select(vec![Readiness::Ready, Readiness::Draining, Readiness::Removed])
 }
 
 fn any_list() -> impl Strategy<Value = Listing> {
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -55,7 +55,7 @@
         let mut named = settings::read(&top.get("settings")?)?;
         // Danger: told of more, the module takes connections for open that are not. Whatever the platform states, the
         // protocol carries one request at a time on each.
-        named.settings.limits.streams = 1;
+        named.settings.limits.streams_per_connection = 1;
         named.settings.check().map_err(|error| error.to_string())?;
         let sockets = limits.get("sockets")?;
         if sockets.whole()? < 64 {
@@ -118,6 +118,9 @@
             "connect_timeout_s":0.15},"membership_mode":"push","tick_s":0.001,"reporting":{"how":"piggyback"},
             "weights":"silent","zone":"z","zones":["z"],"rules":{"ask_within_s":10,"cold_from":0.3,
             "fall_multiple":3,"fall_s":1.5,"warm_up_s":8}}}"#;
-        assert_eq!(Config::read(text).expect("a configuration").named.settings.limits.streams, 1);
+        assert_eq!(
+            Config::read(text).expect("a configuration").named.settings.limits.streams_per_connection,
+            1
+        );
     }
 }
--- a/crates/proxy/src/execute_node.rs
+++ b/crates/proxy/src/execute_node.rs
@@ -40,7 +40,7 @@
     let (home, mailbox) = unbounded_channel();
     let connect_timeout = Cell::new(duration(limits.connect_timeout));
     let shared = Shared { told: Cell::new(told), connect_timeout, budget };
-    let keep = duration(limits.keepalive * IDLE_SHARE);
+    let keep = duration(limits.idle_timeout * IDLE_SHARE);
     let node =
         Node { shared: Rc::new(shared), home: home.clone(), idle: Vec::new(), out: HashMap::new(), keep };
     spawn_local(node.run(mailbox));
@@ -64,7 +64,7 @@
     home: UnboundedSender<NodeMail>,
     /// The one used last stands last and is used first.
     idle: Vec<Idle>,
-    out: HashMap<(JobId, Round), oneshot::Sender<()>>,
+    out: HashMap<(RequestId, AttemptNumber), oneshot::Sender<()>>,
     keep: Duration,
 }
 
@@ -100,7 +100,7 @@
             }
             NodeMail::End => {}
             NodeMail::Gone => {
-                self.read(NodeMail::Told(Told { readiness: Readiness::Gone, ..self.shared.told.get() }))
+                self.read(NodeMail::Told(Told { readiness: Readiness::Removed, ..self.shared.told.get() }))
             }
             NodeMail::Attempt(ticket, call, until) => {
                 let (cancel, cancelled) = oneshot::channel();
--- a/crates/proxy/src/flow.rs
+++ b/crates/proxy/src/flow.rs
@@ -18,7 +18,7 @@
 
 use crate::http::Link;
 use crate::messages::Mail;
-use mosshead_decide::interface::JobId;
+use mosshead_decide::interface::RequestId;
 use mosshead_http_links::{BODY_LIMIT, BodyFault, Written};
 
 /// The most that a body holds that flows.
@@ -100,7 +100,7 @@
     /// When its last byte had come, and when any was last passed on.
     whole: Cell<Option<Instant>>,
     moved: Cell<Instant>,
-    home: RefCell<Option<(UnboundedSender<Mail>, JobId)>>,
+    home: RefCell<Option<(UnboundedSender<Mail>, RequestId)>>,
 }
 
 impl std::fmt::Debug for Upload {
@@ -118,7 +118,7 @@
     }
 
     /// Whom to tell of its last byte.
-    pub(crate) fn belongs_to(&self, home: UnboundedSender<Mail>, job: JobId) {
+    pub(crate) fn belongs_to(&self, home: UnboundedSender<Mail>, job: RequestId) {
         self.home.replace(Some((home, job)));
     }
 
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -13,7 +13,7 @@
         let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
         match name.trim() {
             "inflight" => report.in_flight = value,
-            "queue" => report.queue = value,
+            "queue" => report.queued = value,
             _ => {}
         }
     }
@@ -27,6 +27,6 @@
     #[test]
     fn a_load_report_is_read_as_far_as_it_makes_sense() {
         let report = load_report("qps=3, inflight=7,queue=-2,util,queue=nan");
-        assert_eq!(report, LoadReport { in_flight: Some(7.0), queue: None });
+        assert_eq!(report, LoadReport { in_flight: Some(7.0), queued: None });
     }
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -71,8 +71,8 @@
 
 /// What comes into the module's mailbox.
 pub(crate) enum Mail {
-    Job(JobId, Job, oneshot::Sender<Answer>),
-    Withdrawn(JobId),
+    Job(RequestId, Job, oneshot::Sender<Answer>),
+    Withdrawn(RequestId),
     Ended(Ended),
     Probed {
         endpoint: EndpointId,
@@ -84,15 +84,15 @@
     /// What is known of the list, for a successor.
     Known(oneshot::Sender<Listing>),
     /// The last byte of a job's body has come.
-    Whole(JobId),
+    Whole(RequestId),
     /// Other settings, and whom to tell what submitters may name from now on.
     Retune(Box<Named>, oneshot::Sender<Result<Terms, String>>),
 }
 
 /// The outcome of one attempt.
 pub(crate) struct Ended {
-    pub(crate) job: JobId,
-    pub(crate) round: Round,
+    pub(crate) job: RequestId,
+    pub(crate) round: AttemptNumber,
     pub(crate) endpoint: EndpointId,
     pub(crate) outcome: Outcome,
     pub(crate) rtt: Seconds,
@@ -110,13 +110,13 @@
     End,
     Attempt(Ticket, Rc<Call>, Instant),
     Probe(ProbeTicket),
-    Cancel(JobId, Round),
+    Cancel(RequestId, AttemptNumber),
     /// Close the idle connections.
     Close,
     /// Other limits are in force.
     Retuned(Seconds, Seconds),
     /// An attempt or probe is over; its connection may be of further use.
-    Over(Option<(JobId, Round)>, Option<Link>, SocketAddr),
+    Over(Option<(RequestId, AttemptNumber)>, Option<Link>, SocketAddr),
 }
 
 /// What the machine list says of an execute node.
@@ -129,8 +129,8 @@
 
 /// One attempt, which owes exactly one outcome: dropped without one, it was reset and may have run.
 pub(crate) struct Ticket {
-    pub(crate) job: JobId,
-    pub(crate) round: Round,
+    pub(crate) job: RequestId,
+    pub(crate) round: AttemptNumber,
     endpoint: EndpointId,
     began: Instant,
     done: Option<Instant>,
@@ -138,7 +138,12 @@
 }
 
 impl Ticket {
-    pub(crate) fn new(job: JobId, round: Round, endpoint: EndpointId, home: UnboundedSender<Mail>) -> Self {
+    pub(crate) fn new(
+        job: RequestId,
+        round: AttemptNumber,
+        endpoint: EndpointId,
+        home: UnboundedSender<Mail>,
+    ) -> Self {
         Self { job, round, endpoint, began: Instant::now(), done: None, home: Some(home) }
     }
 
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -30,7 +30,7 @@
 use crate::tuning::{Change, Terms, Tuning};
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
-use mosshead_decide::{Names, Stage, Wants};
+use mosshead_decide::{NameTable, Stage, Wants};
 use mosshead_known::listing::{Listing, Machine};
 use mosshead_settings::Named;
 
@@ -105,7 +105,7 @@
             if !entries.is_empty() {
                 actor.module.control.set_ready();
             }
-            actor.tell(Event::List(ListUpdate::Saved(entries)));
+            actor.tell(Event::ListUpdated(ListUpdate::Saved(entries)));
             actor.recall();
             actor.follow();
             actor.run(mail).await;
@@ -115,7 +115,7 @@
 
     /// Takes a job on; the final answer comes of the returned future. Dropping that withdraws the job.
     pub(crate) fn take(&self, job: Job) -> Waiting {
-        let id = JobId(self.jobs.get());
+        let id = RequestId(self.jobs.get());
         self.jobs.set(id.0 + 1);
         let (owed, answer) = oneshot::channel();
         self.send(Mail::Job(id, job, owed));
@@ -149,7 +149,7 @@
 
 /// A submitter that waits for the answer to its job.
 pub(crate) struct Waiting {
-    job: JobId,
+    job: RequestId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
     module: Module,
@@ -204,8 +204,8 @@
 enum Due {
     Agent,
     Keep,
-    Timer(Token),
-    Deadline(JobId),
+    Timer(TimerToken),
+    Deadline(RequestId),
 }
 
 struct Actor {
@@ -220,13 +220,13 @@
     /// The number of each execute node, by its id, and the numbers that are free again.
     numbers: HashMap<String, usize>,
     free: Vec<usize>,
-    zones: Names,
-    kinds: Names,
+    zones: NameTable,
+    kinds: NameTable,
     nodes: Vec<Node>,
     tuning: Tuning,
     /// The list's.
     version: u64,
-    jobs: BTreeMap<JobId, Held>,
+    jobs: BTreeMap<RequestId, Held>,
     ids: Ids,
     due: BinaryHeap<Reverse<(Instant, u64, Due)>>,
     order: u64,
@@ -289,7 +289,7 @@
                     self.keep();
                     self.schedule(self.now() + KEEP, Due::Keep);
                 }
-                Due::Timer(token) => self.tell(Event::Timer(token)),
+                Due::Timer(token) => self.tell(Event::TimerFired(token)),
                 Due::Deadline(job) => self.overdue(job),
             }
         }
@@ -305,7 +305,7 @@
             Some(stood) if now < stood.went_on + AWAKE => stood.long = late.max(stood.long),
             _ => {
                 self.stood = Some(Stood { long: late, went_on: now, asked: false });
-                self.balancer.stood_still();
+                self.balancer.on_process_suspended();
                 say!(stood_s = format!("{:.3}", late.as_secs_f64()), "went on");
             }
         }
@@ -333,10 +333,10 @@
     }
 
     /// The submitter stops waiting now. The module answers before that; should it not, this does.
-    fn overdue(&mut self, job: JobId) {
+    fn overdue(&mut self, job: RequestId) {
         if self.jobs.get(&job).is_some_and(|held| held.owed.is_some()) {
             self.answer(job, Answer::Failed);
-            self.tell(Event::Withdrawn { job });
+            self.tell(Event::RequestWithdrawn { request: job });
         }
     }
 
@@ -349,13 +349,13 @@
                     && held.owed.take().is_some()
                 {
                     self.forget(job);
-                    self.tell(Event::Withdrawn { job });
+                    self.tell(Event::RequestWithdrawn { request: job });
                 }
             }
             Mail::Ended(ended) => self.ended(ended),
             Mail::Probed { endpoint, outcome, rtt, report } => {
                 self.landed(endpoint);
-                self.tell(Event::Probed { endpoint, outcome, rtt, report });
+                self.tell(Event::ProbeEnded { endpoint, outcome, rtt, report });
             }
             Mail::Whole(job) => self.whole(job),
             Mail::Retune(named, owed) => drop(owed.send(self.retune(*named))),
@@ -368,7 +368,7 @@
                 if self.ask_at_once() {
                     return self.list.watch();
                 }
-                self.tell(Event::List(ListUpdate::Failed));
+                self.tell(Event::ListUpdated(ListUpdate::Failed));
                 self.schedule(self.now() + AGENT_AGAIN, Due::Agent);
             }
             Mail::List(Some(Listing { version, full, machines })) => {
@@ -381,7 +381,7 @@
                     stored.told(&before, listed.map(|node| &node.machine));
                 }
                 self.module.control.set_ready();
-                self.tell(Event::List(if full {
+                self.tell(Event::ListUpdated(if full {
                     ListUpdate::Full(entries)
                 } else {
                     ListUpdate::Changes(entries)
@@ -415,7 +415,7 @@
     /// Leaves what is known to the next life, where there is a folder for it.
     fn keep(&self) {
         if let Some(stored) = &self.stored {
-            let learnt = self.tables().named(self.balancer.learnt(self.now()));
+            let learnt = self.tables().named(self.balancer.learned_values(self.now()));
             stored.keep(self.known(), learnt);
         }
     }
@@ -426,14 +426,14 @@
         self.module.control.set_life(stored.life());
         if let Some((learnt, age)) = stored.recall() {
             let figures = self.tables().numbered(&learnt);
-            self.balancer.recall(self.now(), &figures, age);
+            self.balancer.restore_learned(self.now(), &figures, age);
         }
         self.schedule(self.now() + KEEP, Due::Keep);
     }
 
     /// Says how far this life has come, if that is news.
     fn look(&mut self, now: Seconds) {
-        let way = self.balancer.way_back(now);
+        let way = self.balancer.recovery_stage(now);
         if way == std::mem::replace(&mut self.way, way) {
             return;
         }
@@ -452,12 +452,12 @@
         let Change { settings, terms, open, heirs } = change;
         let (limits, membership) = (settings.limits.clone(), settings.membership);
         let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        self.balancer.retune(settings, &open, &heirs).map_err(|fault| fault.to_string())?;
+        self.balancer.apply_settings(settings, &open, &heirs).map_err(|fault| fault.to_string())?;
         // Nothing can fail from here on.
         self.tuning = tuning;
         self.ids.keep(duration(longest));
         for node in &self.nodes {
-            let _ = node.mailbox.send(NodeMail::Retuned(limits.connect_timeout, limits.keepalive));
+            let _ = node.mailbox.send(NodeMail::Retuned(limits.connect_timeout, limits.idle_timeout));
         }
         (self.limits, self.membership) = (limits, membership);
         self.follow();
@@ -465,17 +465,17 @@
     }
 
     /// The last byte of a job's body has come: its time counts from now on.
-    fn whole(&mut self, id: JobId) {
+    fn whole(&mut self, id: RequestId) {
         let now = self.now();
         let Some(held) = self.jobs.get_mut(&id) else { return };
         held.deadline = now + held.time_left;
         let (deadline, time_left) = (held.deadline, held.time_left);
         self.schedule(deadline, Due::Deadline(id));
-        self.tell(Event::Whole { job: id, time_left });
+        self.tell(Event::BodyReceived { request: id, time_left });
     }
 
-    fn job(&mut self, id: JobId, job: Job, owed: oneshot::Sender<Answer>) {
-        if self.jobs.len() >= self.limits.most_held {
+    fn job(&mut self, id: RequestId, job: Job, owed: oneshot::Sender<Answer>) {
+        if self.jobs.len() >= self.limits.max_pending_requests {
             // Nothing was sent, so a retry does no harm.
             let _ = owed.send(Answer::Requeue(FULL_WAIT.min(self.limits.max_retry_after)));
             return;
@@ -497,15 +497,15 @@
         let upload = call.body.upload().cloned();
         let (owed, sent, class, most) = (Some(owed), Vec::new(), job.class, self.limits.max_attempts);
         self.jobs.insert(id, Held { id: job.id, class, most, call, owed, deadline, time_left, sent, out: 0 });
-        let request = Request { job: id, time_left, class: job.class, tenant: job.tenant };
+        let request = Request { id: id, time_left, class: job.class, tenant: job.tenant };
         match upload {
             Some(upload) => {
                 upload.belongs_to(self.module.mailbox.clone(), id);
-                self.tell(Event::Coming(request));
+                self.tell(Event::HeadReceived(request));
             }
             None => {
                 self.schedule(deadline, Due::Deadline(id));
-                self.tell(Event::Request(request));
+                self.tell(Event::RequestReceived(request));
             }
         }
     }
@@ -521,11 +521,19 @@
         let settled = self.jobs.get(&job).is_none_or(|held| held.owed.is_none());
         self.forget(job);
         self.landed(endpoint);
-        self.tell(Event::Outcome { job, round, endpoint, outcome, rtt, settled, report });
+        self.tell(Event::AttemptEnded {
+            request: job,
+            attempt: round,
+            endpoint,
+            outcome,
+            rtt,
+            settled,
+            report,
+        });
     }
 
     /// Gives the answer, unless there was one: the first is final.
-    fn answer(&mut self, job: JobId, answer: Answer) {
+    fn answer(&mut self, job: RequestId, answer: Answer) {
         if let Some(owed) = self.jobs.get_mut(&job).and_then(|held| held.owed.take()) {
             // A submitter that has just left is told nothing.
             let _ = owed.send(answer);
@@ -534,7 +542,7 @@
     }
 
     /// Lets go of a job that is over in every respect.
-    fn forget(&mut self, job: JobId) {
+    fn forget(&mut self, job: RequestId) {
         let over = |held: &Held| held.owed.is_none() && held.out == 0;
         if self.jobs.get(&job).is_some_and(over)
             && let Some(Held { id, sent, .. }) = self.jobs.remove(&job)
@@ -557,10 +565,12 @@
 
     fn act(&mut self, now: Seconds, action: Action) {
         match action {
-            Action::Send { job, endpoint, until } => self.send(now, job, endpoint, until),
-            Action::Refuse { job, not_before } => self.answer(job, Answer::Requeue(not_before)),
-            Action::Fail { job } => self.answer(job, Answer::Failed),
-            Action::Cancel { job, round } => {
+            Action::Send { request: job, endpoint, deadline: until } => self.send(now, job, endpoint, until),
+            Action::Reject { request: job, retry_after: not_before } => {
+                self.answer(job, Answer::Requeue(not_before))
+            }
+            Action::Fail { request: job } => self.answer(job, Answer::Failed),
+            Action::Cancel { request: job, attempt: round } => {
                 let sent = self.jobs.get(&job).and_then(|held| held.sent.get(round.0 as usize).copied());
                 if let Some(endpoint) = sent {
                     self.post(endpoint, NodeMail::Cancel(job, round));
@@ -571,9 +581,9 @@
                 let ticket = ProbeTicket::new(endpoint, self.module.mailbox.clone());
                 self.post(endpoint, NodeMail::Probe(ticket));
             }
-            Action::Close { endpoint } => self.post(endpoint, NodeMail::Close),
-            Action::Watch => self.list.watch(),
-            Action::Timer { delay, token } => self.schedule(now + delay, Due::Timer(token)),
+            Action::CloseIdleConnections { endpoint } => self.post(endpoint, NodeMail::Close),
+            Action::WatchList => self.list.watch(),
+            Action::SetTimer { delay, token } => self.schedule(now + delay, Due::Timer(token)),
         }
     }
 
@@ -604,16 +614,24 @@
         }
     }
 
-    fn send(&mut self, now: Seconds, job: JobId, endpoint: EndpointId, until: Seconds) {
+    fn send(&mut self, now: Seconds, job: RequestId, endpoint: EndpointId, until: Seconds) {
         let held = self.jobs.get_mut(&job).filter(|held| held.owed.is_some());
         let Some(held) = held.filter(|held| held.sent.len() < held.most as usize) else {
-            let (round, report) = (Round(u32::MAX), LoadReport::default());
+            let (round, report) = (AttemptNumber(u32::MAX), LoadReport::default());
             say!(job = job.0, "fault: the module sent a job that is over");
             let outcome = Outcome::NotSent;
-            let over = Event::Outcome { job, round, endpoint, outcome, rtt: 0.0, settled: true, report };
+            let over = Event::AttemptEnded {
+                request: job,
+                attempt: round,
+                endpoint,
+                outcome,
+                rtt: 0.0,
+                settled: true,
+                report,
+            };
             return self.events.push_back(over);
         };
-        let round = Round(held.sent.len() as u32);
+        let round = AttemptNumber(held.sent.len() as u32);
         held.sent.push(endpoint);
         held.out += 1;
         self.nodes[endpoint.0 as usize].out += 1;
@@ -637,7 +655,7 @@
         }
         let mut entries = Vec::with_capacity(machines.len());
         for machine in machines {
-            let listed = machine.readiness != Readiness::Gone;
+            let listed = machine.readiness != Readiness::Removed;
             let told =
                 Told { addr: machine.addr, readiness: machine.readiness, started_ms: machine.started_ms };
             let at = match self.numbers.get(&machine.id).copied() {
@@ -659,7 +677,7 @@
                 endpoint,
                 readiness: machine.readiness,
                 zone: ZoneId(self.zones.intern(&machine.zone)),
-                kind: KindId(self.kinds.intern(&machine.kind)),
+                kind: MachineKindId(self.kinds.intern(&machine.kind)),
                 group: GroupId(machine.cell),
                 weight: machine.weight,
                 started_at: self.nodes[at].started_at,
@@ -712,7 +730,7 @@
         "fall_multiple":3,"fall_s":3,"warm_up_s":8}}"#;
 
     fn ticket(mailbox: &UnboundedSender<Mail>) -> Ticket {
-        Ticket::new(JobId(1), Round(0), EndpointId(0), mailbox.clone())
+        Ticket::new(RequestId(1), AttemptNumber(0), EndpointId(0), mailbox.clone())
     }
 
     /// Guards drains and cold starts: what the list says after the choice, while a connection comes up,
--- a/crates/proxy/src/stored.rs
+++ b/crates/proxy/src/stored.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use mosshead_decide::interface::*;
-use mosshead_decide::{Figure, Names, Of};
+use mosshead_decide::{LearnedValue, NameTable, Subject};
 use mosshead_known::believe::Believed;
 use mosshead_known::listing::{Listing, Machine};
 use mosshead_known::snapshot::{Figures, LEFT_MOST, Left, Snapshot};
@@ -81,8 +81,8 @@
 
 /// The tables of names that numbers come from.
 pub(crate) struct Tables<'a> {
-    pub(crate) zones: &'a Names,
-    pub(crate) kinds: &'a Names,
+    pub(crate) zones: &'a NameTable,
+    pub(crate) kinds: &'a NameTable,
     /// The name of each class, by its number.
     pub(crate) classes: Vec<&'a str>,
     /// The id of each node that is listed, by its number.
@@ -90,37 +90,37 @@
 }
 
 impl Tables<'_> {
-    fn name(&self, of: Of) -> Option<String> {
+    fn name(&self, of: Subject) -> Option<String> {
         Some(match of {
-            Of::All => "all".to_owned(),
-            Of::Class(ClassId(at)) => format!("class/{}", self.classes.get(at)?),
-            Of::Kind(KindId(at)) => format!("kind/{}", self.kinds.find(at)?),
-            Of::Zone(ZoneId(at), bound) => {
-                format!("{}/{}", if bound { "bound" } else { "zone" }, self.zones.find(at)?)
+            Subject::Fleet => "all".to_owned(),
+            Subject::Class(ClassId(at)) => format!("class/{}", self.classes.get(at)?),
+            Subject::MachineKind(MachineKindId(at)) => format!("kind/{}", self.kinds.find_name(at)?),
+            Subject::Zone(ZoneId(at), bound) => {
+                format!("{}/{}", if bound { "bound" } else { "zone" }, self.zones.find_name(at)?)
             }
-            Of::Node(EndpointId(at)) => format!("node/{}", self.nodes.get(&at)?),
+            Subject::Endpoint(EndpointId(at)) => format!("node/{}", self.nodes.get(&at)?),
         })
     }
 
-    fn number(&self, name: &str) -> Option<Of> {
+    fn number(&self, name: &str) -> Option<Subject> {
         if name == "all" {
-            return Some(Of::All);
+            return Some(Subject::Fleet);
         }
         let (what, name) = name.split_once('/')?;
         Some(match what {
             // Of classes that were defined anew the latest is the one in force.
-            "class" => Of::Class(ClassId(self.classes.iter().rposition(|class| *class == name)?)),
-            "kind" => Of::Kind(KindId(self.kinds.number(name)?)),
-            "zone" | "bound" => Of::Zone(ZoneId(self.zones.number(name)?), what == "bound"),
-            "node" => Of::Node(EndpointId(*self.nodes.iter().find(|(_, id)| **id == name)?.0)),
+            "class" => Subject::Class(ClassId(self.classes.iter().rposition(|class| *class == name)?)),
+            "kind" => Subject::MachineKind(MachineKindId(self.kinds.find_number(name)?)),
+            "zone" | "bound" => Subject::Zone(ZoneId(self.zones.find_number(name)?), what == "bound"),
+            "node" => Subject::Endpoint(EndpointId(*self.nodes.iter().find(|(_, id)| **id == name)?.0)),
             _ => return None,
         })
     }
 
     /// Names in place of numbers.
-    pub(crate) fn named(&self, figures: Vec<Figure>) -> BTreeMap<String, Figures> {
+    pub(crate) fn named(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, Figures> {
         let mut all = BTreeMap::<String, Figures>::new();
-        for Figure { of, name, value } in figures {
+        for LearnedValue { subject: of, name, value } in figures {
             if let Some(of) = self.name(of) {
                 all.entry(of).or_default().insert(name, value);
             }
@@ -129,10 +129,14 @@
     }
 
     /// Numbers in place of names; what has no number here is left out.
-    pub(crate) fn numbered(&self, named: &BTreeMap<String, Figures>) -> Vec<Figure> {
+    pub(crate) fn numbered(&self, named: &BTreeMap<String, Figures>) -> Vec<LearnedValue> {
         let known = named.iter().filter_map(|(name, figures)| Some((self.number(name)?, figures)));
         let figures = known.flat_map(|(of, figures)| {
-            figures.iter().map(move |(name, value)| Figure { of, name: name.clone(), value: *value })
+            figures.iter().map(move |(name, value)| LearnedValue {
+                subject: of,
+                name: name.clone(),
+                value: *value,
+            })
         });
         figures.collect()
     }
@@ -147,26 +151,35 @@
     fn figures_find_their_owner_by_name() {
         let tables = |classes: [&'static str; 2], nodes: [&'static str; 2]| {
             let nodes = nodes.into_iter().enumerate().map(|(at, id)| (at as u32, id)).collect();
-            (Names::of(["a", "b"]), Names::of(["k"]), classes.to_vec(), nodes)
+            (NameTable::from_names(["a", "b"]), NameTable::from_names(["k"]), classes.to_vec(), nodes)
         };
-        let figure = |of, value| Figure { of, name: "x".to_owned(), value };
+        let figure = |of, value| LearnedValue { subject: of, name: "x".to_owned(), value };
         let (zones, kinds, classes, nodes) = tables(["book-lesson", "slot-lookup"], ["s-1", "s-2"]);
         let before = Tables { zones: &zones, kinds: &kinds, classes, nodes };
         let all = vec![
-            figure(Of::All, 1.0),
-            figure(Of::Class(ClassId(0)), 2.0),
-            figure(Of::Kind(KindId(0)), 3.0),
-            figure(Of::Zone(ZoneId(1), true), 4.0),
-            figure(Of::Node(EndpointId(1)), 5.0),
+            figure(Subject::Fleet, 1.0),
+            figure(Subject::Class(ClassId(0)), 2.0),
+            figure(Subject::MachineKind(MachineKindId(0)), 3.0),
+            figure(Subject::Zone(ZoneId(1), true), 4.0),
+            figure(Subject::Endpoint(EndpointId(1)), 5.0),
         ];
         let named = before.named(all);
         let (zones, kinds, classes, nodes) = tables(["slot-lookup", "book-lesson"], ["s-2", "s-9"]);
         let after = Tables { zones: &zones, kinds: &kinds, classes, nodes };
         let mut numbered = after.numbered(&named);
         numbered.sort_by(|one, other| one.value.total_cmp(&other.value));
-        let of: Vec<Of> = numbered.iter().map(|figure| figure.of).collect();
-        let (class, node) = (Of::Class(ClassId(1)), Of::Node(EndpointId(0)));
-        assert_eq!(of, [Of::All, class, Of::Kind(KindId(0)), Of::Zone(ZoneId(1), true), node]);
+        let of: Vec<Subject> = numbered.iter().map(|figure| figure.subject).collect();
+        let (class, node) = (Subject::Class(ClassId(1)), Subject::Endpoint(EndpointId(0)));
+        assert_eq!(
+            of,
+            [
+                Subject::Fleet,
+                class,
+                Subject::MachineKind(MachineKindId(0)),
+                Subject::Zone(ZoneId(1), true),
+                node
+            ]
+        );
     }
 
     /// Guards drains over lives: what leaves the list or drains is remembered, what serves again is not.
--- a/crates/proxy/src/submitter.rs
+++ b/crates/proxy/src/submitter.rs
@@ -36,7 +36,7 @@
 use crate::messages::{Answer, Call, Job, Payload};
 use crate::module::Module;
 use crate::tuning::{Term, Terms};
-use mosshead_decide::interface::{ClassId, Effect, TenantId};
+use mosshead_decide::interface::{ClassId, RepeatEffect, TenantId};
 use mosshead_http_links::{BodyFault, IDEMPOTENCY_KEY, Line, Reason, Record};
 
 /// New connections keep coming for so long after a stop is asked for.
@@ -497,11 +497,11 @@
         let key = read_key(head)?;
         // A key on a class that knows none passes on like any other: what is unchanged is as the submitter sent it.
         let fits = |term: &&Term| match term.effect {
-            Effect::Safe => head.method == Method::GET && !body,
-            Effect::Keyed { .. } => head.method == Method::POST && key.is_some(),
-            Effect::Unsafe => head.method == Method::POST,
+            RepeatEffect::Safe => head.method == Method::GET && !body,
+            RepeatEffect::Keyed { .. } => head.method == Method::POST && key.is_some(),
+            RepeatEffect::Unsafe => head.method == Method::POST,
         };
-        let keyed = |term: &Term| matches!(term.effect, Effect::Keyed { .. });
+        let keyed = |term: &Term| matches!(term.effect, RepeatEffect::Keyed { .. });
         let keyless = head.method == Method::POST && key.is_none();
         let other = || match keyless && terms.class(class, now).any(keyed) {
             true => bad("Idempotency-Key is missing"),
--- a/crates/proxy/src/tuning.rs
+++ b/crates/proxy/src/tuning.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use mosshead_decide::Names;
+use mosshead_decide::NameTable;
 use mosshead_decide::interface::*;
 use mosshead_settings::Named;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Term {
     pub(crate) class: ClassId,
-    pub(crate) effect: Effect,
+    pub(crate) effect: RepeatEffect,
     until: Option<Instant>,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct Terms {
     classes: HashMap<String, Vec<Term>>,
-    tenants: Names,
+    tenants: NameTable,
 }
 
 impl Terms {
@@ -39,7 +39,7 @@
     }
 
     pub(crate) fn tenant(&self, name: &str) -> Option<TenantId> {
-        self.tenants.number(name).map(TenantId)
+        self.tenants.find_number(name).map(TenantId)
     }
 }
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Tuning {
     places: Vec<Place>,
-    tenants: Names,
+    tenants: NameTable,
     shares: Vec<Tenant>,
 }
 
@@ -152,7 +152,7 @@
         let mut classes: HashMap<String, Vec<Term>> = HashMap::new();
         for (at, place) in self.places.iter().enumerate() {
             let until = place.idle.map(|since| since + GRACE);
-            let term = Term { class: ClassId(at), effect: place.class.effect, until };
+            let term = Term { class: ClassId(at), effect: place.class.repeat_effect, until };
             let terms = classes.entry(place.name.clone()).or_default();
             match until {
                 None => terms.insert(0, term),
@@ -197,7 +197,7 @@
         assert_eq!(now_named(&terms, "a", now), [0]);
         let other = named(&[("a", "single_shot", 1.0), ("c", "free", 1.0)]);
         let change = tuning.change(&other, |_| true, now).expect("a change");
-        assert_eq!(change.settings.classes[0].effect, Effect::Safe);
+        assert_eq!(change.settings.classes[0].repeat_effect, RepeatEffect::Safe);
         assert_eq!(
             (change.open.as_slice(), change.heirs.as_slice()),
             ([ClassId(2), ClassId(3)].as_slice(), [(ClassId(0), ClassId(2))].as_slice())
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 
 use tinyjson::JsonValue;
 
-use mosshead_decide::Names;
+use mosshead_decide::NameTable;
 use mosshead_decide::interface::*;
 
 /// Longer than any wait that matters, where no limit is stated.
@@ -20,25 +20,25 @@
     /// The settings.
     pub settings: Settings,
     /// Zones, by [`ZoneId`].
-    pub zones: Names,
-    /// Kinds of machine, by [`KindId`].
-    pub kinds: Names,
+    pub zones: NameTable,
+    /// Kinds of machine, by [`MachineKindId`].
+    pub kinds: NameTable,
     /// Request classes, by [`ClassId`].
-    pub classes: Names,
+    pub classes: NameTable,
     /// Tenants, by [`TenantId`].
-    pub tenants: Names,
+    pub tenants: NameTable,
 }
 
 impl Named {
     /// The same settings with zones and kinds numbered in these tables, where other numbers are known already.
-    pub fn onto(mut self, zones: &mut Names, kinds: &mut Names) -> Self {
+    pub fn onto(mut self, zones: &mut NameTable, kinds: &mut NameTable) -> Self {
         let mut zone = |ZoneId(at): ZoneId| ZoneId(zones.intern(self.zones.name(at)));
-        let mut kind = |KindId(at): KindId| KindId(kinds.intern(self.kinds.name(at)));
+        let mut kind = |MachineKindId(at): MachineKindId| MachineKindId(kinds.intern(self.kinds.name(at)));
         let settings = &mut self.settings;
         settings.zone = zone(settings.zone);
         for class in &mut settings.classes {
-            class.runs_in.iter_mut().flatten().for_each(|at| *at = zone(*at));
-            class.runs_on.iter_mut().flatten().for_each(|at| *at = kind(*at));
+            class.zones.iter_mut().flatten().for_each(|at| *at = zone(*at));
+            class.machine_kinds.iter_mut().flatten().for_each(|at| *at = kind(*at));
         }
         (self.zones, self.kinds) = (zones.clone(), kinds.clone());
         self
@@ -175,12 +175,12 @@
 
 /// Reads the settings object.
 pub fn read(info: &Found) -> Result<Named, String> {
-    let names = |list: Vec<Found>, member: Option<&str>| -> Result<Names, String> {
+    let names = |list: Vec<Found>, member: Option<&str>| -> Result<NameTable, String> {
         let named = list.iter().map(|item| match member {
             Some(member) => item.get(member)?.text(),
             None => item.text(),
         });
-        Ok(Names::of(named.collect::<Result<Vec<_>, _>>()?))
+        Ok(NameTable::from_names(named.collect::<Result<Vec<_>, _>>()?))
     };
     let mut zones = names(info.get("zones")?.items()?, None)?;
     let mut kinds = names(info.list("machine_types")?, None)?;
@@ -192,19 +192,19 @@
     let price = |name| info.find("prices")?.map_or(Ok(0.0), |prices| prices.number_or(name, 0.0));
     let settings = Settings {
         zone,
-        fleet: info.number_or("group_size", 1.0)?,
+        proxy_count: info.number_or("group_size", 1.0)?,
         machine_kinds,
         classes: (info.get("classes")?.items()?.iter())
             .map(|class| read_class(class, &mut zones, &mut kinds))
             .collect::<Result<_, _>>()?,
         tenants: info.list("tenants")?.iter().map(tenant).collect::<Result<_, String>>()?,
-        over_share_worth: info.number_or("over_share_worth", 0.0)?,
-        cross_zone_price: price("cross_zone")?,
-        probe_price: price("probe")?,
-        connection_price: price("handshake")?,
-        tick: info.get("tick_s")?.number()?,
+        over_share_value: info.number_or("over_share_worth", 0.0)?,
+        cross_zone_cost: price("cross_zone")?,
+        probe_cost: price("probe")?,
+        connection_cost: price("handshake")?,
+        timer_resolution: info.get("tick_s")?.number()?,
         reporting: info.get("reporting")?.get("how")?.one_of(&[
-            ("piggyback", Reporting::Answers),
+            ("piggyback", Reporting::Responses),
             ("pull", Reporting::Probes),
             ("silent", Reporting::None),
         ])?,
@@ -215,15 +215,15 @@
             ("silent", Weights::Unused),
         ])?,
         membership: (info.get("membership_mode")?)
-            .one_of(&[("push", Membership::Push), ("ask", Membership::Ask)])?,
+            .one_of(&[("push", Membership::Push), ("ask", Membership::Pull)])?,
         limits: read_limits(&info.get("limits")?)?,
         rules: read_rules(&info.get("rules")?)?,
-        goal: info.find("goal")?.map_or(Ok(Goal::default()), |goal| read_goal(&goal))?,
+        objective: info.find("goal")?.map_or(Ok(ServiceObjective::default()), |goal| read_goal(&goal))?,
     };
     Ok(Named { settings, zones, kinds, classes, tenants })
 }
 
-fn read_class(class: &Found, zones: &mut Names, kinds: &mut Names) -> Result<Class, String> {
+fn read_class(class: &Found, zones: &mut NameTable, kinds: &mut NameTable) -> Result<Class, String> {
     // A kind or zone that nobody has heard of yet may turn up in a list later.
     fn bound<T>(class: &Found, name: &str, id: impl Fn(&str) -> T) -> Result<Option<Vec<T>>, String> {
         let Some(list) = class.find(name)? else { return Ok(None) };
@@ -238,17 +238,17 @@
     let window = class.number_or("dedup_window_s", 0.0)?;
     let (zones, kinds) = (std::cell::RefCell::new(zones), std::cell::RefCell::new(kinds));
     Ok(Class {
-        target: class.get("target_s")?.number()?,
+        latency_target: class.get("target_s")?.number()?,
         deadline: class.get("deadline_s")?.number()?,
-        worth: class.get("gain")?.number()?,
-        late_worth: class.number_or("late_worth", 0.0)?,
-        effect: class.get("effect")?.one_of(&[
-            ("free", Effect::Safe),
-            ("guarded", Effect::Keyed { scope, window }),
-            ("single_shot", Effect::Unsafe),
+        value: class.get("gain")?.number()?,
+        late_value: class.number_or("late_worth", 0.0)?,
+        repeat_effect: class.get("effect")?.one_of(&[
+            ("free", RepeatEffect::Safe),
+            ("guarded", RepeatEffect::Keyed { scope, window }),
+            ("single_shot", RepeatEffect::Unsafe),
         ])?,
-        runs_on: bound(class, "runs_on", |name| KindId(kinds.borrow_mut().intern(name)))?,
-        runs_in: bound(class, "runs_in", |name| ZoneId(zones.borrow_mut().intern(name)))?,
+        machine_kinds: bound(class, "runs_on", |name| MachineKindId(kinds.borrow_mut().intern(name)))?,
+        zones: bound(class, "runs_in", |name| ZoneId(zones.borrow_mut().intern(name)))?,
     })
 }
 
@@ -257,36 +257,36 @@
         u32::try_from(found.whole()?).map_err(|_| found.says("too large"))
     };
     Ok(Limits {
-        cancel: limits.get("may_cancel")?.truth()?,
-        probes: limits.get("probes")?.truth()?,
-        second_copies: limits.get("second_copies")?.truth()?,
+        can_cancel: limits.get("may_cancel")?.truth()?,
+        can_probe: limits.get("probes")?.truth()?,
+        can_hedge: limits.get("second_copies")?.truth()?,
         max_attempts: small(limits.get("send_cap")?)?,
-        retry_after: limits.truth_or("retry_after", false)?,
+        can_advise_retry_after: limits.truth_or("retry_after", false)?,
         max_retry_after: limits.number_or("max_retry_after_s", AN_HOUR)?,
-        streams: limits.find("max_streams")?.map_or(Ok(1), small)?,
-        keepalive: limits.number_or("keepalive_s", AN_HOUR)?,
+        streams_per_connection: limits.find("max_streams")?.map_or(Ok(1), small)?,
+        idle_timeout: limits.number_or("keepalive_s", AN_HOUR)?,
         connect_timeout: limits.number_or("connect_timeout_s", AN_HOUR)?,
-        most_held: limits.whole_or("most_held", u64::from(u32::MAX))? as usize,
+        max_pending_requests: limits.whole_or("most_held", u64::from(u32::MAX))? as usize,
     })
 }
 
 fn read_rules(rules: &Found) -> Result<Rules, String> {
     Ok(Rules {
-        cold_from: rules.get("cold_from")?.number()?,
-        warm_up: rules.get("warm_up_s")?.number()?,
-        fall: rules.get("fall_s")?.number()?,
-        fall_multiple: rules.get("fall_multiple")?.number()?,
-        ask_within: rules.get("ask_within_s")?.number()?,
-        shed_after_start: rules.truth_or("shed_after_start", false)?,
+        initial_capacity: rules.get("cold_from")?.number()?,
+        slow_start: rules.get("warm_up_s")?.number()?,
+        overload_window: rules.get("fall_s")?.number()?,
+        overload_factor: rules.get("fall_multiple")?.number()?,
+        refresh_within: rules.get("ask_within_s")?.number()?,
+        may_reject_after_start: rules.truth_or("shed_after_start", false)?,
     })
 }
 
-fn read_goal(goal: &Found) -> Result<Goal, String> {
+fn read_goal(goal: &Found) -> Result<ServiceObjective, String> {
     let part = |name| goal.find(name)?.map(|found| found.number()).transpose();
-    Ok(Goal {
-        availability: part("availability")?,
-        nines_wanted: part("nines_wanted")?,
-        tail_part: part("tail_part")?,
-        tail_slack: part("tail_slack")?,
+    Ok(ServiceObjective {
+        availability_weight: part("availability")?,
+        target_nines: part("nines_wanted")?,
+        tail_weight: part("tail_part")?,
+        allowed_miss_fraction: part("tail_slack")?,
     })
 }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use mosshead_decide::Balancer;
-use mosshead_decide::Names;
+use mosshead_decide::NameTable;
 use mosshead_decide::interface::*;
 use mosshead_settings::{self as settings, Found, Named};
 
@@ -41,13 +41,13 @@
     balancer: Balancer,
     /// Whether clients are told when to come back.
     advises: bool,
-    endpoints: Names,
-    zones: Names,
-    kinds: Names,
-    classes: Names,
-    tenants: Names,
+    endpoints: NameTable,
+    zones: NameTable,
+    kinds: NameTable,
+    classes: NameTable,
+    tenants: NameTable,
     /// Every request given so far: an outcome may come after its request has ended.
-    jobs: HashSet<JobId>,
+    jobs: HashSet<RequestId>,
     reply: String,
 }
 
@@ -156,7 +156,7 @@
                     self.banks.get(&bank).ok_or_else(|| format!("list {bank} was never introduced"))?
                 };
                 let entries = entries.iter().map(|entry| instance.entry(entry)).collect();
-                Event::List(match scope {
+                Event::ListUpdated(match scope {
                     "INCREMENTAL" => ListUpdate::Changes(entries),
                     "FULL" => ListUpdate::Full(entries),
                     "SAVED" => ListUpdate::Saved(entries),
@@ -193,12 +193,12 @@
         let info = settings::json(info).map_err(|error| format!("info: {error}"))?;
         let Named { settings, zones, kinds, classes, tenants } =
             settings::read(&Found::top(&info)).map_err(|error| format!("info: {error}"))?;
-        let advises = settings.limits.retry_after;
+        let advises = settings.limits.can_advise_retry_after;
         let balancer = Balancer::new(settings, seed).map_err(|error| error.to_string())?;
         Ok(Self {
             balancer,
             advises,
-            endpoints: Names::default(),
+            endpoints: NameTable::default(),
             zones,
             kinds,
             classes,
@@ -213,7 +213,7 @@
             endpoint: EndpointId(self.endpoints.intern(&entry.server) as u32),
             readiness: entry.readiness,
             zone: ZoneId(self.zones.intern(&entry.zone)),
-            kind: KindId(self.kinds.intern(&entry.kind)),
+            kind: MachineKindId(self.kinds.intern(&entry.kind)),
             group: GroupId(entry.group),
             weight: entry.weight,
             started_at: entry.started_at,
@@ -224,7 +224,7 @@
         Ok(EndpointId(known(&self.endpoints, "server", fields.get("server")?)? as u32))
     }
 
-    fn attempted(&self, fields: Fields) -> Parsed<JobId> {
+    fn attempted(&self, fields: Fields) -> Parsed<RequestId> {
         let job = fields.job()?;
         let known = self.jobs.contains(&job).then_some(job);
         known.ok_or_else(|| format!("job {:016x} was never introduced", job.0))
@@ -237,62 +237,67 @@
                     None | Some("0") => None,
                     Some(name) => Some(TenantId(known(&self.tenants, "tenant", name)?)),
                 };
-                Event::Request(Request {
-                    job: fields.job()?,
+                Event::RequestReceived(Request {
+                    id: fields.job()?,
                     time_left: fields.number("ttl_s")?,
                     class: ClassId(known(&self.classes, "class", fields.get("band")?)?),
                     tenant,
                 })
             }
-            "report_back" => Event::Outcome {
-                job: self.attempted(fields)?,
-                round: Round(fields.whole("round_no")?),
+            "report_back" => Event::AttemptEnded {
+                request: self.attempted(fields)?,
+                attempt: AttemptNumber(fields.whole("round_no")?),
                 endpoint: self.endpoint(fields)?,
                 outcome: fields.outcome()?,
                 rtt: fields.number("rtt_s")?,
                 settled: fields.truth("settled")?,
                 report: fields.report()?,
             },
-            "begun" => Event::Begun { job: self.attempted(fields)?, round: Round(fields.whole("round_no")?) },
-            "probe_done" => Event::Probed {
+            "begun" => Event::ResponseStarted {
+                request: self.attempted(fields)?,
+                attempt: AttemptNumber(fields.whole("round_no")?),
+            },
+            "probe_done" => Event::ProbeEnded {
                 endpoint: self.endpoint(fields)?,
                 outcome: fields.outcome()?,
                 rtt: fields.number("rtt_s")?,
                 report: fields.report()?,
             },
-            "withdrawn" => Event::Withdrawn { job: fields.job()? },
-            "tick_due" => Event::Timer(Token(fields.whole("cookie")?)),
+            "withdrawn" => Event::RequestWithdrawn { request: fields.job()? },
+            "tick_due" => Event::TimerFired(TimerToken(fields.whole("cookie")?)),
             _ => return Err(format!("unknown message {name:?}")),
         })
     }
 
     fn handle(&mut self, now: Seconds, event: Event) {
-        if let Event::Request(request) = &event {
-            self.jobs.insert(request.job);
+        if let Event::RequestReceived(request) = &event {
+            self.jobs.insert(request.id);
         }
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
         for action in actions {
             let server = |endpoint: EndpointId| self.endpoints.name(endpoint.0 as usize);
             let _ = match action {
-                Action::Send { job, endpoint, until } => {
+                Action::Send { request: job, endpoint, deadline: until } => {
                     let server = server(endpoint);
                     writeln!(self.reply, "deliver job={:016x} server={server} until_s={until:.6}", job.0)
                 }
-                Action::Refuse { job, not_before } if self.advises => {
+                Action::Reject { request: job, retry_after: not_before } if self.advises => {
                     writeln!(self.reply, "push_back job={:016x} not_before_for_s={not_before:.6}", job.0)
                 }
-                Action::Refuse { job, .. } => writeln!(self.reply, "push_back job={:016x}", job.0),
-                Action::Fail { job } => writeln!(self.reply, "surrender job={:016x}", job.0),
-                Action::Cancel { job, round } => {
+                Action::Reject { request: job, .. } => writeln!(self.reply, "push_back job={:016x}", job.0),
+                Action::Fail { request: job } => writeln!(self.reply, "surrender job={:016x}", job.0),
+                Action::Cancel { request: job, attempt: round } => {
                     writeln!(self.reply, "revoke job={:016x} round_no={}", job.0, round.0)
                 }
                 Action::Probe { endpoint } => {
                     writeln!(self.reply, "health_check server={}", server(endpoint))
                 }
-                Action::Close { endpoint } => writeln!(self.reply, "close server={}", server(endpoint)),
-                Action::Watch => writeln!(self.reply, "watch enable=1"),
-                Action::Timer { delay, token } => {
+                Action::CloseIdleConnections { endpoint } => {
+                    writeln!(self.reply, "close server={}", server(endpoint))
+                }
+                Action::WatchList => writeln!(self.reply, "watch enable=1"),
+                Action::SetTimer { delay, token } => {
                     writeln!(self.reply, "defer in_s={delay:.6} cookie={}", token.0)
                 }
             };
@@ -300,8 +305,8 @@
     }
 }
 
-fn known(names: &Names, what: &str, name: &str) -> Parsed<usize> {
-    names.number(name).ok_or_else(|| format!("{what} {name:?} was never introduced"))
+fn known(names: &NameTable, what: &str, name: &str) -> Parsed<usize> {
+    names.find_number(name).ok_or_else(|| format!("{what} {name:?} was never introduced"))
 }
 
 /// The members of one line; those of type text run to its end.
@@ -351,10 +356,10 @@
         }
     }
 
-    fn job(self) -> Parsed<JobId> {
+    fn job(self) -> Parsed<RequestId> {
         let text = self.get("job")?;
         let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16 && !text.starts_with('+'));
-        id.map(JobId).ok_or_else(|| format!("job={text} is not 16 hex digits"))
+        id.map(RequestId).ok_or_else(|| format!("job={text} is not 16 hex digits"))
     }
 
     fn outcome(self) -> Parsed<Outcome> {
@@ -382,7 +387,7 @@
             let value: f64 = value.parse().map_err(|_| format!("metrics: {pair:?} is not a number"))?;
             match name {
                 "inflight" => report.in_flight = Some(value),
-                "queue" => report.queue = Some(value),
+                "queue" => report.queued = Some(value),
                 _ => {}
             }
         }
@@ -398,7 +403,7 @@
             readiness: match self.get("readiness")? {
                 "Running" => Readiness::Ready,
                 "Stopping" => Readiness::Draining,
-                "Deleted" => Readiness::Gone,
+                "Deleted" => Readiness::Removed,
                 text => return Err(format!("readiness {text:?} is not known")),
             },
             zone: or_empty("failure_domain"),
--- a/crates/simulate/src/brains.rs
+++ b/crates/simulate/src/brains.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 use mosshead_decide::interface::{Action, Event, Seconds};
-use mosshead_decide::{Figure, Stage};
+use mosshead_decide::{LearnedValue, Stage};
 use mosshead_world::True;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -56,7 +56,7 @@
     threads: usize,
     minds: Vec<Option<Box<dyn Policy>>>,
     /// What former lives have learnt, and when each was last heard of, until their heirs begin.
-    learnt: BTreeMap<usize, (Seconds, Vec<Figure>)>,
+    learnt: BTreeMap<usize, (Seconds, Vec<LearnedValue>)>,
     last: BTreeMap<usize, Seconds>,
 }
 
--- a/crates/simulate/src/host.rs
+++ b/crates/simulate/src/host.rs
@@ -32,7 +32,7 @@
 
 enum Due {
     Turn,
-    Timer { proxy: usize, life: u32, token: Token },
+    Timer { proxy: usize, life: u32, token: TimerToken },
     Until { job: JobNo, round: u32 },
     Connect(Conn),
     ProbeLate(Conn),
@@ -208,7 +208,7 @@
         let recalls = self.world.folder(at) == Some(Folder::Kept);
         self.brains.start(at, &settings_text(&self.world, at), seed, recalls)?;
         let entries = self.learn(at, &list);
-        self.mail(at, Event::List(ListUpdate::Saved(entries)));
+        self.mail(at, Event::ListUpdated(ListUpdate::Saved(entries)));
         self.follow(at);
         self.world.input(self.now, Input::Up { proxy: at });
         Ok(())
@@ -267,7 +267,7 @@
             Due::Turn => self.turn()?,
             Due::Timer { proxy, life, token } => {
                 if self.proxies[proxy].life == life {
-                    self.mail(proxy, Event::Timer(token));
+                    self.mail(proxy, Event::TimerFired(token));
                 }
             }
             Due::Until { job, round } => {
@@ -297,7 +297,7 @@
                 if self.jobs.get(&job).is_some_and(|held| held.owed) {
                     let proxy = self.jobs[&job].proxy;
                     self.answer(job, Answer::Failed);
-                    self.mail(proxy, Event::Withdrawn { job: JobId(job.0) });
+                    self.mail(proxy, Event::RequestWithdrawn { request: RequestId(job.0) });
                 }
             }
             Due::CallLate { proxy, number } => {
@@ -364,7 +364,7 @@
                     held.owed = false;
                     self.proxies[proxy].owed -= 1;
                     self.forget(job);
-                    self.mail(proxy, Event::Withdrawn { job: JobId(job.0) });
+                    self.mail(proxy, Event::RequestWithdrawn { request: RequestId(job.0) });
                     self.finished(proxy);
                 }
             }
@@ -451,12 +451,12 @@
         self.jobs.insert(job.no, Held { proxy, owed: true, deadline, sent: 0, out: 0 });
         self.queue.push(deadline, Due::Deadline(job.no));
         let request = Request {
-            job: JobId(job.no.0),
+            id: RequestId(job.no.0),
             time_left: job.left.as_seconds(),
             class: ClassId(job.class),
             tenant: job.tenant.map(TenantId),
         };
-        self.mail(proxy, Event::Request(request));
+        self.mail(proxy, Event::RequestReceived(request));
     }
 
     /// Gives the answer, unless there was one.
@@ -488,14 +488,16 @@
             return;
         }
         match action {
-            Action::Send { job, endpoint, until } => {
+            Action::Send { request: job, endpoint, deadline: until } => {
                 self.send(proxy, JobNo(job.0), ServerNo(endpoint.0), until)
             }
-            Action::Refuse { job, not_before } => {
+            Action::Reject { request: job, retry_after: not_before } => {
                 self.answer(JobNo(job.0), Answer::Refused(Time::seconds(not_before)))
             }
-            Action::Fail { job } => self.answer(JobNo(job.0), Answer::Failed),
-            Action::Cancel { job, round } => self.give_up(JobNo(job.0), round.0, Outcome::Cancelled),
+            Action::Fail { request: job } => self.answer(JobNo(job.0), Answer::Failed),
+            Action::Cancel { request: job, attempt: round } => {
+                self.give_up(JobNo(job.0), round.0, Outcome::Cancelled)
+            }
             Action::Probe { endpoint } => {
                 let (server, since) = (ServerNo(endpoint.0), self.now);
                 let carry = Carry::Probe { proxy, server, since };
@@ -503,9 +505,9 @@
                 let limit = self.world.scenario().proxy.connect_timeout.times(PROBE_TIMEOUT);
                 self.queue.push(self.now + limit, Due::ProbeLate(conn));
             }
-            Action::Close { endpoint } => self.close_idle(proxy, ServerNo(endpoint.0)),
-            Action::Watch => self.ask(proxy),
-            Action::Timer { delay, token } => {
+            Action::CloseIdleConnections { endpoint } => self.close_idle(proxy, ServerNo(endpoint.0)),
+            Action::WatchList => self.ask(proxy),
+            Action::SetTimer { delay, token } => {
                 let life = self.proxies[proxy].life;
                 self.queue.push(self.now + Time::seconds(delay), Due::Timer { proxy, life, token });
             }
@@ -518,10 +520,18 @@
         let node = self.proxies[proxy].nodes.get(server.0 as usize).cloned().flatten();
         let held = self.jobs.get_mut(&job).filter(|held| held.owed && held.sent < most);
         let (Some(held), Some(node)) = (held, node) else {
-            let (round, outcome) = (Round(u32::MAX), Outcome::NotSent);
+            let (round, outcome) = (AttemptNumber(u32::MAX), Outcome::NotSent);
             let report = LoadReport::default();
-            let job = JobId(job.0);
-            let event = Event::Outcome { job, round, endpoint, outcome, rtt: 0.0, settled: true, report };
+            let job = RequestId(job.0);
+            let event = Event::AttemptEnded {
+                request: job,
+                attempt: round,
+                endpoint,
+                outcome,
+                rtt: 0.0,
+                settled: true,
+                report,
+            };
             return self.mail(proxy, event);
         };
         let round = held.sent;
@@ -649,13 +659,13 @@
     /// What a connection carried has ended.
     fn carried(&mut self, carry: Carry, outcome: Outcome, report: Report, heard: bool) {
         let report = match heard {
-            true => LoadReport { in_flight: Some(report.in_flight), queue: Some(report.queue) },
+            true => LoadReport { in_flight: Some(report.in_flight), queued: Some(report.queue) },
             false => LoadReport::default(),
         };
         match carry {
             Carry::Probe { proxy, server, since } => {
                 let (endpoint, rtt) = (EndpointId(server.0), (self.now - since).as_seconds());
-                self.mail(proxy, Event::Probed { endpoint, outcome, rtt, report });
+                self.mail(proxy, Event::ProbeEnded { endpoint, outcome, rtt, report });
             }
             Carry::Attempt(job, round) => {
                 let Some(attempt) = self.attempts.remove(&(job, round)) else { return };
@@ -668,8 +678,17 @@
                 let settled = self.jobs.get(&job).is_none_or(|held| !held.owed);
                 self.forget(job);
                 let rtt = (self.now - attempt.sent).as_seconds();
-                let (id, endpoint, round) = (JobId(job.0), EndpointId(attempt.server.0), Round(round));
-                let event = Event::Outcome { job: id, round, endpoint, outcome, rtt, settled, report };
+                let (id, endpoint, round) =
+                    (RequestId(job.0), EndpointId(attempt.server.0), AttemptNumber(round));
+                let event = Event::AttemptEnded {
+                    request: id,
+                    attempt: round,
+                    endpoint,
+                    outcome,
+                    rtt,
+                    settled,
+                    report,
+                };
                 self.mail(proxy, event);
             }
         }
@@ -693,7 +712,7 @@
     }
 
     fn failed(&mut self, proxy: usize) {
-        self.mail(proxy, Event::List(ListUpdate::Failed));
+        self.mail(proxy, Event::ListUpdated(ListUpdate::Failed));
         let life = self.proxies[proxy].life;
         self.queue.push(self.now + AGENT_AGAIN, Due::Agent { proxy, life });
     }
@@ -742,7 +761,7 @@
         // Also where nothing has changed: that the list still holds is news.
         self.mail(
             proxy,
-            Event::List(if full { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) }),
+            Event::ListUpdated(if full { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) }),
         );
         self.ask(proxy);
     }
@@ -770,10 +789,10 @@
                 readiness: match shown.state {
                     State::Serving => Readiness::Ready,
                     State::Draining => Readiness::Draining,
-                    State::Deleted => Readiness::Gone,
+                    State::Deleted => Readiness::Removed,
                 },
                 zone: ZoneId(traits.zone),
-                kind: KindId(traits.kind),
+                kind: MachineKindId(traits.kind),
                 group: GroupId(0),
                 weight: 1.0,
                 started_at: (shown.started > Time::ZERO).then(|| shown.started.as_seconds()),
--- a/crates/simulate/src/policies.rs
+++ b/crates/simulate/src/policies.rs
@@ -8,14 +8,14 @@
 use std::str::FromStr;
 
 use mosshead_decide::interface::*;
-use mosshead_decide::{Balancer, Figure, Of, Stage};
+use mosshead_decide::{Balancer, LearnedValue, Stage, Subject};
 use mosshead_world::True;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 /// A pause after a failed call for the list.
 const WATCH_PAUSE: Seconds = 1.0;
-const WATCH: Token = Token(0);
+const WATCH: TimerToken = TimerToken(0);
 /// The come-back time of a refusal.
 const COME_BACK: Seconds = 0.5;
 
@@ -28,7 +28,7 @@
     fn observe(&mut self, _truth: &[True]) {}
 
     /// What another life may start from; nothing of servers, which have other numbers in another life.
-    fn learnt(&self, _now: Seconds) -> Vec<Figure> {
+    fn learnt(&self, _now: Seconds) -> Vec<LearnedValue> {
         Vec::new()
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Starts from what a former life learnt so long ago.
-    fn recall(&mut self, _now: Seconds, _learnt: &[Figure], _age: Seconds) {}
+    fn recall(&mut self, _now: Seconds, _learnt: &[LearnedValue], _age: Seconds) {}
 }
 
 impl Policy for Balancer {
@@ -46,18 +46,18 @@
         Balancer::handle(self, now, event, actions);
     }
 
-    fn learnt(&self, now: Seconds) -> Vec<Figure> {
-        let mut learnt = Balancer::learnt(self, now);
-        learnt.retain(|figure| !matches!(figure.of, Of::Node(_)));
+    fn learnt(&self, now: Seconds) -> Vec<LearnedValue> {
+        let mut learnt = Balancer::learned_values(self, now);
+        learnt.retain(|figure| !matches!(figure.subject, Subject::Endpoint(_)));
         learnt
     }
 
     fn way_back(&mut self, now: Seconds) -> Stage {
-        Balancer::way_back(self, now).0
+        Balancer::recovery_stage(self, now).0
     }
 
-    fn recall(&mut self, now: Seconds, learnt: &[Figure], age: Seconds) {
-        Balancer::recall(self, now, learnt, age);
+    fn recall(&mut self, now: Seconds, learnt: &[LearnedValue], age: Seconds) {
+        Balancer::restore_learned(self, now, learnt, age);
     }
 }
 
@@ -159,7 +159,7 @@
     draws: Pcg64Mcg,
     servers: Vec<Server>,
     ready: Vec<usize>,
-    jobs: HashMap<JobId, Job>,
+    jobs: HashMap<RequestId, Job>,
     turn: usize,
 }
 
@@ -226,15 +226,15 @@
         }
     }
 
-    fn send(&mut self, now: Seconds, id: JobId, actions: &mut Vec<Action>) {
+    fn send(&mut self, now: Seconds, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let (last, deadline, may_have_run) = (job.last, job.deadline, job.may_have_run);
         let allowed = job.attempts < self.settings.limits.max_attempts && now < deadline;
         let Some(at) = self.choose(last).filter(|_| allowed) else {
             self.jobs.remove(&id);
             return actions.push(match may_have_run {
-                true => Action::Fail { job: id },
-                false => Action::Refuse { job: id, not_before: COME_BACK },
+                true => Action::Fail { request: id },
+                false => Action::Reject { request: id, retry_after: COME_BACK },
             });
         };
         let endpoint = EndpointId(at as u32);
@@ -245,7 +245,7 @@
             job.out += 1;
             job.last = Some(endpoint);
         }
-        actions.push(Action::Send { job: id, endpoint, until: deadline });
+        actions.push(Action::Send { request: id, endpoint, deadline: deadline });
     }
 }
 
@@ -260,30 +260,30 @@
 
     fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List(ListUpdate::Saved(entries)) => {
+            Event::ListUpdated(ListUpdate::Saved(entries)) => {
                 self.enter(&entries);
-                if self.settings.membership == Membership::Ask {
-                    actions.push(Action::Watch);
+                if self.settings.membership == Membership::Pull {
+                    actions.push(Action::WatchList);
                 }
             }
-            Event::List(ListUpdate::Full(entries)) => {
+            Event::ListUpdated(ListUpdate::Full(entries)) => {
                 self.servers.iter_mut().for_each(|server| server.ready = false);
                 self.enter(&entries);
             }
-            Event::List(ListUpdate::Changes(entries)) => self.enter(&entries),
-            Event::List(ListUpdate::Failed) => {
+            Event::ListUpdated(ListUpdate::Changes(entries)) => self.enter(&entries),
+            Event::ListUpdated(ListUpdate::Failed) => {
                 let delay = WATCH_PAUSE * (0.5 + self.draws.random::<f64>());
-                actions.push(Action::Timer { delay, token: WATCH });
+                actions.push(Action::SetTimer { delay, token: WATCH });
             }
-            Event::Timer(_) => actions.push(Action::Watch),
-            Event::Coming(Request { job, time_left, class, .. })
-            | Event::Request(Request { job, time_left, class, .. }) => {
+            Event::TimerFired(_) => actions.push(Action::WatchList),
+            Event::HeadReceived(Request { id: job, time_left, class, .. })
+            | Event::RequestReceived(Request { id: job, time_left, class, .. }) => {
                 let deadline = now + time_left;
                 let (attempts, out, may_have_run, last) = (0, 0, false, None);
                 self.jobs.insert(job, Job { class, deadline, attempts, out, may_have_run, last });
                 self.send(now, job, actions);
             }
-            Event::Outcome { job, endpoint, outcome, settled, report, .. } => {
+            Event::AttemptEnded { request: job, endpoint, outcome, settled, report, .. } => {
                 if let Some(server) = self.servers.get_mut(endpoint.0 as usize) {
                     server.out = (server.out - 1.0).max(0.0);
                     if let Some(held) = report.in_flight {
@@ -298,14 +298,16 @@
                 let Some(held) = self.jobs.get_mut(&job) else { return };
                 held.out -= 1;
                 held.may_have_run |= !never_ran;
-                if held.may_have_run && self.settings.classes[held.class.0].effect != Effect::Safe {
+                if held.may_have_run
+                    && self.settings.classes[held.class.0].repeat_effect != RepeatEffect::Safe
+                {
                     self.jobs.remove(&job);
-                    return actions.push(Action::Fail { job });
+                    return actions.push(Action::Fail { request: job });
                 }
                 self.send(now, job, actions);
             }
-            Event::Withdrawn { job } => drop(self.jobs.remove(&job)),
-            Event::Begun { .. } | Event::Whole { .. } | Event::Probed { .. } => {}
+            Event::RequestWithdrawn { request: job } => drop(self.jobs.remove(&job)),
+            Event::ResponseStarted { .. } | Event::BodyReceived { .. } | Event::ProbeEnded { .. } => {}
         }
     }
 }
--- a/crates/simulate/tests/days.rs
+++ b/crates/simulate/tests/days.rs
@@ -148,19 +148,19 @@
         mosshead_simulate::platform::settings(&world, 0).to_string()
     };
     let (request, mut input) = (
-        Event::Request(Request { job: JobId(1), time_left: 1.0, class: ClassId(0), tenant: None }),
+        Event::RequestReceived(Request { id: RequestId(1), time_left: 1.0, class: ClassId(0), tenant: None }),
         Vec::new(),
     );
     let entry = ListEntry {
         endpoint: EndpointId(0),
         readiness: Readiness::Ready,
         zone: ZoneId(0),
-        kind: KindId(0),
+        kind: MachineKindId(0),
         group: GroupId(0),
         weight: 1.0,
         started_at: None,
     };
-    let mail = vec![(3, vec![Event::List(ListUpdate::Saved(vec![entry])), request])];
+    let mail = vec![(3, vec![Event::ListUpdated(ListUpdate::Saved(vec![entry])), request])];
     mosshead_simulate::brains::write_orders(&mut input, (3, &settings, 7), (2.0, mail.clone()))
         .expect("orders");
     let mut output = Vec::new();
--- a/crates/simulate/tests/fleets.rs
+++ b/crates/simulate/tests/fleets.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use mosshead_decide::Stage;
-use mosshead_decide::interface::{Action, Seconds, Token};
+use mosshead_decide::interface::{Action, Seconds, TimerToken};
 use mosshead_simulate::brains::{BrainError, Brains, Mail, Threads, Wanted};
 use mosshead_simulate::policies::Kind;
 use mosshead_simulate::{Day, play};
@@ -162,8 +162,8 @@
     fn turn(&mut self, now: Seconds, mail: Vec<Mail>, truth: &[True]) -> Result<Vec<Wanted>, BrainError> {
         let mut wanted = self.0.turn(now, mail, truth)?;
         for action in wanted.iter_mut().flat_map(|(_, actions)| actions) {
-            if matches!(action, Action::Timer { token: Token(0), .. }) {
-                *action = Action::Watch;
+            if matches!(action, Action::SetTimer { token: TimerToken(0), .. }) {
+                *action = Action::WatchList;
             }
         }
         Ok(wanted)
