--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,12 +1,12 @@
 use rand_core::RngCore;
 
-use crate::change::StateDelta;
-use crate::log::{Effect, LogRecord, Pending};
+use crate::control_state::{ControlState, EpochConfig, Member, StateVersion, Term};
+use crate::durable_state::{Effect, LogRecord, Pending};
 use crate::message::Message;
 use crate::node::{Node, Role};
 use crate::settings::InjectedFault;
-use crate::transfer::StatePurpose;
-use crate::types::{ControlState, EpochConfig, Member, StateVersion, Term};
+use crate::snapshot_transfer::StatePurpose;
+use crate::state_delta::StateDelta;
 
 impl<R: RngCore> Node<R> {
     pub(crate) fn is_bootstrap_voter(&self) -> bool {
--- a/crates/consensus/src/delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -7,8 +7,8 @@
 
 use minicbor::{Decode, Encode};
 
+use crate::control_state::{decode_body, encode_body};
 use crate::limits::MAX_BODY_BYTES;
-use crate::types::{decode_body, encode_body};
 
 /// The base is indexed by blocks of so many bytes; shorter common ranges inside of a change aren't found.
 const BLOCK_BYTES: usize = 64;
--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/client_requests.rs
@@ -1,10 +1,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
+use crate::control_state::{AppliedRequest, ControlState, RequestStatus};
 use crate::event::{ClientReply, Output};
 use crate::node::{Node, Role};
 use crate::settings::InjectedFault;
-use crate::types::{AppliedRequest, ControlState, RequestStatus};
 use rand_core::RngCore;
 
 /// An operator's change, not judged yet.
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/control_state.rs
@@ -4,7 +4,7 @@
 
 use minicbor::{Decode, Encode};
 
-use crate::stored::StoredState;
+use crate::stored_state::StoredState;
 
 /// How many of the latest calls a state remembers.
 pub const DEDUPLICATION_WINDOW: usize = 256;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -4,8 +4,8 @@
 use minicbor::{Decode, Encode};
 use quick_error::quick_error;
 
-use crate::change::StateDelta;
-use crate::types::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
+use crate::control_state::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
+use crate::state_delta::StateDelta;
 
 quick_error! {
     /// What can be wrong with a log, numbered.
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,12 +2,12 @@
 
 use rand_core::RngCore;
 
-use crate::contact::LeaseStamp;
+use crate::control_state::{EpochConfig, Member, MemberId, Term};
 use crate::message::Message;
 use crate::node::{Leader, Node, Role};
-use crate::quorum::Votes;
+use crate::read_lease::LeaseStamp;
 use crate::settings::InjectedFault;
-use crate::types::{EpochConfig, Member, MemberId, Term};
+use crate::votes::Votes;
 
 /// When to look for a primary, and who would promise.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,7 +1,7 @@
 use core::net::SocketAddrV4;
 
+use crate::control_state::{ControlState, Member, RequestDigest, Term};
 use crate::message::Message;
-use crate::types::{ControlState, Member, RequestDigest, Term};
 
 /// What happens to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/join.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -1,8 +1,8 @@
 use rand_core::RngCore;
 
+use crate::control_state::{Member, Term};
 use crate::message::Message;
 use crate::node::{Leader, Node, Role};
-use crate::types::{Member, Term};
 
 /// Somebody who looks for the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,41 +4,41 @@
 //! outputs in their order, and answers every write in order. See `docs/design/0007-fleet.md`, "Control state".
 
 mod acceptor;
-mod change;
+mod body_delta;
 mod client_requests;
-mod contact;
-mod delta;
+mod control_state;
+mod durable_state;
 mod election;
 mod event;
-mod join;
-mod leaving;
+mod join_requests;
 mod limits;
-mod log;
+mod member_removal;
+mod membership_change;
 mod message;
 mod node;
-mod primary;
-mod quorum;
-mod renewal;
+mod read_lease;
+mod replication;
 mod settings;
-mod stored;
+mod snapshot_transfer;
+mod state_delta;
+mod stored_state;
 mod take_over;
-mod transfer;
-mod types;
+mod votes;
 
-pub use change::StateDelta;
-pub use contact::LeaseStamp;
-pub use delta::BodyDelta;
+pub use body_delta::BodyDelta;
+pub use control_state::{
+    AppliedRequest, ControlState, DEDUPLICATION_WINDOW, EpochConfig, Member, MemberId, RequestDigest,
+    RequestStatus, StateVersion, Term,
+};
+pub use durable_state::StoredStateError;
 pub use event::{ClientReply, Input, Output};
-pub use leaving::SHUTDOWN_TIMEOUT;
 pub use limits::{MAX_BODY_BYTES, MAX_STATE_BYTES};
-pub use log::StoredStateError;
+pub use member_removal::SHUTDOWN_TIMEOUT;
 pub use message::Message;
 pub use node::Node;
+pub use read_lease::LeaseStamp;
 #[doc(hidden)]
 pub use settings::InjectedFault;
 pub use settings::{Settings, Timings};
-pub use transfer::{ChunkSizes, SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
-pub use types::{
-    AppliedRequest, ControlState, DEDUPLICATION_WINDOW, EpochConfig, Member, MemberId, RequestDigest,
-    RequestStatus, StateVersion, Term,
-};
+pub use snapshot_transfer::{ChunkSizes, SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
+pub use state_delta::StateDelta;
--- a/crates/consensus/src/leaving.rs
+++ b/crates/consensus/src/member_removal.rs
@@ -5,11 +5,11 @@
 
 use rand_core::RngCore;
 
+use crate::control_state::{EpochConfig, Member, MemberId, Term};
 use crate::message::Message;
 use crate::node::{Node, Role};
-use crate::primary::{Lead, Peer};
+use crate::replication::{Lead, Peer};
 use crate::settings::InjectedFault;
-use crate::types::{EpochConfig, Member, MemberId, Term};
 
 /// A node that stops may end after so many milliseconds, let go or not.
 pub const SHUTDOWN_TIMEOUT: u64 = 2_500;
--- a/crates/consensus/src/renewal.rs
+++ b/crates/consensus/src/membership_change.rs
@@ -1,11 +1,11 @@
 use rand_core::RngCore;
 
+use crate::control_state::{Member, MemberId, Term};
 use crate::event::Output;
 use crate::message::Message;
 use crate::node::{Handing, Node, Role};
-use crate::primary::{Lead, Peer};
+use crate::replication::{Lead, Peer};
 use crate::settings::{InjectedFault, Timings};
-use crate::types::{Member, MemberId, Term};
 
 const LATELY: u64 = 350;
 
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,9 +1,9 @@
 use minicbor::{Decode, Encode};
 
-use crate::change::{MOST_CHANGES, StateDelta};
-use crate::contact::LeaseStamp;
-use crate::transfer::{SnapshotChunk, SnapshotOffer};
-use crate::types::{ControlState, EpochConfig, StateVersion, Term};
+use crate::control_state::{ControlState, EpochConfig, StateVersion, Term};
+use crate::read_lease::LeaseStamp;
+use crate::snapshot_transfer::{SnapshotChunk, SnapshotOffer};
+use crate::state_delta::{MOST_CHANGES, StateDelta};
 
 /// What nodes tell each other, one way; any of it may be lost, late, doubled or out of order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -3,21 +3,21 @@
 
 use rand_core::RngCore;
 
-use crate::change::{EarlyChanges, RecentChanges};
 use crate::client_requests::ClientRequests;
-use crate::contact::Contact;
+use crate::control_state::{AppliedRequest, ControlState, EpochConfig, Member, MemberId, Term};
+use crate::durable_state::{Effect, Identity, LogRecord, Pending, Stable, StoredStateError, Writes};
 use crate::election::Election;
 use crate::event::{ClientReply, Input, Output};
-use crate::join::Joiner;
-use crate::leaving::RequestRemoval;
+use crate::join_requests::Joiner;
 use crate::limits::MAX_BODY_BYTES;
-use crate::log::{Effect, Identity, LogRecord, Pending, Stable, StoredStateError, Writes};
+use crate::member_removal::RequestRemoval;
 use crate::message::Message;
-use crate::primary::{Lead, Peer};
+use crate::read_lease::Contact;
+use crate::replication::{Lead, Peer};
 use crate::settings::{InjectedFault, MOST_FAILURES, MOST_MEMBERS, Settings};
+use crate::snapshot_transfer::Transfers;
+use crate::state_delta::{EarlyChanges, RecentChanges};
 use crate::take_over::TakeOver;
-use crate::transfer::Transfers;
-use crate::types::{AppliedRequest, ControlState, EpochConfig, Member, MemberId, Term};
 
 /// The primary as its heartbeats tell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/replication.rs
@@ -2,14 +2,14 @@
 
 use rand_core::RngCore;
 
-use crate::change::StateDelta;
-use crate::contact::LeaseStamp;
+use crate::control_state::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
 use crate::message::Message;
 use crate::node::{Node, Role};
-use crate::quorum::Votes;
+use crate::read_lease::LeaseStamp;
 use crate::settings::InjectedFault;
-use crate::transfer::StatePurpose;
-use crate::types::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
+use crate::snapshot_transfer::StatePurpose;
+use crate::state_delta::StateDelta;
+use crate::votes::Votes;
 
 /// What the primary knows of another node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,6 +1,6 @@
 use core::net::SocketAddrV4;
 
-use crate::transfer::ChunkSizes;
+use crate::snapshot_transfer::ChunkSizes;
 
 /// Records that name more members are not taken.
 pub(crate) const MOST_MEMBERS: usize = 32;
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -8,11 +8,11 @@
 use minicbor::{Decode, Encode};
 use rand_core::RngCore;
 
+use crate::control_state::{ControlState, Member, StateVersion, Term, decode_body, encode_body};
 use crate::limits::MAX_STATE_BYTES;
 use crate::message::Message;
 use crate::node::{Node, Role};
 use crate::settings::InjectedFault;
-use crate::types::{ControlState, Member, StateVersion, Term, decode_body, encode_body};
 
 /// An outgoing transfer that nobody asked for pieces of for so long is forgotten.
 const OUTGOING_LASTS: u64 = 2_000;
--- a/crates/consensus/src/change.rs
+++ b/crates/consensus/src/state_delta.rs
@@ -4,8 +4,8 @@
 
 use minicbor::{Decode, Encode};
 
-use crate::delta::BodyDelta;
-use crate::types::{AppliedRequest, ControlState, StateVersion, Term};
+use crate::body_delta::BodyDelta;
+use crate::control_state::{AppliedRequest, ControlState, StateVersion, Term};
 
 /// A change of the state, for those that have the state before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
--- a/crates/consensus/src/stored.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -5,7 +5,7 @@
 use minicbor::decode::Error;
 use minicbor::{Decode, Decoder};
 
-use crate::types::{AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest, Term};
+use crate::control_state::{AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest, Term};
 
 /// A state as it is encoded. Fields that older versions did not write are optional.
 #[derive(Decode)]
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -2,15 +2,15 @@
 
 use rand_core::RngCore;
 
+use crate::control_state::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
+use crate::durable_state::Effect;
 use crate::event::Output;
-use crate::log::Effect;
 use crate::message::Message;
 use crate::node::{Leader, Node, Role};
-use crate::primary::{Lead, MOST_TRANSFER};
-use crate::quorum::Votes;
+use crate::replication::{Lead, MOST_TRANSFER};
 use crate::settings::InjectedFault;
-use crate::transfer::StatePurpose;
-use crate::types::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
+use crate::snapshot_transfer::StatePurpose;
+use crate::votes::Votes;
 
 /// An attempt to lead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/votes.rs
@@ -1,7 +1,7 @@
 use core::net::SocketAddrV4;
 use std::collections::BTreeMap;
 
-use crate::types::{EpochConfig, Member, MemberId};
+use crate::control_state::{EpochConfig, Member, MemberId};
 
 /// Who has said yes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
--- a/crates/consensus/tests/fleet/day.rs
+++ b/crates/consensus/tests/fleet/day.rs
@@ -2,7 +2,7 @@
 
 use mosshead_consensus::{InjectedFault, Input, Node};
 
-use crate::book::Kind;
+use crate::checker::Kind;
 use crate::world::{AfterEnd, Event, Leave, World, address};
 
 #[derive(Clone, Debug)]
--- a/crates/consensus/tests/fleet/large.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -6,7 +6,7 @@
 use mosshead_consensus::{ChunkSizes, ClientReply, InjectedFault, Input, MAX_BODY_BYTES, Message, Node};
 use rand_core::RngCore;
 
-use crate::book::{Change, Kind, digest};
+use crate::checker::{Change, Kind, digest};
 use crate::day::Act;
 use crate::scenarios::{around, calm_with, lead, other_lead, roles, told, verdict_at, want};
 use crate::world::{Bandwidth, World};
--- a/crates/consensus/tests/fleet/main.rs
+++ b/crates/consensus/tests/fleet/main.rs
@@ -1,16 +1,16 @@
 //! A fleet in virtual time: simulated network, disks and operators, faults by seed, and checkers of every rule.
 
-mod book;
-mod contact;
+mod checker;
 mod day;
 mod days;
-mod large;
+mod large_states;
+mod member_turnover;
+mod message_orders;
 mod mutants;
 mod operator;
-mod orders;
+mod read_lease;
 mod recovery;
-mod repeats;
+mod repeated_requests;
 mod scenarios;
 mod storm;
-mod turnover;
 mod world;
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -2,7 +2,7 @@
 
 use mosshead_consensus::ClientReply;
 
-use crate::book::{Change, Kind, digest};
+use crate::checker::{Change, Kind, digest};
 use crate::world::{Event, World, body};
 
 #[derive(Default)]
--- a/crates/consensus/tests/fleet/recovery.rs
+++ b/crates/consensus/tests/fleet/recovery.rs
@@ -5,7 +5,7 @@
 
 use mosshead_consensus::{ClientReply, Node};
 
-use crate::book::Kind;
+use crate::checker::Kind;
 use crate::day::Act;
 use crate::scenarios::{around, calm, lead, want};
 use crate::world::{Event, World};
--- a/crates/consensus/tests/fleet/repeats.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -2,7 +2,7 @@
 
 use mosshead_consensus::{ClientReply, InjectedFault, Node, Timings};
 
-use crate::book::Kind;
+use crate::checker::Kind;
 use crate::day::Act;
 use crate::scenarios::{calm, calm_with, lead, roles, taken, told, verdict_at, want};
 use crate::world::{CALLER_LISTENS, World};
--- a/crates/consensus/tests/fleet/scenarios.rs
+++ b/crates/consensus/tests/fleet/scenarios.rs
@@ -2,7 +2,7 @@
 
 use mosshead_consensus::{ClientReply, InjectedFault, Input, Message, Node, Timings};
 
-use crate::book::{Change, Kind, digest};
+use crate::checker::{Change, Kind, digest};
 use crate::day::Act;
 use crate::world::{World, address};
 
--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -11,7 +11,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::book::{Ask, Book, Change, Kind, digest};
+use crate::checker::{Ask, Book, Change, Kind, digest};
 use crate::day::Act;
 use crate::operator::Operator;
 
