--- a/crates/data-plane/tests/buffered_requests.rs
+++ b/crates/data-plane/tests/buffered_requests.rs
@@ -1,41 +1,63 @@
-//! Requests without a prompt: what goes on at another server, and what is never sent twice.
+//! Requests without a prompt: what is retried at another server, and what is never sent twice.
 
 mod common;
 
-use common::{Act, HOST, ID, Proxy, SEAL, Stand, WAIT, ask, good, never_ran, run};
+use std::cell::Cell;
+use std::ops::Range;
+use std::rc::Rc;
 
-const SEEDS: std::ops::Range<u64> = 0..4;
+use common::{
+    ATTEMPT_ID, Behavior, CLIENT_TIMEOUT, ClientResponse, FOREIGN_ATTEMPT_ID, HOST, IDEMPOTENT,
+    NON_IDEMPOTENT, Proxy, ReceivedRequest, SEAL, StubServer, not_executed, ok_response, run, send_request,
+    server, unused_address,
+};
+use mosshead_time::Duration;
+
+const SEEDS: Range<u64> = 0..4;
+
+fn retry_after(response: &ClientResponse) -> Option<f64> {
+    response.header("retry-after").and_then(|seconds| seconds.parse().ok())
+}
+
+/// Headers of a sealed response to another request.
+fn foreign_headers() -> Vec<(&'static str, String)> {
+    vec![("x-server-seal", SEAL.to_owned()), ("x-attempt-id", FOREIGN_ATTEMPT_ID.to_owned())]
+}
 
 #[test]
-fn an_answer_comes_back_unchanged() {
+fn request_and_response_are_forwarded_unchanged() {
     run(async {
-        let stand = Stand::new("s-1", "plain", None, |_| good("the server's bytes")).await;
-        let proxy = Proxy::with(1, &[&stand.server]).await;
-        let answer = proxy.ask("/once/a?b=c", &[("x-other", "kept")]).await;
-        assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, "the server's bytes", true));
-        assert_eq!((answer.header("x-server-seal"), answer.header("x-attempt-id")), (Some(SEAL), Some(ID)));
-        let seen = stand.seen();
-        assert_eq!(seen.len(), 1);
+        let stub = StubServer::start("s-1", "plain", None, |_| ok_response("the server's bytes")).await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+        let path = format!("{NON_IDEMPOTENT}a?b=c");
+        let response = proxy.post(&path, &[("x-other", "kept")]).await;
+        let expected = (200, "the server's bytes", true);
+        assert_eq!((response.status, response.body.as_str(), response.is_complete), expected);
+        let marks = (response.header("x-server-seal"), response.header("x-attempt-id"));
+        assert_eq!(marks, (Some(SEAL), Some(ATTEMPT_ID)));
+        let received = stub.received();
+        assert_eq!(received.len(), 1);
+        let request = &received[0];
         assert_eq!(
-            (seen[0].method.as_str(), seen[0].path.as_str(), &seen[0].body[..]),
-            ("POST", "/once/a?b=c", &b"a body"[..])
+            (request.method.as_str(), request.path.as_str(), &request.body[..]),
+            ("POST", path.as_str(), &b"a body"[..])
         );
-        assert_eq!(seen[0].header("host"), Some(HOST));
-        assert_eq!(seen[0].header("x-other"), Some("kept"));
-        assert_eq!(seen[0].header("x-attempt-id"), Some(ID));
-        assert_eq!(seen[0].header("x-target-instance"), Some("s-1"));
-        assert_eq!(seen[0].header("priority"), Some("3"));
-        let left: u64 =
-            seen[0].header("x-deadline-ms").and_then(|left| left.parse().ok()).expect("a deadline");
-        assert!((1..=WAIT).contains(&left), "{left}");
+        assert_eq!(request.header("host"), Some(HOST));
+        assert_eq!(request.header("x-other"), Some("kept"));
+        assert_eq!(request.header("x-attempt-id"), Some(ATTEMPT_ID));
+        assert_eq!(request.header("x-target-instance"), Some("s-1"));
+        assert_eq!(request.header("priority"), Some("3"));
+        let time_left = request.header("x-deadline-ms").and_then(|millis| millis.parse().ok());
+        let time_left = Duration::from_millis(time_left.expect("a deadline"));
+        assert!((Duration::from_millis(1)..=CLIENT_TIMEOUT).contains(&time_left), "{time_left:?}");
     });
 }
 
 #[test]
-fn what_one_connection_concerns_and_what_only_the_system_may_say_is_not_passed_on() {
+fn hop_by_hop_and_reserved_headers_are_not_forwarded() {
     run(async {
-        let stand = Stand::new("s-1", "plain", None, |_| good("")).await;
-        let proxy = Proxy::with(1, &[&stand.server]).await;
+        let stub = StubServer::start("s-1", "plain", None, |_| ok_response("")).await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
         let headers = [
             ("connection", "x-mine"),
             ("x-mine", "1"),
@@ -45,53 +67,57 @@
             ("x-serving-stage", "prefill"),
             ("priority", "0"),
         ];
-        assert_eq!(proxy.ask("/again/", &headers).await.status, 200);
-        let seen = &stand.seen()[0];
+        assert_eq!(proxy.post(IDEMPOTENT, &headers).await.status, 200);
+        let request = &stub.received()[0];
         for name in ["x-mine", "keep-alive", "kv-from", "x-serving-stage"] {
-            assert_eq!(seen.header(name), None, "{name}");
+            assert_eq!(request.header(name), None, "{name}");
         }
-        assert_eq!((seen.header("x-target-instance"), seen.header("priority")), (Some("s-1"), Some("3")));
+        let own = (request.header("x-target-instance"), request.header("priority"));
+        assert_eq!(own, (Some("s-1"), Some("3")));
     });
 }
 
-/// Two servers, the first request of all is dealt with by `act`, later ones are answered well.
-async fn first(act: Act) -> [std::rc::Rc<Stand>; 2] {
-    let met = std::rc::Rc::new(std::cell::Cell::new(false));
+/// Two servers: the first request of all meets `first`, later ones succeed.
+async fn stubs_failing_first(first: Behavior) -> [Rc<StubServer>; 2] {
+    let has_failed = Rc::new(Cell::new(false));
     let script = move || {
-        let (met, act) = (met.clone(), act.clone());
-        move |_: &common::Seen| if met.replace(true) { good("later") } else { act.clone() }
+        let (has_failed, first) = (has_failed.clone(), first.clone());
+        move |_: &ReceivedRequest| if has_failed.replace(true) { ok_response("later") } else { first.clone() }
     };
-    [Stand::new("s-1", "plain", None, script()).await, Stand::new("s-2", "plain", None, script()).await]
+    [
+        StubServer::start("s-1", "plain", None, script()).await,
+        StubServer::start("s-2", "plain", None, script()).await,
+    ]
 }
 
-/// Status and body, and how many requests both servers got.
-async fn once(seed: u64, path: &str, act: Act) -> (common::Answer, usize) {
-    let stands = first(act).await;
-    let proxy = Proxy::with(seed, &[&stands[0].server, &stands[1].server]).await;
-    let answer = proxy.ask(path, &[]).await;
-    let both_once = stands.iter().all(|stand| stand.seen().len() <= 1);
-    assert!(both_once, "no server gets a request twice");
-    (answer, stands.iter().map(|stand| stand.seen().len()).sum())
+/// The response to one request whose first attempt meets `first`, and how many requests both servers got.
+async fn post_failing_first(seed: u64, path: &str, first: Behavior) -> (ClientResponse, usize) {
+    let stubs = stubs_failing_first(first).await;
+    let proxy = Proxy::with_servers(seed, &[&stubs[0].server, &stubs[1].server]).await;
+    let response = proxy.post(path, &[]).await;
+    let at_most_once_each = stubs.iter().all(|stub| stub.received().len() <= 1);
+    assert!(at_most_once_each, "no server gets a request twice");
+    (response, stubs.iter().map(|stub| stub.received().len()).sum())
 }
 
 #[test]
-fn an_idempotent_request_goes_on_elsewhere() {
+fn an_idempotent_request_is_retried_after_any_failure() {
     run(async {
-        let other = vec![("x-server-seal", SEAL.to_owned()), ("x-attempt-id", "0000000000000000".to_owned())];
-        let acts = [
-            Act::Close,
-            never_ran(503),
-            never_ran(429),
-            never_ran(421),
-            Act::Answer(503, Vec::new(), ""),
-            Act::Answer(500, vec![("x-server-seal", SEAL.into())], "failed"),
-            Act::Answer(200, Vec::new(), "no stamp"),
-            Act::Answer(200, other, "another's"),
+        let failures = [
+            Behavior::Close,
+            not_executed(503),
+            not_executed(429),
+            not_executed(421),
+            Behavior::Respond(503, Vec::new(), ""),
+            Behavior::Respond(500, vec![("x-server-seal", SEAL.into())], "failed"),
+            Behavior::Respond(200, Vec::new(), "no seal"),
+            Behavior::Respond(200, foreign_headers(), "another's"),
         ];
-        for (seed, act) in SEEDS.flat_map(|seed| acts.iter().map(move |act| (seed, act))) {
-            let (answer, sends) = once(seed, "/again/", act.clone()).await;
-            assert_eq!((answer.status, answer.body.as_str(), sends), (200, "later", 2), "{act:?}");
-            assert_eq!(answer.header("x-attempt-id"), Some(ID));
+        for (seed, failure) in SEEDS.flat_map(|seed| failures.iter().map(move |failure| (seed, failure))) {
+            let (response, sent) = post_failing_first(seed, IDEMPOTENT, failure.clone()).await;
+            let got = (response.status, response.body.as_str(), sent);
+            assert_eq!(got, (200, "later", 2), "{failure:?}");
+            assert_eq!(response.header("x-attempt-id"), Some(ATTEMPT_ID));
         }
     });
 }
@@ -99,83 +125,83 @@
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_never_sent_twice() {
     run(async {
-        let other = vec![("x-server-seal", SEAL.to_owned()), ("x-attempt-id", "0000000000000000".to_owned())];
-        let acts = [
-            Act::Close,
-            Act::Answer(503, vec![("retry-after", "1".into())], ""),
-            Act::Answer(408, Vec::new(), ""),
-            Act::Answer(429, Vec::new(), ""),
-            Act::Answer(200, Vec::new(), "no stamp"),
-            Act::Answer(200, other.clone(), "another's"),
-            Act::Answer(503, other, "another's"),
+        let failures = [
+            Behavior::Close,
+            Behavior::Respond(503, vec![("retry-after", "1".into())], ""),
+            Behavior::Respond(408, Vec::new(), ""),
+            Behavior::Respond(429, Vec::new(), ""),
+            Behavior::Respond(200, Vec::new(), "no seal"),
+            Behavior::Respond(200, foreign_headers(), "another's"),
+            Behavior::Respond(503, foreign_headers(), "another's"),
         ];
-        for (seed, act) in SEEDS.flat_map(|seed| acts.iter().map(move |act| (seed, act))) {
-            let (answer, sends) = once(seed, "/once/", act.clone()).await;
-            assert_eq!((answer.status, answer.body.as_str(), sends), (502, "", 1), "{act:?}");
-            assert_eq!(answer.header("retry-after"), None, "{act:?}");
+        for (seed, failure) in SEEDS.flat_map(|seed| failures.iter().map(move |failure| (seed, failure))) {
+            let (response, sent) = post_failing_first(seed, NON_IDEMPOTENT, failure.clone()).await;
+            assert_eq!((response.status, response.body.as_str(), sent), (502, "", 1), "{failure:?}");
+            assert_eq!(response.header("retry-after"), None, "{failure:?}");
         }
     });
 }
 
 #[test]
-fn a_non_idempotent_request_that_never_ran_goes_on_elsewhere() {
+fn a_non_idempotent_request_that_never_ran_is_retried() {
     run(async {
         for (seed, status) in SEEDS.flat_map(|seed| [503, 429, 421].map(|status| (seed, status))) {
-            let (answer, sends) = once(seed, "/once/", never_ran(status)).await;
-            assert_eq!((answer.status, answer.body.as_str(), sends), (200, "later", 2), "{status}");
+            let (response, sent) = post_failing_first(seed, NON_IDEMPOTENT, not_executed(status)).await;
+            assert_eq!((response.status, response.body.as_str(), sent), (200, "later", 2), "{status}");
         }
     });
 }
 
 #[test]
-fn a_server_s_own_failure_reaches_the_client_of_a_non_idempotent_route() {
+fn a_server_s_own_error_reaches_the_client_of_a_non_idempotent_route() {
     run(async {
         for status in [500, 504, 400] {
-            let act = Act::Answer(status, vec![("x-server-seal", SEAL.into())], "failed");
-            let (answer, sends) = once(1, "/once/", act).await;
-            assert_eq!((answer.status, answer.body.as_str(), sends), (status, "failed", 1));
+            let failure = Behavior::Respond(status, vec![("x-server-seal", SEAL.into())], "failed");
+            let (response, sent) = post_failing_first(1, NON_IDEMPOTENT, failure).await;
+            assert_eq!((response.status, response.body.as_str(), sent), (status, "failed", 1));
         }
     });
 }
 
 #[test]
-fn a_connection_used_before_makes_no_second_send() {
+fn a_request_that_breaks_on_a_reused_connection_is_not_sent_twice() {
     run(async {
-        let count = std::cell::Cell::new(0);
-        let stand = Stand::new("s-1", "plain", None, move |_| {
+        let count = Cell::new(0);
+        let stub = StubServer::start("s-1", "plain", None, move |_| {
             count.set(count.get() + 1);
-            if count.get() == 1 { good("first") } else { Act::Close }
+            if count.get() == 1 { ok_response("first") } else { Behavior::Close }
         });
-        let stand = stand.await;
-        let proxy = Proxy::with(1, &[&stand.server]).await;
-        assert_eq!(proxy.ask("/once/", &[]).await.status, 200);
-        assert_eq!(proxy.ask("/once/", &[]).await.status, 502);
-        assert_eq!(stand.seen().len(), 2);
+        let stub = stub.await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+        assert_eq!(proxy.post(NON_IDEMPOTENT, &[]).await.status, 200);
+        assert_eq!(proxy.post(NON_IDEMPOTENT, &[]).await.status, 502);
+        assert_eq!(stub.received().len(), 2);
     });
 }
 
 #[test]
-fn who_is_not_there_gets_nothing_and_the_request_goes_on() {
+fn a_request_to_an_unreachable_server_is_retried_elsewhere() {
     run(async {
         for seed in SEEDS {
-            let stand = Stand::new("s-1", "plain", None, |_| good("here")).await;
-            let dead = common::server("s-0", "plain", None, common::nowhere().await);
-            let proxy = Proxy::with(seed, &[&dead, &stand.server]).await;
-            let answer = proxy.ask("/once/", &[]).await;
-            assert_eq!((answer.status, answer.body.as_str(), stand.seen().len()), (200, "here", 1));
+            let stub = StubServer::start("s-1", "plain", None, |_| ok_response("here")).await;
+            let unreachable = server("s-0", "plain", None, unused_address().await);
+            let proxy = Proxy::with_servers(seed, &[&unreachable, &stub.server]).await;
+            let response = proxy.post(NON_IDEMPOTENT, &[]).await;
+            let got = (response.status, response.body.as_str(), stub.received().len());
+            assert_eq!(got, (200, "here", 1));
         }
     });
 }
 
 #[test]
-fn where_all_turn_it_away_the_client_is_told_when_to_come_back() {
+fn a_client_whose_request_all_servers_reject_is_told_when_to_come_back() {
     run(async {
-        for path in ["/once/", "/again/"] {
-            let stand = Stand::new("s-1", "plain", None, |_| never_ran(503)).await;
-            let proxy = Proxy::with(1, &[&stand.server]).await;
-            let answer = proxy.ask(path, &[]).await;
-            let wait: f64 = answer.header("retry-after").and_then(|wait| wait.parse().ok()).expect("a time");
-            assert!(answer.status == 503 && wait > 0.0 && wait < 1.0, "{answer:?}");
+        for path in [NON_IDEMPOTENT, IDEMPOTENT] {
+            let stub = StubServer::start("s-1", "plain", None, |_| not_executed(503)).await;
+            let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+            let response = proxy.post(path, &[]).await;
+            let seconds = retry_after(&response).expect("a time");
+            assert!(response.status == 503 && seconds > 0.0 && seconds < 1.0, "{response:?}");
         }
     });
 }
@@ -183,33 +209,35 @@
 #[test]
 fn without_a_route_it_is_404_and_without_a_configuration_503() {
     run(async {
-        let stand = Stand::new("s-1", "plain", None, |_| good("")).await;
-        let proxy = Proxy::with(1, &[&stand.server]).await;
-        assert_eq!(proxy.ask("/nothing/", &[]).await.status, 404);
-        assert_eq!(proxy.ask("/once", &[]).await.status, 404);
-        assert!(stand.seen().is_empty());
-        let empty = Proxy::empty(1).await;
-        empty.data_plane.update_servers([&stand.server].into_iter());
-        let answer = empty.ask("/once/", &[]).await;
-        let wait = answer.header("retry-after").and_then(|wait| wait.parse::<f64>().ok());
-        assert!(answer.status == 503 && wait.is_some_and(|wait| wait > 0.0), "{answer:?}");
-        assert_eq!(ask(empty.readiness, "GET", "/readiness", &[], "").await.status, 503);
+        let stub = StubServer::start("s-1", "plain", None, |_| ok_response("")).await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+        assert_eq!(proxy.post("/nothing/", &[]).await.status, 404);
+        assert_eq!(proxy.post(NON_IDEMPOTENT.trim_end_matches('/'), &[]).await.status, 404);
+        assert!(stub.received().is_empty());
+        let unconfigured = Proxy::unconfigured(1).await;
+        unconfigured.data_plane.update_servers([&stub.server].into_iter());
+        let response = unconfigured.post(NON_IDEMPOTENT, &[]).await;
+        let seconds = retry_after(&response);
+        assert!(response.status == 503 && seconds.is_some_and(|seconds| seconds > 0.0), "{response:?}");
+        let address = unconfigured.readiness_address;
+        assert_eq!(send_request(address, "GET", "/readiness", &[], "").await.status, 503);
     });
 }
 
 #[test]
-fn while_it_drains_readiness_and_answers_say_so() {
+fn a_draining_proxy_is_not_ready_and_asks_clients_to_close_their_connections() {
     run(async {
-        let stand = Stand::new("s-1", "plain", None, |_| good("still")).await;
-        let proxy = Proxy::with(1, &[&stand.server]).await;
-        assert_eq!(ask(proxy.readiness, "GET", "/readiness", &[], "").await.status, 200);
-        assert_eq!(proxy.ask("/once/", &[]).await.header("connection"), None);
+        let stub = StubServer::start("s-1", "plain", None, |_| ok_response("still")).await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+        let readiness = || send_request(proxy.readiness_address, "GET", "/readiness", &[], "");
+        assert_eq!(readiness().await.status, 200);
+        assert_eq!(proxy.post(NON_IDEMPOTENT, &[]).await.header("connection"), None);
         proxy.data_plane.start_draining();
         assert!(proxy.data_plane.is_draining());
-        assert_eq!(ask(proxy.readiness, "GET", "/readiness", &[], "").await.status, 503);
-        for (path, status) in [("/once/", 200), ("/nothing/", 404)] {
-            let answer = proxy.ask(path, &[]).await;
-            assert_eq!((answer.status, answer.header("connection")), (status, Some("close")), "{path}");
+        assert_eq!(readiness().await.status, 503);
+        for (path, status) in [(NON_IDEMPOTENT, 200), ("/nothing/", 404)] {
+            let response = proxy.post(path, &[]).await;
+            assert_eq!((response.status, response.header("connection")), (status, Some("close")), "{path}");
         }
     });
 }
--- a/crates/data-plane/tests/event_splitter.rs
+++ b/crates/data-plane/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Streams are cut into whole events, however they come in pieces.
+//! A stream is split into complete events, however it comes in chunks.
 
 use mosshead_data_plane::EventSplitter;
 use quickcheck::quickcheck;
@@ -8,34 +8,37 @@
 }
 
 quickcheck! {
-    /// However the bytes are cut, the same events come out, in order, and nothing is left over.
-    fn pieces_make_the_same_events(cuts: Vec<u8>, count: u8) -> bool {
-        let (bytes, mut splitter, mut seen) = (stream(u64::from(count)), EventSplitter::default(), Vec::new());
-        let (mut at, mut cuts) = (0, cuts.into_iter().cycle());
-        while at < bytes.len() {
-            let next = (at + 1 + usize::from(cuts.next().unwrap_or(9) % 40)).min(bytes.len());
-            seen.extend(splitter.push(&bytes[at..next]).expect("short events"));
-            at = next;
+    /// However the bytes are cut into chunks, the same events come out, in order, and nothing is left over.
+    fn chunks_of_any_size_give_the_same_events(chunk_sizes: Vec<u8>, count: u8) -> bool {
+        let bytes = stream(u64::from(count));
+        let (mut splitter, mut events) = (EventSplitter::default(), Vec::new());
+        let (mut start, mut chunk_sizes) = (0, chunk_sizes.into_iter().cycle());
+        while start < bytes.len() {
+            let size = 1 + usize::from(chunk_sizes.next().unwrap_or(9) % 40);
+            let end = (start + size).min(bytes.len());
+            events.extend(splitter.push(&bytes[start..end]).expect("short events"));
+            start = end;
         }
-        let ids = seen.iter().filter_map(|event| event.id).eq(1..=u64::from(count));
-        let whole: Vec<u8> = seen.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        ids && whole == bytes && splitter.take_remainder().is_empty()
+        let ids_match = events.iter().filter_map(|event| event.id).eq(1..=u64::from(count));
+        let joined: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
+        ids_match && joined == bytes && splitter.take_remainder().is_empty()
     }
 
-    fn any_bytes_do_no_harm(pieces: Vec<Vec<u8>>) -> bool {
-        let (mut splitter, mut through) = (EventSplitter::default(), Vec::new());
-        for piece in &pieces {
-            through.extend(splitter.push(piece).expect("short").into_iter().flat_map(|event| event.bytes.to_vec()));
+    fn any_bytes_come_out_as_they_went_in(chunks: Vec<Vec<u8>>) -> bool {
+        let (mut splitter, mut forwarded) = (EventSplitter::default(), Vec::new());
+        for chunk in &chunks {
+            let events = splitter.push(chunk).expect("short events");
+            forwarded.extend(events.into_iter().flat_map(|event| event.bytes.to_vec()));
         }
-        through.extend(splitter.take_remainder());
-        through == pieces.concat()
+        forwarded.extend(splitter.take_remainder());
+        forwarded == chunks.concat()
     }
 }
 
 #[test]
-fn an_event_that_never_becomes_whole_is_let_go_of() {
+fn an_event_that_never_becomes_complete_is_discarded() {
     let mut splitter = EventSplitter::default();
-    let events = splitter.push(b"id: 4\r\ndata: a\r\n\r\nid: 5\r\ndata: half").expect("short");
+    let events = splitter.push(b"id: 4\r\ndata: a\r\n\r\nid: 5\r\ndata: half").expect("short events");
     assert_eq!(events.iter().map(|event| event.id).collect::<Vec<_>>(), [Some(4)]);
     splitter.mark_forwarded(Some(4));
     splitter.discard_partial_event();
--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! What the operators' pages ask of a request on its way: the client's headers, the time that is left, and that nobody
+//! What the operators' pages ask of a request on its way: the client's headers, the time that is left, and that no server
 //! works on for a client that has gone.
 
 mod common;
@@ -8,184 +8,213 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Act, HOST, ID, Proxy, SEAL, Seen, Stand, WAIT, ask, config, good, handle, run};
+use common::{
+    ATTEMPT_ID, Behavior, CLIENT_TIMEOUT, HOST, IDEMPOTENT, NON_IDEMPOTENT, NOT_RESUMABLE, Proxy,
+    REQUEST_BODY, RESUMABLE, ReceivedRequest, SEAL, StubServer, config, handle_response, ok_response,
+    raw_server, run, send_request,
+};
 use mosshead_config::Config;
-use mosshead_registry::Stage;
+use mosshead_registry::{Server, Stage};
 
-async fn prefill_server(act: Act) -> Rc<Stand> {
-    Stand::new("i-read", "llm", Some(Stage::Prefill), move |_| act.clone()).await
+/// An unresponsive server is given up after this silence at least.
+const MIN_SILENCE: Duration = Duration::from_millis(250);
+
+async fn prefill_server(behavior: Behavior) -> Rc<StubServer> {
+    StubServer::start("i-prefill", "llm", Some(Stage::Prefill), move |_| behavior.clone()).await
+}
+
+async fn decode_server(behavior: Behavior) -> Rc<StubServer> {
+    StubServer::start("i-decode", "llm", Some(Stage::Decode), move |_| behavior.clone()).await
 }
 
-async fn decode_server(act: Act) -> Rc<Stand> {
-    Stand::new("i-run", "llm", Some(Stage::Decode), move |_| act.clone()).await
+/// Two unresponsive servers: the first request of all meets `first`, later ones meet `later`.
+async fn unresponsive_servers(
+    service: &str,
+    stage: Option<Stage>,
+    first: Behavior,
+    later: Behavior,
+) -> [Rc<StubServer>; 2] {
+    let is_first = Rc::new(Cell::new(true));
+    let script = || {
+        let (is_first, first, later) = (is_first.clone(), first.clone(), later.clone());
+        move |_: &ReceivedRequest| if is_first.replace(false) { first.clone() } else { later.clone() }
+    };
+    let one = StubServer::start("i-1", service, stage, script()).await;
+    let two = StubServer::start("i-2", service, stage, script()).await;
+    [&one, &two].iter().for_each(|stub| stub.is_unresponsive.set(true));
+    [one, two]
 }
 
-fn stream() -> Act {
-    Act::Events { ids: 1..=3, seal: SEAL, cut: false }
+fn stream() -> Behavior {
+    Behavior::Stream { ids: 1..=3, seal: SEAL, breaks_off: false }
 }
 
-fn deadline(seen: &Seen) -> u64 {
-    seen.header("x-deadline-ms").and_then(|left| left.parse().ok()).expect("a deadline")
+/// The time that a server is given for a request.
+fn time_left(request: &ReceivedRequest) -> Duration {
+    let millis = request.header("x-deadline-ms").and_then(|millis| millis.parse().ok());
+    Duration::from_millis(millis.expect("a deadline"))
+}
+
+/// The times that both servers were given, the shorter one first.
+fn times_left(servers: &[Rc<StubServer>; 2]) -> [Duration; 2] {
+    let mut times = [time_left(&servers[0].received()[0]), time_left(&servers[1].received()[0])];
+    times.sort_unstable();
+    times
 }
 
 #[test]
-fn each_server_gets_the_client_s_word_of_model_and_prompt() {
+fn headers_of_model_and_prompt_reach_both_servers_unchanged() {
     run(async {
-        let (reader, runner) = (prefill_server(handle()).await, decode_server(stream()).await);
-        let proxy = Proxy::with(1, &[&reader.server, &runner.server]).await;
-        assert_eq!(proxy.prompt("/broken/", &[]).await.status, 200);
-        for seen in [&reader.seen()[0], &runner.seen()[0]] {
-            assert_eq!(seen.header("x-model-name"), Some("m"));
-            assert_eq!(seen.header("x-token-count"), Some("1460,80"));
-            assert_eq!(seen.header("x-prompt-prefix"), Some("5c1e07a2:800,91bd3f06:410,e4402b7d:250"));
+        let prefill = prefill_server(handle_response()).await;
+        let decode = decode_server(stream()).await;
+        let proxy = Proxy::with_servers(1, &[&prefill.server, &decode.server]).await;
+        assert_eq!(proxy.post_prompt(NOT_RESUMABLE, &[]).await.status, 200);
+        for request in [&prefill.received()[0], &decode.received()[0]] {
+            assert_eq!(request.header("x-model-name"), Some("m"));
+            assert_eq!(request.header("x-token-count"), Some("1460,80"));
+            assert_eq!(request.header("x-prompt-prefix"), Some("5c1e07a2:800,91bd3f06:410,e4402b7d:250"));
         }
     });
 }
 
 #[test]
-fn the_versions_of_weights_reach_the_client_unchanged() {
+fn versions_of_weights_reach_the_client_unchanged() {
     run(async {
         let body = "versions: 7\nid: 1\ndata: one\n\nid: 2\ndata: two\n\n";
-        let head =
-            format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {ID}\r\nX-Server-Seal: {SEAL}\r\nVersions: 6\r\n");
-        let answer = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
-        let (mut server, _) = common::raw("i-run", "llm", vec![answer], false).await;
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nX-Attempt-Id: {ATTEMPT_ID}\r\nX-Server-Seal: {SEAL}\r\nVersions: 6\r\n"
+        );
+        let response = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
+        let (mut server, _) = raw_server("i-decode", "llm", vec![response], false).await;
         server.stage = Some(Stage::Decode);
-        let proxy = Proxy::with(1, &[&server]).await;
-        let answer = proxy.prompt("/broken/", &[]).await;
-        assert_eq!((answer.status, answer.whole), (200, true));
-        assert_eq!((answer.header("versions"), answer.body.as_str()), (Some("6"), body));
+        let proxy = Proxy::with_servers(1, &[&server]).await;
+        let response = proxy.post_prompt(NOT_RESUMABLE, &[]).await;
+        assert_eq!((response.status, response.is_complete), (200, true));
+        assert_eq!((response.header("versions"), response.body.as_str()), (Some("6"), body));
     });
 }
 
 #[test]
-fn a_second_server_is_handed_the_time_that_is_left() {
+fn a_retry_gives_the_server_the_time_that_is_left() {
     run(async {
-        let first = Rc::new(Cell::new(true));
-        let script = || {
-            let first = first.clone();
-            move |_: &Seen| if first.replace(false) { Act::Never } else { good("elsewhere") }
-        };
-        let one = Stand::new("s-1", "plain", None, script()).await;
-        let two = Stand::new("s-2", "plain", None, script()).await;
-        [&one, &two].iter().for_each(|stand| stand.dark.set(true));
-        let proxy = Proxy::with(1, &[&one.server, &two.server]).await;
-        let began = Instant::now();
-        assert_eq!(proxy.ask("/again/", &[]).await.body, "elsewhere");
-        let took = began.elapsed().as_millis() as u64;
-        let mut deadlines = [deadline(&one.seen()[0]), deadline(&two.seen()[0])];
-        deadlines.sort_unstable();
-        let [later, earlier] = deadlines;
-        assert!(earlier <= WAIT && earlier + took >= WAIT, "{earlier}");
-        // A dark server is given up after a silence of 250 ms at least.
-        assert!(later + 250 <= earlier && later + took >= WAIT, "{later} after {earlier}, {took} ms");
+        let servers = unresponsive_servers("plain", None, Behavior::Hang, ok_response("elsewhere")).await;
+        let proxy = Proxy::with_servers(1, &[&servers[0].server, &servers[1].server]).await;
+        let started_at = Instant::now();
+        assert_eq!(proxy.post(IDEMPOTENT, &[]).await.body, "elsewhere");
+        let elapsed = Duration::from_millis(started_at.elapsed().as_millis() as u64);
+        let [second, first] = times_left(&servers);
+        assert!(first <= CLIENT_TIMEOUT && first + elapsed >= CLIENT_TIMEOUT, "{first:?}");
+        assert!(
+            second + MIN_SILENCE <= first && second + elapsed >= CLIENT_TIMEOUT,
+            "{second:?} after {first:?}, {elapsed:?}"
+        );
     });
 }
 
 #[test]
-fn a_resumed_stream_s_server_is_handed_the_time_that_is_left() {
+fn a_resumed_stream_gives_the_server_the_time_that_is_left() {
     run(async {
-        let first = Rc::new(Cell::new(true));
-        let script = || {
-            let first = first.clone();
-            move |_: &Seen| match first.replace(false) {
-                true => Act::Stalls(1..=2),
-                false => Act::Events { ids: 1..=3, seal: SEAL, cut: false },
-            }
-        };
-        let one = Stand::new("i-1", "llm", Some(Stage::Decode), script()).await;
-        let two = Stand::new("i-2", "llm", Some(Stage::Decode), script()).await;
-        [&one, &two].iter().for_each(|stand| stand.dark.set(true));
-        let proxy = Proxy::with(1, &[&one.server, &two.server]).await;
-        assert!(proxy.prompt("/resumed/", &[]).await.whole);
-        let mut deadlines = [deadline(&one.seen()[0]), deadline(&two.seen()[0])];
-        deadlines.sort_unstable();
-        assert!(deadlines[0] + 250 <= deadlines[1] && deadlines[1] <= WAIT, "{deadlines:?}");
+        let stage = Some(Stage::Decode);
+        let servers = unresponsive_servers("llm", stage, Behavior::StreamAndStall(1..=2), stream()).await;
+        let proxy = Proxy::with_servers(1, &[&servers[0].server, &servers[1].server]).await;
+        assert!(proxy.post_prompt(RESUMABLE, &[]).await.is_complete);
+        let [second, first] = times_left(&servers);
+        assert!(second + MIN_SILENCE <= first && first <= CLIENT_TIMEOUT, "{second:?} after {first:?}");
     });
 }
 
 #[test]
-fn without_a_deadline_of_the_client_s_the_route_s_timeout_is_handed_on() {
+fn the_route_s_timeout_bounds_the_time_that_a_server_is_given() {
     run(async {
-        let stand = Stand::new("s-1", "plain", None, |_| good("whole")).await;
-        let proxy = Proxy::with(1, &[&stand.server]).await;
-        assert_eq!(proxy.ask("/once/", &[("x-deadline-ms", "")]).await.status, 200);
-        assert_eq!(proxy.ask("/once/", &[("x-deadline-ms", "60000")]).await.status, 200);
-        let deadlines: Vec<u64> = stand.seen().iter().map(deadline).collect();
-        assert!(deadlines.iter().all(|left| (7_000..=8_000).contains(left)), "{deadlines:?}");
+        let stub = StubServer::start("s-1", "plain", None, |_| ok_response("complete")).await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+        assert_eq!(proxy.post(NON_IDEMPOTENT, &[("x-deadline-ms", "")]).await.status, 200);
+        assert_eq!(proxy.post(NON_IDEMPOTENT, &[("x-deadline-ms", "60000")]).await.status, 200);
+        let times: Vec<Duration> = stub.received().iter().map(time_left).collect();
+        let bounds = Duration::from_millis(7_000)..=Duration::from_millis(8_000);
+        assert!(times.iter().all(|time| bounds.contains(time)), "{times:?}");
     });
 }
 
-const TIMEOUT: Duration = Duration::from_millis(400);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How much later than its route's timeout a response may come on a busy machine.
+const TOLERANCE: Duration = Duration::from_millis(500);
 
 /// A proxy all of whose routes have a short timeout.
-async fn impatient(servers: &[&mosshead_registry::Server]) -> Proxy {
-    let proxy = Proxy::empty(1).await;
-    let short = format!("\"timeout_ms\":{}", TIMEOUT.as_millis());
+async fn proxy_with_short_timeouts(servers: &[&Server]) -> Proxy {
+    let proxy = Proxy::unconfigured(1).await;
+    let short = format!("\"timeout_ms\":{}", SHORT_TIMEOUT.as_millis());
     let text = config().to_json().replace("\"timeout_ms\":8000", &short);
-    let config = Config::parse(text.as_bytes()).expect("a sound configuration");
-    assert!(config.routes.iter().all(|route| route.timeout == TIMEOUT));
+    let config = Config::parse(text.as_bytes()).expect("a valid configuration");
+    assert!(config.routes.iter().all(|route| route.timeout == SHORT_TIMEOUT));
     assert!(proxy.data_plane.configure(Arc::new(config)));
     proxy.data_plane.update_servers(servers.iter().copied());
     proxy
 }
 
-/// A server that says nothing to a request, and still tells its load.
+/// The servers never respond to a request, but they do report their load.
 #[test]
-fn a_request_without_an_answer_is_answered_at_its_route_s_timeout() {
+fn a_request_without_a_response_fails_at_its_route_s_timeout() {
     run(async {
-        let plain = Stand::new("s-1", "plain", None, |_| Act::Never).await;
-        let runner = decode_server(Act::Never).await;
-        let proxy = impatient(&[&plain.server, &runner.server]).await;
-        for path in ["/again/", "/once/", "/broken/", "/resumed/"] {
-            let began = Instant::now();
-            assert_eq!(proxy.prompt(path, &[("x-deadline-ms", "60000")]).await.status, 502, "{path}");
-            assert!(began.elapsed() + Duration::from_millis(5) >= TIMEOUT, "{path}: {:?}", began.elapsed());
-            assert!(began.elapsed() < TIMEOUT + Duration::from_millis(500), "{path}: {:?}", began.elapsed());
+        let plain = StubServer::start("s-1", "plain", None, |_| Behavior::Hang).await;
+        let decode = decode_server(Behavior::Hang).await;
+        let proxy = proxy_with_short_timeouts(&[&plain.server, &decode.server]).await;
+        for path in [IDEMPOTENT, NON_IDEMPOTENT, NOT_RESUMABLE, RESUMABLE] {
+            let started_at = Instant::now();
+            let response = proxy.post_prompt(path, &[("x-deadline-ms", "60000")]).await;
+            assert_eq!(response.status, 502, "{path}");
+            let elapsed = started_at.elapsed();
+            assert!(elapsed + Duration::from_millis(5) >= SHORT_TIMEOUT, "{path}: {elapsed:?}");
+            assert!(elapsed < SHORT_TIMEOUT + TOLERANCE, "{path}: {elapsed:?}");
         }
     });
 }
 
 #[test]
-fn a_prompt_that_is_never_read_is_answered_at_its_route_s_timeout() {
+fn a_prompt_that_is_never_prefilled_is_rejected_at_its_route_s_timeout() {
     run(async {
-        let (reader, runner) = (prefill_server(Act::Never).await, decode_server(stream()).await);
-        let proxy = impatient(&[&reader.server, &runner.server]).await;
-        let began = Instant::now();
-        let answer = proxy.prompt("/broken/", &[("x-deadline-ms", "60000")]).await;
-        assert_eq!((answer.status, runner.seen().len()), (503, 0));
-        assert!(began.elapsed() < TIMEOUT + Duration::from_millis(500), "{:?}", began.elapsed());
+        let prefill = prefill_server(Behavior::Hang).await;
+        let decode = decode_server(stream()).await;
+        let proxy = proxy_with_short_timeouts(&[&prefill.server, &decode.server]).await;
+        let started_at = Instant::now();
+        let response = proxy.post_prompt(NOT_RESUMABLE, &[("x-deadline-ms", "60000")]).await;
+        assert_eq!((response.status, decode.received().len()), (503, 0));
+        let elapsed = started_at.elapsed();
+        assert!(elapsed < SHORT_TIMEOUT + TOLERANCE, "{elapsed:?}");
     });
 }
 
-/// Drops the client's connection once the server has got the request.
-async fn leave(proxy: &Proxy, path: &str, at: &Stand) {
+/// Drops the client's connection once the server has got the request, and waits until the server's has gone, too.
+async fn leave(proxy: &Proxy, path: &str, server: &StubServer) {
     let prompt = [("x-model-name", "m"), ("x-token-count", "1460,80"), ("x-prompt-prefix", "5c1e07a2:800")];
     tokio::select! {
-        _ = ask(proxy.front, "POST", path, &prompt, "a body") => panic!("no answer comes from {HOST}"),
-        () = at.until(|_| true) => {}
+        _ = send_request(proxy.address, "POST", path, &prompt, REQUEST_BODY) => {
+            panic!("no response comes from {HOST}")
+        }
+        () = server.wait_until_received(|_| true) => {}
     }
-    at.until_left().await;
+    server.wait_until_abandoned().await;
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_stream_along() {
+fn a_stream_whose_client_leaves_is_cancelled_at_its_server() {
     run(async {
-        for act in [Act::Stalls(1..=4), Act::Never] {
-            let runner = decode_server(act).await;
-            let proxy = Proxy::with(1, &[&runner.server]).await;
-            leave(&proxy, "/resumed/", &runner).await;
-            assert_eq!(runner.seen().len(), 1);
+        for behavior in [Behavior::StreamAndStall(1..=4), Behavior::Hang] {
+            let decode = decode_server(behavior).await;
+            let proxy = Proxy::with_servers(1, &[&decode.server]).await;
+            leave(&proxy, RESUMABLE, &decode).await;
+            assert_eq!(decode.received().len(), 1);
         }
     });
 }
 
 #[test]
-fn a_client_that_leaves_takes_the_prefill_of_its_prompt_along() {
+fn a_prefill_whose_client_leaves_is_cancelled_at_its_server() {
     run(async {
-        let (reader, runner) = (prefill_server(Act::Never).await, decode_server(stream()).await);
-        let proxy = Proxy::with(1, &[&reader.server, &runner.server]).await;
-        leave(&proxy, "/resumed/", &reader).await;
-        assert_eq!((reader.seen().len(), runner.seen().len()), (1, 0));
+        let prefill = prefill_server(Behavior::Hang).await;
+        let decode = decode_server(stream()).await;
+        let proxy = Proxy::with_servers(1, &[&prefill.server, &decode.server]).await;
+        leave(&proxy, RESUMABLE, &prefill).await;
+        assert_eq!((prefill.received().len(), decode.received().len()), (1, 0));
     });
 }
--- a/crates/data-plane/tests/limits.rs
+++ b/crates/data-plane/tests/limits.rs
@@ -1,119 +1,127 @@
-//! How often a request is sent, how long it is held, and what is too large.
+//! How often a request is sent, for how long it is held, and what is too long.
 
 mod common;
 
+use std::cell::Cell;
 use std::rc::Rc;
 
-use common::{Act, Proxy, SEAL, Stand, good, never_ran, run};
-
-async fn stands(count: usize, act: &Act) -> Vec<Rc<Stand>> {
-    let mut stands = Vec::new();
-    for at in 0..count {
-        let act = act.clone();
-        stands.push(Stand::new(&format!("s-{at}"), "plain", None, move |_| act.clone()).await);
+use common::{
+    ATTEMPT_ID, Behavior, IDEMPOTENT, NON_IDEMPOTENT, Proxy, ReceivedRequest, SEAL, StubServer, not_executed,
+    ok_response, raw_server, run, send_request,
+};
+
+async fn stubs(count: usize, behavior: &Behavior) -> Vec<Rc<StubServer>> {
+    let mut stubs = Vec::new();
+    for index in 0..count {
+        let behavior = behavior.clone();
+        let script = move |_: &ReceivedRequest| behavior.clone();
+        stubs.push(StubServer::start(&format!("s-{index}"), "plain", None, script).await);
     }
-    stands
+    stubs
 }
 
-fn sends(stands: &[Rc<Stand>]) -> usize {
-    stands.iter().map(|stand| stand.seen().len()).sum()
+fn count_received(stubs: &[Rc<StubServer>]) -> usize {
+    stubs.iter().map(|stub| stub.received().len()).sum()
 }
 
 #[test]
-fn a_request_is_sent_to_so_many_servers_as_its_route_says() {
+fn a_request_is_sent_to_as_many_servers_as_its_route_allows() {
     run(async {
-        for (act, status) in [(Act::Close, 502), (never_ran(503), 503), (never_ran(421), 503)] {
-            let stands = stands(6, &act).await;
-            let servers: Vec<_> = stands.iter().map(|stand| &stand.server).collect();
-            let proxy = Proxy::with(1, &servers).await;
-            assert_eq!(proxy.ask("/again/", &[]).await.status, status, "{act:?}");
-            assert_eq!(sends(&stands), 3, "{act:?}");
+        for (behavior, status) in [(Behavior::Close, 502), (not_executed(503), 503), (not_executed(421), 503)]
+        {
+            let stubs = stubs(6, &behavior).await;
+            let servers: Vec<_> = stubs.iter().map(|stub| &stub.server).collect();
+            let proxy = Proxy::with_servers(1, &servers).await;
+            assert_eq!(proxy.post(IDEMPOTENT, &[]).await.status, status, "{behavior:?}");
+            assert_eq!(count_received(&stubs), 3, "{behavior:?}");
         }
     });
 }
 
 #[test]
-fn without_a_budget_nothing_is_sent_twice() {
+fn without_a_retry_budget_nothing_is_sent_twice() {
     run(async {
-        for (act, status) in [(Act::Close, 502), (never_ran(503), 503)] {
-            let stands = stands(3, &act).await;
-            let servers: Vec<_> = stands.iter().map(|stand| &stand.server).collect();
-            let proxy = Proxy::spending(1, 0.0, 0.0).await.knows(&servers);
-            assert_eq!(proxy.ask("/again/", &[]).await.status, status, "{act:?}");
-            assert_eq!(sends(&stands), 1, "{act:?}");
+        for (behavior, status) in [(Behavior::Close, 502), (not_executed(503), 503)] {
+            let stubs = stubs(3, &behavior).await;
+            let servers: Vec<_> = stubs.iter().map(|stub| &stub.server).collect();
+            let proxy = Proxy::with_retry_budget(1, 0.0, 0.0).await.configured(&servers);
+            assert_eq!(proxy.post(IDEMPOTENT, &[]).await.status, status, "{behavior:?}");
+            assert_eq!(count_received(&stubs), 1, "{behavior:?}");
         }
     });
 }
 
 #[test]
-fn the_budget_of_all_proxies_is_kept() {
+fn retries_stay_within_the_budget_of_all_proxies() {
     run(async {
-        let stands = stands(3, &Act::Close).await;
-        let servers: Vec<_> = stands.iter().map(|stand| &stand.server).collect();
-        let proxy = Proxy::spending(1, 0.2, 4.0).await.knows(&servers);
+        let stubs = stubs(3, &Behavior::Close).await;
+        let servers: Vec<_> = stubs.iter().map(|stub| &stub.server).collect();
+        let proxy = Proxy::with_retry_budget(1, 0.2, 4.0).await.configured(&servers);
         proxy.data_plane.set_proxy_count(2);
         for _ in 0..40 {
-            assert_eq!(proxy.ask("/again/", &[]).await.status, 502);
+            assert_eq!(proxy.post(IDEMPOTENT, &[]).await.status, 502);
         }
-        assert!(sends(&stands) > 40, "some are repeated");
-        assert!(sends(&stands) <= 40 + 8 + 2, "{}", sends(&stands));
+        assert!(count_received(&stubs) > 40, "some are retried");
+        assert!(count_received(&stubs) <= 40 + 8 + 2, "{}", count_received(&stubs));
     });
 }
 
 #[test]
-fn a_server_that_is_dark_is_replaced_for_what_may_run_twice() {
+fn a_repeatable_request_leaves_an_unresponsive_server() {
     run(async {
-        let first = Rc::new(std::cell::Cell::new(true));
+        let is_first = Rc::new(Cell::new(true));
         let script = || {
-            let first = first.clone();
-            move |_: &common::Seen| if first.replace(false) { Act::Never } else { good("elsewhere") }
+            let is_first = is_first.clone();
+            move |_: &ReceivedRequest| {
+                if is_first.replace(false) { Behavior::Hang } else { ok_response("elsewhere") }
+            }
         };
-        let one = Stand::new("s-1", "plain", None, script()).await;
-        let two = Stand::new("s-2", "plain", None, script()).await;
-        [&one, &two].iter().for_each(|stand| stand.dark.set(true));
-        let proxy = Proxy::with(1, &[&one.server, &two.server]).await;
-        let answer = proxy.ask("/again/", &[]).await;
-        assert_eq!((answer.status, answer.body.as_str()), (200, "elsewhere"));
+        let one = StubServer::start("s-1", "plain", None, script()).await;
+        let two = StubServer::start("s-2", "plain", None, script()).await;
+        [&one, &two].iter().for_each(|stub| stub.is_unresponsive.set(true));
+        let proxy = Proxy::with_servers(1, &[&one.server, &two.server]).await;
+        let response = proxy.post(IDEMPOTENT, &[]).await;
+        assert_eq!((response.status, response.body.as_str()), (200, "elsewhere"));
     });
 }
 
 #[test]
-fn a_server_that_works_for_long_is_not_asked_twice() {
+fn a_request_at_a_slow_but_responsive_server_is_sent_once() {
     run(async {
-        for path in ["/again/", "/once/"] {
-            let stands = stands(2, &Act::Never).await;
-            let proxy = Proxy::with(1, &[&stands[0].server, &stands[1].server]).await;
-            let answer = proxy.ask(path, &[("x-deadline-ms", "1500")]).await;
-            assert_eq!((answer.status, sends(&stands)), (502, 1), "{path}");
+        for path in [IDEMPOTENT, NON_IDEMPOTENT] {
+            let stubs = stubs(2, &Behavior::Hang).await;
+            let proxy = Proxy::with_servers(1, &[&stubs[0].server, &stubs[1].server]).await;
+            let response = proxy.post(path, &[("x-deadline-ms", "1500")]).await;
+            assert_eq!((response.status, count_received(&stubs)), (502, 1), "{path}");
         }
     });
 }
 
 #[test]
-fn a_body_that_is_too_long_is_refused_and_goes_nowhere() {
+fn a_body_that_is_too_long_is_rejected_and_sent_to_no_server() {
     run(async {
-        let stands = stands(1, &good("")).await;
-        let proxy = Proxy::with(1, &[&stands[0].server]).await;
+        let stubs = stubs(1, &ok_response("")).await;
+        let proxy = Proxy::with_servers(1, &[&stubs[0].server]).await;
         let long: &'static str = Box::leak("x".repeat(65_537).into_boxed_str());
-        let answer = common::ask(proxy.front, "POST", "/once/", &[], long).await;
-        assert_eq!((answer.status, sends(&stands)), (413, 0));
-        let answer = common::ask(proxy.front, "POST", "/once/", &[], &long[1..]).await;
-        assert_eq!((answer.status, sends(&stands)), (200, 1));
+        let response = send_request(proxy.address, "POST", NON_IDEMPOTENT, &[], long).await;
+        assert_eq!((response.status, count_received(&stubs)), (413, 0));
+        let response = send_request(proxy.address, "POST", NON_IDEMPOTENT, &[], &long[1..]).await;
+        assert_eq!((response.status, count_received(&stubs)), (200, 1));
     });
 }
 
-fn head(more: &str) -> String {
-    head_for(common::ID, more)
+fn head(more_headers: &str) -> String {
+    head_for(ATTEMPT_ID, more_headers)
 }
 
-fn head_for(id: &str, more: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: {SEAL}\r\n{more}\r\n")
+fn head_for(attempt_id: &str, more_headers: &str) -> String {
+    format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {attempt_id}\r\nX-Server-Seal: {SEAL}\r\n{more_headers}\r\n")
 }
 
 #[test]
-fn an_answer_that_is_not_whole_never_reaches_a_client() {
+fn an_incomplete_response_never_reaches_a_client() {
     run(async {
-        let answers = [
+        let responses = [
             String::new(),
             "this is not HTTP".to_owned(),
             "HTTP/1.1 200 OK\r\nX-Att".to_owned(),
@@ -122,42 +130,44 @@
             format!("{}1234", head("")),
             format!("{}1234", head("Content-Length: 4\r\nContent-Encoding: gzip\r\n")),
         ];
-        for answer in answers {
-            let (server, count) = common::raw("s-1", "plain", vec![answer.clone()], true).await;
-            let proxy = Proxy::with(1, &[&server]).await;
-            let got = proxy.ask("/once/", &[]).await;
-            assert_eq!((got.status, got.body.as_str(), count.get()), (502, "", 1), "{answer}");
+        for response in responses {
+            let (server, count) = raw_server("s-1", "plain", vec![response.clone()], true).await;
+            let proxy = Proxy::with_servers(1, &[&server]).await;
+            let got = proxy.post(NON_IDEMPOTENT, &[]).await;
+            assert_eq!((got.status, got.body.as_str(), count.get()), (502, "", 1), "{response}");
         }
     });
 }
 
 #[test]
-fn bytes_after_a_whole_answer_belong_to_no_request() {
+fn bytes_after_a_complete_response_belong_to_no_request() {
     run(async {
-        let good = |body: &str| format!("{}{body}", head("Content-Length: 4\r\n"));
-        for excess in [good("more"), "garbage".to_owned(), "\r\n\r\n".to_owned(), good("more").repeat(2)] {
-            let answers =
-                vec![good("1234") + &excess, format!("{}5678", head_for("1", "Content-Length: 4\r\n"))];
-            let (server, _) = common::raw("s-1", "plain", answers, false).await;
-            let proxy = Proxy::with(1, &[&server]).await;
-            assert_eq!(proxy.ask("/once/", &[]).await.body, "1234");
-            let got = proxy.ask("/once/", &[("x-attempt-id", "1")]).await;
+        let response = |body: &str| format!("{}{body}", head("Content-Length: 4\r\n"));
+        let surpluses =
+            [response("more"), "garbage".to_owned(), "\r\n\r\n".to_owned(), response("more").repeat(2)];
+        for surplus in surpluses {
+            let second = format!("{}5678", head_for("1", "Content-Length: 4\r\n"));
+            let responses = vec![response("1234") + &surplus, second];
+            let (server, _) = raw_server("s-1", "plain", responses, false).await;
+            let proxy = Proxy::with_servers(1, &[&server]).await;
+            assert_eq!(proxy.post(NON_IDEMPOTENT, &[]).await.body, "1234");
+            let got = proxy.post(NON_IDEMPOTENT, &[("x-attempt-id", "1")]).await;
             assert!(matches!((got.status, got.body.as_str()), (200, "5678") | (502, "")), "{got:?}");
         }
     });
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_request_along() {
+fn a_request_whose_client_leaves_is_cancelled_at_its_server() {
     run(async {
-        let stands = stands(1, &Act::Never).await;
-        let proxy = Proxy::with(1, &[&stands[0].server]).await;
-        let asks = proxy.ask("/once/", &[]);
+        let stubs = stubs(1, &Behavior::Hang).await;
+        let proxy = Proxy::with_servers(1, &[&stubs[0].server]).await;
+        let response = proxy.post(NON_IDEMPOTENT, &[]);
         tokio::select! {
-            _ = asks => panic!("no answer comes"),
-            () = stands[0].until(|_| true) => {}
+            _ = response => panic!("no response comes"),
+            () = stubs[0].wait_until_received(|_| true) => {}
         }
-        stands[0].until_left().await;
-        assert_eq!(sends(&stands), 1);
+        stubs[0].wait_until_abandoned().await;
+        assert_eq!(count_received(&stubs), 1);
     });
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -92,7 +92,7 @@
     }
 
     /// The service's servers that may be sent to, except those in `avoid`: those that neither their ejection nor the
-    /// registry speaks against; if there are none, those that the registry has heard from; if there are none, all.
+    /// registry speaks against; if there are none, those that the registry does not suspect; if there are none, all.
     pub(crate) fn selectable(
         &self,
         now: Instant,
@@ -111,8 +111,8 @@
         if !healthy.is_empty() {
             return healthy;
         }
-        let heard_from: Vec<_> = up().filter(|endpoint| !endpoint.server.is_suspected).collect();
-        if heard_from.is_empty() { up().collect() } else { heard_from }
+        let unsuspected: Vec<_> = up().filter(|endpoint| !endpoint.server.is_suspected).collect();
+        if unsuspected.is_empty() { up().collect() } else { unsuspected }
     }
 
     pub(crate) fn record_selection(&mut self, id: &str) {
--- a/crates/routing/tests/server_selection.rs
+++ b/crates/routing/tests/server_selection.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn silent_servers_are_the_last_resort() {
+fn suspected_servers_are_the_last_resort() {
     let mut servers = [server("a", "s", None), server("b", "s", None)];
     servers[0].is_suspected = true;
     let mut router = router(&servers);
