--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -13,21 +13,21 @@
 //!   parts that differ. A newcomer gets its list in the same way. Addresses of the lost and of absent seeds are
 //!   tried now and then, so that two sides of a cut find each other.
 
-mod claims;
-mod contacts;
-mod journal;
+mod contact_points;
+mod event_log;
+mod gossip_queue;
+mod member_table;
 mod membership;
 mod peer;
-mod probe;
+mod prober;
 mod random;
 mod receive;
-mod roster;
-mod rumours;
 mod settings;
 mod sync;
+mod updates;
 mod wire;
 
-pub use journal::{Event, View};
+pub use event_log::{Event, View};
 pub use membership::{Datagram, Membership};
 pub use peer::{MAX_NAME_LEN, MAX_ZONE_LEN, MemberState, Peer, PeerError};
 pub use settings::Settings;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -6,12 +6,12 @@
 use mosshead_time::Instant;
 use rand_core::RngCore;
 
-use crate::contacts::Contacts;
-use crate::journal::{Event, Journal};
+use crate::contact_points::Contacts;
+use crate::event_log::{Event, Journal};
+use crate::gossip_queue::Rumours;
+use crate::member_table::Roster;
 use crate::peer::{MemberState, Peer, PeerError};
-use crate::probe::{Probe, Relay, Ring};
-use crate::roster::Roster;
-use crate::rumours::Rumours;
+use crate::prober::{Probe, Relay, Ring};
 use crate::settings::Settings;
 use crate::wire::{Body, Claim, Frame};
 
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -4,8 +4,8 @@
 
 use mosshead_time::Instant;
 
-use crate::claims::Via;
 use crate::membership::{Datagram, Membership};
+use crate::updates::Via;
 use crate::wire::{Body, Frame};
 
 /// Others told at once of one's own refutation.
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -4,9 +4,9 @@
 
 use rand_core::RngCore;
 
-use crate::claims::Via;
 use crate::membership::{Datagram, Membership};
 use crate::random::{below, index};
+use crate::updates::Via;
 use crate::wire::{Body, Claim, Frame, MAX_DATAGRAM_LEN, TABLE_BYTES};
 
 /// So many contacts at a time are tried by one that doesn't have the list.
--- a/crates/membership/src/claims.rs
+++ b/crates/membership/src/updates.rs
@@ -1,6 +1,6 @@
 //! What is made of claims about others and about oneself.
 
-use crate::journal::Event;
+use crate::event_log::Event;
 use crate::membership::Membership;
 use crate::peer::MemberState;
 use crate::wire::{Claim, INCARNATION_MAX};
