--- a/crates/membership/src/contact_points.rs
+++ b/crates/membership/src/contact_points.rs
@@ -1,4 +1,4 @@
-//! Addresses to try when members are missed: seeds, learnt ones, and where lost members were.
+//! Addresses to try when members are missing: seeds, addresses known from elsewhere, and those of dead members.
 
 use core::net::SocketAddrV4;
 use std::collections::VecDeque;
@@ -7,80 +7,91 @@
 
 use crate::random::{index, shuffle};
 
-const SEEDS_MAX: usize = 16;
-const LEARNT_MAX: usize = 256;
-const LOST_MAX: usize = 256;
-const DRAWS: usize = 4;
+const MAX_SEEDS: usize = 16;
+const MAX_ADDED: usize = 256;
+const MAX_LOST: usize = 256;
+/// Draws of one call of [`ContactPoints::draw_absent`].
+const MAX_DRAWS: usize = 4;
 
+/// The addresses, each list bounded.
 #[derive(Default)]
-pub(crate) struct Contacts {
+pub(crate) struct ContactPoints {
     seeds: Vec<SocketAddrV4>,
-    learnt: VecDeque<SocketAddrV4>,
+    /// Addresses that the host has added.
+    added: VecDeque<SocketAddrV4>,
+    /// Addresses of members that died.
     lost: VecDeque<SocketAddrV4>,
-    turn: usize,
+    /// Where [`ContactPoints::next`] starts.
+    next_start: usize,
 }
 
-impl Contacts {
-    /// In an order of one's own, so that not all newcomers ask the same one first.
-    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>, generator: &mut dyn RngCore) {
+impl ContactPoints {
+    /// Replaces the seeds. They are shuffled, so that not all new members contact the same one first.
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>, rng: &mut dyn RngCore) {
         self.seeds = seeds;
-        shuffle(generator, &mut self.seeds);
-        self.seeds.truncate(SEEDS_MAX);
+        shuffle(rng, &mut self.seeds);
+        self.seeds.truncate(MAX_SEEDS);
     }
 
-    pub(crate) fn learn(&mut self, address: SocketAddrV4) {
-        push(&mut self.learnt, address, LEARNT_MAX);
+    /// Adds an address that the host knows from elsewhere.
+    pub(crate) fn add(&mut self, address: SocketAddrV4) {
+        push_bounded(&mut self.added, address, MAX_ADDED);
     }
 
-    pub(crate) fn lose(&mut self, address: SocketAddrV4) {
-        push(&mut self.lost, address, LOST_MAX);
+    /// Remembers the address of a member that died.
+    pub(crate) fn add_lost(&mut self, address: SocketAddrV4) {
+        push_bounded(&mut self.lost, address, MAX_LOST);
     }
 
-    /// Who is a member again, or left for good, isn't lost.
-    pub(crate) fn found(&mut self, address: SocketAddrV4) {
+    /// Forgets the address of a lost member, as one that is a member again or has left.
+    pub(crate) fn remove_lost(&mut self, address: SocketAddrV4) {
         self.lost.retain(|known| *known != address);
     }
 
-    /// The next `count` to ask for the list, seeds first, not oneself.
-    pub(crate) fn next(&mut self, count: usize, me: SocketAddrV4) -> Vec<SocketAddrV4> {
-        let all = self.seeds.iter().chain(&self.learnt).chain(&self.lost);
-        let open: Vec<SocketAddrV4> = all.filter(|address| **address != me).copied().collect();
-        let Some(start) = self.turn.checked_rem(open.len()) else { return open };
-        // One further each time, so that another one is the first.
-        self.turn = start + 1;
-        open.iter().cycle().skip(start).take(count.min(open.len())).copied().collect()
+    /// Up to `count` addresses for an attempt to join, without the local one. The first is another one each time.
+    pub(crate) fn next(&mut self, count: usize, local: SocketAddrV4) -> Vec<SocketAddrV4> {
+        let all = self.seeds.iter().chain(&self.added).chain(&self.lost);
+        let remote: Vec<SocketAddrV4> = all.filter(|address| **address != local).copied().collect();
+        let Some(start) = self.next_start.checked_rem(remote.len()) else { return remote };
+        self.next_start = start + 1;
+        remote.iter().cycle().skip(start).take(count.min(remote.len())).copied().collect()
     }
 
-    /// One that isn't a member's now: a seed or learnt one, or a lost one, by halves. Of few draws, since looking for members is
-    /// work; learnt and lost ones that are members are struck out by the way.
-    pub(crate) fn draw(
+    /// An address that no live member has: with equal odds of a lost member, or a seed or added one.
+    ///
+    /// The search gives up after a few draws, since `is_live` walks over all members. Addresses of live members that it
+    /// meets are removed, except for seeds.
+    pub(crate) fn draw_absent(
         &mut self,
-        generator: &mut dyn RngCore,
-        member: impl Fn(SocketAddrV4) -> bool,
+        rng: &mut dyn RngCore,
+        is_live: impl Fn(SocketAddrV4) -> bool,
     ) -> Option<SocketAddrV4> {
-        for _ in 0..DRAWS {
-            let told = self.seeds.len() + self.learnt.len();
-            let from_lost = !self.lost.is_empty() && (told == 0 || index(generator, 2) == 0);
-            let drawn = if from_lost {
-                self.lost.get(index(generator, self.lost.len()))
-            } else {
-                self.seeds.iter().chain(&self.learnt).nth(index(generator, told))
-            };
-            let address = *drawn?;
-            if !member(address) {
+        for _ in 0..MAX_DRAWS {
+            let address = self.draw(rng)?;
+            if !is_live(address) {
                 return Some(address);
             }
-            self.found(address);
-            self.learnt.retain(|known| *known != address);
+            self.remove_lost(address);
+            self.added.retain(|known| *known != address);
         }
         None
     }
+
+    fn draw(&self, rng: &mut dyn RngCore) -> Option<SocketAddrV4> {
+        let configured = self.seeds.len() + self.added.len();
+        let is_from_lost = !self.lost.is_empty() && (configured == 0 || index(rng, 2) == 0);
+        if is_from_lost {
+            self.lost.get(index(rng, self.lost.len())).copied()
+        } else {
+            self.seeds.iter().chain(&self.added).nth(index(rng, configured)).copied()
+        }
+    }
 }
 
-fn push(list: &mut VecDeque<SocketAddrV4>, address: SocketAddrV4, most: usize) {
+fn push_bounded(list: &mut VecDeque<SocketAddrV4>, address: SocketAddrV4, max_length: usize) {
     list.retain(|known| *known != address);
     list.push_back(address);
-    if list.len() > most {
+    if list.len() > max_length {
         list.pop_front();
     }
 }
--- /dev/null
+++ b/crates/membership/src/discovery.rs
@@ -0,0 +1,110 @@
+//! Finding other members: joining a fleet, and reconnecting with members that were lost.
+
+use mosshead_time::{Duration, Instant};
+use rand_core::RngCore;
+
+use crate::outgoing::Datagram;
+use crate::settings::Settings;
+use crate::state::ProtocolState;
+use crate::sync::Synchronizer;
+use crate::wire::MessageBody;
+
+/// Contact points of one attempt to join.
+const CONTACTS_PER_JOIN: usize = 3;
+
+/// When to contact whom that isn't known as a member.
+pub(crate) struct Discovery {
+    /// Whether the local member has received another's complete list, and isn't alone.
+    has_joined: bool,
+    next_join_at: Instant,
+    /// Delay before the next attempt but one.
+    join_backoff: Duration,
+    next_reconnect_at: Instant,
+}
+
+impl Discovery {
+    pub(crate) fn new(settings: &Settings) -> Discovery {
+        Discovery {
+            has_joined: false,
+            next_join_at: Instant::ORIGIN,
+            join_backoff: settings.join_retry_interval,
+            next_reconnect_at: Instant::ORIGIN,
+        }
+    }
+
+    /// Joins at once, and reconnects after an interval.
+    pub(crate) fn start(&mut self, now: Instant, settings: &Settings) {
+        self.next_join_at = now;
+        self.next_reconnect_at = now + settings.reconnect_interval;
+    }
+
+    pub(crate) fn has_joined(&self) -> bool {
+        self.has_joined
+    }
+
+    /// The complete list of another member has been received.
+    pub(crate) fn on_joined(&mut self, settings: &Settings) {
+        self.has_joined = true;
+        self.join_backoff = settings.join_retry_interval;
+    }
+
+    /// Contacts members as long as the local one hasn't joined, or is alone again.
+    pub(crate) fn join_if_due(
+        &mut self,
+        state: &mut ProtocolState,
+        synchronizer: &mut Synchronizer,
+        out: &mut Vec<Datagram>,
+    ) {
+        if self.has_joined && state.table.live_members() <= 1 {
+            self.has_joined = false;
+            self.next_join_at = state.now;
+        }
+        if self.has_joined || state.now < self.next_join_at {
+            return;
+        }
+        let settings = &state.settings;
+        let max_backoff = settings.reconnect_interval.max(settings.join_retry_interval);
+        self.next_join_at = state.now + self.join_backoff;
+        self.join_backoff = (self.join_backoff * 2).min(max_backoff);
+        // Several contact points learn of the new member, so that the seeds know everybody; one sends its list.
+        let mut contacts = state.contacts.next(CONTACTS_PER_JOIN, state.local_peer.address);
+        contacts.extend(state.random_alive_addresses(CONTACTS_PER_JOIN.saturating_sub(contacts.len()), ""));
+        let mut contacts = contacts.into_iter();
+        if let Some(first) = contacts.next() {
+            synchronizer.request(state, first, out);
+        }
+        for address in contacts {
+            let body = ping_whoever_answers(state);
+            state.send(address, body, None, out);
+        }
+    }
+
+    /// Pings an address where a member should be that isn't known.
+    pub(crate) fn reconnect_if_due(&mut self, state: &mut ProtocolState, out: &mut Vec<Datagram>) {
+        if state.now < self.next_reconnect_at {
+            return;
+        }
+        self.next_reconnect_at = state.now + state.settings.reconnect_interval;
+        let table = &state.table;
+        let is_live = |address| table.has_live_address(address);
+        if let Some(address) = state.contacts.draw_absent(&mut *state.rng, is_live) {
+            let body = ping_whoever_answers(state);
+            state.send(address, body, None, out);
+        }
+    }
+
+    /// The first of the instants at which something is due.
+    pub(crate) fn next_deadline(&self) -> Instant {
+        if self.has_joined { self.next_reconnect_at } else { self.next_reconnect_at.min(self.next_join_at) }
+    }
+
+    /// Puts off all that is due.
+    pub(crate) fn postpone(&mut self, delay: Duration) {
+        self.next_join_at += delay;
+        self.next_reconnect_at += delay;
+    }
+}
+
+fn ping_whoever_answers(state: &mut ProtocolState) -> MessageBody {
+    MessageBody::Ping { sequence: state.rng.next_u32(), target: String::new() }
+}
--- a/crates/membership/src/event_log.rs
+++ b/crates/membership/src/event_log.rs
@@ -1,92 +1,47 @@
-//! What became known, in order, and the view that is folded from it.
+//! Changes of the membership in the order in which they became known.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 
-use crate::peer::{MemberState, Peer};
+use crate::peer::Peer;
 
-/// A change of what is believed.
+/// A change of what is believed about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is there: a new one, one that came back, or another life of a known name in its place.
+    /// A member is there: a new one, one that came back, or another instance under a known name.
     Joined(Peer),
-    /// The member of that name doesn't answer.
+    /// The member of that name didn't answer a probe.
     Suspected(String),
     /// The suspect of that name refuted.
     Refuted(String),
     /// The suspect of that name didn't refute in time.
     Died(String),
-    /// The member of that name told of its end.
+    /// The member of that name announced its shutdown.
     Left(String),
-    /// The host hasn't drained for long and events were dropped: read `members()` anew.
+    /// Earlier events were dropped, since the host hadn't drained them: it has to read all members again.
     Overflowed,
 }
 
-const EVENTS_MAX: usize = 8_192;
+/// Bound of the events that wait for the host.
+const MAX_EVENTS: usize = 8_192;
 
+/// Events that the host hasn't taken yet.
 #[derive(Default)]
-pub(crate) struct Journal {
+pub(crate) struct EventLog {
     events: VecDeque<Event>,
 }
 
-impl Journal {
+impl EventLog {
+    /// Appends an event; if there are too many already, [`Event::Overflowed`] replaces them.
     pub(crate) fn append(&mut self, event: Event) {
-        if self.events.len() >= EVENTS_MAX {
+        if self.events.len() >= MAX_EVENTS {
             self.events.clear();
             self.events.push_back(Event::Overflowed);
         }
         self.events.push_back(event);
     }
 
+    /// Takes all events.
     pub(crate) fn drain(&mut self) -> Vec<Event> {
         self.events.drain(..).collect()
     }
 }
-
-/// Who lives, folded from events.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
-    members: BTreeMap<String, (Peer, MemberState)>,
-    stale: bool,
-}
-
-impl View {
-    /// Takes one event in.
-    pub fn apply(&mut self, event: &Event) {
-        match event {
-            Event::Joined(peer) => {
-                self.members.insert(peer.name.clone(), (peer.clone(), MemberState::Alive));
-            }
-            Event::Suspected(name) => self.mark(name, MemberState::Suspect),
-            Event::Refuted(name) => self.mark(name, MemberState::Alive),
-            Event::Died(name) | Event::Left(name) => {
-                self.members.remove(name);
-            }
-            Event::Overflowed => self.stale = true,
-        }
-    }
-
-    /// Takes the whole list in, after [`Event::Overflowed`].
-    pub fn rebuild<'a>(&mut self, members: impl Iterator<Item = (&'a Peer, MemberState)>) {
-        self.members = members
-            .filter(|(_, health)| health.is_live())
-            .map(|(peer, health)| (peer.name.clone(), (peer.clone(), health)))
-            .collect();
-        self.stale = false;
-    }
-
-    /// Whether events were dropped since the last refill.
-    pub fn is_stale(&self) -> bool {
-        self.stale
-    }
-
-    /// Alive and suspect members by name, oneself included.
-    pub fn live_members(&self) -> impl Iterator<Item = (&Peer, MemberState)> {
-        self.members.values().map(|(peer, health)| (peer, *health))
-    }
-
-    fn mark(&mut self, name: &str, to: MemberState) {
-        if let Some((_, health)) = self.members.get_mut(name) {
-            *health = to;
-        }
-    }
-}
--- a/crates/membership/src/gossip_queue.rs
+++ b/crates/membership/src/gossip_queue.rs
@@ -1,72 +1,79 @@
-//! Names of which there is news, and how often it was sent.
+//! The updates to disseminate: whose state changed lately, and how often that was sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
+use mosshead_time::Instant;
+
+/// Orders updates by how often they were sent, the newest first among those sent equally often.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    times: u32,
-    number: Reverse<u64>,
+struct Priority {
+    transmissions: u32,
+    sequence: Reverse<u64>,
 }
 
-/// Least sent first, and the newest among these.
+/// Names whose current state is to be sent: the least sent first, as in section 4.1 of the SWIM paper.
 #[derive(Default)]
-pub(crate) struct Rumours {
-    places: BTreeMap<String, Place>,
-    turn: BTreeSet<(Place, String)>,
-    /// When each came, by its number.
-    ages: BTreeMap<u64, (u64, String)>,
-    count: u64,
+pub(crate) struct GossipQueue {
+    priorities: BTreeMap<String, Priority>,
+    /// The same as `priorities`, in the order of sending.
+    order: BTreeSet<(Priority, String)>,
+    /// When each name was queued, by its sequence number. Sequence numbers rise with time.
+    queued_at: BTreeMap<u64, (Instant, String)>,
+    last_sequence: u64,
 }
 
-impl Rumours {
-    /// There is something new of that name.
-    pub(crate) fn push(&mut self, name: &str, now: u64) {
+impl GossipQueue {
+    /// Queues the state of a name, as not sent yet.
+    pub(crate) fn push(&mut self, name: &str, now: Instant) {
         self.remove(name);
-        self.count += 1;
-        self.ages.insert(self.count, (now, name.to_owned()));
-        self.put(name.to_owned(), Place { times: 0, number: Reverse(self.count) });
+        self.last_sequence += 1;
+        self.queued_at.insert(self.last_sequence, (now, name.to_owned()));
+        let priority = Priority { transmissions: 0, sequence: Reverse(self.last_sequence) };
+        self.insert(name.to_owned(), priority);
     }
 
+    /// Stops sending the state of a name.
     pub(crate) fn remove(&mut self, name: &str) {
-        if let Some(place) = self.places.remove(name) {
-            self.turn.remove(&(place, name.to_owned()));
-            self.ages.remove(&place.number.0);
+        if let Some(priority) = self.priorities.remove(name) {
+            self.order.remove(&(priority, name.to_owned()));
+            self.queued_at.remove(&priority.sequence.0);
         }
     }
 
-    /// What is older is known to all, or is found by comparison.
-    pub(crate) fn forget_before(&mut self, time: u64) {
-        while let Some(oldest) = self.ages.first_entry().filter(|entry| entry.get().0 < time) {
+    /// Drops what was queued before an instant: all know it by now, or a sync will find that they don't.
+    pub(crate) fn remove_queued_before(&mut self, instant: Instant) {
+        while let Some(oldest) = self.queued_at.first_entry().filter(|entry| entry.get().0 < instant) {
             let (_, name) = oldest.remove();
             self.remove(&name);
         }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.priorities.is_empty()
     }
 
-    /// The names to send next, in turn.
-    pub(crate) fn next(&self) -> impl Iterator<Item = &str> {
-        self.turn.iter().map(|(_, name)| name.as_str())
+    /// The names in the order in which their states are to be sent.
+    pub(crate) fn in_order(&self) -> impl Iterator<Item = &str> {
+        self.order.iter().map(|(_, name)| name.as_str())
     }
 
-    /// These were sent; what was sent `limit` times is no news any more.
-    pub(crate) fn sent(&mut self, names: &[String], limit: u32) {
+    /// Counts one transmission of each of the names, and drops those that were sent `limit` times.
+    pub(crate) fn record_transmissions(&mut self, names: &[String], limit: u32) {
         for name in names {
-            let Some(Place { times, number }) = self.places.get(name).copied() else { continue };
-            if times + 1 >= limit {
+            let Some(priority) = self.priorities.get(name).copied() else { continue };
+            let transmissions = priority.transmissions + 1;
+            if transmissions >= limit {
                 self.remove(name);
             } else {
-                self.turn.remove(&(Place { times, number }, name.clone()));
-                self.put(name.clone(), Place { times: times + 1, number });
+                self.order.remove(&(priority, name.clone()));
+                self.insert(name.clone(), Priority { transmissions, ..priority });
             }
         }
     }
 
-    fn put(&mut self, name: String, place: Place) {
-        self.places.insert(name.clone(), place);
-        self.turn.insert((place, name));
+    fn insert(&mut self, name: String, priority: Priority) {
+        self.priorities.insert(name.clone(), priority);
+        self.order.insert((priority, name));
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,34 +1,46 @@
-//! Membership in the shape of SWIM: probes in turn, second opinions, suspicion before removal, incarnations.
+//! Membership of a fleet after SWIM: failure detection by probes, dissemination by gossip, suspicion before removal.
 //!
-//! No I/O and no clock: a host hands in datagrams and the time in milliseconds, and sends what comes out. Everything that is
-//! learnt becomes an [`Event`] of a journal, from which views are folded ([`View`]).
+//! The protocol is that of A. Das, I. Gupta and A. Motivala, *SWIM: Scalable Weakly-consistent Infection-style Process
+//! Group Membership Protocol* (DSN 2002), with an anti-entropy sync added to it. There is no I/O and no clock: a host hands
+//! in datagrams and instants and sends the [`Datagram`]s that come out. Each change of the membership is an [`Event`]; a
+//! [`View`] is built from events.
 //!
-//! - *Probe*: one member every period, in a shuffled round. One that doesn't answer is asked again directly and through
-//!   helpers; if none hears it, it is suspected, and everybody is told (by what rides on probes and acknowledgements).
-//! - *Refutation*: a suspect that hears of it raises its incarnation, which overrides all that was said before. One that
-//!   doesn't is dead after [`Settings::suspect_ms`].
-//! - *Claims about a name* are ordered by incarnation, then life, then health (alive, suspect, dead, left): all who have the
-//!   same claims believe the same. A process that hears of another life of its name takes an incarnation above it.
-//! - *Repair*: every datagram has a digest of whom its sender takes for living. Who sees another's differ for long asks for the
-//!   parts that differ. A newcomer gets its list in the same way. Addresses of the lost and of absent seeds are
-//!   tried now and then, so that two sides of a cut find each other.
+//! - *Probes* (section 3.1 of the paper): each protocol period one member is sent a ping, round robin in a random order
+//!   (section 4.3). If its ack doesn't come within [`Settings::probe_timeout`], it is pinged again and some other members
+//!   are asked to ping it (ping-req). If no ack came by the end of the period, it is suspected.
+//! - *Suspicion* (section 4.2): a suspect that learns of it raises its incarnation, which overrides everything said before.
+//!   One that doesn't within [`Settings::suspicion_timeout`] is dead.
+//! - *Dissemination* (section 4.1): updates are piggybacked on pings, acks and ping-reqs. Updates about a name are ordered by
+//!   incarnation, then instance, then state (alive, suspect, dead, left), so that members with the same updates believe the
+//!   same. A process that learns of another instance of its name takes a higher incarnation.
+//! - *Anti-entropy sync*: each datagram carries a digest of the live members as its sender knows them. Whoever sees other
+//!   digests than its own for long requests the updates of those buckets that differ. New members get the list in the
+//!   same way. Addresses of dead members and of absent seeds are pinged now and then, so that the sides of a healed
+//!   partition find each other.
 
 mod contact_points;
+mod discovery;
 mod event_log;
 mod gossip_queue;
 mod member_table;
 mod membership;
+mod outgoing;
 mod peer;
+mod probe_order;
 mod prober;
 mod random;
 mod receive;
 mod settings;
+mod state;
 mod sync;
 mod updates;
+mod view;
 mod wire;
 
-pub use event_log::{Event, View};
-pub use membership::{Datagram, Membership};
+pub use event_log::Event;
+pub use membership::Membership;
+pub use outgoing::Datagram;
 pub use peer::{MAX_NAME_LEN, MAX_ZONE_LEN, MemberState, Peer, PeerError};
 pub use settings::Settings;
+pub use view::View;
 pub use wire::MAX_DATAGRAM_LEN;
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,189 +1,218 @@
-//! What is believed of every name, and hashes over those that live.
+//! What is believed about every name, with a digest of those that are live.
 
 use core::net::SocketAddrV4;
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::peer::{MemberState, Peer};
-use crate::wire::{Claim, TABLE_BYTES};
+use mosshead_time::Instant;
 
-const PARTS: usize = TABLE_BYTES / 4;
+use crate::peer::{MemberState, Peer};
+use crate::wire::{BUCKETS, MemberUpdate, UpdateVersion};
 
-/// What is believed of one name.
+/// What is believed about one name.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
-    pub peer: Peer,
-    pub incarnation: u64,
-    pub health: MemberState,
-    /// Hash of name, life and incarnation.
-    mark: u64,
-    part: usize,
+pub(crate) struct MemberRecord {
+    pub(crate) peer: Peer,
+    pub(crate) incarnation: u64,
+    pub(crate) state: MemberState,
+    /// Hash of name, instance and incarnation.
+    hash: u64,
+    /// Bucket of the name, below [`BUCKETS`].
+    bucket: usize,
 }
 
-impl Record {
-    pub(crate) fn key(&self) -> (u64, u64) {
-        (self.incarnation, self.peer.instance_id)
+impl MemberRecord {
+    pub(crate) fn version(&self) -> UpdateVersion {
+        UpdateVersion { incarnation: self.incarnation, instance_id: self.peer.instance_id }
     }
 
-    pub(crate) fn claim(&self) -> Claim {
-        Claim::of(&self.peer, self.incarnation, self.health)
+    pub(crate) fn update(&self) -> MemberUpdate {
+        MemberUpdate::new(&self.peer, self.incarnation, self.state)
     }
 }
 
-/// All names, oneself included.
-pub(crate) struct Roster {
-    records: BTreeMap<String, Record>,
-    parts: [u32; PARTS],
+/// Until when a member that is dead or has left is remembered.
+struct Tombstone {
+    expires_at: Instant,
+    name: String,
+}
+
+/// All known members by name, the local one included.
+pub(crate) struct MemberTable {
+    records: BTreeMap<String, MemberRecord>,
+    /// Of each bucket the exclusive or of the upper halves of its live members' hashes.
+    bucket_hashes: [u32; BUCKETS],
+    /// The exclusive or of all live members' hashes.
     digest: u64,
-    living: usize,
-    core: usize,
-    /// When which remembered dead is to be forgotten, in order.
-    graves: VecDeque<(u64, String)>,
-    most: usize,
+    live_members: usize,
+    live_control_nodes: usize,
+    /// In the order of expiry. A member that came back may still have one.
+    tombstones: VecDeque<Tombstone>,
+    max_members: usize,
 }
 
-impl Roster {
-    pub(crate) fn new(most: usize) -> Roster {
-        Roster {
+impl MemberTable {
+    pub(crate) fn new(max_members: usize) -> MemberTable {
+        MemberTable {
             records: BTreeMap::new(),
-            parts: [0; PARTS],
+            bucket_hashes: [0; BUCKETS],
             digest: 0,
-            living: 0,
-            core: 0,
-            graves: VecDeque::new(),
-            most,
+            live_members: 0,
+            live_control_nodes: 0,
+            tombstones: VecDeque::new(),
+            max_members,
         }
     }
 
-    pub(crate) fn get(&self, name: &str) -> Option<&Record> {
+    pub(crate) fn get(&self, name: &str) -> Option<&MemberRecord> {
         self.records.get(name)
     }
 
-    pub(crate) fn lives(&self, name: &str) -> bool {
-        self.get(name).is_some_and(|record| record.health.is_live())
+    pub(crate) fn is_live(&self, name: &str) -> bool {
+        self.get(name).is_some_and(|record| record.state.is_live())
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Record> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// Of those that live, oneself included.
-    pub(crate) fn size(&self) -> usize {
-        self.living
+    /// Number of the live members, the local one included.
+    pub(crate) fn live_members(&self) -> usize {
+        self.live_members
     }
 
-    pub(crate) fn count(&self, core: bool) -> usize {
-        if core { self.core } else { self.living - self.core }
+    /// Number of the live members that are control nodes.
+    pub(crate) fn live_control_nodes(&self) -> usize {
+        self.live_control_nodes
     }
 
+    /// Digest of the live members. Two members with the same live members, instances and incarnations have the same.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
-    pub(crate) fn has_address(&self, address: SocketAddrV4) -> bool {
-        self.iter().any(|record| record.peer.address == address && record.health.is_live())
+    /// Whether a live member has this address.
+    pub(crate) fn has_live_address(&self, address: SocketAddrV4) -> bool {
+        self.iter().any(|record| record.peer.address == address && record.state.is_live())
     }
 
-    /// Whether a name that isn't known yet can be taken; the oldest dead make room.
-    pub(crate) fn has_room(&mut self) -> bool {
-        while self.records.len() >= self.most {
-            let Some((_, name)) = self.graves.pop_front() else { return false };
-            self.forget(&name);
+    /// Makes room for a name that isn't known yet, by forgetting the oldest tombstones. Whether there is room.
+    pub(crate) fn make_room(&mut self) -> bool {
+        while self.records.len() >= self.max_members {
+            let Some(tombstone) = self.tombstones.pop_front() else { return false };
+            self.remove_unless_live(&tombstone.name);
         }
         true
     }
 
-    /// Danger: the only place where records change, since the hashes must follow.
-    pub(crate) fn put(&mut self, peer: Peer, incarnation: u64, health: MemberState) {
-        let mark = mark(&peer.name, peer.instance_id, incarnation);
-        let part = (mark_of_name(&peer.name) % PARTS as u64) as usize;
+    /// Sets what is believed about a name.
+    ///
+    /// Every change of a record goes through here, since counts and hashes have to follow the records.
+    pub(crate) fn put(&mut self, peer: Peer, incarnation: u64, state: MemberState) {
+        let hash = hash_member(&peer.name, peer.instance_id, incarnation);
+        let bucket = (hash_name(&peer.name) % BUCKETS as u64) as usize;
         let name = peer.name.clone();
-        let record = Record { peer, incarnation, health, mark, part };
-        self.weigh(&record, true);
+        let record = MemberRecord { peer, incarnation, state, hash, bucket };
+        self.add_to_totals(&record);
         if let Some(old) = self.records.insert(name, record) {
-            self.weigh(&old, false);
+            self.subtract_from_totals(&old);
         }
     }
 
-    pub(crate) fn set_health(&mut self, name: &str, health: MemberState) {
+    pub(crate) fn set_state(&mut self, name: &str, state: MemberState) {
         if let Some(record) = self.records.get(name).cloned() {
-            self.put(record.peer, record.incarnation, health);
+            self.put(record.peer, record.incarnation, state);
         }
     }
 
-    /// Remembers a dead one until then.
-    pub(crate) fn bury(&mut self, name: &str, until: u64) {
-        self.graves.retain(|(_, known)| known != name);
-        self.graves.push_back((until, name.to_owned()));
+    /// Remembers a member that is dead or has left until an instant, which must not be earlier than that of former calls.
+    pub(crate) fn add_tombstone(&mut self, name: &str, expires_at: Instant) {
+        self.tombstones.retain(|tombstone| tombstone.name != name);
+        self.tombstones.push_back(Tombstone { expires_at, name: name.to_owned() });
     }
 
-    /// Forgets the dead whose time has come.
-    pub(crate) fn forget_until(&mut self, now: u64) {
-        while self.next_grave().is_some_and(|until| until <= now) {
-            if let Some((_, name)) = self.graves.pop_front() {
-                self.forget(&name);
+    /// Forgets the members whose tombstones have expired.
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        while self.next_expiry().is_some_and(|expires_at| expires_at <= now) {
+            if let Some(tombstone) = self.tombstones.pop_front() {
+                self.remove_unless_live(&tombstone.name);
             }
         }
     }
 
-    pub(crate) fn next_grave(&self) -> Option<u64> {
-        self.graves.front().map(|(until, _)| *until)
+    /// When the next tombstone expires.
+    pub(crate) fn next_expiry(&self) -> Option<Instant> {
+        self.tombstones.front().map(|tombstone| tombstone.expires_at)
     }
 
-    /// Hashes of all parts.
-    pub(crate) fn table(&self) -> Vec<u8> {
-        self.parts.iter().flat_map(|part| part.to_be_bytes()).collect()
+    /// The hashes of all buckets as they are sent.
+    pub(crate) fn encoded_bucket_hashes(&self) -> Vec<u8> {
+        self.bucket_hashes.iter().flat_map(|hash| hash.to_be_bytes()).collect()
     }
 
-    /// At most so many claims of the parts where another's table differs; they begin with the part `first`, and turn.
-    pub(crate) fn differing(&self, table: &[u8], first: usize, most: usize) -> Vec<Claim> {
-        let mut differs = [false; PARTS];
-        for ((flag, theirs), ours) in differs.iter_mut().zip(table.chunks(4)).zip(&self.parts) {
-            *flag = theirs != ours.to_be_bytes();
+    /// At most `max_updates` of the buckets whose hashes differ from another member's, from bucket `first_bucket` on.
+    pub(crate) fn differing_updates(
+        &self,
+        remote_bucket_hashes: &[u8],
+        first_bucket: usize,
+        max_updates: usize,
+    ) -> Vec<MemberUpdate> {
+        let mut differs = [false; BUCKETS];
+        let hashes = remote_bucket_hashes.chunks(4).zip(&self.bucket_hashes);
+        for (differs, (remote, local)) in differs.iter_mut().zip(hashes) {
+            *differs = remote != local.to_be_bytes();
         }
-        let wanted = |record: &&Record| differs.get(record.part).copied().unwrap_or(false);
-        let mut found: Vec<&Record> = self.iter().filter(wanted).collect();
-        found.sort_by_key(|record| (record.part + PARTS - first % PARTS) % PARTS);
-        found.into_iter().take(most).map(Record::claim).collect()
+        let is_differing = |record: &&MemberRecord| differs.get(record.bucket).copied().unwrap_or(false);
+        let mut found: Vec<&MemberRecord> = self.iter().filter(is_differing).collect();
+        found.sort_by_key(|record| (record.bucket + BUCKETS - first_bucket % BUCKETS) % BUCKETS);
+        found.into_iter().take(max_updates).map(MemberRecord::update).collect()
     }
 
-    fn forget(&mut self, name: &str) {
-        // One that came back meanwhile has a stale grave.
-        if self.get(name).is_some_and(|record| !record.health.is_live())
+    /// Forgets a name whose tombstone is gone, unless the member came back meanwhile.
+    fn remove_unless_live(&mut self, name: &str) {
+        if !self.is_live(name)
             && let Some(old) = self.records.remove(name)
         {
-            self.weigh(&old, false);
+            self.subtract_from_totals(&old);
         }
     }
 
-    fn weigh(&mut self, record: &Record, enters: bool) {
-        if !record.health.is_live() {
-            return;
+    fn add_to_totals(&mut self, record: &MemberRecord) {
+        if record.state.is_live() {
+            self.toggle_hashes(record);
+            self.live_members += 1;
+            self.live_control_nodes += usize::from(record.peer.is_control_node);
         }
-        self.digest ^= record.mark;
-        if let Some(part) = self.parts.get_mut(record.part) {
-            *part ^= (record.mark >> 32) as u32;
+    }
+
+    fn subtract_from_totals(&mut self, record: &MemberRecord) {
+        if record.state.is_live() {
+            self.toggle_hashes(record);
+            self.live_members -= 1;
+            self.live_control_nodes -= usize::from(record.peer.is_control_node);
         }
-        let core = usize::from(record.peer.is_control_node);
-        if enters {
-            self.living += 1;
-            self.core += core;
-        } else {
-            self.living -= 1;
-            self.core -= core;
+    }
+
+    fn toggle_hashes(&mut self, record: &MemberRecord) {
+        self.digest ^= record.hash;
+        if let Some(hash) = self.bucket_hashes.get_mut(record.bucket) {
+            *hash ^= (record.hash >> 32) as u32;
         }
     }
 }
 
-/// Any fixed mixing does, as long as all members have the same.
-fn mark(name: &str, instance_id: u64, incarnation: u64) -> u64 {
-    mix(mix(mark_of_name(name) ^ instance_id).wrapping_add(incarnation))
+/// All members have to hash in the same way, since digests are compared between them.
+fn hash_member(name: &str, instance_id: u64, incarnation: u64) -> u64 {
+    mix(mix(hash_name(name) ^ instance_id).wrapping_add(incarnation))
 }
 
-fn mark_of_name(name: &str) -> u64 {
-    let start = 0xcbf2_9ce4_8422_2325_u64;
-    mix(name.bytes().fold(start, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)))
+/// FNV-1a, mixed.
+fn hash_name(name: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    mix(name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME)))
 }
 
+/// The finalizer of SplitMix64.
 fn mix(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,122 +1,65 @@
-//! A member: what the host calls, and when it wants to be called.
+//! A member of a fleet: what the host calls, and when it wants to be called.
 
 use core::net::SocketAddrV4;
-use std::collections::{BTreeMap, VecDeque};
 
-use mosshead_time::Instant;
+use mosshead_time::{Duration, Instant};
 use rand_core::RngCore;
 
-use crate::contact_points::Contacts;
-use crate::event_log::{Event, Journal};
-use crate::gossip_queue::Rumours;
-use crate::member_table::Roster;
+use crate::discovery::Discovery;
+use crate::event_log::Event;
+use crate::outgoing::Datagram;
 use crate::peer::{MemberState, Peer, PeerError};
-use crate::prober::{Probe, Relay, Ring};
+use crate::prober::Prober;
+use crate::random::duration_below;
 use crate::settings::Settings;
-use crate::wire::{Body, Claim, Frame};
-
-/// A datagram that the host is to send.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Datagram {
-    /// Where to send it.
-    pub destination: SocketAddrV4,
-    /// Its content, at most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
-    pub payload: Vec<u8>,
-}
-
-/// Those who leave tell it for so many periods.
-const FAREWELLS: u32 = 3;
-/// Others told of one's own end each time.
-const FAREWELL_FAN_OUT: usize = 6;
-/// Later times are taken for this one, so that sums can't overflow.
-const NOW_MAX: u64 = 1 << 62;
-
-/// One member of a fleet. The clock that the host hands in should not go back; if it does, it stands still.
+use crate::state::ProtocolState;
+use crate::sync::Synchronizer;
+
+/// After the first announcement of a shutdown it is repeated so many times, once a period.
+const LEAVE_REPETITIONS: u32 = 3;
+/// Members that each announcement of a shutdown is sent to.
+const LEAVE_FANOUT: usize = 6;
+/// Later instants are taken for this one, so that deadlines in the future never pass for due.
+const LATEST_INSTANT: Instant = Instant::from_millis(1 << 62);
+
+/// One member of a fleet.
+///
+/// The host calls [`Membership::tick`] when [`Membership::next_wake`] says so, and [`Membership::receive`] with each
+/// datagram, and sends what they return. Its clock should not go back; if it does, it is taken to stand still.
 pub struct Membership {
-    pub(crate) me: Peer,
-    pub(crate) incarnation: u64,
-    pub(crate) settings: Settings,
-    pub(crate) generator: Box<dyn RngCore + Send>,
-    pub(crate) roster: Roster,
-    pub(crate) journal: Journal,
-    pub(crate) rumours: Rumours,
-    pub(crate) contacts: Contacts,
-    pub(crate) ring: Ring,
-    pub(crate) suspects: BTreeMap<String, u64>,
-    /// Held for dead, said to live.
-    pub(crate) rechecks: VecDeque<String>,
-    pub(crate) probe: Option<Probe>,
-    pub(crate) relays: VecDeque<Relay>,
-    pub(crate) next_probe: u64,
-    pub(crate) next_ask: u64,
-    pub(crate) ask_gap: u64,
-    pub(crate) next_reach: u64,
-    /// Has had the whole list of somebody.
-    pub(crate) joined: bool,
-    /// When it last asked, and how much longer it waits than others before it asks again.
-    pub(crate) asked_at: u64,
-    pub(crate) patience: u64,
-    /// The digest of the last datagram, and how many in a row had it.
-    pub(crate) foreign: (u64, u32),
-    pub(crate) changed_at: u64,
-    /// Changes of who lives, and how many there were at the last asking.
-    pub(crate) changes: u64,
-    pub(crate) changes_asked: u64,
-    /// The datagram at hand made this member raise its incarnation.
-    pub(crate) refuted: bool,
-    pub(crate) leaving: bool,
-    farewells: u32,
-    started: bool,
-    pub(crate) now: u64,
+    pub(crate) state: ProtocolState,
+    pub(crate) prober: Prober,
+    pub(crate) synchronizer: Synchronizer,
+    pub(crate) discovery: Discovery,
+    /// When the next protocol period begins; while leaving, when the announcement is repeated.
+    next_period_at: Instant,
+    remaining_leave_repetitions: u32,
+    is_started: bool,
 }
 
 impl Membership {
-    /// A newcomer that knows of nobody but the seeds; its own address among them is passed over.
+    /// A member that knows nobody but the seeds. Its own address among them is ignored.
+    ///
+    /// # Errors
+    ///
+    /// `local_peer` has a name, zone or address that no member may have.
     pub fn new(
-        me: Peer,
+        local_peer: Peer,
         seeds: Vec<SocketAddrV4>,
         settings: Settings,
-        generator: impl RngCore + Send + 'static,
+        rng: impl RngCore + Send + 'static,
     ) -> Result<Membership, PeerError> {
-        me.check()?;
-        let settings = settings.bounded();
-        let mut roster = Roster::new(settings.members_max);
-        roster.put(me.clone(), 1, MemberState::Alive);
-        let mut journal = Journal::default();
-        journal.append(Event::Joined(me.clone()));
-        let mut contacts = Contacts::default();
-        let mut generator = Box::new(generator);
-        contacts.set_seeds(seeds, &mut *generator);
+        local_peer.validate()?;
+        let mut state = ProtocolState::new(local_peer, settings.bounded(), Box::new(rng));
+        state.contacts.set_seeds(seeds, &mut *state.rng);
         Ok(Membership {
-            me,
-            incarnation: 1,
-            ask_gap: settings.ask_every_ms,
-            settings,
-            generator,
-            roster,
-            journal,
-            rumours: Rumours::default(),
-            contacts,
-            ring: Ring::default(),
-            suspects: BTreeMap::new(),
-            rechecks: VecDeque::new(),
-            probe: None,
-            relays: VecDeque::new(),
-            next_probe: 0,
-            next_ask: 0,
-            next_reach: 0,
-            joined: false,
-            asked_at: 0,
-            patience: 0,
-            foreign: (0, 0),
-            changed_at: 0,
-            changes: 0,
-            changes_asked: 0,
-            refuted: false,
-            leaving: false,
-            farewells: 0,
-            started: false,
-            now: 0,
+            discovery: Discovery::new(&state.settings),
+            state,
+            prober: Prober::default(),
+            synchronizer: Synchronizer::default(),
+            next_period_at: Instant::ORIGIN,
+            remaining_leave_repetitions: 0,
+            is_started: false,
         })
     }
 
@@ -124,187 +67,162 @@
     pub fn tick(&mut self, now: Instant) -> Vec<Datagram> {
         let mut out = Vec::new();
         self.advance(now);
-        if self.leaving {
-            if self.farewells > 0 && self.now >= self.next_probe {
-                self.farewells -= 1;
-                self.next_probe = self.now + self.settings.probe_every_ms;
-                self.tell(FAREWELL_FAN_OUT, &mut out);
-            }
+        if self.state.is_leaving {
+            self.repeat_leave_if_due(&mut out);
             return out;
         }
         self.expire();
-        self.tick_probe(&mut out);
-        self.tick_ask(&mut out);
-        self.tick_reach(&mut out);
+        if self.state.now >= self.next_period_at {
+            self.begin_period(&mut out);
+        }
+        self.prober.repeat_timed_out_probe(&mut self.state, &mut out);
+        self.discovery.join_if_due(&mut self.state, &mut self.synchronizer, &mut out);
+        self.discovery.reconnect_if_due(&mut self.state, &mut out);
         out
     }
 
-    /// Tells of the planned end. Further ticks tell it a few times more; from then on nothing else is done.
+    /// Announces the shutdown of the local member. Further ticks repeat it a few times; nothing else is done from then on.
     pub fn leave(&mut self, now: Instant) -> Vec<Datagram> {
         let mut out = Vec::new();
         self.advance(now);
-        if !self.leaving {
-            self.leaving = true;
-            self.farewells = FAREWELLS;
-            self.roster.set_health(&self.me.name, MemberState::Left);
-            self.journal.append(Event::Left(self.me.name.clone()));
-            self.next_probe = self.now + self.settings.probe_every_ms;
-            self.tell(FAREWELL_FAN_OUT, &mut out);
+        if !self.state.is_leaving {
+            self.state.is_leaving = true;
+            self.remaining_leave_repetitions = LEAVE_REPETITIONS;
+            let name = self.state.local_peer.name.clone();
+            self.state.table.set_state(&name, MemberState::Left);
+            self.state.events.append(Event::Left(name));
+            self.announce_leave(&mut out);
         }
         out
     }
 
-    /// When a tick is wanted, at the latest; `now` if it is due, or before the first one.
+    /// When [`Membership::tick`] has to be called at the latest: `now` if something is due, or before the first call.
     pub fn next_wake(&self, now: Instant) -> Instant {
-        if self.started { Instant::from_millis(self.due()).max(now) } else { now }
+        if self.is_started { self.next_deadline().max(now) } else { now }
     }
 
-    /// Oneself.
+    /// The local member.
     pub fn local_peer(&self) -> &Peer {
-        &self.me
+        &self.state.local_peer
     }
 
-    /// Everybody believed in, oneself and the remembered dead included.
+    /// All known members: the local one, the live ones, and the remembered ones that are dead or have left.
     pub fn members(&self) -> impl Iterator<Item = (&Peer, MemberState)> {
-        self.roster.iter().map(|record| (&record.peer, record.health))
+        self.state.table.iter().map(|record| (&record.peer, record.state))
     }
 
     /// How many control nodes are alive or suspect, the local one included.
     pub fn live_control_nodes(&self) -> usize {
-        self.roster.count(true)
+        self.state.table.live_control_nodes()
     }
 
     /// How many proxies are alive or suspect, the local one included.
     pub fn live_proxies(&self) -> usize {
-        self.roster.count(false)
+        self.state.table.live_members() - self.state.table.live_control_nodes()
     }
 
-    /// Events since the last call. The first one is one's own arrival.
+    /// Takes the events since the last call. The first of all is the joining of the local member.
     pub fn drain_events(&mut self) -> Vec<Event> {
-        self.journal.drain()
+        self.state.events.drain()
     }
 
-    /// Has had the whole list of another member, and isn't alone.
+    /// Whether the local member has received the complete list of another one, and isn't alone.
     pub fn has_joined(&self) -> bool {
-        self.joined
+        self.discovery.has_joined()
     }
 
-    /// Other seeds in the place of the former ones; whom one knows one keeps knowing.
+    /// Replaces the seeds. Known members stay known.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
-        self.contacts.set_seeds(seeds, &mut *self.generator);
+        self.state.contacts.set_seeds(seeds, &mut *self.state.rng);
     }
 
-    /// Addresses of members known from elsewhere, to be tried when nobody known is there.
+    /// Adds addresses of members that the host knows from elsewhere, to be tried like seeds.
     pub fn add_contacts(&mut self, addresses: impl IntoIterator<Item = SocketAddrV4>) {
-        for address in addresses {
-            self.contacts.learn(address);
-        }
+        addresses.into_iter().for_each(|address| self.state.contacts.add(address));
     }
 
-    /// Danger: a process that stood still must not judge others by the time that it has missed: all that is due is put off by it.
+    /// Takes in the instant of a call.
+    ///
+    /// A process that was suspended must not judge others by the time that it has missed, so everything that is due is put
+    /// off by a suspension that is longer than the probe timeout.
     pub(crate) fn advance(&mut self, now: Instant) {
-        let now = now.as_millis().clamp(self.now, NOW_MAX);
-        if !self.started {
-            self.started = true;
-            self.next_ask = now;
-            self.next_probe = now + crate::random::below(&mut *self.generator, self.settings.probe_every_ms);
-            self.next_reach = now + self.settings.reach_every_ms;
-            self.asked_at = now;
-        } else {
-            let late = now.saturating_sub(self.timers());
-            if late > self.settings.probe_timeout_ms {
-                self.suspects.values_mut().for_each(|until| *until += late);
-                for at in [&mut self.next_probe, &mut self.next_ask, &mut self.next_reach] {
-                    *at += late;
-                }
-                if let Some(probe) = &mut self.probe {
-                    probe.sent += late;
-                }
+        let now = now.clamp(self.state.now, LATEST_INSTANT);
+        if self.is_started {
+            let delay = now - self.next_timer();
+            if delay > self.state.settings.probe_timeout {
+                self.postpone_timers(delay);
             }
+        } else {
+            self.start(now);
         }
-        self.now = now;
+        self.state.now = now;
     }
 
-    fn due(&self) -> u64 {
-        if self.leaving {
-            return if self.farewells > 0 { self.next_probe } else { u64::MAX };
+    fn start(&mut self, now: Instant) {
+        let settings = &self.state.settings;
+        self.is_started = true;
+        // Spreads the periods of members that start together.
+        self.next_period_at = now + duration_below(&mut *self.state.rng, settings.probe_interval);
+        self.discovery.start(now, settings);
+        self.synchronizer.start(now);
+    }
+
+    fn postpone_timers(&mut self, delay: Duration) {
+        self.state.suspicion_deadlines.values_mut().for_each(|deadline| *deadline += delay);
+        self.next_period_at += delay;
+        self.discovery.postpone(delay);
+        self.prober.postpone(delay);
+    }
+
+    fn next_deadline(&self) -> Instant {
+        if self.state.is_leaving {
+            let has_repetitions = self.remaining_leave_repetitions > 0;
+            return if has_repetitions { self.next_period_at } else { Instant::FAR_FUTURE };
         }
-        self.roster.next_grave().unwrap_or(u64::MAX).min(self.timers())
+        let next_timer = self.next_timer();
+        self.state.table.next_expiry().map_or(next_timer, |expires_at| expires_at.min(next_timer))
     }
 
-    /// The first of the times that are put off after a standstill.
-    fn timers(&self) -> u64 {
-        let second = self.probe.as_ref().filter(|probe| !probe.acked && !probe.repeated);
-        let timers = [
-            Some(self.next_probe),
-            Some(self.next_reach),
-            (!self.joined).then_some(self.next_ask),
-            second.map(|probe| probe.sent + self.settings.probe_timeout_ms),
-            self.suspects.values().min().copied(),
-        ];
-        timers.into_iter().flatten().min().unwrap_or(u64::MAX)
+    /// The first of the deadlines that are put off after a suspension.
+    fn next_timer(&self) -> Instant {
+        let probe = self.prober.next_deadline(self.state.settings.probe_timeout);
+        let suspicion = self.state.suspicion_deadlines.values().min().copied();
+        let scheduled = self.next_period_at.min(self.discovery.next_deadline());
+        probe.into_iter().chain(suspicion).fold(scheduled, Instant::min)
     }
 
+    /// Confirms suspicions that weren't refuted, and forgets what is old enough.
     fn expire(&mut self) {
-        let now = self.now;
-        let due = self.suspects.iter().filter(|(_, until)| **until <= now).map(|(name, _)| name.clone());
-        for name in due.collect::<Vec<String>>() {
-            self.bury(&name, MemberState::Dead);
+        let state = &mut self.state;
+        let now = state.now;
+        let expired = state.suspicion_deadlines.iter().filter(|(_, deadline)| **deadline <= now);
+        let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
+        for name in expired {
+            state.mark_dead(&name);
         }
-        self.roster.forget_until(now);
-        let spread = u64::from(self.settings.sendings(self.roster.size())) * self.settings.probe_every_ms;
-        self.rumours.forget_before(now.saturating_sub(spread));
+        state.table.remove_expired(now);
+        let dissemination_time = state.settings.probe_interval * state.retransmit_limit();
+        state.gossip.remove_queued_before(now - dissemination_time);
     }
 
-    /// A datagram with `first` and as much news as fits.
-    pub(crate) fn datagram(&mut self, body: Body, first: Option<Claim>) -> Vec<u8> {
-        let mut frame = self.frame(body);
-        let mut room = frame.room();
-        if let Some(claim) = first {
-            room = room.saturating_sub(minicbor::len(&claim));
-            frame.claims.push(claim);
+    fn begin_period(&mut self, out: &mut Vec<Datagram>) {
+        self.prober.end_period(&mut self.state);
+        self.next_period_at = self.state.now + self.state.settings.probe_interval;
+        self.prober.begin_period(&mut self.state, out);
+        if !self.state.gossip.is_empty() {
+            self.state.send_gossip(self.state.settings.gossip_fanout, out);
         }
-        let mut sent = Vec::new();
-        let mut stale = Vec::new();
-        for name in self.rumours.next() {
-            let Some(record) = self.roster.get(name) else {
-                stale.push(name.to_owned());
-                continue;
-            };
-            let claim = record.claim();
-            let length = minicbor::len(&claim);
-            if length > room {
-                break;
-            }
-            room -= length;
-            sent.push(name.to_owned());
-            if !frame.claims.contains(&claim) {
-                frame.claims.push(claim);
-            }
-        }
-        stale.iter().for_each(|name| self.rumours.remove(name));
-        let limit = self.settings.sendings(self.roster.size());
-        self.rumours.sent(&sent, limit);
-        frame.write().unwrap_or_default()
     }
 
-    pub(crate) fn frame(&self, body: Body) -> Frame {
-        let health = if self.leaving { MemberState::Left } else { MemberState::Alive };
-        Frame {
-            fleet: self.settings.fleet,
-            sender: Claim::of(&self.me, self.incarnation, health),
-            digest: self.roster.digest(),
-            body,
-            claims: Vec::new(),
-            size: u32::try_from(self.roster.size()).unwrap_or(u32::MAX),
+    fn repeat_leave_if_due(&mut self, out: &mut Vec<Datagram>) {
+        if self.remaining_leave_repetitions > 0 && self.state.now >= self.next_period_at {
+            self.remaining_leave_repetitions -= 1;
+            self.announce_leave(out);
         }
     }
 
-    /// Tells the news, and oneself, to so many others.
-    pub(crate) fn tell(&mut self, others: usize, out: &mut Vec<Datagram>) {
-        for address in self.some(others, "") {
-            let datagram = self.datagram(Body::Tell, None);
-            out.push(Datagram { destination: address, payload: datagram });
-        }
+    fn announce_leave(&mut self, out: &mut Vec<Datagram>) {
+        self.next_period_at = self.state.now + self.state.settings.probe_interval;
+        self.state.send_gossip(LEAVE_FANOUT, out);
     }
 }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,4 +1,4 @@
-//! Who a member is, and what is believed of its health.
+//! The identity of a member, and the states that it can be in.
 
 use core::net::SocketAddrV4;
 
@@ -13,20 +13,25 @@
 /// A process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Name of its node; stays over restarts.
+    /// Name of its machine. It identifies the member and is the same after a restart; 1 to [`MAX_NAME_LEN`] bytes.
     pub name: String,
-    /// Drawn at random at each start of the process.
+    /// Identifies one run of the process: a random number drawn at each start.
     pub instance_id: u64,
-    /// Where it takes datagrams.
+    /// Where it receives datagrams.
     pub address: SocketAddrV4,
-    /// Whether it belongs to the core.
+    /// Whether it is a control node; otherwise it is a proxy.
     pub is_control_node: bool,
-    /// Its zone.
+    /// The zone that it runs in; at most [`MAX_ZONE_LEN`] bytes.
     pub zone: String,
 }
 
 impl Peer {
-    pub(crate) fn check(&self) -> Result<(), PeerError> {
+    /// Checks that others can name this peer and send to it.
+    ///
+    /// # Errors
+    ///
+    /// The name or the zone has a length out of bounds, or the address has no IP address or no port.
+    pub(crate) fn validate(&self) -> Result<(), PeerError> {
         if self.name.is_empty() || self.name.len() > MAX_NAME_LEN {
             return Err(PeerError::InvalidName(self.name.len()));
         }
@@ -40,26 +45,27 @@
     }
 }
 
-/// What is believed of a member. The order is that of claims with the same incarnation and instance_id: the higher holds.
+/// What is believed about a member. Of two updates with the same incarnation and instance the one with the greater state
+/// holds, so the order of the variants is part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, CborLen)]
 #[cbor(index_only)]
 pub enum MemberState {
-    /// Answers, or was heard of lately.
+    /// It answers, or a datagram of it came lately.
     #[n(0)]
     Alive,
-    /// Didn't answer; has time to refute.
+    /// It didn't answer a probe and may still refute.
     #[n(1)]
     Suspect,
-    /// Didn't refute in time.
+    /// It didn't refute in time.
     #[n(2)]
     Dead,
-    /// Told of its own planned end.
+    /// It announced its own shutdown.
     #[n(3)]
     Left,
 }
 
 impl MemberState {
-    /// Counted as a member: alive or suspect.
+    /// Whether it counts as a member: alive or suspect.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -1,204 +1,184 @@
-//! Probes in turn, and second opinions.
+//! The failure detector: one probe a protocol period, and pings on behalf of others.
 
 use core::net::SocketAddrV4;
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::VecDeque;
 
+use mosshead_time::{Duration, Instant};
 use rand_core::RngCore;
 
-use crate::membership::{Datagram, Membership};
+use crate::outgoing::Datagram;
 use crate::peer::MemberState;
-use crate::random::{index, shuffle};
-use crate::wire::Body;
-
-/// Asked probes for others at a time.
-const RELAYS_MAX: usize = 64;
-/// Dead ones asked again each period.
-const RECHECKS: usize = 4;
-
-/// A probe under way.
-pub(crate) struct Probe {
-    pub name: String,
-    /// Incarnation and life at its sending.
-    pub key: (u64, u64),
-    pub sequence: u32,
-    pub sent: u64,
-    pub acked: bool,
-    /// Sent again, and helpers asked.
-    pub repeated: bool,
+use crate::state::ProtocolState;
+use crate::wire::{MessageBody, UpdateVersion};
+
+/// Bound of the pings on behalf of others whose acks are awaited.
+const MAX_RELAYED_PINGS: usize = 64;
+/// Members believed dead that are pinged again each period.
+const DEAD_RECHECKS_PER_PERIOD: usize = 4;
+
+/// The probe of the present period.
+struct Probe {
+    target: String,
+    /// What was known of the target when it was sent.
+    version: UpdateVersion,
+    sequence: u32,
+    sent_at: Instant,
+    is_acked: bool,
+    /// Whether the ping was sent again, with ping-reqs to others.
+    is_repeated: bool,
 }
 
-/// A probe for another member.
-pub(crate) struct Relay {
-    pub sequence: u32,
-    pub target: String,
-    pub origin: SocketAddrV4,
-    pub origin_sequence: u32,
+impl Probe {
+    /// When the ping is to be sent again; `None` if it needn't be.
+    fn repeat_at(&self, probe_timeout: Duration) -> Option<Instant> {
+        (!self.is_acked && !self.is_repeated).then(|| self.sent_at + probe_timeout)
+    }
 }
 
-/// The order of probes: each other member once a round, newcomers at a random place.
-#[derive(Default)]
-pub(crate) struct Ring {
-    names: Vec<String>,
-    known: BTreeSet<String>,
-    turn: usize,
-    urgent: VecDeque<String>,
+/// A ping that another member asked for.
+struct RelayedPing {
+    sequence: u32,
+    target: String,
+    requester: SocketAddrV4,
+    /// The sequence of the ping-req, which the ack to the requester has.
+    requested_sequence: u32,
 }
 
-impl Ring {
-    pub(crate) fn insert(&mut self, name: &str, generator: &mut dyn RngCore) {
-        if self.known.insert(name.to_owned()) {
-            let at = self.turn + index(generator, self.names.len() + 1 - self.turn);
-            self.names.insert(at.min(self.names.len()), name.to_owned());
-        }
-    }
+/// A ping-req as received.
+pub(crate) struct PingRequest {
+    pub(crate) requester: SocketAddrV4,
+    pub(crate) sequence: u32,
+    pub(crate) target: String,
+    pub(crate) target_address: SocketAddrV4,
+}
 
-    /// To be probed before the others.
-    pub(crate) fn recheck(&mut self, name: &str) {
-        if self.known.contains(name) && !self.urgent.iter().any(|known| known == name) {
-            self.urgent.push_back(name.to_owned());
-        }
-    }
+/// Pings whose acks are awaited.
+#[derive(Default)]
+pub(crate) struct Prober {
+    probe: Option<Probe>,
+    /// The oldest first.
+    relayed_pings: VecDeque<RelayedPing>,
+}
 
-    fn next(&mut self, lives: impl Fn(&str) -> bool, generator: &mut dyn RngCore) -> Option<String> {
-        while let Some(name) = self.urgent.pop_front() {
-            if lives(&name) {
-                return Some(name);
-            }
+impl Prober {
+    /// Ends a protocol period: its target is suspected if it didn't answer, unless something newer is known of it.
+    pub(crate) fn end_period(&mut self, state: &mut ProtocolState) {
+        let Some(probe) = self.probe.take().filter(|probe| !probe.is_acked) else { return };
+        let record = state.table.get(&probe.target);
+        if record.is_some_and(|record| record.version() == probe.version) {
+            state.mark_suspect(&probe.target);
         }
-        for _ in 0..2 {
-            while let Some(name) = self.names.get(self.turn) {
-                self.turn += 1;
-                if lives(name) {
-                    return Some(name.clone());
-                }
-            }
-            self.names.retain(|name| lives(name));
-            self.known = self.names.iter().cloned().collect();
-            shuffle(generator, &mut self.names);
-            self.turn = 0;
-        }
-        None
     }
 
-    fn draw(&self, generator: &mut dyn RngCore) -> Option<&String> {
-        self.names.get(index(generator, self.names.len()))
+    /// Begins a protocol period: sends the probe to the next target.
+    pub(crate) fn begin_period(&mut self, state: &mut ProtocolState, out: &mut Vec<Datagram>) {
+        ping_dead_again(state, out);
+        let table = &state.table;
+        let target = state.probe_order.next(|name| table.is_live(name), &mut *state.rng);
+        let Some(target) = target else { return };
+        let Some(record) = state.table.get(&target) else { return };
+        let (version, address) = (record.version(), record.peer.address);
+        let sequence = state.rng.next_u32();
+        self.probe = Some(Probe {
+            target: target.clone(),
+            version,
+            sequence,
+            sent_at: state.now,
+            is_acked: false,
+            is_repeated: false,
+        });
+        ping(state, target, sequence, address, out);
     }
-}
 
-impl Membership {
-    pub(crate) fn tick_probe(&mut self, out: &mut Vec<Datagram>) {
-        if self.now >= self.next_probe {
-            if let Some(probe) = self.probe.take().filter(|probe| !probe.acked)
-                && self.roster.get(&probe.name).is_some_and(|record| record.key() == probe.key)
-            {
-                self.suspect(&probe.name);
-            }
-            self.next_probe = self.now + self.settings.probe_every_ms;
-            self.recheck(out);
-            self.start_probe(out);
-            if !self.rumours.is_empty() {
-                self.tell(self.settings.fan_out, out);
-            }
-        }
-        let (now, timeout) = (self.now, self.settings.probe_timeout_ms);
+    /// Sends the probe again if it timed out, with ping-reqs to some other members.
+    pub(crate) fn repeat_timed_out_probe(&mut self, state: &mut ProtocolState, out: &mut Vec<Datagram>) {
         let Some(probe) = &mut self.probe else { return };
-        if !probe.acked && !probe.repeated && now >= probe.sent + timeout {
-            probe.repeated = true;
-            let (name, sequence) = (probe.name.clone(), probe.sequence);
-            self.second_opinions(&name, sequence, out);
-        }
-    }
-
-    /// An answer to a probe, maybe through a helper.
-    pub(crate) fn hear_ack(&mut self, sequence: u32, target: &str, out: &mut Vec<Datagram>) {
-        if let Some(probe) =
-            self.probe.as_mut().filter(|probe| probe.sequence == sequence && probe.name == target)
-        {
-            probe.acked = true;
+        if probe.repeat_at(state.settings.probe_timeout).is_none_or(|at| state.now < at) {
+            return;
         }
-        let mine = |relay: &Relay| relay.sequence == sequence && relay.target == target;
-        if let Some(relay) = self.relays.iter().position(mine).and_then(|at| self.relays.remove(at)) {
-            let ack = Body::Ack { sequence: relay.origin_sequence, target: relay.target };
-            let datagram = self.datagram(ack, None);
-            out.push(Datagram { destination: relay.origin, payload: datagram });
+        probe.is_repeated = true;
+        let Some(address) = state.table.get(&probe.target).map(|record| record.peer.address) else { return };
+        for helper in state.random_alive_addresses(state.settings.indirect_probes, &probe.target) {
+            let (sequence, target) = (probe.sequence, probe.target.clone());
+            state.send(helper, MessageBody::PingRequest { sequence, target, address }, None, out);
         }
+        ping(state, probe.target.clone(), probe.sequence, address, out);
     }
 
-    /// Probes for another.
-    pub(crate) fn help(
+    /// Takes an ack, and passes it on if the ping was sent on behalf of another member.
+    pub(crate) fn on_ack(
         &mut self,
-        origin: SocketAddrV4,
-        origin_sequence: u32,
-        target: String,
-        address: SocketAddrV4,
+        state: &mut ProtocolState,
+        sequence: u32,
+        target: &str,
         out: &mut Vec<Datagram>,
     ) {
-        let sequence = self.generator.next_u32();
-        if self.relays.len() >= RELAYS_MAX {
-            self.relays.pop_front();
+        let probe = self.probe.as_mut();
+        if let Some(probe) = probe.filter(|probe| probe.sequence == sequence && probe.target == target) {
+            probe.is_acked = true;
+        }
+        let is_acked = |ping: &RelayedPing| ping.sequence == sequence && ping.target == target;
+        let position = self.relayed_pings.iter().position(is_acked);
+        if let Some(ping) = position.and_then(|position| self.relayed_pings.remove(position)) {
+            let ack = MessageBody::Ack { sequence: ping.requested_sequence, target: ping.target };
+            state.send(ping.requester, ack, None, out);
         }
-        self.relays.push_back(Relay { sequence, target: target.clone(), origin, origin_sequence });
-        self.ping(target, sequence, address, out);
     }
 
-    /// Addresses of so many others that live, drawn at random.
-    pub(crate) fn some(&mut self, count: usize, except: &str) -> Vec<SocketAddrV4> {
-        let mut drawn: Vec<SocketAddrV4> = Vec::new();
-        for _ in 0..4 * count + 8 {
-            if drawn.len() >= count {
-                break;
-            }
-            let Some(name) = self.ring.draw(&mut *self.generator) else { break };
-            let alive =
-                self.roster.get(name).filter(|record| record.health == MemberState::Alive && name != except);
-            if let Some(address) = alive.map(|record| record.peer.address)
-                && !drawn.contains(&address)
-            {
-                drawn.push(address);
-            }
+    /// Pings a member on behalf of another.
+    pub(crate) fn on_ping_request(
+        &mut self,
+        state: &mut ProtocolState,
+        request: PingRequest,
+        out: &mut Vec<Datagram>,
+    ) {
+        let sequence = state.rng.next_u32();
+        if self.relayed_pings.len() >= MAX_RELAYED_PINGS {
+            self.relayed_pings.pop_front();
         }
-        drawn
+        self.relayed_pings.push_back(RelayedPing {
+            sequence,
+            target: request.target.clone(),
+            requester: request.requester,
+            requested_sequence: request.sequence,
+        });
+        ping(state, request.target, sequence, request.target_address, out);
     }
 
-    fn start_probe(&mut self, out: &mut Vec<Datagram>) {
-        let (roster, ring) = (&self.roster, &mut self.ring);
-        let Some(name) = ring.next(|name| roster.lives(name), &mut *self.generator) else { return };
-        let Some((key, address)) = self.roster.get(&name).map(|record| (record.key(), record.peer.address))
-        else {
-            return;
-        };
-        let sequence = self.generator.next_u32();
-        self.probe =
-            Some(Probe { name: name.clone(), key, sequence, sent: self.now, acked: false, repeated: false });
-        self.ping(name, sequence, address, out);
+    /// When the probe is to be sent again, if it is.
+    pub(crate) fn next_deadline(&self, probe_timeout: Duration) -> Option<Instant> {
+        self.probe.as_ref().and_then(|probe| probe.repeat_at(probe_timeout))
     }
 
-    fn second_opinions(&mut self, name: &str, sequence: u32, out: &mut Vec<Datagram>) {
-        let Some(address) = self.roster.get(name).map(|record| record.peer.address) else { return };
-        for helper in self.some(self.settings.helpers, name) {
-            let request = Body::PingRequest { sequence, target: name.to_owned(), address };
-            let datagram = self.datagram(request, None);
-            out.push(Datagram { destination: helper, payload: datagram });
+    /// Gives the probe under way more time.
+    pub(crate) fn postpone(&mut self, delay: Duration) {
+        if let Some(probe) = &mut self.probe {
+            probe.sent_at += delay;
         }
-        self.ping(name.to_owned(), sequence, address, out);
     }
+}
 
-    /// A suspect or dead one is told what is believed of it, so that it can refute.
-    fn ping(&mut self, target: String, sequence: u32, address: SocketAddrV4, out: &mut Vec<Datagram>) {
-        let doubted = self.roster.get(&target).filter(|record| record.health != MemberState::Alive);
-        let first = doubted.map(|record| record.claim());
-        let datagram = self.datagram(Body::Ping { sequence, target }, first);
-        out.push(Datagram { destination: address, payload: datagram });
-    }
+/// Sends a ping. A target that isn't believed alive is notified, so that it can refute.
+fn ping(
+    state: &mut ProtocolState,
+    target: String,
+    sequence: u32,
+    address: SocketAddrV4,
+    out: &mut Vec<Datagram>,
+) {
+    let doubted = state.table.get(&target).filter(|record| record.state != MemberState::Alive);
+    let update = doubted.map(|record| record.update());
+    state.send(address, MessageBody::Ping { sequence, target }, update, out);
+}
 
-    fn recheck(&mut self, out: &mut Vec<Datagram>) {
-        for _ in 0..RECHECKS {
-            let Some(name) = self.rechecks.pop_front() else { break };
-            let dead = self.roster.get(&name).filter(|record| record.health == MemberState::Dead);
-            if let Some(address) = dead.map(|record| record.peer.address) {
-                let sequence = self.generator.next_u32();
-                self.ping(name, sequence, address, out);
-            }
+/// Pings some of the members that are believed dead though others say that they are live.
+fn ping_dead_again(state: &mut ProtocolState, out: &mut Vec<Datagram>) {
+    for _ in 0..DEAD_RECHECKS_PER_PERIOD {
+        let Some(name) = state.probe_order.next_dead_recheck() else { break };
+        let dead = state.table.get(&name).filter(|record| record.state == MemberState::Dead);
+        if let Some(address) = dead.map(|record| record.peer.address) {
+            let sequence = state.rng.next_u32();
+            ping(state, name, sequence, address, out);
         }
     }
 }
--- a/crates/membership/src/random.rs
+++ b/crates/membership/src/random.rs
@@ -1,19 +1,26 @@
-//! Draws from the generator that the host hands in.
+//! Random choices by the generator that the host hands in.
 
+use mosshead_time::{Duration, whole_millis};
 use rand_core::RngCore;
 
-/// Below `end`; 0 if that is 0.
-pub(crate) fn below(generator: &mut dyn RngCore, end: u64) -> u64 {
-    generator.next_u64().checked_rem(end).unwrap_or(0)
+/// A number below `end`; 0 if `end` is 0.
+fn below(rng: &mut dyn RngCore, end: u64) -> u64 {
+    rng.next_u64().checked_rem(end).unwrap_or(0)
 }
 
-/// An index of a list of `length`.
-pub(crate) fn index(generator: &mut dyn RngCore, length: usize) -> usize {
-    below(generator, length as u64) as usize
+/// An index of a list of `length`; 0 if the list is empty.
+pub(crate) fn index(rng: &mut dyn RngCore, length: usize) -> usize {
+    below(rng, length as u64) as usize
 }
 
-pub(crate) fn shuffle<T>(generator: &mut dyn RngCore, list: &mut [T]) {
+/// A duration of whole milliseconds below `end`; zero if `end` is.
+pub(crate) fn duration_below(rng: &mut dyn RngCore, end: Duration) -> Duration {
+    Duration::from_millis(below(rng, whole_millis(end)))
+}
+
+/// Brings a list into a random order (Fisher and Yates).
+pub(crate) fn shuffle<T>(rng: &mut dyn RngCore, list: &mut [T]) {
     for last in (1..list.len()).rev() {
-        list.swap(last, index(generator, last + 1));
+        list.swap(last, index(rng, last + 1));
     }
 }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -1,69 +1,127 @@
-//! Datagram of others.
+//! Handling the datagrams of other members.
 
 use core::net::SocketAddrV4;
 
 use mosshead_time::Instant;
 
-use crate::membership::{Datagram, Membership};
-use crate::updates::Via;
-use crate::wire::{Body, Frame};
+use crate::membership::Membership;
+use crate::outgoing::Datagram;
+use crate::prober::PingRequest;
+use crate::sync::{self, RemoteDigest};
+use crate::updates::UpdateSource;
+use crate::wire::{MemberUpdate, Message, MessageBody};
 
-/// Others told at once of one's own refutation.
-const REFUTATION_FAN_OUT: usize = 3;
+/// Members that a refutation is sent to at once.
+const REFUTATION_FANOUT: usize = 3;
 
 impl Membership {
-    /// Takes a datagram in; garbage and datagrams of other fleets are dropped without an answer.
-    pub fn receive(&mut self, now: Instant, from: SocketAddrV4, bytes: &[u8]) -> Vec<Datagram> {
+    /// Handles a datagram. Malformed ones and those of other fleets are dropped without an answer.
+    pub fn receive(&mut self, now: Instant, sender: SocketAddrV4, datagram: &[u8]) -> Vec<Datagram> {
         let mut out = Vec::new();
         self.advance(now);
-        let Some(frame) = Frame::read(self.settings.fleet, bytes) else { return out };
-        if frame.sender.name == self.me.name && frame.sender.instance_id == self.me.instance_id {
+        let Some(message) = Message::decode(self.state.settings.fleet_id, datagram) else { return out };
+        let local = &self.state.local_peer;
+        if message.sender.name == local.name && message.sender.instance_id == local.instance_id {
             return out;
         }
-        self.refuted = false;
-        self.hear(&frame.sender, Via::Direct);
-        if !matches!(frame.body, Body::Page { .. }) {
-            for claim in &frame.claims {
-                self.hear(claim, Via::Rumour);
-            }
-        }
-        self.answer(from, &frame, &mut out);
-        // A sender that doesn't know what is believed of it, or that believes wrongly of this member, is told at once.
-        let owed = self.refuted || self.above(&frame.sender).is_some();
-        if owed && !out.iter().any(|datagram| datagram.destination == from) {
-            let first = self.above(&frame.sender);
-            let datagram = self.datagram(Body::Tell, first);
-            out.push(Datagram { destination: from, payload: datagram });
+        let has_refuted = self.apply_updates(&message);
+        let sender_override = self.state.overriding_update(&message.sender);
+        self.respond(sender, &message, sender_override, &mut out);
+        // A sender that doesn't know what is believed of it, or that believes wrongly of this member, is notified at once.
+        let sender_override = self.state.overriding_update(&message.sender);
+        let is_answered = out.iter().any(|datagram| datagram.destination == sender);
+        if (has_refuted || sender_override.is_some()) && !is_answered {
+            self.state.send(sender, MessageBody::Gossip, sender_override, &mut out);
         }
-        if self.refuted {
-            self.tell(REFUTATION_FAN_OUT, &mut out);
+        if has_refuted {
+            self.state.send_gossip(REFUTATION_FANOUT, &mut out);
         }
         out
     }
 
-    fn answer(&mut self, from: SocketAddrV4, frame: &Frame, out: &mut Vec<Datagram>) {
-        let above = self.above(&frame.sender);
-        match &frame.body {
-            Body::Ping { sequence, target } => {
-                // Another name at this address: whoever asked learns who is here, but not that the target lives.
-                let mine = target.is_empty() || *target == self.me.name;
-                let ack = Body::Ack { sequence: *sequence, target: self.me.name.clone() };
-                let datagram = self.datagram(if mine { ack } else { Body::Tell }, above);
-                out.push(Datagram { destination: from, payload: datagram });
+    /// Applies all updates of a message. Whether one of them made the local member refute.
+    fn apply_updates(&mut self, message: &Message) -> bool {
+        let source = match message.body {
+            MessageBody::SyncResponse { .. } => UpdateSource::Sync,
+            _ => UpdateSource::Gossip,
+        };
+        let mut has_refuted = self.state.apply_update(&message.sender, UpdateSource::Sender);
+        for update in &message.updates {
+            has_refuted |= self.state.apply_update(update, source);
+        }
+        has_refuted
+    }
+
+    /// Does what the body of a message asks for. `sender_override` is what the sender should learn about itself.
+    fn respond(
+        &mut self,
+        sender: SocketAddrV4,
+        message: &Message,
+        sender_override: Option<MemberUpdate>,
+        out: &mut Vec<Datagram>,
+    ) {
+        match &message.body {
+            MessageBody::Ping { sequence, target } => {
+                let ack = self.ack_or_gossip(*sequence, target);
+                self.state.send(sender, ack, sender_override, out);
             }
-            Body::Ack { sequence, target } => self.hear_ack(*sequence, target, out),
-            Body::PingRequest { sequence, target, address } => {
-                self.help(from, *sequence, target.clone(), *address, out);
+            MessageBody::Ack { sequence, target } => {
+                self.prober.on_ack(&mut self.state, *sequence, target, out);
             }
-            Body::Ask { table } => self.answer_ask(from, table, above, out),
-            Body::Page { last, more } => {
-                self.hear_page(from, frame, *last, *more, out);
+            MessageBody::PingRequest { sequence, target, address } => {
+                let request = PingRequest {
+                    requester: sender,
+                    sequence: *sequence,
+                    target: target.clone(),
+                    target_address: *address,
+                };
+                self.prober.on_ping_request(&mut self.state, request, out);
+            }
+            MessageBody::SyncRequest { bucket_hashes } => {
+                sync::respond(&mut self.state, sender, bucket_hashes, sender_override, out);
+                return;
+            }
+            MessageBody::SyncResponse { is_last, has_more } => {
+                if *is_last {
+                    self.end_sync(sender, message.digest, *has_more, out);
+                }
                 return;
             }
-            Body::Tell => {}
+            MessageBody::Gossip => {}
+        }
+        if message.sender.state.is_live() {
+            self.compare_digests(sender, message, out);
         }
-        if frame.sender.health.is_live() && !matches!(frame.body, Body::Ask { .. }) {
-            self.compare(from, frame.digest, frame.size, out);
+    }
+
+    /// A ping for another name at this address isn't acked: its sender learns who is here, not that the target is alive.
+    fn ack_or_gossip(&self, sequence: u32, target: &str) -> MessageBody {
+        let local_name = &self.state.local_peer.name;
+        if target.is_empty() || target == local_name {
+            MessageBody::Ack { sequence, target: local_name.clone() }
+        } else {
+            MessageBody::Gossip
+        }
+    }
+
+    fn end_sync(
+        &mut self,
+        sender: SocketAddrV4,
+        remote_digest: u64,
+        has_more: bool,
+        out: &mut Vec<Datagram>,
+    ) {
+        let state = &mut self.state;
+        if self.synchronizer.on_response_end(state, sender, remote_digest, has_more, out) {
+            self.discovery.on_joined(&state.settings);
+        }
+    }
+
+    fn compare_digests(&mut self, sender: SocketAddrV4, message: &Message, out: &mut Vec<Datagram>) {
+        self.synchronizer.observe(message.digest);
+        if self.discovery.has_joined() && !self.state.is_leaving {
+            let remote = RemoteDigest { digest: message.digest, live_members: message.live_members };
+            self.synchronizer.request_if_due(&mut self.state, sender, remote, out);
         }
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,99 +1,120 @@
-//! Times and bounds.
+//! Intervals, timeouts and bounds of the protocol.
 
-/// How a member probes, tells and forgets. All members of a fleet should have the same.
+use mosshead_time::{Duration, whole_millis};
+
+const MIN_INTERVAL: Duration = Duration::from_millis(1);
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(2);
+const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
+const MAX_RETENTION: Duration = Duration::from_secs(86_400);
+const MAX_FANOUT: usize = 16;
+const MAX_RETRANSMIT_MULTIPLIER: u32 = 16;
+const MAX_SYNC_DATAGRAMS: usize = 16;
+const MEMBERS_BOUNDS: (usize, usize) = (2, 65_536);
+
+/// How a member probes, gossips and forgets. All members of a fleet should have the same settings.
+///
+/// Durations have a resolution of one millisecond. Values out of bounds are brought into bounds by
+/// [`Membership::new`](crate::Membership::new).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Tag of the fleet: datagrams with another one are dropped, so fleets don't merge by accident.
-    pub fleet: u64,
-    /// Period of probes.
-    pub probe_every_ms: u64,
-    /// A probe that isn't answered for so long is repeated, also through helpers; at most half of the period.
-    pub probe_timeout_ms: u64,
-    /// Members asked for a second opinion.
-    pub helpers: usize,
-    /// Suspicion lasts so long for each factor of ten of the fleet's size ...
-    pub suspect_per_decade_ms: u64,
-    /// ... but at least so long ...
-    pub suspect_min_ms: u64,
-    /// ... and at most so long.
-    pub suspect_max_ms: u64,
-    /// While there is news, so many others are told each period besides those that are probed.
-    pub fan_out: usize,
-    /// Each piece of news is sent so many times log2 of the fleet's size.
-    pub retransmit: u32,
-    /// A newcomer asks again after so long; doubled with each asking up to `reach_every_ms`.
-    pub ask_every_ms: u64,
-    /// Period of tries at absent seeds and at addresses of lost members.
-    pub reach_every_ms: u64,
-    /// Digests have to differ for so long without news before a sync.
-    pub sync_quiet_ms: u64,
-    /// With news all the time, differing digests lead to a sync after so long.
-    pub sync_anyway_ms: u64,
-    /// Datagram in the answer to one asking.
-    pub pages: usize,
-    /// How long the dead and those who left are remembered, so that old news doesn't revive them.
-    pub remember_ms: u64,
-    /// Most members known at a time, the remembered dead included.
-    pub members_max: usize,
-    /// Off only in trials that show what refutation is for.
+    /// Identifies the fleet. Datagrams of another fleet are dropped, so that fleets don't merge by accident.
+    pub fleet_id: u64,
+    /// The protocol period: one member is probed in each.
+    pub probe_interval: Duration,
+    /// An ack that takes longer leads to indirect probes; at most half of the protocol period.
+    pub probe_timeout: Duration,
+    /// Number of members that are sent a ping-req when a probe timed out.
+    pub indirect_probes: usize,
+    /// Part of the suspicion timeout for each factor of ten of the fleet's size.
+    pub suspicion_timeout_per_decade: Duration,
+    /// Lower bound of the suspicion timeout.
+    pub min_suspicion_timeout: Duration,
+    /// Upper bound of the suspicion timeout.
+    pub max_suspicion_timeout: Duration,
+    /// Number of members that are sent gossip each period besides the probed one, while there is any.
+    pub gossip_fanout: usize,
+    /// An update is sent this many times the logarithm to base 2 of the fleet's size.
+    pub retransmit_multiplier: u32,
+    /// First delay before another attempt to join; doubled with each attempt, up to `reconnect_interval`.
+    pub join_retry_interval: Duration,
+    /// Interval of pings to absent seeds and to addresses of dead members.
+    pub reconnect_interval: Duration,
+    /// A sync is requested when digests differ and nothing has changed here for this long.
+    pub sync_quiet_period: Duration,
+    /// While there are changes all the time, a sync is requested when digests differ and the last was this long ago.
+    pub max_sync_delay: Duration,
+    /// Bound of the datagrams in one response to a sync request.
+    pub max_sync_datagrams: usize,
+    /// How long members that are dead or have left are remembered, so that outdated updates don't revive them.
+    pub tombstone_retention: Duration,
+    /// Bound of the known members, those that are dead or have left included.
+    pub max_members: usize,
+    /// Off only in tests that show what refutation is for.
     #[doc(hidden)]
-    pub refutes: bool,
+    pub is_refutation_enabled: bool,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            fleet: 0,
-            probe_every_ms: 400,
-            probe_timeout_ms: 150,
-            helpers: 3,
-            suspect_per_decade_ms: 1_200,
-            suspect_min_ms: 1_200,
-            suspect_max_ms: 6_000,
-            fan_out: 1,
-            retransmit: 3,
-            ask_every_ms: 250,
-            reach_every_ms: 2_000,
-            sync_quiet_ms: 2_000,
-            sync_anyway_ms: 5_000,
-            pages: 4,
-            remember_ms: 60_000,
-            members_max: 4_096,
-            refutes: true,
+            fleet_id: 0,
+            probe_interval: Duration::from_millis(400),
+            probe_timeout: Duration::from_millis(150),
+            indirect_probes: 3,
+            suspicion_timeout_per_decade: Duration::from_millis(1_200),
+            min_suspicion_timeout: Duration::from_millis(1_200),
+            max_suspicion_timeout: Duration::from_millis(6_000),
+            gossip_fanout: 1,
+            retransmit_multiplier: 3,
+            join_retry_interval: Duration::from_millis(250),
+            reconnect_interval: Duration::from_millis(2_000),
+            sync_quiet_period: Duration::from_millis(2_000),
+            max_sync_delay: Duration::from_millis(5_000),
+            max_sync_datagrams: 4,
+            tombstone_retention: Duration::from_millis(60_000),
+            max_members: 4_096,
+            is_refutation_enabled: true,
         }
     }
 }
 
 impl Settings {
-    /// Brings what would break a rule of the protocol into bounds.
+    /// Brings into bounds what would break a rule of the protocol.
     pub(crate) fn bounded(mut self) -> Settings {
-        self.probe_every_ms = self.probe_every_ms.clamp(2, 3_600_000);
-        self.probe_timeout_ms = self.probe_timeout_ms.clamp(1, self.probe_every_ms / 2);
-        self.helpers = self.helpers.min(16);
-        self.fan_out = self.fan_out.min(16);
-        self.retransmit = self.retransmit.clamp(1, 16);
-        self.ask_every_ms = self.ask_every_ms.clamp(1, 3_600_000);
-        self.reach_every_ms = self.reach_every_ms.clamp(1, 3_600_000);
-        self.suspect_min_ms = self.suspect_min_ms.clamp(1, 3_600_000);
-        self.suspect_max_ms = self.suspect_max_ms.clamp(self.suspect_min_ms, 3_600_000);
-        self.suspect_per_decade_ms = self.suspect_per_decade_ms.min(3_600_000);
-        for span in [&mut self.sync_quiet_ms, &mut self.sync_anyway_ms, &mut self.remember_ms] {
-            *span = (*span).min(86_400_000);
-        }
-        self.pages = self.pages.clamp(1, 16);
-        self.members_max = self.members_max.clamp(2, 65_536);
+        self.probe_interval = self.probe_interval.clamp(MIN_PROBE_INTERVAL, MAX_INTERVAL);
+        self.probe_timeout = self.probe_timeout.clamp(MIN_INTERVAL, half(self.probe_interval));
+        self.join_retry_interval = self.join_retry_interval.clamp(MIN_INTERVAL, MAX_INTERVAL);
+        self.reconnect_interval = self.reconnect_interval.clamp(MIN_INTERVAL, MAX_INTERVAL);
+        self.min_suspicion_timeout = self.min_suspicion_timeout.clamp(MIN_INTERVAL, MAX_INTERVAL);
+        self.max_suspicion_timeout =
+            self.max_suspicion_timeout.clamp(self.min_suspicion_timeout, MAX_INTERVAL);
+        self.suspicion_timeout_per_decade = self.suspicion_timeout_per_decade.min(MAX_INTERVAL);
+        self.sync_quiet_period = self.sync_quiet_period.min(MAX_RETENTION);
+        self.max_sync_delay = self.max_sync_delay.min(MAX_RETENTION);
+        self.tombstone_retention = self.tombstone_retention.min(MAX_RETENTION);
+        self.indirect_probes = self.indirect_probes.min(MAX_FANOUT);
+        self.gossip_fanout = self.gossip_fanout.min(MAX_FANOUT);
+        self.retransmit_multiplier = self.retransmit_multiplier.clamp(1, MAX_RETRANSMIT_MULTIPLIER);
+        self.max_sync_datagrams = self.max_sync_datagrams.clamp(1, MAX_SYNC_DATAGRAMS);
+        self.max_members = self.max_members.clamp(MEMBERS_BOUNDS.0, MEMBERS_BOUNDS.1);
         self
     }
 
-    /// How long a suspect has time to refute in a fleet of `size`.
-    pub fn suspect_ms(&self, size: usize) -> u64 {
-        let decades = (size.max(1) as f64).log10().max(1.0);
-        let ms = (self.suspect_per_decade_ms as f64 * decades) as u64;
-        ms.clamp(self.suspect_min_ms, self.suspect_max_ms.max(self.suspect_min_ms))
+    /// How long a suspect may take to refute, in a fleet with so many live members.
+    pub fn suspicion_timeout(&self, live_members: usize) -> Duration {
+        let decades = (live_members.max(1) as f64).log10().max(1.0);
+        let millis = whole_millis(self.suspicion_timeout_per_decade) as f64 * decades;
+        let upper_bound = self.max_suspicion_timeout.max(self.min_suspicion_timeout);
+        Duration::from_millis(millis as u64).clamp(self.min_suspicion_timeout, upper_bound)
     }
 
-    /// How often a piece of news is sent in a fleet of `size`.
-    pub fn sendings(&self, size: usize) -> u32 {
-        self.retransmit * (size + 1).next_power_of_two().trailing_zeros()
+    /// How often an update is sent, in a fleet with so many live members.
+    pub fn retransmit_limit(&self, live_members: usize) -> u32 {
+        self.retransmit_multiplier * (live_members + 1).next_power_of_two().trailing_zeros()
     }
 }
+
+/// Half of a duration in whole milliseconds.
+pub(crate) fn half(duration: Duration) -> Duration {
+    Duration::from_millis(whole_millis(duration) / 2)
+}
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,148 +1,161 @@
-//! Lists for newcomers and repair of what was missed: parts that differ, in pages.
+//! The anti-entropy sync: digests are compared all the time, and what differs is requested.
 
 use core::net::SocketAddrV4;
 
-use rand_core::RngCore;
+use mosshead_time::{Duration, Instant};
 
-use crate::membership::{Datagram, Membership};
-use crate::random::{below, index};
-use crate::updates::Via;
-use crate::wire::{Body, Claim, Frame, MAX_DATAGRAM_LEN, TABLE_BYTES};
+use crate::outgoing::Datagram;
+use crate::random::{duration_below, index};
+use crate::settings::half;
+use crate::state::ProtocolState;
+use crate::wire::{BUCKETS, MAX_DATAGRAM_LEN, MemberUpdate, Message, MessageBody};
 
-/// So many contacts at a time are tried by one that doesn't have the list.
-const HEARERS: usize = 3;
-/// No claim is shorter.
-const CLAIM_MIN: usize = 16;
-/// An answer with so many changes is worth another asking.
-const MUCH: u64 = 8;
-/// So many datagrams in a row with the same digest show that it's oneself who has missed something.
-const AGREEING: u32 = 4;
+/// No encoded update is shorter.
+const MIN_UPDATE_LEN: usize = 16;
+/// A response that changes so many members is worth another request.
+const CHANGES_WORTH_ANOTHER_REQUEST: u64 = 8;
+/// So many datagrams in a row with the same digest show that it is the local member that lacks something.
+const MATCHING_DIGESTS: u32 = 4;
+/// Lacking more members than this is urgent; for a larger fleet, lacking more than an eighth of it.
+const FEW_MEMBERS: usize = 3;
+/// Part of the fleet that may be lacking before it is urgent.
+const URGENT_SHARE: usize = 8;
 
-impl Membership {
-    /// A newcomer, or one that lost all others, asks somebody for the list.
-    pub(crate) fn tick_ask(&mut self, out: &mut Vec<Datagram>) {
-        if self.joined && self.roster.size() <= 1 {
-            self.joined = false;
-            self.next_ask = self.now;
-        }
-        if self.joined || self.now < self.next_ask {
-            return;
-        }
-        self.next_ask = self.now + self.ask_gap;
-        self.ask_gap = (self.ask_gap * 2).min(self.settings.reach_every_ms.max(self.settings.ask_every_ms));
-        // All contacts hear of the newcomer, up to a few, so that the seeds know everybody; one gives the list.
-        let mut others = self.contacts.next(HEARERS, self.me.address);
-        others.extend(self.some(HEARERS.saturating_sub(others.len()), ""));
-        for (turn, address) in others.into_iter().enumerate() {
-            if turn == 0 {
-                self.ask(address, out);
-            } else {
-                let ping = Body::Ping { sequence: self.generator.next_u32(), target: String::new() };
-                let datagram = self.datagram(ping, None);
-                out.push(Datagram { destination: address, payload: datagram });
-            }
-        }
-    }
+/// What another member's datagram says about its live members.
+#[derive(Clone, Copy)]
+pub(crate) struct RemoteDigest {
+    pub(crate) digest: u64,
+    pub(crate) live_members: u32,
+}
 
-    /// Tries an address where somebody should be that isn't known as a member.
-    pub(crate) fn tick_reach(&mut self, out: &mut Vec<Datagram>) {
-        if self.now < self.next_reach {
-            return;
-        }
-        self.next_reach = self.now + self.settings.reach_every_ms;
-        let member = |address| self.roster.has_address(address);
-        if let Some(address) = self.contacts.draw(&mut *self.generator, member) {
-            let ping = Body::Ping { sequence: self.generator.next_u32(), target: String::new() };
-            let datagram = self.datagram(ping, None);
-            out.push(Datagram { destination: address, payload: datagram });
-        }
+/// When to request a sync.
+#[derive(Default)]
+pub(crate) struct Synchronizer {
+    last_request_at: Instant,
+    /// Added to the intervals between requests; drawn at each, so that not all members request at once.
+    jitter: Duration,
+    /// The digest of the last datagram, and how many in a row had it.
+    last_digest: u64,
+    matching_digests: u32,
+    /// [`ProtocolState::change_count`] at the last request.
+    changes_at_request: u64,
+}
+
+impl Synchronizer {
+    /// Counts the start of the process as a request.
+    pub(crate) fn start(&mut self, now: Instant) {
+        self.last_request_at = now;
     }
 
-    pub(crate) fn answer_ask(
+    /// Requests the updates that differ.
+    pub(crate) fn request(
         &mut self,
-        to: SocketAddrV4,
-        table: &[u8],
-        first: Option<Claim>,
+        state: &mut ProtocolState,
+        destination: SocketAddrV4,
         out: &mut Vec<Datagram>,
     ) {
-        // More than fit, so that it shows when something is left.
-        let most = self.settings.pages * MAX_DATAGRAM_LEN / CLAIM_MIN;
-        let start = index(&mut *self.generator, TABLE_BYTES / 4);
-        let mut claims = first.into_iter().chain(self.roster.differing(table, start, most)).peekable();
-        for page in 1..=self.settings.pages {
-            let mut frame = self.frame(Body::Page { last: false, more: false });
-            let mut room = frame.room();
-            while let Some(claim) = claims.next_if(|claim| minicbor::len(claim) <= room) {
-                room -= minicbor::len(&claim);
-                frame.claims.push(claim);
-            }
-            let more = claims.peek().is_some();
-            let last = !more || page == self.settings.pages;
-            frame.body = Body::Page { last, more };
-            out.extend(frame.write().map(|payload| Datagram { destination: to, payload }));
-            if last {
-                break;
-            }
+        self.last_request_at = state.now;
+        self.jitter = duration_below(&mut *state.rng, half(state.settings.sync_quiet_period));
+        self.changes_at_request = state.change_count;
+        let bucket_hashes = state.table.encoded_bucket_hashes();
+        let message = state.message(MessageBody::SyncRequest { bucket_hashes });
+        out.extend(message.encode().map(|payload| Datagram { destination, payload }));
+    }
+
+    /// Takes the end of a response whose updates have been applied. Whether the local list is complete by it, or nearly;
+    /// otherwise there is more to fetch and it is requested.
+    pub(crate) fn on_response_end(
+        &mut self,
+        state: &mut ProtocolState,
+        sender: SocketAddrV4,
+        remote_digest: u64,
+        has_more: bool,
+        out: &mut Vec<Datagram>,
+    ) -> bool {
+        let differs = remote_digest != state.table.digest();
+        let changes = state.change_count.saturating_sub(self.changes_at_request);
+        if (has_more || differs) && changes >= CHANGES_WORTH_ANOTHER_REQUEST {
+            self.request(state, sender, out);
+            return false;
         }
+        state.table.live_members() > 1
+    }
+
+    /// Notes the digest of a datagram.
+    pub(crate) fn observe(&mut self, digest: u64) {
+        let is_same = digest == self.last_digest;
+        self.last_digest = digest;
+        self.matching_digests = if is_same { self.matching_digests.saturating_add(1) } else { 1 };
     }
 
-    pub(crate) fn hear_page(
+    /// Requests a sync from the sender of a datagram if its digest differs and the last request is long enough ago.
+    pub(crate) fn request_if_due(
         &mut self,
-        from: SocketAddrV4,
-        page: &Frame,
-        last: bool,
-        more: bool,
+        state: &mut ProtocolState,
+        sender: SocketAddrV4,
+        remote: RemoteDigest,
         out: &mut Vec<Datagram>,
     ) {
-        for claim in &page.claims {
-            self.hear(claim, Via::Page);
-        }
-        if !last {
+        if remote.digest == state.table.digest() {
             return;
         }
-        let differs = page.digest != self.roster.digest();
-        // As long as an answer brings much, and something is missing; little is left to later comparisons.
-        let brought = self.changes - self.changes_asked.min(self.changes);
-        if (more || differs) && brought >= MUCH {
-            self.ask(from, out);
-        } else if self.roster.size() > 1 {
-            self.joined = true;
-            self.ask_gap = self.settings.ask_every_ms;
+        if state.now - self.last_request_at >= self.request_interval(state, remote.live_members) {
+            self.matching_digests = 0;
+            self.request(state, sender, out);
         }
     }
 
-    /// Compares what another takes for living. It is asked if it knows many more, if several in a row agree with each other
-    /// but not with oneself, or if views differ though there is no news.
-    pub(crate) fn compare(&mut self, from: SocketAddrV4, digest: u64, size: u32, out: &mut Vec<Datagram>) {
-        let same = digest == self.foreign.0;
-        self.foreign = (digest, if same { self.foreign.1.saturating_add(1) } else { 1 });
-        if digest == self.roster.digest() || !self.joined || self.leaving {
-            return;
-        }
-        let mine = self.roster.size();
-        let waited = self.now - self.asked_at.min(self.now);
-        let quiet = self.settings.sync_quiet_ms + self.patience;
-        let lacks = (size as usize).saturating_sub(mine);
-        let wait = if lacks > (mine / 8).max(3) || self.foreign.1 >= AGREEING {
-            self.settings.ask_every_ms
-        } else if lacks > 3 {
-            quiet / 2
-        } else if self.now >= self.changed_at + quiet {
-            quiet
+    /// The shorter, the more members are lacking. If several members in a row agree with each other but not with this one,
+    /// it lacks something too. Otherwise time is left to gossip, and views that differ are synced when it is quiet.
+    fn request_interval(&self, state: &ProtocolState, remote_live_members: u32) -> Duration {
+        let local = state.table.live_members();
+        let lacking = (remote_live_members as usize).saturating_sub(local);
+        let quiet_period = state.settings.sync_quiet_period + self.jitter;
+        if lacking > (local / URGENT_SHARE).max(FEW_MEMBERS) || self.matching_digests >= MATCHING_DIGESTS {
+            state.settings.join_retry_interval
+        } else if lacking > FEW_MEMBERS {
+            half(quiet_period)
+        } else if state.now >= state.changed_at + quiet_period {
+            quiet_period
         } else {
-            self.settings.sync_anyway_ms + self.patience
-        };
-        if waited >= wait {
-            self.foreign.1 = 0;
-            self.ask(from, out);
+            state.settings.max_sync_delay + self.jitter
+        }
+    }
+}
+
+/// Sends the updates of buckets that differ from the requester's, in as many datagrams as are allowed. They begin with
+/// `first_update` and then with a random bucket, so that repeated requests get on even if not everything fits.
+pub(crate) fn respond(
+    state: &mut ProtocolState,
+    requester: SocketAddrV4,
+    bucket_hashes: &[u8],
+    first_update: Option<MemberUpdate>,
+    out: &mut Vec<Datagram>,
+) {
+    let max_datagrams = state.settings.max_sync_datagrams;
+    // More than fit, so that it shows when something is left.
+    let max_updates = max_datagrams * MAX_DATAGRAM_LEN / MIN_UPDATE_LEN;
+    let first_bucket = index(&mut *state.rng, BUCKETS);
+    let differing = state.table.differing_updates(bucket_hashes, first_bucket, max_updates);
+    let mut updates = first_update.into_iter().chain(differing).peekable();
+    for number in 1..=max_datagrams {
+        let mut message = state.message(MessageBody::SyncResponse { is_last: false, has_more: false });
+        fill(&mut message, &mut updates);
+        let has_more = updates.peek().is_some();
+        let is_last = !has_more || number == max_datagrams;
+        message.body = MessageBody::SyncResponse { is_last, has_more };
+        out.extend(message.encode().map(|payload| Datagram { destination: requester, payload }));
+        if is_last {
+            break;
         }
     }
+}
 
-    fn ask(&mut self, address: SocketAddrV4, out: &mut Vec<Datagram>) {
-        self.asked_at = self.now;
-        self.patience = below(&mut *self.generator, self.settings.sync_quiet_ms / 2);
-        self.changes_asked = self.changes;
-        let frame = self.frame(Body::Ask { table: self.roster.table() });
-        out.extend(frame.write().map(|payload| Datagram { destination: address, payload }));
+/// Adds updates as long as they fit.
+fn fill(message: &mut Message, updates: &mut std::iter::Peekable<impl Iterator<Item = MemberUpdate>>) {
+    let mut remaining = message.remaining_bytes();
+    while let Some(update) = updates.next_if(|update| minicbor::len(update) <= remaining) {
+        remaining -= minicbor::len(&update);
+        message.updates.push(update);
     }
 }
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -1,174 +1,196 @@
-//! What is made of claims about others and about oneself.
+//! Applying updates: which of two claims about a member holds, and what follows from it.
+
+use std::cmp::Ordering;
 
 use crate::event_log::Event;
-use crate::membership::Membership;
 use crate::peer::MemberState;
-use crate::wire::{Claim, INCARNATION_MAX};
+use crate::state::ProtocolState;
+use crate::wire::{MAX_INCARNATION, MemberUpdate};
 
-/// How a claim came.
+/// How an update was received.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Via {
-    /// From the member itself.
-    Direct,
-    /// As news from another.
-    Rumour,
-    /// In an answer to an asking: the teller has known it for long, so it isn't passed on as news.
-    Page,
+pub(crate) enum UpdateSource {
+    /// From the member that it is about.
+    Sender,
+    /// Piggybacked on a datagram of another member.
+    Gossip,
+    /// In the response to a sync request. Its sender has known it for long, so it isn't disseminated again.
+    Sync,
 }
 
-const RECHECKS_MAX: usize = 256;
-
-impl Membership {
-    /// Takes a claim in.
-    pub(crate) fn hear(&mut self, claim: &Claim, via: Via) {
-        if claim.name == self.me.name {
-            return self.hear_of_me(claim);
+impl ProtocolState {
+    /// Applies an update. Whether it made the local member refute, that is, raise its incarnation.
+    pub(crate) fn apply_update(&mut self, update: &MemberUpdate, source: UpdateSource) -> bool {
+        if update.name == self.local_peer.name {
+            return self.apply_local_update(update);
         }
-        let Some((key, health)) = self.roster.get(&claim.name).map(|record| (record.key(), record.health))
-        else {
-            return self.hear_of_stranger(claim, via);
+        let known = self.table.get(&update.name).map(|record| (record.version(), record.state));
+        let Some((version, state)) = known else {
+            self.apply_unknown_update(update, source);
+            return false;
         };
-        if claim.key() > key {
-            match claim.health {
-                MemberState::Alive => self.enter(claim, via),
-                // Believed only as far as a suspicion: the member may have refuted it already.
-                MemberState::Suspect | MemberState::Dead
-                    if claim.health == MemberState::Suspect || health.is_live() =>
-                {
-                    self.enter(claim, Via::Page);
-                    self.suspect(&claim.name);
-                }
-                MemberState::Suspect | MemberState::Dead => {
-                    self.roster.put(claim.peer(), claim.incarnation, health);
-                }
-                MemberState::Left => {
-                    self.roster.put(claim.peer(), claim.incarnation, health);
-                    self.bury(&claim.name, MemberState::Left);
-                }
-            }
-        } else if claim.key() == key {
-            match (health, claim.health) {
-                // Others know it already: as good as one more sending of one's own.
-                (held, told) if held == told && via == Via::Rumour => {
-                    let limit = self.settings.sendings(self.roster.size());
-                    self.rumours.sent(std::slice::from_ref(&claim.name), limit);
-                }
-                (MemberState::Alive, MemberState::Suspect) => self.suspect(&claim.name),
-                (MemberState::Suspect, MemberState::Dead) => self.bury(&claim.name, MemberState::Dead),
-                // Danger: to believe this would spread the losses of one side of a cut to the other when it heals.
-                // The member is asked itself, and refutes if it can.
-                (MemberState::Alive, MemberState::Dead) => self.ring.recheck(&claim.name),
-                (MemberState::Alive | MemberState::Suspect | MemberState::Dead, MemberState::Left) => {
-                    self.bury(&claim.name, MemberState::Left);
-                }
-                (MemberState::Dead, MemberState::Alive | MemberState::Suspect) if via != Via::Direct => {
-                    self.ask_dead(&claim.name);
-                }
-                _ => {}
-            }
+        match update.version().cmp(&version) {
+            Ordering::Greater => self.apply_newer_update(update, state, source),
+            Ordering::Equal => self.apply_same_version_update(update, state, source),
+            Ordering::Less => {}
         }
+        false
     }
 
-    /// Declares a member suspect and tells it.
-    pub(crate) fn suspect(&mut self, name: &str) {
-        if self.roster.get(name).is_none_or(|record| record.health != MemberState::Alive) {
+    /// Suspects a member that is alive, and disseminates it.
+    pub(crate) fn mark_suspect(&mut self, name: &str) {
+        if self.table.get(name).is_none_or(|record| record.state != MemberState::Alive) {
             return;
         }
-        self.roster.set_health(name, MemberState::Suspect);
-        let until = self.now + self.settings.suspect_ms(self.roster.size());
-        self.suspects.insert(name.to_owned(), until);
-        self.journal.append(Event::Suspected(name.to_owned()));
-        self.rumours.push(name, self.now);
+        self.table.set_state(name, MemberState::Suspect);
+        let timeout = self.settings.suspicion_timeout(self.table.live_members());
+        self.suspicion_deadlines.insert(name.to_owned(), self.now + timeout);
+        self.events.append(Event::Suspected(name.to_owned()));
+        self.gossip.push(name, self.now);
     }
 
-    /// Declares a member dead or left and tells it.
-    pub(crate) fn bury(&mut self, name: &str, health: MemberState) {
-        let Some(record) = self.roster.get(name) else { return };
-        let (lived, address) = (record.health.is_live(), record.peer.address);
-        self.roster.set_health(name, health);
-        self.suspects.remove(name);
-        self.roster.bury(name, self.now + self.settings.remember_ms);
-        if health == MemberState::Dead {
-            self.contacts.lose(address);
-        } else {
-            self.contacts.found(address);
-        }
-        if lived {
-            let event = if health == MemberState::Dead { Event::Died } else { Event::Left };
-            self.journal.append(event(name.to_owned()));
-            self.changes += 1;
-            self.changed_at = self.now;
-            self.rumours.push(name, self.now);
+    /// Marks a member dead and disseminates it, as `Confirm` in section 4.2 of the SWIM paper.
+    pub(crate) fn mark_dead(&mut self, name: &str) {
+        let Some(address) = self.table.get(name).map(|record| record.peer.address) else { return };
+        self.mark_gone(name, MemberState::Dead, Event::Died(name.to_owned()));
+        self.contacts.add_lost(address);
+    }
+
+    /// The known update about the same name that overrides this one, if there is one that its sender should learn of.
+    pub(crate) fn overriding_update(&self, update: &MemberUpdate) -> Option<MemberUpdate> {
+        let record = self.table.get(&update.name)?;
+        let is_overridden = (record.version(), record.state) > (update.version(), update.state);
+        (is_overridden && update.state != MemberState::Left).then(|| record.update())
+    }
+
+    fn apply_newer_update(&mut self, update: &MemberUpdate, known_state: MemberState, source: UpdateSource) {
+        match update.state {
+            MemberState::Alive => self.mark_alive(update, source),
+            // A death is believed as far as a suspicion only: the member may have refuted it already.
+            MemberState::Suspect => self.mark_suspect_of_newer_version(update),
+            MemberState::Dead if known_state.is_live() => self.mark_suspect_of_newer_version(update),
+            MemberState::Dead => self.table.put(update.peer(), update.incarnation, known_state),
+            MemberState::Left => {
+                self.table.put(update.peer(), update.incarnation, known_state);
+                self.mark_left(&update.name);
+            }
         }
     }
 
-    /// The claim that the sender of one should know, if more is believed of it than it says itself.
-    pub(crate) fn above(&self, claim: &Claim) -> Option<Claim> {
-        let record = self.roster.get(&claim.name)?;
-        let above = (record.key(), record.health) > (claim.key(), claim.health);
-        (above && claim.health != MemberState::Left).then(|| record.claim())
+    fn apply_same_version_update(
+        &mut self,
+        update: &MemberUpdate,
+        known_state: MemberState,
+        source: UpdateSource,
+    ) {
+        match (known_state, update.state) {
+            // Others know it already: as good as one more transmission from here.
+            (known, received) if known == received && source == UpdateSource::Gossip => {
+                let limit = self.retransmit_limit();
+                self.gossip.record_transmissions(std::slice::from_ref(&update.name), limit);
+            }
+            (MemberState::Alive, MemberState::Suspect) => self.mark_suspect(&update.name),
+            (MemberState::Suspect, MemberState::Dead) => self.mark_dead(&update.name),
+            // Believing it would spread the losses of one side of a partition to the other when it heals. The member is
+            // probed instead, and refutes if it can.
+            (MemberState::Alive, MemberState::Dead) => self.probe_order.recheck(&update.name),
+            (MemberState::Alive | MemberState::Suspect | MemberState::Dead, MemberState::Left) => {
+                self.mark_left(&update.name);
+            }
+            // Others say that a member believed dead is live: it is pinged, and refutes if it can.
+            (MemberState::Dead, MemberState::Alive | MemberState::Suspect)
+                if source != UpdateSource::Sender =>
+            {
+                self.probe_order.recheck_dead(&update.name);
+            }
+            _ => {}
+        }
     }
 
-    fn hear_of_stranger(&mut self, claim: &Claim, via: Via) {
-        // Dead that one hasn't known, or has forgotten, are let lie; a suspect is believed only in a list.
-        let wanted = match claim.health {
+    /// An update about a name that isn't known. Deaths and leaves of such names mean nothing here, or are forgotten
+    /// already; a suspicion is believed only as part of a sync.
+    fn apply_unknown_update(&mut self, update: &MemberUpdate, source: UpdateSource) {
+        let is_accepted = match update.state {
             MemberState::Alive => true,
-            MemberState::Suspect => via == Via::Page,
+            MemberState::Suspect => source == UpdateSource::Sync,
             MemberState::Dead | MemberState::Left => false,
         };
-        if wanted && self.roster.has_room() {
-            self.enter(claim, via);
-            if claim.health == MemberState::Suspect {
-                self.suspect(&claim.name);
+        if is_accepted && self.table.make_room() {
+            self.mark_alive(update, source);
+            if update.state == MemberState::Suspect {
+                self.mark_suspect(&update.name);
             }
         }
     }
 
-    /// A higher claim that the member lives.
-    fn enter(&mut self, claim: &Claim, via: Via) {
-        let peer = claim.peer();
-        let old = self.roster.get(&claim.name);
-        let known = old.is_some_and(|record| record.health.is_live() && record.peer == peer);
-        if let Some(record) = old.filter(|record| record.peer.address != peer.address) {
-            self.contacts.found(record.peer.address);
+    /// An update about the local name: it is refuted if it says more than the local member does of itself.
+    fn apply_local_update(&mut self, update: &MemberUpdate) -> bool {
+        let is_this_instance = update.instance_id == self.local_peer.instance_id;
+        if self.is_leaving || (is_this_instance && !self.settings.is_refutation_enabled) {
+            return false;
         }
-        self.contacts.found(peer.address);
-        self.roster.put(peer.clone(), claim.incarnation, MemberState::Alive);
-        let suspected = self.suspects.remove(&claim.name).is_some();
-        if !known {
-            self.journal.append(Event::Joined(peer));
-            self.ring.insert(&claim.name, &mut *self.generator);
-        } else if suspected {
-            self.journal.append(Event::Refuted(claim.name.clone()));
+        let is_own_earlier_update = is_this_instance && update.state == MemberState::Alive;
+        let is_overridden =
+            (update.incarnation, update.instance_id) < (self.incarnation, self.local_peer.instance_id);
+        if is_own_earlier_update || is_overridden {
+            return false;
         }
-        self.changes += 1;
+        self.incarnation = update.incarnation.saturating_add(1).min(MAX_INCARNATION);
+        self.table.put(self.local_peer.clone(), self.incarnation, MemberState::Alive);
         self.changed_at = self.now;
-        if via != Via::Page {
-            self.rumours.push(&claim.name, self.now);
-        }
+        true
     }
 
-    fn hear_of_me(&mut self, claim: &Claim) {
-        let same = claim.instance_id == self.me.instance_id;
-        if self.leaving || (same && !self.settings.refutes) {
-            return;
+    fn mark_suspect_of_newer_version(&mut self, update: &MemberUpdate) {
+        // Disseminated as a suspicion, not as a return.
+        self.mark_alive(update, UpdateSource::Sync);
+        self.mark_suspect(&update.name);
+    }
+
+    /// Takes in that a member is live, by an update that is newer than all known of it.
+    fn mark_alive(&mut self, update: &MemberUpdate, source: UpdateSource) {
+        let peer = update.peer();
+        let known = self.table.get(&update.name);
+        let is_known = known.is_some_and(|record| record.state.is_live() && record.peer == peer);
+        if let Some(record) = known.filter(|record| record.peer.address != peer.address) {
+            self.contacts.remove_lost(record.peer.address);
         }
-        // One's own former word, or an older life that is overridden already.
-        if (same && claim.health == MemberState::Alive)
-            || claim.key() < (self.incarnation, self.me.instance_id)
-        {
-            return;
+        self.contacts.remove_lost(peer.address);
+        self.table.put(peer.clone(), update.incarnation, MemberState::Alive);
+        let was_suspected = self.suspicion_deadlines.remove(&update.name).is_some();
+        if !is_known {
+            self.events.append(Event::Joined(peer));
+            self.probe_order.insert(&update.name, &mut *self.rng);
+        } else if was_suspected {
+            self.events.append(Event::Refuted(update.name.clone()));
         }
-        self.incarnation = claim.incarnation.saturating_add(1).min(INCARNATION_MAX);
-        self.roster.put(self.me.clone(), self.incarnation, MemberState::Alive);
-        self.changed_at = self.now;
-        self.refuted = true;
+        self.record_change();
+        if source != UpdateSource::Sync {
+            self.gossip.push(&update.name, self.now);
+        }
+    }
+
+    fn mark_left(&mut self, name: &str) {
+        let Some(address) = self.table.get(name).map(|record| record.peer.address) else { return };
+        self.mark_gone(name, MemberState::Left, Event::Left(name.to_owned()));
+        self.contacts.remove_lost(address);
     }
 
-    /// Others say that one held for dead lives: it is asked, and refutes if it can.
-    fn ask_dead(&mut self, name: &str) {
-        if self.rechecks.len() < RECHECKS_MAX && !self.rechecks.iter().any(|known| known == name) {
-            self.rechecks.push_back(name.to_owned());
+    /// Sets a member dead or left. It is an event only if it was live.
+    fn mark_gone(&mut self, name: &str, state: MemberState, event: Event) {
+        let was_live = self.table.is_live(name);
+        self.table.set_state(name, state);
+        self.suspicion_deadlines.remove(name);
+        self.table.add_tombstone(name, self.now + self.settings.tombstone_retention);
+        if was_live {
+            self.events.append(event);
+            self.record_change();
+            self.gossip.push(name, self.now);
         }
     }
+
+    fn record_change(&mut self) {
+        self.change_count += 1;
+        self.changed_at = self.now;
+    }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagram.
+//! Messages between members and their encoding, one message a datagram.
 
 use core::net::SocketAddrV4;
 
@@ -9,38 +9,52 @@
 /// Longest datagram in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 1_200;
 
-/// Bytes of the table of parts: 64 hashes of 4 bytes.
-pub(crate) const TABLE_BYTES: usize = 256;
+/// Buckets of names, each with a hash of its own, that a sync compares.
+pub(crate) const BUCKETS: usize = 64;
+/// Bytes of the hashes of all buckets, 4 each.
+pub(crate) const BUCKET_HASHES_LEN: usize = BUCKETS * 4;
 
-/// Claims above this are taken for garbage, so that there is always room to refute.
-pub(crate) const INCARNATION_MAX: u64 = 1 << 53;
+/// Updates with a higher incarnation are malformed, so that there is always a higher one to refute with.
+pub(crate) const MAX_INCARNATION: u64 = 1 << 53;
 
-/// What somebody believes of one name.
+/// Bytes by which the header of an encoded list may grow while updates are added to it.
+const LIST_HEADER_GROWTH: usize = 2;
+
+/// The order of updates about one name. A greater version overrides a lesser one, whatever the states are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct UpdateVersion {
+    /// Raised by the member itself, to refute.
+    pub(crate) incarnation: u64,
+    /// Tells instances of one name apart that have the same incarnation.
+    pub(crate) instance_id: u64,
+}
+
+/// What a member believes about one name.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
-pub(crate) struct Claim {
+pub(crate) struct MemberUpdate {
     #[n(0)]
-    pub name: String,
+    pub(crate) name: String,
     #[n(1)]
-    pub instance_id: u64,
+    pub(crate) instance_id: u64,
     #[n(2)]
-    pub incarnation: u64,
+    pub(crate) incarnation: u64,
     #[n(3)]
-    pub health: MemberState,
+    pub(crate) state: MemberState,
     #[n(4)]
-    pub address: SocketAddrV4,
+    pub(crate) address: SocketAddrV4,
     #[n(5)]
-    pub is_control_node: bool,
+    pub(crate) is_control_node: bool,
     #[n(6)]
-    pub zone: String,
+    pub(crate) zone: String,
 }
 
-impl Claim {
-    pub(crate) fn of(peer: &Peer, incarnation: u64, health: MemberState) -> Claim {
-        Claim {
+impl MemberUpdate {
+    pub(crate) fn new(peer: &Peer, incarnation: u64, state: MemberState) -> MemberUpdate {
+        MemberUpdate {
             name: peer.name.clone(),
             instance_id: peer.instance_id,
             incarnation,
-            health,
+            state,
             address: peer.address,
             is_control_node: peer.is_control_node,
             zone: peer.zone.clone(),
@@ -57,18 +71,19 @@
         }
     }
 
-    pub(crate) fn key(&self) -> (u64, u64) {
-        (self.incarnation, self.instance_id)
+    pub(crate) fn version(&self) -> UpdateVersion {
+        UpdateVersion { incarnation: self.incarnation, instance_id: self.instance_id }
     }
 
-    fn sound(&self) -> bool {
-        self.incarnation <= INCARNATION_MAX && self.peer().check().is_ok()
+    fn is_valid(&self) -> bool {
+        self.incarnation <= MAX_INCARNATION && self.peer().validate().is_ok()
     }
 }
 
+/// What a message is for.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
-pub(crate) enum Body {
-    /// Are you there? An empty target is whoever has the address.
+pub(crate) enum MessageBody {
+    /// Asks for an ack. An empty target is whichever member has the address.
     #[n(0)]
     Ping {
         #[n(0)]
@@ -76,15 +91,16 @@
         #[n(1)]
         target: String,
     },
-    /// `target` is there, also said by a helper for it.
+    /// The target is alive: sent by the target, or passed on by a member that pinged it on request.
     #[n(1)]
     Ack {
+        /// That of the ping or ping-req that is answered.
         #[n(0)]
         sequence: u32,
         #[n(1)]
         target: String,
     },
-    /// Ask it for me.
+    /// Asks the receiver to ping the target and to pass its ack on.
     #[n(2)]
     PingRequest {
         #[n(0)]
@@ -94,69 +110,78 @@
         #[n(2)]
         address: SocketAddrV4,
     },
-    /// What do you know that I don't? With hashes of the parts of what I know.
+    /// Asks for the updates of those buckets whose hashes differ.
     #[n(3)]
-    Ask {
+    SyncRequest {
+        /// [`BUCKET_HASHES_LEN`] bytes.
         #[cbor(n(0), with = "minicbor::bytes")]
-        table: Vec<u8>,
+        bucket_hashes: Vec<u8>,
     },
-    /// Claims of parts that differ.
+    /// Updates of buckets that differ.
     #[n(4)]
-    Page {
-        /// The last datagram of this answer.
+    SyncResponse {
+        /// Whether this is the last datagram of the response.
         #[n(0)]
-        last: bool,
-        /// There were more than fit into an answer.
+        is_last: bool,
+        /// Whether there are more updates than fit into a response.
         #[n(1)]
-        more: bool,
+        has_more: bool,
     },
-    /// Only what rides on it.
+    /// Carries updates only.
     #[n(5)]
-    Tell,
+    Gossip,
 }
 
+/// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
-pub(crate) struct Frame {
+pub(crate) struct Message {
     #[n(0)]
-    pub fleet: u64,
+    pub(crate) fleet_id: u64,
+    /// The sender about itself: alive or left.
     #[n(1)]
-    pub sender: Claim,
-    /// Of those whom the sender takes for living.
+    pub(crate) sender: MemberUpdate,
+    /// Digest of the live members as the sender knows them.
     #[n(2)]
-    pub digest: u64,
+    pub(crate) digest: u64,
     #[n(3)]
-    pub body: Body,
+    pub(crate) body: MessageBody,
     #[n(4)]
-    pub claims: Vec<Claim>,
-    /// How many these are.
+    pub(crate) updates: Vec<MemberUpdate>,
+    /// Number of the live members as the sender knows them.
     #[n(5)]
-    pub size: u32,
+    pub(crate) live_members: u32,
 }
 
-impl Frame {
-    /// `None` for garbage, too much, or another fleet.
-    pub(crate) fn read(fleet: u64, bytes: &[u8]) -> Option<Frame> {
+impl Message {
+    /// Decodes a datagram. `None` if it is malformed, too long or of another fleet.
+    pub(crate) fn decode(fleet_id: u64, bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_DATAGRAM_LEN {
             return None;
         }
-        let frame: Frame = minicbor::decode(bytes).ok()?;
-        let told = matches!(frame.sender.health, MemberState::Alive | MemberState::Left);
-        let body = match &frame.body {
-            Body::Ask { table } => table.len() == TABLE_BYTES,
-            _ => true,
-        };
-        let sound = told && body && frame.sender.sound() && frame.claims.iter().all(Claim::sound);
-        (sound && frame.fleet == fleet).then_some(frame)
+        let message: Message = minicbor::decode(bytes).ok()?;
+        (message.fleet_id == fleet_id && message.is_valid()).then_some(message)
     }
 
-    /// Bytes left for claims.
-    pub(crate) fn room(&self) -> usize {
-        // The header of the list grows by 2 bytes at most.
-        MAX_DATAGRAM_LEN.saturating_sub(minicbor::len(self) + 2)
+    /// Bytes that are left for updates.
+    pub(crate) fn remaining_bytes(&self) -> usize {
+        MAX_DATAGRAM_LEN.saturating_sub(minicbor::len(self) + LIST_HEADER_GROWTH)
     }
 
-    /// `None` if it would be too long, which nobody who fills by `room` sees.
-    pub(crate) fn write(&self) -> Option<Vec<u8>> {
+    /// Encodes the message. `None` if it would be too long, which can't be if updates were added as far as
+    /// [`Message::remaining_bytes`] allows.
+    pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         minicbor::to_vec(self).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_LEN)
     }
+
+    fn is_valid(&self) -> bool {
+        let is_sender_state_valid = matches!(self.sender.state, MemberState::Alive | MemberState::Left);
+        let is_body_valid = match &self.body {
+            MessageBody::SyncRequest { bucket_hashes } => bucket_hashes.len() == BUCKET_HASHES_LEN,
+            _ => true,
+        };
+        is_sender_state_valid
+            && is_body_valid
+            && self.sender.is_valid()
+            && self.updates.iter().all(MemberUpdate::is_valid)
+    }
 }
--- a/crates/membership/tests/cluster/mod.rs
+++ b/crates/membership/tests/cluster/mod.rs
@@ -1,345 +1,303 @@
-//! A network in virtual time: members, delays, loss, cuts, freezes.
+//! A simulated network in virtual time: members, delays, loss, partitions, suspended processes.
 #![allow(dead_code)]
 
+mod checks;
+
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use mosshead_membership::{Datagram, Event, MAX_DATAGRAM_LEN, MemberState, Membership, Peer, Settings, View};
-use mosshead_time::Instant;
+use mosshead_membership::{Datagram, Event, MAX_DATAGRAM_LEN, Membership, Peer, Settings, View};
+use mosshead_time::{Duration, Instant};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 
-pub const FLEET: u64 = 0x6d6f_7373;
+pub(crate) const FLEET_ID: u64 = 0x6d6f_7373;
 /// What IPv4 and UDP add to each datagram.
-pub const HEADERS: u64 = 28;
+pub(crate) const HEADER_BYTES: u64 = 28;
+/// Datagrams that the socket of a suspended process holds.
+const MAX_SOCKET_QUEUE: usize = 200;
+/// Network delays are 1 ms and up to so many more, exclusively.
+const MAX_EXTRA_DELAY_MS: u64 = 4;
+
+pub(crate) const fn millis(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
 
-pub struct Node {
+/// A machine: its process runs if there is a membership.
+pub(crate) struct Process {
     pub peer: Peer,
     pub membership: Option<Membership>,
     pub view: View,
-    /// All events of this life, with their times.
-    pub journal: Vec<(u64, Event)>,
-    pub frozen: bool,
-    pub received: u64,
-    pub sent: u64,
-    kept: Vec<(SocketAddrV4, Vec<u8>)>,
-    wake: u64,
+    /// All events of this instance, with their times.
+    pub events: Vec<(Instant, Event)>,
+    pub is_suspended: bool,
+    pub received_bytes: u64,
+    pub sent_bytes: u64,
+    socket_queue: Vec<(SocketAddrV4, Vec<u8>)>,
+    wake_at: Instant,
 }
 
-enum Act {
+enum Action {
     Wake,
     Deliver(SocketAddrV4, Vec<u8>),
 }
 
-pub struct Cluster {
-    pub now: u64,
-    pub nodes: Vec<Node>,
+pub(crate) struct Cluster {
+    pub now: Instant,
+    pub processes: Vec<Process>,
     pub settings: Settings,
     pub seeds: Vec<SocketAddrV4>,
-    /// Of 1,000 datagrams.
-    pub loss: u64,
-    /// Ways (from, to) that carry nothing.
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// Ways that lose so many of 1,000.
-    pub lossy: BTreeMap<(usize, usize), u64>,
-    queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    acts: BTreeMap<u64, Act>,
-    places: BTreeMap<SocketAddrV4, usize>,
-    generator: Pcg64,
-    count: u64,
+    /// Datagrams lost of 1,000.
+    pub loss_per_mille: u64,
+    /// Links (from, to) that carry nothing.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// When which action of which process is due, in order.
+    queue: BinaryHeap<Reverse<(Instant, u64, usize)>>,
+    actions: BTreeMap<u64, Action>,
+    by_address: BTreeMap<SocketAddrV4, usize>,
+    rng: Pcg64,
+    last_action: u64,
 }
 
-pub fn address(node: usize) -> SocketAddrV4 {
-    let (high, low) = (node / 250, node % 250 + 1);
+pub(crate) fn address(process: usize) -> SocketAddrV4 {
+    let (high, low) = (process / 250, process % 250 + 1);
     SocketAddrV4::new(Ipv4Addr::new(10, (high / 256 + 1) as u8, (high % 256) as u8, low as u8), 7720)
 }
 
-pub fn name(node: usize) -> String {
-    format!("edge-dixie-east-{}-{node}", ["a", "b", "c"][node % 3])
+pub(crate) fn name(process: usize) -> String {
+    format!("edge-dixie-east-{}-{process}", ["a", "b", "c"][process % 3])
 }
 
 impl Cluster {
-    /// `size` members that all start within 300 ms; the first three are seeds and core.
-    pub fn new(seed: u64, size: usize, settings: Settings) -> Cluster {
+    /// `size` members that all start within 300 ms; the first three are seeds and control nodes.
+    pub(crate) fn new(seed: u64, size: usize, settings: Settings) -> Cluster {
         let mut cluster = Cluster::empty(seed, settings);
         cluster.seeds = (0..size.min(3)).map(address).collect();
         for _ in 0..size {
-            let node = cluster.add();
-            let at = cluster.draw(300);
-            cluster.wake_at(node, at);
+            let process = cluster.add();
+            let at = Instant::from_millis(cluster.draw(300));
+            cluster.wake_at(process, at);
         }
         cluster
     }
 
-    pub fn empty(seed: u64, settings: Settings) -> Cluster {
+    pub(crate) fn empty(seed: u64, settings: Settings) -> Cluster {
         Cluster {
-            now: 0,
-            nodes: Vec::new(),
-            settings: Settings { fleet: FLEET, ..settings },
+            now: Instant::ORIGIN,
+            processes: Vec::new(),
+            settings: Settings { fleet_id: FLEET_ID, ..settings },
             seeds: Vec::new(),
-            loss: 0,
-            cuts: BTreeSet::new(),
-            lossy: BTreeMap::new(),
+            loss_per_mille: 0,
+            cut_links: BTreeSet::new(),
             queue: BinaryHeap::new(),
-            acts: BTreeMap::new(),
-            places: BTreeMap::new(),
-            generator: Pcg64::seed_from_u64(seed),
-            count: 0,
+            actions: BTreeMap::new(),
+            by_address: BTreeMap::new(),
+            rng: Pcg64::seed_from_u64(seed),
+            last_action: 0,
         }
     }
 
     /// One more member, at an address of its own; it wakes at once.
-    pub fn add(&mut self) -> usize {
-        let node = self.nodes.len();
-        let (name, is_control_node) = (name(node), node < 3);
-        let zone = format!("dixie-east-{}", ["a", "b", "c"][node % 3]);
-        let peer = Peer { name, instance_id: 0, address: address(node), is_control_node, zone };
-        self.places.insert(peer.address, node);
-        self.nodes.push(Node {
+    pub(crate) fn add(&mut self) -> usize {
+        let index = self.processes.len();
+        let peer = Peer {
+            name: name(index),
+            instance_id: 0,
+            address: address(index),
+            is_control_node: index < 3,
+            zone: format!("dixie-east-{}", ["a", "b", "c"][index % 3]),
+        };
+        self.by_address.insert(peer.address, index);
+        self.processes.push(Process {
             peer,
             membership: None,
             view: View::default(),
-            journal: Vec::new(),
-            frozen: false,
-            received: 0,
-            sent: 0,
-            kept: Vec::new(),
-            wake: u64::MAX,
+            events: Vec::new(),
+            is_suspended: false,
+            received_bytes: 0,
+            sent_bytes: 0,
+            socket_queue: Vec::new(),
+            wake_at: Instant::FAR_FUTURE,
         });
-        self.start(node);
-        node
+        self.start(index);
+        index
     }
 
-    /// A new life, with the seeds as they are now.
-    pub fn start(&mut self, node: usize) {
-        let life = self.generator.next_u64();
-        let generator = Pcg64::seed_from_u64(self.generator.next_u64());
-        let place = &mut self.nodes[node];
-        place.peer.instance_id = life;
+    /// Starts a new instance, with the seeds as they are now.
+    pub(crate) fn start(&mut self, index: usize) {
+        let instance_id = self.rng.next_u64();
+        let rng = Pcg64::seed_from_u64(self.rng.next_u64());
+        let process = &mut self.processes[index];
+        process.peer.instance_id = instance_id;
         let membership =
-            Membership::new(place.peer.clone(), self.seeds.clone(), self.settings.clone(), generator);
-        place.membership = Some(membership.expect("sound peer"));
-        place.view = View::default();
-        place.journal.clear();
-        place.kept.clear();
-        place.frozen = false;
-        place.wake = u64::MAX;
-        self.wake_at(node, self.now);
+            Membership::new(process.peer.clone(), self.seeds.clone(), self.settings.clone(), rng);
+        process.membership = Some(membership.expect("a valid peer"));
+        process.view = View::default();
+        process.events.clear();
+        process.socket_queue.clear();
+        process.is_suspended = false;
+        process.wake_at = Instant::FAR_FUTURE;
+        self.wake_at(index, self.now);
     }
 
-    /// Addresses of members were changed.
-    pub fn moved(&mut self) {
-        self.places = self.nodes.iter().enumerate().map(|(node, place)| (place.peer.address, node)).collect();
+    /// Has to be called when addresses of processes were changed.
+    pub(crate) fn update_addresses(&mut self) {
+        let processes = self.processes.iter().enumerate();
+        self.by_address = processes.map(|(index, process)| (process.peer.address, index)).collect();
     }
 
     /// A datagram by which a member introduces itself that isn't in this network.
-    pub fn stranger(&mut self, node: usize) -> Vec<u8> {
+    pub(crate) fn datagram_of_stranger(&mut self, index: usize) -> Vec<u8> {
         let peer = Peer {
-            name: name(node),
-            instance_id: self.generator.next_u64(),
-            address: address(node),
+            name: name(index),
+            instance_id: self.rng.next_u64(),
+            address: address(index),
             is_control_node: false,
             zone: "dixie-east-a".to_owned(),
         };
-        let generator = Pcg64::seed_from_u64(node as u64);
-        let mut membership =
-            Membership::new(peer, vec![address(0)], self.settings.clone(), generator).expect("sound peer");
-        let first = membership.tick(Instant::ORIGIN).into_iter().next();
-        first.expect("asks a seed").payload
+        let rng = Pcg64::seed_from_u64(index as u64);
+        let membership = Membership::new(peer, vec![address(0)], self.settings.clone(), rng);
+        let sent = membership.expect("a valid peer").tick(Instant::ORIGIN);
+        sent.into_iter().next().expect("a request to a seed").payload
+    }
+
+    /// The membership of a process that runs.
+    pub(crate) fn membership(&self, index: usize) -> &Membership {
+        self.processes[index].membership.as_ref().expect("runs")
+    }
+
+    /// The membership of a process that runs.
+    pub(crate) fn membership_mut(&mut self, index: usize) -> &mut Membership {
+        self.processes[index].membership.as_mut().expect("runs")
     }
 
-    pub fn kill(&mut self, node: usize) {
-        self.nodes[node].membership = None;
+    pub(crate) fn kill(&mut self, index: usize) {
+        self.processes[index].membership = None;
     }
 
-    /// A planned end: tells it, and is gone after `grace` ms.
-    pub fn leave(&mut self, node: usize, grace: u64) {
+    /// Shuts a member down: it announces that it leaves, and has ended after `grace`.
+    pub(crate) fn leave(&mut self, index: usize, grace: Duration) {
         let now = self.now;
-        let out = self.nodes[node].membership.as_mut().expect("runs").leave(Instant::from_millis(now));
-        self.after(node, out);
-        self.run_to(now + grace);
-        self.kill(node);
+        let out = self.membership_mut(index).leave(now);
+        self.after_call(index, out);
+        self.run_until(now + grace);
+        self.kill(index);
     }
 
-    pub fn freeze(&mut self, node: usize) {
-        self.nodes[node].frozen = true;
+    pub(crate) fn suspend(&mut self, index: usize) {
+        self.processes[index].is_suspended = true;
     }
 
-    /// What came meanwhile is taken in after the first tick.
-    pub fn thaw(&mut self, node: usize) {
-        self.nodes[node].frozen = false;
-        self.wake_at(node, self.now);
-        for (from, bytes) in std::mem::take(&mut self.nodes[node].kept) {
-            self.deliver_at(self.now + 1, node, from, bytes);
+    /// What was received meanwhile is handled after the first tick.
+    pub(crate) fn resume(&mut self, index: usize) {
+        self.processes[index].is_suspended = false;
+        self.wake_at(index, self.now);
+        for (from, bytes) in std::mem::take(&mut self.processes[index].socket_queue) {
+            self.deliver_at(self.now + millis(1), index, from, bytes);
         }
     }
 
-    /// Cuts all ways between the two sets, both ways.
-    pub fn cut(&mut self, one: &[usize], other: &[usize]) {
+    /// Cuts all links between the two sets, in both directions.
+    pub(crate) fn cut(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
-                self.cuts.extend([(a, b), (b, a)]);
+                self.cut_links.extend([(a, b), (b, a)]);
             }
         }
     }
 
-    pub fn draw(&mut self, end: u64) -> u64 {
-        self.generator.next_u64() % end.max(1)
+    /// A random number below `end`.
+    pub(crate) fn draw(&mut self, end: u64) -> u64 {
+        self.rng.next_u64() % end.max(1)
     }
 
-    pub fn run(&mut self, ms: u64) {
-        self.run_to(self.now + ms);
+    pub(crate) fn run(&mut self, span: Duration) {
+        self.run_until(self.now + span);
     }
 
-    pub fn run_to(&mut self, end: u64) {
-        while let Some(&Reverse((at, id, node))) = self.queue.peek().filter(|next| next.0.0 <= end) {
+    pub(crate) fn run_until(&mut self, end: Instant) {
+        while let Some(&Reverse((at, id, index))) = self.queue.peek().filter(|next| next.0.0 <= end) {
             self.queue.pop();
             self.now = self.now.max(at);
-            let act = self.acts.remove(&id).expect("queued");
-            self.act(node, act);
+            let action = self.actions.remove(&id).expect("queued");
+            self.perform(index, action);
         }
         self.now = end;
     }
 
-    /// Runs until all agree on who lives, and for how long that took; `None` if not within `most` ms.
-    pub fn settle(&mut self, most: u64) -> Option<u64> {
-        let start = self.now;
-        while !self.agree() {
-            if self.now - start >= most {
-                return None;
-            }
-            self.run(50);
-        }
-        Some(self.now - start)
-    }
-
-    pub fn running(&self) -> impl Iterator<Item = &Node> {
-        self.nodes.iter().filter(|node| node.membership.is_some())
+    pub(crate) fn wake_at(&mut self, index: usize, at: Instant) {
+        self.processes[index].wake_at = at;
+        self.push(at, index, Action::Wake);
     }
 
-    /// All that run believe in exactly those that run, and none is suspected.
-    pub fn agree(&self) -> bool {
-        let mut living: Vec<(&str, u64)> =
-            self.running().map(|node| (node.peer.name.as_str(), node.peer.instance_id)).collect();
-        living.sort_unstable();
-        self.running().all(|node| node.view.live_members().count() == living.len())
-            && self.running().all(|node| {
-                let known = node.view.live_members().zip(&living);
-                known.into_iter().all(|((peer, health), (name, life))| {
-                    health == MemberState::Alive && peer.name == *name && peer.instance_id == *life
-                })
-            })
-    }
-
-    /// How many of those that run, others than itself, believe that it lives.
-    pub fn believers(&self, node: usize) -> usize {
-        let of = &self.nodes[node].peer;
-        let believes = |other: &&Node| other.view.live_members().any(|(peer, _)| peer == of);
-        self.running().filter(|other| other.peer.name != of.name).filter(believes).count()
-    }
-
-    /// Events of all that run, others than the one named, about that name.
-    pub fn told(&self, event: &Event) -> usize {
-        self.running().filter(|node| node.journal.iter().any(|(_, known)| known == event)).count()
-    }
-
-    pub fn check_views(&self) {
-        for node in self.running() {
-            let membership = node.membership.as_ref().expect("runs");
-            let living: BTreeMap<String, (Peer, MemberState)> = membership
-                .members()
-                .filter(|(_, health)| health.is_live())
-                .map(|(peer, health)| (peer.name.clone(), (peer.clone(), health)))
-                .collect();
-            let folded: BTreeMap<String, (Peer, MemberState)> = node
-                .view
-                .live_members()
-                .map(|(peer, health)| (peer.name.clone(), (peer.clone(), health)))
-                .collect();
-            assert_eq!(folded, living, "the view folded by {}", node.peer.name);
-            let count = |core| living.values().filter(|(peer, _)| peer.is_control_node == core).count();
-            assert_eq!(
-                (membership.live_control_nodes(), membership.live_proxies()),
-                (count(true), count(false))
-            );
-        }
-    }
-
-    /// A datagram from outside.
-    pub fn inject(&mut self, node: usize, from: SocketAddrV4, bytes: Vec<u8>) {
-        self.deliver_at(self.now, node, from, bytes);
-    }
-
-    pub fn wake_at(&mut self, node: usize, at: u64) {
-        self.nodes[node].wake = at;
-        self.push(at, node, Act::Wake);
-    }
-
-    fn act(&mut self, node: usize, act: Act) {
+    fn perform(&mut self, index: usize, action: Action) {
         let now = self.now;
-        let place = &mut self.nodes[node];
-        let Some(membership) = &mut place.membership else { return };
-        let out = match act {
-            Act::Wake if place.frozen || place.wake > now => return,
-            Act::Wake => {
-                place.wake = u64::MAX;
-                membership.tick(Instant::from_millis(now))
+        let process = &mut self.processes[index];
+        let Some(membership) = &mut process.membership else { return };
+        let out = match action {
+            Action::Wake if process.is_suspended || process.wake_at > now => return,
+            Action::Wake => {
+                process.wake_at = Instant::FAR_FUTURE;
+                membership.tick(now)
             }
-            Act::Deliver(from, bytes) if place.frozen => {
-                // A socket's queue is bounded.
-                if place.kept.len() < 200 {
-                    place.kept.push((from, bytes));
+            Action::Deliver(from, bytes) if process.is_suspended => {
+                if process.socket_queue.len() < MAX_SOCKET_QUEUE {
+                    process.socket_queue.push((from, bytes));
                 }
                 return;
             }
-            Act::Deliver(from, bytes) => {
-                place.received += bytes.len() as u64 + HEADERS;
-                membership.receive(Instant::from_millis(now), from, &bytes)
+            Action::Deliver(from, bytes) => {
+                process.received_bytes += bytes.len() as u64 + HEADER_BYTES;
+                membership.receive(now, from, &bytes)
             }
         };
-        self.after(node, out);
+        self.after_call(index, out);
     }
 
-    fn after(&mut self, node: usize, out: Vec<Datagram>) {
+    /// What a host does after each call.
+    fn after_call(&mut self, index: usize, out: Vec<Datagram>) {
         let now = self.now;
-        let place = &mut self.nodes[node];
-        let membership = place.membership.as_mut().expect("runs");
+        let process = &mut self.processes[index];
+        let membership = process.membership.as_mut().expect("runs");
         for event in membership.drain_events() {
-            place.view.apply(&event);
-            place.journal.push((now, event));
+            process.view.apply(&event);
+            process.events.push((now, event));
         }
-        let wake = membership.next_wake(Instant::from_millis(now)).as_millis();
-        if wake < place.wake || place.wake <= now {
+        let wake = membership.next_wake(now);
+        if wake < process.wake_at || process.wake_at <= now {
             // Timers are late by a few milliseconds.
-            let at = wake.saturating_add(1 + now % 3);
-            place.wake = at;
-            if at < u64::MAX {
-                self.push(at, node, Act::Wake);
+            let at = wake + millis(1 + now.as_millis() % 3);
+            process.wake_at = at;
+            if at < Instant::FAR_FUTURE {
+                self.push(at, index, Action::Wake);
             }
         }
-        let from = self.nodes[node].peer.address;
-        for Datagram { destination: to, payload: bytes } in out {
-            assert!(!bytes.is_empty() && bytes.len() <= MAX_DATAGRAM_LEN, "{} bytes", bytes.len());
-            self.nodes[node].sent += bytes.len() as u64 + HEADERS;
-            let Some(&target) = self.places.get(&to) else { continue };
-            let way = (node, target);
-            let lossy = self.lossy.get(&way).copied().unwrap_or(0).max(self.loss);
-            if self.cuts.contains(&way) || self.draw(1_000) < lossy {
-                continue;
-            }
-            let at = now + 1 + self.draw(4);
-            self.deliver_at(at, target, from, bytes);
+        for datagram in out {
+            self.send(index, datagram);
+        }
+    }
+
+    fn send(&mut self, sender: usize, datagram: Datagram) {
+        let Datagram { destination, payload } = datagram;
+        assert!(!payload.is_empty() && payload.len() <= MAX_DATAGRAM_LEN, "{} bytes", payload.len());
+        self.processes[sender].sent_bytes += payload.len() as u64 + HEADER_BYTES;
+        let Some(&receiver) = self.by_address.get(&destination) else { return };
+        if self.cut_links.contains(&(sender, receiver)) || self.draw(1_000) < self.loss_per_mille {
+            return;
         }
+        let at = self.now + millis(1 + self.draw(MAX_EXTRA_DELAY_MS));
+        let from = self.processes[sender].peer.address;
+        self.deliver_at(at, receiver, from, payload);
     }
 
-    fn deliver_at(&mut self, at: u64, node: usize, from: SocketAddrV4, bytes: Vec<u8>) {
-        self.push(at, node, Act::Deliver(from, bytes));
+    fn deliver_at(&mut self, at: Instant, index: usize, from: SocketAddrV4, bytes: Vec<u8>) {
+        self.push(at, index, Action::Deliver(from, bytes));
     }
 
-    fn push(&mut self, at: u64, node: usize, act: Act) {
-        self.count += 1;
-        self.acts.insert(self.count, act);
-        self.queue.push(Reverse((at, self.count, node)));
+    fn push(&mut self, at: Instant, index: usize, action: Action) {
+        self.last_action += 1;
+        self.actions.insert(self.last_action, action);
+        self.queue.push(Reverse((at, self.last_action, index)));
     }
 }
--- a/crates/membership/tests/fault_free.rs
+++ b/crates/membership/tests/fault_free.rs
@@ -1,198 +1,208 @@
-//! Starts, arrivals, planned ends and deaths in a network without trouble.
+//! Starts, joins, shutdowns and crashes in a network without faults.
 
 mod cluster;
 
-use cluster::{Cluster, address, name};
+use cluster::{Cluster, address, millis, name};
 use mosshead_membership::{Event, MemberState, Membership, PeerError, Settings};
 use mosshead_time::Instant;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
 
 #[test]
-fn all_that_start_together_know_each_other() {
-    for (size, most) in [(1, 0), (2, 500), (3, 500), (9, 2_000), (40, 3_500), (100, 5_000)] {
+fn members_that_start_together_agree() {
+    for (size, max) in [(1, 0), (2, 500), (3, 500), (9, 2_000), (40, 3_500), (100, 5_000)] {
         for seed in 0..5 {
             let mut cluster = Cluster::new(seed, size, Settings::default());
-            cluster.run(300);
-            let took = cluster.settle(most).unwrap_or_else(|| panic!("{size} don't agree, seed {seed}"));
-            println!("{size} agree after {} ms", took + 300);
+            cluster.run(millis(300));
+            let took =
+                cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} don't agree, seed {seed}"));
+            println!("{size} agree after {:?}", took + millis(300));
             cluster.check_views();
         }
     }
 }
 
 #[test]
-fn one_that_dies_is_dead_for_all_within_seconds() {
-    for (size, most) in [(2, 3_000), (3, 3_500), (9, 4_000), (40, 5_500), (100, 6_500)] {
+fn a_crashed_member_is_declared_dead_by_all_within_seconds() {
+    for (size, max) in [(2, 3_000), (3, 3_500), (9, 4_000), (40, 5_500), (100, 6_500)] {
         let mut cluster = Cluster::new(size as u64, size, Settings::default());
-        cluster.run(10_000);
-        assert!(cluster.agree());
+        cluster.run(millis(10_000));
+        assert!(cluster.is_agreed());
         let victim = size - 1;
         cluster.kill(victim);
-        let took = cluster.settle(most).unwrap_or_else(|| panic!("{size} don't agree"));
-        println!("{size}: dead after {took} ms");
-        assert_eq!(cluster.told(&Event::Died(name(victim))), size - 1);
-        assert_eq!(cluster.told(&Event::Suspected(name(victim))), size - 1, "suspicion comes before removal");
+        let took = cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} don't agree"));
+        println!("{size}: dead after {took:?}");
+        assert_eq!(cluster.observers(&Event::Died(name(victim))), size - 1);
+        assert_eq!(
+            cluster.observers(&Event::Suspected(name(victim))),
+            size - 1,
+            "suspicion comes before removal"
+        );
         cluster.check_views();
     }
 }
 
 #[test]
-fn half_of_all_die_at_once() {
+fn the_other_half_agrees_when_half_of_the_fleet_crashes() {
     let mut cluster = Cluster::new(4, 40, Settings::default());
-    cluster.run(10_000);
-    (0..20).for_each(|node| cluster.kill(node));
-    let took = cluster.settle(25_000).expect("the other half agrees");
-    println!("the other half of 40 agrees after {took} ms");
-    for node in 20..40 {
-        assert_eq!(cluster.told(&Event::Died(name(node))), 0);
+    cluster.run(millis(10_000));
+    (0..20).for_each(|process| cluster.kill(process));
+    let took = cluster.settle(millis(25_000)).expect("the other half agrees");
+    println!("the other half of 40 agrees after {took:?}");
+    for process in 20..40 {
+        assert_eq!(cluster.observers(&Event::Died(name(process))), 0);
     }
 }
 
 #[test]
-fn a_newcomer_is_known_to_all_and_knows_all() {
-    for (size, most) in [(3, 1_000), (40, 3_000), (100, 4_000)] {
+fn a_new_member_knows_all_and_is_known_to_all() {
+    for (size, max) in [(3, 1_000), (40, 3_000), (100, 4_000)] {
         let mut cluster = Cluster::new(size as u64, size, Settings::default());
-        cluster.run(10_000);
-        let node = cluster.add();
-        cluster.run(100);
-        assert!(cluster.nodes[node].membership.as_ref().expect("runs").has_joined());
-        assert_eq!(cluster.nodes[node].view.live_members().count(), size + 1, "has the whole list at once");
-        let took = cluster.settle(most).unwrap_or_else(|| panic!("{size} don't know the newcomer"));
-        println!("newcomer to {size}: known to all after {} ms", took + 100);
+        cluster.run(millis(10_000));
+        let process = cluster.add();
+        cluster.run(millis(100));
+        assert!(cluster.membership(process).has_joined());
+        assert_eq!(
+            cluster.processes[process].view.live_members().count(),
+            size + 1,
+            "has the complete list at once"
+        );
+        let took = cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} don't know the new member"));
+        println!("new member of {size}: known to all after {:?}", took + millis(100));
     }
 }
 
 #[test]
-fn a_planned_end_is_no_death() {
+fn a_shutdown_is_not_reported_as_a_death() {
     for size in [2, 9, 40] {
         let mut cluster = Cluster::new(size as u64, size, Settings::default());
-        cluster.run(10_000);
-        cluster.leave(1, 2_000);
-        assert!(cluster.agree(), "{size} still count one that left");
-        assert_eq!(cluster.told(&Event::Left(name(1))), size - 1);
-        assert_eq!(cluster.told(&Event::Suspected(name(1))), 0);
-        cluster.run(10_000);
-        assert_eq!(cluster.told(&Event::Died(name(1))), 0);
-        let other = cluster.nodes[0].membership.as_ref().expect("runs");
-        assert!(other.members().any(|(peer, health)| peer.name == name(1) && health == MemberState::Left));
+        cluster.run(millis(10_000));
+        cluster.leave(1, millis(2_000));
+        assert!(cluster.is_agreed(), "{size} still count one that left");
+        assert_eq!(cluster.observers(&Event::Left(name(1))), size - 1);
+        assert_eq!(cluster.observers(&Event::Suspected(name(1))), 0);
+        cluster.run(millis(10_000));
+        assert_eq!(cluster.observers(&Event::Died(name(1))), 0);
+        let other = cluster.membership(0);
+        assert!(other.members().any(|(peer, state)| peer.name == name(1) && state == MemberState::Left));
         cluster.start(1);
-        assert!(cluster.settle(3_000).is_some(), "and may come back");
+        assert!(cluster.settle(millis(3_000)).is_some(), "and may come back");
         cluster.check_views();
     }
 }
 
 #[test]
-fn a_new_life_replaces_the_old_at_once() {
+fn a_new_instance_replaces_the_old_one_at_once() {
     for seed in 0..10 {
         let mut cluster = Cluster::new(seed, 9, Settings::default());
-        cluster.run(10_000);
-        let old = cluster.nodes[5].peer.clone();
+        cluster.run(millis(10_000));
+        let old = cluster.processes[5].peer.clone();
         cluster.kill(5);
-        cluster.run(200);
+        cluster.run(millis(200));
         cluster.start(5);
-        cluster.run(50);
+        cluster.run(millis(50));
         let knows = |cluster: &Cluster| {
             cluster
                 .running()
-                .filter(|node| node.view.live_members().any(|(peer, _)| *peer == cluster.nodes[5].peer))
+                .filter(|process| {
+                    process.view.live_members().any(|(peer, _)| *peer == cluster.processes[5].peer)
+                })
                 .count()
         };
         assert!(knows(&cluster) >= 2, "known within a few round trips");
-        cluster.settle(2_000).expect("replaced");
+        cluster.settle(millis(2_000)).expect("replaced");
         assert_eq!(knows(&cluster), 9);
-        assert!(cluster.running().all(|node| node.view.live_members().all(|(peer, _)| *peer != old)));
-        assert_eq!(cluster.told(&Event::Died(name(5))), 0);
-        cluster.run(20_000);
-        assert!(cluster.agree());
-        assert_eq!(cluster.told(&Event::Died(name(5))), 0);
+        assert!(cluster.running().all(|process| process.view.live_members().all(|(peer, _)| *peer != old)));
+        assert_eq!(cluster.observers(&Event::Died(name(5))), 0);
+        cluster.run(millis(20_000));
+        assert!(cluster.is_agreed());
+        assert_eq!(cluster.observers(&Event::Died(name(5))), 0);
     }
 }
 
 #[test]
-fn the_dead_are_forgotten_in_the_end_and_not_before() {
+fn dead_members_are_forgotten_after_their_retention_and_not_before() {
     let mut cluster = Cluster::new(1, 5, Settings::default());
-    cluster.run(5_000);
+    cluster.run(millis(5_000));
     cluster.kill(4);
-    cluster.run(10_000);
-    let remembered =
-        |cluster: &Cluster| cluster.nodes[0].membership.as_ref().expect("runs").members().count();
+    cluster.run(millis(10_000));
+    let remembered = |cluster: &Cluster| cluster.membership(0).members().count();
     assert_eq!(remembered(&cluster), 5);
-    cluster.run(45_000);
+    cluster.run(millis(45_000));
     assert_eq!(remembered(&cluster), 5);
-    cluster.run(20_000);
+    cluster.run(millis(20_000));
     assert_eq!(remembered(&cluster), 4);
-    assert!(cluster.agree());
+    assert!(cluster.is_agreed());
 }
 
 #[test]
-fn another_machine_at_the_address_of_a_dead_one_is_not_taken_for_it() {
+fn another_machine_at_the_address_of_a_dead_member_is_not_taken_for_it() {
     let mut cluster = Cluster::new(7, 6, Settings::default());
-    cluster.run(5_000);
+    cluster.run(millis(5_000));
     cluster.kill(5);
-    cluster.run(100);
-    cluster.nodes[5].peer.name = "edge-dixie-east-z-77".to_owned();
+    cluster.run(millis(100));
+    cluster.processes[5].peer.name = "edge-dixie-east-z-77".to_owned();
     cluster.start(5);
-    cluster.settle(5_000).expect("the old name is dead, the new one lives");
+    cluster.settle(millis(5_000)).expect("the old name is dead, the new one lives");
 }
 
 #[test]
-fn fleets_with_other_tags_do_not_merge() {
+fn fleets_with_different_ids_do_not_merge() {
     let mut cluster = Cluster::new(3, 4, Settings::default());
-    cluster.settings.fleet += 1;
+    cluster.settings.fleet_id += 1;
     (0..4).for_each(|_| {
         cluster.add();
     });
-    cluster.run(20_000);
-    for (place, node) in cluster.running().enumerate() {
-        let own = |other: &str| (0..8).filter(|n| name(*n) == other).all(|n| (n < 4) == (place < 4));
-        assert!(node.view.live_members().all(|(peer, _)| own(&peer.name)));
+    cluster.run(millis(20_000));
+    for (index, process) in cluster.running().enumerate() {
+        let own = |other: &str| (0..8).filter(|n| name(*n) == other).all(|n| (n < 4) == (index < 4));
+        assert!(process.view.live_members().all(|(peer, _)| own(&peer.name)));
     }
-    assert_eq!(cluster.nodes[0].view.live_members().count(), 4);
+    assert_eq!(cluster.processes[0].view.live_members().count(), 4);
 }
 
 #[test]
-fn peers_that_nobody_could_name_or_reach_are_refused() {
+fn invalid_peers_are_rejected() {
     let mut cluster = Cluster::empty(1, Settings::default());
     cluster.add();
-    let sound = cluster.nodes[0].peer.clone();
-    let refusal = |peer| {
+    let valid = cluster.processes[0].peer.clone();
+    let rejection = |peer| {
         Membership::new(peer, Vec::new(), Settings::default(), Pcg64::seed_from_u64(1))
             .err()
-            .expect("refused")
+            .expect("rejected")
     };
-    let mut peer = sound.clone();
+    let mut peer = valid.clone();
     peer.name = "n".repeat(65);
-    assert_eq!(refusal(peer), PeerError::InvalidName(65));
-    let mut peer = sound.clone();
+    assert_eq!(rejection(peer), PeerError::InvalidName(65));
+    let mut peer = valid.clone();
     peer.zone = "z".repeat(65);
-    assert_eq!(refusal(peer), PeerError::ZoneTooLong(65));
-    let mut peer = sound;
+    assert_eq!(rejection(peer), PeerError::ZoneTooLong(65));
+    let mut peer = valid;
     peer.address.set_port(0);
     assert_eq!(
-        refusal(peer),
+        rejection(peer),
         PeerError::UnreachableAddress(std::net::SocketAddrV4::new(*address(0).ip(), 0))
     );
 }
 
 #[test]
-fn suspicion_grows_with_the_size_within_bounds() {
+fn the_suspicion_timeout_grows_with_the_fleet_within_bounds() {
     let settings = Settings::default();
-    let spans: Vec<u64> = [1, 10, 100, 1_000, 10_000, 1_000_000].map(|size| settings.suspect_ms(size)).into();
-    assert_eq!(spans, [1_200, 1_200, 2_400, 3_600, 4_800, 6_000]);
-    assert_eq!([1, 3, 100, 1_000].map(|size| settings.sendings(size)), [3, 6, 21, 30]);
+    let timeouts = [1, 10, 100, 1_000, 10_000, 1_000_000].map(|size| settings.suspicion_timeout(size));
+    assert_eq!(timeouts, [1_200, 1_200, 2_400, 3_600, 4_800, 6_000].map(millis));
+    assert_eq!([1, 3, 100, 1_000].map(|size| settings.retransmit_limit(size)), [3, 6, 21, 30]);
 }
 
 #[test]
-fn a_host_that_does_not_drain_is_told_so() {
-    let mut cluster = Cluster::empty(1, Settings { members_max: 20_000, ..Settings::default() });
+fn a_host_that_does_not_drain_events_learns_of_the_overflow() {
+    let mut cluster = Cluster::empty(1, Settings { max_members: 20_000, ..Settings::default() });
     cluster.add();
     let mut view = mosshead_membership::View::default();
-    let membership = cluster.nodes[0].membership.as_mut().expect("runs");
-    let mut maker = Cluster::empty(2, Settings::default());
-    for node in 1..9_000 {
-        let other = maker.stranger(node);
-        membership.receive(Instant::from_millis(node as u64), address(node), &other);
+    let membership = cluster.membership_mut(0);
+    let mut strangers = Cluster::empty(2, Settings::default());
+    for process in 1..9_000 {
+        let other = strangers.datagram_of_stranger(process);
+        membership.receive(Instant::from_millis(process as u64), address(process), &other);
     }
     membership.drain_events().iter().for_each(|event| view.apply(event));
     assert!(view.is_stale());
@@ -202,14 +212,14 @@
 }
 
 #[test]
-fn no_more_members_than_allowed_are_taken() {
-    let mut cluster = Cluster::empty(1, Settings { members_max: 50, ..Settings::default() });
+fn no_more_than_the_maximum_of_members_are_accepted() {
+    let mut cluster = Cluster::empty(1, Settings { max_members: 50, ..Settings::default() });
     cluster.add();
-    let membership = cluster.nodes[0].membership.as_mut().expect("runs");
-    let mut maker = Cluster::empty(2, Settings::default());
-    for node in 1..500 {
-        let other = maker.stranger(node);
-        membership.receive(Instant::from_millis(node as u64), address(node), &other);
+    let membership = cluster.membership_mut(0);
+    let mut strangers = Cluster::empty(2, Settings::default());
+    for process in 1..500 {
+        let other = strangers.datagram_of_stranger(process);
+        membership.receive(Instant::from_millis(process as u64), address(process), &other);
     }
     assert_eq!(membership.members().count(), 50);
 }
--- a/crates/membership/tests/former_formats.rs
+++ b/crates/membership/tests/former_formats.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
-use cluster::{FLEET, address};
+use cluster::{FLEET_ID, address};
 use minicbor::Decoder;
 use mosshead_membership::{Datagram, MemberState, Membership, Peer, Settings};
 use mosshead_time::Instant;
@@ -37,7 +37,7 @@
 }
 
 fn member(node: usize, seeds: Vec<SocketAddrV4>) -> Membership {
-    let settings = Settings { fleet: FLEET, ..Settings::default() };
+    let settings = Settings { fleet_id: FLEET_ID, ..Settings::default() };
     Membership::new(peer(node), seeds, settings, Pcg64::seed_from_u64(node as u64)).unwrap()
 }
 
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -87,7 +87,7 @@
         let membership = Membership::new(
             local_peer,
             settings.internal_seed_addresses(),
-            MembershipSettings { fleet: FLEET_TAG, ..MembershipSettings::default() },
+            MembershipSettings { fleet_id: FLEET_TAG, ..MembershipSettings::default() },
             Pcg64Mcg::from_rng(&mut random),
         )?;
         let address = settings.internal_address();
