--- a/crates/programs/src/config_transfer.rs
+++ b/crates/programs/src/config_transfer.rs
@@ -4,54 +4,12 @@
 //! A configuration that grows by thousands of routes is larger than a slow link carries within the timeout of one call.
 //! Each chunk has a timeout of its own, so that a transfer ends only where the sender does. No I/O, no clock.
 
+mod chunk;
 mod incoming;
 mod outgoing;
 mod update;
 
-use minicbor::bytes::ByteVec;
-use minicbor::{Decode, Encode};
-
+pub use self::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
 pub use self::incoming::{IncomingTransfer, TransferProgress};
 pub use self::outgoing::OutgoingTransfers;
 pub use self::update::{ConfigUpdate, MAX_UNPACKED_BYTES};
-
-/// The length of a chunk in bytes: 52 ms on a link of 10 Mbit/s.
-pub const CHUNK_BYTES: usize = 64 * 1024;
-
-/// Asks for a chunk of the path from one configuration to a newer one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ChunkRequest {
-    /// The revision that the receiver has; 0: none.
-    #[n(0)]
-    pub base_revision: u64,
-    /// The revision that the transfer leads to; 0: the newest, from the start.
-    #[n(1)]
-    pub target_revision: u64,
-    /// How many bytes of the transfer the receiver has.
-    #[n(2)]
-    pub offset: u64,
-}
-
-/// A chunk of a transfer.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ConfigChunk {
-    /// The revision that the transfer leads to; 0: the sender offers none.
-    #[n(0)]
-    pub target_revision: u64,
-    /// The length of the complete transfer in bytes.
-    #[n(1)]
-    pub length: u64,
-    /// The offset of the chunk in the transfer, in bytes.
-    #[n(2)]
-    pub offset: u64,
-    /// The bytes of the chunk.
-    #[n(3)]
-    pub bytes: ByteVec,
-}
-
-impl ConfigChunk {
-    /// The sender has no configuration that it may hand out.
-    pub fn withheld() -> ConfigChunk {
-        ConfigChunk { target_revision: 0, length: 0, offset: 0, bytes: Vec::new().into() }
-    }
-}
--- a/crates/programs/src/config_transfer/incoming.rs
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -1,7 +1,7 @@
 //! The receiver's side of a transfer.
 
-use super::update::max_packed_bytes;
-use super::{ChunkRequest, ConfigChunk, ConfigUpdate};
+use super::chunk::{ChunkRequest, ConfigChunk};
+use super::update::{ConfigUpdate, max_packed_bytes};
 
 /// The state of a transfer after a chunk.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/programs/src/config_transfer/outgoing.rs
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -3,7 +3,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use super::{CHUNK_BYTES, ChunkRequest, ConfigChunk, ConfigUpdate};
+use super::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
+use super::update::ConfigUpdate;
 
 /// Transfers that a sender keeps in memory at most.
 const MAX_OUTGOING: usize = 16;
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -36,15 +36,15 @@
 
 /// `GET /Configuration.Show`: the configuration that a quorum has confirmed.
 pub(super) async fn show(control_node: &Rc<ControlNode>, path: &str) -> ApiResponse {
-    let answer = match control_node.leader() {
+    let answer = match control_node.known_primary() {
         KnownPrimary::Local => read_response(control_node.read_confirmed().await),
-        KnownPrimary::Remote(leader) => ReadResponse::Redirect { primary: leader },
+        KnownPrimary::Remote(primary) => ReadResponse::Redirect { primary },
         KnownPrimary::Unknown => ReadResponse::Unavailable,
     };
     match answer {
         ReadResponse::Current(state) => json(StatusCode::OK, state.body.to_vec()),
         ReadResponse::Empty => code_only(StatusCode::NOT_FOUND, ResultCode::NoConfiguration),
-        ReadResponse::Redirect { primary: leader } => redirect(control_node, leader, path),
+        ReadResponse::Redirect { primary } => redirect(control_node, primary, path),
         ReadResponse::Unavailable => unavailable(),
     }
 }
@@ -52,14 +52,14 @@
 async fn admit(control_node: &Rc<ControlNode>, request: ChangeRequest<Bytes>) -> ChangeResponse {
     let (state, config) = (control_node.committed_state(), control_node.config());
     let (mut admission, mut step) =
-        ChangeAdmission::begin(request, control_node.leader(), state.as_ref(), config, None);
+        ChangeAdmission::begin(request, control_node.known_primary(), state.as_ref(), config, None);
     loop {
         step = match step {
             AdmissionStep::Respond(answer) => return answer,
             AdmissionStep::ConfirmState => admission.on_state_confirmed(control_node.read_confirmed().await),
             AdmissionStep::Submit(submission) => {
-                let verdict = control_node.submit_change(submission).await;
-                AdmissionStep::Respond(admission.on_proposal_result(verdict))
+                let reply = control_node.submit_change(submission).await;
+                AdmissionStep::Respond(admission.on_proposal_result(reply))
             }
         };
     }
@@ -73,13 +73,13 @@
             let body = format!("{{\"code\":\"{code}\",\"revision\":{current}}}");
             json(StatusCode::PRECONDITION_FAILED, body)
         }
-        ChangeResponse::Invalid { reason: fault } => {
-            json(StatusCode::BAD_REQUEST, format!("{{\"fault\":{}}}", json_string(&fault)))
+        ChangeResponse::Invalid { reason } => {
+            json(StatusCode::BAD_REQUEST, format!("{{\"fault\":{}}}", json_string(&reason)))
         }
         ChangeResponse::TooLarge => {
             code_only(StatusCode::PAYLOAD_TOO_LARGE, ResultCode::ConfigurationTooLarge)
         }
-        ChangeResponse::Redirect { primary: leader } => redirect(control_node, leader, path),
+        ChangeResponse::Redirect { primary } => redirect(control_node, primary, path),
         ChangeResponse::Expired => expired(),
         ChangeResponse::Unavailable => unavailable(),
     }
--- /dev/null
+++ b/crates/programs/src/control_node/config_store.rs
@@ -0,0 +1,46 @@
+//! The committed configurations that the node knows, and their transfers to proxies.
+
+use std::cell::RefCell;
+use std::sync::Arc;
+
+use mosshead_config::{Config, ConfigError};
+use mosshead_consensus::ControlState;
+use mosshead_control_plane::ConfigHistory;
+use mosshead_control_plane::QuorumContact;
+
+use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigUpdate, OutgoingTransfers};
+
+/// Committed configurations and the transfers that are under way.
+#[derive(Default)]
+pub(super) struct ConfigStore {
+    history: RefCell<ConfigHistory>,
+    transfers: RefCell<OutgoingTransfers>,
+}
+
+impl ConfigStore {
+    /// Takes in a committed state. Gives the configuration if it is newer than the one before.
+    pub(super) fn commit(&self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
+        self.history.borrow_mut().commit(state)
+    }
+
+    /// The newest committed configuration.
+    pub(super) fn current(&self) -> Option<Arc<Config>> {
+        self.history.borrow().current().cloned()
+    }
+
+    /// The revision that proxies are told of; 0: none.
+    pub(super) fn advertised_revision(&self, contact: QuorumContact) -> u64 {
+        self.history.borrow().advertised_revision(contact)
+    }
+
+    /// Responds to a proxy that fetches the configuration.
+    pub(super) fn next_chunk(&self, request: ChunkRequest, contact: QuorumContact) -> ConfigChunk {
+        let history = self.history.borrow();
+        let newest_revision = history.advertised_revision(contact);
+        if newest_revision == 0 {
+            return ConfigChunk::withheld();
+        }
+        let make_update = || ConfigUpdate::from(history.offer(request.base_revision, contact));
+        self.transfers.borrow_mut().next_chunk(request, newest_revision, make_update)
+    }
+}
--- /dev/null
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -0,0 +1,69 @@
+//! Opens the consensus log, starts the consensus node with it, and brings the results of writes to the node.
+
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use mosshead_consensus::{Input, Node, Settings as NodeSettings, Timings};
+use mosshead_record_log::{LogWriter, RecordLog, WriteCompletion};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use tokio::sync::mpsc;
+
+use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
+use super::node::ControlNode;
+
+/// Where the state of the consensus group is kept.
+const CONSENSUS_LOG: LogDirectory = LogDirectory { name: "consensus", former_name: "headworks" };
+
+/// Runs the consensus node for as long as the future is polled. Without a log that can be read it returns: the control
+/// node then serves the registry only.
+pub(crate) async fn run_consensus(control_node: Rc<ControlNode>, data_directory: PathBuf, seed: u64) {
+    let Some((log, records)) = open_log(&data_directory, CONSENSUS_LOG).await else { return };
+    spdlog::info!("record-log: opened records={}", records.len());
+    let Some(mut completions) = start_writer(&control_node, log) else { return };
+    let random = Pcg64Mcg::seed_from_u64(seed);
+    match Node::new(node_settings(&control_node), &records, control_node.clock.now().as_millis(), random) {
+        Ok(node) => control_node.consensus.set_node(node),
+        Err(error) => {
+            spdlog::error!("consensus: stored state unreadable error={error}");
+            return;
+        }
+    }
+    control_node.step(Input::Tick);
+    while let Some(WriteCompletion { token, is_durable, .. }) = completions.recv().await {
+        control_node.step(if is_durable { Input::Written { token } } else { Input::WriteFailed { token } });
+    }
+}
+
+fn start_writer(
+    control_node: &ControlNode,
+    log: RecordLog,
+) -> Option<mpsc::UnboundedReceiver<WriteCompletion>> {
+    let (sender, completions) = mpsc::unbounded_channel();
+    let writer = LogWriter::start(log, MAX_QUEUED_WRITES, move |completion| {
+        let _ = sender.send(completion);
+    });
+    match writer {
+        Ok(writer) => {
+            control_node.consensus.set_log(writer);
+            Some(completions)
+        }
+        Err(error) => {
+            spdlog::error!("record-log: writer not started, control state disabled error={error}");
+            None
+        }
+    }
+}
+
+fn node_settings(control_node: &ControlNode) -> NodeSettings {
+    let settings = &control_node.settings;
+    NodeSettings {
+        timings: Timings::for_sync(settings.sync_time().as_millis() as u64),
+        ..NodeSettings::new(
+            settings.internal_address(),
+            settings.node_failures,
+            settings.bootstrap,
+            settings.internal_seed_addresses(),
+        )
+    }
+}
--- /dev/null
+++ b/crates/programs/src/control_node/log_directory.rs
@@ -0,0 +1,92 @@
+//! The logs of a control node on disk.
+
+use std::path::{Path, PathBuf};
+
+use mosshead_record_log::{DurableLog, LogError, RecordLog};
+use mosshead_time::Duration;
+use quick_error::quick_error;
+use tokio::sync::oneshot;
+
+/// Writes that may wait for the disk.
+pub(super) const MAX_QUEUED_WRITES: usize = 256;
+/// The pause between two attempts to open a log.
+const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(200);
+
+/// A directory of a log: its name, and its name in the first releases.
+pub(super) struct LogDirectory {
+    pub(super) name: &'static str,
+    pub(super) former_name: &'static str,
+}
+
+impl LogDirectory {
+    /// The path below the data directory.
+    ///
+    /// A directory of the former name is used as it is: a control node that did not find its own records would be a
+    /// newcomer to the others, and could break promises that it has made.
+    fn path(&self, data_directory: &Path) -> PathBuf {
+        let former = data_directory.join(self.former_name);
+        if former.is_dir() { former } else { data_directory.join(self.name) }
+    }
+}
+
+quick_error! {
+    /// Why a log could not be opened.
+    #[derive(Debug)]
+    enum OpenError {
+        /// The log can't be read.
+        Log(error: LogError) {
+            display("{} {error}", error.code())
+            source(error)
+            from()
+        }
+        /// Records that were read are not durable, and can't be made so.
+        NotDurable {
+            display("it can't be written again")
+        }
+    }
+}
+
+/// A log with the records that it holds.
+pub(super) type OpenedLog = (RecordLog, Vec<Vec<u8>>);
+
+/// Opens a log, on a thread of its own: a disk may hang for seconds while the node serves. `None` if there is no thread
+/// to be had.
+pub(super) async fn open_log(data_directory: &Path, directory: LogDirectory) -> Option<OpenedLog> {
+    let path = directory.path(data_directory);
+    let (sender, receiver) = oneshot::channel();
+    let thread = std::thread::Builder::new().spawn(move || {
+        let _ = sender.send(open_with_retries(&path));
+    });
+    if let Err(error) = thread {
+        spdlog::error!("record-log: no thread to open the log error={error}");
+    }
+    receiver.await.ok()
+}
+
+/// Tries until the disk works. Only the first failure is logged.
+fn open_with_retries(path: &Path) -> OpenedLog {
+    let mut is_logged = false;
+    loop {
+        match try_open(path) {
+            Ok(opened) => return opened,
+            Err(error) if !is_logged => {
+                spdlog::warn!("record-log: open failed, retrying error={error}");
+                is_logged = true;
+            }
+            Err(_) => {}
+        }
+        std::thread::sleep(OPEN_RETRY_PAUSE);
+    }
+}
+
+fn try_open(path: &Path) -> Result<OpenedLog, OpenError> {
+    let (mut log, records) = RecordLog::open(path)?;
+    if log.discarded_bytes() > 0 {
+        spdlog::warn!("record-log: discarded torn tail bytes={}", log.discarded_bytes());
+    }
+    // A record that was read but may not be on the disk could be lost after this process has acted on it.
+    if !log.is_durable() && log.sync().is_err() {
+        return Err(OpenError::NotDurable);
+    }
+    Ok((log, records))
+}
--- /dev/null
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -0,0 +1,141 @@
+//! The node's replica of the registry, with its clock and its log.
+
+use std::cell::RefCell;
+use std::net::SocketAddrV4;
+
+use mosshead_control_plane::{
+    EntryVersion, QuorumContact, ReplicaSet, ShutdownAcknowledgements, ShutdownStep, latest_local_entries,
+};
+use mosshead_record_log::LogWriter;
+use mosshead_registry::{Delta, HeartbeatOutcome, Registry, Server, SourceId, VersionVector};
+use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
+use mosshead_time::Duration;
+
+use super::registry_log::RegistryLog;
+use crate::clock::Clock;
+
+/// The registry, which of its entries were acknowledged to their servers, and its log.
+pub(super) struct RegistryHost {
+    clock: Clock,
+    registry: RefCell<Registry>,
+    acknowledgements: RefCell<ShutdownAcknowledgements>,
+    log: RegistryLog,
+}
+
+impl RegistryHost {
+    pub(super) fn new(clock: Clock, source: SourceId, heartbeat_interval: Duration) -> RegistryHost {
+        let registry = Registry::new(source, heartbeat_interval.as_millis() as u64);
+        RegistryHost {
+            clock,
+            registry: RefCell::new(registry),
+            acknowledgements: RefCell::default(),
+            log: RegistryLog::default(),
+        }
+    }
+
+    /// The log is open.
+    pub(super) fn set_log_writer(&self, writer: LogWriter) {
+        self.log.set_writer(writer);
+    }
+
+    /// Whether another process has entries that are missing here.
+    pub(super) fn lacks_entries_of(&self, vector: &VersionVector) -> bool {
+        let registry = self.registry.borrow();
+        registry.has_unknown_source(vector) || registry.is_behind(vector)
+    }
+
+    /// How many servers are registered.
+    pub(super) fn len(&self) -> usize {
+        self.registry.borrow().len()
+    }
+
+    pub(super) fn vector(&self) -> VersionVector {
+        self.registry.borrow().vector()
+    }
+
+    /// Entries above a vector, so many at most.
+    pub(super) fn missing_entries(&self, vector: &VersionVector, max: usize) -> Delta {
+        self.registry.borrow().missing_entries(vector, max)
+    }
+
+    /// The newest entries that were made here.
+    pub(super) fn latest_entries(&self) -> Delta {
+        latest_local_entries(&self.registry.borrow())
+    }
+
+    /// Merges entries of others. Whether the registry has changed.
+    pub(super) fn merge(&self, delta: Delta) -> bool {
+        self.registry.borrow_mut().merge(self.now(), delta)
+    }
+
+    pub(super) fn record_heartbeat(&self, server: Server) -> HeartbeatOutcome {
+        self.registry.borrow_mut().record_heartbeat(self.now(), server)
+    }
+
+    pub(super) fn deregister(&self, id: &str) -> HeartbeatOutcome {
+        self.registry.borrow_mut().deregister(self.now(), id)
+    }
+
+    /// Another control node has the entries of this vector.
+    pub(super) fn mark_replicated(&self, vector: &VersionVector) {
+        self.registry.borrow_mut().mark_replicated(vector);
+    }
+
+    /// Another control node has responded.
+    pub(super) fn record_contact(&self, source: SourceId) {
+        self.registry.borrow_mut().record_contact(self.now(), source);
+    }
+
+    /// Another control node has told which servers send it heartbeats.
+    pub(super) fn record_remote_heartbeats(&self, source: SourceId, sequences: &[(String, u64)]) {
+        let sequences = sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
+        self.registry.borrow_mut().record_remote_heartbeats(self.now(), source, sequences);
+    }
+
+    /// The servers that have sent heartbeats here in the last `window`, with their sequence numbers.
+    pub(super) fn recent_heartbeats(&self, window: Duration) -> Vec<(String, u64)> {
+        let since = (self.clock.now() - window).as_millis();
+        self.registry.borrow().heartbeats_since(since)
+    }
+
+    /// Lets time pass. Whether the registry has changed.
+    pub(super) fn tick(&self) -> bool {
+        self.registry.borrow_mut().tick(self.now())
+    }
+
+    /// Queues what is new for the disk.
+    pub(super) fn persist(&self) {
+        self.log.persist(&self.registry.borrow());
+    }
+
+    /// Whether a server's heartbeat or deregistration may be acknowledged, or must be replicated first.
+    pub(super) fn start_acknowledgement(
+        &self,
+        id: &str,
+        outcome: &HeartbeatOutcome,
+        contact: QuorumContact,
+        replica_set: &ReplicaSet,
+    ) -> ShutdownStep {
+        let registry = self.registry.borrow();
+        self.acknowledgements.borrow().begin(&registry, id, outcome, contact, replica_set)
+    }
+
+    /// A server has been told that its entry outlives failures.
+    pub(super) fn on_acknowledged(&self, entry: EntryVersion) {
+        self.acknowledgements.borrow_mut().record_acknowledged(entry);
+    }
+
+    /// The stage assignments that are due.
+    pub(super) fn due_assignments(&self, scheduler: &mut StageScheduler) -> Vec<StageAssignment> {
+        scheduler.due_assignments(self.clock.now(), self.registry.borrow().servers())
+    }
+
+    /// The address of a server.
+    pub(super) fn address_of(&self, id: &str) -> Option<SocketAddrV4> {
+        self.registry.borrow().get(id).map(|server| server.address)
+    }
+
+    fn now(&self) -> u64 {
+        self.clock.now().as_millis()
+    }
+}
--- /dev/null
+++ b/crates/programs/src/control_node/registry_storage.rs
@@ -0,0 +1,36 @@
+//! Restores the registry from disk. What the disk holds need not be up to date: servers send heartbeats again.
+
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use mosshead_record_log::LogWriter;
+use mosshead_registry::Delta;
+
+use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
+use super::node::ControlNode;
+
+/// Where the registry is kept.
+const REGISTRY_LOG: LogDirectory = LogDirectory { name: "registry", former_name: "catchment" };
+
+/// Brings what the disk holds into the registry, and opens the log for what is new.
+pub(crate) async fn restore_registry(control_node: Rc<ControlNode>, data_directory: PathBuf) {
+    let Some((log, records)) = open_log(&data_directory, REGISTRY_LOG).await else { return };
+    let deltas = records.iter().filter_map(|record| minicbor::decode::<Delta>(record).ok());
+    let mut changed = false;
+    for delta in deltas {
+        changed |= control_node.registry.merge(delta);
+    }
+    spdlog::info!("registry: restored servers={}", control_node.registry.len());
+    if changed {
+        control_node.changes.notify();
+    }
+    match LogWriter::start(log, MAX_QUEUED_WRITES, |_| {}) {
+        Ok(writer) => control_node.registry.set_log_writer(writer),
+        Err(error) => {
+            let code = error.code();
+            spdlog::error!(
+                "record-log: writer not started, registry not persisted code={code} error={error}"
+            );
+        }
+    }
+}
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -1,117 +1,96 @@
-//! What others pull: the configuration in force, entries of the register, the core's machines.
+//! What the node serves to proxies and other control nodes: the newest revision, registry entries, and who is there.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use mosshead_consensus::ControlState;
 use mosshead_registry::Delta;
-use tokio::time::{Duration, Instant, timeout};
+use mosshead_time::Duration;
+use tokio::time::{Instant, timeout_at};
 
-use super::ControlNode;
+use super::node::ControlNode;
 use crate::calls::{Updates, WatchUpdates};
-use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigUpdate};
+use crate::config_transfer::{ChunkRequest, ConfigChunk};
 
-/// Entries given at once.
-const PAGE: usize = 400;
-/// A proxy that has not asked for so long is not counted.
-const ASKED: Duration = Duration::from_secs(4);
-/// So long after its start a machine says that it may lack entries.
-const NEW: Duration = Duration::from_secs(6);
+/// Entries in one response.
+const MAX_ENTRIES_PER_RESPONSE: usize = 400;
+/// The longest wait of a call, whatever the caller asks for.
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
+/// How long after its start the node asks its callers for entries that it lacks.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
 impl ControlNode {
-    pub(super) fn committed(&self, state: &ControlState) {
-        let committed = self.history.borrow_mut().commit(state);
-        match committed {
-            Ok(Some(config)) => {
-                spdlog::info!("config: configuration {} is committed.", config.revision);
-                self.tell();
+    /// Responds with what is new to the caller, as soon as there is something or the wait is over.
+    pub(super) async fn watch_updates(self: Rc<Self>, call: WatchUpdates) -> Updates {
+        if call.is_proxy {
+            self.proxies.on_call(call.name.clone());
+        } else {
+            self.registry.mark_replicated(&call.vector);
+        }
+        let deadline = Instant::now() + call.wait.min(MAX_WATCH_WAIT);
+        let mut changes = self.changes.subscribe();
+        loop {
+            changes.mark_unchanged();
+            let updates = self.updates_for(&call);
+            if has_news(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
+                return updates;
             }
-            Ok(None) => {}
-            Err(fault) => spdlog::error!("config: what was committed can't be read: {fault}."),
         }
     }
 
-    pub(super) fn fetch(&self, request: ChunkRequest) -> ConfigChunk {
-        let (history, contact) = (self.history.borrow(), self.contact());
-        let newest = history.advertised_revision(contact);
-        if newest == 0 {
-            return ConfigChunk::withheld();
-        }
-        let offer = || ConfigUpdate::from(history.offer(request.base_revision, contact));
-        self.transfers.borrow_mut().next_chunk(request, newest, offer)
+    /// Responds to a proxy that fetches the configuration.
+    pub(super) fn fetch_config(&self, request: ChunkRequest) -> ConfigChunk {
+        self.configs.next_chunk(request, self.contact())
     }
 
-    pub(super) fn proxies(&self) -> u32 {
-        let mut askers = self.askers.borrow_mut();
-        askers.retain(|_, asked| asked.elapsed() < ASKED);
-        askers.len().max(self.gossip.live_proxies()) as u32
+    fn updates_for(&self, call: &WatchUpdates) -> Updates {
+        let missing = self.registry.missing_entries(&call.vector, MAX_ENTRIES_PER_RESPONSE);
+        let has_newer_entries = !missing.entries.is_empty();
+        let contact = self.contact();
+        Updates {
+            revision: self.configs.advertised_revision(contact),
+            delta: if call.wants_entries { missing } else { Delta::default() },
+            has_newer_entries,
+            control_nodes: self.control_nodes(),
+            proxy_count: self.proxy_count(),
+            has_quorum_contact: contact.is_confirmed(),
+            needs_entries: self.needs_entries_of(call),
+            source: self.incarnation,
+        }
     }
 
-    /// The core's machines as far as they are known here, without this one.
-    pub(super) fn others(&self) -> Vec<SocketAddrV4> {
-        let me = self.settings.internal_address();
-        let mut others = self.all();
-        others.retain(|other| *other != me);
-        others
+    fn needs_entries_of(&self, call: &WatchUpdates) -> bool {
+        self.started_at.elapsed() < RECOVERY_TIME && self.registry.lacks_entries_of(&call.vector)
     }
 
-    pub(super) fn all(&self) -> Vec<SocketAddrV4> {
-        let node = self.node.borrow();
-        let mut all: Vec<SocketAddrV4> =
-            node.iter().flat_map(|node| node.members().iter().map(|member| member.address)).collect();
-        all.extend(self.gossip.live_control_nodes());
-        if all.is_empty() {
-            all = self.settings.internal_seed_addresses();
-        }
-        all.sort_unstable();
-        all.dedup();
-        all
+    fn proxy_count(&self) -> u32 {
+        self.proxies.count().max(self.gossip.live_proxies()) as u32
     }
 
-    pub(super) async fn pull(self: Rc<Self>, call: WatchUpdates) -> Updates {
-        if call.is_proxy {
-            self.askers.borrow_mut().insert(call.name.clone(), Instant::now());
-        } else {
-            self.register.borrow_mut().mark_replicated(&call.vector);
-        }
-        let until = Instant::now() + call.wait.min(Duration::from_millis(2000));
-        let mut news = self.news.subscribe();
-        loop {
-            news.mark_unchanged();
-            let answer = self.answer(&call);
-            let fresh = answer.revision > call.revision
-                || answer.has_newer_entries
-                || !answer.has_quorum_contact
-                || answer.needs_entries;
-            if fresh
-                || timeout(until.saturating_duration_since(Instant::now()), news.changed()).await.is_err()
-            {
-                return answer;
-            }
-        }
+    /// The other control nodes that are known here.
+    pub(super) fn peers(&self) -> Vec<SocketAddrV4> {
+        let local_address = self.settings.internal_address();
+        let mut peers = self.control_nodes();
+        peers.retain(|peer| *peer != local_address);
+        peers
     }
 
-    pub(super) fn answer(&self, call: &WatchUpdates) -> Updates {
-        let register = self.register.borrow();
-        let all = register.missing_entries(&call.vector, PAGE);
-        let behind = !all.entries.is_empty();
-        let delta = if call.wants_entries { all } else { Delta::default() };
-        let wants = self.start.elapsed() < NEW
-            && (register.has_unknown_source(&call.vector) || register.is_behind(&call.vector));
-        drop(register);
-        let contact = self.contact();
-        let revision = self.history.borrow().advertised_revision(contact);
-        let current = contact.is_confirmed();
-        let cores = self.all();
-        Updates {
-            revision,
-            delta,
-            has_newer_entries: behind,
-            control_nodes: cores,
-            proxy_count: self.proxies(),
-            has_quorum_contact: current,
-            needs_entries: wants,
-            source: self.life,
+    /// The members of the consensus group and the control nodes in the membership; the seeds while there are none.
+    fn control_nodes(&self) -> Vec<SocketAddrV4> {
+        let mut addresses = self.consensus.members();
+        addresses.extend(self.gossip.live_control_nodes());
+        if addresses.is_empty() {
+            addresses = self.settings.internal_seed_addresses();
         }
+        addresses.sort_unstable();
+        addresses.dedup();
+        addresses
     }
 }
+
+/// Whether a response is worth sending before the wait is over.
+fn has_news(updates: &Updates, call: &WatchUpdates) -> bool {
+    updates.revision > call.revision
+        || updates.has_newer_entries
+        || !updates.has_quorum_contact
+        || updates.needs_entries
+}
--- /dev/null
+++ b/crates/programs/src/control_process.rs
@@ -0,0 +1,144 @@
+//! The program `mosshead-control`, the control node on `core` machines: start, main loop and graceful shutdown.
+
+use std::net::SocketAddrV4;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use mosshead_consensus::SHUTDOWN_TIMEOUT;
+use mosshead_time::Duration;
+use rand::Rng;
+use tokio::net::TcpListener;
+use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
+
+use crate::control_node::{ControlNode, PeerFollowers, handlers, restore_registry, run_consensus};
+use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
+use crate::settings::{Settings, SettingsError};
+use crate::{control_api, stage_role};
+
+/// The interval of the main loop, and of the consensus node's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval of the consensus node's ticks during the shutdown.
+const SHUTDOWN_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// After so many ticks the node looks for peers that it does not follow.
+const TICKS_PER_PEER_CHECK: u64 = 10;
+/// The longest wait for the removal from the membership: as long as the consensus node wants to wait.
+const MAX_REMOVAL_WAIT: Duration = Duration::from_millis(SHUTDOWN_TIMEOUT);
+/// The share of the platform's grace that this wait may take: one in so many.
+const REMOVAL_WAIT_DIVISOR: u32 = 3;
+/// The pause before the process exits, in which its last datagrams and responses leave.
+const EXIT_PAUSE: Duration = Duration::from_millis(150);
+
+/// Serves until the process is signalled to shut down.
+///
+/// # Errors
+///
+/// The settings lack what a control node needs, an address can't be listened on, or signals can't be handled.
+pub async fn serve(settings: Settings, settings_path: PathBuf) -> Result<(), ProcessError> {
+    let mut process = ControlProcess::start(settings, settings_path).await?;
+    process.run().await?;
+    process.shut_down().await;
+    Ok(())
+}
+
+struct ControlProcess {
+    process: FleetProcess,
+    control_node: Rc<ControlNode>,
+    followers: PeerFollowers,
+}
+
+impl ControlProcess {
+    async fn start(settings: Settings, settings_path: PathBuf) -> Result<ControlProcess, ProcessError> {
+        let data_directory =
+            settings.data_directory.clone().ok_or(SettingsError::Missing("data_directory"))?;
+        let process = FleetProcess::start(settings, settings_path, true).await?;
+        let control_node = ControlNode::new(
+            process.settings.clone(),
+            process.incarnation,
+            process.clock,
+            process.gossip.clone(),
+        );
+        let followers = PeerFollowers::default();
+        let mut control = ControlProcess { process, control_node, followers };
+        control.serve_calls().await?;
+        control.serve_api().await?;
+        control.spawn_tasks(data_directory);
+        spdlog::info!("control: listening node={}", control.process.settings.node_name);
+        Ok(control)
+    }
+
+    async fn serve_calls(&mut self) -> Result<(), ProcessError> {
+        let listener = bind(self.process.settings.internal_address()).await?;
+        let handlers = Rc::new(handlers(&self.control_node));
+        self.process.tasks.spawn_local(mosshead_rpc::serve(listener, handlers));
+        Ok(())
+    }
+
+    async fn serve_api(&mut self) -> Result<(), ProcessError> {
+        let Some(address) = self.process.settings.control_plane else { return Ok(()) };
+        let listener = bind(address).await?;
+        self.process.tasks.spawn_local(control_api::serve(self.control_node.clone(), listener));
+        Ok(())
+    }
+
+    fn spawn_tasks(&mut self, data_directory: PathBuf) {
+        let seed = self.process.random.random();
+        let (control_node, tasks) = (&self.control_node, &mut self.process.tasks);
+        tasks.spawn_local(control_node.clone().exchange_heartbeats());
+        tasks.spawn_local(stage_role::run(control_node.clone()));
+        tasks.spawn_local(restore_registry(control_node.clone(), data_directory.clone()));
+        tasks.spawn_local(run_consensus(control_node.clone(), data_directory, seed));
+    }
+
+    /// The main loop, until the process is signalled to shut down.
+    async fn run(&mut self) -> Result<(), ProcessError> {
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut events = ProcessEvents::new(ticks)?;
+        let mut tick_count = 0_u64;
+        loop {
+            match events.next().await {
+                ProcessEvent::Shutdown => return Ok(()),
+                ProcessEvent::ReloadSettings => self.reload_settings(),
+                ProcessEvent::Tick => {
+                    self.control_node.tick();
+                    self.control_node.persist_registry();
+                    tick_count += 1;
+                    if tick_count.is_multiple_of(TICKS_PER_PEER_CHECK) {
+                        self.followers.follow_peers_of(&self.control_node);
+                    }
+                }
+            }
+        }
+    }
+
+    fn reload_settings(&self) {
+        if let Some(seeds) = self.process.reload_seeds() {
+            self.control_node.set_seeds(seeds);
+        }
+    }
+
+    async fn shut_down(&self) {
+        spdlog::info!("control: shutting down");
+        self.control_node.begin_shutdown();
+        self.wait_for_removal().await;
+        self.process.gossip.announce_departure();
+        sleep(EXIT_PAUSE).await;
+        spdlog::info!("control: exiting");
+    }
+
+    /// Serves on until the other members can do without this process, well below the platform's grace.
+    async fn wait_for_removal(&self) {
+        let max_wait = MAX_REMOVAL_WAIT.min(self.process.settings.grace() / REMOVAL_WAIT_DIVISOR);
+        let start = Instant::now();
+        while start.elapsed() < max_wait && !self.control_node.may_shut_down() {
+            self.control_node.tick();
+            sleep(SHUTDOWN_TICK_INTERVAL).await;
+        }
+        let elapsed_ms = start.elapsed().as_millis();
+        spdlog::info!("consensus: waited for removal from the membership elapsed_ms={elapsed_ms}");
+    }
+}
+
+async fn bind(address: SocketAddrV4) -> Result<TcpListener, ProcessError> {
+    TcpListener::bind(address).await.map_err(|error| ProcessError::Bind(address, error))
+}
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -1,37 +1,38 @@
-//! How many messages of the control state may be on the way to one machine: small and large ones are counted apart, so
-//! that a large state that is being sent never holds up or pushes out heartbeats, promises and records.
+//! How many messages of the consensus group may be in flight to one peer. Small and large messages are counted apart, so
+//! that a large state on its way never delays or displaces heartbeats, promises and records.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
-use std::time::Duration;
+
+use mosshead_time::Duration;
 
 /// A message that carries more bytes of state than this is large.
 pub const LARGE_MESSAGE_BYTES: usize = 64 << 10;
-/// So many small messages are on the way to one machine.
+/// Small messages in flight to one peer at most.
 pub const MAX_SMALL_IN_FLIGHT: usize = 8;
-/// So many large messages are on the way to one machine.
+/// Large messages in flight to one peer at most.
 pub const MAX_LARGE_IN_FLIGHT: usize = 2;
-/// A small message is worth so much time.
-const SMALL_DEADLINE: Duration = Duration::from_millis(900);
-/// A large message may take so long: by length alone, the largest state needs 0.3 s on a link of 120 Mbit/s.
-const LARGE_DEADLINE: Duration = Duration::from_secs(4);
+/// A small message that takes longer is obsolete.
+const SMALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// By length alone, the largest state needs 0.3 s on a link of 120 Mbit/s.
+const LARGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Which bound a message falls under.
+/// Which of the bounds holds for a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendQueue {
-    /// Heartbeats, promises, records and short changes.
+    /// Heartbeats, promises, records and short deltas.
     Small,
-    /// States and long changes.
+    /// States and long deltas.
     Large,
 }
 
 impl SendQueue {
-    /// The lane of a message that carries so many bytes of state.
+    /// The queue of a message that carries so many bytes of state.
     pub fn of(state_bytes: usize) -> SendQueue {
         if state_bytes > LARGE_MESSAGE_BYTES { SendQueue::Large } else { SendQueue::Small }
     }
 
-    /// How many messages of this lane are on the way to one machine at most.
+    /// How many messages may be in flight to one peer.
     pub fn capacity(self) -> usize {
         match self {
             SendQueue::Small => MAX_SMALL_IN_FLIGHT,
@@ -39,38 +40,39 @@
         }
     }
 
-    /// How long a message of this lane may take.
-    pub fn deadline(self) -> Duration {
+    /// How long a message may take.
+    pub fn timeout(self) -> Duration {
         match self {
-            SendQueue::Small => SMALL_DEADLINE,
-            SendQueue::Large => LARGE_DEADLINE,
+            SendQueue::Small => SMALL_TIMEOUT,
+            SendQueue::Large => LARGE_TIMEOUT,
         }
     }
 }
 
-/// The messages that are on the way, by machine and lane.
+/// The messages in flight, by peer and queue.
 #[derive(Debug, Default)]
 pub struct SendQueues {
+    /// Never 0, and never above the capacity of the queue.
     in_flight: HashMap<(SocketAddrV4, SendQueue), usize>,
 }
 
 impl SendQueues {
-    /// Counts a message in; false if its lane is full and it is to be dropped.
-    pub fn enter(&mut self, to: SocketAddrV4, lane: SendQueue) -> bool {
-        let count = self.in_flight.entry((to, lane)).or_default();
-        let free = *count < lane.capacity();
-        if free {
+    /// Counts a message as in flight; false if its queue is full, and the message is to be dropped.
+    pub fn enter(&mut self, peer: SocketAddrV4, queue: SendQueue) -> bool {
+        let count = self.in_flight.entry((peer, queue)).or_default();
+        let has_capacity = *count < queue.capacity();
+        if has_capacity {
             *count += 1;
         }
-        free
+        has_capacity
     }
 
-    /// Counts a message out that was counted in.
-    pub fn leave(&mut self, to: SocketAddrV4, lane: SendQueue) {
-        if let Some(count) = self.in_flight.get_mut(&(to, lane)) {
+    /// A message that has entered is no longer in flight.
+    pub fn leave(&mut self, peer: SocketAddrV4, queue: SendQueue) {
+        if let Some(count) = self.in_flight.get_mut(&(peer, queue)) {
             *count = count.saturating_sub(1);
             if *count == 0 {
-                self.in_flight.remove(&(to, lane));
+                self.in_flight.remove(&(peer, queue));
             }
         }
     }
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -7,8 +7,9 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
-use mosshead_control_plane::QuorumContact;
-use mosshead_control_plane::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
+use mosshead_control_plane::{
+    AssembledConfig, ControlNodePool, QuorumContact, WatchSession, assemble_config,
+};
 use mosshead_registry::{Delta, Registry, VersionVector};
 use mosshead_rpc::Caller;
 use mosshead_time::Duration;
@@ -87,7 +88,7 @@
     caller: Caller,
     sink: Rc<S>,
     registry: Rc<RefCell<Registry>>,
-    subscription: RefCell<ControlNodePool>,
+    pool: RefCell<ControlNodePool>,
     is_fetching: Cell<bool>,
     last_contact: Cell<Option<Instant>>,
 }
@@ -109,7 +110,7 @@
             caller: Caller::new(),
             sink,
             registry,
-            subscription: RefCell::new(ControlNodePool::new(seeds)),
+            pool: RefCell::new(ControlNodePool::new(seeds)),
             is_fetching: Cell::new(false),
             last_contact: Cell::new(None),
         })
@@ -117,12 +118,12 @@
 
     /// Adds control nodes to those that may be watched.
     pub fn add_control_nodes(&self, addresses: &[SocketAddrV4]) {
-        self.subscription.borrow_mut().add(addresses);
+        self.pool.borrow_mut().add(addresses);
     }
 
     /// How many control nodes are known, lost ones perhaps among them.
     pub fn control_node_count(&self) -> usize {
-        self.subscription.borrow().addresses().len()
+        self.pool.borrow().addresses().len()
     }
 
     /// When a control node with quorum contact last responded.
@@ -134,13 +135,13 @@
     pub async fn run(self: Rc<Self>, slot: usize) {
         loop {
             let now = self.clock.now().as_millis();
-            let chosen = self.subscription.borrow_mut().acquire(now);
+            let chosen = self.pool.borrow_mut().acquire(now);
             let Some(control_node) = chosen else {
                 sleep(IDLE_PAUSE).await;
                 continue;
             };
             self.watch_until_failure(control_node, slot).await;
-            self.subscription.borrow_mut().release(self.clock.now().as_millis(), control_node);
+            self.pool.borrow_mut().release(self.clock.now().as_millis(), control_node);
             sleep(SWITCH_PAUSE + SWITCH_PAUSE_PER_SLOT * slot as u32).await;
         }
     }
@@ -174,7 +175,7 @@
         if updates.revision > revision {
             sleep(requery_pause(slot)).await;
         }
-        self.subscription.borrow_mut().update_members(&updates.control_nodes, contact);
+        self.pool.borrow_mut().update_members(&updates.control_nodes, contact);
         Some(contact)
     }
 
@@ -191,7 +192,7 @@
         }
         let contact = QuorumContact::from_flag(updates.has_quorum_contact);
         let in_force = self.revision_in_force();
-        if self.subscription.borrow().should_fetch_config(in_force, updates.revision, contact) {
+        if self.pool.borrow().should_fetch_config(in_force, updates.revision, contact) {
             self.fetch_config(control_node).await;
         }
     }
--- a/crates/programs/tests/stage_orders.rs
+++ b/crates/programs/tests/stage_orders.rs
@@ -73,7 +73,7 @@
 
 async fn sent(address: SocketAddrV4, may_send: impl Fn() -> bool) -> AssignmentOutcome {
     let order = StageAssignment { instance_id: "i-1".into(), stage: Stage::Prefill };
-    let message = OrderMessage { address, order: &order, owner: "node-7", fence: 41 };
+    let message = OrderMessage { address, assignment: &order, owner: "node-7", fencing_token: 41 };
     send_order(&message, may_send).await
 }
 
