--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -1,5 +1,6 @@
 //! The register's processes in virtual time: servers that beat, cores that follow each other, proxies that pull.
 
+use mosshead_time::{Duration, Instant};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddrV4;
@@ -110,7 +111,7 @@
     pub fn new(size: Size) -> Fleet {
         let core = |at| ControlNode {
             counter: Counter::default(),
-            register: Registry::new(SourceId(SOURCE + at as u64), KEEPALIVE),
+            register: Registry::new(SourceId(SOURCE + at as u64), Duration::from_millis(KEEPALIVE)),
             open: BTreeMap::new(),
         };
         let server = |_| Server { generation: 1, sequence: 0, state: "up", beats: true };
@@ -161,7 +162,8 @@
         let vector = self.cores.first().map(|core| core.register.vector()).unwrap_or_default();
         for at in 0..size.pullers {
             let register = (at < size.real).then(|| {
-                let mut register = Registry::read_replica(SourceId(1 + at as u64), KEEPALIVE);
+                let mut register =
+                    Registry::read_replica(SourceId(1 + at as u64), Duration::from_millis(KEEPALIVE));
                 let mut have = VersionVector::default();
                 while let Some(core) = self.cores.first() {
                     let delta = core.register.missing_entries(&have, PAGE);
@@ -172,7 +174,7 @@
                     let now = self.now;
                     self.list_time.time(|| {
                         if let Ok(hand) = minicbor::decode::<ReplicateEntries>(&bytes) {
-                            register.merge(now, hand.delta);
+                            register.merge(Instant::from_millis(now), hand.delta);
                         }
                     });
                     have = register.vector();
@@ -308,7 +310,9 @@
         let register = &mut core.register;
         let heard = core.counter.time(|| {
             let server = control_api::parse_heartbeat(&id, body.as_bytes());
-            server.map(|server| register.record_heartbeat(now, server)).unwrap_or_default()
+            server
+                .map(|server| register.record_heartbeat(Instant::from_millis(now), server))
+                .unwrap_or_default()
         });
         self.heard(home, heard.changed, heard.needs_replication);
     }
@@ -320,7 +324,7 @@
         core.counter.count(0);
         core.counter.count(2);
         let register = &mut core.register;
-        let heard = core.counter.time(|| register.deregister(now, &id));
+        let heard = core.counter.time(|| register.deregister(Instant::from_millis(now), &id));
         self.heard(home, heard.changed, heard.needs_replication);
     }
 
@@ -376,7 +380,7 @@
         let register = &mut core.register;
         let changed = core.counter.time(|| {
             let hand = minicbor::decode::<ReplicateEntries>(bytes);
-            hand.is_ok_and(|hand| register.merge(now, hand.delta))
+            hand.is_ok_and(|hand| register.merge(Instant::from_millis(now), hand.delta))
         });
         if changed {
             self.news(to);
@@ -388,7 +392,9 @@
         let answer = encoded(&ReplicateAck { changed: false, vector: VersionVector::default() }).len() as u64;
         let Some(core) = self.cores.get_mut(at) else { return };
         let (register, source) = (&core.register, core.register.local_id());
-        let digest = core.counter.time(|| register.heartbeats_since(now.saturating_sub(1200)));
+        let digest = core
+            .counter
+            .time(|| register.heartbeats_since(Instant::from_millis(now) - Duration::from_millis(1200)));
         let call = CompareHeartbeats { source: source.0, sequences: digest };
         for to in (0..self.cores.len()).filter(|to| *to != at) {
             let Some(core) = self.cores.get_mut(at) else { return };
@@ -402,13 +408,13 @@
             core.counter.time(|| {
                 if let Ok(hears) = minicbor::decode::<CompareHeartbeats>(&bytes) {
                     let digest = hears.sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                    register.record_remote_heartbeats(now, source, digest);
+                    register.record_remote_heartbeats(Instant::from_millis(now), source, digest);
                 }
             });
         }
         let Some(core) = self.cores.get_mut(at) else { return };
         let register = &mut core.register;
-        if core.counter.time(|| register.tick(now)) {
+        if core.counter.time(|| register.tick(Instant::from_millis(now))) {
             self.news(at);
         }
     }
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -1,5 +1,6 @@
 //! The part of a proxy's list: the register walked whole into the board, once a second and at each change.
 
+use mosshead_time::Instant;
 use std::time::Duration;
 
 use mosshead_programs::control_api;
@@ -18,11 +19,11 @@
     let columns = ["us the first", "us again", "core % once a second", "KB of board"];
     let mut table = Table::new("A proxy's list (router)", "servers", &columns);
     for &size in sizes {
-        let mut register = Registry::new(SourceId(1), KEEPALIVE);
+        let mut register = Registry::new(SourceId(1), Duration::from_millis(KEEPALIVE));
         for at in 0..size {
             let beat =
                 control_api::parse_heartbeat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
-            beat.map(|server| register.record_heartbeat(1, server));
+            beat.map(|server| register.record_heartbeat(Instant::from_millis(1), server));
         }
         let weights = RoutingWeights::new(RetryBudgetLimits {
             retry_ratio: 0.2,
--- a/crates/capacity-bench/src/pulls.rs
+++ b/crates/capacity-bench/src/pulls.rs
@@ -1,5 +1,6 @@
 //! Calls that wait for news, and their answers.
 
+use mosshead_time::Instant;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -149,8 +150,8 @@
                 let register = &mut core.register;
                 let source = SourceId(answer.source);
                 let changed = core.counter.time(|| {
-                    let changed = register.merge(now, answer.delta);
-                    register.record_contact(now, source);
+                    let changed = register.merge(Instant::from_millis(now), answer.delta);
+                    register.record_contact(Instant::from_millis(now), source);
                     changed
                 });
                 if changed {
@@ -181,7 +182,7 @@
     fn take(&mut self, now: u64, delta: Delta) {
         if let Some(register) = &mut self.register {
             self.vector = self.counter.time(|| {
-                register.merge(now, delta);
+                register.merge(Instant::from_millis(now), delta);
                 register.vector()
             });
             return;
--- a/crates/control-plane/src/control_node_pool.rs
+++ b/crates/control-plane/src/control_node_pool.rs
@@ -7,6 +7,7 @@
 use std::sync::Arc;
 
 use mosshead_config::Config;
+use mosshead_time::{Duration, Instant};
 
 use crate::config_history::{ConfigOffer, read_beside};
 use crate::{InjectedFault, QuorumContact};
@@ -14,16 +15,16 @@
 /// Control machines that a proxy knows at most.
 const MOST_CORES: usize = 64;
 /// A machine that has failed is asked again after so long.
-const REST_MS: u64 = 250;
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// A machine that is out of touch is left after so long.
-const OUT_OF_TOUCH_MS: u64 = 600;
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A control machine as a proxy knows it.
 #[derive(Clone, Debug)]
 struct KnownCore {
     address: SocketAddrV4,
     /// When it was last left, if it ever was.
-    failed: Option<u64>,
+    failed: Option<Instant>,
     /// Whether it is being asked.
     busy: bool,
 }
@@ -85,11 +86,11 @@
     }
 
     /// The machine to ask next: one that is not being asked, the one that failed longest ago first.
-    pub fn acquire(&mut self, now: u64) -> Option<SocketAddrV4> {
+    pub fn acquire(&mut self, now: Instant) -> Option<SocketAddrV4> {
         let free = self.cores.iter_mut().filter(|core| !core.busy);
         let core = free.min_by_key(|core| core.failed)?;
         // Danger: a machine that refuses at once must not be asked in a circle.
-        if core.failed.is_some_and(|failed| now.saturating_sub(failed) < REST_MS) {
+        if core.failed.is_some_and(|failed| now.duration_since(failed) < RETRY_DELAY) {
             return None;
         }
         core.busy = true;
@@ -97,7 +98,7 @@
     }
 
     /// A machine is not asked any more.
-    pub fn release(&mut self, now: u64, address: SocketAddrV4) {
+    pub fn release(&mut self, now: Instant, address: SocketAddrV4) {
         for core in self.cores.iter_mut().filter(|core| core.address == address) {
             core.busy = false;
             core.failed = Some(now);
@@ -114,12 +115,12 @@
 /// How long a proxy stays with one machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchSession {
-    out_of_touch_since: Option<u64>,
+    out_of_touch_since: Option<Instant>,
 }
 
 impl WatchSession {
     /// Whether the proxy goes on asking the machine after this answer.
-    pub fn should_continue(&mut self, now: u64, contact: QuorumContact) -> bool {
+    pub fn should_continue(&mut self, now: Instant, contact: QuorumContact) -> bool {
         match contact {
             QuorumContact::Confirmed => {
                 self.out_of_touch_since = None;
@@ -127,7 +128,7 @@
             }
             QuorumContact::Unconfirmed => {
                 let since = *self.out_of_touch_since.get_or_insert(now);
-                now.saturating_sub(since) < OUT_OF_TOUCH_MS
+                now.duration_since(since) < CONTACT_TIMEOUT
             }
         }
     }
--- a/crates/control-plane/tests/acknowledgement.rs
+++ b/crates/control-plane/tests/acknowledgement.rs
@@ -1,5 +1,6 @@
 //! When a leaving server is acknowledged.
 
+use mosshead_time::{Duration, Instant};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_control_plane::{
@@ -35,7 +36,7 @@
         slots: 8,
         state,
         is_suspected: false,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage: None,
         models: Vec::new(),
         sequence,
@@ -44,9 +45,9 @@
 
 /// A register that has heard the server leave, and what came of it.
 fn draining() -> (Registry, HeartbeatOutcome) {
-    let mut register = Registry::new(SourceId(1), 500);
-    register.record_heartbeat(0, server(OperState::Up, 1));
-    let heard = register.record_heartbeat(10, server(OperState::Draining, 2));
+    let mut register = Registry::new(SourceId(1), Duration::from_millis(500));
+    register.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1));
+    let heard = register.record_heartbeat(Instant::from_millis(10), server(OperState::Draining, 2));
     (register, heard)
 }
 
@@ -76,8 +77,8 @@
 
 #[test]
 fn a_server_that_stays_is_acknowledged_at_once() {
-    let mut register = Registry::new(SourceId(1), 500);
-    let heard = register.record_heartbeat(0, server(OperState::Up, 1));
+    let mut register = Registry::new(SourceId(1), Duration::from_millis(500));
+    let heard = register.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1));
     let started = start(
         &ShutdownAcknowledgements::default(),
         &register,
@@ -147,16 +148,16 @@
 fn a_repeat_needs_the_same_copies() {
     let (mut register, _) = draining();
     register.mark_replicated(&has_it());
-    let again = register.record_heartbeat(20, server(OperState::Draining, 3));
+    let again = register.record_heartbeat(Instant::from_millis(20), server(OperState::Draining, 3));
     assert!(!again.needs_replication);
     let members = membership(5, 2);
     let started =
         start(&ShutdownAcknowledgements::default(), &register, &again, QuorumContact::Confirmed, &members);
     assert!(matches!(started, ShutdownStep::Replicate(_)), "{started:?}");
 
-    let mut other = Registry::new(SourceId(2), 500);
-    other.merge(20, latest_local_entries(&register));
-    let heard = other.record_heartbeat(30, server(OperState::Draining, 4));
+    let mut other = Registry::new(SourceId(2), Duration::from_millis(500));
+    other.merge(Instant::from_millis(20), latest_local_entries(&register));
+    let heard = other.record_heartbeat(Instant::from_millis(30), server(OperState::Draining, 4));
     let there = ReplicaSet { local_address: address(2), ..members };
     let started =
         start(&ShutdownAcknowledgements::default(), &other, &heard, QuorumContact::Confirmed, &there);
@@ -182,7 +183,7 @@
     let mut acknowledgements = ShutdownAcknowledgements::default();
     let entry = register.entry(ID).and_then(EntryVersion::of_shutdown).expect("it leaves");
     acknowledgements.record_acknowledged(entry);
-    let heard = register.deregister(40, ID);
+    let heard = register.deregister(Instant::from_millis(40), ID);
     let started = start(&acknowledgements, &register, &heard, QuorumContact::Confirmed, &membership(5, 2));
     assert!(matches!(started, ShutdownStep::Replicate(_)), "{started:?}");
 }
@@ -203,7 +204,7 @@
     assert_eq!(untouched.decision(QuorumContact::Unconfirmed), AcknowledgementDecision::Acknowledge);
     let (mut register, _) = draining();
     register.mark_replicated(&has_it());
-    let again = register.record_heartbeat(20, server(OperState::Draining, 3));
+    let again = register.record_heartbeat(Instant::from_millis(20), server(OperState::Draining, 3));
     let repeats =
         ShutdownAcknowledgements::with_injected_fault(Some(InjectedFault::AcknowledgeRepeatsUnchecked));
     let started = start(&repeats, &register, &again, QuorumContact::Unconfirmed, &membership(5, 2));
--- a/crates/control-plane/tests/fleet/control.rs
+++ b/crates/control-plane/tests/fleet/control.rs
@@ -1,5 +1,6 @@
 //! A control machine: the state machines of one process, wired as the program wires them, and its disk.
 
+use mosshead_time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -145,7 +146,7 @@
         };
         machine.process = Some(Process {
             node,
-            register: Registry::new(source, KEEPALIVE_MS),
+            register: Registry::new(source, Duration::from_millis(KEEPALIVE_MS)),
             history: ConfigHistory::with_injected_fault(injected),
             acknowledgements: ShutdownAcknowledgements::with_injected_fault(injected),
             asks: BTreeMap::new(),
@@ -225,8 +226,9 @@
 
     fn tell_heard(&mut self, core: usize, now: u64) {
         let Some(process) = &mut self.cores[core].process else { return };
-        process.register.tick(now);
-        let digest = process.register.heartbeats_since(now.saturating_sub(1_500));
+        process.register.tick(Instant::from_millis(now));
+        let digest =
+            process.register.heartbeats_since(Instant::from_millis(now) - Duration::from_millis(1_500));
         let source = process.register.local_id().0;
         for other in self.others(core) {
             let call = Call::Hears { source, digest: digest.clone() };
@@ -307,7 +309,7 @@
             Call::Hand { delta } => {
                 let now = self.now;
                 let Some(process) = &mut self.cores[core].process else { return };
-                process.register.merge(now, delta);
+                process.register.merge(Instant::from_millis(now), delta);
                 let vector = process.register.vector();
                 self.reply(core, inbound, Answer::Handed(vector));
             }
@@ -315,7 +317,11 @@
                 let now = self.now;
                 let Some(process) = &mut self.cores[core].process else { return };
                 let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                process.register.record_remote_heartbeats(now, SourceId(source), digest);
+                process.register.record_remote_heartbeats(
+                    Instant::from_millis(now),
+                    SourceId(source),
+                    digest,
+                );
             }
             Call::Change { change } => self.admit(core, inbound, change),
             Call::Show => self.show(core, inbound),
@@ -323,13 +329,13 @@
                 let now = self.now;
                 let Some(process) = &mut self.cores[core].process else { return };
                 let id = server.id.clone();
-                let heard = process.register.record_heartbeat(now, server);
+                let heard = process.register.record_heartbeat(Instant::from_millis(now), server);
                 self.heard(core, inbound, &id, heard);
             }
             Call::Deregister { id } => {
                 let now = self.now;
                 let Some(process) = &mut self.cores[core].process else { return };
-                let heard = process.register.deregister(now, &id);
+                let heard = process.register.deregister(Instant::from_millis(now), &id);
                 self.heard(core, inbound, &id, heard);
             }
             Call::Order { .. } => panic!("an order to a control machine"),
@@ -527,7 +533,7 @@
             }
             (Purpose::Follow { other }, Some(Answer::Pulled(pulled))) => {
                 let Some(process) = &mut self.cores[core].process else { return };
-                process.register.merge(now, pulled.delta);
+                process.register.merge(Instant::from_millis(now), pulled.delta);
                 if pulled.wants
                     && let Some(to) = self.core_at(other)
                 {
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -1,5 +1,6 @@
 //! A proxy: its subscription, its copy of the register and the configuration in force.
 
+use mosshead_time::{Duration, Instant};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
@@ -41,7 +42,7 @@
         self.proxies.push(Proxy {
             life: 0,
             config: None,
-            register: Registry::read_replica(source, KEEPALIVE_MS),
+            register: Registry::read_replica(source, Duration::from_millis(KEEPALIVE_MS)),
             subscription: ControlNodePool::default(),
             slots: Default::default(),
             is_fetching: false,
@@ -59,7 +60,7 @@
         let proxy = &mut self.proxies[index];
         proxy.life += 1;
         proxy.config = None;
-        proxy.register = Registry::read_replica(source, KEEPALIVE_MS);
+        proxy.register = Registry::read_replica(source, Duration::from_millis(KEEPALIVE_MS));
         proxy.subscription = ControlNodePool::new(seeds).with_injected_fault(injected);
         proxy.slots = Default::default();
         proxy.is_fetching = false;
@@ -80,7 +81,7 @@
         let now = self.now;
         let proxy = &mut self.proxies[index];
         if proxy.slots[slot].core.is_none() {
-            let core = proxy.subscription.acquire(now);
+            let core = proxy.subscription.acquire(Instant::from_millis(now));
             proxy.slots[slot] = Slot { core, session: WatchSession::default() };
         }
         let Some(core) = proxy.slots[slot].core else {
@@ -119,7 +120,7 @@
     fn proxy_leaves(&mut self, index: usize, slot: usize, core: SocketAddrV4) {
         let now = self.now;
         let proxy = &mut self.proxies[index];
-        proxy.subscription.release(now, core);
+        proxy.subscription.release(Instant::from_millis(now), core);
         proxy.slots[slot].core = None;
         let life = proxy.life;
         self.after(60 + 40 * slot as u64, Event::ProxySlot { proxy: index, life, slot });
@@ -128,12 +129,12 @@
     fn proxy_pulled(&mut self, index: usize, slot: usize, core: SocketAddrV4, pulled: Pulled) {
         let now = self.now;
         let proxy = &mut self.proxies[index];
-        proxy.register.merge(now, pulled.delta);
-        proxy.register.tick(now);
+        proxy.register.merge(Instant::from_millis(now), pulled.delta);
+        proxy.register.tick(Instant::from_millis(now));
         proxy.subscription.update_members(&pulled.cores, pulled.contact);
         let in_force = proxy.config.as_ref().map_or(0, |config| config.revision);
         let wants = proxy.subscription.should_fetch_config(in_force, pulled.revision, pulled.contact);
-        let goes_on = proxy.slots[slot].session.should_continue(now, pulled.contact);
+        let goes_on = proxy.slots[slot].session.should_continue(Instant::from_millis(now), pulled.contact);
         let life = proxy.life;
         let fetches = wants && !proxy.is_fetching;
         if pulled.wants {
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -1,5 +1,6 @@
 //! Model servers: heartbeats, drains, deregistrations, new incarnations at the same address, orders with fences.
 
+use mosshead_time::Duration;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_registry::{OperState, Server, Stage};
@@ -54,7 +55,7 @@
             slots: 8,
             state: OperState::Up,
             is_suspected: false,
-            warmup_left_ms: 0,
+            warmup_remaining: Duration::ZERO,
             stage: Some(if server.is_multiple_of(3) { Stage::Prefill } else { Stage::Decode }),
             models: Vec::new(),
             sequence: 0,
--- a/crates/control-plane/tests/serving.rs
+++ b/crates/control-plane/tests/serving.rs
@@ -1,5 +1,6 @@
 //! Which configuration is handed out, and what a proxy takes of it.
 
+use mosshead_time::Instant;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_consensus::ControlState;
@@ -84,24 +85,24 @@
 #[test]
 fn a_machine_out_of_touch_is_left_for_another() {
     let mut subscription = ControlNodePool::new(&[address(1), address(2)]);
-    let first = subscription.acquire(0).expect("one");
+    let first = subscription.acquire(Instant::from_millis(0)).expect("one");
     let mut session = WatchSession::default();
-    assert!(session.should_continue(0, QuorumContact::Confirmed));
-    assert!(session.should_continue(100, QuorumContact::Unconfirmed));
-    assert!(session.should_continue(699, QuorumContact::Unconfirmed));
-    assert!(!session.should_continue(700, QuorumContact::Unconfirmed));
-    subscription.release(700, first);
-    let second = subscription.acquire(700).expect("the other");
+    assert!(session.should_continue(Instant::from_millis(0), QuorumContact::Confirmed));
+    assert!(session.should_continue(Instant::from_millis(100), QuorumContact::Unconfirmed));
+    assert!(session.should_continue(Instant::from_millis(699), QuorumContact::Unconfirmed));
+    assert!(!session.should_continue(Instant::from_millis(700), QuorumContact::Unconfirmed));
+    subscription.release(Instant::from_millis(700), first);
+    let second = subscription.acquire(Instant::from_millis(700)).expect("the other");
     assert_ne!(first, second);
-    assert_eq!(subscription.acquire(949), None);
-    assert_eq!(subscription.acquire(950), Some(first));
+    assert_eq!(subscription.acquire(Instant::from_millis(949)), None);
+    assert_eq!(subscription.acquire(Instant::from_millis(950)), Some(first));
 }
 
 #[test]
 fn only_a_machine_in_touch_may_say_that_others_are_gone() {
     let mut subscription = ControlNodePool::new(&[address(1), address(2)]);
-    let first = subscription.acquire(0).expect("one");
-    subscription.release(0, first);
+    let first = subscription.acquire(Instant::from_millis(0)).expect("one");
+    subscription.release(Instant::from_millis(0), first);
     subscription.update_members(&[address(3)], QuorumContact::Unconfirmed);
     assert_eq!(subscription.addresses(), [address(1), address(2), address(3)]);
     subscription.update_members(&[address(3)], QuorumContact::Confirmed);
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -47,7 +47,7 @@
         slots: 64,
         state: OperState::Up,
         is_suspected: false,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage,
         models: Vec::new(),
         sequence: 1,
--- a/crates/programs/src/control_api/heartbeat.rs
+++ b/crates/programs/src/control_api/heartbeat.rs
@@ -1,5 +1,6 @@
 //! The heartbeat of a model server, from JSON. Unknown fields are ignored, so that servers may send more than is used.
 
+use mosshead_time::Duration;
 use std::collections::HashMap;
 
 use mosshead_registry::{Model, OperState, Server, Stage};
@@ -35,7 +36,7 @@
         slots: integer_field(fields, "slots").unwrap_or(1).min(u64::from(u32::MAX)) as u32,
         state: parse_state(fields),
         is_suspected: false,
-        warmup_left_ms: integer_field(fields, "warmup_left_ms").unwrap_or(0),
+        warmup_remaining: Duration::from_millis(integer_field(fields, "warmup_left_ms").unwrap_or(0)),
         stage: parse_stage(fields),
         models: parse_models(fields),
         sequence: integer_field(fields, "sequence").unwrap_or(0),
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -9,7 +9,7 @@
 use mosshead_record_log::LogWriter;
 use mosshead_registry::{Delta, HeartbeatOutcome, Registry, Server, SourceId, VersionVector};
 use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
-use mosshead_time::Duration;
+use mosshead_time::{Duration, Instant};
 
 use super::registry_log::RegistryLog;
 use crate::clock::Clock;
@@ -24,7 +24,7 @@
 
 impl RegistryHost {
     pub(super) fn new(clock: Clock, source: SourceId, heartbeat_interval: Duration) -> RegistryHost {
-        let registry = Registry::new(source, heartbeat_interval.as_millis() as u64);
+        let registry = Registry::new(source, heartbeat_interval);
         RegistryHost {
             clock,
             registry: RefCell::new(registry),
@@ -94,7 +94,7 @@
 
     /// The servers that have sent heartbeats here in the last `window`, with their sequence numbers.
     pub(super) fn recent_heartbeats(&self, window: Duration) -> Vec<(String, u64)> {
-        let since = (self.clock.now() - window).as_millis();
+        let since = self.now() - window;
         self.registry.borrow().heartbeats_since(since)
     }
 
@@ -127,7 +127,7 @@
 
     /// The stage assignments that are due.
     pub(super) fn due_assignments(&self, scheduler: &mut StageScheduler) -> Vec<StageAssignment> {
-        scheduler.due_assignments(self.clock.now(), self.registry.borrow().servers())
+        scheduler.due_assignments(self.now(), self.registry.borrow().servers())
     }
 
     /// The address of a server.
@@ -135,7 +135,7 @@
         self.registry.borrow().get(id).map(|server| server.address)
     }
 
-    fn now(&self) -> u64 {
-        self.clock.now().as_millis()
+    fn now(&self) -> Instant {
+        self.clock.now()
     }
 }
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -71,7 +71,7 @@
         let data_plane = DataPlane::new(routing_weights(settings), &settings.zone, process.random.random());
         let registry = Rc::new(RefCell::new(Registry::read_replica(
             SourceId(process.incarnation),
-            settings.heartbeat_interval.as_millis() as u64,
+            settings.heartbeat_interval,
         )));
         let sink = Rc::new(DataPlaneSink::new(data_plane.clone(), registry.clone(), process.gossip.clone()));
         let watcher = UpdateWatcher::new(
@@ -135,7 +135,7 @@
     }
 
     fn tick(&self) {
-        self.registry.borrow_mut().tick(self.process.clock.now().as_millis());
+        self.registry.borrow_mut().tick(self.process.clock.now());
         self.sink.refresh();
         self.watcher.add_control_nodes(&self.process.gossip.live_control_nodes());
     }
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -134,14 +134,14 @@
     /// Watches one control node after the other for as long as the future is polled. Slots count from 0.
     pub async fn run(self: Rc<Self>, slot: usize) {
         loop {
-            let now = self.clock.now().as_millis();
+            let now = self.clock.now();
             let chosen = self.pool.borrow_mut().acquire(now);
             let Some(control_node) = chosen else {
                 sleep(IDLE_PAUSE).await;
                 continue;
             };
             self.watch_until_failure(control_node, slot).await;
-            self.pool.borrow_mut().release(self.clock.now().as_millis(), control_node);
+            self.pool.borrow_mut().release(self.clock.now(), control_node);
             sleep(SWITCH_PAUSE + SWITCH_PAUSE_PER_SLOT * slot as u32).await;
         }
     }
@@ -150,7 +150,7 @@
         let mut session = WatchSession::default();
         let mut is_first = true;
         while let Some(contact) = self.watch_once(control_node, slot, is_first).await
-            && session.should_continue(self.clock.now().as_millis(), contact)
+            && session.should_continue(self.clock.now(), contact)
         {
             is_first = false;
         }
@@ -205,7 +205,7 @@
     }
 
     fn merge(&self, now: mosshead_time::Instant, delta: Delta) {
-        let changed = self.registry.borrow_mut().merge(now.as_millis(), delta);
+        let changed = self.registry.borrow_mut().merge(now, delta);
         if changed {
             self.sink.on_registry_change();
         }
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -45,7 +45,7 @@
         slots: number as u32,
         state,
         is_suspected: mark,
-        warmup_left_ms: number,
+        warmup_remaining: Duration::from_millis(number),
         stage,
         models: vec![Model {
             name: text.into(),
--- a/crates/programs/tests/control_api.rs
+++ b/crates/programs/tests/control_api.rs
@@ -2,6 +2,7 @@
 
 use mosshead_programs::control_api::{parse_heartbeat, request_digest};
 use mosshead_registry::{Model, OperState, Server, Stage};
+use mosshead_time::Duration;
 use quickcheck::{TestResult, quickcheck};
 
 const HEARTBEAT: &str = include_str!("samples/beat.json");
@@ -23,7 +24,7 @@
         slots: 64,
         state: OperState::Up,
         is_suspected: false,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage: Some(Stage::Decode),
         models: vec![Model { name: "m".into(), revision: 1, adapters: Vec::new() }],
         sequence: 4,
@@ -38,7 +39,7 @@
     let stage = |text: &str| changed("\"decode\"", text).and_then(|server| server.stage);
     assert_eq!((stage("\"prefill\""), stage("null")), (Some(Stage::Prefill), None));
     let warm = changed("\"warmup_left_ms\":0", "\"warmup_left_ms\":1250,\"of_tomorrow\":[{}]");
-    assert_eq!(warm.map(|server| server.warmup_left_ms), Some(1250));
+    assert_eq!(warm.map(|server| server.warmup_remaining), Some(Duration::from_millis(1250)));
     let adapters = changed("\"adapter_list\":[]", "\"adapter_list\":[\"a\",\"b\"]").expect("sound");
     assert_eq!(adapters.models[0].adapters, ["a", "b"]);
 }
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -71,7 +71,7 @@
         slots: 64,
         state: OperState::Draining,
         is_suspected: false,
-        warmup_left_ms: 4_500,
+        warmup_remaining: Duration::from_millis(4_500),
         stage: Some(Stage::Decode),
         models: Vec::new(),
         sequence: 70_000,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -16,7 +16,7 @@
 mod vector;
 
 pub use delta::{Delta, Entry};
-pub use registry::{HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, TOMBSTONE_MS};
+pub use registry::{HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, TOMBSTONE_LIFETIME};
 pub use server::{Model, OperState, Server, ServerError, Stage};
-pub use silence::{GONE_MS, LOST_MS};
+pub use silence::{SOURCE_TIMEOUT, SUSPICION_TIMEOUT};
 pub use vector::{MAX_VECTOR_SOURCES, SourceId, VersionVector};
--- a/crates/registry/src/record.rs
+++ b/crates/registry/src/record.rs
@@ -1,5 +1,7 @@
 //! What one process holds of one server.
 
+use mosshead_time::Instant;
+
 use crate::{Entry, OperState, SourceId};
 
 #[derive(Clone, Debug)]
@@ -8,21 +10,21 @@
     /// Highest sequence known by any way; never below the entry's.
     pub heard_sequence: u64,
     /// When the last sign of life came to be known here.
-    pub heard_at: u64,
+    pub heard_at: Instant,
     /// Who heard the beat `heard_sequence`.
     pub heard_by: SourceId,
     /// When a beat last came to this very process.
-    pub direct_at: Option<u64>,
+    pub direct_at: Option<Instant>,
     /// Since when the entry has been silent or gone.
-    pub since: u64,
+    pub since: Instant,
     /// How far down in life another core process is known to have it.
     pub held_state: OperState,
     /// When the timer goes off that stands for this record.
-    pub timer: Option<u64>,
+    pub timer: Option<Instant>,
 }
 
 impl Record {
-    pub fn new(now: u64, entry: Entry) -> Record {
+    pub fn new(now: Instant, entry: Entry) -> Record {
         Record {
             heard_sequence: entry.server.sequence,
             heard_at: now,
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -5,6 +5,8 @@
 use std::hash::{BuildHasherDefault, DefaultHasher};
 use std::sync::Arc;
 
+use mosshead_time::{Duration, Instant};
+
 use crate::record::Record;
 use crate::sources::Sources;
 use crate::{Delta, Entry, OperState, Server, ServerError, SourceId, VersionVector};
@@ -14,12 +16,12 @@
 /// The most tombstones that are held; the oldest go first.
 pub const MAX_TOMBSTONES: usize = 16_384;
 /// How long a tombstone is held.
-pub const TOMBSTONE_MS: u64 = 120_000;
+pub const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(120);
 
 /// With more sources than this in use, entries of lost sources are taken over when their server is heard.
 const MANY_SOURCES: usize = 16;
 /// How often a register that differs from another's may ask for everything.
-const DOUBT_MS: u64 = 10_000;
+const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The sequence of a deregistration: nothing comes after it.
 const LAST: u64 = u64::MAX;
@@ -42,36 +44,36 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     pub(crate) local_id: SourceId,
-    pub(crate) keepalive_ms: u64,
+    pub(crate) keepalive: Duration,
     pub(crate) is_read_replica: bool,
     pub(crate) records: HashMap<Arc<str>, Record, BuildHasherDefault<DefaultHasher>>,
     pub(crate) sources: Sources,
-    pub(crate) timers: BTreeSet<(u64, Arc<str>)>,
-    pub(crate) tombstones: BTreeSet<(u64, Arc<str>)>,
-    pub(crate) last_tick: Option<u64>,
-    pub(crate) awake_since: u64,
+    pub(crate) timers: BTreeSet<(Instant, Arc<str>)>,
+    pub(crate) tombstones: BTreeSet<(Instant, Arc<str>)>,
+    pub(crate) last_tick: Option<Instant>,
+    pub(crate) awake_since: Instant,
     by_service: BTreeMap<String, BTreeSet<Arc<str>>>,
     by_address: BTreeMap<SocketAddrV4, BTreeSet<Arc<str>>>,
     version: u64,
     held: u64,
     fingerprint: u64,
-    doubted_at: Option<u64>,
+    doubted_at: Option<Instant>,
     pub(crate) doubts: bool,
 }
 
 impl Registry {
     /// The register of a core process. `me` has to be drawn anew at every start.
-    pub fn new(local_id: SourceId, keepalive_ms: u64) -> Registry {
+    pub fn new(local_id: SourceId, keepalive: Duration) -> Registry {
         Registry {
             local_id,
-            keepalive_ms: keepalive_ms.max(1),
+            keepalive: keepalive.max(Duration::from_millis(1)),
             is_read_replica: false,
             records: HashMap::default(),
             sources: Sources::default(),
             timers: BTreeSet::new(),
             tombstones: BTreeSet::new(),
             last_tick: None,
-            awake_since: 0,
+            awake_since: Instant::ORIGIN,
             by_service: BTreeMap::new(),
             by_address: BTreeMap::new(),
             version: 0,
@@ -83,12 +85,12 @@
     }
 
     /// The register of a process that hears no servers (a proxy): it marks nobody silent.
-    pub fn read_replica(local_id: SourceId, keepalive_ms: u64) -> Registry {
-        Registry { is_read_replica: true, ..Registry::new(local_id, keepalive_ms) }
+    pub fn read_replica(local_id: SourceId, keepalive: Duration) -> Registry {
+        Registry { is_read_replica: true, ..Registry::new(local_id, keepalive) }
     }
 
     /// Takes in a beat of a server.
-    pub fn record_heartbeat(&mut self, now: u64, mut server: Server) -> HeartbeatOutcome {
+    pub fn record_heartbeat(&mut self, now: Instant, mut server: Server) -> HeartbeatOutcome {
         if let Err(fault) = server.check() {
             return HeartbeatOutcome { error: Some(fault), ..HeartbeatOutcome::default() };
         }
@@ -138,7 +140,7 @@
         }
     }
 
-    fn first_beat(&mut self, now: u64, server: Server) -> HeartbeatOutcome {
+    fn first_beat(&mut self, now: Instant, server: Server) -> HeartbeatOutcome {
         if self.is_full() && !server.is_removed() {
             return HeartbeatOutcome {
                 error: Some(ServerError::RegistryFull),
@@ -159,7 +161,7 @@
     }
 
     /// Takes in the end of a server. No beat of this instance counts any more.
-    pub fn deregister(&mut self, now: u64, id: &str) -> HeartbeatOutcome {
+    pub fn deregister(&mut self, now: Instant, id: &str) -> HeartbeatOutcome {
         let mut server = match self.records.get(id) {
             Some(record) if record.entry.server.sequence == LAST && record.entry.server.is_removed() => {
                 return HeartbeatOutcome {
@@ -177,7 +179,7 @@
                 slots: 0,
                 state: OperState::Removed,
                 is_suspected: false,
-                warmup_left_ms: 0,
+                warmup_remaining: Duration::ZERO,
                 stage: None,
                 models: Vec::new(),
                 sequence: LAST,
@@ -269,7 +271,7 @@
 
     /// Takes in what another process gave. Returns whether anything changed. Where both have seen the same and
     /// yet hold different entries, the next [`Registry::tick`] forgets the vector, so that all is asked for anew.
-    pub fn merge(&mut self, now: u64, delta: Delta) -> bool {
+    pub fn merge(&mut self, now: Instant, delta: Delta) -> bool {
         let mut changed = false;
         for entry in delta.entries {
             changed |= self.merge_entry(now, entry);
@@ -281,7 +283,7 @@
             }
         }
         self.sources.trim();
-        let may_doubt = self.doubted_at.is_none_or(|at| now.saturating_sub(at) >= DOUBT_MS);
+        let may_doubt = self.doubted_at.is_none_or(|at| now.duration_since(at) >= FULL_SYNC_INTERVAL);
         if !delta.is_truncated
             && may_doubt
             && delta.fingerprint != self.fingerprint
@@ -293,7 +295,7 @@
         changed
     }
 
-    fn merge_entry(&mut self, now: u64, mut entry: Entry) -> bool {
+    fn merge_entry(&mut self, now: Instant, mut entry: Entry) -> bool {
         entry.strip();
         // A number that this source never gave, or that stands for another instance: no process says so.
         let owner = self.sources.instance(entry.source, entry.version);
@@ -396,7 +398,7 @@
     }
 
     /// Servers that were at the address of this newcomer have ended.
-    fn shadow(&mut self, now: u64, id: &str) {
+    fn shadow(&mut self, now: Instant, id: &str) {
         let Some(address) = self.get(id).filter(|server| !server.is_removed()).map(|server| server.address)
         else {
             return;
@@ -415,7 +417,7 @@
     }
 
     /// Makes a version of what is known, with a mark.
-    pub(crate) fn mark(&mut self, now: u64, id: &str, set: impl FnOnce(&mut Server)) {
+    pub(crate) fn mark(&mut self, now: Instant, id: &str, set: impl FnOnce(&mut Server)) {
         let Some(record) = self.records.get(id) else { return };
         let mut server = record.entry.server.clone();
         // Danger: a sequence that was only told by a digest may stand for a state that is not known here; a mark
@@ -428,13 +430,13 @@
     }
 
     // Danger: what is published has to supersede the present entry, or nobody else takes it in.
-    pub(crate) fn publish(&mut self, now: u64, server: Server) {
+    pub(crate) fn publish(&mut self, now: Instant, server: Server) {
         self.version = self.version.saturating_add(1);
         self.put(now, Entry { server, source: self.local_id, version: self.version });
         self.sources.claim(self.local_id, self.version);
     }
 
-    fn put(&mut self, now: u64, mut entry: Entry) {
+    fn put(&mut self, now: Instant, mut entry: Entry) {
         entry.strip();
         let id: Arc<str> = match self.records.get_key_value(entry.server.id.as_str()) {
             Some((id, _)) => id.clone(),
@@ -468,7 +470,7 @@
         }
     }
 
-    fn index(&mut self, now: u64, id: &Arc<str>, entry: &Entry) {
+    fn index(&mut self, now: Instant, id: &Arc<str>, entry: &Entry) {
         self.sources.insert(now, entry.source, entry.version, id.clone());
         if entry.server.is_removed() {
             return;
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -3,6 +3,7 @@
 use core::net::SocketAddrV4;
 
 use minicbor::{Decode, Encode};
+use mosshead_time::Duration;
 use quick_error::quick_error;
 
 const MOST_NAME: usize = 128;
@@ -77,8 +78,8 @@
     #[n(7)]
     pub is_suspected: bool,
     /// How long it stayed slow when the entry was made. No change by itself.
-    #[n(8)]
-    pub warmup_left_ms: u64,
+    #[cbor(n(8), with = "mosshead_time::duration_millis")]
+    pub warmup_remaining: Duration,
     /// Its part, where its service has an engine.
     #[n(9)]
     pub stage: Option<Stage>,
--- a/crates/registry/src/silence.rs
+++ b/crates/registry/src/silence.rs
@@ -5,19 +5,21 @@
 
 use std::sync::Arc;
 
+use mosshead_time::{Duration, Instant};
+
 use crate::{OperState, Registry, SourceId};
 
 /// A server that has been silent for longer is gone.
-pub const GONE_MS: u64 = 20_000;
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(20);
 /// A source that has not been in touch for longer is lost: others speak for what it heard.
-pub const LOST_MS: u64 = 3_000;
+pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// When somebody else has to speak, look again after this.
-const AGAIN_MS: u64 = 500;
+const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Registry {
     /// Another core process has been in touch.
-    pub fn record_contact(&mut self, now: u64, source: SourceId) {
+    pub fn record_contact(&mut self, now: Instant, source: SourceId) {
         if source != self.local_id {
             self.sources.record_contact(now, source);
         }
@@ -26,7 +28,7 @@
     /// The servers whose beats came to this very process at `since` or later, with their last sequences. To be
     /// told to the other core processes every few hundred milliseconds; `since` well before the last one that
     /// arrived there.
-    pub fn heartbeats_since(&self, since: u64) -> Vec<(String, u64)> {
+    pub fn heartbeats_since(&self, since: Instant) -> Vec<(String, u64)> {
         self.records
             .values()
             .filter(|record| {
@@ -39,7 +41,7 @@
     /// Takes in what `source` has heard.
     pub fn record_remote_heartbeats<'a>(
         &mut self,
-        now: u64,
+        now: Instant,
         source: SourceId,
         digest: impl IntoIterator<Item = (&'a str, u64)>,
     ) {
@@ -59,13 +61,13 @@
     /// Marks the silent, ends those silent for long, and drops what is no longer needed. To be called at least
     /// once per keepalive: a longer pause means that this process stood still, and nobody is blamed for it.
     /// Returns whether an entry has changed.
-    pub fn tick(&mut self, now: u64) -> bool {
-        if self.last_tick.is_none_or(|last| now.saturating_sub(last) > self.keepalive_ms) {
+    pub fn tick(&mut self, now: Instant) -> bool {
+        if self.last_tick.is_none_or(|last| now.duration_since(last) > self.keepalive) {
             self.awake_since = now;
         }
         self.last_tick = Some(now);
         while let Some((since, id)) = self.tombstones.first().cloned() {
-            if now.saturating_sub(since) < crate::TOMBSTONE_MS {
+            if now.duration_since(since) < crate::TOMBSTONE_LIFETIME {
                 break;
             }
             self.drop_record(&id);
@@ -88,7 +90,7 @@
         changed
     }
 
-    fn look_at(&mut self, now: u64, id: &Arc<str>) -> bool {
+    fn look_at(&mut self, now: Instant, id: &Arc<str>) -> bool {
         let Some(record) = self.records.get_mut(id) else { return false };
         record.timer = None;
         let Some(at) = self.due(id) else { return false };
@@ -100,7 +102,7 @@
         let is_silent = record.entry.server.is_suspected;
         let speaker = if is_silent { record.entry.source } else { record.heard_by };
         if speaker != self.local_id && !self.is_lost(now, speaker) {
-            self.arm_at(id, now.saturating_add(AGAIN_MS));
+            self.arm_at(id, now + RECHECK_INTERVAL);
             return false;
         }
         self.mark(now, id, |server| {
@@ -114,19 +116,19 @@
     }
 
     /// When this server is to be called silent or gone, as far as is known now.
-    fn due(&self, id: &str) -> Option<u64> {
+    fn due(&self, id: &str) -> Option<Instant> {
         let record = self.records.get(id)?;
         let server = &record.entry.server;
         if self.is_read_replica || server.is_removed() {
             return None;
         }
         let sign = record.heard_at.max(self.awake_since);
-        let silence = self.keepalive_ms.saturating_mul(16) / 5;
+        let silence = self.keepalive.saturating_mul(16) / 5;
         let at = match server.is_suspected {
-            true => sign.saturating_add(silence).max(record.since.saturating_add(GONE_MS)),
-            false => sign.saturating_add(silence),
+            true => (sign + silence).max(record.since + SUSPICION_TIMEOUT),
+            false => sign + silence,
         };
-        Some(at.saturating_add(1))
+        Some(at + Duration::from_millis(1))
     }
 
     /// Sets the timer of a record whose entry has changed. Beats that change nothing leave it: it is looked at
@@ -138,7 +140,7 @@
         }
     }
 
-    fn arm_at(&mut self, id: &Arc<str>, at: u64) {
+    fn arm_at(&mut self, id: &Arc<str>, at: Instant) {
         self.disarm(id);
         if let Some(record) = self.records.get_mut(id) {
             record.timer = Some(at);
@@ -155,11 +157,11 @@
     }
 
     /// Whether a source has not been in touch for so long that others speak for it.
-    pub(crate) fn is_lost(&self, now: u64, source: SourceId) -> bool {
+    pub(crate) fn is_lost(&self, now: Instant, source: SourceId) -> bool {
         source != self.local_id
             && self
                 .sources
                 .seen(source)
-                .is_none_or(|seen| now.saturating_sub(seen.max(self.awake_since)) > LOST_MS)
+                .is_none_or(|seen| now.duration_since(seen.max(self.awake_since)) > SOURCE_TIMEOUT)
     }
 }
--- a/crates/registry/src/sources.rs
+++ b/crates/registry/src/sources.rs
@@ -4,7 +4,9 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-use crate::{LOST_MS, SourceId, VersionVector};
+use mosshead_time::Instant;
+
+use crate::{SOURCE_TIMEOUT, SourceId, VersionVector};
 
 /// Contacts that are remembered; the oldest go first.
 const MOST_CONTACTS: usize = 64;
@@ -15,7 +17,7 @@
     known: u64,
     entries: BTreeMap<u64, Arc<str>>,
     /// When it was first named.
-    named: u64,
+    named: Instant,
 }
 
 /// A source without entries is dropped: all that it said has been superseded, so nothing is lost by being given
@@ -24,11 +26,11 @@
 pub(crate) struct Sources {
     all: BTreeMap<SourceId, Source>,
     empty: usize,
-    contacts: BTreeMap<SourceId, u64>,
+    contacts: BTreeMap<SourceId, Instant>,
 }
 
 impl Sources {
-    pub fn insert(&mut self, now: u64, id: SourceId, version: u64, instance: Arc<str>) {
+    pub fn insert(&mut self, now: Instant, id: SourceId, version: u64, instance: Arc<str>) {
         let source = self.all.entry(id).or_insert_with(|| {
             self.empty += 1;
             Source { named: now, ..Source::default() }
@@ -66,7 +68,7 @@
         }
     }
 
-    pub fn record_contact(&mut self, now: u64, id: SourceId) {
+    pub fn record_contact(&mut self, now: Instant, id: SourceId) {
         let at = self.contacts.entry(id).or_insert(now);
         *at = now.max(*at);
         if self.contacts.len() > MOST_CONTACTS
@@ -77,14 +79,14 @@
     }
 
     /// Last contact, or when the source was first named, whichever is later.
-    pub fn seen(&self, id: SourceId) -> Option<u64> {
+    pub fn seen(&self, id: SourceId) -> Option<Instant> {
         let named = self.all.get(&id).map(|source| source.named);
         named.max(self.contacts.get(&id).copied())
     }
 
     /// Whether the source itself has lately been in touch; to be named by others doesn't count.
-    pub fn is_in_contact(&self, now: u64, id: SourceId) -> bool {
-        self.contacts.get(&id).is_some_and(|at| now.saturating_sub(*at) <= LOST_MS)
+    pub fn is_in_contact(&self, now: Instant, id: SourceId) -> bool {
+        self.contacts.get(&id).is_some_and(|at| now.duration_since(*at) <= SOURCE_TIMEOUT)
     }
 
     /// The last version of a source that still is in force.
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -4,16 +4,23 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use mosshead_registry::{Entry, Model, OperState, Registry, Server, SourceId, Stage};
+use mosshead_time::{Duration, Instant};
 use rand_core::RngCore;
 
+/// The heartbeat interval of all servers, in milliseconds.
 pub const KEEPALIVE: u64 = 1200;
 
+/// The instant so many milliseconds after the origin of the clock.
+pub fn millis(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
 pub fn core(number: u64) -> Registry {
-    Registry::new(SourceId(number), KEEPALIVE)
+    Registry::new(SourceId(number), Duration::from_millis(KEEPALIVE))
 }
 
 pub fn read_replica(number: u64) -> Registry {
-    Registry::read_replica(SourceId(number), KEEPALIVE)
+    Registry::read_replica(SourceId(number), Duration::from_millis(KEEPALIVE))
 }
 
 pub fn address(number: u8) -> SocketAddrV4 {
@@ -30,7 +37,7 @@
         slots: 64,
         state: OperState::Up,
         is_suspected: false,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage: if number.is_multiple_of(2) { Some(Stage::Prefill) } else { None },
         models: vec![Model { name: "m".into(), revision: 1, adapters: vec!["a".into()] }],
         sequence,
@@ -46,7 +53,7 @@
     for _ in 0..100_000 {
         let delta = from.missing_entries(&to.vector(), most);
         let more = delta.is_truncated;
-        to.merge(now, delta);
+        to.merge(millis(now), delta);
         if !more {
             return;
         }
@@ -85,7 +92,7 @@
                 if from != to {
                     let delta = all[from].missing_entries(&all[to].vector(), usize::MAX);
                     assert!(!delta.is_truncated);
-                    changed |= all[to].merge(now, delta);
+                    changed |= all[to].merge(millis(now), delta);
                 }
             }
         }
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{below, check, core, pull, read_replica, said, server, settle};
+use common::{below, check, core, millis, pull, read_replica, said, server, settle};
 use mosshead_registry::{Delta, Entry, OperState, Registry, Server, SourceId, VersionVector};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::{RngCore, SeedableRng};
@@ -37,13 +37,13 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut a, mut b) = (read_replica(100), core(101));
         for said in &entries {
-            a.merge(0, delta([said.0.clone()]));
+            a.merge(millis(0), delta([said.0.clone()]));
         }
         let mut rest = entries.clone();
         rest.extend(entries.iter().filter(|_| rng.next_u32().is_multiple_of(2)).cloned());
         while !rest.is_empty() {
             let take = rest.swap_remove(below(&mut rng, rest.len() as u64) as usize);
-            b.merge(0, delta([take.0]));
+            b.merge(millis(0), delta([take.0]));
         }
         check(&a);
         check(&b);
@@ -57,7 +57,7 @@
         let mut low: BTreeMap<String, (u64, OperState)> = BTreeMap::new();
         for Said(entry) in entries {
             let id = entry.server.id.clone();
-            register.merge(0, delta([entry]));
+            register.merge(millis(0), delta([entry]));
             let now = register.get(&id).unwrap();
             let before = low.entry(id).or_insert((now.sequence, now.state));
             if now.sequence < before.0 || (now.sequence == before.0 && now.state < before.1) {
@@ -81,7 +81,7 @@
         let mut cores = [core(1), core(2), core(3)];
         for (number, sequence) in beats {
             let at = (sequence % 3) as usize;
-            cores[at].record_heartbeat(0, Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
+            cores[at].record_heartbeat(millis(0), Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
         }
         settle(0, &mut cores);
         let (mut whole, mut pieces) = (read_replica(8), read_replica(9));
@@ -139,19 +139,23 @@
                         truth.arrived = Some(beat.clone());
                     }
                 }
-                all[to].record_heartbeat(0, beat);
+                all[to].record_heartbeat(millis(0), beat);
             }
             7 if rng.next_u32().is_multiple_of(20) => {
                 let truth = &mut truths[below(&mut rng, 12) as usize];
                 truth.ended = true;
-                all[below(&mut rng, cores as u64) as usize].deregister(0, &truth.now.id);
+                all[below(&mut rng, cores as u64) as usize].deregister(millis(0), &truth.now.id);
             }
             8 => {
                 let from = below(&mut rng, cores as u64) as usize;
                 let to = below(&mut rng, cores as u64) as usize;
-                let alive = all[from].heartbeats_since(0);
+                let alive = all[from].heartbeats_since(millis(0));
                 let source = all[from].local_id();
-                all[to].record_remote_heartbeats(0, source, alive.iter().map(|(id, s)| (id.as_str(), *s)));
+                all[to].record_remote_heartbeats(
+                    millis(0),
+                    source,
+                    alive.iter().map(|(id, s)| (id.as_str(), *s)),
+                );
             }
             _ => {
                 let from = below(&mut rng, all.len() as u64) as usize;
@@ -168,16 +172,16 @@
             match below(&mut rng, 6) {
                 0 => {}
                 1 => {
-                    all[to].merge(0, delta.clone());
+                    all[to].merge(millis(0), delta.clone());
                     deltas.push((to, delta));
                     deltas.swap_remove(0);
                 }
                 2 => {
                     let other = below(&mut rng, all.len() as u64) as usize;
-                    all[other].merge(0, delta);
+                    all[other].merge(millis(0), delta);
                 }
                 _ => {
-                    all[to].merge(0, delta);
+                    all[to].merge(millis(0), delta);
                 }
             }
         }
@@ -217,13 +221,13 @@
     // An answer to the process that was here before.
     let (mut a, mut old, mut new) = (core(1), core(2), core(3));
     for number in 0..10 {
-        a.record_heartbeat(0, server(number, 1));
+        a.record_heartbeat(millis(0), server(number, 1));
     }
     pull(0, &a, &mut old, 100);
-    a.record_heartbeat(0, server(10, 1));
+    a.record_heartbeat(millis(0), server(10, 1));
     let late = a.missing_entries(&old.vector(), 100);
     assert_eq!(late.entries.len(), 1);
-    new.merge(0, late);
+    new.merge(millis(0), late);
     assert_eq!(new.len(), 1);
     assert_eq!(new.vector(), VersionVector::default());
     assert!(new.missing_entries(&VersionVector::default(), 100).is_empty());
@@ -237,25 +241,25 @@
     // A claim over a gap, however it came about, shows in the fingerprint.
     let (mut a, mut p) = (core(1), read_replica(9));
     for number in 0..10 {
-        a.record_heartbeat(0, server(number, 1));
+        a.record_heartbeat(millis(0), server(number, 1));
     }
     let mut delta = a.missing_entries(&VersionVector::default(), 100);
     delta.entries.remove(4);
-    p.merge(0, delta);
+    p.merge(millis(0), delta);
     assert_eq!(p.len(), 9);
     assert_eq!(p.vector(), a.vector());
-    p.tick(1);
+    p.tick(millis(1));
     assert!(p.vector().is_empty());
     pull(1, &a, &mut p, 4);
     assert_eq!(said(&p), said(&a));
     // But not over and over, where it doesn't help.
     let mut odd = a.missing_entries(&p.vector(), 100);
     odd.fingerprint ^= 1;
-    p.merge(2, odd.clone());
-    p.tick(2);
+    p.merge(millis(2), odd.clone());
+    p.tick(millis(2));
     assert_eq!(p.vector(), a.vector());
-    p.merge(20_000, odd);
-    p.tick(20_000);
+    p.merge(millis(20_000), odd);
+    p.tick(millis(20_000));
     assert!(p.vector().is_empty());
     pull(20_001, &a, &mut p, 100);
     assert_eq!(p.vector(), a.vector());
@@ -266,10 +270,10 @@
     let (mut a, mut p) = (core(1), read_replica(9));
     for sequence in 1..100 {
         for number in 0..50 {
-            a.record_heartbeat(sequence * 1200, server(number, sequence));
+            a.record_heartbeat(millis(sequence * 1200), server(number, sequence));
         }
         let delta = a.missing_entries(&p.vector(), 100);
         assert_eq!(delta.is_empty(), sequence > 1);
-        p.merge(sequence * 1200, delta);
+        p.merge(millis(sequence * 1200), delta);
     }
 }
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -5,8 +5,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{address, below, check, core, read_replica, server};
+use common::{address, below, check, core, millis, read_replica, server};
 use mosshead_registry::{Entry, OperState, Registry, Server, SourceId};
+use mosshead_time::Duration;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -47,7 +48,7 @@
 }
 
 fn digest(from: &Registry, now: u64) -> (SourceId, Vec<(String, u64)>) {
-    (from.local_id(), from.heartbeats_since(now.saturating_sub(1500)))
+    (from.local_id(), from.heartbeats_since(millis(now) - Duration::from_millis(1500)))
 }
 
 impl Fleet {
@@ -140,10 +141,10 @@
     fn hand(&mut self, now: u64, from: usize, to: usize) {
         let shown = self.cores[from].vector();
         let delta = self.cores[from].missing_entries(&self.cores[to].vector(), 1000);
-        self.cores[to].merge(now, delta);
+        self.cores[to].merge(millis(now), delta);
         let answer = self.cores[to].missing_entries(&shown, 1000);
         self.cores[from].mark_replicated(&answer.vector);
-        self.cores[from].merge(now, answer);
+        self.cores[from].merge(millis(now), answer);
     }
 
     /// A call of a server at some core; whether it was acknowledged.
@@ -152,8 +153,8 @@
             return false;
         }
         let heard = match ends {
-            true => self.cores[at].deregister(now, &says.id),
-            false => self.cores[at].record_heartbeat(now, says.clone()),
+            true => self.cores[at].deregister(millis(now), &says.id),
+            false => self.cores[at].record_heartbeat(millis(now), says.clone()),
         };
         if !heard.needs_replication {
             return true;
@@ -163,8 +164,8 @@
         };
         self.hand(now, at, other);
         let again = match ends {
-            true => self.cores[at].deregister(now, &says.id),
-            false => self.cores[at].record_heartbeat(now, says.clone()),
+            true => self.cores[at].deregister(millis(now), &says.id),
+            false => self.cores[at].record_heartbeat(millis(now), says.clone()),
         };
         assert!(
             !again.needs_replication,
@@ -238,7 +239,7 @@
                     if from != to && !self.is_cut(from, to) && !(now < TROUBLE && self.chance(5)) {
                         let (source, alive) = digest(&self.cores[from], now);
                         self.cores[to].record_remote_heartbeats(
-                            now,
+                            millis(now),
                             source,
                             alive.iter().map(|(i, s)| (i.as_str(), *s)),
                         );
@@ -257,7 +258,7 @@
             }
         }
         for register in self.cores.iter_mut().chain(&mut self.proxies) {
-            register.tick(now);
+            register.tick(millis(now));
         }
     }
 
@@ -266,15 +267,15 @@
         let (proxy, core) = (&mut self.proxies[at], &mut self.cores[from]);
         let shown = proxy.vector();
         if core.has_unknown_source(&shown) || core.is_behind(&shown) {
-            core.merge(now, proxy.missing_entries(&core.vector(), most));
+            core.merge(millis(now), proxy.missing_entries(&core.vector(), most));
         }
         let delta = core.missing_entries(&shown, most);
         if now < TROUBLE && below(&mut self.rng, 8) == 0 {
             return;
         }
-        proxy.merge(now, delta.clone());
+        proxy.merge(millis(now), delta.clone());
         if below(&mut self.rng, 8) == 0 {
-            proxy.merge(now, delta);
+            proxy.merge(millis(now), delta);
         }
         let leaving = &mut self.leaving[at];
         for Entry { server, .. } in self.proxies[at].entries() {
@@ -374,7 +375,7 @@
                 let truth = &mut fleet.servers[number];
                 truth.says.sequence += 1;
                 let at = (truth.says.sequence / 5) as usize % CORES;
-                fleet.cores[at].record_heartbeat(now, truth.says.clone());
+                fleet.cores[at].record_heartbeat(millis(now), truth.says.clone());
             }
         }
         let lives = std::mem::take(&mut fleet.servers);
--- a/crates/registry/tests/former_formats.rs
+++ b/crates/registry/tests/former_formats.rs
@@ -7,9 +7,10 @@
 use std::fmt::Debug;
 use std::path::PathBuf;
 
-use common::{address, core};
+use common::{address, core, millis};
 use minicbor::{Decode, Encode};
 use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
+use mosshead_time::Duration;
 
 const NAMES: [&str; 9] = [
     "delta",
@@ -54,7 +55,7 @@
         slots: 64,
         state: OperState::Up,
         is_suspected: false,
-        warmup_left_ms: 4_500,
+        warmup_remaining: Duration::from_millis(4_500),
         stage: Some(Stage::Prefill),
         models: vec![model],
         sequence: 70_000,
@@ -69,7 +70,7 @@
         address: address(2),
         state: OperState::Draining,
         is_suspected: true,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage: Some(Stage::Decode),
         ..up().server
     };
@@ -81,7 +82,7 @@
     let server = Server {
         id: "i-3".into(),
         state: OperState::Removed,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage: None,
         models: Vec::new(),
         sequence: u64::MAX,
@@ -130,11 +131,11 @@
 #[test]
 fn a_registry_takes_in_the_deltas_of_an_earlier_version() {
     let mut registry = core(1);
-    assert!(registry.merge(0, minicbor::decode(&file("delta")).unwrap()));
+    assert!(registry.merge(millis(0), minicbor::decode(&file("delta")).unwrap()));
     assert_eq!(registry.get("i-1"), Some(&up().server));
     assert_eq!(registry.get("i-2"), Some(&draining().server));
     assert_eq!(registry.vector().get(SourceId(7)), 0);
     let whole = Delta { base: VersionVector::default(), ..delta() };
-    assert!(!registry.merge(0, whole));
+    assert!(!registry.merge(millis(0), whole));
     assert_eq!(registry.vector().get(SourceId(7)), 301);
 }
--- a/crates/registry/tests/wire.rs
+++ b/crates/registry/tests/wire.rs
@@ -5,11 +5,12 @@
 use std::fmt::Debug;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use common::{check, core, read_replica, server};
+use common::{check, core, millis, read_replica, server};
 use minicbor::{Decode, Encode};
 use mosshead_registry::{
     Delta, Entry, MAX_VECTOR_SOURCES, Model, OperState, Server, SourceId, Stage, VersionVector,
 };
+use mosshead_time::Duration;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 #[derive(Clone, Debug)]
@@ -25,7 +26,7 @@
         slots: u32::arbitrary(g),
         state: *g.choose(&[OperState::Up, OperState::Draining, OperState::Removed]).unwrap(),
         is_suspected: bool::arbitrary(g),
-        warmup_left_ms: u64::arbitrary(g),
+        warmup_remaining: Duration::from_millis(u64::arbitrary(g)),
         stage: *g.choose(&[None, Some(Stage::Prefill), Some(Stage::Decode)]).unwrap(),
         models: (0..usize::arbitrary(g) % 4)
             .map(|count| Model {
@@ -75,8 +76,8 @@
     let _ = minicbor::decode::<SourceId>(bytes);
     if let Ok(delta) = minicbor::decode::<Delta>(bytes) {
         let mut register = core(1);
-        register.merge(0, delta);
-        register.tick(0);
+        register.merge(millis(0), delta);
+        register.tick(millis(0));
         check(&register);
     }
 }
@@ -108,19 +109,19 @@
     /// Deltas that no honest process makes leave the register whole.
     fn odd_deltas_do_no_harm(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
         let (mut a, mut p) = (core(1), read_replica(2));
-        a.record_heartbeat(0, server(1, 1));
+        a.record_heartbeat(millis(0), server(1, 1));
         for (delta, now) in deltas.into_iter().zip(times.into_iter().chain([u64::MAX, 0])) {
-            a.merge(now, delta.0.clone());
-            p.merge(now, delta.0.clone());
+            a.merge(millis(now), delta.0.clone());
+            p.merge(millis(now), delta.0.clone());
             a.has_unknown_source(&delta.0.vector);
             a.mark_replicated(&delta.0.vector);
             a.missing_entries(&delta.0.vector, 3);
             for entry in delta.0.entries {
-                a.record_heartbeat(now, entry.server.clone());
-                a.deregister(now, &entry.server.service);
+                a.record_heartbeat(millis(now), entry.server.clone());
+                a.deregister(millis(now), &entry.server.service);
             }
-            a.tick(now);
-            p.tick(now);
+            a.tick(millis(now));
+            p.tick(millis(now));
             check(&a);
             check(&p);
         }
--- a/crates/stage-scheduler/tests/stages.rs
+++ b/crates/stage-scheduler/tests/stages.rs
@@ -2,7 +2,7 @@
 
 use mosshead_registry::{OperState, Server, Stage};
 use mosshead_stage_scheduler::{AssignmentOutcome, StagePolicy, StageScheduler, fencing_token};
-use mosshead_time::Instant;
+use mosshead_time::{Duration, Instant};
 use quickcheck::quickcheck;
 
 fn server(at: usize, zone: usize, stage: Stage) -> Server {
@@ -15,7 +15,7 @@
         slots: 64,
         state: OperState::Up,
         is_suspected: false,
-        warmup_left_ms: 0,
+        warmup_remaining: Duration::ZERO,
         stage: Some(stage),
         models: Vec::new(),
         sequence: 1,
