--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -3,12 +3,12 @@
 //! Nothing here does I/O, reads a clock or draws from the system: a host hands over instants and a seed.
 
 pub mod interface;
-mod learnt;
-mod names;
+mod learned_values;
+mod name_table;
 pub mod policy;
 mod state;
 
-pub use learnt::{LearnedValue, Subject};
+pub use learned_values::{LearnedValue, Subject};
 pub use mosshead_comeback::{Stage, Wants};
-pub use names::NameTable;
+pub use name_table::NameTable;
 pub use policy::Balancer;
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -11,16 +11,16 @@
 use crate::interface::*;
 use crate::state::*;
 
-mod again;
-mod figures;
-mod whether;
-mod whom;
+mod admission;
+mod load_estimation;
+mod retry;
+mod server_selection;
 
-use again::RETRY_BURST;
-use figures::REPORT_AGE;
-use whether::PRICE_RANGE;
-pub(crate) use whether::STRAIN_LIFE;
-use whom::{COLD_LOAD, COLD_REVIEW, PROBE_REST, PROBE_SLOW};
+use admission::PRICE_RANGE;
+pub(crate) use admission::STRAIN_LIFE;
+use load_estimation::REPORT_AGE;
+use retry::RETRY_BURST;
+use server_selection::{COLD_LOAD, COLD_REVIEW, PROBE_REST, PROBE_SLOW};
 
 /// Weight of a new sample in the fleet's means: slow, so that one bad server does not become the norm.
 const MEAN_GAIN: f64 = 1.0 / 64.0;
--- a/crates/decide/src/policy/whether.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is taken on: its worth, the price of work, the strain.
 
-use super::again::{RETRY_BURST, RETRY_SHARE};
-use super::whom::PROBE_WAIT;
+use super::retry::{RETRY_BURST, RETRY_SHARE};
+use super::server_selection::PROBE_WAIT;
 use super::{Balancer, MEAN_GAIN};
 use crate::interface::*;
 use crate::state::*;
--- a/crates/decide/src/policy/figures.rs
+++ b/crates/decide/src/policy/load_estimation.rs
@@ -1,6 +1,6 @@
 //! What a figure means: the load, the pace and the crowding of a server, and what is learnt of them.
 
-use super::whom::PROBE_TRUST;
+use super::server_selection::PROBE_TRUST;
 use super::{Balancer, MEAN_GAIN, SAMPLE_CAP, STALL_AFTER};
 use crate::interface::*;
 use crate::state::*;
--- a/crates/decide/src/policy/again.rs
+++ b/crates/decide/src/policy/retry.rs
@@ -1,6 +1,6 @@
 //! Sends, and when again: retries and second copies, what follows from an outcome, how a request ends.
 
-use super::whether::{STRAIN_GAIN, STRAIN_LIFE, STRAIN_MISS, STRAIN_WAIT};
+use super::admission::{STRAIN_GAIN, STRAIN_LIFE, STRAIN_MISS, STRAIN_WAIT};
 use super::{Balancer, CROWDED, STALL_AFTER};
 use crate::interface::*;
 use crate::state::*;
