--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -218,3 +218,24 @@
         assert_eq!((prefill.received().len(), decode.received().len()), (1, 0));
     });
 }
+
+#[test]
+fn a_change_of_the_configuration_ends_no_request_that_has_begun() {
+    run(async {
+        let proxy = Proxy::empty(1).await;
+        let data_plane = proxy.data_plane.clone();
+        // While the prompt is read, a configuration without its route comes into force.
+        let withdraw_route = move |_: &Seen| {
+            let text = config().to_json().replace("\"revision\":7", "\"revision\":8");
+            let config = Config::parse(text.replace("/broken/", "/moved/").as_bytes()).expect("sound");
+            assert!(data_plane.configure(Arc::new(config)));
+            handle()
+        };
+        let reader = Stand::new("i-read", "llm", Some(Stage::Prefill), withdraw_route).await;
+        let runner = decode_server(stream()).await;
+        let proxy = proxy.knows(&[&reader.server, &runner.server]);
+        let answer = proxy.prompt("/broken/", &[]).await;
+        assert_eq!((answer.status, answer.whole, answer.body), (200, true, common::events(1..=3)));
+        assert_eq!(proxy.prompt("/broken/", &[]).await.status, 404);
+    });
+}
