--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -10,7 +10,7 @@
 
 use common::{
     ATTEMPT_ID, Behavior, CLIENT_TIMEOUT, HOST, IDEMPOTENT, NON_IDEMPOTENT, NOT_RESUMABLE, Proxy,
-    REQUEST_BODY, RESUMABLE, ReceivedRequest, SEAL, StubServer, config, handle_response, ok_response,
+    REQUEST_BODY, RESUMABLE, ReceivedRequest, SEAL, StubServer, config, events, handle_response, ok_response,
     raw_server, run, send_request,
 };
 use mosshead_config::Config;
@@ -222,20 +222,22 @@
 #[test]
 fn a_change_of_the_configuration_ends_no_request_that_has_begun() {
     run(async {
-        let proxy = Proxy::empty(1).await;
+        let proxy = Proxy::unconfigured(1).await;
         let data_plane = proxy.data_plane.clone();
-        // While the prompt is read, a configuration without its route comes into force.
-        let withdraw_route = move |_: &Seen| {
+        // While the prompt is prefilled, a configuration without its route comes into force.
+        let withdraw_route = move |_: &ReceivedRequest| {
             let text = config().to_json().replace("\"revision\":7", "\"revision\":8");
-            let config = Config::parse(text.replace("/broken/", "/moved/").as_bytes()).expect("sound");
+            let text = text.replace(NOT_RESUMABLE, "/moved/");
+            let config = Config::parse(text.as_bytes()).expect("a valid configuration");
             assert!(data_plane.configure(Arc::new(config)));
-            handle()
+            handle_response()
         };
-        let reader = Stand::new("i-read", "llm", Some(Stage::Prefill), withdraw_route).await;
-        let runner = decode_server(stream()).await;
-        let proxy = proxy.knows(&[&reader.server, &runner.server]);
-        let answer = proxy.prompt("/broken/", &[]).await;
-        assert_eq!((answer.status, answer.whole, answer.body), (200, true, common::events(1..=3)));
-        assert_eq!(proxy.prompt("/broken/", &[]).await.status, 404);
+        let prefill = StubServer::start("i-prefill", "llm", Some(Stage::Prefill), withdraw_route).await;
+        let decode = decode_server(stream()).await;
+        assert!(proxy.data_plane.configure(Arc::new(config())));
+        proxy.data_plane.update_servers([&prefill.server, &decode.server].into_iter());
+        let response = proxy.post_prompt(NOT_RESUMABLE, &[]).await;
+        assert_eq!((response.status, response.is_complete, response.body), (200, true, events(1..=3)));
+        assert_eq!(proxy.post_prompt(NOT_RESUMABLE, &[]).await.status, 404);
     });
 }
--- /dev/null
+++ b/crates/programs/tests/documentation.rs
@@ -0,0 +1,83 @@
+//! What the documentation points at is there: files behind relative links, and tests that pages name.
+
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+/// Folders that hold no pages or sources of this repository.
+const SKIPPED: [&str; 3] = ["target", ".git", "node_modules"];
+/// The page that names tests: each of its names in backquotes that looks like one is taken for a test.
+const RULES_AND_TESTS: &str = "docs/design/0009-rules-and-tests.md";
+/// The names of tests are sentences; other names of the page have fewer words.
+const MIN_UNDERSCORES: usize = 3;
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
+}
+
+fn files(folder: &Path, extension: &str, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
+        if path.is_dir() && !SKIPPED.contains(&name) {
+            files(&path, extension, found);
+        } else if path.extension().is_some_and(|found| found == extension) {
+            found.push(path);
+        }
+    }
+}
+
+fn all_files(extension: &str) -> Vec<PathBuf> {
+    let mut found = Vec::new();
+    files(&root(), extension, &mut found);
+    found.sort();
+    found
+}
+
+/// The targets of `[text](target)`.
+fn links(text: &str) -> impl Iterator<Item = &str> {
+    text.split("](").skip(1).filter_map(|rest| rest.split_once(')')).map(|(target, _)| target)
+}
+
+/// The texts in backquotes. An odd number of backquotes in a line ends with it.
+fn quoted(text: &str) -> impl Iterator<Item = &str> {
+    text.lines().flat_map(|line| line.split('`').skip(1).step_by(2))
+}
+
+fn is_test_name(text: &str) -> bool {
+    let is_word = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'_';
+    text.bytes().all(is_word) && text.matches('_').count() >= MIN_UNDERSCORES
+}
+
+#[test]
+fn relative_links_of_the_pages_lead_to_files() {
+    let mut missing = Vec::new();
+    let mut count = 0;
+    for page in all_files("md") {
+        let text = std::fs::read_to_string(&page).unwrap();
+        let folder = page.parent().unwrap();
+        for target in links(&text) {
+            let path = target.split('#').next().unwrap_or_default();
+            if path.is_empty() || path.contains(':') || path.contains(' ') {
+                continue;
+            }
+            count += 1;
+            if !folder.join(path).exists() {
+                missing.push(format!("{}: {target}", page.display()));
+            }
+        }
+    }
+    assert!(count >= 50, "{count} links only");
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
+
+#[test]
+fn tests_that_the_page_of_rules_names_are_there() {
+    let text = std::fs::read_to_string(root().join(RULES_AND_TESTS)).unwrap();
+    let named: BTreeSet<&str> = quoted(&text).filter(|text| is_test_name(text)).collect();
+    assert!(named.len() >= 50, "{} tests only", named.len());
+    let sources: Vec<String> =
+        all_files("rs").iter().map(|file| std::fs::read_to_string(file).unwrap()).collect();
+    let is_there = |name: &&str| sources.iter().any(|source| source.contains(&format!("fn {name}(")));
+    let missing: Vec<&str> = named.into_iter().filter(|name| !is_there(name)).collect();
+    assert!(missing.is_empty(), "{RULES_AND_TESTS} names tests that are not there: {missing:?}");
+}
