--- a/crates/data-plane/src/load_guards.rs
+++ b/crates/data-plane/src/load_guards.rs
@@ -1,5 +1,5 @@
-//! Guards of a server's load: it weighs in the router for as long as an attempt goes on, and is taken off however the
-//! attempt ends.
+//! Guards of what an attempt does to a server's entry in the router: its load, and the trial that it may be after an
+//! ejection. Both are taken back however the attempt ends, also where its client leaves.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -62,3 +62,31 @@
         }
     }
 }
+
+/// A server that was selected for a request. Dropped before the selection has had a result, it counts as inconclusive:
+/// after an ejection the request would have been the server's trial, and the server gets no other one while its trial
+/// goes on.
+pub(crate) struct SelectionGuard<'a> {
+    data_plane: &'a DataPlane,
+    server_id: &'a str,
+    is_armed: bool,
+}
+
+impl<'a> SelectionGuard<'a> {
+    pub(crate) fn new(data_plane: &'a DataPlane, server_id: &'a str) -> Self {
+        Self { data_plane, server_id, is_armed: true }
+    }
+
+    /// The request is sent now: from here on a `ServerRequestGuard` records its result.
+    pub(crate) fn disarm(mut self) {
+        self.is_armed = false;
+    }
+}
+
+impl Drop for SelectionGuard<'_> {
+    fn drop(&mut self) {
+        if self.is_armed {
+            self.data_plane.router.borrow_mut().record_inconclusive(self.server_id);
+        }
+    }
+}
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -11,6 +11,7 @@
 use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
 use crate::decode::DecodeOutcome;
+use crate::load_guards::SelectionGuard;
 use crate::prefill::{KvHandle, PrefillError};
 use crate::response::ResponseBody;
 use crate::retry::AttemptHistory;
@@ -45,12 +46,14 @@
             let Some(pair) = self.select_pair(now, &request, &prompt, &history) else {
                 return self.give_up(&request, &history);
             };
+            let decode_selection = SelectionGuard::new(self, &pair.decode);
             let prefill = self.prefill_for_pair(now, &request, &prompt, &pair, &mut history);
             let handle = match prefill.await {
                 Ok(PrefillStep::Decode(handle)) => handle,
                 Ok(PrefillStep::SelectAgain) => continue,
                 Err(RetryBudgetExhausted) => return self.reject(&request),
             };
+            decode_selection.disarm();
             let Some(target) = self.confirm_decode_target(&request, &pair, &history) else {
                 history.record_undelivered(&pair.decode);
                 continue;
@@ -92,7 +95,7 @@
         let mut router = self.router.borrow_mut();
         let pair = router.select_pair(now, service, prompt, &history.avoid)?;
         if history.delivered > 0 && !router.try_withdraw_retry(now, service) {
-            router.record_inconclusive(&pair.decode);
+            pair.prefill.iter().chain([&pair.decode]).for_each(|id| router.record_inconclusive(id));
             return None;
         }
         Some(pair)
@@ -113,8 +116,8 @@
             return Ok(PrefillStep::Decode(None));
         };
         let withdraw = || self.router.borrow_mut().try_withdraw_retry(now, &service.name);
+        let _selection = SelectionGuard::new(self, &target.id);
         if history.delivered_prefills > 0 && !withdraw() {
-            self.router.borrow_mut().record_inconclusive(&target.id);
             return Ok(PrefillStep::Decode(None));
         }
         let error = match self.prefill_prompt(&target, request, prompt).await {
@@ -124,7 +127,6 @@
             }
             Err(error) => error,
         };
-        self.router.borrow_mut().record_inconclusive(&pair.decode);
         if error != PrefillError::NotDelivered {
             history.delivered_prefills += 1;
         }
