--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -8,15 +8,17 @@
 //! Nothing here does I/O or reads a clock: `now` is milliseconds of any steady clock, never set back.
 
 mod delta;
-mod record;
 mod registry;
 mod server;
-mod silence;
-mod sources;
-mod vector;
+mod server_record;
+mod source_index;
+mod version_vector;
 
 pub use delta::{Delta, Entry};
-pub use registry::{HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, TOMBSTONE_LIFETIME};
+pub use registry::{
+    HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, SOURCE_TIMEOUT, SUSPICION_TIMEOUT,
+    TOMBSTONE_LIFETIME,
+};
 pub use server::{Model, OperState, Server, ServerError, Stage};
-pub use silence::{SOURCE_TIMEOUT, SUSPICION_TIMEOUT};
-pub use vector::{MAX_VECTOR_SOURCES, SourceId, VersionVector};
+
+pub use version_vector::{MAX_VECTOR_SOURCES, SourceId, VersionVector};
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,5 +1,7 @@
 //! The register of one process.
 
+mod failure_detection;
+
 use core::net::{Ipv4Addr, SocketAddrV4};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, DefaultHasher};
@@ -7,8 +9,10 @@
 
 use mosshead_time::{Duration, Instant};
 
-use crate::record::Record;
-use crate::sources::Sources;
+use crate::server_record::Record;
+use crate::source_index::Sources;
+pub use failure_detection::{SOURCE_TIMEOUT, SUSPICION_TIMEOUT};
+
 use crate::{Delta, Entry, OperState, Server, ServerError, SourceId, VersionVector};
 
 /// The most servers that are held, tombstones apart.
