--- /dev/null
+++ b/crates/registry/src/entry.rs
@@ -0,0 +1,76 @@
+//! An entry of the registry and the total order of the entries of one server.
+
+use std::cmp::Ordering;
+
+use minicbor::{Decode, Encode};
+
+use crate::{Server, SourceId};
+
+/// A server as one source has published it.
+#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
+pub struct Entry {
+    /// What is known about the server.
+    #[n(0)]
+    pub server: Server,
+    /// Who published the entry.
+    #[n(1)]
+    pub source: SourceId,
+    /// Counts the entries of the source, from 1. One source gives one version to one entry only.
+    #[n(2)]
+    pub version: u64,
+}
+
+impl Entry {
+    /// Whether this entry replaces another of the same instance: by sequence number, then removed before draining
+    /// before up, then suspected before not suspected. The remaining fields only make the order total.
+    pub fn supersedes(&self, other: &Entry) -> bool {
+        self.precedence(other) == Ordering::Greater
+    }
+
+    /// Drops the models of a tombstone. Entries are normalized before they are compared: with its models an entry
+    /// would supersede the normalized form that is stored, and be taken in again each time.
+    pub(crate) fn normalize(&mut self) {
+        if self.server.is_removed() {
+            self.server.models = Vec::new();
+        }
+    }
+
+    /// Compares all fields but the warm-up. Any other field that is left out would let processes that receive the same
+    /// entries in a different order keep different ones for good.
+    fn precedence(&self, other: &Entry) -> Ordering {
+        let (a, b) = (&self.server, &other.server);
+        (a.sequence.cmp(&b.sequence))
+            .then_with(|| a.state.cmp(&b.state))
+            .then_with(|| a.is_suspected.cmp(&b.is_suspected))
+            .then_with(|| a.service.cmp(&b.service))
+            .then_with(|| a.address.cmp(&b.address))
+            .then_with(|| a.zone.cmp(&b.zone))
+            .then_with(|| a.software_revision.cmp(&b.software_revision))
+            .then_with(|| a.slots.cmp(&b.slots))
+            .then_with(|| a.stage.cmp(&b.stage))
+            .then_with(|| a.models.cmp(&b.models))
+            .then_with(|| self.source.cmp(&other.source))
+            .then_with(|| self.version.cmp(&other.version))
+    }
+
+    /// The entry's share of the registry's fingerprint: FNV-1a over id, sequence, source and version, then the first
+    /// steps of the splitmix64 finalizer.
+    pub(crate) fn fingerprint(&self) -> u64 {
+        const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+        const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+        const SPLITMIX_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
+        let mut hash = FNV_OFFSET_BASIS;
+        let mut add = |bytes: &[u8]| {
+            for byte in bytes {
+                hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+            }
+        };
+        add(self.server.id.as_bytes());
+        add(&self.server.sequence.to_le_bytes());
+        add(&self.source.0.to_le_bytes());
+        add(&self.version.to_le_bytes());
+        hash ^= hash >> 30;
+        hash = hash.wrapping_mul(SPLITMIX_MULTIPLIER);
+        hash ^ (hash >> 27)
+    }
+}
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,24 +1,30 @@
-//! The register of servers: sources, versions, and what a puller lacks.
+//! The registry of model servers: a replicated set of entries, one for each server instance.
 //!
-//! Every core process is a *source* with a random [`SourceId`] for its life. It numbers the changes of what it
-//! heard; a beat that says nothing new makes no number. A puller shows a version [`VersionVector`] and is given the
-//! entries above it as a [`Delta`]. Entries are joined by one total order (see [`Entry::supersedes`]), so that
-//! all processes come to the same register whatever the order in which deltas arrive.
+//! Each control node that receives heartbeats is a *source* with a random [`SourceId`] for its incarnation. It numbers
+//! the changes that it observes; a heartbeat that changes nothing gets no number. A process that wants to catch up
+//! shows its [`VersionVector`] and receives the entries above it as a [`Delta`]. Of two entries for one server the
+//! greater in a total order stays (see [`Entry::supersedes`]), so all processes converge to the same registry in
+//! whatever order the deltas arrive.
 //!
-//! Nothing here does I/O or reads a clock: `now` is milliseconds of any steady clock, never set back.
+//! Nothing here does I/O or reads a clock. The host hands in the present instant of its steady clock, which must never
+//! go backwards.
 
 mod delta;
+mod entry;
 mod registry;
 mod server;
+mod server_error;
+mod server_index;
 mod server_record;
 mod source_index;
 mod version_vector;
 
-pub use delta::{Delta, Entry};
+pub use delta::Delta;
+pub use entry::Entry;
 pub use registry::{
-    HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, SOURCE_TIMEOUT, SUSPICION_TIMEOUT,
-    TOMBSTONE_LIFETIME,
+    HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, SUSPICION_TIMEOUT, TOMBSTONE_LIFETIME,
 };
-pub use server::{Model, OperState, Server, ServerError, Stage};
-
+pub use server::{Model, OperState, Server, Stage};
+pub use server_error::ServerError;
+pub use source_index::SOURCE_TIMEOUT;
 pub use version_vector::{MAX_VECTOR_SOURCES, SourceId, VersionVector};
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -1,44 +1,46 @@
-//! Silence: who marks whom, and when a silent server counts as gone.
+//! Failure detection: which servers are suspected, by whom, and when a suspected server is removed.
 //!
-//! The source that heard a server last marks it. Where that source has not been in touch, any other does, under
-//! its own name. What each core hears is told to the others as a digest, since steady beats make no versions.
+//! The node that last received a heartbeat of a server suspects it once the heartbeats stop. If that node is itself
+//! without contact, any other suspects the server instead, and publishes that as a source of its own. Heartbeats that
+//! change nothing get no version, so control nodes tell each other in digests which servers still send them some.
 
 use std::sync::Arc;
 
 use mosshead_time::{Duration, Instant};
 
-use crate::{OperState, Registry, SourceId};
+use crate::server::DEREGISTERED_SEQUENCE;
+use crate::{OperState, Registry, SOURCE_TIMEOUT, SourceId};
 
-/// A server that has been silent for longer is gone.
+/// A server that has been suspected for longer is removed.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(20);
-/// A source that has not been in touch for longer is lost: others speak for what it heard.
-pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// When somebody else has to speak, look again after this.
+/// A server is suspected after more than this many heartbeat intervals without a heartbeat, in fifths.
+const SUSPECTED_AFTER_FIFTHS: u32 = 16;
+
+/// When another source has to decide about a server, it is checked again after this.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Registry {
-    /// Another core process has been in touch.
+    /// Another control node was in contact with this one.
     pub fn record_contact(&mut self, now: Instant, source: SourceId) {
         if source != self.local_id {
             self.sources.record_contact(now, source);
         }
     }
 
-    /// The servers whose beats came to this very process at `since` or later, with their last sequences. To be
-    /// told to the other core processes every few hundred milliseconds; `since` well before the last one that
-    /// arrived there.
+    /// The servers whose heartbeats came to this very process at `since` or later, with their last sequence numbers.
+    /// The host sends them to the other control nodes every few hundred milliseconds; `since` should lie well before
+    /// the last digest that arrived there.
     pub fn heartbeats_since(&self, since: Instant) -> Vec<(String, u64)> {
         self.records
             .values()
-            .filter(|record| {
-                record.heard_by == self.local_id && record.direct_at.is_some_and(|at| at >= since)
-            })
-            .map(|record| (record.entry.server.id.clone(), record.heard_sequence))
+            .filter(|record| record.last_receiver == self.local_id)
+            .filter(|record| record.last_local_heartbeat_at.is_some_and(|received_at| received_at >= since))
+            .map(|record| (record.entry.server.id.clone(), record.last_sequence))
             .collect()
     }
 
-    /// Takes in what `source` has heard.
+    /// Records the heartbeats that another control node has received: ids with sequence numbers.
     pub fn record_remote_heartbeats<'a>(
         &mut self,
         now: Instant,
@@ -48,65 +50,64 @@
         self.record_contact(now, source);
         for (id, sequence) in digest {
             if let Some(record) = self.records.get_mut(id)
-                && sequence > record.heard_sequence
-                && sequence < u64::MAX
+                && sequence > record.last_sequence
+                && sequence < DEREGISTERED_SEQUENCE
             {
-                record.heard_sequence = sequence;
-                record.heard_at = now;
-                record.heard_by = source;
+                record.last_sequence = sequence;
+                record.last_heartbeat_at = now;
+                record.last_receiver = source;
             }
         }
     }
 
-    /// Marks the silent, ends those silent for long, and drops what is no longer needed. To be called at least
-    /// once per keepalive: a longer pause means that this process stood still, and nobody is blamed for it.
-    /// Returns whether an entry has changed.
+    /// Suspects servers without heartbeats, removes those suspected for too long, and drops expired tombstones. To be
+    /// called at least once in each heartbeat interval: after a longer pause of this process all servers get their
+    /// full time again. Returns whether an entry has changed.
     pub fn tick(&mut self, now: Instant) -> bool {
-        if self.last_tick.is_none_or(|last| now.duration_since(last) > self.keepalive) {
-            self.awake_since = now;
+        if self.last_tick.is_none_or(|last| now.duration_since(last) > self.heartbeat_interval) {
+            self.running_since = now;
         }
         self.last_tick = Some(now);
-        while let Some((since, id)) = self.tombstones.first().cloned() {
-            if now.duration_since(since) < crate::TOMBSTONE_LIFETIME {
-                break;
-            }
-            self.drop_record(&id);
-        }
-        self.sources.trim();
-        // Not at once in the merge: the vector shown after it tells the giver what is held.
-        if std::mem::take(&mut self.doubts) {
-            self.sources.forget(self.local_id);
-        }
-        let mut due = Vec::new();
-        while let Some((at, _)) = self.timers.first()
-            && *at <= now
-        {
-            due.extend(self.timers.pop_first());
+        self.expire_tombstones(now);
+        self.sources.drop_empty_sources();
+        // This waits for the tick: the vector that is shown right after the merge tells the sender what was received.
+        if std::mem::take(&mut self.needs_full_sync) {
+            self.sources.reset_known_versions(self.local_id);
         }
         let mut changed = false;
-        for (_, id) in due {
-            changed |= self.look_at(now, &id);
+        for id in self.take_expired_timers(now) {
+            changed |= self.check_server(now, &id);
         }
         changed
     }
 
-    fn look_at(&mut self, now: Instant, id: &Arc<str>) -> bool {
+    fn take_expired_timers(&mut self, now: Instant) -> Vec<Arc<str>> {
+        let mut expired = Vec::new();
+        while let Some((expires_at, _)) = self.timers.first()
+            && *expires_at <= now
+        {
+            expired.extend(self.timers.pop_first().map(|(_, id)| id));
+        }
+        expired
+    }
+
+    fn check_server(&mut self, now: Instant, id: &Arc<str>) -> bool {
         let Some(record) = self.records.get_mut(id) else { return false };
         record.timer = None;
-        let Some(at) = self.due(id) else { return false };
-        if at > now {
-            self.arm_at(id, at);
+        let Some(deadline) = self.deadline(id) else { return false };
+        if deadline > now {
+            self.schedule_check_at(id, deadline);
             return false;
         }
         let Some(record) = self.records.get(id) else { return false };
-        let is_silent = record.entry.server.is_suspected;
-        let speaker = if is_silent { record.entry.source } else { record.heard_by };
-        if speaker != self.local_id && !self.is_lost(now, speaker) {
-            self.arm_at(id, now + RECHECK_INTERVAL);
+        let is_suspected = record.entry.server.is_suspected;
+        let responsible = if is_suspected { record.entry.source } else { record.last_receiver };
+        if responsible != self.local_id && !self.is_source_lost(now, responsible) {
+            self.schedule_check_at(id, now + RECHECK_INTERVAL);
             return false;
         }
-        self.mark(now, id, |server| {
-            if is_silent {
+        self.publish_change(now, id, |server| {
+            if is_suspected {
                 server.state = OperState::Removed;
             } else {
                 server.is_suspected = true;
@@ -115,53 +116,54 @@
         true
     }
 
-    /// When this server is to be called silent or gone, as far as is known now.
-    fn due(&self, id: &str) -> Option<Instant> {
+    /// When a server is to be suspected, or removed if it is suspected already, as far as is known now.
+    fn deadline(&self, id: &str) -> Option<Instant> {
         let record = self.records.get(id)?;
         let server = &record.entry.server;
         if self.is_read_replica || server.is_removed() {
             return None;
         }
-        let sign = record.heard_at.max(self.awake_since);
-        let silence = self.keepalive.saturating_mul(16) / 5;
-        let at = match server.is_suspected {
-            true => (sign + silence).max(record.since + SUSPICION_TIMEOUT),
-            false => sign + silence,
+        let last_sign = record.last_heartbeat_at.max(self.running_since);
+        let heartbeat_deadline =
+            last_sign + self.heartbeat_interval.saturating_mul(SUSPECTED_AFTER_FIFTHS) / 5;
+        let last_instant = if server.is_suspected {
+            heartbeat_deadline.max(record.state_since + SUSPICION_TIMEOUT)
+        } else {
+            heartbeat_deadline
         };
-        Some(at + Duration::from_millis(1))
+        Some(last_instant + Duration::from_millis(1))
     }
 
-    /// Sets the timer of a record whose entry has changed. Beats that change nothing leave it: it is looked at
-    /// again when it goes off.
-    pub(crate) fn arm(&mut self, id: &Arc<str>) {
-        match self.due(id) {
-            Some(at) => self.arm_at(id, at),
-            None => self.disarm(id),
+    /// Sets the timer of a record whose entry has changed. Heartbeats that change nothing leave the timer as it is: the
+    /// deadline is computed again when it expires.
+    pub(super) fn schedule_check(&mut self, id: &Arc<str>) {
+        match self.deadline(id) {
+            Some(deadline) => self.schedule_check_at(id, deadline),
+            None => self.cancel_timer(id),
         }
     }
 
-    fn arm_at(&mut self, id: &Arc<str>, at: Instant) {
-        self.disarm(id);
+    fn schedule_check_at(&mut self, id: &Arc<str>, expires_at: Instant) {
+        self.cancel_timer(id);
         if let Some(record) = self.records.get_mut(id) {
-            record.timer = Some(at);
-            self.timers.insert((at, id.clone()));
+            record.timer = Some(expires_at);
+            self.timers.insert((expires_at, id.clone()));
         }
     }
 
-    fn disarm(&mut self, id: &Arc<str>) {
+    fn cancel_timer(&mut self, id: &Arc<str>) {
         if let Some(record) = self.records.get_mut(id)
-            && let Some(at) = record.timer.take()
+            && let Some(expires_at) = record.timer.take()
         {
-            self.timers.remove(&(at, id.clone()));
+            self.timers.remove(&(expires_at, id.clone()));
         }
     }
 
-    /// Whether a source has not been in touch for so long that others speak for it.
-    pub(crate) fn is_lost(&self, now: Instant, source: SourceId) -> bool {
+    /// Whether a source has been without contact for so long that others decide in its place.
+    fn is_source_lost(&self, now: Instant, source: SourceId) -> bool {
+        let last_seen_at = self.sources.last_seen_at(source);
         source != self.local_id
-            && self
-                .sources
-                .seen(source)
-                .is_none_or(|seen| now.duration_since(seen.max(self.awake_since)) > SOURCE_TIMEOUT)
+            && last_seen_at
+                .is_none_or(|last| now.duration_since(last.max(self.running_since)) > SOURCE_TIMEOUT)
     }
 }
--- /dev/null
+++ b/crates/registry/src/registry/heartbeats.rs
@@ -0,0 +1,129 @@
+//! Heartbeats and deregistrations that servers send to this process.
+
+use std::sync::Arc;
+
+use mosshead_time::Instant;
+
+use crate::server::DEREGISTERED_SEQUENCE;
+use crate::{OperState, Registry, Server, ServerError, SourceId};
+
+/// With entries of more sources than this, those of sources without recent contact are published anew here when their
+/// server sends a heartbeat. It bounds the version vector.
+const MAX_SOURCES_KEPT: usize = 16;
+
+/// What a heartbeat or a deregistration has done.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct HeartbeatOutcome {
+    /// It was published under a new version.
+    pub changed: bool,
+    /// The server is draining or removed, and only this process is known to have that. It must be replicated to
+    /// another control node before the server is acknowledged (see [`Registry::mark_replicated`]). Repeats of the
+    /// heartbeat report it again until that is done.
+    pub needs_replication: bool,
+    /// Its sequence number is below one that is known: it changed nothing.
+    pub is_outdated: bool,
+    /// It was rejected and changed nothing.
+    pub error: Option<ServerError>,
+}
+
+impl HeartbeatOutcome {
+    fn rejected(error: ServerError) -> HeartbeatOutcome {
+        HeartbeatOutcome { error: Some(error), ..HeartbeatOutcome::default() }
+    }
+}
+
+impl Registry {
+    /// Records a heartbeat that came to this process.
+    pub fn record_heartbeat(&mut self, now: Instant, mut server: Server) -> HeartbeatOutcome {
+        if let Err(error) = server.validate() {
+            return HeartbeatOutcome::rejected(error);
+        }
+        server.is_suspected = false;
+        server.sequence = server.sequence.min(DEREGISTERED_SEQUENCE - 1);
+        let Some(record) = self.records.get_mut(server.id.as_str()) else {
+            return self.record_first_heartbeat(now, server);
+        };
+        if server.sequence < record.last_sequence {
+            let needs_replication = self.needs_replication(&server.id);
+            return HeartbeatOutcome { is_outdated: true, needs_replication, ..HeartbeatOutcome::default() };
+        }
+        let known = &record.entry.server;
+        // A repeat can only bring the server closer to its removal.
+        if server.sequence == record.last_sequence && server.state <= known.state {
+            return self.unchanged(&server.id);
+        }
+        record.last_sequence = server.sequence;
+        record.last_heartbeat_at = now;
+        record.last_receiver = self.local_id;
+        record.last_local_heartbeat_at = Some(now);
+        let has_same_properties = known.has_same_properties(&server);
+        let has_moved = known.address != server.address;
+        let (source, version) = (record.entry.source, record.entry.version);
+        if has_same_properties
+            && version <= self.sources.known_version(source)
+            && !self.has_too_many_sources(now, source)
+        {
+            return self.unchanged(&server.id);
+        }
+        let id = server.id.clone();
+        self.publish(now, server);
+        if has_moved {
+            self.suspect_others_at_address(now, &id);
+        }
+        HeartbeatOutcome { changed: true, ..self.unchanged(&id) }
+    }
+
+    fn record_first_heartbeat(&mut self, now: Instant, server: Server) -> HeartbeatOutcome {
+        if self.is_full() && !server.is_removed() {
+            return HeartbeatOutcome::rejected(ServerError::RegistryFull);
+        }
+        let id = server.id.clone();
+        self.publish(now, server);
+        if let Some(record) = self.records.get_mut(id.as_str()) {
+            record.last_local_heartbeat_at = Some(now);
+        }
+        self.suspect_others_at_address(now, &id);
+        HeartbeatOutcome { changed: true, ..self.unchanged(&id) }
+    }
+
+    /// Removes a server. Later heartbeats of this instance are outdated.
+    pub fn deregister(&mut self, now: Instant, id: &str) -> HeartbeatOutcome {
+        let mut server = match self.get(id) {
+            Some(server) if server.sequence == DEREGISTERED_SEQUENCE && server.is_removed() => {
+                return self.unchanged(id);
+            }
+            Some(server) => server.clone(),
+            None => Server::deregistered(id),
+        };
+        if let Err(error) = server.validate() {
+            return HeartbeatOutcome::rejected(error);
+        }
+        server.state = OperState::Removed;
+        server.is_suspected = false;
+        server.sequence = DEREGISTERED_SEQUENCE;
+        self.publish(now, server);
+        HeartbeatOutcome { changed: true, ..self.unchanged(id) }
+    }
+
+    fn unchanged(&self, id: &str) -> HeartbeatOutcome {
+        let needs_replication = self.needs_replication(id);
+        HeartbeatOutcome { needs_replication, ..HeartbeatOutcome::default() }
+    }
+
+    /// Whether there are so many sources that entries of this one are published anew here.
+    fn has_too_many_sources(&self, now: Instant, source: SourceId) -> bool {
+        self.sources.len() > MAX_SOURCES_KEPT
+            && !self.sources.has_recent_contact(now, source)
+            && source != self.local_id
+    }
+
+    /// A server has started at an address or moved to it: earlier instances there have ended.
+    fn suspect_others_at_address(&mut self, now: Instant, id: &str) {
+        let Some(server) = self.get(id).filter(|server| !server.is_removed()) else { return };
+        let others: Vec<Arc<str>> =
+            self.index.ids_at_address(server.address).filter(|other| &***other != id).cloned().collect();
+        for other in others {
+            self.publish_change(now, &other, |server| server.is_suspected = true);
+        }
+    }
+}
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -1,42 +1,52 @@
-//! What a server says of itself.
+//! What a model server reports about itself.
 
-use core::net::SocketAddrV4;
+use core::net::{Ipv4Addr, SocketAddrV4};
 
 use minicbor::{Decode, Encode};
 use mosshead_time::Duration;
-use quick_error::quick_error;
 
-const MOST_NAME: usize = 128;
-const MOST_TEXT: usize = 8 * 1024;
+use crate::ServerError;
 
-/// Where a server is in its life. The order is the order of precedence at one sequence.
+/// The longest id, service, zone or software revision, in bytes.
+pub(crate) const MAX_NAME_BYTES: usize = 128;
+/// The bound on the models of a server with their adapters, in bytes.
+pub(crate) const MAX_MODEL_BYTES: usize = 8 * 1024;
+/// What a model adds to the size of the models beside its name.
+const MODEL_OVERHEAD_BYTES: usize = 16;
+/// What an adapter adds to the size of the models beside its name.
+const ADAPTER_OVERHEAD_BYTES: usize = 8;
+
+/// The sequence number of a deregistered server. It is above that of each heartbeat.
+pub(crate) const DEREGISTERED_SEQUENCE: u64 = u64::MAX;
+
+/// The operational state of a server. Of two entries with one sequence number the greater state takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum OperState {
     /// Takes requests.
     #[n(0)]
     Up,
-    /// Is about to end and gets nothing new.
+    /// Shuts down gracefully: finishes its requests and must not get new ones.
     #[n(1)]
     Draining,
-    /// Deregistered, or silent for so long that it counts as ended: a tombstone.
+    /// Deregistered, or suspected for so long that it counts as dead. The entry is a tombstone.
     #[n(2)]
     Removed,
 }
 
-/// The part that a server plays for prompts.
+/// The stage of inference that a server works on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Stage {
-    /// Reads prompts.
+    /// Computes the KV cache of prompts.
     #[n(0)]
     Prefill,
-    /// Makes tokens.
+    /// Generates tokens.
     #[n(1)]
     Decode,
 }
 
-/// A model that a server holds.
+/// A model that a server has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Model {
     /// Name of the model.
@@ -45,78 +55,104 @@
     /// Revision of its weights.
     #[n(1)]
     pub revision: u64,
-    /// Adapters loaded with it.
+    /// Names of the adapters that are loaded with it.
     #[n(2)]
     pub adapters: Vec<String>,
 }
 
-/// One incarnation of a server.
+/// One instance of a model server: a process from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Server {
-    /// `instance_id`: new at every start.
+    /// `instance_id` of the wire: new at every start.
     #[n(0)]
     pub id: String,
-    /// `backend_service`. Empty in the tombstone of a server that was never heard.
+    /// `backend_service` of the wire. Empty in the tombstone of a server that sent no heartbeat.
     #[n(1)]
     pub service: String,
-    /// Where it serves. After the server has ended, another may be given the same.
+    /// Where it serves requests. A later instance may get the same address.
     #[n(2)]
     pub address: SocketAddrV4,
     /// Its zone.
     #[n(3)]
     pub zone: String,
-    /// Revision of its software (`revision` on the wire).
+    /// Revision of its software, `revision` on the wire.
     #[n(4)]
     pub software_revision: String,
-    /// Requests that it works on at once.
+    /// How many requests it processes concurrently.
     #[n(5)]
     pub slots: u32,
-    /// `oper_state`.
+    /// `oper_state` of the wire.
     #[n(6)]
     pub state: OperState,
-    /// Its beats have stopped: a mark, weighed by proxies with their own evidence.
+    /// Its heartbeats have stopped, or another instance has taken its address. Proxies weigh it with their own
+    /// evidence.
     #[n(7)]
     pub is_suspected: bool,
-    /// How long it stayed slow when the entry was made. No change by itself.
+    /// How long it was still warming up when the entry was made. A difference in this alone is no change.
     #[cbor(n(8), with = "mosshead_time::duration_millis")]
     pub warmup_remaining: Duration,
-    /// Its part, where its service has an engine.
+    /// Its stage, if its service splits prefill and decode.
     #[n(9)]
     pub stage: Option<Stage>,
-    /// Models that it holds.
+    /// The models that it has loaded. Empty in a tombstone.
     #[n(10)]
     pub models: Vec<Model>,
-    /// Number of the beat that the entry was made of; `u64::MAX` once deregistered.
+    /// Sequence number of the heartbeat that the entry was made from; `u64::MAX` once deregistered.
     #[n(11)]
     pub sequence: u64,
 }
 
 impl Server {
-    /// Whether it may be taken into a register: has an id, and all texts are of a bounded length.
-    pub fn check(&self) -> Result<(), ServerError> {
+    /// The deregistered instance of this id, of which nothing else is known.
+    pub(crate) fn deregistered(id: &str) -> Server {
+        Server {
+            id: id.to_owned(),
+            service: String::new(),
+            address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
+            zone: String::new(),
+            software_revision: String::new(),
+            slots: 0,
+            state: OperState::Removed,
+            is_suspected: false,
+            warmup_remaining: Duration::ZERO,
+            stage: None,
+            models: Vec::new(),
+            sequence: DEREGISTERED_SEQUENCE,
+        }
+    }
+
+    /// Checks that the server may be registered: it has an id, and its texts are of a bounded length.
+    ///
+    /// # Errors
+    ///
+    /// The first bound that is broken, never [`ServerError::RegistryFull`].
+    pub fn validate(&self) -> Result<(), ServerError> {
         if self.id.is_empty() {
             return Err(ServerError::MissingId);
         }
-        if [&self.id, &self.service, &self.zone, &self.software_revision]
-            .iter()
-            .any(|text| text.len() > MOST_NAME)
-        {
+        let names = [&self.id, &self.service, &self.zone, &self.software_revision];
+        if names.iter().any(|name| name.len() > MAX_NAME_BYTES) {
             return Err(ServerError::NameTooLong);
         }
-        let mut text = 0_usize;
+        if self.model_bytes() > MAX_MODEL_BYTES {
+            return Err(ServerError::ModelsTooLong);
+        }
+        Ok(())
+    }
+
+    /// The size of the models with their adapters.
+    fn model_bytes(&self) -> usize {
+        let mut bytes = 0_usize;
         for model in &self.models {
-            text = text.saturating_add(16).saturating_add(model.name.len());
+            bytes = bytes.saturating_add(MODEL_OVERHEAD_BYTES).saturating_add(model.name.len());
             for adapter in &model.adapters {
-                text = text.saturating_add(8).saturating_add(adapter.len());
+                bytes = bytes.saturating_add(ADAPTER_OVERHEAD_BYTES).saturating_add(adapter.len());
             }
         }
-        if text > MOST_TEXT {
-            return Err(ServerError::ModelsTooLong);
-        }
-        Ok(())
+        bytes
     }
 
-    /// Whether both say the same, sequence and warm-up left out.
+    /// Whether all is equal but the sequence number and the warm-up: the later heartbeat is no change.
     pub(crate) fn has_same_properties(&self, other: &Server) -> bool {
         self.state == other.state
             && self.is_suspected == other.is_suspected
@@ -133,38 +169,3 @@
         self.state == OperState::Removed
     }
 }
-
-quick_error! {
-    /// Why a server is not taken into the register.
-    #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum ServerError {
-        /// The instance has no id.
-        MissingId {
-            display("registry 1: instance without an id")
-        }
-        /// The id, service, zone or software is too long.
-        NameTooLong {
-            display("registry 2: id, service, zone or revision over {} bytes", MOST_NAME)
-        }
-        /// The list of models and adapters is too long.
-        ModelsTooLong {
-            display("registry 3: models and adapters over {} bytes", MOST_TEXT)
-        }
-        /// The register holds as many servers as it can.
-        RegistryFull {
-            display("registry 4: the register is full")
-        }
-    }
-}
-
-impl ServerError {
-    /// The number of this fault.
-    pub fn code(self) -> u16 {
-        match self {
-            ServerError::MissingId => 1,
-            ServerError::NameTooLong => 2,
-            ServerError::ModelsTooLong => 3,
-            ServerError::RegistryFull => 4,
-        }
-    }
-}
--- /dev/null
+++ b/crates/registry/src/server_error.rs
@@ -0,0 +1,40 @@
+//! Why a server is not registered.
+
+use quick_error::quick_error;
+
+use crate::server::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
+
+quick_error! {
+    /// Why a heartbeat or a deregistration is rejected. Operators know the numbers and texts from the logs.
+    #[derive(Debug, Clone, Copy, PartialEq, Eq)]
+    pub enum ServerError {
+        /// The instance has no id.
+        MissingId {
+            display("registry 1: instance without an id")
+        }
+        /// The id, service, zone or software revision is too long.
+        NameTooLong {
+            display("registry 2: id, service, zone or revision over {} bytes", MAX_NAME_BYTES)
+        }
+        /// The models and their adapters are too long.
+        ModelsTooLong {
+            display("registry 3: models and adapters over {} bytes", MAX_MODEL_BYTES)
+        }
+        /// The registry holds [`MAX_SERVERS`](crate::MAX_SERVERS) servers already.
+        RegistryFull {
+            display("registry 4: the register is full")
+        }
+    }
+}
+
+impl ServerError {
+    /// The number of this error, as in its text.
+    pub fn code(self) -> u16 {
+        match self {
+            ServerError::MissingId => 1,
+            ServerError::NameTooLong => 2,
+            ServerError::ModelsTooLong => 3,
+            ServerError::RegistryFull => 4,
+        }
+    }
+}
--- a/crates/registry/src/server_record.rs
+++ b/crates/registry/src/server_record.rs
@@ -1,46 +1,50 @@
-//! What one process holds of one server.
+//! What one process stores about one server.
 
 use mosshead_time::Instant;
 
 use crate::{Entry, OperState, SourceId};
 
+/// The entry of a server with what is known beside it.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
+pub(crate) struct ServerRecord {
+    /// The entry in force.
     pub entry: Entry,
-    /// Highest sequence known by any way; never below the entry's.
-    pub heard_sequence: u64,
-    /// When the last sign of life came to be known here.
-    pub heard_at: Instant,
-    /// Who heard the beat `heard_sequence`.
-    pub heard_by: SourceId,
-    /// When a beat last came to this very process.
-    pub direct_at: Option<Instant>,
-    /// Since when the entry has been silent or gone.
-    pub since: Instant,
-    /// How far down in life another core process is known to have it.
-    pub held_state: OperState,
-    /// When the timer goes off that stands for this record.
+    /// The highest sequence number that is known from heartbeats, entries or other nodes; never below the entry's.
+    pub last_sequence: u64,
+    /// When `last_sequence` became known here.
+    pub last_heartbeat_at: Instant,
+    /// Who received the heartbeat `last_sequence`.
+    pub last_receiver: SourceId,
+    /// When a heartbeat last came to this very process.
+    pub last_local_heartbeat_at: Option<Instant>,
+    /// Since when the state and the suspicion of the entry are what they are.
+    pub state_since: Instant,
+    /// The furthest state towards [`OperState::Removed`] that another control node is known to have.
+    pub replicated_state: OperState,
+    /// When the timer of this record expires; equal to its key in the registry's timers.
     pub timer: Option<Instant>,
 }
 
-impl Record {
-    pub fn new(now: Instant, entry: Entry) -> Record {
-        Record {
-            heard_sequence: entry.server.sequence,
-            heard_at: now,
-            heard_by: entry.source,
-            direct_at: None,
-            since: now,
-            held_state: OperState::Up,
+impl ServerRecord {
+    /// The record of an entry that is new here.
+    pub(crate) fn new(now: Instant, entry: Entry) -> ServerRecord {
+        ServerRecord {
+            last_sequence: entry.server.sequence,
+            last_heartbeat_at: now,
+            last_receiver: entry.source,
+            last_local_heartbeat_at: None,
+            state_since: now,
+            replicated_state: OperState::Up,
             timer: None,
             entry,
         }
     }
 
-    /// Whether it is leaving and only `me`, of whose versions others hold those up to `held`, is known to have that.
-    pub fn is_pending(&self, local_id: SourceId, held: u64) -> bool {
-        self.entry.server.state > self.held_state
+    /// Whether the server is shutting down and only this process is known to have that. `replicated_version` is the
+    /// version up to which another node has the entries that were published here.
+    pub(crate) fn needs_replication(&self, local_id: SourceId, replicated_version: u64) -> bool {
+        self.entry.server.state > self.replicated_state
             && self.entry.source == local_id
-            && self.entry.version > held
+            && self.entry.version > replicated_version
     }
 }
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -1,143 +1,162 @@
-//! The index of entries by source and version, with what has been seen of each source.
+//! The index of entries by source and version, with the versions up to which each source is known.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
 
-use mosshead_time::Instant;
+use mosshead_time::{Duration, Instant};
 
-use crate::{SOURCE_TIMEOUT, SourceId, VersionVector};
+use crate::{SourceId, VersionVector};
 
-/// Contacts that are remembered; the oldest go first.
-const MOST_CONTACTS: usize = 64;
+/// A source without contact for longer counts as lost: others mark the servers whose heartbeats it received.
+pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// How many contacts are kept; the oldest go first.
+const MAX_CONTACTS: usize = 64;
 
 #[derive(Clone, Debug, Default)]
 struct Source {
-    /// Everything up to here has been seen.
-    known: u64,
+    /// No entry in force of this source up to this version is missing here.
+    known_version: u64,
+    /// The ids of the servers whose entries in force are this source's, by version.
     entries: BTreeMap<u64, Arc<str>>,
-    /// When it was first named.
-    named: Instant,
+    /// When the first entry of the source was stored.
+    first_seen_at: Instant,
 }
 
-/// A source without entries is dropped: all that it said has been superseded, so nothing is lost by being given
-/// it anew, and lives that have ended leave nothing behind.
+/// The sources of the stored entries.
+///
+/// A source without entries is dropped: all that it has published is superseded, so it does no harm to receive it
+/// again, and incarnations that have ended leave nothing behind.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Sources {
-    all: BTreeMap<SourceId, Source>,
-    empty: usize,
+pub(crate) struct SourceIndex {
+    sources: BTreeMap<SourceId, Source>,
+    /// How many of `sources` have no entries.
+    empty_sources: usize,
+    /// When each other control node was last in contact.
     contacts: BTreeMap<SourceId, Instant>,
 }
 
-impl Sources {
-    pub fn insert(&mut self, now: Instant, id: SourceId, version: u64, instance: Arc<str>) {
-        let source = self.all.entry(id).or_insert_with(|| {
-            self.empty += 1;
-            Source { named: now, ..Source::default() }
+impl SourceIndex {
+    /// Adds an entry in force.
+    pub(crate) fn insert(&mut self, now: Instant, id: SourceId, version: u64, server_id: Arc<str>) {
+        let source = self.sources.entry(id).or_insert_with(|| {
+            self.empty_sources += 1;
+            Source { first_seen_at: now, ..Source::default() }
         });
         if source.entries.is_empty() {
-            self.empty = self.empty.saturating_sub(1);
+            self.empty_sources = self.empty_sources.saturating_sub(1);
         }
-        source.entries.insert(version, instance);
+        source.entries.insert(version, server_id);
     }
 
-    /// The source itself stays until [`Sources::trim`], so that a claim for it can follow.
-    pub fn remove(&mut self, id: SourceId, version: u64) {
-        let Some(source) = self.all.get_mut(&id) else { return };
+    /// Removes an entry that is superseded. The source itself stays until [`SourceIndex::drop_empty_sources`], so that
+    /// its known version can still be raised.
+    pub(crate) fn remove(&mut self, id: SourceId, version: u64) {
+        let Some(source) = self.sources.get_mut(&id) else { return };
         if source.entries.remove(&version).is_some() && source.entries.is_empty() {
-            self.empty += 1;
+            self.empty_sources += 1;
         }
     }
 
-    pub fn instance(&self, id: SourceId, version: u64) -> Option<&Arc<str>> {
-        self.all.get(&id)?.entries.get(&version)
-    }
-
-    pub fn known(&self, id: SourceId) -> u64 {
-        self.all.get(&id).map_or(0, |source| source.known)
+    /// The server whose entry in force has this version.
+    pub(crate) fn server_id(&self, id: SourceId, version: u64) -> Option<&Arc<str>> {
+        self.sources.get(&id)?.entries.get(&version)
     }
 
-    pub fn is_known(&self, id: SourceId) -> bool {
-        self.known(id) > 0
+    /// Up to which version no entry of the source is missing; 0 if nothing is known.
+    pub(crate) fn known_version(&self, id: SourceId) -> u64 {
+        self.sources.get(&id).map_or(0, |source| source.known_version)
     }
 
-    /// Everything of a source up to here has been seen. Means nothing for a source without entries.
-    pub fn claim(&mut self, id: SourceId, version: u64) {
-        if let Some(source) = self.all.get_mut(&id) {
-            source.known = source.known.max(version);
+    /// Raises the known version. Has no effect on a source without entries.
+    pub(crate) fn raise_known_version(&mut self, id: SourceId, version: u64) {
+        if let Some(source) = self.sources.get_mut(&id) {
+            source.known_version = source.known_version.max(version);
         }
     }
 
-    pub fn record_contact(&mut self, now: Instant, id: SourceId) {
-        let at = self.contacts.entry(id).or_insert(now);
-        *at = now.max(*at);
-        if self.contacts.len() > MOST_CONTACTS
-            && let Some((&oldest, _)) = self.contacts.iter().min_by_key(|(_, at)| **at)
+    /// Notes that the source itself was in contact.
+    pub(crate) fn record_contact(&mut self, now: Instant, id: SourceId) {
+        let last = self.contacts.entry(id).or_insert(now);
+        *last = now.max(*last);
+        if self.contacts.len() > MAX_CONTACTS
+            && let Some((&oldest, _)) = self.contacts.iter().min_by_key(|(_, last)| **last)
         {
             self.contacts.remove(&oldest);
         }
     }
 
-    /// Last contact, or when the source was first named, whichever is later.
-    pub fn seen(&self, id: SourceId) -> Option<Instant> {
-        let named = self.all.get(&id).map(|source| source.named);
-        named.max(self.contacts.get(&id).copied())
+    /// When the source was last in contact or first seen, whichever is later.
+    pub(crate) fn last_seen_at(&self, id: SourceId) -> Option<Instant> {
+        let first_seen_at = self.sources.get(&id).map(|source| source.first_seen_at);
+        first_seen_at.max(self.contacts.get(&id).copied())
     }
 
-    /// Whether the source itself has lately been in touch; to be named by others doesn't count.
-    pub fn is_in_contact(&self, now: Instant, id: SourceId) -> bool {
-        self.contacts.get(&id).is_some_and(|at| now.duration_since(*at) <= SOURCE_TIMEOUT)
+    /// Whether the source itself was in contact within [`SOURCE_TIMEOUT`]; what others say about it does not count.
+    pub(crate) fn has_recent_contact(&self, now: Instant, id: SourceId) -> bool {
+        self.contacts.get(&id).is_some_and(|last| now.duration_since(*last) <= SOURCE_TIMEOUT)
     }
 
-    /// The last version of a source that still is in force.
-    pub fn last(&self, id: SourceId) -> u64 {
-        self.all.get(&id).and_then(|s| s.entries.last_key_value()).map_or(0, |(&version, _)| version)
+    /// The highest version of the source that is in force; 0 if there is none.
+    pub(crate) fn last_version(&self, id: SourceId) -> u64 {
+        let source = self.sources.get(&id);
+        source.and_then(|source| source.entries.last_key_value()).map_or(0, |(&version, _)| version)
     }
 
     /// How many sources have entries.
-    pub fn with_entries(&self) -> usize {
-        self.all.len().saturating_sub(self.empty)
+    pub(crate) fn len(&self) -> usize {
+        self.sources.len().saturating_sub(self.empty_sources)
     }
 
-    pub fn vector(&self) -> VersionVector {
-        VersionVector(self.each().collect())
+    /// The known versions of all sources.
+    pub(crate) fn vector(&self) -> VersionVector {
+        VersionVector(self.known_versions().collect())
     }
 
-    /// Sources and what has been seen of them.
-    pub fn each(&self) -> impl Iterator<Item = (SourceId, u64)> + '_ {
-        let named = self.all.iter().filter(|(_, s)| s.known > 0 && !s.entries.is_empty());
-        named.map(|(&id, s)| (id, s.known))
+    /// The sources that have entries, with their known versions above 0.
+    pub(crate) fn known_versions(&self) -> impl Iterator<Item = (SourceId, u64)> + '_ {
+        self.sources
+            .iter()
+            .filter(|(_, source)| source.known_version > 0 && !source.entries.is_empty())
+            .map(|(&id, source)| (id, source.known_version))
     }
 
-    /// Instances of a source above one version, up to what has been seen.
-    pub fn above(&self, id: SourceId, base: u64) -> impl Iterator<Item = (u64, &Arc<str>)> + '_ {
-        self.all
+    /// Versions and server ids of a source above `base`, up to the known version.
+    pub(crate) fn entries_above(
+        &self,
+        id: SourceId,
+        base: u64,
+    ) -> impl Iterator<Item = (u64, &Arc<str>)> + '_ {
+        self.sources
             .get(&id)
-            .filter(move |source| base < source.known)
+            .filter(move |source| base < source.known_version)
             .into_iter()
-            .flat_map(move |s| s.entries.range((Bound::Excluded(base), Bound::Included(s.known))))
-            .map(|(&version, instance)| (version, instance))
+            .flat_map(move |source| {
+                source.entries.range((Bound::Excluded(base), Bound::Included(source.known_version)))
+            })
+            .map(|(&version, server_id)| (version, server_id))
     }
 
-    /// All instances, by source and version.
-    pub fn instances(&self) -> impl Iterator<Item = &Arc<str>> + '_ {
-        self.all.values().flat_map(|source| source.entries.values())
+    /// All server ids, by source and version.
+    pub(crate) fn server_ids(&self) -> impl Iterator<Item = &Arc<str>> + '_ {
+        self.sources.values().flat_map(|source| source.entries.values())
     }
 
-    /// Claims nothing any more, but of `me`.
-    pub fn forget(&mut self, local_id: SourceId) {
-        for (&id, source) in &mut self.all {
+    /// Sets the known versions of all sources but `local_id` to 0.
+    pub(crate) fn reset_known_versions(&mut self, local_id: SourceId) {
+        for (&id, source) in &mut self.sources {
             if id != local_id {
-                source.known = 0;
+                source.known_version = 0;
             }
         }
     }
 
     /// Drops the sources without entries.
-    pub fn trim(&mut self) {
-        if self.empty > 0 {
-            self.all.retain(|_, source| !source.entries.is_empty());
-            self.empty = 0;
+    pub(crate) fn drop_empty_sources(&mut self) {
+        if self.empty_sources > 0 {
+            self.sources.retain(|_, source| !source.entries.is_empty());
+            self.empty_sources = 0;
         }
     }
 }
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -8,26 +8,26 @@
 use rand_core::RngCore;
 
 /// The heartbeat interval of all servers, in milliseconds.
-pub const KEEPALIVE: u64 = 1200;
+pub(crate) const KEEPALIVE: u64 = 1200;
 
 /// The instant so many milliseconds after the origin of the clock.
-pub fn millis(millis: u64) -> Instant {
+pub(crate) fn millis(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-pub fn core(number: u64) -> Registry {
+pub(crate) fn core(number: u64) -> Registry {
     Registry::new(SourceId(number), Duration::from_millis(KEEPALIVE))
 }
 
-pub fn read_replica(number: u64) -> Registry {
+pub(crate) fn read_replica(number: u64) -> Registry {
     Registry::read_replica(SourceId(number), Duration::from_millis(KEEPALIVE))
 }
 
-pub fn address(number: u8) -> SocketAddrV4 {
+pub(crate) fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, number), 8080)
 }
 
-pub fn server(number: u8, sequence: u64) -> Server {
+pub(crate) fn server(number: u8, sequence: u64) -> Server {
     Server {
         id: format!("i-{number}"),
         service: format!("service-{}", number % 2),
@@ -44,12 +44,12 @@
     }
 }
 
-pub fn with_state(number: u8, sequence: u64, state: OperState) -> Server {
+pub(crate) fn with_state(number: u8, sequence: u64, state: OperState) -> Server {
     Server { state, ..server(number, sequence) }
 }
 
 /// Gives `to` all that it lacks, in pieces.
-pub fn pull(now: u64, from: &Registry, to: &mut Registry, most: usize) {
+pub(crate) fn pull(now: u64, from: &Registry, to: &mut Registry, most: usize) {
     for _ in 0..100_000 {
         let delta = from.missing_entries(&to.vector(), most);
         let more = delta.is_truncated;
@@ -62,7 +62,7 @@
 }
 
 /// The same between two of a group.
-pub fn pull_within(now: u64, all: &mut [Registry], from: usize, to: usize, most: usize) {
+pub(crate) fn pull_within(now: u64, all: &mut [Registry], from: usize, to: usize, most: usize) {
     let (from, to) = match from < to {
         true => {
             let (left, right) = all.split_at_mut(to);
@@ -77,14 +77,14 @@
 }
 
 /// Everything that a register says, tombstones too, in one order.
-pub fn said(register: &Registry) -> Vec<Entry> {
+pub(crate) fn said(register: &Registry) -> Vec<Entry> {
     let mut entries: Vec<Entry> = register.entries().cloned().collect();
     entries.sort_by(|a, b| a.server.id.cmp(&b.server.id));
     entries
 }
 
 /// All give all, until nobody has anything new.
-pub fn settle(now: u64, all: &mut [Registry]) {
+pub(crate) fn settle(now: u64, all: &mut [Registry]) {
     for _ in 0..50 {
         let mut changed = false;
         for from in 0..all.len() {
@@ -104,7 +104,7 @@
 }
 
 /// The indices agree with the entries.
-pub fn check(register: &Registry) {
+pub(crate) fn check(register: &Registry) {
     let entries = said(register);
     let live = entries.iter().filter(|e| e.server.state != OperState::Removed).count();
     assert_eq!(register.len(), live);
@@ -121,6 +121,6 @@
     }
 }
 
-pub fn below(rng: &mut impl RngCore, bound: u64) -> u64 {
+pub(crate) fn below(rng: &mut impl RngCore, bound: u64) -> u64 {
     rng.next_u64() % bound.max(1)
 }
