--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use mosshead_config::Service;
-use mosshead_http_links::{RetryPolicy, SendFault, SendFaultCause};
+use mosshead_http_links::{RetryPolicy, SendError, SendErrorKind};
 use mosshead_routing::ServerFailure;
 use tokio::time::Instant;
 
@@ -57,8 +57,8 @@
 }
 
 /// What a failed exchange proves; `None` where the attempt may go on over another connection.
-fn failed_exchange(request: &ServerRequest, error: SendFault, is_reused: bool) -> Option<AttemptOutcome> {
-    let timed_out = error.cause == SendFaultCause::DeadlinePassed;
+fn failed_exchange(request: &ServerRequest, error: SendError, is_reused: bool) -> Option<AttemptOutcome> {
+    let timed_out = error.cause == SendErrorKind::DeadlinePassed;
     // A server may begin with the last byte: only a request that has not left as a whole cannot have run.
     if !RetryPolicy::OnlyIfNeverSent.allows(error.progress) {
         return Some(if timed_out { AttemptOutcome::TimedOut } else { AttemptOutcome::Broken });
@@ -103,7 +103,7 @@
             let time_left = deadline.instant - self.now();
             let http_request = request.to_http(target, time_left, extra_headers);
             request.record_send(target);
-            match connection.link.send_before(http_request, deadline.timer).await {
+            match connection.link.send_with_deadline(http_request, deadline.timer).await {
                 Ok(response) => return self.check_response(target, request, response, connection),
                 Err(error) => {
                     if let Some(outcome) = failed_exchange(request, error, is_reused) {
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use mosshead_http_links::{Link, Opening, Side};
+use mosshead_http_links::{ConnectOptions, OutboundConnection, PeerKind};
 use mosshead_time::Duration;
 use quick_error::quick_error;
 use tokio::time::Instant;
@@ -18,7 +18,7 @@
 /// response to the other is due.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
-    pub(crate) link: Link<Full<Bytes>>,
+    pub(crate) link: OutboundConnection<Full<Bytes>>,
     origin: RequestOrigin,
 }
 
@@ -38,7 +38,7 @@
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Ends of these connections are not logged one by one.
-const SERVER: Side = Side { name: "server", log: |_| {} };
+const SERVER: PeerKind = PeerKind { name: "server", on_close: |_| {} };
 
 quick_error! {
     /// Why no connection could be opened.
@@ -90,7 +90,7 @@
         let mut servers = self.servers.borrow_mut();
         let idle = servers.get_mut(server_id)?.idle(origin);
         while let Some(candidate) = idle.pop() {
-            if !candidate.connection.link.closed() && candidate.expires_at > now {
+            if !candidate.connection.link.is_closed() && candidate.expires_at > now {
                 return Some(candidate.connection);
             }
         }
@@ -110,8 +110,8 @@
         }
         let guard = CountGuard::new(&open, 1);
         let options =
-            Opening { within: CONNECT_TIMEOUT.min(time_left), user_timeout: Some(TCP_USER_TIMEOUT) };
-        match Link::open(SERVER, target.address.into(), options, guard).await {
+            ConnectOptions { timeout: CONNECT_TIMEOUT.min(time_left), user_timeout: Some(TCP_USER_TIMEOUT) };
+        match OutboundConnection::open(SERVER, target.address.into(), options, guard).await {
             Some(link) => Ok(PooledConnection { link, origin }),
             None => Err(OpenError::Unreachable),
         }
@@ -131,7 +131,7 @@
             keep_alive.map_or(MAX_IDLE, |timeout| timeout.saturating_sub(IDLE_MARGIN)).min(MAX_IDLE);
         if idle_time.is_zero()
             || Instant::now() >= until
-            || !connection.link.reusable(REUSE_CHECK_TIMEOUT).await
+            || !connection.link.is_reusable(REUSE_CHECK_TIMEOUT).await
         {
             return;
         }
@@ -151,7 +151,7 @@
         let now = Instant::now();
         self.servers.borrow_mut().retain(|server_id, server| {
             for idle in [&mut server.idle_for_clients, &mut server.idle_for_proxy] {
-                idle.retain(|idle| idle.expires_at > now && !idle.connection.link.closed());
+                idle.retain(|idle| idle.expires_at > now && !idle.connection.link.is_closed());
             }
             is_known(server_id) || server.open.get() > 0
         });
--- a/crates/http-links/src/connection_log.rs
+++ b/crates/http-links/src/connection_log.rs
@@ -7,127 +7,127 @@
 
 /// Why a connection ended. The on-call page explains each code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum CloseReason {
     /// The other side closed it between two messages.
     ClosedByPeer,
     /// The other side broke it off, or it spoke no HTTP.
-    Broken,
+    ConnectionBroken,
     /// The submitter left while its job was held.
-    SubmitterGone,
+    ClientGone,
     /// Nobody listened, or the machine said no.
-    Refused,
+    ConnectionRefused,
     /// It did not come up within the time for connecting.
     ConnectTimeout,
     /// An attempt, a probe or a call on it was given up.
-    GivenUp,
+    Abandoned,
     /// Idle for nearly as long as the other side allows.
-    IdleLimit,
+    IdleTimeout,
     /// It ended, or brought more than its last answer, before the next message was written.
     Stale,
     /// It came and said nothing.
-    Silent,
+    NoRequest,
     /// Its message did not become whole in time.
-    Unfinished,
+    RequestTimeout,
     /// The module asked for idle connections to be closed.
-    ModuleAsked,
+    ClosedByPolicy,
     /// The machine list took the execute node away, moved or restarted it.
-    ListChanged,
+    EndpointChanged,
     /// The configuration names another address for the machine list.
-    Reloaded,
+    ConfigReloaded,
     /// Idle, and its descriptor was needed elsewhere.
-    Shed,
+    DescriptorNeeded,
     /// The answer on it could not be used.
-    BadAnswer,
+    InvalidResponse,
     /// Something it carried was turned down before it became a job.
     BadRequest,
     /// The proxy is being emptied.
     Draining,
     /// The submitter took nothing more of its answer.
-    Unread,
+    ResponseUnread,
     /// An operator's call has its answer.
-    Answered,
+    AdminRequestAnswered,
     /// The proxy is stopping.
-    Stopping,
+    ShuttingDown,
     /// What only one program knows, by its code.
-    Own(&'static str),
+    Other(&'static str),
 }
 
-impl Reason {
+impl CloseReason {
     /// The code in the log.
     pub fn code(self) -> &'static str {
         match self {
-            Reason::ClosedByPeer => "closed-by-peer",
-            Reason::Broken => "broken",
-            Reason::SubmitterGone => "submitter-gone",
-            Reason::Refused => "refused",
-            Reason::ConnectTimeout => "connect-timeout",
-            Reason::GivenUp => "given-up",
-            Reason::IdleLimit => "idle-limit",
-            Reason::Stale => "stale",
-            Reason::Silent => "silent",
-            Reason::Unfinished => "unfinished",
-            Reason::ModuleAsked => "module-asked",
-            Reason::ListChanged => "list-changed",
-            Reason::Reloaded => "reloaded",
-            Reason::Shed => "shed",
-            Reason::BadAnswer => "bad-answer",
-            Reason::BadRequest => "bad-request",
-            Reason::Draining => "draining",
-            Reason::Unread => "unread",
-            Reason::Answered => "answered",
-            Reason::Stopping => "stopping",
-            Reason::Own(code) => code,
+            CloseReason::ClosedByPeer => "closed-by-peer",
+            CloseReason::ConnectionBroken => "broken",
+            CloseReason::ClientGone => "submitter-gone",
+            CloseReason::ConnectionRefused => "refused",
+            CloseReason::ConnectTimeout => "connect-timeout",
+            CloseReason::Abandoned => "given-up",
+            CloseReason::IdleTimeout => "idle-limit",
+            CloseReason::Stale => "stale",
+            CloseReason::NoRequest => "silent",
+            CloseReason::RequestTimeout => "unfinished",
+            CloseReason::ClosedByPolicy => "module-asked",
+            CloseReason::EndpointChanged => "list-changed",
+            CloseReason::ConfigReloaded => "reloaded",
+            CloseReason::DescriptorNeeded => "shed",
+            CloseReason::InvalidResponse => "bad-answer",
+            CloseReason::BadRequest => "bad-request",
+            CloseReason::Draining => "draining",
+            CloseReason::ResponseUnread => "unread",
+            CloseReason::AdminRequestAnswered => "answered",
+            CloseReason::ShuttingDown => "stopping",
+            CloseReason::Other(code) => code,
         }
     }
 }
 
 /// Whom a connection leads to, and where its end is logged.
 #[derive(Clone, Copy, Debug)]
-pub struct Side {
+pub struct PeerKind {
     /// Its name in the log.
     pub name: &'static str,
     /// Takes the record of each connection of this side that ends.
-    pub log: fn(&Record),
+    pub on_close: fn(&ConnectionRecord),
 }
 
 /// What is known of an open connection.
 #[derive(Debug)]
-pub struct Record {
-    side: Side,
+pub struct ConnectionRecord {
+    side: PeerKind,
     peer: SocketAddr,
     began: Instant,
-    reason: Cell<Reason>,
+    reason: Cell<CloseReason>,
     named: Cell<bool>,
     messages: Cell<u64>,
 }
 
-impl Record {
+impl ConnectionRecord {
     /// Names the reason. The first one named stands: what follows is its consequence.
-    pub fn because(&self, reason: Reason) {
+    pub fn set_close_reason(&self, reason: CloseReason) {
         if !self.named.replace(true) {
             self.reason.set(reason);
         }
     }
 
     /// The reason, should the connection end now and nobody name another.
-    pub fn otherwise(&self, reason: Reason) {
+    pub fn set_default_close_reason(&self, reason: CloseReason) {
         if !self.named.get() {
             self.reason.set(reason);
         }
     }
 
     /// Counts a message that it carries.
-    pub fn message(&self) {
+    pub fn count_message(&self) {
         self.messages.set(self.messages.get() + 1);
     }
 
     /// The reason as it stands.
-    pub fn reason(&self) -> Reason {
+    pub fn close_reason(&self) -> CloseReason {
         self.reason.get()
     }
 
     /// The name of its side.
-    pub fn side(&self) -> &'static str {
+    pub fn peer_kind(&self) -> &'static str {
         self.side.name
     }
 
@@ -137,35 +137,36 @@
     }
 
     /// How many messages it has carried.
-    pub fn messages(&self) -> u64 {
+    pub fn message_count(&self) -> u64 {
         self.messages.get()
     }
 
     /// How long it has been open.
-    pub fn open_for(&self) -> Duration {
+    pub fn age(&self) -> Duration {
         self.began.elapsed()
     }
 }
 
 /// The line that a connection owes: logged when this is dropped, which its owner does as it closes.
 #[derive(Debug)]
-pub struct Line(Rc<Record>);
+pub struct ConnectionLogGuard(Rc<ConnectionRecord>);
 
-impl Line {
+impl ConnectionLogGuard {
     /// A connection has come up, or is about to.
-    pub fn open(side: Side, peer: SocketAddr) -> Self {
-        let (reason, named, messages) = (Cell::new(Reason::ClosedByPeer), Cell::new(false), Cell::new(0));
-        Self(Rc::new(Record { side, peer, began: Instant::now(), reason, named, messages }))
+    pub fn open(side: PeerKind, peer: SocketAddr) -> Self {
+        let (reason, named, messages) =
+            (Cell::new(CloseReason::ClosedByPeer), Cell::new(false), Cell::new(0));
+        Self(Rc::new(ConnectionRecord { side, peer, began: Instant::now(), reason, named, messages }))
     }
 
     /// What is known of it, to be added to.
-    pub fn record(&self) -> Rc<Record> {
+    pub fn record(&self) -> Rc<ConnectionRecord> {
         self.0.clone()
     }
 }
 
-impl Drop for Line {
+impl Drop for ConnectionLogGuard {
     fn drop(&mut self) {
-        (self.0.side.log)(&self.0);
+        (self.0.side.on_close)(&self.0);
     }
 }
--- a/crates/http-links/src/lib.rs
+++ b/crates/http-links/src/lib.rs
@@ -6,11 +6,11 @@
 mod retry;
 mod written;
 
-pub use body::{BODY_LIMIT, BodyFault, whole};
-pub use connection_log::{Line, Reason, Record, Side};
-pub use link::{Link, OpenFault, Opening};
-pub use retry::{RetryPolicy, SendFault, SendFaultCause, SendProgress};
-pub use written::Written;
+pub use body::{BodyError, MAX_BUFFERED_BODY_BYTES, read_body};
+pub use connection_log::{CloseReason, ConnectionLogGuard, ConnectionRecord, PeerKind};
+pub use link::{ConnectError, ConnectOptions, OutboundConnection};
+pub use retry::{RetryPolicy, SendError, SendErrorKind, SendProgress};
+pub use written::WriteProgress;
 
 /// The header that a keyed request is named by; repeats of one key are one piece of work.
-pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
--- a/crates/http-links/src/retry.rs
+++ b/crates/http-links/src/retry.rs
@@ -40,20 +40,20 @@
 
 /// Why an exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendFaultCause {
+pub enum SendErrorKind {
     /// No answer within its time, or its time was over before the first byte.
     DeadlinePassed,
     /// What came is no HTTP.
-    NotHttp,
+    InvalidHttp,
     /// The connection ended.
     ConnectionLost,
 }
 
 /// An exchange without an answer, and how much of its message had left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SendFault {
+pub struct SendError {
     /// Why.
-    pub cause: SendFaultCause,
+    pub cause: SendErrorKind,
     /// How far the message had come.
     pub progress: SendProgress,
 }
--- a/crates/http-links/src/written.rs
+++ b/crates/http-links/src/written.rs
@@ -9,7 +9,7 @@
 
 /// How much of the message now on a connection has left for the kernel.
 #[derive(Debug, Default)]
-pub struct Written {
+pub struct WriteProgress {
     begun: Cell<bool>,
     matched: Cell<usize>,
     body_left: Cell<usize>,
@@ -17,9 +17,9 @@
     deadline: Cell<Option<Instant>>,
 }
 
-impl Written {
+impl WriteProgress {
     /// A new message follows, whose body has this length; `usize::MAX` where that is not known.
-    pub fn arm(&self, body: usize) {
+    pub fn start_message(&self, body: usize) {
         self.begun.set(false);
         self.matched.set(0);
         self.body_left.set(body);
@@ -28,18 +28,18 @@
     }
 
     /// The message must not be begun after this.
-    pub fn begin_before(&self, deadline: Instant) {
+    pub fn set_start_deadline(&self, deadline: Instant) {
         self.deadline.set(Some(deadline));
     }
 
     /// Whether it is too late for its first byte.
-    pub fn overdue(&self) -> bool {
-        !self.begun() && self.deadline.get().is_some_and(|deadline| Instant::now() >= deadline)
+    pub fn is_overdue(&self) -> bool {
+        !self.has_started() && self.deadline.get().is_some_and(|deadline| Instant::now() >= deadline)
     }
 
     /// How far it has come.
     pub fn progress(&self) -> SendProgress {
-        match (self.begun(), self.whole()) {
+        match (self.has_started(), self.is_complete()) {
             (_, true) => SendProgress::Complete,
             (true, false) => SendProgress::Partial,
             (false, false) => SendProgress::NotStarted,
@@ -47,31 +47,31 @@
     }
 
     /// Whether any byte of it has been handed to the kernel.
-    pub fn begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.begun.get()
     }
 
     /// Whether the last byte has been handed to the kernel: from then on the request may run.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole.get()
     }
 
     /// The last of a body whose length was not known is about to leave.
-    pub fn ended(&self) {
+    pub fn mark_complete(&self) {
         self.whole.set(true);
     }
 
     /// The kernel has taken so many bytes of these parts, in their order.
-    pub fn count_parts(&self, parts: &[IoSlice], mut taken: usize) {
+    pub fn record_vectored_write(&self, parts: &[IoSlice], mut taken: usize) {
         for part in parts {
             let bytes = part.get(..taken).unwrap_or(part);
-            self.count(bytes);
+            self.record_write(bytes);
             taken = taken.saturating_sub(bytes.len());
         }
     }
 
     /// The kernel has taken these bytes.
-    pub fn count(&self, bytes: &[u8]) {
+    pub fn record_write(&self, bytes: &[u8]) {
         const END: &[u8] = b"\r\n\r\n";
         self.begun.set(self.begun.get() || !bytes.is_empty());
         let mut at = 0;
--- a/crates/http-links/tests/link.rs
+++ b/crates/http-links/tests/link.rs
@@ -12,13 +12,14 @@
 use bytes::Bytes;
 use http_body_util::{Empty, Full};
 use mosshead_http_links::{
-    BodyFault, Link, OpenFault, Opening, Reason, Record, SendFault, SendFaultCause, SendProgress, Side, whole,
+    BodyError, CloseReason, ConnectError, ConnectOptions, ConnectionRecord, OutboundConnection, PeerKind,
+    SendError, SendErrorKind, SendProgress, read_body,
 };
 use rstest::rstest;
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::task::LocalSet;
 
-const SERVER: Side = Side { name: "server", log: |_| {} };
+const SERVER: PeerKind = PeerKind { name: "server", on_close: |_| {} };
 const PATIENCE: Duration = Duration::from_secs(5);
 
 fn run<T>(test: impl Future<Output = T>) -> T {
@@ -32,9 +33,9 @@
     (listener, to)
 }
 
-async fn connected() -> (Link<Full<Bytes>>, TcpStream) {
+async fn connected() -> (OutboundConnection<Full<Bytes>>, TcpStream) {
     let (listener, to) = listen();
-    let link = Link::open(SERVER, to, PATIENCE, ()).await.expect("a connection");
+    let link = OutboundConnection::open(SERVER, to, PATIENCE, ()).await.expect("a connection");
     (link, listener.accept().expect("it").0)
 }
 
@@ -45,7 +46,7 @@
 /// Sends a request, which `server` gets whole and answers with `answer` and the end of the connection.
 async fn answered(
     answer: &[u8],
-) -> (Link<Full<Bytes>>, hyper::Result<hyper::Response<hyper::body::Incoming>>) {
+) -> (OutboundConnection<Full<Bytes>>, hyper::Result<hyper::Response<hyper::body::Incoming>>) {
     let (mut link, mut server) = connected().await;
     let answer = answer.to_vec();
     let server = std::thread::spawn(move || {
@@ -58,7 +59,11 @@
         let _ = server.write_all(&answer);
     });
     let answer = link.send(get(), 0).await;
-    assert!(link.written.begun() && link.written.whole() && link.record.messages() == 1);
+    assert!(
+        link.write_progress.has_started()
+            && link.write_progress.is_complete()
+            && link.record.message_count() == 1
+    );
     server.join().expect("no fault");
     (link, answer)
 }
@@ -67,10 +72,10 @@
 fn an_answer_comes_back_and_its_body_is_held_within_its_limit() {
     run(async {
         let (mut link, answer) = answered(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nabcde").await;
-        let body = whole(answer.expect("an answer").into_body(), 5).await;
+        let body = read_body(answer.expect("an answer").into_body(), 5).await;
         assert_eq!(body.expect("a body"), "abcde");
         // It ends between two messages, by the server's will, and the runtime hears of that in its own time.
-        while !link.closed() {
+        while !link.is_closed() {
             tokio::task::yield_now().await;
         }
         assert!(!link.ready().await);
@@ -78,14 +83,14 @@
 }
 
 #[rstest]
-#[case::stated(b"HTTP/1.1 200 X\r\nContent-Length: 6\r\n\r\nabcdef", BodyFault::TooLong)]
-#[case::found(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nabcdef", BodyFault::TooLong)]
-#[case::short(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nab", BodyFault::Broken)]
-#[case::chunks(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", BodyFault::Broken)]
-fn a_body_that_can_t_be_had_says_why(#[case] answer: &[u8], #[case] fault: BodyFault) {
+#[case::stated(b"HTTP/1.1 200 X\r\nContent-Length: 6\r\n\r\nabcdef", BodyError::TooLong)]
+#[case::found(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nabcdef", BodyError::TooLong)]
+#[case::short(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nab", BodyError::Interrupted)]
+#[case::chunks(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", BodyError::Interrupted)]
+fn a_body_that_can_t_be_had_says_why(#[case] answer: &[u8], #[case] fault: BodyError) {
     run(async {
         let (_link, answer) = answered(answer).await;
-        assert_eq!(whole(answer.expect("a head").into_body(), 5).await, Err(fault));
+        assert_eq!(read_body(answer.expect("a head").into_body(), 5).await, Err(fault));
     });
 }
 
@@ -96,15 +101,18 @@
 fn without_an_answer_it_was_written_all_the_same(#[case] answer: &[u8]) {
     run(async {
         let (link, answer) = answered(answer).await;
-        assert!(answer.is_err() && link.written.whole());
+        assert!(answer.is_err() && link.write_progress.is_complete());
     });
 }
 
 thread_local! {
-    static REASON: Cell<Option<Reason>> = const { Cell::new(None) };
+    static REASON: Cell<Option<CloseReason>> = const { Cell::new(None) };
 }
 
-const LOGGED: Side = Side { name: "logged", log: |record: &Record| REASON.set(Some(record.reason())) };
+const LOGGED: PeerKind = PeerKind {
+    name: "logged",
+    on_close: |record: &ConnectionRecord| REASON.set(Some(record.close_reason())),
+};
 
 #[test]
 fn a_connection_that_does_not_come_up_says_why_and_lets_go_of_what_is_held() {
@@ -115,11 +123,11 @@
         listener.listen(0).expect("a listener");
         let to = listener.local_addr().expect("an address").as_socket().expect("of this family");
         let (_first, held) = (TcpStream::connect(to).expect("the one place"), Rc::new(()));
-        let late = Link::<Full<Bytes>>::open(LOGGED, to, Duration::ZERO, held.clone()).await;
-        assert_eq!((late.is_none(), REASON.take()), (true, Some(Reason::ConnectTimeout)));
+        let late = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, Duration::ZERO, held.clone()).await;
+        assert_eq!((late.is_none(), REASON.take()), (true, Some(CloseReason::ConnectTimeout)));
         drop(listener);
-        let refused = Link::<Full<Bytes>>::open(LOGGED, to, PATIENCE, held.clone()).await;
-        assert_eq!((refused.is_none(), REASON.take()), (true, Some(Reason::Refused)));
+        let refused = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, PATIENCE, held.clone()).await;
+        assert_eq!((refused.is_none(), REASON.take()), (true, Some(CloseReason::ConnectionRefused)));
         assert_eq!(Rc::strong_count(&held), 1);
     });
 }
@@ -129,7 +137,7 @@
 fn letting_go_of_a_link_closes_it_whatever_is_under_way() {
     run(async {
         let ((listener, to), held) = (listen(), Rc::new(()));
-        let link = Link::<Full<Bytes>>::open(LOGGED, to, PATIENCE, held.clone()).await;
+        let link = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, PATIENCE, held.clone()).await;
         let (mut link, (mut server, _)) = (link.expect("a connection"), listener.accept().expect("it"));
         {
             let mut sending = pin!(link.send(get(), 0));
@@ -141,7 +149,7 @@
         while Rc::strong_count(&held) > 1 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(REASON.take(), Some(Reason::GivenUp));
+        assert_eq!(REASON.take(), Some(CloseReason::Abandoned));
         // Its end follows at once behind what had been written.
         let mut came = Vec::new();
         let _ = server.read_to_end(&mut came);
@@ -152,7 +160,7 @@
 fn it_carries_other_bodies() {
     run(async {
         let (listener, to) = listen();
-        let link = Link::<Empty<Bytes>>::open(SERVER, to, PATIENCE, ()).await;
+        let link = OutboundConnection::<Empty<Bytes>>::open(SERVER, to, PATIENCE, ()).await;
         let (mut link, (mut server, _)) = (link.expect("a connection"), listener.accept().expect("it"));
         let request = hyper::Request::get("/").body(Empty::new()).expect("a request");
         let server = std::thread::spawn(move || {
@@ -163,7 +171,7 @@
         });
         assert_eq!(link.send(request, 0).await.expect("an answer").status(), 204);
         let _open = server.join().expect("no fault");
-        assert!(link.ready().await && !link.closed());
+        assert!(link.ready().await && !link.is_closed());
     });
 }
 
@@ -173,9 +181,10 @@
         let (_listener, to) = listen();
         let stream = tokio::net::TcpStream::connect(to).await.expect("a connection");
         let unset = SockRef::from(&stream).tcp_user_timeout().expect("an option");
-        Opening::from(PATIENCE).set_on(&stream);
+        ConnectOptions::from(PATIENCE).apply_to(&stream);
         assert_eq!(SockRef::from(&stream).tcp_user_timeout().expect("an option"), unset);
-        Opening { within: PATIENCE, user_timeout: Some(Duration::from_millis(1500)) }.set_on(&stream);
+        ConnectOptions { timeout: PATIENCE, user_timeout: Some(Duration::from_millis(1500)) }
+            .apply_to(&stream);
         let set = SockRef::from(&stream).tcp_user_timeout().expect("an option");
         assert_eq!((set, stream.nodelay().expect("an option")), (Some(Duration::from_millis(1500)), true));
     });
@@ -191,7 +200,7 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let to = listener.local_addr().expect("an address");
-        let link = Link::open(SERVER, to, Duration::from_secs(5), ()).await;
+        let link = OutboundConnection::open(SERVER, to, Duration::from_secs(5), ()).await;
         let (mut link, (mut node, _)) = (link.expect("a connection"), listener.accept().expect("it"));
         assert!(link.ready().await);
         match unasked {
@@ -199,7 +208,7 @@
             unasked => node.write_all(unasked).expect("room"),
         }
         let request = hyper::Request::get("/").body(Full::new(Bytes::new())).expect("a request");
-        assert!(link.send(request, 0).await.is_err() && !link.written.begun());
+        assert!(link.send(request, 0).await.is_err() && !link.write_progress.has_started());
         drop(link);
         tokio::task::yield_now().await;
         assert!(!matches!(node.read(&mut [0; 9]), Ok(1..)));
@@ -213,9 +222,9 @@
         let (mut link, mut server) = connected().await;
         assert!(link.ready().await);
         let past = tokio::time::Instant::now();
-        let fault = link.send_before(get(), past).await.expect_err("too late");
-        assert_eq!(fault.cause, SendFaultCause::DeadlinePassed);
-        assert_eq!((fault.progress, link.written.begun()), (SendProgress::NotStarted, false));
+        let fault = link.send_with_deadline(get(), past).await.expect_err("too late");
+        assert_eq!(fault.cause, SendErrorKind::DeadlinePassed);
+        assert_eq!((fault.progress, link.write_progress.has_started()), (SendProgress::NotStarted, false));
         drop(link);
         tokio::task::yield_now().await;
         assert!(!matches!(server.read(&mut [0; 9]), Ok(1..)));
@@ -228,10 +237,10 @@
     run(async {
         let (mut link, mut server) = connected().await;
         assert!(link.ready().await);
-        let written = link.written.clone();
+        let written = link.write_progress.clone();
         let deadline = tokio::time::Instant::now() + Duration::from_millis(20);
         {
-            let mut sending = pin!(link.send_before(get(), deadline));
+            let mut sending = pin!(link.send_with_deadline(get(), deadline));
             assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
             // The whole thread stands still: neither the timer nor the connection is looked after.
             while tokio::time::Instant::now() < deadline {
@@ -243,7 +252,7 @@
             let fault = sending.await.expect_err("too late");
             assert_eq!(fault.progress, SendProgress::NotStarted);
         }
-        assert!(!written.begun());
+        assert!(!written.has_started());
         drop(link);
         tokio::task::yield_now().await;
         assert!(!matches!(server.read(&mut [0; 9]), Ok(1..)));
@@ -257,7 +266,7 @@
         let (mut link, mut server) = connected().await;
         assert!(link.ready().await);
         let deadline = tokio::time::Instant::now() + Duration::from_millis(50);
-        let mut sending = pin!(link.send_before(get(), deadline));
+        let mut sending = pin!(link.send_with_deadline(get(), deadline));
         assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
         tokio::task::yield_now().await;
         assert!(server.read(&mut [0; 64]).expect("the request") > 0);
@@ -266,7 +275,7 @@
             std::thread::yield_now();
         }
         let fault = sending.await.expect_err("overdue");
-        let expected = SendFault { cause: SendFaultCause::DeadlinePassed, progress: SendProgress::Complete };
+        let expected = SendError { cause: SendErrorKind::DeadlinePassed, progress: SendProgress::Complete };
         assert_eq!(fault, expected);
     });
 }
@@ -285,8 +294,8 @@
             server
         });
         let deadline = tokio::time::Instant::now() + PATIENCE;
-        assert_eq!(link.send_before(request, deadline).await.expect("an answer").status(), 503);
-        assert!(!link.written.whole() && !link.reusable(PATIENCE).await);
+        assert_eq!(link.send_with_deadline(request, deadline).await.expect("an answer").status(), 503);
+        assert!(!link.write_progress.is_complete() && !link.is_reusable(PATIENCE).await);
         drop(server.join().expect("no fault"));
     });
 }
@@ -295,7 +304,7 @@
 fn one_that_is_quiet_behind_its_answer_is_used_again() {
     run(async {
         let (listener, to) = listen();
-        let link = Link::<Full<Bytes>>::open(SERVER, to, PATIENCE, ()).await;
+        let link = OutboundConnection::<Full<Bytes>>::open(SERVER, to, PATIENCE, ()).await;
         let (mut link, (mut server, _)) = (link.expect("a connection"), listener.accept().expect("it"));
         let server = std::thread::spawn(move || {
             for _ in 0..2 {
@@ -307,8 +316,8 @@
         for _ in 0..2 {
             let deadline = tokio::time::Instant::now() + PATIENCE;
             let request = get();
-            assert_eq!(link.send_before(request, deadline).await.expect("an answer").status(), 204);
-            assert!(link.reusable(PATIENCE).await);
+            assert_eq!(link.send_with_deadline(request, deadline).await.expect("an answer").status(), 204);
+            assert!(link.is_reusable(PATIENCE).await);
         }
         drop(server.join().expect("no fault"));
     });
@@ -319,8 +328,8 @@
     run(async {
         let (listener, to) = listen();
         drop(listener);
-        let refused = Link::<Full<Bytes>>::connect(SERVER, to, PATIENCE, ()).await;
-        assert_eq!(refused.err(), Some(OpenFault::Refused));
+        let refused = OutboundConnection::<Full<Bytes>>::connect(SERVER, to, PATIENCE, ()).await;
+        assert_eq!(refused.err(), Some(ConnectError::Refused));
     });
 }
 
@@ -349,7 +358,8 @@
                 whole
             });
             let deadline = tokio::time::Instant::now() + PATIENCE;
-            let fault = link.send_before(request.expect("a request"), deadline).await.expect_err("a reset");
+            let fault =
+                link.send_with_deadline(request.expect("a request"), deadline).await.expect_err("a reset");
             let whole = server.join().expect("no fault");
             assert!(fault.progress.may_have_run() || !whole, "{reads}: {fault:?}");
             assert!(!whole || reads == usize::MAX);
--- a/crates/http-links/tests/record.rs
+++ b/crates/http-links/tests/record.rs
@@ -3,22 +3,27 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use mosshead_http_links::{Line, Reason, Record, Side};
+use mosshead_http_links::{CloseReason, ConnectionLogGuard, ConnectionRecord, PeerKind};
 
 thread_local! {
     static LOGGED: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-const SIDE: Side = Side { name: "model-server", log };
+const SIDE: PeerKind = PeerKind { name: "model-server", on_close: log };
 
-fn log(record: &Record) {
-    let line =
-        format!("{} {} {} {}", record.side(), record.peer(), record.reason().code(), record.messages());
+fn log(record: &ConnectionRecord) {
+    let line = format!(
+        "{} {} {} {}",
+        record.peer_kind(),
+        record.peer(),
+        record.close_reason().code(),
+        record.message_count()
+    );
     LOGGED.with_borrow_mut(|logged| logged.push(line));
 }
 
-fn logged(of: impl FnOnce(&Record)) -> Vec<String> {
-    let line = Line::open(SIDE, SocketAddr::from(([10, 0, 0, 1], 80)));
+fn logged(of: impl FnOnce(&ConnectionRecord)) -> Vec<String> {
+    let line = ConnectionLogGuard::open(SIDE, SocketAddr::from(([10, 0, 0, 1], 80)));
     of(&line.record());
     assert!(LOGGED.with_borrow(Vec::is_empty));
     drop(line);
@@ -28,8 +33,8 @@
 #[test]
 fn each_connection_is_logged_once_as_it_closes() {
     let lines = logged(|record| {
-        record.message();
-        record.message();
+        record.count_message();
+        record.count_message();
     });
     assert_eq!(lines, ["model-server 10.0.0.1:80 closed-by-peer 2"]);
 }
@@ -38,12 +43,12 @@
 #[test]
 fn the_first_reason_named_stands() {
     let lines = logged(|record| {
-        record.otherwise(Reason::Broken);
-        record.otherwise(Reason::GivenUp);
-        assert_eq!(record.reason(), Reason::GivenUp);
-        record.because(Reason::Own("handle-lapsed"));
-        record.because(Reason::Broken);
-        record.otherwise(Reason::Stopping);
+        record.set_default_close_reason(CloseReason::ConnectionBroken);
+        record.set_default_close_reason(CloseReason::Abandoned);
+        assert_eq!(record.close_reason(), CloseReason::Abandoned);
+        record.set_close_reason(CloseReason::Other("handle-lapsed"));
+        record.set_close_reason(CloseReason::ConnectionBroken);
+        record.set_default_close_reason(CloseReason::ShuttingDown);
     });
     assert_eq!(lines, ["model-server 10.0.0.1:80 handle-lapsed 0"]);
 }
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, HOST};
 use hyper::{Request, StatusCode};
-use mosshead_http_links::{Link, Opening, Side};
+use mosshead_http_links::{ConnectOptions, OutboundConnection, PeerKind};
 use mosshead_registry::Stage;
 use mosshead_stage_scheduler::{AssignmentOutcome, StageAssignment};
 use mosshead_time::Duration;
@@ -19,9 +19,10 @@
 /// Bytes that are not acknowledged for this time end the connection (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
 /// How a connection for an order is opened.
-const OPENING: Opening = Opening { within: CONNECT_TIMEOUT, user_timeout: Some(TCP_USER_TIMEOUT) };
+const OPENING: ConnectOptions =
+    ConnectOptions { timeout: CONNECT_TIMEOUT, user_timeout: Some(TCP_USER_TIMEOUT) };
 /// The ends of these connections are not logged.
-const SERVER: Side = Side { name: "server", log: |_| {} };
+const SERVER: PeerKind = PeerKind { name: "server", on_close: |_| {} };
 
 /// An order to a model server.
 #[derive(Clone, Copy, Debug)]
@@ -74,12 +75,13 @@
     may_send: impl Fn() -> bool,
     deadline: Instant,
 ) -> Option<StatusCode> {
-    let mut link: Link<Full<Bytes>> = Link::open(SERVER, message.address.into(), OPENING, ()).await?;
+    let mut link: OutboundConnection<Full<Bytes>> =
+        OutboundConnection::open(SERVER, message.address.into(), OPENING, ()).await?;
     let request = message.request()?;
     // The role may have been lost while the connection was opened.
     if !link.ready().await || !may_send() {
         return None;
     }
-    let response = link.send_before(request, deadline).await.ok()?;
+    let response = link.send_with_deadline(request, deadline).await.ok()?;
     Some(response.status())
 }
--- a/crates/proxy/src/connection_log.rs
+++ b/crates/proxy/src/connection_log.rs
@@ -2,25 +2,25 @@
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use mosshead_http_links::{Reason, Record, Side};
+use mosshead_http_links::{CloseReason, ConnectionRecord, PeerKind};
 
 use crate::log::say;
 
-pub(crate) const SUBMITTER: Side = Side { name: "submitter", log };
-pub(crate) const EXECUTE_NODE: Side = Side { name: "execute-node", log };
-pub(crate) const MACHINE_LIST: Side = Side { name: "machine-list", log };
-pub(crate) const OPERATOR: Side = Side { name: "operator", log };
+pub(crate) const SUBMITTER: PeerKind = PeerKind { name: "submitter", on_close: log };
+pub(crate) const EXECUTE_NODE: PeerKind = PeerKind { name: "execute-node", on_close: log };
+pub(crate) const MACHINE_LIST: PeerKind = PeerKind { name: "machine-list", on_close: log };
+pub(crate) const OPERATOR: PeerKind = PeerKind { name: "operator", on_close: log };
 
-fn log(record: &Record) {
+fn log(record: &ConnectionRecord) {
     if STOPPING.load(Ordering::Relaxed) {
-        record.because(Reason::Stopping);
+        record.set_close_reason(CloseReason::ShuttingDown);
     }
-    let open_s = format_args!("{:.3}", record.open_for().as_secs_f64());
+    let open_s = format_args!("{:.3}", record.age().as_secs_f64());
     say!(
-        side = %record.side(),
+        side = %record.peer_kind(),
         peer = %record.peer(),
-        reason = %record.reason().code(),
-        messages = record.messages(),
+        reason = %record.close_reason().code(),
+        messages = record.message_count(),
         open_s = %open_s,
         "connection"
     );
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -20,7 +20,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mosshead_decide::Stage;
-use mosshead_http_links::{Line, Reason, Record};
+use mosshead_http_links::{CloseReason, ConnectionLogGuard, ConnectionRecord};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, JoinSet, LocalSet};
 use tokio::time::{sleep, timeout};
@@ -74,13 +74,17 @@
         {
             oldest.abort();
         }
-        standing.push_back(calls.spawn_local(call(stream, Line::open(OPERATOR, peer), control.clone())));
+        standing.push_back(calls.spawn_local(call(
+            stream,
+            ConnectionLogGuard::open(OPERATOR, peer),
+            control.clone(),
+        )));
     }
 }
 
-async fn call(stream: TcpStream, line: Line, control: Arc<Control>) {
+async fn call(stream: TcpStream, line: ConnectionLogGuard, control: Arc<Control>) {
     let record = line.record();
-    record.otherwise(Reason::Shed);
+    record.set_default_close_reason(CloseReason::DescriptorNeeded);
     let service = service_fn(|request: Request<Incoming>| {
         let answer = answer(&request, &record, &control);
         async move { Ok::<_, Infallible>(answer) }
@@ -88,16 +92,20 @@
     let mut http = Builder::new();
     let http = http.keep_alive(false).max_buf_size(HEAD_LIMIT);
     let reason = match timeout(CALL, http.serve_connection(TokioIo::new(stream), service)).await {
-        Ok(Ok(())) => Reason::Answered,
-        Ok(Err(error)) if error.is_parse() => Reason::BadRequest,
-        Ok(Err(_)) => Reason::Broken,
-        Err(_) => Reason::Unfinished,
+        Ok(Ok(())) => CloseReason::AdminRequestAnswered,
+        Ok(Err(error)) if error.is_parse() => CloseReason::BadRequest,
+        Ok(Err(_)) => CloseReason::ConnectionBroken,
+        Err(_) => CloseReason::RequestTimeout,
     };
-    record.because(reason);
+    record.set_close_reason(reason);
 }
 
-fn answer(request: &Request<Incoming>, record: &Record, control: &Control) -> Response<Full<Bytes>> {
-    record.message();
+fn answer(
+    request: &Request<Incoming>,
+    record: &ConnectionRecord,
+    control: &Control,
+) -> Response<Full<Bytes>> {
+    record.count_message();
     let respond = |status, words: &str| {
         let mut response = Response::new(Full::new(Bytes::copy_from_slice(words.as_bytes())));
         *response.status_mut() = status;
--- a/crates/proxy/src/execute_node.rs
+++ b/crates/proxy/src/execute_node.rs
@@ -18,10 +18,13 @@
 use crate::connection_log::EXECUTE_NODE;
 use crate::duration;
 use crate::flow::{self, Flow, Start};
-use crate::http::{self, Link};
+use crate::http::{self, OutboundConnection};
 use crate::messages::{Call, NodeMail, Payload, ProbeTicket, Ticket, Told};
 use mosshead_decide::interface::*;
-use mosshead_http_links::{BODY_LIMIT, BodyFault, IDEMPOTENCY_KEY, Reason, Record, Written, whole};
+use mosshead_http_links::{
+    BodyError, CloseReason, ConnectionRecord, IDEMPOTENCY_KEY_HEADER, MAX_BUFFERED_BODY_BYTES, WriteProgress,
+    read_body,
+};
 
 /// An idle connection is closed after this share of the time that execute nodes keep one: what is
 /// written to one that they have closed is lost.
@@ -55,7 +58,7 @@
 }
 
 struct Idle {
-    link: Link,
+    link: OutboundConnection,
     since: Instant,
 }
 
@@ -76,13 +79,13 @@
             tokio::select! {
                 biased;
                 mail = mailbox.recv() => match mail {
-                    Some(NodeMail::End) | None => return self.close(Reason::ListChanged),
+                    Some(NodeMail::End) | None => return self.close(CloseReason::EndpointChanged),
                     Some(mail) => self.read(mail),
                 },
                 _ = wanted.changed() => self.shed(),
                 () = async { sleep_until(expiry.unwrap_or_else(Instant::now).into()).await }, if expiry.is_some() => {
                     let idle = self.idle.remove(0);
-                    idle.link.record.because(Reason::IdleLimit);
+                    idle.link.record.set_close_reason(CloseReason::IdleTimeout);
                 }
             }
         }
@@ -95,7 +98,7 @@
                 if (before.addr, before.started_ms) != (told.addr, told.started_ms)
                     || told.readiness != Readiness::Ready
                 {
-                    self.close(Reason::ListChanged);
+                    self.close(CloseReason::EndpointChanged);
                 }
             }
             NodeMail::End => {}
@@ -113,7 +116,7 @@
                     let _ = cancel.send(());
                 }
             }
-            NodeMail::Close => self.close(Reason::ModuleAsked),
+            NodeMail::Close => self.close(CloseReason::ClosedByPolicy),
             NodeMail::Retuned(connect_timeout, keepalive) => {
                 self.shared.connect_timeout.set(duration(connect_timeout));
                 self.keep = duration(keepalive * IDLE_SHARE);
@@ -122,13 +125,13 @@
                 if let Some(key) = key {
                     self.out.remove(&key);
                 }
-                let Some(link) = link.filter(|link| !link.closed()) else { return };
+                let Some(link) = link.filter(|link| !link.is_closed()) else { return };
                 let told = self.shared.told.get();
                 if told.addr != addr || told.readiness != Readiness::Ready {
-                    return link.record.because(Reason::ListChanged);
+                    return link.record.set_close_reason(CloseReason::EndpointChanged);
                 }
                 if self.shared.budget.short() {
-                    return link.record.because(Reason::Shed);
+                    return link.record.set_close_reason(CloseReason::DescriptorNeeded);
                 }
                 self.idle.push(Idle { link, since: Instant::now() });
             }
@@ -137,7 +140,7 @@
 
     /// The way there for one message: the idle connection used last, if one still stands.
     fn way(&mut self) -> Way {
-        self.idle.retain(|idle| !idle.link.closed());
+        self.idle.retain(|idle| !idle.link.is_closed());
         let link = self.idle.pop().map(|idle| idle.link);
         Way { shared: self.shared.clone(), chosen: self.shared.told.get(), home: self.home.clone(), link }
     }
@@ -145,13 +148,13 @@
     /// Lets go of the connection idle for longest: others may be about to carry a job.
     fn shed(&mut self) {
         if !self.idle.is_empty() {
-            self.idle.remove(0).link.record.because(Reason::Shed);
+            self.idle.remove(0).link.record.set_close_reason(CloseReason::DescriptorNeeded);
         }
     }
 
-    fn close(&mut self, reason: Reason) {
+    fn close(&mut self, reason: CloseReason) {
         for idle in self.idle.drain(..) {
-            idle.link.record.because(reason);
+            idle.link.record.set_close_reason(reason);
         }
     }
 }
@@ -162,7 +165,7 @@
     /// What was told of the node when the module chose it.
     chosen: Told,
     home: UnboundedSender<NodeMail>,
-    link: Option<Link>,
+    link: Option<OutboundConnection>,
 }
 
 /// What came of writing a call to the node.
@@ -170,7 +173,7 @@
     outcome: Outcome,
     report: LoadReport,
     body: Bytes,
-    link: Option<Link>,
+    link: Option<OutboundConnection>,
     /// More of the answer than can be held.
     more: Option<Incoming>,
     /// When the head of a good answer came.
@@ -192,18 +195,18 @@
 
 /// How far an attempt has come, seen from outside: that it never ran can be proved until its last byte.
 #[derive(Default)]
-struct Progress(RefCell<Option<(Rc<Written>, Rc<Record>)>>);
+struct Progress(RefCell<Option<(Rc<WriteProgress>, Rc<ConnectionRecord>)>>);
 
 impl Progress {
-    fn begun(&self, link: &Link) {
-        *self.0.borrow_mut() = Some((link.written.clone(), link.record.clone()));
+    fn begun(&self, link: &OutboundConnection) {
+        *self.0.borrow_mut() = Some((link.write_progress.clone(), link.record.clone()));
     }
 
     /// Its connection is about to be closed. Says whether it may have run.
     fn given_up(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|(written, record)| {
-            record.because(Reason::GivenUp);
-            written.whole()
+            record.set_close_reason(CloseReason::Abandoned);
+            written.is_complete()
         })
     }
 }
@@ -283,9 +286,9 @@
 }
 
 /// A connection fit for the next message; it is that only once the whole answer has been taken off it.
-async fn usable(link: Option<Link>) -> Option<Link> {
+async fn usable(link: Option<OutboundConnection>) -> Option<OutboundConnection> {
     let mut link = link?;
-    link.record.otherwise(Reason::ClosedByPeer);
+    link.record.set_default_close_reason(CloseReason::ClosedByPeer);
     link.ready().await.then_some(link)
 }
 
@@ -316,38 +319,40 @@
             || told.started_ms != chosen.started_ms
             || told.addr != chosen.addr
         {
-            link.record.because(Reason::ListChanged);
+            link.record.set_close_reason(CloseReason::EndpointChanged);
             return Result::of(Outcome::NotSent);
         }
         let (body, length) = match &call.body {
             Payload::Whole(body) => (Some(Flow::from(body.clone())), body.len()),
             Payload::Flowing(upload) => {
                 let length = upload.length().map_or(usize::MAX, |length| length as usize);
-                (upload.flow(link.written.clone()), length)
+                (upload.flow(link.write_progress.clone()), length)
             }
         };
         let Some(request) = body.and_then(|body| encode(call, told.addr, until, body)) else {
-            link.record.because(Reason::GivenUp);
+            link.record.set_close_reason(CloseReason::Abandoned);
             return Result::of(Outcome::NotSent);
         };
-        link.record.otherwise(Reason::Broken);
+        link.record.set_default_close_reason(CloseReason::ConnectionBroken);
         progress.begun(&link);
         match link.send(request, length).await {
             Ok(answer) => return decode(link, answer).await,
-            Err(_) if link.written.whole() => return Result::of(Outcome::Reset),
+            Err(_) if link.write_progress.is_complete() => return Result::of(Outcome::Reset),
             // It ended, or brought what belongs to no answer, while it was idle: nothing was written to it.
-            Err(_) if again && !link.written.begun() => link.record.because(Reason::Stale),
+            Err(_) if again && !link.write_progress.has_started() => {
+                link.record.set_close_reason(CloseReason::Stale)
+            }
             Err(_) => return Result::of(Outcome::ConnectFailed),
         }
     }
 }
 
 /// A new connection; where this machine has no descriptor left for it, the node is not to blame.
-async fn connect(shared: &Shared, addr: SocketAddr) -> std::result::Result<Link, Outcome> {
+async fn connect(shared: &Shared, addr: SocketAddr) -> std::result::Result<OutboundConnection, Outcome> {
     let latest = Instant::now() + shared.connect_timeout.get();
     let permit = timeout_at(latest.into(), shared.budget.take()).await.map_err(|_| Outcome::NotSent)?;
     let within = latest.saturating_duration_since(Instant::now());
-    Link::open(EXECUTE_NODE, addr, within, permit).await.ok_or(Outcome::ConnectFailed)
+    OutboundConnection::open(EXECUTE_NODE, addr, within, permit).await.ok_or(Outcome::ConnectFailed)
 }
 
 fn encode(call: &Call, addr: SocketAddr, until: Instant, body: Flow) -> Option<Request<Flow>> {
@@ -358,17 +363,17 @@
         request = request.header("x-correlation-id", call.id.as_str());
     }
     if let Some(key) = &call.key {
-        request = request.header(IDEMPOTENCY_KEY, HeaderValue::from_maybe_shared(key.clone()).ok()?);
+        request = request.header(IDEMPOTENCY_KEY_HEADER, HeaderValue::from_maybe_shared(key.clone()).ok()?);
     }
     request.body(body).ok()
 }
 
 /// A connection that carried all of the job; answered before that, it is of no further use.
-fn fit(link: Link) -> Option<Link> {
-    Some(link).filter(|link| link.written.whole())
+fn fit(link: OutboundConnection) -> Option<OutboundConnection> {
+    Some(link).filter(|link| link.write_progress.is_complete())
 }
 
-async fn decode(link: Link, answer: Response<Incoming>) -> Result {
+async fn decode(link: OutboundConnection, answer: Response<Incoming>) -> Result {
     let headed = Some(Instant::now());
     let header = |name| answer.headers().get(name).and_then(|value| value.to_str().ok());
     let report = header("x-backend-load").map(http::load_report).unwrap_or_default();
@@ -403,14 +408,14 @@
                 Err(fault) => fault,
             }
         }
-        true => match whole(answer.into_body(), BODY_LIMIT).await {
+        true => match read_body(answer.into_body(), MAX_BUFFERED_BODY_BYTES).await {
             Ok(body) => return Result { report, body, link: fit(link), ..Result::of(outcome) },
             Err(fault) => fault,
         },
-        false => BodyFault::Unframed,
+        false => BodyError::InvalidLength,
     };
-    if fault != BodyFault::Broken {
-        link.record.because(Reason::BadAnswer);
+    if fault != BodyError::Interrupted {
+        link.record.set_close_reason(CloseReason::InvalidResponse);
     }
     // Danger: a spoilt answer has run, whatever its head claims.
     Result { report, ..Result::of(Outcome::Reset) }
--- a/crates/proxy/src/flow.rs
+++ b/crates/proxy/src/flow.rs
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Sleep, sleep_until, timeout_at};
 
-use crate::http::Link;
+use crate::http::OutboundConnection;
 use crate::messages::Mail;
 use mosshead_decide::interface::RequestId;
-use mosshead_http_links::{BODY_LIMIT, BodyFault, Written};
+use mosshead_http_links::{BodyError, MAX_BUFFERED_BODY_BYTES, WriteProgress};
 
 /// The most that a body holds that flows.
 pub(crate) const FLOW_LIMIT: u64 = 33 * 1024 * 1024;
@@ -63,12 +63,12 @@
 }
 
 /// Reads a body until it ends or is too large to be held; `patience` bounds the wait for the end of a small one.
-pub(crate) async fn start(mut body: Incoming, patience: Option<Duration>) -> Result<Start, BodyFault> {
+pub(crate) async fn start(mut body: Incoming, patience: Option<Duration>) -> Result<Start, BodyError> {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > FLOW_LIMIT) {
-        return Err(BodyFault::TooLong);
+        return Err(BodyError::TooLong);
     }
-    if length.is_some_and(|length| length > BODY_LIMIT as u64) {
+    if length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64) {
         return Ok(Start::More(Bytes::new(), body));
     }
     let (mut held, mut pace) = (BytesMut::new(), Pace::new());
@@ -77,14 +77,14 @@
         let limit = until.unwrap_or_else(|| pace.limit());
         let frame = match timeout_at(limit.into(), body.frame()).await {
             Ok(None) => return Ok(Start::Whole(held.freeze())),
-            Ok(Some(frame)) => frame.map_err(|_| BodyFault::Broken)?,
+            Ok(Some(frame)) => frame.map_err(|_| BodyError::Interrupted)?,
             Err(_) if until.is_some() => return Ok(Start::More(held.freeze(), body)),
-            Err(_) => return Err(BodyFault::Late),
+            Err(_) => return Err(BodyError::Timeout),
         };
         if let Ok(data) = frame.into_data() {
             pace.came(data.len());
             held.extend_from_slice(&data);
-            if held.len() > BODY_LIMIT {
+            if held.len() > MAX_BUFFERED_BODY_BYTES {
                 return Ok(Start::More(held.freeze(), body));
             }
         }
@@ -128,7 +128,7 @@
     }
 
     /// The body for one attempt; none where it can't be sent once more.
-    pub(crate) fn flow(self: &Rc<Self>, written: Rc<Written>) -> Option<Flow> {
+    pub(crate) fn flow(self: &Rc<Self>, written: Rc<WriteProgress>) -> Option<Flow> {
         let rest = self.rest.borrow_mut().take()?;
         let start = Some(self.start.clone()).filter(|start| !start.is_empty());
         let (upload, pace, timer) = (self.clone(), Pace::new(), None);
@@ -167,7 +167,7 @@
     touched: bool,
     pace: Pace,
     timer: Option<Pin<Box<Sleep>>>,
-    written: Rc<Written>,
+    written: Rc<WriteProgress>,
 }
 
 impl Drop for Up {
@@ -182,7 +182,7 @@
 type Ended = Box<dyn FnOnce(bool)>;
 
 /// Where a connection goes that has carried an answer.
-type Home = Box<dyn FnOnce(Link)>;
+type Home = Box<dyn FnOnce(OutboundConnection)>;
 
 /// A large answer on its way to the submitter.
 pub(crate) struct Down {
@@ -192,7 +192,7 @@
     passed: u64,
     timer: Option<Pin<Box<Sleep>>>,
     /// Where the connection goes once the answer has been taken off it.
-    link: Option<(Link, Home)>,
+    link: Option<(OutboundConnection, Home)>,
     ended: Option<Ended>,
 }
 
@@ -236,10 +236,15 @@
 
 impl Flow {
     /// An execute node's large answer; its connection goes to `home` when the whole answer has been passed on.
-    pub(crate) fn down(start: Bytes, rest: Incoming, link: Link, home: impl FnOnce(Link) + 'static) -> Self {
+    pub(crate) fn down(
+        start: Bytes,
+        rest: Incoming,
+        link: OutboundConnection,
+        home: impl FnOnce(OutboundConnection) + 'static,
+    ) -> Self {
         let length = rest.size_hint().exact().map(|rest| rest + start.len() as u64);
         let start = Some(start).filter(|start| !start.is_empty());
-        let link: Option<(Link, Home)> = Some((link, Box::new(home)));
+        let link: Option<(OutboundConnection, Home)> = Some((link, Box::new(home)));
         Flow::Down(Box::new(Down { start, rest, length, passed: 0, timer: None, link, ended: None }))
     }
 
@@ -298,7 +303,7 @@
             }
             // Danger: its last byte is about to leave; from now on it may run.
             None => {
-                self.written.ended();
+                self.written.mark_complete();
                 self.upload.ended();
             }
             Some(Err(_)) => {}
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -4,7 +4,7 @@
 use mosshead_decide::interface::LoadReport;
 
 /// An open connection to an execute node, or to the machine list.
-pub(crate) type Link = mosshead_http_links::Link<Flow>;
+pub(crate) type OutboundConnection = mosshead_http_links::OutboundConnection<Flow>;
 
 /// A load report as `name=value,name=value`; what is not understood is left out.
 pub(crate) fn load_report(text: &str) -> LoadReport {
--- a/crates/proxy/src/machine_list.rs
+++ b/crates/proxy/src/machine_list.rs
@@ -12,12 +12,12 @@
 use crate::connection_log::MACHINE_LIST;
 use crate::duration;
 use crate::flow::Flow;
-use crate::http::Link;
+use crate::http::OutboundConnection;
 use crate::log::{Bounded, say};
 use crate::messages::Mail;
 use mosshead_comeback::Silence;
 use mosshead_decide::interface::Seconds;
-use mosshead_http_links::{Reason, whole};
+use mosshead_http_links::{CloseReason, read_body};
 use mosshead_known::listing::{Listing, read_listing};
 use mosshead_settings::{self as settings, Found};
 
@@ -202,13 +202,13 @@
 struct Caller {
     discovery: SocketAddr,
     connect_timeout: Duration,
-    link: Option<Link>,
+    link: Option<OutboundConnection>,
 }
 
 impl Caller {
     fn move_to(&mut self, discovery: SocketAddr) {
         if let Some(link) = self.link.take() {
-            link.record.because(Reason::Reloaded);
+            link.record.set_close_reason(CloseReason::ConfigReloaded);
         }
         self.discovery = discovery;
     }
@@ -239,7 +239,8 @@
             self.link = None;
         }
         if self.link.is_none() {
-            self.link = Link::open(MACHINE_LIST, self.discovery, self.connect_timeout, ()).await;
+            self.link =
+                OutboundConnection::open(MACHINE_LIST, self.discovery, self.connect_timeout, ()).await;
         }
         let link = self.link.as_mut().ok_or_else(|| fault("no connection"))?;
         let target = match held {
@@ -248,14 +249,14 @@
         };
         let request = Request::get(target).header("host", self.discovery.to_string());
         let request = request.body(Flow::from(Bytes::new())).map_err(|error| fault(&error.to_string()))?;
-        link.record.otherwise(Reason::GivenUp);
+        link.record.set_default_close_reason(CloseReason::Abandoned);
         let answer = link.send(request, 0).await.map_err(|error| fault(&error.to_string()))?;
         if answer.status() != StatusCode::OK {
             return Err(fault(&format!("answered {}", answer.status().as_u16())));
         }
-        let body = whole(answer.into_body(), LIST_LIMIT).await;
+        let body = read_body(answer.into_body(), LIST_LIMIT).await;
         let body = body.map_err(|error| Fault::nonsense(format!("body {error:?}")))?;
-        link.record.otherwise(Reason::ClosedByPeer);
+        link.record.set_default_close_reason(CloseReason::ClosedByPeer);
         Ok(body)
     }
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use crate::flow::{Flow, Upload};
-use crate::http::Link;
+use crate::http::OutboundConnection;
 use crate::tuning::Terms;
 use mosshead_known::listing::Listing;
 
@@ -116,7 +116,7 @@
     /// Other limits are in force.
     Retuned(Seconds, Seconds),
     /// An attempt or probe is over; its connection may be of further use.
-    Over(Option<(RequestId, AttemptNumber)>, Option<Link>, SocketAddr),
+    Over(Option<(RequestId, AttemptNumber)>, Option<OutboundConnection>, SocketAddr),
 }
 
 /// What the machine list says of an execute node.
--- a/crates/proxy/src/submitter.rs
+++ b/crates/proxy/src/submitter.rs
@@ -37,7 +37,9 @@
 use crate::module::Module;
 use crate::tuning::{Term, Terms};
 use mosshead_decide::interface::{ClassId, RepeatEffect, TenantId};
-use mosshead_http_links::{BodyFault, IDEMPOTENCY_KEY, Line, Reason, Record};
+use mosshead_http_links::{
+    BodyError, CloseReason, ConnectionLogGuard, ConnectionRecord, IDEMPOTENCY_KEY_HEADER,
+};
 
 /// New connections keep coming for so long after a stop is asked for.
 const STOP_ACCEPTING: Duration = Duration::from_millis(450);
@@ -152,25 +154,25 @@
     }
 
     /// When the connection is to be closed if nothing comes, and why.
-    fn end(&self) -> (Instant, Reason) {
+    fn end(&self) -> (Instant, CloseReason) {
         // Danger: an answer that a slow reader still takes would be cut off.
         if let Some(blocked) = self.blocked.get() {
-            return (blocked + READER_REST, Reason::Unread);
+            return (blocked + READER_REST, CloseReason::ResponseUnread);
         }
         let since = self.since.get();
         if let (None, Some(drain)) = (self.begun.get(), self.draining.get()) {
-            return (since.max(drain) + IDLE_IF_DRAINING, Reason::Draining);
+            return (since.max(drain) + IDLE_IF_DRAINING, CloseReason::Draining);
         }
         match (self.begun.get(), self.answered.get(), self.short.get()) {
             (Some(_), _, true) => {
                 let stalled = self.heard.get() + STALL_IF_SHORT;
-                (self.whole_by().min(stalled), Reason::Unfinished)
+                (self.whole_by().min(stalled), CloseReason::RequestTimeout)
             }
-            (Some(_), _, false) => (self.whole_by(), Reason::Unfinished),
-            (None, false, false) => (self.whole_by(), Reason::Silent),
-            (None, true, false) => (since + IDLE, Reason::IdleLimit),
-            (None, false, true) => (since + SILENT_IF_SHORT, Reason::Shed),
-            (None, true, true) => (since + IDLE_IF_SHORT, Reason::Shed),
+            (Some(_), _, false) => (self.whole_by(), CloseReason::RequestTimeout),
+            (None, false, false) => (self.whole_by(), CloseReason::NoRequest),
+            (None, true, false) => (since + IDLE, CloseReason::IdleTimeout),
+            (None, false, true) => (since + SILENT_IF_SHORT, CloseReason::DescriptorNeeded),
+            (None, true, true) => (since + IDLE_IF_SHORT, CloseReason::DescriptorNeeded),
         }
     }
 }
@@ -315,14 +317,18 @@
         while open.join_next().await.is_some() {}
     }
 
-    async fn accept(&self, listener: &TcpListener) -> Option<(TcpStream, Line, Permit)> {
+    async fn accept(&self, listener: &TcpListener) -> Option<(TcpStream, ConnectionLogGuard, Permit)> {
         let permit = self.budget.take().await;
         self.accept_with(listener, permit).await
     }
 
-    async fn accept_with(&self, listener: &TcpListener, permit: Permit) -> Option<(TcpStream, Line, Permit)> {
+    async fn accept_with(
+        &self,
+        listener: &TcpListener,
+        permit: Permit,
+    ) -> Option<(TcpStream, ConnectionLogGuard, Permit)> {
         match listener.accept().await {
-            Ok((stream, peer)) => Some((stream, Line::open(SUBMITTER, peer), permit)),
+            Ok((stream, peer)) => Some((stream, ConnectionLogGuard::open(SUBMITTER, peer), permit)),
             Err(error) => {
                 say!(why = %error, "accept failed");
                 sleep(ACCEPT_PAUSE).await;
@@ -331,13 +337,13 @@
         }
     }
 
-    fn start(self: &Rc<Self>, new: Option<(TcpStream, Line, Permit)>, open: &mut JoinSet<()>) {
+    fn start(self: &Rc<Self>, new: Option<(TcpStream, ConnectionLogGuard, Permit)>, open: &mut JoinSet<()>) {
         if let Some((stream, line, permit)) = new {
             open.spawn_local(self.clone().connection(stream, line, permit));
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: TcpStream, line: Line, _permit: Permit) {
+    async fn connection(self: Rc<Self>, stream: TcpStream, line: ConnectionLogGuard, _permit: Permit) {
         let _ = stream.set_nodelay(true);
         let record = line.record();
         let progress = Rc::new(Progress::new());
@@ -352,7 +358,7 @@
                     progress.spoilt.set(!whole);
                     progress.short.set(front.budget.tight());
                     if !whole {
-                        record.because(Reason::Broken);
+                        record.set_close_reason(CloseReason::ConnectionBroken);
                     }
                 });
                 Ok::<_, Infallible>(answer)
@@ -375,7 +381,7 @@
                 end = server.as_mut() => break end,
                 _ = stage.wait_for(|stage| *stage == Stage::Stopping), if !stopping => {
                     stopping = true;
-                    record.otherwise(Reason::Stopping);
+                    record.set_default_close_reason(CloseReason::ShuttingDown);
                     server.as_mut().graceful_shutdown();
                 }
                 _ = wanted.changed() => progress.short.set(true),
@@ -383,29 +389,35 @@
                 () = sleep_until(close(progress.end().0).into()) => {
                     let (at, why) = progress.end();
                     if !held() && at <= Instant::now() {
-                        return record.because(why);
+                        return record.set_close_reason(why);
                     }
                 }
             }
         };
         if let Err(error) = end {
-            let reason = if error.is_parse() { Reason::BadRequest } else { Reason::Broken };
+            let reason =
+                if error.is_parse() { CloseReason::BadRequest } else { CloseReason::ConnectionBroken };
             // Where a job is held, its submitter has left; the line already says so.
-            if record.reason() != Reason::SubmitterGone {
-                record.because(reason);
+            if record.close_reason() != CloseReason::ClientGone {
+                record.set_close_reason(reason);
             }
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>, record: &Record, both: bool) -> Response<Flow> {
-        record.message();
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        record: &ConnectionRecord,
+        both: bool,
+    ) -> Response<Flow> {
+        record.count_message();
         let mut response = if request.uri().path() == "/_health" {
             let open = self.control.ready() && !self.control.draining();
             respond(if open { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, Bytes::new())
         } else {
             match self.decode(request, both).await {
                 Ok(job) => {
-                    record.otherwise(Reason::SubmitterGone);
+                    record.set_default_close_reason(CloseReason::ClientGone);
                     match self.module.take(job).await {
                         Answer::IdTaken => self.turn_down(record, ID_TAKEN),
                         answer => encode(answer),
@@ -416,15 +428,15 @@
         };
         let last = match (*self.stage.borrow(), self.control.draining()) {
             (Stage::Serving, false) => None,
-            (Stage::Serving, true) => Some(Reason::Draining),
-            _ => Some(Reason::Stopping),
+            (Stage::Serving, true) => Some(CloseReason::Draining),
+            _ => Some(CloseReason::ShuttingDown),
         };
-        record.otherwise(last.unwrap_or(Reason::ClosedByPeer));
+        record.set_default_close_reason(last.unwrap_or(CloseReason::ClosedByPeer));
         // Danger: answered while descriptors are short, it would idle on one. Closed by its answer it crosses no
         // further message.
         let short = self.budget.tight();
         if short {
-            record.otherwise(Reason::Shed);
+            record.set_default_close_reason(CloseReason::DescriptorNeeded);
         }
         if last.is_some() || short {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -433,13 +445,13 @@
     }
 
     /// The answer to what is no job, the last on its connection: what follows there may be part of it.
-    fn turn_down(&self, record: &Record, Turned(status, why): Turned) -> Response<Flow> {
+    fn turn_down(&self, record: &ConnectionRecord, Turned(status, why): Turned) -> Response<Flow> {
         match self.turned_down.admit() {
             Some(0) => say!(status = status.as_u16(), why = %why, "turned-down"),
             Some(left_out) => say!(status = status.as_u16(), why = %why, left_out, "turned-down"),
             None => {}
         }
-        record.because(Reason::BadRequest);
+        record.set_close_reason(CloseReason::BadRequest);
         let mut response = respond(status, Bytes::from_static(why.as_bytes()));
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         response
@@ -456,9 +468,11 @@
         // Danger: a submitter that never ends its body would hold its descriptor for good.
         let late = Turned(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
         let body = flow::start(body, None).await.map_err(|fault| match fault {
-            BodyFault::TooLong => too_long,
-            BodyFault::Late => late,
-            BodyFault::Broken | BodyFault::Unframed => Turned(StatusCode::BAD_REQUEST, "the body broke off"),
+            BodyError::TooLong => too_long,
+            BodyError::Timeout => late,
+            BodyError::Interrupted | BodyError::InvalidLength => {
+                Turned(StatusCode::BAD_REQUEST, "the body broke off")
+            }
         })?;
         let number = u64::from_str_radix(&id, 16).map_err(|_| BAD_ID)?;
         let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
@@ -529,7 +543,7 @@
 /// The idempotency key, if there is one. It need not be text: it passes on byte for byte.
 fn read_key(head: &Parts) -> Result<Option<Bytes>, Turned> {
     let bad = |why| Turned(StatusCode::BAD_REQUEST, why);
-    match single(head, IDEMPOTENCY_KEY, "Idempotency-Key is given twice")? {
+    match single(head, IDEMPOTENCY_KEY_HEADER, "Idempotency-Key is given twice")? {
         Some(key) if key.is_empty() => Err(bad("Idempotency-Key is empty")),
         Some(key) if key.len() > KEY_LIMIT => Err(bad("Idempotency-Key is too long")),
         key => Ok(key.map(|key| Bytes::copy_from_slice(key.as_bytes()))),
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use mosshead_http_links::{RetryPolicy, SendFault, SendFaultCause, SendProgress};
+use mosshead_http_links::{RetryPolicy, SendError, SendErrorKind, SendProgress};
 use tokio::time::Instant;
 
 use crate::call::{MAX_BODY_BYTES, decode, encode};
@@ -75,12 +75,13 @@
         }
         let call_id = self.next_call_id();
         let request = message.request(&call_id).map_err(nothing_sent)?;
-        let response = connection.send_before(request, message.deadline).await.map_err(Unanswered::from)?;
+        let response =
+            connection.send_with_deadline(request, message.deadline).await.map_err(Unanswered::from)?;
         // Danger: an answer in excess to an earlier call may stand where this one's is due.
         if response.headers().get(CALL_ID_HEADER) != Some(&call_id) {
             return Err(Unanswered {
                 fault: CallError::ResponseMismatch,
-                progress: connection.written.progress(),
+                progress: connection.write_progress.progress(),
             });
         }
         Ok(Answer { connection, response })
@@ -101,7 +102,7 @@
         if Instant::now() >= message.deadline {
             return Err(CallError::Timeout);
         }
-        if connection.reusable(SETTLES).await {
+        if connection.is_reusable(SETTLES).await {
             self.pool.put(message.to, connection);
         }
         if head.status == StatusCode::OK {
@@ -152,13 +153,13 @@
     }
 }
 
-impl From<SendFault> for Unanswered {
-    fn from(fault: SendFault) -> Unanswered {
+impl From<SendError> for Unanswered {
+    fn from(fault: SendError) -> Unanswered {
         let progress = fault.progress;
         let fault = match fault.cause {
-            SendFaultCause::DeadlinePassed => CallError::Timeout,
-            SendFaultCause::NotHttp => CallError::Malformed,
-            SendFaultCause::ConnectionLost => CallError::ConnectionLost,
+            SendErrorKind::DeadlinePassed => CallError::Timeout,
+            SendErrorKind::InvalidHttp => CallError::Malformed,
+            SendErrorKind::ConnectionLost => CallError::ConnectionLost,
         };
         Unanswered { fault, progress }
     }
--- a/crates/rpc/src/pool.rs
+++ b/crates/rpc/src/pool.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use mosshead_http_links::{Link, OpenFault, Opening, Side};
+use mosshead_http_links::{ConnectError, ConnectOptions, OutboundConnection, PeerKind};
 use tokio::time::Instant;
 
 use crate::CallError;
@@ -22,15 +22,15 @@
 const CONNECT: Duration = Duration::from_millis(300);
 
 /// Ends of these connections are not logged one by one.
-const PEER: Side = Side { name: "peer", log: |_| {} };
+const PEER: PeerKind = PeerKind { name: "peer", on_close: |_| {} };
 
 /// An open connection. Dropping it closes it.
-pub(crate) type Connection = Link<Full<Bytes>>;
+pub(crate) type Connection = OutboundConnection<Full<Bytes>>;
 
 /// Connects; a lost opening packet would come again only after seconds, so there is a second attempt.
 pub(crate) async fn connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, CallError> {
     let connected = match attempt(to, deadline).await {
-        Err(OpenFault::Unreachable | OpenFault::TimedOut) if Instant::now() < deadline => {
+        Err(ConnectError::Unreachable | ConnectError::TimedOut) if Instant::now() < deadline => {
             attempt(to, deadline).await
         }
         connected => connected,
@@ -38,9 +38,15 @@
     connected.map_err(|_| CallError::Connect)
 }
 
-async fn attempt(to: SocketAddrV4, deadline: Instant) -> Result<Connection, OpenFault> {
+async fn attempt(to: SocketAddrV4, deadline: Instant) -> Result<Connection, ConnectError> {
     let within = CONNECT.min(deadline.saturating_duration_since(Instant::now()));
-    Connection::connect(PEER, to.into(), Opening { within, user_timeout: Some(USER_TIMEOUT) }, ()).await
+    Connection::connect(
+        PEER,
+        to.into(),
+        ConnectOptions { timeout: within, user_timeout: Some(USER_TIMEOUT) },
+        (),
+    )
+    .await
 }
 
 /// The idle connections.
@@ -58,7 +64,7 @@
         let of_address = idle.get_mut(&to)?;
         while let Some((since, connection)) = of_address.pop() {
             self.count.set(self.count.get().saturating_sub(1));
-            if !connection.closed() && since.elapsed() < IDLE {
+            if !connection.is_closed() && since.elapsed() < IDLE {
                 return Some(connection);
             }
         }
@@ -68,7 +74,7 @@
 
     /// Keeps a connection on which nothing is under way.
     pub fn put(self: &Rc<Pool>, to: SocketAddrV4, connection: Connection) {
-        if connection.closed() || self.count.get() >= MAX_ALL_IDLE {
+        if connection.is_closed() || self.count.get() >= MAX_ALL_IDLE {
             return;
         }
         {
@@ -95,7 +101,7 @@
     fn purge(&self) -> Option<Instant> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, of_address| {
-            of_address.retain(|(since, connection)| !connection.closed() && since.elapsed() < IDLE);
+            of_address.retain(|(since, connection)| !connection.is_closed() && since.elapsed() < IDLE);
             !of_address.is_empty()
         });
         self.count.set(idle.values().map(Vec::len).sum());
