--- a/crates/programs/src/logging.rs
+++ b/crates/programs/src/logging.rs
@@ -1,4 +1,5 @@
-//! Logs: short sentences with a fixed prefix for each part, to standard output.
+//! The log on standard output. A line is an event in lower case after the prefix of its part, with fields as
+//! `name=value`: `consensus: became primary term=7`.
 
 use std::sync::Arc;
 
@@ -6,7 +7,7 @@
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger};
 
-/// Sets the process's log up. A log that can't be had is done without.
+/// Sets up the log of the process, with debug events if `detailed`. Without a usable standard output nothing is logged.
 pub fn start(detailed: bool) {
     let format = PatternFormatter::new(pattern!("{time} {level} {payload}{eol}"));
     let sink = StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(format).build();
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The calls between own processes come out as they went in.
+//! Calls between processes of the fleet survive encoding and decoding.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -14,15 +14,15 @@
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
-/// Encoded, decoded and encoded again it is the same; cut off or followed by garbage it does no harm.
-fn round<T: Debug + Encode<()> + for<'b> Decode<'b, ()>>(value: &T) -> bool {
+/// Whether a value that is encoded, decoded and encoded again stays the same, and its truncated bytes are rejected.
+fn survives_encoding<T: Debug + Encode<()> + for<'b> Decode<'b, ()>>(value: &T) -> bool {
     let bytes = minicbor::to_vec(value).expect("encodes");
     let back: T = minicbor::decode(&bytes).expect("decodes");
     let again = minicbor::to_vec(&back).expect("encodes");
-    let cut = bytes.len() * 2 / 3;
+    let truncated = bytes.len() * 2 / 3;
     format!("{value:?}") == format!("{back:?}")
         && bytes == again
-        && minicbor::decode::<T>(&bytes[..cut]).is_err()
+        && minicbor::decode::<T>(&bytes[..truncated]).is_err()
 }
 
 fn address(at: u32, port: u16) -> SocketAddrV4 {
@@ -35,7 +35,7 @@
     )
 }
 
-fn delta(text: &str, number: u64, of: &[(u64, u64)], mark: bool) -> Delta {
+fn delta(text: &str, number: u64, of: &[(u64, u64)], flag: bool) -> Delta {
     let server = |state, stage| Server {
         id: text.into(),
         service: format!("{text}-service"),
@@ -44,7 +44,7 @@
         software_revision: String::new(),
         slots: number as u32,
         state,
-        is_suspected: mark,
+        is_suspected: flag,
         warmup_remaining: Duration::from_millis(number),
         stage,
         models: vec![Model {
@@ -68,12 +68,12 @@
         entries: entries.to_vec(),
         base: vector(of),
         vector: vector(of),
-        is_truncated: mark,
+        is_truncated: flag,
         fingerprint: number,
     }
 }
 
-fn messages(number: u64, body: &[u8], mark: bool) -> Vec<Message> {
+fn messages(number: u64, body: &[u8], flag: bool) -> Vec<Message> {
     let ballot = Term { number, proposer: MemberId(number / 2) };
     let member = Member { id: MemberId(number), address: address(number as u32, 7720) };
     let record = EpochConfig {
@@ -93,19 +93,19 @@
     };
     vec![
         Message::PreVote,
-        Message::PreVoteResponse { granted: mark, is_bootstrap_voter: !mark, config: Some(record.clone()) },
+        Message::PreVoteResponse { granted: flag, is_bootstrap_voter: !flag, config: Some(record.clone()) },
         Message::Prepare { term: ballot },
         Message::Promise {
             term: ballot,
-            is_bootstrap_voter: mark,
-            is_healthy: !mark,
+            is_bootstrap_voter: flag,
+            is_healthy: !flag,
             config: Some(record),
             version: Some(version),
         },
         Message::Promise {
             term: ballot,
-            is_bootstrap_voter: mark,
-            is_healthy: mark,
+            is_bootstrap_voter: flag,
+            is_healthy: flag,
             config: None,
             version: None,
         },
@@ -117,45 +117,45 @@
 }
 
 quickcheck! {
-    fn a_pull(name: String, numbers: (u64, u64, u64), of: Vec<(u64, u64)>, marks: (bool, bool)) -> bool {
+    fn watch_updates_survives_encoding(name: String, numbers: (u64, u64, u64), of: Vec<(u64, u64)>, flags: (bool, bool)) -> bool {
         let (incarnation, revision, wait_ms) = numbers;
-        let (is_proxy, wants_entries) = marks;
+        let (is_proxy, wants_entries) = flags;
         let wait = Duration::from_millis(wait_ms);
-        round(&WatchUpdates { name, incarnation, is_proxy, revision, vector: vector(&of), wants_entries, wait })
+        survives_encoding(&WatchUpdates { name, incarnation, is_proxy, revision, vector: vector(&of), wants_entries, wait })
     }
 
-    fn what_was_pulled(text: String, number: u64, of: Vec<(u64, u64)>, cores: Vec<(u32, u16)>, mark: bool) -> bool {
-        round(&Updates {
+    fn updates_survive_encoding(text: String, number: u64, of: Vec<(u64, u64)>, control_nodes: Vec<(u32, u16)>, flag: bool) -> bool {
+        survives_encoding(&Updates {
             revision: number,
-            delta: delta(&text, number, &of, mark),
-            has_newer_entries: mark,
-            control_nodes: cores.into_iter().map(|(at, port)| address(at, port)).collect(),
+            delta: delta(&text, number, &of, flag),
+            has_newer_entries: flag,
+            control_nodes: control_nodes.into_iter().map(|(at, port)| address(at, port)).collect(),
             proxy_count: number as u32,
-            has_quorum_contact: !mark,
-            needs_entries: mark,
+            has_quorum_contact: !flag,
+            needs_entries: flag,
             source: number,
         })
     }
 
-    fn a_fetch(revision: u64, patches: Vec<String>, full_text: Option<String>) -> bool {
-        round(&FetchConfig(ChunkRequest { base_revision: revision, target_revision: revision / 2, offset: revision / 3 })) && round(&ConfigUpdate { revision, patches, full_text })
+    fn fetch_config_and_its_update_survive_encoding(revision: u64, patches: Vec<String>, full_text: Option<String>) -> bool {
+        survives_encoding(&FetchConfig(ChunkRequest { base_revision: revision, target_revision: revision / 2, offset: revision / 3 })) && survives_encoding(&ConfigUpdate { revision, patches, full_text })
     }
 
-    fn a_hand_over(text: String, number: u64, of: Vec<(u64, u64)>, mark: bool) -> bool {
-        round(&ReplicateEntries { delta: delta(&text, number, &of, mark) })
-            && round(&ReplicateAck { changed: mark, vector: vector(&of) })
+    fn replicate_entries_and_its_ack_survive_encoding(text: String, number: u64, of: Vec<(u64, u64)>, flag: bool) -> bool {
+        survives_encoding(&ReplicateEntries { delta: delta(&text, number, &of, flag) })
+            && survives_encoding(&ReplicateAck { changed: flag, vector: vector(&of) })
     }
 
-    fn which_servers_are_heard(source: u64, digest: Vec<(String, u64)>) -> bool {
-        round(&CompareHeartbeats { source, sequences: digest })
+    fn compare_heartbeats_survives_encoding(source: u64, sequences: Vec<(String, u64)>) -> bool {
+        survives_encoding(&CompareHeartbeats { source, sequences })
     }
 
-    fn a_message_of_the_control_state(number: u64, body: Vec<u8>, mark: bool) -> bool {
+    fn consensus_messages_survive_encoding(number: u64, body: Vec<u8>, flag: bool) -> bool {
         let from = Member { id: MemberId(number), address: address(number as u32, 1) };
-        messages(number, &body, mark).into_iter().all(|message| round(&ConsensusMessage { from, message }))
+        messages(number, &body, flag).into_iter().all(|message| survives_encoding(&ConsensusMessage { from, message }))
     }
 
-    fn any_bytes_do_no_harm(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_never_panic(bytes: Vec<u8>) -> bool {
         let _ = minicbor::decode::<WatchUpdates>(&bytes);
         let _ = minicbor::decode::<Updates>(&bytes);
         let _ = minicbor::decode::<ConfigUpdate>(&bytes);
--- a/crates/programs/tests/control_api.rs
+++ b/crates/programs/tests/control_api.rs
@@ -1,20 +1,20 @@
-//! What servers and the operator send.
+//! What model servers and the operator send to the HTTP API.
 
 use mosshead_programs::control_api::{parse_heartbeat, request_digest};
 use mosshead_registry::{Model, OperState, Server, Stage};
 use mosshead_time::Duration;
 use quickcheck::{TestResult, quickcheck};
 
-const HEARTBEAT: &str = include_str!("samples/beat.json");
+const HEARTBEAT: &str = include_str!("samples/heartbeat.json");
 
-fn changed(from: &str, to: &str) -> Option<Server> {
+fn parse_changed_sample(from: &str, to: &str) -> Option<Server> {
     let text = HEARTBEAT.replace(from, to);
     assert_ne!(text, HEARTBEAT, "{from} is in the sample");
     parse_heartbeat("i-7f3a91c2", text.as_bytes())
 }
 
 #[test]
-fn the_sample_of_the_pages_is_read() {
+fn the_documented_sample_is_parsed() {
     let wanted = Server {
         id: "i-7f3a91c2".into(),
         service: "huvo11a".into(),
@@ -33,22 +33,24 @@
 }
 
 #[test]
-fn what_a_server_says_of_itself_is_taken() {
-    let state = |text: &str| changed("\"up\"", text).map(|server| server.state);
+fn the_fields_of_a_heartbeat_are_parsed() {
+    let state = |text: &str| parse_changed_sample("\"up\"", text).map(|server| server.state);
     assert_eq!(state("\"draining\""), Some(OperState::Draining));
-    let stage = |text: &str| changed("\"decode\"", text).and_then(|server| server.stage);
+    let stage = |text: &str| parse_changed_sample("\"decode\"", text).and_then(|server| server.stage);
     assert_eq!((stage("\"prefill\""), stage("null")), (Some(Stage::Prefill), None));
-    let warm = changed("\"warmup_left_ms\":0", "\"warmup_left_ms\":1250,\"of_tomorrow\":[{}]");
-    assert_eq!(warm.map(|server| server.warmup_remaining), Some(Duration::from_millis(1250)));
-    let adapters = changed("\"adapter_list\":[]", "\"adapter_list\":[\"a\",\"b\"]").expect("sound");
+    let warming_up =
+        parse_changed_sample("\"warmup_left_ms\":0", "\"warmup_left_ms\":1250,\"of_tomorrow\":[{}]");
+    assert_eq!(warming_up.map(|server| server.warmup_remaining), Some(Duration::from_millis(1250)));
+    let adapters =
+        parse_changed_sample("\"adapter_list\":[]", "\"adapter_list\":[\"a\",\"b\"]").expect("valid");
     assert_eq!(adapters.models[0].adapters, ["a", "b"]);
 }
 
 #[test]
-fn without_service_or_address_it_is_no_heartbeat() {
-    assert_eq!(changed("\"backend_service\"", "\"other\""), None);
-    assert_eq!(changed("\"address\"", "\"other\""), None);
-    assert_eq!(changed("10.128.0.9:8080", "10.128.0.9"), None);
+fn a_heartbeat_needs_a_service_and_an_address() {
+    assert_eq!(parse_changed_sample("\"backend_service\"", "\"other\""), None);
+    assert_eq!(parse_changed_sample("\"address\"", "\"other\""), None);
+    assert_eq!(parse_changed_sample("10.128.0.9:8080", "10.128.0.9"), None);
     assert_eq!(parse_heartbeat("", HEARTBEAT.as_bytes()), None);
     assert_eq!(parse_heartbeat(&"i".repeat(201), HEARTBEAT.as_bytes()), None);
     let long = format!("{HEARTBEAT}{}", " ".repeat(256 * 1024));
@@ -59,13 +61,13 @@
 }
 
 quickcheck! {
-    fn any_bytes_do_no_harm(id: String, body: Vec<u8>) -> bool {
+    fn arbitrary_bytes_never_panic(id: String, body: Vec<u8>) -> bool {
         let _ = parse_heartbeat(&id, &body);
         true
     }
 
-    /// The sample with a piece of it replaced.
-    fn nearly_the_sample_does_no_harm(at: usize, length: u8, with: Vec<u8>) -> bool {
+    /// The sample with a part of it replaced.
+    fn a_mutated_sample_never_panics(at: usize, length: u8, with: Vec<u8>) -> bool {
         let mut bytes = HEARTBEAT.as_bytes().to_vec();
         let from = at % bytes.len();
         let to = (from + usize::from(length)).min(bytes.len());
@@ -75,14 +77,14 @@
     }
 
     /// Any number may stand where a number does.
-    fn any_number_does_no_harm(number: f64) -> bool {
+    fn any_number_is_tolerated(number: f64) -> bool {
         let text = HEARTBEAT.replace("\"slots\":64", &format!("\"slots\":{number}"));
         let text = text.replace("\"sequence\":4", &format!("\"sequence\":{number}"));
         let _ = parse_heartbeat("i", text.as_bytes());
         true
     }
 
-    fn the_same_call_has_the_same_digest(path: String, base: u64, body: Vec<u8>) -> bool {
+    fn the_same_request_has_the_same_digest(path: String, base: u64, body: Vec<u8>) -> bool {
         request_digest(&path, base, &body) == request_digest(&path, base, &body.clone())
     }
 
@@ -120,7 +122,7 @@
 }
 
 #[test]
-fn the_two_calls_of_the_operator_differ() {
+fn replace_and_modify_have_different_digests() {
     let (replace, modify) = ("/Configuration.Replace", "/Configuration.Modify");
     assert_ne!(request_digest(replace, 5, b"{}"), request_digest(modify, 5, b"{}"));
     assert_ne!(request_digest(replace, 5, b"{}"), request_digest(replace, 6, b"{}"));
@@ -131,7 +133,7 @@
 /// The two bodies had one digest of 64 bits, c26c5b9c75a6ffec, under the function that was used before: both operators
 /// would have been told that their change was taken.
 #[test]
-fn bodies_that_shared_a_short_digest_are_told_apart() {
+fn bodies_that_collided_in_a_64_bit_digest_have_different_digests() {
     let path = "/Configuration.Replace";
     let body = |text: &str| format!("{{\"revision\":1,\"x\":\"{text}\"}}").into_bytes();
     assert_ne!(request_digest(path, 0, &body("hHh6mvhYQDH")), request_digest(path, 0, &body("pRkmGoE1dMI")));
@@ -139,14 +141,14 @@
 
 /// SHA-256 of path, base and body, each behind its length in eight bytes; computed by another implementation.
 #[test]
-fn the_digest_is_a_well_known_one() {
+fn the_digest_matches_another_implementation() {
     let wanted = "c4fe1c8d04f00fa9be601e0475c40d7c7bba7bb26d093c614b49ffb490e3b756";
     assert_eq!(format!("{:?}", request_digest("/Configuration.Replace", 5, b"{}")), wanted);
 }
 
-/// Prints what the digest of a large configuration costs: `cargo test --release -p mosshead-programs a_digest_costs -- --nocapture`.
+/// Prints what the digest of a large configuration costs: `cargo test --release -p mosshead-programs cost_of_a_digest -- --nocapture`.
 #[test]
-fn what_a_digest_costs() {
+fn the_cost_of_a_digest_is_printed() {
     let body = vec![b'x'; 3 << 20];
     let start = std::time::Instant::now();
     let rounds = 5;
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn a_deep_heartbeat_does_no_harm() {
+fn a_deeply_nested_heartbeat_is_rejected() {
     for text in ["[".repeat(250_000), "{\"a\":".repeat(40_000)] {
         assert_eq!(parse_heartbeat("i", text.as_bytes()), None);
     }
--- a/crates/programs/tests/limits.rs
+++ b/crates/programs/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The largest state that may be taken can be sent and written.
+//! The largest state that may be accepted can be sent and written.
 
 use mosshead_consensus::{
     AppliedRequest, ControlState, MAX_BODY_BYTES, MAX_STATE_BYTES, Member, MemberId, Message, RequestDigest,
@@ -23,16 +23,16 @@
 }
 
 #[test]
-fn the_largest_state_fits_a_message_and_a_transfer() {
+fn the_largest_state_fits_into_a_message() {
     let state = largest_state();
     assert!(minicbor::to_vec(&state).is_ok_and(|bytes| bytes.len() <= MAX_STATE_BYTES));
     let from = Member { id: MemberId(u64::MAX), address: "10.0.0.1:7720".parse().expect("an address") };
-    let epoch = ConsensusMessage { from, message: Message::ReplicateState { state } };
-    assert!(minicbor::to_vec(&epoch).is_ok_and(|bytes| bytes.len() <= MAX_CALL_BYTES));
+    let call = ConsensusMessage { from, message: Message::ReplicateState { state } };
+    assert!(minicbor::to_vec(&call).is_ok_and(|bytes| bytes.len() <= MAX_CALL_BYTES));
 }
 
 #[test]
-fn a_request_that_is_read_whole_holds_the_largest_configuration() {
+fn the_largest_request_holds_the_largest_configuration() {
     const { assert!(MAX_REQUEST_BYTES > mosshead_config::MAX_BYTES) };
     const { assert!(MAX_REQUEST_BYTES < MAX_CALL_BYTES) };
 }
--- a/crates/programs/tests/send_queues.rs
+++ b/crates/programs/tests/send_queues.rs
@@ -1,4 +1,4 @@
-//! Large messages never keep small ones back.
+//! Large messages never delay small ones.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -7,34 +7,34 @@
 use mosshead_programs::send_queues::{LARGE_MESSAGE_BYTES, SendQueue, SendQueues};
 use quickcheck::quickcheck;
 
-fn machine(last: u8) -> SocketAddrV4 {
+fn peer(last: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7720)
 }
 
-fn lane(large: bool) -> SendQueue {
+fn queue(large: bool) -> SendQueue {
     if large { SendQueue::Large } else { SendQueue::Small }
 }
 
-fn fill(lanes: &mut SendQueues, to: SocketAddrV4, lane: SendQueue) -> usize {
-    (0..100).filter(|_| lanes.enter(to, lane)).count()
+fn fill(queues: &mut SendQueues, peer: SocketAddrV4, queue: SendQueue) -> usize {
+    (0..100).filter(|_| queues.enter(peer, queue)).count()
 }
 
 #[test]
-fn a_burst_of_states_leaves_room_for_heartbeats() {
-    let mut lanes = SendQueues::default();
-    assert_eq!(fill(&mut lanes, machine(1), SendQueue::Large), SendQueue::Large.capacity());
-    assert_eq!(fill(&mut lanes, machine(1), SendQueue::Small), SendQueue::Small.capacity());
+fn large_states_leave_capacity_for_heartbeats() {
+    let mut queues = SendQueues::default();
+    assert_eq!(fill(&mut queues, peer(1), SendQueue::Large), SendQueue::Large.capacity());
+    assert_eq!(fill(&mut queues, peer(1), SendQueue::Small), SendQueue::Small.capacity());
 }
 
 #[test]
-fn one_machine_that_is_gone_takes_no_room_of_another() {
-    let mut lanes = SendQueues::default();
-    fill(&mut lanes, machine(1), SendQueue::Small);
-    assert!(lanes.enter(machine(2), SendQueue::Small));
+fn a_lost_peer_takes_no_capacity_of_another() {
+    let mut queues = SendQueues::default();
+    fill(&mut queues, peer(1), SendQueue::Small);
+    assert!(queues.enter(peer(2), SendQueue::Small));
 }
 
 #[test]
-fn states_are_large_and_the_rest_is_small() {
+fn states_are_large_messages_and_others_small() {
     let state = ControlState { body: vec![b'x'; LARGE_MESSAGE_BYTES + 1].into(), ..ControlState::default() };
     let short = ControlState { body: Arc::from(&b"short"[..]), ..ControlState::default() };
     let ballot = Term::default();
@@ -53,21 +53,21 @@
 }
 
 quickcheck! {
-    /// However messages come and go, no lane holds more than its bound, and one that is empty takes the next.
-    fn bounds_hold(steps: Vec<(bool, bool)>) -> bool {
-        let mut lanes = SendQueues::default();
+    /// However messages enter and leave, no queue exceeds its capacity, and one below it accepts the next message.
+    fn capacities_are_never_exceeded(steps: Vec<(bool, bool)>) -> bool {
+        let mut queues = SendQueues::default();
         let mut counts = [0_usize; 2];
         steps.into_iter().all(|(enters, large)| {
             let count = &mut counts[usize::from(large)];
             if enters {
-                let entered = lanes.enter(machine(1), lane(large));
-                let expected = *count < lane(large).capacity();
+                let entered = queues.enter(peer(1), queue(large));
+                let expected = *count < queue(large).capacity();
                 *count += usize::from(entered);
                 entered == expected
             } else {
                 if *count > 0 {
                     *count -= 1;
-                    lanes.leave(machine(1), lane(large));
+                    queues.leave(peer(1), queue(large));
                 }
                 true
             }
--- a/crates/programs/tests/stage_orders.rs
+++ b/crates/programs/tests/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Orders on sockets: each arrives once at most, and none after its holder has lost its place or its time.
+//! Orders on sockets: each arrives at most once, and none after its holder has lost the role or its timeout has passed.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -22,66 +22,66 @@
     });
 }
 
-/// What a server does with an order.
+/// How a server reacts to an order.
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    /// An answer of this status.
-    Answer(u16),
-    /// The connection ends once the order is there.
+enum Reaction {
+    /// Responds with this status.
+    Respond(u16),
+    /// Closes the connection once the order has arrived.
     Close,
-    /// Nothing.
+    /// Never responds.
     Silence,
 }
 
-/// The orders that arrived whole, as text.
+/// The orders that arrived completely, as text.
 type Orders = Rc<RefCell<Vec<String>>>;
 
-async fn server(act: Act) -> (SocketAddrV4, Orders) {
+async fn server(reaction: Reaction) -> (SocketAddrV4, Orders) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let SocketAddr::V4(address) = listener.local_addr().expect("bound") else {
         panic!("loopback is IPv4 here")
     };
     let orders = Orders::default();
-    let taken = orders.clone();
+    let arrived = orders.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(connection(stream, act, taken.clone()));
+            spawn_local(connection(stream, reaction, arrived.clone()));
         }
     });
     (address, orders)
 }
 
-async fn connection(mut stream: TcpStream, act: Act, orders: Orders) {
-    let mut got = Vec::new();
-    while stream.read_buf(&mut got).await.unwrap_or(0) > 0 {
+async fn connection(mut stream: TcpStream, reaction: Reaction, orders: Orders) {
+    let mut received = Vec::new();
+    while stream.read_buf(&mut received).await.unwrap_or(0) > 0 {
         // An order ends with its body.
-        if !got.ends_with(b"}") {
+        if !received.ends_with(b"}") {
             continue;
         }
-        orders.borrow_mut().push(String::from_utf8_lossy(&got).into_owned());
-        got.clear();
-        match act {
-            Act::Answer(status) => {
-                let answer = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
-                let _ = stream.write_all(answer.as_bytes()).await;
+        orders.borrow_mut().push(String::from_utf8_lossy(&received).into_owned());
+        received.clear();
+        match reaction {
+            Reaction::Respond(status) => {
+                let response = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
+                let _ = stream.write_all(response.as_bytes()).await;
             }
-            Act::Close => return,
-            Act::Silence => {}
+            Reaction::Close => return,
+            Reaction::Silence => {}
         }
     }
 }
 
-async fn sent(address: SocketAddrV4, may_send: impl Fn() -> bool) -> AssignmentOutcome {
+async fn send_test_order(address: SocketAddrV4, may_send: impl Fn() -> bool) -> AssignmentOutcome {
     let order = StageAssignment { instance_id: "i-1".into(), stage: Stage::Prefill };
     let message = OrderMessage { address, assignment: &order, owner: "node-7", fencing_token: 41 };
     send_order(&message, may_send).await
 }
 
 #[test]
-fn an_order_looks_like_this() {
+fn an_order_has_the_documented_form() {
     run(async {
-        let (address, orders) = server(Act::Answer(202)).await;
-        assert_eq!(sent(address, || true).await, AssignmentOutcome::Accepted);
+        let (address, orders) = server(Reaction::Respond(202)).await;
+        assert_eq!(send_test_order(address, || true).await, AssignmentOutcome::Accepted);
         let text = format!(
             "POST /order HTTP/1.1\r\nhost: {address}\r\ncontent-type: application/json\r\ncontent-length: 70\r\n\
              x-target-instance: i-1\r\n\r\n\
@@ -92,72 +92,73 @@
 }
 
 #[test]
-fn whatever_comes_of_an_order_it_arrives_once() {
+fn an_order_arrives_once_whatever_its_outcome() {
     run(async {
-        for (act, answer) in [
-            (Act::Answer(200), AssignmentOutcome::Accepted),
-            (Act::Answer(412), AssignmentOutcome::StaleFence),
-            (Act::Answer(409), AssignmentOutcome::Unknown),
-            (Act::Answer(421), AssignmentOutcome::Unknown),
-            (Act::Close, AssignmentOutcome::Unknown),
-            (Act::Silence, AssignmentOutcome::Unknown),
+        for (reaction, outcome) in [
+            (Reaction::Respond(200), AssignmentOutcome::Accepted),
+            (Reaction::Respond(412), AssignmentOutcome::StaleFence),
+            (Reaction::Respond(409), AssignmentOutcome::Unknown),
+            (Reaction::Respond(421), AssignmentOutcome::Unknown),
+            (Reaction::Close, AssignmentOutcome::Unknown),
+            (Reaction::Silence, AssignmentOutcome::Unknown),
         ] {
-            let (address, orders) = server(act).await;
-            assert_eq!(sent(address, || true).await, answer, "{act:?}");
-            assert_eq!(orders.borrow().len(), 1, "{act:?}");
+            let (address, orders) = server(reaction).await;
+            assert_eq!(send_test_order(address, || true).await, outcome, "{reaction:?}");
+            assert_eq!(orders.borrow().len(), 1, "{reaction:?}");
         }
     });
 }
 
-/// What came before the order is no answer to it.
+/// Bytes that arrived before the order was sent are no response to it.
 #[test]
-fn an_answer_that_was_not_asked_for_is_none() {
+fn a_response_before_the_request_is_ignored() {
     run(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let SocketAddr::V4(address) = listener.local_addr().expect("bound") else { panic!("no IPv4") };
-        let (tells, told) = std::sync::mpsc::channel();
+        let (sender, receiver) = std::sync::mpsc::channel();
         let server = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             stream.write_all(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n").expect("room");
-            tells.send(()).expect("a listener");
+            sender.send(()).expect("a listener");
             stream.set_read_timeout(Some(Duration::from_secs(2))).expect("an option");
-            let mut got = Vec::new();
-            let _ = stream.read_to_end(&mut got);
-            got
+            let mut received = Vec::new();
+            let _ = stream.read_to_end(&mut received);
+            received
         });
-        // The bytes are there before the order leaves.
-        let answer = sent(address, || told.recv_timeout(Duration::from_secs(5)).is_ok()).await;
-        assert_eq!(answer, AssignmentOutcome::Unknown);
+        // The bytes are there before the order is sent.
+        let outcome =
+            send_test_order(address, || receiver.recv_timeout(Duration::from_secs(5)).is_ok()).await;
+        assert_eq!(outcome, AssignmentOutcome::Unknown);
         tokio::task::yield_now().await;
         assert!(server.join().expect("no fault").is_empty(), "nothing was written");
     });
 }
 
 #[test]
-fn an_order_does_not_leave_once_its_place_is_lost() {
+fn an_order_is_not_sent_once_the_role_is_lost() {
     run(async {
-        let (address, orders) = server(Act::Answer(202)).await;
-        let asked = Cell::new(0);
-        let answer = sent(address, || {
-            asked.set(asked.get() + 1);
+        let (address, orders) = server(Reaction::Respond(202)).await;
+        let checks = Cell::new(0);
+        let outcome = send_test_order(address, || {
+            checks.set(checks.get() + 1);
             false
         });
-        assert_eq!((answer.await, asked.get()), (AssignmentOutcome::Unknown, 1));
+        assert_eq!((outcome.await, checks.get()), (AssignmentOutcome::Unknown, 1));
         tokio::time::sleep(Duration::from_millis(5)).await;
         assert!(orders.borrow().is_empty());
     });
 }
 
-/// The machine is frozen between the last look at its place and the first byte.
+/// The process is suspended between the last check of its role and the first byte.
 #[test]
-fn an_order_whose_time_is_over_does_not_leave() {
+fn an_order_is_not_sent_after_its_timeout() {
     run(async {
-        let (address, orders) = server(Act::Answer(202)).await;
-        let frozen = || {
+        let (address, orders) = server(Reaction::Respond(202)).await;
+        let suspended = || {
             std::thread::sleep(Duration::from_millis(650));
             true
         };
-        assert_eq!(sent(address, frozen).await, AssignmentOutcome::Unknown);
+        assert_eq!(send_test_order(address, suspended).await, AssignmentOutcome::Unknown);
         tokio::time::sleep(Duration::from_millis(5)).await;
         assert!(orders.borrow().is_empty());
     });
