--- a/crates/control-plane/tests/fleet/control.rs
+++ b/crates/control-plane/tests/fleet/control.rs
@@ -543,7 +543,7 @@
                     self.request(Party::Control(core), Party::Control(to), call, Purpose::Nothing, CALL_MS);
                 }
             }
-            (Purpose::Order { id }, answer) => self.order_answered(core, &id, answer),
+            (Purpose::Order, answer) => self.order_answered(core, answer),
             _ => {}
         }
     }
--- a/crates/control-plane/tests/fleet/duty.rs
+++ b/crates/control-plane/tests/fleet/duty.rs
@@ -44,20 +44,19 @@
             self.ledger.order_sent((core, self.cores[core].life), fence);
             let server = self.servers.iter().position(|server| server.word.id == order.instance_id);
             let Some(server) = server else { continue };
-            let purpose = Purpose::Order { id: order.instance_id.clone() };
             let call = Call::Order { id: order.instance_id, stage: order.stage, fence };
-            self.request(Party::Control(core), Party::Server(server), call, purpose, ORDER_MS);
+            self.request(Party::Control(core), Party::Server(server), call, Purpose::Order, ORDER_MS);
         }
     }
 
-    pub fn order_answered(&mut self, core: usize, id: &str, answer: Option<Answer>) {
+    pub fn order_answered(&mut self, core: usize, answer: Option<Answer>) {
         let answer = match answer {
             Some(Answer::Ordered(answer)) => answer,
             _ => AssignmentOutcome::Unknown,
         };
         let Some(process) = &mut self.cores[core].process else { return };
         if let Some((_, _, scheduler)) = &mut process.duty.held {
-            scheduler.record_outcome(id, answer);
+            scheduler.record_outcome(answer);
         }
     }
 }
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -130,9 +130,7 @@
     ServerWord {
         leaves: bool,
     },
-    Order {
-        id: String,
-    },
+    Order,
     Nothing,
 }
 
--- a/crates/programs/src/stage_role.rs
+++ b/crates/programs/src/stage_role.rs
@@ -58,7 +58,7 @@
         let outcome = send(control_node, &assignment, role.term).await;
         let StageAssignment { instance_id, stage } = &assignment;
         spdlog::info!("stages: assigned instance={instance_id} stage={stage:?} outcome={outcome:?}");
-        role.scheduler.record_outcome(instance_id, outcome);
+        role.scheduler.record_outcome(outcome);
     }
 }
 
--- /dev/null
+++ b/crates/stage-scheduler/src/scheduler.rs
@@ -0,0 +1,187 @@
+//! Choosing the servers that get another stage.
+
+use std::collections::BTreeMap;
+
+use mosshead_registry::{OperState, Server, Stage};
+use mosshead_time::Instant;
+
+use crate::policy::StagePolicy;
+
+/// Assignments are remembered for so many cooldowns.
+const COOLDOWNS_REMEMBERED: u32 = 8;
+
+/// A server is to run a stage from now on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StageAssignment {
+    /// Which server.
+    pub instance_id: String,
+    /// The stage that it is to run.
+    pub stage: Stage,
+}
+
+/// What came of sending an assignment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AssignmentOutcome {
+    /// The server runs the stage, or changes to it.
+    Accepted,
+    /// The server has seen a higher fencing token: another process is the primary.
+    StaleFence,
+    /// The server refused for now, or nothing is known of it. The server may have accepted.
+    Unknown,
+}
+
+/// The stage scheduler of one primary.
+#[derive(Clone, Debug)]
+pub struct StageScheduler {
+    policy: StagePolicy,
+    /// Since when the number of prefill servers of a service has been off; only services for which it is.
+    imbalanced_since: BTreeMap<String, Instant>,
+    /// The last assignment of each server, by its instance.
+    last_assignments: BTreeMap<String, LastAssignment>,
+    /// Whether a server has rejected an assignment as that of a former primary.
+    is_fenced: bool,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct LastAssignment {
+    assigned_at: Instant,
+    stage: Stage,
+}
+
+/// A server with the stage that it is counted for.
+#[derive(Clone, Copy)]
+struct Candidate<'a> {
+    server: &'a Server,
+    stage: Stage,
+}
+
+/// So many servers of a service are to change from one stage to the other.
+#[derive(Clone, Copy)]
+struct StageChange {
+    from: Stage,
+    to: Stage,
+    servers: usize,
+}
+
+impl StageScheduler {
+    /// The scheduler of a process that has just become primary. It knows no former assignments.
+    pub fn new(policy: StagePolicy) -> Self {
+        Self {
+            policy,
+            imbalanced_since: BTreeMap::new(),
+            last_assignments: BTreeMap::new(),
+            is_fenced: false,
+        }
+    }
+
+    /// The assignments that are due. They count as carried out for the time of the cooldown.
+    pub fn due_assignments<'a>(
+        &mut self,
+        now: Instant,
+        servers: impl Iterator<Item = &'a Server>,
+    ) -> Vec<StageAssignment> {
+        // A process that learnt of a higher fencing token isn't the primary any more, whatever it believes.
+        if self.is_fenced {
+            return Vec::new();
+        }
+        let services = self.candidates_by_service(now, servers);
+        self.imbalanced_since.retain(|service, _| services.contains_key(service.as_str()));
+        let mut assignments = Vec::new();
+        for (service, candidates) in services {
+            if let Some(change) = self.due_change(now, service, &candidates) {
+                self.assign(now, change, candidates, &mut assignments);
+            }
+        }
+        let retention = self.policy.reassignment_cooldown * COOLDOWNS_REMEMBERED;
+        self.last_assignments.retain(|_, last| now < last.assigned_at + retention);
+        assignments
+    }
+
+    /// Takes in what came of an assignment. One of unknown outcome may have been accepted, so the server is left alone for
+    /// the time of the cooldown like after any other.
+    pub fn record_outcome(&mut self, outcome: AssignmentOutcome) {
+        match outcome {
+            AssignmentOutcome::StaleFence => self.is_fenced = true,
+            AssignmentOutcome::Accepted | AssignmentOutcome::Unknown => {}
+        }
+    }
+
+    /// Servers that can be reassigned. During its cooldown a server is counted for the stage that it was assigned, since
+    /// its heartbeats may still tell the former one.
+    fn candidates_by_service<'a>(
+        &self,
+        now: Instant,
+        servers: impl Iterator<Item = &'a Server>,
+    ) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
+        let mut services: BTreeMap<&str, Vec<Candidate<'a>>> = BTreeMap::new();
+        for server in servers {
+            if let (OperState::Up, false, Some(reported)) = (server.state, server.is_suspected, server.stage)
+            {
+                let stage = self.cooling_down(now, &server.id).map_or(reported, |last| last.stage);
+                services.entry(server.service.as_str()).or_default().push(Candidate { server, stage });
+            }
+        }
+        services
+    }
+
+    /// The change that a service needs, if it has needed one for long enough.
+    fn due_change(
+        &mut self,
+        now: Instant,
+        service: &str,
+        candidates: &[Candidate<'_>],
+    ) -> Option<StageChange> {
+        let target = self.policy.target_prefill_servers(candidates.len());
+        let prefill = candidates.iter().filter(|candidate| candidate.stage == Stage::Prefill).count();
+        if target == prefill {
+            self.imbalanced_since.remove(service);
+            return None;
+        }
+        let since = *self.imbalanced_since.entry(service.to_owned()).or_insert(now);
+        let servers = target.abs_diff(prefill);
+        if now < since + self.policy.delay_for(servers) {
+            return None;
+        }
+        Some(if target > prefill {
+            StageChange { from: Stage::Decode, to: Stage::Prefill, servers }
+        } else {
+            StageChange { from: Stage::Prefill, to: Stage::Decode, servers }
+        })
+    }
+
+    /// Assigns the new stage to servers of those zones that have the fewest with it, so that no zone is left with one stage
+    /// only.
+    fn assign(
+        &mut self,
+        now: Instant,
+        change: StageChange,
+        mut candidates: Vec<Candidate<'_>>,
+        assignments: &mut Vec<StageAssignment>,
+    ) {
+        let mut servers_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
+        for candidate in candidates.iter().filter(|candidate| candidate.stage == change.to) {
+            *servers_by_zone.entry(&candidate.server.zone).or_default() += 1;
+        }
+        candidates.retain(|candidate| {
+            candidate.stage == change.from && self.cooling_down(now, &candidate.server.id).is_none()
+        });
+        for _ in 0..change.servers.min(self.policy.max_assignments_at_once) {
+            let next = candidates.iter().enumerate().min_by_key(|(_, candidate)| {
+                let server = candidate.server;
+                (servers_by_zone.get(server.zone.as_str()).copied().unwrap_or(0), server.id.as_str())
+            });
+            let Some((index, _)) = next else { break };
+            let server = candidates.swap_remove(index).server;
+            *servers_by_zone.entry(&server.zone).or_default() += 1;
+            let last = LastAssignment { assigned_at: now, stage: change.to };
+            self.last_assignments.insert(server.id.clone(), last);
+            assignments.push(StageAssignment { instance_id: server.id.clone(), stage: change.to });
+        }
+    }
+
+    /// The last assignment of a server, if it was less than the cooldown ago.
+    fn cooling_down(&self, now: Instant, instance_id: &str) -> Option<&LastAssignment> {
+        let last = self.last_assignments.get(instance_id)?;
+        (now < last.assigned_at + self.policy.reassignment_cooldown).then_some(last)
+    }
+}
