--- a/crates/http-links/src/lib.rs
+++ b/crates/http-links/src/lib.rs
@@ -2,15 +2,15 @@
 
 mod body;
 mod connection_log;
-mod link;
+mod outbound_connection;
 mod retry;
-mod written;
+mod write_progress;
 
 pub use body::{BodyError, MAX_BUFFERED_BODY_BYTES, read_body};
 pub use connection_log::{CloseReason, ConnectionLogGuard, ConnectionRecord, PeerKind};
-pub use link::{ConnectError, ConnectOptions, OutboundConnection};
+pub use outbound_connection::{ConnectError, ConnectOptions, OutboundConnection};
 pub use retry::{RetryPolicy, SendError, SendErrorKind, SendProgress};
-pub use written::WriteProgress;
+pub use write_progress::WriteProgress;
 
 /// The header that a keyed request is named by; repeats of one key are one piece of work.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
--- a/crates/record-log/src/store.rs
+++ b/crates/record-log/src/record_log.rs
@@ -1,7 +1,7 @@
 use std::io;
 use std::path::Path;
 
-use crate::record::{self, LogEnd, Scan};
+use crate::format::{self, LogEnd, Scan};
 use crate::{
     Directory, Disk, DiskFile, FRAME_LENGTH, HEADER_LENGTH, LogError, MAX_FILE_LENGTH, MAX_RECORD_LENGTH,
 };
@@ -120,7 +120,7 @@
             return Ok(());
         }
         let bytes = self.file.read(self.good.offset).map_err(LogError::Read)?;
-        match record::scan(&bytes, self.generation) {
+        match format::scan(&bytes, self.generation) {
             Some(found) if found.mark == self.good => self.replace(&found.records),
             _ => Err(LogError::Read(io::Error::from(io::ErrorKind::InvalidData))),
         }
@@ -204,7 +204,7 @@
         self.keep()?;
         self.mend()?;
         self.buffer.clear();
-        let mark = record::put_record(&self.good, self.life, length, record, &mut self.buffer);
+        let mark = format::put_record(&self.good, self.life, length, record, &mut self.buffer);
         self.unsynced = true;
         let written = self.file.write(self.good.offset, &self.buffer);
         if self.buffer.capacity() > BUFFER {
@@ -261,7 +261,7 @@
         // Danger: a file that can't be read now may be the newest, so an older one must not stand in for it.
         let mut file = disk.open(&name_of(*generation)).map_err(LogError::Read)?;
         let bytes = file.read(MAX_FILE_LENGTH.saturating_add(1)).map_err(LogError::Read)?;
-        let Some(found) = record::scan(&bytes, *generation) else {
+        let Some(found) = format::scan(&bytes, *generation) else {
             continue;
         };
         let length = bytes.len() as u64;
@@ -308,10 +308,10 @@
     let mut file = disk.create(name).map_err(LogError::Directory)?;
     let mut buffer = Vec::new();
     let mut written = 0;
-    let mut mark = record::put_header(generation, base, &mut buffer);
+    let mut mark = format::put_header(generation, base, &mut buffer);
     for record in records {
         let length = checked_length(record)?;
-        mark = record::put_record(&mark, life, length, record, &mut buffer);
+        mark = format::put_record(&mark, life, length, record, &mut buffer);
         if buffer.len() >= BUFFER {
             file.write(written, &buffer).map_err(LogError::Write)?;
             written = mark.offset;
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use crate::call::{MAX_BODY_BYTES, decode, encode};
-use crate::fault::{CALL_ID_HEADER, RESULT_CODE_HEADER};
-use crate::pool::{Connection, Pool, connect};
+use crate::connection_pool::{Connection, Pool, connect};
+use crate::error::{CALL_ID_HEADER, RESULT_CODE_HEADER};
 use crate::server::collect;
 use crate::{Call, CallError, CallRejection, Transport};
 
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -8,15 +8,15 @@
 
 mod call;
 mod caller;
-mod fault;
+mod connection_pool;
+mod error;
 mod handlers;
 mod loopback;
-mod pool;
 mod server;
 
 pub use call::{Call, MAX_BODY_BYTES, Peer, Transport};
 pub use caller::Caller;
-pub use fault::{CALL_ID_HEADER, CallError, CallRejection, RESULT_CODE_HEADER};
+pub use error::{CALL_ID_HEADER, CallError, CallRejection, RESULT_CODE_HEADER};
 pub use handlers::{Handlers, ServerLimits};
 pub use loopback::LoopbackTransport;
 pub use mosshead_http_links::RetryPolicy;
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, Id, JoinSet};
 
-use crate::fault::{CALL_ID_HEADER, RESULT_CODE_HEADER};
+use crate::error::{CALL_ID_HEADER, RESULT_CODE_HEADER};
 use crate::{CallRejection, Handlers, Peer, ServerLimits};
 
 /// A peer that doesn't acknowledge for so long is gone.
