--- a/crates/programs/src/clock.rs
+++ b/crates/programs/src/clock.rs
@@ -6,7 +6,7 @@
 ///
 /// An instant that it shows is never [`Instant::ORIGIN`], so that a default `Instant` lies before each event.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub(crate) struct Clock {
     /// When the clock was started.
     start: tokio::time::Instant,
 }
@@ -16,17 +16,17 @@
     const FIRST_INSTANT: Duration = Duration::from_millis(1);
 
     /// Starts a clock. All parts of a process share one.
-    pub fn start() -> Clock {
+    pub(crate) fn start() -> Clock {
         Clock { start: tokio::time::Instant::now() }
     }
 
     /// The present instant.
-    pub fn now(&self) -> Instant {
+    pub(crate) fn now(&self) -> Instant {
         self.at(tokio::time::Instant::now())
     }
 
     /// The instant of this clock that is tokio's; the first one for all that lie before its start.
-    pub fn at(&self, instant: tokio::time::Instant) -> Instant {
+    pub(crate) fn at(&self, instant: tokio::time::Instant) -> Instant {
         Instant::ORIGIN + Clock::FIRST_INSTANT + instant.saturating_duration_since(self.start)
     }
 }
--- a/crates/programs/src/config_transfer/update.rs
+++ b/crates/programs/src/config_transfer/update.rs
@@ -4,7 +4,7 @@
 use mosshead_control_plane::ConfigOffer;
 
 /// The longest update that is unpacked, in bytes.
-pub const MAX_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
+const MAX_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
 /// The length prefix of a packed update, in bytes (little-endian, as `lz4_flex` writes it).
 const LENGTH_PREFIX_BYTES: usize = 4;
 
--- a/crates/programs/src/control_api.rs
+++ b/crates/programs/src/control_api.rs
@@ -11,4 +11,4 @@
 
 pub use self::heartbeat::parse_heartbeat;
 pub use self::request_digest::request_digest;
-pub use self::server::serve;
+pub(crate) use self::server::serve;
--- a/crates/programs/src/control_api/server.rs
+++ b/crates/programs/src/control_api/server.rs
@@ -55,7 +55,7 @@
 
 /// Accepts connections for as long as the future is polled. Connections are served by tasks of their own, which end with
 /// the connection.
-pub async fn serve(control_node: Rc<ControlNode>, listener: TcpListener) {
+pub(crate) async fn serve(control_node: Rc<ControlNode>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
         let stream = match listener.accept().await {
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -21,6 +21,6 @@
 
 pub(crate) use self::consensus_storage::run_consensus;
 pub(crate) use self::handlers::handlers;
-pub use self::node::ControlNode;
+pub(crate) use self::node::ControlNode;
 pub(crate) use self::peer_followers::PeerFollowers;
 pub(crate) use self::registry_storage::restore_registry;
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -29,9 +29,9 @@
 const CLIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// A control node. Each part owns its state; none is borrowed across an `await`.
-pub struct ControlNode {
+pub(crate) struct ControlNode {
     /// The settings of the process.
-    pub settings: Settings,
+    pub(crate) settings: Settings,
     pub(super) incarnation: u64,
     pub(super) started_at: Instant,
     pub(super) clock: Clock,
@@ -73,22 +73,22 @@
     }
 
     /// The newest committed configuration that is known here.
-    pub fn config(&self) -> Option<Arc<Config>> {
+    pub(crate) fn config(&self) -> Option<Arc<Config>> {
         self.configs.current()
     }
 
     /// The newest committed state that is known here.
-    pub fn committed_state(&self) -> Option<ControlState> {
+    pub(crate) fn committed_state(&self) -> Option<ControlState> {
         self.consensus.committed_state()
     }
 
     /// Whether a quorum of the members was lately in contact with this node.
-    pub fn contact(&self) -> QuorumContact {
+    pub(crate) fn contact(&self) -> QuorumContact {
         self.consensus.contact()
     }
 
     /// The primary, as far as this node knows.
-    pub fn known_primary(&self) -> KnownPrimary {
+    pub(crate) fn known_primary(&self) -> KnownPrimary {
         match self.consensus.primary() {
             // Also while a primary takes over from itself: the requests wait there for that moment.
             Some(address) if address == self.settings.internal_address() => KnownPrimary::Local,
@@ -98,18 +98,18 @@
     }
 
     /// The term under which this node is the primary; `None` if it is not, or its lease does not hold.
-    pub fn primary_term(&self) -> Option<Term> {
+    pub(crate) fn primary_term(&self) -> Option<Term> {
         self.consensus.term().filter(|_| self.consensus.is_primary())
     }
 
     /// Submits a change of the configuration to the consensus group.
-    pub async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> ClientReply {
+    pub(crate) async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> ClientReply {
         let ChangeProposal { base_revision, revision, body, digest } = change;
         self.request(|request_id| Input::Change { request_id, base_revision, revision, body, digest }).await
     }
 
     /// Reads the newest committed state, once a quorum has confirmed that it is.
-    pub async fn read_confirmed(self: &Rc<Self>) -> ClientReply {
+    pub(crate) async fn read_confirmed(self: &Rc<Self>) -> ClientReply {
         self.request(|request_id| Input::Read { request_id }).await
     }
 
--- a/crates/programs/src/control_node/replication.rs
+++ b/crates/programs/src/control_node/replication.rs
@@ -38,14 +38,14 @@
 
 impl ControlNode {
     /// Takes in a server's heartbeat. Whether it may be acknowledged.
-    pub async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
+    pub(crate) async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
         let id = server.id.clone();
         let outcome = self.registry.record_heartbeat(server);
         self.acknowledge(&id, outcome).await
     }
 
     /// Takes in that a server has shut down. Whether that may be acknowledged.
-    pub async fn deregister(self: &Rc<Self>, id: &str) -> bool {
+    pub(crate) async fn deregister(self: &Rc<Self>, id: &str) -> bool {
         let outcome = self.registry.deregister(id);
         self.acknowledge(id, outcome).await
     }
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -4,7 +4,7 @@
 
 impl ControlNode {
     /// What the node knows, as a JSON object. docs/operators/fleet.md says what the fields mean.
-    pub fn status(&self) -> String {
+    pub(crate) fn status(&self) -> String {
         let consensus = &self.consensus;
         format!(
             concat!(
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -20,7 +20,7 @@
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
 /// The membership protocol on its socket.
-pub struct Gossip {
+pub(crate) struct Gossip {
     membership: RefCell<Membership>,
     socket: UdpSocket,
     clock: Clock,
@@ -32,13 +32,17 @@
     /// # Errors
     ///
     /// The address is in use, or is not one of this machine.
-    pub async fn bind(address: SocketAddrV4, membership: Membership, clock: Clock) -> io::Result<Rc<Gossip>> {
+    pub(crate) async fn bind(
+        address: SocketAddrV4,
+        membership: Membership,
+        clock: Clock,
+    ) -> io::Result<Rc<Gossip>> {
         let socket = UdpSocket::bind(address).await?;
         Ok(Rc::new(Gossip { membership: RefCell::new(membership), socket, clock }))
     }
 
     /// Sends and receives datagrams for as long as the future is polled.
-    pub async fn run(self: Rc<Self>) {
+    pub(crate) async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let now = self.clock.now();
@@ -72,23 +76,23 @@
     }
 
     /// Tells the other members that this process shuts down.
-    pub fn announce_departure(&self) {
+    pub(crate) fn announce_departure(&self) {
         let datagrams = self.membership.borrow_mut().leave(self.clock.now());
         self.send(datagrams);
     }
 
     /// Replaces the seeds; members that are known already stay.
-    pub fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
+    pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
         self.membership.borrow_mut().set_seeds(seeds);
     }
 
     /// How many proxies are alive or suspect.
-    pub fn live_proxies(&self) -> usize {
+    pub(crate) fn live_proxies(&self) -> usize {
         self.membership.borrow().live_proxies()
     }
 
     /// The addresses of the control nodes that are alive or suspect.
-    pub fn live_control_nodes(&self) -> Vec<SocketAddrV4> {
+    pub(crate) fn live_control_nodes(&self) -> Vec<SocketAddrV4> {
         let membership = self.membership.borrow();
         let live = membership.members().filter(|(peer, state)| peer.is_control_node && state.is_live());
         live.map(|(peer, _)| peer.address).collect()
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -2,15 +2,15 @@
 //! libraries that decide.
 
 pub mod calls;
-pub mod clock;
+mod clock;
 pub mod command;
 pub mod config_transfer;
 pub mod control_api;
-pub mod control_node;
+mod control_node;
 pub mod control_process;
-pub mod gossip;
+mod gossip;
 pub mod limits;
-pub mod logging;
+mod logging;
 pub mod process;
 pub mod proxy;
 pub mod send_queues;
--- a/crates/programs/src/logging.rs
+++ b/crates/programs/src/logging.rs
@@ -8,7 +8,7 @@
 use spdlog::{LevelFilter, Logger};
 
 /// Sets up the log of the process, with debug events if `detailed`. Without a usable standard output nothing is logged.
-pub fn start(detailed: bool) {
+pub(crate) fn start(detailed: bool) {
     let format = PatternFormatter::new(pattern!("{time} {level} {payload}{eol}"));
     let sink = StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(format).build();
     let Ok(sink) = sink else { return };
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -9,9 +9,9 @@
 /// A message that carries more bytes of state than this is large.
 pub const LARGE_MESSAGE_BYTES: usize = 64 << 10;
 /// Small messages in flight to one peer at most.
-pub const MAX_SMALL_IN_FLIGHT: usize = 8;
+const MAX_SMALL_IN_FLIGHT: usize = 8;
 /// Large messages in flight to one peer at most.
-pub const MAX_LARGE_IN_FLIGHT: usize = 2;
+const MAX_LARGE_IN_FLIGHT: usize = 2;
 /// A small message that takes longer is obsolete.
 const SMALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// By length alone, the largest state needs 0.3 s on a link of 120 Mbit/s.
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -51,7 +51,7 @@
 const NO_REVISION: u64 = 0;
 
 /// Who uses what the watcher receives.
-pub trait UpdateSink {
+pub(crate) trait UpdateSink {
     /// The configuration in force.
     fn config(&self) -> Option<Arc<Config>>;
     /// Puts a newer configuration into force.
@@ -81,7 +81,7 @@
 }
 
 /// Watches control nodes, and brings what they have into the registry and the [`UpdateSink`].
-pub struct UpdateWatcher<S> {
+pub(crate) struct UpdateWatcher<S> {
     name: String,
     incarnation: u64,
     clock: Clock,
@@ -95,7 +95,7 @@
 
 impl<S: UpdateSink + 'static> UpdateWatcher<S> {
     /// A watcher that knows the seeds only. `name` and `incarnation` are those of the process.
-    pub fn new(
+    pub(crate) fn new(
         name: &str,
         incarnation: u64,
         clock: Clock,
@@ -117,22 +117,22 @@
     }
 
     /// Adds control nodes to those that may be watched.
-    pub fn add_control_nodes(&self, addresses: &[SocketAddrV4]) {
+    pub(crate) fn add_control_nodes(&self, addresses: &[SocketAddrV4]) {
         self.pool.borrow_mut().add(addresses);
     }
 
     /// How many control nodes are known, lost ones perhaps among them.
-    pub fn control_node_count(&self) -> usize {
+    pub(crate) fn control_node_count(&self) -> usize {
         self.pool.borrow().addresses().len()
     }
 
     /// When a control node with quorum contact last responded.
-    pub fn last_contact(&self) -> Option<Instant> {
+    pub(crate) fn last_contact(&self) -> Option<Instant> {
         self.last_contact.get()
     }
 
     /// Watches one control node after the other for as long as the future is polled. Slots count from 0.
-    pub async fn run(self: Rc<Self>, slot: usize) {
+    pub(crate) async fn run(self: Rc<Self>, slot: usize) {
         loop {
             let now = self.clock.now();
             let chosen = self.pool.borrow_mut().acquire(now);
