--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -28,7 +28,7 @@
 pub(crate) enum AttemptOutcome {
     /// The head of the response to this very request has come.
     Responded(ServerResponse),
-    /// The request never left as a whole, so no server can have run it.
+    /// The request was not sent completely, so no server can have run it.
     NotDelivered(ServerFailure),
     /// The server says that it did not run the request and never will.
     Rejected(StatusCode),
@@ -59,7 +59,7 @@
 /// What a failed exchange proves; `None` where the attempt may go on over another connection.
 fn failed_exchange(request: &ServerRequest, error: SendError, is_reused: bool) -> Option<AttemptOutcome> {
     let timed_out = error.cause == SendErrorKind::DeadlinePassed;
-    // A server may begin with the last byte: only a request that has not left as a whole cannot have run.
+    // A server may begin with the last byte: only a request that was not sent completely cannot have run.
     if !RetryPolicy::OnlyIfNeverSent.allows(error.progress) {
         return Some(if timed_out { AttemptOutcome::TimedOut } else { AttemptOutcome::Broken });
     }
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -38,8 +38,14 @@
 pub(crate) enum DecodeOutcome {
     /// The stream begins.
     Streaming(DecodeStream),
-    /// An error of the server's own, which is no stream; the request ran.
-    Error(Response<ResponseBody>),
+    /// There is no stream.
+    Failed(DecodeFailure),
+}
+
+/// Why no stream begins.
+pub(crate) enum DecodeFailure {
+    /// An error of the server's own; the request ran.
+    ErrorResponse(Response<ResponseBody>),
     /// The KV cache could not be fetched, or the server is full; the request did not run.
     HandleUnavailable,
     /// The server rejected the request; it did not run.
@@ -50,6 +56,12 @@
     Broken,
 }
 
+impl From<DecodeFailure> for DecodeOutcome {
+    fn from(failure: DecodeFailure) -> Self {
+        Self::Failed(failure)
+    }
+}
+
 impl DataPlane {
     /// Sends the request to a decode server: with a handle, or without one for the server to prefill the prompt itself;
     /// behind `last_event_id`, where a stream is resumed.
@@ -78,20 +90,20 @@
             }
             // One status for both: the KV cache can't be fetched, and the server is full.
             AttemptOutcome::Rejected(StatusCode::SERVICE_UNAVAILABLE) if handle.is_some() => {
-                DecodeOutcome::HandleUnavailable
+                DecodeFailure::HandleUnavailable.into()
             }
             AttemptOutcome::Rejected(status) => {
                 request_guard.record_failure(failure_of_rejection(status));
-                DecodeOutcome::Rejected
+                DecodeFailure::Rejected.into()
             }
             AttemptOutcome::NotDelivered(failure) => {
                 request_guard.record_failure(failure);
-                DecodeOutcome::NotDelivered
+                DecodeFailure::NotDelivered.into()
             }
             AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
                 handle.iter().for_each(KvHandle::mark_consumed);
                 request_guard.record_failure(ServerFailure::BrokenResponse);
-                DecodeOutcome::Broken
+                DecodeFailure::Broken.into()
             }
         }
     }
@@ -111,14 +123,15 @@
             let body = self.buffer_body(&target.id, &head, body, connection, until).await;
             return match body {
                 Some(body) if !promises_not_executed(head.status) => {
-                    DecodeOutcome::Error(forwarded_response(&head, ResponseBody::Buffered(Some(body))))
+                    let response = forwarded_response(&head, ResponseBody::Buffered(Some(body)));
+                    DecodeFailure::ErrorResponse(response).into()
                 }
-                _ => DecodeOutcome::Broken,
+                _ => DecodeFailure::Broken.into(),
             };
         }
         if !is_sealed(&head) || head.headers.contains_key(CONTENT_ENCODING) {
             request_guard.record_failure(ServerFailure::BrokenResponse);
-            return DecodeOutcome::Broken;
+            return DecodeFailure::Broken.into();
         }
         let target = target.clone();
         DecodeOutcome::Streaming(DecodeStream {
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -14,7 +14,7 @@
 pub(crate) const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
 /// A server's proof that it made the response.
 pub(crate) const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
-/// A server's word that it did not run the request and never will.
+/// A server's statement that it did not run the request and never will.
 pub(crate) const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 /// From 0, the most urgent, to 9.
 pub(crate) const PRIORITY: HeaderName = HeaderName::from_static("priority");
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -10,7 +10,7 @@
 use crate::client_request::ClientRequest;
 use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
-use crate::decode::DecodeOutcome;
+use crate::decode::{DecodeFailure, DecodeOutcome};
 use crate::load_guards::SelectionGuard;
 use crate::prefill::{KvHandle, PrefillError};
 use crate::response::ResponseBody;
@@ -58,27 +58,44 @@
                 history.record_undelivered(&pair.decode);
                 continue;
             };
-            match self.decode_or_prefill_locally(&request, &prompt, &target, handle).await {
-                Err(RetryBudgetExhausted) => return self.reject(&request),
+            let failure = match self.decode_or_prefill_locally(&request, &prompt, &target, handle).await {
                 Ok(DecodeOutcome::Streaming(stream)) => {
                     return self.clone().forward_stream(request, prompt, stream, in_flight);
                 }
-                Ok(DecodeOutcome::Error(response)) => {
-                    history.record_run(&target.id);
-                    if !request.is_repeatable() || history.has_reached_retry_count(&request) {
-                        return response;
-                    }
-                }
-                Ok(DecodeOutcome::HandleUnavailable | DecodeOutcome::Rejected) => {
-                    history.record_rejection(&target.id);
-                }
-                Ok(DecodeOutcome::NotDelivered) => history.record_undelivered(&target.id),
-                Ok(DecodeOutcome::Broken) => {
-                    history.record_run(&target.id);
-                    if !request.is_repeatable() {
-                        return self.fail();
-                    }
-                }
+                Ok(DecodeOutcome::Failed(failure)) => failure,
+                Err(RetryBudgetExhausted) => return self.reject(&request),
+            };
+            if let Some(response) = self.final_response(&request, &target, failure, &mut history) {
+                return response;
+            }
+        }
+    }
+
+    /// The response to a request whose attempt at a decode server failed; `None` where another attempt may follow.
+    fn final_response(
+        &self,
+        request: &ClientRequest,
+        target: &Target,
+        failure: DecodeFailure,
+        history: &mut AttemptHistory,
+    ) -> Option<Response<ResponseBody>> {
+        match failure {
+            DecodeFailure::ErrorResponse(response) => {
+                history.record_run(&target.id);
+                let may_retry = request.is_repeatable() && !history.has_reached_retry_count(request);
+                (!may_retry).then_some(response)
+            }
+            DecodeFailure::HandleUnavailable | DecodeFailure::Rejected => {
+                history.record_rejection(&target.id);
+                None
+            }
+            DecodeFailure::NotDelivered => {
+                history.record_undelivered(&target.id);
+                None
+            }
+            DecodeFailure::Broken => {
+                history.record_run(&target.id);
+                (!request.is_repeatable()).then(|| self.fail())
             }
         }
     }
@@ -161,7 +178,8 @@
         let prefill_server = handle.as_ref().map(|handle| handle.prefill_server_id().clone());
         let outcome = self.start_decode(request, prompt, target, handle, None).await;
         let may_send_again = !request.is_expired(self.now()) && self.accepts_requests(&target.id);
-        if !matches!(outcome, DecodeOutcome::HandleUnavailable) || !may_send_again {
+        let lacks_handle = matches!(outcome, DecodeOutcome::Failed(DecodeFailure::HandleUnavailable));
+        if !lacks_handle || !may_send_again {
             return Ok(outcome);
         }
         if !self.try_withdraw_retry(request) {
--- a/crates/data-plane/src/server_request.rs
+++ b/crates/data-plane/src/server_request.rs
@@ -87,7 +87,7 @@
         self.may_have_reached.borrow_mut().push(target.id.clone());
     }
 
-    /// Takes the last `record_send` back: the request has been proven not to have left as a whole.
+    /// Takes the last `record_send` back: it is proven that the request was not sent completely.
     pub(crate) fn revoke_send(&self) {
         self.may_have_reached.borrow_mut().pop();
     }
--- a/crates/routing/src/weights.rs
+++ b/crates/routing/src/weights.rs
@@ -9,7 +9,7 @@
 pub struct RoutingWeights {
     /// The retry budget that all proxies share.
     pub retry_budget: RetryBudgetLimits,
-    /// Prompt tokens that a prefill server reads in a millisecond; a decode server reads half as many.
+    /// Prompt tokens that a prefill server processes in a millisecond; a decode server processes half as many.
     pub prefill_tokens_per_milli: f64,
     /// What one stream in flight at a decode server weighs, in prompt tokens.
     pub stream_weight_tokens: f64,
