--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Helpers of the tests.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,19 +8,19 @@
 use rand_core::RngCore;
 
 /// The heartbeat interval of all servers, in milliseconds.
-pub(crate) const KEEPALIVE: u64 = 1200;
+pub(crate) const HEARTBEAT_INTERVAL_MILLIS: u64 = 1200;
 
 /// The instant so many milliseconds after the origin of the clock.
 pub(crate) fn millis(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-pub(crate) fn core(number: u64) -> Registry {
-    Registry::new(SourceId(number), Duration::from_millis(KEEPALIVE))
+pub(crate) fn control_node(number: u64) -> Registry {
+    Registry::new(SourceId(number), Duration::from_millis(HEARTBEAT_INTERVAL_MILLIS))
 }
 
 pub(crate) fn read_replica(number: u64) -> Registry {
-    Registry::read_replica(SourceId(number), Duration::from_millis(KEEPALIVE))
+    Registry::read_replica(SourceId(number), Duration::from_millis(HEARTBEAT_INTERVAL_MILLIS))
 }
 
 pub(crate) fn address(number: u8) -> SocketAddrV4 {
@@ -48,10 +48,10 @@
     Server { state, ..server(number, sequence) }
 }
 
-/// Gives `to` all that it lacks, in pieces.
-pub(crate) fn pull(now: u64, from: &Registry, to: &mut Registry, most: usize) {
+/// Sends `to` all entries that it is missing, at most `max_entries` in one delta.
+pub(crate) fn synchronize(now: u64, from: &Registry, to: &mut Registry, max_entries: usize) {
     for _ in 0..100_000 {
-        let delta = from.missing_entries(&to.vector(), most);
+        let delta = from.missing_entries(&to.vector(), max_entries);
         let more = delta.is_truncated;
         to.merge(millis(now), delta);
         if !more {
@@ -61,8 +61,8 @@
     panic!("a pull that doesn't end");
 }
 
-/// The same between two of a group.
-pub(crate) fn pull_within(now: u64, all: &mut [Registry], from: usize, to: usize, most: usize) {
+/// The same between two registries of a group.
+pub(crate) fn synchronize_pair(now: u64, all: &mut [Registry], from: usize, to: usize, max_entries: usize) {
     let (from, to) = match from < to {
         true => {
             let (left, right) = all.split_at_mut(to);
@@ -73,18 +73,18 @@
             (&right[0], &mut left[to])
         }
     };
-    pull(now, from, to, most);
+    synchronize(now, from, to, max_entries);
 }
 
-/// Everything that a register says, tombstones too, in one order.
-pub(crate) fn said(register: &Registry) -> Vec<Entry> {
-    let mut entries: Vec<Entry> = register.entries().cloned().collect();
+/// All entries of a registry, tombstones too, by id.
+pub(crate) fn all_entries(registry: &Registry) -> Vec<Entry> {
+    let mut entries: Vec<Entry> = registry.entries().cloned().collect();
     entries.sort_by(|a, b| a.server.id.cmp(&b.server.id));
     entries
 }
 
-/// All give all, until nobody has anything new.
-pub(crate) fn settle(now: u64, all: &mut [Registry]) {
+/// All registries exchange deltas until nothing changes.
+pub(crate) fn synchronize_all(now: u64, all: &mut [Registry]) {
     for _ in 0..50 {
         let mut changed = false;
         for from in 0..all.len() {
@@ -100,27 +100,27 @@
             return;
         }
     }
-    panic!("the registers don't come to rest");
+    panic!("the registries don't come to rest");
 }
 
-/// The indices agree with the entries.
-pub(crate) fn check(register: &Registry) {
-    let entries = said(register);
+/// Asserts that the indexes agree with the entries.
+pub(crate) fn assert_consistent(registry: &Registry) {
+    let entries = all_entries(registry);
     let live = entries.iter().filter(|e| e.server.state != OperState::Removed).count();
-    assert_eq!(register.len(), live);
-    assert_eq!(register.servers().count(), live);
+    assert_eq!(registry.len(), live);
+    assert_eq!(registry.servers().count(), live);
     for entry in &entries {
         let server = &entry.server;
-        assert_eq!(register.get(&server.id), Some(server));
+        assert_eq!(registry.get(&server.id), Some(server));
         let is_live = server.state != OperState::Removed;
-        assert_eq!(register.servers_of_service(&server.service).any(|s| s == server), is_live);
+        assert_eq!(registry.servers_of_service(&server.service).any(|s| s == server), is_live);
         assert_eq!(
-            register.servers_at_address(server.address).any(|s| s == server),
+            registry.servers_at_address(server.address).any(|s| s == server),
             is_live && !server.is_suspected
         );
     }
 }
 
-pub(crate) fn below(rng: &mut impl RngCore, bound: u64) -> u64 {
+pub(crate) fn random_below(rng: &mut impl RngCore, bound: u64) -> u64 {
     rng.next_u64() % bound.max(1)
 }
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -1,30 +1,37 @@
-//! All registers come to the same, and to what the servers last said.
+//! Convergence: all registries come to hold the same entries, those of the servers' last heartbeats.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{below, check, core, millis, pull, read_replica, said, server, settle};
-use mosshead_registry::{Delta, Entry, OperState, Registry, Server, SourceId, VersionVector};
+use common::{
+    all_entries, assert_consistent, control_node, millis, random_below, read_replica, server, synchronize,
+    synchronize_all,
+};
+use mosshead_registry::{Delta, Entry, OperState, Server, SourceId, VersionVector};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What any process might say, also what none should.
+/// An entry that a process may send, also one that no process without errors publishes.
 #[derive(Clone, Debug)]
-struct Said(Entry);
+struct ArbitraryEntry(Entry);
 
-impl Arbitrary for Said {
-    fn arbitrary(g: &mut Gen) -> Said {
+impl Arbitrary for ArbitraryEntry {
+    fn arbitrary(g: &mut Gen) -> ArbitraryEntry {
         let number = u8::arbitrary(g) % 4;
         let state = *g.choose(&[OperState::Up, OperState::Draining, OperState::Removed]).unwrap();
         let source = SourceId(u64::arbitrary(g) % 4);
         let sequence = u64::arbitrary(g) % 6;
-        // Under one number a source says one thing.
+        // A source gives one version to one entry only.
         let version = 1 + sequence * 64 + u64::from(number) * 8 + state as u64 * 2;
         let is_suspected = bool::arbitrary(g);
         let version = version + u64::from(is_suspected);
-        Said(Entry { server: Server { state, is_suspected, ..server(number, sequence) }, source, version })
+        ArbitraryEntry(Entry {
+            server: Server { state, is_suspected, ..server(number, sequence) },
+            source,
+            version,
+        })
     }
 }
 
@@ -33,32 +40,32 @@
 }
 
 quickcheck! {
-    fn order_and_duplicates_do_not_matter(entries: Vec<Said>, seed: u64) -> bool {
+    fn order_and_duplicates_do_not_matter(entries: Vec<ArbitraryEntry>, seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut a, mut b) = (read_replica(100), core(101));
+        let (mut a, mut b) = (read_replica(100), control_node(101));
         for said in &entries {
             a.merge(millis(0), delta([said.0.clone()]));
         }
         let mut rest = entries.clone();
         rest.extend(entries.iter().filter(|_| rng.next_u32().is_multiple_of(2)).cloned());
         while !rest.is_empty() {
-            let take = rest.swap_remove(below(&mut rng, rest.len() as u64) as usize);
+            let take = rest.swap_remove(random_below(&mut rng, rest.len() as u64) as usize);
             b.merge(millis(0), delta([take.0]));
         }
-        check(&a);
-        check(&b);
+        assert_consistent(&a);
+        assert_consistent(&b);
         assert_eq!(a.fingerprint(), b.fingerprint());
-        said(&a) == said(&b)
+        all_entries(&a) == all_entries(&b)
     }
 
-    /// Who has gone, or is leaving, doesn't come up by anything that isn't newer.
-    fn the_leaving_stay(entries: Vec<Said>) -> bool {
-        let mut register = core(100);
+    /// A removed or draining server returns to an earlier state only by a higher sequence number.
+    fn an_entry_never_returns_to_an_earlier_state(entries: Vec<ArbitraryEntry>) -> bool {
+        let mut registry = control_node(100);
         let mut low: BTreeMap<String, (u64, OperState)> = BTreeMap::new();
-        for Said(entry) in entries {
+        for ArbitraryEntry(entry) in entries {
             let id = entry.server.id.clone();
-            register.merge(millis(0), delta([entry]));
-            let now = register.get(&id).unwrap();
+            registry.merge(millis(0), delta([entry]));
+            let now = registry.get(&id).unwrap();
             let before = low.entry(id).or_insert((now.sequence, now.state));
             if now.sequence < before.0 || (now.sequence == before.0 && now.state < before.1) {
                 return false;
@@ -68,7 +75,7 @@
         true
     }
 
-    fn supersedes_is_a_strict_total_order(a: Said, b: Said, c: Said) -> bool {
+    fn supersedes_is_a_strict_total_order(a: ArbitraryEntry, b: ArbitraryEntry, c: ArbitraryEntry) -> bool {
         let (a, b, c) = (a.0, b.0, c.0);
         let total = a == b || a.supersedes(&b) != b.supersedes(&a);
         let chain = !(a.supersedes(&b) && b.supersedes(&c)) || a.supersedes(&c);
@@ -76,154 +83,29 @@
         !a.supersedes(&a) && chain && (total || is_same)
     }
 
-    /// Pieces of any size bring the same as the whole, and claim no more than was given.
-    fn pieces_bring_the_whole(beats: Vec<(u8, u64)>, most: u8) -> bool {
-        let mut cores = [core(1), core(2), core(3)];
-        for (number, sequence) in beats {
+    /// Truncated deltas of any size lead to the same entries and vector as one complete delta.
+    fn chunked_deltas_equal_one_complete_delta(heartbeats: Vec<(u8, u64)>, max_entries: u8) -> bool {
+        let mut nodes = [control_node(1), control_node(2), control_node(3)];
+        for (number, sequence) in heartbeats {
             let at = (sequence % 3) as usize;
-            cores[at].record_heartbeat(millis(0), Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
+            nodes[at].record_heartbeat(millis(0), Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
         }
-        settle(0, &mut cores);
-        let (mut whole, mut pieces) = (read_replica(8), read_replica(9));
-        pull(0, &cores[0], &mut whole, usize::MAX);
-        pull(0, &cores[0], &mut pieces, most as usize % 5);
-        said(&whole) == said(&pieces) && whole.vector() == pieces.vector() && said(&whole) == said(&cores[0])
-    }
-}
-
-/// What a server has said so far, beat by beat, and what has arrived of it.
-struct Truth {
-    now: Server,
-    arrived: Option<Server>,
-    ended: bool,
-}
-
-/// Servers beat at random cores, beats arrive late and twice, deltas get lost, cut and repeated. At rest all
-/// registers hold, for every server, the arrived beat with the highest sequence.
-fn play(seed: u64) {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let cores = 3 + below(&mut rng, 3) as usize;
-    let mut all: Vec<Registry> = (0..cores as u64).map(|n| core(10 + n)).collect();
-    all.extend((0..4).map(|n| read_replica(100 + n)));
-    let mut truths: Vec<Truth> =
-        (0..12).map(|n| Truth { now: server(n, 0), arrived: None, ended: false }).collect();
-    let mut under_way: Vec<Server> = Vec::new();
-    let mut deltas: Vec<(usize, Delta)> = Vec::new();
-    for _ in 0..1500 {
-        match below(&mut rng, 10) {
-            0..=3 => {
-                let truth = &mut truths[below(&mut rng, 12) as usize];
-                if !truth.ended {
-                    truth.now.sequence += 1;
-                    match below(&mut rng, 12) {
-                        0 => truth.now.slots = below(&mut rng, 3) as u32,
-                        1 if rng.next_u32().is_multiple_of(4) => truth.now.state = OperState::Draining,
-                        _ => {}
-                    }
-                    under_way.push(truth.now.clone());
-                    if rng.next_u32().is_multiple_of(8) {
-                        under_way.push(truth.now.clone());
-                    }
-                }
-            }
-            4..=6 if !under_way.is_empty() => {
-                // Mostly the oldest, at times any.
-                let any = below(&mut rng, under_way.len() as u64) as usize;
-                let at = if rng.next_u32().is_multiple_of(4) { any } else { 0 };
-                let beat = under_way.remove(at);
-                let to = below(&mut rng, cores as u64) as usize;
-                for truth in &mut truths {
-                    if truth.now.id == beat.id
-                        && truth.arrived.as_ref().is_none_or(|s| s.sequence < beat.sequence)
-                    {
-                        truth.arrived = Some(beat.clone());
-                    }
-                }
-                all[to].record_heartbeat(millis(0), beat);
-            }
-            7 if rng.next_u32().is_multiple_of(20) => {
-                let truth = &mut truths[below(&mut rng, 12) as usize];
-                truth.ended = true;
-                all[below(&mut rng, cores as u64) as usize].deregister(millis(0), &truth.now.id);
-            }
-            8 => {
-                let from = below(&mut rng, cores as u64) as usize;
-                let to = below(&mut rng, cores as u64) as usize;
-                let alive = all[from].heartbeats_since(millis(0));
-                let source = all[from].local_id();
-                all[to].record_remote_heartbeats(
-                    millis(0),
-                    source,
-                    alive.iter().map(|(id, s)| (id.as_str(), *s)),
-                );
-            }
-            _ => {
-                let from = below(&mut rng, all.len() as u64) as usize;
-                let to = below(&mut rng, all.len() as u64) as usize;
-                let most = below(&mut rng, 6) as usize;
-                if from != to {
-                    deltas.push((to, all[from].missing_entries(&all[to].vector(), most)));
-                }
-            }
-        }
-        // Deltas arrive in any order, twice, at the wrong process, or never.
-        while deltas.len() > 6 {
-            let (to, delta) = deltas.swap_remove(below(&mut rng, 7) as usize);
-            match below(&mut rng, 6) {
-                0 => {}
-                1 => {
-                    all[to].merge(millis(0), delta.clone());
-                    deltas.push((to, delta));
-                    deltas.swap_remove(0);
-                }
-                2 => {
-                    let other = below(&mut rng, all.len() as u64) as usize;
-                    all[other].merge(millis(0), delta);
-                }
-                _ => {
-                    all[to].merge(millis(0), delta);
-                }
-            }
-        }
-    }
-    settle(0, &mut all);
-    let first = said(&all[0]);
-    for register in &all {
-        check(register);
-        assert_eq!(said(register), first, "seed {seed}");
-        assert_eq!(register.fingerprint(), all[0].fingerprint());
-    }
-    for truth in truths {
-        let known = all[0].get(&truth.now.id);
-        if truth.ended {
-            assert_eq!(known.unwrap().state, OperState::Removed, "seed {seed}");
-            continue;
-        }
-        let Some(arrived) = truth.arrived else {
-            assert_eq!(known, None);
-            continue;
-        };
-        let known = known.unwrap();
-        assert_eq!((known.slots, known.state), (arrived.slots, arrived.state), "seed {seed}: {}", known.id);
-        assert!(known.sequence <= arrived.sequence);
-    }
-}
-
-#[test]
-fn random_pulls_with_loss_and_duplicates_converge() {
-    for seed in 0..200 {
-        play(seed);
+        synchronize_all(0, &mut nodes);
+        let (mut complete, mut chunked) = (read_replica(8), read_replica(9));
+        synchronize(0, &nodes[0], &mut complete, usize::MAX);
+        synchronize(0, &nodes[0], &mut chunked, max_entries as usize % 5);
+        all_entries(&complete) == all_entries(&chunked) && complete.vector() == chunked.vector() && all_entries(&complete) == all_entries(&nodes[0])
     }
 }
 
 #[test]
-fn a_delta_for_another_base_claims_nothing() {
-    // An answer to the process that was here before.
-    let (mut a, mut old, mut new) = (core(1), core(2), core(3));
+fn a_delta_for_a_higher_base_does_not_advance_the_vector() {
+    // The delta was meant for an earlier incarnation.
+    let (mut a, mut old, mut new) = (control_node(1), control_node(2), control_node(3));
     for number in 0..10 {
         a.record_heartbeat(millis(0), server(number, 1));
     }
-    pull(0, &a, &mut old, 100);
+    synchronize(0, &a, &mut old, 100);
     a.record_heartbeat(millis(0), server(10, 1));
     let late = a.missing_entries(&old.vector(), 100);
     assert_eq!(late.entries.len(), 1);
@@ -231,15 +113,15 @@
     assert_eq!(new.len(), 1);
     assert_eq!(new.vector(), VersionVector::default());
     assert!(new.missing_entries(&VersionVector::default(), 100).is_empty());
-    pull(0, &a, &mut new, 3);
-    assert_eq!(said(&new), said(&a));
+    synchronize(0, &a, &mut new, 3);
+    assert_eq!(all_entries(&new), all_entries(&a));
     assert_eq!(new.missing_entries(&VersionVector::default(), 100).entries.len(), 11);
 }
 
 #[test]
-fn a_register_with_a_gap_finds_out_and_asks_again() {
-    // A claim over a gap, however it came about, shows in the fingerprint.
-    let (mut a, mut p) = (core(1), read_replica(9));
+fn a_registry_with_a_gap_detects_it_and_synchronizes_fully() {
+    // A vector raised over a gap shows in the fingerprint.
+    let (mut a, mut p) = (control_node(1), read_replica(9));
     for number in 0..10 {
         a.record_heartbeat(millis(0), server(number, 1));
     }
@@ -250,9 +132,9 @@
     assert_eq!(p.vector(), a.vector());
     p.tick(millis(1));
     assert!(p.vector().is_empty());
-    pull(1, &a, &mut p, 4);
-    assert_eq!(said(&p), said(&a));
-    // But not over and over, where it doesn't help.
+    synchronize(1, &a, &mut p, 4);
+    assert_eq!(all_entries(&p), all_entries(&a));
+    // A difference that remains leads to a full synchronization at intervals only.
     let mut odd = a.missing_entries(&p.vector(), 100);
     odd.fingerprint ^= 1;
     p.merge(millis(2), odd.clone());
@@ -261,13 +143,13 @@
     p.merge(millis(20_000), odd);
     p.tick(millis(20_000));
     assert!(p.vector().is_empty());
-    pull(20_001, &a, &mut p, 100);
+    synchronize(20_001, &a, &mut p, 100);
     assert_eq!(p.vector(), a.vector());
 }
 
 #[test]
-fn steady_beats_bring_pullers_nothing() {
-    let (mut a, mut p) = (core(1), read_replica(9));
+fn unchanged_heartbeats_produce_empty_deltas() {
+    let (mut a, mut p) = (control_node(1), read_replica(9));
     for sequence in 1..100 {
         for number in 0..50 {
             a.record_heartbeat(millis(sequence * 1200), server(number, sequence));
--- a/crates/registry/tests/encoding.rs
+++ b/crates/registry/tests/encoding.rs
@@ -1,11 +1,11 @@
-//! What goes between processes, and bytes that no process sent.
+//! Encodings: what processes send each other, and bytes that no process has sent.
 
 mod common;
 
 use std::fmt::Debug;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use common::{check, core, millis, read_replica, server};
+use common::{assert_consistent, control_node, millis, read_replica, server};
 use minicbor::{Decode, Encode};
 use mosshead_registry::{
     Delta, Entry, MAX_VECTOR_SOURCES, Model, OperState, Server, SourceId, Stage, VersionVector,
@@ -75,27 +75,27 @@
     let _ = minicbor::decode::<OperState>(bytes);
     let _ = minicbor::decode::<SourceId>(bytes);
     if let Ok(delta) = minicbor::decode::<Delta>(bytes) {
-        let mut register = core(1);
-        register.merge(millis(0), delta);
-        register.tick(millis(0));
-        check(&register);
+        let mut registry = control_node(1);
+        registry.merge(millis(0), delta);
+        registry.tick(millis(0));
+        assert_consistent(&registry);
     }
 }
 
 quickcheck! {
-    fn deltas_round(delta: AnyDelta) -> bool {
+    fn deltas_survive_encoding(delta: AnyDelta) -> bool {
         round(&delta.0);
         round(&delta.0.vector);
         delta.0.entries.iter().for_each(round);
         true
     }
 
-    fn garbage_does_no_harm(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_are_decoded_without_panic(bytes: Vec<u8>) -> bool {
         read_all(&bytes);
         true
     }
 
-    fn harmed_bytes_do_no_harm(delta: AnyDelta, harm: Vec<(usize, u8)>) -> bool {
+    fn corrupted_bytes_are_decoded_without_panic(delta: AnyDelta, harm: Vec<(usize, u8)>) -> bool {
         let mut bytes = minicbor::to_vec(&delta.0).unwrap();
         read_all(&bytes[..harm.len() % bytes.len()]);
         let len = bytes.len();
@@ -106,9 +106,9 @@
         true
     }
 
-    /// Deltas that no honest process makes leave the register whole.
-    fn odd_deltas_do_no_harm(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
-        let (mut a, mut p) = (core(1), read_replica(2));
+    /// Deltas that no process without errors sends leave the registry consistent.
+    fn implausible_deltas_keep_the_registry_consistent(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
+        let (mut a, mut p) = (control_node(1), read_replica(2));
         a.record_heartbeat(millis(0), server(1, 1));
         for (delta, now) in deltas.into_iter().zip(times.into_iter().chain([u64::MAX, 0])) {
             a.merge(millis(now), delta.0.clone());
@@ -122,20 +122,20 @@
             }
             a.tick(millis(now));
             p.tick(millis(now));
-            check(&a);
-            check(&p);
+            assert_consistent(&a);
+            assert_consistent(&p);
         }
         true
     }
 }
 
 #[test]
-fn a_vector_from_outside_is_bounded() {
+fn a_decoded_vector_is_bounded() {
     let sources = |count: u64| VersionVector((0..count).map(|n| (SourceId(n), n)).collect());
-    let most = MAX_VECTOR_SOURCES as u64;
-    assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(most)).unwrap()).is_ok());
-    assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(most + 1)).unwrap()).is_err());
-    // A length that isn't there asks for no memory.
+    let max_entries = MAX_VECTOR_SOURCES as u64;
+    assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(max_entries)).unwrap()).is_ok());
+    assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(max_entries + 1)).unwrap()).is_err());
+    // An announced length without data allocates no memory.
     assert!(
         minicbor::decode::<VersionVector>(&[0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err()
     );
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -1,18 +1,21 @@
-//! Silence: marks, digests, adoption, and the end of the silent.
+//! Failure detection: suspicion, digests, lost sources, and the removal of suspected servers.
 
 mod common;
 
-use common::{KEEPALIVE, check, core, millis, pull, read_replica, server, settle, with_state};
+use common::{
+    HEARTBEAT_INTERVAL_MILLIS, assert_consistent, control_node, millis, read_replica, server, synchronize,
+    synchronize_all, with_state,
+};
 use mosshead_registry::{
     OperState, Registry, SOURCE_TIMEOUT, SUSPICION_TIMEOUT, SourceId, TOMBSTONE_LIFETIME,
 };
 use mosshead_time::whole_millis;
 
-/// Ticks from one time to another; who changed anything is told by the time of the first change.
-fn run(register: &mut Registry, from: u64, to: u64) -> Option<u64> {
+/// Ticks every 100 ms from one instant to another. Returns when an entry first changed.
+fn run(registry: &mut Registry, from: u64, to: u64) -> Option<u64> {
     let mut first = None;
     for now in (from..=to).step_by(100) {
-        if register.tick(millis(now)) && first.is_none() {
+        if registry.tick(millis(now)) && first.is_none() {
             first = Some(now);
         }
     }
@@ -28,70 +31,71 @@
     );
 }
 
-fn is_silent(register: &Registry) -> bool {
-    register.get("i-1").unwrap().is_suspected
+fn is_suspected(registry: &Registry) -> bool {
+    registry.get("i-1").unwrap().is_suspected
 }
 
 #[test]
-fn a_server_whose_beats_stop_is_marked_then_gone_then_dropped() {
-    let mut register = core(1);
-    register.tick(millis(0));
-    for beat in 0..5 {
-        assert_eq!(run(&mut register, beat * 1200, beat * 1200 + 1100), None);
-        register.record_heartbeat(millis(beat * 1200), server(1, beat + 1));
+fn a_server_without_heartbeats_is_suspected_then_removed_then_dropped() {
+    let mut registry = control_node(1);
+    registry.tick(millis(0));
+    for number in 0..5 {
+        assert_eq!(run(&mut registry, number * 1200, number * 1200 + 1100), None);
+        registry.record_heartbeat(millis(number * 1200), server(1, number + 1));
     }
     let last = 4 * 1200;
-    let marked = run(&mut register, last, last + 10_000).unwrap();
-    let silence = KEEPALIVE * 16 / 5;
-    assert!((last + silence..=last + silence + 200).contains(&marked), "{marked}");
-    assert!(is_silent(&register));
-    assert_eq!(register.get("i-1").unwrap().sequence, 5);
-    let gone = run(&mut register, last + 10_100, last + 40_000).unwrap();
+    let suspected_at = run(&mut registry, last, last + 10_000).unwrap();
+    let silence = HEARTBEAT_INTERVAL_MILLIS * 16 / 5;
+    assert!((last + silence..=last + silence + 200).contains(&suspected_at), "{suspected_at}");
+    assert!(is_suspected(&registry));
+    assert_eq!(registry.get("i-1").unwrap().sequence, 5);
+    let removed_at = run(&mut registry, last + 10_100, last + 40_000).unwrap();
     assert!(
-        (marked + whole_millis(SUSPICION_TIMEOUT)..=marked + whole_millis(SUSPICION_TIMEOUT) + 200)
-            .contains(&gone),
-        "{gone}"
+        (suspected_at + whole_millis(SUSPICION_TIMEOUT)
+            ..=suspected_at + whole_millis(SUSPICION_TIMEOUT) + 200)
+            .contains(&removed_at),
+        "{removed_at}"
     );
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Removed);
-    assert!(register.is_empty());
-    run(&mut register, last + 40_100, gone + whole_millis(TOMBSTONE_LIFETIME) - 100);
-    assert!(register.get("i-1").is_some());
+    assert_eq!(registry.get("i-1").unwrap().state, OperState::Removed);
+    assert!(registry.is_empty());
+    run(&mut registry, last + 40_100, removed_at + whole_millis(TOMBSTONE_LIFETIME) - 100);
+    assert!(registry.get("i-1").is_some());
     run(
-        &mut register,
-        gone + whole_millis(TOMBSTONE_LIFETIME),
-        gone + whole_millis(TOMBSTONE_LIFETIME) + 200,
+        &mut registry,
+        removed_at + whole_millis(TOMBSTONE_LIFETIME),
+        removed_at + whole_millis(TOMBSTONE_LIFETIME) + 200,
     );
-    assert!(register.get("i-1").is_none());
-    check(&register);
+    assert!(registry.get("i-1").is_none());
+    assert_consistent(&registry);
 }
 
 #[test]
-fn a_beat_wakes_a_silent_and_a_gone_server() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), server(1, 1));
-    run(&mut register, 0, 8_000);
-    assert!(is_silent(&register));
-    // The last one again is no sign of life.
-    assert!(!register.record_heartbeat(millis(8_000), server(1, 1)).changed);
-    assert!(register.record_heartbeat(millis(8_000), server(1, 2)).changed);
-    assert!(!is_silent(&register));
-    run(&mut register, 8_100, 60_000);
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Removed);
-    assert!(!register.record_heartbeat(millis(60_100), server(1, 2)).changed);
-    assert!(register.record_heartbeat(millis(60_100), server(1, 3)).changed);
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Up);
-    // Its timer is that of a live one again.
-    run(&mut register, 60_100, 70_000);
-    assert!(is_silent(&register));
-    check(&register);
+fn a_heartbeat_clears_suspicion_and_revives_a_removed_server() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), server(1, 1));
+    run(&mut registry, 0, 8_000);
+    assert!(is_suspected(&registry));
+    // A repeat of the last heartbeat is no sign of life.
+    assert!(!registry.record_heartbeat(millis(8_000), server(1, 1)).changed);
+    assert!(registry.record_heartbeat(millis(8_000), server(1, 2)).changed);
+    assert!(!is_suspected(&registry));
+    run(&mut registry, 8_100, 60_000);
+    assert_eq!(registry.get("i-1").unwrap().state, OperState::Removed);
+    assert!(!registry.record_heartbeat(millis(60_100), server(1, 2)).changed);
+    assert!(registry.record_heartbeat(millis(60_100), server(1, 3)).changed);
+    assert_eq!(registry.get("i-1").unwrap().state, OperState::Up);
+    // It is suspected again after the usual time.
+    run(&mut registry, 60_100, 70_000);
+    assert!(is_suspected(&registry));
+    assert_consistent(&registry);
 }
 
 #[test]
-fn who_hears_it_elsewhere_keeps_quiet() {
-    let (mut a, mut b) = (core(1), core(2));
+fn only_the_last_receiver_suspects_a_server() {
+    let (mut a, mut b) = (control_node(1), control_node(2));
     a.record_heartbeat(millis(0), server(1, 1));
-    pull(0, &a, &mut b, 10);
-    // From now on the server beats at b only, and says nothing new.
+    synchronize(0, &a, &mut b, 10);
+    // From now on the server sends unchanged heartbeats to b only.
     for now in (100..30_000).step_by(100) {
         if now % 1200 == 0 {
             b.record_heartbeat(millis(now), server(1, 1 + now / 1200));
@@ -102,53 +106,53 @@
         }
         assert!(!a.tick(millis(now)) && !b.tick(millis(now)), "{now}");
     }
-    // Its beats stop: b heard it last and says so, a leaves it to b.
-    let mut marked = Vec::new();
+    // The heartbeats stop: b received the last one and suspects the server, a leaves that to b.
+    let mut suspected_at = Vec::new();
     for now in (30_000..40_000_u64).step_by(100) {
         if now % 300 == 0 {
             digest(&b, now.saturating_sub(1500), now, &mut a);
             digest(&a, now.saturating_sub(1500), now, &mut b);
         }
         if a.tick(millis(now)) {
-            marked.push('a');
+            suspected_at.push('a');
         }
         if b.tick(millis(now)) {
-            marked.push('b');
+            suspected_at.push('b');
         }
     }
-    assert_eq!(marked, ['b']);
+    assert_eq!(suspected_at, ['b']);
     assert_eq!(a.version(), 1);
 }
 
 #[test]
-fn a_false_mark_is_refuted_by_who_hears() {
-    let (mut a, mut b, mut p) = (core(1), core(2), read_replica(9));
+fn the_receiver_of_heartbeats_refutes_a_false_suspicion() {
+    let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
     a.record_heartbeat(millis(0), server(1, 1));
-    pull(0, &a, &mut b, 10);
-    for beat in 1..10 {
-        b.record_heartbeat(millis(beat * 1200), server(1, 1 + beat));
+    synchronize(0, &a, &mut b, 10);
+    for number in 1..10 {
+        b.record_heartbeat(millis(number * 1200), server(1, 1 + number));
     }
-    // a was cut off: no digest came.
+    // No digest reaches a.
     run(&mut a, 0, 10 * 1200);
-    assert!(is_silent(&a));
-    pull(12_000, &a, &mut p, 10);
-    assert!(is_silent(&p));
-    // The proxy has seen more of a than b has: b asks for it, and knows better.
+    assert!(is_suspected(&a));
+    synchronize(12_000, &a, &mut p, 10);
+    assert!(is_suspected(&p));
+    // The proxy has a higher version of a than b has: b asks for it, and refutes it.
     assert!(b.is_behind(&p.vector()));
-    pull(12_000, &p, &mut b, 10);
-    assert!(!is_silent(&b));
-    pull(12_000, &b, &mut p, 10);
-    pull(12_000, &b, &mut a, 10);
-    assert!(!is_silent(&p) && !is_silent(&a));
+    synchronize(12_000, &p, &mut b, 10);
+    assert!(!is_suspected(&b));
+    synchronize(12_000, &b, &mut p, 10);
+    synchronize(12_000, &b, &mut a, 10);
+    assert!(!is_suspected(&p) && !is_suspected(&a));
 }
 
 #[test]
-fn a_lost_source_is_spoken_for() {
-    let (mut a, mut b, mut c) = (core(1), core(2), core(3));
+fn other_nodes_suspect_the_servers_of_a_lost_source() {
+    let (mut a, mut b, mut c) = (control_node(1), control_node(2), control_node(3));
     a.record_heartbeat(millis(0), server(1, 1));
-    pull(0, &a, &mut b, 10);
-    pull(0, &a, &mut c, 10);
-    // b and c are in touch with each other, a is too for a while.
+    synchronize(0, &a, &mut b, 10);
+    synchronize(0, &a, &mut c, 10);
+    // b and c stay in contact, a is in contact for a while.
     for now in (0..60_000).step_by(100) {
         if now <= 10_000 {
             b.record_contact(millis(now), SourceId(1));
@@ -156,114 +160,114 @@
         }
         b.record_contact(millis(now), SourceId(3));
         c.record_contact(millis(now), SourceId(2));
-        let marked = b.tick(millis(now)) | c.tick(millis(now));
+        let suspected_at = b.tick(millis(now)) | c.tick(millis(now));
         if now <= 10_000 + whole_millis(SOURCE_TIMEOUT) {
-            assert!(!marked, "a is in touch and speaks for itself");
+            assert!(!suspected_at, "a is in touch and speaks for itself");
         }
         if now == 10_000 + whole_millis(SOURCE_TIMEOUT) + 1000 {
-            assert!(is_silent(&b) && is_silent(&c));
+            assert!(is_suspected(&b) && is_suspected(&c));
             let mut all = [b.clone(), c.clone()];
-            settle(now, &mut all);
-            assert_eq!(common::said(&all[0]), common::said(&all[1]));
+            synchronize_all(now, &mut all);
+            assert_eq!(common::all_entries(&all[0]), common::all_entries(&all[1]));
         }
     }
     assert_eq!(b.get("i-1").unwrap().state, OperState::Removed);
-    // a comes back with its old word: it isn't heard.
-    pull(60_000, &a, &mut b, 10);
+    // a returns with its old entry, which is superseded.
+    synchronize(60_000, &a, &mut b, 10);
     assert_eq!(b.get("i-1").unwrap().state, OperState::Removed);
-    // A beat is.
+    // A heartbeat supersedes the tombstone.
     assert!(b.record_heartbeat(millis(60_000), server(1, 2)).changed);
 }
 
 #[test]
-fn a_mark_never_undoes_a_drain_that_it_does_not_know() {
-    // a knows the server as up with 1; b has it draining with 2, and steady beats up to 9 that a knows of by
-    // digest alone. a's mark must not hold against the drain.
-    let (mut a, mut b, mut p) = (core(1), core(2), read_replica(9));
+fn suspicion_never_undoes_an_unknown_draining_state() {
+    // a has the server as up with 1; b has it as draining with 2, and unchanged heartbeats up to 9 that a knows by
+    // digest alone. The suspicion of a must not supersede the draining state.
+    let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
     a.record_heartbeat(millis(0), server(1, 1));
-    pull(0, &a, &mut b, 10);
+    synchronize(0, &a, &mut b, 10);
     b.record_heartbeat(millis(100), with_state(1, 2, OperState::Draining));
-    pull(100, &b, &mut p, 10);
+    synchronize(100, &b, &mut p, 10);
     b.record_heartbeat(millis(200), with_state(1, 9, OperState::Draining));
     a.tick(millis(0));
     digest(&b, 0, 200, &mut a);
     run(&mut a, 0, 10_000);
-    assert!(is_silent(&a));
-    pull(10_000, &a, &mut p, 10);
+    assert!(is_suspected(&a));
+    synchronize(10_000, &a, &mut p, 10);
     assert_eq!(p.get("i-1").unwrap().state, OperState::Draining);
     let mut all = [a, b, p];
-    settle(10_000, &mut all);
+    synchronize_all(10_000, &mut all);
     assert!(all.iter().all(|r| r.get("i-1").unwrap().state == OperState::Draining));
 }
 
 #[test]
-fn a_process_that_stood_still_blames_nobody() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), server(1, 1));
-    run(&mut register, 0, 1000);
-    assert!(!register.tick(millis(30_000)));
-    assert!(!is_silent(&register));
-    register.record_heartbeat(millis(30_200), server(1, 20));
-    assert_eq!(run(&mut register, 30_100, 33_000), None);
-    // And if it really is silent, that is told after the usual time.
-    assert!(run(&mut register, 33_000, 36_000).is_some());
+fn a_paused_process_suspects_nobody_at_once() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), server(1, 1));
+    run(&mut registry, 0, 1000);
+    assert!(!registry.tick(millis(30_000)));
+    assert!(!is_suspected(&registry));
+    registry.record_heartbeat(millis(30_200), server(1, 20));
+    assert_eq!(run(&mut registry, 30_100, 33_000), None);
+    // Without further heartbeats the server is suspected after the usual time.
+    assert!(run(&mut registry, 33_000, 36_000).is_some());
 }
 
 #[test]
-fn followers_mark_nobody_but_drop_tombstones() {
-    let (mut a, mut p) = (core(1), read_replica(9));
+fn read_replicas_suspect_nobody_but_expire_tombstones() {
+    let (mut a, mut p) = (control_node(1), read_replica(9));
     a.record_heartbeat(millis(0), server(1, 1));
     a.record_heartbeat(millis(0), server(2, 1));
     a.deregister(millis(0), "i-2");
-    pull(0, &a, &mut p, 10);
+    synchronize(0, &a, &mut p, 10);
     assert_eq!(run(&mut p, 0, whole_millis(TOMBSTONE_LIFETIME) * 2), None);
-    assert!(!is_silent(&p));
+    assert!(!is_suspected(&p));
     assert!(p.get("i-2").is_none());
     assert_eq!(p.version(), 0);
-    check(&p);
+    assert_consistent(&p);
 }
 
 #[test]
-fn a_digest_names_only_what_was_heard_here_lately() {
-    let (mut a, mut b) = (core(1), core(2));
+fn a_digest_lists_only_recent_local_heartbeats() {
+    let (mut a, mut b) = (control_node(1), control_node(2));
     a.record_heartbeat(millis(0), server(1, 1));
     a.record_heartbeat(millis(1000), server(2, 1));
     a.record_heartbeat(millis(1100), server(2, 2));
-    pull(1100, &a, &mut b, 10);
+    synchronize(1100, &a, &mut b, 10);
     assert!(b.heartbeats_since(millis(0)).is_empty());
     assert_eq!(a.heartbeats_since(millis(500)), [("i-2".to_string(), 2)]);
     let mut all = a.heartbeats_since(millis(0));
     all.sort();
     assert_eq!(all, [("i-1".to_string(), 1), ("i-2".to_string(), 2)]);
-    // What was heard later elsewhere is left to those.
+    // Servers whose later heartbeats came to another node are left to that node.
     a.record_remote_heartbeats(millis(1200), SourceId(2), [("i-2", 3), ("nobody", 5)]);
     assert_eq!(a.heartbeats_since(millis(500)), []);
-    // An older word changes nothing.
+    // Older sequence numbers change nothing.
     a.record_remote_heartbeats(millis(1300), SourceId(3), [("i-1", 0), ("i-1", u64::MAX)]);
     assert_eq!(a.heartbeats_since(millis(0)), [("i-1".to_string(), 1)]);
 }
 
 #[test]
-fn a_drain_that_another_holds_is_not_urgent_again_for_a_refuted_mark() {
-    // a drains with beats up to 8 that made no version, b has marked what it knew of it.
-    let (mut a, mut b) = (core(1), core(2));
+fn a_refuted_suspicion_does_not_require_replicating_draining_again() {
+    // a has the server as draining, with unchanged heartbeats up to 8; b suspects it by what it knows.
+    let (mut a, mut b) = (control_node(1), control_node(2));
     a.record_heartbeat(millis(0), with_state(1, 2, OperState::Draining));
-    pull(0, &a, &mut b, 10);
+    synchronize(0, &a, &mut b, 10);
     assert!(a.record_heartbeat(millis(100), with_state(1, 8, OperState::Draining)).needs_replication);
     run(&mut b, 0, 10_000);
-    assert!(is_silent(&b));
-    let shown = a.vector();
-    pull(10_000, &a, &mut b, 10);
-    let answer = b.missing_entries(&shown, 10);
+    assert!(is_suspected(&b));
+    let vector = a.vector();
+    synchronize(10_000, &a, &mut b, 10);
+    let answer = b.missing_entries(&vector, 10);
     a.mark_replicated(&answer.vector);
     a.merge(millis(10_000), answer);
-    assert!(!is_silent(&a));
+    assert!(!is_suspected(&a));
     assert!(!a.record_heartbeat(millis(10_100), with_state(1, 9, OperState::Draining)).needs_replication);
-    // If it comes up and leaves again, that is another matter.
+    // A server that comes up and drains again must be replicated again.
     assert!(!a.record_heartbeat(millis(10_200), server(1, 10)).needs_replication);
     assert!(a.record_heartbeat(millis(10_300), with_state(1, 11, OperState::Draining)).needs_replication);
-    // And the end is urgent though the drain is held.
-    pull(10_300, &a, &mut b, 10);
+    // The removal must be replicated though the draining state was.
+    synchronize(10_300, &a, &mut b, 10);
     a.mark_replicated(&b.vector());
     assert!(!a.record_heartbeat(millis(10_400), with_state(1, 12, OperState::Draining)).needs_replication);
     assert!(a.deregister(millis(10_500), "i-1").needs_replication);
--- /dev/null
+++ b/crates/registry/tests/fleet/invariants.rs
@@ -0,0 +1,70 @@
+//! What must hold in each run.
+
+use std::collections::BTreeMap;
+
+use mosshead_registry::{Entry, OperState, Registry, Server};
+
+use crate::common::assert_consistent;
+use crate::fleet::{FAULTS_END, Fleet};
+use crate::servers::Lifecycle;
+
+impl Fleet {
+    /// A server that a proxy has had as draining is never up there again.
+    pub(crate) fn assert_draining_is_final(&mut self, now: u64, at: usize) {
+        let drained_servers = &mut self.drained_servers[at];
+        for Entry { server, .. } in self.proxies[at].entries() {
+            if server.state == OperState::Draining {
+                drained_servers.insert(server.id.clone());
+            }
+            assert!(
+                server.state != OperState::Up || !drained_servers.contains(&server.id),
+                "seed {}: at {now} {} is up again",
+                self.seed,
+                server.id
+            );
+        }
+    }
+
+    /// Once the faults have ended, an acknowledged draining state is known to every proxy within 2 s.
+    pub(crate) fn assert_draining_is_known(&self, now: u64) {
+        for server in &self.servers {
+            if let Lifecycle::Draining { acknowledged: Some(at) } = server.lifecycle
+                && now > at.max(FAULTS_END) + 2_000
+            {
+                for proxy in &self.proxies {
+                    assert!(
+                        proxy.get(&server.reported.id).is_some_and(|s| s.state != OperState::Up),
+                        "seed {}: at {now} {} is not known to be draining",
+                        self.seed,
+                        server.reported.id
+                    );
+                }
+            }
+        }
+    }
+
+    /// All registries agree with each other and with the servers.
+    pub(crate) fn assert_converged(&self) {
+        let live = |registry: &Registry| -> BTreeMap<String, Server> {
+            registry.servers().map(|s| (s.id.clone(), s.clone())).collect()
+        };
+        let first = live(&self.control_nodes[0]);
+        for registry in self.control_nodes.iter().chain(&self.proxies) {
+            assert_consistent(registry);
+            assert_eq!(live(registry), first, "seed {}", self.seed);
+            assert_eq!(registry.fingerprint(), self.control_nodes[0].fingerprint(), "seed {}", self.seed);
+            assert!(registry.vector().len() <= 24, "seed {}: {:?}", self.seed, registry.vector());
+        }
+        for server in &self.servers {
+            let id = &server.reported.id;
+            match server.lifecycle {
+                Lifecycle::Ended(_) => assert!(!first.contains_key(id), "seed {}: {id}", self.seed),
+                _ => {
+                    let known = first.get(id).unwrap_or_else(|| panic!("seed {}: {id} lost", self.seed));
+                    let same = Server { sequence: known.sequence, ..server.reported.clone() };
+                    assert_eq!(known, &same, "seed {}", self.seed);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/registry/tests/fleet/main.rs
@@ -0,0 +1,73 @@
+//! A small fleet in virtual time: control nodes that restart and are partitioned, proxies that synchronize with them,
+//! and servers that start, drain, deregister and crash. After the faults all registries agree with the servers, and
+//! draining is never undone.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod fleet;
+mod invariants;
+mod servers;
+
+use common::millis;
+use fleet::{CONTROL_NODES, FAULTS_END, Fleet, RUN_END, STEP_MILLIS};
+use mosshead_registry::Registry;
+use servers::Lifecycle;
+
+/// A few seeds; `FLEET_SEEDS=from..to` runs more.
+fn seeds() -> std::ops::Range<u64> {
+    let given = std::env::var("FLEET_SEEDS").ok();
+    let range = given.as_deref().and_then(|text| text.split_once(".."));
+    range.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?)).unwrap_or(0..60)
+}
+
+#[test]
+fn a_fleet_under_faults_converges_to_the_state_of_the_servers() {
+    let mut incarnations = 0;
+    let mut ended = 0;
+    for seed in seeds() {
+        let mut fleet = Fleet::new(seed);
+        for now in (0..RUN_END).step_by(STEP_MILLIS as usize) {
+            if now < FAULTS_END {
+                fleet.inject_faults(now);
+            } else if now == FAULTS_END {
+                fleet.heal_partitions();
+            }
+            fleet.step(now);
+            fleet.assert_draining_is_known(now);
+        }
+        fleet.assert_converged();
+        incarnations += fleet.next_source;
+        ended +=
+            fleet.servers.iter().filter(|server| matches!(server.lifecycle, Lifecycle::Ended(_))).count();
+    }
+    // The runs had restarts and ends of servers in them.
+    assert!(
+        incarnations > 10 * seeds().count() as u64 && ended > 5 * seeds().count(),
+        "{incarnations} {ended}"
+    );
+}
+
+#[test]
+fn a_fleet_without_changes_publishes_no_versions() {
+    let mut fleet = Fleet::new(7);
+    let mut versions = 0;
+    for now in (0..40_000).step_by(STEP_MILLIS as usize) {
+        for number in 0..fleet.servers.len() {
+            if now % 1200 == fleet.servers[number].heartbeat_offset {
+                let server = &mut fleet.servers[number];
+                server.reported.sequence += 1;
+                let at = (server.reported.sequence / 5) as usize % CONTROL_NODES;
+                fleet.control_nodes[at].record_heartbeat(millis(now), server.reported.clone());
+            }
+        }
+        let servers = std::mem::take(&mut fleet.servers);
+        fleet.step(now);
+        fleet.servers = servers;
+        if now == 2_000 {
+            versions = fleet.control_nodes.iter().map(Registry::version).sum();
+        }
+    }
+    assert_eq!(versions, fleet.control_nodes.iter().map(Registry::version).sum::<u64>());
+    assert_eq!(versions, 10);
+}
--- a/crates/registry/tests/former_formats.rs
+++ b/crates/registry/tests/former_formats.rs
@@ -7,7 +7,7 @@
 use std::fmt::Debug;
 use std::path::PathBuf;
 
-use common::{address, core, millis};
+use common::{address, control_node, millis};
 use minicbor::{Decode, Encode};
 use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
 use mosshead_time::Duration;
@@ -34,7 +34,7 @@
 }
 
 /// The file holds this value, and the value makes the same bytes.
-fn check<T>(name: &str, value: &T)
+fn assert_round_trip<T>(name: &str, value: &T)
 where
     T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug,
 {
@@ -78,7 +78,7 @@
 }
 
 /// A deregistered server of a service without an engine.
-fn gone() -> Entry {
+fn removed() -> Entry {
     let server = Server {
         id: "i-3".into(),
         state: OperState::Removed,
@@ -97,7 +97,7 @@
 
 fn delta() -> Delta {
     Delta {
-        entries: vec![draining(), gone(), up()],
+        entries: vec![draining(), removed(), up()],
         base: VersionVector([(SourceId(7), 299)].into()),
         vector: vector(),
         is_truncated: false,
@@ -107,15 +107,18 @@
 
 #[test]
 fn values_of_earlier_versions_are_read_and_written_alike() {
-    check("source-id", &SourceId(0x0123_4567_89ab_cdef));
-    check("vector", &vector());
-    check("empty-vector", &VersionVector::default());
-    check("entry-up", &up());
-    check("entry-draining", &draining());
-    check("entry-gone", &gone());
-    check("delta", &delta());
-    check("delta-with-more-to-come", &Delta { entries: vec![up()], is_truncated: true, ..delta() });
-    check("empty-delta", &Delta::default());
+    assert_round_trip("source-id", &SourceId(0x0123_4567_89ab_cdef));
+    assert_round_trip("vector", &vector());
+    assert_round_trip("empty-vector", &VersionVector::default());
+    assert_round_trip("entry-up", &up());
+    assert_round_trip("entry-draining", &draining());
+    assert_round_trip("entry-gone", &removed());
+    assert_round_trip("delta", &delta());
+    assert_round_trip(
+        "delta-with-more-to-come",
+        &Delta { entries: vec![up()], is_truncated: true, ..delta() },
+    );
+    assert_round_trip("empty-delta", &Delta::default());
 }
 
 #[test]
@@ -130,12 +133,12 @@
 /// As after a start: the log of an earlier version holds deltas.
 #[test]
 fn a_registry_takes_in_the_deltas_of_an_earlier_version() {
-    let mut registry = core(1);
+    let mut registry = control_node(1);
     assert!(registry.merge(millis(0), minicbor::decode(&file("delta")).unwrap()));
     assert_eq!(registry.get("i-1"), Some(&up().server));
     assert_eq!(registry.get("i-2"), Some(&draining().server));
     assert_eq!(registry.vector().get(SourceId(7)), 0);
-    let whole = Delta { base: VersionVector::default(), ..delta() };
-    assert!(!registry.merge(millis(0), whole));
+    let complete = Delta { base: VersionVector::default(), ..delta() };
+    assert!(!registry.merge(millis(0), complete));
     assert_eq!(registry.vector().get(SourceId(7)), 301);
 }
--- a/crates/registry/tests/heartbeats.rs
+++ b/crates/registry/tests/heartbeats.rs
@@ -1,34 +1,34 @@
-//! What beats and deregistrations do to the register of one core process.
+//! What heartbeats and deregistrations do to the registry of one control node.
 
 mod common;
 
-use common::{address, check, core, millis, pull, server, with_state};
+use common::{address, assert_consistent, control_node, millis, server, synchronize, with_state};
 use mosshead_registry::{HeartbeatOutcome, MAX_SERVERS, OperState, Server, ServerError};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
 #[test]
-fn a_steady_beat_makes_no_version() {
-    let mut register = core(1);
-    let first = register.record_heartbeat(millis(0), server(1, 1));
+fn an_unchanged_heartbeat_gets_no_version() {
+    let mut registry = control_node(1);
+    let first = registry.record_heartbeat(millis(0), server(1, 1));
     assert_eq!(first, HeartbeatOutcome { changed: true, ..HeartbeatOutcome::default() });
     for sequence in 2..1000 {
-        let heard = register.record_heartbeat(millis(sequence * 1200), server(1, sequence));
-        assert_eq!(heard, HeartbeatOutcome::default());
+        let outcome = registry.record_heartbeat(millis(sequence * 1200), server(1, sequence));
+        assert_eq!(outcome, HeartbeatOutcome::default());
     }
-    assert_eq!(register.version(), 1);
-    assert_eq!(register.vector().len(), 1);
+    assert_eq!(registry.version(), 1);
+    assert_eq!(registry.vector().len(), 1);
 }
 
 #[test]
-fn warm_up_is_no_change() {
-    let mut register = core(1);
-    register.record_heartbeat(
+fn remaining_warm_up_alone_is_no_change() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(
         millis(0),
         Server { warmup_remaining: Duration::from_millis(9000), ..server(1, 1) },
     );
     assert!(
-        !register
+        !registry
             .record_heartbeat(
                 millis(1200),
                 Server { warmup_remaining: Duration::from_millis(7800), ..server(1, 2) }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn each_thing_that_a_server_says_is_a_change() {
+fn each_reported_property_is_a_change() {
     let changes: [fn(&mut Server); 8] = [
         |s| s.service.push('x'),
         |s| s.address = address(99),
@@ -50,25 +50,25 @@
         |s| s.models.clear(),
     ];
     for change in changes {
-        let mut register = core(1);
-        register.record_heartbeat(millis(0), server(1, 1));
+        let mut registry = control_node(1);
+        registry.record_heartbeat(millis(0), server(1, 1));
         let mut second = server(1, 2);
         change(&mut second);
-        assert!(register.record_heartbeat(millis(1), second.clone()).changed);
-        assert_eq!(register.get("i-1"), Some(&second));
-        check(&register);
+        assert!(registry.record_heartbeat(millis(1), second.clone()).changed);
+        assert_eq!(registry.get("i-1"), Some(&second));
+        assert_consistent(&registry);
     }
 }
 
 #[test]
-fn a_late_beat_changes_nothing() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), with_state(1, 10, OperState::Draining));
-    let late = register.record_heartbeat(millis(1), server(1, 9));
+fn an_outdated_heartbeat_changes_nothing() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), with_state(1, 10, OperState::Draining));
+    let late = registry.record_heartbeat(millis(1), server(1, 9));
     assert!(late.is_outdated && !late.changed);
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Draining);
-    // Not even one that is late by beats which made no version.
-    let mut steady = core(2);
+    assert_eq!(registry.get("i-1").unwrap().state, OperState::Draining);
+    // Not even one that is outdated by heartbeats without a version.
+    let mut steady = control_node(2);
     steady.record_heartbeat(millis(0), server(1, 1));
     steady.record_heartbeat(millis(1), server(1, 5));
     assert!(steady.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).is_outdated);
@@ -76,106 +76,106 @@
 }
 
 #[test]
-fn a_repeat_only_goes_down() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), server(1, 3));
-    assert!(!register.record_heartbeat(millis(1), Server { slots: 5, ..server(1, 3) }).changed);
-    assert!(register.record_heartbeat(millis(1), with_state(1, 3, OperState::Draining)).changed);
-    assert!(!register.record_heartbeat(millis(2), server(1, 3)).changed);
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Draining);
+fn a_repeated_sequence_only_moves_towards_removal() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), server(1, 3));
+    assert!(!registry.record_heartbeat(millis(1), Server { slots: 5, ..server(1, 3) }).changed);
+    assert!(registry.record_heartbeat(millis(1), with_state(1, 3, OperState::Draining)).changed);
+    assert!(!registry.record_heartbeat(millis(2), server(1, 3)).changed);
+    assert_eq!(registry.get("i-1").unwrap().state, OperState::Draining);
 }
 
 #[test]
-fn a_drain_stays_urgent_until_another_holds_it() {
-    let (mut register, mut other) = (core(1), core(2));
-    register.record_heartbeat(millis(0), server(1, 1));
-    assert!(register.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).needs_replication);
-    // The hand-over failed and the server says it again: still not to be acknowledged.
-    assert!(register.record_heartbeat(millis(2), with_state(1, 3, OperState::Draining)).needs_replication);
-    assert!(register.record_heartbeat(millis(2), with_state(1, 2, OperState::Draining)).needs_replication);
-    // Nor does it become less urgent by what others say.
-    register.record_heartbeat(millis(2), server(2, 1));
-    assert!(register.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).needs_replication);
-    assert!(!register.record_heartbeat(millis(2), server(2, 2)).needs_replication);
-    pull(3, &register, &mut other, 10);
-    assert!(!register.is_fully_replicated());
-    register.mark_replicated(&other.vector());
-    assert!(register.is_fully_replicated());
-    assert!(!register.record_heartbeat(millis(4), with_state(1, 5, OperState::Draining)).needs_replication);
-    // The other has it of this one.
+fn draining_needs_replication_until_another_node_has_it() {
+    let (mut registry, mut other) = (control_node(1), control_node(2));
+    registry.record_heartbeat(millis(0), server(1, 1));
+    assert!(registry.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).needs_replication);
+    // Replication failed and the server repeats its heartbeat: it must not be acknowledged yet.
+    assert!(registry.record_heartbeat(millis(2), with_state(1, 3, OperState::Draining)).needs_replication);
+    assert!(registry.record_heartbeat(millis(2), with_state(1, 2, OperState::Draining)).needs_replication);
+    // Heartbeats of other servers make no difference.
+    registry.record_heartbeat(millis(2), server(2, 1));
+    assert!(registry.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).needs_replication);
+    assert!(!registry.record_heartbeat(millis(2), server(2, 2)).needs_replication);
+    synchronize(3, &registry, &mut other, 10);
+    assert!(!registry.is_fully_replicated());
+    registry.mark_replicated(&other.vector());
+    assert!(registry.is_fully_replicated());
+    assert!(!registry.record_heartbeat(millis(4), with_state(1, 5, OperState::Draining)).needs_replication);
+    // The other node has the state from this one.
     assert!(!other.record_heartbeat(millis(5), with_state(1, 6, OperState::Draining)).needs_replication);
-    assert!(register.deregister(millis(6), "i-1").needs_replication);
-    assert!(register.deregister(millis(7), "i-1").needs_replication);
-    register.mark_replicated(&other.vector());
-    assert!(register.deregister(millis(8), "i-1").needs_replication);
-    pull(8, &register, &mut other, 10);
-    register.mark_replicated(&other.vector());
-    assert_eq!(register.deregister(millis(9), "i-1"), HeartbeatOutcome::default());
+    assert!(registry.deregister(millis(6), "i-1").needs_replication);
+    assert!(registry.deregister(millis(7), "i-1").needs_replication);
+    registry.mark_replicated(&other.vector());
+    assert!(registry.deregister(millis(8), "i-1").needs_replication);
+    synchronize(8, &registry, &mut other, 10);
+    registry.mark_replicated(&other.vector());
+    assert_eq!(registry.deregister(millis(9), "i-1"), HeartbeatOutcome::default());
 }
 
 #[test]
-fn what_another_has_better_is_not_urgent_once_it_answered() {
-    // Both hear the end, and the other's word holds.
-    let (mut register, mut other) = (core(1), core(2));
+fn a_superseding_entry_of_another_node_ends_the_need_for_replication() {
+    // Both receive the deregistration, and the other's entry supersedes.
+    let (mut registry, mut other) = (control_node(1), control_node(2));
     assert!(other.deregister(millis(0), "i-1").needs_replication);
-    assert!(register.deregister(millis(0), "i-1").needs_replication);
-    let shown = register.vector();
-    pull(1, &register, &mut other, 10);
-    let answer = other.missing_entries(&shown, 10);
-    register.mark_replicated(&answer.vector);
-    assert!(register.deregister(millis(2), "i-1").needs_replication);
-    register.merge(millis(2), answer);
-    assert!(!register.deregister(millis(2), "i-1").needs_replication);
-    assert!(register.is_fully_replicated());
+    assert!(registry.deregister(millis(0), "i-1").needs_replication);
+    let vector = registry.vector();
+    synchronize(1, &registry, &mut other, 10);
+    let answer = other.missing_entries(&vector, 10);
+    registry.mark_replicated(&answer.vector);
+    assert!(registry.deregister(millis(2), "i-1").needs_replication);
+    registry.merge(millis(2), answer);
+    assert!(!registry.deregister(millis(2), "i-1").needs_replication);
+    assert!(registry.is_fully_replicated());
 }
 
 #[test]
-fn a_deregistration_is_final() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), server(1, 1));
-    assert!(register.deregister(millis(1), "i-1").changed);
-    assert!(register.record_heartbeat(millis(2), server(1, 2)).is_outdated);
-    assert!(register.record_heartbeat(millis(2), server(1, u64::MAX)).is_outdated);
-    assert_eq!(register.get("i-1").unwrap().state, OperState::Removed);
-    assert!(register.is_empty());
-    check(&register);
+fn heartbeats_after_deregistration_are_outdated() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), server(1, 1));
+    assert!(registry.deregister(millis(1), "i-1").changed);
+    assert!(registry.record_heartbeat(millis(2), server(1, 2)).is_outdated);
+    assert!(registry.record_heartbeat(millis(2), server(1, u64::MAX)).is_outdated);
+    assert_eq!(registry.get("i-1").unwrap().state, OperState::Removed);
+    assert!(registry.is_empty());
+    assert_consistent(&registry);
 }
 
 #[test]
-fn a_deregistration_of_one_never_heard_holds_too() {
-    let (mut register, mut other) = (core(1), core(2));
-    assert!(register.deregister(millis(0), "i-1").changed);
-    assert!(register.record_heartbeat(millis(1), server(1, 5)).is_outdated);
+fn deregistering_an_unknown_server_leaves_a_tombstone() {
+    let (mut registry, mut other) = (control_node(1), control_node(2));
+    assert!(registry.deregister(millis(0), "i-1").changed);
+    assert!(registry.record_heartbeat(millis(1), server(1, 5)).is_outdated);
     other.record_heartbeat(millis(0), server(1, 5));
-    pull(2, &register, &mut other, 10);
-    pull(2, &other, &mut register, 10);
-    assert!(other.is_empty() && register.is_empty());
-    assert_eq!(other.get("i-1"), register.get("i-1"));
-    check(&other);
+    synchronize(2, &registry, &mut other, 10);
+    synchronize(2, &other, &mut registry, 10);
+    assert!(other.is_empty() && registry.is_empty());
+    assert_eq!(other.get("i-1"), registry.get("i-1"));
+    assert_consistent(&other);
 }
 
 #[test]
-fn a_newcomer_at_an_address_ends_its_predecessor() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), server(1, 7));
+fn a_new_server_at_an_address_makes_its_predecessor_suspected() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), server(1, 7));
     let newcomer = Server { address: address(1), ..server(2, 1) };
-    register.record_heartbeat(millis(1), newcomer.clone());
-    assert!(register.get("i-1").unwrap().is_suspected);
-    assert!(!register.get("i-2").unwrap().is_suspected);
-    assert_eq!(register.servers_at_address(address(1)).map(|s| s.id.as_str()).collect::<Vec<_>>(), ["i-2"]);
-    // Steady beats of either don't go on about it.
-    let version = register.version();
-    assert!(!register.record_heartbeat(millis(2), Server { sequence: 2, ..newcomer }).changed);
-    assert_eq!(register.version(), version);
-    // One that does beat at the same address is heard again, and leaves the newcomer alone.
-    assert!(register.record_heartbeat(millis(3), server(1, 8)).changed);
-    assert!(!register.get("i-1").unwrap().is_suspected && !register.get("i-2").unwrap().is_suspected);
-    check(&register);
+    registry.record_heartbeat(millis(1), newcomer.clone());
+    assert!(registry.get("i-1").unwrap().is_suspected);
+    assert!(!registry.get("i-2").unwrap().is_suspected);
+    assert_eq!(registry.servers_at_address(address(1)).map(|s| s.id.as_str()).collect::<Vec<_>>(), ["i-2"]);
+    // Unchanged heartbeats of either publish nothing.
+    let version = registry.version();
+    assert!(!registry.record_heartbeat(millis(2), Server { sequence: 2, ..newcomer }).changed);
+    assert_eq!(registry.version(), version);
+    // A suspected server that sends a heartbeat is not suspected any more, and the new one is not either.
+    assert!(registry.record_heartbeat(millis(3), server(1, 8)).changed);
+    assert!(!registry.get("i-1").unwrap().is_suspected && !registry.get("i-2").unwrap().is_suspected);
+    assert_consistent(&registry);
 }
 
 #[test]
-fn faults_are_told_by_number() {
-    let mut register = core(1);
+fn errors_have_stable_codes() {
+    let mut registry = control_node(1);
     let no_id = Server { id: String::new(), ..server(1, 1) };
     let long = Server { zone: "x".repeat(129), ..server(1, 1) };
     let mut many = server(1, 1);
@@ -185,44 +185,44 @@
         (long, ServerError::NameTooLong, 2),
         (many, ServerError::ModelsTooLong, 3),
     ] {
-        assert_eq!(register.record_heartbeat(millis(0), server).error, Some(fault));
+        assert_eq!(registry.record_heartbeat(millis(0), server).error, Some(fault));
         assert_eq!(fault.code(), code);
         assert!(fault.to_string().starts_with(&format!("registry {code}:")));
     }
-    assert_eq!(register.deregister(millis(0), "").error, Some(ServerError::MissingId));
-    assert_eq!(register.deregister(millis(0), &"x".repeat(200)).error, Some(ServerError::NameTooLong));
-    assert_eq!(register.version(), 0);
+    assert_eq!(registry.deregister(millis(0), "").error, Some(ServerError::MissingId));
+    assert_eq!(registry.deregister(millis(0), &"x".repeat(200)).error, Some(ServerError::NameTooLong));
+    assert_eq!(registry.version(), 0);
 }
 
 #[test]
-fn a_full_register_refuses_newcomers_only() {
-    let mut register = core(1);
+fn a_full_registry_rejects_new_servers_only() {
+    let mut registry = control_node(1);
     for number in 0..MAX_SERVERS {
-        let heard = register.record_heartbeat(millis(0), Server { id: number.to_string(), ..server(1, 1) });
+        let outcome = registry.record_heartbeat(millis(0), Server { id: number.to_string(), ..server(1, 1) });
         if number < 2 {
-            assert_eq!(heard.error, None);
+            assert_eq!(outcome.error, None);
         }
     }
-    assert_eq!(register.len(), MAX_SERVERS);
-    assert_eq!(register.record_heartbeat(millis(1), server(1, 1)).error, Some(ServerError::RegistryFull));
+    assert_eq!(registry.len(), MAX_SERVERS);
+    assert_eq!(registry.record_heartbeat(millis(1), server(1, 1)).error, Some(ServerError::RegistryFull));
     assert_eq!(ServerError::RegistryFull.code(), 4);
-    assert_eq!(register.record_heartbeat(millis(1), Server { id: "7".into(), ..server(1, 2) }).error, None);
-    assert!(register.deregister(millis(2), "7").changed);
-    assert!(register.record_heartbeat(millis(3), server(1, 1)).changed);
+    assert_eq!(registry.record_heartbeat(millis(1), Server { id: "7".into(), ..server(1, 2) }).error, None);
+    assert!(registry.deregister(millis(2), "7").changed);
+    assert!(registry.record_heartbeat(millis(3), server(1, 1)).changed);
 }
 
 quickcheck! {
-    /// Whatever the order of the beats, the highest sequence holds.
-    fn the_highest_sequence_holds(beats: Vec<(u64, u32)>) -> bool {
-        let mut register = core(1);
-        // A sequence stands for one beat.
-        let beats: std::collections::BTreeMap<u64, u32> = beats.into_iter().map(|(s, v)| (s % 50, v)).collect();
-        let mut order: Vec<_> = beats.iter().collect();
+    /// In whatever order heartbeats arrive, the highest sequence number stays.
+    fn the_highest_sequence_holds(heartbeats: Vec<(u64, u32)>) -> bool {
+        let mut registry = control_node(1);
+        // A sequence number belongs to one heartbeat.
+        let heartbeats: std::collections::BTreeMap<u64, u32> = heartbeats.into_iter().map(|(s, v)| (s % 50, v)).collect();
+        let mut order: Vec<_> = heartbeats.iter().collect();
         order.sort_by_key(|(s, v)| (**s * 7919) ^ u64::from(**v));
         for (&sequence, &slots) in order {
-            register.record_heartbeat(millis(0), Server { slots, ..server(1, sequence) });
+            registry.record_heartbeat(millis(0), Server { slots, ..server(1, sequence) });
         }
-        check(&register);
-        register.get("i-1").map(|s| s.slots) == beats.last_key_value().map(|(_, v)| *v)
+        assert_consistent(&registry);
+        registry.get("i-1").map(|s| s.slots) == heartbeats.last_key_value().map(|(_, v)| *v)
     }
 }
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -1,9 +1,10 @@
-//! Losses of memory: hand-over by pullers, and what stays bounded over many lives.
+//! Restarts: control nodes recover the registry from proxies and peers, and state stays bounded over many incarnations.
 
 mod common;
 
 use common::{
-    KEEPALIVE, check, core, millis, pull, pull_within, read_replica, said, server, settle, with_state,
+    HEARTBEAT_INTERVAL_MILLIS, all_entries, assert_consistent, control_node, millis, read_replica, server,
+    synchronize, synchronize_all, synchronize_pair, with_state,
 };
 use mosshead_registry::{
     Delta, Entry, MAX_TOMBSTONES, OperState, Registry, Server, SourceId, TOMBSTONE_LIFETIME, VersionVector,
@@ -11,64 +12,64 @@
 use mosshead_time::{Duration, whole_millis};
 
 #[test]
-fn proxies_hand_over_after_the_loss_of_all_cores() {
-    let mut cores = vec![core(1), core(2), core(3)];
+fn proxies_restore_the_registry_after_all_control_nodes_restart() {
+    let mut nodes = vec![control_node(1), control_node(2), control_node(3)];
     let mut proxies = vec![read_replica(100), read_replica(101)];
     for number in 0..30 {
-        cores[number as usize % 3].record_heartbeat(millis(0), server(number, 1));
+        nodes[number as usize % 3].record_heartbeat(millis(0), server(number, 1));
     }
-    cores[0].record_heartbeat(millis(1), with_state(0, 2, OperState::Draining));
-    cores[1].deregister(millis(1), "i-1");
-    settle(1, &mut cores);
+    nodes[0].record_heartbeat(millis(1), with_state(0, 2, OperState::Draining));
+    nodes[1].deregister(millis(1), "i-1");
+    synchronize_all(1, &mut nodes);
     for proxy in &mut proxies {
-        pull(1, &cores[2], proxy, 100);
+        synchronize(1, &nodes[2], proxy, 100);
     }
-    let before = said(&proxies[0]);
-    // All lives end. The new ones know nothing, and the pullers' vectors tell them so.
-    let mut cores = vec![core(4), core(5), core(6)];
-    for (number, core) in cores.iter_mut().enumerate() {
+    let before = all_entries(&proxies[0]);
+    // All control nodes restart. The new incarnations know nothing, as the vectors of the proxies show them.
+    let mut nodes = vec![control_node(4), control_node(5), control_node(6)];
+    for (number, node) in nodes.iter_mut().enumerate() {
         let proxy = &mut proxies[number % 2];
-        assert!(core.has_unknown_source(&proxy.vector()));
-        assert!(core.missing_entries(&proxy.vector(), 100).is_empty());
-        // The vector that the core shows is that of the whole hand-over.
-        let shown = core.vector();
-        let mut most = 7;
+        assert!(node.has_unknown_source(&proxy.vector()));
+        assert!(node.missing_entries(&proxy.vector(), 100).is_empty());
+        // All deltas of the transfer are computed from the vector that the control node has vector at its start.
+        let vector = node.vector();
+        let mut max_entries = 7;
         loop {
-            let delta = proxy.missing_entries(&shown, most);
+            let delta = proxy.missing_entries(&vector, max_entries);
             let more = delta.is_truncated;
-            core.merge(millis(1000), delta);
+            node.merge(millis(1000), delta);
             if !more {
                 break;
             }
-            most += 10;
+            max_entries += 10;
         }
-        assert!(!core.has_unknown_source(&proxy.vector()));
-        assert_eq!(said(core), before);
+        assert!(!node.has_unknown_source(&proxy.vector()));
+        assert_eq!(all_entries(node), before);
     }
-    // Original sources and versions: nothing goes round twice.
-    for from in &cores {
+    // Sources and versions are the original ones: nothing is sent back.
+    for from in &nodes {
         for proxy in &proxies {
             assert!(from.missing_entries(&proxy.vector(), 100).is_empty());
         }
     }
-    // A late beat of the time before brings nobody back.
-    assert!(cores[0].record_heartbeat(millis(1000), server(0, 1)).is_outdated);
-    assert!(cores[1].record_heartbeat(millis(1000), server(1, 3)).is_outdated);
-    // Those that beat stay, without a version; the others are marked by the new ones after a while.
+    // Outdated heartbeats from before the restart revive no server.
+    assert!(nodes[0].record_heartbeat(millis(1000), server(0, 1)).is_outdated);
+    assert!(nodes[1].record_heartbeat(millis(1000), server(1, 3)).is_outdated);
+    // Servers with heartbeats stay without a new version; the others are suspected by the new incarnations in time.
     for now in (1000..8000).step_by(100) {
         for number in 0..3 {
             let peer = SourceId(4 + (number + 1) % 3);
-            cores[number as usize].record_contact(millis(now), peer);
+            nodes[number as usize].record_contact(millis(now), peer);
         }
         if now % 1000 == 0 {
             for number in 2..20 {
-                let heard = cores[0].record_heartbeat(millis(now), server(number, 5 + now / 1000));
-                assert!(!heard.changed, "{now} {number}");
+                let outcome = nodes[0].record_heartbeat(millis(now), server(number, 5 + now / 1000));
+                assert!(!outcome.changed, "{now} {number}");
             }
         }
         if now % 300 == 0 {
-            let alive = cores[0].heartbeats_since(millis(0));
-            for other in &mut cores[1..] {
+            let alive = nodes[0].heartbeats_since(millis(0));
+            for other in &mut nodes[1..] {
                 other.record_remote_heartbeats(
                     millis(now),
                     SourceId(4),
@@ -76,202 +77,203 @@
                 );
             }
         }
-        for core in &mut cores {
-            core.tick(millis(now));
+        for node in &mut nodes {
+            node.tick(millis(now));
         }
     }
-    settle(8000, &mut cores);
-    for core in &cores {
-        check(core);
+    synchronize_all(8000, &mut nodes);
+    for node in &nodes {
+        assert_consistent(node);
         for number in 2..30 {
-            assert_eq!(core.get(&format!("i-{number}")).unwrap().is_suspected, number >= 20, "{number}");
+            assert_eq!(node.get(&format!("i-{number}")).unwrap().is_suspected, number >= 20, "{number}");
         }
     }
 }
 
 #[test]
-fn a_change_that_died_with_its_core_comes_back_by_a_proxy() {
-    let (mut a, mut b, mut p) = (core(1), core(2), read_replica(9));
+fn a_proxy_restores_a_change_whose_source_is_lost() {
+    let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
     a.record_heartbeat(millis(0), server(1, 1));
-    pull(0, &a, &mut b, 10);
+    synchronize(0, &a, &mut b, 10);
     a.record_heartbeat(millis(0), server(2, 1));
-    pull(0, &a, &mut p, 10);
+    synchronize(0, &a, &mut p, 10);
     drop(a);
     assert!(!b.has_unknown_source(&p.vector()));
     assert!(b.is_behind(&p.vector()));
-    pull(0, &p, &mut b, 10);
+    synchronize(0, &p, &mut b, 10);
     assert!(!b.is_behind(&p.vector()));
-    assert_eq!(said(&b), said(&p));
+    assert_eq!(all_entries(&b), all_entries(&p));
 }
 
 #[test]
-fn a_restarted_core_gets_all_from_another_and_numbers_anew() {
-    let (mut a, mut b) = (core(1), core(2));
+fn a_restarted_node_catches_up_and_publishes_as_a_new_source() {
+    let (mut a, mut b) = (control_node(1), control_node(2));
     for number in 0..20 {
         a.record_heartbeat(millis(0), server(number, 1));
     }
-    pull(0, &a, &mut b, 3);
-    let mut again = core(3);
-    pull(0, &b, &mut again, 3);
-    assert_eq!(said(&again), said(&a));
+    synchronize(0, &a, &mut b, 3);
+    let mut again = control_node(3);
+    synchronize(0, &b, &mut again, 3);
+    assert_eq!(all_entries(&again), all_entries(&a));
     again.record_heartbeat(millis(1), Server { slots: 1, ..server(1, 2) });
-    pull(1, &again, &mut b, 3);
-    assert_eq!(said(&again), said(&b));
+    synchronize(1, &again, &mut b, 3);
+    assert_eq!(all_entries(&again), all_entries(&b));
     assert_eq!(b.vector().get(SourceId(3)), 1);
 }
 
-/// Thousands of lives of three cores, one ending each second, each with a change or two: the vector stays small.
+/// Thousands of incarnations of three control nodes, one ending each second, each with a change or two.
 #[test]
-fn the_vector_stays_small_over_thousands_of_lives() {
-    let mut cores: Vec<Registry> = (1..=3).map(core).collect();
+fn the_vector_stays_small_over_thousands_of_incarnations() {
+    let mut nodes: Vec<Registry> = (1..=3).map(control_node).collect();
     let mut proxy = read_replica(u64::MAX);
     let mut sequence = 0;
-    let mut most = 0;
+    let mut max_entries = 0;
     for life in 0..3000_u64 {
         let now = life * 1000;
         let at = (life % 3) as usize;
-        cores[at] = core(4 + life);
-        pull_within(now, &mut cores, (at + 1) % 3, at, 50);
+        nodes[at] = control_node(4 + life);
+        synchronize_pair(now, &mut nodes, (at + 1) % 3, at, 50);
         sequence += 1;
         for number in 0..60_u8 {
-            // One server changes in each life, the others are steady at any core.
+            // One server changes in each incarnation, the others send unchanged heartbeats.
             let to = usize::from(number) % 3;
             let slots = 1 + (life.saturating_sub(u64::from(number)) / 60) as u32;
-            cores[to].record_heartbeat(millis(now), Server { slots, ..server(number, sequence) });
+            nodes[to].record_heartbeat(millis(now), Server { slots, ..server(number, sequence) });
         }
         for from in 0..3 {
             for to in 0..3 {
                 if from != to {
-                    let peer = cores[from].local_id();
-                    cores[to].record_contact(millis(now), peer);
-                    pull_within(now, &mut cores, from, to, 50);
+                    let peer = nodes[from].local_id();
+                    nodes[to].record_contact(millis(now), peer);
+                    synchronize_pair(now, &mut nodes, from, to, 50);
                 }
             }
         }
-        pull(now, &cores[at], &mut proxy, 50);
-        for core in &mut cores {
-            core.tick(millis(now));
+        synchronize(now, &nodes[at], &mut proxy, 50);
+        for node in &mut nodes {
+            node.tick(millis(now));
         }
         proxy.tick(millis(now));
-        for register in cores.iter().chain([&proxy]) {
-            most = most.max(register.vector().len());
+        for registry in nodes.iter().chain([&proxy]) {
+            max_entries = max_entries.max(registry.vector().len());
         }
     }
-    assert!(most <= 16 + 8, "{most}");
-    settle(3_000_000, &mut cores);
-    check(&proxy);
+    assert!(max_entries <= 16 + 8, "{max_entries}");
+    synchronize_all(3_000_000, &mut nodes);
+    assert_consistent(&proxy);
     assert_eq!(proxy.len(), 60);
-    // Once the lives have stopped, what is left over goes.
+    // Once the restarts have stopped, the remaining old sources disappear.
     for now in (3_000_000..3_000_000 + 3 * whole_millis(TOMBSTONE_LIFETIME)).step_by(1000) {
         sequence += 1;
         for number in 0..60_u8 {
             let server = Server { slots: 9999, ..server(number, sequence) };
-            cores[usize::from(number) % 3].record_heartbeat(millis(now), server);
+            nodes[usize::from(number) % 3].record_heartbeat(millis(now), server);
         }
         for from in 0..3 {
             for to in 0..3 {
                 if from != to {
-                    let peer = cores[from].local_id();
-                    let alive = cores[from].heartbeats_since(millis(now) - Duration::from_millis(1500));
-                    cores[to].record_remote_heartbeats(
+                    let peer = nodes[from].local_id();
+                    let alive = nodes[from].heartbeats_since(millis(now) - Duration::from_millis(1500));
+                    nodes[to].record_remote_heartbeats(
                         millis(now),
                         peer,
                         alive.iter().map(|(i, s)| (i.as_str(), *s)),
                     );
-                    pull_within(now, &mut cores, from, to, 50);
+                    synchronize_pair(now, &mut nodes, from, to, 50);
                 }
             }
         }
-        for core in &mut cores {
-            core.tick(millis(now));
+        for node in &mut nodes {
+            node.tick(millis(now));
         }
     }
-    for core in &cores {
-        assert_eq!(core.vector().len(), 3);
-        assert!(core.servers().all(|server| !server.is_suspected));
+    for node in &nodes {
+        assert_eq!(node.vector().len(), 3);
+        assert!(node.servers().all(|server| !server.is_suspected));
     }
 }
 
 #[test]
 fn tombstones_are_bounded() {
-    let mut register = core(1);
+    let mut registry = control_node(1);
     let count = MAX_TOMBSTONES as u64 + 500;
     for number in 0..count {
-        register.deregister(millis(number), &number.to_string());
+        registry.deregister(millis(number), &number.to_string());
     }
-    assert!(register.get("0").is_none());
-    assert!(register.get(&(count - 1).to_string()).is_some());
-    assert_eq!(register.entries().count(), MAX_TOMBSTONES);
+    assert!(registry.get("0").is_none());
+    assert!(registry.get(&(count - 1).to_string()).is_some());
+    assert_eq!(registry.entries().count(), MAX_TOMBSTONES);
     let mut other = read_replica(2);
-    pull(count, &register, &mut other, 1000);
+    synchronize(count, &registry, &mut other, 1000);
     assert_eq!(other.entries().count(), MAX_TOMBSTONES);
-    register.tick(millis(count + whole_millis(TOMBSTONE_LIFETIME)));
+    registry.tick(millis(count + whole_millis(TOMBSTONE_LIFETIME)));
     other.tick(millis(count + whole_millis(TOMBSTONE_LIFETIME)));
-    assert_eq!(register.entries().count() + other.entries().count(), 0);
-    check(&register);
+    assert_eq!(registry.entries().count() + other.entries().count(), 0);
+    assert_consistent(&registry);
 }
 
 #[test]
-fn sources_without_entries_are_not_named() {
-    let mut register = core(1);
+fn sources_without_entries_are_not_in_the_vector() {
+    let mut registry = control_node(1);
     let vector = VersionVector((10..4000).map(|n| (SourceId(n), n)).collect());
-    register.merge(millis(0), Delta { vector: vector.clone(), ..Delta::default() });
+    registry.merge(millis(0), Delta { vector: vector.clone(), ..Delta::default() });
     for source in 5000..9000 {
-        register.record_contact(millis(source), SourceId(source));
+        registry.record_contact(millis(source), SourceId(source));
     }
-    assert!(register.vector().is_empty());
-    // One's own is no exception, and goes on counting.
-    register.record_heartbeat(millis(0), server(1, 1));
-    let mut other = core(2);
-    pull(0, &register, &mut other, 10);
+    assert!(registry.vector().is_empty());
+    // The local source is no exception, and its versions go on counting.
+    registry.record_heartbeat(millis(0), server(1, 1));
+    let mut other = control_node(2);
+    synchronize(0, &registry, &mut other, 10);
     assert_eq!(other.vector().len(), 1);
     other.record_heartbeat(millis(0), Server { slots: 3, ..server(1, 2) });
     assert_eq!(other.vector(), VersionVector([(SourceId(2), 1)].into()));
-    pull(0, &other, &mut register, 10);
-    assert_eq!(register.vector(), other.vector());
-    assert!(register.is_fully_replicated());
-    register.record_heartbeat(millis(0), Server { slots: 4, ..server(1, 3) });
-    assert!(!register.is_fully_replicated());
-    pull(0, &register, &mut other, 10);
-    assert_eq!(said(&other), said(&register));
+    synchronize(0, &other, &mut registry, 10);
+    assert_eq!(registry.vector(), other.vector());
+    assert!(registry.is_fully_replicated());
+    registry.record_heartbeat(millis(0), Server { slots: 4, ..server(1, 3) });
+    assert!(!registry.is_fully_replicated());
+    synchronize(0, &registry, &mut other, 10);
+    assert_eq!(all_entries(&other), all_entries(&registry));
     assert_eq!(other.vector(), VersionVector([(SourceId(1), 2)].into()));
 }
 
 #[test]
-fn nobody_else_speaks_for_this_source() {
-    let mut register = core(1);
-    register.record_heartbeat(millis(0), server(1, 1));
+fn entries_claiming_this_source_are_rejected() {
+    let mut registry = control_node(1);
+    registry.record_heartbeat(millis(0), server(1, 1));
     let entry = Entry { server: server(2, 1), source: SourceId(1), version: 50 };
     let vector = VersionVector([(SourceId(1), 70)].into());
     assert!(
-        !register
+        !registry
             .merge(millis(0), Delta { entries: vec![entry], vector: vector.clone(), ..Delta::default() })
     );
-    assert_eq!(register.vector().get(SourceId(1)), 1);
-    assert!(!register.has_unknown_source(&vector) && !register.is_behind(&vector));
-    register.mark_replicated(&vector);
-    assert!(register.is_fully_replicated());
-    assert!(register.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).needs_replication);
+    assert_eq!(registry.vector().get(SourceId(1)), 1);
+    assert!(!registry.has_unknown_source(&vector) && !registry.is_behind(&vector));
+    registry.mark_replicated(&vector);
+    assert!(registry.is_fully_replicated());
+    assert!(registry.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).needs_replication);
 }
 
 #[test]
-fn ten_thousand_servers() {
+fn ten_thousand_unchanged_servers_publish_one_version_each() {
     let named = |number: u64, sequence| Server { id: format!("i-{number}"), ..server(1, sequence) };
     let placed = |number: u64, sequence| Server {
         address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::from(0x0a00_0000 + number as u32), 80),
         ..named(number, sequence)
     };
-    let mut register = core(1);
-    let mut other = core(2);
+    let mut registry = control_node(1);
+    let mut other = control_node(2);
     for sequence in 1..=10 {
         for number in 0..10_000 {
-            let heard = register.record_heartbeat(millis(sequence * KEEPALIVE), placed(number, sequence));
-            assert_eq!(heard.changed, sequence == 1);
+            let outcome = registry
+                .record_heartbeat(millis(sequence * HEARTBEAT_INTERVAL_MILLIS), placed(number, sequence));
+            assert_eq!(outcome.changed, sequence == 1);
         }
-        assert!(!register.tick(millis(sequence * KEEPALIVE)));
+        assert!(!registry.tick(millis(sequence * HEARTBEAT_INTERVAL_MILLIS)));
     }
-    pull(0, &register, &mut other, 1000);
+    synchronize(0, &registry, &mut other, 1000);
     assert_eq!(other.len(), 10_000);
-    assert_eq!(register.version(), 10_000);
+    assert_eq!(registry.version(), 10_000);
     assert_eq!(other.servers_of_service("service-1").count(), 10_000);
 }
