--- a/crates/load-board/src/lib.rs
+++ b/crates/load-board/src/lib.rs
@@ -4,7 +4,7 @@
 //! break ties at random; with one ready server, send there. No I/O, no clock.
 
 mod draw;
-mod entry;
+mod server_load;
 
 pub use draw::{below, lower, lower_of_drawn, pick, two};
-pub use entry::Entry;
+pub use server_load::Entry;
