--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -54,7 +54,7 @@
         let asked: Vec<usize> =
             candidates.iter().copied().filter(|index| job.probed_pair.contains(index)).collect();
         let from = if asked.is_empty() || !job.attempts.is_empty() { candidates } else { &asked };
-        let Some((first, second)) = load_board::two(&mut self.rng, from.len()) else {
+        let Some((first, second)) = load_board::two_distinct(&mut self.rng, from.len()) else {
             return from.first().map(|&index| (EndpointId(index as u32), Vec::new()));
         };
         let pair = [from[first], from[second]];
@@ -75,7 +75,7 @@
                 && self.queue_per_slot(&self.state.endpoints[lower], now) > CROWDED_QUEUE =>
             {
                 let strange = || candidates.iter().copied().filter(|index| !job.probed.contains(index));
-                let other = load_board::below(&mut self.rng, strange().count());
+                let other = load_board::random_index(&mut self.rng, strange().count());
                 strange().nth(other).into_iter().collect()
             }
             _ => Vec::new(),
--- a/crates/load-board/src/lib.rs
+++ b/crates/load-board/src/lib.rs
@@ -1,10 +1,11 @@
-//! The board: the last figure of each server and own sends since, and the lower of two random ones.
+//! The load board: the last reported load of each server plus own sends since, and the lower of two random candidates.
 //!
-//! The rule of DESIGN: draw two distinct ready servers, send to the one with the lower figure plus own sends,
-//! break ties at random; with one ready server, send there. No I/O, no clock.
+//! The rule: draw two distinct ready servers, send to the one whose last reported load plus own sends since is lower, and
+//! break ties at random; with one ready server, send there. This is the power of two choices of M. Mitzenmacher (IEEE
+//! Transactions on Parallel and Distributed Systems 12(10), 2001). No I/O, no clock.
 
 mod draw;
 mod server_load;
 
-pub use draw::{below, lower, lower_of_drawn, pick, two};
-pub use server_load::Entry;
+pub use draw::{lower_load, lower_of_drawn, pick_lower_of_two, random_index, two_distinct};
+pub use server_load::ServerLoad;
--- a/crates/load-board/src/server_load.rs
+++ b/crates/load-board/src/server_load.rs
@@ -1,48 +1,54 @@
-//! What the board holds of one server.
+//! What the board knows about the load of one server.
 
-/// A server's last figure and what this balancer has sent there since.
+/// A server's last reported load and this balancer's own sends since.
+///
+/// Load is counted in requests: one send adds one to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Entry {
-    last: f64,
-    since: u32,
-    /// Own ones that were out when the figure came: it has them in it.
-    before: u32,
+pub struct ServerLoad {
+    /// Finite and not negative.
+    last_report: f64,
+    /// Own requests that were sent after the last report and are in flight, as far as is known.
+    sends_since_report: u32,
+    /// Own requests that were in flight at the last report: it includes them.
+    sends_before_report: u32,
 }
 
-impl Entry {
-    /// A fresh figure replaces the old one and zeroes the count. What is no figure changes nothing.
-    pub fn report(&mut self, figure: f64) {
-        if figure.is_finite() && figure >= 0.0 {
-            self.last = figure;
-            self.before = self.before.saturating_add(self.since);
-            self.since = 0;
+impl ServerLoad {
+    /// Takes a reported load, which replaces the last one and the sends since. One that is negative or no finite number is
+    /// ignored.
+    pub fn record_report(&mut self, load: f64) {
+        if load.is_finite() && load >= 0.0 {
+            self.last_report = load;
+            self.sends_before_report = self.sends_before_report.saturating_add(self.sends_since_report);
+            self.sends_since_report = 0;
         }
     }
 
-    /// One more has been sent there.
-    pub fn sent(&mut self) {
-        self.since = self.since.saturating_add(1);
+    /// Counts a request that is sent to the server.
+    pub fn record_send(&mut self) {
+        self.sends_since_report = self.sends_since_report.saturating_add(1);
     }
 
-    /// One that was sent there is over. A board that counts sends only is never told.
-    pub fn ended(&mut self) {
-        // Danger: taken off the count, one from before the figure would hide one that was sent since. Which one
-        // ended is not known; the oldest is taken for it.
-        if self.before > 0 {
-            self.before -= 1;
-            self.last = (self.last - 1.0).max(0.0);
+    /// Counts the end of a request that was sent to the server. A board that counts sends only never calls it.
+    ///
+    /// Which of the requests ended isn't known; the oldest is assumed. Were it taken off the sends since the report, a
+    /// request from before the report would hide one that was sent after it.
+    pub fn record_end(&mut self) {
+        if self.sends_before_report > 0 {
+            self.sends_before_report -= 1;
+            self.last_report = (self.last_report - 1.0).max(0.0);
         } else {
-            self.since = self.since.saturating_sub(1);
+            self.sends_since_report = self.sends_since_report.saturating_sub(1);
         }
     }
 
-    /// What two candidates are compared by: the last figure plus own sends since.
-    pub fn value(&self) -> f64 {
-        self.last + f64::from(self.since)
+    /// What candidates are compared by: the last reported load plus own sends since.
+    pub fn estimate(&self) -> f64 {
+        self.last_report + f64::from(self.sends_since_report)
     }
 
-    /// Own sends since the last figure.
-    pub fn since(&self) -> u32 {
-        self.since
+    /// Own sends since the last report.
+    pub fn sends_since_report(&self) -> u32 {
+        self.sends_since_report
     }
 }
--- a/crates/load-board/tests/server_load.rs
+++ b/crates/load-board/tests/server_load.rs
@@ -1,20 +1,20 @@
-//! What the board holds of one server.
+//! What the board knows about the load of one server.
 
-use mosshead_load_board::Entry;
+use mosshead_load_board::ServerLoad;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Sent,
-    Ended,
+    Send,
+    End,
     Report(f64),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(source: &mut Gen) -> Self {
         match u8::arbitrary(source) % 5 {
-            0 | 1 => Step::Sent,
-            2 | 3 => Step::Ended,
+            0 | 1 => Step::Send,
+            2 | 3 => Step::End,
             _ => Step::Report(
                 *source.choose(&[0.0, 1.0, 7.5, -1.0, f64::NAN, f64::INFINITY, 1e300]).unwrap_or(&0.0),
             ),
@@ -22,65 +22,67 @@
     }
 }
 
-fn after(steps: &[Step]) -> Entry {
-    let mut entry = Entry::default();
+fn after(steps: &[Step]) -> ServerLoad {
+    let mut load = ServerLoad::default();
     for &step in steps {
         match step {
-            Step::Sent => entry.sent(),
-            Step::Ended => entry.ended(),
-            Step::Report(figure) => entry.report(figure),
+            Step::Send => load.record_send(),
+            Step::End => load.record_end(),
+            Step::Report(reported) => load.record_report(reported),
         }
     }
-    entry
+    load
 }
 
 #[test]
-fn a_fresh_figure_replaces_the_old_one_and_zeroes_the_count() {
-    let mut entry = Entry::default();
-    assert_eq!(entry.value(), 0.0);
-    entry.sent();
-    entry.sent();
-    assert_eq!((entry.value(), entry.since()), (2.0, 2));
-    entry.report(7.5);
-    assert_eq!((entry.value(), entry.since()), (7.5, 0));
-    entry.sent();
-    assert_eq!(entry.value(), 8.5);
-    entry.report(1.0);
-    assert_eq!(entry.value(), 1.0);
+fn a_report_replaces_the_last_one_and_resets_the_sends() {
+    let mut load = ServerLoad::default();
+    assert_eq!(load.estimate(), 0.0);
+    load.record_send();
+    load.record_send();
+    assert_eq!((load.estimate(), load.sends_since_report()), (2.0, 2));
+    load.record_report(7.5);
+    assert_eq!((load.estimate(), load.sends_since_report()), (7.5, 0));
+    load.record_send();
+    assert_eq!(load.estimate(), 8.5);
+    load.record_report(1.0);
+    assert_eq!(load.estimate(), 1.0);
 }
 
 #[test]
-fn what_is_no_figure_changes_nothing() {
-    let mut entry = after(&[Step::Report(3.0), Step::Sent]);
-    [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0].into_iter().for_each(|figure| entry.report(figure));
-    assert_eq!((entry.value(), entry.since()), (4.0, 1));
+fn invalid_reports_are_ignored() {
+    let mut load = after(&[Step::Report(3.0), Step::Send]);
+    [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0]
+        .into_iter()
+        .for_each(|reported| load.record_report(reported));
+    assert_eq!((load.estimate(), load.sends_since_report()), (4.0, 1));
 }
 
 #[test]
-fn without_figures_it_is_what_is_out() {
-    assert_eq!(after(&[Step::Sent, Step::Sent, Step::Ended]).value(), 1.0);
-    assert_eq!(after(&[Step::Ended, Step::Sent]).value(), 1.0);
+fn without_reports_the_estimate_is_the_requests_in_flight() {
+    assert_eq!(after(&[Step::Send, Step::Send, Step::End]).estimate(), 1.0);
+    assert_eq!(after(&[Step::End, Step::Send]).estimate(), 1.0);
 }
 
-/// Danger: the end of one from before the figure must not hide one sent since: a burst would go unseen.
+/// The end of a request from before the report must not hide one that was sent after it: a burst would go unseen.
 #[test]
-fn the_end_of_an_older_one_does_not_hide_a_newer() {
-    let entry = after(&[Step::Sent, Step::Sent, Step::Report(0.0), Step::Sent, Step::Ended, Step::Ended]);
-    assert_eq!(entry.value(), 1.0);
-    let entry = after(&[Step::Sent, Step::Report(5.0), Step::Sent, Step::Ended]);
-    assert_eq!((entry.value(), entry.since()), (5.0, 1));
+fn the_end_of_an_earlier_request_does_not_hide_a_later_one() {
+    let load = after(&[Step::Send, Step::Send, Step::Report(0.0), Step::Send, Step::End, Step::End]);
+    assert_eq!(load.estimate(), 1.0);
+    let load = after(&[Step::Send, Step::Report(5.0), Step::Send, Step::End]);
+    assert_eq!((load.estimate(), load.sends_since_report()), (5.0, 1));
 }
 
 quickcheck! {
-    fn a_value_is_a_number_and_not_below_own_sends_since(steps: Vec<Step>) -> bool {
-        let entry = after(&steps);
-        entry.value().is_finite() && entry.value() >= f64::from(entry.since())
+    fn an_estimate_is_finite_and_at_least_the_sends_since_the_report(steps: Vec<Step>) -> bool {
+        let load = after(&steps);
+        load.estimate().is_finite() && load.estimate() >= f64::from(load.sends_since_report())
     }
 
-    fn after_a_figure_the_value_is_the_figure_and_each_send_adds_one(steps: Vec<Step>, sends: u8) -> bool {
-        let mut entry = after(&steps);
-        entry.report(2.0);
-        (0..sends).for_each(|_| entry.sent());
-        entry.value() == 2.0 + f64::from(sends)
+    fn an_estimate_is_the_report_plus_one_for_each_send(steps: Vec<Step>, sends: u8) -> bool {
+        let mut load = after(&steps);
+        load.record_report(2.0);
+        (0..sends).for_each(|_| load.record_send());
+        load.estimate() == 2.0 + f64::from(sends)
     }
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use mosshead_load_board::Entry;
+use mosshead_load_board::ServerLoad;
 use mosshead_registry::{Server, Stage};
 use mosshead_time::Instant;
 
@@ -63,11 +63,11 @@
     /// Hash of the id, the same in every proxy.
     pub(crate) id_hash: u64,
     /// Requests of this proxy in flight there.
-    pub(crate) in_flight: Entry,
+    pub(crate) in_flight: ServerLoad,
     /// Prompt tokens of this proxy that it still has to prefill.
     pub(crate) pending_prefill_tokens: f64,
     /// Prompts that it prefills for all proxies: its last load report and what this proxy sent since.
-    pub(crate) prefill_load: Entry,
+    pub(crate) prefill_load: ServerLoad,
     /// Prompts of this proxy that it prefills.
     pub(crate) own_prefills: f64,
     /// When the last load report came; the origin of the clock where none ever came.
@@ -89,9 +89,9 @@
             server: server.clone(),
             id: Rc::from(server.id.as_str()),
             id_hash: hash_id(server.id.as_bytes()),
-            in_flight: Entry::default(),
+            in_flight: ServerLoad::default(),
             pending_prefill_tokens: 0.0,
-            prefill_load: Entry::default(),
+            prefill_load: ServerLoad::default(),
             own_prefills: 0.0,
             load_reported_at: Instant::ORIGIN,
             last_received_at: Instant::ORIGIN,
@@ -103,7 +103,7 @@
 
     /// Whether requests of this proxy are still in flight there.
     pub(crate) fn has_own_work(&self) -> bool {
-        self.in_flight.value() > 0.0 || self.pending_prefill_tokens > 0.0
+        self.in_flight.estimate() > 0.0 || self.pending_prefill_tokens > 0.0
     }
 
     /// Whether the server has likely kept this prompt part in its prefix cache.
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use mosshead_load_board::{below, lower, two};
+use mosshead_load_board::{lower_load, random_index, two_distinct};
 use mosshead_time::Instant;
 use rand_core::RngCore;
 
@@ -39,7 +39,7 @@
     pub(crate) fn draw_two(&mut self, ids: &[Rc<str>], affinity_key: Option<u64>) -> Vec<Rc<str>> {
         match affinity_key {
             Some(key) => self.prefix_homes(ids, key),
-            None => match two(&mut self.rng, ids.len()) {
+            None => match two_distinct(&mut self.rng, ids.len()) {
                 Some((first, second)) => {
                     [first, second].iter().filter_map(|index| ids.get(*index).cloned()).collect()
                 }
@@ -67,9 +67,9 @@
         if near.is_empty() || near.len() == ids.len() {
             return self.draw_two(ids, None);
         }
-        let first = near[below(&mut self.rng, near.len())].clone();
+        let first = near[random_index(&mut self.rng, near.len())].clone();
         let others: Vec<Rc<str>> = ids.iter().filter(|id| **id != first).cloned().collect();
-        let second = others[below(&mut self.rng, others.len())].clone();
+        let second = others[random_index(&mut self.rng, others.len())].clone();
         vec![first, second]
     }
 
@@ -84,7 +84,7 @@
         let index = match costs.as_slice() {
             [] => return None,
             [_] => 0,
-            [first, second, ..] => lower(&mut self.rng, (0, *first), (1, *second)),
+            [first, second, ..] => lower_load(&mut self.rng, (0, *first), (1, *second)),
         };
         Some(Selection { id: drawn.get(index)?.clone(), cost: *costs.get(index)? })
     }
@@ -92,7 +92,7 @@
     /// This proxy's load at a server, in streams in flight.
     pub(crate) fn streams_at(&self, id: &str) -> f64 {
         self.endpoints.get(id).map_or(f64::INFINITY, |endpoint| {
-            endpoint.in_flight.value() + endpoint.pending_prefill_tokens / PENDING_TOKENS_PER_STREAM
+            endpoint.in_flight.estimate() + endpoint.pending_prefill_tokens / PENDING_TOKENS_PER_STREAM
         })
     }
 
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -125,7 +125,7 @@
         let zone = if in_zone { 0.0 } else { self.weights.cross_zone_streams * PREFILL_TOKENS_PER_STREAM };
         self.pending_of_other_proxies(now, endpoint, kind)
             + endpoint.pending_prefill_tokens
-            + stream_weight * endpoint.in_flight.value()
+            + stream_weight * endpoint.in_flight.estimate()
             + prompt.unshared_tokens()
             + recomputed
             + zone
@@ -137,7 +137,7 @@
         let is_reported = endpoint.load_reported_at > Instant::ORIGIN
             && now < endpoint.load_reported_at + self.weights.load_report_lifetime;
         if kind == LoadKind::Prefill && is_reported {
-            let prefills = (endpoint.prefill_load.value() - endpoint.own_prefills).max(0.0);
+            let prefills = (endpoint.prefill_load.estimate() - endpoint.own_prefills).max(0.0);
             return prefills * self.mean_prefill_tokens;
         }
         self.mean_pending_tokens.get(kind) * (self.proxy_count as f64 - 1.0)
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -134,7 +134,7 @@
     /// A server reported how many requests it has, queued or running.
     pub fn record_load(&mut self, now: Instant, id: &str, load: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.prefill_load.report(load);
+            endpoint.prefill_load.record_report(load);
             endpoint.load_reported_at = now.max(EARLIEST_LOAD_REPORT);
         }
     }
@@ -145,7 +145,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.pending_prefill_tokens += tokens;
             endpoint.own_prefills += 1.0;
-            endpoint.prefill_load.sent();
+            endpoint.prefill_load.record_send();
         }
     }
 
@@ -154,21 +154,21 @@
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.pending_prefill_tokens = (endpoint.pending_prefill_tokens - tokens).max(0.0);
             endpoint.own_prefills = (endpoint.own_prefills - 1.0).max(0.0);
-            endpoint.prefill_load.ended();
+            endpoint.prefill_load.record_end();
         }
     }
 
     /// A request was sent there to run.
     pub fn start_request(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.in_flight.sent();
+            endpoint.in_flight.record_send();
         }
     }
 
     /// That request has ended.
     pub fn finish_request(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.in_flight.ended();
+            endpoint.in_flight.record_end();
         }
     }
 
