--- a/crates/record-log/src/directory.rs
+++ b/crates/record-log/src/directory.rs
@@ -1,10 +1,12 @@
+//! A directory of the machine's file system.
+
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use crate::{Disk, DiskFile};
+use crate::disk::{Disk, DiskFile};
 
-/// A folder of the machine's disk.
+/// A directory of the machine's file system.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
@@ -14,12 +16,16 @@
 #[derive(Debug)]
 pub struct DirectoryFile {
     file: File,
-    /// Where the file's cursor is, when that is known: an append then needs no seek.
-    at: Option<u64>,
+    /// The offset of the file's cursor if it is known: an append then needs no seek.
+    cursor: Option<u64>,
 }
 
 impl Directory {
-    /// The folder at a path, made if it is not there.
+    /// The directory at a path, created with its parents if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// It can't be created.
     pub fn new(path: &Path) -> io::Result<Directory> {
         if !path.is_dir() {
             fs::create_dir_all(path)?;
@@ -31,7 +37,7 @@
 impl Disk for Directory {
     type File = DirectoryFile;
 
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             if let Ok(name) = entry?.file_name().into_string() {
@@ -44,12 +50,12 @@
     fn create(&mut self, name: &str) -> io::Result<DirectoryFile> {
         let path = self.path.join(name);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
-        Ok(DirectoryFile { file, at: Some(0) })
+        Ok(DirectoryFile { file, cursor: Some(0) })
     }
 
     fn open(&mut self, name: &str) -> io::Result<DirectoryFile> {
         let file = OpenOptions::new().read(true).write(true).open(self.path.join(name))?;
-        Ok(DirectoryFile { file, at: Some(0) })
+        Ok(DirectoryFile { file, cursor: Some(0) })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -67,7 +73,7 @@
 
 impl DirectoryFile {
     fn seek(&mut self, offset: u64) -> io::Result<()> {
-        if self.at.take() != Some(offset) {
+        if self.cursor.take() != Some(offset) {
             self.file.seek(SeekFrom::Start(offset))?;
         }
         Ok(())
@@ -75,17 +81,17 @@
 }
 
 impl DiskFile for DirectoryFile {
-    fn read(&mut self, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&mut self, max_bytes: u64) -> io::Result<Vec<u8>> {
         self.seek(0)?;
         let mut bytes = Vec::new();
-        (&self.file).take(most).read_to_end(&mut bytes)?;
+        (&self.file).take(max_bytes).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
     fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.seek(offset)?;
         self.file.write_all(bytes)?;
-        self.at = offset.checked_add(bytes.len() as u64);
+        self.cursor = offset.checked_add(bytes.len() as u64);
         Ok(())
     }
 
@@ -94,7 +100,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        // Not sync_data: the length and, for a new file, the name belong to what must last.
+        // fsync, not fdatasync: the length and, for a new file, its name must be durable too.
         self.file.sync_all()
     }
 }
--- a/crates/record-log/src/disk.rs
+++ b/crates/record-log/src/disk.rs
@@ -1,32 +1,83 @@
+//! What the log needs of a disk.
+
 use std::io;
 
-/// A folder of files, with no more than the machines' disks can do.
+/// A flat directory of files, with no more than the operations that the log needs.
 pub trait Disk {
     /// An open file.
     type File: DiskFile;
 
     /// The names of all files.
-    fn names(&mut self) -> io::Result<Vec<String>>;
-    /// An empty file of that name; one that was there is emptied.
+    ///
+    /// # Errors
+    ///
+    /// The directory can't be read.
+    fn file_names(&mut self) -> io::Result<Vec<String>>;
+
+    /// Creates an empty file; an existing one of that name is truncated. The name lasts only after a sync.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be created.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
-    /// The file of that name.
+
+    /// Opens an existing file.
+    ///
+    /// # Errors
+    ///
+    /// The file does not exist or can't be opened.
     fn open(&mut self, name: &str) -> io::Result<Self::File>;
-    /// Gives a file another name; one that had it is gone.
+
+    /// Renames a file; an existing one with the new name is replaced. Durable only after [`Disk::sync`].
+    ///
+    /// # Errors
+    ///
+    /// The file does not exist or can't be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file.
+
+    /// Removes a file. Durable only after [`Disk::sync`].
+    ///
+    /// # Errors
+    ///
+    /// The file does not exist or can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes renamed and removed names last.
+
+    /// Syncs the directory: renamed and removed names are durable afterwards.
+    ///
+    /// # Errors
+    ///
+    /// The sync failed; it is unknown which of the names are durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
 /// An open file of a [`Disk`].
 pub trait DiskFile {
-    /// The bytes from the start, `most` of them at most.
-    fn read(&mut self, most: u64) -> io::Result<Vec<u8>>;
-    /// Writes all bytes there, or fails after any part of them.
+    /// Reads from the start of the file, `max_bytes` at most.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read.
+    fn read(&mut self, max_bytes: u64) -> io::Result<Vec<u8>>;
+
+    /// Writes all bytes at an offset.
+    ///
+    /// # Errors
+    ///
+    /// The write failed, after any number of the bytes.
     fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Sets the length.
+
+    /// Truncates or extends the file to a length in bytes.
+    ///
+    /// # Errors
+    ///
+    /// The length can't be changed.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
-    /// Makes what was written so far last, and a new file's name too.
+
+    /// Syncs the file: its content and length are durable afterwards, and the name under which it was created.
+    ///
+    /// # Errors
+    ///
+    /// The sync failed. What was written since the last successful sync may be lost, and a later successful sync does
+    /// not cover it.
     fn sync(&mut self) -> io::Result<()>;
 }
--- a/crates/record-log/src/error.rs
+++ b/crates/record-log/src/error.rs
@@ -1,22 +1,24 @@
+//! What can go wrong with a log.
+
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// What went wrong, numbered.
+    /// Why an operation of the log failed. The numbers are explained in `docs/codes.md`.
     #[derive(Debug)]
     pub enum LogError {
-        /// 701: a file or the folder can't be read.
+        /// 701: a file or the directory can't be read.
         Read(cause: io::Error) {
             display("can't read the store: {cause}")
             source(cause)
         }
-        /// 702: a write was refused; a full disk is told by its kind.
+        /// 702: a write failed; see [`LogError::is_disk_full`] for the most frequent cause.
         Write(cause: io::Error) {
             display("can't write to the store: {cause}")
             source(cause)
         }
-        /// 703: a sync failed, so nothing since the last good one counts as kept.
+        /// 703: a sync failed, so nothing that was written since the last successful one is durable.
         Sync(cause: io::Error) {
             display("can't sync the store: {cause}")
             source(cause)
@@ -26,19 +28,19 @@
             display("can't change the store's folder: {cause}")
             source(cause)
         }
-        /// 705: the record, or the file with it, would be over its bound.
+        /// 705: the record, or the file with it, would exceed its maximum length; the length is in bytes.
         TooLong(length: u64) {
             display("{length} bytes are too many for the store")
         }
-        /// 706: the keeper's queue is full.
+        /// 706: the writer's queue is full.
         QueueFull {
             display("the store's queue is full")
         }
-        /// 707: the keeper's thread has ended.
+        /// 707: the writer's thread has ended.
         Closed {
             display("the store is closed")
         }
-        /// 708: the keeper's thread can't be started.
+        /// 708: the writer's thread can't be started.
         StartThread(cause: io::Error) {
             display("can't start the store's thread: {cause}")
             source(cause)
@@ -47,7 +49,7 @@
 }
 
 impl LogError {
-    /// The number of the fault, for logs and the table in the docs.
+    /// The number of the error, for logs and the table in `docs/codes.md`.
     pub fn code(&self) -> u16 {
         match self {
             LogError::Read(_) => 701,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Whether the disk refused because it is full.
+    /// Whether the operation failed because the disk is full.
     pub fn is_disk_full(&self) -> bool {
         match self {
             LogError::Write(cause) | LogError::Sync(cause) | LogError::Directory(cause) => {
--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -1,131 +1,167 @@
-//! The file: a header (magic, generation, how many records it was written with, checksum), then records (length,
-//! sequence, life, checksum, bytes). The checksum of a record also covers that of the one before, and lives never
-//! fall, so bytes that were cut off and came back, or stand behind a hole, don't fit what is in front of them.
+//! The format of a log file: a header, then records. All numbers are little-endian.
+//!
+//! Header: magic (8 bytes), generation (8), number of records that the file was written with (4), checksum (4).
+//! Record: length (4), sequence (8), incarnation of the writer (8), checksum (4), content.
+//!
+//! The checksum of a record also covers the checksum of its predecessor, and incarnations never decrease. So bytes that
+//! were truncated and came back after a crash, or that follow a hole, do not fit the records before them.
 
 use crc32fast::Hasher;
 
+use crate::error::LogError;
+
 /// The longest record, in bytes.
 pub const MAX_RECORD_LENGTH: usize = 16 << 20;
 /// The longest file, in bytes; two generations fit on the smallest disk.
 pub const MAX_FILE_LENGTH: u64 = 56 << 20;
-/// The bytes in front of all records.
+/// The length of the header, in bytes.
 pub const HEADER_LENGTH: usize = 24;
-/// The bytes in front of each record.
+/// The bytes in front of the content of each record.
 pub const FRAME_LENGTH: usize = 24;
 
 const MAGIC: [u8; 8] = *b"cistern1";
 
-/// The end of the records so far.
+/// The end of a valid sequence of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogEnd {
-    /// Bytes up to here.
+    /// The offset behind the last record, in bytes.
     pub offset: u64,
-    /// Records up to here.
+    /// The number of records so far, which is the sequence of the next one.
     pub sequence: u64,
-    /// Checksum of the last record, or of the header.
+    /// The checksum of the last record, or of the header if there is none.
     pub checksum: u32,
-    /// Life of the last record.
-    pub life: u64,
+    /// The incarnation that wrote the last record; 0 if there is none.
+    pub incarnation: u64,
 }
 
-/// What was read from a file.
+/// What was found in a file.
 pub(crate) struct Scan {
+    /// The records up to the first invalid byte.
     pub records: Vec<Vec<u8>>,
-    pub mark: LogEnd,
-    /// All records that the file was written with are there.
-    pub complete: bool,
+    /// The end of these records.
+    pub end: LogEnd,
+    /// Whether all records that the file was first written with are there.
+    pub is_complete: bool,
+}
+
+struct DecodedRecord<'a> {
+    content: &'a [u8],
+    end: LogEnd,
+    rest: &'a [u8],
 }
 
-/// Appends the header to `out`.
-pub(crate) fn put_header(generation: u64, base: u32, out: &mut Vec<u8>) -> LogEnd {
-    let checksum = header_checksum(generation, base);
-    out.extend_from_slice(&MAGIC);
-    out.extend_from_slice(&generation.to_le_bytes());
-    out.extend_from_slice(&base.to_le_bytes());
-    out.extend_from_slice(&checksum.to_le_bytes());
-    LogEnd { offset: HEADER_LENGTH as u64, sequence: 0, checksum, life: 0 }
+/// Appends a header to `output`.
+pub(crate) fn encode_header(generation: u64, initial_records: u32, output: &mut Vec<u8>) -> LogEnd {
+    let checksum = header_checksum(generation, initial_records);
+    output.extend_from_slice(&MAGIC);
+    output.extend_from_slice(&generation.to_le_bytes());
+    output.extend_from_slice(&initial_records.to_le_bytes());
+    output.extend_from_slice(&checksum.to_le_bytes());
+    end_of_header(checksum)
 }
 
-/// Appends a framed record to `out`.
-pub(crate) fn put_record(
-    before: &LogEnd,
-    life: u64,
+/// Appends a framed record to `output`; `length` is that of `record`.
+pub(crate) fn encode_record(
+    previous: &LogEnd,
+    incarnation: u64,
     length: u32,
     record: &[u8],
-    out: &mut Vec<u8>,
+    output: &mut Vec<u8>,
 ) -> LogEnd {
-    let checksum = record_checksum(before, length, life, record);
-    out.extend_from_slice(&length.to_le_bytes());
-    out.extend_from_slice(&before.sequence.to_le_bytes());
-    out.extend_from_slice(&life.to_le_bytes());
-    out.extend_from_slice(&checksum.to_le_bytes());
-    out.extend_from_slice(record);
-    after(before, life, length, checksum)
+    let checksum = record_checksum(previous, length, incarnation, record);
+    output.extend_from_slice(&length.to_le_bytes());
+    output.extend_from_slice(&previous.sequence.to_le_bytes());
+    output.extend_from_slice(&incarnation.to_le_bytes());
+    output.extend_from_slice(&checksum.to_le_bytes());
+    output.extend_from_slice(record);
+    end_after(previous, incarnation, length, checksum)
 }
 
-/// Reads records up to the first that doesn't fit. None: the header is not of this generation.
+/// Reads the records up to the first that is not valid; `None` if the header is not that of this generation.
 pub(crate) fn scan(bytes: &[u8], generation: u64) -> Option<Scan> {
     let (magic, rest) = bytes.split_first_chunk::<8>()?;
     let (number, rest) = rest.split_first_chunk::<8>()?;
-    let (base, rest) = rest.split_first_chunk::<4>()?;
+    let (initial_records, rest) = rest.split_first_chunk::<4>()?;
     let (checksum, mut rest) = rest.split_first_chunk::<4>()?;
-    let (number, base) = (u64::from_le_bytes(*number), u32::from_le_bytes(*base));
+    let number = u64::from_le_bytes(*number);
+    let initial_records = u32::from_le_bytes(*initial_records);
     let checksum = u32::from_le_bytes(*checksum);
-    if *magic != MAGIC || number != generation || checksum != header_checksum(number, base) {
+    if *magic != MAGIC || number != generation || checksum != header_checksum(number, initial_records) {
         return None;
     }
     let mut records = Vec::new();
-    let mut mark = LogEnd { offset: HEADER_LENGTH as u64, sequence: 0, checksum, life: 0 };
-    while let Some((record, next, behind)) = take_record(&mark, rest) {
-        records.push(record.to_vec());
-        mark = next;
-        rest = behind;
+    let mut end = end_of_header(checksum);
+    while let Some(decoded) = decode_record(&end, rest) {
+        records.push(decoded.content.to_vec());
+        end = decoded.end;
+        rest = decoded.rest;
     }
-    Some(Scan { complete: mark.sequence >= u64::from(base), records, mark })
+    Some(Scan { is_complete: end.sequence >= u64::from(initial_records), records, end })
+}
+
+/// The length of a record as it is written in its frame.
+///
+/// # Errors
+///
+/// [`LogError::TooLong`] beyond [`MAX_RECORD_LENGTH`].
+pub(crate) fn record_length(record: &[u8]) -> Result<u32, LogError> {
+    let length = record.len();
+    u32::try_from(length)
+        .ok()
+        .filter(|_| length <= MAX_RECORD_LENGTH)
+        .ok_or_else(|| LogError::TooLong(u64::try_from(length).unwrap_or(u64::MAX)))
 }
 
-fn take_record<'a>(before: &LogEnd, bytes: &'a [u8]) -> Option<(&'a [u8], LogEnd, &'a [u8])> {
+fn decode_record<'a>(previous: &LogEnd, bytes: &'a [u8]) -> Option<DecodedRecord<'a>> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sequence, rest) = rest.split_first_chunk::<8>()?;
-    let (life, rest) = rest.split_first_chunk::<8>()?;
+    let (incarnation, rest) = rest.split_first_chunk::<8>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
-    let (length, life) = (u32::from_le_bytes(*length), u64::from_le_bytes(*life));
+    let length = u32::from_le_bytes(*length);
+    let incarnation = u64::from_le_bytes(*incarnation);
     let checksum = u32::from_le_bytes(*checksum);
-    // Life 0 is never written, so a hole of zeros is no record.
-    if u64::from_le_bytes(*sequence) != before.sequence || life == 0 || life < before.life {
+    if u64::from_le_bytes(*sequence) != previous.sequence {
         return None;
     }
-    let length_here = usize::try_from(length).ok().filter(|length| *length <= MAX_RECORD_LENGTH)?;
-    let (record, behind) = rest.split_at_checked(length_here)?;
-    if checksum != record_checksum(before, length, life, record) {
+    // Incarnation 0 is never written, so a hole of zeros is not a record.
+    if incarnation == 0 || incarnation < previous.incarnation {
         return None;
     }
-    Some((record, after(before, life, length, checksum), behind))
+    let content_length = usize::try_from(length).ok().filter(|length| *length <= MAX_RECORD_LENGTH)?;
+    let (content, rest) = rest.split_at_checked(content_length)?;
+    if checksum != record_checksum(previous, length, incarnation, content) {
+        return None;
+    }
+    Some(DecodedRecord { content, end: end_after(previous, incarnation, length, checksum), rest })
+}
+
+fn end_of_header(checksum: u32) -> LogEnd {
+    LogEnd { offset: HEADER_LENGTH as u64, sequence: 0, checksum, incarnation: 0 }
 }
 
-fn after(before: &LogEnd, life: u64, length: u32, checksum: u32) -> LogEnd {
+fn end_after(previous: &LogEnd, incarnation: u64, length: u32, checksum: u32) -> LogEnd {
     LogEnd {
-        offset: before.offset.saturating_add(FRAME_LENGTH as u64).saturating_add(u64::from(length)),
-        sequence: before.sequence.saturating_add(1),
+        offset: previous.offset.saturating_add(FRAME_LENGTH as u64).saturating_add(u64::from(length)),
+        sequence: previous.sequence.saturating_add(1),
         checksum,
-        life,
+        incarnation,
     }
 }
 
-fn header_checksum(generation: u64, base: u32) -> u32 {
+fn header_checksum(generation: u64, initial_records: u32) -> u32 {
     let mut hasher = Hasher::new();
     hasher.update(&MAGIC);
     hasher.update(&generation.to_le_bytes());
-    hasher.update(&base.to_le_bytes());
+    hasher.update(&initial_records.to_le_bytes());
     hasher.finalize()
 }
 
-fn record_checksum(before: &LogEnd, length: u32, life: u64, record: &[u8]) -> u32 {
+fn record_checksum(previous: &LogEnd, length: u32, incarnation: u64, record: &[u8]) -> u32 {
     let mut hasher = Hasher::new();
-    hasher.update(&before.checksum.to_le_bytes());
+    hasher.update(&previous.checksum.to_le_bytes());
     hasher.update(&length.to_le_bytes());
-    hasher.update(&before.sequence.to_le_bytes());
-    hasher.update(&life.to_le_bytes());
+    hasher.update(&previous.sequence.to_le_bytes());
+    hasher.update(&incarnation.to_le_bytes());
     hasher.update(record);
     hasher.finalize()
 }
--- /dev/null
+++ b/crates/record-log/src/generation.rs
@@ -0,0 +1,140 @@
+//! The generations of a log: each rewrite writes a new file, `state.N`, and the newest complete one is valid.
+//!
+//! A new generation is written and synced as `state.N.new`, then renamed to `state.N`, then the directory is synced. So
+//! under its final name a file holds all records that it was written with.
+
+use crate::disk::{Disk, DiskFile};
+use crate::error::LogError;
+use crate::format::{self, FRAME_LENGTH, HEADER_LENGTH, LogEnd, MAX_FILE_LENGTH, Scan};
+
+/// Generations are smaller; far above what can be counted to.
+pub(crate) const GENERATION_LIMIT: u64 = 1 << 63;
+/// Records are collected up to this length, in bytes, before they are written.
+pub(crate) const WRITE_BUFFER_LENGTH: usize = 256 << 10;
+
+/// A generation that was found on the disk.
+pub(crate) struct FoundGeneration<D: Disk> {
+    pub generation: u64,
+    pub file: D::File,
+    pub scan: Scan,
+    /// In bytes, with what follows the last valid record.
+    pub file_length: u64,
+}
+
+/// A new generation could not be made durable.
+pub(crate) struct PublishError {
+    pub cause: LogError,
+    /// Whether the file may exist under its final name, now or after a crash.
+    pub may_exist: bool,
+}
+
+/// The newest complete generation, or the newest with a valid header if none is complete.
+///
+/// # Errors
+///
+/// [`LogError::Read`] if any newer file can't be read: it may be the newest complete one, so an older one must not
+/// replace it.
+pub(crate) fn find_newest<D: Disk>(
+    disk: &mut D,
+    generations: &[u64],
+) -> Result<Option<FoundGeneration<D>>, LogError> {
+    let mut newest_incomplete = None;
+    for generation in generations.iter().rev().copied() {
+        let mut file = disk.open(&file_name(generation)).map_err(LogError::Read)?;
+        let bytes = file.read(MAX_FILE_LENGTH.saturating_add(1)).map_err(LogError::Read)?;
+        let Some(scan) = format::scan(&bytes, generation) else {
+            continue;
+        };
+        let is_complete = scan.is_complete;
+        let found = FoundGeneration { generation, file, scan, file_length: bytes.len() as u64 };
+        if is_complete {
+            return Ok(Some(found));
+        }
+        newest_incomplete = newest_incomplete.or(Some(found));
+    }
+    Ok(newest_incomplete)
+}
+
+/// Writes a new generation and makes it durable under its final name.
+///
+/// # Errors
+///
+/// The cause, and whether the file may exist under its final name.
+pub(crate) fn publish<D: Disk>(
+    disk: &mut D,
+    generation: u64,
+    incarnation: u64,
+    records: &[Vec<u8>],
+) -> Result<(D::File, LogEnd), PublishError> {
+    let temporary_name = temporary_file_name(generation);
+    let written = write_file(disk, &temporary_name, generation, incarnation, records);
+    let (file, end) = written.map_err(|cause| {
+        let _ = disk.remove(&temporary_name);
+        PublishError { cause, may_exist: false }
+    })?;
+    disk.rename(&temporary_name, &file_name(generation))
+        .map_err(|cause| PublishError { cause: LogError::Directory(cause), may_exist: true })?;
+    disk.sync().map_err(|cause| PublishError { cause: LogError::Sync(cause), may_exist: true })?;
+    Ok((file, end))
+}
+
+/// Writes and syncs a file with a header and these records.
+fn write_file<D: Disk>(
+    disk: &mut D,
+    name: &str,
+    generation: u64,
+    incarnation: u64,
+    records: &[Vec<u8>],
+) -> Result<(D::File, LogEnd), LogError> {
+    let total = encoded_length(records);
+    let initial_records = u32::try_from(records.len()).map_err(|_| LogError::TooLong(total))?;
+    if total > MAX_FILE_LENGTH {
+        return Err(LogError::TooLong(total));
+    }
+    let mut file = disk.create(name).map_err(LogError::Directory)?;
+    let mut buffer = Vec::new();
+    let mut written = 0;
+    let mut end = format::encode_header(generation, initial_records, &mut buffer);
+    for record in records {
+        let length = format::record_length(record)?;
+        end = format::encode_record(&end, incarnation, length, record, &mut buffer);
+        if buffer.len() >= WRITE_BUFFER_LENGTH {
+            file.write(written, &buffer).map_err(LogError::Write)?;
+            written = end.offset;
+            buffer.clear();
+        }
+    }
+    if !buffer.is_empty() {
+        file.write(written, &buffer).map_err(LogError::Write)?;
+    }
+    file.sync().map_err(LogError::Sync)?;
+    Ok((file, end))
+}
+
+/// The length of a file with these records, in bytes.
+fn encoded_length(records: &[Vec<u8>]) -> u64 {
+    records.iter().fold(HEADER_LENGTH as u64, |total, record| {
+        total.saturating_add(FRAME_LENGTH as u64).saturating_add(record.len() as u64)
+    })
+}
+
+/// The final name of a generation's file.
+pub(crate) fn file_name(generation: u64) -> String {
+    format!("state.{generation}")
+}
+
+/// The name of a generation's file while it is written.
+pub(crate) fn temporary_file_name(generation: u64) -> String {
+    format!("state.{generation}.new")
+}
+
+/// The generation whose final file name this is.
+pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
+    let number = name.strip_prefix("state.")?.parse::<u64>().ok()?;
+    (number < GENERATION_LIMIT && name == file_name(number)).then_some(number)
+}
+
+/// The generation whose final or temporary file name this is.
+pub(crate) fn parse_any_file_name(name: &str) -> Option<u64> {
+    parse_file_name(name.strip_suffix(".new").unwrap_or(name))
+}
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -1,12 +1,17 @@
-//! An append-only file of checksummed records, rewritten when it gets long.
+//! An append-only log of checksummed records in one file, rewritten when it gets long.
 //!
-//! [`RecordLog`] keeps records in one file of a [`Disk`]: a [`Directory`] of the machine, or a [`MemoryDisk`] that
-//! loses power, fills up and hangs when a test says so. [`LogWriter`] runs a [`DurableLog`] on a thread of its own.
+//! [`RecordLog`] keeps its records in a file of a [`Disk`]: a [`Directory`] of the machine, or a [`MemoryDisk`] that
+//! loses power, fills up, fails and hangs when a test asks for it. [`LogWriter`] runs a [`DurableLog`] on a thread of
+//! its own and syncs several records together (group commit).
+//!
+//! Durability: [`DurableLog::append`] syncs nothing; [`DurableLog::sync`] syncs the file and so covers every record that
+//! was appended before; [`DurableLog::rewrite`] syncs the new file before its rename and the directory after it.
 
 mod directory;
 mod disk;
 mod error;
 mod format;
+mod generation;
 mod memory_disk;
 mod record_log;
 mod writer;
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -1,27 +1,48 @@
+//! A log of records on a disk.
+
 use std::io;
 use std::path::Path;
 
-use crate::format::{self, LogEnd, Scan};
-use crate::{
-    Directory, Disk, DiskFile, FRAME_LENGTH, HEADER_LENGTH, LogError, MAX_FILE_LENGTH, MAX_RECORD_LENGTH,
-};
+use crate::directory::Directory;
+use crate::disk::{Disk, DiskFile};
+use crate::error::LogError;
+use crate::format::{self, FRAME_LENGTH, LogEnd, MAX_FILE_LENGTH, Scan};
+use crate::generation::{self, FoundGeneration, GENERATION_LIMIT, PublishError, WRITE_BUFFER_LENGTH};
 
-/// Records in order, kept over the losses of a disk.
+/// An ordered log whose synced records survive crashes and losses of power.
 pub trait DurableLog {
-    /// Adds a record. It counts as kept only after a [`DurableLog::sync`] that succeeded. After a fault it may still be
-    /// found when the store is opened again, until a later sync succeeds.
+    /// Appends a record. It is durable only after a [`DurableLog::sync`] that succeeded.
+    ///
+    /// # Errors
+    ///
+    /// The record is not in the log. Until a later sync succeeds, it may still be found when the log is opened again.
     fn append(&mut self, record: &[u8]) -> Result<(), LogError>;
-    /// Makes the records so far last. After a fault those added since the last good sync are no longer in the store:
-    /// whoever wants them adds them again.
+
+    /// Makes all records so far durable.
+    ///
+    /// # Errors
+    ///
+    /// The records that were appended since the last successful sync are no longer in the log; the caller has to append
+    /// them again. Until a later sync succeeds, they may still be found when the log is opened again.
     fn sync(&mut self) -> Result<(), LogError>;
-    /// Puts these records in place of all others and makes them last; all or none of it happens. After a fault the
-    /// store holds what it held, but when it is opened again with no good sync in between, either may be found.
+
+    /// Atomically replaces all records by these, and makes them durable.
+    ///
+    /// # Errors
+    ///
+    /// The log holds the same records as before. Until a later sync succeeds, either may be found when it is opened
+    /// again.
     fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), LogError>;
-    /// The bytes taken by the records so far.
+
+    /// The length of the log, in bytes.
     fn length(&self) -> u64;
 }
 
-/// The store in a file of a [`Disk`]: `state.N`, the newest complete N wins.
+/// A [`DurableLog`] in a file `state.N` of a [`Disk`]; the newest complete generation N is valid.
+///
+/// What an earlier process left may be only in the caches of the operating system, and if a sync has failed there, no
+/// later one covers it. So opening a log writes all its records again, and a process never appends to a file that it
+/// has not created.
 #[derive(Debug)]
 pub struct RecordLog<D: Disk = Directory> {
     disk: D,
@@ -29,157 +50,174 @@
     generation: u64,
     next_generation: u64,
     /// The end of the records that are in the file.
-    good: LogEnd,
-    /// The end of those that a sync has covered.
-    synced: LogEnd,
-    life: u64,
-    /// What was found at the opening is known to last.
-    kept: bool,
-    /// Something may stand behind the good records.
-    torn: bool,
-    /// Something in the file was changed since the last good sync.
-    unsynced: bool,
-    /// Generations that a failed rewrite may have left under their names.
-    ghosts: Vec<u64>,
+    end: LogEnd,
+    /// The end of the records that a successful sync has covered; never behind `end`.
+    synced_end: LogEnd,
+    /// Written into each record. Grows with each opening and whenever records are rolled back, so that what is left of
+    /// those is not taken for a successor of newer records.
+    incarnation: u64,
+    /// Whether the records that were found at the opening are durable.
+    is_durable: bool,
+    /// Whether the file may have bytes behind `end`.
+    has_torn_tail: bool,
+    /// Whether the file was changed since the last successful sync.
+    has_unsynced_changes: bool,
+    /// Generations that a failed rewrite may have left under their final names.
+    failed_generations: Vec<u64>,
     discarded_bytes: u64,
     buffer: Vec<u8>,
 }
 
-const BUFFER: usize = 256 << 10;
-/// Generations are below it; far above what can be counted to.
-const LAST: u64 = 1 << 63;
-
 impl RecordLog<Directory> {
-    /// Opens the store in a folder, and gives the records found; see [`RecordLog::is_durable`].
-    pub fn open(folder: &Path) -> Result<(RecordLog, Vec<Vec<u8>>), LogError> {
-        RecordLog::open_on_disk(Directory::new(folder).map_err(LogError::Directory)?)
+    /// Opens the log in a directory, and returns it with the records found; see [`RecordLog::is_durable`].
+    ///
+    /// # Errors
+    ///
+    /// The directory or a file in it can't be read, or a new log can't be created.
+    pub fn open(path: &Path) -> Result<(RecordLog, Vec<Vec<u8>>), LogError> {
+        RecordLog::open_on_disk(Directory::new(path).map_err(LogError::Directory)?)
     }
 }
 
 impl<D: Disk> RecordLog<D> {
-    /// Opens the store on a disk, and gives the records found; see [`RecordLog::is_durable`].
+    /// Opens the log on a disk, and returns it with the records found; see [`RecordLog::is_durable`].
+    ///
+    /// # Errors
+    ///
+    /// The disk can't be read, or a new log can't be created. A disk that can be read but refuses writes is no error.
     pub fn open_on_disk(mut disk: D) -> Result<(RecordLog<D>, Vec<Vec<u8>>), LogError> {
-        let names = disk.names().map_err(LogError::Read)?;
-        let mut generations: Vec<u64> = names.iter().filter_map(|name| generation_of(name)).collect();
+        let names = disk.file_names().map_err(LogError::Read)?;
+        let mut generations: Vec<u64> =
+            names.iter().filter_map(|name| generation::parse_file_name(name)).collect();
         generations.sort_unstable();
-        let next = names.iter().filter_map(|name| number_of(name)).max().unwrap_or(0).saturating_add(1);
-        if next >= LAST {
+        let newest = names.iter().filter_map(|name| generation::parse_any_file_name(name)).max();
+        let next_generation = newest.unwrap_or(0).saturating_add(1);
+        if next_generation >= GENERATION_LIMIT {
             return Err(LogError::Directory(io::Error::from(io::ErrorKind::InvalidInput)));
         }
-        let Some((generation, file, found, length)) = newest(&mut disk, &generations)? else {
-            let (file, mark) = publish(&mut disk, next, 1, &[]).map_err(|(fault, _)| fault)?;
-            return Ok((RecordLog::with(disk, file, next, mark, 1), Vec::new()));
+        let Some(found) = generation::find_newest(&mut disk, &generations)? else {
+            let (file, end) =
+                generation::publish(&mut disk, next_generation, 1, &[]).map_err(|error| error.cause)?;
+            return Ok((RecordLog::new(disk, file, next_generation, end, 1), Vec::new()));
         };
-        let Scan { records, mark, .. } = found;
-        let mut store = RecordLog::with(disk, file, generation, mark, mark.life.saturating_add(1));
-        store.next_generation = next;
-        store.discarded_bytes = length.saturating_sub(mark.offset);
-        store.kept = false;
+        let FoundGeneration { generation, file, scan: Scan { records, end, .. }, file_length } = found;
+        let mut log = RecordLog::new(disk, file, generation, end, end.incarnation.saturating_add(1));
+        log.next_generation = next_generation;
+        log.discarded_bytes = file_length.saturating_sub(end.offset);
+        log.is_durable = false;
         // A disk that refuses writes can still be read from.
-        if store.replace(&records).is_ok() {
-            for name in names.iter().filter(|name| number_of(name).is_some()) {
-                let _ = store.disk.remove(name);
-            }
+        if log.replace_file(&records).is_ok() {
+            log.remove_generations(&names);
         }
-        Ok((store, records))
+        Ok((log, records))
     }
 
-    fn with(disk: D, file: D::File, generation: u64, mark: LogEnd, life: u64) -> RecordLog<D> {
+    fn new(disk: D, file: D::File, generation: u64, end: LogEnd, incarnation: u64) -> RecordLog<D> {
         RecordLog {
             disk,
             file,
             generation,
             next_generation: generation.saturating_add(1),
-            good: mark,
-            synced: mark,
-            life,
-            kept: true,
-            torn: false,
-            unsynced: false,
-            ghosts: Vec::new(),
+            end,
+            synced_end: end,
+            incarnation,
+            is_durable: true,
+            has_torn_tail: false,
+            has_unsynced_changes: false,
+            failed_generations: Vec::new(),
             discarded_bytes: 0,
             buffer: Vec::new(),
         }
     }
 
-    /// Whether the records that were found at the opening are known to last. If not, because the disk refused, they
-    /// do after the next good sync, which may be called at any time.
+    /// Whether the records that were found at the opening are durable. If not, because the disk refused writes, they
+    /// are after the next successful [`DurableLog::sync`], which may be called at any time.
     pub fn is_durable(&self) -> bool {
-        self.kept
+        self.is_durable
     }
 
-    /// The bytes behind the last good record that were discarded at the opening.
+    /// The number of bytes behind the last valid record that were discarded at the opening.
     pub fn discarded_bytes(&self) -> u64 {
         self.discarded_bytes
     }
 
-    /// Danger: what an earlier process left may be in the caches only, and if a sync has failed there, no later one
-    /// covers it. So this process writes all of it again, and never adds to a file that it has not begun.
-    fn keep(&mut self) -> Result<(), LogError> {
-        if self.kept {
+    /// Removes the files of all generations among these names; what can't be removed is older and so never valid.
+    fn remove_generations(&mut self, names: &[String]) {
+        for name in names.iter().filter(|name| generation::parse_any_file_name(name).is_some()) {
+            let _ = self.disk.remove(name);
+        }
+    }
+
+    /// Writes the records that were found at the opening into a file of this process, if that has not been done.
+    fn ensure_durable(&mut self) -> Result<(), LogError> {
+        if self.is_durable {
             return Ok(());
         }
-        let bytes = self.file.read(self.good.offset).map_err(LogError::Read)?;
+        let bytes = self.file.read(self.end.offset).map_err(LogError::Read)?;
         match format::scan(&bytes, self.generation) {
-            Some(found) if found.mark == self.good => self.replace(&found.records),
+            Some(scan) if scan.end == self.end => self.replace_file(&scan.records),
             _ => Err(LogError::Read(io::Error::from(io::ErrorKind::InvalidData))),
         }
     }
 
-    /// Cuts off what stands behind the records.
-    fn mend(&mut self) -> Result<(), LogError> {
-        if self.torn {
-            self.unsynced = true;
-            self.file.set_length(self.good.offset).map_err(LogError::Write)?;
-            self.torn = false;
+    fn truncate_torn_tail(&mut self) -> Result<(), LogError> {
+        if self.has_torn_tail {
+            self.has_unsynced_changes = true;
+            self.file.set_length(self.end.offset).map_err(LogError::Write)?;
+            self.has_torn_tail = false;
         }
         Ok(())
     }
 
-    fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
+    /// Writes a new generation with these records and goes on with it.
+    fn replace_file(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
         let generation = self.next_generation;
         self.next_generation = generation.saturating_add(1);
-        match publish(&mut self.disk, generation, self.life, records) {
-            Ok((file, mark)) => {
-                let before = std::mem::replace(&mut self.generation, generation);
-                self.file = file;
-                self.good = mark;
-                self.synced = mark;
-                self.kept = true;
-                self.torn = false;
-                self.unsynced = false;
-                // Those that stay are older, so they never win.
-                for old in self.ghosts.drain(..).chain([before]) {
-                    let _ = self.disk.remove(&name_of(old));
-                }
+        match generation::publish(&mut self.disk, generation, self.incarnation, records) {
+            Ok((file, end)) => {
+                self.adopt_generation(generation, file, end);
                 Ok(())
             }
-            Err((fault, named)) => {
-                if named {
-                    self.ghosts.push(generation);
-                    let _ = self.lay_ghosts();
+            Err(PublishError { cause, may_exist }) => {
+                if may_exist {
+                    self.failed_generations.push(generation);
+                    let _ = self.remove_failed_generations();
                 }
-                Err(fault)
+                Err(cause)
             }
         }
     }
 
-    /// Something of this life may stand behind `mark`: later records get a higher one.
-    fn fall_back(&mut self, mark: LogEnd) {
-        self.good = mark;
-        self.life = self.life.saturating_add(1);
-        self.torn = true;
-        // At once, so that a process that starts after this one was killed doesn't find it either.
-        let _ = self.mend();
+    fn adopt_generation(&mut self, generation: u64, file: D::File, end: LogEnd) {
+        let previous = std::mem::replace(&mut self.generation, generation);
+        self.file = file;
+        self.end = end;
+        self.synced_end = end;
+        self.is_durable = true;
+        self.has_torn_tail = false;
+        self.has_unsynced_changes = false;
+        // Older generations that can't be removed are never valid again.
+        for older in self.failed_generations.drain(..).chain([previous]) {
+            let _ = self.disk.remove(&generation::file_name(older));
+        }
+    }
+
+    /// Drops the records behind `end`; those may remain in the file, so later ones get a higher incarnation.
+    fn roll_back_to(&mut self, end: LogEnd) {
+        self.end = end;
+        self.incarnation = self.incarnation.saturating_add(1);
+        self.has_torn_tail = true;
+        // At once, so that a process that starts after this one was killed does not find them either.
+        let _ = self.truncate_torn_tail();
     }
 
-    /// Removes, for good, what failed rewrites left.
-    fn lay_ghosts(&mut self) -> Result<(), LogError> {
-        if self.ghosts.is_empty() {
+    /// Removes what failed rewrites left, and syncs the directory so that it does not come back after a crash.
+    fn remove_failed_generations(&mut self) -> Result<(), LogError> {
+        if self.failed_generations.is_empty() {
             return Ok(());
         }
-        for ghost in &self.ghosts {
-            for name in [name_of(*ghost), new_name_of(*ghost)] {
+        for failed in &self.failed_generations {
+            for name in [generation::file_name(*failed), generation::temporary_file_name(*failed)] {
                 match self.disk.remove(&name) {
                     Err(cause) if cause.kind() != io::ErrorKind::NotFound => {
                         return Err(LogError::Directory(cause));
@@ -189,165 +227,69 @@
             }
         }
         self.disk.sync().map_err(LogError::Sync)?;
-        self.ghosts.clear();
+        self.failed_generations.clear();
+        Ok(())
+    }
+
+    fn sync_file(&mut self) -> Result<(), LogError> {
+        // While a failed generation may come back after a crash, what is written to this older one may be lost.
+        self.remove_failed_generations()?;
+        if self.has_unsynced_changes {
+            self.file.sync().map_err(LogError::Sync)?;
+        }
         Ok(())
     }
 }
 
 impl<D: Disk> DurableLog for RecordLog<D> {
     fn append(&mut self, record: &[u8]) -> Result<(), LogError> {
-        let length = checked_length(record)?;
-        let end = self.good.offset.saturating_add((FRAME_LENGTH + record.len()) as u64);
-        if end > MAX_FILE_LENGTH {
-            return Err(LogError::TooLong(end));
+        let length = format::record_length(record)?;
+        let new_length = self.end.offset.saturating_add((FRAME_LENGTH + record.len()) as u64);
+        if new_length > MAX_FILE_LENGTH {
+            return Err(LogError::TooLong(new_length));
         }
-        self.keep()?;
-        self.mend()?;
+        self.ensure_durable()?;
+        self.truncate_torn_tail()?;
         self.buffer.clear();
-        let mark = format::put_record(&self.good, self.life, length, record, &mut self.buffer);
-        self.unsynced = true;
-        let written = self.file.write(self.good.offset, &self.buffer);
-        if self.buffer.capacity() > BUFFER {
+        let end = format::encode_record(&self.end, self.incarnation, length, record, &mut self.buffer);
+        self.has_unsynced_changes = true;
+        let written = self.file.write(self.end.offset, &self.buffer);
+        if self.buffer.capacity() > WRITE_BUFFER_LENGTH {
             self.buffer = Vec::new();
         }
         match written {
             Ok(()) => {
-                self.good = mark;
+                self.end = end;
                 Ok(())
             }
             Err(cause) => {
-                self.fall_back(self.good);
+                self.roll_back_to(self.end);
                 Err(LogError::Write(cause))
             }
         }
     }
 
     fn sync(&mut self) -> Result<(), LogError> {
-        self.keep()?;
-        let _ = self.mend();
-        // Danger: while a newer generation may come back, what is written to this one may be lost.
-        let mut result = self.lay_ghosts();
-        if result.is_ok() && self.unsynced {
-            result = self.file.sync().map_err(LogError::Sync);
-        }
-        match result {
+        self.ensure_durable()?;
+        let _ = self.truncate_torn_tail();
+        match self.sync_file() {
             Ok(()) => {
-                self.synced = self.good;
-                self.unsynced = false;
+                self.synced_end = self.end;
+                self.has_unsynced_changes = false;
                 Ok(())
             }
-            Err(fault) => {
-                self.fall_back(self.synced);
-                Err(fault)
+            Err(error) => {
+                self.roll_back_to(self.synced_end);
+                Err(error)
             }
         }
     }
 
     fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
-        self.replace(records)
+        self.replace_file(records)
     }
 
     fn length(&self) -> u64 {
-        self.good.offset
-    }
-}
-
-type Found<D> = (u64, <D as Disk>::File, Scan, u64);
-
-/// The newest complete generation; if there is none, the newest with a header.
-fn newest<D: Disk>(disk: &mut D, generations: &[u64]) -> Result<Option<Found<D>>, LogError> {
-    let mut partial = None;
-    for generation in generations.iter().rev() {
-        // Danger: a file that can't be read now may be the newest, so an older one must not stand in for it.
-        let mut file = disk.open(&name_of(*generation)).map_err(LogError::Read)?;
-        let bytes = file.read(MAX_FILE_LENGTH.saturating_add(1)).map_err(LogError::Read)?;
-        let Some(found) = format::scan(&bytes, *generation) else {
-            continue;
-        };
-        let length = bytes.len() as u64;
-        if found.complete {
-            return Ok(Some((*generation, file, found, length)));
-        }
-        partial = partial.or(Some((*generation, file, found, length)));
-    }
-    Ok(partial)
-}
-
-/// Writes a generation that lasts. The fault comes with whether it may be there under its name.
-fn publish<D: Disk>(
-    disk: &mut D,
-    generation: u64,
-    life: u64,
-    records: &[Vec<u8>],
-) -> Result<(D::File, LogEnd), (LogError, bool)> {
-    let new_name = new_name_of(generation);
-    let written = write_new(disk, &new_name, generation, life, records);
-    let (file, mark) = written.map_err(|fault| {
-        let _ = disk.remove(&new_name);
-        (fault, false)
-    })?;
-    disk.rename(&new_name, &name_of(generation)).map_err(|cause| (LogError::Directory(cause), true))?;
-    disk.sync().map_err(|cause| (LogError::Sync(cause), true))?;
-    Ok((file, mark))
-}
-
-fn write_new<D: Disk>(
-    disk: &mut D,
-    name: &str,
-    generation: u64,
-    life: u64,
-    records: &[Vec<u8>],
-) -> Result<(D::File, LogEnd), LogError> {
-    let total = records.iter().fold(HEADER_LENGTH as u64, |total, record| {
-        total.saturating_add(FRAME_LENGTH as u64).saturating_add(record.len() as u64)
-    });
-    let base = u32::try_from(records.len()).map_err(|_| LogError::TooLong(total))?;
-    if total > MAX_FILE_LENGTH {
-        return Err(LogError::TooLong(total));
-    }
-    let mut file = disk.create(name).map_err(LogError::Directory)?;
-    let mut buffer = Vec::new();
-    let mut written = 0;
-    let mut mark = format::put_header(generation, base, &mut buffer);
-    for record in records {
-        let length = checked_length(record)?;
-        mark = format::put_record(&mark, life, length, record, &mut buffer);
-        if buffer.len() >= BUFFER {
-            file.write(written, &buffer).map_err(LogError::Write)?;
-            written = mark.offset;
-            buffer.clear();
-        }
+        self.end.offset
     }
-    if !buffer.is_empty() {
-        file.write(written, &buffer).map_err(LogError::Write)?;
-    }
-    file.sync().map_err(LogError::Sync)?;
-    Ok((file, mark))
-}
-
-fn checked_length(record: &[u8]) -> Result<u32, LogError> {
-    let length = record.len();
-    u32::try_from(length)
-        .ok()
-        .filter(|_| length <= MAX_RECORD_LENGTH)
-        .ok_or_else(|| LogError::TooLong(u64::try_from(length).unwrap_or(u64::MAX)))
-}
-
-fn name_of(generation: u64) -> String {
-    format!("state.{generation}")
-}
-
-fn new_name_of(generation: u64) -> String {
-    format!("state.{generation}.new")
-}
-
-/// The generation that a name stands for.
-fn generation_of(name: &str) -> Option<u64> {
-    let number = name.strip_prefix("state.")?.parse::<u64>().ok()?;
-    (number < LAST && name == name_of(number)).then_some(number)
-}
-
-/// The same, also of one that has not got its name yet.
-fn number_of(name: &str) -> Option<u64> {
-    generation_of(name.strip_suffix(".new").unwrap_or(name))
 }
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -1,151 +1,222 @@
+//! A log on a thread of its own, with group commit.
+
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU16, AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::{self, JoinHandle};
 
-use crate::{DurableLog, LogError};
+use crate::error::LogError;
+use crate::record_log::DurableLog;
 
-/// The most records that share one sync.
+/// The maximum number of records that share one sync.
 pub const MAX_GROUP_COMMIT: usize = 256;
-/// The most bytes that wait for the disk.
+/// The maximum number of bytes that wait for the disk.
 pub const MAX_QUEUED_BYTES: u64 = 48 << 20;
 
-/// The answer to a job of a [`LogWriter`].
+/// The result of a write that was given to a [`LogWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteCompletion {
-    /// What the job was given with.
+    /// The token that the write was submitted with.
     pub token: u64,
-    /// Whether it is on disk for good. If not, it may be found there all the same.
+    /// Whether the write is durable. If not, it may be found on the disk all the same.
     pub is_durable: bool,
 }
 
-/// Runs a [`DurableLog`] on a thread of its own, so that a disk that hangs holds nobody else up.
+/// Runs a [`DurableLog`] on a thread of its own, so that a disk that hangs blocks nobody else.
 ///
-/// Dropping it doesn't wait: what is queued is still done.
+/// Dropping the writer does not wait for the thread, which still executes what is queued; see [`LogWriter::close`].
 #[derive(Debug)]
 pub struct LogWriter {
-    jobs: SyncSender<Job>,
+    queue: SyncSender<WriteRequest>,
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
 }
 
 #[derive(Debug)]
-enum Job {
+enum WriteRequest {
     Append { token: u64, record: Vec<u8> },
-    Rewrite { token: u64, records: Vec<Vec<u8>> },
+    Rewrite(Rewrite),
+}
+
+#[derive(Debug)]
+struct Rewrite {
+    token: u64,
+    records: Vec<Vec<u8>>,
 }
 
+/// What the thread and the handle share.
 #[derive(Debug, Default)]
 struct Shared {
-    queued: AtomicU64,
+    /// The content of all requests that are queued or executed, in bytes.
+    queued_bytes: AtomicU64,
+    /// The length of the log when the last completion was reported, in bytes.
     length: AtomicU64,
-    fault: AtomicU16,
+    /// The code of the last error of the log; 0 if there was none.
+    last_error_code: AtomicU16,
 }
 
 impl LogWriter {
-    /// Starts the thread. At most `room` jobs wait; `done` gets each answer, in the order of the jobs, on that thread.
-    pub fn start<S, F>(store: S, room: usize, done: F) -> Result<LogWriter, LogError>
+    /// Starts the thread. At most `queue_capacity` requests wait. The thread calls `on_completion` once for each
+    /// accepted request, in their order.
+    ///
+    /// # Errors
+    ///
+    /// [`LogError::StartThread`] if the system has no thread left.
+    pub fn start<L, F>(log: L, queue_capacity: usize, on_completion: F) -> Result<LogWriter, LogError>
     where
-        S: DurableLog + Send + 'static,
+        L: DurableLog + Send + 'static,
         F: Fn(WriteCompletion) + Send + 'static,
     {
         let shared = Arc::new(Shared::default());
-        shared.length.store(store.length(), Ordering::Relaxed);
-        let (jobs, queue) = sync_channel(room.max(1));
-        let theirs = Arc::clone(&shared);
+        shared.length.store(log.length(), Ordering::Relaxed);
+        let (queue, requests) = sync_channel(queue_capacity.max(1));
+        let worker = Worker { log, requests, shared: Arc::clone(&shared), on_completion };
         let thread = thread::Builder::new()
             .name("record_log".to_owned())
-            .spawn(move || run(store, &queue, &theirs, done))
+            .spawn(move || worker.run())
             .map_err(LogError::StartThread)?;
-        Ok(LogWriter { jobs, shared, thread })
+        Ok(LogWriter { queue, shared, thread })
     }
 
-    /// ClientRequests for a record to be kept. A fault means that there will be no answer.
+    /// Queues a record to be appended and synced.
+    ///
+    /// # Errors
+    ///
+    /// The request was not queued, and there will be no completion: [`LogError::QueueFull`] or [`LogError::Closed`].
     pub fn append(&self, token: u64, record: Vec<u8>) -> Result<(), LogError> {
         let bytes = record.len() as u64;
-        self.send(bytes, Job::Append { token, record })
+        self.send(bytes, WriteRequest::Append { token, record })
     }
 
-    /// ClientRequests for these records in place of all before. A fault means that there will be no answer.
+    /// Queues records that replace all earlier ones.
+    ///
+    /// # Errors
+    ///
+    /// As for [`LogWriter::append`].
     pub fn rewrite(&self, token: u64, records: Vec<Vec<u8>>) -> Result<(), LogError> {
-        let bytes = size(&records);
-        self.send(bytes, Job::Rewrite { token, records })
+        let bytes = total_length(&records);
+        self.send(bytes, WriteRequest::Rewrite(Rewrite { token, records }))
     }
 
-    /// The bytes taken by the records when the last answer was given.
+    /// The length of the log when the last completion was reported, in bytes.
     pub fn length(&self) -> u64 {
         self.shared.length.load(Ordering::Relaxed)
     }
 
-    /// The code of the last fault of the store; 0 if there was none.
+    /// The code of the last error of the log; 0 if there was none.
     pub fn last_error_code(&self) -> u16 {
-        self.shared.fault.load(Ordering::Relaxed)
+        self.shared.last_error_code.load(Ordering::Relaxed)
     }
 
-    /// Waits until all that is queued is done. Danger: waits for a disk that hangs.
+    /// Waits until all queued requests are executed. Blocks for as long as the disk hangs, so it must not be called
+    /// on a thread that serves others.
     pub fn close(self) {
-        drop(self.jobs);
+        drop(self.queue);
         let _ = self.thread.join();
     }
 
-    fn send(&self, bytes: u64, job: Job) -> Result<(), LogError> {
-        let before = self.shared.queued.fetch_add(bytes, Ordering::Relaxed);
-        let sent = if before.saturating_add(bytes) > MAX_QUEUED_BYTES {
+    fn send(&self, bytes: u64, request: WriteRequest) -> Result<(), LogError> {
+        let queued_before = self.shared.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let sent = if queued_before.saturating_add(bytes) > MAX_QUEUED_BYTES {
             Err(LogError::QueueFull)
         } else {
-            self.jobs.try_send(job).map_err(|refused| match refused {
+            self.queue.try_send(request).map_err(|error| match error {
                 TrySendError::Full(_) => LogError::QueueFull,
                 TrySendError::Disconnected(_) => LogError::Closed,
             })
         };
         if sent.is_err() {
-            self.shared.queued.fetch_sub(bytes, Ordering::Relaxed);
+            self.shared.release(bytes);
         }
         sent
     }
 }
 
-fn size(records: &[Vec<u8>]) -> u64 {
-    records.iter().fold(0, |sum: u64, record| sum.saturating_add(record.len() as u64))
+impl Shared {
+    /// Takes the content of a request off the bytes that are queued.
+    fn release(&self, bytes: u64) {
+        self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
+    }
+
+    /// Notes the error, if any; whether the operation succeeded.
+    fn note(&self, result: Result<(), LogError>) -> bool {
+        match result {
+            Ok(()) => true,
+            Err(error) => {
+                self.last_error_code.store(error.code(), Ordering::Relaxed);
+                false
+            }
+        }
+    }
+}
+
+/// What the thread owns.
+struct Worker<L, F> {
+    log: L,
+    requests: Receiver<WriteRequest>,
+    shared: Arc<Shared>,
+    on_completion: F,
 }
 
-fn run<S: DurableLog>(mut store: S, queue: &Receiver<Job>, shared: &Shared, done: impl Fn(WriteCompletion)) {
-    let note = |result: Result<(), LogError>| match result {
-        Ok(()) => true,
-        Err(fault) => {
-            shared.fault.store(fault.code(), Ordering::Relaxed);
-            false
+impl<L: DurableLog, F: Fn(WriteCompletion)> Worker<L, F> {
+    fn run(mut self) {
+        while let Ok(first) = self.requests.recv() {
+            let (group, rewrite) = self.append_group(first);
+            self.commit_group(group);
+            if let Some(rewrite) = rewrite {
+                self.rewrite(rewrite);
+            }
         }
-    };
-    while let Ok(first) = queue.recv() {
+    }
+
+    /// Appends the records that wait, up to the next rewrite, which is returned unexecuted. In the group,
+    /// `is_durable` only says whether the append succeeded.
+    fn append_group(&mut self, first: WriteRequest) -> (Vec<WriteCompletion>, Option<Rewrite>) {
         let mut group = Vec::new();
-        let mut rewrite = None;
         let mut next = Some(first);
-        while let Some(job) = next.take() {
-            match job {
-                Job::Append { token, record } => {
-                    let ok = note(store.append(&record));
-                    shared.queued.fetch_sub(record.len() as u64, Ordering::Relaxed);
-                    group.push(WriteCompletion { token, is_durable: ok });
-                    if group.len() < MAX_GROUP_COMMIT {
-                        next = queue.try_recv().ok();
-                    }
-                }
-                Job::Rewrite { token, records } => rewrite = Some((token, records)),
+        while let Some(request) = next.take() {
+            let (token, record) = match request {
+                WriteRequest::Append { token, record } => (token, record),
+                WriteRequest::Rewrite(rewrite) => return (group, Some(rewrite)),
+            };
+            let is_appended = self.shared.note(self.log.append(&record));
+            self.shared.release(record.len() as u64);
+            group.push(WriteCompletion { token, is_durable: is_appended });
+            if group.len() < MAX_GROUP_COMMIT {
+                next = self.requests.try_recv().ok();
             }
         }
-        // Danger: no answer before the sync, and all are false if it fails.
-        let kept = group.iter().any(|answer| answer.is_durable) && note(store.sync());
-        shared.length.store(store.length(), Ordering::Relaxed);
-        for answer in group {
-            done(WriteCompletion { is_durable: answer.is_durable && kept, ..answer });
-        }
-        if let Some((token, records)) = rewrite {
-            let ok = note(store.rewrite(&records));
-            shared.queued.fetch_sub(size(&records), Ordering::Relaxed);
-            shared.length.store(store.length(), Ordering::Relaxed);
-            drop(records);
-            done(WriteCompletion { token, is_durable: ok });
+        (group, None)
+    }
+
+    /// Syncs the appended records, then reports each: none is durable before the sync, and none if it failed.
+    fn commit_group(&mut self, group: Vec<WriteCompletion>) {
+        let has_records = group.iter().any(|appended| appended.is_durable);
+        let is_synced = has_records && self.shared.note(self.log.sync());
+        self.publish_length();
+        for appended in group {
+            (self.on_completion)(WriteCompletion {
+                is_durable: appended.is_durable && is_synced,
+                ..appended
+            });
         }
     }
+
+    fn rewrite(&mut self, rewrite: Rewrite) {
+        let Rewrite { token, records } = rewrite;
+        let is_durable = self.shared.note(self.log.rewrite(&records));
+        self.shared.release(total_length(&records));
+        self.publish_length();
+        drop(records);
+        (self.on_completion)(WriteCompletion { token, is_durable });
+    }
+
+    fn publish_length(&self) {
+        self.shared.length.store(self.log.length(), Ordering::Relaxed);
+    }
+}
+
+/// The content of these records, in bytes.
+fn total_length(records: &[Vec<u8>]) -> u64 {
+    records.iter().fold(0, |sum: u64, record| sum.saturating_add(record.len() as u64))
 }
--- a/crates/record-log/tests/contract.rs
+++ b/crates/record-log/tests/contract.rs
@@ -1,31 +1,31 @@
-//! What every store holds to, over both disks.
+//! What every log does, on both kinds of disks.
 
 use mosshead_record_log::{
     Directory, Disk, DurableLog, FRAME_LENGTH, HEADER_LENGTH, LogError, MAX_FILE_LENGTH, MAX_RECORD_LENGTH,
     MemoryDisk, RecordLog,
 };
 
-/// A disk that can be opened again and again.
-trait Place {
+/// Where a log is opened again and again.
+trait Location {
     type Disk: Disk;
     fn disk(&self) -> Self::Disk;
 
     fn open(&self) -> (RecordLog<Self::Disk>, Vec<Vec<u8>>) {
-        RecordLog::open_on_disk(self.disk()).expect("the store opens")
+        RecordLog::open_on_disk(self.disk()).expect("the log opens")
     }
 }
 
-impl Place for MemoryDisk {
+impl Location for MemoryDisk {
     type Disk = MemoryDisk;
     fn disk(&self) -> MemoryDisk {
         self.clone()
     }
 }
 
-impl Place for tempfile::TempDir {
+impl Location for tempfile::TempDir {
     type Disk = Directory;
     fn disk(&self) -> Directory {
-        Directory::new(self.path()).expect("the folder is there")
+        Directory::new(self.path()).expect("the directory exists")
     }
 }
 
@@ -33,117 +33,117 @@
     texts.iter().map(|text| text.as_bytes().to_vec()).collect()
 }
 
-fn empty_at_first(place: &impl Place) {
-    let (store, found) = place.open();
+fn a_new_log_is_empty(location: &impl Location) {
+    let (log, found) = location.open();
     assert!(found.is_empty());
-    assert_eq!(store.length(), HEADER_LENGTH as u64);
-    drop(store);
-    assert!(place.open().1.is_empty());
+    assert_eq!(log.length(), HEADER_LENGTH as u64);
+    drop(log);
+    assert!(location.open().1.is_empty());
 }
 
-fn keeps_records_in_order(place: &impl Place) {
-    let (mut store, _) = place.open();
+fn records_are_kept_in_order(location: &impl Location) {
+    let (mut log, _) = location.open();
     for text in ["one", "", "three"] {
-        store.append(text.as_bytes()).unwrap();
+        log.append(text.as_bytes()).unwrap();
     }
-    store.sync().unwrap();
-    assert_eq!(store.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
-    drop(store);
-    let (store, found) = place.open();
+    log.sync().unwrap();
+    assert_eq!(log.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
+    drop(log);
+    let (log, found) = location.open();
     assert_eq!(found, records(&["one", "", "three"]));
-    assert_eq!(store.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
-    assert_eq!(store.discarded_bytes(), 0);
+    assert_eq!(log.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
+    assert_eq!(log.discarded_bytes(), 0);
 }
 
-fn goes_on_where_it_ended(place: &impl Place) {
+fn reopening_continues_after_the_last_record(location: &impl Location) {
     for round in 0..5u8 {
-        let (mut store, found) = place.open();
+        let (mut log, found) = location.open();
         assert_eq!(found, (0..round).map(|before| vec![before; 9]).collect::<Vec<_>>());
-        store.append(&[round; 9]).unwrap();
-        store.sync().unwrap();
+        log.append(&[round; 9]).unwrap();
+        log.sync().unwrap();
     }
 }
 
-fn rewrites(place: &impl Place) {
-    let (mut store, _) = place.open();
+fn a_rewrite_replaces_all_records(location: &impl Location) {
+    let (mut log, _) = location.open();
     for _ in 0..100 {
-        store.append(&[7; 100]).unwrap();
+        log.append(&[7; 100]).unwrap();
     }
-    let long = store.length();
-    store.rewrite(&records(&["sum", "of all"])).unwrap();
-    assert!(store.length() < long / 10);
-    store.append(b"more").unwrap();
-    store.sync().unwrap();
-    drop(store);
-    let (mut store, found) = place.open();
+    let long = log.length();
+    log.rewrite(&records(&["sum", "of all"])).unwrap();
+    assert!(log.length() < long / 10);
+    log.append(b"more").unwrap();
+    log.sync().unwrap();
+    drop(log);
+    let (mut log, found) = location.open();
     assert_eq!(found, records(&["sum", "of all", "more"]));
-    store.rewrite(&[]).unwrap();
-    drop(store);
-    let (mut store, found) = place.open();
+    log.rewrite(&[]).unwrap();
+    drop(log);
+    let (mut log, found) = location.open();
     assert!(found.is_empty());
-    store.append(b"again").unwrap();
-    store.sync().unwrap();
-    drop(store);
-    assert_eq!(place.open().1, records(&["again"]));
-    assert_eq!(place.disk().names().unwrap().len(), 1);
+    log.append(b"again").unwrap();
+    log.sync().unwrap();
+    drop(log);
+    assert_eq!(location.open().1, records(&["again"]));
+    assert_eq!(location.disk().file_names().unwrap().len(), 1);
 }
 
-fn rewrites_what_is_long(place: &impl Place) {
-    let (mut store, _) = place.open();
+fn a_rewrite_may_exceed_the_write_buffer(location: &impl Location) {
+    let (mut log, _) = location.open();
     let all: Vec<Vec<u8>> = (0..40u8).map(|part| vec![part; 50_000]).collect();
-    store.rewrite(&all).unwrap();
-    store.append(&[99; 300_000]).unwrap();
-    store.sync().unwrap();
-    drop(store);
-    let (_, found) = place.open();
+    log.rewrite(&all).unwrap();
+    log.append(&[99; 300_000]).unwrap();
+    log.sync().unwrap();
+    drop(log);
+    let (_, found) = location.open();
     assert_eq!(found.len(), 41);
     assert!(found[..40] == all[..]);
     assert_eq!(found[40], vec![99; 300_000]);
 }
 
-fn refuses_what_is_too_long(place: &impl Place) {
-    let (mut store, _) = place.open();
-    store.append(b"short").unwrap();
-    let before = store.length();
+fn records_and_files_that_are_too_long_are_rejected(location: &impl Location) {
+    let (mut log, _) = location.open();
+    log.append(b"short").unwrap();
+    let before = log.length();
     let long = vec![1; MAX_RECORD_LENGTH + 1];
-    assert!(matches!(store.append(&long), Err(LogError::TooLong(_))));
-    assert!(matches!(store.rewrite(&[long]), Err(LogError::TooLong(_))));
+    assert!(matches!(log.append(&long), Err(LogError::TooLong(_))));
+    assert!(matches!(log.rewrite(&[long]), Err(LogError::TooLong(_))));
     let many = vec![vec![1; MAX_RECORD_LENGTH]; MAX_FILE_LENGTH as usize / MAX_RECORD_LENGTH + 1];
-    assert!(matches!(store.rewrite(&many), Err(LogError::TooLong(_))));
-    assert_eq!(store.length(), before);
-    let mut held = 0;
-    let fault = loop {
-        match store.append(&many[0]) {
-            Ok(()) => held += 1,
-            Err(fault) => break fault,
+    assert!(matches!(log.rewrite(&many), Err(LogError::TooLong(_))));
+    assert_eq!(log.length(), before);
+    let mut appended = 0;
+    let error = loop {
+        match log.append(&many[0]) {
+            Ok(()) => appended += 1,
+            Err(error) => break error,
         }
     };
-    assert!(matches!(fault, LogError::TooLong(_)));
-    assert_eq!(held, 3);
-    store.sync().unwrap();
-    drop(store);
-    let (mut store, found) = place.open();
+    assert!(matches!(error, LogError::TooLong(_)));
+    assert_eq!(appended, 3);
+    log.sync().unwrap();
+    drop(log);
+    let (mut log, found) = location.open();
     assert_eq!(found.len(), 4);
-    store.append(b"short too").unwrap();
-    store.sync().unwrap();
+    log.append(b"short too").unwrap();
+    log.sync().unwrap();
 }
 
-fn leaves_other_names_alone(place: &impl Place) {
-    let mut disk = place.disk();
+fn files_of_other_names_are_left_alone(location: &impl Location) {
+    let mut disk = location.disk();
     for name in ["state.x", "state.01", "state.", "other", "state.7.new.new"] {
         disk.create(name).unwrap();
     }
     for name in ["state.7.new", "state.3"] {
         disk.create(name).unwrap();
     }
-    let (mut store, found) = place.open();
+    let (mut log, found) = location.open();
     assert!(found.is_empty());
-    store.append(b"here").unwrap();
-    store.sync().unwrap();
-    drop(store);
-    let (_, found) = place.open();
+    log.append(b"here").unwrap();
+    log.sync().unwrap();
+    drop(log);
+    let (_, found) = location.open();
     assert_eq!(found, records(&["here"]));
-    let mut names = place.disk().names().unwrap();
+    let mut names = location.disk().file_names().unwrap();
     names.sort();
     assert_eq!(names, ["other", "state.", "state.01", "state.7.new.new", "state.9", "state.x"]);
 }
@@ -153,32 +153,32 @@
         mod in_memory {
             $(#[test] fn $name() { super::$name(&mosshead_record_log::MemoryDisk::new()); })*
         }
-        mod in_a_folder {
+        mod in_a_directory {
             $(#[test] fn $name() { super::$name(&tempfile::tempdir().unwrap()); })*
         }
     };
 }
 
 contract! {
-    empty_at_first keeps_records_in_order goes_on_where_it_ended rewrites rewrites_what_is_long
-    refuses_what_is_too_long leaves_other_names_alone
+    a_new_log_is_empty records_are_kept_in_order reopening_continues_after_the_last_record a_rewrite_replaces_all_records a_rewrite_may_exceed_the_write_buffer
+    records_and_files_that_are_too_long_are_rejected files_of_other_names_are_left_alone
 }
 
 #[test]
-fn a_missing_folder_is_made() {
-    let place = tempfile::tempdir().unwrap();
-    let folder = place.path().join("a/b");
-    let (mut store, found) = RecordLog::open(&folder).unwrap();
+fn a_missing_directory_is_created() {
+    let location = tempfile::tempdir().unwrap();
+    let folder = location.path().join("a/b");
+    let (mut log, found) = RecordLog::open(&folder).unwrap();
     assert!(found.is_empty());
-    store.append(b"x").unwrap();
-    store.sync().unwrap();
-    drop(store);
+    log.append(b"x").unwrap();
+    log.sync().unwrap();
+    drop(log);
     assert_eq!(RecordLog::open(&folder).unwrap().1, records(&["x"]));
 }
 
 #[test]
-fn a_folder_that_is_a_file_is_a_fault() {
-    let place = tempfile::NamedTempFile::new().unwrap();
-    let fault = RecordLog::open(place.path()).unwrap_err();
-    assert!(fault.code() == 701 || fault.code() == 704, "{fault}");
+fn opening_a_file_as_a_directory_fails() {
+    let location = tempfile::NamedTempFile::new().unwrap();
+    let error = RecordLog::open(location.path()).unwrap_err();
+    assert!(error.code() == 701 || error.code() == 704, "{error}");
 }
--- a/crates/record-log/tests/model.rs
+++ b/crates/record-log/tests/model.rs
@@ -1,5 +1,4 @@
-//! Any sequence of what a store is asked and of what befalls its disk: what was synced is there, in order, and
-//! nothing is made up.
+//! Arbitrary sequences of operations and faults of the disk: synced records are there, in order, and no others appear.
 
 use mosshead_record_log::{DurableLog, MemoryDisk, RecordLog};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -34,32 +33,32 @@
     }
 }
 
-/// Records that may be found: all of them or fewer, but the first `kept`.
+/// Records that may be found: a prefix of them with at least the first `durable`.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct PossibleRecords {
     records: Vec<Vec<u8>>,
-    kept: usize,
+    durable: usize,
 }
 
-impl Line {
+impl PossibleRecords {
     fn admits(&self, found: &[Vec<u8>]) -> bool {
-        found.len() >= self.kept && self.records.starts_with(found)
+        found.len() >= self.durable && self.records.starts_with(found)
     }
 }
 
 struct Model {
     disk: MemoryDisk,
-    store: Option<RecordLog<MemoryDisk>>,
-    now: Line,
-    /// What failed steps may have left since the last good sync.
-    others: Vec<Line>,
+    log: Option<RecordLog<MemoryDisk>>,
+    expected: PossibleRecords,
+    /// What failed operations may have left since the last successful sync.
+    alternatives: Vec<PossibleRecords>,
     number: u32,
 }
 
 impl Model {
     fn new() -> Model {
         let disk = MemoryDisk::new();
-        Model { disk, store: None, now: Line::default(), others: Vec::new(), number: 0 }
+        Model { disk, log: None, expected: PossibleRecords::default(), alternatives: Vec::new(), number: 0 }
     }
 
     /// No two records are equal.
@@ -71,107 +70,109 @@
     }
 
     fn open(&mut self) -> Result<(), String> {
-        let Ok((store, found)) = RecordLog::open_on_disk(self.disk.clone()) else {
+        let Ok((log, found)) = RecordLog::open_on_disk(self.disk.clone()) else {
             return Ok(());
         };
-        if !self.now.admits(&found) && !self.others.iter().any(|line| line.admits(&found)) {
-            return Err(format!("found {found:?}, not of {:?} or {:?}", self.now, self.others));
+        if !self.expected.admits(&found) && !self.alternatives.iter().any(|possible| possible.admits(&found))
+        {
+            return Err(format!("found {found:?}, not of {:?} or {:?}", self.expected, self.alternatives));
         }
-        let before = std::mem::replace(&mut self.now, Line { kept: found.len(), records: found });
-        // What is found on a disk that refuses may not be found again.
-        if store.is_durable() {
-            self.others.clear()
+        let before =
+            std::mem::replace(&mut self.expected, PossibleRecords { durable: found.len(), records: found });
+        // What is found on a disk that refuses writes may not be found again.
+        if log.is_durable() {
+            self.alternatives.clear()
         } else {
-            self.others.push(before)
+            self.alternatives.push(before)
         }
-        self.store = Some(store);
+        self.log = Some(log);
         Ok(())
     }
 
     fn step(&mut self, step: &Step) -> Result<(), String> {
         match step {
-            Step::Kill => self.store = None,
+            Step::Kill => self.log = None,
             Step::PowerLoss(seed) => {
-                self.store = None;
+                self.log = None;
                 self.disk.lose_power(&mut Pcg32::new(*seed, 9));
             }
             Step::FailSync(seed) => self.disk.fail_next_sync(&mut Pcg32::new(*seed, 10)),
             Step::Room(room) => self.disk.set_free_space(room.map(u64::from)),
             Step::FailAfter(steps) => self.disk.fail_after_operations(u64::from(*steps)),
             Step::Repair => self.disk.clear_failure(),
-            Step::Append(_) | Step::Sync | Step::Rewrite(_) => return self.ask(step),
+            Step::Append(_) | Step::Sync | Step::Rewrite(_) => return self.operate(step),
         }
         Ok(())
     }
 
-    fn ask(&mut self, step: &Step) -> Result<(), String> {
-        if self.store.is_none() {
+    fn operate(&mut self, step: &Step) -> Result<(), String> {
+        if self.log.is_none() {
             self.open()?;
         }
-        let Some(mut store) = self.store.take() else {
+        let Some(mut log) = self.log.take() else {
             return Ok(());
         };
-        let was_kept = store.is_durable();
+        let was_durable = log.is_durable();
         match step {
             Step::Append(size) => {
                 let record = self.record(*size);
-                let mut longer = self.now.clone();
+                let mut longer = self.expected.clone();
                 longer.records.push(record.clone());
-                let done = store.append(&record);
-                if !was_kept && store.is_durable() {
-                    self.others.clear();
+                let done = log.append(&record);
+                if !was_durable && log.is_durable() {
+                    self.alternatives.clear();
                 }
                 match done {
-                    Ok(()) => self.now = longer,
-                    Err(_) => self.others.push(longer),
+                    Ok(()) => self.expected = longer,
+                    Err(_) => self.alternatives.push(longer),
                 }
             }
             Step::Rewrite(count) => {
                 let records: Vec<_> = (0..*count).map(|size| self.record(size)).collect();
-                let line = Line { kept: records.len(), records };
-                match store.rewrite(&line.records) {
+                let possible = PossibleRecords { durable: records.len(), records };
+                match log.rewrite(&possible.records) {
                     Ok(()) => {
-                        self.now = line;
-                        self.others.clear();
+                        self.expected = possible;
+                        self.alternatives.clear();
                     }
-                    Err(_) => self.others.push(line),
+                    Err(_) => self.alternatives.push(possible),
                 }
             }
-            _ => match store.sync() {
+            _ => match log.sync() {
                 Ok(()) => {
-                    self.now.kept = self.now.records.len();
-                    self.others.clear();
+                    self.expected.durable = self.expected.records.len();
+                    self.alternatives.clear();
                 }
                 Err(_) => {
-                    if !was_kept && store.is_durable() {
-                        self.others.clear();
+                    if !was_durable && log.is_durable() {
+                        self.alternatives.clear();
                     }
-                    self.others.push(self.now.clone());
-                    self.now.records.truncate(self.now.kept);
+                    self.alternatives.push(self.expected.clone());
+                    self.expected.records.truncate(self.expected.durable);
                 }
             },
         }
-        self.store = Some(store);
+        self.log = Some(log);
         Ok(())
     }
 }
 
-fn holds(steps: Vec<Step>) -> Result<bool, String> {
+fn survives_faults(steps: Vec<Step>) -> Result<bool, String> {
     let mut model = Model::new();
     for step in &steps {
         model.step(step)?;
     }
-    // At last the power goes, and the disk is well again.
+    // Finally the power is lost and the disk works again.
     model.step(&Step::PowerLoss(steps.len() as u64))?;
     model.disk.clear_failure();
     model.open()?;
-    Ok(model.store.is_some_and(|store| store.is_durable()))
+    Ok(model.log.is_some_and(|log| log.is_durable()))
 }
 
 #[test]
-fn what_was_synced_is_there() {
+fn synced_records_survive_any_faults() {
     QuickCheck::new()
         .rng(Gen::new(120))
         .tests(4000)
-        .quickcheck(holds as fn(Vec<Step>) -> Result<bool, String>);
+        .quickcheck(survives_faults as fn(Vec<Step>) -> Result<bool, String>);
 }
--- a/crates/record-log/tests/recovery.rs
+++ b/crates/record-log/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What is found in a file that was damaged.
+//! What is found in a damaged file.
 
 use mosshead_record_log::{DurableLog, FRAME_LENGTH, HEADER_LENGTH, MemoryDisk, RecordLog};
 use quickcheck::quickcheck;
@@ -12,33 +12,33 @@
 /// The bytes of a file with the sample in it, a part of it from a rewrite.
 fn file() -> Vec<u8> {
     let disk = MemoryDisk::new();
-    let (mut store, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let (mut log, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
     let sample = sample();
-    store.rewrite(&sample[..2]).unwrap();
+    log.rewrite(&sample[..2]).unwrap();
     for record in &sample[2..] {
-        store.append(record).unwrap();
+        log.append(record).unwrap();
     }
-    store.sync().unwrap();
+    log.sync().unwrap();
     disk.contents("state.2").unwrap()
 }
 
-/// Opens a disk with these bytes, appends, opens again.
+/// The records found in a file of these bytes, after one more was appended and the log was opened again.
 fn recovered(bytes: Vec<u8>) -> Vec<Vec<u8>> {
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.2", bytes);
-    let (mut store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
-    store.append(b"behind").unwrap();
-    store.sync().unwrap();
-    drop(store);
-    let (store, again) = RecordLog::open_on_disk(disk).unwrap();
-    assert_eq!(store.discarded_bytes(), 0);
+    let (mut log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    log.append(b"behind").unwrap();
+    log.sync().unwrap();
+    drop(log);
+    let (log, again) = RecordLog::open_on_disk(disk).unwrap();
+    assert_eq!(log.discarded_bytes(), 0);
     assert_eq!(again[..found.len()], found);
     assert_eq!(again[found.len()..], [b"behind".to_vec()]);
     found
 }
 
 /// How many records end at or before an offset.
-fn whole_before(offset: usize) -> usize {
+fn complete_records_before(offset: usize) -> usize {
     let mut end = HEADER_LENGTH;
     SIZES
         .iter()
@@ -50,28 +50,28 @@
 }
 
 #[test]
-fn every_cut_leaves_the_records_in_front_of_it() {
+fn a_truncated_file_keeps_the_records_before_the_cut() {
     let file = file();
     for cut in 0..=file.len() {
         let found = recovered(file[..cut].to_vec());
-        assert_eq!(found, sample()[..whole_before(cut)], "cut at {cut}");
+        assert_eq!(found, sample()[..complete_records_before(cut)], "cut at {cut}");
     }
 }
 
 #[test]
-fn every_flipped_bit_ends_the_records() {
+fn records_end_before_a_flipped_bit() {
     let file = file();
     for bit in 0..file.len() * 8 {
         let mut damaged = file.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
         let found = recovered(damaged);
-        let whole = if bit / 8 < HEADER_LENGTH { 0 } else { whole_before(bit / 8) };
-        assert_eq!(found, sample()[..whole], "bit {bit}");
+        let complete = if bit / 8 < HEADER_LENGTH { 0 } else { complete_records_before(bit / 8) };
+        assert_eq!(found, sample()[..complete], "bit {bit}");
     }
 }
 
 #[test]
-fn every_hole_ends_the_records() {
+fn records_end_before_a_hole() {
     let file = file();
     for start in (0..file.len()).step_by(3) {
         for end in (start + 1..=file.len()).step_by(7) {
@@ -83,7 +83,7 @@
             let found = recovered(damaged);
             assert!(sample().starts_with(&found), "hole {start}..{end}");
             assert!(
-                found.len() >= if start < HEADER_LENGTH { 0 } else { whole_before(start) },
+                found.len() >= if start < HEADER_LENGTH { 0 } else { complete_records_before(start) },
                 "hole {start}..{end}"
             );
         }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_record_in_the_wrong_place_ends_the_records() {
+fn records_end_before_one_out_of_sequence() {
     let file = file();
     let ends: Vec<usize> = SIZES
         .iter()
@@ -106,13 +106,13 @@
     for tail in [part(2, 5), [part(1, 2), part(1, 2)].concat(), [part(2, 3), part(1, 2), part(3, 5)].concat()]
     {
         let found = recovered([head.clone(), tail.clone()].concat());
-        let whole = if tail.starts_with(&part(1, 2)) { 3 } else { 2 };
-        assert_eq!(found, sample()[..whole]);
+        let complete = if tail.starts_with(&part(1, 2)) { 3 } else { 2 };
+        assert_eq!(found, sample()[..complete]);
     }
 }
 
 #[test]
-fn the_records_of_another_generation_do_not_count() {
+fn a_file_of_another_generation_is_ignored() {
     let file = file();
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.3", file);
@@ -124,26 +124,26 @@
     let old = file();
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.2", old.clone());
-    let (mut store, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let (mut log, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
     let newer: Vec<Vec<u8>> = (0..4).map(|number| vec![number; 8]).collect();
-    store.rewrite(&newer).unwrap();
-    drop(store);
+    log.rewrite(&newer).unwrap();
+    drop(log);
     assert_eq!(disk.list(), ["state.4"]);
     let new = disk.contents("state.4").unwrap();
     for cut in 0..=new.len() {
         let disk = MemoryDisk::new();
         disk.put_durable_file("state.2", old.clone());
         disk.put_durable_file("state.4", new[..cut].to_vec());
-        let (mut store, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+        let (mut log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
         assert_eq!(found, if cut == new.len() { newer.clone() } else { sample() }, "cut at {cut}");
         assert_eq!(disk.list().len(), 1);
-        store.rewrite(&[b"next".to_vec()]).unwrap();
+        log.rewrite(&[b"next".to_vec()]).unwrap();
         assert_eq!(disk.list(), ["state.6"]);
     }
 }
 
 #[test]
-fn numbers_that_can_not_be_counted_to_are_no_generations() {
+fn generations_beyond_the_limit_are_ignored() {
     for number in [u64::MAX, 1 << 63] {
         let disk = MemoryDisk::new();
         disk.put_durable_file(&format!("state.{number}"), file());
@@ -156,13 +156,13 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_borne(bytes: Vec<u8>, name: u8) -> bool {
+    fn arbitrary_files_are_opened_as_empty(bytes: Vec<u8>, name: u8) -> bool {
         let disk = MemoryDisk::new();
         disk.put_durable_file(&format!("state.{name}"), bytes);
         RecordLog::open_on_disk(disk).unwrap().1.is_empty()
     }
 
-    fn any_tail_is_borne(tail: Vec<u8>) -> bool {
+    fn an_arbitrary_tail_changes_no_record(tail: Vec<u8>) -> bool {
         recovered([file(), tail].concat()) == sample()
     }
 }
