--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -58,7 +58,7 @@
     /// How many proxies are alive, as far as the responder knows.
     #[n(4)]
     pub proxy_count: u32,
-    /// Whether the responder lately had contact with a quorum of the members.
+    /// Whether the responder recently had contact with a quorum of the members.
     #[n(5)]
     pub has_quorum_contact: bool,
     /// Whether the responder lacks registry entries that the caller has.
@@ -112,7 +112,7 @@
     type Response = ReplicateAck;
 }
 
-/// Says which servers still send heartbeats to a control node, so that others don't time them out.
+/// Reports which servers still send heartbeats to a control node, so that other control nodes don't time them out.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct CompareHeartbeats {
     /// The registry source that the caller is.
--- a/crates/programs/src/config_transfer.rs
+++ b/crates/programs/src/config_transfer.rs
@@ -1,4 +1,4 @@
-//! The transfer of a configuration from a control node to a proxy: compressed, in chunks that the receiver asks for one
+//! The transfer of a configuration from a control node to a proxy: compressed, in chunks that the receiver requests one
 //! after the other.
 //!
 //! A configuration that grows by thousands of routes is larger than a slow link carries within the timeout of one call.
--- a/crates/programs/src/config_transfer/incoming.rs
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in the response to [`next_request`](IncomingTransfer::next_request).
+    /// Processes the response to [`next_request`](IncomingTransfer::next_request).
     pub fn on_chunk(&mut self, chunk: &ConfigChunk) -> TransferProgress {
         if chunk.target_revision == 0 {
             return TransferProgress::Complete(ConfigUpdate::withheld());
--- a/crates/programs/src/config_transfer/outgoing.rs
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -11,14 +11,14 @@
 /// Their length together at most, in bytes; the newest one is kept whatever its length.
 const MAX_OUTGOING_BYTES: usize = 8 * 1024 * 1024;
 
-/// A transfer under way.
+/// A transfer in progress.
 struct Outgoing {
     base_revision: u64,
     target_revision: u64,
     packed: Arc<[u8]>,
 }
 
-/// The transfers under way. All receivers with the same configuration share one.
+/// The transfers in progress. All receivers with the same configuration share one.
 #[derive(Default)]
 pub struct OutgoingTransfers {
     /// The oldest first.
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Redirects to the primary. Its API is taken to listen on this node's port, which is the same on all control nodes.
+/// Redirects to the primary. Its API is expected on this node's port, which is the same on all control nodes.
 fn redirect(control_node: &ControlNode, primary: SocketAddrV4, path: &str) -> ApiResponse {
     if primary == control_node.settings.internal_address() {
         return unavailable();
--- a/crates/programs/src/control_api/server.rs
+++ b/crates/programs/src/control_api/server.rs
@@ -35,7 +35,7 @@
 const MODIFY_PATH: &str = "/Configuration.Modify";
 const SHOW_PATH: &str = "/Configuration.Show";
 
-/// Counts a connection as open for as long as it lives.
+/// Counts a connection as open until it is dropped.
 struct ConnectionGuard {
     open: Rc<Cell<usize>>,
 }
@@ -53,8 +53,8 @@
     }
 }
 
-/// Accepts connections for as long as the future is polled. Connections are served by tasks of their own, which end with
-/// the connection.
+/// Accepts connections for as long as the future is polled. Connections are served by tasks of their own, which end
+/// with the connection.
 pub(crate) async fn serve(control_node: Rc<ControlNode>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
--- a/crates/programs/src/control_node/client_requests.rs
+++ b/crates/programs/src/control_node/client_requests.rs
@@ -21,7 +21,7 @@
 }
 
 impl ClientRequests {
-    /// Begins a request: its id, and where its reply comes.
+    /// Begins a request: its id, and the receiver of its reply.
     pub(super) fn begin(&self) -> (u64, oneshot::Receiver<ClientReply>) {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
--- a/crates/programs/src/control_node/config_store.rs
+++ b/crates/programs/src/control_node/config_store.rs
@@ -10,7 +10,7 @@
 
 use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigUpdate, OutgoingTransfers};
 
-/// Committed configurations and the transfers that are under way.
+/// Committed configurations and the transfers in progress.
 #[derive(Default)]
 pub(super) struct ConfigStore {
     history: RefCell<ConfigHistory>,
@@ -18,7 +18,7 @@
 }
 
 impl ConfigStore {
-    /// Takes in a committed state. Gives the configuration if it is newer than the one before.
+    /// Adds a committed state. Gives the configuration if it is newer than the one before.
     pub(super) fn commit(&self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
         self.history.borrow_mut().commit(state)
     }
@@ -28,7 +28,7 @@
         self.history.borrow().current().cloned()
     }
 
-    /// The revision that proxies are told of; 0: none.
+    /// The revision that proxies are offered; 0: none.
     pub(super) fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         self.history.borrow().advertised_revision(contact)
     }
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -71,7 +71,7 @@
         node.as_ref().and_then(|node| node.primary_at(self.now())).map(|primary| primary.address)
     }
 
-    /// Whether a quorum of the members was lately in contact with this node.
+    /// Whether a quorum of the members was recently in contact with this node.
     pub(super) fn contact(&self) -> QuorumContact {
         let node = self.node.borrow();
         QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.now())))
--- a/crates/programs/src/control_node/consensus_sender.rs
+++ b/crates/programs/src/control_node/consensus_sender.rs
@@ -21,7 +21,7 @@
         Rc::new(ConsensusSender { caller, send_queues: RefCell::default() })
     }
 
-    /// Sends a message, or drops it if too many are on their way: messages to a lost member must not pile up, and the
+    /// Sends a message, or drops it if too many are in flight: messages to a lost member must not pile up, and the
     /// protocol tolerates their loss.
     pub(super) fn send(self: &Rc<Self>, from: Member, to: SocketAddrV4, message: Message) {
         let queue = SendQueue::of(message.state_bytes());
--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -1,4 +1,4 @@
-//! Opens the consensus log, starts the consensus node with it, and brings the results of writes to the node.
+//! Opens the consensus log, starts the consensus node with it, and passes the results of writes to the node.
 
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -1,4 +1,4 @@
-//! The control node: its parts, and what goes from one to another.
+//! The control node: its parts, and what one triggers in another.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 use crate::gossip::Gossip;
 use crate::settings::Settings;
 
-/// A reply to a change or a read comes within this time.
+/// A change or a read without a reply within this time is answered as unavailable.
 const CLIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// A control node. Each part owns its state; none is borrowed across an `await`.
@@ -82,7 +82,7 @@
         self.consensus.committed_state()
     }
 
-    /// Whether a quorum of the members was lately in contact with this node.
+    /// Whether a quorum of the members was recently in contact with this node.
     pub(crate) fn contact(&self) -> QuorumContact {
         self.consensus.contact()
     }
@@ -156,7 +156,7 @@
         self.registry.address_of(id)
     }
 
-    /// Steps the consensus node, and carries out what it wants done.
+    /// Steps the consensus node, and carries out its outputs.
     pub(super) fn step(self: &Rc<Self>, input: Input) {
         let request_id = match input {
             Input::Change { request_id, .. } | Input::Read { request_id } => Some(request_id),
--- a/crates/programs/src/control_node/proxy_presence.rs
+++ b/crates/programs/src/control_node/proxy_presence.rs
@@ -1,4 +1,4 @@
-//! Which proxies have called lately.
+//! Which proxies have called recently.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
         self.last_calls.borrow_mut().insert(proxy, Instant::now());
     }
 
-    /// How many proxies have called lately.
+    /// How many proxies have called recently.
     pub(super) fn count(&self) -> usize {
         let mut last_calls = self.last_calls.borrow_mut();
         last_calls.retain(|_, last_call| last_call.elapsed() < PRESENCE_TIMEOUT);
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -86,7 +86,7 @@
         self.registry.borrow_mut().record_contact(self.now(), source);
     }
 
-    /// Another control node has told which servers send it heartbeats.
+    /// Another control node has reported which servers send it heartbeats.
     pub(super) fn record_remote_heartbeats(&self, source: SourceId, sequences: &[(String, u64)]) {
         let sequences = sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
         self.registry.borrow_mut().record_remote_heartbeats(self.now(), source, sequences);
@@ -120,7 +120,7 @@
         self.acknowledgements.borrow().begin(&registry, id, outcome, contact, replica_set)
     }
 
-    /// A server has been told that its entry outlives failures.
+    /// A server has been acknowledged: its entry outlives the tolerated failures.
     pub(super) fn on_acknowledged(&self, entry: EntryVersion) {
         self.acknowledgements.borrow_mut().record_acknowledged(entry);
     }
--- a/crates/programs/src/control_node/registry_storage.rs
+++ b/crates/programs/src/control_node/registry_storage.rs
@@ -12,7 +12,7 @@
 /// Where the registry is kept.
 const REGISTRY_LOG: LogDirectory = LogDirectory { name: "registry", former_name: "catchment" };
 
-/// Brings what the disk holds into the registry, and opens the log for what is new.
+/// Merges the entries on disk into the registry, and opens the log for new ones.
 pub(crate) async fn restore_registry(control_node: Rc<ControlNode>, data_directory: PathBuf) {
     let Some((log, records)) = open_log(&data_directory, REGISTRY_LOG).await else { return };
     let deltas = records.iter().filter_map(|record| minicbor::decode::<Delta>(record).ok());
--- a/crates/programs/src/control_node/replication.rs
+++ b/crates/programs/src/control_node/replication.rs
@@ -21,7 +21,7 @@
 const MAX_ENTRIES_PER_CALL: usize = 400;
 /// Entries that are sent to a control node that has lost its memory.
 const MAX_RECOVERY_ENTRIES: usize = 5000;
-/// The pause after such a call, until the peer is asked again what it lacks.
+/// The pause after such a call, until the peer is watched again.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(300);
 /// How long a peer may wait for something new until it responds.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
@@ -31,20 +31,20 @@
 const WATCH_BACKOFF: Duration = Duration::from_millis(200);
 /// A peer that has failed so many times in a row is followed no longer, unless it is found again.
 const MAX_WATCH_FAILURES: usize = 40;
-/// How often control nodes tell each other which servers send heartbeats.
+/// How often control nodes report to each other which servers send heartbeats.
 const HEARTBEAT_EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
 /// A server counts as sending heartbeats for this time after its last one.
 const HEARTBEAT_WINDOW: Duration = Duration::from_millis(1500);
 
 impl ControlNode {
-    /// Takes in a server's heartbeat. Whether it may be acknowledged.
+    /// Records a server's heartbeat. Whether it may be acknowledged.
     pub(crate) async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
         let id = server.id.clone();
         let outcome = self.registry.record_heartbeat(server);
         self.acknowledge(&id, outcome).await
     }
 
-    /// Takes in that a server has shut down. Whether that may be acknowledged.
+    /// Records that a server has shut down. Whether that may be acknowledged.
     pub(crate) async fn deregister(self: &Rc<Self>, id: &str) -> bool {
         let outcome = self.registry.deregister(id);
         self.acknowledge(id, outcome).await
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Tells the peers which servers send heartbeats here, and times servers out, for as long as the future is polled.
+    /// Reports to the peers which servers send heartbeats here, and times servers out, for as long as the future is
+    /// polled.
     pub(crate) async fn exchange_heartbeats(self: Rc<Self>) {
         loop {
             sleep(HEARTBEAT_EXCHANGE_INTERVAL).await;
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -3,7 +3,7 @@
 use super::node::ControlNode;
 
 impl ControlNode {
-    /// What the node knows, as a JSON object. docs/operators/fleet.md says what the fields mean.
+    /// The status as a JSON object; docs/operators/fleet.md documents the fields.
     pub(crate) fn status(&self) -> String {
         let consensus = &self.consensus;
         format!(
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -1,4 +1,4 @@
-//! What the node serves to proxies and other control nodes: the newest revision, registry entries, and who is there.
+//! Updates for proxies and other control nodes: the newest revision, registry entries, and which processes are alive.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
         loop {
             changes.mark_unchanged();
             let updates = self.updates_for(&call);
-            if has_news(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
+            if has_changes(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
                 return updates;
             }
         }
@@ -87,8 +87,8 @@
     }
 }
 
-/// Whether a response is worth sending before the wait is over.
-fn has_news(updates: &Updates, call: &WatchUpdates) -> bool {
+/// Whether a response is to be sent before the wait is over.
+fn has_changes(updates: &Updates, call: &WatchUpdates) -> bool {
     updates.revision > call.revision
         || updates.has_newer_entries
         || !updates.has_quorum_contact
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -69,13 +69,13 @@
 
     fn send(&self, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
-            // A full link drops the datagram. The protocol repeats what matters, and to wait for room here would delay
-            // the datagrams that arrive.
+            // A full link drops the datagram. The protocol repeats what matters, and waiting for buffer space would
+            // delay the datagrams that arrive.
             let _ = self.socket.try_send_to(&datagram.payload, SocketAddr::V4(datagram.destination));
         }
     }
 
-    /// Tells the other members that this process shuts down.
+    /// Notifies the other members that this process shuts down.
     pub(crate) fn announce_departure(&self) {
         let datagrams = self.membership.borrow_mut().leave(self.clock.now());
         self.send(datagrams);
--- a/crates/programs/src/limits.rs
+++ b/crates/programs/src/limits.rs
@@ -1,4 +1,4 @@
-//! How large a configuration may be, and that every part on its way can hold it.
+//! How large a configuration may be, and that every part on its path can hold it.
 //!
 //! A configuration that is accepted must fit a control state, and that must fit a message between control nodes and a
 //! record on disk. Each part has its own bound; they are compared with each other at compile time.
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -1,4 +1,4 @@
-//! What both programs of the fleet have in common: identity, membership, signals, and settings that are read again.
+//! What the two programs of the fleet share: identity, membership, signals, and settings that are read again.
 
 use std::io;
 use std::net::SocketAddrV4;
--- a/crates/programs/src/proxy/sink.rs
+++ b/crates/programs/src/proxy/sink.rs
@@ -1,4 +1,4 @@
-//! What a proxy does with updates from the control nodes.
+//! The consumer of updates from the control nodes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,12 +11,12 @@
 use crate::gossip::Gossip;
 use crate::update_watcher::UpdateSink;
 
-/// Brings updates to the data plane.
+/// Passes updates to the data plane.
 pub(super) struct DataPlaneSink {
     data_plane: Rc<DataPlane>,
     registry: Rc<RefCell<Registry>>,
     gossip: Rc<Gossip>,
-    /// What a control node last told; 1 before.
+    /// The number that a control node last reported; 1 before.
     proxy_count: Cell<usize>,
 }
 
@@ -29,7 +29,7 @@
         DataPlaneSink { data_plane, registry, gossip, proxy_count: Cell::new(1) }
     }
 
-    /// Brings the registry and the number of proxies to the data plane again, as both change with time.
+    /// Passes the registry and the number of proxies to the data plane again, as both change with time.
     pub(super) fn refresh(&self) {
         self.on_registry_change();
         self.on_proxy_count(self.proxy_count.get());
--- a/crates/programs/src/proxy/status.rs
+++ b/crates/programs/src/proxy/status.rs
@@ -10,7 +10,7 @@
 /// `core_heard_s` before a control node has responded.
 const NEVER: f64 = -1.0;
 
-/// What the process knows, as a JSON object. docs/operators/fleet.md says what the fields mean.
+/// The status as a JSON object; docs/operators/fleet.md documents the fields.
 pub(super) fn status(
     data_plane: &DataPlane,
     registry: &Registry,
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -1,5 +1,5 @@
-//! How many messages of the consensus group may be in flight to one peer. Small and large messages are counted apart, so
-//! that a large state on its way never delays or displaces heartbeats, promises and records.
+//! How many messages of the consensus group may be in flight to one peer. Small and large messages are counted apart,
+//! so that a large state in flight never delays or displaces heartbeats, promises and records.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
--- a/crates/programs/src/settings/error.rs
+++ b/crates/programs/src/settings/error.rs
@@ -6,7 +6,7 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// What is wrong with a settings file. The codes are listed in docs/codes.md.
+    /// An error of a settings file. The codes are listed in docs/codes.md.
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum SettingsError {
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Sends an order once, on a connection of its own, and never again: nobody knows what came of one without a response.
+/// Sends an order once, on a connection of its own, and never again: the outcome of one without a response is unknown.
 /// `may_send` is called right before the first byte.
 pub async fn send_order(message: &OrderMessage<'_>, may_send: impl Fn() -> bool) -> AssignmentOutcome {
     let deadline = Instant::now() + ORDER_TIMEOUT;
--- a/crates/programs/src/stage_role.rs
+++ b/crates/programs/src/stage_role.rs
@@ -1,4 +1,5 @@
-//! The singleton role of the primary: it assigns stages to model servers, under a fencing token that rises with its term.
+//! The singleton role of the primary: it assigns stages to model servers, under a fencing token that rises with its
+//! term.
 
 use std::rc::Rc;
 
@@ -41,7 +42,7 @@
             continue;
         };
         let mut role = held.take().filter(|role| role.term == term).unwrap_or_else(|| HeldRole::new(term));
-        // The last order of the former holder may be on its way for as long as its lease lasted.
+        // The last order of the former holder may be in flight for as long as its lease lasted.
         if role.since.elapsed() >= takeover_delay {
             send_due_orders(&control_node, &mut role).await;
         }
@@ -51,7 +52,7 @@
 
 async fn send_due_orders(control_node: &Rc<ControlNode>, role: &mut HeldRole) {
     for assignment in control_node.due_assignments(&mut role.scheduler) {
-        // The role may have been lost while the order before was on its way.
+        // The role may have been lost while the order before was in flight.
         if control_node.primary_term() != Some(role.term) {
             return;
         }
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -1,4 +1,4 @@
-//! How a proxy keeps up with the control nodes: it watches a few of them at a time, and says by a version vector which
+//! How a proxy keeps up with the control nodes: it watches a few of them at a time, and shows by a version vector which
 //! entries of the registry it has.
 
 use std::cell::{Cell, RefCell};
@@ -20,7 +20,7 @@
 use crate::config_transfer::{IncomingTransfer, TransferProgress};
 
 /// How many control nodes a proxy watches at once. The first slot is given entries of the registry as they change; the
-/// others are only told that there are newer ones, and fetch them if the first slot does not bring them.
+/// others only learn that there are newer ones, and fetch them if the first slot does not receive them.
 pub const WATCH_SLOTS: usize = 3;
 
 /// How long a control node may wait for something new until it responds.
@@ -50,7 +50,7 @@
 /// The revision from which the full text of a configuration is sent.
 const NO_REVISION: u64 = 0;
 
-/// Who uses what the watcher receives.
+/// The consumer of what the watcher receives.
 pub(crate) trait UpdateSink {
     /// The configuration in force.
     fn config(&self) -> Option<Arc<Config>>;
@@ -58,7 +58,7 @@
     fn apply_config(&self, config: Arc<Config>);
     /// The registry has changed.
     fn on_registry_change(&self);
-    /// A control node has told how many proxies there are.
+    /// A control node has reported how many proxies there are.
     fn on_proxy_count(&self, count: usize);
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Watches control nodes, and brings what they have into the registry and the [`UpdateSink`].
+/// Watches control nodes, and passes their updates to the registry and the [`UpdateSink`].
 pub(crate) struct UpdateWatcher<S> {
     name: String,
     incarnation: u64,
@@ -168,7 +168,7 @@
         let call = self.watch_call(revision, slot == 0 || is_first, wait);
         let mut updates = self.caller.call(control_node, &call, wait + RESPONSE_MARGIN).await.ok()?;
         let contact = QuorumContact::from_flag(updates.has_quorum_contact);
-        self.take_in(control_node, slot, &mut updates).await;
+        self.apply_updates(control_node, slot, &mut updates).await;
         if contact.is_confirmed() {
             self.last_contact.set(Some(Instant::now()));
         }
@@ -179,7 +179,7 @@
         Some(contact)
     }
 
-    async fn take_in(&self, control_node: SocketAddrV4, slot: usize, updates: &mut Updates) {
+    async fn apply_updates(&self, control_node: SocketAddrV4, slot: usize, updates: &mut Updates) {
         let now = self.clock.now();
         self.merge(now, std::mem::take(&mut updates.delta));
         self.sink.on_proxy_count(updates.proxy_count as usize);
