--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! The client proxy on real sockets: every peer, the machine list and the decisions have an actor each.
 //!
-//! `docs/architecture.md` follows a job through them.
+//! `docs/client-proxy.md` follows a job through them.
 
 mod budget;
 mod config;
