--- a/crates/programs/tests/documentation.rs
+++ b/crates/programs/tests/documentation.rs
@@ -7,6 +7,10 @@
 const SKIPPED: [&str; 3] = ["target", ".git", "node_modules"];
 /// The page that names tests: each of its names in backquotes that looks like one is taken for a test.
 const RULES_AND_TESTS: &str = "docs/design/0009-rules-and-tests.md";
+/// Pages whose names of the code have to be there.
+const PAGES_WITH_NAMES: [&str; 2] = ["docs/architecture.md", "docs/glossary.md"];
+/// The glossary's first column has the former words, which are not in the code.
+const GLOSSARY: &str = "docs/glossary.md";
 /// The names of tests are sentences; other names of the page have fewer words.
 const MIN_UNDERSCORES: usize = 3;
 
@@ -48,6 +52,66 @@
     text.bytes().all(is_word) && text.matches('_').count() >= MIN_UNDERSCORES
 }
 
+/// All words of the sources and settings, and the packages' names as paths have them.
+fn words_of_the_code() -> BTreeSet<String> {
+    let mut words = BTreeSet::new();
+    for extension in ["rs", "toml"] {
+        for file in all_files(extension) {
+            let text = std::fs::read_to_string(file).unwrap();
+            words.extend(identifiers(&text).map(str::to_owned));
+            words.extend(
+                identifiers(&text).filter_map(|word| word.strip_prefix("mosshead_")).map(str::to_owned),
+            );
+        }
+    }
+    for package in std::fs::read_dir(root().join("crates")).unwrap() {
+        let name = package.unwrap().file_name().into_string().unwrap();
+        words.insert(name.replace('-', "_"));
+    }
+    words
+}
+
+fn identifiers(text: &str) -> impl Iterator<Item = &str> {
+    text.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_')
+        .filter(|word| !word.is_empty())
+}
+
+/// Whether a quoted word is a name of the code: a type, or several words joined.
+fn is_code_name(word: &str) -> bool {
+    let is_type = word.starts_with(|letter: char| letter.is_ascii_uppercase())
+        && word.contains(|letter: char| letter.is_ascii_lowercase());
+    let is_joined = word.trim_matches('_').contains('_');
+    is_type || is_joined
+}
+
+/// The part of a line that may name the code.
+fn part_with_names<'a>(page: &str, line: &'a str) -> &'a str {
+    let is_row = page == GLOSSARY && line.starts_with('|');
+    if is_row { line[1..].split_once('|').map_or("", |(_, rest)| rest) } else { line }
+}
+
+#[test]
+fn names_of_the_code_on_the_pages_for_newcomers_are_there() {
+    let words = words_of_the_code();
+    let mut missing = Vec::new();
+    let mut count = 0;
+    for page in PAGES_WITH_NAMES {
+        let text = std::fs::read_to_string(root().join(page)).unwrap();
+        for (number, line) in text.lines().enumerate() {
+            let names =
+                quoted(part_with_names(page, line)).flat_map(identifiers).filter(|name| is_code_name(name));
+            for name in names {
+                count += 1;
+                if !words.contains(name) {
+                    missing.push(format!("{page}:{}: {name}", number + 1));
+                }
+            }
+        }
+    }
+    assert!(count >= 100, "{count} names only");
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
+
 #[test]
 fn relative_links_of_the_pages_lead_to_files() {
     let mut missing = Vec::new();
