--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -94,7 +94,7 @@
                 Ok(connected) => connected,
                 Err(error) => return AttemptOutcome::NotDelivered(error.into()),
             };
-            if !connection.link.ready().await {
+            if !connection.outbound.ready().await {
                 if is_reused {
                     continue;
                 }
@@ -103,7 +103,7 @@
             let time_left = deadline.instant - self.now();
             let http_request = request.to_http(target, time_left, extra_headers);
             request.record_send(target);
-            match connection.link.send_with_deadline(http_request, deadline.timer).await {
+            match connection.outbound.send_with_deadline(http_request, deadline.timer).await {
                 Ok(response) => return self.check_response(target, request, response, connection),
                 Err(error) => {
                     if let Some(outcome) = failed_exchange(request, error, is_reused) {
--- a/crates/data-plane/src/buffered_request.rs
+++ b/crates/data-plane/src/buffered_request.rs
@@ -101,7 +101,7 @@
         let silence = Duration::from_millis(half_target_millis).clamp(MIN_SILENCE, SILENT_SERVER_TIMEOUT);
         let extra_headers = [(PRIORITY, request.priority.clone())];
         tokio::select! {
-            outcome = self.send_attempt(target, &request.message, request.deadline, &extra_headers) => outcome,
+            outcome = self.send_attempt(target, &request.server_request, request.deadline, &extra_headers) => outcome,
             () = self.wait_until_unresponsive(target, silence, silence), if request.is_repeatable() => {
                 AttemptOutcome::TimedOut
             }
--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -29,7 +29,8 @@
 pub(crate) struct ClientRequest {
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
-    pub(crate) message: ServerRequest,
+    /// What is sent to servers.
+    pub(crate) server_request: ServerRequest,
     pub(crate) deadline: Deadline,
     pub(crate) priority: HeaderValue,
     retry_policy: RetryPolicy,
@@ -137,7 +138,7 @@
             if route.is_idempotent() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
         self.router.borrow_mut().record_request(self.now(), &service.name);
         let request = ClientRequest {
-            message: ServerRequest::of_client(head.method.clone(), uri, headers, body),
+            server_request: ServerRequest::of_client(head.method.clone(), uri, headers, body),
             deadline: self.deadline_at(deadline),
             priority: HeaderValue::from(u16::from(route.priority.min(MAX_PRIORITY))),
             retry_policy,
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -18,7 +18,7 @@
 /// response to the other is due.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
-    pub(crate) link: OutboundConnection<Full<Bytes>>,
+    pub(crate) outbound: OutboundConnection<Full<Bytes>>,
     origin: RequestOrigin,
 }
 
@@ -90,7 +90,7 @@
         let mut servers = self.servers.borrow_mut();
         let idle = servers.get_mut(server_id)?.idle(origin);
         while let Some(candidate) = idle.pop() {
-            if !candidate.connection.link.is_closed() && candidate.expires_at > now {
+            if !candidate.connection.outbound.is_closed() && candidate.expires_at > now {
                 return Some(candidate.connection);
             }
         }
@@ -98,6 +98,10 @@
     }
 
     /// Opens a connection within `time_left`.
+    ///
+    /// # Errors
+    ///
+    /// The target's `max_connections` are open already, or the connection did not come up.
     pub(crate) async fn open(
         &self,
         target: &Target,
@@ -112,7 +116,7 @@
         let options =
             ConnectOptions { timeout: CONNECT_TIMEOUT.min(time_left), user_timeout: Some(TCP_USER_TIMEOUT) };
         match OutboundConnection::open(SERVER, target.address.into(), options, guard).await {
-            Some(link) => Ok(PooledConnection { link, origin }),
+            Some(outbound) => Ok(PooledConnection { outbound, origin }),
             None => Err(OpenError::Unreachable),
         }
     }
@@ -131,7 +135,7 @@
             keep_alive.map_or(MAX_IDLE, |timeout| timeout.saturating_sub(IDLE_MARGIN)).min(MAX_IDLE);
         if idle_time.is_zero()
             || Instant::now() >= until
-            || !connection.link.is_reusable(REUSE_CHECK_TIMEOUT).await
+            || !connection.outbound.is_reusable(REUSE_CHECK_TIMEOUT).await
         {
             return;
         }
@@ -151,7 +155,7 @@
         let now = Instant::now();
         self.servers.borrow_mut().retain(|server_id, server| {
             for idle in [&mut server.idle_for_clients, &mut server.idle_for_proxy] {
-                idle.retain(|idle| idle.expires_at > now && !idle.connection.link.is_closed());
+                idle.retain(|idle| idle.expires_at > now && !idle.connection.outbound.is_closed());
             }
             is_known(server_id) || server.open.get() > 0
         });
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -79,7 +79,7 @@
             handle.is_none().then(|| PrefillGuard::new(self, &target.id, local_prefill_tokens));
         let extra_headers = decode_headers(request, handle.as_ref(), last_event_id);
         let outcome = tokio::select! {
-            outcome = self.send_attempt(target, &request.message, request.deadline, &extra_headers) => outcome,
+            outcome = self.send_attempt(target, &request.server_request, request.deadline, &extra_headers) => outcome,
             () = self.wait_until_unresponsive(target, SILENT_SERVER_TIMEOUT, LOAD_REPORT_TIMEOUT),
                 if request.is_repeatable() => AttemptOutcome::TimedOut,
         };
--- a/crates/data-plane/src/prefill.rs
+++ b/crates/data-plane/src/prefill.rs
@@ -103,6 +103,10 @@
 
 impl DataPlane {
     /// Has the prompt prefilled. The request does not run by that, and may be sent again.
+    ///
+    /// # Errors
+    ///
+    /// There is no handle. What that says of the server has been recorded.
     pub(crate) async fn prefill_prompt(
         self: &Rc<Self>,
         target: &Target,
@@ -113,7 +117,7 @@
         let extra_headers =
             [(SERVING_STAGE, HeaderValue::from_static("prefill")), (PRIORITY, request.priority.clone())];
         let outcome = tokio::select! {
-            outcome = self.send_attempt(target, &request.message, request.deadline, &extra_headers) => outcome,
+            outcome = self.send_attempt(target, &request.server_request, request.deadline, &extra_headers) => outcome,
             () = self.wait_until_unresponsive(target, SILENT_SERVER_TIMEOUT, LOAD_REPORT_TIMEOUT) => {
                 return Err(PrefillError::NoHandle);
             }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use mosshead_load_board::ServerLoad;
-use mosshead_registry::{Server, Stage};
+use mosshead_registry::Server;
 use mosshead_time::Instant;
 
 use crate::affinity::hash_id;
@@ -14,45 +14,6 @@
 /// How many shared prompt parts are remembered for a server.
 const MAX_CACHED_PARTS: usize = 256;
 
-/// What a request adds to a server's load.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LoadKind {
-    /// The server prefills a prompt for another one.
-    Prefill,
-    /// The server generates tokens, or works on a request of a service without an engine.
-    Decode,
-}
-
-impl LoadKind {
-    /// What a server of this stage takes.
-    pub(crate) fn of_stage(stage: Option<Stage>) -> Self {
-        if stage == Some(Stage::Prefill) { Self::Prefill } else { Self::Decode }
-    }
-}
-
-/// One value for each kind of load.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct PerLoadKind<T> {
-    pub(crate) prefill: T,
-    pub(crate) decode: T,
-}
-
-impl<T> PerLoadKind<T> {
-    pub(crate) fn get(&self, kind: LoadKind) -> &T {
-        match kind {
-            LoadKind::Prefill => &self.prefill,
-            LoadKind::Decode => &self.decode,
-        }
-    }
-
-    pub(crate) fn get_mut(&mut self, kind: LoadKind) -> &mut T {
-        match kind {
-            LoadKind::Prefill => &mut self.prefill,
-            LoadKind::Decode => &mut self.decode,
-        }
-    }
-}
-
 /// One server as this proxy sees it.
 #[derive(Debug)]
 pub struct Endpoint {
--- a/crates/routing/src/endpoint_table.rs
+++ b/crates/routing/src/endpoint_table.rs
@@ -5,7 +5,8 @@
 
 use mosshead_registry::{OperState, Server};
 
-use crate::endpoint::{Endpoint, LoadKind, PerLoadKind};
+use crate::endpoint::Endpoint;
+use crate::load_kind::{LoadKind, PerLoadKind};
 
 /// All endpoints that this proxy knows.
 #[derive(Debug, Default)]
@@ -17,7 +18,7 @@
 
 impl EndpointTable {
     /// Takes the registry's present entries. What is known of servers that stay is kept.
-    pub fn update<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
+    pub(crate) fn update<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
         let mut by_service: HashMap<String, PerLoadKind<Vec<Rc<str>>>> = HashMap::new();
         let mut missing: HashSet<Rc<str>> = self.by_id.keys().cloned().collect();
         for server in servers.filter(|server| server.state != OperState::Removed) {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,6 +6,7 @@
 mod affinity;
 mod endpoint;
 mod endpoint_table;
+mod load_kind;
 mod outlier;
 mod p2c;
 mod pairing;
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -8,7 +8,7 @@
 use rand_core::RngCore;
 
 use crate::affinity::rendezvous_rank;
-use crate::endpoint::LoadKind;
+use crate::load_kind::LoadKind;
 use crate::router::Router;
 
 /// Pending prompt tokens that weigh as much as one stream in flight.
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -6,7 +6,8 @@
 use mosshead_time::Instant;
 use rand_core::RngCore;
 
-use crate::endpoint::{Endpoint, LoadKind};
+use crate::endpoint::Endpoint;
+use crate::load_kind::LoadKind;
 use crate::p2c::Selection;
 use crate::prompt::{Prompt, ServerPair};
 use crate::router::Router;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -8,8 +8,9 @@
 use mosshead_time::{Duration, Instant};
 use rand_core::RngCore;
 
-use crate::endpoint::{Endpoint, LoadKind, PerLoadKind};
+use crate::endpoint::Endpoint;
 use crate::endpoint_table::EndpointTable;
+use crate::load_kind::{LoadKind, PerLoadKind};
 use crate::outlier::ServerFailure;
 use crate::retry_budget::RetryBudget;
 use crate::weights::RoutingWeights;
