--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -77,7 +77,7 @@
     /// The members of the consensus group and the control nodes in the membership; the seeds while there are none.
     fn control_nodes(&self) -> Vec<SocketAddrV4> {
         let mut addresses = self.consensus.members();
-        addresses.extend(self.gossip.live_control_nodes());
+        self.gossip.append_control_nodes(&mut addresses);
         if addresses.is_empty() {
             addresses = self.settings.internal_seed_addresses();
         }
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -91,10 +91,10 @@
         self.membership.borrow().live_proxies()
     }
 
-    /// The addresses of the control nodes that are alive or suspect.
-    pub(crate) fn live_control_nodes(&self) -> Vec<SocketAddrV4> {
+    /// Adds the addresses of the control nodes that are alive or suspect to a list.
+    pub(crate) fn append_control_nodes(&self, addresses: &mut Vec<SocketAddrV4>) {
         let membership = self.membership.borrow();
         let live = membership.members().filter(|(peer, state)| peer.is_control_node && state.is_live());
-        live.map(|(peer, _)| peer.address).collect()
+        addresses.extend(live.map(|(peer, _)| peer.address));
     }
 }
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -137,7 +137,9 @@
     fn tick(&self) {
         self.registry.borrow_mut().tick(self.process.clock.now());
         self.sink.refresh();
-        self.watcher.add_control_nodes(&self.process.gossip.live_control_nodes());
+        let mut control_nodes = Vec::new();
+        self.process.gossip.append_control_nodes(&mut control_nodes);
+        self.watcher.add_control_nodes(&control_nodes);
     }
 
     /// Drains: first health checks fail while connections are still accepted, then only the requests in flight go on.
