--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -1,7 +1,8 @@
-//! When the word of a server that leaves (`draining`, or its deregistration) is acknowledged.
+//! When the shutdown of a server is acknowledged to it. A server announces its shutdown by a heartbeat that reports
+//! `draining`, or by its deregistration.
 //!
-//! Invariant *leaving words survive*: such a word is acknowledged only by a machine that is in touch, and only when so
-//! many members have it that it outlives as many losses as the deployment may have at once.
+//! Invariant *shutdowns survive failures*: a shutdown is acknowledged only by a control node with quorum contact, and
+//! only when so many members have the entry that it outlives as many failures as the deployment tolerates at once.
 
 use core::net::SocketAddrV4;
 use std::collections::BTreeSet;
@@ -10,107 +11,113 @@
 
 use crate::{InjectedFault, QuorumContact};
 
-/// Acknowledged entries that are remembered; one that is forgotten is only handed to the members again.
-const MOST_REMEMBERED: usize = 4_096;
-/// So many of the latest entries go with a copy, so that it fits without a gap to what the other has seen.
+/// How many acknowledged entries are remembered. One that is forgotten is only replicated again.
+const MAX_REMEMBERED_ENTRIES: usize = 4_096;
+/// The first delta to another control node starts this many versions back, so that it overlaps with what that node
+/// has and no gap remains.
 const LATEST_VERSIONS: u64 = 64;
-/// And at most so many.
-const MOST_LATEST: usize = 128;
+/// The most entries of that delta.
+const MAX_LATEST_ENTRIES: usize = 128;
 
-/// The number of an entry of the register.
+/// Identifies an entry of the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryVersion {
-    /// Who made the entry.
+    /// Who published the entry.
     pub source: SourceId,
-    /// The number that its source gave it.
+    /// The version that its source gave it.
     pub version: u64,
 }
 
 impl EntryVersion {
-    /// The number of an entry by which a server leaves; none where it does not leave.
+    /// The version of an entry that announces a shutdown; `None` for any other entry.
     pub fn of_shutdown(entry: &Entry) -> Option<EntryVersion> {
-        let leaves = entry.server.state >= OperState::Draining;
-        leaves.then_some(EntryVersion { source: entry.source, version: entry.version })
+        let is_shutdown = entry.server.state >= OperState::Draining;
+        is_shutdown.then_some(EntryVersion { source: entry.source, version: entry.version })
     }
 
-    /// Whether whoever shows this vector has the entry, or one that holds against it.
+    /// Whether a process with this vector has the entry, or one that supersedes it.
     pub fn is_covered_by(&self, vector: &VersionVector) -> bool {
         vector.get(self.source) >= self.version
     }
 }
 
-/// Who is to hold the copies.
+/// Which control nodes have to store an entry.
 #[derive(Clone, Debug)]
 pub struct ReplicaSet {
-    /// The machine that heard the server.
+    /// The control node that received the server's call.
     pub local_address: SocketAddrV4,
-    /// The members of the newest record of the control state that it knows.
+    /// The members by the newest epoch configuration that this node knows.
     pub members: Vec<SocketAddrV4>,
-    /// How many members may be lost at once.
+    /// How many members may fail at once.
     pub tolerated_failures: usize,
 }
 
-/// Whether a leaving server's word is acknowledged.
+/// Whether a shutdown is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcknowledgementDecision {
-    /// Yes.
+    /// It is.
     Acknowledge,
-    /// More copies are needed, and may come.
+    /// More replicas are needed, and members have yet to respond.
     Wait,
-    /// No; the server comes again.
+    /// It is not; the server repeats its call.
     Reject,
 }
 
-/// The copies of one entry that are being made.
+/// The replication of one entry to the members.
 #[derive(Clone, Debug)]
 pub struct EntryReplication {
     entry: EntryVersion,
+    /// How many other members have to store the entry.
     needed: usize,
-    /// Members that have not answered.
-    open: BTreeSet<SocketAddrV4>,
-    holders: BTreeSet<SocketAddrV4>,
-    injected: Option<InjectedFault>,
+    /// Members that have not responded yet.
+    pending: BTreeSet<SocketAddrV4>,
+    /// Members that store the entry; disjoint from `pending`.
+    replicas: BTreeSet<SocketAddrV4>,
+    injected_fault: Option<InjectedFault>,
 }
 
 impl EntryReplication {
-    /// No other machine is known to have the entry yet.
+    /// No other member is known to store the entry yet.
     pub fn new(
         entry: EntryVersion,
-        membership: &ReplicaSet,
-        injected: Option<InjectedFault>,
+        replica_set: &ReplicaSet,
+        injected_fault: Option<InjectedFault>,
     ) -> EntryReplication {
-        let members: BTreeSet<SocketAddrV4> = membership.members.iter().copied().collect();
-        let is_member = members.contains(&membership.local_address);
-        let open: BTreeSet<SocketAddrV4> =
-            members.into_iter().filter(|member| *member != membership.local_address).collect();
-        // Danger: what a machine that is no member holds does not count, for it may go beside the others.
-        let wanted =
-            if is_member { membership.tolerated_failures.max(1) } else { membership.tolerated_failures + 1 };
-        let wanted = if has(injected, InjectedFault::AcknowledgeAfterOneReplica) { 1 } else { wanted };
-        let needed = wanted.min(open.len());
-        EntryReplication { entry, needed, open, holders: BTreeSet::new(), injected }
+        let local_address = replica_set.local_address;
+        let mut pending: BTreeSet<SocketAddrV4> = replica_set.members.iter().copied().collect();
+        let is_member = pending.remove(&local_address);
+        // A node that is no member may fail beside the tolerated members, so its own copy does not count.
+        let wanted = if has_fault(injected_fault, InjectedFault::AcknowledgeAfterOneReplica) {
+            1
+        } else if is_member {
+            replica_set.tolerated_failures.max(1)
+        } else {
+            replica_set.tolerated_failures + 1
+        };
+        let needed = wanted.min(pending.len());
+        EntryReplication { entry, needed, pending, replicas: BTreeSet::new(), injected_fault }
     }
 
-    /// Which entry is copied.
+    /// The entry that is replicated.
     pub fn entry(&self) -> EntryVersion {
         self.entry
     }
 
-    /// A machine has answered with its vector, or not at all.
-    pub fn record_reply(&mut self, from: SocketAddrV4, shown: Option<&VersionVector>) {
-        let covers = shown.is_some_and(|vector| self.entry.is_covered_by(vector));
-        if self.open.remove(&from) && covers {
-            self.holders.insert(from);
+    /// Records the response of a control node, its vector, or that there is none.
+    pub fn record_reply(&mut self, from: SocketAddrV4, vector: Option<&VersionVector>) {
+        let has_entry = vector.is_some_and(|vector| self.entry.is_covered_by(vector));
+        if self.pending.remove(&from) && has_entry {
+            self.replicas.insert(from);
         }
     }
 
-    /// What is answered to the server now.
+    /// What the server is answered now.
     pub fn decision(&self, contact: QuorumContact) -> AcknowledgementDecision {
         let may_acknowledge =
-            contact.is_confirmed() || has(self.injected, InjectedFault::AcknowledgeWithoutQuorum);
-        if self.holders.len() + self.open.len() < self.needed {
+            contact.is_confirmed() || has_fault(self.injected_fault, InjectedFault::AcknowledgeWithoutQuorum);
+        if self.replicas.len() + self.pending.len() < self.needed {
             AcknowledgementDecision::Reject
-        } else if self.holders.len() < self.needed {
+        } else if self.replicas.len() < self.needed {
             AcknowledgementDecision::Wait
         } else if may_acknowledge {
             AcknowledgementDecision::Acknowledge
@@ -120,71 +127,72 @@
     }
 }
 
-/// What comes of a server's word.
+/// What the host does next after a heartbeat or a deregistration.
 #[derive(Clone, Debug)]
 pub enum ShutdownStep {
-    /// The server is told at once: it doesn't leave, or was told before.
+    /// Acknowledge at once: the server does not shut down, or its shutdown was acknowledged before.
     Acknowledge,
-    /// The server is told to come again.
+    /// Answer that the server has to repeat its call.
     Reject,
-    /// Copies are needed first.
+    /// Replicate the entry to the members first.
     Replicate(EntryReplication),
 }
 
-/// The entries that were acknowledged, so that a server which repeats its word costs no further copies.
+/// The entries whose shutdown was acknowledged: a server that repeats its call costs no further replication.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownAcknowledgements {
     entries: BTreeSet<EntryVersion>,
-    injected: Option<InjectedFault>,
+    injected_fault: Option<InjectedFault>,
 }
 
 impl ShutdownAcknowledgements {
-    /// Nothing is acknowledged yet; with a fault built in, for tests.
+    /// Nothing is acknowledged yet; with a fault that a test injects.
     #[doc(hidden)]
-    pub fn with_injected_fault(injected: Option<InjectedFault>) -> ShutdownAcknowledgements {
-        ShutdownAcknowledgements { injected, ..ShutdownAcknowledgements::default() }
+    pub fn with_injected_fault(injected_fault: Option<InjectedFault>) -> ShutdownAcknowledgements {
+        ShutdownAcknowledgements { injected_fault, ..ShutdownAcknowledgements::default() }
     }
 
-    /// Looks at the word of a server that the register has taken in.
+    /// Decides on a call of a server that the registry has recorded.
     ///
-    /// What counts is the entry in force, whoever made it: a server that repeats its word elsewhere, because it was not
-    /// acknowledged, is not acknowledged there before there are copies enough.
+    /// What counts is the entry in force, whoever published it: a server that repeats its call at another control
+    /// node, since it got no acknowledgement, gets none there either before there are replicas enough.
     pub fn begin(
         &self,
-        register: &Registry,
+        registry: &Registry,
         id: &str,
-        heard: &HeartbeatOutcome,
+        outcome: &HeartbeatOutcome,
         contact: QuorumContact,
-        membership: &ReplicaSet,
+        replica_set: &ReplicaSet,
     ) -> ShutdownStep {
-        let Some(entry) = register.entry(id).and_then(EntryVersion::of_shutdown) else {
+        let Some(entry) = registry.entry(id).and_then(EntryVersion::of_shutdown) else {
             return ShutdownStep::Acknowledge;
         };
-        if has(self.injected, InjectedFault::AcknowledgeRepeatsUnchecked) && !heard.needs_replication {
+        let is_unchecked = has_fault(self.injected_fault, InjectedFault::AcknowledgeRepeatsUnchecked);
+        if is_unchecked && !outcome.needs_replication {
             return ShutdownStep::Acknowledge;
         }
-        if self.entries.contains(&entry) {
-            return if contact.is_confirmed() { ShutdownStep::Acknowledge } else { ShutdownStep::Reject };
+        if !self.entries.contains(&entry) {
+            return ShutdownStep::Replicate(EntryReplication::new(entry, replica_set, self.injected_fault));
         }
-        ShutdownStep::Replicate(EntryReplication::new(entry, membership, self.injected))
+        if contact.is_confirmed() { ShutdownStep::Acknowledge } else { ShutdownStep::Reject }
     }
 
-    /// Remembers that a server was told.
+    /// Remembers that a shutdown was acknowledged.
     pub fn record_acknowledged(&mut self, entry: EntryVersion) {
-        if self.entries.len() >= MOST_REMEMBERED {
+        if self.entries.len() >= MAX_REMEMBERED_ENTRIES {
             self.entries.pop_first();
         }
         self.entries.insert(entry);
     }
 }
 
-/// The latest entries that a register has made itself: the first copy that another machine is given.
-pub fn latest_local_entries(register: &Registry) -> Delta {
-    let mut vector = register.vector();
-    vector.0.insert(register.local_id(), register.version().saturating_sub(LATEST_VERSIONS));
-    register.missing_entries(&vector, MOST_LATEST)
+/// The latest entries that were published here: the first delta that another control node gets.
+pub fn latest_local_entries(registry: &Registry) -> Delta {
+    let mut vector = registry.vector();
+    vector.0.insert(registry.local_id(), registry.version().saturating_sub(LATEST_VERSIONS));
+    registry.missing_entries(&vector, MAX_LATEST_ENTRIES)
 }
 
-fn has(injected: Option<InjectedFault>, fault: InjectedFault) -> bool {
+fn has_fault(injected: Option<InjectedFault>, fault: InjectedFault) -> bool {
     injected.is_some_and(|injected| injected.includes(fault))
 }
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -1,8 +1,8 @@
-//! How an operator's change or read-back is answered.
+//! Admission of an operator's change: whether it is proposed to consensus, and how it is answered.
 //!
-//! Invariant *refusals are confirmed*: whether a change is stale or invalid is said only by a state that a majority has
-//! confirmed after the change came in. A change that is accepted costs no round trip for that, since the write itself
-//! needs the majority; a refusal costs one. A change that was taken is never refused.
+//! Invariant *rejections are confirmed*: a change is called stale or invalid only by a state that a quorum has
+//! confirmed after the change arrived. A change that is accepted costs no extra round trip, since the write itself needs
+//! the quorum; a rejection costs one. A change that was committed is never rejected.
 
 use core::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,143 +10,101 @@
 use mosshead_config::Config;
 use mosshead_consensus::{AppliedRequest, ClientReply, ControlState, RequestDigest, RequestStatus};
 
-use crate::InjectedFault;
-use crate::config_history::read_beside;
+use crate::config_offer::parse_config;
+use crate::{ChangeError, ChangeResponse, InjectedFault};
 
-/// What an operator's change does with the configuration in place.
+/// How a change is made from its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// The body is the whole new configuration.
+    /// The body is the complete new configuration.
     Replace,
-    /// The body names what is withdrawn and what is put in.
+    /// The body names the items to remove and to put in.
     Modify,
 }
 
-/// An operator's change as it came in.
+/// An operator's change as it arrived.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest<B> {
-    /// What it does.
+    /// How the change is made from the body.
     pub kind: ChangeKind,
-    /// The revision that it builds on, if it names one.
+    /// The revision that it builds on, if the call names one.
     pub base_revision: Option<u64>,
-    /// The body, not read yet.
+    /// The body, not parsed yet.
     pub body: B,
-    /// What tells a repeat of this call from another one.
+    /// Tells a repeat of this call from another call.
     pub digest: RequestDigest,
 }
 
-/// Who decides on changes, as far as the machine that was called knows.
+/// Who decides on changes, as far as this control node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnownPrimary {
-    /// The machine itself, unless it has lost its place without knowing.
+    /// This node, unless it has lost the role without knowing yet.
     Local,
-    /// Another machine, by its internal address.
+    /// Another control node, by its internal address.
     Remote(SocketAddrV4),
-    /// Nobody is known.
+    /// No primary is known.
     Unknown,
 }
 
-/// What the host does next for a change.
+/// What the host does next with a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionStep {
-    /// Hand the change to the consensus state, then call [`ChangeAdmission::on_proposal_result`].
+    /// Propose the change to consensus, then call [`ChangeAdmission::on_proposal_result`].
     Submit(ChangeProposal),
-    /// Read the state that a majority confirms, then call [`ChangeAdmission::on_state_confirmed`].
+    /// Read the state that a quorum confirms, then call [`ChangeAdmission::on_state_confirmed`].
     ConfirmState,
-    /// Answer the operator.
+    /// Respond to the operator.
     Respond(ChangeResponse),
 }
 
-/// A change for the consensus state.
+/// A change to propose to consensus.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeProposal {
     /// The revision that it builds on.
     pub base_revision: u64,
     /// The revision that it makes.
     pub revision: u64,
-    /// The new configuration, whole; empty where the change is known to be taken already.
+    /// The complete new configuration as JSON; empty if the change is known to be applied already.
     pub body: Vec<u8>,
-    /// What tells a repeat of the call.
+    /// Tells a repeat of the call from another call.
     pub digest: RequestDigest,
 }
 
-/// The answer to an operator's change.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeResponse {
-    /// The change is committed.
-    Accepted {
-        /// Its revision.
-        revision: u64,
-    },
-    /// The change builds on another revision than the confirmed one.
-    Stale {
-        /// The confirmed revision.
-        current: u64,
-    },
-    /// The change is no valid configuration.
-    Invalid {
-        /// What is wrong with it, with its code.
-        reason: String,
-    },
-    /// The configuration that the change makes is too large to be taken, whatever the state is.
-    TooLarge,
-    /// Another machine decides.
-    Redirect {
-        /// Its internal address.
-        primary: SocketAddrV4,
-    },
-    /// No clear answer: the change can't be told from one that was taken long ago.
-    Expired,
-    /// No clear answer: the change may be taken or not.
-    Unavailable,
-}
-
-/// The answer to a read-back.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadResponse {
-    /// The configuration that a majority has confirmed.
-    Current(ControlState),
-    /// A majority has confirmed that there is none yet.
-    Empty,
-    /// Another machine decides.
-    Redirect {
-        /// Its internal address.
-        primary: SocketAddrV4,
-    },
-    /// No clear answer.
-    Unavailable,
-}
-
-/// One change on its way to an answer.
+/// One change on its way to a response.
 #[derive(Clone, Debug)]
 pub struct ChangeAdmission<B> {
     request: ChangeRequest<B>,
-    base: u64,
+    /// The revision that the change builds on; 0 until the first step has read it.
+    base_revision: u64,
+    /// The revision that the change makes; 0 until the first step has read it.
     revision: u64,
-    /// The configuration that the change was first judged by.
-    local: Option<Arc<Config>>,
-    injected: Option<InjectedFault>,
+    /// The newest configuration that this node knew when the change arrived.
+    local_config: Option<Arc<Config>>,
+    injected_fault: Option<InjectedFault>,
 }
 
-/// How sure the state is that a change is judged by.
+/// Where the state comes from that a change is evaluated against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Certainty {
+enum StateOrigin {
+    /// This node's newest committed state, which may be outdated.
     Local,
+    /// A quorum has confirmed it after the change arrived.
     Confirmed,
 }
 
 impl<B: AsRef<[u8]>> ChangeAdmission<B> {
-    /// Takes a change in. Gives the first step, and what takes the result of that step.
+    /// Starts the admission of a change. Returns it with its first step.
     ///
-    /// `state` is the newest committed state that the machine knows, `config` the configuration read from it.
+    /// `state` is the newest committed state that this node knows, `config` the configuration parsed from it.
     pub fn begin(
         request: ChangeRequest<B>,
         primary: KnownPrimary,
         state: Option<&ControlState>,
         config: Option<Arc<Config>>,
-        injected: Option<InjectedFault>,
+        injected_fault: Option<InjectedFault>,
     ) -> (ChangeAdmission<B>, AdmissionStep) {
-        let mut admission = ChangeAdmission { request, base: 0, revision: 0, local: config, injected };
+        let mut admission =
+            ChangeAdmission { request, base_revision: 0, revision: 0, local_config: config, injected_fault };
         let step = admission.first_step(primary, state);
         (admission, step)
     }
@@ -154,62 +112,67 @@
     fn first_step(&mut self, primary: KnownPrimary, state: Option<&ControlState>) -> AdmissionStep {
         match primary {
             KnownPrimary::Local => {}
-            KnownPrimary::Remote(primary) => {
-                return AdmissionStep::Respond(ChangeResponse::Redirect { primary });
-            }
-            KnownPrimary::Unknown => return AdmissionStep::Respond(ChangeResponse::Unavailable),
+            KnownPrimary::Remote(primary) => return respond(ChangeResponse::Redirect { primary }),
+            KnownPrimary::Unknown => return respond(ChangeResponse::Unavailable),
         }
-        // These two are refused whatever the state is, so no majority needs to be asked.
-        let Some(base) = self.request.base_revision else {
-            return invalid("C07 X-Base-Revision is missing");
-        };
-        let Some(revision) = mosshead_config::peek_revision(self.request.body.as_ref()) else {
-            let fault = Config::parse(self.request.body.as_ref()).err();
-            return invalid(
-                fault.map_or("M08 at revision: is missing".to_owned(), |fault| fault.to_string()),
-            );
-        };
-        (self.base, self.revision) = (base, revision);
-        if state
-            .is_some_and(|state| state.classify_request(base, self.call()) == RequestStatus::AlreadyApplied)
-        {
+        // No state could make such a change valid, so no quorum needs to confirm the rejection.
+        if let Err(error) = self.read_revisions() {
+            return respond(ChangeResponse::Invalid(error));
+        }
+        let status = state.map(|state| state.classify_request(self.base_revision, self.applied_request()));
+        if status == Some(RequestStatus::AlreadyApplied) {
             return self.submit(Vec::new());
         }
-        self.judge(self.local.clone().as_deref(), Certainty::Local)
+        self.evaluate(self.local_config.clone().as_deref(), StateOrigin::Local)
     }
 
-    /// Takes in the verdict on a [`AdmissionStep::ConfirmState`].
-    pub fn on_state_confirmed(&mut self, verdict: ClientReply) -> AdmissionStep {
-        let state = match verdict {
+    /// Reads which revision the change builds on, and which one it makes.
+    fn read_revisions(&mut self) -> Result<(), ChangeError> {
+        let base_revision = self.request.base_revision.ok_or(ChangeError::MissingBaseRevision)?;
+        let body = self.request.body.as_ref();
+        let Some(revision) = mosshead_config::peek_revision(body) else {
+            let error = Config::parse(body).err();
+            return Err(error.map_or(ChangeError::MissingRevision, ChangeError::Config));
+        };
+        (self.base_revision, self.revision) = (base_revision, revision);
+        Ok(())
+    }
+
+    /// Takes in the reply to an [`AdmissionStep::ConfirmState`].
+    pub fn on_state_confirmed(&mut self, reply: ClientReply) -> AdmissionStep {
+        let state = match reply {
             ClientReply::CurrentState { state } => state,
-            other => return unconfirmed(other),
+            ClientReply::NotPrimary { primary: Some(primary) } => {
+                return respond(ChangeResponse::Redirect { primary });
+            }
+            _ => return respond(ChangeResponse::Unavailable),
         };
-        match state.classify_request(self.base, self.call()) {
+        match state.classify_request(self.base_revision, self.applied_request()) {
             RequestStatus::AlreadyApplied => {
-                return AdmissionStep::Respond(ChangeResponse::Accepted { revision: self.revision });
+                return respond(ChangeResponse::Accepted { revision: self.revision });
             }
-            RequestStatus::Expired => return AdmissionStep::Respond(ChangeResponse::Expired),
+            RequestStatus::Expired => return respond(ChangeResponse::Expired),
             RequestStatus::Acceptable | RequestStatus::Stale => {}
         }
-        if self.base != state.revision {
-            return AdmissionStep::Respond(ChangeResponse::Stale { current: state.revision });
+        if self.base_revision != state.revision {
+            return respond(ChangeResponse::Stale { current_revision: state.revision });
         }
-        let known = self.local.clone().filter(|config| config.revision == state.revision);
+        let known = self.local_config.clone().filter(|config| config.revision == state.revision);
         let config = match known {
-            None if state.revision > 0 => match read_beside(self.local.as_deref(), &state.body) {
+            None if state.revision > 0 => match parse_config(self.local_config.as_deref(), &state.body) {
                 Ok(config) => Some(Arc::new(config)),
-                Err(_) => return AdmissionStep::Respond(ChangeResponse::Unavailable),
+                Err(_) => return respond(ChangeResponse::Unavailable),
             },
             known => known,
         };
-        self.judge(config.as_deref(), Certainty::Confirmed)
+        self.evaluate(config.as_deref(), StateOrigin::Confirmed)
     }
 
-    /// Takes in the verdict on a [`AdmissionStep::Submit`].
-    pub fn on_proposal_result(&self, verdict: ClientReply) -> ChangeResponse {
-        match verdict {
+    /// Takes in the reply to an [`AdmissionStep::Submit`].
+    pub fn on_proposal_result(&self, reply: ClientReply) -> ChangeResponse {
+        match reply {
             ClientReply::Committed { revision } => ChangeResponse::Accepted { revision },
-            ClientReply::Stale { current_revision: current } => ChangeResponse::Stale { current },
+            ClientReply::Stale { current_revision } => ChangeResponse::Stale { current_revision },
             ClientReply::TooLarge => ChangeResponse::TooLarge,
             ClientReply::Expired => ChangeResponse::Expired,
             ClientReply::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
@@ -219,62 +182,51 @@
         }
     }
 
-    fn judge(&self, config: Option<&Config>, certainty: Certainty) -> AdmissionStep {
-        let current = config.map_or(0, |config| config.revision);
-        if self.base != current {
-            return self.refuse(ChangeResponse::Stale { current }, certainty);
+    /// Applies the change to a configuration.
+    fn evaluate(&self, config: Option<&Config>, origin: StateOrigin) -> AdmissionStep {
+        let current_revision = config.map_or(0, |config| config.revision);
+        if self.base_revision != current_revision {
+            return self.reject(ChangeResponse::Stale { current_revision }, origin);
         }
         let body = self.request.body.as_ref();
         let changed = match (self.request.kind, config) {
             (ChangeKind::Replace, current) => Config::parse_replacement(current, body),
             (ChangeKind::Modify, Some(current)) => current.modify(body),
             (ChangeKind::Modify, None) => {
-                return self.refuse(ChangeResponse::Stale { current }, certainty);
+                return self.reject(ChangeResponse::Stale { current_revision }, origin);
             }
         };
         match changed {
             Ok(config) => self.submit(config.to_json().into_bytes()),
-            Err(fault) => self.refuse(ChangeResponse::Invalid { reason: fault.to_string() }, certainty),
+            Err(error) => self.reject(ChangeResponse::Invalid(error.into()), origin),
         }
     }
 
-    /// A refusal by a state that nobody has confirmed waits for the confirmation.
-    fn refuse(&self, answer: ChangeResponse, certainty: Certainty) -> AdmissionStep {
-        let unconfirmed = self.injected == Some(InjectedFault::RejectFromLocalState);
-        if certainty == Certainty::Confirmed || unconfirmed {
-            AdmissionStep::Respond(answer)
+    /// A rejection by a state that no quorum has confirmed waits for the confirmation.
+    fn reject(&self, response: ChangeResponse, origin: StateOrigin) -> AdmissionStep {
+        let is_unchecked = self.injected_fault == Some(InjectedFault::RejectFromLocalState);
+        if origin == StateOrigin::Confirmed || is_unchecked {
+            respond(response)
         } else {
             AdmissionStep::ConfirmState
         }
     }
 
     fn submit(&self, body: Vec<u8>) -> AdmissionStep {
-        let (base, revision, digest) = (self.base, self.revision, self.request.digest);
-        AdmissionStep::Submit(ChangeProposal { base_revision: base, revision, body, digest })
+        AdmissionStep::Submit(ChangeProposal {
+            base_revision: self.base_revision,
+            revision: self.revision,
+            body,
+            digest: self.request.digest,
+        })
     }
 
-    fn call(&self) -> AppliedRequest {
+    /// The change as consensus remembers it once it is applied.
+    fn applied_request(&self) -> AppliedRequest {
         AppliedRequest { revision: self.revision, digest: self.request.digest }
     }
 }
 
-/// How a read-back is answered, by the verdict of the consensus state.
-pub fn read_response(verdict: ClientReply) -> ReadResponse {
-    match verdict {
-        ClientReply::CurrentState { state } if state.revision > 0 => ReadResponse::Current(state),
-        ClientReply::CurrentState { .. } => ReadResponse::Empty,
-        ClientReply::NotPrimary { primary: Some(primary) } => ReadResponse::Redirect { primary },
-        _ => ReadResponse::Unavailable,
-    }
-}
-
-fn invalid(fault: impl Into<String>) -> AdmissionStep {
-    AdmissionStep::Respond(ChangeResponse::Invalid { reason: fault.into() })
-}
-
-fn unconfirmed(verdict: ClientReply) -> AdmissionStep {
-    AdmissionStep::Respond(match verdict {
-        ClientReply::NotPrimary { primary: Some(primary) } => ChangeResponse::Redirect { primary },
-        _ => ChangeResponse::Unavailable,
-    })
+fn respond(response: ChangeResponse) -> AdmissionStep {
+    AdmissionStep::Respond(response)
 }
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -1,7 +1,7 @@
-//! Which configuration a control machine hands out.
+//! Which configuration a control node hands out.
 //!
-//! Invariant *served in touch*: a machine that is out of touch with the majority offers no configuration and names no
-//! revision, since what it knows may be old.
+//! Invariant *served with quorum contact*: a control node without quorum contact offers no configuration and
+//! advertises no revision, since what it knows may be outdated.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,75 +9,63 @@
 use mosshead_config::{Config, ConfigError};
 use mosshead_consensus::ControlState;
 
-use crate::{InjectedFault, QuorumContact};
+use crate::config_offer::parse_config;
+use crate::{ConfigOffer, InjectedFault, QuorumContact};
 
-/// Patches that are kept for those that are behind.
-const MOST_PATCHES: usize = 1024;
-/// The length of these together, in bytes.
-const MOST_PATCH_BYTES: usize = 4 * 1024 * 1024;
+/// How many patches are kept for processes with older revisions.
+const MAX_PATCHES: usize = 1024;
+/// The total length of the patches, in bytes.
+const MAX_PATCH_BYTES: usize = 4 * 1024 * 1024;
 
 /// The patch from one committed configuration to the next.
 #[derive(Clone, Debug)]
 struct Patch {
-    from: u64,
-    to: u64,
+    from_revision: u64,
+    to_revision: u64,
     text: String,
 }
 
-/// What is offered to whoever asks for the configuration.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ConfigOffer {
-    /// The machine is out of touch, or has no configuration yet.
-    Withheld,
-    /// The patches, in order, from what the asker has.
-    Patches {
-        /// The revision that the last one makes.
-        revision: u64,
-        /// Their texts.
-        patches: Vec<String>,
-    },
-    /// The whole.
-    Full {
-        /// Its revision.
-        revision: u64,
-        /// Its text.
-        text: String,
-    },
-}
-
-/// The newest committed configuration that a machine knows, and the way to it.
+/// The newest committed configuration that a control node knows, with the patches that lead to it.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigHistory {
     current: Option<Arc<Config>>,
+    /// Oldest first; each one starts at the revision that the one before leads to.
     patches: VecDeque<Patch>,
-    injected: Option<InjectedFault>,
+    injected_fault: Option<InjectedFault>,
 }
 
 impl ConfigHistory {
-    /// Nothing is committed yet; with a fault built in, for tests.
+    /// Nothing is committed yet; with a fault that a test injects.
     #[doc(hidden)]
-    pub fn with_injected_fault(injected: Option<InjectedFault>) -> ConfigHistory {
-        ConfigHistory { injected, ..ConfigHistory::default() }
+    pub fn with_injected_fault(injected_fault: Option<InjectedFault>) -> ConfigHistory {
+        ConfigHistory { injected_fault, ..ConfigHistory::default() }
     }
 
-    /// Takes in a committed state. Gives the configuration if it is newer than the one before.
+    /// Takes in a committed state. Returns its configuration, or `None` if a revision as new is known already.
+    ///
+    /// # Errors
+    ///
+    /// The committed text is no valid configuration: another version of the software has accepted it. The history
+    /// stays as it was.
     pub fn commit(&mut self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
-        let known = self.current.as_ref().map_or(0, |config| config.revision);
-        if state.revision <= known {
+        let known_revision = self.current.as_ref().map_or(0, |config| config.revision);
+        if state.revision <= known_revision {
             return Ok(None);
         }
-        let config = Arc::new(read_beside(self.current.as_deref(), &state.body)?);
-        if let Some(old) = &self.current {
-            let text = old.patch_to(&config);
-            self.patches.push_back(Patch { from: old.revision, to: config.revision, text });
-            self.forget_old_patches();
+        let config = Arc::new(parse_config(self.current.as_deref(), &state.body)?);
+        if let Some(previous) = &self.current {
+            let text = previous.patch_to(&config);
+            let (from_revision, to_revision) = (previous.revision, config.revision);
+            self.patches.push_back(Patch { from_revision, to_revision, text });
+            self.evict_patches();
         }
         self.current = Some(config.clone());
         Ok(Some(config))
     }
 
-    fn forget_old_patches(&mut self) {
-        while self.patches.len() > MOST_PATCHES || self.patch_bytes() > MOST_PATCH_BYTES {
+    /// Drops the oldest patches beyond the bounds.
+    fn evict_patches(&mut self) {
+        while self.patches.len() > MAX_PATCHES || self.patch_bytes() > MAX_PATCH_BYTES {
             self.patches.pop_front();
         }
     }
@@ -86,46 +74,38 @@
         self.patches.iter().map(|patch| patch.text.len()).sum()
     }
 
-    /// The newest committed configuration that is known here, whatever the contact.
+    /// The newest committed configuration that is known here, with or without quorum contact.
     pub fn current(&self) -> Option<&Arc<Config>> {
         self.current.as_ref()
     }
 
-    /// The revision that those who pull are told of; 0: none.
+    /// The revision that processes which watch this node are told; 0 if there is none.
     pub fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         let served = self.current.as_ref().filter(|_| self.may_serve(contact));
         served.map_or(0, |config| config.revision)
     }
 
-    /// What is offered to an asker that has the revision `have` (0: nothing).
-    pub fn offer(&self, have: u64, contact: QuorumContact) -> ConfigOffer {
+    /// What is offered to a process with the revision `known_revision` (0 if it has none).
+    pub fn offer(&self, known_revision: u64, contact: QuorumContact) -> ConfigOffer {
         let Some(config) = self.current.as_ref().filter(|_| self.may_serve(contact)) else {
             return ConfigOffer::Withheld;
         };
-        match self.patches_from(have, config) {
+        match self.patches_from(known_revision, config) {
             Some(patches) => ConfigOffer::Patches { revision: config.revision, patches },
             None => ConfigOffer::Full { revision: config.revision, text: config.to_json() },
         }
     }
 
-    /// The patches from a revision to the newest, if all are there and shorter than the whole.
-    fn patches_from(&self, have: u64, config: &Config) -> Option<Vec<String>> {
-        let first = self.patches.iter().position(|patch| patch.from == have)?;
-        self.patches.back().filter(|last| last.to == config.revision)?;
+    /// The patches from a revision to the newest one, if all are kept and shorter than the complete configuration.
+    fn patches_from(&self, revision: u64, config: &Config) -> Option<Vec<String>> {
+        let first = self.patches.iter().position(|patch| patch.from_revision == revision)?;
+        self.patches.back().filter(|last| last.to_revision == config.revision)?;
         let patches: Vec<String> = self.patches.iter().skip(first).map(|patch| patch.text.clone()).collect();
         let length: usize = patches.iter().map(String::len).sum();
         (length < config.json_length()).then_some(patches)
     }
 
     fn may_serve(&self, contact: QuorumContact) -> bool {
-        contact.is_confirmed() || self.injected == Some(InjectedFault::ServeWithoutQuorum)
-    }
-}
-
-/// Reads a configuration; of what is known already only the items that differ.
-pub(crate) fn read_beside(known: Option<&Config>, text: &[u8]) -> Result<Config, ConfigError> {
-    match known {
-        Some(known) => known.parse_sharing(text),
-        None => Config::parse(text),
+        contact.is_confirmed() || self.injected_fault == Some(InjectedFault::ServeWithoutQuorum)
     }
 }
--- a/crates/control-plane/src/control_node_pool.rs
+++ b/crates/control-plane/src/control_node_pool.rs
@@ -1,156 +1,130 @@
-//! What a proxy takes from the control machines, and whom it asks.
+//! Which control node a proxy asks, and whose configuration it fetches.
 //!
-//! Invariant *taken in touch*: a proxy fetches the configuration only from a machine that says that it is in touch, and
-//! what is in force at a proxy never goes back.
+//! Invariant *fetched with quorum contact*: a proxy fetches the configuration only from a control node that reports
+//! quorum contact, and the revision in force at a proxy never goes back.
 
 use core::net::SocketAddrV4;
-use std::sync::Arc;
 
-use mosshead_config::Config;
 use mosshead_time::{Duration, Instant};
 
-use crate::config_history::{ConfigOffer, read_beside};
 use crate::{InjectedFault, QuorumContact};
 
-/// Control machines that a proxy knows at most.
-const MOST_CORES: usize = 64;
-/// A machine that has failed is asked again after so long.
+/// The most control nodes that a proxy knows.
+const MAX_CONTROL_NODES: usize = 64;
+/// How long a released control node is not asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// A machine that is out of touch is left after so long.
+/// A control node without quorum contact for this long is released.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A control machine as a proxy knows it.
+/// A control node as a proxy knows it.
 #[derive(Clone, Debug)]
-struct KnownCore {
+struct PooledNode {
     address: SocketAddrV4,
-    /// When it was last left, if it ever was.
-    failed: Option<Instant>,
-    /// Whether it is being asked.
-    busy: bool,
+    /// When it was last released, after a failure or without quorum contact; `None` if it never was.
+    released_at: Option<Instant>,
+    /// It is acquired, and not released yet.
+    is_acquired: bool,
 }
 
-/// What comes of an offer of the configuration.
-#[derive(Clone, Debug, PartialEq)]
-pub enum AssembledConfig {
-    /// The configuration that the offer leads to.
-    Config(Arc<Config>),
-    /// The machine offered none.
-    Withheld,
-    /// The offer does not fit what is in force: the whole is needed.
-    Mismatch,
-}
-
-/// The control machines that a proxy knows, and which of them it asks.
+/// The control nodes that a proxy knows, and which of them it is watching.
 #[derive(Clone, Debug, Default)]
 pub struct ControlNodePool {
-    cores: Vec<KnownCore>,
-    injected: Option<InjectedFault>,
+    nodes: Vec<PooledNode>,
+    injected_fault: Option<InjectedFault>,
 }
 
 impl ControlNodePool {
     /// Knows the seeds only.
     pub fn new(seeds: &[SocketAddrV4]) -> ControlNodePool {
-        let mut subscription = ControlNodePool::default();
-        subscription.add(seeds);
-        subscription
+        let mut pool = ControlNodePool::default();
+        pool.add(seeds);
+        pool
     }
 
-    /// The same with a fault built in, for tests.
+    /// The same pool with a fault that a test injects.
     #[doc(hidden)]
-    pub fn with_injected_fault(self, injected: Option<InjectedFault>) -> ControlNodePool {
-        ControlNodePool { injected, ..self }
+    pub fn with_injected_fault(self, injected_fault: Option<InjectedFault>) -> ControlNodePool {
+        ControlNodePool { injected_fault, ..self }
     }
 
-    /// These are control machines, too.
-    pub fn add(&mut self, cores: &[SocketAddrV4]) {
-        for &address in cores {
-            let is_known = self.cores.iter().any(|core| core.address == address);
-            if !is_known && self.cores.len() < MOST_CORES {
-                self.cores.push(KnownCore { address, failed: None, busy: false });
+    /// Adds control nodes that are not known yet.
+    pub fn add(&mut self, addresses: &[SocketAddrV4]) {
+        for &address in addresses {
+            let is_known = self.nodes.iter().any(|node| node.address == address);
+            if !is_known && self.nodes.len() < MAX_CONTROL_NODES {
+                self.nodes.push(PooledNode { address, released_at: None, is_acquired: false });
             }
         }
     }
 
-    /// Takes in the control machines that an answer names. Those of a machine in touch are all that there are: others
-    /// that fail are forgotten.
-    pub fn update_members(&mut self, cores: &[SocketAddrV4], contact: QuorumContact) {
-        self.add(cores);
-        if contact.is_confirmed() && !cores.is_empty() {
-            self.cores.retain(|core| core.busy || core.failed.is_none() || cores.contains(&core.address));
+    /// Takes in the control nodes that a response lists. A node with quorum contact lists all that there are: others
+    /// that have been released are dropped.
+    pub fn update_members(&mut self, addresses: &[SocketAddrV4], contact: QuorumContact) {
+        self.add(addresses);
+        if contact.is_confirmed() && !addresses.is_empty() {
+            self.nodes.retain(|node| {
+                node.is_acquired || node.released_at.is_none() || addresses.contains(&node.address)
+            });
         }
     }
 
-    /// The control machines that are known.
+    /// The control nodes that are known.
     pub fn addresses(&self) -> Vec<SocketAddrV4> {
-        self.cores.iter().map(|core| core.address).collect()
+        self.nodes.iter().map(|node| node.address).collect()
     }
 
-    /// The machine to ask next: one that is not being asked, the one that failed longest ago first.
+    /// Acquires a control node to watch: one that is not acquired, and was released longest ago or never. `None` if
+    /// there is none, or it was released within the retry delay: nodes that fail at once are not asked in a busy loop.
     pub fn acquire(&mut self, now: Instant) -> Option<SocketAddrV4> {
-        let free = self.cores.iter_mut().filter(|core| !core.busy);
-        let core = free.min_by_key(|core| core.failed)?;
-        // Danger: a machine that refuses at once must not be asked in a circle.
-        if core.failed.is_some_and(|failed| now.duration_since(failed) < RETRY_DELAY) {
+        let free = self.nodes.iter_mut().filter(|node| !node.is_acquired);
+        let node = free.min_by_key(|node| node.released_at)?;
+        if node.released_at.is_some_and(|released_at| now.duration_since(released_at) < RETRY_DELAY) {
             return None;
         }
-        core.busy = true;
-        Some(core.address)
+        node.is_acquired = true;
+        Some(node.address)
     }
 
-    /// A machine is not asked any more.
+    /// Gives a control node back that failed or has no quorum contact.
     pub fn release(&mut self, now: Instant, address: SocketAddrV4) {
-        for core in self.cores.iter_mut().filter(|core| core.address == address) {
-            core.busy = false;
-            core.failed = Some(now);
+        for node in self.nodes.iter_mut().filter(|node| node.address == address) {
+            node.is_acquired = false;
+            node.released_at = Some(now);
         }
     }
 
-    /// Whether the configuration is fetched from a machine that answered so, where `in_force` is the revision here.
-    pub fn should_fetch_config(&self, in_force: u64, advertised: u64, contact: QuorumContact) -> bool {
-        let may_fetch = contact.is_confirmed() || self.injected == Some(InjectedFault::FetchWithoutQuorum);
-        may_fetch && advertised > in_force
+    /// Whether the configuration is fetched from a control node that advertises a revision.
+    pub fn should_fetch_config(
+        &self,
+        revision_in_force: u64,
+        advertised_revision: u64,
+        contact: QuorumContact,
+    ) -> bool {
+        let may_fetch =
+            contact.is_confirmed() || self.injected_fault == Some(InjectedFault::FetchWithoutQuorum);
+        may_fetch && advertised_revision > revision_in_force
     }
 }
 
-/// How long a proxy stays with one machine.
+/// How long a proxy goes on watching one control node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchSession {
-    out_of_touch_since: Option<Instant>,
+    /// Since when the control node has reported no quorum contact.
+    unconfirmed_since: Option<Instant>,
 }
 
 impl WatchSession {
-    /// Whether the proxy goes on asking the machine after this answer.
+    /// Whether the proxy goes on watching the control node after this response.
     pub fn should_continue(&mut self, now: Instant, contact: QuorumContact) -> bool {
         match contact {
             QuorumContact::Confirmed => {
-                self.out_of_touch_since = None;
+                self.unconfirmed_since = None;
                 true
             }
             QuorumContact::Unconfirmed => {
-                let since = *self.out_of_touch_since.get_or_insert(now);
+                let since = *self.unconfirmed_since.get_or_insert(now);
                 now.duration_since(since) < CONTACT_TIMEOUT
             }
         }
     }
 }
-
-/// The configuration that an offer leads to, from the one in force.
-pub fn assemble_config(have: Option<&Config>, offer: &ConfigOffer) -> AssembledConfig {
-    let config = match offer {
-        ConfigOffer::Withheld => return AssembledConfig::Withheld,
-        ConfigOffer::Full { text, .. } => read_beside(have, text.as_bytes()).ok(),
-        ConfigOffer::Patches { revision, patches } => {
-            apply(have, patches).filter(|config| config.revision == *revision)
-        }
-    };
-    config.map_or(AssembledConfig::Mismatch, |config| AssembledConfig::Config(Arc::new(config)))
-}
-
-fn apply(have: Option<&Config>, patches: &[String]) -> Option<Config> {
-    let mut config: Option<Config> = None;
-    for patch in patches {
-        let next = config.as_ref().or(have)?.apply_patch(patch).ok()?;
-        config = Some(next);
-    }
-    config
-}
--- a/crates/control-plane/src/injected_fault.rs
+++ b/crates/control-plane/src/injected_fault.rs
@@ -1,31 +1,34 @@
-/// A fault that a decision may have in tests, to see that their checkers find it.
+//! Faults that tests inject into the decisions.
+
+/// A fault that a test injects into a decision, to show that its checks find it.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A change is refused by the local state, which no majority has confirmed.
+    /// A change is rejected by the local state, which no quorum has confirmed.
     RejectFromLocalState,
-    /// The configuration is handed out by a machine that is out of touch.
+    /// A control node without quorum contact hands out its configuration.
     ServeWithoutQuorum,
-    /// A proxy fetches the configuration from a machine that says that it is out of touch.
+    /// A proxy fetches the configuration from a control node that reports no quorum contact.
     FetchWithoutQuorum,
-    /// A leaving server is acknowledged by a machine that is out of touch.
+    /// A control node without quorum contact acknowledges a server's shutdown.
     AcknowledgeWithoutQuorum,
-    /// A leaving server is acknowledged when one other machine has its word, however many may be lost.
+    /// A server's shutdown is acknowledged with one replica, however many members may fail.
     AcknowledgeAfterOneReplica,
-    /// The contact and copies of a leaving server's word are not looked at again once one other machine has it.
+    /// Quorum contact and replicas of a shutdown are not checked again once one other control node has the entry.
     AcknowledgeRepeatsUnchecked,
     /// All three faults of acknowledgements at once.
     AcknowledgeUnchecked,
 }
 
 impl InjectedFault {
-    /// Whether this fault is, or holds, another one.
+    /// Whether this fault is, or includes, another one.
     pub(crate) fn includes(self, other: InjectedFault) -> bool {
-        let all = [
+        let acknowledgement_faults = [
             InjectedFault::AcknowledgeWithoutQuorum,
             InjectedFault::AcknowledgeAfterOneReplica,
             InjectedFault::AcknowledgeRepeatsUnchecked,
         ];
-        self == other || self == InjectedFault::AcknowledgeUnchecked && all.contains(&other)
+        self == other
+            || self == InjectedFault::AcknowledgeUnchecked && acknowledgement_faults.contains(&other)
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -7,20 +7,23 @@
 mod acknowledgement;
 mod admission;
 mod config_history;
+mod config_offer;
 mod control_node_pool;
 mod injected_fault;
 mod quorum_contact;
+mod response;
 
 pub use acknowledgement::{
     AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownAcknowledgements,
     ShutdownStep, latest_local_entries,
 };
 pub use admission::{
-    AdmissionStep, ChangeAdmission, ChangeKind, ChangeProposal, ChangeRequest, ChangeResponse, KnownPrimary,
-    ReadResponse, read_response,
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeProposal, ChangeRequest, KnownPrimary,
 };
-pub use config_history::{ConfigHistory, ConfigOffer};
-pub use control_node_pool::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
+pub use config_history::ConfigHistory;
+pub use config_offer::{AssembledConfig, ConfigOffer, assemble_config};
+pub use control_node_pool::{ControlNodePool, WatchSession};
 #[doc(hidden)]
 pub use injected_fault::InjectedFault;
 pub use quorum_contact::QuorumContact;
+pub use response::{ChangeError, ChangeResponse, ReadResponse, read_response};
--- a/crates/control-plane/src/quorum_contact.rs
+++ b/crates/control-plane/src/quorum_contact.rs
@@ -1,19 +1,21 @@
-/// Whether a control machine has lately been in contact with a majority of the members.
+//! Whether a control node is in contact with a quorum.
+
+/// Whether a quorum of the members has lately confirmed the epoch that a control node follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumContact {
-    /// A majority has confirmed the epoch that this machine follows.
+    /// A quorum has confirmed the epoch: the node knows the newest state, but for what is being committed.
     Confirmed,
-    /// What this machine knows may be old.
+    /// What the node knows may be outdated.
     Unconfirmed,
 }
 
 impl QuorumContact {
-    /// From the word of the consensus state.
-    pub fn from_flag(in_touch: bool) -> QuorumContact {
-        if in_touch { QuorumContact::Confirmed } else { QuorumContact::Unconfirmed }
+    /// From the flag that consensus reports and responses carry.
+    pub fn from_flag(has_quorum_contact: bool) -> QuorumContact {
+        if has_quorum_contact { QuorumContact::Confirmed } else { QuorumContact::Unconfirmed }
     }
 
-    /// Whether the machine is in touch.
+    /// Whether a quorum has confirmed the epoch.
     pub fn is_confirmed(self) -> bool {
         self == QuorumContact::Confirmed
     }
--- a/crates/control-plane/tests/admission.rs
+++ b/crates/control-plane/tests/admission.rs
@@ -62,7 +62,7 @@
 }
 
 fn stale(current: u64) -> AdmissionStep {
-    AdmissionStep::Respond(ChangeResponse::Stale { current })
+    AdmissionStep::Respond(ChangeResponse::Stale { current_revision: current })
 }
 
 fn is_invalid(step: &AdmissionStep) -> bool {
@@ -223,7 +223,7 @@
         }
         match step {
             AdmissionStep::Respond(ChangeResponse::Accepted { .. }) => taken,
-            AdmissionStep::Respond(ChangeResponse::Stale { current }) => !taken && current == confirmed.revision && base != current,
+            AdmissionStep::Respond(ChangeResponse::Stale { current_revision: current }) => !taken && current == confirmed.revision && base != current,
             AdmissionStep::Submit(_) => true,
             _ => false,
         }
--- a/crates/control-plane/tests/fleet/operator.rs
+++ b/crates/control-plane/tests/fleet/operator.rs
@@ -117,7 +117,7 @@
                     self.change_accepted(index, change);
                 }
             }
-            ChangeResponse::Stale { current } => {
+            ChangeResponse::Stale { current_revision: current } => {
                 self.ledger.stale(change, current, acknowledged);
                 self.forget_change(index, is_current);
             }
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -68,13 +68,13 @@
 fn change_response(control_node: &ControlNode, answer: ChangeResponse, path: &str) -> ApiResponse {
     match answer {
         ChangeResponse::Accepted { revision } => json(StatusCode::OK, format!("{{\"revision\":{revision}}}")),
-        ChangeResponse::Stale { current } => {
+        ChangeResponse::Stale { current_revision: current } => {
             let code = ResultCode::StaleRevision.as_str();
             let body = format!("{{\"code\":\"{code}\",\"revision\":{current}}}");
             json(StatusCode::PRECONDITION_FAILED, body)
         }
-        ChangeResponse::Invalid { reason } => {
-            json(StatusCode::BAD_REQUEST, format!("{{\"fault\":{}}}", json_string(&reason)))
+        ChangeResponse::Invalid(error) => {
+            json(StatusCode::BAD_REQUEST, format!("{{\"fault\":{}}}", json_string(&error.to_string())))
         }
         ChangeResponse::TooLarge => {
             code_only(StatusCode::PAYLOAD_TOO_LARGE, ResultCode::ConfigurationTooLarge)
