--- a/crates/control-plane/tests/fleet/control.rs
+++ b/crates/control-plane/tests/fleet/control_node.rs
@@ -18,11 +18,11 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::duty::Duty;
 use crate::messages::{
     Answer, Call, Fetched, Heard as HeardAnswer, Inbound, Packet, Party, Pending, Pulled, Purpose,
 };
-use crate::world::{Event, TICK_MS, World, address};
+use crate::simulation::{Event, TICK_MS, World, address};
+use crate::stage_role::Duty;
 
 pub const KEEPALIVE_MS: u64 = 500;
 /// Entries given at once.
--- a/crates/control-plane/tests/fleet/mutants.rs
+++ b/crates/control-plane/tests/fleet/injected_faults.rs
@@ -4,15 +4,15 @@
 use mosshead_consensus::InjectedFault as ConsensusFault;
 use mosshead_control_plane::InjectedFault;
 
-use crate::day;
-use crate::world::Mutant;
+use crate::random_run;
+use crate::simulation::Mutant;
 
 const MOST_DAYS: u64 = 400;
 
 /// Days from some seed on find the fault, and name the rule that it breaks.
 fn finds(first: u64, mutant: Mutant, rules: &[&str]) {
     for seed in first..first + MOST_DAYS {
-        if let Err(what) = day::play(seed, mutant) {
+        if let Err(what) = random_run::play(seed, mutant) {
             assert!(rules.iter().any(|rule| what.contains(rule)), "{mutant:?}: {what:.300}");
             return println!("{mutant:?}: {what:.200}");
         }
--- a/crates/control-plane/tests/fleet/network.rs
+++ b/crates/control-plane/tests/fleet/network.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::messages::{Answer, Call, Inbound, Packet, Party, Pending, Purpose};
-use crate::world::{Event, World};
+use crate::simulation::{Event, World};
 
 #[derive(Default)]
 pub struct Network {
--- a/crates/control-plane/tests/fleet/operator.rs
+++ b/crates/control-plane/tests/fleet/operator.rs
@@ -4,9 +4,9 @@
 
 use mosshead_control_plane::{ChangeKind, ChangeResponse, ReadResponse};
 
-use crate::ledger::marks;
+use crate::checker::marks;
 use crate::messages::{Answer, Call, Party, Pending, Purpose};
-use crate::world::{Event, World};
+use crate::simulation::{Event, World};
 
 const TURN_MS: u64 = 40;
 /// Callers move on after a second of silence.
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -9,9 +9,9 @@
 use mosshead_registry::{Registry, SourceId, VersionVector};
 use rand_core::RngCore;
 
-use crate::control::KEEPALIVE_MS;
+use crate::control_node::KEEPALIVE_MS;
 use crate::messages::{Answer, Call, Fetched, Party, Pending, Pulled, Purpose};
-use crate::world::{Event, World, address};
+use crate::simulation::{Event, World, address};
 
 pub const SLOTS: usize = 3;
 const POLL_MS: u64 = 100;
--- a/crates/control-plane/tests/fleet/day.rs
+++ b/crates/control-plane/tests/fleet/random_run.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Party;
 use crate::operator::Operator;
-use crate::world::{Event, Mutant, World, address};
+use crate::simulation::{Event, Mutant, World, address};
 
 /// A machine that is back is in sync after so long.
 const SYNC_MS: u64 = 5_000;
--- a/crates/control-plane/tests/fleet/days.rs
+++ b/crates/control-plane/tests/fleet/random_runs.rs
@@ -1,7 +1,7 @@
 //! Days of many seeds: no rule is broken. `FLEET_DAYS` plays so many more, `FLEET_SEED` one alone.
 
-use crate::day;
-use crate::world::Mutant;
+use crate::random_run;
+use crate::simulation::Mutant;
 
 const SHARE: u64 = 500;
 
@@ -10,7 +10,7 @@
     let (mut refusals, mut repeats, mut configurations) = (0, 0, 0);
     let mut broken = Vec::new();
     for seed in seeds.clone() {
-        match day::play(seed, Mutant::default()) {
+        match random_run::play(seed, Mutant::default()) {
             Ok(world) => {
                 let ledger = &world.ledger;
                 accepted += ledger.accepted_count() as u64;
@@ -39,7 +39,7 @@
 
 #[test]
 fn day_of_a_seed() {
-    if let Err(what) = day::play(number("FLEET_SEED").unwrap_or(1), Mutant::default()) {
+    if let Err(what) = random_run::play(number("FLEET_SEED").unwrap_or(1), Mutant::default()) {
         panic!("{what}");
     }
 }
--- a/crates/control-plane/tests/fleet/scenarios.rs
+++ b/crates/control-plane/tests/fleet/scenarios.rs
@@ -3,9 +3,9 @@
 
 use mosshead_control_plane::InjectedFault;
 
-use crate::day::Act;
 use crate::messages::Party;
-use crate::world::{Mutant, World, address};
+use crate::random_run::Act;
+use crate::simulation::{Mutant, World, address};
 
 const SEEDS: u64 = 40;
 
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -6,10 +6,10 @@
 use mosshead_registry::{OperState, Server, Stage};
 use mosshead_stage_scheduler::AssignmentOutcome;
 
-use crate::control::KEEPALIVE_MS;
-use crate::ledger::{Drain, ISOLATED_MS};
+use crate::checker::{Drain, ISOLATED_MS};
+use crate::control_node::KEEPALIVE_MS;
 use crate::messages::{Answer, Call, Inbound, Packet, Party, Purpose};
-use crate::world::{Event, World};
+use crate::simulation::{Event, World};
 
 const TURN_MS: u64 = 100;
 /// A leaving server that was acknowledged is known at every proxy in touch after so long.
--- a/crates/control-plane/tests/fleet/world.rs
+++ b/crates/control-plane/tests/fleet/simulation.rs
@@ -9,13 +9,13 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::control::ControlMachine;
-use crate::day::Act;
-use crate::ledger::Ledger;
+use crate::checker::Ledger;
+use crate::control_node::ControlMachine;
 use crate::messages::{Packet, Party};
 use crate::network::Network;
 use crate::operator::Operator;
 use crate::proxy::Proxy;
+use crate::random_run::Act;
 use crate::server::ServerModel;
 
 pub const TICK_MS: u64 = 50;
--- a/crates/control-plane/tests/fleet/duty.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -5,7 +5,7 @@
 use mosshead_time::Instant;
 
 use crate::messages::{Answer, Call, Party, Purpose};
-use crate::world::World;
+use crate::simulation::World;
 
 const LEASE_MS: u64 = 3_000;
 const MARGIN_MS: u64 = 500;
