--- a/crates/http-links/src/lib.rs
+++ b/crates/http-links/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use body::{BodyError, MAX_BUFFERED_BODY_BYTES, read_body};
 pub use connection_log::{CloseReason, ConnectionLogGuard, ConnectionRecord, PeerKind};
-pub use outbound_connection::{ConnectError, ConnectOptions, OutboundConnection};
+pub use outbound_connection::{ConnectError, ConnectOptions, OutboundConnection, set_tcp_options};
 pub use retry::{RetryPolicy, SendError, SendErrorKind, SendProgress};
 pub use write_progress::WriteProgress;
 
--- a/crates/http-links/src/outbound_connection.rs
+++ b/crates/http-links/src/outbound_connection.rs
@@ -108,13 +108,19 @@
 }
 
 impl ConnectOptions {
-    /// Sets on a connection that has come up what the kernel has to know; what it does not know is left out.
+    /// Sets the TCP options of an open connection; what the system does not support is left out.
     pub fn apply_to(&self, stream: &TcpStream) {
-        // Small messages: without this the second part of one waits for the first one's acknowledgement.
-        let _ = stream.set_nodelay(true);
-        if self.user_timeout.is_some() {
-            let _ = SockRef::from(stream).set_tcp_user_timeout(self.user_timeout);
-        }
+        set_tcp_options(stream, self.user_timeout);
+    }
+}
+
+/// Sets the options of a TCP connection, accepted or outbound: `TCP_NODELAY`, and `TCP_USER_TIMEOUT` if there is one.
+/// What the system does not support is left out, since it only makes the connection slower.
+pub fn set_tcp_options(stream: &TcpStream, user_timeout: Option<Duration>) {
+    // Without it the second part of a small message waits for the acknowledgement of the first.
+    let _ = stream.set_nodelay(true);
+    if user_timeout.is_some() {
+        let _ = SockRef::from(stream).set_tcp_user_timeout(user_timeout);
     }
 }
 
--- a/crates/programs/src/control_node/consensus_sender.rs
+++ b/crates/programs/src/control_node/consensus_sender.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use mosshead_consensus::{Member, Message};
-use mosshead_rpc::Caller;
+use mosshead_rpc::{Caller, Transport};
 
 use crate::calls::ConsensusMessage;
 use crate::send_queues::{SendQueue, SendQueues};
--- a/crates/programs/src/control_node/replication.rs
+++ b/crates/programs/src/control_node/replication.rs
@@ -7,6 +7,7 @@
     AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownStep,
 };
 use mosshead_registry::{Delta, HeartbeatOutcome, Server, SourceId, VersionVector};
+use mosshead_rpc::Transport;
 use mosshead_time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -11,7 +11,7 @@
     AssembledConfig, ControlNodePool, QuorumContact, WatchSession, assemble_config,
 };
 use mosshead_registry::{Delta, Registry, VersionVector};
-use mosshead_rpc::Caller;
+use mosshead_rpc::{Caller, Transport};
 use mosshead_time::Duration;
 use tokio::time::{Instant, sleep};
 
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -1,5 +1,6 @@
+//! Calls over the network.
+
 use std::cell::Cell;
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -7,84 +8,49 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
-use mosshead_http_links::{RetryPolicy, SendError, SendErrorKind, SendProgress};
+use hyper::{HeaderMap, Method, Request, Response, StatusCode};
+use mosshead_http_links::{BodyError, RetryPolicy, SendError, SendErrorKind, SendProgress, read_body};
 use tokio::time::Instant;
 
-use crate::call::{MAX_BODY_BYTES, decode, encode};
-use crate::connection_pool::{Connection, Pool, connect};
-use crate::error::{CALL_ID_HEADER, RESULT_CODE_HEADER};
-use crate::server::collect;
-use crate::{Call, CallError, CallRejection, Transport};
+use crate::call::MAX_BODY_BYTES;
+use crate::connection_pool::{Connection, ConnectionPool, connect};
+use crate::error::{CALL_ID_HEADER, CallError, CallRejection, RESULT_CODE_HEADER};
+use crate::transport::{OutgoingCall, Transport};
 
-/// In place of a time limit that no clock holds.
-const FOREVER: Duration = Duration::from_secs(86_400);
-/// After an answer a connection has to show within this that it can carry the next call.
-const SETTLES: Duration = Duration::from_millis(2);
+/// After a response a connection has to become ready for the next call within this time, or it is closed.
+const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// Calls over the network. Clones share their idle connections. Needs a `LocalSet`.
 #[derive(Clone, Default)]
 pub struct Caller {
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     last_call_id: Rc<Cell<u64>>,
 }
 
 impl Caller {
-    /// With no connections yet.
+    /// A caller without connections.
     pub fn new() -> Caller {
         Caller::default()
     }
 
-    /// As [`Transport::call`].
-    pub async fn call<C: Call>(
+    /// Sends the call once and reads the head of its response.
+    async fn send(
         &self,
-        to: SocketAddrV4,
-        call: &C,
-        timeout: Duration,
-    ) -> Result<C::Response, CallError> {
-        let body = Bytes::from(encode(call)?);
-        let now = Instant::now();
-        let deadline = now.checked_add(timeout).unwrap_or(now + FOREVER);
-        let message = Message { to, name: C::NAME, body, deadline };
-        let exchange = self.exchange(&message, C::RETRY_POLICY);
-        // Danger: the exchange holds its connection, so giving up on it closes the connection: an answer that
-        // comes late must not be taken for that to the next call.
-        let answer = tokio::time::timeout_at(deadline, exchange).await.map_err(|_| CallError::Timeout)??;
-        decode(&answer).ok_or(CallError::Malformed)
-    }
-
-    async fn exchange(&self, message: &Message, retry: RetryPolicy) -> Result<Bytes, CallError> {
-        if let Some(connection) = self.pool.take(message.to) {
-            match self.send(connection, message).await {
-                Ok(answer) => return self.finish(message, answer).await,
-                Err(unanswered) if !unanswered.may_go_again(retry) => return Err(unanswered.fault),
-                // It was dead, or died, or brought another's answer; so once more on a new one. The others are as old.
-                Err(_) => self.pool.forget(message.to),
-            }
-        }
-        let connection = connect(message.to, message.deadline).await?;
-        let answer = self.send(connection, message).await.map_err(|unanswered| unanswered.fault)?;
-        self.finish(message, answer).await
-    }
-
-    /// Sends the call once, and reads the head of its answer.
-    async fn send(&self, mut connection: Connection, message: &Message) -> Result<Answer, Unanswered> {
-        let nothing_sent = |fault| Unanswered { fault, progress: SendProgress::NotStarted };
+        mut connection: Connection,
+        call: &OutgoingCall,
+    ) -> Result<ResponseHead, FailedAttempt> {
         if !connection.ready().await {
-            return Err(nothing_sent(CallError::ConnectionLost));
+            return Err(FailedAttempt::not_started(CallError::ConnectionLost));
         }
         let call_id = self.next_call_id();
-        let request = message.request(&call_id).map_err(nothing_sent)?;
-        let response =
-            connection.send_with_deadline(request, message.deadline).await.map_err(Unanswered::from)?;
-        // Danger: an answer in excess to an earlier call may stand where this one's is due.
+        let request = http_request(call, &call_id).map_err(FailedAttempt::not_started)?;
+        let response = connection.send_with_deadline(request, call.deadline).await?;
+        // A surplus response to an earlier call may arrive where this call's response is due.
         if response.headers().get(CALL_ID_HEADER) != Some(&call_id) {
-            return Err(Unanswered {
-                fault: CallError::ResponseMismatch,
-                progress: connection.write_progress.progress(),
-            });
+            let progress = connection.write_progress.progress();
+            return Err(FailedAttempt { error: CallError::ResponseMismatch, progress });
         }
-        Ok(Answer { connection, response })
+        Ok(ResponseHead { connection, response })
     }
 
     fn next_call_id(&self) -> HeaderValue {
@@ -92,86 +58,90 @@
         HeaderValue::from(self.last_call_id.get())
     }
 
-    async fn finish(&self, message: &Message, answer: Answer) -> Result<Bytes, CallError> {
-        let Answer { mut connection, response } = answer;
+    /// Reads the rest of a response, and returns its connection to the pool.
+    async fn receive(&self, call: &OutgoingCall, head: ResponseHead) -> Result<Bytes, CallError> {
+        let ResponseHead { mut connection, response } = head;
         let (head, body) = response.into_parts();
-        let body = collect(body, MAX_BODY_BYTES)
-            .await
-            .map_err(|too_long| if too_long { CallError::TooLong } else { CallError::ConnectionLost })?;
-        // Danger: after a freeze the answer may have lain there for long; what it says is not fresh.
-        if Instant::now() >= message.deadline {
+        let body = read_body(body, MAX_BODY_BYTES).await.map_err(|error| match error {
+            BodyError::TooLong => CallError::TooLong,
+            _ => CallError::ConnectionLost,
+        })?;
+        // If the process was suspended, the response may have waited in the kernel for long: it may be out of date.
+        if Instant::now() >= call.deadline {
             return Err(CallError::Timeout);
         }
-        if connection.is_reusable(SETTLES).await {
-            self.pool.put(message.to, connection);
+        if connection.is_reusable(REUSE_CHECK_TIMEOUT).await {
+            self.pool.put(call.to, connection);
         }
-        if head.status == StatusCode::OK {
-            return Ok(body);
+        if head.status == StatusCode::OK { Ok(body) } else { Err(rejection(&head.headers)) }
+    }
+}
+
+impl Transport for Caller {
+    async fn exchange(&self, call: &OutgoingCall) -> Result<Bytes, CallError> {
+        if let Some(connection) = self.pool.take(call.to) {
+            match self.send(connection, call).await {
+                Ok(head) => return self.receive(call, head).await,
+                Err(attempt) if !attempt.may_be_retried(call.retry_policy) => return Err(attempt.error),
+                // The connection had ended, ended meanwhile or carried another call's response. The other idle ones to
+                // this address are as old, so the retry is made on a new one.
+                Err(_) => self.pool.close_all_to(call.to),
+            }
         }
-        let code = head.headers.get(RESULT_CODE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
-        Err(code.map_or(CallError::Malformed, |code| CallError::Rejected(CallRejection::from_code(code))))
+        let connection = connect(call.to, call.deadline).await?;
+        let head = self.send(connection, call).await.map_err(|attempt| attempt.error)?;
+        self.receive(call, head).await
     }
 }
 
-/// A call on its way.
-struct Message {
-    to: SocketAddrV4,
-    name: &'static str,
-    body: Bytes,
-    deadline: Instant,
+fn http_request(call: &OutgoingCall, call_id: &HeaderValue) -> Result<Request<Full<Bytes>>, CallError> {
+    Request::builder()
+        .method(Method::POST)
+        .uri(format!("/{}", call.name))
+        .header(HOST, call.to.to_string())
+        .header(CALL_ID_HEADER, call_id)
+        .body(Full::new(call.body.clone()))
+        .map_err(|_| CallError::Malformed)
 }
 
-impl Message {
-    fn request(&self, call_id: &HeaderValue) -> Result<Request<Full<Bytes>>, CallError> {
-        Request::builder()
-            .method(Method::POST)
-            .uri(format!("/{}", self.name))
-            .header(HOST, self.to.to_string())
-            .header(CALL_ID_HEADER, call_id)
-            .body(Full::new(self.body.clone()))
-            .map_err(|_| CallError::Malformed)
-    }
+/// The error of a response that is not 200.
+fn rejection(headers: &HeaderMap) -> CallError {
+    let code = headers.get(RESULT_CODE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
+    code.map_or(CallError::Malformed, |code| CallError::Rejected(CallRejection::from_code(code)))
 }
 
-/// The head of the answer to a call, and the connection that the rest comes on.
-struct Answer {
+/// The head of a response, and the connection that its body arrives on.
+struct ResponseHead {
     connection: Connection,
     response: Response<Incoming>,
 }
 
-/// A send without an answer of its own.
-struct Unanswered {
-    fault: CallError,
+/// A call that was sent and got no response of its own.
+struct FailedAttempt {
+    error: CallError,
     progress: SendProgress,
 }
 
-impl Unanswered {
-    /// Whether another connection is worth a try, and does no harm.
-    fn may_go_again(&self, retry: RetryPolicy) -> bool {
-        matches!(self.fault, CallError::ConnectionLost | CallError::ResponseMismatch)
-            && retry.allows(self.progress)
+impl FailedAttempt {
+    fn not_started(error: CallError) -> FailedAttempt {
+        FailedAttempt { error, progress: SendProgress::NotStarted }
+    }
+
+    /// Whether a retry on a new connection may succeed and does no harm.
+    fn may_be_retried(&self, policy: RetryPolicy) -> bool {
+        matches!(self.error, CallError::ConnectionLost | CallError::ResponseMismatch)
+            && policy.allows(self.progress)
     }
 }
 
-impl From<SendError> for Unanswered {
-    fn from(fault: SendError) -> Unanswered {
-        let progress = fault.progress;
-        let fault = match fault.cause {
+impl From<SendError> for FailedAttempt {
+    fn from(error: SendError) -> FailedAttempt {
+        let progress = error.progress;
+        let error = match error.cause {
             SendErrorKind::DeadlinePassed => CallError::Timeout,
             SendErrorKind::InvalidHttp => CallError::Malformed,
             SendErrorKind::ConnectionLost => CallError::ConnectionLost,
         };
-        Unanswered { fault, progress }
-    }
-}
-
-impl Transport for Caller {
-    async fn call<C: Call>(
-        &self,
-        to: SocketAddrV4,
-        call: &C,
-        timeout: Duration,
-    ) -> Result<C::Response, CallError> {
-        Caller::call(self, to, call, timeout).await
+        FailedAttempt { error, progress }
     }
 }
--- a/crates/rpc/src/connection_pool.rs
+++ b/crates/rpc/src/connection_pool.rs
@@ -1,3 +1,5 @@
+//! Idle connections to other processes.
+
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,110 +11,123 @@
 use mosshead_http_links::{ConnectError, ConnectOptions, OutboundConnection, PeerKind};
 use tokio::time::Instant;
 
-use crate::CallError;
-use crate::server::USER_TIMEOUT;
+use crate::error::CallError;
+use crate::tcp::USER_TIMEOUT;
 
-/// How long a connection is kept for the next call.
-const IDLE: Duration = Duration::from_secs(10);
-/// Idle connections to one address.
-const MAX_IDLE: usize = 4;
-/// Idle connections to all addresses.
-const MAX_ALL_IDLE: usize = 256;
+/// How long an idle connection is kept for the next call.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum number of idle connections to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 4;
+/// The maximum number of idle connections to all addresses.
+const MAX_IDLE: usize = 256;
 /// How long one attempt to connect may take; there are two.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Ends of these connections are not logged one by one.
+/// The ends of these connections are not logged.
 const PEER: PeerKind = PeerKind { name: "peer", on_close: |_| {} };
 
 /// An open connection. Dropping it closes it.
 pub(crate) type Connection = OutboundConnection<Full<Bytes>>;
 
-/// Connects; a lost opening packet would come again only after seconds, so there is a second attempt.
+/// Connects. The system would send a lost SYN again only after a second, so a second attempt is made before.
+///
+/// # Errors
+///
+/// [`CallError::Connect`].
 pub(crate) async fn connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, CallError> {
-    let connected = match attempt(to, deadline).await {
+    let connected = match try_connect(to, deadline).await {
         Err(ConnectError::Unreachable | ConnectError::TimedOut) if Instant::now() < deadline => {
-            attempt(to, deadline).await
+            try_connect(to, deadline).await
         }
         connected => connected,
     };
     connected.map_err(|_| CallError::Connect)
 }
 
-async fn attempt(to: SocketAddrV4, deadline: Instant) -> Result<Connection, ConnectError> {
-    let within = CONNECT.min(deadline.saturating_duration_since(Instant::now()));
-    Connection::connect(
-        PEER,
-        to.into(),
-        ConnectOptions { timeout: within, user_timeout: Some(USER_TIMEOUT) },
-        (),
-    )
-    .await
+async fn try_connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, ConnectError> {
+    let timeout = CONNECT_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
+    let options = ConnectOptions { timeout, user_timeout: Some(USER_TIMEOUT) };
+    Connection::connect(PEER, to.into(), options, ()).await
 }
 
-/// The idle connections.
+/// The idle connections of a caller.
 #[derive(Default)]
-pub(crate) struct Pool {
-    idle: RefCell<HashMap<SocketAddrV4, Vec<(Instant, Connection)>>>,
+pub(crate) struct ConnectionPool {
+    /// By address, the most recently used one last.
+    idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
+    /// The number of connections in `idle`.
     count: Cell<usize>,
-    sweeping: Cell<bool>,
+    /// Whether the task that closes expired connections runs.
+    has_expiry_task: Cell<bool>,
+}
+
+struct IdleConnection {
+    connection: Connection,
+    idle_since: Instant,
+}
+
+impl IdleConnection {
+    fn is_usable(&self) -> bool {
+        !self.connection.is_closed() && self.idle_since.elapsed() < IDLE_TIMEOUT
+    }
 }
 
-impl Pool {
-    /// The one that was used last.
-    pub fn take(&self, to: SocketAddrV4) -> Option<Connection> {
+impl ConnectionPool {
+    /// Takes the most recently used connection to an address.
+    pub(crate) fn take(&self, to: SocketAddrV4) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let of_address = idle.get_mut(&to)?;
-        while let Some((since, connection)) = of_address.pop() {
+        let candidates = idle.get_mut(&to)?;
+        while let Some(candidate) = candidates.pop() {
             self.count.set(self.count.get().saturating_sub(1));
-            if !connection.is_closed() && since.elapsed() < IDLE {
-                return Some(connection);
+            if candidate.is_usable() {
+                return Some(candidate.connection);
             }
         }
         idle.remove(&to);
         None
     }
 
-    /// Keeps a connection on which nothing is under way.
-    pub fn put(self: &Rc<Pool>, to: SocketAddrV4, connection: Connection) {
-        if connection.is_closed() || self.count.get() >= MAX_ALL_IDLE {
+    /// Keeps a connection that carries no call; closes it if there are too many.
+    pub(crate) fn put(self: &Rc<ConnectionPool>, to: SocketAddrV4, connection: Connection) {
+        if connection.is_closed() || self.count.get() >= MAX_IDLE {
             return;
         }
         {
             let mut idle = self.idle.borrow_mut();
-            let of_address = idle.entry(to).or_default();
-            if of_address.len() >= MAX_IDLE {
+            let connections = idle.entry(to).or_default();
+            if connections.len() >= MAX_IDLE_PER_ADDRESS {
                 return;
             }
-            of_address.push((Instant::now(), connection));
+            connections.push(IdleConnection { connection, idle_since: Instant::now() });
             self.count.set(self.count.get().saturating_add(1));
         }
-        if !self.sweeping.replace(true) {
-            tokio::task::spawn_local(sweep(Rc::downgrade(self)));
+        if !self.has_expiry_task.replace(true) {
+            tokio::task::spawn_local(close_expired_connections(Rc::downgrade(self)));
         }
     }
 
-    /// Closes those to an address where one has turned out to be dead.
-    pub fn forget(&self, to: SocketAddrV4) {
-        let gone = self.idle.borrow_mut().remove(&to).map_or(0, |of_address| of_address.len());
-        self.count.set(self.count.get().saturating_sub(gone));
+    /// Closes all idle connections to an address.
+    pub(crate) fn close_all_to(&self, to: SocketAddrV4) {
+        let closed = self.idle.borrow_mut().remove(&to).map_or(0, |connections| connections.len());
+        self.count.set(self.count.get().saturating_sub(closed));
     }
 
-    /// Closes those that are idle for too long, and says when the next one will be.
-    fn purge(&self) -> Option<Instant> {
+    /// Closes the expired connections; returns when the next one expires, or `None` if there is none left.
+    fn close_expired(&self) -> Option<Instant> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, of_address| {
-            of_address.retain(|(since, connection)| !connection.is_closed() && since.elapsed() < IDLE);
-            !of_address.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(IdleConnection::is_usable);
+            !connections.is_empty()
         });
         self.count.set(idle.values().map(Vec::len).sum());
-        let oldest = idle.values().flatten().map(|(since, _)| *since).min();
-        self.sweeping.set(oldest.is_some());
-        oldest.map(|since| since + IDLE)
+        let oldest = idle.values().flatten().map(|connection| connection.idle_since).min();
+        self.has_expiry_task.set(oldest.is_some());
+        oldest.map(|idle_since| idle_since + IDLE_TIMEOUT)
     }
 }
 
-async fn sweep(pool: Weak<Pool>) {
-    while let Some(next) = pool.upgrade().and_then(|pool| pool.purge()) {
-        tokio::time::sleep_until(next).await;
+async fn close_expired_connections(pool: Weak<ConnectionPool>) {
+    while let Some(next_expiry) = pool.upgrade().and_then(|pool| pool.close_expired()) {
+        tokio::time::sleep_until(next_expiry).await;
     }
 }
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -1,21 +1,23 @@
+//! Why a call fails, on either side.
+
 use quick_error::quick_error;
 
-/// The header of a refusal's number.
+/// The header with the number of a rejection.
 pub const RESULT_CODE_HEADER: &str = "result-code";
 
-/// The header that names a call; its answer has the same.
+/// The header with the id of a call; its response repeats it.
 pub const CALL_ID_HEADER: &str = "call-id";
 
 quick_error! {
-    /// Why a call was not answered by the other side. Numbers 810 to 819 are for the handling of calls as such;
-    /// a handler refuses with [`CallRejection::Application`] and a number of its own.
+    /// Why the other side has not answered a call. Numbers 810 to 819 are for the handling of calls as such; a handler
+    /// rejects with [`CallRejection::Application`] and a number of its own.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallRejection {
         /// 810: there is no handler of that name.
         UnknownCall {
             display("no such call")
         }
-        /// 811: the body of the call is not what its name says.
+        /// 811: the body of the call can't be decoded.
         Malformed {
             display("the call can't be read")
         }
@@ -31,7 +33,7 @@
         Overloaded {
             display("too many calls")
         }
-        /// 815: the handler failed, or its answer is too long.
+        /// 815: the handler panicked, or its response is too long.
         HandlerFailed {
             display("the call could not be handled")
         }
@@ -43,7 +45,7 @@
 }
 
 impl CallRejection {
-    /// The number.
+    /// The number of the rejection.
     pub fn code(self) -> u16 {
         match self {
             CallRejection::UnknownCall => 810,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The refusal of that number.
+    /// The rejection with that number.
     pub fn from_code(code: u16) -> CallRejection {
         match code {
             810 => CallRejection::UnknownCall,
@@ -69,6 +71,7 @@
         }
     }
 
+    /// The HTTP status of the response.
     pub(crate) fn status(self) -> u16 {
         match self {
             CallRejection::UnknownCall => 404,
@@ -83,34 +86,34 @@
 }
 
 quick_error! {
-    /// Why a call has no answer.
+    /// Why a call has no response.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallError {
         /// 801: no connection, so the call has not arrived.
         Connect {
             display("can't connect")
         }
-        /// 802: no answer in time.
+        /// 802: no response within the timeout.
         Timeout {
             display("no answer in time")
         }
-        /// 803: refused by the other side.
+        /// 803: rejected by the other side.
         Rejected(rejection: CallRejection) {
             display("refused: {rejection}")
         }
-        /// 804: the answer is not what was called for.
+        /// 804: the response is not a valid one to this call.
         Malformed {
             display("the answer can't be read")
         }
-        /// 805: the call or the answer is too long; a call that is has not been sent.
+        /// 805: the call or the response is too long; a call that is too long has not been sent.
         TooLong {
             display("the call or its answer is too long")
         }
-        /// 806: the connection ended before the answer did.
+        /// 806: the connection ended before the response did.
         ConnectionLost {
             display("the connection was lost")
         }
-        /// 807: the answer is to another call.
+        /// 807: the response is to another call.
         ResponseMismatch {
             display("the answer is to another call")
         }
@@ -118,7 +121,7 @@
 }
 
 impl CallError {
-    /// The number of the fault, for logs and the table in the docs.
+    /// The number of the error, for logs and the table in `docs/codes.md`.
     pub fn code(self) -> u16 {
         match self {
             CallError::Connect => 801,
--- a/crates/rpc/src/handlers.rs
+++ b/crates/rpc/src/handlers.rs
@@ -1,76 +1,51 @@
+//! The handlers of calls.
+
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::time::Duration;
-
-use crate::call::{MAX_BODY_BYTES, decode, encode};
-use crate::{Call, CallRejection, Peer};
 
-type Answering = Pin<Box<dyn Future<Output = Result<Vec<u8>, CallRejection>>>>;
-type Handler = Box<dyn Fn(&[u8], Peer) -> Answering>;
-
-/// What a server bears.
-#[derive(Clone, Copy, Debug)]
-pub struct ServerLimits {
-    /// Connections at once.
-    pub max_connections: usize,
-    /// Calls that are handled at once.
-    pub max_concurrent_calls: usize,
-    /// Bytes of the body of a call.
-    pub max_body_bytes: usize,
-    /// How long the header of a call may take to arrive, and so how long a connection may be idle.
-    pub header_read_timeout: Duration,
-    /// How long the body of a call may take to arrive.
-    pub body_read_timeout: Duration,
-}
+use crate::call::{Call, Peer, decode, encode};
+use crate::error::CallRejection;
+use crate::server_limits::ServerLimits;
 
-impl Default for ServerLimits {
-    fn default() -> ServerLimits {
-        ServerLimits {
-            max_connections: 512,
-            max_concurrent_calls: 1024,
-            max_body_bytes: MAX_BODY_BYTES,
-            header_read_timeout: Duration::from_secs(15),
-            body_read_timeout: Duration::from_secs(5),
-        }
-    }
-}
+type HandlerFuture = Pin<Box<dyn Future<Output = Result<Vec<u8>, CallRejection>>>>;
+type Handler = Box<dyn Fn(&[u8], Peer) -> HandlerFuture>;
 
 /// The handlers of calls by name.
 #[derive(Default)]
 pub struct Handlers {
     handlers: HashMap<&'static str, Handler>,
     limits: ServerLimits,
-    running: Rc<Cell<usize>>,
+    running_calls: Rc<Cell<usize>>,
 }
 
 impl Handlers {
-    /// None yet.
+    /// No handlers yet, with the default limits.
     pub fn new() -> Handlers {
         Handlers::default()
     }
 
-    /// With other limits.
+    /// Replaces the limits.
     pub fn with_limits(mut self, limits: ServerLimits) -> Handlers {
         self.limits = limits;
         self
     }
 
-    /// Calls `C` are answered by `handler`; the last one given holds. It runs to its end also when its caller is
-    /// gone, so a handler that waits for others must give up by itself.
+    /// Adds the handler of calls `C`, in place of an earlier one. A handler runs to its end even if its caller is gone,
+    /// so one that waits for others must have a timeout of its own.
     pub fn with_handler<C: Call>(
         mut self,
         handler: impl AsyncFn(C, Peer) -> Result<C::Response, CallRejection> + 'static,
     ) -> Handlers {
         let handler = Rc::new(handler);
-        let handle = move |body: &[u8], peer: Peer| -> Answering {
+        let handle = move |body: &[u8], peer: Peer| -> HandlerFuture {
             let call = decode::<C>(body);
             let handler = Rc::clone(&handler);
             Box::pin(async move {
-                let answer = handler(call.ok_or(CallRejection::Malformed)?, peer).await?;
-                encode(&answer).map_err(|_| CallRejection::HandlerFailed)
+                let response = handler(call.ok_or(CallRejection::Malformed)?, peer).await?;
+                encode(&response).map_err(|_| CallRejection::HandlerFailed)
             })
         };
         self.handlers.insert(C::NAME, Box::new(handle));
@@ -81,34 +56,35 @@
         self.limits
     }
 
-    /// Handles one call.
-    pub(crate) async fn answer(&self, name: &str, body: &[u8], peer: Peer) -> Result<Vec<u8>, CallRejection> {
+    /// Handles one encoded call and returns the encoded response.
+    pub(crate) async fn handle(&self, name: &str, body: &[u8], peer: Peer) -> Result<Vec<u8>, CallRejection> {
         let handler = self.handlers.get(name).ok_or(CallRejection::UnknownCall)?;
-        if self.running.get() >= self.limits.max_concurrent_calls {
+        if self.running_calls.get() >= self.limits.max_concurrent_calls {
             return Err(CallRejection::Overloaded);
         }
-        let answering = handler(body, peer);
-        let running = Running::new(&self.running);
-        // Danger: a caller that goes away cancels what waits here. A handler that was cut off between two of its
-        // steps would leave state half changed, so it is a task of its own.
+        let response = handler(body, peer);
+        let guard = RunningCallGuard::new(&self.running_calls);
+        // A caller that goes away cancels this future. A handler that is cancelled between two of its steps would leave
+        // state half changed, so it is a task of its own.
         let task = tokio::task::spawn_local(async move {
-            let _running = running;
-            answering.await
+            let _guard = guard;
+            response.await
         });
         task.await.unwrap_or(Err(CallRejection::HandlerFailed))
     }
 }
 
-struct Running(Rc<Cell<usize>>);
+/// Counts a call as running until it is dropped.
+struct RunningCallGuard(Rc<Cell<usize>>);
 
-impl Running {
-    fn new(count: &Rc<Cell<usize>>) -> Running {
-        count.set(count.get().saturating_add(1));
-        Running(Rc::clone(count))
+impl RunningCallGuard {
+    fn new(running_calls: &Rc<Cell<usize>>) -> RunningCallGuard {
+        running_calls.set(running_calls.get().saturating_add(1));
+        RunningCallGuard(Rc::clone(running_calls))
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCallGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/crates/rpc/src/loopback.rs
+++ b/crates/rpc/src/loopback.rs
@@ -1,14 +1,19 @@
+//! Calls within one process, for tests and simulations.
+
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
-use std::time::Duration;
 
-use crate::call::{decode, encode};
-use crate::{Call, CallError, Handlers, Peer, Transport};
+use bytes::Bytes;
+
+use crate::call::Peer;
+use crate::error::CallError;
+use crate::handlers::Handlers;
+use crate::transport::{OutgoingCall, Transport};
 
-/// Calls without a network, straight to handlers of the same process, encoded and decoded all the same. Clones are
-/// on the same network. Needs a `LocalSet`, and for time limits a runtime with time.
+/// Calls the handlers of the same process without a network; messages are encoded and decoded all the same. Clones are
+/// on the same network. Needs a `LocalSet`, and a runtime with time for timeouts.
 #[derive(Clone)]
 pub struct LoopbackTransport {
     from: SocketAddrV4,
@@ -18,8 +23,14 @@
 #[derive(Default)]
 struct Network {
     hosts: HashMap<SocketAddrV4, Rc<Handlers>>,
-    /// From, to.
-    cuts: HashSet<(SocketAddrV4, SocketAddrV4)>,
+    partitions: HashSet<Partition>,
+}
+
+/// Nothing that `from` sends arrives at `to`.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct Partition {
+    from: SocketAddrV4,
+    to: SocketAddrV4,
 }
 
 impl Default for LoopbackTransport {
@@ -29,63 +40,51 @@
 }
 
 impl LoopbackTransport {
-    /// A network with nobody on it.
+    /// A network without hosts.
     pub fn new() -> LoopbackTransport {
         LoopbackTransport::default()
     }
 
-    /// The same network, as seen from an address.
+    /// The same network, for calls that come from this address.
     pub fn at(&self, from: SocketAddrV4) -> LoopbackTransport {
         LoopbackTransport { from, network: Rc::clone(&self.network) }
     }
 
-    /// These handlers answer at an address.
+    /// Lets these handlers answer at an address.
     pub fn serve(&self, address: SocketAddrV4, handlers: Rc<Handlers>) {
         self.network.borrow_mut().hosts.insert(address, handlers);
     }
 
-    /// Nobody answers at an address any more.
+    /// Removes the handlers at an address.
     pub fn stop_serving(&self, address: SocketAddrV4) {
         self.network.borrow_mut().hosts.remove(&address);
     }
 
-    /// What one address sends to another is lost from now on.
+    /// Loses all that one address sends to another, from now on; the other direction is not affected.
     pub fn partition(&self, from: SocketAddrV4, to: SocketAddrV4) {
-        self.network.borrow_mut().cuts.insert((from, to));
+        self.network.borrow_mut().partitions.insert(Partition { from, to });
     }
 
-    /// It arrives again.
+    /// Ends a partition.
     pub fn heal(&self, from: SocketAddrV4, to: SocketAddrV4) {
-        self.network.borrow_mut().cuts.remove(&(from, to));
+        self.network.borrow_mut().partitions.remove(&Partition { from, to });
     }
 
-    fn is_partitioned(&self, from: SocketAddrV4, to: SocketAddrV4) -> bool {
-        self.network.borrow().cuts.contains(&(from, to))
-    }
-
-    async fn exchange(&self, to: SocketAddrV4, name: &str, body: &[u8]) -> Result<Vec<u8>, CallError> {
-        if self.is_partitioned(self.from, to) {
-            std::future::pending::<()>().await;
-        }
-        let handlers = self.network.borrow().hosts.get(&to).map(Rc::clone).ok_or(CallError::Connect)?;
-        let answer = handlers.answer(name, body, Peer { address: self.from }).await;
-        if self.is_partitioned(to, self.from) {
+    /// Waits for ever if what is sent is lost: neither end notices.
+    async fn deliver(&self, from: SocketAddrV4, to: SocketAddrV4) {
+        let is_lost = self.network.borrow().partitions.contains(&Partition { from, to });
+        if is_lost {
             std::future::pending::<()>().await;
         }
-        answer.map_err(CallError::Rejected)
     }
 }
 
 impl Transport for LoopbackTransport {
-    async fn call<C: Call>(
-        &self,
-        to: SocketAddrV4,
-        call: &C,
-        timeout: Duration,
-    ) -> Result<C::Response, CallError> {
-        let body = encode(call)?;
-        let exchange = self.exchange(to, C::NAME, &body);
-        let answer = tokio::time::timeout(timeout, exchange).await.map_err(|_| CallError::Timeout)??;
-        decode(&answer).ok_or(CallError::Malformed)
+    async fn exchange(&self, call: &OutgoingCall) -> Result<Bytes, CallError> {
+        self.deliver(self.from, call.to).await;
+        let handlers = self.network.borrow().hosts.get(&call.to).map(Rc::clone).ok_or(CallError::Connect)?;
+        let result = handlers.handle(call.name, &call.body, Peer { address: self.from }).await;
+        self.deliver(call.to, self.from).await;
+        result.map(Bytes::from).map_err(CallError::Rejected)
     }
 }
--- a/crates/rpc/tests/common/mod.rs
+++ b/crates/rpc/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Calls for the tests, and what runs them.
+//! Calls for the tests, their handlers, and a runtime.
 #![allow(dead_code)]
 
 use std::cell::Cell;
@@ -14,8 +14,8 @@
 
 /// Longer than any test.
 pub const LONG: Duration = Duration::from_secs(60);
-/// What `Divide` by nought is refused with.
-pub const NOUGHT: u16 = 42;
+/// The code that a division by zero is rejected with.
+pub const DIVISION_BY_ZERO: u16 = 42;
 
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Divide {
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Quotient {
     #[n(0)]
-    pub whole: u32,
+    pub quotient: u32,
     #[n(1)]
-    pub rest: u32,
+    pub remainder: u32,
 }
 
 impl Call for Divide {
@@ -39,13 +39,13 @@
     type Response = Quotient;
 }
 
-/// Answers as many bytes as it says, and tells the caller's port.
+/// Is answered with as many bytes as it says, and with the port of the caller.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Fill {
     #[n(0)]
     pub bytes: u32,
     #[n(1)]
-    pub ballast: minicbor::bytes::ByteVec,
+    pub padding: minicbor::bytes::ByteVec,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -53,7 +53,7 @@
     #[n(0)]
     pub port: u16,
     #[n(1)]
-    pub ballast: minicbor::bytes::ByteVec,
+    pub padding: minicbor::bytes::ByteVec,
 }
 
 impl Call for Fill {
@@ -62,67 +62,63 @@
     type Response = Filled;
 }
 
-pub fn fill(bytes: u32, ballast: usize) -> Fill {
-    Fill { bytes, ballast: vec![7; ballast].into() }
+pub fn fill(bytes: u32, padding: usize) -> Fill {
+    Fill { bytes, padding: vec![7; padding].into() }
 }
 
-/// Never to be sent twice.
+/// Must not be sent twice.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Once {
+pub struct SingleUse {
     #[n(0)]
     pub number: u32,
 }
 
-impl Call for Once {
+impl Call for SingleUse {
     const NAME: &'static str = "once";
     const RETRY_POLICY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
     type Response = u32;
 }
 
-/// Bears the name of `Divide`, and asks for something else.
+/// Has the name of `Divide` and another body.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct NotDivide {
+pub struct MalformedDivide {
     #[n(0)]
     pub text: String,
 }
 
-impl Call for NotDivide {
+impl Call for MalformedDivide {
     const NAME: &'static str = Divide::NAME;
     const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
     type Response = Quotient;
 }
 
-/// Is `Divide`, but takes the answer for something else.
+/// Is `Divide` on the wire, but expects a text as the response.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Misread {
-    #[n(0)]
-    pub number: u32,
-    #[n(1)]
-    pub by: u32,
-}
+#[cbor(transparent)]
+pub struct DivideWithTextResponse(#[n(0)] pub Divide);
 
-impl Call for Misread {
+impl Call for DivideWithTextResponse {
     const NAME: &'static str = Divide::NAME;
     const RETRY_POLICY: RetryPolicy = RetryPolicy::Always;
     type Response = String;
 }
 
-/// How often `Once` was handled.
-pub type Count = Rc<Cell<u32>>;
+/// How often `SingleUse` was handled.
+pub type HandledCalls = Rc<Cell<u32>>;
 
-pub fn handlers(count: &Count) -> Handlers {
+pub fn handlers(count: &HandledCalls) -> Handlers {
     let count = Rc::clone(count);
     Handlers::new()
         .with_handler::<Divide>(async |call, _| {
             if call.by == 0 {
-                return Err(CallRejection::Application(NOUGHT));
+                return Err(CallRejection::Application(DIVISION_BY_ZERO));
             }
-            Ok(Quotient { whole: call.number / call.by, rest: call.number % call.by })
+            Ok(Quotient { quotient: call.number / call.by, remainder: call.number % call.by })
         })
         .with_handler::<Fill>(async |call, peer| {
-            Ok(Filled { port: peer.address.port(), ballast: vec![1; call.bytes as usize].into() })
+            Ok(Filled { port: peer.address.port(), padding: vec![1; call.bytes as usize].into() })
         })
-        .with_handler::<Once>(async move |call, _| {
+        .with_handler::<SingleUse>(async move |call, _| {
             count.set(count.get() + 1);
             Ok(call.number)
         })
@@ -134,7 +130,7 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// A server on the network.
+/// Starts a server on a free port.
 pub async fn host(handlers: Handlers) -> (SocketAddrV4, JoinHandle<()>) {
     host_at(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0), handlers).await
 }
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -1,12 +1,12 @@
-//! Connections: which are kept, which are dropped, and what a peer that misbehaves can't do.
+//! Connections: which are reused, which are closed, and what a misbehaving peer can't do.
 
 mod common;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use common::{Count, Divide, LONG, Once, address_of, fill, handlers, host, host_at, run};
-use mosshead_rpc::{CallError, Caller, Handlers, ServerLimits};
+use common::{Divide, HandledCalls, LONG, SingleUse, address_of, fill, handlers, host, host_at, run};
+use mosshead_rpc::{CallError, Caller, Handlers, ServerLimits, Transport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -18,7 +18,7 @@
     (listener, address)
 }
 
-/// Reads one whole call, or nothing at the end of the connection.
+/// Reads one complete call; `None` at the end of the connection.
 async fn read_call(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     loop {
@@ -35,19 +35,19 @@
     }
 }
 
-/// The answer to a caller's call of this number.
-fn answer_to(id: usize, body: &[u8]) -> Vec<u8> {
+/// The response to a caller's call with this id.
+fn response_to(id: usize, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 200 OK\r\ncall-id: {id}\r\ncontent-length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-/// The answer to a caller's first call.
-fn answer(body: &[u8]) -> Vec<u8> {
-    answer_to(1, body)
+/// The response to a caller's first call.
+fn response(body: &[u8]) -> Vec<u8> {
+    response_to(1, body)
 }
 
 #[test]
-fn a_call_looks_like_this() {
+fn a_call_has_this_form_on_the_wire() {
     run(async {
         let (listener, to) = listen().await;
         let call =
@@ -57,19 +57,19 @@
         let text =
             format!("POST /test/divide HTTP/1.1\r\nhost: {to}\r\ncall-id: 1\r\ncontent-length: 3\r\n\r\n");
         assert_eq!(bytes, [text.as_bytes(), &[0x82, 1, 2]].concat());
-        stream.write_all(&answer(&[0x82, 0, 1])).await.unwrap();
+        stream.write_all(&response(&[0x82, 0, 1])).await.unwrap();
         let quotient = call.await.unwrap().unwrap();
-        assert_eq!((quotient.whole, quotient.rest), (0, 1));
+        assert_eq!((quotient.quotient, quotient.remainder), (0, 1));
     });
 }
 
 #[test]
-fn connections_are_used_again() {
+fn connections_are_reused() {
     run(async {
-        let (to, _) = host(handlers(&Count::default())).await;
+        let (to, _) = host(handlers(&HandledCalls::default())).await;
         let caller = Caller::new();
         let first = caller.call(to, &fill(1, 1), LONG).await.unwrap().port;
-        // Also after a refusal.
+        // Also after a rejection.
         assert!(matches!(
             caller.call(to, &Divide { number: 1, by: 0 }, LONG).await,
             Err(CallError::Rejected(_))
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn a_connection_whose_call_was_late_or_dropped_is_closed() {
+fn the_connection_of_a_timed_out_or_dropped_call_is_closed() {
     run(async {
         let (listener, to) = listen().await;
         let caller = Caller::new();
         for late in [true, false] {
             let calling = caller.clone();
-            let call = spawn_local(async move { calling.call(to, &Once { number: 1 }, LONG).await });
+            let call = spawn_local(async move { calling.call(to, &SingleUse { number: 1 }, LONG).await });
             let (mut stream, _) = listener.accept().await.unwrap();
             read_call(&mut stream).await.unwrap();
             if late {
@@ -105,9 +105,9 @@
 }
 
 #[test]
-fn a_server_that_starts_again_is_reached_at_once() {
+fn a_restarted_server_is_reached_at_once() {
     run(async {
-        let (to, server) = host(handlers(&Count::default())).await;
+        let (to, server) = host(handlers(&HandledCalls::default())).await;
         let caller = Caller::new();
         for _ in 0..3 {
             assert!(caller.call(to, &fill(1, 1), LONG).await.is_ok());
@@ -115,40 +115,45 @@
         server.abort();
         assert!(server.await.is_err());
         assert_eq!(caller.call(to, &fill(1, 1), LONG).await, Err(CallError::Connect));
-        let count = Count::default();
+        let count = HandledCalls::default();
         let (_, _server) = host_at(to, handlers(&count)).await;
         assert!(caller.call(to, &fill(1, 1), LONG).await.is_ok());
-        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Ok(1));
+        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG).await, Ok(1));
         assert_eq!(count.get(), 1);
     });
 }
 
-/// A server that answers the first call, and closes each connection on which it has read another.
-async fn fickle(listener: TcpListener, calls: mpsc::UnboundedSender<usize>) {
-    for connection in 0.. {
-        let (mut stream, _) = listener.accept().await.unwrap();
-        let calls = calls.clone();
-        spawn_local(async move {
-            if connection == 0 && read_call(&mut stream).await.is_some() {
-                let _ = calls.send(connection);
-                stream.write_all(&answer(&[0x82, 1, 2])).await.unwrap();
-            }
-            if read_call(&mut stream).await.is_some() {
-                let _ = calls.send(connection);
-            }
-        });
+/// A server that answers the first call, and closes each connection on which it has read another. Returns its address
+/// and, for each call that arrives, the number of the connection.
+async fn closing_server() -> (SocketAddrV4, mpsc::UnboundedReceiver<usize>) {
+    let (listener, address) = listen().await;
+    let (arrivals, calls) = mpsc::unbounded_channel();
+    spawn_local(async move {
+        for connection in 0.. {
+            let (stream, _) = listener.accept().await.unwrap();
+            spawn_local(serve_and_close(stream, connection, arrivals.clone()));
+        }
+    });
+    (address, calls)
+}
+
+async fn serve_and_close(mut stream: TcpStream, connection: usize, arrivals: mpsc::UnboundedSender<usize>) {
+    if connection == 0 && read_call(&mut stream).await.is_some() {
+        let _ = arrivals.send(connection);
+        stream.write_all(&response(&[0x82, 1, 2])).await.unwrap();
+    }
+    if read_call(&mut stream).await.is_some() {
+        let _ = arrivals.send(connection);
     }
 }
 
 #[test]
-fn a_call_that_a_kept_connection_loses_is_sent_once_more() {
+fn a_call_that_an_idle_connection_loses_is_retried_once() {
     run(async {
-        let (listener, to) = listen().await;
-        let (sends, mut calls) = mpsc::unbounded_channel();
-        spawn_local(fickle(listener, sends));
+        let (to, mut calls) = closing_server().await;
         let caller = Caller::new();
         assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await.is_ok());
-        // On the kept one, then on a new one, and no more.
+        // On the idle connection, then on a new one, and no more.
         assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!([calls.recv().await, calls.recv().await, calls.recv().await], [Some(0), Some(0), Some(1)]);
         assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallError::ConnectionLost));
@@ -160,34 +165,32 @@
 #[test]
 fn a_call_that_must_not_be_repeated_is_sent_once() {
     run(async {
-        let (listener, to) = listen().await;
-        let (sends, mut calls) = mpsc::unbounded_channel();
-        spawn_local(fickle(listener, sends));
+        let (to, mut calls) = closing_server().await;
         let caller = Caller::new();
         assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await.is_ok());
         assert_eq!(calls.recv().await, Some(0));
-        // On the kept one, whose last byte left; so on no other.
-        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
+        // On the idle connection, whose last byte was sent; so on no other.
+        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!(calls.recv().await, Some(0));
-        assert_eq!(caller.call(to, &Once { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
+        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
         assert_eq!(calls.recv().await, Some(1));
         assert!(calls.try_recv().is_err());
     });
 }
 
 #[test]
-fn answers_that_are_none_are_faults() {
+fn invalid_responses_are_errors() {
     run(async {
         let long = "HTTP/1.1 200 OK\r\ncall-id: 1\r\ncontent-length: 8388609\r\n\r\n";
-        let refused = "HTTP/1.1 409 Conflict\r\ncall-id: 1\r\ncontent-length: 0\r\n";
+        let conflict = "HTTP/1.1 409 Conflict\r\ncall-id: 1\r\ncontent-length: 0\r\n";
         let cases: Vec<(Vec<u8>, CallError)> = vec![
             (b"what?\r\n\r\n".to_vec(), CallError::Malformed),
-            (answer(&[0xff; 9]), CallError::Malformed),
-            (answer(&[]), CallError::Malformed),
-            (answer(&[0x82, 1, 2, 3]), CallError::Malformed),
-            (format!("{refused}\r\n").into_bytes(), CallError::Malformed),
-            (format!("{refused}result-code: 70000\r\n\r\n").into_bytes(), CallError::Malformed),
-            (answer(&[0x82, 1, 2])[..20].to_vec(), CallError::ConnectionLost),
+            (response(&[0xff; 9]), CallError::Malformed),
+            (response(&[]), CallError::Malformed),
+            (response(&[0x82, 1, 2, 3]), CallError::Malformed),
+            (format!("{conflict}\r\n").into_bytes(), CallError::Malformed),
+            (format!("{conflict}result-code: 70000\r\n\r\n").into_bytes(), CallError::Malformed),
+            (response(&[0x82, 1, 2])[..20].to_vec(), CallError::ConnectionLost),
             (
                 b"HTTP/1.1 200 OK\r\ncall-id: 1\r\ncontent-length: 9\r\n\r\nx".to_vec(),
                 CallError::ConnectionLost,
@@ -196,11 +199,11 @@
                 b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n\x82\x01\x02".to_vec(),
                 CallError::ResponseMismatch,
             ),
-            (answer_to(2, &[0x82, 1, 2]), CallError::ResponseMismatch),
+            (response_to(2, &[0x82, 1, 2]), CallError::ResponseMismatch),
             (Vec::new(), CallError::ConnectionLost),
             ([long.as_bytes(), &vec![0; (8 << 20) + 1]].concat(), CallError::TooLong),
         ];
-        for (bytes, fault) in cases {
+        for (bytes, error) in cases {
             let (listener, to) = listen().await;
             let call =
                 spawn_local(async move { Caller::new().call(to, &Divide { number: 1, by: 1 }, LONG).await });
@@ -208,13 +211,13 @@
             read_call(&mut stream).await.unwrap();
             let _ = stream.write_all(&bytes).await;
             drop(stream);
-            assert_eq!(call.await.unwrap(), Err(fault), "{:?}", &bytes[..bytes.len().min(60)]);
+            assert_eq!(call.await.unwrap(), Err(error), "{:?}", &bytes[..bytes.len().min(60)]);
         }
     });
 }
 
 #[test]
-fn idle_connections_are_few_and_closed_after_a_while() {
+fn idle_connections_are_limited_and_expire() {
     run(async {
         let (listener, to) = listen().await;
         let caller = Caller::new();
@@ -229,43 +232,43 @@
             streams.push(stream);
         }
         for (at, (stream, call)) in streams.iter_mut().zip(calls).enumerate() {
-            stream.write_all(&answer_to(at + 1, &[0x82, 1, 2])).await.unwrap();
+            stream.write_all(&response_to(at + 1, &[0x82, 1, 2])).await.unwrap();
             assert!(call.await.unwrap().is_ok());
         }
-        // The first four to be idle are kept.
+        // The first four to become idle are kept.
         for stream in streams.iter_mut().skip(4) {
             assert!(read_call(stream).await.is_none());
         }
-        let began = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         tokio::time::pause();
         for stream in streams.iter_mut().take(4) {
             assert!(read_call(stream).await.is_none());
         }
-        let passed = began.elapsed();
-        assert!(passed >= Duration::from_secs(9) && passed < Duration::from_secs(12), "{passed:?}");
+        let elapsed = started_at.elapsed();
+        assert!(elapsed >= Duration::from_secs(9) && elapsed < Duration::from_secs(12), "{elapsed:?}");
     });
 }
 
 #[test]
-fn an_address_that_says_nothing_is_given_up() {
+fn connecting_to_a_silent_address_times_out() {
     run(async {
-        // Never given to a machine: it hangs, or the machine knows no way to it.
+        // Reserved for documentation (RFC 5737): connecting hangs, or there is no route.
         let nowhere = SocketAddrV4::new(Ipv4Addr::new(192, 0, 2, 1), 7720);
         tokio::time::pause();
-        let began = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         assert_eq!(Caller::new().call(nowhere, &fill(1, 1), LONG).await, Err(CallError::Connect));
-        assert!(began.elapsed() <= Duration::from_millis(700));
+        assert!(started_at.elapsed() <= Duration::from_millis(700));
         let short = Duration::from_millis(100);
         assert_eq!(Caller::new().call(nowhere, &fill(1, 1), short).await, Err(CallError::Connect));
     });
 }
 
 fn limited(limits: ServerLimits) -> Handlers {
-    handlers(&Count::default()).with_limits(limits)
+    handlers(&HandledCalls::default()).with_limits(limits)
 }
 
-/// The status and the code of what a server sends until it closes.
-async fn refusal(stream: &mut TcpStream) -> (String, Option<String>) {
+/// The status and the result code of what a server sends until it closes the connection.
+async fn read_rejection(stream: &mut TcpStream) -> (String, Option<String>) {
     let mut bytes = Vec::new();
     while stream.read_buf(&mut bytes).await.unwrap_or(0) > 0 {}
     let text = String::from_utf8_lossy(&bytes).into_owned();
@@ -274,9 +277,9 @@
 }
 
 #[test]
-fn calls_that_come_slowly_or_are_none_are_ended() {
+fn slow_and_invalid_requests_are_ended() {
     run(async {
-        let (to, _) = host(handlers(&Count::default())).await;
+        let (to, _) = host(handlers(&HandledCalls::default())).await;
         let end = "connection: close\r\n";
         let cases = [
             (String::new(), "", None),
@@ -292,10 +295,10 @@
             let mut stream = TcpStream::connect(to).await.unwrap();
             stream.write_all(bytes.as_bytes()).await.unwrap();
             tokio::time::pause();
-            let got = refusal(&mut stream).await;
+            let response = read_rejection(&mut stream).await;
             tokio::time::resume();
             if !status.is_empty() {
-                assert_eq!((got.0.as_str(), got.1.as_deref()), (status, code), "{bytes:?}");
+                assert_eq!((response.0.as_str(), response.1.as_deref()), (status, code), "{bytes:?}");
             }
         }
         assert!(Caller::new().call(to, &fill(1, 1), LONG).await.is_ok());
@@ -303,7 +306,7 @@
 }
 
 #[test]
-fn the_oldest_idle_connection_makes_room() {
+fn the_least_recently_used_connection_is_closed_for_a_new_one() {
     run(async {
         let (to, _) = host(limited(ServerLimits { max_connections: 2, ..ServerLimits::default() })).await;
         let mut streams = Vec::new();
@@ -323,14 +326,14 @@
 }
 
 #[test]
-fn connections_over_the_bound_are_refused_when_all_are_busy() {
+fn connections_beyond_the_limit_are_rejected_when_all_are_busy() {
     run(async {
-        let (begins, mut begun) = mpsc::unbounded_channel();
-        let (ends, ended) = tokio::sync::watch::channel(false);
+        let (starts, mut started) = mpsc::unbounded_channel();
+        let (finishes, finished) = tokio::sync::watch::channel(false);
         let handlers = Handlers::new()
-            .with_handler::<Once>(async move |call, _| {
-                let _ = begins.send(());
-                let _ = ended.clone().wait_for(|ended| *ended).await;
+            .with_handler::<SingleUse>(async move |call, _| {
+                let _ = starts.send(());
+                let _ = finished.clone().wait_for(|finished| *finished).await;
                 Ok(call.number)
             })
             .with_limits(ServerLimits { max_connections: 2, ..ServerLimits::default() });
@@ -339,14 +342,14 @@
         let mut calls = Vec::new();
         for number in 0..2 {
             let calling = caller.clone();
-            calls.push(spawn_local(async move { calling.call(to, &Once { number }, LONG).await }));
-            begun.recv().await.unwrap();
+            calls.push(spawn_local(async move { calling.call(to, &SingleUse { number }, LONG).await }));
+            started.recv().await.unwrap();
         }
-        assert_eq!(caller.call(to, &Once { number: 9 }, LONG).await, Err(CallError::ConnectionLost));
-        ends.send(true).unwrap();
+        assert_eq!(caller.call(to, &SingleUse { number: 9 }, LONG).await, Err(CallError::ConnectionLost));
+        finishes.send(true).unwrap();
         for (number, call) in calls.into_iter().enumerate() {
             assert_eq!(call.await.unwrap(), Ok(number as u32));
         }
-        assert_eq!(caller.call(to, &Once { number: 9 }, LONG).await, Ok(9));
+        assert_eq!(caller.call(to, &SingleUse { number: 9 }, LONG).await, Ok(9));
     });
 }
--- a/crates/rpc/tests/response_matching.rs
+++ b/crates/rpc/tests/response_matching.rs
@@ -1,5 +1,5 @@
-//! Each call gets its own answer or none, and what may not be repeated arrives once: against a peer that answers twice,
-//! late, under another id, not at all, closes or resets.
+//! Each call gets its own response or none, and a call that must not be repeated arrives once, against a peer that
+//! responds twice, late, with another id or not at all, or closes or resets the connection.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Divide, LONG, Once, address_of, run};
-use mosshead_rpc::{Call, CallError, Caller};
+use common::{Divide, LONG, SingleUse, address_of, run};
+use mosshead_rpc::{Call, CallError, Caller, Transport};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// A call that arrived with its last byte.
+/// A call that has arrived completely.
 #[derive(Clone, Debug)]
 struct Arrival {
     connection: usize,
@@ -23,74 +23,74 @@
     body: Vec<u8>,
 }
 
-/// What the peer does with a call.
+/// How the peer reacts to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
-    /// The answer, and nothing more.
-    Answer,
-    /// The answer twice, at once.
-    Doubled,
-    /// The answer, and once more as soon as the next call is on its way.
-    DoubledLate,
-    /// The answer under another id.
+enum PeerAction {
+    /// Sends the response.
+    Respond,
+    /// Sends the response twice, at once.
+    RespondTwice,
+    /// Sends the response, and again as soon as the first byte of the next call has arrived.
+    RespondTwiceDelayed,
+    /// Sends the response with another id.
     OtherId,
-    /// The answer without an id.
+    /// Sends the response without an id.
     NoId,
-    /// The answer, and the connection ends.
-    AnswerAndClose,
-    /// The answer, and the connection is reset.
-    AnswerAndReset,
-    /// The connection ends once the call is there.
+    /// Sends the response and closes the connection.
+    RespondAndClose,
+    /// Sends the response and resets the connection.
+    RespondAndReset,
+    /// Closes the connection when the call has arrived.
     Close,
-    /// The connection is reset once the call is there.
+    /// Resets the connection when the call has arrived.
     Reset,
-    /// Nothing.
-    Silence,
+    /// Sends nothing.
+    Ignore,
     /// All but the last byte of the answer, and then that byte and nothing that runs on this machine until the call is
     /// overdue, as if it had been frozen.
-    Frozen,
+    RespondAfterSuspension,
 }
 
-const ACTS: [Act; 10] = [
-    Act::Answer,
-    Act::Doubled,
-    Act::DoubledLate,
-    Act::OtherId,
-    Act::NoId,
-    Act::AnswerAndClose,
-    Act::AnswerAndReset,
-    Act::Close,
-    Act::Reset,
-    Act::Silence,
+const ACTIONS: [PeerAction; 10] = [
+    PeerAction::Respond,
+    PeerAction::RespondTwice,
+    PeerAction::RespondTwiceDelayed,
+    PeerAction::OtherId,
+    PeerAction::NoId,
+    PeerAction::RespondAndClose,
+    PeerAction::RespondAndReset,
+    PeerAction::Close,
+    PeerAction::Reset,
+    PeerAction::Ignore,
 ];
 
-/// A peer whose n-th call is dealt with by what `act` says of n.
+/// A peer that reacts to its n-th call by `action(n)`.
 struct Peer {
     address: SocketAddrV4,
     arrivals: RefCell<Vec<Arrival>>,
-    act: Box<dyn Fn(usize) -> Act>,
+    action: Box<dyn Fn(usize) -> PeerAction>,
 }
 
-fn response(id: Option<&str>, body: &[u8]) -> Vec<u8> {
+fn http_response(id: Option<&str>, body: &[u8]) -> Vec<u8> {
     let echo = id.map_or(String::new(), |id| format!("call-id: {id}\r\n"));
     let head = format!("HTTP/1.1 200 OK\r\n{echo}content-length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-/// The answer to `Divide` and to `Once`: made of the call itself.
-fn own(arrival: &Arrival) -> Vec<u8> {
+/// The response to `Divide` or `SingleUse`, computed from the call.
+fn response_body(arrival: &Arrival) -> Vec<u8> {
     match minicbor::decode::<Divide>(&arrival.body) {
-        Ok(call) => minicbor::to_vec(common::Quotient { whole: call.number, rest: call.by }),
-        Err(_) => minicbor::to_vec(minicbor::decode::<Once>(&arrival.body).expect("a call").number),
+        Ok(call) => minicbor::to_vec(common::Quotient { quotient: call.number, remainder: call.by }),
+        Err(_) => minicbor::to_vec(minicbor::decode::<SingleUse>(&arrival.body).expect("a call").number),
     }
     .expect("it encodes")
 }
 
 impl Peer {
-    async fn new(act: impl Fn(usize) -> Act + 'static) -> Rc<Peer> {
+    async fn new(action: impl Fn(usize) -> PeerAction + 'static) -> Rc<Peer> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
         let address = address_of(&listener);
-        let peer = Rc::new(Peer { address, arrivals: RefCell::default(), act: Box::new(act) });
+        let peer = Rc::new(Peer { address, arrivals: RefCell::default(), action: Box::new(action) });
         let serving = Rc::clone(&peer);
         spawn_local(async move {
             for connection in 0.. {
@@ -102,40 +102,40 @@
     }
 
     async fn connection(self: Rc<Peer>, mut stream: TcpStream, connection: usize) {
-        let (mut got, mut late) = (Vec::new(), None::<Vec<u8>>);
-        while let Some((id, body)) = read(&mut stream, &mut got, &mut late).await {
-            let place = self.arrivals.borrow().len();
+        let (mut received, mut delayed_copy) = (Vec::new(), None::<Vec<u8>>);
+        while let Some((id, body)) = read(&mut stream, &mut received, &mut delayed_copy).await {
+            let index = self.arrivals.borrow().len();
             let arrival = Arrival { connection, id, body };
             self.arrivals.borrow_mut().push(arrival.clone());
-            let act = (self.act)(place);
-            let id = match act {
-                Act::OtherId => Some("0"),
-                Act::NoId => None,
+            let action = (self.action)(index);
+            let id = match action {
+                PeerAction::OtherId => Some("0"),
+                PeerAction::NoId => None,
                 _ => arrival.id.as_deref(),
             };
-            let answer = response(id, &own(&arrival));
-            match act {
-                Act::Close => return,
-                Act::Reset => return reset(&stream),
-                Act::Silence => continue,
-                Act::Frozen => {
-                    freeze(&mut stream, &answer).await;
+            let response = http_response(id, &response_body(&arrival));
+            match action {
+                PeerAction::Close => return,
+                PeerAction::Reset => return reset(&stream),
+                PeerAction::Ignore => continue,
+                PeerAction::RespondAfterSuspension => {
+                    respond_after_suspension(&mut stream, &response).await;
                     continue;
                 }
                 _ => {}
             }
-            let _ = stream.write_all(&answer).await;
-            match act {
-                Act::Doubled => drop(stream.write_all(&answer).await),
-                Act::DoubledLate => late = Some(answer),
-                Act::AnswerAndClose => return,
-                Act::AnswerAndReset => return reset(&stream),
+            let _ = stream.write_all(&response).await;
+            match action {
+                PeerAction::RespondTwice => drop(stream.write_all(&response).await),
+                PeerAction::RespondTwiceDelayed => delayed_copy = Some(response),
+                PeerAction::RespondAndClose => return,
+                PeerAction::RespondAndReset => return reset(&stream),
                 _ => {}
             }
         }
     }
 
-    /// How often a call of this number arrived whole.
+    /// How often this call arrived completely.
     fn count<C: Call>(&self, call: &C) -> usize {
         let body = minicbor::to_vec(call).expect("it encodes");
         self.arrivals.borrow().iter().filter(|arrival| arrival.body == body).count()
@@ -146,13 +146,13 @@
     }
 }
 
-async fn freeze(stream: &mut TcpStream, answer: &[u8]) {
-    let (first, last) = answer.split_at(answer.len() - 1);
+async fn respond_after_suspension(stream: &mut TcpStream, response: &[u8]) {
+    let (first, last) = response.split_at(response.len() - 1);
     let _ = stream.write_all(first).await;
     tokio::time::sleep(Duration::from_millis(5)).await;
     let _ = stream.write_all(last).await;
-    let thawed = std::time::Instant::now() + SHORT;
-    while std::time::Instant::now() < thawed {
+    let resumed_at = std::time::Instant::now() + SHORT_TIMEOUT;
+    while std::time::Instant::now() < resumed_at {
         std::thread::yield_now();
     }
 }
@@ -164,50 +164,57 @@
 /// Reads one call; `late` goes out as its first byte is there.
 async fn read(
     stream: &mut TcpStream,
-    got: &mut Vec<u8>,
-    late: &mut Option<Vec<u8>>,
+    received: &mut Vec<u8>,
+    delayed_copy: &mut Option<Vec<u8>>,
 ) -> Option<(Option<String>, Vec<u8>)> {
     loop {
-        if let Some(head) = got.windows(4).position(|four| four == b"\r\n\r\n") {
-            let text = String::from_utf8(got[..head].to_vec()).expect("text");
+        if let Some(head) = received.windows(4).position(|four| four == b"\r\n\r\n") {
+            let text = String::from_utf8(received[..head].to_vec()).expect("text");
             let of = |name: &str| text.lines().find_map(|line| line.strip_prefix(name).map(str::to_owned));
             let end = head + 4 + of("content-length: ").map_or(0, |length| length.parse().expect("a number"));
-            if got.len() >= end {
-                let body = got[head + 4..end].to_vec();
-                got.drain(..end);
+            if received.len() >= end {
+                let body = received[head + 4..end].to_vec();
+                received.drain(..end);
                 return Some((of("call-id: "), body));
             }
         }
-        if stream.read_buf(got).await.unwrap_or(0) == 0 {
+        if stream.read_buf(received).await.unwrap_or(0) == 0 {
             return None;
         }
-        if let Some(late) = late.take() {
-            let _ = stream.write_all(&late).await;
+        if let Some(delayed_copy) = delayed_copy.take() {
+            let _ = stream.write_all(&delayed_copy).await;
         }
     }
 }
 
-const SHORT: Duration = Duration::from_millis(150);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(150);
 
 #[test]
-fn each_call_gets_its_own_answer_or_none() {
+fn each_call_gets_its_own_response_or_none() {
     run(async {
-        for act in ACTS {
-            let peer = Peer::new(move |place| if place % 2 == 0 { act } else { Act::Answer }).await;
+        for action in ACTIONS {
+            let peer =
+                Peer::new(move |index| if index % 2 == 0 { action } else { PeerAction::Respond }).await;
             let caller = Caller::new();
             for number in 0..6 {
                 let call = Divide { number, by: 1000 + number };
-                match caller.call(peer.address, &call, SHORT).await {
-                    Ok(answer) => assert_eq!((answer.whole, answer.rest), (call.number, call.by), "{act:?}"),
-                    Err(fault) => assert!(
+                match caller.call(peer.address, &call, SHORT_TIMEOUT).await {
+                    Ok(response) => {
+                        assert_eq!(
+                            (response.quotient, response.remainder),
+                            (call.number, call.by),
+                            "{action:?}"
+                        )
+                    }
+                    Err(error) => assert!(
                         matches!(
-                            fault,
+                            error,
                             CallError::ConnectionLost
                                 | CallError::Timeout
                                 | CallError::Malformed
                                 | CallError::ResponseMismatch
                         ),
-                        "{act:?}: {fault}"
+                        "{action:?}: {error}"
                     ),
                 }
             }
@@ -216,22 +223,23 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_arrives_once_on_kept_and_new_connections() {
+fn a_call_that_must_not_be_repeated_arrives_once_on_idle_and_new_connections() {
     run(async {
-        for act in ACTS {
-            for kept in [true, false] {
-                let first = usize::from(kept);
-                let peer = Peer::new(move |place| if place < first { Act::Answer } else { act }).await;
+        for action in ACTIONS {
+            for is_idle in [true, false] {
+                let first = usize::from(is_idle);
+                let peer =
+                    Peer::new(move |index| if index < first { PeerAction::Respond } else { action }).await;
                 let caller = Caller::new();
-                if kept {
+                if is_idle {
                     assert!(caller.call(peer.address, &Divide { number: 1, by: 2 }, LONG).await.is_ok());
                 }
                 for number in 10..14 {
-                    let call = Once { number };
-                    if let Ok(answer) = caller.call(peer.address, &call, SHORT).await {
-                        assert_eq!(answer, number, "{act:?}");
+                    let call = SingleUse { number };
+                    if let Ok(response) = caller.call(peer.address, &call, SHORT_TIMEOUT).await {
+                        assert_eq!(response, number, "{action:?}");
                     }
-                    assert!(peer.count(&call) <= 1, "{act:?}: sent twice");
+                    assert!(peer.count(&call) <= 1, "{action:?}: sent twice");
                 }
             }
         }
@@ -240,14 +248,18 @@
 
 /// What a peer has closed or reset while the connection was idle costs no call, and none arrives twice.
 #[test]
-fn a_connection_that_ended_unseen_costs_no_call() {
+fn a_connection_that_ended_unnoticed_costs_no_call() {
     run(async {
-        for act in [Act::AnswerAndClose, Act::AnswerAndReset] {
-            let peer = Peer::new(move |_| act).await;
+        for action in [PeerAction::RespondAndClose, PeerAction::RespondAndReset] {
+            let peer = Peer::new(move |_| action).await;
             let caller = Caller::new();
             for number in 0..5 {
-                assert_eq!(caller.call(peer.address, &Once { number }, LONG).await, Ok(number), "{act:?}");
-                assert_eq!(peer.count(&Once { number }), 1);
+                assert_eq!(
+                    caller.call(peer.address, &SingleUse { number }, LONG).await,
+                    Ok(number),
+                    "{action:?}"
+                );
+                assert_eq!(peer.count(&SingleUse { number }), 1);
                 // The end of the connection is on its way.
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
@@ -256,14 +268,14 @@
 }
 
 #[test]
-fn a_connection_on_which_another_s_answer_came_is_closed() {
+fn a_connection_with_a_mismatched_response_is_closed() {
     run(async {
-        for act in [Act::OtherId, Act::NoId] {
-            let peer = Peer::new(move |place| if place == 0 { act } else { Act::Answer }).await;
+        for action in [PeerAction::OtherId, PeerAction::NoId] {
+            let peer = Peer::new(move |index| if index == 0 { action } else { PeerAction::Respond }).await;
             let caller = Caller::new();
-            let answer = caller.call(peer.address, &Once { number: 1 }, LONG).await;
-            assert_eq!(answer, Err(CallError::ResponseMismatch), "{act:?}");
-            assert_eq!(caller.call(peer.address, &Once { number: 2 }, LONG).await, Ok(2));
+            let response = caller.call(peer.address, &SingleUse { number: 1 }, LONG).await;
+            assert_eq!(response, Err(CallError::ResponseMismatch), "{action:?}");
+            assert_eq!(caller.call(peer.address, &SingleUse { number: 2 }, LONG).await, Ok(2));
             assert_eq!(peer.connections(), [0, 1]);
         }
     });
@@ -271,14 +283,20 @@
 
 /// The end of the answer lay in the kernel while this process was frozen: what it says may be long out of date.
 #[test]
-fn an_answer_that_is_read_after_its_time_is_none() {
+fn a_response_that_is_read_after_the_deadline_is_a_timeout() {
     run(async {
-        let peer = Peer::new(|place| if place == 0 { Act::Frozen } else { Act::Answer }).await;
+        let peer =
+            Peer::new(
+                |index| if index == 0 { PeerAction::RespondAfterSuspension } else { PeerAction::Respond },
+            )
+            .await;
         let caller = Caller::new();
         let (calling, address) = (caller.clone(), peer.address);
         // A task of its own: it runs behind the one that reads the connection.
         let call =
-            spawn_local(async move { calling.call(address, &Divide { number: 1, by: 1 }, SHORT).await });
+            spawn_local(
+                async move { calling.call(address, &Divide { number: 1, by: 1 }, SHORT_TIMEOUT).await },
+            );
         assert_eq!(call.await.expect("an end"), Err(CallError::Timeout));
         assert!(caller.call(peer.address, &Divide { number: 2, by: 1 }, LONG).await.is_ok());
         assert_eq!(peer.connections(), [0, 1]);
