--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -247,6 +247,10 @@
 }
 
 /// Plays a day against a command, in real time. `progress` hears the instant and the day's length.
+///
+/// # Errors
+///
+/// A program can't be started, a socket can't be had, or the scenario can't be played on loopback.
 pub fn play(
     scenario: &Scenario,
     options: &Options,
@@ -256,6 +260,10 @@
 }
 
 /// The same, with somebody on the ways between the programs and the stand-ins.
+///
+/// # Errors
+///
+/// As [`play`].
 pub fn play_between(
     scenario: &Scenario,
     options: &Options,
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -65,6 +65,10 @@
     }
 
     /// Writes all of these bytes.
+    ///
+    /// # Errors
+    ///
+    /// The connection has ended.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
@@ -141,6 +145,10 @@
 pub struct NoMessage;
 
 /// Reads the head that stands at the beginning of these bytes.
+///
+/// # Errors
+///
+/// The bytes are no head of HTTP/1.1.
 pub fn parse(bytes: &[u8], answer: bool) -> Parsed {
     let mut lines = [httparse::EMPTY_HEADER; LINES];
     let (mut message, taken) = if answer {
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -114,6 +114,10 @@
 }
 
 /// Plays a fleet's day in real time. `progress` hears the instant and the day's length.
+///
+/// # Errors
+///
+/// A program, link or stand-in can't be started.
 pub fn play(
     scenario: &Scenario,
     options: &Options,
@@ -135,6 +139,10 @@
 }
 
 /// Plays a fleet's day in virtual time with our module. `progress` hears the instant and the day's length.
+///
+/// # Errors
+///
+/// The scenario is refused.
 pub fn play_virtual(
     scenario: &Scenario,
     seed: u64,
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -69,12 +69,20 @@
     }
 
     /// Takes one line, without its end; returns the reply once the line completes a batch.
+    ///
+    /// # Errors
+    ///
+    /// The line is not one of the protocol, or not one that may come here; the error has its number.
     pub fn line(&mut self, line: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
         self.read(line).map_err(|fault| self.fault(fault))
     }
 
     /// Says that the input has ended, which it may do between batches only.
+    ///
+    /// # Errors
+    ///
+    /// The input ends within a batch.
     pub fn end(&self) -> Result<(), WireError> {
         match self.batch {
             Some(_) => Err(self.fault("the input ends within a batch".to_owned())),
--- a/crates/simulate/src/brains.rs
+++ b/crates/simulate/src/brains.rs
@@ -41,9 +41,17 @@
 pub trait Brains {
     /// Starts the policy of a proxy afresh, with these settings in the platform's JSON; it may go on from what its former life
     /// has learnt.
+    ///
+    /// # Errors
+    ///
+    /// The settings are refused, or the process that hosts the policy has failed.
     fn start(&mut self, proxy: usize, settings: &str, seed: u64, recalls: bool) -> Result<(), BrainError>;
 
     /// Hands over a tick's mail, in the order of the proxies' numbers; answers come in the same order.
+    ///
+    /// # Errors
+    ///
+    /// The process that hosts a policy has failed.
     fn turn(&mut self, now: Seconds, mail: Vec<Mail>, truth: &[True]) -> Result<Vec<Wanted>, BrainError>;
 }
 
@@ -177,6 +185,10 @@
 }
 
 /// The other side of [`Processes`]: serves one process's share of the policies until its input ends.
+///
+/// # Errors
+///
+/// The input or output fails, or holds what is not of this protocol.
 pub fn serve(kind: Kind, input: impl Read, output: impl Write) -> Result<(), BrainError> {
     let (mut input, mut output) = (BufReader::new(input), BufWriter::new(output));
     let mut minds = Threads::new(kind, 1);
@@ -210,6 +222,10 @@
 
 impl Processes {
     /// Starts so many; `command` gives each, which has to [`serve`] on its standard input and output.
+    ///
+    /// # Errors
+    ///
+    /// A process can't be started.
     pub fn start(count: usize, command: impl Fn() -> Command) -> Result<Self, BrainError> {
         let worker = |_| {
             let mut child = command().stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
@@ -251,6 +267,10 @@
 }
 
 /// Writes what a process with policies reads: one start and one turn. For tests of [`serve`].
+///
+/// # Errors
+///
+/// The output fails.
 pub fn write_orders(
     to: &mut impl Write,
     (proxy, settings, seed): (usize, &str, u64),
--- a/crates/simulate/src/day.rs
+++ b/crates/simulate/src/day.rs
@@ -105,6 +105,10 @@
 }
 
 /// Plays a day. `progress` hears the virtual instant and the day's length about once a virtual second.
+///
+/// # Errors
+///
+/// The scenario is refused, or a process that hosts policies has failed.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
--- a/crates/simulate/src/platform.rs
+++ b/crates/simulate/src/platform.rs
@@ -76,6 +76,10 @@
 }
 
 /// The same, read as every host reads it.
+///
+/// # Errors
+///
+/// The settings are not what the platform writes; the string says where.
 pub fn named(settings: &Value) -> Result<Named, String> {
     let json = mosshead_settings::json(&settings.to_string())?;
     mosshead_settings::read(&mosshead_settings::Found::top(&json))
--- a/crates/simulate/src/policies.rs
+++ b/crates/simulate/src/policies.rs
@@ -106,6 +106,10 @@
     }
 
     /// A policy of this kind for one proxy.
+    ///
+    /// # Errors
+    ///
+    /// The settings are refused.
     pub fn start(self, settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
         Ok(match self {
             Kind::Mosshead => Box::new(Balancer::new(settings, seed)?),
@@ -245,7 +249,7 @@
             job.out += 1;
             job.last = Some(endpoint);
         }
-        actions.push(Action::Send { request: id, endpoint, deadline: deadline });
+        actions.push(Action::Send { request: id, endpoint, deadline });
     }
 }
 
--- a/crates/site/src/files.rs
+++ b/crates/site/src/files.rs
@@ -6,6 +6,10 @@
 /// Gives the bytes of a file. Tests and tools put their own in its place.
 pub trait Files {
     /// The whole file, or why it cannot be had. No more than `limit` bytes and one are needed.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be opened or read.
     fn read(&self, path: &str, limit: usize) -> io::Result<Vec<u8>>;
 }
 
--- a/crates/site/src/format.rs
+++ b/crates/site/src/format.rs
@@ -3,6 +3,10 @@
 use kdl::{KdlDocument, KdlError};
 
 /// The text in the one form.
+///
+/// # Errors
+///
+/// The text is not valid KDL.
 pub fn format(text: &str) -> Result<String, KdlError> {
     let mut document = KdlDocument::parse_v2(text)?;
     document.autoformat();
--- a/crates/site/src/read.rs
+++ b/crates/site/src/read.rs
@@ -69,6 +69,10 @@
 }
 
 /// Reads a site, as the instance `name` in `zone` sees it: overrides for others are left out.
+///
+/// # Errors
+///
+/// All faults of the site, each with its place.
 pub fn read(files: &dyn Files, path: &str, name: &str, zone: &str) -> Result<Site, Faults> {
     let mut reader = Reader { files, sources: Vec::new(), faults: Vec::new(), values: BTreeMap::new() };
     let mut stated = Vec::new();
--- a/crates/units/src/units.rs
+++ b/crates/units/src/units.rs
@@ -32,6 +32,10 @@
 /// A quantity that a scenario writes with its unit.
 pub trait Quantity: Copy + PartialOrd {
     /// Reads one value.
+    ///
+    /// # Errors
+    ///
+    /// The text is no value of this unit; the string says what is expected.
     fn read(text: &str) -> Result<Self, String>;
 }
 
--- a/crates/world/src/scenario.rs
+++ b/crates/world/src/scenario.rs
@@ -505,6 +505,10 @@
 
 impl Scenario {
     /// Reads and checks a scenario.
+    ///
+    /// # Errors
+    ///
+    /// The text is not a scenario in TOML, or one of its values is out of bounds.
     pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         scenario.check()?;
