--- a/crates/programs/tests/documentation.rs
+++ b/crates/programs/tests/documentation.rs
@@ -17,6 +17,8 @@
 const PAGES_WITH_NAMES: [&str; 2] = ["docs/architecture.md", "docs/glossary.md"];
 /// The glossary's first column has the former words, which are not in the code.
 const GLOSSARY: &str = "docs/glossary.md";
+/// The page that explains the log of the fleet's programs.
+const LOG_PAGE: &str = "docs/operators/fleet.md";
 /// The names of tests are sentences; other names of the page have fewer words.
 const MIN_UNDERSCORES: usize = 3;
 
@@ -159,3 +161,31 @@
     assert!(count >= 50, "{count} tests only");
     assert!(missing.is_empty(), "tests that are not there:\n{}", missing.join("\n"));
 }
+
+/// The event of each log line in a source: the text behind the prefix of the part, without the fields.
+fn logged_events(source: &str) -> impl Iterator<Item = String> {
+    let calls = source.split("spdlog::").skip(1).filter(|call| !call.starts_with(['{', ':']));
+    let formats = calls.filter_map(|call| {
+        let arguments = call.split_once("!(")?.1.trim_start();
+        arguments.strip_prefix('"')?.split('"').next()
+    });
+    formats.map(|format| {
+        let event = format.split_once(": ").map_or(format, |(_, event)| event);
+        let words = event.split(' ').take_while(|word| !word.contains('='));
+        words.collect::<Vec<_>>().join(" ")
+    })
+}
+
+#[test]
+fn each_line_of_the_log_is_explained() {
+    let page = std::fs::read_to_string(root().join(LOG_PAGE)).unwrap();
+    let mut sources = Vec::new();
+    files(&root().join("crates/programs/src"), "rs", &mut sources);
+    let events: BTreeSet<String> = sources
+        .iter()
+        .flat_map(|file| logged_events(&std::fs::read_to_string(file).unwrap()).collect::<Vec<_>>())
+        .collect();
+    assert!(events.len() >= 15, "{events:?}");
+    let missing: Vec<&String> = events.iter().filter(|event| !page.contains(event.as_str())).collect();
+    assert!(missing.is_empty(), "{LOG_PAGE} does not explain {missing:?}");
+}
