--- a/crates/capacity-bench/src/control_state.rs
+++ b/crates/capacity-bench/src/control_state.rs
@@ -5,6 +5,7 @@
 
 use mosshead_consensus::{ClientReply, Input, Member, Message, Node, Output, RequestDigest, Settings};
 use mosshead_programs::calls::ConsensusMessage;
+use mosshead_time::Instant;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -57,7 +58,7 @@
         for member in 0..members {
             let settings = Settings::new(address(member), (members - 1) / 2, true, seeds.clone());
             let generator = Pcg64Mcg::seed_from_u64(member as u64 + 7);
-            if let Ok(node) = Node::new(settings, &[], 1_000, generator) {
+            if let Ok(node) = Node::new(settings, &[], Instant::from_millis(1_000), generator) {
                 bench.nodes.push(node);
             }
             bench.push(1_000 + 7 * member as u64, member, Act::Tick);
@@ -126,7 +127,7 @@
     fn step(&mut self, place: usize, input: Input) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(place) else { return };
-        let outputs = self.counter.time(|| node.step(now, input));
+        let outputs = self.counter.time(|| node.step(Instant::from_millis(now), input));
         let from = node.local_member();
         for output in outputs {
             match output {
--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -7,7 +7,7 @@
 
 use minicbor::{Decode, Encode};
 
-use crate::control_state::{decode_body, encode_body};
+use crate::body_bytes::{decode_body, encode_body};
 use crate::limits::MAX_BODY_BYTES;
 
 /// The base is indexed by blocks of so many bytes; shorter common ranges inside of a change aren't found.
--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/client_requests.rs
@@ -1,263 +1,236 @@
+//! The clients' requests that have no reply yet.
+
 use std::collections::VecDeque;
+use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+use mosshead_time::{Duration, Instant};
+
+use crate::context::Context;
 use crate::control_state::{AppliedRequest, ControlState, RequestStatus};
-use crate::event::{ClientReply, Output};
-use crate::node::{Node, Role};
-use crate::settings::InjectedFault;
-use rand_core::RngCore;
+use crate::event::ClientReply;
+use crate::injected_fault::InjectedFault;
+
+/// So many requests of a kind wait; more are unavailable at once.
+const MAX_WAITING: usize = 64;
+/// With [`InjectedFault::ReplyLate`], requests expire so much later.
+const INJECTED_DELAY: Duration = Duration::from_millis(350);
 
-/// An operator's change, not judged yet.
+/// An operator's change of the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Change {
-    request_id: u64,
-    since: u64,
-    base: u64,
-    call: AppliedRequest,
-    body: Arc<[u8]>,
+pub(crate) struct ChangeRequest {
+    pub(crate) request_id: u64,
+    pub(crate) received_at: Instant,
+    pub(crate) base_revision: u64,
+    pub(crate) request: AppliedRequest,
+    pub(crate) body: Arc<[u8]>,
 }
 
 /// What is true if the term still holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Claim {
-    Read,
-    Stale { current: u64 },
+    CurrentState,
+    Stale { current_revision: u64 },
 }
 
-/// An answer that waits until a majority has confirmed the term.
+/// A reply that waits until a majority has confirmed the term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Unconfirmed {
+struct UnconfirmedReply {
     request_id: u64,
-    since: u64,
-    /// The first heartbeat that confirms; none while a take-over from oneself is under way.
-    sequence: Option<u64>,
+    received_at: Instant,
+    /// The first heartbeat that confirms; none while a take-over is under way. Only a heartbeat that is sent after the
+    /// request says anything about it.
+    heartbeat: Option<u64>,
     claim: Claim,
 }
 
-/// The client requests that have no reply yet.
+/// The change that is being written.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct WrittenChange {
+    change: ChangeRequest,
+    /// Whether the client was told that the outcome is unknown.
+    is_answered: bool,
+}
+
+/// The requests that have no reply yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ClientRequests {
-    queue: VecDeque<Change>,
-    /// The one that is being written; answered or not.
-    pending_write: Option<(Change, bool)>,
-    unconfirmed: VecDeque<Unconfirmed>,
+    /// Changes that wait for the one before them, oldest first.
+    queue: VecDeque<ChangeRequest>,
+    pending_write: Option<WrittenChange>,
+    /// Oldest first.
+    unconfirmed: VecDeque<UnconfirmedReply>,
 }
 
 impl ClientRequests {
-    const MOST: usize = 64;
-}
-
-impl<R: RngCore> Node<R> {
-    fn leads_or_may(&self) -> bool {
-        !matches!(self.role, Role::Follower) && self.stopping.is_none()
-    }
-
-    pub(crate) fn answer(&mut self, request_id: u64, result: ClientReply) {
-        self.out.push(Output::Reply { request_id, reply: result });
-    }
-
-    fn refuse(&mut self, request_id: u64) {
-        let primary = self.hint();
-        self.answer(request_id, ClientReply::NotPrimary { primary });
-    }
-
-    pub(crate) fn on_change(&mut self, request_id: u64, base: u64, call: AppliedRequest, body: Vec<u8>) {
-        if !self.leads_or_may() {
-            self.refuse(request_id);
-        } else if self.client_requests.queue.len() >= ClientRequests::MOST {
-            self.answer(request_id, ClientReply::Unavailable);
+    /// Queues a change.
+    pub(crate) fn add_change(&mut self, context: &mut Context, change: ChangeRequest) {
+        if self.queue.len() >= MAX_WAITING {
+            context.reply(change.request_id, ClientReply::Unavailable);
         } else {
-            let change = Change { request_id, since: self.now, base, call, body: body.into() };
-            self.client_requests.queue.push_back(change);
+            self.queue.push_back(change);
         }
     }
 
-    pub(crate) fn on_read(&mut self, request_id: u64) {
-        if !self.leads_or_may() {
-            self.refuse(request_id);
-        } else if self.settings.has(InjectedFault::ReadUnconfirmed)
-            && let (Role::Primary(_), Some(state)) = (&self.role, self.committed.clone())
-        {
-            self.answer(request_id, ClientReply::CurrentState { state });
-        } else {
-            self.await_confirmation(request_id, self.now, Claim::Read);
-        }
+    /// Queues a read until the heartbeat after the last sent one confirms the term; none during a take-over.
+    pub(crate) fn add_read(&mut self, context: &mut Context, request_id: u64, heartbeat: Option<u64>) {
+        let received_at = context.now;
+        let claim = Claim::CurrentState;
+        self.await_confirmation(context, UnconfirmedReply { request_id, received_at, heartbeat, claim });
     }
 
-    fn await_confirmation(&mut self, request_id: u64, since: u64, claim: Claim) {
-        if self.client_requests.unconfirmed.len() >= ClientRequests::MOST {
-            self.answer(request_id, ClientReply::Unavailable);
-            return;
+    fn await_confirmation(&mut self, context: &mut Context, reply: UnconfirmedReply) {
+        if self.unconfirmed.len() >= MAX_WAITING {
+            context.reply(reply.request_id, ClientReply::Unavailable);
+        } else {
+            self.unconfirmed.push_back(reply);
         }
-        let sequence = match &self.role {
-            // Danger: only a heartbeat that leaves after the ask says anything about it.
-            Role::Primary(lead) => Some(lead.sequence + 1),
-            _ => None,
-        };
-        self.client_requests.unconfirmed.push_back(Unconfirmed { request_id, since, sequence, claim });
     }
 
-    /// Judges changes in turn, one being written at a time.
-    pub(crate) fn pump(&mut self) {
-        while matches!(self.role, Role::Primary(_)) {
-            if self.client_requests.pending_write.is_some() || self.stopping.is_some() {
-                break;
-            }
-            let Some(change) = self.client_requests.queue.pop_front() else { break };
-            self.judge(change);
-        }
-        self.confirm();
+    /// The next change, if none is being written.
+    pub(crate) fn next_change(&mut self) -> Option<ChangeRequest> {
+        if self.pending_write.is_some() { None } else { self.queue.pop_front() }
     }
 
-    fn judge(&mut self, change: Change) {
-        let Role::Primary(lead) = &self.role else { return };
-        let current = lead.state.revision;
-        match self.judgement(&lead.state, &change) {
+    /// Answers a change by the current state, or returns what it makes of that state and keeps it as the pending write.
+    pub(crate) fn apply_change(
+        &mut self,
+        context: &mut Context,
+        current: &ControlState,
+        next_heartbeat: u64,
+        change: ChangeRequest,
+    ) -> Option<ControlState> {
+        let current_revision = current.revision;
+        let ChangeRequest { request_id, request, received_at, .. } = change;
+        match classify(context, current, &change) {
             RequestStatus::AlreadyApplied => {
-                self.answer(change.request_id, ClientReply::Committed { revision: change.call.revision })
+                context.reply(request_id, ClientReply::Committed { revision: request.revision });
             }
-            RequestStatus::Expired => self.answer(change.request_id, ClientReply::Expired),
-            RequestStatus::Stale if self.settings.has(InjectedFault::StaleUnconfirmed) => {
-                self.answer(change.request_id, ClientReply::Stale { current_revision: current });
+            RequestStatus::Expired => context.reply(request_id, ClientReply::Expired),
+            RequestStatus::Stale if context.has_fault(InjectedFault::StaleUnconfirmed) => {
+                context.reply(request_id, ClientReply::Stale { current_revision });
             }
             RequestStatus::Stale => {
-                self.await_confirmation(change.request_id, change.since, Claim::Stale { current });
+                let claim = Claim::Stale { current_revision };
+                let heartbeat = Some(next_heartbeat);
+                let reply = UnconfirmedReply { request_id, received_at, heartbeat, claim };
+                self.await_confirmation(context, reply);
             }
             RequestStatus::Acceptable => {
-                let state = lead.state.with_request_applied(lead.term, change.call, change.body.clone());
-                self.client_requests.pending_write = Some((change, false));
-                self.start_write(state);
+                let body = change.body.clone();
+                self.pending_write = Some(WrittenChange { change, is_answered: false });
+                return Some(current.with_request_applied(current.write_term, request, body));
             }
         }
+        None
     }
 
-    fn judgement(&self, state: &ControlState, change: &Change) -> RequestStatus {
-        let forgets = self.settings.has(InjectedFault::ForgetAppliedRequests);
-        match state.classify_request(change.base, change.call) {
-            RequestStatus::AlreadyApplied if forgets => RequestStatus::Stale,
-            RequestStatus::Expired if forgets || self.settings.has(InjectedFault::RejectExpired) => {
-                RequestStatus::Stale
-            }
-            judgement => judgement,
+    /// Sends the replies that a heartbeat answered by a majority confirms.
+    pub(crate) fn reply_confirmed(
+        &mut self,
+        context: &mut Context,
+        current: &ControlState,
+        confirmed_heartbeat: u64,
+        last_heartbeat: u64,
+    ) {
+        for waiting in &mut self.unconfirmed {
+            waiting.heartbeat.get_or_insert(last_heartbeat + 1);
+        }
+        let is_confirmed =
+            |waiting: &UnconfirmedReply| waiting.heartbeat.is_some_and(|at| at <= confirmed_heartbeat);
+        while let Some(waiting) = self.unconfirmed.pop_front_if(|waiting| is_confirmed(waiting)) {
+            let reply = match waiting.claim {
+                Claim::CurrentState => ClientReply::CurrentState { state: current.clone() },
+                Claim::Stale { current_revision } => ClientReply::Stale { current_revision },
+            };
+            context.reply(waiting.request_id, reply);
         }
     }
 
-    /// Answers what a majority has confirmed, and asks it about the rest.
-    pub(crate) fn confirm(&mut self) {
-        let confirmed = self.confirmed_sequence();
-        let Role::Primary(lead) = &self.role else { return };
-        for waiting in &mut self.client_requests.unconfirmed {
-            waiting.sequence.get_or_insert(lead.sequence + 1);
-        }
-        let (state, sent) = (lead.state.clone(), lead.sequence);
-        while let Some(first) = self.client_requests.unconfirmed.front() {
-            if first.sequence.is_none_or(|s| s > confirmed) {
-                break;
-            }
-            let Some(first) = self.client_requests.unconfirmed.pop_front() else { break };
-            match first.claim {
-                Claim::Read => {
-                    self.answer(first.request_id, ClientReply::CurrentState { state: state.clone() })
-                }
-                Claim::Stale { current } => {
-                    self.answer(first.request_id, ClientReply::Stale { current_revision: current })
-                }
-            }
-        }
-        // One round at a time, whatever the number of requests.
-        let waits_for_new =
-            self.client_requests.unconfirmed.front().and_then(|w| w.sequence).is_some_and(|s| s > sent);
-        if waits_for_new {
-            self.send_heartbeats(false);
-            if self.confirmed_sequence() > sent {
-                self.confirm();
-            }
-        }
+    /// Whether the oldest unconfirmed reply waits for a heartbeat that was not sent yet.
+    pub(crate) fn awaits_heartbeat_after(&self, last_heartbeat: u64) -> bool {
+        let oldest = self.unconfirmed.front().and_then(|waiting| waiting.heartbeat);
+        oldest.is_some_and(|heartbeat| heartbeat > last_heartbeat)
     }
 
-    /// The pending_write is committed.
-    pub(crate) fn finish_write(&mut self) {
-        if let Some((change, answered)) = self.client_requests.pending_write.take()
-            && !answered
-        {
-            self.answer(change.request_id, ClientReply::Committed { revision: change.call.revision });
+    /// The pending write is committed.
+    pub(crate) fn finish_write(&mut self, context: &mut Context) {
+        if let Some(WrittenChange { change, is_answered: false }) = self.pending_write.take() {
+            let revision = change.request.revision;
+            context.reply(change.request_id, ClientReply::Committed { revision });
         }
     }
 
-    /// A take-over from oneself is done: the pending_write is in the committed state, or never will be.
-    pub(crate) fn settle_pending_write(&mut self) {
-        let Role::Primary(lead) = &self.role else { return };
-        let Some((change, _)) = &self.client_requests.pending_write else { return };
-        if lead.state.has_applied(change.call) {
-            self.finish_write();
-        } else if let Some((change, answered)) = self.client_requests.pending_write.take()
-            && !answered
-        {
-            self.client_requests.queue.push_front(change);
+    /// A renewal is done: the pending write is in the committed state, or never will be.
+    pub(crate) fn resolve_pending_write(&mut self, context: &mut Context, committed: &ControlState) {
+        let Some(write) = &self.pending_write else { return };
+        if committed.has_applied(write.change.request) {
+            self.finish_write(context);
+        } else if let Some(WrittenChange { change, is_answered: false }) = self.pending_write.take() {
+            self.queue.push_front(change);
         }
     }
 
     /// A new epoch has heartbeats of its own.
-    pub(crate) fn renumber_client_requests(&mut self) {
-        for waiting in &mut self.client_requests.unconfirmed {
-            waiting.sequence = None;
+    pub(crate) fn reset_heartbeats(&mut self) {
+        for waiting in &mut self.unconfirmed {
+            waiting.heartbeat = None;
         }
     }
 
-    /// This node judges nothing any more.
-    pub(crate) fn drop_client_requests(&mut self) {
-        let client_requests = std::mem::take(&mut self.client_requests);
-        if self.settings.has(InjectedFault::DropClientRequests) {
+    /// This node is no primary any more: all are answered.
+    pub(crate) fn drop_all(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
+        let ClientRequests { queue, pending_write, unconfirmed } = std::mem::take(self);
+        if context.has_fault(InjectedFault::DropClientRequests) {
             return;
         }
-        if let Some((change, false)) = client_requests.pending_write {
-            self.answer(change.request_id, ClientReply::Unavailable);
+        if let Some(WrittenChange { change, is_answered: false }) = pending_write {
+            context.reply(change.request_id, ClientReply::Unavailable);
+        }
+        let not_written = queue.iter().map(|change| change.request_id);
+        for request_id in not_written.chain(unconfirmed.iter().map(|waiting| waiting.request_id)) {
+            context.reply(request_id, ClientReply::NotPrimary { primary });
         }
-        let unjudged = client_requests
-            .queue
-            .iter()
-            .map(|c| c.request_id)
-            .chain(client_requests.unconfirmed.iter().map(|u| u.request_id));
-        unjudged.for_each(|request_id| self.refuse(request_id));
     }
 
-    /// Others led between: what was judged before them counts no more.
-    pub(crate) fn refuse_unconfirmed(&mut self) {
-        let stale = std::mem::take(&mut self.client_requests.unconfirmed);
-        for waiting in stale {
-            match waiting.claim {
-                Claim::Read => self.client_requests.unconfirmed.push_back(waiting),
-                Claim::Stale { .. } => self.refuse(waiting.request_id),
-            }
+    /// Another node was primary in between: what was found stale before counts no more.
+    pub(crate) fn reject_stale_claims(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
+        let is_read = |waiting: &UnconfirmedReply| matches!(waiting.claim, Claim::CurrentState);
+        for waiting in self.unconfirmed.iter().filter(|waiting| !is_read(waiting)) {
+            context.reply(waiting.request_id, ClientReply::NotPrimary { primary });
         }
+        self.unconfirmed.retain(is_read);
     }
 
-    pub(crate) fn expire_client_requests(&mut self) {
-        let late_by = if self.settings.has(InjectedFault::ReplyLate) { 350 } else { 0 };
-        let (now, most) = (self.now, self.settings.timings.request_timeout + late_by);
-        let late = |since: u64| now.saturating_sub(since) >= most;
-        let mut expired = Vec::new();
-        if let Some((change, answered)) = &mut self.client_requests.pending_write
-            && !*answered
-            && late(change.since)
+    /// Answers the requests that have waited for too long.
+    pub(crate) fn expire(&mut self, context: &mut Context) {
+        let is_late = context.has_fault(InjectedFault::ReplyLate);
+        let delay = if is_late { INJECTED_DELAY } else { Duration::ZERO };
+        let (now, timeout) = (context.now, context.timings().request_timeout + delay);
+        let is_expired = |received_at: Instant| now - received_at >= timeout;
+        let mut unavailable = |request_id| context.reply(request_id, ClientReply::Unavailable);
+        if let Some(write) = &mut self.pending_write
+            && !write.is_answered
+            && is_expired(write.change.received_at)
         {
-            *answered = true;
-            expired.push(change.request_id);
-        }
-        self.client_requests.queue.retain(|c| {
-            !late(c.since) || {
-                expired.push(c.request_id);
-                false
-            }
-        });
-        self.client_requests.unconfirmed.retain(|u| {
-            !late(u.since) || {
-                expired.push(u.request_id);
-                false
-            }
-        });
-        for request_id in expired {
-            self.answer(request_id, ClientReply::Unavailable);
+            write.is_answered = true;
+            unavailable(write.change.request_id);
         }
+        let queued = self.queue.iter().map(|change| (change.received_at, change.request_id));
+        let unconfirmed = self.unconfirmed.iter().map(|reply| (reply.received_at, reply.request_id));
+        let expired = queued.chain(unconfirmed).filter(|(received_at, _)| is_expired(*received_at));
+        expired.for_each(|(_, request_id)| unavailable(request_id));
+        self.queue.retain(|change| !is_expired(change.received_at));
+        self.unconfirmed.retain(|waiting| !is_expired(waiting.received_at));
+    }
+}
+
+fn classify(context: &Context, current: &ControlState, change: &ChangeRequest) -> RequestStatus {
+    let forgets = context.has_fault(InjectedFault::ForgetAppliedRequests);
+    let rejects_expired = forgets || context.has_fault(InjectedFault::RejectExpired);
+    match current.classify_request(change.base_revision, change.request) {
+        RequestStatus::AlreadyApplied if forgets => RequestStatus::Stale,
+        RequestStatus::Expired if rejects_expired => RequestStatus::Stale,
+        status => status,
     }
 }
--- /dev/null
+++ b/crates/consensus/src/context.rs
@@ -0,0 +1,68 @@
+//! What every part needs: settings, the local member, the time of this step, and where outputs go.
+
+use core::net::SocketAddrV4;
+use core::time::Duration;
+
+use mosshead_time::Instant;
+
+use crate::event::{ClientReply, Output};
+use crate::injected_fault::InjectedFault;
+use crate::message::Message;
+use crate::settings::Settings;
+use crate::term::Member;
+use crate::timings::Timings;
+
+/// The surroundings of the parts of a node.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Context {
+    pub(crate) settings: Settings,
+    pub(crate) local: Member,
+    pub(crate) started_at: Instant,
+    /// The time of the current step; it never goes back.
+    pub(crate) now: Instant,
+    /// Empty between steps.
+    outputs: Vec<Output>,
+}
+
+impl Context {
+    pub(crate) fn new(settings: Settings, local: Member, now: Instant) -> Context {
+        Context { settings, local, started_at: now, now, outputs: Vec::new() }
+    }
+
+    pub(crate) fn timings(&self) -> &Timings {
+        &self.settings.timings
+    }
+
+    pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
+        self.settings.injected_fault == Some(fault)
+    }
+
+    /// How long ago an instant was.
+    pub(crate) fn elapsed(&self, since: Instant) -> Duration {
+        self.now - since
+    }
+
+    /// Sends a message, except to this node itself.
+    pub(crate) fn send(&mut self, to: SocketAddrV4, message: Message) {
+        if to != self.local.address {
+            self.outputs.push(Output::Send { to, message });
+        }
+    }
+
+    pub(crate) fn reply(&mut self, request_id: u64, reply: ClientReply) {
+        self.outputs.push(Output::Reply { request_id, reply });
+    }
+
+    pub(crate) fn output(&mut self, output: Output) {
+        self.outputs.push(output);
+    }
+
+    pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
+        std::mem::take(&mut self.outputs)
+    }
+
+    /// Whether a lease that was confirmed at an instant holds at `now`.
+    pub(crate) fn is_within_lease(&self, confirmed_at: Option<Instant>, now: Instant) -> bool {
+        confirmed_at.is_some_and(|at| now - at <= self.settings.timings.lease)
+    }
+}
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -1,11 +1,14 @@
+//! What a disk holds, and the records of the log that it is replayed from.
+
 use core::net::SocketAddrV4;
-use std::collections::VecDeque;
 
 use minicbor::{Decode, Encode};
 use quick_error::quick_error;
 
-use crate::control_state::{ControlState, EpochConfig, Member, MemberId, StateVersion, Term};
+use crate::control_state::{ControlState, StateVersion};
+use crate::epoch_config::EpochConfig;
 use crate::state_delta::StateDelta;
+use crate::term::{MemberId, Term};
 
 quick_error! {
     /// What can be wrong with a log, numbered.
@@ -22,12 +25,12 @@
     }
 }
 
-/// What a disk is.
+/// What a disk is, once and for all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub(crate) struct Identity {
+pub(crate) struct DiskIdentity {
     #[n(0)]
     pub(crate) id: MemberId,
-    /// The bootstrap voters' addresses, if this disk is one of theirs.
+    /// The addresses of the bootstrap voters, if this disk is one of theirs.
     #[n(1)]
     pub(crate) bootstrap_voters: Option<Vec<SocketAddrV4>>,
 }
@@ -36,24 +39,25 @@
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) enum LogRecord {
     #[n(0)]
-    Identity(#[n(0)] Identity),
+    Identity(#[n(0)] DiskIdentity),
     #[n(1)]
     Promise(#[n(0)] Term),
     #[n(2)]
     Accept(#[n(0)] EpochConfig),
     #[n(3)]
-    ControlState(#[n(0)] ControlState),
-    /// The state before this one with another stamp.
+    State(#[n(0)] ControlState),
+    /// The state before this record, written under another term.
     #[n(4)]
     RewriteUnderNewTerm(#[n(0)] StateVersion),
+    /// Replaces everything before it.
     #[n(5)]
-    Snapshot(#[n(0)] Box<Stable>),
-    /// A record that this disk has no say in; it tells where the others are.
+    Snapshot(#[n(0)] Box<DurableState>),
+    /// A configuration that this disk has no vote in; it says where the others are.
     #[n(6)]
-    Seen(#[n(0)] EpochConfig),
-    /// The state before this one with a change.
+    Learned(#[n(0)] EpochConfig),
+    /// A change of the state before this record.
     #[n(7)]
-    Change(#[n(0)] StateDelta),
+    Delta(#[n(0)] StateDelta),
 }
 
 impl LogRecord {
@@ -65,173 +69,101 @@
 
 /// What the disk holds for certain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
-pub(crate) struct Stable {
+pub(crate) struct DurableState {
+    /// None until the first write of an empty disk is synced.
     #[n(0)]
-    pub(crate) identity: Option<Identity>,
+    pub(crate) identity: Option<DiskIdentity>,
+    /// The highest term that this disk has promised.
     #[n(1)]
     pub(crate) promised: Term,
+    /// The highest configuration that this disk has accepted.
     #[n(2)]
     pub(crate) accepted: Option<EpochConfig>,
+    /// The highest state that was written.
     #[n(3)]
     pub(crate) state: Option<ControlState>,
+    /// The latest configuration that was learned without a vote.
     #[n(4)]
-    pub(crate) seen: Option<EpochConfig>,
+    pub(crate) learned: Option<EpochConfig>,
 }
 
-impl Stable {
-    /// Reads a log from its start; says how many bytes of bodies it has made out of changes, too.
-    pub(crate) fn replay(records: &[Vec<u8>]) -> Result<(Stable, usize), StoredStateError> {
-        let (mut stable, mut rebuilt_bytes) = (Stable::default(), 0_usize);
+impl DurableState {
+    /// Replays a log from its start. Also returns how many bytes of bodies it has rebuilt from deltas.
+    ///
+    /// # Errors
+    ///
+    /// A record can't be decoded or does not fit those before it.
+    pub(crate) fn replay(records: &[Vec<u8>]) -> Result<(DurableState, usize), StoredStateError> {
+        let (mut durable, mut rebuilt_bytes) = (DurableState::default(), 0_usize);
         for (index, bytes) in records.iter().enumerate() {
             let record = minicbor::decode(bytes).map_err(|_| StoredStateError::Unreadable(index))?;
-            let changes = matches!(record, LogRecord::Change(_));
-            if !stable.apply(record) {
+            let is_delta = matches!(record, LogRecord::Delta(_));
+            if !durable.apply(record) {
                 return Err(StoredStateError::Disordered(index));
             }
-            let body = stable.state.as_ref().filter(|_| changes).map_or(0, |state| state.body.len());
-            rebuilt_bytes = rebuilt_bytes.saturating_add(body);
+            let body_bytes = durable.state.as_ref().filter(|_| is_delta).map_or(0, |state| state.body.len());
+            rebuilt_bytes = rebuilt_bytes.saturating_add(body_bytes);
         }
-        Ok((stable, rebuilt_bytes))
+        Ok((durable, rebuilt_bytes))
     }
 
     pub(crate) fn version(&self) -> Option<StateVersion> {
         self.state.as_ref().map(ControlState::version)
     }
 
-    pub(crate) fn accepted_ballot(&self) -> Term {
-        self.accepted.as_ref().map(|r| r.term).unwrap_or_default()
+    pub(crate) fn accepted_term(&self) -> Term {
+        self.accepted.as_ref().map(|config| config.term).unwrap_or_default()
     }
 
-    /// Says whether the record fits.
+    /// Applies a record; false if it does not fit those before it.
     pub(crate) fn apply(&mut self, record: LogRecord) -> bool {
         match record {
-            LogRecord::Identity(identity) => {
-                if self.identity.as_ref().is_some_and(|known| *known != identity) {
-                    return false;
-                }
-                self.identity = Some(identity);
-            }
+            LogRecord::Identity(identity) => return self.apply_identity(identity),
             LogRecord::Promise(term) => self.promised = self.promised.max(term),
-            LogRecord::Accept(record) => {
-                self.promised = self.promised.max(record.term);
-                if record.term >= self.accepted_ballot() {
-                    self.accepted = Some(record);
-                }
-            }
-            LogRecord::ControlState(state) => {
-                self.promised = self.promised.max(state.write_term);
-                if self.version().is_none_or(|held| held <= state.version()) {
-                    self.state = Some(state);
-                }
-            }
-            LogRecord::RewriteUnderNewTerm(version) => {
-                self.promised = self.promised.max(version.write_term);
-                match &mut self.state {
-                    Some(state) if state.version().same_body(&version) => {
-                        state.write_term = state.write_term.max(version.write_term);
-                    }
-                    _ => return false,
-                }
-            }
-            LogRecord::Snapshot(stable) => *self = *stable,
-            LogRecord::Seen(record) => self.seen = Some(record),
-            LogRecord::Change(change) => {
-                let Some(state) = self.state.as_ref().and_then(|held| change.apply(held)) else {
-                    return false;
-                };
-                return self.apply(LogRecord::ControlState(state));
+            LogRecord::Accept(config) => self.apply_accept(config),
+            LogRecord::State(state) => self.apply_state(state),
+            LogRecord::RewriteUnderNewTerm(version) => return self.apply_rewrite(version),
+            LogRecord::Snapshot(snapshot) => *self = *snapshot,
+            LogRecord::Learned(config) => self.learned = Some(config),
+            LogRecord::Delta(delta) => {
+                let state = self.state.as_ref().and_then(|held| delta.apply(held));
+                let Some(state) = state else { return false };
+                self.apply_state(state);
             }
         }
         true
     }
-}
-
-/// A write that the host has not answered.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Pending {
-    pub(crate) token: u64,
-    pub(crate) since: u64,
-    pub(crate) effect: Effect,
-    /// Who is to be told.
-    pub(crate) to: Option<Member>,
-}
-
-/// What holds once a write is synced.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Effect {
-    Identity(Identity),
-    Promise(Term),
-    Accept(EpochConfig),
-    ControlState(ControlState),
-    /// A change of the state before it, and the state that it makes.
-    Change(StateDelta, ControlState),
-    RewriteUnderNewTerm(StateVersion),
-    Seen(EpochConfig),
-    Rewrite,
-}
-
-impl Effect {
-    pub(crate) fn record(&self) -> Option<LogRecord> {
-        Some(match self {
-            Effect::Identity(identity) => LogRecord::Identity(identity.clone()),
-            Effect::Promise(term) => LogRecord::Promise(*term),
-            Effect::Accept(record) => LogRecord::Accept(record.clone()),
-            Effect::ControlState(state) => LogRecord::ControlState(state.clone()),
-            Effect::Change(change, _) => LogRecord::Change(change.clone()),
-            Effect::RewriteUnderNewTerm(version) => LogRecord::RewriteUnderNewTerm(*version),
-            Effect::Seen(record) => LogRecord::Seen(record.clone()),
-            Effect::Rewrite => return None,
-        })
-    }
 
-    /// The state that it writes, if it writes one.
-    pub(crate) fn state(&self) -> Option<&ControlState> {
-        match self {
-            Effect::ControlState(state) | Effect::Change(_, state) => Some(state),
-            _ => None,
+    fn apply_identity(&mut self, identity: DiskIdentity) -> bool {
+        if self.identity.as_ref().is_some_and(|known| *known != identity) {
+            return false;
         }
-    }
-}
-
-/// The writes under way.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Writes {
-    pub(crate) queue: VecDeque<Pending>,
-    pub(crate) next_token: u64,
-    /// The bytes of the log, as far as known.
-    pub(crate) log_bytes: usize,
-    /// The bytes of the log when it was rewritten last.
-    pub(crate) snapshot_bytes: usize,
-    /// The bytes of all bodies that a replay of the log has to make out of changes.
-    pub(crate) rebuilt_bytes: usize,
-    /// When a write failed last, if none was done since.
-    pub(crate) failed: Option<u64>,
-    /// A state or a change that failed may stand in the log, so nothing may refer to the one before it.
-    pub(crate) body_unsure: bool,
-}
-
-impl Writes {
-    pub(crate) const MOST: usize = 32;
-    /// The log is rewritten when its replay has to make more bytes of bodies than this.
-    pub(crate) const MOST_REBUILT_BYTES: usize = 128 << 20;
-
-    pub(crate) fn is_full(&self) -> bool {
-        self.queue.len() >= Writes::MOST
+        self.identity = Some(identity);
+        true
     }
 
-    /// How long the oldest write is under way.
-    pub(crate) fn age(&self, now: u64) -> u64 {
-        self.queue.front().map_or(0, |w| now.saturating_sub(w.since))
+    fn apply_accept(&mut self, config: EpochConfig) {
+        self.promised = self.promised.max(config.term);
+        if config.term >= self.accepted_term() {
+            self.accepted = Some(config);
+        }
     }
 
-    pub(crate) fn take(&mut self, token: u64) -> Option<Pending> {
-        let index = self.queue.iter().position(|w| w.token == token)?;
-        self.queue.remove(index)
+    fn apply_state(&mut self, state: ControlState) {
+        self.promised = self.promised.max(state.write_term);
+        if self.version().is_none_or(|held| held <= state.version()) {
+            self.state = Some(state);
+        }
     }
 
-    pub(crate) fn has_state(&self) -> bool {
-        self.queue
-            .iter()
-            .any(|w| w.effect.state().is_some() || matches!(w.effect, Effect::RewriteUnderNewTerm(_)))
+    fn apply_rewrite(&mut self, version: StateVersion) -> bool {
+        self.promised = self.promised.max(version.write_term);
+        match &mut self.state {
+            Some(state) if state.version().has_same_body(&version) => {
+                state.write_term = state.write_term.max(version.write_term);
+                true
+            }
+            _ => false,
+        }
     }
 }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,224 +1,136 @@
+//! When a follower looks for a new primary, and who would promise it a term.
+
+use core::time::Duration;
 use std::collections::BTreeMap;
 
+use mosshead_time::Instant;
 use rand_core::RngCore;
 
-use crate::control_state::{EpochConfig, Member, MemberId, Term};
-use crate::message::Message;
-use crate::node::{Leader, Node, Role};
-use crate::read_lease::LeaseStamp;
-use crate::settings::InjectedFault;
+use crate::context::Context;
+use crate::known_primary::KnownPrimary;
+use crate::random_delay::random_delay;
+use crate::term::{Member, MemberId, Term};
 use crate::votes::Votes;
 
-/// When to look for a primary, and who would promise.
+/// Followers that miss their primary at the same time are spread over so long.
+const ATTEMPT_SPREAD: Duration = Duration::from_millis(150);
+/// Witnesses wait so much longer than those that hold the state.
+const WITNESS_DELAY: Duration = Duration::from_millis(150);
+/// The first attempt after a start comes after this delay and a random one.
+const FIRST_ATTEMPT: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(200));
+/// The next pre-vote comes after this delay and a random one.
+const PRE_VOTE_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(80));
+/// The next attempt after a failed take-over comes after this delay and a random one.
+const TAKE_OVER_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(250));
+/// A granted pre-vote counts for so long.
+const PRE_VOTE_LIFETIME: Duration = Duration::from_millis(300);
+/// More granted pre-votes than this are ignored.
+const MAX_PRE_VOTES: usize = 64;
+
+/// The failure detector of a follower, and its next attempt to become primary.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Election {
-    pub(crate) at: u64,
-    /// Somebody was promised a term and is given time until then.
-    pub(crate) quiet_until: u64,
-    willing: BTreeMap<MemberId, Willing>,
+    pub(crate) known_primary: Option<KnownPrimary>,
+    next_attempt_at: Instant,
+    pre_votes: BTreeMap<MemberId, GrantedPreVote>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Willing {
+struct GrantedPreVote {
     member: Member,
     is_bootstrap_voter: bool,
-    at: u64,
+    received_at: Instant,
 }
 
-impl<R: RngCore> Node<R> {
-    /// Until when the primary is not suspected. What proves that it lives is older than its last heartbeat by one more.
-    fn trusted_until(&self) -> u64 {
-        let timings = &self.settings.timings;
-        let until = |l: &Leader| {
-            let echoed = l.echoed.map_or(0, |at| at + timings.suspicion_timeout + timings.heartbeat_interval);
-            echoed.max(l.since + timings.suspicion_timeout)
-        };
-        self.leader.as_ref().map_or(0, until)
+impl Election {
+    /// Until when the primary is not suspected.
+    fn trusted_until(&self, context: &Context) -> Instant {
+        let until = |primary: &KnownPrimary| primary.trusted_until(context.timings());
+        self.known_primary.as_ref().map_or(Instant::ORIGIN, until)
     }
 
-    /// Whether the primary is known to have lived lately, or is new.
-    pub(crate) fn hears_leader(&self) -> bool {
-        self.now < self.trusted_until()
+    /// Whether the primary is known to have been alive lately, or is new.
+    pub(crate) fn trusts_primary(&self, context: &Context) -> bool {
+        context.now < self.trusted_until(context)
     }
 
-    fn can_lead(&self) -> bool {
-        let allowed = match &self.view {
-            Some(record) => record.member(self.me.id).is_some(),
-            None => self.knows_bootstrap_voters(),
-        };
-        allowed && self.is_healthy() && matches!(self.role, Role::Follower)
+    pub(crate) fn is_attempt_due(&self, now: Instant) -> bool {
+        now >= self.next_attempt_at
     }
 
-    /// Those that keep the state look first.
-    pub(crate) fn await_leader(&mut self) {
-        self.await_leader_until(self.now + self.settings.timings.suspicion_timeout);
+    /// Waits for a primary; those that hold the state attempt first.
+    pub(crate) fn await_primary(&mut self, context: &Context, rng: &mut impl RngCore, holds_state: bool) {
+        self.schedule_attempt(context.now + context.timings().suspicion_timeout, rng, holds_state);
     }
 
-    fn await_leader_until(&mut self, until: u64) {
-        let keeps = self.view.as_ref().is_some_and(|r| r.holds_state(self.me.id));
-        let spread = self.below(150) + if keeps { 0 } else { 150 };
-        self.election.at = until + spread;
-        self.election.willing.clear();
+    /// Attempts nothing while the primary is trusted.
+    pub(crate) fn await_suspicion(&mut self, context: &Context, rng: &mut impl RngCore, holds_state: bool) {
+        self.schedule_attempt(self.trusted_until(context), rng, holds_state);
     }
 
-    pub(crate) fn election_timers(&mut self) {
-        if self.now < self.election.at || !self.can_lead() {
-            return;
-        }
-        if self.hears_leader() {
-            return self.await_leader_until(self.trusted_until());
-        }
-        self.election.at = self.now + 100 + self.below(80);
-        for member in self.electorate() {
-            self.send(member.address, Message::PreVote);
-        }
-        let (me, is_bootstrap_voter) = (self.me, self.is_bootstrap_voter());
-        self.on_pre_vote_answer(me, true, is_bootstrap_voter, None);
+    fn schedule_attempt(&mut self, earliest: Instant, rng: &mut impl RngCore, holds_state: bool) {
+        let witness_delay = if holds_state { Duration::ZERO } else { WITNESS_DELAY };
+        self.next_attempt_at = earliest + random_delay(rng, ATTEMPT_SPREAD) + witness_delay;
+        self.pre_votes.clear();
     }
 
-    /// Whom to ask for a promise.
-    pub(crate) fn electorate(&self) -> Vec<Member> {
-        match (&self.view, self.bootstrap_voters()) {
-            (Some(record), _) => record.voters(),
-            (None, Some(bootstrap_voters)) => {
-                bootstrap_voters.iter().map(|a| Member::bootstrap_voter(*a)).collect()
-            }
-            (None, None) => Vec::new(),
-        }
+    pub(crate) fn schedule_first_attempt(&mut self, now: Instant, rng: &mut impl RngCore) {
+        self.schedule_after(now, FIRST_ATTEMPT, rng);
+    }
+
+    pub(crate) fn schedule_pre_vote_retry(&mut self, now: Instant, rng: &mut impl RngCore) {
+        self.schedule_after(now, PRE_VOTE_RETRY, rng);
     }
 
-    pub(crate) fn on_pre_vote(&mut self, from: Member) {
-        let willing = match &self.role {
-            Role::Follower if self.settings.has(InjectedFault::AlwaysWilling) => true,
-            Role::Follower => !self.hears_leader() && self.now >= self.election.quiet_until,
-            Role::TakingOver(_) | Role::Primary(_) => false,
-        };
-        let (is_bootstrap_voter, record) = (self.is_bootstrap_voter(), self.view.clone());
-        self.send(
-            from.address,
-            Message::PreVoteResponse { granted: willing, is_bootstrap_voter, config: record },
-        );
+    pub(crate) fn schedule_take_over_retry(&mut self, now: Instant, rng: &mut impl RngCore) {
+        self.schedule_after(now, TAKE_OVER_RETRY, rng);
     }
 
-    pub(crate) fn on_pre_vote_answer(
+    fn schedule_after(
         &mut self,
-        from: Member,
-        willing: bool,
-        is_bootstrap_voter: bool,
-        record: Option<EpochConfig>,
+        now: Instant,
+        (delay, spread): (Duration, Duration),
+        rng: &mut impl RngCore,
     ) {
-        if let Some(record) = record {
-            self.note_record(&record);
-        }
-        if !willing || !self.can_lead() || self.hears_leader() {
-            return;
-        }
-        let now = self.now;
-        self.election.willing.retain(|_, w| now - w.at <= 300);
-        if self.election.willing.len() < 64 {
-            self.election.willing.insert(from.id, Willing { member: from, is_bootstrap_voter, at: now });
-        }
-        let mut votes = Votes::default();
-        for w in self.election.willing.values() {
-            votes.add(w.member, w.is_bootstrap_voter);
-        }
-        let enough = match &self.view {
-            Some(record) => votes.decide(record, false),
-            None => votes.majority(&self.electorate()),
-        };
-        if enough {
-            self.take_over();
-        }
+        self.next_attempt_at = now + delay + random_delay(rng, spread);
     }
 
-    /// Ends a take-over whose step is overdue before the answers count that came meanwhile, as after a freeze.
-    pub(crate) fn end_overdue_take_over(&mut self) {
-        let step = self.settings.timings.take_over_step_timeout;
-        let Role::TakingOver(t) = &self.role else { return };
-        if self.now.saturating_sub(t.since) > step && !self.settings.has(InjectedFault::LateTakeOver) {
-            self.step_down();
+    /// Counts a granted pre-vote; returns all that count still.
+    pub(crate) fn add_pre_vote(&mut self, now: Instant, member: Member, is_bootstrap_voter: bool) -> Votes {
+        self.pre_votes.retain(|_, vote| now - vote.received_at <= PRE_VOTE_LIFETIME);
+        if self.pre_votes.len() < MAX_PRE_VOTES {
+            let vote = GrantedPreVote { member, is_bootstrap_voter, received_at: now };
+            self.pre_votes.insert(member.id, vote);
         }
-    }
-
-    pub(crate) fn on_hand_over(&mut self, from: Member, term: Term) {
-        let named = self.view.as_ref().is_some_and(|r| r.term == term && r.primary == from.id);
-        if named && self.can_lead() && self.promised <= term {
-            self.take_over();
+        let mut votes = Votes::default();
+        for vote in self.pre_votes.values() {
+            votes.add(vote.member, vote.is_bootstrap_voter);
         }
+        votes
     }
 
-    pub(crate) fn on_heartbeat(&mut self, from: Member, heartbeat: Message) {
-        let Message::Heartbeat { term, sequence, committed, config: record, echoed_stamp: echo } = heartbeat
-        else {
-            return;
-        };
-        self.highest = self.highest.max(term.number);
-        if let Some(record) = record {
-            self.note_record(&record);
-        }
-        self.outranked(term);
-        let held = self.stable.state.as_ref().filter(|s| s.version().same_body(&committed));
-        if let Some(state) = held.cloned() {
-            self.show(state);
-        }
-        if self.leader.as_ref().is_none_or(|l| l.term <= term) && matches!(self.role, Role::Follower) {
-            self.note_leader(from, term);
-            self.note_echo(echo, committed.revision);
-        }
-        let answer = Message::HeartbeatResponse {
-            term,
-            sequence,
-            promised: self.promised,
-            accepted_term: self.stable.accepted_ballot(),
-            known_term: self.view.as_ref().map(|r| r.term).unwrap_or_default(),
-            committed_revision: self.committed.as_ref().map(|s| s.revision),
-            is_healthy: self.is_healthy(),
-            lease_stamp: self.contact.stamp(self.now),
-        };
-        self.send(from.address, answer);
+    /// Whether heartbeats of the term are of the known primary or a newer one.
+    pub(crate) fn accepts_heartbeat(&self, term: Term) -> bool {
+        self.known_primary.as_ref().is_none_or(|primary| primary.term <= term)
     }
 
     /// A heartbeat has arrived, whenever it was sent.
-    fn note_leader(&mut self, member: Member, term: Term) {
-        let now = self.now;
-        match &mut self.leader {
-            Some(leader) if leader.term == term => leader.heard = now,
-            _ => self.leader = Some(Leader::new(member, term, now)),
+    pub(crate) fn record_heartbeat(&mut self, now: Instant, member: Member, term: Term) {
+        match &mut self.known_primary {
+            Some(primary) if primary.term == term => primary.last_heartbeat_at = now,
+            _ => self.known_primary = Some(KnownPrimary::new(member, term, now)),
         }
     }
 
-    /// The primary has sent this after the own answer that bore the stamp, and its state was of this revision.
-    fn note_echo(&mut self, echo: Option<LeaseStamp>, revision: u64) {
-        if let Some(at) = self.proven_time(echo) {
-            if let Some(leader) = &mut self.leader {
-                leader.echoed = leader.echoed.max(Some(at));
-            }
-            let shown = self.shown_revision();
-            self.contact.prove(at, revision, shown);
+    /// The primary is known to have been alive at this instant, or later.
+    pub(crate) fn confirm_primary_alive(&mut self, at: Instant) {
+        if let Some(primary) = &mut self.known_primary {
+            primary.confirmed_at = primary.confirmed_at.max(Some(at));
         }
-        if self.hears_leader() {
-            self.await_leader_until(self.trusted_until());
-        }
-    }
-
-    /// The time since when a heartbeat with this stamp was sent, if it tells any.
-    fn proven_time(&self, echo: Option<LeaseStamp>) -> Option<u64> {
-        if self.settings.has(InjectedFault::ContactByArrival) {
-            return Some(self.now);
-        }
-        let echo = echo?;
-        if self.settings.has(InjectedFault::ContactOfOtherIncarnations) {
-            return Some(echo.answered_at).filter(|at| *at <= self.now);
-        }
-        self.contact.time_of(echo, self.now)
     }
 
-    fn shown_revision(&self) -> Option<u64> {
-        if self.settings.has(InjectedFault::ContactByArrival)
-            || self.settings.has(InjectedFault::ContactWithoutState)
-        {
-            return Some(u64::MAX);
-        }
-        self.committed.as_ref().map(|state| state.revision)
+    /// The local member is no primary any more.
+    pub(crate) fn forget_primary(&mut self, id: MemberId) {
+        self.known_primary = self.known_primary.take().filter(|primary| primary.member.id != id);
     }
 }
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,7 +1,8 @@
 use core::net::SocketAddrV4;
 
-use crate::control_state::{ControlState, Member, RequestDigest, Term};
+use crate::control_state::{ControlState, RequestDigest};
 use crate::message::Message;
+use crate::term::{Member, Term};
 
 /// What happens to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- /dev/null
+++ b/crates/consensus/src/injected_fault.rs
@@ -0,0 +1,80 @@
+//! Faults that tests build into a node, to see that their checkers find them.
+
+/// A fault that a node may have in tests.
+#[doc(hidden)]
+#[allow(missing_docs)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum InjectedFault {
+    /// A change is acknowledged when it is on the primary's disk.
+    CommitAlone,
+    /// Promises, states and records are answered before they are synced.
+    RespondUnsynced,
+    /// A backup takes writes of a term below its promise.
+    ForgetPromise,
+    /// A take-over takes the highest revision, whatever its stamp.
+    NewestByRevision,
+    /// A primary answers reads without a majority's word.
+    ReadUnconfirmed,
+    /// A primary answers that a base is stale without a majority's word.
+    StaleUnconfirmed,
+    /// A backup shows what it has written.
+    PublishUncommitted,
+    /// The calls that were taken aren't remembered.
+    ForgetAppliedRequests,
+    /// Client requests are answered when their callers have long gone elsewhere.
+    ReplyLate,
+    /// A call that can't be told from a forgotten one is refused.
+    RejectExpired,
+    /// What is shown may go back.
+    PublishOlderState,
+    /// A follower is in touch from the moment at which any heartbeat arrives.
+    ContactByArrival,
+    /// A follower is in touch before it shows what the primary has committed.
+    ContactWithoutState,
+    /// A follower that hears its primary would promise another one.
+    AlwaysWilling,
+    /// A take-over that was frozen goes on with the answers that came meanwhile.
+    LateTakeOver,
+    /// A follower takes stamps of other runs of its process for its own.
+    ContactOfOtherIncarnations,
+    /// A primary without contact to a majority goes on telling that it lives.
+    NoLease,
+    /// Only the new members decide on a change of members.
+    NewMembersOnly,
+    /// A machine at a bootstrap voter's address votes as one, also with another disk.
+    AnyBootstrapVoter,
+    /// A term is used before it is on the own disk.
+    TermUnsynced,
+    /// A primary keeps its place when its disk stalls.
+    KeepStalledPrimary,
+    /// A backup keeps its place when its disk stalls.
+    KeepStalledBackup,
+    /// Members are never replaced.
+    KeepMembers,
+    /// Client requests are forgotten when the primary steps down.
+    DropClientRequests,
+    /// A node with a full disk says that it is fit.
+    AlwaysHealthy,
+    /// The state is not stamped before the record is proposed.
+    SkipRewriteUnderNewTerm,
+    /// Every change sends and writes the whole state, and every state goes in one message.
+    WholeStates,
+    /// A step of a take-over ends though a state that it waits for is on its way.
+    IgnoreTransferProgress,
+    /// A change is applied to whatever state is there.
+    ApplyDeltaToAnyState,
+    /// A change is written though the state before it may not stand before it in the log.
+    WriteDeltaOnUncertainState,
+    /// A member that stops just ends.
+    ShutDownAtOnce,
+    /// A member that has told that it stops keeps its place until it was silent for long.
+    KeepDepartingMembers,
+    /// A silent member keeps its place for as long as the usual spans say, whatever the platform's are.
+    SlowReplacement,
+    /// The silence of a primary that is gone counts from the take-over.
+    ForgetSilenceOfMembers,
+    /// Newcomers get places one after the other, each by a take-over.
+    OneNewcomerAtATime,
+    /// A disk that was wiped counts as a newcomer while its last word is fresh.
+    StaleNewcomer,
+}
--- a/crates/consensus/src/join_requests.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -1,79 +1,101 @@
-use rand_core::RngCore;
+//! Those that look for the others, and when this node does.
 
-use crate::control_state::{Member, Term};
-use crate::message::Message;
-use crate::node::{Leader, Node, Role};
+use core::time::Duration;
+use std::collections::BTreeMap;
+
+use mosshead_time::Instant;
+
+use crate::context::Context;
+use crate::term::{Member, MemberId};
+
+/// More join requests than this are ignored.
+const MAX_JOIN_REQUESTS: usize = 64;
+/// A join request counts for so long.
+const JOIN_REQUEST_LIFETIME: Duration = Duration::from_millis(1_000);
+/// A newcomer that knows a primary tells all so often that it waits for a place.
+const WAITING_INTERVAL: Duration = Duration::from_millis(400);
+/// A newcomer that knows no primary asks so often.
+const NEWCOMER_INTERVAL: Duration = Duration::from_millis(100);
+/// A member that misses its primary asks so often.
+const MEMBER_INTERVAL: Duration = Duration::from_millis(300);
+/// A member whose primary was silent for so long looks for the others.
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// A newcomer whose primary was silent for so long looks for the others.
+const NEWCOMER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Somebody who looks for the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Joiner {
+pub(crate) struct JoinRequest {
     pub(crate) member: Member,
     pub(crate) is_bootstrap_voter: bool,
-    pub(crate) heard: u64,
+    pub(crate) received_at: Instant,
 }
 
-const MOST_JOINERS: usize = 64;
-const JOINER_LASTS: u64 = 1_000;
-/// A newcomer tells all so often that it waits for a place.
-const JOINER_TELLS: u64 = 400;
+/// The latest join requests of others, and when the next own one is due.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct JoinRequests {
+    by_member: BTreeMap<MemberId, JoinRequest>,
+    next_at: Instant,
+}
 
-impl<R: RngCore> Node<R> {
-    /// Before there is a record: whether this bootstrap voter knows the others, or has waited for them long enough.
-    pub(crate) fn knows_bootstrap_voters(&self) -> bool {
-        let Some(bootstrap_voters) = self.bootstrap_voters() else { return false };
-        let waited = self.now.saturating_sub(self.started) >= self.settings.timings.bootstrap_timeout;
-        let known =
-            |address| self.joiners.values().any(|j| j.is_bootstrap_voter && j.member.address == address);
-        waited || bootstrap_voters.iter().all(|a| *a == self.me.address || known(*a))
+impl JoinRequests {
+    pub(crate) fn new(now: Instant) -> JoinRequests {
+        JoinRequests { by_member: BTreeMap::new(), next_at: now }
     }
 
-    /// Whoever knows no primary, or is no member, looks for the others.
-    pub(crate) fn join_timers(&mut self) {
-        if self.now < self.join_at || !matches!(self.role, Role::Follower) {
-            return;
-        }
-        let member = self.view.as_ref().is_some_and(|r| r.member(self.me.id).is_some());
-        let patience = if member { 1_000 } else { 300 };
-        let last = self.leader.as_ref().map_or(if member { self.started } else { 0 }, Leader::alive_at);
-        let lost = self.leader.is_none() && !member;
-        let missed = lost || self.now.saturating_sub(last) >= patience;
-        if member && !missed {
-            return;
-        }
-        // Danger: whoever leads next has to know of those that wait for a place, before it lets a leaver go.
-        self.join_at = self.now
-            + match (member, missed) {
-                (true, _) => 300,
-                (false, true) => 100,
-                (false, false) => JOINER_TELLS,
-            };
-        let seen = self.view.as_ref().map(|r| r.term).unwrap_or_default();
-        let join = Message::Join { is_bootstrap_voter: self.is_bootstrap_voter(), known_term: seen };
-        for address in self.contacts.clone() {
-            self.send(address, join.clone());
+    pub(crate) fn record(&mut self, request: JoinRequest) {
+        let now = request.received_at;
+        self.by_member.retain(|_, known| now - known.received_at <= JOIN_REQUEST_LIFETIME);
+        let id = request.member.id;
+        if self.by_member.len() < MAX_JOIN_REQUESTS || self.by_member.contains_key(&id) {
+            self.by_member.insert(id, request);
         }
     }
 
-    pub(crate) fn on_join(&mut self, from: Member, is_bootstrap_voter: bool, seen: Term) {
-        let now = self.now;
-        self.joiners.retain(|_, j| now - j.heard <= JOINER_LASTS);
-        self.note_address(from.address);
-        if self.joiners.len() < MOST_JOINERS || self.joiners.contains_key(&from.id) {
-            self.joiners.insert(from.id, Joiner { member: from, is_bootstrap_voter, heard: now });
-        }
-        if let Role::Primary(_) = self.role {
-            self.welcome(from);
-        } else if let Some(record) = &self.view
-            && record.term > seen
-        {
-            let record = record.clone();
-            self.send(from.address, Message::KnownConfig { config: record });
-        }
+    /// The join requests that count still.
+    pub(crate) fn recent(&self, now: Instant) -> impl Iterator<Item = &JoinRequest> {
+        self.by_member.values().filter(move |request| now - request.received_at <= JOIN_REQUEST_LIFETIME)
+    }
+
+    /// Whether all these bootstrap voters are known, apart from the local one.
+    pub(crate) fn include_bootstrap_voters(
+        &self,
+        local: Member,
+        addresses: &[core::net::SocketAddrV4],
+    ) -> bool {
+        let is_known =
+            |address| self.by_member.values().any(|r| r.is_bootstrap_voter && r.member.address == address);
+        addresses.iter().all(|address| *address == local.address || is_known(*address))
     }
 
-    /// Newcomers that may be members of the first record.
-    pub(crate) fn fresh_joiners(&self) -> Vec<Joiner> {
-        let lately = |j: &&Joiner| self.now.saturating_sub(j.heard) <= JOINER_LASTS;
-        self.joiners.values().filter(lately).copied().collect()
+    /// Whether a follower is to look for the others now: it knows no primary, or is no member. If so, the next time is set.
+    ///
+    /// A newcomer asks also while it knows a primary: whoever becomes primary next has to know of those that wait for a
+    /// place before it lets a member go.
+    pub(crate) fn take_due(
+        &mut self,
+        context: &Context,
+        is_member: bool,
+        primary_alive_at: Option<Instant>,
+    ) -> bool {
+        let now = context.now;
+        if now < self.next_at {
+            return false;
+        }
+        let timeout = if is_member { MEMBER_TIMEOUT } else { NEWCOMER_TIMEOUT };
+        let misses_primary = match primary_alive_at {
+            Some(alive_at) => now - alive_at >= timeout,
+            None => !is_member || now - context.started_at >= timeout,
+        };
+        if is_member && !misses_primary {
+            return false;
+        }
+        let interval = match (is_member, misses_primary) {
+            (true, _) => MEMBER_INTERVAL,
+            (false, true) => NEWCOMER_INTERVAL,
+            (false, false) => WAITING_INTERVAL,
+        };
+        self.next_at = now + interval;
+        true
     }
 }
--- /dev/null
+++ b/crates/consensus/src/known_primary.rs
@@ -0,0 +1,43 @@
+//! The primary as its heartbeats show it.
+
+use mosshead_time::{Duration, Instant};
+
+use crate::term::{Member, Term};
+use crate::timings::Timings;
+
+/// The primary as its heartbeats show it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct KnownPrimary {
+    pub(crate) member: Member,
+    pub(crate) term: Term,
+    /// When the first heartbeat of this term arrived.
+    pub(crate) first_heartbeat_at: Instant,
+    /// When the newest heartbeat arrived. It may have waited on its way, so this is good for hints only.
+    pub(crate) last_heartbeat_at: Instant,
+    /// The newest of the own stamps that came back: the primary was alive at that instant or later.
+    pub(crate) confirmed_at: Option<Instant>,
+}
+
+impl KnownPrimary {
+    pub(crate) fn new(member: Member, term: Term, now: Instant) -> KnownPrimary {
+        KnownPrimary { member, term, first_heartbeat_at: now, last_heartbeat_at: now, confirmed_at: None }
+    }
+
+    /// When this primary is known to have been alive. A new one has the benefit of the doubt.
+    pub(crate) fn alive_at(&self) -> Instant {
+        self.confirmed_at.unwrap_or(Instant::ORIGIN).max(self.first_heartbeat_at)
+    }
+
+    /// Until when this primary is not suspected. What proves that it is alive is older than its last heartbeat by one more
+    /// interval.
+    pub(crate) fn trusted_until(&self, timings: &Timings) -> Instant {
+        let proven = |at| at + timings.suspicion_timeout + timings.heartbeat_interval;
+        let confirmed = self.confirmed_at.map_or(Instant::ORIGIN, proven);
+        confirmed.max(self.first_heartbeat_at + timings.suspicion_timeout)
+    }
+
+    /// How long no heartbeat has arrived.
+    pub(crate) fn silence(&self, now: Instant) -> Duration {
+        now - self.last_heartbeat_at
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/learner.rs
@@ -0,0 +1,100 @@
+//! The committed state as this node knows it.
+
+use crate::context::Context;
+use crate::control_state::ControlState;
+use crate::delta_log::OutOfOrderDeltas;
+use crate::event::Output;
+use crate::injected_fault::InjectedFault;
+use crate::lease_stamp::LeaseStamp;
+use crate::read_lease::ReadLease;
+use crate::state_delta::StateDelta;
+use mosshead_time::Instant;
+
+/// Learns committed states and publishes them to the host.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Learner {
+    /// The newest committed state; its revision never goes back.
+    pub(crate) committed: Option<ControlState>,
+    out_of_order_deltas: OutOfOrderDeltas,
+    pub(crate) read_lease: ReadLease,
+}
+
+impl Learner {
+    pub(crate) fn new(incarnation: u64) -> Learner {
+        Learner {
+            committed: None,
+            out_of_order_deltas: OutOfOrderDeltas::default(),
+            read_lease: ReadLease::new(incarnation),
+        }
+    }
+
+    pub(crate) fn revision(&self) -> Option<u64> {
+        self.committed.as_ref().map(|state| state.revision)
+    }
+
+    /// Publishes a committed state with the committed deltas that follow it; never an older one than before.
+    pub(crate) fn publish(&mut self, context: &mut Context, state: ControlState) {
+        let state = self.out_of_order_deltas.advance(state);
+        self.out_of_order_deltas.drop_up_to(state.revision);
+        let is_newer = |known| {
+            known < state.revision
+                || context.has_fault(InjectedFault::PublishOlderState) && known != state.revision
+        };
+        if self.revision().is_none_or(is_newer) {
+            context.output(Output::Committed { state: state.clone() });
+            self.read_lease.record_published(state.revision);
+            self.committed = Some(state);
+        }
+    }
+
+    /// Publishes what committed deltas make of the states that are there.
+    pub(crate) fn on_committed_deltas(
+        &mut self,
+        context: &mut Context,
+        durable: Option<&ControlState>,
+        deltas: Vec<StateDelta>,
+    ) {
+        if context.has_fault(InjectedFault::ApplyDeltaToAnyState) {
+            return self.apply_last_unchecked(context, &deltas);
+        }
+        for delta in deltas {
+            self.out_of_order_deltas.push(delta);
+        }
+        // The state before a committed one was committed, too.
+        let held = [durable, self.committed.as_ref()].into_iter().flatten();
+        let advanced = held.map(|held| (held.revision, self.out_of_order_deltas.advance(held.clone())));
+        let newer = advanced.filter(|(held, state)| state.revision > *held).map(|(_, state)| state);
+        if let Some(state) = newer.max_by_key(|state| state.revision) {
+            self.publish(context, state);
+        }
+    }
+
+    /// [`InjectedFault::ApplyDeltaToAnyState`].
+    fn apply_last_unchecked(&mut self, context: &mut Context, deltas: &[StateDelta]) {
+        let Some(committed) = &self.committed else { return };
+        let last = deltas.last().filter(|delta| committed.revision < delta.request.revision);
+        if let Some(state) = last.and_then(|delta| delta.apply_unchecked(committed)) {
+            self.publish(context, state);
+        }
+    }
+
+    /// The instant after which a heartbeat with this stamp was sent, if the stamp proves any.
+    pub(crate) fn proven_instant(&self, context: &Context, stamp: Option<LeaseStamp>) -> Option<Instant> {
+        if context.has_fault(InjectedFault::ContactByArrival) {
+            return Some(context.now);
+        }
+        let stamp = stamp?;
+        if context.has_fault(InjectedFault::ContactOfOtherIncarnations) {
+            return Some(stamp.answered_at).filter(|at| *at <= context.now);
+        }
+        self.read_lease.instant_of(stamp, context.now)
+    }
+
+    /// The primary had contact with a majority after `contact_at`, and has committed this revision.
+    pub(crate) fn confirm_contact(&mut self, context: &Context, contact_at: Instant, revision: u64) {
+        let ignores_revision = context.has_fault(InjectedFault::ContactByArrival)
+            || context.has_fault(InjectedFault::ContactWithoutState);
+        let published = if ignores_revision { Some(u64::MAX) } else { self.revision() };
+        self.read_lease.confirm_contact(contact_at, revision, published);
+    }
+}
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,44 +1,70 @@
-//! Control state: a primary writes to its backups before it answers, witnesses that keep only epochs decide who takes over.
+//! The control state, replicated with a majority: a primary has every change written by its backups before it acknowledges
+//! it, and witnesses that keep only the configurations of epochs decide who becomes primary.
 //!
-//! [`Node`] is a state machine without I/O, clock or randomness of its own: a host hands in what happens, carries out the
-//! outputs in their order, and answers every write in order. See `docs/design/0007-fleet.md`, "Control state".
+//! [`Node`] is a state machine without I/O, clock or randomness of its own, as in raft-rs: a host hands in what happens as
+//! [`Input`]s, carries out the [`Output`]s in their order, and confirms every write in order. See
+//! `docs/design/0007-fleet.md`, "Control state".
+//!
+//! A node consists of parts that own their state: the acceptor, the disk, the learner of committed states, the election, the
+//! transfers of large states and others. What outlives a role is in the core; the roles (follower, take-over, primary) work
+//! on it, and ask the node for a transition to another role.
 
 mod acceptor;
+mod body_bytes;
 mod body_delta;
 mod client_requests;
+mod context;
 mod control_state;
+mod delta_log;
+mod disk_writes;
 mod durable_state;
 mod election;
+mod epoch_config;
+mod epoch_view;
 mod event;
+mod injected_fault;
 mod join_requests;
+mod known_primary;
+mod leadership_transfer;
+mod learner;
+mod lease_stamp;
 mod limits;
 mod member_removal;
-mod membership_change;
 mod message;
 mod node;
+mod node_core;
+mod peers;
+mod primary;
+mod random_delay;
 mod read_lease;
-mod replication;
 mod settings;
+mod snapshot;
 mod snapshot_transfer;
 mod state_delta;
+mod storage;
 mod stored_state;
 mod take_over;
+mod term;
+mod timings;
+mod transition;
 mod votes;
 
 pub use body_delta::BodyDelta;
 pub use control_state::{
-    AppliedRequest, ControlState, DEDUPLICATION_WINDOW, EpochConfig, Member, MemberId, RequestDigest,
-    RequestStatus, StateVersion, Term,
+    AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest, RequestStatus, StateVersion,
 };
 pub use durable_state::StoredStateError;
+pub use epoch_config::EpochConfig;
 pub use event::{ClientReply, Input, Output};
+#[doc(hidden)]
+pub use injected_fault::InjectedFault;
+pub use lease_stamp::LeaseStamp;
 pub use limits::{MAX_BODY_BYTES, MAX_STATE_BYTES};
 pub use member_removal::SHUTDOWN_TIMEOUT;
 pub use message::Message;
 pub use node::Node;
-pub use read_lease::LeaseStamp;
-#[doc(hidden)]
-pub use settings::InjectedFault;
-pub use settings::{Settings, Timings};
-pub use snapshot_transfer::{ChunkSizes, SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
+pub use settings::Settings;
+pub use snapshot::{ChunkSizes, SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
 pub use state_delta::StateDelta;
+pub use term::{Member, MemberId, Term};
+pub use timings::Timings;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -1,6 +1,10 @@
-//! How large a state may be, and what follows from it for messages.
+//! Bounds on what a node accepts, remembers and sends.
 
-/// The largest body of a state. A change that makes a larger one is refused before anything is written.
+/// The longest body of a state, in bytes. A change that makes a longer one is refused before anything is written.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
-/// The largest state with all that it remembers, encoded: a message that carries a whole state has to hold it.
+/// The longest encoded state with all that it remembers, in bytes: a message that carries a whole state has to hold it.
 pub const MAX_STATE_BYTES: usize = MAX_BODY_BYTES + (1 << 20);
+/// Configurations that name more members than this are ignored.
+pub(crate) const MAX_MEMBERS: usize = 32;
+/// The most simultaneous failures that a fleet may be configured for.
+pub(crate) const MAX_FAILURES: usize = 8;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,9 +1,12 @@
 use minicbor::{Decode, Encode};
 
-use crate::control_state::{ControlState, EpochConfig, StateVersion, Term};
-use crate::read_lease::LeaseStamp;
-use crate::snapshot_transfer::{SnapshotChunk, SnapshotOffer};
-use crate::state_delta::{MOST_CHANGES, StateDelta};
+use crate::control_state::{ControlState, StateVersion};
+use crate::delta_log::MAX_DELTAS;
+use crate::epoch_config::EpochConfig;
+use crate::lease_stamp::LeaseStamp;
+use crate::snapshot::{SnapshotChunk, SnapshotOffer};
+use crate::state_delta::StateDelta;
+use crate::term::Term;
 
 /// What nodes tell each other, one way; any of it may be lost, late, doubled or out of order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
@@ -261,8 +264,10 @@
             Message::FetchedState { state, .. }
             | Message::ReplicateState { state }
             | Message::CommittedState { state } => state.body.len(),
-            Message::ReplicateDelta { delta: change } => change.bytes(),
-            Message::CommittedDeltas { deltas: changes } => changes.iter().map(StateDelta::bytes).sum(),
+            Message::ReplicateDelta { delta: change } => change.estimated_bytes(),
+            Message::CommittedDeltas { deltas: changes } => {
+                changes.iter().map(StateDelta::estimated_bytes).sum()
+            }
             Message::SnapshotChunk { chunk: piece } => piece.bytes.len(),
             _ => 0,
         }
@@ -281,7 +286,7 @@
             Message::FetchedState { state, .. }
             | Message::ReplicateState { state }
             | Message::CommittedState { state } => state.is_within_bounds(),
-            Message::CommittedDeltas { deltas: changes } => changes.len() <= MOST_CHANGES,
+            Message::CommittedDeltas { deltas: changes } => changes.len() <= MAX_DELTAS,
             _ => true,
         }
     }
--- /dev/null
+++ b/crates/consensus/src/node/queries.rs
@@ -0,0 +1,131 @@
+//! What a node tells its host about itself.
+
+use core::net::SocketAddrV4;
+use core::time::Duration;
+
+use mosshead_time::Instant;
+use rand_core::RngCore;
+
+use super::{Node, Role};
+use crate::control_state::ControlState;
+use crate::epoch_config::EpochConfig;
+use crate::injected_fault::InjectedFault;
+use crate::member_removal::SHUTDOWN_TIMEOUT;
+use crate::term::{Member, Term};
+
+/// A node with [`InjectedFault::ShutDownAtOnce`] shuts down after so long.
+const INJECTED_SHUTDOWN: Duration = Duration::from_millis(150);
+
+impl<R: RngCore> Node<R> {
+    /// The number of this disk and the address of this machine.
+    pub fn local_member(&self) -> Member {
+        self.core.local()
+    }
+
+    /// The primary, as far as known at the last step.
+    pub fn primary(&self) -> Option<Member> {
+        self.primary_at(self.core.now())
+    }
+
+    /// The primary, as far as known at this moment, also if this node was not stepped for a while.
+    pub fn primary_at(&self, now: Instant) -> Option<Member> {
+        if self.role.is_primary_or_renewal() {
+            return self.has_quorum_contact(now).then_some(self.core.local());
+        }
+        let max_silence = 2 * self.core.context.timings().suspicion_timeout;
+        let primary = self.core.election.known_primary.as_ref();
+        primary.filter(|primary| primary.silence(now) <= max_silence).map(|primary| primary.member)
+    }
+
+    /// Whether this node was primary after its last step. Whoever acts on it asks [`Node::holds_primary_lease`].
+    pub fn is_primary(&self) -> bool {
+        matches!(self.role, Role::Primary(_))
+    }
+
+    /// Whether this node is primary and its lease holds at this moment, also if it was not stepped for a while.
+    pub fn holds_primary_lease(&self, now: Instant) -> bool {
+        self.is_primary() && self.core.context.is_within_lease(self.core.primary_lease_confirmed_at, now)
+    }
+
+    /// Whether this node lately had contact with a majority: as primary, or by a primary that has. What it publishes then
+    /// is not older than [`crate::Timings::max_staleness`].
+    pub fn has_quorum_contact(&self, now: Instant) -> bool {
+        let confirmed_at = match self.role.is_primary_or_renewal() {
+            true => self.core.primary_lease_confirmed_at,
+            false => self.core.learner.read_lease.confirmed_at(),
+        };
+        self.core.context.is_within_lease(confirmed_at, now)
+    }
+
+    /// The members, as far as known.
+    pub fn members(&self) -> &[Member] {
+        self.core.epoch.config().map_or(&[], |config| &config.members)
+    }
+
+    /// The newest committed state that this node knows.
+    pub fn committed_state(&self) -> Option<&ControlState> {
+        self.core.learner.committed.as_ref()
+    }
+
+    /// The term of the epoch; its number is the fencing token.
+    pub fn term(&self) -> Term {
+        match (&self.role, &self.core.election.known_primary) {
+            (Role::Primary(primary), _) => primary.term(),
+            (_, Some(primary)) => primary.term,
+            _ => self.core.epoch.term(),
+        }
+    }
+
+    /// The configuration of the highest epoch that this node has seen, decided or not.
+    pub fn epoch_config(&self) -> Option<&EpochConfig> {
+        self.core.epoch.config()
+    }
+
+    /// Whether the disk takes writes and this node does not shut down.
+    pub fn is_healthy(&self) -> bool {
+        self.core.is_healthy()
+    }
+
+    /// One record that replaces the whole log; none while writes are pending.
+    pub fn snapshot(&self) -> Option<Vec<u8>> {
+        let storage = &self.core.storage;
+        let is_idle = storage.writes.queue.is_empty() && storage.is_open();
+        is_idle.then(|| storage.snapshot_record(self.core.acceptor.promised()))
+    }
+
+    /// After [`crate::Input::ShutDown`]: whether the process may end. The others need nothing more of this node, or it has
+    /// waited for their word for long enough. Looked at after each step.
+    pub fn may_shut_down(&self) -> bool {
+        let Some(age) = self.core.removal.shutdown_age(self.core.now()) else { return false };
+        if age >= SHUTDOWN_TIMEOUT {
+            return true;
+        }
+        if !self.role.is_follower() {
+            return false;
+        }
+        if self.core.has_fault(InjectedFault::ShutDownAtOnce) {
+            return age >= INJECTED_SHUTDOWN;
+        }
+        self.core.epoch.config().is_none_or(|config| self.is_free_of(config))
+    }
+
+    /// Whether a configuration needs nothing more of this node.
+    fn is_free_of(&self, config: &EpochConfig) -> bool {
+        let local = self.core.local();
+        let is_granted = self.core.removal.is_granted(self.core.acceptor.promised(), config.term);
+        // Only decided configurations have heartbeats.
+        let known_primary = self.core.election.known_primary.as_ref();
+        let is_decided = known_primary.is_some_and(|primary| primary.term == config.term);
+        let is_outside = is_decided && !config.has_voter(local.id);
+        let is_alone = config.voters().iter().all(|member| member.address == local.address);
+        is_granted || is_outside || is_alone
+    }
+
+    /// The address that clients are sent to instead of this node.
+    pub(super) fn redirect_address(&self) -> Option<SocketAddrV4> {
+        let transfer = self.core.leadership_transfer;
+        let successor = transfer.and_then(|transfer| transfer.likely_primary(&self.core.context));
+        let other = || self.primary().filter(|primary| primary.id != self.core.local().id);
+        successor.or_else(|| other().map(|primary| primary.address))
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/role.rs
@@ -0,0 +1,154 @@
+//! The role of a node, and how it changes.
+
+use rand_core::RngCore;
+
+use super::Node;
+use crate::disk_writes::DurabilityEffect;
+use crate::epoch_config::EpochConfig;
+use crate::event::Output;
+use crate::injected_fault::InjectedFault;
+use crate::known_primary::KnownPrimary;
+use crate::peers::NewEpoch;
+use crate::primary::PrimaryState;
+use crate::take_over::TakeOver;
+use crate::term::{Member, MemberId, Term};
+use crate::transition::{DecidedEpoch, TakeOverPlan, Transition};
+use crate::votes::Votes;
+
+/// The role of a node.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum Role {
+    Follower,
+    TakingOver(Box<TakeOver>),
+    Primary(Box<PrimaryState>),
+}
+
+impl Role {
+    pub(super) fn is_follower(&self) -> bool {
+        matches!(self, Role::Follower)
+    }
+
+    /// The term of a take-over or of a primary.
+    pub(super) fn term(&self) -> Option<Term> {
+        match self {
+            Role::Follower => None,
+            Role::TakingOver(take_over) => Some(take_over.term()),
+            Role::Primary(primary) => Some(primary.term()),
+        }
+    }
+
+    /// Whether this is a primary, also one that takes over from itself.
+    pub(super) fn is_primary_or_renewal(&self) -> bool {
+        match self {
+            Role::Follower => false,
+            Role::TakingOver(take_over) => take_over.is_renewal(),
+            Role::Primary(_) => true,
+        }
+    }
+}
+
+impl<R: RngCore> Node<R> {
+    /// Changes the role as the present one asks for.
+    pub(super) fn apply(&mut self, transition: Transition) {
+        match transition {
+            Transition::Stay => {}
+            Transition::StepDown => self.step_down(),
+            Transition::TakeOver(plan) => self.start_take_over(plan),
+            Transition::BecomePrimary(epoch) => self.become_primary(*epoch),
+        }
+    }
+
+    /// Remembers a configuration that somebody has proposed; a role under a lower term ends.
+    pub(super) fn observe_config(&mut self, config: &EpochConfig) {
+        if self.core.epoch.observe_config(config) {
+            self.step_down_below(config.term);
+        }
+    }
+
+    /// A role under a term lower than this one ends.
+    pub(super) fn step_down_below(&mut self, term: Term) {
+        if self.role.term().is_some_and(|own| own < term) {
+            self.step_down();
+        }
+    }
+
+    /// Ends the role, if there is one.
+    pub(super) fn step_down(&mut self) {
+        if self.role.is_follower() {
+            return;
+        }
+        let was_primary = self.role.is_primary_or_renewal();
+        self.role = Role::Follower;
+        self.core.election.forget_primary(self.core.local().id);
+        self.await_primary();
+        if was_primary {
+            self.core.context.output(Output::SteppedDown);
+        } else {
+            self.core.election.schedule_take_over_retry(self.core.context.now, &mut self.rng);
+        }
+        let primary = self.redirect_address();
+        self.core.requests.drop_all(&mut self.core.context, primary);
+    }
+
+    fn await_primary(&mut self) {
+        let holds_state = self.core.epoch.holds_state(self.core.local().id);
+        self.core.election.await_primary(&self.core.context, &mut self.rng, holds_state);
+    }
+
+    /// Starts a take-over under a term above all that were seen. Without one, the role stays as it is.
+    pub(super) fn start_take_over(&mut self, plan: TakeOverPlan) {
+        let promised = self.core.acceptor.promised();
+        let local = self.core.local();
+        let term = Term { number: self.core.epoch.next_term_number(promised), proposer: local.id };
+        if term <= promised || self.core.storage.writes.is_full() {
+            if let Role::TakingOver(take_over) = &mut self.role {
+                take_over.set_rejections(plan.rejections);
+            }
+            return;
+        }
+        self.core.epoch.observe_term(term);
+        self.core.acceptor.raise_promise(term);
+        self.core.election.forget_primary(local.id);
+        self.role = Role::TakingOver(Box::new(TakeOver::new(term, plan, self.core.now())));
+        self.core.requests.reset_heartbeats();
+        self.core.write(DurabilityEffect::Promise(term), local);
+        if self.core.has_fault(InjectedFault::TermUnsynced) {
+            self.on_local_promise_written(term);
+        }
+    }
+
+    fn become_primary(&mut self, epoch: DecidedEpoch) {
+        let DecidedEpoch { config, state, votes, proposed_at, is_renewal, is_continued } = epoch;
+        let now = self.core.now();
+        let silent_primary = self.silent_primary(&votes);
+        let new_epoch = NewEpoch { config: &config, votes: &votes, proposed_at, is_renewal, silent_primary };
+        let newcomers: Vec<Member> = self.core.joins.recent(now).map(|join| join.member).collect();
+        self.core.peers.start_epoch(&self.core.context, &new_epoch, &newcomers);
+
+        let term = config.term;
+        self.core.election.known_primary = Some(KnownPrimary::new(self.core.local(), term, now));
+        self.core.primary_lease_confirmed_at = Some(proposed_at);
+        self.core.leadership_transfer = None;
+        self.role = Role::Primary(Box::new(PrimaryState::new(config, state.clone(), now)));
+
+        self.core.publish(state);
+        self.core.context.output(Output::BecamePrimary { term, continued: is_continued });
+        if !is_continued {
+            let primary = self.redirect_address();
+            self.core.requests.reject_stale_claims(&mut self.core.context, primary);
+        }
+        if let Role::Primary(primary) = &mut self.role {
+            self.core.requests.resolve_pending_write(&mut self.core.context, primary.state());
+            primary.send_heartbeats_to_all(&mut self.core);
+        }
+    }
+
+    /// The primary before, if it has no part in this take-over and is suspected.
+    fn silent_primary(&self, votes: &Votes) -> Option<MemberId> {
+        let primary = self.core.election.known_primary.as_ref()?;
+        let is_suspected = primary.silence(self.core.now()) >= self.core.context.timings().suspicion_timeout;
+        let is_silent = is_suspected && !votes.includes(&primary.member);
+        (is_silent && !self.core.has_fault(InjectedFault::ForgetSilenceOfMembers))
+            .then_some(primary.member.id)
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -0,0 +1,181 @@
+//! Which members and backups the next epoch should have.
+
+use core::time::Duration;
+
+use super::PrimaryState;
+use crate::injected_fault::InjectedFault;
+use crate::node_core::NodeCore;
+use crate::peers::Peer;
+use crate::term::{Member, MemberId, Term};
+use crate::timings::Timings;
+
+/// The members and backups that the primary wants, by what it knows of its peers.
+pub(super) struct MembershipPlan<'a> {
+    pub(super) core: &'a NodeCore,
+    pub(super) primary: &'a PrimaryState,
+}
+
+impl MembershipPlan<'_> {
+    fn peer(&self, id: MemberId) -> Option<&Peer> {
+        self.core.peers.get(id)
+    }
+
+    fn is_recent(&self, peer: &Peer) -> bool {
+        peer.is_recent(self.core.now())
+    }
+
+    fn is_departing(&self, id: MemberId) -> bool {
+        self.core.removal.is_departing(id, self.core.now())
+    }
+
+    /// Whether the peer could take part in the next epoch.
+    fn is_available(&self, peer: &Peer) -> bool {
+        peer.is_healthy && self.is_recent(peer) && !self.is_departing(peer.member.id)
+    }
+
+    fn has_lost_backup(&self) -> bool {
+        let suspicion_timeout = self.core.context.timings().suspicion_timeout;
+        let is_there = |peer: &Peer| {
+            peer.is_healthy
+                && !self.is_departing(peer.member.id)
+                && peer.silence(self.core.now()) <= suspicion_timeout
+        };
+        self.primary.config.backups.iter().any(|id| !self.peer(*id).is_some_and(is_there))
+    }
+
+    /// Whether a backup is lost and a witness is there for its role.
+    pub(super) fn wants_other_backups(&self) -> bool {
+        let config = &self.primary.config;
+        let is_spare = |member: &Member| {
+            member.id != self.core.local().id
+                && !config.backups.contains(&member.id)
+                && self.peer(member.id).is_some_and(|peer| self.is_available(peer))
+        };
+        !self.core.has_fault(InjectedFault::KeepStalledBackup)
+            && self.has_lost_backup()
+            && config.members.iter().any(is_spare)
+    }
+
+    /// The members as they should be, if other than they are. Several may change at once: the outgoing and the new ones
+    /// decide on the whole list.
+    pub(super) fn wanted_members(&self) -> Option<Vec<Member>> {
+        if self.core.has_fault(InjectedFault::KeepMembers) {
+            return None;
+        }
+        let mut members = self.primary.config.members.clone();
+        let one_at_a_time = self.core.has_fault(InjectedFault::OneNewcomerAtATime);
+        let (mut has_changed, mut has_unplaced) = (false, false);
+        for newcomer in self.newcomers() {
+            match self.give_place(&mut members, newcomer) {
+                true => has_changed = true,
+                false => has_unplaced = true,
+            }
+            if has_changed && one_at_a_time {
+                break;
+            }
+        }
+        let waits = has_unplaced && !one_at_a_time && members.iter().any(|m| self.is_nearly_replaceable(m));
+        (has_changed && !waits).then_some(members)
+    }
+
+    /// Those that may become members: first those at the address of one, whose disk they replace; of two disks at one
+    /// address the one that was received from last takes the place in the end.
+    fn newcomers(&self) -> Vec<Member> {
+        let config = &self.primary.config;
+        // A disk that was wiped was received from lately, too. Only what has answered in this epoch is there.
+        let is_here = |peer: &Peer| {
+            peer.answered_term == self.primary.term || self.core.has_fault(InjectedFault::StaleNewcomer)
+        };
+        let mut newcomers: Vec<&Peer> = self
+            .core
+            .peers
+            .iter()
+            .filter(|peer| !config.has_member(peer.member.id))
+            .filter(|peer| peer.member.address != self.core.local().address)
+            .filter(|peer| self.is_available(peer) && is_here(peer))
+            .collect();
+        let replaces_disk = |p: &Peer| config.members.iter().any(|m| m.address == p.member.address);
+        newcomers.sort_by_key(|peer| (!replaces_disk(peer), peer.last_received_at));
+        newcomers.into_iter().map(|peer| peer.member).collect()
+    }
+
+    /// Gives a newcomer the place of the disk before it at its address, an empty one, or that of a member that is gone.
+    /// Returns whether there was one.
+    fn give_place(&self, members: &mut Vec<Member>, newcomer: Member) -> bool {
+        if let Some(place) = members.iter_mut().find(|m| m.address == newcomer.address) {
+            *place = newcomer;
+            return true;
+        }
+        if members.len() < self.core.context.settings.member_count() {
+            members.push(newcomer);
+            return true;
+        }
+        let Some(gone) = self.most_silent(members).or_else(|| self.departing_to_replace(members)) else {
+            return false;
+        };
+        let Some(place) = members.iter_mut().find(|m| m.id == gone) else { return false };
+        *place = newcomer;
+        true
+    }
+
+    /// For how long the member was not healthy or silent.
+    fn silence(&self, member: &Member) -> Duration {
+        self.peer(member.id).map_or(Duration::MAX, |p| self.core.context.elapsed(p.last_healthy_at))
+    }
+
+    /// Whether the member was lost along with one that may be replaced now: it may be, too, a moment later.
+    fn is_nearly_replaceable(&self, member: &Member) -> bool {
+        let timings = self.core.context.timings();
+        let silence = self.silence(member);
+        member.id != self.core.local().id
+            && silence <= timings.replacement_timeout
+            && silence + timings.heartbeat_interval > timings.replacement_timeout
+    }
+
+    /// The member that was silent for longest, and for long enough to lose its place.
+    fn most_silent(&self, members: &[Member]) -> Option<MemberId> {
+        let others = members.iter().filter(|m| m.id != self.core.local().id);
+        let silent = others.max_by_key(|m| self.silence(m))?;
+        let replacement_timeout = match self.core.has_fault(InjectedFault::SlowReplacement) {
+            true => Timings::default().replacement_timeout,
+            false => self.core.context.timings().replacement_timeout,
+        };
+        (self.silence(silent) > replacement_timeout).then_some(silent.id)
+    }
+
+    /// A member that shuts down, if others are there to hold the state in the epoch between.
+    fn departing_to_replace(&self, members: &[Member]) -> Option<MemberId> {
+        if self.core.has_fault(InjectedFault::KeepDepartingMembers) {
+            return None;
+        }
+        let others = || members.iter().filter(|m| m.id != self.core.local().id);
+        let departing = others().find(|m| self.is_departing(m.id))?;
+        let is_here = |m: &Member| self.peer(m.id).is_some_and(|peer| self.is_recent(peer));
+        let stays = |m: &&Member| m.id != departing.id && self.primary.config.has_member(m.id) && is_here(m);
+        let staying = others().filter(stays).count();
+        (staying >= self.core.context.settings.max_failures).then_some(departing.id)
+    }
+
+    /// Whether the member may shut down without a copy or a vote less than there could be.
+    ///
+    /// A member whose place nobody waits for stays a member: the membership must not shrink, so that the return of the
+    /// member makes up for the next loss at once.
+    pub(super) fn may_be_removed(&self, id: MemberId) -> bool {
+        let config = &self.primary.config;
+        if !config.has_voter(id) {
+            return true;
+        }
+        !config.is_joint() && !config.holds_state(id) && !self.has_newcomer_waiting()
+    }
+
+    /// Whether somebody was received from lately that could be a member, or has not said yet whether it can.
+    fn has_newcomer_waiting(&self) -> bool {
+        self.core.peers.iter().any(|peer| {
+            let is_unknown = peer.answered_term == Term::default();
+            !self.primary.config.has_member(peer.member.id)
+                && !self.is_departing(peer.member.id)
+                && self.is_recent(peer)
+                && (peer.is_healthy || is_unknown)
+        })
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/primary/renewal.rs
@@ -0,0 +1,110 @@
+//! A primary takes over from itself when its epoch doesn't fit any more, and gives its role away when it isn't healthy.
+
+use core::time::Duration;
+
+use super::PrimaryState;
+use super::membership_plan::MembershipPlan;
+use crate::injected_fault::InjectedFault;
+use crate::leadership_transfer::LeadershipTransfer;
+use crate::message::Message;
+use crate::node_core::NodeCore;
+use crate::term::Member;
+use crate::transition::{TakeOverPlan, Transition};
+
+/// A primary that shuts down waits so long at most for its pending write.
+const MAX_SHUTDOWN_WRITE: Duration = Duration::from_millis(300);
+
+impl PrimaryState {
+    /// Gives the role away, renews the epoch, or stays.
+    pub(super) fn renew_if_needed(&self, core: &mut NodeCore) -> Transition {
+        if self.has_to_resign(core) {
+            return self.resign(core);
+        }
+        let has_other_writes = !core.storage.writes.queue.is_empty() && !self.is_writing();
+        if core.removal.is_shutting_down() || has_other_writes {
+            return Transition::Stay;
+        }
+        let plan = MembershipPlan { core, primary: self };
+        if self.config.is_joint() || self.is_backup_slow(&plan) || self.is_superseded(core) {
+            return self.renewal(None);
+        }
+        let is_young = core.context.elapsed(self.started_at) < core.context.timings().heartbeat_interval;
+        if is_young || self.is_writing() {
+            return Transition::Stay;
+        }
+        match plan.wanted_members() {
+            Some(wanted) => self.renewal(Some(wanted)),
+            None if plan.wants_other_backups() => self.renewal(None),
+            None => Transition::Stay,
+        }
+    }
+
+    fn renewal(&self, wanted_members: Option<Vec<Member>>) -> Transition {
+        Transition::TakeOver(TakeOverPlan { decided_term: Some(self.term), wanted_members, rejections: 0 })
+    }
+
+    /// Whether the disk is stalled or full, or the node shuts down.
+    fn has_to_resign(&self, core: &NodeCore) -> bool {
+        let is_stalled = core.storage.writes.oldest_age(core.now())
+            > core.context.timings().local_write_timeout
+            && !core.has_fault(InjectedFault::KeepStalledPrimary);
+        let is_shut_down = core
+            .removal
+            .shutdown_age(core.now())
+            .is_some_and(|age| !self.is_writing() || age >= MAX_SHUTDOWN_WRITE);
+        is_stalled
+            || is_shut_down
+            || core.storage.writes.failed_at.is_some() && self.successor(core).is_some()
+    }
+
+    /// Whether a backup has not written a change in time, or is lost while others are there.
+    fn is_backup_slow(&self, plan: &MembershipPlan<'_>) -> bool {
+        let core = plan.core;
+        let timeout = core.context.timings().backup_write_timeout;
+        self.pending_write.as_ref().is_some_and(|write| {
+            let is_late = || core.context.elapsed(write.last_progress_at) >= timeout;
+            write.is_on_local_disk && (is_late() || plan.wants_other_backups())
+        }) && !core.has_fault(InjectedFault::KeepStalledBackup)
+    }
+
+    /// Whether a voter has promised a higher term for so long that its proposer has failed.
+    fn is_superseded(&self, core: &NodeCore) -> bool {
+        let timeout = core.context.timings().suspicion_timeout / 2;
+        self.higher_term_seen_since.is_some_and(|since| core.now() >= since + timeout)
+    }
+
+    /// The member that should be primary next: a backup that is healthy, or another voter that is.
+    fn successor(&self, core: &NodeCore) -> Option<Member> {
+        let (now, lease) = (core.now(), core.context.timings().lease);
+        let is_able = |member: &&Member| {
+            let peer = core.peers.get(member.id);
+            member.id != core.local().id
+                && peer.is_some_and(|peer| peer.is_healthy && peer.silence(now) <= lease)
+        };
+        let rank = |member: &&Member| {
+            let received_at = core.peers.get(member.id).map(|peer| peer.last_received_at);
+            (self.config.backups.contains(&member.id), received_at)
+        };
+        self.config.members.iter().filter(is_able).max_by_key(rank).copied()
+    }
+
+    /// Gives the role away.
+    pub(crate) fn resign(&self, core: &mut NodeCore) -> Transition {
+        if let Some(successor) = self.successor(core) {
+            let transfer = LeadershipTransfer::start(&mut core.context, successor.address, self.term);
+            core.leadership_transfer = Some(transfer);
+        }
+        Transition::StepDown
+    }
+
+    /// A member shuts down: it is let go where nothing more is needed of it.
+    pub(crate) fn on_removal_requested(&self, core: &mut NodeCore, from: Member) {
+        let may_be_removed = MembershipPlan { core, primary: self }.may_be_removed(from.id);
+        if let Some(peer) = core.peers.get_mut(from.id) {
+            peer.is_healthy = false;
+        }
+        if may_be_removed {
+            core.send(from.address, Message::RemovalGranted { term: self.term });
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/primary/replication.rs
@@ -0,0 +1,170 @@
+//! A change on its way to the disks of the primary and of the backups.
+
+use std::collections::BTreeSet;
+
+use mosshead_time::Instant;
+
+use super::PrimaryState;
+use crate::control_state::{ControlState, StateVersion};
+use crate::injected_fault::InjectedFault;
+use crate::message::Message;
+use crate::node_core::NodeCore;
+use crate::snapshot::StatePurpose;
+use crate::state_delta::StateDelta;
+use crate::take_over::MAX_TRANSFER;
+use crate::term::{Member, MemberId};
+
+/// A change that is being written.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct PendingWrite {
+    /// The state after the change.
+    state: ControlState,
+    /// What it changes of the state before, where that is shorter.
+    delta: Option<StateDelta>,
+    /// Backups that have not the state before: they get the whole state.
+    missing_body: BTreeSet<MemberId>,
+    pub(super) is_on_local_disk: bool,
+    /// The nodes that have written it.
+    written_by: BTreeSet<MemberId>,
+    /// Since when it waits without progress.
+    pub(super) last_progress_at: Instant,
+    started_at: Instant,
+    sent_at: Instant,
+}
+
+impl PrimaryState {
+    pub(super) fn is_writing(&self) -> bool {
+        self.pending_write.is_some()
+    }
+
+    /// Sends a change to the disks that have to hold it.
+    pub(super) fn start_write(&mut self, core: &mut NodeCore, state: ControlState) {
+        let now = core.now();
+        let is_whole = core.has_fault(InjectedFault::WholeStates);
+        let delta = if is_whole { None } else { StateDelta::between(&self.state, &state) };
+        self.pending_write = Some(PendingWrite {
+            state: state.clone(),
+            delta: delta.clone(),
+            missing_body: BTreeSet::new(),
+            is_on_local_disk: false,
+            written_by: BTreeSet::new(),
+            last_progress_at: now,
+            started_at: now,
+            sent_at: now,
+        });
+        let effect = core.storage.state_effect(&core.context, delta, state);
+        core.write(effect, core.local());
+        self.send_pending_write(core);
+    }
+
+    /// Sends the pending write to the backups that have not written it.
+    pub(super) fn send_pending_write(&self, core: &mut NodeCore) {
+        let Some(write) = &self.pending_write else { return };
+        let large_bytes = core.context.settings.chunk_sizes.large_state_bytes;
+        let delta = write.delta.as_ref().filter(|delta| delta.estimated_bytes() <= large_bytes);
+        let waiting = self.config.backups.iter().filter(|id| !write.written_by.contains(id));
+        for backup in waiting.filter_map(|id| self.config.member(*id)) {
+            match delta.filter(|_| !write.missing_body.contains(&backup.id)) {
+                Some(delta) => {
+                    core.send(backup.address, Message::ReplicateDelta { delta: delta.clone() });
+                }
+                None => core.send_state(*backup, StatePurpose::ReplicateState, write.state.clone()),
+            }
+        }
+    }
+
+    /// Whether the pending write is to be sent again. If so, the next time is set.
+    pub(super) fn take_due_resend(&mut self, core: &NodeCore) -> bool {
+        let Some(write) = &mut self.pending_write else { return false };
+        let is_due = core.context.elapsed(write.sent_at) >= core.context.timings().state_resend_interval;
+        if is_due {
+            write.sent_at = core.now();
+        }
+        is_due
+    }
+
+    fn pending_write_of(&mut self, version: StateVersion) -> Option<&mut PendingWrite> {
+        self.pending_write.as_mut().filter(|write| write.state.version() == version)
+    }
+
+    /// A backup is receiving the state: it is not slow.
+    pub(crate) fn record_transfer_progress(&mut self, core: &NodeCore, version: StateVersion) {
+        let Some(write) = self.pending_write_of(version) else { return };
+        if core.context.elapsed(write.started_at) < MAX_TRANSFER {
+            write.last_progress_at = core.now();
+        }
+    }
+
+    /// A state is durable at a node, maybe at this one.
+    pub(crate) fn on_state_written(&mut self, core: &mut NodeCore, id: MemberId, version: StateVersion) {
+        let Some(write) = self.pending_write_of(version) else { return };
+        if id == core.local().id {
+            write.is_on_local_disk = true;
+        } else {
+            write.written_by.insert(id);
+        }
+        if self.is_written_everywhere(core) {
+            self.commit(core);
+        }
+    }
+
+    /// A node has not the state before: a backup gets the whole state, once.
+    pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
+        let is_backup = self.config.backups.contains(&from.id);
+        let Some(write) = self.pending_write_of(version) else { return };
+        if is_backup && write.missing_body.insert(from.id) {
+            core.send_state(from, StatePurpose::ReplicateState, write.state.clone());
+        }
+    }
+
+    /// Whether the pending write is on the disks of the primary and of all backups.
+    fn is_written_everywhere(&self, core: &NodeCore) -> bool {
+        self.pending_write.as_ref().is_some_and(|write| {
+            let by_backups = || self.config.backups.iter().all(|id| write.written_by.contains(id));
+            write.is_on_local_disk && (core.has_fault(InjectedFault::CommitAlone) || by_backups())
+        })
+    }
+
+    /// The pending write is committed.
+    fn commit(&mut self, core: &mut NodeCore) {
+        let Some(write) = self.pending_write.take() else { return };
+        self.state = write.state.clone();
+        let large_bytes = core.context.settings.chunk_sizes.large_state_bytes;
+        let delta = write.delta.filter(|delta| delta.estimated_bytes() <= large_bytes);
+        match delta.clone() {
+            Some(delta) => core.delta_log.push(core.context.now, delta),
+            None => {
+                self.first_heartbeat_of_full_state = self.next_heartbeat();
+                core.delta_log.clear();
+            }
+        }
+        core.publish(write.state.clone());
+        // The backups have the state: the heartbeat tells them that it is committed.
+        self.send_heartbeats_to_all(core);
+        self.send_committed(core, write.state, delta);
+        core.requests.finish_write(&mut core.context);
+    }
+
+    /// Sends a committed state to all but the backups. Those that are silent get it when they answer again.
+    fn send_committed(&self, core: &mut NodeCore, state: ControlState, delta: Option<StateDelta>) {
+        let (now, suspicion_timeout) = (core.now(), core.context.timings().suspicion_timeout);
+        let mut recipients = Vec::new();
+        for peer in core.peers.iter_mut() {
+            let is_backup = self.config.backups.contains(&peer.member.id);
+            if !is_backup && peer.silence(now) <= suspicion_timeout {
+                if delta.is_none() {
+                    peer.state_sent_at = Some(now);
+                }
+                recipients.push(peer.member);
+            }
+        }
+        for member in recipients {
+            match delta.clone() {
+                Some(delta) => {
+                    core.send(member.address, Message::CommittedDeltas { deltas: vec![delta] });
+                }
+                None => core.send_state(member, StatePurpose::Committed, state.clone()),
+            }
+        }
+    }
+}
--- a/crates/consensus/src/stored_state.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -5,13 +5,14 @@
 use minicbor::decode::Error;
 use minicbor::{Decode, Decoder};
 
-use crate::control_state::{AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest, Term};
+use crate::control_state::{AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest};
+use crate::term::Term;
 
 /// A state as it is encoded. Fields that older versions did not write are optional.
 #[derive(Decode)]
-pub(crate) struct StoredState {
+struct StoredState {
     #[n(0)]
-    term: Term,
+    write_term: Term,
     #[n(1)]
     first_write_term: Term,
     #[n(2)]
@@ -19,17 +20,17 @@
     #[n(3)]
     body: ByteVec,
     #[n(4)]
-    taken: Vec<StoredCall>,
+    applied_requests: Vec<StoredRequest>,
     #[n(5)]
     highest_expired_revision: Option<u64>,
 }
 
-/// A call as it is encoded.
+/// An applied request as it is encoded.
 #[derive(Decode)]
-struct StoredCall {
+struct StoredRequest {
     #[n(0)]
     revision: u64,
-    /// None where an older version wrote a digest of 64 bits: it tells nothing of calls that come now.
+    /// None where an older version wrote a digest of 64 bits, which can't be compared with those of requests today.
     #[cbor(n(1), decode_with = "decode_digest")]
     digest: Option<RequestDigest>,
 }
@@ -44,27 +45,35 @@
 
 impl From<StoredState> for ControlState {
     fn from(stored: StoredState) -> ControlState {
-        let floor = stored.highest_expired_revision.unwrap_or_else(|| floor_of(&stored.taken));
-        let without_digest = stored.taken.iter().filter(|call| call.digest.is_none());
-        let highest_expired_revision = without_digest.map(|call| call.revision).fold(floor, u64::max);
-        let call =
-            |call: &StoredCall| call.digest.map(|digest| AppliedRequest { revision: call.revision, digest });
+        let requests = &stored.applied_requests;
+        let expired = stored.highest_expired_revision.unwrap_or_else(|| implied_expired_revision(requests));
+        let without_digest = requests.iter().filter(|request| request.digest.is_none());
+        let highest_expired_revision = without_digest.map(|request| request.revision).fold(expired, u64::max);
+        let with_digest = |request: &StoredRequest| {
+            request.digest.map(|digest| AppliedRequest { revision: request.revision, digest })
+        };
         ControlState {
-            write_term: stored.term,
+            write_term: stored.write_term,
             first_write_term: stored.first_write_term,
             revision: stored.revision,
+            applied_requests: requests.iter().filter_map(with_digest).collect(),
             body: Vec::from(stored.body).into(),
-            applied_requests: stored.taken.iter().filter_map(call).collect(),
             highest_expired_revision,
         }
     }
 }
 
-/// What a state without the field may have forgotten at most. Safe: revisions rise, so every call that was dropped lies
-/// below the oldest one that is remembered, and none was dropped before the list was full.
-fn floor_of(taken: &[StoredCall]) -> u64 {
-    match taken.first() {
-        Some(oldest) if taken.len() >= DEDUPLICATION_WINDOW => oldest.revision.saturating_sub(1),
+/// What a state without the field may have dropped at most. Revisions rise, so every request that was dropped lies below
+/// the oldest one that is remembered, and none was dropped before the window was full.
+fn implied_expired_revision(requests: &[StoredRequest]) -> u64 {
+    match requests.first() {
+        Some(oldest) if requests.len() >= DEDUPLICATION_WINDOW => oldest.revision.saturating_sub(1),
         _ => 0,
     }
 }
+
+impl<'b, C> Decode<'b, C> for ControlState {
+    fn decode(d: &mut Decoder<'b>, context: &mut C) -> Result<ControlState, Error> {
+        StoredState::decode(d, context).map(ControlState::from)
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -0,0 +1,170 @@
+//! Collects promises until a majority has promised, and chooses the members and the newest state.
+
+use core::time::Duration;
+
+use super::{NextMembers, Phase, ReceivedPromise, TakeOver};
+use crate::control_state::{ControlState, StateVersion};
+use crate::epoch_config::EpochConfig;
+use crate::injected_fault::InjectedFault;
+use crate::message::Message;
+use crate::node_core::NodeCore;
+use crate::term::{Member, MemberId, Term};
+use crate::transition::Transition;
+
+/// More promises than this are ignored.
+const MAX_PROMISES: usize = 64;
+/// Healthy backups are worth waiting for, so long.
+const HEALTHY_BACKUP_WAIT: Duration = Duration::from_millis(200);
+
+impl TakeOver {
+    /// The own promise is durable: the others are asked for theirs.
+    pub(crate) fn on_local_promise_written(&mut self, core: &mut NodeCore, term: Term) -> Transition {
+        if self.term != term || self.phase != Phase::LocalPromise {
+            return Transition::Stay;
+        }
+        self.enter(Phase::Prepare { order: Vec::new() }, core.now());
+        self.request_promises(core);
+        let promise = ReceivedPromise {
+            member: core.local(),
+            is_bootstrap_voter: core.is_bootstrap_voter(),
+            is_healthy: core.is_healthy(),
+            version: core.storage.durable.version(),
+        };
+        self.on_promise(core, term, promise)
+    }
+
+    pub(super) fn request_promises(&self, core: &mut NodeCore) {
+        let mut members = core.electorate();
+        if core.epoch.config().is_none() {
+            let joining = core.joins.recent(core.now()).filter(|join| !join.is_bootstrap_voter);
+            members.extend(joining.map(|join| join.member));
+        }
+        let promised = self.votes();
+        for member in members.iter().filter(|member| !promised.includes(member)) {
+            core.send(member.address, Message::Prepare { term: self.term });
+        }
+    }
+
+    pub(crate) fn on_promise(
+        &mut self,
+        core: &mut NodeCore,
+        term: Term,
+        promise: ReceivedPromise,
+    ) -> Transition {
+        let id = promise.member.id;
+        if self.term != term || self.promises.len() >= MAX_PROMISES || self.promises.contains_key(&id) {
+            return Transition::Stay;
+        }
+        self.promises.insert(id, promise);
+        if let Phase::Prepare { order } = &mut self.phase {
+            order.push(id);
+        }
+        self.evaluate_promises(core)
+    }
+
+    /// With enough promises, takes the newest state.
+    pub(super) fn evaluate_promises(&mut self, core: &mut NodeCore) -> Transition {
+        let Phase::Prepare { order } = &self.phase else { return Transition::Stay };
+        // The highest configuration seen is as good as one accepted: somebody has proposed it.
+        let base = core.epoch.config().filter(|config| config.term < self.term).cloned();
+        if base.as_ref().is_some_and(|config| !config.has_member(core.local().id)) {
+            return Transition::StepDown;
+        }
+        if !self.has_enough_promises(core, base.as_ref()) {
+            return Transition::Stay;
+        }
+        let next_members = self.choose_members(core, base.as_ref());
+        let Some(candidates) = self.choose_backups(core, order, &next_members.members) else {
+            return Transition::Stay;
+        };
+        let newest = self.newest_version(core);
+        let state = match newest {
+            // Only bootstrap voters start from nothing.
+            None => base.is_none().then(ControlState::default),
+            Some(newest) => core.find_state(&newest).cloned(),
+        };
+        self.base_term = base.map(|config| config.term).unwrap_or_default();
+        self.next_members = next_members;
+        match (state, newest) {
+            (Some(state), _) => self.rewrite_state(core, state, candidates),
+            (None, Some(version)) => {
+                self.enter(Phase::FetchState { version, candidates }, core.now());
+                self.fetch_state(core);
+            }
+            (None, None) => return Transition::StepDown,
+        }
+        Transition::Stay
+    }
+
+    fn has_enough_promises(&self, core: &NodeCore, base: Option<&EpochConfig>) -> bool {
+        let votes = self.votes();
+        match base {
+            Some(base) => {
+                votes.decide(base, core.has_fault(InjectedFault::NewMembersOnly))
+                    && votes.include_state_holder(base)
+            }
+            None => votes.are_majority_of(&core.electorate()),
+        }
+    }
+
+    /// The highest version that was promised.
+    fn newest_version(&self, core: &NodeCore) -> Option<StateVersion> {
+        let by_revision = core.has_fault(InjectedFault::NewestByRevision);
+        let key = |v: &StateVersion| match by_revision {
+            true => (Term::default(), v.revision, v.write_term, v.first_write_term),
+            false => (v.write_term, v.revision, v.first_write_term, v.first_write_term),
+        };
+        self.promises.values().filter_map(|promise| promise.version).max_by_key(key)
+    }
+
+    /// The members of the new configuration.
+    fn choose_members(&self, core: &NodeCore, base: Option<&EpochConfig>) -> NextMembers {
+        let Some(base) = base else { return self.choose_first_members(core) };
+        // Members change only from a configuration that is known to be decided; any other one may have to be completed.
+        if self.plan.decided_term != Some(base.term) {
+            let (outgoing, members) = (base.outgoing_members.clone(), base.members.clone());
+            return NextMembers { outgoing, members };
+        }
+        let wanted = self.plan.wanted_members.clone().filter(|_| !base.is_joint());
+        let members = wanted.unwrap_or_else(|| base.members.clone());
+        NextMembers { outgoing: base.members.clone(), members }
+    }
+
+    /// The bootstrap voters decide by their addresses on the first members. Those of them whose disks are known come first.
+    fn choose_first_members(&self, core: &NodeCore) -> NextMembers {
+        let voters = core.bootstrap_voters().unwrap_or_default();
+        let mut known: Vec<(bool, Member)> =
+            core.joins.recent(core.now()).map(|join| (join.is_bootstrap_voter, join.member)).collect();
+        known.extend(self.promises.values().map(|p| (p.is_bootstrap_voter, p.member)));
+        known.sort_by_key(|(is_bootstrap_voter, member)| (!is_bootstrap_voter, *member));
+        let mut members = vec![core.local()];
+        for (_, member) in known {
+            let is_new = members.iter().all(|m| m.id != member.id && m.address != member.address);
+            if is_new && members.len() < core.context.settings.member_count() {
+                members.push(member);
+            }
+        }
+        NextMembers { outgoing: voters.iter().copied().map(Member::bootstrap_voter).collect(), members }
+    }
+
+    /// Those that may be backups, best first; none if others are worth waiting for.
+    fn choose_backups(
+        &self,
+        core: &NodeCore,
+        order: &[MemberId],
+        members: &[Member],
+    ) -> Option<Vec<MemberId>> {
+        let wanted = core.context.settings.max_failures;
+        let local_version = core.storage.durable.version();
+        let mut able: Vec<(&MemberId, &ReceivedPromise)> = self.promises.iter().collect();
+        able.retain(|(id, _)| **id != core.local().id && members.iter().any(|m| m.id == **id));
+        let rank = |id: &MemberId| order.iter().position(|promised| promised == id);
+        able.sort_by_key(|(id, p)| {
+            (!p.is_healthy, p.version.is_none() || p.version != local_version, rank(id))
+        });
+        let healthy = able.iter().filter(|(_, promise)| promise.is_healthy).count();
+        let has_waited = core.context.elapsed(self.last_progress_at) >= HEALTHY_BACKUP_WAIT;
+        let is_enough = healthy >= wanted || able.len() >= wanted && has_waited;
+        is_enough.then(|| able.into_iter().map(|(id, _)| *id).collect())
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -0,0 +1,142 @@
+//! Fetches the newest state and has it written under the term of the take-over.
+
+use core::time::Duration;
+
+use super::{Phase, ReceivedPromise, RewritePhase, TakeOver};
+use crate::control_state::{ControlState, StateVersion};
+use crate::disk_writes::DurabilityEffect;
+use crate::injected_fault::InjectedFault;
+use crate::message::Message;
+use crate::node_core::NodeCore;
+use crate::snapshot::StatePurpose;
+use crate::term::{Member, MemberId, Term};
+
+/// One more candidate is asked for each such span in which not enough of them have written the state.
+const SLOW_BACKUP_WAIT: Duration = Duration::from_millis(150);
+
+impl TakeOver {
+    /// Requests the newest state from one of those that hold it, in turn, as it may be large.
+    pub(super) fn fetch_state(&self, core: &mut NodeCore) {
+        if core.transfers.is_fetching(core.now()) {
+            return;
+        }
+        let Phase::FetchState { version, .. } = self.phase else { return };
+        let is_holder = |p: &&ReceivedPromise| p.version.is_some_and(|held| held.has_same_body(&version));
+        let holders: Vec<Member> = self.promises.values().filter(is_holder).map(|p| p.member).collect();
+        let waited = core.context.elapsed(self.last_progress_at);
+        let interval = core.context.timings().state_resend_interval;
+        let turn = (waited.as_millis() / interval.as_millis()) as usize;
+        if let Some(holder) = holders.get(turn % holders.len().max(1)) {
+            core.send(holder.address, Message::FetchState { term: self.term, version });
+        }
+    }
+
+    /// Whether a state is the one that this take-over fetches.
+    pub(crate) fn is_fetching(&self, term: Term, wanted: &StateVersion) -> bool {
+        let Phase::FetchState { version, .. } = &self.phase else { return false };
+        self.term == term && version.has_same_body(wanted)
+    }
+
+    pub(crate) fn on_fetched_state(&mut self, core: &mut NodeCore, term: Term, state: ControlState) {
+        let Phase::FetchState { version, candidates } = &self.phase else { return };
+        if self.term == term && state.version().has_same_body(version) {
+            let candidates = candidates.clone();
+            self.rewrite_state(core, state, candidates);
+        }
+    }
+
+    /// Writes the state under this term, here and at the backups to be.
+    pub(super) fn rewrite_state(
+        &mut self,
+        core: &mut NodeCore,
+        state: ControlState,
+        candidates: Vec<MemberId>,
+    ) {
+        let is_skipped = core.has_fault(InjectedFault::SkipRewriteUnderNewTerm);
+        let wanted = core.context.settings.max_failures;
+        let state = state.rewritten_under(self.term);
+        let written = if is_skipped { wanted } else { 0 };
+        let rewrite = RewritePhase {
+            state: state.clone(),
+            asked: wanted.min(candidates.len()),
+            written: candidates.iter().take(written).copied().collect(),
+            missing_body: Vec::new(),
+            candidates,
+            is_on_local_disk: false,
+        };
+        self.enter(Phase::RewriteState(rewrite), core.now());
+        let durable = core.storage.durable.version();
+        let is_durable = durable.is_some_and(|durable| durable.has_same_body(&state.version()));
+        let effect = match is_durable && core.storage.may_refer_to_durable_state() {
+            true => DurabilityEffect::RewriteUnderNewTerm(state.version()),
+            false => DurabilityEffect::State(state),
+        };
+        core.write(effect, core.local());
+        if !is_skipped {
+            self.send_rewrites(core, 0);
+        }
+    }
+
+    /// Sends the state to those that have not written it, from the given candidate on.
+    fn send_rewrites(&self, core: &mut NodeCore, first: usize) {
+        let Phase::RewriteState(rewrite) = &self.phase else { return };
+        let version = rewrite.state.version();
+        // One that has not written the state may know it all the same: worth a question where it is large.
+        let is_large = rewrite.state.body.len() > core.context.settings.chunk_sizes.large_state_bytes;
+        let asks_first = is_large && !core.has_fault(InjectedFault::WholeStates);
+        let asked = rewrite.candidates.iter().take(rewrite.asked).skip(first);
+        for id in asked.filter(|id| !rewrite.written.contains(id)) {
+            let Some(promise) = self.promises.get(id) else { continue };
+            let holds_body = promise.version.is_some_and(|held| held.has_same_body(&version));
+            if !rewrite.missing_body.contains(id) && (holds_body || asks_first) {
+                core.send(promise.member.address, Message::RewriteUnderNewTerm { version });
+            } else {
+                core.send_state(promise.member, StatePurpose::ReplicateState, rewrite.state.clone());
+            }
+        }
+    }
+
+    /// Asks more candidates where those that were asked are slow, or all of them again.
+    pub(super) fn resend_rewrites(&mut self, core: &mut NodeCore, waited: Duration, is_due: bool) {
+        let Phase::RewriteState(rewrite) = &mut self.phase else { return };
+        let slow = (waited.as_millis() / SLOW_BACKUP_WAIT.as_millis()) as usize;
+        let wanted = (core.context.settings.max_failures + slow).min(rewrite.candidates.len());
+        let first_new = rewrite.asked;
+        if wanted > first_new {
+            rewrite.asked = wanted;
+            self.send_rewrites(core, first_new);
+        } else if is_due {
+            self.send_rewrites(core, 0);
+        }
+    }
+
+    /// A candidate has not the body of the state: it gets the whole state, once.
+    pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
+        let Phase::RewriteState(rewrite) = &mut self.phase else { return };
+        let is_known = rewrite.missing_body.contains(&from.id) || !self.promises.contains_key(&from.id);
+        if rewrite.state.version() != version || is_known {
+            return;
+        }
+        rewrite.missing_body.push(from.id);
+        core.send_state(from, StatePurpose::ReplicateState, rewrite.state.clone());
+    }
+
+    /// A state under this term is durable at a member. With enough of them, the configuration is proposed.
+    pub(crate) fn on_state_written(&mut self, core: &mut NodeCore, id: MemberId, version: StateVersion) {
+        let Phase::RewriteState(rewrite) = &mut self.phase else { return };
+        if rewrite.state.version() != version {
+            return;
+        }
+        if id == core.local().id {
+            rewrite.is_on_local_disk = true;
+        } else if rewrite.candidates.contains(&id) && !rewrite.written.contains(&id) {
+            rewrite.written.push(id);
+        }
+        let wanted = core.context.settings.max_failures;
+        if rewrite.is_on_local_disk && rewrite.written.len() >= wanted {
+            let (state, backups) = (rewrite.state.clone(), rewrite.written.iter().take(wanted).copied());
+            let backups = backups.collect();
+            self.propose_config(core, state, backups);
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/term.rs
@@ -0,0 +1,46 @@
+//! Members and the terms that they propose.
+
+use core::net::SocketAddrV4;
+
+use minicbor::{Decode, Encode};
+
+/// The random number of a disk.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+#[cbor(transparent)]
+pub struct MemberId(#[n(0)] pub u64);
+
+impl MemberId {
+    /// Stands for a bootstrap voter that is known by its address only.
+    pub(crate) const UNKNOWN: MemberId = MemberId(0);
+}
+
+/// A disk and the internal address of its machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+pub struct Member {
+    /// The number of the disk.
+    #[n(0)]
+    pub id: MemberId,
+    /// Where its process receives messages of the others.
+    #[n(1)]
+    pub address: SocketAddrV4,
+}
+
+impl Member {
+    /// A bootstrap voter whose disk is not known yet.
+    pub(crate) fn bootstrap_voter(address: SocketAddrV4) -> Member {
+        Member { id: MemberId::UNKNOWN, address }
+    }
+}
+
+/// The number of an attempt to become primary; terms are ordered by number first.
+///
+/// A term belongs to one disk: no two members ever propose the same one. Its number is the fencing token of the primary.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
+pub struct Term {
+    /// Rises with every attempt.
+    #[n(0)]
+    pub number: u64,
+    /// The member that attempts to become primary.
+    #[n(1)]
+    pub proposer: MemberId,
+}
--- /dev/null
+++ b/crates/consensus/src/timings.rs
@@ -0,0 +1,85 @@
+//! Intervals and timeouts of a node.
+
+use core::time::Duration;
+
+/// Callers go elsewhere after so long without a reply.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The part of [`CALLER_TIMEOUT`] that is left for the way there and back and for the time from one tick to the next.
+const CALLER_MARGIN: Duration = Duration::from_millis(150);
+/// A machine shuts down so long at most after the one that replaces it has started.
+const MAX_SHUTDOWN_DELAY: Duration = Duration::from_millis(1_000);
+/// A membership change by two take-overs, and the copy of the state to the new backups, take at most so long.
+const MAX_MEMBERSHIP_CHANGE: Duration = Duration::from_millis(1_000);
+
+/// Intervals and timeouts of a node.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Timings {
+    /// From one heartbeat of the primary to the next.
+    pub heartbeat_interval: Duration,
+    /// A primary or a backup that was silent for so long may be replaced in its role.
+    pub suspicion_timeout: Duration,
+    /// A primary whose last heartbeat that a majority has answered is older than this steps down. Equal at all nodes.
+    pub lease: Duration,
+    /// A member that was silent for so long gives its place to a newcomer.
+    pub replacement_timeout: Duration,
+    /// A backup that has not written a change for so long is replaced.
+    pub backup_write_timeout: Duration,
+    /// A primary whose own write takes so long gives up its role.
+    pub local_write_timeout: Duration,
+    /// A node whose write takes longer than this is not healthy.
+    pub unhealthy_write_timeout: Duration,
+    /// A node whose write failed tries its disk again after so long.
+    pub disk_retry_interval: Duration,
+    /// A request that waited so long is answered as unavailable, while its caller still waits.
+    pub request_timeout: Duration,
+    /// A phase of a take-over that takes so long without progress ends it.
+    pub take_over_step_timeout: Duration,
+    /// A message whose answer is missing is sent again after so long.
+    pub resend_interval: Duration,
+    /// The same, for what may be as large as a state.
+    pub state_resend_interval: Duration,
+    /// Bootstrap voters wait at most so long until they all know each other.
+    pub bootstrap_timeout: Duration,
+}
+
+impl Timings {
+    /// The usual timings, for a platform where newcomers have to be members, with a copy of the state, `deadline` after
+    /// their start. What is left of it is the replacement timeout: not less than the suspicion timeout, not more than
+    /// usual.
+    pub fn for_join_deadline(deadline: Duration) -> Timings {
+        let usual = Timings::default();
+        let left = deadline.saturating_sub(MAX_SHUTDOWN_DELAY + MAX_MEMBERSHIP_CHANGE);
+        let replacement_timeout = left.clamp(usual.suspicion_timeout, usual.replacement_timeout);
+        Timings { replacement_timeout, ..usual }
+    }
+
+    /// How old a state may be that a node publishes while it says that it has contact with a quorum.
+    ///
+    /// Whatever was acknowledged, by whomever, longer ago than this is in that state. A follower has contact for `lease`
+    /// after it has answered a heartbeat, if a later heartbeat of the primary proves that, and only once it publishes what
+    /// that later one reported as committed. A primary sends heartbeats for `lease` after it has sent one that a majority
+    /// has answered without having promised a higher term; until then nobody else has acknowledged anything.
+    pub fn max_staleness(&self) -> Duration {
+        self.lease + self.lease
+    }
+}
+
+impl Default for Timings {
+    fn default() -> Timings {
+        Timings {
+            heartbeat_interval: Duration::from_millis(100),
+            suspicion_timeout: Duration::from_millis(600),
+            lease: Duration::from_millis(600),
+            replacement_timeout: Duration::from_millis(2_500),
+            backup_write_timeout: Duration::from_millis(400),
+            local_write_timeout: Duration::from_millis(700),
+            unhealthy_write_timeout: Duration::from_millis(400),
+            disk_retry_interval: Duration::from_millis(500),
+            request_timeout: CALLER_TIMEOUT.saturating_sub(CALLER_MARGIN),
+            take_over_step_timeout: Duration::from_millis(500),
+            resend_interval: Duration::from_millis(100),
+            state_resend_interval: Duration::from_millis(250),
+            bootstrap_timeout: Duration::from_millis(1_500),
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/transition.rs
@@ -0,0 +1,44 @@
+//! What a role asks of the node after an event: to stay in the role or to change it.
+
+use mosshead_time::Instant;
+
+use crate::control_state::ControlState;
+use crate::epoch_config::EpochConfig;
+use crate::term::{Member, Term};
+use crate::votes::Votes;
+
+/// What a role asks of the node.
+#[derive(Debug)]
+pub(crate) enum Transition {
+    Stay,
+    /// Become a follower.
+    StepDown,
+    TakeOver(TakeOverPlan),
+    BecomePrimary(Box<DecidedEpoch>),
+}
+
+/// A take-over that is to be started.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct TakeOverPlan {
+    /// The epoch that this node is primary of until now, known to be decided; none if it is no primary.
+    pub(crate) decided_term: Option<Term>,
+    /// The members that the primary wants, if others than before.
+    pub(crate) wanted_members: Option<Vec<Member>>,
+    /// How often it was rejected before.
+    pub(crate) rejections: u8,
+}
+
+/// An epoch that a majority has accepted.
+#[derive(Debug)]
+pub(crate) struct DecidedEpoch {
+    pub(crate) config: EpochConfig,
+    /// The state on the disks of the primary and of the backups.
+    pub(crate) state: ControlState,
+    pub(crate) votes: Votes,
+    /// When the configuration was proposed.
+    pub(crate) proposed_at: Instant,
+    /// Whether this node was primary just before.
+    pub(crate) is_renewal: bool,
+    /// Whether nobody else can have been primary since this node was.
+    pub(crate) is_continued: bool,
+}
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -1,12 +1,19 @@
+//! Votes and the majorities that they make.
+
 use core::net::SocketAddrV4;
 use std::collections::BTreeMap;
 
-use crate::control_state::{EpochConfig, Member, MemberId};
+use crate::epoch_config::EpochConfig;
+use crate::limits::MAX_MEMBERS;
+use crate::term::{Member, MemberId};
+
+/// Strangers may vote, too; more voters than this are ignored.
+const MAX_VOTES: usize = 4 * MAX_MEMBERS;
 
-/// Who has said yes.
+/// Who has agreed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Votes {
-    votes: BTreeMap<MemberId, Vote>,
+    by_member: BTreeMap<MemberId, Vote>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -17,36 +24,39 @@
 
 impl Votes {
     pub(crate) fn add(&mut self, member: Member, is_bootstrap_voter: bool) {
-        if self.votes.len() < 4 * crate::settings::MOST_MEMBERS {
-            self.votes.insert(member.id, Vote { address: member.address, is_bootstrap_voter });
+        if self.by_member.len() < MAX_VOTES {
+            self.by_member.insert(member.id, Vote { address: member.address, is_bootstrap_voter });
         }
     }
 
     pub(crate) fn is_bootstrap_voter(&self, id: MemberId) -> bool {
-        self.votes.get(&id).is_some_and(|v| v.is_bootstrap_voter)
+        self.by_member.get(&id).is_some_and(|vote| vote.is_bootstrap_voter)
     }
 
-    /// Whether the member has said yes. Danger: one known by address only is a bootstrap voter, so that a wiped disk there has no say.
-    pub(crate) fn covers(&self, member: &Member) -> bool {
-        if member.id == MemberId(0) {
-            self.votes.values().any(|v| v.is_bootstrap_voter && v.address == member.address)
+    /// Whether the member has agreed. A member that is known by its address only is a bootstrap voter: only a vote that
+    /// says so counts for it, so that a wiped disk at that address has no vote.
+    pub(crate) fn includes(&self, member: &Member) -> bool {
+        if member.id == MemberId::UNKNOWN {
+            self.by_member.values().any(|v| v.is_bootstrap_voter && v.address == member.address)
         } else {
-            self.votes.contains_key(&member.id)
+            self.by_member.contains_key(&member.id)
         }
     }
 
     /// Whether these are more than half of the members.
-    pub(crate) fn majority(&self, members: &[Member]) -> bool {
-        2 * members.iter().filter(|m| self.covers(m)).count() > members.len()
+    pub(crate) fn are_majority_of(&self, members: &[Member]) -> bool {
+        2 * members.iter().filter(|m| self.includes(m)).count() > members.len()
     }
 
-    /// Whether these decide for a record: more than half of the old members and of the new ones.
-    pub(crate) fn decide(&self, record: &EpochConfig, new_only: bool) -> bool {
-        (new_only || self.majority(&record.outgoing_members)) && self.majority(&record.members)
+    /// Whether these decide on a configuration: more than half of the outgoing members and of the members.
+    /// `new_members_only` is an injected fault.
+    pub(crate) fn decide(&self, config: &EpochConfig, new_members_only: bool) -> bool {
+        (new_members_only || self.are_majority_of(&config.outgoing_members))
+            && self.are_majority_of(&config.members)
     }
 
-    /// Whether one of these holds the state of a record.
-    pub(crate) fn hold_state(&self, record: &EpochConfig) -> bool {
-        self.votes.keys().any(|id| record.holds_state(*id))
+    /// Whether one of these holds the state of a configuration.
+    pub(crate) fn include_state_holder(&self, config: &EpochConfig) -> bool {
+        self.by_member.keys().any(|id| config.holds_state(*id))
     }
 }
--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -6,6 +6,7 @@
     MemberId, Message, Node, Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta,
     StatePurpose, StateVersion, StoredStateError, Term, checksum,
 };
+use mosshead_time::Instant;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -28,7 +29,7 @@
 }
 
 fn stamp(g: &mut Gen) -> LeaseStamp {
-    LeaseStamp { incarnation: u64::arbitrary(g) % 3, answered_at: u64::arbitrary(g) }
+    LeaseStamp { incarnation: u64::arbitrary(g) % 3, answered_at: Instant::from_millis(u64::arbitrary(g)) }
 }
 
 fn member(g: &mut Gen) -> Member {
@@ -174,7 +175,7 @@
     let mut settings = Settings::new(here, failures, true, vec![here, other]);
     settings.log_rewrite_bytes = 500;
     settings.chunk_sizes = ChunkSizes { large_state_bytes: 30, chunk_bytes: 20 };
-    Node::new(settings, records, 0, Pcg64Mcg::seed_from_u64(1))
+    Node::new(settings, records, Instant::ORIGIN, Pcg64Mcg::seed_from_u64(1))
 }
 
 type Log = Vec<Vec<u8>>;
@@ -209,7 +210,7 @@
             asked.push(ask);
         }
         while let Some(input) = inputs.pop() {
-            for output in node.step(now, input) {
+            for output in node.step(Instant::from_millis(now), input) {
                 match output {
                     Output::Write { token, record } => waiting.push((token, false, record)),
                     Output::Rewrite { token, record } => waiting.push((token, true, record)),
@@ -264,7 +265,7 @@
             r[place] ^= 1 << (bit % 8);
         });
         // Whatever it reads, it doesn't fall over.
-        let _ = node(&log, 1).map(|mut n| n.step(1, Input::Tick));
+        let _ = node(&log, 1).map(|mut n| n.step(Instant::from_millis(1), Input::Tick));
         last.is_some()
     }
 }
--- a/crates/consensus/tests/fleet/member_turnover.rs
+++ b/crates/consensus/tests/fleet/member_turnover.rs
@@ -2,6 +2,7 @@
 //! as back after a span of the platform, and others may be lost then.
 
 use mosshead_consensus::{EpochConfig, InjectedFault, Node, Timings};
+use mosshead_time::Duration;
 
 use crate::day::Act;
 use crate::scenarios::{calm, lead, roles, taken, want};
@@ -22,7 +23,10 @@
 ) -> Result<World, String> {
     let mut world = World::new(seed, 2 * failures + 1, failures, injected_fault);
     world.noise = 0;
-    world.machines.iter_mut().for_each(|m| m.settings.timings = Timings::for_sync(sync));
+    world
+        .machines
+        .iter_mut()
+        .for_each(|m| m.settings.timings = Timings::for_join_deadline(Duration::from_millis(sync)));
     world.run(3_000)?;
     for _ in 0..3 {
         taken(&mut world, 400)?;
@@ -208,7 +212,7 @@
     let new = world.add_machine(false);
     let seeds = [witness, cut, living].map(|m| world.machines[m].address);
     world.machines[new].settings.seeds = seeds.to_vec();
-    world.machines[new].settings.timings = Timings::for_sync(sync);
+    world.machines[new].settings.timings = Timings::for_join_deadline(Duration::from_millis(sync));
     world.start(new);
     let others: Vec<usize> = world.standing().into_iter().filter(|m| *m != cut && *m != new).collect();
     world.act(Act::Cut(others.iter().flat_map(|o| [(*o, cut), (cut, *o)]).collect()));
--- a/crates/consensus/tests/fleet/repeated_requests.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -1,6 +1,7 @@
 //! Calls that are sent again, also hundreds of changes later: acknowledged or left without a clear answer, never refused.
 
 use mosshead_consensus::{ClientReply, InjectedFault, Node, Timings};
+use mosshead_time::Duration;
 
 use crate::checker::Kind;
 use crate::day::Act;
@@ -37,9 +38,9 @@
     for machine in &mut world.machines {
         let patient = Timings::default();
         machine.settings.timings = Timings {
-            backup_write_timeout: 10_000,
-            unhealthy_write_timeout: 10_000,
-            local_write_timeout: 10_000,
+            backup_write_timeout: Duration::from_millis(10_000),
+            unhealthy_write_timeout: Duration::from_millis(10_000),
+            local_write_timeout: Duration::from_millis(10_000),
             ..patient
         };
     }
--- a/crates/consensus/tests/fleet/scenarios.rs
+++ b/crates/consensus/tests/fleet/scenarios.rs
@@ -1,6 +1,7 @@
 //! Single stories, each told of nodes as they are and of nodes with the flaw that the story is about.
 
 use mosshead_consensus::{ClientReply, InjectedFault, Input, Message, Node, Timings};
+use mosshead_time::Duration;
 
 use crate::checker::{Change, Kind, digest};
 use crate::day::Act;
@@ -8,6 +9,9 @@
 
 pub type Story = fn(Option<InjectedFault>) -> Result<(), String>;
 
+/// The lease of a primary that is to trust in it for long.
+const LONG_LEASE: Duration = Duration::from_millis(60_000);
+
 /// A fleet in calm, without noise, with some state.
 pub fn calm(
     seed: u64,
@@ -99,7 +103,7 @@
 fn long_lease(injected_fault: Option<InjectedFault>) -> Result<(World, usize, usize, Change), String> {
     let mut world = World::new(3, 3, 1, injected_fault);
     for machine in &mut world.machines {
-        machine.settings.timings = Timings { lease: 60_000, ..Timings::default() };
+        machine.settings.timings = Timings { lease: LONG_LEASE, ..Timings::default() };
     }
     let mut world = calm_with(world)?;
     let old = lead(&world)?;
@@ -141,7 +145,7 @@
 fn write_after_promise(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = World::new(4, 3, 1, injected_fault);
     for machine in &mut world.machines {
-        machine.settings.timings = Timings { lease: 60_000, ..Timings::default() };
+        machine.settings.timings = Timings { lease: LONG_LEASE, ..Timings::default() };
     }
     let mut world = calm_with(world)?;
     let (old, backups, witnesses) = roles(&world)?;
@@ -288,7 +292,11 @@
 fn two_sides(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = World::new(11, 5, 1, injected_fault);
     for machine in &mut world.machines {
-        machine.settings.timings = Timings { replacement_timeout: 200, lease: 60_000, ..Timings::default() };
+        machine.settings.timings = Timings {
+            replacement_timeout: Duration::from_millis(200),
+            lease: LONG_LEASE,
+            ..Timings::default()
+        };
     }
     let mut world = calm_with(world)?;
     let (primary, backups, witnesses) = roles(&world)?;
--- a/crates/consensus/tests/fleet/storm.rs
+++ b/crates/consensus/tests/fleet/storm.rs
@@ -1,12 +1,13 @@
 //! Storms: troubles come and go at any moment, and the spans of the nodes are anything. Only what must always hold is asked.
 
 use mosshead_consensus::{InjectedFault, Timings};
+use mosshead_time::Duration;
 
 use crate::day::Act;
 use crate::world::World;
 
 fn any_timings(world: &mut World) -> Timings {
-    let mut between = |low: u64, high: u64| low + world.below(high - low + 1);
+    let mut between = |low: u64, high: u64| Duration::from_millis(low + world.below(high - low + 1));
     Timings {
         heartbeat_interval: between(30, 100),
         suspicion_timeout: between(100, 600),
--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -8,6 +8,7 @@
     ChunkSizes, ClientReply, EpochConfig, InjectedFault, Input, Member, MemberId, Message, Node, Output,
     Settings, StateVersion, Term,
 };
+use mosshead_time::{Instant, whole_millis};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -345,8 +346,8 @@
     }
 
     /// The steady clock of the process on a machine: it starts anew with each life.
-    pub fn clock(&self, machine: usize) -> u64 {
-        self.now - self.machines[machine].started + 1
+    pub fn clock(&self, machine: usize) -> Instant {
+        Instant::from_millis(self.now - self.machines[machine].started + 1)
     }
 
     /// Whether the process on a machine says, at this moment, that it is in touch with a majority.
@@ -364,7 +365,7 @@
             }
             let shown = node.committed_state().map_or(0, |s| s.revision);
             let (life, bound) = ((machine, m.life), m.settings.timings.max_staleness());
-            self.book.claimed_contact(life, shown, bound);
+            self.book.claimed_contact(life, shown, whole_millis(bound));
         }
     }
 
@@ -491,7 +492,8 @@
     fn version_on_disk(&self, machine: usize, id: MemberId) -> Option<Option<StateVersion>> {
         let m = &self.machines[machine];
         let rng = Pcg64Mcg::seed_from_u64(1);
-        let mut node = Node::new(m.settings.clone(), &m.disk.records, self.now, rng).ok()?;
+        let mut node =
+            Node::new(m.settings.clone(), &m.disk.records, Instant::from_millis(self.now), rng).ok()?;
         if m.disk.records.is_empty() || node.local_member().id != id {
             return None;
         }
@@ -499,7 +501,7 @@
         let term = Term { number: u64::MAX, proposer: asker.id };
         let mut inputs = VecDeque::from([Input::Message { from: asker, message: Message::Prepare { term } }]);
         while let Some(input) = inputs.pop_front() {
-            for output in node.step(self.now, input) {
+            for output in node.step(Instant::from_millis(self.now), input) {
                 match output {
                     Output::Write { token, .. } | Output::Rewrite { token, .. } => {
                         inputs.push_back(Input::Written { token });
@@ -669,7 +671,7 @@
         }
         m.life += 1;
         m.started = now;
-        let clock = 1;
+        let clock = Instant::from_millis(1);
         match Node::new(m.settings.clone(), &m.disk.records, clock, Pcg64Mcg::seed_from_u64(seed)) {
             Ok(node) => m.node = Some(node),
             Err(fault) => self.book.broken("disk", format!("machine {machine}: {fault}")),
--- a/crates/consensus/tests/former_formats.rs
+++ b/crates/consensus/tests/former_formats.rs
@@ -12,6 +12,7 @@
     Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta, StatePurpose, StateVersion,
     Term, checksum,
 };
+use mosshead_time::Instant;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -114,7 +115,7 @@
 }
 
 fn stamp() -> LeaseStamp {
-    LeaseStamp { incarnation: 0x0123_4567_89ab_cdef, answered_at: 123_456 }
+    LeaseStamp { incarnation: 0x0123_4567_89ab_cdef, answered_at: Instant::from_millis(123_456) }
 }
 
 /// Messages of the election of a primary and of the first accepted record.
@@ -231,14 +232,14 @@
 
 fn open(records: &[Vec<u8>], founder: bool) -> TestNode {
     let settings = Settings::new(address(1), 1, founder, vec![address(1), address(2), address(3)]);
-    Node::new(settings, records, 0, Pcg64Mcg::seed_from_u64(1)).unwrap()
+    Node::new(settings, records, Instant::ORIGIN, Pcg64Mcg::seed_from_u64(1)).unwrap()
 }
 
 /// Steps a node, does its writes at once, and says what it wrote and sent.
 fn step(node: &mut TestNode, input: Input) -> (Vec<Vec<u8>>, Vec<Message>) {
     let (mut written, mut sent, mut inputs) = (Vec::new(), Vec::new(), vec![input]);
     while let Some(input) = inputs.pop() {
-        for output in node.step(1, input) {
+        for output in node.step(Instant::from_millis(1), input) {
             match output {
                 Output::Write { token, record } => {
                     written.push(record);
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -10,6 +10,7 @@
     ClientReply, EpochConfig, InjectedFault, Input, LeaseStamp, Member, Message, Node, Output, RequestDigest,
     Settings, Term,
 };
+use mosshead_time::{Duration, Instant};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stateright::{Checker, Chooser, Model, Property};
@@ -43,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
     nodes: Vec<Node<Count>>,
-    clocks: Vec<u64>,
+    clocks: Vec<Instant>,
     disks: Vec<Vec<Vec<u8>>>,
     net: BTreeSet<Envelope>,
     claims: u8,
@@ -112,7 +113,7 @@
 }
 
 impl Core {
-    fn node(&self, machine: usize, log: &[Vec<u8>], now: u64) -> Node<Count> {
+    fn node(&self, machine: usize, log: &[Vec<u8>], now: Instant) -> Node<Count> {
         let mut settings = Settings::new(address(machine), 1, true, (0..3).map(address).collect());
         settings.injected_fault = self.injected_fault;
         settings.log_rewrite_bytes = 1 << 30;
@@ -120,7 +121,7 @@
     }
 
     /// A node with an empty disk, which is no founder.
-    fn fresh_node(&self, machine: usize, now: u64, wipes_left: u8) -> Node<Count> {
+    fn fresh_node(&self, machine: usize, now: Instant, wipes_left: u8) -> Node<Count> {
         let mut settings = Settings::new(address(machine), 1, false, (0..3).map(address).collect());
         settings.injected_fault = self.injected_fault;
         settings.log_rewrite_bytes = 1 << 30;
@@ -259,7 +260,7 @@
         for message in [Message::Join { is_bootstrap_voter: false, known_term: seen }, answer] {
             self.step(primary, Input::Message { from, message }, false);
         }
-        self.clocks[primary] += 100;
+        self.clocks[primary] += Duration::from_millis(100);
         self.step(primary, Input::Tick, false);
     }
 
@@ -277,8 +278,8 @@
     /// A fleet that has founded itself and is at rest.
     fn init_states(&self) -> Vec<Fleet> {
         let mut fleet = Fleet {
-            nodes: (0..3).map(|m| self.node(m, &[], 0)).collect(),
-            clocks: vec![0; 3],
+            nodes: (0..3).map(|m| self.node(m, &[], Instant::ORIGIN)).collect(),
+            clocks: vec![Instant::ORIGIN; 3],
             disks: vec![Vec::new(); 3],
             net: BTreeSet::new(),
             claims: self.claims,
@@ -298,7 +299,7 @@
         };
         for _ in 0..40 {
             for machine in 0..3 {
-                fleet.clocks[machine] += 50;
+                fleet.clocks[machine] += Duration::from_millis(50);
                 fleet.step(machine, Input::Tick, true);
             }
             while let Some(envelope) = fleet.net.pop_first() {
@@ -350,9 +351,9 @@
             }
             Act::Claim(machine) => {
                 fleet.claims -= 1;
-                fleet.clocks[machine] += 2_000;
+                fleet.clocks[machine] += Duration::from_millis(2_000);
                 fleet.step(machine, Input::Tick, false);
-                fleet.clocks[machine] += 2_000;
+                fleet.clocks[machine] += Duration::from_millis(2_000);
                 fleet.step(machine, Input::Tick, false);
                 let me = fleet.nodes[machine].local_member();
                 let others: Vec<Member> =
--- a/crates/consensus/tests/request_status.rs
+++ b/crates/consensus/tests/request_status.rs
@@ -7,6 +7,7 @@
     AppliedRequest, ClientReply, ControlState, DEDUPLICATION_WINDOW, Input, Node, Output, RequestDigest,
     RequestStatus, Settings,
 };
+use mosshead_time::{Duration, Instant};
 use quickcheck::{QuickCheck, TestResult};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -15,11 +16,11 @@
 struct Alone {
     node: Node<Pcg64Mcg>,
     log: Vec<Vec<u8>>,
-    now: u64,
+    now: Instant,
     asks: u64,
 }
 
-fn start(log: &[Vec<u8>], now: u64) -> Node<Pcg64Mcg> {
+fn start(log: &[Vec<u8>], now: Instant) -> Node<Pcg64Mcg> {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7720);
     let mut settings = Settings::new(address, 0, true, vec![address]);
     settings.log_rewrite_bytes = 100_000;
@@ -28,7 +29,7 @@
 
 impl Alone {
     fn new(log: Vec<Vec<u8>>) -> Alone {
-        let mut alone = Alone { node: start(&log, 0), log, now: 0, asks: 0 };
+        let mut alone = Alone { node: start(&log, Instant::ORIGIN), log, now: Instant::ORIGIN, asks: 0 };
         alone.lead();
         alone
     }
@@ -40,7 +41,7 @@
 
     fn lead(&mut self) {
         while !self.node.is_primary() {
-            self.now += 50;
+            self.now += Duration::from_millis(50);
             self.step(Input::Tick);
         }
     }
--- a/crates/control-plane/tests/fleet/control_node.rs
+++ b/crates/control-plane/tests/fleet/control_node.rs
@@ -92,11 +92,12 @@
 
 impl Process {
     fn contact(&self, now: u64) -> QuorumContact {
-        QuorumContact::from_flag(self.node.has_quorum_contact(now))
+        QuorumContact::from_flag(self.node.has_quorum_contact(Instant::from_millis(now)))
     }
 
     fn leader(&self, now: u64, by_role: bool) -> KnownPrimary {
-        let primary = if by_role { self.node.primary() } else { self.node.primary_at(now) };
+        let primary =
+            if by_role { self.node.primary() } else { self.node.primary_at(Instant::from_millis(now)) };
         match primary.map(|primary| primary.address) {
             Some(address) if address == self.node.local_member().address => KnownPrimary::Local,
             Some(address) => KnownPrimary::Remote(address),
@@ -140,7 +141,12 @@
         let machine = &mut self.cores[core];
         machine.life += 1;
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let node = match Node::new(machine.settings.clone(), &machine.disk.records, now, rng) {
+        let node = match Node::new(
+            machine.settings.clone(),
+            &machine.disk.records,
+            Instant::from_millis(now),
+            rng,
+        ) {
             Ok(node) => node,
             Err(fault) => return self.ledger.broken("disk", format!("control machine {core}: {fault}")),
         };
@@ -243,7 +249,7 @@
     fn control_step(&mut self, core: usize, input: Input) {
         let now = self.now;
         let Some(process) = &mut self.cores[core].process else { return };
-        let outputs = process.node.step(now, input);
+        let outputs = process.node.step(Instant::from_millis(now), input);
         let member = process.node.local_member();
         for output in outputs {
             self.carry_out(core, member, output);
--- a/crates/control-plane/tests/fleet/stage_role.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -19,7 +19,7 @@
 impl World {
     fn holds(&self, core: usize) -> Option<Term> {
         let node = &self.cores[core].process.as_ref()?.node;
-        node.holds_primary_lease(self.now).then(|| node.term())
+        node.holds_primary_lease(Instant::from_millis(self.now)).then(|| node.term())
     }
 
     pub fn duty_turn(&mut self, core: usize) {
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -32,7 +32,7 @@
 
     /// Steps the node. `None` while there is none.
     pub(super) fn step(&self, input: Input) -> Option<Vec<Output>> {
-        self.node.borrow_mut().as_mut().map(|node| node.step(self.now(), input))
+        self.node.borrow_mut().as_mut().map(|node| node.step(self.clock.now(), input))
     }
 
     /// Queues a record for the log; false if it can't be written.
@@ -62,19 +62,19 @@
 
     /// Whether this node is the primary and its lease holds at this moment.
     pub(super) fn is_primary(&self) -> bool {
-        self.node.borrow().as_ref().is_some_and(|node| node.holds_primary_lease(self.now()))
+        self.node.borrow().as_ref().is_some_and(|node| node.holds_primary_lease(self.clock.now()))
     }
 
     /// The address of the primary, as far as this node knows.
     pub(super) fn primary(&self) -> Option<SocketAddrV4> {
         let node = self.node.borrow();
-        node.as_ref().and_then(|node| node.primary_at(self.now())).map(|primary| primary.address)
+        node.as_ref().and_then(|node| node.primary_at(self.clock.now())).map(|primary| primary.address)
     }
 
     /// Whether a quorum of the members was recently in contact with this node.
     pub(super) fn contact(&self) -> QuorumContact {
         let node = self.node.borrow();
-        QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.now())))
+        QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.clock.now())))
     }
 
     /// The newest term that is known here.
@@ -91,8 +91,4 @@
     pub(super) fn may_shut_down(&self) -> bool {
         self.node.borrow().as_ref().is_none_or(Node::may_shut_down)
     }
-
-    fn now(&self) -> u64 {
-        self.clock.now().as_millis()
-    }
 }
--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -22,7 +22,7 @@
     spdlog::info!("record-log: opened records={}", records.len());
     let Some(mut completions) = start_writer(&control_node, log) else { return };
     let random = Pcg64Mcg::seed_from_u64(seed);
-    match Node::new(node_settings(&control_node), &records, control_node.clock.now().as_millis(), random) {
+    match Node::new(node_settings(&control_node), &records, control_node.clock.now(), random) {
         Ok(node) => control_node.consensus.set_node(node),
         Err(error) => {
             spdlog::error!("consensus: stored state unreadable error={error}");
@@ -58,7 +58,7 @@
 fn node_settings(control_node: &ControlNode) -> NodeSettings {
     let settings = &control_node.settings;
     NodeSettings {
-        timings: Timings::for_sync(settings.sync_time().as_millis() as u64),
+        timings: Timings::for_join_deadline(settings.sync_time()),
         ..NodeSettings::new(
             settings.internal_address(),
             settings.node_failures,
