--- /dev/null
+++ b/crates/decide/src/interface/mod.rs
@@ -0,0 +1,24 @@
+//! The interface between the balancer and its host: the settings it starts from, the events it is told and the actions it
+//! answers with.
+//!
+//! Nothing here decides anything. Instants are read on the host's own steady clock, which may start anywhere.
+
+mod actions;
+mod endpoint_list;
+mod events;
+mod ids;
+mod settings;
+mod settings_check;
+
+pub use actions::Action;
+pub use endpoint_list::{ListEntry, ListUpdate, Readiness};
+pub use events::{Event, LoadReport, Outcome, Request};
+pub use ids::{
+    AttemptNumber, ClassId, EndpointId, GroupId, MachineKindId, RequestId, Seconds, TenantId, TimerToken,
+    ZoneId,
+};
+pub use settings::{
+    Class, DedupScope, Limits, Membership, RepeatEffect, Reporting, Rules, ServiceObjective, Settings,
+    Tenant, Weights,
+};
+pub use settings_check::SettingsError;
--- a/crates/decide/src/learned_values.rs
+++ b/crates/decide/src/learned_values.rs
@@ -1,22 +1,48 @@
-//! What one life has learnt and another may start from, and how far each has come. Nothing here decides anything.
-
-use mosshead_comeback::{Stage, Wants};
+//! What a process has learned and its next incarnation may start from. Nothing here decides anything.
 
 use crate::Balancer;
-use crate::interface::*;
+use crate::interface::{ClassId, EndpointId, MachineKindId, Readiness, Seconds, ZoneId};
 use crate::policy::OVERLOAD_LIFE;
 use crate::state::{Ejection, EjectionCause, Mean};
 
-/// What was learnt fades with this, in seconds.
+/// Learned values decay with this, in seconds.
 const LEARNED_LIFE: Seconds = 30.0;
-/// What is known of load and of prices fades with so many mean deadlines.
+/// Loads and prices decay with so many mean deadlines.
 const LOAD_LIFE: f64 = 1.0;
-/// A recalled mean counts for so many samples at most: what is seen now soon weighs more.
+/// A restored mean counts for so many samples at most: new responses soon weigh more.
 const MAX_RESTORED_SAMPLES: f64 = 32.0;
-/// No figure that was learnt is larger.
+/// No learned value is larger than this.
 const MAX_LEARNED_VALUE: f64 = 1e6;
+/// No restored overload is larger than this.
+const MAX_RESTORED_OVERLOAD: f64 = 2.0;
+/// No server is restored as so many times (a natural logarithm) slower or faster than its kind.
+const MAX_RESTORED_LOG_SLOWNESS: f64 = 3.0;
+/// A restored ejection lasts for so many mean deadlines at most,
+const MAX_RESTORED_EJECTION: f64 = 4.0;
+/// and has so many repetitions at most.
+const MAX_RESTORED_REPETITIONS: f64 = 2.0;
+
+/// The names of the values. They stand in snapshots on disk, and must not change.
+mod names {
+    pub(super) const SERVICE_TIME: &str = "service";
+    pub(super) const LOG_SLOWNESS: &str = "pace";
+    pub(super) const LOG_LOAD: &str = "load";
+    pub(super) const FAILURE_RATE: &str = "failures";
+    pub(super) const REPORT_AGE: &str = "report-age";
+    pub(super) const OVERLOAD: &str = "strain";
+    pub(super) const LOG_PRICE: &str = "price";
+    pub(super) const SLOTS: &str = "slots";
+    pub(super) const EJECTED_FOR: &str = "shunned";
+    pub(super) const EJECTIONS: &str = "strikes";
+    pub(super) const EJECTED_FOR_SILENCE: &str = "silent";
 
-/// Whom a figure is of.
+    /// The name of the number of samples behind a mean.
+    pub(super) fn samples_of(name: &str) -> String {
+        format!("{name}-samples")
+    }
+}
+
+/// What a learned value describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// All servers and classes.
@@ -25,191 +51,205 @@
     Class(ClassId),
     /// A kind of machine.
     MachineKind(MachineKindId),
-    /// A zone, or the part of it that some class is bound to.
+    /// A zone; `true` for its servers that are reserved for some class, `false` for the others.
     Zone(ZoneId, bool),
     /// A server.
     Endpoint(EndpointId),
 }
 
-/// A figure that was learnt.
+/// A value that was learned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearnedValue {
-    /// Whom it is of.
+    /// What it describes.
     pub subject: Subject,
-    /// What it is.
+    /// Its name in snapshots.
     pub name: String,
-    /// How much.
+    /// The value.
     pub value: f64,
 }
 
-fn mean(mean: &mut Mean, value: f64, samples: f64, life: f64) {
-    let samples = samples.min(MAX_RESTORED_SAMPLES) * life;
-    if samples >= 1.0 {
-        *mean = Mean::new(value, samples);
-    }
-}
-
 impl Balancer {
-    /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
-        match &event {
-            Event::ListUpdated(ListUpdate::Full(_) | ListUpdate::Changes(_)) => self.state.recovery.told(now),
-            Event::ListUpdated(ListUpdate::Failed) => self.state.recovery.failed(),
-            Event::AttemptEnded { request: job, outcome: Outcome::Served, settled: true, .. } => {
-                let in_time = self.state.request_mut(*job).map(|job| now <= job.target_time);
-                in_time.into_iter().for_each(|in_time| self.state.recovery.answered(in_time));
-            }
-            _ => {}
-        }
-        let (listed, from) = (matches!(event, Event::ListUpdated(_)), actions.len());
-        self.handle_event(now, event, actions);
-        if listed {
-            let ready = [&self.state.local, &self.state.remote, &self.state.slow_starting];
-            self.state.recovery.servers(ready.into_iter().any(|some| !some.is_empty()));
-        }
-        let unserved = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
-        actions[from..].iter().filter(unserved).for_each(|_| self.state.recovery.answered(false));
-        // Full service, once reached, stays: each instant counts.
-        self.recovery_stage(now);
-    }
-
-    /// How far this life has come, and what it waits for.
-    pub fn recovery_stage(&mut self, now: Seconds) -> (Stage, Wants) {
-        self.state.recovery.stage(now, self.settings.rules.refresh_within)
-    }
-
-    /// The process stood still and has gone on: whatever was told meanwhile is not known.
-    pub fn on_process_suspended(&mut self) {
-        self.state.recovery.stood_still();
-    }
-
-    /// All that another life may start from.
+    /// All that the next incarnation may start from.
     pub fn learned_values(&self, now: Seconds) -> Vec<LearnedValue> {
-        let mut all = Vec::new();
-        let mut add = |of, name: &str, value: f64| {
-            if value.is_finite() {
-                all.push(LearnedValue { subject: of, name: name.to_owned(), value });
-            }
-        };
-        let seen = &self.state;
-        let mut of_mean = |of, name: &str, mean: &Mean| {
-            if mean.samples >= 1.0 {
-                add(of, name, mean.value);
-                add(of, &format!("{name}-samples"), mean.samples);
+        let state = &self.state;
+        let mut export = Export::default();
+        export.add_mean(Subject::Fleet, names::SERVICE_TIME, &state.mean_service);
+        export.add_mean(Subject::Fleet, names::LOG_SLOWNESS, &state.fleet_log_slowness);
+        export.add_mean(Subject::Fleet, names::LOG_LOAD, &state.fleet_log_load);
+        export.add_mean(Subject::Fleet, names::FAILURE_RATE, &state.failure_rate);
+        for (index, class) in state.classes.iter().enumerate() {
+            export.add_mean(Subject::Class(ClassId(index)), names::SERVICE_TIME, &class.service_time);
+        }
+        for (index, kind) in state.kinds.iter().enumerate() {
+            let subject = Subject::MachineKind(MachineKindId(index));
+            export.add_mean(subject, names::SLOTS, &kind.slots);
+            export.add_mean(subject, names::LOG_SLOWNESS, &kind.log_slowness);
+        }
+        for (index, zone) in state.zones.iter().enumerate() {
+            export.add_mean(zone_subject(index), names::LOG_LOAD, &zone.log_load);
+        }
+        export.add(Subject::Fleet, names::REPORT_AGE, state.report_age);
+        let overload = state.overload.read(now, OVERLOAD_LIFE * state.mean_deadline);
+        export.add(Subject::Fleet, names::OVERLOAD, overload);
+        for (index, &market) in state.market_of_class.iter().enumerate() {
+            export.add(Subject::Class(ClassId(index)), names::LOG_PRICE, state.log_prices[market]);
+        }
+        for endpoint in &state.endpoints {
+            if endpoint.entry.readiness == Readiness::Removed {
+                continue;
             }
-        };
-        of_mean(Subject::Fleet, "service", &seen.mean_service);
-        of_mean(Subject::Fleet, "pace", &seen.fleet_log_slowness);
-        of_mean(Subject::Fleet, "load", &seen.fleet_log_load);
-        of_mean(Subject::Fleet, "failures", &seen.failure_rate);
-        for (at, class) in seen.classes.iter().enumerate() {
-            of_mean(Subject::Class(ClassId(at)), "service", &class.service_time);
-        }
-        for (at, kind) in seen.kinds.iter().enumerate() {
-            of_mean(Subject::MachineKind(MachineKindId(at)), "slots", &kind.slots);
-            of_mean(Subject::MachineKind(MachineKindId(at)), "pace", &kind.log_slowness);
-        }
-        for (at, zone) in seen.zones.iter().enumerate() {
-            of_mean(Subject::Zone(ZoneId(at / 2), at % 2 == 1), "load", &zone.log_load);
-        }
-        add(Subject::Fleet, "report-age", seen.report_age);
-        add(Subject::Fleet, "strain", seen.overload.read(now, OVERLOAD_LIFE * seen.mean_deadline));
-        for at in 0..seen.classes.len() {
-            add(Subject::Class(ClassId(at)), "price", seen.log_prices[seen.market_of_class[at]]);
-        }
-        for endpoint in
-            seen.endpoints.iter().filter(|endpoint| endpoint.entry.readiness != Readiness::Removed)
-        {
-            let of = Subject::Endpoint(endpoint.entry.endpoint);
+            let subject = Subject::Endpoint(endpoint.entry.endpoint);
             if endpoint.log_slowness != 0.0 {
-                add(of, "pace", endpoint.log_slowness);
+                export.add(subject, names::LOG_SLOWNESS, endpoint.log_slowness);
             }
-            if let Some(shun) = endpoint.ejection {
-                add(of, "shunned", shun.until - now);
-                add(of, "strikes", f64::from(shun.repetitions));
-                add(of, "silent", f64::from(u8::from(shun.cause == EjectionCause::Silence)));
+            if let Some(ejection) = endpoint.ejection {
+                let is_silent = ejection.cause == EjectionCause::Silence;
+                export.add(subject, names::EJECTED_FOR, ejection.until - now);
+                export.add(subject, names::EJECTIONS, f64::from(ejection.repetitions));
+                export.add(subject, names::EJECTED_FOR_SILENCE, f64::from(u8::from(is_silent)));
             }
         }
-        all
+        export.values
     }
 
-    /// Starts from what a former life learnt, `age` ago. What makes no sense is left out, and nothing of it decides for long:
-    /// whatever this life sees weighs more within some dozens of answers.
-    pub fn restore_learned(&mut self, now: Seconds, figures: &[LearnedValue], age: Seconds) {
+    /// Starts from what a former incarnation learned, `age` ago. Values that make no sense are left out, and none decides
+    /// for long: what this process sees weighs more within some dozens of responses.
+    pub fn restore_learned(&mut self, now: Seconds, values: &[LearnedValue], age: Seconds) {
         let age = age.max(0.0);
-        let (life, mean_deadline) = ((-age / LEARNED_LIFE).exp(), self.state.mean_deadline);
-        let load_life = (-age / (LOAD_LIFE * mean_deadline)).exp();
-        let find = |of: Subject, name: &str| {
-            let sound = |value: &f64| value.is_finite() && value.abs() <= MAX_LEARNED_VALUE;
-            figures.iter().find(|at| at.subject == of && at.name == name).map(|at| at.value).filter(sound)
-        };
-        let with_samples =
-            |of: Subject, name: &str| Some((find(of, name)?, find(of, &format!("{name}-samples"))?));
-        let positive = |pair: Option<(f64, f64)>| pair.filter(|(value, _)| *value > 0.0);
-        if let Some((value, samples)) = positive(with_samples(Subject::Fleet, "service")) {
-            mean(&mut self.state.mean_service, value, samples, life);
-        }
-        if let Some((value, samples)) = with_samples(Subject::Fleet, "pace") {
-            mean(&mut self.state.fleet_log_slowness, value, samples, life);
-        }
-        if let Some((value, samples)) =
-            with_samples(Subject::Fleet, "load").filter(|(value, _)| *value >= 0.0)
-        {
-            mean(&mut self.state.fleet_log_load, value * load_life, samples, life);
-        }
-        if let Some((value, samples)) = with_samples(Subject::Fleet, "failures") {
-            mean(&mut self.state.failure_rate, value.clamp(0.0, 1.0), samples, life);
-        }
-        if let Some(value) = find(Subject::Fleet, "report-age").filter(|value| *value >= 0.0) {
-            self.state.report_age = value;
-        }
-        if let Some(value) = find(Subject::Fleet, "strain").filter(|value| *value >= 0.0) {
-            self.state.overload.restore(now, value.min(2.0) * load_life);
-        }
-        for at in 0..self.state.classes.len() {
-            let of = Subject::Class(ClassId(at));
-            if let Some((value, samples)) = positive(with_samples(of, "service")) {
-                mean(&mut self.state.classes[at].service_time, value, samples, life);
+        let load_weight = (-age / (LOAD_LIFE * self.state.mean_deadline)).exp();
+        let import = Import { values, weight: (-age / LEARNED_LIFE).exp(), load_weight };
+        self.restore_fleet(now, &import);
+        self.restore_classes(&import);
+        for (index, kind) in self.state.kinds.iter_mut().enumerate() {
+            let subject = Subject::MachineKind(MachineKindId(index));
+            if let Some((value, samples)) = import.positive_mean(subject, names::SLOTS) {
+                import.restore(&mut kind.slots, value.max(1.0), samples);
             }
-            if let Some(value) = find(of, "price") {
-                let price = &mut self.state.log_prices[self.state.market_of_class[at]];
-                // No price is lower than that of a new life: there nothing is refused.
-                *price += (value.min(0.0) - *price).max(0.0) * load_life;
+            if let Some((value, samples)) = import.mean(subject, names::LOG_SLOWNESS) {
+                import.restore(&mut kind.log_slowness, value, samples);
             }
         }
-        for at in 0..self.state.kinds.len() {
-            let of = Subject::MachineKind(MachineKindId(at));
-            if let Some((value, samples)) = positive(with_samples(of, "slots")) {
-                mean(&mut self.state.kinds[at].slots, value.max(1.0), samples, life);
-            }
-            if let Some((value, samples)) = with_samples(of, "pace") {
-                mean(&mut self.state.kinds[at].log_slowness, value, samples, life);
-            }
+        for (index, zone) in self.state.zones.iter_mut().enumerate() {
+            import.restore_load(zone_subject(index), &mut zone.log_load);
+        }
+        self.restore_endpoints(now, &import, age);
+    }
+
+    fn restore_fleet(&mut self, now: Seconds, import: &Import<'_>) {
+        let state = &mut self.state;
+        if let Some((value, samples)) = import.positive_mean(Subject::Fleet, names::SERVICE_TIME) {
+            import.restore(&mut state.mean_service, value, samples);
         }
-        for at in 0..self.state.zones.len() {
-            let load = with_samples(Subject::Zone(ZoneId(at / 2), at % 2 == 1), "load");
-            if let Some((value, samples)) = load.filter(|(value, _)| *value >= 0.0) {
-                mean(&mut self.state.zones[at].log_load, value * load_life, samples, life);
+        if let Some((value, samples)) = import.mean(Subject::Fleet, names::LOG_SLOWNESS) {
+            import.restore(&mut state.fleet_log_slowness, value, samples);
+        }
+        import.restore_load(Subject::Fleet, &mut state.fleet_log_load);
+        if let Some((value, samples)) = import.mean(Subject::Fleet, names::FAILURE_RATE) {
+            import.restore(&mut state.failure_rate, value.clamp(0.0, 1.0), samples);
+        }
+        if let Some(value) = import.find(Subject::Fleet, names::REPORT_AGE).filter(|value| *value >= 0.0) {
+            state.report_age = value;
+        }
+        if let Some(value) = import.find(Subject::Fleet, names::OVERLOAD).filter(|value| *value >= 0.0) {
+            state.overload.restore(now, value.min(MAX_RESTORED_OVERLOAD) * import.load_weight);
+        }
+    }
+
+    fn restore_classes(&mut self, import: &Import<'_>) {
+        for (index, class) in self.state.classes.iter_mut().enumerate() {
+            let subject = Subject::Class(ClassId(index));
+            if let Some((value, samples)) = import.positive_mean(subject, names::SERVICE_TIME) {
+                import.restore(&mut class.service_time, value, samples);
+            }
+            if let Some(value) = import.find(subject, names::LOG_PRICE) {
+                let log_price = &mut self.state.log_prices[self.state.market_of_class[index]];
+                // No price is lower than that of a new process, at which nothing is rejected.
+                *log_price += (value.min(0.0) - *log_price).max(0.0) * import.load_weight;
             }
         }
+    }
+
+    fn restore_endpoints(&mut self, now: Seconds, import: &Import<'_>, age: Seconds) {
+        let longest = MAX_RESTORED_EJECTION * self.state.mean_deadline;
         for endpoint in &mut self.state.endpoints {
-            let of = Subject::Endpoint(endpoint.entry.endpoint);
-            endpoint.log_slowness = find(of, "pace").unwrap_or(0.0).clamp(-3.0, 3.0) * life;
-            let left = find(of, "shunned").map_or(0.0, |left| (left - age).min(4.0 * mean_deadline));
-            if left > 0.0 {
-                let fault = if find(of, "silent") == Some(1.0) {
-                    EjectionCause::Silence
-                } else {
-                    EjectionCause::Errors
-                };
-                let strikes = find(of, "strikes").unwrap_or(0.0).clamp(0.0, 2.0) as u32;
-                endpoint.ejection = Some(Ejection {
-                    cause: fault,
-                    until: now + left,
-                    repetitions: strikes,
-                    successful_trials: 0,
-                });
+            let subject = Subject::Endpoint(endpoint.entry.endpoint);
+            let log_slowness = import.find(subject, names::LOG_SLOWNESS).unwrap_or(0.0);
+            endpoint.log_slowness =
+                log_slowness.clamp(-MAX_RESTORED_LOG_SLOWNESS, MAX_RESTORED_LOG_SLOWNESS) * import.weight;
+            let remaining = import.find(subject, names::EJECTED_FOR);
+            let remaining = remaining.map_or(0.0, |remaining| (remaining - age).min(longest));
+            if remaining > 0.0 {
+                let is_silent = import.find(subject, names::EJECTED_FOR_SILENCE) == Some(1.0);
+                let cause = if is_silent { EjectionCause::Silence } else { EjectionCause::Errors };
+                let repetitions = import.find(subject, names::EJECTIONS).unwrap_or(0.0);
+                let repetitions = repetitions.clamp(0.0, MAX_RESTORED_REPETITIONS) as u32;
+                let until = now + remaining;
+                endpoint.ejection = Some(Ejection { cause, until, repetitions, successful_trials: 0 });
             }
         }
     }
 }
+
+/// What the statistics at an index of the zones describe.
+fn zone_subject(index: usize) -> Subject {
+    Subject::Zone(ZoneId(index / 2), index % 2 == 1)
+}
+
+#[derive(Default)]
+struct Export {
+    values: Vec<LearnedValue>,
+}
+
+impl Export {
+    fn add(&mut self, subject: Subject, name: &str, value: f64) {
+        if value.is_finite() {
+            self.values.push(LearnedValue { subject, name: name.to_owned(), value });
+        }
+    }
+
+    fn add_mean(&mut self, subject: Subject, name: &str, mean: &Mean) {
+        if mean.samples >= 1.0 {
+            self.add(subject, name, mean.value);
+            self.add(subject, &names::samples_of(name), mean.samples);
+        }
+    }
+}
+
+struct Import<'a> {
+    values: &'a [LearnedValue],
+    /// What is left of a value at its age.
+    weight: f64,
+    /// What is left of a load or a price.
+    load_weight: f64,
+}
+
+impl Import<'_> {
+    fn find(&self, subject: Subject, name: &str) -> Option<f64> {
+        let found = self.values.iter().find(|value| value.subject == subject && value.name == name)?;
+        (found.value.is_finite() && found.value.abs() <= MAX_LEARNED_VALUE).then_some(found.value)
+    }
+
+    /// A mean with its number of samples.
+    fn mean(&self, subject: Subject, name: &str) -> Option<(f64, f64)> {
+        Some((self.find(subject, name)?, self.find(subject, &names::samples_of(name))?))
+    }
+
+    fn positive_mean(&self, subject: Subject, name: &str) -> Option<(f64, f64)> {
+        self.mean(subject, name).filter(|(value, _)| *value > 0.0)
+    }
+
+    /// Restores a mean, unless it stands for less than one sample by now.
+    fn restore(&self, mean: &mut Mean, value: f64, samples: f64) {
+        let samples = samples.min(MAX_RESTORED_SAMPLES) * self.weight;
+        if samples >= 1.0 {
+            *mean = Mean::new(value, samples);
+        }
+    }
+
+    fn restore_load(&self, subject: Subject, mean: &mut Mean) {
+        let load = self.mean(subject, names::LOG_LOAD).filter(|(value, _)| *value >= 0.0);
+        if let Some((value, samples)) = load {
+            self.restore(mean, value * self.load_weight, samples);
+        }
+    }
+}
--- /dev/null
+++ b/crates/decide/src/recovery.rs
@@ -0,0 +1,52 @@
+//! How far the proxy has recovered since its start, as its events tell.
+
+use mosshead_comeback::{Stage, Wants};
+
+use crate::Balancer;
+use crate::interface::{Action, Event, ListUpdate, Outcome, Seconds};
+
+impl Balancer {
+    /// Takes one event and appends the actions that follow from it.
+    pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
+        self.record_recovery(now, &event);
+        let is_list_update = matches!(event, Event::ListUpdated(_));
+        let first_new = actions.len();
+        self.handle_event(now, event, actions);
+        if is_list_update {
+            let has_servers = [&self.state.local, &self.state.remote, &self.state.slow_starting]
+                .into_iter()
+                .any(|servers| !servers.is_empty());
+            self.state.recovery.servers(has_servers);
+        }
+        let is_unserved = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
+        for _ in actions[first_new..].iter().filter(is_unserved) {
+            self.state.recovery.answered(false);
+        }
+        // Full service, once reached, stays; so the stage is looked at after each event.
+        self.recovery_stage(now);
+    }
+
+    fn record_recovery(&mut self, now: Seconds, event: &Event) {
+        match event {
+            Event::ListUpdated(ListUpdate::Full(_) | ListUpdate::Changes(_)) => self.state.recovery.told(now),
+            Event::ListUpdated(ListUpdate::Failed) => self.state.recovery.failed(),
+            Event::AttemptEnded { request, outcome: Outcome::Served, settled: true, .. } => {
+                if let Some(target_time) = self.state.request_mut(*request).map(|pending| pending.target_time)
+                {
+                    self.state.recovery.answered(now <= target_time);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// How far the proxy has recovered, and what it waits for.
+    pub fn recovery_stage(&mut self, now: Seconds) -> (Stage, Wants) {
+        self.state.recovery.stage(now, self.settings.rules.refresh_within)
+    }
+
+    /// The process was suspended and goes on: what the list said meanwhile is not known.
+    pub fn on_process_suspended(&mut self) {
+        self.state.recovery.stood_still();
+    }
+}
--- /dev/null
+++ b/crates/decide/src/state/mod.rs
@@ -0,0 +1,13 @@
+//! What the balancer remembers of servers, requests and classes. Nothing here decides anything.
+
+mod class_stats;
+mod endpoint;
+mod overload;
+mod pending_request;
+mod policy_state;
+mod statistics;
+
+pub(crate) use endpoint::{Ejection, EjectionCause, Endpoint};
+pub(crate) use pending_request::{Attempt, PendingRequest};
+pub(crate) use policy_state::PolicyState;
+pub(crate) use statistics::Mean;
--- /dev/null
+++ b/crates/decide/src/state/policy_state.rs
@@ -0,0 +1,230 @@
+//! All that one balancer remembers.
+
+use std::collections::{BTreeMap, HashMap, HashSet};
+
+use mosshead_comeback::{Life, Pace};
+use rand_core::RngCore;
+
+use super::class_stats::{ClassStats, MachineKindStats, TARGET_SERVICE_TIMES, ZoneStats};
+use super::endpoint::Endpoint;
+use super::overload::Overload;
+use super::pending_request::PendingRequest;
+use super::statistics::{Mean, Rate};
+use crate::interface::{Class, ClassId, EndpointId, ListEntry, Readiness, RequestId, Seconds, Settings};
+
+/// How many attempts of the whole fleet of proxies a server of which nothing is known may have at once; one of each
+/// proxy at least. If each proxy began with the full number, a fleet that starts at once would overload every server.
+const INITIAL_FLEET_CONCURRENCY: f64 = 16.0;
+/// How many samples the first guess of the failure rate stands for.
+const INITIAL_FAILURE_SAMPLES: f64 = 64.0;
+
+/// All that one balancer remembers.
+#[derive(Clone, Debug)]
+pub(crate) struct PolicyState {
+    /// By [`EndpointId`]; servers that were removed keep their index.
+    pub(crate) endpoints: Vec<Endpoint>,
+    /// Ready servers of the proxy's zone that are past their slow start, in this proxy's own random order.
+    pub(crate) local: Vec<usize>,
+    /// The same of other zones.
+    pub(crate) remote: Vec<usize>,
+    /// Ready servers in slow start.
+    pub(crate) slow_starting: Vec<usize>,
+    /// What the ready servers can do at present, in units of their sizes.
+    pub(crate) fleet_capacity: f64,
+    /// When the three lists above and the capacity are computed anew, if no list comes before.
+    pub(crate) next_review_at: Seconds,
+    /// Requests without a final answer, by their timer tokens.
+    pub(crate) requests: BTreeMap<u64, PendingRequest>,
+    /// The timer tokens of these requests.
+    pub(crate) tokens: HashMap<RequestId, u64>,
+    /// Requests that wait for probes, by their timer tokens.
+    pub(crate) awaiting_probes: Vec<u64>,
+    /// Until then no probes are sent.
+    pub(crate) probes_paused_until: Seconds,
+    pub(crate) next_token: u64,
+    pub(crate) classes: Vec<ClassStats>,
+    /// The rate of the requests to this proxy.
+    pub(crate) request_rate: Rate,
+    pub(crate) tenant_rates: Vec<Rate>,
+    pub(crate) kinds: Vec<MachineKindStats>,
+    /// Two for each zone: its servers that are reserved for some class come second.
+    pub(crate) zones: Vec<ZoneStats>,
+    pub(crate) fleet_log_slowness: Mean,
+    pub(crate) fleet_log_load: Mean,
+    pub(crate) mean_service: Mean,
+    /// How old a report is on arrival, in lives of a report, as far as repeated ones tell.
+    pub(crate) report_age: f64,
+    /// The fraction of attempts that fail, at any server.
+    pub(crate) failure_rate: Mean,
+    pub(crate) mean_value: Mean,
+    pub(crate) overload: Overload,
+    pub(crate) mean_deadline: Seconds,
+    pub(crate) shortest_target: Seconds,
+    /// How many retries and hedged requests may still be sent.
+    pub(crate) retry_budget: f64,
+    /// How many own attempts a server of which nothing is known may have.
+    pub(crate) initial_concurrency: f64,
+    /// The natural logarithm of the price of work, by market: a set of servers that classes may use.
+    pub(crate) log_prices: Vec<f64>,
+    /// The market of each class, named by the first class that has it.
+    pub(crate) market_of_class: Vec<usize>,
+    /// The ready servers that are reserved for some class, as a fraction of the fleet's size.
+    pub(crate) reserved_share: f64,
+    /// The fraction of the work that belongs to restricted classes.
+    pub(crate) restricted_work: Mean,
+    /// The backoff between calls for the list.
+    pub(crate) list_backoff: Pace,
+    /// How far this process has recovered since its start.
+    pub(crate) recovery: Life,
+}
+
+impl PolicyState {
+    /// Nothing seen yet; values that a decision rests on are filled in by the policy.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let classes = &settings.classes;
+        let mean =
+            |value_of: fn(&Class) -> f64| classes.iter().map(value_of).sum::<f64>() / classes.len() as f64;
+        Self {
+            endpoints: Vec::new(),
+            local: Vec::new(),
+            remote: Vec::new(),
+            slow_starting: Vec::new(),
+            fleet_capacity: 1.0,
+            next_review_at: f64::INFINITY,
+            requests: BTreeMap::new(),
+            tokens: HashMap::new(),
+            awaiting_probes: Vec::new(),
+            probes_paused_until: f64::NEG_INFINITY,
+            next_token: 0,
+            classes: classes.iter().map(ClassStats::new).collect(),
+            request_rate: Rate::default(),
+            tenant_rates: vec![Rate::default(); settings.tenants.len()],
+            kinds: vec![MachineKindStats::default(); settings.machine_kinds],
+            zones: Vec::new(),
+            fleet_log_slowness: Mean::default(),
+            fleet_log_load: Mean::default(),
+            mean_service: Mean::new(mean(|class| class.latency_target / TARGET_SERVICE_TIMES), 0.0),
+            report_age: 0.0,
+            failure_rate: Mean::new(0.0, INITIAL_FAILURE_SAMPLES),
+            overload: Overload::default(),
+            mean_value: Mean::new(mean(|class| class.value), 0.0),
+            mean_deadline: mean(|class| class.deadline),
+            shortest_target: classes.iter().map(|class| class.latency_target).fold(f64::INFINITY, f64::min),
+            retry_budget: 0.0,
+            initial_concurrency: initial_concurrency(settings),
+            log_prices: vec![0.0; classes.len()],
+            market_of_class: markets(classes),
+            reserved_share: 1.0,
+            restricted_work: Mean::default(),
+            list_backoff: Pace::default(),
+            recovery: Life::default(),
+        }
+    }
+
+    pub(crate) fn endpoint(&self, id: EndpointId) -> &Endpoint {
+        &self.endpoints[id.0 as usize]
+    }
+
+    pub(crate) fn endpoint_mut(&mut self, id: EndpointId) -> &mut Endpoint {
+        &mut self.endpoints[id.0 as usize]
+    }
+
+    /// How many requests a server processes at once, as far as is known of its kind.
+    pub(crate) fn slots(&self, endpoint: &Endpoint) -> f64 {
+        self.kinds[endpoint.entry.kind.0].slots.value
+    }
+
+    /// A request without a final answer.
+    pub(crate) fn request_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(self.tokens.get(&id)?)
+    }
+
+    /// Takes a full list: servers that are not on it are removed.
+    pub(crate) fn replace_list(&mut self, now: Seconds, entries: Vec<ListEntry>, rng: &mut impl RngCore) {
+        let listed: HashSet<usize> = entries.iter().map(|entry| entry.endpoint.0 as usize).collect();
+        self.update_list(now, entries, rng);
+        for (index, endpoint) in self.endpoints.iter_mut().enumerate() {
+            if !listed.contains(&index) {
+                endpoint.entry.readiness = Readiness::Removed;
+            }
+        }
+    }
+
+    /// Takes the changed entries of the list.
+    pub(crate) fn update_list(&mut self, now: Seconds, entries: Vec<ListEntry>, rng: &mut impl RngCore) {
+        for entry in entries {
+            self.update_entry(now, entry, rng);
+        }
+    }
+
+    /// Takes one entry of the list; a server that is new draws its preference from `rng`.
+    fn update_entry(&mut self, now: Seconds, entry: ListEntry, rng: &mut impl RngCore) {
+        let index = entry.endpoint.0 as usize;
+        let zone = ZoneStats { log_load: Mean::default(), last_heard_at: now };
+        self.kinds.resize(self.kinds.len().max(entry.kind.0 + 1), MachineKindStats::default());
+        self.zones.resize(self.zones.len().max(2 * entry.zone.0 + 2), zone);
+        while self.endpoints.len() <= index {
+            let endpoint = EndpointId(self.endpoints.len() as u32);
+            let unknown = ListEntry { endpoint, readiness: Readiness::Removed, ..entry };
+            let preference = rng.next_u32();
+            let endpoint = Endpoint::new(now, unknown, self.initial_concurrency);
+            self.endpoints.push(Endpoint { preference, ..endpoint });
+        }
+        let endpoint = &mut self.endpoints[index];
+        let is_new_process =
+            endpoint.entry.started_at != entry.started_at || endpoint.entry.readiness == Readiness::Removed;
+        if is_new_process {
+            // A new process must not be judged by what its predecessor did; attempts in flight stay counted.
+            let Endpoint { in_flight, preference, .. } = *endpoint;
+            let fresh = Endpoint::new(now, entry, self.initial_concurrency);
+            *endpoint = Endpoint { in_flight, preference, ..fresh };
+        } else {
+            endpoint.entry = entry;
+        }
+    }
+
+    /// Takes other settings in place of `old`. `open` are the classes of new requests; the second of two `heirs`
+    /// inherits what is known of the first.
+    pub(crate) fn apply_settings(
+        &mut self,
+        old: &Settings,
+        new: &Settings,
+        open: &[ClassId],
+        heirs: &[(ClassId, ClassId)],
+    ) {
+        for (index, class) in new.classes.iter().enumerate() {
+            if index >= self.classes.len() {
+                self.classes.push(ClassStats::new(class));
+            } else if old.classes[index] != *class {
+                self.classes[index] = ClassStats::new(class);
+            }
+        }
+        for &(from, to) in heirs {
+            self.classes[to.0].service_time = self.classes[from.0].service_time;
+            if old.classes[from.0].deadline == new.classes[to.0].deadline {
+                self.classes[to.0] = self.classes[from.0].clone();
+            }
+        }
+        let lowest_price = self.log_prices.iter().copied().fold(f64::INFINITY, f64::min);
+        self.log_prices.resize(new.classes.len(), lowest_price);
+        self.market_of_class = markets(&new.classes);
+        self.tenant_rates.resize(new.tenants.len(), Rate::default());
+        let open = || open.iter().map(|class| &new.classes[class.0]);
+        self.mean_deadline = open().map(|class| class.deadline).sum::<f64>() / open().count().max(1) as f64;
+        self.shortest_target = open().map(|class| class.latency_target).fold(f64::INFINITY, f64::min);
+        self.initial_concurrency = initial_concurrency(new);
+    }
+}
+
+/// This proxy's part of the attempts that its fleet may have at an unknown server.
+fn initial_concurrency(settings: &Settings) -> f64 {
+    (INITIAL_FLEET_CONCURRENCY / settings.proxy_count).clamp(1.0, INITIAL_FLEET_CONCURRENCY)
+}
+
+/// For each class the first one that may use the same servers.
+fn markets(classes: &[Class]) -> Vec<usize> {
+    let servers_of = |class: &Class| (class.machine_kinds.clone(), class.zones.clone());
+    let market_of =
+        |class| classes.iter().position(|first| servers_of(first) == servers_of(class)).unwrap_or(0);
+    classes.iter().map(market_of).collect()
+}
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -4,11 +4,11 @@
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
 
-pub const SAFE: ClassId = ClassId(0);
-pub const UNSAFE: ClassId = ClassId(1);
-pub const KEYED: ClassId = ClassId(2);
+pub(crate) const SAFE: ClassId = ClassId(0);
+pub(crate) const UNSAFE: ClassId = ClassId(1);
+pub(crate) const KEYED: ClassId = ClassId(2);
 
-pub fn class(effect: RepeatEffect) -> Class {
+pub(crate) fn class(effect: RepeatEffect) -> Class {
     Class {
         latency_target: 0.5,
         deadline: 2.0,
@@ -20,7 +20,7 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         zone: ZoneId(0),
         proxy_count: 1.0,
@@ -63,7 +63,7 @@
     }
 }
 
-pub fn entry(endpoint: u32) -> ListEntry {
+pub(crate) fn entry(endpoint: u32) -> ListEntry {
     ListEntry {
         endpoint: EndpointId(endpoint),
         readiness: Readiness::Ready,
@@ -75,37 +75,37 @@
     }
 }
 
-pub fn fleet(count: u32) -> Vec<ListEntry> {
+pub(crate) fn fleet(count: u32) -> Vec<ListEntry> {
     (0..count).map(entry).collect()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
-    pub job: RequestId,
-    pub round: AttemptNumber,
-    pub endpoint: EndpointId,
-    pub at: Seconds,
-    pub until: Seconds,
+pub(crate) struct Sent {
+    pub(crate) job: RequestId,
+    pub(crate) round: AttemptNumber,
+    pub(crate) endpoint: EndpointId,
+    pub(crate) at: Seconds,
+    pub(crate) until: Seconds,
 }
 
-pub struct Host {
-    pub now: Seconds,
-    pub balancer: Balancer,
+pub(crate) struct Host {
+    pub(crate) now: Seconds,
+    pub(crate) balancer: Balancer,
     /// Every action so far.
-    pub actions: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
     /// Attempts whose outcome is still owed to the balancer.
-    pub out: Vec<Sent>,
-    pub timers: Vec<(Seconds, TimerToken)>,
+    pub(crate) out: Vec<Sent>,
+    pub(crate) timers: Vec<(Seconds, TimerToken)>,
     rounds: std::collections::BTreeMap<RequestId, u32>,
     next: u64,
 }
 
 impl Host {
-    pub fn new(settings: Settings, servers: Vec<ListEntry>) -> Self {
+    pub(crate) fn new(settings: Settings, servers: Vec<ListEntry>) -> Self {
         Self::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<ListEntry>, seed: u64) -> Self {
+    pub(crate) fn seeded(settings: Settings, servers: Vec<ListEntry>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("legal settings");
         let mut host = Self {
             now: 100.0,
@@ -121,7 +121,7 @@
     }
 
     /// Hands over one event and returns what it led to.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -139,11 +139,11 @@
         actions
     }
 
-    pub fn ask(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
+    pub(crate) fn ask(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.ask_as(class, None, 2.0)
     }
 
-    pub fn ask_as(
+    pub(crate) fn ask_as(
         &mut self,
         class: ClassId,
         tenant: Option<TenantId>,
@@ -156,7 +156,7 @@
     }
 
     /// Sends a request and returns where its first attempt went; asks again where chance refuses it.
-    pub fn place(&mut self, class: ClassId) -> Sent {
+    pub(crate) fn place(&mut self, class: ClassId) -> Sent {
         for _ in 0..10 {
             let (job, actions) = self.ask(class);
             if !refused(&actions, job) {
@@ -167,7 +167,7 @@
         panic!("refused ten times in a row")
     }
 
-    pub fn end(&mut self, sent: Sent, outcome: Outcome, report: LoadReport) -> Vec<Action> {
+    pub(crate) fn end(&mut self, sent: Sent, outcome: Outcome, report: LoadReport) -> Vec<Action> {
         self.out.retain(|other| (other.job, other.round) != (sent.job, sent.round));
         self.tell(Event::AttemptEnded {
             request: sent.job,
@@ -180,12 +180,12 @@
         })
     }
 
-    pub fn serve(&mut self, sent: Sent) -> Vec<Action> {
+    pub(crate) fn serve(&mut self, sent: Sent) -> Vec<Action> {
         self.end(sent, Outcome::Served, LoadReport::default())
     }
 
     /// Lets time pass; timers that come due on the way are handed over.
-    pub fn pass(&mut self, time: Seconds) -> Vec<Action> {
+    pub(crate) fn pass(&mut self, time: Seconds) -> Vec<Action> {
         let (until, mut actions) = (self.now + time, Vec::new());
         while let Some(at) = (0..self.timers.len())
             .filter(|&at| self.timers[at].0 <= until)
@@ -199,16 +199,16 @@
         actions
     }
 
-    pub fn change(&mut self, entry: ListEntry) -> Vec<Action> {
+    pub(crate) fn change(&mut self, entry: ListEntry) -> Vec<Action> {
         self.tell(Event::ListUpdated(ListUpdate::Changes(vec![entry])))
     }
 }
 
-pub fn load(in_flight: f64, queue: f64) -> LoadReport {
+pub(crate) fn load(in_flight: f64, queue: f64) -> LoadReport {
     LoadReport { in_flight: Some(in_flight), queued: Some(queue) }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<EndpointId> {
+pub(crate) fn sends(actions: &[Action]) -> Vec<EndpointId> {
     let of = |action: &Action| match action {
         Action::Send { endpoint, .. } => Some(*endpoint),
         _ => None,
@@ -216,10 +216,10 @@
     actions.iter().filter_map(of).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn refused(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { request: job, .. } if *job == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail { request: id })
 }
