--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -40,6 +40,11 @@
     pub wait: Duration,
 }
 
+impl WatchUpdates {
+    /// The [`revision`](WatchUpdates::revision) of a caller that is not interested in configurations: none is newer.
+    pub const NO_CONFIG_WANTED: u64 = u64::MAX;
+}
+
 /// What a control node has that the caller of [`WatchUpdates`] lacks.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Updates {
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -68,9 +68,9 @@
 fn change_response(control_node: &ControlNode, answer: ChangeResponse, path: &str) -> ApiResponse {
     match answer {
         ChangeResponse::Accepted { revision } => json(StatusCode::OK, format!("{{\"revision\":{revision}}}")),
-        ChangeResponse::Stale { current_revision: current } => {
+        ChangeResponse::Stale { current_revision } => {
             let code = ResultCode::StaleRevision.as_str();
-            let body = format!("{{\"code\":\"{code}\",\"revision\":{current}}}");
+            let body = format!("{{\"code\":\"{code}\",\"revision\":{current_revision}}}");
             json(StatusCode::PRECONDITION_FAILED, body)
         }
         ChangeResponse::Invalid(error) => {
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -1,6 +1,7 @@
 //! A control node: its member of the consensus group, its replica of the registry, and what it serves to proxies and
 //! other control nodes.
 
+mod acknowledgement;
 mod change_notifier;
 mod client_requests;
 mod config_store;
@@ -10,12 +11,12 @@
 mod handlers;
 mod log_directory;
 mod node;
+mod peer_exchange;
 mod peer_followers;
 mod proxy_presence;
 mod registry_host;
 mod registry_log;
 mod registry_storage;
-mod replication;
 mod status;
 mod updates;
 
--- /dev/null
+++ b/crates/programs/src/control_node/acknowledgement.rs
@@ -0,0 +1,116 @@
+//! Heartbeats and deregistrations of model servers, and when they may be acknowledged.
+
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+
+use mosshead_control_plane::{
+    AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownStep,
+};
+use mosshead_registry::{Delta, HeartbeatOutcome, Server, VersionVector};
+use mosshead_rpc::Transport;
+use mosshead_time::Duration;
+use tokio::sync::mpsc;
+
+use super::node::ControlNode;
+use crate::calls::ReplicateEntries;
+
+/// An entry that a server waits for reaches another control node within this time, or that one does not count.
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(350);
+/// Entries that are sent with one call.
+const MAX_ENTRIES_PER_CALL: usize = 400;
+
+/// What came of sending an entry to a peer.
+struct ReplicationReply {
+    peer: SocketAddrV4,
+    /// The peer's entries after that; `None` if it has not responded.
+    vector: Option<VersionVector>,
+}
+
+impl ControlNode {
+    /// Records a server's heartbeat. Whether it may be acknowledged.
+    pub(crate) async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
+        let id = server.id.clone();
+        let outcome = self.registry.record_heartbeat(server);
+        self.acknowledge(&id, outcome).await
+    }
+
+    /// Records that a server has shut down. Whether that may be acknowledged.
+    pub(crate) async fn deregister(self: &Rc<Self>, id: &str) -> bool {
+        let outcome = self.registry.deregister(id);
+        self.acknowledge(id, outcome).await
+    }
+
+    async fn acknowledge(self: &Rc<Self>, id: &str, outcome: HeartbeatOutcome) -> bool {
+        if let Some(error) = outcome.error {
+            spdlog::warn!("registry: heartbeat rejected error={error}");
+            return false;
+        }
+        if outcome.changed {
+            self.changes.notify();
+        }
+        let (contact, replica_set) = (self.contact(), self.replica_set());
+        match self.registry.start_acknowledgement(id, &outcome, contact, &replica_set) {
+            ShutdownStep::Acknowledge => true,
+            ShutdownStep::Reject => false,
+            ShutdownStep::Replicate(replication) => self.collect_copies(replication).await,
+        }
+    }
+
+    /// Replicates the entry of a draining server until enough control nodes have it. Whether it may be acknowledged.
+    ///
+    /// If all control nodes that have the entry were lost, clients' requests would go on to the server.
+    async fn collect_copies(self: &Rc<Self>, mut replication: EntryReplication) -> bool {
+        let entry = replication.entry();
+        let mut replies = self.replicate_to_peers(entry);
+        loop {
+            match replication.decision(self.contact()) {
+                AcknowledgementDecision::Acknowledge => {
+                    self.registry.on_acknowledged(entry);
+                    return true;
+                }
+                AcknowledgementDecision::Reject => return false,
+                AcknowledgementDecision::Wait => {}
+            }
+            let Some(reply) = replies.recv().await else { return false };
+            replication.record_reply(reply.peer, reply.vector.as_ref());
+        }
+    }
+
+    /// Sends an entry to all peers. The tasks go on when enough have responded, so that the others get it too.
+    fn replicate_to_peers(self: &Rc<Self>, entry: EntryVersion) -> mpsc::UnboundedReceiver<ReplicationReply> {
+        let (sender, receiver) = mpsc::unbounded_channel();
+        for peer in self.peers() {
+            let (control_node, sender) = (self.clone(), sender.clone());
+            tokio::task::spawn_local(async move {
+                let vector = control_node.replicate_entry(peer, entry).await;
+                let _ = sender.send(ReplicationReply { peer, vector });
+            });
+        }
+        receiver
+    }
+
+    /// Sends an entry to a peer. The peer's vector after that, if it has responded.
+    async fn replicate_entry(&self, peer: SocketAddrV4, entry: EntryVersion) -> Option<VersionVector> {
+        let vector = self.replicate(peer, self.registry.latest_entries()).await?;
+        if entry.is_covered_by(&vector) {
+            return Some(vector);
+        }
+        // The entry was made by another source, or the peer lacks entries before it.
+        let missing = self.registry.missing_entries(&vector, MAX_ENTRIES_PER_CALL);
+        self.replicate(peer, missing).await
+    }
+
+    async fn replicate(&self, peer: SocketAddrV4, delta: Delta) -> Option<VersionVector> {
+        let ack = self.caller.call(peer, &ReplicateEntries { delta }, REPLICATION_TIMEOUT).await.ok()?;
+        self.registry.mark_replicated(&ack.vector);
+        Some(ack.vector)
+    }
+
+    fn replica_set(&self) -> ReplicaSet {
+        ReplicaSet {
+            local_address: self.settings.internal_address(),
+            members: self.consensus.members(),
+            tolerated_failures: self.settings.node_failures,
+        }
+    }
+}
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -198,7 +198,7 @@
     }
 
     async fn fetch_entries(&self, control_node: SocketAddrV4, now: mosshead_time::Instant) {
-        let call = self.watch_call(u64::MAX, true, Duration::ZERO);
+        let call = self.watch_call(WatchUpdates::NO_CONFIG_WANTED, true, Duration::ZERO);
         if let Ok(updates) = self.caller.call(control_node, &call, RESPONSE_MARGIN).await {
             self.merge(now, updates.delta);
         }
