--- a/crates/programs/tests/documentation.rs
+++ b/crates/programs/tests/documentation.rs
@@ -142,6 +142,26 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
+#[test]
+fn paths_of_the_packages_on_the_pages_are_there() {
+    let is_path = |text: &&str| text.starts_with("crates/") && !text.contains([' ', '*', '{', '<']);
+    let mut missing = Vec::new();
+    let mut count = 0;
+    for page in all_files("md") {
+        let text = std::fs::read_to_string(&page).unwrap();
+        for path in quoted(&text).filter(is_path) {
+            count += 1;
+            // Some pages name a line, too.
+            let file = path.split(':').next().unwrap_or_default();
+            if !root().join(file).exists() {
+                missing.push(format!("{}: {path}", page.display()));
+            }
+        }
+    }
+    assert!(count >= 20, "{count} paths only");
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
+
 #[test]
 fn tests_that_the_pages_name_are_there() {
     let sources: Vec<String> =
