--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -77,6 +77,16 @@
     });
 }
 
+#[test]
+fn a_client_cannot_ask_for_a_version_of_the_weights() {
+    run(async {
+        let stub = StubServer::start("s-1", "plain", None, |_| ok_response("complete")).await;
+        let proxy = Proxy::with_servers(1, &[&stub.server]).await;
+        assert_eq!(proxy.post(NON_IDEMPOTENT, &[("expect-version", "7")]).await.status, 200);
+        assert_eq!(stub.received()[0].header("expect-version"), None);
+    });
+}
+
 #[test]
 fn versions_of_weights_reach_the_client_unchanged() {
     run(async {
