--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -58,7 +58,7 @@
 
 /// What a failed exchange proves; `None` where the attempt may go on over another connection.
 fn failed_exchange(request: &ServerRequest, error: SendError, is_reused: bool) -> Option<AttemptOutcome> {
-    let timed_out = error.cause == SendErrorKind::DeadlinePassed;
+    let timed_out = error.kind == SendErrorKind::DeadlinePassed;
     // A server may begin with the last byte: only a request that was not sent completely cannot have run.
     if !RetryPolicy::OnlyIfNeverSent.allows(error.progress) {
         return Some(if timed_out { AttemptOutcome::TimedOut } else { AttemptOutcome::Broken });
--- a/crates/http-links/src/body.rs
+++ b/crates/http-links/src/body.rs
@@ -1,31 +1,46 @@
-//! Bodies that are held whole.
+//! Bodies that are buffered in memory.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
+use quick_error::quick_error;
 
-/// The most of a body that is held.
+/// The maximum of a body that is buffered where no other limit is given, and of an outbound connection's buffer, in bytes.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// Why a body could not be had.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyError {
-    /// It is longer than its limit.
-    TooLong,
-    /// Its connection ended, or its framing made no sense.
-    Interrupted,
-    /// It did not come fast enough.
-    Timeout,
-    /// Its length is not given, or twice.
-    InvalidLength,
+quick_error! {
+    /// Why a body could not be read.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+    pub enum BodyError {
+        /// It is longer than the limit.
+        TooLong {
+            display("the body is too long")
+        }
+        /// The connection ended within the body, or its framing is invalid.
+        Interrupted {
+            display("the body ended early or has invalid framing")
+        }
+        /// It did not arrive in time.
+        Timeout {
+            display("the body did not arrive in time")
+        }
+        /// Its length is not stated, or stated twice.
+        InvalidLength {
+            display("the length of the body is not stated exactly once")
+        }
+    }
 }
 
-/// The whole body, within `limit`.
-pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
-    if body.size_hint().lower() > limit as u64 {
+/// Reads a complete body of at most `max_bytes`. A body that states a greater length is not read at all.
+///
+/// # Errors
+///
+/// [`BodyError::TooLong`] or [`BodyError::Interrupted`].
+pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
     }
-    match Limited::new(body, limit).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLong),
         Err(_) => Err(BodyError::Interrupted),
--- a/crates/http-links/src/connection_log.rs
+++ b/crates/http-links/src/connection_log.rs
@@ -1,134 +1,72 @@
-//! What is known of a connection, and why it ended: handed to a program's log once, as the connection closes.
+//! What is known of a connection: handed to a program's log once, when the connection closes.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Why a connection ended. The on-call page explains each code.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloseReason {
-    /// The other side closed it between two messages.
-    ClosedByPeer,
-    /// The other side broke it off, or it spoke no HTTP.
-    ConnectionBroken,
-    /// The submitter left while its job was held.
-    ClientGone,
-    /// Nobody listened, or the machine said no.
-    ConnectionRefused,
-    /// It did not come up within the time for connecting.
-    ConnectTimeout,
-    /// An attempt, a probe or a call on it was given up.
-    Abandoned,
-    /// Idle for nearly as long as the other side allows.
-    IdleTimeout,
-    /// It ended, or brought more than its last answer, before the next message was written.
-    Stale,
-    /// It came and said nothing.
-    NoRequest,
-    /// Its message did not become whole in time.
-    RequestTimeout,
-    /// The module asked for idle connections to be closed.
-    ClosedByPolicy,
-    /// The machine list took the execute node away, moved or restarted it.
-    EndpointChanged,
-    /// The configuration names another address for the machine list.
-    ConfigReloaded,
-    /// Idle, and its descriptor was needed elsewhere.
-    DescriptorNeeded,
-    /// The answer on it could not be used.
-    InvalidResponse,
-    /// Something it carried was turned down before it became a job.
-    BadRequest,
-    /// The proxy is being emptied.
-    Draining,
-    /// The submitter took nothing more of its answer.
-    ResponseUnread,
-    /// An operator's call has its answer.
-    AdminRequestAnswered,
-    /// The proxy is stopping.
-    ShuttingDown,
-    /// What only one program knows, by its code.
-    Other(&'static str),
-}
-
-impl CloseReason {
-    /// The code in the log.
-    pub fn code(self) -> &'static str {
-        match self {
-            CloseReason::ClosedByPeer => "closed-by-peer",
-            CloseReason::ConnectionBroken => "broken",
-            CloseReason::ClientGone => "submitter-gone",
-            CloseReason::ConnectionRefused => "refused",
-            CloseReason::ConnectTimeout => "connect-timeout",
-            CloseReason::Abandoned => "given-up",
-            CloseReason::IdleTimeout => "idle-limit",
-            CloseReason::Stale => "stale",
-            CloseReason::NoRequest => "silent",
-            CloseReason::RequestTimeout => "unfinished",
-            CloseReason::ClosedByPolicy => "module-asked",
-            CloseReason::EndpointChanged => "list-changed",
-            CloseReason::ConfigReloaded => "reloaded",
-            CloseReason::DescriptorNeeded => "shed",
-            CloseReason::InvalidResponse => "bad-answer",
-            CloseReason::BadRequest => "bad-request",
-            CloseReason::Draining => "draining",
-            CloseReason::ResponseUnread => "unread",
-            CloseReason::AdminRequestAnswered => "answered",
-            CloseReason::ShuttingDown => "stopping",
-            CloseReason::Other(code) => code,
-        }
-    }
-}
+use crate::close_reason::CloseReason;
 
-/// Whom a connection leads to, and where its end is logged.
+/// What kind of peer a connection leads to, and where its end is logged.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerKind {
-    /// Its name in the log.
+    /// The name in the log.
     pub name: &'static str,
-    /// Takes the record of each connection of this side that ends.
+    /// Called with the record of each connection of this kind when it closes.
     pub on_close: fn(&ConnectionRecord),
 }
 
 /// What is known of an open connection.
 #[derive(Debug)]
 pub struct ConnectionRecord {
-    side: PeerKind,
+    peer_kind: PeerKind,
     peer: SocketAddr,
-    began: Instant,
-    reason: Cell<CloseReason>,
-    named: Cell<bool>,
-    messages: Cell<u64>,
+    opened_at: Instant,
+    close_reason: Cell<CloseReason>,
+    /// Whether `close_reason` is final.
+    has_close_reason: Cell<bool>,
+    message_count: Cell<u64>,
 }
 
 impl ConnectionRecord {
-    /// Names the reason. The first one named stands: what follows is its consequence.
+    fn new(peer_kind: PeerKind, peer: SocketAddr) -> ConnectionRecord {
+        ConnectionRecord {
+            peer_kind,
+            peer,
+            opened_at: Instant::now(),
+            close_reason: Cell::new(CloseReason::ClosedByPeer),
+            has_close_reason: Cell::new(false),
+            message_count: Cell::new(0),
+        }
+    }
+
+    /// Sets the reason why the connection ends. Only the first call counts: later reasons are its consequences.
     pub fn set_close_reason(&self, reason: CloseReason) {
-        if !self.named.replace(true) {
-            self.reason.set(reason);
+        if !self.has_close_reason.replace(true) {
+            self.close_reason.set(reason);
         }
     }
 
-    /// The reason, should the connection end now and nobody name another.
+    /// Sets the reason that holds if the connection ends before [`ConnectionRecord::set_close_reason`] is called.
     pub fn set_default_close_reason(&self, reason: CloseReason) {
-        if !self.named.get() {
-            self.reason.set(reason);
+        if !self.has_close_reason.get() {
+            self.close_reason.set(reason);
         }
     }
 
-    /// Counts a message that it carries.
+    /// Counts a message that the connection carries.
     pub fn count_message(&self) {
-        self.messages.set(self.messages.get() + 1);
+        self.message_count.set(self.message_count.get() + 1);
     }
 
-    /// The reason as it stands.
+    /// The reason as far as it is known.
     pub fn close_reason(&self) -> CloseReason {
-        self.reason.get()
+        self.close_reason.get()
     }
 
-    /// The name of its side.
+    /// The name of the kind of peer.
     pub fn peer_kind(&self) -> &'static str {
-        self.side.name
+        self.peer_kind.name
     }
 
     /// The other end.
@@ -136,30 +74,28 @@
         self.peer
     }
 
-    /// How many messages it has carried.
+    /// The number of messages that the connection has carried.
     pub fn message_count(&self) -> u64 {
-        self.messages.get()
+        self.message_count.get()
     }
 
-    /// How long it has been open.
+    /// The time since the connection was opened.
     pub fn age(&self) -> Duration {
-        self.began.elapsed()
+        self.opened_at.elapsed()
     }
 }
 
-/// The line that a connection owes: logged when this is dropped, which its owner does as it closes.
+/// Logs a connection when it is dropped, which the owner of the connection does when it closes.
 #[derive(Debug)]
 pub struct ConnectionLogGuard(Rc<ConnectionRecord>);
 
 impl ConnectionLogGuard {
-    /// A connection has come up, or is about to.
-    pub fn open(side: PeerKind, peer: SocketAddr) -> Self {
-        let (reason, named, messages) =
-            (Cell::new(CloseReason::ClosedByPeer), Cell::new(false), Cell::new(0));
-        Self(Rc::new(ConnectionRecord { side, peer, began: Instant::now(), reason, named, messages }))
+    /// For a connection that was accepted, or is about to be opened.
+    pub fn open(peer_kind: PeerKind, peer: SocketAddr) -> Self {
+        Self(Rc::new(ConnectionRecord::new(peer_kind, peer)))
     }
 
-    /// What is known of it, to be added to.
+    /// The record of the connection.
     pub fn record(&self) -> Rc<ConnectionRecord> {
         self.0.clone()
     }
@@ -167,6 +103,6 @@
 
 impl Drop for ConnectionLogGuard {
     fn drop(&mut self) {
-        (self.0.side.on_close)(&self.0);
+        (self.0.peer_kind.on_close)(&self.0);
     }
 }
--- /dev/null
+++ b/crates/http-links/src/hooked_stream.rs
@@ -0,0 +1,101 @@
+//! TCP streams that run code of their owner at each write and when they are dropped.
+
+use std::io::{self, IoSlice};
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// What a [`HookedStream`] runs.
+pub trait StreamHook: Unpin {
+    /// Before each write.
+    ///
+    /// # Errors
+    ///
+    /// The write fails with this error, and no byte is written.
+    fn before_write(&self, stream: &TcpStream) -> io::Result<()> {
+        let _ = stream;
+        Ok(())
+    }
+
+    /// The system has taken the first `count` bytes of these buffers, in their order.
+    fn after_write(&self, buffers: &[IoSlice<'_>], count: usize) {
+        let _ = (buffers, count);
+    }
+
+    /// Before the stream is closed.
+    fn on_drop(&self, stream: &TcpStream) {
+        let _ = stream;
+    }
+}
+
+/// A TCP stream with a hook.
+#[derive(Debug)]
+pub struct HookedStream<H: StreamHook> {
+    stream: TcpStream,
+    hook: H,
+}
+
+impl<H: StreamHook> HookedStream<H> {
+    /// Adds a hook to a stream.
+    pub fn new(stream: TcpStream, hook: H) -> Self {
+        Self { stream, hook }
+    }
+}
+
+impl<H: StreamHook> Drop for HookedStream<H> {
+    fn drop(&mut self) {
+        self.hook.on_drop(&self.stream);
+    }
+}
+
+impl<H: StreamHook> AsyncRead for HookedStream<H> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_read(context, buffer)
+    }
+}
+
+impl<H: StreamHook> AsyncWrite for HookedStream<H> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.hook.before_write(&self.stream)?;
+        let written = Pin::new(&mut self.stream).poll_write(context, bytes);
+        if let Poll::Ready(Ok(count)) = written {
+            self.hook.after_write(&[IoSlice::new(bytes)], count);
+        }
+        written
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffers: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.hook.before_write(&self.stream)?;
+        let written = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
+        if let Poll::Ready(Ok(count)) = written {
+            self.hook.after_write(buffers, count);
+        }
+        written
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.stream.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
+    }
+}
--- a/crates/http-links/src/lib.rs
+++ b/crates/http-links/src/lib.rs
@@ -1,16 +1,23 @@
-//! What every HTTP party shares: connections, what has been written, held bodies, why a connection ended.
+//! What all parts that speak HTTP share: outbound connections, how much of a message was written and so whether it may be
+//! sent again, buffered bodies, and why connections end.
 
 mod body;
+mod close_reason;
 mod connection_log;
+mod hooked_stream;
 mod outbound_connection;
 mod retry;
+mod tcp_options;
 mod write_progress;
 
 pub use body::{BodyError, MAX_BUFFERED_BODY_BYTES, read_body};
-pub use connection_log::{CloseReason, ConnectionLogGuard, ConnectionRecord, PeerKind};
-pub use outbound_connection::{ConnectError, ConnectOptions, OutboundConnection, set_tcp_options};
+pub use close_reason::CloseReason;
+pub use connection_log::{ConnectionLogGuard, ConnectionRecord, PeerKind};
+pub use hooked_stream::{HookedStream, StreamHook};
+pub use outbound_connection::{ConnectError, OutboundConnection};
 pub use retry::{RetryPolicy, SendError, SendErrorKind, SendProgress};
+pub use tcp_options::{ConnectOptions, set_tcp_options};
 pub use write_progress::WriteProgress;
 
-/// The header that a keyed request is named by; repeats of one key are one piece of work.
+/// The header with the idempotency key of a request; requests with the same key are executed once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
--- a/crates/http-links/src/outbound_connection.rs
+++ b/crates/http-links/src/outbound_connection.rs
@@ -1,149 +1,82 @@
-//! A client's connection.
+//! Connections that this process opens.
 
 use std::error::Error;
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
 use std::time::Duration;
 
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
+use quick_error::quick_error;
 use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::{
-    CloseReason, ConnectionLogGuard, ConnectionRecord, MAX_BUFFERED_BODY_BYTES, PeerKind, SendError,
-    SendErrorKind, SendProgress, WriteProgress,
-};
-
-/// A stream that counts what the kernel has taken. Hyper does not tell, and the proof that a request never
-/// ran rests on it.
-struct CountingStream {
-    stream: TcpStream,
-    write_progress: Rc<WriteProgress>,
-}
-
-impl CountingStream {
-    /// Fails where the first byte of a message must not be written.
-    fn may_write(&self) -> io::Result<()> {
-        // Danger: a process that was frozen finds messages of long ago in its queues.
-        if self.write_progress.is_overdue() {
+use crate::body::MAX_BUFFERED_BODY_BYTES;
+use crate::close_reason::CloseReason;
+use crate::connection_log::{ConnectionLogGuard, ConnectionRecord, PeerKind};
+use crate::hooked_stream::{HookedStream, StreamHook};
+use crate::retry::{SendError, SendErrorKind, SendProgress};
+use crate::tcp_options::ConnectOptions;
+use crate::write_progress::WriteProgress;
+
+/// Counts what the system has taken of a message. Hyper does not report it, and the proof that a request was not
+/// executed needs it.
+struct WriteCounter(Rc<WriteProgress>);
+
+impl StreamHook for WriteCounter {
+    fn before_write(&self, stream: &TcpStream) -> io::Result<()> {
+        // A process that was suspended finds old messages in its queues; nobody waits for them any more.
+        if self.0.is_overdue() {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        // Danger: bytes that came behind the last answer would be taken for the answer to this message, and
-        // what is written to a connection that has ended is lost. The runtime may not know of either yet:
-        // the kernel is asked itself, before the first byte.
-        if !self.write_progress.has_started()
-            && SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]).is_ok()
-        {
+        // Bytes that follow the last response would be taken for the response to this message, and what is written to
+        // a connection that has ended is lost. The runtime may not have noticed either yet, so the system is asked
+        // before the first byte.
+        let is_first_write = !self.0.has_started();
+        if is_first_write && SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
-}
 
-impl AsyncRead for CountingStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_read(cx, buf)
+    fn after_write(&self, buffers: &[IoSlice<'_>], count: usize) {
+        self.0.record_vectored_write(buffers, count);
     }
 }
 
-impl AsyncWrite for CountingStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.may_write()?;
-        let wrote = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        if let Poll::Ready(Ok(count)) = wrote {
-            self.write_progress.record_write(bytes.get(..count).unwrap_or(bytes));
+quick_error! {
+    /// Why a connection was not established.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+    pub enum ConnectError {
+        /// Nobody listens there, which does not change within milliseconds.
+        Refused {
+            display("connection refused")
         }
-        wrote
-    }
-
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        parts: &[IoSlice],
-    ) -> Poll<io::Result<usize>> {
-        self.may_write()?;
-        let wrote = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
-        if let Poll::Ready(Ok(count)) = wrote {
-            self.write_progress.record_vectored_write(parts, count);
+        /// The host or the network reported another error.
+        Unreachable {
+            display("the host can't be reached")
+        }
+        /// It was not established within the timeout.
+        TimedOut {
+            display("the connection was not established in time")
         }
-        wrote
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        self.stream.is_write_vectored()
-    }
-
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
-    }
-}
-
-/// How a connection is opened. A bare span of time is the one that it may take.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectOptions {
-    /// It is given up unless it is up within this time.
-    pub timeout: Duration,
-    /// `TCP_USER_TIMEOUT`: the kernel breaks it once what was sent has gone unacknowledged for so long.
-    pub user_timeout: Option<Duration>,
-}
-
-impl From<Duration> for ConnectOptions {
-    fn from(within: Duration) -> Self {
-        Self { timeout: within, user_timeout: None }
-    }
-}
-
-impl ConnectOptions {
-    /// Sets the TCP options of an open connection; what the system does not support is left out.
-    pub fn apply_to(&self, stream: &TcpStream) {
-        set_tcp_options(stream, self.user_timeout);
-    }
-}
-
-/// Sets the options of a TCP connection, accepted or outbound: `TCP_NODELAY`, and `TCP_USER_TIMEOUT` if there is one.
-/// What the system does not support is left out, since it only makes the connection slower.
-pub fn set_tcp_options(stream: &TcpStream, user_timeout: Option<Duration>) {
-    // Without it the second part of a small message waits for the acknowledgement of the first.
-    let _ = stream.set_nodelay(true);
-    if user_timeout.is_some() {
-        let _ = SockRef::from(stream).set_tcp_user_timeout(user_timeout);
     }
 }
 
-/// Why a connection did not come up.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectError {
-    /// Nobody listens there: that does not change at once.
-    Refused,
-    /// The machine, or the way to it, said no.
-    Unreachable,
-    /// It was not up in time.
-    TimedOut,
-}
-
-/// An open connection to a server, which carries requests with bodies `B`. Letting go of it closes it at once,
-/// whatever is under way on it.
+/// An open connection to a server, for requests with bodies `B`. Dropping it closes it at once, with any exchange on it.
 #[derive(Debug)]
 pub struct OutboundConnection<B> {
     sender: SendRequest<B>,
     driver: JoinHandle<()>,
-    /// How much of the request now on it has left.
+    /// How much of the current request was written.
     pub write_progress: Rc<WriteProgress>,
-    /// Where the reason of its end is named.
+    /// Takes the reason why the connection ends.
     pub record: Rc<ConnectionRecord>,
 }
 
@@ -159,105 +92,132 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Opens a connection; `held` is let go of when it closes. Has to be called within a `LocalSet`.
+    /// Opens a connection; `guard` is dropped when it closes. Has to be called within a `LocalSet`.
     pub async fn open(
-        side: PeerKind,
+        peer_kind: PeerKind,
         to: SocketAddr,
-        how: impl Into<ConnectOptions>,
-        held: impl Sized + 'static,
+        options: impl Into<ConnectOptions>,
+        guard: impl Sized + 'static,
     ) -> Option<Self> {
-        Self::connect(side, to, how, held).await.ok()
+        Self::connect(peer_kind, to, options, guard).await.ok()
     }
 
-    /// As `open`, and says why it did not come up.
+    /// As [`OutboundConnection::open`], with the reason of a failure.
+    ///
+    /// # Errors
+    ///
+    /// The connection was not established.
     pub async fn connect(
-        side: PeerKind,
+        peer_kind: PeerKind,
         to: SocketAddr,
-        how: impl Into<ConnectOptions>,
-        held: impl Sized + 'static,
+        options: impl Into<ConnectOptions>,
+        guard: impl Sized + 'static,
     ) -> Result<Self, ConnectError> {
-        let how = how.into();
-        let line = ConnectionLogGuard::open(side, to);
-        let record = line.record();
+        let options = options.into();
+        let log_guard = ConnectionLogGuard::open(peer_kind, to);
+        let record = log_guard.record();
         record.set_default_close_reason(CloseReason::Abandoned);
-        let stream = match timeout(how.timeout, TcpStream::connect(to)).await {
-            Ok(Ok(stream)) => stream,
-            Ok(Err(fault)) => {
-                record.set_close_reason(CloseReason::ConnectionRefused);
-                let refused = fault.kind() == io::ErrorKind::ConnectionRefused;
-                return Err(if refused { ConnectError::Refused } else { ConnectError::Unreachable });
-            }
-            Err(_) => {
-                record.set_close_reason(CloseReason::ConnectTimeout);
-                return Err(ConnectError::TimedOut);
-            }
-        };
-        how.apply_to(&stream);
+        let stream = connect_stream(to, options.timeout, &record).await?;
+        options.apply_to(&stream);
         let write_progress = Rc::new(WriteProgress::default());
-        let io = TokioIo::new(CountingStream { stream, write_progress: write_progress.clone() });
+        let io = TokioIo::new(HookedStream::new(stream, WriteCounter(write_progress.clone())));
         let handshake = Builder::new().max_buf_size(MAX_BUFFERED_BODY_BYTES).handshake(io).await;
         let (sender, connection) = handshake.map_err(|_| ConnectError::Unreachable)?;
         let driver = tokio::task::spawn_local(async move {
             if connection.await.is_err() {
-                line.record().set_close_reason(CloseReason::ConnectionBroken);
+                log_guard.record().set_close_reason(CloseReason::ConnectionBroken);
             }
-            drop((line, held));
+            drop((log_guard, guard));
         });
         Ok(Self { sender, driver, write_progress, record })
     }
 
-    /// Whether it has ended.
+    /// Whether the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until it can carry the next message; false if it has ended.
+    /// Waits until the connection can carry the next message; false if it has ended.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Whether it may carry another message, found within `within`: the last one left whole, and its answer has been
-    /// taken to its end with nothing behind it.
-    pub async fn is_reusable(&mut self, within: Duration) -> bool {
-        // Danger: an answer may come before the last byte of its request has left; what is left of that one would be
-        // the start of the next.
-        self.write_progress.is_complete() && timeout(within, self.ready()).await == Ok(true)
+    /// Whether the connection may carry another message: the last one was written completely, and within `max_wait`
+    /// its response turns out to have been read to its end with nothing behind it.
+    pub async fn is_reusable(&mut self, max_wait: Duration) -> bool {
+        // A response may arrive before the last byte of its request was written; the rest of that request would be the
+        // start of the next one.
+        self.write_progress.is_complete() && timeout(max_wait, self.ready()).await == Ok(true)
     }
 
-    /// Sends one request, once, and reads the head of the answer, all before `deadline`. After a fault the connection
-    /// is to be let go of: its answer may come yet.
+    /// Sends a request, once, and reads the head of its response, all before `deadline`.
+    ///
+    /// # Errors
+    ///
+    /// There is no response. The connection must be dropped, since the response may still arrive.
     pub async fn send_with_deadline(
         &mut self,
         request: Request<B>,
         deadline: Instant,
     ) -> Result<Response<Incoming>, SendError> {
-        let length = request.body().size_hint().exact();
-        let length = length.and_then(|length| usize::try_from(length).ok()).unwrap_or(usize::MAX);
-        self.write_progress.start_message(length);
+        let body_length = request.body().size_hint().exact();
+        let body_length = body_length.and_then(|length| usize::try_from(length).ok()).unwrap_or(usize::MAX);
+        self.write_progress.start_message(body_length);
         self.write_progress.set_start_deadline(deadline);
         self.record.count_message();
-        let answer = timeout_at(deadline, self.sender.send_request(request)).await;
-        let cause = match answer {
-            // Danger: in a process that was frozen the answer and the deadline come at once. What is overdue is not
-            // fresh, whatever it says.
-            Ok(Ok(answer)) if Instant::now() < deadline => return Ok(answer),
+        let sent = timeout_at(deadline, self.sender.send_request(request)).await;
+        let kind = match sent {
+            // If the process was suspended, the response and the deadline are noticed together. The response may be
+            // out of date then.
+            Ok(Ok(response)) if Instant::now() < deadline => return Ok(response),
             Ok(Ok(_)) | Err(_) => SendErrorKind::DeadlinePassed,
-            Ok(Err(fault)) if fault.is_parse() => SendErrorKind::InvalidHttp,
-            Ok(Err(_))
-                if self.write_progress.progress() == SendProgress::NotStarted
-                    && self.write_progress.is_overdue() =>
-            {
-                SendErrorKind::DeadlinePassed
-            }
-            Ok(Err(_)) => SendErrorKind::ConnectionLost,
+            Ok(Err(error)) => self.send_error_kind(&error),
         };
-        Err(SendError { cause, progress: self.write_progress.progress() })
+        Err(SendError { kind, progress: self.write_progress.progress() })
+    }
+
+    fn send_error_kind(&self, error: &hyper::Error) -> SendErrorKind {
+        if error.is_parse() {
+            return SendErrorKind::InvalidHttp;
+        }
+        if self.write_progress.progress() == SendProgress::NotStarted && self.write_progress.is_overdue() {
+            return SendErrorKind::DeadlinePassed;
+        }
+        SendErrorKind::ConnectionLost
     }
 
-    /// Sends one request, once, whose body has the length `body`, and reads the head of the answer.
-    pub async fn send(&mut self, request: Request<B>, body: usize) -> hyper::Result<Response<Incoming>> {
-        self.write_progress.start_message(body);
+    /// Sends a request, once, with a body of this length in bytes, and reads the head of its response.
+    ///
+    /// # Errors
+    ///
+    /// There is no response.
+    pub async fn send(
+        &mut self,
+        request: Request<B>,
+        body_length: usize,
+    ) -> hyper::Result<Response<Incoming>> {
+        self.write_progress.start_message(body_length);
         self.record.count_message();
         self.sender.send_request(request).await
     }
 }
+
+/// Establishes a TCP connection, and sets the close reason if that fails.
+async fn connect_stream(
+    to: SocketAddr,
+    connect_timeout: Duration,
+    record: &ConnectionRecord,
+) -> Result<TcpStream, ConnectError> {
+    match timeout(connect_timeout, TcpStream::connect(to)).await {
+        Ok(Ok(stream)) => Ok(stream),
+        Ok(Err(error)) => {
+            record.set_close_reason(CloseReason::ConnectionRefused);
+            let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
+            Err(if is_refused { ConnectError::Refused } else { ConnectError::Unreachable })
+        }
+        Err(_) => {
+            record.set_close_reason(CloseReason::ConnectTimeout);
+            Err(ConnectError::TimedOut)
+        }
+    }
+}
--- a/crates/http-links/src/retry.rs
+++ b/crates/http-links/src/retry.rs
@@ -1,14 +1,19 @@
-//! Whether a message may be sent again. This is the one judgement of it, for requests of clients and for calls
-//! between own processes alike.
+//! Whether a message may be sent again: the one decision of it, for requests of clients and for calls between processes
+//! of the fleet alike. `docs/design/calls.md` lists the policy of each message.
 
-/// How much of a message the kernel had taken when its exchange failed.
+use std::error::Error;
+use std::fmt;
+
+use quick_error::quick_error;
+
+/// How much of a message the system had taken when its exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// No byte: the other side can't know of it.
+    /// No byte: the other side can't know of the message.
     NotStarted,
-    /// Not the last byte: the other side may know of it and can't run it.
+    /// Some bytes, but not the last: the other side may know of the message and can't execute it.
     Partial,
-    /// The last byte: it may run, or has.
+    /// The last byte: the message may be executed, or has been.
     Complete,
 }
 
@@ -19,17 +24,17 @@
     }
 }
 
-/// When a call may be sent again after its exchange failed.
+/// When a message may be sent again after its exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Always: handling it twice, or late, leaves the same as handling it once.
+    /// Always: it is idempotent, also if it is handled late.
     Always,
-    /// Only where it is proven that its last byte never left.
+    /// Only if its last byte was certainly not sent.
     OnlyIfNeverSent,
 }
 
 impl RetryPolicy {
-    /// Whether a message of which so much had left may be sent again.
+    /// Whether a message of which so much was sent may be sent again.
     pub fn allows(self, progress: SendProgress) -> bool {
         match self {
             RetryPolicy::Always => true,
@@ -38,22 +43,43 @@
     }
 }
 
-/// Why an exchange failed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendErrorKind {
-    /// No answer within its time, or its time was over before the first byte.
-    DeadlinePassed,
-    /// What came is no HTTP.
-    InvalidHttp,
-    /// The connection ended.
-    ConnectionLost,
+quick_error! {
+    /// Why an exchange failed.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+    pub enum SendErrorKind {
+        /// No response before the deadline, or the deadline passed before the first byte was sent.
+        DeadlinePassed {
+            display("no response before the deadline")
+        }
+        /// The response is not valid HTTP.
+        InvalidHttp {
+            display("the response is not valid HTTP")
+        }
+        /// The connection ended.
+        ConnectionLost {
+            display("the connection was lost")
+        }
+    }
 }
 
-/// An exchange without an answer, and how much of its message had left.
+/// An exchange without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendError {
-    /// Why.
-    pub cause: SendErrorKind,
-    /// How far the message had come.
+    /// Why it failed.
+    pub kind: SendErrorKind,
+    /// How much of the request was sent.
     pub progress: SendProgress,
 }
+
+impl fmt::Display for SendError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let sent = match self.progress {
+            SendProgress::NotStarted => "not sent",
+            SendProgress::Partial => "partly sent",
+            SendProgress::Complete => "sent",
+        };
+        write!(f, "{}; the request was {sent}", self.kind)
+    }
+}
+
+impl Error for SendError {}
--- a/crates/http-links/src/write_progress.rs
+++ b/crates/http-links/src/write_progress.rs
@@ -1,43 +1,51 @@
-//! How much of a message has left.
+//! How much of a message was written to its connection.
 
 use std::cell::Cell;
 use std::io::IoSlice;
 
 use tokio::time::Instant;
 
-use crate::SendProgress;
+use crate::retry::SendProgress;
 
-/// How much of the message now on a connection has left for the kernel.
+/// What ends the head of a message.
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+
+/// How much of the current message on a connection the system has taken.
+///
+/// It is complete with its last byte at the latest, never after it: so a message that is not complete can't have been
+/// executed.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
-    begun: Cell<bool>,
-    matched: Cell<usize>,
-    body_left: Cell<usize>,
-    whole: Cell<bool>,
-    deadline: Cell<Option<Instant>>,
+    has_started: Cell<bool>,
+    /// How many bytes of [`END_OF_HEAD`] the written head ends with; all of them within the body.
+    matched_end_bytes: Cell<usize>,
+    remaining_body_bytes: Cell<usize>,
+    is_complete: Cell<bool>,
+    /// The first byte must be written before.
+    start_deadline: Cell<Option<Instant>>,
 }
 
 impl WriteProgress {
-    /// A new message follows, whose body has this length; `usize::MAX` where that is not known.
-    pub fn start_message(&self, body: usize) {
-        self.begun.set(false);
-        self.matched.set(0);
-        self.body_left.set(body);
-        self.whole.set(false);
-        self.deadline.set(None);
+    /// A new message follows, with a body of this length in bytes; `usize::MAX` if it is not known.
+    pub fn start_message(&self, body_length: usize) {
+        self.has_started.set(false);
+        self.matched_end_bytes.set(0);
+        self.remaining_body_bytes.set(body_length);
+        self.is_complete.set(false);
+        self.start_deadline.set(None);
     }
 
-    /// The message must not be begun after this.
+    /// The first byte of the message must not be written after this.
     pub fn set_start_deadline(&self, deadline: Instant) {
-        self.deadline.set(Some(deadline));
+        self.start_deadline.set(Some(deadline));
     }
 
-    /// Whether it is too late for its first byte.
+    /// Whether it is too late to write the first byte.
     pub fn is_overdue(&self) -> bool {
-        !self.has_started() && self.deadline.get().is_some_and(|deadline| Instant::now() >= deadline)
+        !self.has_started() && self.start_deadline.get().is_some_and(|deadline| Instant::now() >= deadline)
     }
 
-    /// How far it has come.
+    /// How much of the message was written.
     pub fn progress(&self) -> SendProgress {
         match (self.has_started(), self.is_complete()) {
             (_, true) => SendProgress::Complete,
@@ -46,45 +54,54 @@
         }
     }
 
-    /// Whether any byte of it has been handed to the kernel.
+    /// Whether the system has taken any byte of the message.
     pub fn has_started(&self) -> bool {
-        self.begun.get()
+        self.has_started.get()
     }
 
-    /// Whether the last byte has been handed to the kernel: from then on the request may run.
+    /// Whether the system has taken the last byte: from then on the request may be executed.
     pub fn is_complete(&self) -> bool {
-        self.whole.get()
+        self.is_complete.get()
     }
 
-    /// The last of a body whose length was not known is about to leave.
+    /// The end of a body whose length was not known is about to be written.
     pub fn mark_complete(&self) {
-        self.whole.set(true);
+        self.is_complete.set(true);
     }
 
-    /// The kernel has taken so many bytes of these parts, in their order.
-    pub fn record_vectored_write(&self, parts: &[IoSlice], mut taken: usize) {
-        for part in parts {
-            let bytes = part.get(..taken).unwrap_or(part);
+    /// The system has taken the first `count` bytes of these buffers, in their order.
+    pub fn record_vectored_write(&self, buffers: &[IoSlice], mut count: usize) {
+        for buffer in buffers {
+            let bytes = buffer.get(..count).unwrap_or(buffer);
             self.record_write(bytes);
-            taken = taken.saturating_sub(bytes.len());
+            count = count.saturating_sub(bytes.len());
         }
     }
 
-    /// The kernel has taken these bytes.
+    /// The system has taken these bytes.
     pub fn record_write(&self, bytes: &[u8]) {
-        const END: &[u8] = b"\r\n\r\n";
-        self.begun.set(self.begun.get() || !bytes.is_empty());
-        let mut at = 0;
-        while at < bytes.len() && self.matched.get() < END.len() {
-            let expected = END[self.matched.get()];
-            let next =
-                if bytes[at] == expected { self.matched.get() + 1 } else { usize::from(bytes[at] == b'\r') };
-            self.matched.set(next);
-            at += 1;
+        self.has_started.set(self.has_started.get() || !bytes.is_empty());
+        let head_bytes = self.match_end_of_head(bytes);
+        if self.matched_end_bytes.get() == END_OF_HEAD.len() {
+            let body_bytes = bytes.len() - head_bytes;
+            self.remaining_body_bytes.set(self.remaining_body_bytes.get().saturating_sub(body_bytes));
+            self.is_complete.set(self.is_complete.get() || self.remaining_body_bytes.get() == 0);
         }
-        if self.matched.get() == END.len() {
-            self.body_left.set(self.body_left.get().saturating_sub(bytes.len() - at));
-            self.whole.set(self.whole.get() || self.body_left.get() == 0);
+    }
+
+    /// How many of these bytes belong to the head.
+    fn match_end_of_head(&self, bytes: &[u8]) -> usize {
+        let mut position = 0;
+        while position < bytes.len() && self.matched_end_bytes.get() < END_OF_HEAD.len() {
+            let matched = self.matched_end_bytes.get();
+            let is_match = bytes[position] == END_OF_HEAD[matched];
+            self.matched_end_bytes.set(if is_match {
+                matched + 1
+            } else {
+                usize::from(bytes[position] == END_OF_HEAD[0])
+            });
+            position += 1;
         }
+        position
     }
 }
--- a/crates/http-links/tests/connection_log.rs
+++ b/crates/http-links/tests/connection_log.rs
@@ -1,4 +1,4 @@
-//! What a connection owes the log.
+//! The log line of a connection.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn each_connection_is_logged_once_as_it_closes() {
+fn each_connection_is_logged_once_when_it_closes() {
     let lines = logged(|record| {
         record.count_message();
         record.count_message();
@@ -39,9 +39,9 @@
     assert_eq!(lines, ["model-server 10.0.0.1:80 closed-by-peer 2"]);
 }
 
-/// What is named after the first reason is its consequence.
+/// Later reasons are consequences of the first.
 #[test]
-fn the_first_reason_named_stands() {
+fn the_first_close_reason_holds() {
     let lines = logged(|record| {
         record.set_default_close_reason(CloseReason::ConnectionBroken);
         record.set_default_close_reason(CloseReason::Abandoned);
--- a/crates/http-links/tests/outbound_connection.rs
+++ b/crates/http-links/tests/outbound_connection.rs
@@ -1,4 +1,4 @@
-//! Connections on loopback.
+//! Outbound connections on loopback.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,7 +20,7 @@
 use tokio::task::LocalSet;
 
 const SERVER: PeerKind = PeerKind { name: "server", on_close: |_| {} };
-const PATIENCE: Duration = Duration::from_secs(5);
+const LONG_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -35,20 +35,20 @@
 
 async fn connected() -> (OutboundConnection<Full<Bytes>>, TcpStream) {
     let (listener, to) = listen();
-    let link = OutboundConnection::open(SERVER, to, PATIENCE, ()).await.expect("a connection");
-    (link, listener.accept().expect("it").0)
+    let connection = OutboundConnection::open(SERVER, to, LONG_TIMEOUT, ()).await.expect("a connection");
+    (connection, listener.accept().expect("it").0)
 }
 
 fn get() -> hyper::Request<Full<Bytes>> {
     hyper::Request::get("/").body(Full::new(Bytes::new())).expect("a request")
 }
 
-/// Sends a request, which `server` gets whole and answers with `answer` and the end of the connection.
-async fn answered(
-    answer: &[u8],
+/// Sends a request to a server that reads it completely, sends `response` and closes the connection.
+async fn exchange(
+    response: &[u8],
 ) -> (OutboundConnection<Full<Bytes>>, hyper::Result<hyper::Response<hyper::body::Incoming>>) {
-    let (mut link, mut server) = connected().await;
-    let answer = answer.to_vec();
+    let (mut connection, mut server) = connected().await;
+    let response = response.to_vec();
     let server = std::thread::spawn(move || {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -56,52 +56,52 @@
             server.read_exact(&mut byte).expect("a head");
             head.extend(byte);
         }
-        let _ = server.write_all(&answer);
+        let _ = server.write_all(&response);
     });
-    let answer = link.send(get(), 0).await;
+    let response = connection.send(get(), 0).await;
     assert!(
-        link.write_progress.has_started()
-            && link.write_progress.is_complete()
-            && link.record.message_count() == 1
+        connection.write_progress.has_started()
+            && connection.write_progress.is_complete()
+            && connection.record.message_count() == 1
     );
     server.join().expect("no fault");
-    (link, answer)
+    (connection, response)
 }
 
 #[test]
-fn an_answer_comes_back_and_its_body_is_held_within_its_limit() {
+fn a_response_is_received_and_its_body_read_up_to_the_limit() {
     run(async {
-        let (mut link, answer) = answered(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nabcde").await;
-        let body = read_body(answer.expect("an answer").into_body(), 5).await;
+        let (mut connection, response) = exchange(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nabcde").await;
+        let body = read_body(response.expect("an answer").into_body(), 5).await;
         assert_eq!(body.expect("a body"), "abcde");
-        // It ends between two messages, by the server's will, and the runtime hears of that in its own time.
-        while !link.is_closed() {
+        // The server closes it between two messages; the runtime notices that later.
+        while !connection.is_closed() {
             tokio::task::yield_now().await;
         }
-        assert!(!link.ready().await);
+        assert!(!connection.ready().await);
     });
 }
 
 #[rstest]
-#[case::stated(b"HTTP/1.1 200 X\r\nContent-Length: 6\r\n\r\nabcdef", BodyError::TooLong)]
-#[case::found(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nabcdef", BodyError::TooLong)]
-#[case::short(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nab", BodyError::Interrupted)]
-#[case::chunks(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", BodyError::Interrupted)]
-fn a_body_that_can_t_be_had_says_why(#[case] answer: &[u8], #[case] fault: BodyError) {
+#[case::stated_over_limit(b"HTTP/1.1 200 X\r\nContent-Length: 6\r\n\r\nabcdef", BodyError::TooLong)]
+#[case::unstated_over_limit(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nabcdef", BodyError::TooLong)]
+#[case::ended_early(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nab", BodyError::Interrupted)]
+#[case::invalid_chunk(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", BodyError::Interrupted)]
+fn a_body_that_can_not_be_read_is_an_error(#[case] response: &[u8], #[case] error: BodyError) {
     run(async {
-        let (_link, answer) = answered(answer).await;
-        assert_eq!(read_body(answer.expect("a head").into_body(), 5).await, Err(fault));
+        let (_connection, response) = exchange(response).await;
+        assert_eq!(read_body(response.expect("a head").into_body(), 5).await, Err(error));
     });
 }
 
-/// What was written whole may have run, though no answer came.
+/// What was written completely may have been executed although no response arrived.
 #[rstest]
-#[case::none(b"")]
-#[case::no_http(b"SSH-2.0-x\r\n")]
-fn without_an_answer_it_was_written_all_the_same(#[case] answer: &[u8]) {
+#[case::nothing(b"")]
+#[case::not_http(b"SSH-2.0-x\r\n")]
+fn a_request_without_a_response_counts_as_written(#[case] response: &[u8]) {
     run(async {
-        let (link, answer) = answered(answer).await;
-        assert!(answer.is_err() && link.write_progress.is_complete());
+        let (connection, response) = exchange(response).await;
+        assert!(response.is_err() && connection.write_progress.is_complete());
     });
 }
 
@@ -115,53 +115,56 @@
 };
 
 #[test]
-fn a_connection_that_does_not_come_up_says_why_and_lets_go_of_what_is_held() {
+fn a_failed_connection_logs_the_reason_and_drops_its_guard() {
     run(async {
-        // With its one place taken the listener answers nobody.
+        // With its backlog full the listener answers nobody.
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
         listener.listen(0).expect("a listener");
         let to = listener.local_addr().expect("an address").as_socket().expect("of this family");
-        let (_first, held) = (TcpStream::connect(to).expect("the one place"), Rc::new(()));
-        let late = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, Duration::ZERO, held.clone()).await;
+        let (_first, guard) = (TcpStream::connect(to).expect("the only backlog entry"), Rc::new(()));
+        let late = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, Duration::ZERO, guard.clone()).await;
         assert_eq!((late.is_none(), REASON.take()), (true, Some(CloseReason::ConnectTimeout)));
         drop(listener);
-        let refused = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, PATIENCE, held.clone()).await;
+        let refused = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, LONG_TIMEOUT, guard.clone()).await;
         assert_eq!((refused.is_none(), REASON.take()), (true, Some(CloseReason::ConnectionRefused)));
-        assert_eq!(Rc::strong_count(&held), 1);
+        assert_eq!(Rc::strong_count(&guard), 1);
     });
 }
 
-/// Danger: what is held counts descriptors; kept for longer than the connection, they run out.
+/// The guard counts file descriptors: if it outlived the connection, they would run out.
 #[test]
-fn letting_go_of_a_link_closes_it_whatever_is_under_way() {
+fn dropping_a_connection_closes_it_with_any_exchange_on_it() {
     run(async {
-        let ((listener, to), held) = (listen(), Rc::new(()));
-        let link = OutboundConnection::<Full<Bytes>>::open(LOGGED, to, PATIENCE, held.clone()).await;
-        let (mut link, (mut server, _)) = (link.expect("a connection"), listener.accept().expect("it"));
+        let ((listener, to), guard) = (listen(), Rc::new(()));
+        let connection =
+            OutboundConnection::<Full<Bytes>>::open(LOGGED, to, LONG_TIMEOUT, guard.clone()).await;
+        let (mut connection, (mut server, _)) =
+            (connection.expect("a connection"), listener.accept().expect("it"));
         {
-            let mut sending = pin!(link.send(get(), 0));
+            let mut sending = pin!(connection.send(get(), 0));
             assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
             tokio::task::yield_now().await;
         }
-        assert_eq!(Rc::strong_count(&held), 2);
-        drop(link);
-        while Rc::strong_count(&held) > 1 {
+        assert_eq!(Rc::strong_count(&guard), 2);
+        drop(connection);
+        while Rc::strong_count(&guard) > 1 {
             tokio::task::yield_now().await;
         }
         assert_eq!(REASON.take(), Some(CloseReason::Abandoned));
-        // Its end follows at once behind what had been written.
-        let mut came = Vec::new();
-        let _ = server.read_to_end(&mut came);
+        // The end of the stream follows directly what had been written.
+        let mut received = Vec::new();
+        let _ = server.read_to_end(&mut received);
     });
 }
 
 #[test]
-fn it_carries_other_bodies() {
+fn other_body_types_are_carried() {
     run(async {
         let (listener, to) = listen();
-        let link = OutboundConnection::<Empty<Bytes>>::open(SERVER, to, PATIENCE, ()).await;
-        let (mut link, (mut server, _)) = (link.expect("a connection"), listener.accept().expect("it"));
+        let connection = OutboundConnection::<Empty<Bytes>>::open(SERVER, to, LONG_TIMEOUT, ()).await;
+        let (mut connection, (mut server, _)) =
+            (connection.expect("a connection"), listener.accept().expect("it"));
         let request = hyper::Request::get("/").body(Empty::new()).expect("a request");
         let server = std::thread::spawn(move || {
             let mut head = [0; 64];
@@ -169,104 +172,108 @@
             server.write_all(b"HTTP/1.1 204 X\r\n\r\n").expect("room");
             server
         });
-        assert_eq!(link.send(request, 0).await.expect("an answer").status(), 204);
+        assert_eq!(connection.send(request, 0).await.expect("an answer").status(), 204);
         let _open = server.join().expect("no fault");
-        assert!(link.ready().await && !link.is_closed());
+        assert!(connection.ready().await && !connection.is_closed());
     });
 }
 
 #[test]
-fn the_kernel_is_told_how_long_what_was_sent_may_go_unacknowledged() {
+fn the_user_timeout_is_set_on_the_socket() {
     run(async {
         let (_listener, to) = listen();
         let stream = tokio::net::TcpStream::connect(to).await.expect("a connection");
         let unset = SockRef::from(&stream).tcp_user_timeout().expect("an option");
-        ConnectOptions::from(PATIENCE).apply_to(&stream);
+        ConnectOptions::from(LONG_TIMEOUT).apply_to(&stream);
         assert_eq!(SockRef::from(&stream).tcp_user_timeout().expect("an option"), unset);
-        ConnectOptions { timeout: PATIENCE, user_timeout: Some(Duration::from_millis(1500)) }
+        ConnectOptions { timeout: LONG_TIMEOUT, user_timeout: Some(Duration::from_millis(1500)) }
             .apply_to(&stream);
         let set = SockRef::from(&stream).tcp_user_timeout().expect("an option");
         assert_eq!((set, stream.nodelay().expect("an option")), (Some(Duration::from_millis(1500)), true));
     });
 }
 
-/// Danger: bytes behind an answer that come just before the next message, unseen by the runtime yet, would
-/// be that one's answer; and what is written to a connection that has just ended is lost.
+/// Bytes that follow a response, not noticed by the runtime yet, would be taken for the response to the next message; and
+/// what is written to a connection that has just ended is lost.
 #[rstest]
 #[case::leftovers(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nbad")]
-#[case::its_end(b"")]
-fn nothing_is_written_behind_what_came_unasked(#[case] unasked: &[u8]) {
+#[case::end_of_stream(b"")]
+fn nothing_is_written_after_unsolicited_bytes(#[case] unsolicited: &[u8]) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let to = listener.local_addr().expect("an address");
-        let link = OutboundConnection::open(SERVER, to, Duration::from_secs(5), ()).await;
-        let (mut link, (mut node, _)) = (link.expect("a connection"), listener.accept().expect("it"));
-        assert!(link.ready().await);
-        match unasked {
-            b"" => node.shutdown(std::net::Shutdown::Write).expect("its end"),
-            unasked => node.write_all(unasked).expect("room"),
+        let connection = OutboundConnection::open(SERVER, to, Duration::from_secs(5), ()).await;
+        let (mut connection, (mut server, _)) =
+            (connection.expect("a connection"), listener.accept().expect("it"));
+        assert!(connection.ready().await);
+        match unsolicited {
+            b"" => server.shutdown(std::net::Shutdown::Write).expect("its end"),
+            unsolicited => server.write_all(unsolicited).expect("room"),
         }
         let request = hyper::Request::get("/").body(Full::new(Bytes::new())).expect("a request");
-        assert!(link.send(request, 0).await.is_err() && !link.write_progress.has_started());
-        drop(link);
+        assert!(connection.send(request, 0).await.is_err() && !connection.write_progress.has_started());
+        drop(connection);
         tokio::task::yield_now().await;
-        assert!(!matches!(node.read(&mut [0; 9]), Ok(1..)));
+        assert!(!matches!(server.read(&mut [0; 9]), Ok(1..)));
     });
 }
 
-/// What nobody waits for any more, as after a freeze, does not leave at all.
+/// After a suspension, say, nobody waits for the message any more.
 #[test]
-fn nothing_is_sent_after_its_deadline() {
+fn nothing_is_sent_after_the_deadline() {
     run(async {
-        let (mut link, mut server) = connected().await;
-        assert!(link.ready().await);
+        let (mut connection, mut server) = connected().await;
+        assert!(connection.ready().await);
         let past = tokio::time::Instant::now();
-        let fault = link.send_with_deadline(get(), past).await.expect_err("too late");
-        assert_eq!(fault.cause, SendErrorKind::DeadlinePassed);
-        assert_eq!((fault.progress, link.write_progress.has_started()), (SendProgress::NotStarted, false));
-        drop(link);
+        let error = connection.send_with_deadline(get(), past).await.expect_err("too late");
+        assert_eq!(error.kind, SendErrorKind::DeadlinePassed);
+        assert_eq!(
+            (error.progress, connection.write_progress.has_started()),
+            (SendProgress::NotStarted, false)
+        );
+        drop(connection);
         tokio::task::yield_now().await;
         assert!(!matches!(server.read(&mut [0; 9]), Ok(1..)));
     });
 }
 
-/// The deadline passes between the queueing of a request and its first byte: the process was frozen right there.
+/// The process is suspended after a request was queued and before its first byte is written.
 #[test]
-fn a_request_that_was_queued_before_a_freeze_is_not_sent_after_it() {
+fn a_request_queued_before_a_suspension_is_not_sent_after_it() {
     run(async {
-        let (mut link, mut server) = connected().await;
-        assert!(link.ready().await);
-        let written = link.write_progress.clone();
+        let (mut connection, mut server) = connected().await;
+        assert!(connection.ready().await);
+        let written = connection.write_progress.clone();
         let deadline = tokio::time::Instant::now() + Duration::from_millis(20);
         {
-            let mut sending = pin!(link.send_with_deadline(get(), deadline));
+            let mut sending = pin!(connection.send_with_deadline(get(), deadline));
             assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
-            // The whole thread stands still: neither the timer nor the connection is looked after.
+            // The thread is blocked: neither the timer nor the connection is polled.
             while tokio::time::Instant::now() < deadline {
                 std::thread::yield_now();
             }
-            // The connection is looked after first.
+            // The connection is polled first.
             tokio::task::yield_now().await;
             tokio::task::yield_now().await;
-            let fault = sending.await.expect_err("too late");
-            assert_eq!(fault.progress, SendProgress::NotStarted);
+            let error = sending.await.expect_err("too late");
+            assert_eq!(error.progress, SendProgress::NotStarted);
         }
         assert!(!written.has_started());
-        drop(link);
+        drop(connection);
         tokio::task::yield_now().await;
         assert!(!matches!(server.read(&mut [0; 9]), Ok(1..)));
     });
 }
 
-/// An answer that lay in the kernel while the process was frozen is overdue, and its connection is of no further use.
+/// A response that waited in the kernel while the process was suspended is late; its connection must be dropped.
 #[test]
-fn an_answer_that_is_read_after_the_deadline_is_none() {
+fn a_response_read_after_the_deadline_is_rejected() {
     run(async {
-        let (mut link, mut server) = connected().await;
-        assert!(link.ready().await);
+        let (mut connection, mut server) = connected().await;
+        assert!(connection.ready().await);
         let deadline = tokio::time::Instant::now() + Duration::from_millis(50);
-        let mut sending = pin!(link.send_with_deadline(get(), deadline));
+        let mut sending = pin!(connection.send_with_deadline(get(), deadline));
         assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
         tokio::task::yield_now().await;
         assert!(server.read(&mut [0; 64]).expect("the request") > 0);
@@ -274,18 +281,18 @@
         while tokio::time::Instant::now() < deadline {
             std::thread::yield_now();
         }
-        let fault = sending.await.expect_err("overdue");
-        let expected = SendError { cause: SendErrorKind::DeadlinePassed, progress: SendProgress::Complete };
-        assert_eq!(fault, expected);
+        let error = sending.await.expect_err("overdue");
+        let expected = SendError { kind: SendErrorKind::DeadlinePassed, progress: SendProgress::Complete };
+        assert_eq!(error, expected);
     });
 }
 
-/// An answer that comes before its request has left whole leaves a connection on which the rest is still to come.
+/// After a response that arrives before its request was written completely, the rest of the request is still to come.
 #[test]
-fn a_connection_is_used_again_only_once_its_request_has_left_whole() {
+fn a_connection_is_reusable_only_after_its_request_was_written_completely() {
     run(async {
-        let (mut link, mut server) = connected().await;
-        assert!(link.ready().await);
+        let (mut connection, mut server) = connected().await;
+        assert!(connection.ready().await);
         let big = Bytes::from(vec![7; 64 << 20]);
         let request = hyper::Request::post("/").body(Full::new(big)).expect("a request");
         let server = std::thread::spawn(move || {
@@ -293,19 +300,20 @@
             server.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").expect("room");
             server
         });
-        let deadline = tokio::time::Instant::now() + PATIENCE;
-        assert_eq!(link.send_with_deadline(request, deadline).await.expect("an answer").status(), 503);
-        assert!(!link.write_progress.is_complete() && !link.is_reusable(PATIENCE).await);
+        let deadline = tokio::time::Instant::now() + LONG_TIMEOUT;
+        assert_eq!(connection.send_with_deadline(request, deadline).await.expect("an answer").status(), 503);
+        assert!(!connection.write_progress.is_complete() && !connection.is_reusable(LONG_TIMEOUT).await);
         drop(server.join().expect("no fault"));
     });
 }
 
 #[test]
-fn one_that_is_quiet_behind_its_answer_is_used_again() {
+fn a_connection_without_surplus_bytes_is_reusable() {
     run(async {
         let (listener, to) = listen();
-        let link = OutboundConnection::<Full<Bytes>>::open(SERVER, to, PATIENCE, ()).await;
-        let (mut link, (mut server, _)) = (link.expect("a connection"), listener.accept().expect("it"));
+        let connection = OutboundConnection::<Full<Bytes>>::open(SERVER, to, LONG_TIMEOUT, ()).await;
+        let (mut connection, (mut server, _)) =
+            (connection.expect("a connection"), listener.accept().expect("it"));
         let server = std::thread::spawn(move || {
             for _ in 0..2 {
                 assert!(server.read(&mut [0; 64]).expect("a request") > 0);
@@ -314,57 +322,65 @@
             server
         });
         for _ in 0..2 {
-            let deadline = tokio::time::Instant::now() + PATIENCE;
+            let deadline = tokio::time::Instant::now() + LONG_TIMEOUT;
             let request = get();
-            assert_eq!(link.send_with_deadline(request, deadline).await.expect("an answer").status(), 204);
-            assert!(link.is_reusable(PATIENCE).await);
+            assert_eq!(
+                connection.send_with_deadline(request, deadline).await.expect("an answer").status(),
+                204
+            );
+            assert!(connection.is_reusable(LONG_TIMEOUT).await);
         }
         drop(server.join().expect("no fault"));
     });
 }
 
 #[test]
-fn one_that_does_not_come_up_says_why() {
+fn a_refused_connection_is_reported_as_refused() {
     run(async {
         let (listener, to) = listen();
         drop(listener);
-        let refused = OutboundConnection::<Full<Bytes>>::connect(SERVER, to, PATIENCE, ()).await;
+        let refused = OutboundConnection::<Full<Bytes>>::connect(SERVER, to, LONG_TIMEOUT, ()).await;
         assert_eq!(refused.err(), Some(ConnectError::Refused));
     });
 }
 
-/// The proof that a request never ran, against a server that breaks off after any number of its bytes, the last one too.
+/// The proof that a request was not executed, against a server that resets the connection after any number of bytes.
 #[test]
-fn what_a_server_has_to_the_last_byte_has_left_whole() {
+fn a_request_received_to_the_last_byte_counts_as_complete() {
     const BODY: usize = 8 << 20;
     const LAST: u8 = 9;
     run(async {
-        let mut seen = Vec::new();
+        let mut observed = Vec::new();
         for reads in [0, 1, 40, 1 << 16, 1 << 20, BODY - 1, usize::MAX] {
-            let (mut link, mut server) = connected().await;
-            assert!(link.ready().await);
+            let (mut connection, mut server) = connected().await;
+            assert!(connection.ready().await);
             let mut body = vec![7; BODY];
             body[BODY - 1] = LAST;
             let request = hyper::Request::post("/").body(Full::new(Bytes::from(body)));
             let server = std::thread::spawn(move || {
-                let (mut got, mut buffer, mut whole) = (0, vec![0; 1 << 16], false);
-                while got < reads && !whole {
-                    let most = buffer.len().min(reads - got);
+                let (mut received_bytes, mut buffer, mut is_complete) = (0, vec![0; 1 << 16], false);
+                while received_bytes < reads && !is_complete {
+                    let most = buffer.len().min(reads - received_bytes);
                     let count = server.read(&mut buffer[..most]).expect("bytes");
-                    got += count;
-                    whole = buffer[..count].ends_with(&[LAST]);
+                    received_bytes += count;
+                    is_complete = buffer[..count].ends_with(&[LAST]);
                 }
                 SockRef::from(&server).set_linger(Some(Duration::ZERO)).expect("an option");
-                whole
+                is_complete
             });
-            let deadline = tokio::time::Instant::now() + PATIENCE;
-            let fault =
-                link.send_with_deadline(request.expect("a request"), deadline).await.expect_err("a reset");
-            let whole = server.join().expect("no fault");
-            assert!(fault.progress.may_have_run() || !whole, "{reads}: {fault:?}");
-            assert!(!whole || reads == usize::MAX);
-            seen.push(fault.progress);
+            let deadline = tokio::time::Instant::now() + LONG_TIMEOUT;
+            let error = connection
+                .send_with_deadline(request.expect("a request"), deadline)
+                .await
+                .expect_err("a reset");
+            let is_complete = server.join().expect("no fault");
+            assert!(error.progress.may_have_run() || !is_complete, "{reads}: {error:?}");
+            assert!(!is_complete || reads == usize::MAX);
+            observed.push(error.progress);
         }
-        assert!(seen.contains(&SendProgress::Partial) && seen.contains(&SendProgress::Complete), "{seen:?}");
+        assert!(
+            observed.contains(&SendProgress::Partial) && observed.contains(&SendProgress::Complete),
+            "{observed:?}"
+        );
     });
 }
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -137,7 +137,7 @@
 impl From<SendError> for FailedAttempt {
     fn from(error: SendError) -> FailedAttempt {
         let progress = error.progress;
-        let error = match error.cause {
+        let error = match error.kind {
             SendErrorKind::DeadlinePassed => CallError::Timeout,
             SendErrorKind::InvalidHttp => CallError::Malformed,
             SendErrorKind::ConnectionLost => CallError::ConnectionLost,
--- a/crates/rpc/tests/common/mod.rs
+++ b/crates/rpc/tests/common/mod.rs
@@ -13,24 +13,24 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
 /// Longer than any test.
-pub const LONG: Duration = Duration::from_secs(60);
+pub(crate) const LONG: Duration = Duration::from_secs(60);
 /// The code that a division by zero is rejected with.
-pub const DIVISION_BY_ZERO: u16 = 42;
+pub(crate) const DIVISION_BY_ZERO: u16 = 42;
 
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Divide {
+pub(crate) struct Divide {
     #[n(0)]
-    pub number: u32,
+    pub(crate) number: u32,
     #[n(1)]
-    pub by: u32,
+    pub(crate) by: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Quotient {
+pub(crate) struct Quotient {
     #[n(0)]
-    pub quotient: u32,
+    pub(crate) quotient: u32,
     #[n(1)]
-    pub remainder: u32,
+    pub(crate) remainder: u32,
 }
 
 impl Call for Divide {
@@ -41,19 +41,19 @@
 
 /// Is answered with as many bytes as it says, and with the port of the caller.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Fill {
+pub(crate) struct Fill {
     #[n(0)]
-    pub bytes: u32,
+    pub(crate) bytes: u32,
     #[n(1)]
-    pub padding: minicbor::bytes::ByteVec,
+    pub(crate) padding: minicbor::bytes::ByteVec,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Filled {
+pub(crate) struct Filled {
     #[n(0)]
-    pub port: u16,
+    pub(crate) port: u16,
     #[n(1)]
-    pub padding: minicbor::bytes::ByteVec,
+    pub(crate) padding: minicbor::bytes::ByteVec,
 }
 
 impl Call for Fill {
@@ -62,15 +62,15 @@
     type Response = Filled;
 }
 
-pub fn fill(bytes: u32, padding: usize) -> Fill {
+pub(crate) fn fill(bytes: u32, padding: usize) -> Fill {
     Fill { bytes, padding: vec![7; padding].into() }
 }
 
 /// Must not be sent twice.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct SingleUse {
+pub(crate) struct SingleUse {
     #[n(0)]
-    pub number: u32,
+    pub(crate) number: u32,
 }
 
 impl Call for SingleUse {
@@ -81,9 +81,9 @@
 
 /// Has the name of `Divide` and another body.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct MalformedDivide {
+pub(crate) struct MalformedDivide {
     #[n(0)]
-    pub text: String,
+    pub(crate) text: String,
 }
 
 impl Call for MalformedDivide {
@@ -95,7 +95,7 @@
 /// Is `Divide` on the wire, but expects a text as the response.
 #[derive(Clone, Debug, Encode, Decode)]
 #[cbor(transparent)]
-pub struct DivideWithTextResponse(#[n(0)] pub Divide);
+pub(crate) struct DivideWithTextResponse(#[n(0)] pub(crate) Divide);
 
 impl Call for DivideWithTextResponse {
     const NAME: &'static str = Divide::NAME;
@@ -104,9 +104,9 @@
 }
 
 /// How often `SingleUse` was handled.
-pub type HandledCalls = Rc<Cell<u32>>;
+pub(crate) type HandledCalls = Rc<Cell<u32>>;
 
-pub fn handlers(count: &HandledCalls) -> Handlers {
+pub(crate) fn handlers(count: &HandledCalls) -> Handlers {
     let count = Rc::clone(count);
     Handlers::new()
         .with_handler::<Divide>(async |call, _| {
@@ -125,23 +125,23 @@
 }
 
 /// Runs a test on one thread.
-pub fn run<F: Future>(test: F) -> F::Output {
+pub(crate) fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test)
 }
 
 /// Starts a server on a free port.
-pub async fn host(handlers: Handlers) -> (SocketAddrV4, JoinHandle<()>) {
+pub(crate) async fn host(handlers: Handlers) -> (SocketAddrV4, JoinHandle<()>) {
     host_at(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0), handlers).await
 }
 
-pub async fn host_at(address: SocketAddrV4, handlers: Handlers) -> (SocketAddrV4, JoinHandle<()>) {
+pub(crate) async fn host_at(address: SocketAddrV4, handlers: Handlers) -> (SocketAddrV4, JoinHandle<()>) {
     let listener = TcpListener::bind(address).await.unwrap();
     let address = address_of(&listener);
     (address, spawn_local(serve(listener, Rc::new(handlers))))
 }
 
-pub fn address_of(listener: &TcpListener) -> SocketAddrV4 {
+pub(crate) fn address_of(listener: &TcpListener) -> SocketAddrV4 {
     match listener.local_addr().unwrap() {
         SocketAddr::V4(address) => address,
         SocketAddr::V6(address) => panic!("{address}"),
