--- a/crates/decide/src/interface/actions.rs
+++ b/crates/decide/src/interface/actions.rs
@@ -2,32 +2,32 @@
 
 use super::ids::{AttemptNumber, EndpointId, RequestId, Seconds, TimerToken};
 
-/// Something that the balancer wants done.
+/// Something that the host has to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Action {
-    /// Send an attempt: a first try, a retry or a second copy.
+    /// Send an attempt: the first one, a retry or a hedged one.
     Send {
         /// The request.
         request: RequestId,
         /// The server.
         endpoint: EndpointId,
-        /// The instant at which the attempt is given up.
+        /// When the attempt times out.
         deadline: Seconds,
     },
-    /// Final answer: turned away, and a retry does no harm.
+    /// Final answer: rejected, and a retry does no harm.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client ought to wait before it comes back.
+        /// How long the client ought to wait before it retries, in seconds.
         retry_after: Seconds,
     },
-    /// Final answer: failed, with no promise about whether it took effect.
+    /// Final answer: failed, and it may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
@@ -46,7 +46,7 @@
     },
     /// Ask for a subscription to the list of servers.
     WatchList,
-    /// Ask for one [`Event::TimerFired`].
+    /// Ask for one [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
         /// How far from now.
         delay: Seconds,
--- a/crates/decide/src/interface/endpoint_list.rs
+++ b/crates/decide/src/interface/endpoint_list.rs
@@ -2,19 +2,19 @@
 
 use super::ids::{EndpointId, GroupId, MachineKindId, Seconds, ZoneId};
 
-/// The state of a server as the list tells it.
+/// The state of a server by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Readiness {
-    /// Its process runs; nothing is said of how well it serves.
+    /// Its process runs; this says nothing of its health.
     Ready,
-    /// It wraps up its work: nothing new may be sent.
+    /// It finishes its work: nothing new may be sent.
     Draining,
     /// It has been removed.
     Removed,
 }
 
-/// One line of the list of servers.
+/// One entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ListEntry {
@@ -28,22 +28,22 @@
     pub kind: MachineKindId,
     /// The group whose members discard the repeats of keyed requests together.
     pub group: GroupId,
-    /// See [`Settings::weights`].
+    /// See [`Settings::weights`](super::Settings::weights).
     pub weight: f64,
     /// When its process last started; `None` means long ago.
     pub started_at: Option<Seconds>,
 }
 
-/// What the list of servers has to say.
+/// An update of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ListUpdate {
     /// Only the entries that changed.
     Changes(Vec<ListEntry>),
-    /// The entire list: a server that is not in it is gone.
+    /// The full list: a server that is not on it is removed.
     Full(Vec<ListEntry>),
-    /// The entire list as it was last seen before a restart; it may be old.
+    /// The full list as it was known before a restart; it may be old.
     Saved(Vec<ListEntry>),
-    /// A call for the list failed, or the subscription dropped; the old list still holds.
+    /// A call for the list failed, or the subscription ended; the old list still holds.
     Failed,
 }
--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -3,13 +3,13 @@
 use super::endpoint_list::ListUpdate;
 use super::ids::{AttemptNumber, ClassId, EndpointId, RequestId, Seconds, TenantId, TimerToken};
 
-/// A server's own report of its load; `None` where a figure was not reported.
+/// A server's own report of its load; `None` where a number was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
-    /// Requests it holds, waiting ones included.
+    /// Requests at the server, queued ones included.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: Option<f64>,
 }
 
@@ -19,29 +19,29 @@
 pub enum Outcome {
     /// It was served.
     Served,
-    /// The server answered with an error; it may have run.
+    /// The server responded with an error; it may have run.
     Errored,
-    /// Turned away; it never ran, unless [`Rules::may_reject_after_start`] says that this proves nothing.
+    /// The server rejected it; it never ran, unless [`Rules::may_reject_after_start`](super::Rules::may_reject_after_start) says that this proves nothing.
     Rejected,
-    /// No answer came in time; it may have run.
+    /// No response came in time; it may have run.
     TimedOut,
     /// No connection could be made; it never ran.
     ConnectFailed,
-    /// The connection dropped; it may have run.
+    /// The connection broke; it may have run.
     Reset,
-    /// It was called off; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
     /// It was never sent.
     NotSent,
 }
 
-/// A client's request, as the balancer takes it on.
+/// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// How long until the client gives up on this try.
+    /// How long until the client gives up on this attempt of its own.
     pub time_left: Seconds,
     /// Its class.
     pub class: ClassId,
@@ -49,17 +49,17 @@
     pub tenant: Option<TenantId>,
 }
 
-/// Something that the balancer is told.
+/// Something that has happened.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
-    /// News of the list of servers.
+    /// The list of servers has an update.
     ListUpdated(ListUpdate),
-    /// A client's request; one final answer is now owed.
+    /// A client's request has arrived; the balancer owes it one final answer.
     RequestReceived(Request),
-    /// A request whose body still comes: it may be sent on, and its time counts from [`Event::BodyReceived`].
+    /// A request whose body still arrives: it may be forwarded, and its time counts from [`Event::BodyReceived`].
     HeadReceived(Request),
-    /// The last byte of such a request has come.
+    /// The last byte of such a request has arrived.
     BodyReceived {
         /// The request.
         request: RequestId,
@@ -76,36 +76,36 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// How long it was out.
+        /// How long it was in flight, in seconds.
         rtt: Seconds,
-        /// The request has its final answer and needs no further one.
+        /// The request has its final answer.
         settled: bool,
-        /// The load report that came along.
+        /// The load report in the response.
         report: LoadReport,
     },
-    /// A streamed answer has started: the attempt now belongs to the client.
+    /// A streamed response has started: the attempt now belongs to the client.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// A probe came back.
+    /// A probe ended. There is exactly one of these for each probe.
     ProbeEnded {
         /// The server.
         endpoint: EndpointId,
         /// What the probe found.
         outcome: Outcome,
-        /// How long it was out.
+        /// How long it was in flight, in seconds.
         rtt: Seconds,
-        /// The load report that came along.
+        /// The load report in the response.
         report: LoadReport,
     },
-    /// The client walked away; nothing more is owed.
+    /// The client has gone; it is owed no answer any more.
     RequestWithdrawn {
         /// The request.
         request: RequestId,
     },
-    /// A timer came due.
+    /// A timer is due.
     TimerFired(TimerToken),
 }
--- a/crates/decide/src/interface/ids.rs
+++ b/crates/decide/src/interface/ids.rs
@@ -12,17 +12,17 @@
 }
 
 ids! {
-    /// A client's request. Never reused: a client's own retry carries a new one.
+    /// A client's request. Never reused: a client's own retry has a new one.
     RequestId(u64),
-    /// A server, numbered from 0 by the host in the order in which this sidecar first heard of it.
+    /// A server, numbered from 0 by the host in the order in which it first appeared.
     EndpointId(u32),
-    /// A request class: its place in [`Settings::classes`].
+    /// A request class: its index in `Settings::classes`.
     ClassId(usize),
-    /// A tenant: its place in [`Settings::tenants`].
+    /// A tenant: its index in `Settings::tenants`.
     TenantId(usize),
-    /// A zone: its place in the host's table of zones.
+    /// A zone: its number in the host's table of zones.
     ZoneId(usize),
-    /// A kind of machine: its place in the host's table, below [`Settings::machine_kinds`].
+    /// A kind of machine: its number in the host's table, below `Settings::machine_kinds`.
     MachineKindId(usize),
     /// A group of servers that discards repeats of a keyed request together.
     GroupId(u64),
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -18,7 +18,7 @@
 /// What a second execution of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RepeatEffect {
-    /// Harmless: the request may be repeated and refused freely.
+    /// None: the request may be repeated and rejected freely.
     Safe,
     /// Discarded by the servers of `scope` for `window` after the first send that may have run.
     Keyed {
@@ -27,36 +27,36 @@
         /// For how long, counted from the sending of the first attempt that may have run.
         window: Seconds,
     },
-    /// Never allowed.
+    /// A second effect, which is never allowed.
     Unsafe,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The wanted time: answers within it earn the full worth.
+    /// The latency target: responses within it earn the full value.
     pub latency_target: Seconds,
-    /// How long a client waits in total, over all of its tries.
+    /// How long a client waits in total, over all of its attempts.
     pub deadline: Seconds,
-    /// What one request is worth.
+    /// The value of one request.
     pub value: f64,
-    /// The fraction of the worth that an answer after the wanted time still earns.
+    /// The fraction of the value that a response after the latency target still earns.
     pub late_value: f64,
     /// What a second execution would do.
     pub repeat_effect: RepeatEffect,
-    /// The only kinds of machine that may be sent this class; `None` leaves the kind open.
+    /// The only kinds of machine that may run this class; `None` for any.
     pub machine_kinds: Option<Vec<MachineKindId>>,
-    /// The only zones that may be sent this class; `None` leaves the zone open.
+    /// The only zones that may run this class; `None` for any.
     pub zones: Option<Vec<ZoneId>>,
 }
 
 impl Class {
-    /// Whether it may go to some servers only.
+    /// Whether only some servers may run it.
     pub fn is_restricted(&self) -> bool {
         self.machine_kinds.is_some() || self.zones.is_some()
     }
 
-    /// Whether a server of this kind in this zone is among those that it may go to.
+    /// Whether this server may run it.
     pub fn permits(&self, entry: &ListEntry) -> bool {
         self.machine_kinds.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
             && self.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
@@ -73,18 +73,18 @@
 /// How load reports reach the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
-    /// Inside answers and probe results.
+    /// In responses and probe results.
     Responses,
-    /// Inside probe results only.
+    /// In probe results only.
     Probes,
     /// Not at all.
     None,
 }
 
-/// What the weights of list entries say.
+/// What the weights of list entries mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// The registered size, exact or roughly: it divides the load.
+    /// The registered size, exactly or roughly: loads are divided by it.
     Size,
     /// Something else, or nothing: not used.
     Unused,
@@ -93,26 +93,26 @@
 /// How the list of servers arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Membership {
-    /// Changes show up on their own.
+    /// Changes are pushed to the balancer.
     Push,
-    /// Only after [`Action::WatchList`].
+    /// Only after [`Action::WatchList`](super::Action::WatchList).
     Pull,
 }
 
 /// What the host allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts can be called off.
+    /// Attempts can be cancelled.
     pub can_cancel: bool,
     /// Servers can be probed.
     pub can_probe: bool,
-    /// A request may have two attempts out at once.
+    /// A request may be hedged: have two attempts in flight at once.
     pub can_hedge: bool,
     /// The most attempts that one request may have.
     pub max_attempts: u32,
-    /// Whether clients of the simulator are told when to come back; on sockets they always are.
+    /// The simulator tells clients when to retry; on sockets they are always told.
     pub can_advise_retry_after: bool,
-    /// The longest wait that a client can be advised to keep before it comes back.
+    /// The longest wait before a retry that a client can be told.
     pub max_retry_after: Seconds,
     /// How many attempts one connection carries at once.
     pub streams_per_connection: u32,
@@ -120,29 +120,29 @@
     pub idle_timeout: Seconds,
     /// A connection that is not up after this long has failed.
     pub connect_timeout: Seconds,
-    /// How many requests may be held at once.
+    /// How many requests may be pending at once.
     pub max_pending_requests: usize,
 }
 
-/// The figures behind the rules of drains and cold servers.
+/// The numbers behind the rules for slow start and draining.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A server starts at this fraction of its capacity or higher.
+    /// A server starts with at least this fraction of its capacity.
     pub initial_capacity: f64,
-    /// It is warm after this long at most.
+    /// Its slow start takes so long at most.
     pub slow_start: Seconds,
-    /// Too much work within this long, from all sidecars together, pushes a cold server over.
+    /// Too much work within this time, from all proxies together, overloads a server in slow start.
     pub overload_window: Seconds,
-    /// Too much is more than this many times what the server can do at the moment.
+    /// Too much is more than so many times what the server can do at the moment.
     pub overload_factor: f64,
-    /// A sidecar without a subscription that asks for no list for this long is treated as told of changes.
+    /// A proxy without a subscription counts as informed of changes only if it asks for the list within this time.
     pub refresh_within: Seconds,
-    /// Servers also turn away work that they have begun: [`Outcome::Rejected`] proves nothing.
+    /// Servers also reject work that they have begun: [`Outcome::Rejected`] proves nothing.
     pub may_reject_after_start: bool,
 }
 
 impl Rules {
-    /// Whether an attempt that ended so provably never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Rejected => !self.may_reject_after_start,
@@ -151,25 +151,25 @@
     }
 }
 
-/// What the service is measured by, where it is stated.
+/// The service level objective, as far as it is stated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceObjective {
-    /// The weight of availability: over short spans, how many tenfold steps the unserved share lies below all.
+    /// The weight of availability, counted in nines over short spans.
     pub availability_weight: Option<f64>,
-    /// So many such steps count in full.
+    /// So many nines count in full.
     pub target_nines: Option<f64>,
-    /// The weight of the tail: over short spans, worth in full only while few requests miss their wanted time.
+    /// The weight of tail latency: over short spans, few requests may miss their latency target.
     pub tail_weight: Option<f64>,
-    /// The share of misses that the tail allows.
+    /// The fraction of requests that may miss it.
     pub allowed_miss_fraction: Option<f64>,
 }
 
-/// What an instance is told when it starts.
+/// What a balancer is told when it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The zone that this sidecar lives in.
+    /// The zone of this proxy.
     pub zone: ZoneId,
-    /// How many sidecars there are, as far as that is known; 1 otherwise.
+    /// How many proxies there are, as far as that is known; 1 otherwise.
     pub proxy_count: f64,
     /// How many kinds of machine there are.
     pub machine_kinds: usize,
@@ -177,26 +177,26 @@
     pub classes: Vec<Class>,
     /// The tenants; there may be none.
     pub tenants: Vec<Tenant>,
-    /// What a request past its tenant's share is worth, as a fraction.
+    /// The fraction of its value that a request beyond its tenant's share still has.
     pub over_share_value: f64,
-    /// The price of one crossing between zones, in units of a mean request's worth.
+    /// The cost of one crossing between zones, in units of a mean request's value.
     pub cross_zone_cost: f64,
-    /// The price of one probe, in the same units.
+    /// The cost of one probe, in the same units.
     pub probe_cost: f64,
-    /// The price of one new connection, in the same units.
+    /// The cost of one new connection, in the same units.
     pub connection_cost: f64,
     /// The shortest gap between two calls with events.
     pub timer_resolution: Seconds,
     /// How load reports arrive.
     pub reporting: Reporting,
-    /// What the weights of list entries say.
+    /// What the weights of list entries mean.
     pub weights: Weights,
     /// How the list of servers arrives.
     pub membership: Membership,
     /// What the host allows.
     pub limits: Limits,
-    /// The figures behind the rules.
+    /// The numbers behind the rules for slow start and draining.
     pub rules: Rules,
-    /// What the service is measured by.
+    /// The service level objective.
     pub objective: ServiceObjective,
 }
--- a/crates/decide/src/name_table.rs
+++ b/crates/decide/src/name_table.rs
@@ -1,4 +1,4 @@
-//! Names turned into numbers, and back.
+//! Names numbered for the settings and the list, whose ids are numbers.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 }
 
 impl NameTable {
-    /// A table of these names, numbered in their order.
+    /// Numbers names in their order.
     pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for name in names {
@@ -19,7 +19,7 @@
         table
     }
 
-    /// The number of a name, a new one where it is new.
+    /// The number of a name; a name that is new gets the next one.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -29,17 +29,21 @@
         self.names.len() - 1
     }
 
-    /// The number of a name, where it is known.
+    /// The number of a name, if it is known.
     pub fn find_number(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
-    /// The name that has a number, where one has it.
+    /// The name of a number, if it was assigned.
     pub fn find_name(&self, number: usize) -> Option<&str> {
         self.names.get(number).map(String::as_str)
     }
 
-    /// The name that has a number; panics at a number that was never given out.
+    /// The name of a number that was assigned.
+    ///
+    /// # Panics
+    ///
+    /// The number was never assigned.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
