--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -12,8 +12,8 @@
 };
 use mosshead_registry::{Delta, Registry, VersionVector};
 use mosshead_rpc::{Caller, Transport};
-use mosshead_time::Duration;
-use tokio::time::{Instant, sleep};
+use mosshead_time::{Duration, Instant};
+use tokio::time::sleep;
 
 use crate::calls::{FetchConfig, ReplicateEntries, Updates, WatchUpdates};
 use crate::clock::Clock;
@@ -88,9 +88,12 @@
     caller: Caller,
     sink: Rc<S>,
     registry: Rc<RefCell<Registry>>,
+    /// The control nodes that may be watched, and which slots watch them.
     pool: RefCell<ControlNodePool>,
+    /// Whether a slot is fetching a configuration: one does at a time.
     is_fetching: Cell<bool>,
-    last_contact: Cell<Option<Instant>>,
+    /// Of a control node with quorum contact.
+    last_contact: Cell<Option<tokio::time::Instant>>,
 }
 
 impl<S: UpdateSink + 'static> UpdateWatcher<S> {
@@ -127,7 +130,7 @@
     }
 
     /// When a control node with quorum contact last responded.
-    pub(crate) fn last_contact(&self) -> Option<Instant> {
+    pub(crate) fn last_contact(&self) -> Option<tokio::time::Instant> {
         self.last_contact.get()
     }
 
@@ -170,7 +173,7 @@
         let contact = QuorumContact::from_flag(updates.has_quorum_contact);
         self.apply_updates(control_node, slot, &mut updates).await;
         if contact.is_confirmed() {
-            self.last_contact.set(Some(Instant::now()));
+            self.last_contact.set(Some(tokio::time::Instant::now()));
         }
         if updates.revision > revision {
             sleep(requery_pause(slot)).await;
@@ -197,14 +200,14 @@
         }
     }
 
-    async fn fetch_entries(&self, control_node: SocketAddrV4, now: mosshead_time::Instant) {
+    async fn fetch_entries(&self, control_node: SocketAddrV4, now: Instant) {
         let call = self.watch_call(WatchUpdates::NO_CONFIG_WANTED, true, Duration::ZERO);
         if let Ok(updates) = self.caller.call(control_node, &call, RESPONSE_MARGIN).await {
             self.merge(now, updates.delta);
         }
     }
 
-    fn merge(&self, now: mosshead_time::Instant, delta: Delta) {
+    fn merge(&self, now: Instant, delta: Delta) {
         let changed = self.registry.borrow_mut().merge(now, delta);
         if changed {
             self.sink.on_registry_change();
