--- a/crates/consensus/tests/former_formats.rs
+++ b/crates/consensus/tests/former_formats.rs
@@ -53,8 +53,8 @@
     Member { id: MemberId(id), address: address(id as u8) }
 }
 
-fn ballot(round: u64, member: u64) -> Term {
-    Term { number: round, proposer: MemberId(member) }
+fn term(number: u64, proposer: u64) -> Term {
+    Term { number, proposer: MemberId(proposer) }
 }
 
 fn digest(first: u8) -> RequestDigest {
@@ -63,14 +63,14 @@
     RequestDigest(bytes)
 }
 
-fn version(round: u64, revision: u64, first_round: u64) -> StateVersion {
-    StateVersion { write_term: ballot(round, 2), revision, first_write_term: ballot(first_round, 2) }
+fn state_version(term_number: u64, revision: u64, first_term_number: u64) -> StateVersion {
+    StateVersion { write_term: term(term_number, 2), revision, first_write_term: term(first_term_number, 2) }
 }
 
 /// While members change: the fourth takes the place of the third.
-fn record() -> EpochConfig {
+fn epoch_config() -> EpochConfig {
     EpochConfig {
-        term: ballot(7, 2),
+        term: term(7, 2),
         outgoing_members: vec![member(1), member(2), member(3)],
         members: vec![member(1), member(2), member(4)],
         primary: MemberId(2),
@@ -78,10 +78,10 @@
     }
 }
 
-fn state() -> ControlState {
+fn control_state() -> ControlState {
     ControlState {
-        write_term: ballot(7, 2),
-        first_write_term: ballot(5, 2),
+        write_term: term(7, 2),
+        first_write_term: term(5, 2),
         revision: 1_000,
         body: b"service chat\n"[..].into(),
         applied_requests: vec![
@@ -99,101 +99,107 @@
     (lines + ending).into_bytes()
 }
 
-fn change() -> StateDelta {
+fn state_delta() -> StateDelta {
     let delta = BodyDelta::between(&long_body("old"), &long_body("a new ending")).unwrap();
-    let call = AppliedRequest { revision: 1_001, digest: digest(7) };
-    StateDelta { previous: version(7, 1_000, 5), term: ballot(7, 2), request: call, delta }
+    let request = AppliedRequest { revision: 1_001, digest: digest(7) };
+    StateDelta { previous: state_version(7, 1_000, 5), term: term(7, 2), request, delta }
 }
 
-fn offer(purpose: StatePurpose) -> SnapshotOffer {
+fn snapshot_offer(purpose: StatePurpose) -> SnapshotOffer {
     SnapshotOffer {
         purpose,
-        version: version(7, 1_000, 5),
+        version: state_version(7, 1_000, 5),
         length: 70_000,
         checksum: checksum(b"service chat\n"),
     }
 }
 
-fn stamp() -> LeaseStamp {
+fn lease_stamp() -> LeaseStamp {
     LeaseStamp { incarnation: 0x0123_4567_89ab_cdef, answered_at: Instant::from_millis(123_456) }
 }
 
 /// Messages of the election of a primary and of the first accepted record.
 fn election_messages() -> Vec<(&'static str, Message)> {
-    let answer = |willing, founder, record| Message::PreVoteResponse {
-        granted: willing,
-        is_bootstrap_voter: founder,
-        config: record,
+    let answer = |granted, is_bootstrap_voter, config| Message::PreVoteResponse {
+        granted,
+        is_bootstrap_voter,
+        config,
     };
-    let promise = |founder, fit, record, version| Message::Promise {
-        term: ballot(8, 3),
-        is_bootstrap_voter: founder,
-        is_healthy: fit,
-        config: record,
+    let promise = |is_bootstrap_voter, is_healthy, config, version| Message::Promise {
+        term: term(8, 3),
+        is_bootstrap_voter,
+        is_healthy,
+        config,
         version,
     };
     vec![
         ("00-pre-vote", Message::PreVote),
-        ("01-pre-vote-answer", answer(true, false, Some(record()))),
+        ("01-pre-vote-answer", answer(true, false, Some(epoch_config()))),
         ("01-pre-vote-answer-without-record", answer(false, true, None)),
-        ("02-prepare", Message::Prepare { term: ballot(8, 3) }),
-        ("03-promise", promise(false, true, Some(record()), Some(version(7, 1_000, 5)))),
+        ("02-prepare", Message::Prepare { term: term(8, 3) }),
+        ("03-promise", promise(false, true, Some(epoch_config()), Some(state_version(7, 1_000, 5)))),
         ("03-promise-of-an-empty-disk", promise(true, false, None, None)),
-        ("04-reject", Message::Reject { term: ballot(7, 2), promised: ballot(8, 3) }),
-        ("05-fetch", Message::FetchState { term: ballot(8, 3), version: version(7, 1_000, 5) }),
-        ("06-fetched", Message::FetchedState { term: ballot(8, 3), state: state() }),
-        ("11-accept", Message::Accept { config: record() }),
-        ("12-accepted", Message::Accepted { term: ballot(7, 2), is_bootstrap_voter: true }),
-        ("16-join", Message::Join { is_bootstrap_voter: true, known_term: ballot(6, 1) }),
-        ("17-members", Message::KnownConfig { config: record() }),
-        ("18-hand-over", Message::TransferLeadership { term: ballot(7, 2) }),
+        ("04-reject", Message::Reject { term: term(7, 2), promised: term(8, 3) }),
+        ("05-fetch", Message::FetchState { term: term(8, 3), version: state_version(7, 1_000, 5) }),
+        ("06-fetched", Message::FetchedState { term: term(8, 3), state: control_state() }),
+        ("11-accept", Message::Accept { config: epoch_config() }),
+        ("12-accepted", Message::Accepted { term: term(7, 2), is_bootstrap_voter: true }),
+        ("16-join", Message::Join { is_bootstrap_voter: true, known_term: term(6, 1) }),
+        ("17-members", Message::KnownConfig { config: epoch_config() }),
+        ("18-hand-over", Message::TransferLeadership { term: term(7, 2) }),
         ("19-leaving", Message::RequestRemoval),
-        ("20-may-leave", Message::RemovalGranted { term: ballot(7, 2) }),
+        ("20-may-leave", Message::RemovalGranted { term: term(7, 2) }),
     ]
 }
 
 /// Messages by which a state gets from one node to another.
 fn state_messages() -> Vec<(&'static str, Message)> {
-    let version = version(7, 1_000, 5);
-    let piece = SnapshotChunk { version, offset: 65_536, bytes: b"route"[..].into() };
-    let fetched = StatePurpose::FetchedState { term: ballot(8, 3) };
+    let version = state_version(7, 1_000, 5);
+    let chunk = SnapshotChunk { version, offset: 65_536, bytes: b"route"[..].into() };
+    let fetched = StatePurpose::FetchedState { term: term(8, 3) };
     vec![
-        ("07-replicate", Message::ReplicateState { state: state() }),
+        ("07-replicate", Message::ReplicateState { state: control_state() }),
         ("07-replicate-empty-state", Message::ReplicateState { state: ControlState::default() }),
         ("08-restamp", Message::RewriteUnderNewTerm { version }),
         ("09-replicated", Message::Replicated { version }),
         ("10-lacks-body", Message::MissingBody { version }),
-        ("15-committed", Message::CommittedState { state: state() }),
-        ("25-replicate-change", Message::ReplicateDelta { delta: change() }),
-        ("26-committed-changes", Message::CommittedDeltas { deltas: vec![change(), change()] }),
-        ("27-offer-state-committed", Message::OfferSnapshot { offer: offer(StatePurpose::Committed) }),
-        ("27-offer-state-replicate", Message::OfferSnapshot { offer: offer(StatePurpose::ReplicateState) }),
-        ("27-offer-state-fetched", Message::OfferSnapshot { offer: offer(fetched) }),
+        ("15-committed", Message::CommittedState { state: control_state() }),
+        ("25-replicate-change", Message::ReplicateDelta { delta: state_delta() }),
+        ("26-committed-changes", Message::CommittedDeltas { deltas: vec![state_delta(), state_delta()] }),
+        (
+            "27-offer-state-committed",
+            Message::OfferSnapshot { offer: snapshot_offer(StatePurpose::Committed) },
+        ),
+        (
+            "27-offer-state-replicate",
+            Message::OfferSnapshot { offer: snapshot_offer(StatePurpose::ReplicateState) },
+        ),
+        ("27-offer-state-fetched", Message::OfferSnapshot { offer: snapshot_offer(fetched) }),
         ("28-fetch-piece", Message::FetchChunk { version, offset: 65_536 }),
-        ("29-piece", Message::SnapshotChunk { chunk: piece }),
+        ("29-piece", Message::SnapshotChunk { chunk }),
     ]
 }
 
 fn heartbeat_messages() -> Vec<(&'static str, Message)> {
-    let heartbeat = |record, echo| Message::Heartbeat {
-        term: ballot(7, 2),
+    let heartbeat = |config, echoed_stamp| Message::Heartbeat {
+        term: term(7, 2),
         sequence: 4_242,
-        committed: version(7, 1_000, 5),
-        config: record,
-        echoed_stamp: echo,
+        committed: state_version(7, 1_000, 5),
+        config,
+        echoed_stamp,
     };
-    let answer = |committed, fit| Message::HeartbeatResponse {
-        term: ballot(7, 2),
+    let answer = |committed_revision, is_healthy| Message::HeartbeatResponse {
+        term: term(7, 2),
         sequence: 4_242,
-        promised: ballot(7, 2),
-        accepted_term: ballot(7, 2),
-        known_term: ballot(6, 1),
-        committed_revision: committed,
-        is_healthy: fit,
-        lease_stamp: stamp(),
+        promised: term(7, 2),
+        accepted_term: term(7, 2),
+        known_term: term(6, 1),
+        committed_revision,
+        is_healthy,
+        lease_stamp: lease_stamp(),
     };
     vec![
-        ("13-heartbeat", heartbeat(Some(record()), Some(stamp()))),
+        ("13-heartbeat", heartbeat(Some(epoch_config()), Some(lease_stamp()))),
         ("13-heartbeat-without-record", heartbeat(None, None)),
         ("14-heartbeat-answer", answer(Some(1_000), true)),
         ("14-heartbeat-answer-of-an-empty-disk", answer(None, false)),
@@ -214,11 +220,11 @@
 
 #[test]
 fn states_of_earlier_versions_are_read_and_written_alike() {
-    check("states", "state", &state());
+    check("states", "state", &control_state());
     check("states", "empty-state", &ControlState::default());
-    check("states", "change", &change());
-    check("states", "record", &record());
-    check("states", "version", &version(7, 1_000, 5));
+    check("states", "change", &state_delta());
+    check("states", "record", &epoch_config());
+    check("states", "version", &state_version(7, 1_000, 5));
     check("states", "member", &member(3));
 }
 
@@ -259,8 +265,8 @@
 
 /// The state before the change, and the same after it and under a later ballot.
 fn logged_states() -> (ControlState, ControlState) {
-    let before = ControlState { write_term: ballot(7, 2), body: long_body("old").into(), ..state() };
-    let after = ControlState { write_term: ballot(9, 2), ..change().apply(&before).unwrap() };
+    let before = ControlState { write_term: term(7, 2), body: long_body("old").into(), ..control_state() };
+    let after = ControlState { write_term: term(9, 2), ..state_delta().apply(&before).unwrap() };
     (before, after)
 }
 
@@ -270,10 +276,10 @@
     let message = |message| Input::Message { from: member(2), message };
     vec![
         ("0-identity", Input::Tick),
-        ("1-promise", message(Message::Prepare { term: ballot(6, 2) })),
-        ("2-accept", message(Message::Accept { config: record() })),
+        ("1-promise", message(Message::Prepare { term: term(6, 2) })),
+        ("2-accept", message(Message::Accept { config: epoch_config() })),
         ("3-state", message(Message::ReplicateState { state: before })),
-        ("4-change", message(Message::ReplicateDelta { delta: change() })),
+        ("4-change", message(Message::ReplicateDelta { delta: state_delta() })),
         ("5-restamp", message(Message::RewriteUnderNewTerm { version: after.version() })),
     ]
 }
@@ -303,7 +309,8 @@
 fn a_learner_writes_the_records_that_earlier_versions_wrote() {
     let mut node = open(&[], false);
     assert_eq!(step(&mut node, Input::Tick).0, [file("learner-log", "0-identity")]);
-    let record = EpochConfig { outgoing_members: vec![member(2)], members: vec![member(2)], ..record() };
+    let record =
+        EpochConfig { outgoing_members: vec![member(2)], members: vec![member(2)], ..epoch_config() };
     let seen = Message::KnownConfig { config: record.clone() };
     assert_eq!(receive(&mut node, seen).0, [file("learner-log", "1-seen")]);
     assert_eq!(node.snapshot(), Some(file("snapshots", "learner")));
@@ -321,14 +328,14 @@
         assert_eq!(node.snapshot(), Some(file("snapshots", "backup")));
         assert_eq!(
             (node.epoch_config(), node.local_member().id),
-            (Some(&record()), open(&[], true).local_member().id)
+            (Some(&epoch_config()), open(&[], true).local_member().id)
         );
-        let fetch = Message::FetchState { term: ballot(9, 2), version };
-        let fetched = Message::FetchedState { term: ballot(9, 2), state: after.clone() };
+        let fetch = Message::FetchState { term: term(9, 2), version };
+        let fetched = Message::FetchedState { term: term(9, 2), state: after.clone() };
         assert!(receive(&mut node, fetch).1.contains(&fetched));
         // What was promised before still holds.
-        let lower = Message::Prepare { term: ballot(8, 2) };
-        let reject = Message::Reject { term: ballot(8, 2), promised: ballot(9, 2) };
+        let lower = Message::Prepare { term: term(8, 2) };
+        let reject = Message::Reject { term: term(8, 2), promised: term(9, 2) };
         assert_eq!(receive(&mut node, lower), (vec![], vec![reject]));
     }
 }
