--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -156,21 +156,21 @@
 /// Kinds of messages, as they are printed.
 pub const KINDS: [&str; 16] = [
     "Heartbeat ",
-    "HeartbeatAnswer",
+    "HeartbeatResponse",
     "Prepare",
     "Promise",
-    "Replicate ",
+    "ReplicateState",
     "Replicated",
-    "Restamp",
+    "RewriteUnderNewTerm",
     "Accept ",
     "Accepted",
     "PreVote",
     "Committed",
-    "Members",
-    "ReplicateChange",
-    "OfferState",
-    "FetchPiece",
-    "Piece ",
+    "KnownConfig",
+    "ReplicateDelta",
+    "OfferSnapshot",
+    "FetchChunk",
+    "SnapshotChunk",
 ];
 
 pub fn address(index: usize) -> SocketAddrV4 {
