--- a/crates/known/src/listing.rs
+++ b/crates/known/src/listing.rs
@@ -3,7 +3,7 @@
 use core::net::SocketAddr;
 
 use mosshead_decide::interface::Readiness;
-use mosshead_settings::Found;
+use mosshead_settings::{JsonError, JsonField};
 use tinyjson::JsonValue;
 
 /// The list, or what changed of it.
@@ -73,33 +73,33 @@
 }
 
 /// Reads discovery's form of the list.
-pub fn read_listing(listing: &Found) -> Result<Listing, String> {
-    let machine = |machine: &Found| -> Result<Machine, String> {
-        let addr = machine.get("addr")?;
-        let or_empty = |name| machine.find(name)?.map_or(Ok(""), |text| text.text());
-        let number_or = |name, or| machine.find(name)?.map_or(Ok(or), |number| number.number());
+pub fn read_listing(listing: &JsonField) -> Result<Listing, JsonError> {
+    let machine = |machine: &JsonField| -> Result<Machine, JsonError> {
+        let addr = machine.field("addr")?;
+        let or_empty = |name| machine.optional_field(name)?.map_or(Ok(""), |text| text.string());
+        let number_or = |name, or| machine.optional_field(name)?.map_or(Ok(or), |number| number.number());
         Ok(Machine {
-            id: machine.get("id")?.text()?.to_owned(),
-            addr: addr.text()?.parse().map_err(|_| addr.says("not an address with a port"))?,
+            id: machine.field("id")?.string()?.to_owned(),
+            addr: addr.string()?.parse().map_err(|_| addr.broken_rule("not an address with a port"))?,
             zone: or_empty("zone")?.to_owned(),
             kind: or_empty("kind")?.to_owned(),
-            cell: machine.find("cell")?.map_or(Ok(0), |cell| cell.whole())?,
-            readiness: machine.get("state")?.one_of(&STATES)?,
+            cell: machine.optional_field("cell")?.map_or(Ok(0), |cell| cell.integer())?,
+            readiness: machine.field("state")?.one_of(&STATES)?,
             weight: number_or("weight", 1.0)?,
             started_ms: number_or("started_ms", 0.0)?,
         })
     };
     Ok(Listing {
-        version: listing.get("version")?.whole()?,
-        full: listing.get("full")?.truth()?,
-        machines: listing.get("servers")?.items()?.iter().map(machine).collect::<Result<_, _>>()?,
+        version: listing.field("version")?.integer()?,
+        full: listing.field("full")?.boolean()?,
+        machines: listing.field("servers")?.items()?.iter().map(machine).collect::<Result<_, _>>()?,
     })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use mosshead_settings::json;
+    use mosshead_settings::parse_json;
 
     /// Guards drains and cold servers across a replacement: a successor reads what its predecessor knew.
     #[test]
@@ -107,7 +107,8 @@
         let text = r#"{"version":7,"full":true,"servers":[
             {"id":"a\"b","addr":"127.0.0.1:5","zone":"z","kind":"m","cell":3,"state":"DRAINING","weight":0.3,
             "started_ms":1764616437123.0},{"id":"c","addr":"127.0.0.1:6","state":"SERVING"}]}"#;
-        let read = |text: &str| read_listing(&Found::top(&json(text).expect("JSON"))).expect("a list");
+        let read =
+            |text: &str| read_listing(&JsonField::root(&parse_json(text).expect("JSON"))).expect("a list");
         let listing = read(text);
         assert_eq!(read(&write_listing(&listing).expect("written")), listing);
         assert_eq!(listing.machines[0].readiness, Readiness::Draining);
--- a/crates/known/src/snapshot.rs
+++ b/crates/known/src/snapshot.rs
@@ -1,8 +1,9 @@
 //! The snapshot: one small file, a frame with a checksum around a JSON object. It is whole or it is none.
 
 use std::collections::BTreeMap;
+use std::str::Utf8Error;
 
-use mosshead_settings::{Found, json};
+use mosshead_settings::{JsonError, JsonField, parse_json};
 use thiserror::Error;
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
@@ -81,9 +82,18 @@
     /// Some of it has changed since it was written.
     #[error("checksum")]
     Checksum,
-    /// It is whole, but not what a snapshot holds.
+    /// The file can't be read; the text is that of the operating system.
     #[error("{0}")]
-    Content(String),
+    Unreadable(String),
+    /// The file was not read in time.
+    #[error("the folder does not answer")]
+    TimedOut,
+    /// Its body is not UTF-8.
+    #[error(transparent)]
+    Encoding(#[from] Utf8Error),
+    /// Its body is not what a snapshot holds.
+    #[error(transparent)]
+    Content(#[from] JsonError),
 }
 
 /// Writes a snapshot.
@@ -143,30 +153,29 @@
     if sum != format!("{:016x}", xxh3_64(body)) {
         return Err(Spoilt::Checksum);
     }
-    let text = str::from_utf8(body).map_err(|error| Spoilt::Content(error.to_string()))?;
-    let json = json(text).map_err(Spoilt::Content)?;
-    content(&Found::top(&json)).map_err(Spoilt::Content)
+    let json = parse_json(str::from_utf8(body)?)?;
+    Ok(content(&JsonField::root(&json))?)
 }
 
-fn content(top: &Found) -> Result<Snapshot, String> {
-    let left = |left: &Found| -> Result<Left, String> {
+fn content(top: &JsonField) -> Result<Snapshot, JsonError> {
+    let left = |left: &JsonField| -> Result<Left, JsonError> {
         Ok(Left {
-            id: left.get("id")?.text()?.to_owned(),
-            started_ms: left.get("started_ms")?.number()?,
-            told_ms: left.get("told_ms")?.whole()?,
+            id: left.field("id")?.string()?.to_owned(),
+            started_ms: left.field("started_ms")?.number()?,
+            told_ms: left.field("told_ms")?.integer()?,
         })
     };
-    let figures = |(of, found): (&String, Found)| -> Result<(String, Figures), String> {
-        let all = found.members()?.into_iter().map(|(name, value)| Ok((name.clone(), value.number()?)));
-        Ok((of.clone(), all.collect::<Result<_, String>>()?))
+    let figures = |(of, found): (&String, JsonField)| -> Result<(String, Figures), JsonError> {
+        let all = found.fields()?.into_iter().map(|(name, value)| Ok((name.clone(), value.number()?)));
+        Ok((of.clone(), all.collect::<Result<_, JsonError>>()?))
     };
     Ok(Snapshot {
-        instance: top.get("instance")?.text()?.to_owned(),
-        life: top.get("life")?.whole()?,
-        written_ms: top.get("written_ms")?.whole()?,
-        list: read_listing(&top.get("list")?)?,
-        told_ms: top.get("told_ms")?.whole()?,
-        left: top.get("left")?.items()?.iter().map(left).collect::<Result<_, _>>()?,
-        learnt: top.get("learnt")?.members()?.into_iter().map(figures).collect::<Result<_, _>>()?,
+        instance: top.field("instance")?.string()?.to_owned(),
+        life: top.field("life")?.integer()?,
+        written_ms: top.field("written_ms")?.integer()?,
+        list: read_listing(&top.field("list")?)?,
+        told_ms: top.field("told_ms")?.integer()?,
+        left: top.field("left")?.items()?.iter().map(left).collect::<Result<_, _>>()?,
+        learnt: top.field("learnt")?.fields()?.into_iter().map(figures).collect::<Result<_, _>>()?,
     })
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -6,7 +6,7 @@
 
 use crate::operators::Operators;
 use mosshead_known::listing::{Listing, read_listing};
-use mosshead_settings::{self as settings, Found, Named};
+use mosshead_settings::{self as settings, JsonError, JsonField, NamedSettings};
 use tinyjson::JsonValue;
 
 /// Keys that may be absent at any time.
@@ -27,7 +27,7 @@
     pub(crate) memory_mb: f64,
     pub(crate) sockets: u64,
     pub(crate) known: Listing,
-    pub(crate) named: Named,
+    pub(crate) named: NamedSettings,
     /// What the operators grant beside it, from the start on.
     pub operators: Operators,
     /// The text, parsed.
@@ -43,33 +43,34 @@
 
     /// Reads the text of a configuration; a fault names the key.
     pub fn read(text: &str) -> Result<Self, String> {
-        let json = settings::json(text)?;
-        let top = Found::top(&json);
-        let address = |name| -> Result<SocketAddr, String> {
-            let found = top.get(name)?;
-            found.text()?.parse().map_err(|_| found.says("not an address with a port"))
+        let json = settings::parse_json(text)?;
+        let top = JsonField::root(&json);
+        let address = |name| -> Result<SocketAddr, JsonError> {
+            let found = top.field(name)?;
+            found.string()?.parse().map_err(|_| found.broken_rule("not an address with a port"))
         };
-        let ops = top.find("ops")?.map(|_| address("ops")).transpose()?;
-        let seed = top.get("seed")?;
-        let limits = top.get("limits")?;
-        let mut named = settings::read(&top.get("settings")?)?;
+        let ops = top.optional_field("ops")?.map(|_| address("ops")).transpose()?;
+        let seed = top.field("seed")?;
+        let limits = top.field("limits")?;
+        let mut named = settings::read_settings(&top.field("settings")?)?;
         // Danger: told of more, the module takes connections for open that are not. Whatever the platform states, the
         // protocol carries one request at a time on each.
         named.settings.limits.streams_per_connection = 1;
         named.settings.check().map_err(|error| error.to_string())?;
-        let sockets = limits.get("sockets")?;
-        if sockets.whole()? < 64 {
-            return Err(sockets.says("too few to serve: at least 64 are needed"));
+        let sockets = limits.field("sockets")?;
+        if sockets.integer()? < 64 {
+            return Err(sockets.broken_rule("too few to serve: at least 64 are needed").into());
         }
         Ok(Self {
-            name: top.get("name")?.text()?.to_owned(),
+            name: top.field("name")?.string()?.to_owned(),
             listen: address("listen")?,
             ops,
             discovery: address("discovery")?,
-            seed: u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.says("not a number in hex"))?,
-            memory_mb: limits.get("memory_mb")?.number()?,
-            sockets: sockets.whole()?,
-            known: read_listing(&top.get("known")?)?,
+            seed: u64::from_str_radix(seed.string()?, 16)
+                .map_err(|_| seed.broken_rule("not a number in hex"))?,
+            memory_mb: limits.field("memory_mb")?.number()?,
+            sockets: sockets.integer()?,
+            known: read_listing(&top.field("known")?)?,
             named,
             operators: Operators::default(),
             json: Arc::new(json),
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -33,7 +33,7 @@
 use crate::log::say;
 use crate::module::Module;
 use mosshead_known::listing::{Listing, read_listing, write_listing};
-use mosshead_settings::{self as settings, Found};
+use mosshead_settings::{self as settings, JsonField};
 
 /// A predecessor hands over within this time, or there is none.
 const PATIENCE: Duration = Duration::from_millis(1000);
@@ -117,7 +117,7 @@
     let mut text = vec![0; length as usize];
     reader.read_exact(&mut text).await.map_err(wrong)?;
     let text = String::from_utf8(text).map_err(|error| error.to_string())?;
-    let known = read_listing(&Found::top(&settings::json(&text)?))?;
+    let known = read_listing(&JsonField::root(&settings::parse_json(&text)?))?;
     Ok(Some(Taken { listener, known, link: (reader, writer) }))
 }
 
--- a/crates/proxy/src/keeper.rs
+++ b/crates/proxy/src/keeper.rs
@@ -21,7 +21,7 @@
 
 /// What a folder holds.
 pub(crate) fn read(folder: &Path) -> Result<Snapshot, Spoilt> {
-    let wrong = |error: io::Error| Spoilt::Content(error.to_string());
+    let wrong = |error: io::Error| Spoilt::Unreadable(error.to_string());
     let mut bytes = Vec::new();
     match File::open(folder.join(FILE)) {
         Ok(file) => file.take(LARGEST as u64 + 1).read_to_end(&mut bytes).map_err(wrong)?,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -159,7 +159,7 @@
     // A stop does not wait for this thread, as it would for the runtime's own.
     std::thread::spawn(move || drop(read.send(keeper::read(&from))));
     let found = timeout(keeper::PATIENCE, found).await.ok().and_then(Result::ok);
-    let found = found.unwrap_or_else(|| Err(Spoilt::Content("the folder does not answer".to_owned())));
+    let found = found.unwrap_or_else(|| Err(Spoilt::TimedOut));
     let believed = believe(&config.known, found, &config.name, stored::unix_ms());
     for verdict in &believed.verdicts {
         say!(part = %verdict.part, fate = %verdict.fate, why = %verdict.why, life = believed.life, "former life");
--- a/crates/proxy/src/machine_list.rs
+++ b/crates/proxy/src/machine_list.rs
@@ -19,7 +19,7 @@
 use mosshead_decide::interface::Seconds;
 use mosshead_http_links::{CloseReason, read_body};
 use mosshead_known::listing::{Listing, read_listing};
-use mosshead_settings::{self as settings, Found};
+use mosshead_settings::{self as settings, JsonField};
 
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
 /// arose in any case: a call that discovery has forgotten must be over by then.
@@ -220,8 +220,9 @@
         let late = || Fault { why: "no answer in time".to_owned(), nonsense: false, silent };
         let text = timeout(wait + LATE, self.fetch(held)).await.map_err(|_| late())??;
         let text = str::from_utf8(&text).map_err(|error| Fault::nonsense(error.to_string()))?;
-        let json = settings::json(text).map_err(Fault::nonsense)?;
-        let listing = read_listing(&Found::top(&json)).map_err(Fault::nonsense)?;
+        let json = settings::parse_json(text).map_err(|error| Fault::nonsense(error.to_string()))?;
+        let listing =
+            read_listing(&JsonField::root(&json)).map_err(|error| Fault::nonsense(error.to_string()))?;
         match held {
             None if !listing.full => Err(Fault::nonsense("changes in place of the whole list".to_owned())),
             Some(held) if !listing.full && listing.version < held => {
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use mosshead_decide::interface::*;
-use mosshead_settings::Named;
+use mosshead_settings::NamedSettings;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
@@ -86,7 +86,7 @@
     /// The last byte of a job's body has come.
     Whole(RequestId),
     /// Other settings, and whom to tell what submitters may name from now on.
-    Retune(Box<Named>, oneshot::Sender<Result<Terms, String>>),
+    Retune(Box<NamedSettings>, oneshot::Sender<Result<Terms, String>>),
 }
 
 /// The outcome of one attempt.
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -32,7 +32,7 @@
 use mosshead_decide::interface::*;
 use mosshead_decide::{NameTable, Stage, Wants};
 use mosshead_known::listing::{Listing, Machine};
-use mosshead_settings::Named;
+use mosshead_settings::NamedSettings;
 
 /// The wait that a requeue notice asks for where the proxy is too full for the module to see the job.
 const FULL_WAIT: Seconds = 0.5;
@@ -123,7 +123,7 @@
     }
 
     /// Takes other settings up, all or none; gives what submitters may name from now on.
-    pub(crate) async fn retune(&self, named: Named) -> Result<Terms, String> {
+    pub(crate) async fn retune(&self, named: NamedSettings) -> Result<Terms, String> {
         let (owed, terms) = oneshot::channel();
         self.send(Mail::Retune(Box::new(named), owed));
         terms.await.unwrap_or_else(|_| Err("the module has ended".to_owned()))
@@ -444,8 +444,8 @@
         }
     }
 
-    fn retune(&mut self, named: Named) -> Result<Terms, String> {
-        let named = named.onto(&mut self.zones, &mut self.kinds);
+    fn retune(&mut self, named: NamedSettings) -> Result<Terms, String> {
+        let named = named.renumbered(&mut self.zones, &mut self.kinds);
         let held: HashSet<ClassId> = self.jobs.values().map(|held| held.class).collect();
         let mut tuning = self.tuning.clone();
         let change = tuning.change(&named, |class| held.contains(&class), Instant::now())?;
@@ -722,7 +722,7 @@
 
     use super::*;
     use crate::messages::{Payload, Told};
-    use mosshead_settings::{Found, json, read};
+    use mosshead_settings::{JsonField, parse_json, read_settings};
 
     const SETTINGS: &str = r#"{"classes":[],"limits":{"may_cancel":true,"probes":true,"second_copies":true,
         "send_cap":4,"connect_timeout_s":5},"membership_mode":"ask","tick_s":0.005,"reporting":{"how":"silent"},
@@ -745,7 +745,9 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let addr = listener.local_addr().expect("an address");
             let told = Told { addr, readiness: Readiness::Ready, started_ms: 0.0 };
-            let settings = json(SETTINGS).and_then(|json| read(&Found::top(&json))).expect("settings");
+            let settings = parse_json(SETTINGS)
+                .and_then(|json| read_settings(&JsonField::root(&json)))
+                .expect("settings");
             let node = execute_node::start(&settings.settings.limits, Budget::of(1), told);
             let (mailbox, mut mail) = unbounded_channel();
             let (verb, target, id) = ("GET".to_owned(), "/".to_owned(), "1".to_owned());
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use mosshead_settings::{Found, json};
+use mosshead_settings::{JsonError, JsonField, parse_json};
 
 /// What the operators grant, read and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -13,27 +13,27 @@
 
 impl Operators {
     /// Reads the text of an operators' file; a fault names the key.
-    pub fn read(text: &str) -> Result<Self, String> {
-        let json = json(text)?;
-        let top = Found::top(&json);
-        for (name, found) in top.members()? {
+    pub fn read(text: &str) -> Result<Self, JsonError> {
+        let json = parse_json(text)?;
+        let top = JsonField::root(&json);
+        for (name, found) in top.fields()? {
             // Danger: a key that was misspelt would grant nothing, and nobody would know.
             if name != "state" {
-                return Err(found.says("not known here"));
+                return Err(found.broken_rule("not known here"));
             }
         }
-        let folder = |state: Found| -> Result<PathBuf, String> {
-            if let Some((_, found)) = state.members()?.into_iter().find(|(name, _)| *name != "folder") {
-                return Err(found.says("not known here"));
+        let folder = |state: JsonField| -> Result<PathBuf, JsonError> {
+            if let Some((_, found)) = state.fields()?.into_iter().find(|(name, _)| *name != "folder") {
+                return Err(found.broken_rule("not known here"));
             }
-            let folder = state.get("folder")?;
-            let path = Path::new(folder.text()?);
+            let folder = state.field("folder")?;
+            let path = Path::new(folder.string()?);
             if !path.is_absolute() {
-                return Err(folder.says("not an absolute path"));
+                return Err(folder.broken_rule("not an absolute path"));
             }
             Ok(path.to_owned())
         };
-        Ok(Self { state: top.find("state")?.map(folder).transpose()? })
+        Ok(Self { state: top.optional_field("state")?.map(folder).transpose()? })
     }
 }
 
@@ -53,7 +53,7 @@
             (r#"{"state":{"folder":"/x","size":1}}"#, "state.size: not known here"),
             (r#"{"state":{}}"#, "state: missing field `folder`"),
         ] {
-            assert_eq!(Operators::read(text).expect_err(text), fault);
+            assert_eq!(Operators::read(text).expect_err(text).to_string(), fault);
         }
     }
 }
--- a/crates/proxy/src/tuning.rs
+++ b/crates/proxy/src/tuning.rs
@@ -7,7 +7,7 @@
 
 use mosshead_decide::NameTable;
 use mosshead_decide::interface::*;
-use mosshead_settings::Named;
+use mosshead_settings::NamedSettings;
 
 /// For so long after a change a name still has its former terms: submitters learn of it a moment later.
 const GRACE: Duration = Duration::from_millis(1000);
@@ -77,7 +77,7 @@
         self.places.iter().map(|place| place.name.as_str()).collect()
     }
 
-    pub(crate) fn new(named: &Named) -> (Self, Terms) {
+    pub(crate) fn new(named: &NamedSettings) -> (Self, Terms) {
         let names = (0..named.settings.classes.len()).map(|at| named.classes.name(at).to_owned());
         let classes = named.settings.classes.iter().cloned();
         let places = names.zip(classes).map(|(name, class)| Place { name, class, idle: None }).collect();
@@ -90,7 +90,7 @@
     /// Takes other settings up. `held` says whether a job holds a place; zones and kinds are numbered as in `named`.
     pub(crate) fn change(
         &mut self,
-        named: &Named,
+        named: &NamedSettings,
         held: impl Fn(ClassId) -> bool,
         now: Instant,
     ) -> Result<Change, String> {
@@ -167,9 +167,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use mosshead_settings::{Found, json, read};
+    use mosshead_settings::{JsonField, parse_json, read_settings};
 
-    fn named(classes: &[(&str, &str, f64)]) -> Named {
+    fn named(classes: &[(&str, &str, f64)]) -> NamedSettings {
         let classes = classes.iter().map(|(name, effect, deadline)| {
             format!(
                 r#"{{"name":"{name}","target_s":0.5,"deadline_s":{deadline},"gain":1,"effect":"{effect}"}}"#
@@ -182,7 +182,7 @@
             "fall_multiple":3,"fall_s":3,"warm_up_s":8}}}}"#,
             classes.collect::<Vec<_>>().join(",")
         );
-        read(&Found::top(&json(&text).expect("JSON"))).expect("settings")
+        read_settings(&JsonField::root(&parse_json(&text).expect("JSON"))).expect("settings")
     }
 
     fn now_named(terms: &Terms, name: &str, at: Instant) -> Vec<usize> {
--- /dev/null
+++ b/crates/settings/src/json.rs
@@ -0,0 +1,199 @@
+//! JSON values together with their paths.
+
+use std::collections::HashMap;
+
+use tinyjson::{JsonParseError, JsonValue};
+
+use crate::error::{InvalidValue, JsonError};
+
+/// No message of the protocol nests deeper than a few levels.
+pub(crate) const MAX_DEPTH: usize = 32;
+/// Whole numbers are exact below this.
+const INTEGER_END: f64 = 9_007_199_254_740_992.0;
+
+/// Parses a text.
+///
+/// # Errors
+///
+/// The text nests too deeply or is not JSON. The parser calls itself for each level and would overflow the stack, so the
+/// depth is checked before it is called.
+pub fn parse_json(text: &str) -> Result<JsonValue, JsonError> {
+    if nests_too_deeply(text) {
+        return Err(JsonError::TooDeep);
+    }
+    text.parse().map_err(|error: JsonParseError| JsonError::Syntax(error.to_string()))
+}
+
+fn nests_too_deeply(text: &str) -> bool {
+    let (mut depth, mut is_quoted, mut is_escaped) = (0_usize, false, false);
+    for byte in text.bytes() {
+        match byte {
+            _ if is_escaped => is_escaped = false,
+            b'\\' if is_quoted => is_escaped = true,
+            b'"' => is_quoted = !is_quoted,
+            b'[' | b'{' if !is_quoted => depth += 1,
+            b']' | b'}' if !is_quoted => depth = depth.saturating_sub(1),
+            _ => {}
+        }
+        if depth > MAX_DEPTH {
+            return true;
+        }
+    }
+    false
+}
+
+/// A value and where it was found.
+///
+/// Its methods fail with a [`JsonError`] that names the path, if the value, or the field that is asked for, isn't what the
+/// method reads.
+pub struct JsonField<'a> {
+    value: &'a JsonValue,
+    /// Names and indices from the root, such as `classes[0].target_s`.
+    path: String,
+}
+
+impl<'a> JsonField<'a> {
+    /// The value of the whole text.
+    pub fn root(value: &'a JsonValue) -> Self {
+        Self { value, path: String::new() }
+    }
+
+    /// A field that may be absent or null.
+    ///
+    /// # Errors
+    ///
+    /// This value is not an object.
+    pub fn optional_field(&self, name: &str) -> Result<Option<JsonField<'a>>, JsonError> {
+        let value = self.object()?.get(name).filter(|value| !matches!(value, JsonValue::Null));
+        Ok(value.map(|value| self.child(name, value)))
+    }
+
+    /// A field that must be there.
+    ///
+    /// # Errors
+    ///
+    /// This value is not an object, or the field is absent or null.
+    pub fn field(&self, name: &str) -> Result<JsonField<'a>, JsonError> {
+        let field = self.optional_field(name)?;
+        field.ok_or_else(|| self.invalid(InvalidValue::MissingField(name.to_owned())))
+    }
+
+    /// All fields of an object, in no order.
+    ///
+    /// # Errors
+    ///
+    /// This value is not an object.
+    pub fn fields(&self) -> Result<Vec<(&'a String, JsonField<'a>)>, JsonError> {
+        Ok(self.object()?.iter().map(|(name, value)| (name, self.child(name, value))).collect())
+    }
+
+    /// The items of a list.
+    ///
+    /// # Errors
+    ///
+    /// This value is not a list.
+    pub fn items(&self) -> Result<Vec<JsonField<'a>>, JsonError> {
+        let items: &Vec<JsonValue> = self.value.get().ok_or_else(|| self.wrong_type("a list"))?;
+        let item = |(index, value)| JsonField { value, path: format!("{}[{index}]", self.path) };
+        Ok(items.iter().enumerate().map(item).collect())
+    }
+
+    /// A string.
+    ///
+    /// # Errors
+    ///
+    /// This value is not a string.
+    pub fn string(&self) -> Result<&'a str, JsonError> {
+        self.value.get::<String>().map(String::as_str).ok_or_else(|| self.wrong_type("a text"))
+    }
+
+    /// A finite number.
+    ///
+    /// # Errors
+    ///
+    /// This value is not a finite number.
+    pub fn number(&self) -> Result<f64, JsonError> {
+        let number = self.value.get::<f64>().copied().filter(|number| number.is_finite());
+        number.ok_or_else(|| self.wrong_type("a number"))
+    }
+
+    /// A whole number from 0 to 2^53, exclusively.
+    ///
+    /// # Errors
+    ///
+    /// This value is not such a number.
+    pub fn integer(&self) -> Result<u64, JsonError> {
+        let number = self.number()?;
+        if number < 0.0 || number.fract() != 0.0 || number >= INTEGER_END {
+            return Err(self.wrong_type("a whole number"));
+        }
+        Ok(number as u64)
+    }
+
+    /// True or false.
+    ///
+    /// # Errors
+    ///
+    /// This value is neither.
+    pub fn boolean(&self) -> Result<bool, JsonError> {
+        self.value.get().copied().ok_or_else(|| self.wrong_type("a bool"))
+    }
+
+    /// A name that stands for one of a few values.
+    ///
+    /// # Errors
+    ///
+    /// This value is not a string, or none of the names.
+    pub fn one_of<T: Copy>(&self, values: &[(&str, T)]) -> Result<T, JsonError> {
+        let text = self.string()?;
+        let known = values.iter().find(|(name, _)| *name == text);
+        known.map(|(_, value)| *value).ok_or_else(|| self.invalid(InvalidValue::UnknownName(text.to_owned())))
+    }
+
+    /// The error for a value that breaks a rule of its reader.
+    pub fn broken_rule(&self, rule: &'static str) -> JsonError {
+        self.invalid(InvalidValue::BrokenRule(rule))
+    }
+
+    /// The items of a list that may be absent; none if it is.
+    pub(crate) fn optional_items(&self, name: &str) -> Result<Vec<JsonField<'a>>, JsonError> {
+        self.optional_field(name)?.map_or(Ok(Vec::new()), |list| list.items())
+    }
+
+    pub(crate) fn number_or(&self, name: &str, default: f64) -> Result<f64, JsonError> {
+        self.optional_field(name)?.map_or(Ok(default), |field| field.number())
+    }
+
+    pub(crate) fn integer_or(&self, name: &str, default: u64) -> Result<u64, JsonError> {
+        self.optional_field(name)?.map_or(Ok(default), |field| field.integer())
+    }
+
+    pub(crate) fn boolean_or(&self, name: &str, default: bool) -> Result<bool, JsonError> {
+        self.optional_field(name)?.map_or(Ok(default), |field| field.boolean())
+    }
+
+    fn child(&self, name: &str, value: &'a JsonValue) -> JsonField<'a> {
+        let dot = if self.path.is_empty() { "" } else { "." };
+        JsonField { value, path: format!("{}{dot}{name}", self.path) }
+    }
+
+    fn object(&self) -> Result<&'a HashMap<String, JsonValue>, JsonError> {
+        self.value.get().ok_or_else(|| self.wrong_type("an object"))
+    }
+
+    fn wrong_type(&self, expected: &'static str) -> JsonError {
+        let found = match self.value {
+            JsonValue::Number(number) => format!("{number}"),
+            JsonValue::Boolean(boolean) => format!("{boolean}"),
+            JsonValue::String(text) => format!("{text:?}"),
+            JsonValue::Null => "null".to_owned(),
+            JsonValue::Array(_) => "a list".to_owned(),
+            JsonValue::Object(_) => "an object".to_owned(),
+        };
+        self.invalid(InvalidValue::WrongType { found, expected })
+    }
+
+    fn invalid(&self, reason: InvalidValue) -> JsonError {
+        JsonError::Invalid { path: self.path.clone(), reason }
+    }
+}
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -8,7 +8,7 @@
 use mosshead_decide::Balancer;
 use mosshead_decide::NameTable;
 use mosshead_decide::interface::*;
-use mosshead_settings::{self as settings, Found, Named};
+use mosshead_settings::{self as settings, JsonField, NamedSettings};
 
 /// What is wrong with the input, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -198,9 +198,9 @@
 
 impl Instance {
     fn start(info: &str, seed: u64) -> Parsed<Self> {
-        let info = settings::json(info).map_err(|error| format!("info: {error}"))?;
-        let Named { settings, zones, kinds, classes, tenants } =
-            settings::read(&Found::top(&info)).map_err(|error| format!("info: {error}"))?;
+        let info = settings::parse_json(info).map_err(|error| format!("info: {error}"))?;
+        let NamedSettings { settings, zones, kinds, classes, tenants } =
+            settings::read_settings(&JsonField::root(&info)).map_err(|error| format!("info: {error}"))?;
         let advises = settings.limits.can_advise_retry_after;
         let balancer = Balancer::new(settings, seed).map_err(|error| error.to_string())?;
         Ok(Self {
--- a/crates/simulate/src/brains.rs
+++ b/crates/simulate/src/brains.rs
@@ -105,9 +105,10 @@
             let at = self.last.get(&proxy).copied().unwrap_or_default();
             self.learnt.insert(proxy, (at, former.learnt(at)));
         }
-        let json = mosshead_settings::json(settings).map_err(BrainError::Settings)?;
-        let named = mosshead_settings::read(&mosshead_settings::Found::top(&json));
-        let named = named.map_err(BrainError::Settings)?;
+        let json = mosshead_settings::parse_json(settings)
+            .map_err(|error| BrainError::Settings(error.to_string()))?;
+        let named = mosshead_settings::read_settings(&mosshead_settings::JsonField::root(&json));
+        let named = named.map_err(|error| BrainError::Settings(error.to_string()))?;
         let mind = self.kind.start(named.settings, seed);
         let mind = mind.map_err(|error| BrainError::Settings(error.to_string()))?;
         if self.minds.len() <= proxy {
--- a/crates/simulate/src/platform.rs
+++ b/crates/simulate/src/platform.rs
@@ -1,6 +1,6 @@
 //! A scenario in the platform's terms: the settings object that a proxy is handed, on loopback as in virtual time.
 
-use mosshead_settings::Named;
+use mosshead_settings::NamedSettings;
 use mosshead_world::World;
 use mosshead_world::scenario::{Effect, Group};
 use serde_json::{Value, json};
@@ -79,8 +79,8 @@
 ///
 /// # Errors
 ///
-/// The settings are not what the platform writes; the string says where.
-pub fn named(settings: &Value) -> Result<Named, String> {
-    let json = mosshead_settings::json(&settings.to_string())?;
-    mosshead_settings::read(&mosshead_settings::Found::top(&json))
+/// The settings are not what the platform writes.
+pub fn named(settings: &Value) -> Result<NamedSettings, mosshead_settings::JsonError> {
+    let json = mosshead_settings::parse_json(&settings.to_string())?;
+    mosshead_settings::read_settings(&mosshead_settings::JsonField::root(&json))
 }
