--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::client_stream::ClientStream;
+use crate::client_stream::{ClientStream, ResetOnDrop};
 use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
 
@@ -87,7 +87,7 @@
             }
         });
         let reset_on_drop = Rc::new(Cell::new(false));
-        let stream = ClientStream::new(stream, reset_on_drop.clone());
+        let stream = ClientStream::new(stream, ResetOnDrop(reset_on_drop.clone()));
         let connection = Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(self.idle_timeout())
