--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -10,8 +10,8 @@
     let mut host = Host::new(settings(), fleet(1));
     let mut rejections = 0;
     for _ in 0..60 {
-        let (job, actions) = host.request(UNSAFE);
-        rejections += usize::from(is_rejected(&actions, job));
+        let (request, actions) = host.request(UNSAFE);
+        rejections += usize::from(is_rejected(&actions, request));
     }
     assert!((25..=55).contains(&rejections), "{rejections} of 60 rejected");
     assert!(host.in_flight.len() < 35, "{} out", host.in_flight.len());
@@ -25,8 +25,8 @@
     for _ in 0..60 {
         (0..3).for_each(|_| drop(host.request(SAFE)));
         let held = host.in_flight.clone();
-        let (job, _) = host.request(SAFE);
-        while let Some(sent) = host.in_flight.iter().copied().find(|sent| sent.request == job) {
+        let (request, _) = host.request(SAFE);
+        while let Some(sent) = host.in_flight.iter().copied().find(|sent| sent.request == request) {
             host.end_attempt(sent, Outcome::Rejected, LoadReport::default());
         }
         host.now += 0.05;
@@ -35,8 +35,8 @@
         }
         host.now += 0.5;
         for _ in 0..4 {
-            let (job, actions) = host.request(SAFE);
-            rejections += usize::from(is_rejected(&actions, job));
+            let (request, actions) = host.request(SAFE);
+            rejections += usize::from(is_rejected(&actions, request));
         }
         for sent in host.in_flight.clone() {
             host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
@@ -54,12 +54,12 @@
     settings.classes.iter_mut().for_each(|class| class.late_value = 0.0);
     let mut host = Host::new(settings, fleet(1));
     let mut rejections = [0_i32; 2];
-    for at in 0..3000 {
-        let class = at % 2;
-        let (job, actions) = host.request([SAFE, UNSAFE][class]);
-        rejections[class] += i32::from(at >= 1000 && is_rejected(&actions, job));
+    for index in 0..3000 {
+        let class = index % 2;
+        let (request, actions) = host.request([SAFE, UNSAFE][class]);
+        rejections[class] += i32::from(index >= 1000 && is_rejected(&actions, request));
         // One at a time, 0.05 s each: half of what is asked for.
-        if at % 2 == 1
+        if index % 2 == 1
             && let Some(&sent) = host.in_flight.first()
         {
             host.serve(sent);
@@ -87,9 +87,9 @@
     }
     host.now += 0.3;
     let mut late = 0;
-    for at in 0..200 {
+    for index in 0..200 {
         let kept = host.in_flight.len();
-        late += flood(&mut host, 1) * usize::from(at >= 100);
+        late += flood(&mut host, 1) * usize::from(index >= 100);
         if host.in_flight.len() > kept {
             let sent = host.in_flight[kept];
             host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
@@ -98,21 +98,21 @@
     assert!(late < 45, "{late} of 100 rejected at a short queue afterwards");
 }
 
-/// Regression: a client's last try may be granted more than its first; first attempts taken for late ones are rejected,
-/// as their latency target seems to have passed.
+/// Regression: the last attempt of a client may have more time left than the first one of another; first attempts that are
+/// taken for late ones are rejected, as their latency target seems to have passed.
 #[test]
 fn a_first_attempt_is_known_by_the_usual_time_left() {
     let mut host = Host::new(settings(), fleet(1));
     let mut rejections = [0; 2];
-    for at in 0..100 {
+    for index in 0..100 {
         host.request(SAFE);
         let held = host.in_flight.clone();
         // A first try, and a last one 0.5 s after its own first, which was not served.
-        for (which, time_left) in [(0, 0.9), (1, 1.5 - f64::from(at % 3) / 200.0)] {
-            let (job, actions) = host.request_as(UNSAFE, None, time_left);
-            rejections[which] += usize::from(is_rejected(&actions, job));
+        for (which, time_left) in [(0, 0.9), (1, 1.5 - f64::from(index % 3) / 200.0)] {
+            let (request, actions) = host.request_as(UNSAFE, None, time_left);
+            rejections[which] += usize::from(is_rejected(&actions, request));
             for sent in host.in_flight.clone() {
-                if sent.request == job {
+                if sent.request == request {
                     host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
                 }
             }
@@ -127,17 +127,17 @@
     assert!(rejections[1] >= 90, "{rejections:?} of 100 first and last attempts rejected");
 }
 
-/// Regression: a client that waits less than others was taken for one that comes again too late, and rejected unheard.
+/// Regression: a client that waits less than others was taken for one that retries too late, and rejected at once.
 #[test]
 fn a_client_that_waits_less_than_others_is_not_late() {
     let mut all = settings();
     all.classes[SAFE.0].late_value = 0.0;
     let mut host = Host::new(all, fleet(6));
     let mut rejections = 0;
-    for at in 0..200 {
-        let time_left = if at < 100 || at % 2 == 0 { 1.9 } else { 0.2 + f64::from(at % 7) / 100.0 };
-        let (job, actions) = host.request_as(SAFE, None, time_left);
-        rejections += usize::from(is_rejected(&actions, job));
+    for index in 0..200 {
+        let time_left = if index < 100 || index % 2 == 0 { 1.9 } else { 0.2 + f64::from(index % 7) / 100.0 };
+        let (request, actions) = host.request_as(SAFE, None, time_left);
+        rejections += usize::from(is_rejected(&actions, request));
         host.now += 0.05;
         std::mem::take(&mut host.in_flight).into_iter().for_each(|sent| drop(host.serve(sent)));
         host.now += 0.05;
@@ -149,9 +149,9 @@
 #[test]
 fn misses_at_idle_servers_reject_nothing() {
     let mut host = Host::new(settings(), fleet(4));
-    for at in 0..200 {
-        let sent = host.place_request(if at % 5 == 0 { UNSAFE } else { SAFE });
-        host.now += if at % 5 == 0 { 0.55 } else { 0.005 };
+    for index in 0..200 {
+        let sent = host.place_request(if index % 5 == 0 { UNSAFE } else { SAFE });
+        host.now += if index % 5 == 0 { 0.55 } else { 0.005 };
         host.serve(sent);
     }
     let placed: Vec<SentAttempt> = (0..8).map(|_| host.place_request(UNSAFE)).collect();
@@ -165,14 +165,14 @@
     let mut host = Host::new(Settings { tenants, ..settings() }, fleet(2));
     let mut rejections = [0.0; 2];
     let mut asked = [0.0; 2];
-    for at in 0..2000 {
-        let tenant = usize::from(at % 8 == 0);
-        let (job, actions) = host.request_as(UNSAFE, Some(TenantId(tenant)), 2.0);
+    for index in 0..2000 {
+        let tenant = usize::from(index % 8 == 0);
+        let (request, actions) = host.request_as(UNSAFE, Some(TenantId(tenant)), 2.0);
         asked[tenant] += 1.0;
-        rejections[tenant] += f64::from(u8::from(is_rejected(&actions, job)));
+        rejections[tenant] += f64::from(u8::from(is_rejected(&actions, request)));
         host.now += 0.01;
         // The fleet is too slow for all of it: every third step one response.
-        if at % 3 == 0 && !host.in_flight.is_empty() {
+        if index % 3 == 0 && !host.in_flight.is_empty() {
             let sent = host.in_flight[0];
             host.serve(sent);
         }
@@ -189,10 +189,10 @@
     host.end_attempt(sent, Outcome::Served, load_report(60.0, 59.0));
     let asked = |host: &mut Host| {
         host.now += 0.05;
-        let (job, actions) = host.request(UNSAFE);
-        let sent = host.in_flight.last().copied().filter(|sent| sent.request == job);
+        let (request, actions) = host.request(UNSAFE);
+        let sent = host.in_flight.last().copied().filter(|sent| sent.request == request);
         sent.map(|sent| host.end_attempt(sent, Outcome::Served, load_report(1.0, 0.0)));
-        is_rejected(&actions, job)
+        is_rejected(&actions, request)
     };
     assert!((0..10).all(|_| asked(&mut host)), "crowded as far as it knows");
     host.now += 4.0;
@@ -200,3 +200,24 @@
     let last = (0..20).filter(|_| asked(&mut host)).count();
     assert!(last < 4, "and then nearly all are: {last} of 20 rejected");
 }
+
+/// Regression: clients that were rejected together and told the same time retry together.
+#[test]
+fn a_rejection_says_when_to_retry_within_the_limit_and_spread() {
+    for limit in [0.2, 0.05] {
+        let mut all = settings();
+        all.limits.max_retry_after = limit;
+        let mut host = Host::new(all, fleet(1));
+        for _ in 0..200 {
+            host.request(UNSAFE);
+        }
+        let advice = host.actions.iter().filter_map(|action| match action {
+            Action::Reject { retry_after: not_before, .. } => Some(*not_before),
+            _ => None,
+        });
+        let waits: Vec<f64> = advice.collect();
+        assert!(waits.len() > 100 && waits.iter().all(|wait| (0.0..=limit).contains(wait)));
+        let early = waits.iter().filter(|wait| **wait < limit).count();
+        assert!(early > 10, "{early} of {} early", waits.len());
+    }
+}
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host for one balancer: it keeps the clock and what has been asked of it.
+//! A host for one balancer: it keeps the clock, the timers and the attempts in flight.
 #![allow(dead_code)]
 
 use mosshead_decide::Balancer;
@@ -126,10 +126,10 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match *action {
-                Action::Send { request: job, endpoint, deadline: until } => {
-                    let round = self.rounds.entry(job).or_default();
+                Action::Send { request, endpoint, deadline: until } => {
+                    let round = self.rounds.entry(request).or_default();
                     self.in_flight.push(SentAttempt {
-                        request: job,
+                        request,
                         attempt: AttemptNumber(*round),
                         endpoint,
                         sent_at: self.now,
@@ -155,18 +155,18 @@
         tenant: Option<TenantId>,
         time_left: Seconds,
     ) -> (RequestId, Vec<Action>) {
-        let job = RequestId(self.next);
+        let request = RequestId(self.next);
         self.next += 1;
-        let actions = self.handle(Event::RequestReceived(Request { id: job, time_left, class, tenant }));
-        (job, actions)
+        let actions = self.handle(Event::RequestReceived(Request { id: request, time_left, class, tenant }));
+        (request, actions)
     }
 
     /// Sends a request and returns where its first attempt went; asks again where chance rejects it.
     pub(crate) fn place_request(&mut self, class: ClassId) -> SentAttempt {
         for _ in 0..10 {
-            let (job, actions) = self.request(class);
-            if !is_rejected(&actions, job) {
-                let sent = self.in_flight.last().copied().filter(|sent| sent.request == job);
+            let (request, actions) = self.request(class);
+            if !is_rejected(&actions, request) {
+                let sent = self.in_flight.last().copied().filter(|sent| sent.request == request);
                 return sent.unwrap_or_else(|| panic!("not sent: {actions:?}"));
             }
         }
@@ -228,7 +228,7 @@
 }
 
 pub(crate) fn is_rejected(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Reject { request: job, .. } if *job == id))
+    actions.iter().any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
 }
 
 pub(crate) fn has_failed(actions: &[Action], id: RequestId) -> bool {
@@ -246,7 +246,7 @@
     count_requests
 }
 
-/// Gives every server a first report, so that none is judged by the fleet's mean.
+/// Gives every server a first report, so that none has the mean load of the fleet.
 pub(crate) fn report_once(host: &mut Host, reports: &[LoadReport]) {
     let mut missing: Vec<usize> = (0..reports.len()).collect();
     while !missing.is_empty() {
@@ -258,7 +258,7 @@
     }
 }
 
-/// Lets two attempts pile up at one server and fails both; what went elsewhere is served.
+/// Sends until two attempts are in flight at one server, and fails both; the others are served.
 pub(crate) fn fail_twice(host: &mut Host, class: ClassId, server: EndpointId, outcome: Outcome) {
     let (mut there, mut elsewhere) = (Vec::new(), Vec::new());
     while there.len() < 2 && elsewhere.len() < 20 {
@@ -279,7 +279,7 @@
     host.in_flight.clear();
 }
 
-/// Asks, and takes back what was sent, so that nothing is out for the next one.
+/// Makes a request, and takes back what was sent, so that nothing is in flight for the next one.
 pub(crate) fn request_and_take_back(host: &mut Host) -> (RequestId, Vec<Action>) {
     request_as_and_take_back(host, UNSAFE)
 }
--- a/crates/decide/tests/concurrency_limit.rs
+++ b/crates/decide/tests/concurrency_limit.rs
@@ -5,8 +5,8 @@
 use mosshead_decide::interface::*;
 use rstest::rstest;
 
-/// Regression: with a part of the fleet gone the others are given more than they answer in time; they choke, and stay
-/// choked while they are given as much as before. What finds no free slot is rejected at once.
+/// Regression: with a part of the fleet gone the others get more than they answer in time; they are overloaded, and stay so while
+/// they get as much as before. A request without a free place is rejected at once.
 #[test]
 fn late_responses_reduce_the_concurrency_limit() {
     let mut all = settings();
@@ -16,9 +16,9 @@
     all.classes[UNSAFE.0].deadline = 100.0;
     let mut host = Host::new(all, fleet(1));
     let mut serve_after = |wait: Seconds| {
-        let jobs: Vec<RequestId> = (0..40).map(|_| host.request_as(UNSAFE, None, 100.0).0).collect();
+        let requests: Vec<RequestId> = (0..40).map(|_| host.request_as(UNSAFE, None, 100.0).0).collect();
         let sent: Vec<SentAttempt> = std::mem::take(&mut host.in_flight);
-        let rejections = jobs.iter().filter(|job| is_rejected(&host.actions, **job)).count();
+        let rejections = requests.iter().filter(|request| is_rejected(&host.actions, **request)).count();
         assert_eq!(sent.len() + rejections, 40, "each is sent or rejected at once");
         host.now += wait;
         sent.iter().for_each(|sent| drop(host.serve(*sent)));
@@ -32,7 +32,8 @@
     assert!(soon > Some(10), "{soon:?} at once");
 }
 
-/// Regression: proxies that start together know nothing; each with a a full concurrency limit would send a server many times what it can hold.
+/// Regression: proxies that start together know nothing; if each began with a full concurrency limit, a
+/// server would get many times what it can serve.
 #[rstest]
 // Beyond six at once the price of work rejects these.
 #[case::alone(0.0, 6)]
@@ -41,7 +42,7 @@
 #[case::hundred(100.0, 1)]
 fn an_unknown_server_gets_a_part_of_the_fleets_initial_concurrency(
     #[case] proxies: f64,
-    #[case] room: usize,
+    #[case] limit: usize,
 ) {
     let mut all = settings();
     all.proxy_count = proxies;
@@ -53,9 +54,9 @@
         std::mem::take(&mut host.in_flight)
     };
     let first = sent(&mut host);
-    assert_eq!(first.len(), room);
+    assert_eq!(first.len(), limit);
     // Responses in time give it more.
     host.now += 0.01;
     first.iter().for_each(|sent| drop(host.serve(*sent)));
-    assert!(sent(&mut host).len() >= room);
+    assert!(sent(&mut host).len() >= limit);
 }
--- a/crates/decide/tests/connections.rs
+++ b/crates/decide/tests/connections.rs
@@ -5,7 +5,7 @@
 use mosshead_decide::interface::*;
 
 /// Regression: a proxy that seldom meets a server finds every connection to it idle. Where servers are silent for a while,
-/// that was taken for connections dropped unseen: each proxy closed working ones, and blamed no server.
+/// that was taken for broken connections: each proxy closed working ones, and no server was counted as failing.
 #[test]
 fn silent_servers_close_no_idle_connections() {
     let mut host = Host::new(settings(), fleet(1));
--- a/crates/decide/tests/ejection.rs
+++ b/crates/decide/tests/ejection.rs
@@ -4,18 +4,18 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: answers fail now and then at any server. Shunned for each, most of a healthy fleet stands idle, and
-/// the rest drowns.
+/// Regression: attempts fail now and then at any server. If each failure ejected one, most of a healthy fleet would be idle and
+/// the others overloaded.
 #[test]
 fn a_single_failure_ejects_no_server() {
     let mut host = Host::new(settings(), fleet(4));
     let (mut has_failed, mut placed) = ([false; 4], [0; 4]);
     for _ in 0..200 {
         let sent = host.place_request(UNSAFE);
-        let at = sent.endpoint.0 as usize;
-        placed[at] += 1;
+        let index = sent.endpoint.0 as usize;
+        placed[index] += 1;
         host.now += 0.01;
-        let first = !std::mem::replace(&mut has_failed[at], true);
+        let first = !std::mem::replace(&mut has_failed[index], true);
         host.end_attempt(sent, if first { Outcome::Reset } else { Outcome::Served }, LoadReport::default());
     }
     assert!(placed.iter().all(|count| *count > 30), "{placed:?}");
@@ -38,7 +38,7 @@
     assert!(placed > 10, "{placed} of 40");
 }
 
-/// Regression: a server that fails at once holds little and keeps winning pairs.
+/// Regression: a server that fails at once has a low load and keeps winning pairs.
 #[test]
 fn fast_errors_eject_a_server_until_a_trial_with_an_idempotent_request() {
     let mut host = Host::new(settings(), fleet(3));
@@ -59,7 +59,7 @@
     assert!(trials[1] > 3, "tried, proved and back: {trials:?}");
 }
 
-/// Regression: with most servers looking bad the evidence is contradictory, and ejection drowns the rest.
+/// Regression: with most servers looking bad the evidence is contradictory, and ejections overload the rest.
 #[test]
 fn when_most_servers_fail_all_stay_candidates() {
     let mut host = Host::new(settings(), fleet(3));
@@ -82,14 +82,14 @@
     assert!(placed.iter().all(|count| *count > 1), "{placed:?}");
 }
 
-/// Regression: a server that answers nothing never shows a long answer.
+/// Regression: a server that does not respond never shows a long response time.
 #[test]
 fn silence_counts_against_a_server() {
     let mut host = Host::new(settings(), fleet(3));
     for _ in 0..200 {
         host.request(UNSAFE);
         host.now += 0.01;
-        // Servers 1 and 2 answer after 0.03 s, server 0 never does.
+        // Servers 1 and 2 respond after 0.03 s, server 0 never does.
         for sent in host.in_flight.clone() {
             if sent.endpoint.0 > 0 && host.now - sent.sent_at >= 0.03 {
                 host.serve(sent);
--- a/crates/decide/tests/endpoint_list.rs
+++ b/crates/decide/tests/endpoint_list.rs
@@ -4,7 +4,7 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a restarted process judged by what its predecessor did.
+/// Regression: a restarted process must not be judged by what its predecessor did.
 #[test]
 fn a_restart_resets_a_server_but_not_its_attempts_in_flight() {
     let mut host = Host::new(settings(), fleet(2));
@@ -12,13 +12,13 @@
     host.end_attempt(sent, Outcome::ConnectFailed, LoadReport::default());
     host.in_flight.clear();
     let server = sent.endpoint.0;
-    // It started long ago by now, so that it is warm.
+    // It started long ago by now, so that its slow start is over.
     host.update_entry(ListEntry { started_at: Some(host.now - 60.0), ..entry(server) });
     let placed: Vec<u32> = (0..6).map(|_| host.place_request(UNSAFE).endpoint.0).collect();
     assert!(placed.contains(&server), "{placed:?}");
 }
 
-/// Regression: numbers of servers that have gone are used again; the new one is not to blame for the old one.
+/// Regression: the numbers of removed servers are reused; the new server is not to blame for the old one.
 #[test]
 fn a_reused_endpoint_id_starts_without_history() {
     let mut host = Host::new(settings(), fleet(3));
@@ -64,3 +64,22 @@
     let mut host = Host::new(settings(), fleet(2));
     assert!(host.handle(Event::ListUpdated(ListUpdate::Failed)).is_empty() && host.actions.is_empty());
 }
+
+#[test]
+fn a_draining_or_removed_server_gets_nothing_from_the_update_on() {
+    for readiness in [Readiness::Draining, Readiness::Removed] {
+        let mut host = Host::new(settings(), fleet(3));
+        host.update_entry(ListEntry { readiness, ..entry(1) });
+        for _ in 0..50 {
+            let sent = host.place_request(SAFE);
+            assert_ne!(sent.endpoint, EndpointId(1));
+            host.serve(sent);
+        }
+        host.handle(Event::ListUpdated(ListUpdate::Full(vec![entry(2)])));
+        for _ in 0..20 {
+            let sent = host.place_request(SAFE);
+            assert_eq!(sent.endpoint, EndpointId(2), "what a full list leaves out is gone");
+            host.serve(sent);
+        }
+    }
+}
--- a/crates/decide/tests/load_estimation.rs
+++ b/crates/decide/tests/load_estimation.rs
@@ -4,7 +4,7 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: an old report repeated on each answer wipes out what has been sent since.
+/// Regression: an old report that is repeated in each response must not hide what has been sent since.
 #[test]
 fn a_repeated_report_is_not_fresh() {
     let mut host = Host::new(settings(), fleet(2));
@@ -18,20 +18,20 @@
     assert_eq!(host.place_request(UNSAFE).endpoint.0, 1, "and not for all that the report has not seen");
 }
 
-/// Regression: a kind is taken to work on one request at once until a queue shows; a fleet that never queues would
-/// look crowded for ever, and be rejected to while idle.
+/// Regression: a kind of machine is assumed to have one slot until a queue shows; a fleet that never queues would look crowded
+/// for ever, and its requests would be rejected while it is idle.
 #[test]
 fn work_without_a_queue_shows_the_slots() {
     let mut host = Host::new(settings(), fleet(1));
     let mut rejections = 0;
-    for at in 0..300 {
-        let (job, actions) = host.request(UNSAFE);
-        if is_rejected(&actions, job) {
-            rejections += usize::from(at >= 60);
+    for index in 0..300 {
+        let (request, actions) = host.request(UNSAFE);
+        if is_rejected(&actions, request) {
+            rejections += usize::from(index >= 60);
         } else {
             let sent = host.in_flight[host.in_flight.len() - 1];
             host.now += 0.1;
-            host.end_attempt(sent, Outcome::Served, load_report(8.0 + f64::from(at % 3) / 10.0, 0.0));
+            host.end_attempt(sent, Outcome::Served, load_report(8.0 + f64::from(index % 3) / 10.0, 0.0));
         }
         host.now += 0.001;
     }
@@ -39,19 +39,21 @@
 }
 
 /// Regression: where all responses come too late, every attempt is given up before its report, and a proxy with
-/// little traffic keeps taking a overloaded zone for idle.
+/// little traffic keeps taking an overloaded zone for idle.
 #[test]
 fn attempts_without_a_response_show_a_crowded_zone() {
     let mut host = Host::new(settings(), fleet(20));
     for _ in 0..6 {
-        let (job, _) = host.request(UNSAFE);
-        let Some(sent) = host.in_flight.last().copied().filter(|sent| sent.request == job) else { continue };
+        let (request, _) = host.request(UNSAFE);
+        let Some(sent) = host.in_flight.last().copied().filter(|sent| sent.request == request) else {
+            continue;
+        };
         host.now += 0.6;
         host.end_attempt(sent, Outcome::TimedOut, LoadReport::default());
     }
     let rejections = (0..20).filter(|_| {
-        let (job, actions) = host.request(UNSAFE);
-        is_rejected(&actions, job)
+        let (request, actions) = host.request(UNSAFE);
+        is_rejected(&actions, request)
     });
     assert!(rejections.count() > 8, "servers never heard of are taken to be crowded as well");
 }
@@ -61,19 +63,19 @@
 fn one_report_of_an_idle_server_in_an_overloaded_zone_admits_little() {
     let mut host = Host::new(settings(), fleet(2));
     let sent: Vec<SentAttempt> = (0..4).map(|_| host.place_request(UNSAFE)).collect();
-    for (at, sent) in sent.iter().enumerate() {
+    for (index, sent) in sent.iter().enumerate() {
         host.now += 0.1;
-        host.end_attempt(*sent, Outcome::Served, load_report(24.0 + at as f64, 23.0));
+        host.end_attempt(*sent, Outcome::Served, load_report(24.0 + index as f64, 23.0));
     }
     end_probe(&mut host, sent[3].endpoint, 0.001, load_report(0.0, 0.0));
     let rejections = (0..20).filter(|_| {
-        let (job, actions) = request_and_take_back(&mut host);
-        is_rejected(&actions, job)
+        let (request, actions) = request_and_take_back(&mut host);
+        is_rejected(&actions, request)
     });
     assert!(rejections.count() > 8, "what the rest of the zone holds counts for more than one report");
 }
 
-/// Regression: an idle server reports the same again and again; taken for old news, it would look as full as the rest.
+/// Regression: an idle server reports the same again and again; if it counted as stale, the server would look as full as the others.
 #[test]
 fn an_idle_server_that_stays_idle_is_known_as_idle() {
     let mut host = Host::new(settings(), fleet(2));
@@ -89,7 +91,7 @@
     assert_eq!(idle.count(), 20, "a fresh report of none against the usual load of the other");
 }
 
-/// Sends until an attempt goes to that server, and leaves the others unanswered.
+/// Sends until an attempt goes to that server, and takes back the others.
 fn place_request_at(host: &mut Host, endpoint: EndpointId) -> SentAttempt {
     loop {
         let sent = host.place_request(UNSAFE);
@@ -104,15 +106,15 @@
 fn absurd_reports_break_nothing() {
     let mut host = Host::new(settings(), fleet(3));
     let absurd = [f64::NAN, f64::INFINITY, -5.0, 1e300, f64::MAX];
-    for at in 0..400 {
+    for index in 0..400 {
         let (_, actions) = host.request(SAFE);
         assert!(sent_endpoints(&actions).len() <= 1);
         host.now += 0.01;
-        let value = if at % 8 == 0 { absurd[at / 8 % 5] } else { 1.0 + (at % 7) as f64 / 10.0 };
+        let value = if index % 8 == 0 { absurd[index / 8 % 5] } else { 1.0 + (index % 7) as f64 / 10.0 };
         for sent in host.in_flight.clone() {
             host.end_attempt(sent, Outcome::Served, load_report(value, value / 2.0));
         }
-        host.now += if at % 50 == 0 { 1000.0 } else { 0.0 };
+        host.now += if index % 50 == 0 { 1000.0 } else { 0.0 };
     }
     host.now += 10.0;
     report_once(&mut host, &[load_report(3.0, 0.0), load_report(1.0, 0.0), load_report(3.1, 0.0)]);
@@ -134,13 +136,14 @@
         end_probe(&mut host, EndpointId(endpoint), 0.001, load_report(3.0, 2.0));
     }
     let taken = (0..20).filter(|_| {
-        let (job, actions) = request_and_take_back(&mut host);
-        !is_rejected(&actions, job)
+        let (request, actions) = request_and_take_back(&mut host);
+        !is_rejected(&actions, request)
     });
     assert!(taken.count() >= 18);
 }
 
-/// Regression: fresh reports believed no more than old ones leave the choice to chance; old ones believed synchronise proxies.
+/// Regression: if fresh reports counted no more than old ones, the choice would be left to chance; if old ones counted as much,
+/// all proxies would choose the same server.
 #[test]
 fn reports_that_are_renewed_often_count_more() {
     for (renewed, expected) in [(true, 3), (false, 2)] {
@@ -150,9 +153,9 @@
         let tell = |host: &mut Host, endpoint: u32, held: f64| {
             end_probe(host, EndpointId(endpoint), 0.001, load_report(held, 0.0));
         };
-        for at in 0..100 {
+        for index in 0..100 {
             host.now += 0.01;
-            let step = if renewed { f64::from(at % 2) } else { 0.0 };
+            let step = if renewed { f64::from(index % 2) } else { 0.0 };
             (0..2).for_each(|endpoint| tell(&mut host, endpoint, 2.0 + step));
         }
         host.now += 0.01;
--- a/crates/decide/tests/probing.rs
+++ b/crates/decide/tests/probing.rs
@@ -4,11 +4,11 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a proxy with little traffic never learns of most servers in time, and chooses by chance.
+/// Regression: a proxy with little traffic has no recent report of most servers, and would choose by chance.
 #[test]
 fn a_stale_pair_is_probed_and_the_less_loaded_one_gets_the_request() {
     let mut host = Host::new(settings_with_probes(0.01), fleet(9));
-    let (job, actions) = host.request(SAFE);
+    let (request, actions) = host.request(SAFE);
     let pair = probed_endpoints(&actions);
     assert!(pair.len() == 2 && pair[0] != pair[1] && sent_endpoints(&actions).is_empty(), "{actions:?}");
     assert!(
@@ -16,7 +16,7 @@
         "both are waited for"
     );
     assert_eq!(sent_endpoints(&end_probe(&mut host, pair[1], 0.001, load_report(1.0, 0.0))), [pair[1]]);
-    assert!(!is_rejected(&host.actions, job));
+    assert!(!is_rejected(&host.actions, request));
     let (_, actions) = Host::new(settings_with_probes(0.1), fleet(9)).request(SAFE);
     assert!(
         probed_endpoints(&actions).is_empty() && sent_endpoints(&actions).len() == 1,
@@ -24,22 +24,22 @@
     );
 }
 
-/// A host with servers in two zones whose reports were seen renewed within little of a mean service.
+/// A host with servers in two zones whose reports are renewed within a fraction of a mean service time.
 fn with_fresh_reports(settings: Settings) -> Host {
-    let zoned = |at: u32| ListEntry { zone: ZoneId(at as usize % 2), ..entry(at) };
+    let zoned = |index: u32| ListEntry { zone: ZoneId(index as usize % 2), ..entry(index) };
     let mut host = Host::new(settings, (0..10).map(zoned).collect());
-    for at in 0..100 {
+    for index in 0..100 {
         host.now += 0.004;
         for server in 0..10 {
-            end_probe(&mut host, EndpointId(server), 0.001, load_report(1.0 + f64::from(at % 2), 0.0));
+            end_probe(&mut host, EndpointId(server), 0.001, load_report(1.0 + f64::from(index % 2), 0.0));
         }
     }
     host.now += 2.0;
     host
 }
 
-/// Regression: at servers of one slot the lower of a pair often has a queue while another stands idle. Where a probe's answer
-/// holds, the higher one gives way to another until one is idle or enough have been asked.
+/// Regression: at servers of one slot the lower of a pair often has a queue while another stands idle. Where
+/// reports are reliable, the more loaded one gives way to another until one is idle or enough have been probed.
 #[test]
 fn the_more_loaded_of_a_crowded_pair_gives_way_where_reports_are_reliable() {
     let mut host = with_fresh_reports(settings_with_probes(0.001));
@@ -56,7 +56,7 @@
     assert!(probed_endpoints(&actions).is_empty(), "five are enough");
     assert_eq!(sent_endpoints(&actions), [pair[0]], "the lowest of all stayed in each pair");
 
-    // One that is idle ends the search, and where reports are old a pair is all that is asked.
+    // One that is idle ends the search, and where reports are old only the pair is probed.
     let mut host = with_fresh_reports(settings_with_probes(0.001));
     let pair = probed_endpoints(&host.request(SAFE).1);
     end_probe(&mut host, pair[0], 0.001, load_report(3.0, 2.0));
@@ -67,7 +67,7 @@
     assert!(actions.flat_map(|actions| probed_endpoints(&actions)).next().is_none());
 }
 
-/// Regression: a probe that never comes back keeps its request from being sent.
+/// Regression: a probe that never ends must not keep its request from being sent.
 #[test]
 fn a_request_waits_for_probes_for_a_fraction_of_its_latency_target() {
     let mut host = Host::new(settings_with_probes(0.01), fleet(9));
@@ -76,27 +76,27 @@
     assert_eq!(sent_endpoints(&host.advance(0.05)).len(), 1);
 }
 
-/// Regression: a request with a few milliseconds left waits for probes past its own end, and is never answered.
+/// Regression: a request with a few milliseconds left must not wait for probes past its own end.
 #[test]
 fn a_request_with_hardly_any_time_left_does_not_wait_for_probes() {
     for ticks in 1..8 {
         let mut host = Host::new(settings_with_probes(0.01), fleet(9));
         let left = f64::from(ticks) * 0.005 + 0.001;
         let end = host.now + left;
-        let (job, _) = host.request_as(SAFE, None, left);
+        let (request, _) = host.request_as(SAFE, None, left);
         while host.now < end {
             host.advance(0.005);
         }
-        let sent = host.in_flight.iter().any(|sent| sent.request == job && sent.sent_at < end);
-        assert!(sent || is_rejected(&host.actions, job), "{ticks} ticks: neither sent nor answered");
+        let sent = host.in_flight.iter().any(|sent| sent.request == request && sent.sent_at < end);
+        assert!(sent || is_rejected(&host.actions, request), "{ticks} ticks: neither sent nor answered");
         assert!(
-            is_rejected(&host.actions, job) || has_failed(&host.actions, job),
+            is_rejected(&host.actions, request) || has_failed(&host.actions, request),
             "{ticks} ticks: no answer"
         );
     }
 }
 
-/// Regression: where probes wait like requests, they displace what they are sent for.
+/// Regression: where probes queue like requests, they displace the requests that they are sent for.
 #[test]
 fn probes_pause_when_one_is_slow() {
     let mut host = Host::new(settings_with_probes(0.01), fleet(9));
@@ -109,8 +109,8 @@
     assert_eq!(probed_endpoints(&host.request(SAFE).1).len(), 2, "and tried again");
 }
 
-/// Regression: a quiet proxy that keeps to a few servers finds all of them crowded while others stand idle. Where probes tell
-/// what holds, any server can be in the pair.
+/// Regression: a proxy with little traffic that keeps to a few servers finds all of them crowded while others are idle. Where
+/// reports are reliable, any server can be in the pair.
 #[test]
 fn where_reports_are_reliable_a_proxy_with_little_traffic_probes_any_server() {
     let mut host = with_fresh_reports(settings_with_probes(0.001));
--- a/crates/decide/tests/request_bodies.rs
+++ b/crates/decide/tests/request_bodies.rs
@@ -4,38 +4,38 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// A request whose body takes its time: it is sent on at once, and its time counts from the last byte.
+/// A request whose body arrives slowly: it is forwarded at once, and its time counts from the last byte.
 #[test]
 fn a_body_that_still_arrives_uses_up_no_time() {
     let mut host = Host::new(settings(), fleet(3));
     host.place_request(UNSAFE);
-    let job = RequestId(1000);
-    let request = Request { id: job, time_left: 2.0, class: UNSAFE, tenant: None };
+    let id = RequestId(1000);
+    let request = Request { id, time_left: 2.0, class: UNSAFE, tenant: None };
     let actions = host.handle(Event::HeadReceived(request));
     assert_eq!(sent_endpoints(&actions).len(), 1, "{actions:?}");
     let sent = *host.in_flight.last().expect("an attempt");
     let actions = host.advance(30.0);
-    assert!(!is_rejected(&actions, job) && !has_failed(&actions, job), "{actions:?}");
-    let actions = host.handle(Event::BodyReceived { request: job, time_left: 2.0 });
+    assert!(!is_rejected(&actions, id) && !has_failed(&actions, id), "{actions:?}");
+    let actions = host.handle(Event::BodyReceived { request: id, time_left: 2.0 });
     assert!(actions.iter().all(|action| matches!(action, Action::SetTimer { .. })), "{actions:?}");
     let actions = host.advance(0.1);
-    assert!(!has_failed(&actions, job));
+    assert!(!has_failed(&actions, id));
     let actions = host.advance(3.0);
-    assert!(has_failed(&actions, job), "from then on it has its time like any other: {actions:?}");
+    assert!(has_failed(&actions, id), "from then on it has its time like any other: {actions:?}");
     host.end_attempt(sent, Outcome::Cancelled, LoadReport::default());
 }
 
-/// Regression: a body whose start has been passed on can't be sent again. That it was not sent ends it, harmlessly.
+/// Regression: a body whose start has been forwarded can't be sent again. An outcome of not sent ends the request, harmlessly.
 #[test]
 fn a_request_with_an_incomplete_body_never_ran() {
     let mut host = Host::new(settings(), fleet(3));
-    let job = RequestId(1000);
-    host.handle(Event::HeadReceived(Request { id: job, time_left: 2.0, class: UNSAFE, tenant: None }));
+    let id = RequestId(1000);
+    host.handle(Event::HeadReceived(Request { id, time_left: 2.0, class: UNSAFE, tenant: None }));
     let sent = *host.in_flight.last().expect("an attempt");
     host.advance(0.1);
     let actions = host.end_attempt(sent, Outcome::ConnectFailed, LoadReport::default());
     assert_eq!(sent_endpoints(&actions).len(), 1, "another server is tried: {actions:?}");
     let again = *host.in_flight.last().expect("an attempt");
     let actions = host.end_attempt(again, Outcome::NotSent, LoadReport::default());
-    assert!(is_rejected(&actions, job), "{actions:?}");
+    assert!(is_rejected(&actions, id), "{actions:?}");
 }
--- a/crates/decide/tests/restricted_classes.rs
+++ b/crates/decide/tests/restricted_classes.rs
@@ -4,7 +4,7 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// A fleet of twelve whose last four are of the kind that `UNSAFE` is bound to.
+/// A fleet of twelve whose last four are of the kind that `UNSAFE` is restricted to.
 fn with_bound_class() -> Host {
     let mut all = settings();
     all.machine_kinds = 2;
@@ -14,16 +14,16 @@
     Host::new(all, fleet(12).into_iter().map(kind).collect())
 }
 
-/// Regression: work that may go anywhere displaces what is bound to a few servers.
+/// Regression: work that may run anywhere displaces what is restricted to a few servers.
 #[test]
 fn unrestricted_work_leaves_reserved_servers_their_share() {
     for bound in [0, 6] {
         let mut host = with_bound_class();
         let mut there = 0;
-        for at in 0..400 {
-            let class = if at % 10 < bound { UNSAFE } else { SAFE };
+        for index in 0..400 {
+            let class = if index % 10 < bound { UNSAFE } else { SAFE };
             let sent = host.place_request(class);
-            there += usize::from(class == SAFE && at >= 200 && sent.endpoint.0 >= 8);
+            there += usize::from(class == SAFE && index >= 200 && sent.endpoint.0 >= 8);
             host.now += 0.01;
             host.serve(sent);
         }
@@ -47,11 +47,67 @@
     host.now += 5.0;
     let rejections = |host: &mut Host, class: ClassId| {
         let refused_here = (0..40).filter(|_| {
-            let (job, actions) = request_as_and_take_back(host, class);
-            is_rejected(&actions, job)
+            let (request, actions) = request_as_and_take_back(host, class);
+            is_rejected(&actions, request)
         });
         refused_here.count()
     };
     let (bound, other) = (rejections(&mut host, UNSAFE), rejections(&mut host, SAFE));
     assert!(bound >= 30 && other <= 5, "{bound} and {other} of 40 rejected");
 }
+
+/// Sends a restricted request to one of two permitted servers of six and ends its attempts until none follows.
+fn restricted(outcome: Outcome, bind: impl Fn(&mut Class)) -> Vec<EndpointId> {
+    let mut all = settings();
+    bind(&mut all.classes[SAFE.0]);
+    let servers = fleet(6).into_iter().map(|entry| {
+        let apart = usize::from(entry.endpoint.0 >= 2);
+        ListEntry { kind: MachineKindId(apart), zone: ZoneId(apart), ..entry }
+    });
+    let mut host = Host::new(all, servers.collect());
+    let mut sent = Vec::new();
+    for _ in 0..40 {
+        host.request(SAFE);
+        host.advance(0.3);
+        while let Some(attempt) = host.in_flight.first().copied() {
+            sent.push(attempt.endpoint);
+            host.end_attempt(attempt, outcome, load_report(50.0, 40.0));
+        }
+    }
+    sent
+}
+
+/// Regression: a class that is restricted to some machines or zones runs elsewhere when those are down, full or failing.
+#[test]
+fn a_restricted_class_runs_only_on_its_servers() {
+    for outcome in
+        [Outcome::Served, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Errored, Outcome::TimedOut]
+    {
+        let by_kind = restricted(outcome, |class| class.machine_kinds = Some(vec![MachineKindId(0)]));
+        let by_zone = restricted(outcome, |class| class.zones = Some(vec![ZoneId(0)]));
+        for sent in [by_kind, by_zone] {
+            assert!(!sent.is_empty(), "{outcome:?}");
+            assert!(sent.iter().all(|endpoint| endpoint.0 < 2), "{outcome:?}: {sent:?}");
+        }
+        let both = |class: &mut Class| {
+            class.machine_kinds = Some(vec![MachineKindId(0)]);
+            class.zones = Some(vec![ZoneId(1)]);
+        };
+        assert!(restricted(outcome, both).is_empty(), "no server is of that kind in that zone");
+    }
+}
+
+#[test]
+fn a_restricted_class_follows_the_list_and_is_rejected_while_no_server_may_run_it() {
+    let mut all = settings();
+    all.classes[SAFE.0].machine_kinds = Some(vec![MachineKindId(3)]);
+    let mut host = Host::new(all, fleet(3));
+    let (request, actions) = host.request(SAFE);
+    assert!(sent_endpoints(&actions).is_empty());
+    assert!(is_rejected(&host.advance(2.1), request));
+    host.update_entry(ListEntry { kind: MachineKindId(3), ..entry(1) });
+    assert_eq!(host.place_request(SAFE).endpoint, EndpointId(1));
+    host.update_entry(entry(1));
+    let (request, actions) = host.request(SAFE);
+    assert!(sent_endpoints(&actions).is_empty() && is_rejected(&host.advance(2.1), request));
+}
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -46,7 +46,7 @@
     assert!(sent_endpoints(&host.advance(1.5)).is_empty());
 }
 
-/// Regression: a hedged attempt of what waits in a queue lengthens another; with a few of them the whole fleet is overloaded.
+/// Regression: a hedged attempt for a queued request lengthens another queue; a few of them overload the whole fleet.
 #[test]
 fn no_hedging_past_a_server_that_responds() {
     let mut host = Host::new(settings(), fleet(4));
@@ -72,17 +72,17 @@
     assert!(sent_endpoints(&host.advance(1.0)).is_empty());
 }
 
-/// Regression: hedged attempts thought of but not sent would use up the retry budget just where servers are crowded.
+/// Regression: hedged attempts that are considered but not sent would use up the retry budget just where servers are crowded.
 #[test]
 fn a_hedged_attempt_that_is_not_sent_spends_no_budget() {
     let mut host = Host::new(settings(), fleet(2));
     report_once(&mut host, &[load_report(2.0, 1.0), load_report(2.2, 1.2)]);
     let mut copies = 0;
-    for at in 0..400 {
+    for index in 0..400 {
         let sent = host.place_request(SAFE);
         // Most are answered at once; every third is slow, so that a hedged attempt is thought of.
-        copies += sent_endpoints(&host.advance(if at % 3 == 0 { 0.3 } else { 0.01 })).len();
-        host.end_attempt(sent, Outcome::Served, load_report(2.0 + f64::from(at % 50) / 100.0, 1.0));
+        copies += sent_endpoints(&host.advance(if index % 3 == 0 { 0.3 } else { 0.01 })).len();
+        host.end_attempt(sent, Outcome::Served, load_report(2.0 + f64::from(index % 50) / 100.0, 1.0));
     }
     let sent = host.place_request(SAFE);
     host.now += 0.001;
--- a/crates/decide/tests/server_selection.rs
+++ b/crates/decide/tests/server_selection.rs
@@ -52,7 +52,7 @@
     assert_eq!(host.place_request(UNSAFE).endpoint, EndpointId(0));
 }
 
-/// Regression: equal counts overload the smaller server.
+/// Regression: equal counts would overload the smaller server.
 #[test]
 fn load_is_divided_by_the_registered_size() {
     let servers = vec![ListEntry { weight: 3.0, ..entry(0) }, entry(1)];
@@ -71,7 +71,7 @@
         .collect()
 }
 
-/// Regression: where the pair is drawn at home first, the proxies of a crowded zone overload its servers while others idle.
+/// Regression: where the pair is drawn from the own zone first, the proxies of a crowded zone overload its servers while others idle.
 #[test]
 fn the_pair_is_drawn_from_all_zones() {
     let mut host = Host::new(settings(), two_zones());
--- a/crates/decide/tests/settings.rs
+++ b/crates/decide/tests/settings.rs
@@ -19,7 +19,7 @@
     assert_eq!(Balancer::new(all, 1).expect_err("no window").name, "rules.fall");
 }
 
-/// Other settings bind the requests that come after them; those that are pending keep theirs.
+/// Other settings hold for the requests that arrive after them; pending ones keep theirs.
 #[test]
 fn pending_requests_keep_the_settings_that_they_arrived_under() {
     let mut host = Host::new(settings(), fleet(4));
@@ -37,7 +37,7 @@
     assert_eq!(sent_endpoints(&actions).len(), 1, "it came with three: {actions:?}");
 }
 
-/// Regression: half of other settings in force is worse than none.
+/// Regression: settings must not be applied in part.
 #[test]
 fn invalid_settings_change_nothing() {
     let mut host = Host::new(settings(), fleet(2));
