--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -33,14 +33,6 @@
 /// The pause between these attempts.
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// `bounds.retry_window_s` where the settings have none, in seconds.
-const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
-/// `bounds.retry_budget_ratio` where the settings have none.
-const DEFAULT_RETRY_RATIO: f64 = 0.2;
-/// `bounds.retry_extra` where the settings have none.
-const DEFAULT_EXTRA_RETRIES: f64 = 20.0;
-const MILLIS_PER_SECOND: f64 = 1000.0;
-
 /// Serves clients until the process is signalled to shut down.
 ///
 /// # Errors
@@ -164,11 +156,10 @@
 
 /// The weights of the routing decisions, with the deployment's retry budget.
 fn routing_weights(settings: &Settings) -> RoutingWeights {
-    let window_seconds = settings.bound("retry_window_s", DEFAULT_RETRY_WINDOW_SECONDS);
     RoutingWeights::new(RetryBudgetLimits {
-        retry_ratio: settings.bound("retry_budget_ratio", DEFAULT_RETRY_RATIO),
-        extra_retries: settings.bound("retry_extra", DEFAULT_EXTRA_RETRIES),
-        window: Duration::from_millis((window_seconds * MILLIS_PER_SECOND) as u64),
+        retry_ratio: settings.retry_budget_ratio(),
+        extra_retries: settings.extra_retries(),
+        window: settings.retry_window(),
     })
 }
 
--- a/crates/programs/src/settings.rs
+++ b/crates/programs/src/settings.rs
@@ -24,6 +24,12 @@
 const MAX_SYNC_SECONDS: f64 = 3_600.0;
 /// `bounds.lease_ms` where the file names none, in milliseconds.
 const DEFAULT_LEASE_MILLIS: f64 = 3000.0;
+/// `bounds.retry_budget_ratio` where the file names none.
+const DEFAULT_RETRY_BUDGET_RATIO: f64 = 0.2;
+/// `bounds.retry_extra` where the file names none.
+const DEFAULT_EXTRA_RETRIES: f64 = 20.0;
+/// `bounds.retry_window_s` where the file names none, in seconds.
+const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// The settings of a process, as docs/operators/fleet.md lists them.
@@ -120,6 +126,22 @@
         Duration::from_millis(self.bound("lease_ms", DEFAULT_LEASE_MILLIS) as u64)
     }
 
+    /// `bounds.retry_budget_ratio`: retries for each request, all proxies together.
+    pub fn retry_budget_ratio(&self) -> f64 {
+        self.bound("retry_budget_ratio", DEFAULT_RETRY_BUDGET_RATIO)
+    }
+
+    /// `bounds.retry_extra`: retries in each window beyond that ratio.
+    pub fn extra_retries(&self) -> f64 {
+        self.bound("retry_extra", DEFAULT_EXTRA_RETRIES)
+    }
+
+    /// `bounds.retry_window_s`: the window in which retries are counted.
+    pub fn retry_window(&self) -> Duration {
+        let seconds = self.bound("retry_window_s", DEFAULT_RETRY_WINDOW_SECONDS);
+        Duration::from_millis((seconds * MILLIS_PER_SECOND) as u64)
+    }
+
     /// The address for traffic of other processes of the fleet, TCP and UDP.
     pub fn internal_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip_address, self.internal_ports.0)
--- a/crates/programs/tests/settings.rs
+++ b/crates/programs/tests/settings.rs
@@ -84,6 +84,17 @@
     assert_eq!(spans("bounds.lease_ms=1e300\n").2, Duration::from_millis(u64::MAX));
 }
 
+#[test]
+fn the_retry_budget_has_defaults() {
+    let budget = |more: &str| {
+        let settings = Settings::parse(format!("{MINIMAL}{more}").as_bytes()).expect("valid");
+        (settings.retry_budget_ratio(), settings.extra_retries(), settings.retry_window())
+    };
+    assert_eq!(budget(""), (0.2, 20.0, Duration::from_secs(10)));
+    let more = "bounds.retry_budget_ratio=0.1\nbounds.retry_extra=5\nbounds.retry_window_s=2.5\n";
+    assert_eq!(budget(more), (0.1, 5.0, Duration::from_millis(2500)));
+}
+
 #[test]
 fn a_missing_field_is_named() {
     for key in ["node_name", "zone", "ip_address", "internal_port_range"] {
