--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -13,9 +13,9 @@
 /// The base is indexed by blocks of so many bytes; shorter common ranges inside of a change aren't found.
 const BLOCK_BYTES: usize = 64;
 /// A delta inserts so many bytes at most: with more, the whole body goes as well.
-const MOST_INSERTED: usize = 256 << 10;
-/// A delta that is longer than this share of its target does not pay.
-const LARGEST_SHARE: usize = 2;
+const MAX_INSERTED_BYTES: usize = 256 << 10;
+/// A delta that is not this many times shorter than its target does not pay.
+const MIN_COMPRESSION_FACTOR: usize = 2;
 /// Slices of this length are compared at once where two bodies begin or end alike.
 const COMPARE_BYTES: usize = 256;
 /// The multiplier of the rolling hash.
@@ -26,7 +26,7 @@
 /// What makes one body of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct BodyDelta {
-    /// The length of the result, then the instructions; all numbers in groups of seven bits.
+    /// The length of the result, then the instructions; all numbers as in LEB128, seven bits to a byte.
     #[cbor(n(0), encode_with = "encode_body", decode_with = "decode_body")]
     instructions: Arc<[u8]>,
 }
@@ -44,30 +44,31 @@
         let target_middle = target_rest.get(..target_rest.len() - suffix)?;
         let mut writer = Writer::new(target.len());
         writer.copy(0, prefix);
-        differ(&mut writer, base_middle, target_middle, prefix)?;
+        write_difference(&mut writer, base_middle, target_middle, prefix)?;
         writer.copy(base.len() - suffix, suffix);
-        (writer.instructions.len() <= target.len() / LARGEST_SHARE)
+        (writer.instructions.len() <= target.len() / MIN_COMPRESSION_FACTOR)
             .then(|| BodyDelta { instructions: writer.instructions.into() })
     }
 
     /// The target, if the instructions fit the base.
     pub fn apply(&self, base: &[u8]) -> Option<Vec<u8>> {
         let mut reader = Reader { rest: &self.instructions };
-        let length = usize::try_from(reader.number()?).ok().filter(|length| *length <= MAX_BODY_BYTES)?;
+        let length =
+            usize::try_from(reader.read_number()?).ok().filter(|length| *length <= MAX_BODY_BYTES)?;
         let mut target = Vec::with_capacity(length);
         while !reader.rest.is_empty() {
-            let instruction = reader.number()?;
+            let instruction = reader.read_number()?;
             let count = usize::try_from(instruction >> 1).ok()?;
             if count == 0 || count > length - target.len() {
                 return None;
             }
-            let piece = if instruction & INSERT_BIT != 0 {
-                reader.bytes(count)?
+            let range = if instruction & INSERT_BIT != 0 {
+                reader.read_bytes(count)?
             } else {
-                let start = usize::try_from(reader.number()?).ok()?;
+                let start = usize::try_from(reader.read_number()?).ok()?;
                 base.get(start..start.checked_add(count)?)?
             };
-            target.extend_from_slice(piece);
+            target.extend_from_slice(range);
         }
         (target.len() == length).then_some(target)
     }
@@ -98,7 +99,7 @@
 }
 
 /// Writes what makes `target` of `base`, which starts at `base_start` of the whole base; none if too much is new.
-fn differ(writer: &mut Writer, base: &[u8], target: &[u8], base_start: usize) -> Option<()> {
+fn write_difference(writer: &mut Writer, base: &[u8], target: &[u8], base_start: usize) -> Option<()> {
     let index = BlockIndex::new(base);
     let mut position = 0;
     // What was not found in the base starts here.
@@ -107,7 +108,7 @@
     while let Some(rolling) = hash {
         let rest = target.get(position..).unwrap_or_default();
         let Some(start) = index.find(base, rolling.value, rest) else {
-            if position - unmatched > writer.may_insert() {
+            if position - unmatched > writer.insertable_bytes() {
                 return None;
             }
             let entering = rest.get(BLOCK_BYTES);
@@ -125,7 +126,7 @@
         hash = target.get(position..position + BLOCK_BYTES).map(RollingHash::of);
     }
     let rest = target.get(unmatched..).unwrap_or_default();
-    (rest.len() <= writer.may_insert()).then(|| writer.insert(rest))
+    (rest.len() <= writer.insertable_bytes()).then(|| writer.insert(rest))
 }
 
 /// A hash of the last [`BLOCK_BYTES`] bytes.
@@ -181,19 +182,21 @@
     }
 }
 
+/// Writes the instructions of a delta.
 struct Writer {
     instructions: Vec<u8>,
+    /// The sum of all insertions, at most [`MAX_INSERTED_BYTES`].
     inserted: usize,
 }
 
 impl Writer {
     fn new(target_length: usize) -> Writer {
         let mut writer = Writer { instructions: Vec::new(), inserted: 0 };
-        writer.number(target_length as u64);
+        writer.write_number(target_length as u64);
         writer
     }
 
-    fn number(&mut self, mut number: u64) {
+    fn write_number(&mut self, mut number: u64) {
         while number > 0x7f {
             self.instructions.push(number as u8 | 0x80);
             number >>= 7;
@@ -201,32 +204,33 @@
         self.instructions.push(number as u8);
     }
 
-    fn may_insert(&self) -> usize {
-        MOST_INSERTED.saturating_sub(self.inserted)
+    fn insertable_bytes(&self) -> usize {
+        MAX_INSERTED_BYTES.saturating_sub(self.inserted)
     }
 
     fn copy(&mut self, start: usize, length: usize) {
         if length > 0 {
-            self.number((length as u64) << 1);
-            self.number(start as u64);
+            self.write_number((length as u64) << 1);
+            self.write_number(start as u64);
         }
     }
 
     fn insert(&mut self, bytes: &[u8]) {
         if !bytes.is_empty() {
             self.inserted += bytes.len();
-            self.number((bytes.len() as u64) << 1 | INSERT_BIT);
+            self.write_number((bytes.len() as u64) << 1 | INSERT_BIT);
             self.instructions.extend_from_slice(bytes);
         }
     }
 }
 
+/// Reads the instructions of a delta.
 struct Reader<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Reader<'a> {
-    fn number(&mut self) -> Option<u64> {
+    fn read_number(&mut self) -> Option<u64> {
         let mut number = 0_u64;
         for shift in (0..u64::BITS).step_by(7) {
             let (first, rest) = self.rest.split_first()?;
@@ -244,7 +248,7 @@
         None
     }
 
-    fn bytes(&mut self, count: usize) -> Option<&'a [u8]> {
+    fn read_bytes(&mut self, count: usize) -> Option<&'a [u8]> {
         let (bytes, rest) = self.rest.split_at_checked(count)?;
         self.rest = rest;
         Some(bytes)
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,3 +1,5 @@
+//! What a host hands to a node, and what the node asks of it.
+
 use core::net::SocketAddrV4;
 
 use crate::control_state::{ControlState, RequestDigest};
@@ -7,28 +9,28 @@
 /// What happens to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// Time has passed; wanted every 50 ms or so.
+    /// Time has passed; expected about every 50 ms.
     Tick,
-    /// A message came in.
+    /// A message has arrived.
     Message {
         /// Who sent it.
         from: Member,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// A write is synced.
     Written {
-        /// Which one.
+        /// The number of the write.
         token: u64,
     },
-    /// A write was refused. It may be on disk or not.
+    /// A write has failed. It may be on disk or not.
     WriteFailed {
-        /// Which one.
+        /// The number of the write.
         token: u64,
     },
-    /// An operator's call, valid by what the host knows.
+    /// An operator's change, valid as far as the host knows.
     Change {
-        /// The number of the ask, unique within the node's life.
+        /// The number of the request, unique within the life of the node.
         request_id: u64,
         /// The revision that it builds on.
         base_revision: u64,
@@ -36,52 +38,52 @@
         revision: u64,
         /// The new body, whole.
         body: Vec<u8>,
-        /// The digest of the call.
+        /// The digest of the request.
         digest: RequestDigest,
     },
     /// Requests the newest committed state.
     Read {
-        /// The number of the ask, unique within the node's life.
+        /// The number of the request, unique within the life of the node.
         request_id: u64,
     },
-    /// The process is about to end.
+    /// The process is to shut down, once [`crate::Node::may_shut_down`].
     ShutDown,
     /// The seeds have changed.
     Seeds(Vec<SocketAddrV4>),
 }
 
-/// What a node wants done, in this order.
+/// What the host is to do; the outputs of a step are carried out in their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// The internal address of the receiver.
         to: SocketAddrV4,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Append a record to the log and sync it. Writes and rewrites are done and answered in order.
+    /// Append a record to the log and sync it. Writes and rewrites are carried out and confirmed in order.
     Write {
         /// The number of the write.
         token: u64,
         /// The record.
         record: Vec<u8>,
     },
-    /// Replace the whole log by this record, or leave it as it is and say that it failed.
+    /// Replace the whole log by this record, or leave it as it is and report a failure.
     Rewrite {
         /// The number of the write.
         token: u64,
         /// The record.
         record: Vec<u8>,
     },
-    /// Answer an ask; each is answered once.
+    /// Answer a client's request; each is answered exactly once.
     Reply {
-        /// Which one.
+        /// The number of the request.
         request_id: u64,
-        /// How.
+        /// The reply.
         reply: ClientReply,
     },
-    /// A newer state is committed; revisions rise.
+    /// A newer state is committed; revisions rise from one output to the next.
     Committed {
         /// The state.
         state: ControlState,
@@ -90,14 +92,14 @@
     BecamePrimary {
         /// Its term.
         term: Term,
-        /// Whether it was primary just before, and nobody between: its duties need no pause.
+        /// Whether it was primary just before and nobody was in between: its singleton roles need no pause.
         continued: bool,
     },
-    /// This node is primary no more.
+    /// This node is no primary any more.
     SteppedDown,
 }
 
-/// The answer to an ask.
+/// The reply to a client's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClientReply {
     /// The change is committed.
@@ -105,21 +107,21 @@
         /// Its revision.
         revision: u64,
     },
-    /// The change builds on another revision than the current one, and never will be taken.
+    /// The change builds on another revision than the current one, and will never be applied.
     Stale {
         /// The current revision.
         current_revision: u64,
     },
-    /// The change can't be told from one that was taken long ago: no clear answer.
+    /// The change can't be told from one that was applied long ago: no clear answer.
     Expired,
-    /// Another node is to be asked; nothing was done.
+    /// Another node is primary; nothing was done.
     NotPrimary {
         /// The primary's internal address, if known.
         primary: Option<SocketAddrV4>,
     },
-    /// The body is longer than [`crate::MAX_BODY_BYTES`]; the change was not taken and never will be.
+    /// The body is longer than [`crate::MAX_BODY_BYTES`]; the change was not applied and never will be.
     TooLarge,
-    /// No answer in time: the change may be taken or not.
+    /// No answer in time: the change may be applied or not.
     Unavailable,
     /// The newest committed state.
     CurrentState {
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -7,37 +7,37 @@
 pub enum InjectedFault {
     /// A change is acknowledged when it is on the primary's disk.
     CommitAlone,
-    /// Promises, states and records are answered before they are synced.
+    /// Promises, states and configurations are answered before they are synced.
     RespondUnsynced,
     /// A backup takes writes of a term below its promise.
     ForgetPromise,
-    /// A take-over takes the highest revision, whatever its stamp.
+    /// A take-over takes the highest revision, whatever its write term.
     NewestByRevision,
     /// A primary answers reads without a majority's word.
     ReadUnconfirmed,
     /// A primary answers that a base is stale without a majority's word.
     StaleUnconfirmed,
-    /// A backup shows what it has written.
+    /// A backup publishes what it has written.
     PublishUncommitted,
-    /// The calls that were taken aren't remembered.
+    /// Applied requests are not remembered.
     ForgetAppliedRequests,
     /// Client requests are answered when their callers have long gone elsewhere.
     ReplyLate,
-    /// A call that can't be told from a forgotten one is refused.
+    /// A request that can't be told from an expired one is rejected.
     RejectExpired,
-    /// What is shown may go back.
+    /// The published revision may go back.
     PublishOlderState,
-    /// A follower is in touch from the moment at which any heartbeat arrives.
+    /// A follower claims contact from the moment at which any heartbeat arrives.
     ContactByArrival,
-    /// A follower is in touch before it shows what the primary has committed.
+    /// A follower claims contact before it publishes what the primary has committed.
     ContactWithoutState,
-    /// A follower that hears its primary would promise another one.
+    /// A follower that trusts its primary grants pre-votes.
     AlwaysWilling,
     /// A take-over that was frozen goes on with the answers that came meanwhile.
     LateTakeOver,
     /// A follower takes stamps of other runs of its process for its own.
     ContactOfOtherIncarnations,
-    /// A primary without contact to a majority goes on telling that it lives.
+    /// A primary without contact to a majority goes on sending heartbeats.
     NoLease,
     /// Only the new members decide on a change of members.
     NewMembersOnly,
@@ -45,36 +45,36 @@
     AnyBootstrapVoter,
     /// A term is used before it is on the own disk.
     TermUnsynced,
-    /// A primary keeps its place when its disk stalls.
+    /// A primary keeps its role when its disk stalls.
     KeepStalledPrimary,
-    /// A backup keeps its place when its disk stalls.
+    /// A backup keeps its role when its disk stalls.
     KeepStalledBackup,
     /// Members are never replaced.
     KeepMembers,
     /// Client requests are forgotten when the primary steps down.
     DropClientRequests,
-    /// A node with a full disk says that it is fit.
+    /// A node with a full disk says that it is healthy.
     AlwaysHealthy,
-    /// The state is not stamped before the record is proposed.
+    /// The state is not rewritten under the new term before the configuration is proposed.
     SkipRewriteUnderNewTerm,
     /// Every change sends and writes the whole state, and every state goes in one message.
     WholeStates,
-    /// A step of a take-over ends though a state that it waits for is on its way.
+    /// A phase of a take-over ends though a state that it waits for is being transferred.
     IgnoreTransferProgress,
-    /// A change is applied to whatever state is there.
+    /// A delta is applied to whatever state is there.
     ApplyDeltaToAnyState,
-    /// A change is written though the state before it may not stand before it in the log.
+    /// A delta is written though the state before it may not stand before it in the log.
     WriteDeltaOnUncertainState,
-    /// A member that stops just ends.
+    /// A member that shuts down does not wait to be let go.
     ShutDownAtOnce,
-    /// A member that has told that it stops keeps its place until it was silent for long.
+    /// A departing member keeps its place until it was silent for long.
     KeepDepartingMembers,
-    /// A silent member keeps its place for as long as the usual spans say, whatever the platform's are.
+    /// A silent member keeps its place for as long as the usual timings say, whatever the join deadline is.
     SlowReplacement,
-    /// The silence of a primary that is gone counts from the take-over.
+    /// The silence of a lost primary counts from the take-over.
     ForgetSilenceOfMembers,
     /// Newcomers get places one after the other, each by a take-over.
     OneNewcomerAtATime,
-    /// A disk that was wiped counts as a newcomer while its last word is fresh.
+    /// A disk that was wiped counts as a newcomer while its last message is recent.
     StaleNewcomer,
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,3 +1,5 @@
+//! The messages of nodes to each other.
+
 use minicbor::{Decode, Encode};
 
 use crate::control_state::{ControlState, StateVersion};
@@ -8,33 +10,36 @@
 use crate::state_delta::StateDelta;
 use crate::term::Term;
 
-/// What nodes tell each other, one way; any of it may be lost, late, doubled or out of order.
+/// A one-way message of one node to another. Any may be lost, delayed, duplicated or reordered.
+///
+/// The indices of variants and fields are the encoding; old and new processes meet during an update.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// Would you promise? Asked before a term is raised, so that a lone node disturbs nobody.
+    /// Asks whether the receiver would promise a term. Sent before a term is raised, so that an isolated node disturbs nobody
+    /// (Ongaro, "Consensus: Bridging Theory and Practice", 9.6).
     #[n(0)]
     PreVote,
     /// The answer to a [`Message::PreVote`].
     #[n(1)]
     PreVoteResponse {
-        /// Whether the sender misses a primary too.
+        /// Whether the sender suspects the primary, too, and would promise a term.
         #[n(0)]
         granted: bool,
         /// Whether the sender is a bootstrap voter.
         #[n(1)]
         is_bootstrap_voter: bool,
-        /// The highest record that the sender has seen.
+        /// The highest configuration that the sender has seen.
         #[n(2)]
         config: Option<EpochConfig>,
     },
-    /// Requests the promise to take nothing of a lower term.
+    /// Requests the promise to accept nothing of a lower term.
     #[n(2)]
     Prepare {
         /// The term.
         #[n(0)]
         term: Term,
     },
-    /// The promise, on disk.
+    /// The promise; it is durable.
     #[n(3)]
     Promise {
         /// The term.
@@ -46,17 +51,17 @@
         /// Whether the sender's disk takes writes.
         #[n(2)]
         is_healthy: bool,
-        /// The highest record that the sender has seen.
+        /// The highest configuration that the sender has seen.
         #[n(3)]
         config: Option<EpochConfig>,
         /// The state on the sender's disk.
         #[n(4)]
         version: Option<StateVersion>,
     },
-    /// A higher term was promised.
+    /// A higher term was promised before.
     #[n(4)]
     Reject {
-        /// The term that is refused.
+        /// The term that is rejected.
         #[n(0)]
         term: Term,
         /// The term that was promised.
@@ -69,7 +74,7 @@
         /// The term of the take-over.
         #[n(0)]
         term: Term,
-        /// The state as the holder told it.
+        /// The version that the holder has reported.
         #[n(1)]
         version: StateVersion,
     },
@@ -83,7 +88,7 @@
         #[n(1)]
         state: ControlState,
     },
-    /// A state to be written; its term is the sender's.
+    /// A state to be written; its `write_term` is the sender's term.
     #[n(7)]
     ReplicateState {
         /// The state.
@@ -93,32 +98,32 @@
     /// A state to be written whose body the backup has.
     #[n(8)]
     RewriteUnderNewTerm {
-        /// The state; its stamp is the sender's term.
+        /// The state; its `write_term` is the sender's term.
         #[n(0)]
         version: StateVersion,
     },
-    /// The state is on disk.
+    /// The state is durable at the sender.
     #[n(9)]
     Replicated {
         /// The state.
         #[n(0)]
         version: StateVersion,
     },
-    /// The body is not there: it has to come whole.
+    /// The sender has not the body that the message refers to: it needs the whole state.
     #[n(10)]
     MissingBody {
         /// The state.
         #[n(0)]
         version: StateVersion,
     },
-    /// A record to be accepted.
+    /// A configuration to be accepted.
     #[n(11)]
     Accept {
-        /// The record.
+        /// The configuration.
         #[n(0)]
         config: EpochConfig,
     },
-    /// The record is accepted, on disk.
+    /// The configuration is accepted; it is durable.
     #[n(12)]
     Accepted {
         /// Its term.
@@ -128,19 +133,19 @@
         #[n(1)]
         is_bootstrap_voter: bool,
     },
-    /// The primary lives, and is in touch with a majority.
+    /// The primary is alive and holds its lease.
     #[n(13)]
     Heartbeat {
         /// The primary's term.
         #[n(0)]
         term: Term,
-        /// The number of this heartbeat.
+        /// The sequence number of this heartbeat, within the term.
         #[n(1)]
         sequence: u64,
         /// The committed state.
         #[n(2)]
         committed: StateVersion,
-        /// The record, for those that lack it.
+        /// The configuration, for those that have not seen it.
         #[n(3)]
         config: Option<EpochConfig>,
         /// The newest stamp that the receiver has sent to this primary.
@@ -153,16 +158,16 @@
         /// The primary's term.
         #[n(0)]
         term: Term,
-        /// The number of the heartbeat.
+        /// The sequence number of the heartbeat.
         #[n(1)]
         sequence: u64,
-        /// What the sender has promised.
+        /// The highest term that the sender has promised.
         #[n(2)]
         promised: Term,
-        /// The record that the sender has accepted, by its term.
+        /// The term of the configuration that the sender has accepted.
         #[n(3)]
         accepted_term: Term,
-        /// The record that the sender has seen, by its term.
+        /// The term of the highest configuration that the sender has seen.
         #[n(4)]
         known_term: Term,
         /// The revision that the sender knows to be committed.
@@ -171,7 +176,7 @@
         /// Whether the sender's disk takes writes.
         #[n(6)]
         is_healthy: bool,
-        /// When the sender answers, by its own clock; it wants this back.
+        /// When the sender answers, by its own clock; to be returned with the next heartbeat.
         #[n(7)]
         lease_stamp: LeaseStamp,
     },
@@ -182,31 +187,31 @@
         #[n(0)]
         state: ControlState,
     },
-    /// The sender looks for the others.
+    /// The sender looks for the others and wants to be a member.
     #[n(16)]
     Join {
         /// Whether the sender is a bootstrap voter.
         #[n(0)]
         is_bootstrap_voter: bool,
-        /// The record that the sender has seen, by its term.
+        /// The term of the highest configuration that the sender has seen.
         #[n(1)]
         known_term: Term,
     },
-    /// The answer to a [`Message::Join`]: whom the sender knows.
+    /// The answer to a [`Message::Join`] of a node that has seen a lower configuration.
     #[n(17)]
     KnownConfig {
-        /// The highest record that the sender has seen.
+        /// The highest configuration that the sender has seen.
         #[n(0)]
         config: EpochConfig,
     },
-    /// The primary gives its place to the one that it sends this to.
+    /// The primary asks the receiver to take over.
     #[n(18)]
     TransferLeadership {
         /// The primary's term.
         #[n(0)]
         term: Term,
     },
-    /// The sender's process is about to end, and serves on until it may.
+    /// The sender shuts down, and serves on until it is let go.
     #[n(19)]
     RequestRemoval,
     /// The primary's answer to a [`Message::RequestRemoval`]: the process may end.
@@ -216,8 +221,8 @@
         #[n(0)]
         term: Term,
     },
-    /// A change to be written on top of the state before it; the stamp is the sender's term. One that has not that
-    /// state answers [`Message::MissingBody`].
+    /// A change to be written on top of the state before it. A receiver that has not that state answers
+    /// [`Message::MissingBody`].
     #[n(25)]
     ReplicateDelta {
         /// The change.
@@ -231,7 +236,7 @@
         #[n(0)]
         deltas: Vec<StateDelta>,
     },
-    /// A large state is there in pieces.
+    /// A large state can be fetched in chunks.
     #[n(27)]
     OfferSnapshot {
         /// Which one, and what for.
@@ -244,21 +249,21 @@
         /// The state.
         #[n(0)]
         version: StateVersion,
-        /// How many bytes of it are there.
+        /// How many bytes of it the sender has.
         #[n(1)]
         offset: u64,
     },
     /// The answer to a [`Message::FetchChunk`].
     #[n(29)]
     SnapshotChunk {
-        /// The piece.
+        /// The chunk.
         #[n(0)]
         chunk: SnapshotChunk,
     },
 }
 
 impl Message {
-    /// How many bytes of state it carries, about: what makes a message large.
+    /// About how many bytes of state it carries: what makes a message large.
     pub fn state_bytes(&self) -> usize {
         match self {
             Message::FetchedState { state, .. }
--- a/crates/consensus/tests/fleet/checker.rs
+++ b/crates/consensus/tests/fleet/checker.rs
@@ -7,40 +7,40 @@
 };
 
 /// A machine and the life of its process.
-pub type Life = (usize, u64);
+pub(crate) type Life = (usize, u64);
 
 /// A digest that no other number has.
-pub fn digest(number: u64) -> RequestDigest {
+pub(crate) fn digest(number: u64) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
     RequestDigest(bytes)
 }
 
 #[derive(Clone, Debug)]
-pub struct Change {
-    pub base: u64,
-    pub revision: u64,
-    pub digest: RequestDigest,
-    pub body: Vec<u8>,
+pub(crate) struct Change {
+    pub(crate) base: u64,
+    pub(crate) revision: u64,
+    pub(crate) digest: RequestDigest,
+    pub(crate) body: Vec<u8>,
 }
 
 #[derive(Clone, Debug)]
-pub enum Kind {
+pub(crate) enum Kind {
     Read,
     Change(Change),
 }
 
 #[derive(Clone, Debug)]
-pub struct Ask {
-    pub life: Life,
-    pub at: u64,
-    pub kind: Kind,
+pub(crate) struct Ask {
+    pub(crate) life: Life,
+    pub(crate) at: u64,
+    pub(crate) kind: Kind,
     acknowledged: u64,
 }
 
 #[derive(Default)]
-pub struct Book {
-    pub asks: BTreeMap<u64, Ask>,
+pub(crate) struct Book {
+    pub(crate) asks: BTreeMap<u64, Ask>,
     open: BTreeSet<u64>,
     answered: BTreeMap<u64, ClientReply>,
     changes: BTreeMap<RequestDigest, Change>,
@@ -51,22 +51,22 @@
     shown: BTreeMap<Life, u64>,
     primaries: BTreeMap<Term, (MemberId, Life)>,
     /// The highest revision that was acknowledged.
-    pub acknowledged: u64,
+    pub(crate) acknowledged: u64,
     /// When each revision became the highest that was acknowledged.
     acknowledgements: Vec<(u64, u64)>,
     /// The time of what is being written down.
-    pub now: u64,
+    pub(crate) now: u64,
     newest: Option<Change>,
-    pub taken: u64,
-    pub violations: Vec<String>,
+    pub(crate) taken: u64,
+    pub(crate) violations: Vec<String>,
 }
 
 impl Book {
-    pub fn broken(&mut self, rule: &str, what: String) {
+    pub(crate) fn broken(&mut self, rule: &str, what: String) {
         self.violations.push(format!("{rule}: {what}"));
     }
 
-    pub fn asked(&mut self, id: u64, life: Life, at: u64, kind: Kind) {
+    pub(crate) fn asked(&mut self, id: u64, life: Life, at: u64, kind: Kind) {
         if let Kind::Change(change) = &kind {
             self.changes.entry(change.digest).or_insert_with(|| change.clone());
         }
@@ -74,26 +74,26 @@
         self.asks.insert(id, Ask { life, at, kind, acknowledged: self.acknowledged });
     }
 
-    pub fn open(&self) -> impl Iterator<Item = (&u64, &Ask)> {
+    pub(crate) fn open(&self) -> impl Iterator<Item = (&u64, &Ask)> {
         self.open.iter().filter_map(|id| self.asks.get_key_value(id))
     }
 
     /// Whether an ask to the process that a machine runs has no answer yet.
-    pub fn is_open_at(&self, id: u64, machine: usize) -> bool {
+    pub(crate) fn is_open_at(&self, id: u64, machine: usize) -> bool {
         self.open.contains(&id) && self.asks.get(&id).is_some_and(|a| a.life.0 == machine)
     }
 
-    pub fn verdict(&self, id: u64) -> Option<&ClientReply> {
+    pub(crate) fn verdict(&self, id: u64) -> Option<&ClientReply> {
         self.answered.get(&id)
     }
 
     /// The asks of a process that is gone get no answer.
-    pub fn died(&mut self, life: Life) {
+    pub(crate) fn died(&mut self, life: Life) {
         let asks = &self.asks;
         self.open.retain(|id| asks.get(id).is_some_and(|a| a.life != life));
     }
 
-    pub fn answer(&mut self, id: u64, life: Life, verdict: ClientReply) {
+    pub(crate) fn answer(&mut self, id: u64, life: Life, verdict: ClientReply) {
         let Some(ask) = self.asks.get(&id).cloned() else {
             return self.broken("one answer", format!("ask {id} was never asked at {life:?}"));
         };
@@ -206,7 +206,7 @@
     }
 
     /// A process says that it is in touch: what it shows has all that was acknowledged before the bound.
-    pub fn claimed_contact(&mut self, life: Life, shown: u64, bound: u64) {
+    pub(crate) fn claimed_contact(&mut self, life: Life, shown: u64, bound: u64) {
         let wanted = self.now.checked_sub(bound + 1).map_or(0, |at| self.acknowledged_by(at));
         if shown < wanted {
             self.broken(
@@ -216,7 +216,7 @@
         }
     }
 
-    pub fn shown(&mut self, life: Life, state: &ControlState) {
+    pub(crate) fn shown(&mut self, life: Life, state: &ControlState) {
         self.seen(state);
         let last = self.shown.insert(life, state.revision);
         if last.is_some_and(|last| last >= state.revision) {
@@ -225,11 +225,11 @@
     }
 
     /// Whether somebody has led under a ballot.
-    pub fn was_led(&self, term: Term) -> bool {
+    pub(crate) fn was_led(&self, term: Term) -> bool {
         self.primaries.contains_key(&term)
     }
 
-    pub fn primary(&mut self, member: MemberId, life: Life, term: Term, continued: bool) {
+    pub(crate) fn primary(&mut self, member: MemberId, life: Life, term: Term, continued: bool) {
         if let Some(other) = self.primaries.get(&term) {
             let other = *other;
             self.broken("term", format!("{term:?} is led by {other:?} and {life:?}"));
--- a/crates/consensus/tests/fleet/day.rs
+++ b/crates/consensus/tests/fleet/day.rs
@@ -6,7 +6,7 @@
 use crate::world::{AfterEnd, Event, Leave, World, address};
 
 #[derive(Clone, Debug)]
-pub enum Act {
+pub(crate) enum Act {
     Start(usize),
     Kill(Vec<usize>),
     Power(Vec<usize>),
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    pub fn act(&mut self, act: Act) {
+    pub(crate) fn act(&mut self, act: Act) {
         if self.trace {
             println!("{} ACT {act:?}", self.now);
         }
@@ -102,21 +102,21 @@
         }
     }
 
-    pub fn wipe(&mut self, machine: usize) {
+    pub(crate) fn wipe(&mut self, machine: usize) {
         self.kill(machine, true);
         self.machines[machine].disk.wipe();
         self.machines[machine].settings.seeds = self.some_seeds();
         self.machines[machine].settings.bootstrap = false;
     }
 
-    pub fn some_seeds(&mut self) -> Vec<std::net::SocketAddrV4> {
+    pub(crate) fn some_seeds(&mut self) -> Vec<std::net::SocketAddrV4> {
         let standing = self.standing();
         let first = self.below(standing.len() as u64) as usize;
         (0..3).map(|i| address(standing[(first + i) % standing.len()])).collect()
     }
 
     /// Everything works again.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.cuts.clear();
         self.release_links();
         for machine in self.standing() {
@@ -133,7 +133,7 @@
         }
     }
 
-    pub fn some(&mut self, most: usize) -> Vec<usize> {
+    pub(crate) fn some(&mut self, most: usize) -> Vec<usize> {
         let mut all = self.standing();
         let wanted = 1 + self.below(most.max(1) as u64) as usize;
         while all.len() > wanted {
@@ -197,7 +197,7 @@
     }
 
     /// What may strike at the moment of an acknowledgement.
-    pub fn arm(&mut self) {
+    pub(crate) fn arm(&mut self) {
         let all = self.standing();
         let f = self.failures;
         self.armed = Some(match self.below(6) {
@@ -211,7 +211,7 @@
     }
 
     /// In calm, a change sent to the primary is answered, and an old read is never given.
-    pub fn probe(&mut self) -> Result<(), String> {
+    pub(crate) fn probe(&mut self) -> Result<(), String> {
         let noise = std::mem::take(&mut self.noise);
         self.run(2_500)?;
         let Some(primary) = self.primary() else {
@@ -261,7 +261,7 @@
     }
 
     /// In a long calm, all know all.
-    pub fn settle(&mut self) -> Result<(), String> {
+    pub(crate) fn settle(&mut self) -> Result<(), String> {
         self.dismiss();
         self.armed = None;
         self.noise = 0;
@@ -307,7 +307,7 @@
 }
 
 /// A whole day by its seed.
-pub fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<World, String> {
+pub(crate) fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<World, String> {
     let (machines, failures) = match seed % 4 {
         0 => (5, 2),
         1 => (4, 1),
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -6,7 +6,7 @@
 use crate::world::{Event, World, body};
 
 #[derive(Default)]
-pub struct Operator {
+pub(crate) struct Operator {
     /// What it wants an answer to.
     call: Option<Kind>,
     /// The ask that is open, and since when.
@@ -19,18 +19,18 @@
 }
 
 impl World {
-    pub fn hire(&mut self, operators: usize) {
+    pub(crate) fn hire(&mut self, operators: usize) {
         for index in 0..operators {
             self.operators.push(Operator::default());
             self.after(index as u64, Event::Operator(index));
         }
     }
 
-    pub fn dismiss(&mut self) {
+    pub(crate) fn dismiss(&mut self) {
         self.operators.clear();
     }
 
-    pub fn operate(&mut self, index: usize) {
+    pub(crate) fn operate(&mut self, index: usize) {
         if index >= self.operators.len() {
             return;
         }
@@ -78,7 +78,7 @@
         operator.call = Some(kind);
     }
 
-    pub fn rng_u64(&mut self) -> u64 {
+    pub(crate) fn rng_u64(&mut self) -> u64 {
         use rand_core::RngCore;
         self.rng.next_u64()
     }
@@ -92,7 +92,7 @@
     }
 
     /// An answer has come: on to the next step, at the operator's next look.
-    pub fn answered(&mut self, ask: u64) {
+    pub(crate) fn answered(&mut self, ask: u64) {
         let Some(index) = self.operators.iter().position(|o| o.ask.is_some_and(|(id, _)| id == ask)) else {
             return;
         };
--- a/crates/consensus/tests/fleet/scenarios.rs
+++ b/crates/consensus/tests/fleet/scenarios.rs
@@ -7,13 +7,13 @@
 use crate::day::Act;
 use crate::world::{World, address};
 
-pub type Story = fn(Option<InjectedFault>) -> Result<(), String>;
+pub(crate) type Story = fn(Option<InjectedFault>) -> Result<(), String>;
 
 /// The lease of a primary that is to trust in it for long.
 const LONG_LEASE: Duration = Duration::from_millis(60_000);
 
 /// A fleet in calm, without noise, with some state.
-pub fn calm(
+pub(crate) fn calm(
     seed: u64,
     machines: usize,
     failures: usize,
@@ -22,7 +22,7 @@
     calm_with(World::new(seed, machines, failures, injected_fault))
 }
 
-pub fn calm_with(mut world: World) -> Result<World, String> {
+pub(crate) fn calm_with(mut world: World) -> Result<World, String> {
     world.noise = 0;
     world.run(3_000)?;
     for _ in 0..3 {
@@ -31,27 +31,27 @@
     Ok(world)
 }
 
-pub fn want(holds: bool, what: &str) -> Result<(), String> {
+pub(crate) fn want(holds: bool, what: &str) -> Result<(), String> {
     if holds { Ok(()) } else { Err(what.to_string()) }
 }
 
-pub fn lead(world: &World) -> Result<usize, String> {
+pub(crate) fn lead(world: &World) -> Result<usize, String> {
     world.primary().ok_or_else(|| format!("at {}: no primary", world.now))
 }
 
 /// A primary other than that machine, which calls itself one still perhaps.
-pub fn other_lead(world: &World, not: usize) -> Result<usize, String> {
+pub(crate) fn other_lead(world: &World, not: usize) -> Result<usize, String> {
     let leads = |m: &usize| *m != not && world.node(*m).is_some_and(Node::is_primary);
     world.running().into_iter().find(leads).ok_or_else(|| format!("at {}: no other primary", world.now))
 }
 
 /// A new change at the primary is taken within the span.
-pub fn taken(world: &mut World, span: u64) -> Result<Change, String> {
+pub(crate) fn taken(world: &mut World, span: u64) -> Result<Change, String> {
     let primary = lead(world)?;
     taken_at(world, primary, span)
 }
 
-pub fn taken_at(world: &mut World, machine: usize, span: u64) -> Result<Change, String> {
+pub(crate) fn taken_at(world: &mut World, machine: usize, span: u64) -> Result<Change, String> {
     let change = world.fresh_change(machine);
     let ask = world.ask(machine, Kind::Change(change.clone()));
     world.run(span)?;
@@ -61,7 +61,7 @@
     }
 }
 
-pub fn verdict_at(
+pub(crate) fn verdict_at(
     world: &mut World,
     machine: usize,
     kind: Kind,
@@ -73,7 +73,7 @@
 }
 
 /// The record of the primary, by machines.
-pub fn roles(world: &World) -> Result<(usize, Vec<usize>, Vec<usize>), String> {
+pub(crate) fn roles(world: &World) -> Result<(usize, Vec<usize>, Vec<usize>), String> {
     let primary = lead(world)?;
     let record = world.node(primary).and_then(|n| n.epoch_config()).cloned().ok_or("no record")?;
     let machine =
@@ -84,12 +84,12 @@
     Ok((primary, backups, witnesses))
 }
 
-pub fn around(world: &World, machine: usize) -> Vec<(usize, usize)> {
+pub(crate) fn around(world: &World, machine: usize) -> Vec<(usize, usize)> {
     world.standing().into_iter().flat_map(|m| [(m, machine), (machine, m)]).collect()
 }
 
 /// Nodes as they are tell the story to its end; nodes with the flaw don't.
-pub fn told(story: Story, injected_fault: InjectedFault) {
+pub(crate) fn told(story: Story, injected_fault: InjectedFault) {
     if let Err(what) = story(None) {
         panic!("without a injected_fault: {what}");
     }
--- a/crates/consensus/tests/fleet/storm.rs
+++ b/crates/consensus/tests/fleet/storm.rs
@@ -87,7 +87,7 @@
 }
 
 /// A whole storm by its seed.
-pub fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<World, String> {
+pub(crate) fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<World, String> {
     let (machines, failures) = match seed % 4 {
         0 => (5, 2),
         1 | 2 => (4, 1),
--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -16,7 +16,7 @@
 use crate::day::Act;
 use crate::operator::Operator;
 
-pub enum Event {
+pub(crate) enum Event {
     Tick { machine: usize, life: u64 },
     Deliver { to: SocketAddrV4, from: Member, message: Message },
     Disk { machine: usize },
@@ -24,44 +24,44 @@
     Act(Act),
 }
 
-pub struct Disk {
-    pub records: Vec<Vec<u8>>,
+pub(crate) struct Disk {
+    pub(crate) records: Vec<Vec<u8>>,
     /// Token, whether the log is replaced, record.
     queue: VecDeque<(u64, bool, Vec<u8>)>,
-    pub stalled_until: u64,
-    pub full: bool,
+    pub(crate) stalled_until: u64,
+    pub(crate) full: bool,
     /// So many writes are done and told to have failed.
-    pub failed_yet_written: usize,
+    pub(crate) failed_yet_written: usize,
     busy: bool,
 }
 
-pub struct Machine {
-    pub address: SocketAddrV4,
-    pub settings: Settings,
-    pub node: Option<Node<Pcg64Mcg>>,
-    pub life: u64,
-    pub disk: Disk,
-    pub frozen: bool,
+pub(crate) struct Machine {
+    pub(crate) address: SocketAddrV4,
+    pub(crate) settings: Settings,
+    pub(crate) node: Option<Node<Pcg64Mcg>>,
+    pub(crate) life: u64,
+    pub(crate) disk: Disk,
+    pub(crate) frozen: bool,
     held: Vec<Input>,
     thawed: u64,
     /// When this life of the process began: its steady clock starts there.
     started: u64,
-    pub gone: bool,
+    pub(crate) gone: bool,
     /// It was told to end, and what comes then.
-    pub leave: Option<Leave>,
+    pub(crate) leave: Option<Leave>,
 }
 
 /// What a machine's link and disk carry; without it, everything takes the same time.
 #[derive(Clone, Copy)]
-pub struct Bandwidth {
+pub(crate) struct Bandwidth {
     /// Bytes that a machine sends in a millisecond.
-    pub link: u64,
+    pub(crate) link: u64,
     /// Bytes that a disk writes in a millisecond.
-    pub disk: u64,
+    pub(crate) disk: u64,
     /// Longer messages are lost.
-    pub most_message: u64,
+    pub(crate) most_message: u64,
     /// Longer messages are large: few are on the way to one machine at a time, and they queue on the link.
-    pub large_message: u64,
+    pub(crate) large_message: u64,
 }
 
 /// So many large messages are on the way to one machine.
@@ -70,14 +70,14 @@
 const LARGE_DEADLINE: u64 = 4_000;
 /// A planned end.
 #[derive(Clone, Copy, Debug)]
-pub struct Leave {
-    pub since: u64,
-    pub then: AfterEnd,
+pub(crate) struct Leave {
+    pub(crate) since: u64,
+    pub(crate) then: AfterEnd,
 }
 
 /// What comes after a planned end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterEnd {
+pub(crate) enum AfterEnd {
     /// The machine is taken away with its disk.
     Gone,
     /// The process starts again at once, with its disk.
@@ -87,56 +87,56 @@
 /// The platform waits so long for a planned end.
 const GRACE: u64 = 8_000;
 
-pub struct World {
-    pub now: u64,
-    pub rng: Pcg64Mcg,
+pub(crate) struct World {
+    pub(crate) now: u64,
+    pub(crate) rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: BTreeMap<usize, Event>,
     next_event: usize,
-    pub machines: Vec<Machine>,
+    pub(crate) machines: Vec<Machine>,
     /// One-way cuts, by machine.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub(crate) cuts: BTreeSet<(usize, usize)>,
     /// One-way links that hold back what is sent over them, as a network queue does; by machine.
-    pub held_links: BTreeSet<(usize, usize)>,
+    pub(crate) held_links: BTreeSet<(usize, usize)>,
     /// What such links hold back, oldest first.
     held_messages: Vec<HeldMessage>,
     /// A frozen machine finds so many of the messages that came meanwhile, the first ones.
-    pub frozen_backlog: usize,
+    pub(crate) frozen_backlog: usize,
     /// Messages lost, late or doubled, in a thousand each.
-    pub noise: u64,
-    pub book: Book,
-    pub operators: Vec<Operator>,
+    pub(crate) noise: u64,
+    pub(crate) book: Book,
+    pub(crate) operators: Vec<Operator>,
     /// What happens right after the next acknowledgement.
-    pub armed: Option<Act>,
+    pub(crate) armed: Option<Act>,
     /// What happens right after the next planned end.
-    pub at_end: Option<Act>,
+    pub(crate) at_end: Option<Act>,
     /// The longest that a planned end took.
-    pub longest_leave: u64,
+    pub(crate) longest_leave: u64,
     /// Whether holders of the state are held to what is on their disks.
-    pub checks_holders: bool,
+    pub(crate) checks_holders: bool,
     /// The ballots whose records were looked at before they were proposed.
     proposed: BTreeSet<Term>,
     /// Kinds of messages that are lost, in a thousand, by their place in `KINDS`.
-    pub kind_loss: [u64; KINDS.len()],
+    pub(crate) kind_loss: [u64; KINDS.len()],
     /// The longest time of a sync in calm.
-    pub disk_span: u64,
-    pub failures: usize,
+    pub(crate) disk_span: u64,
+    pub(crate) failures: usize,
     injected_fault: Option<InjectedFault>,
     sizes: usize,
     next_ask: u64,
     /// Operators number their changes above the base by less than this, and one.
-    pub revision_steps: u64,
-    pub sent: u64,
+    pub(crate) revision_steps: u64,
+    pub(crate) sent: u64,
     /// Counted only where a bandwidth is given.
-    pub sent_bytes: u64,
-    pub written_bytes: u64,
-    pub bandwidth: Option<Bandwidth>,
+    pub(crate) sent_bytes: u64,
+    pub(crate) written_bytes: u64,
+    pub(crate) bandwidth: Option<Bandwidth>,
     /// When a machine's link is free for the next large message.
     link_free: BTreeMap<usize, u64>,
     /// When the large messages from one machine to another arrive.
     large_arrivals: BTreeMap<(usize, usize), Vec<u64>>,
-    pub sent_states: u64,
-    pub trace: bool,
+    pub(crate) sent_states: u64,
+    pub(crate) trace: bool,
 }
 
 /// A message that a link holds back.
@@ -151,10 +151,10 @@
 const LINK_BACKLOG: usize = 8;
 
 /// Callers go elsewhere after a second of silence; the answer needs some of it for its way.
-pub const CALLER_LISTENS: u64 = 1_000 - 50;
+pub(crate) const CALLER_LISTENS: u64 = 1_000 - 50;
 
 /// Kinds of messages, as they are printed.
-pub const KINDS: [&str; 16] = [
+pub(crate) const KINDS: [&str; 16] = [
     "Heartbeat ",
     "HeartbeatResponse",
     "Prepare",
@@ -173,12 +173,12 @@
     "SnapshotChunk",
 ];
 
-pub fn address(index: usize) -> SocketAddrV4 {
+pub(crate) fn address(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, (index / 200) as u8, (index % 200) as u8 + 1), 7720)
 }
 
 /// A body that has most in common with all others, as one configuration has with the next.
-pub fn body(digest: u64, length: usize) -> Vec<u8> {
+pub(crate) fn body(digest: u64, length: usize) -> Vec<u8> {
     let mut body = b"what most changes leave as it is: ".repeat(4);
     body.extend(digest.to_le_bytes().repeat(1 + length));
     body.extend_from_slice(b", and an end that stays");
@@ -187,7 +187,12 @@
 
 impl World {
     /// A fleet that starts for the first time.
-    pub fn new(seed: u64, machines: usize, failures: usize, injected_fault: Option<InjectedFault>) -> World {
+    pub(crate) fn new(
+        seed: u64,
+        machines: usize,
+        failures: usize,
+        injected_fault: Option<InjectedFault>,
+    ) -> World {
         let mut world = World {
             now: 1_000,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -233,7 +238,7 @@
     }
 
     /// A machine with an empty disk, not started.
-    pub fn add_machine(&mut self, bootstrap: bool) -> usize {
+    pub(crate) fn add_machine(&mut self, bootstrap: bool) -> usize {
         let index = self.machines.len();
         let seeds = (0..3).map(address).collect();
         let mut settings = Settings::new(address(index), self.failures, bootstrap, seeds);
@@ -268,18 +273,18 @@
         index
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound.max(1)
     }
 
-    pub fn after(&mut self, span: u64, event: Event) {
+    pub(crate) fn after(&mut self, span: u64, event: Event) {
         self.queue.push(Reverse((self.now + span, self.next_event as u64, self.next_event)));
         self.events.insert(self.next_event, event);
         self.next_event += 1;
     }
 
     /// Lets time pass; says which rule was broken, if any.
-    pub fn run(&mut self, span: u64) -> Result<(), String> {
+    pub(crate) fn run(&mut self, span: u64) -> Result<(), String> {
         let end = self.now + span;
         while let Some(Reverse((at, _, index))) = self.queue.peek().copied() {
             if at > end {
@@ -300,7 +305,7 @@
         self.check()
     }
 
-    pub fn check(&self) -> Result<(), String> {
+    pub(crate) fn check(&self) -> Result<(), String> {
         match self.book.violations.first() {
             Some(first) => Err(format!("at {}: {first}", self.now)),
             None => Ok(()),
@@ -346,12 +351,12 @@
     }
 
     /// The steady clock of the process on a machine: it starts anew with each life.
-    pub fn clock(&self, machine: usize) -> Instant {
+    pub(crate) fn clock(&self, machine: usize) -> Instant {
         Instant::from_millis(self.now - self.machines[machine].started + 1)
     }
 
     /// Whether the process on a machine says, at this moment, that it is in touch with a majority.
-    pub fn in_touch(&self, machine: usize) -> bool {
+    pub(crate) fn in_touch(&self, machine: usize) -> bool {
         self.node(machine).is_some_and(|n| n.has_quorum_contact(self.clock(machine)))
     }
 
@@ -370,31 +375,31 @@
     }
 
     /// The machine that has the address now.
-    pub fn at(&self, address: SocketAddrV4) -> Option<usize> {
+    pub(crate) fn at(&self, address: SocketAddrV4) -> Option<usize> {
         self.machines.iter().position(|m| m.address == address && !m.gone)
     }
 
-    pub fn running(&self) -> Vec<usize> {
+    pub(crate) fn running(&self) -> Vec<usize> {
         (0..self.machines.len()).filter(|m| self.machines[*m].node.is_some()).collect()
     }
 
-    pub fn standing(&self) -> Vec<usize> {
+    pub(crate) fn standing(&self) -> Vec<usize> {
         (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect()
     }
 
-    pub fn node(&self, machine: usize) -> Option<&Node<Pcg64Mcg>> {
+    pub(crate) fn node(&self, machine: usize) -> Option<&Node<Pcg64Mcg>> {
         self.machines[machine].node.as_ref()
     }
 
     /// The primary by its own word, the highest ballot first; it may be taking over from itself.
-    pub fn primary(&self) -> Option<usize> {
+    pub(crate) fn primary(&self) -> Option<usize> {
         let lead = |m: &usize| {
             self.node(*m).is_some_and(|n| n.primary() == Some(n.local_member())) && !self.machines[*m].frozen
         };
         self.running().into_iter().filter(lead).max_by_key(|m| self.node(*m).map(Node::term))
     }
 
-    pub fn step(&mut self, machine: usize, input: Input) {
+    pub(crate) fn step(&mut self, machine: usize, input: Input) {
         let (now, clock) = (self.now, self.clock(machine));
         let m = &mut self.machines[machine];
         if m.frozen {
@@ -553,7 +558,7 @@
     }
 
     /// All held links deliver what they kept, at once and in order, and work again.
-    pub fn release_links(&mut self) {
+    pub(crate) fn release_links(&mut self) {
         self.held_links.clear();
         for HeldMessage { to, from, message, .. } in std::mem::take(&mut self.held_messages) {
             self.after(0, Event::Deliver { to, from, message });
@@ -617,7 +622,7 @@
     }
 
     /// Ends a process. What it had written without a sync is there up to some write.
-    pub fn kill(&mut self, machine: usize, power: bool) {
+    pub(crate) fn kill(&mut self, machine: usize, power: bool) {
         let all_lost = power && self.below(2) == 0;
         let kept = if all_lost { 0 } else { self.below(4) as usize };
         let m = &mut self.machines[machine];
@@ -661,7 +666,7 @@
         }
     }
 
-    pub fn start(&mut self, machine: usize) {
+    pub(crate) fn start(&mut self, machine: usize) {
         let seed = self.rng.next_u64();
         let phase = self.below(50);
         let now = self.now;
@@ -681,7 +686,7 @@
         self.after(phase, Event::Tick { machine, life });
     }
 
-    pub fn thaw(&mut self, machine: usize) {
+    pub(crate) fn thaw(&mut self, machine: usize) {
         let now = self.now;
         let m = &mut self.machines[machine];
         if std::mem::take(&mut m.frozen) {
@@ -696,7 +701,7 @@
     }
 
     /// ClientRequests a node; says under which number.
-    pub fn ask(&mut self, machine: usize, kind: Kind) -> u64 {
+    pub(crate) fn ask(&mut self, machine: usize, kind: Kind) -> u64 {
         let ask = self.next_ask;
         self.next_ask += 1;
         let life = (machine, self.machines[machine].life);
@@ -714,12 +719,12 @@
     }
 
     /// The number of the next ask.
-    pub fn peek_ask(&self) -> u64 {
+    pub(crate) fn peek_ask(&self) -> u64 {
         self.next_ask
     }
 
     /// A change on the newest state that the machine knows.
-    pub fn fresh_change(&mut self, machine: usize) -> Change {
+    pub(crate) fn fresh_change(&mut self, machine: usize) -> Change {
         let base = self.node(machine).and_then(Node::committed_state).map_or(0, |s| s.revision);
         let revision = base + 1 + self.below(3);
         let number = self.rng.next_u64();
@@ -738,11 +743,11 @@
     }
 
     /// Keeps what the disk is, and nothing else.
-    pub fn wipe_after_identity(&mut self) {
+    pub(crate) fn wipe_after_identity(&mut self) {
         self.records.truncate(1);
     }
 
-    pub fn wipe(&mut self) {
+    pub(crate) fn wipe(&mut self) {
         self.records.clear();
         self.queue.clear();
         self.stalled_until = 0;
