--- a/crates/record-log/tests/model.rs
+++ b/crates/record-log/tests/model.rs
@@ -12,9 +12,9 @@
     Kill,
     PowerLoss(u64),
     FailSync(u64),
-    Room(Option<u8>),
+    FreeSpace(Option<u8>),
     FailAfter(u8),
-    Repair,
+    ClearFailure,
 }
 
 impl Arbitrary for Step {
@@ -26,23 +26,23 @@
             12 => Step::Kill,
             13 | 14 => Step::PowerLoss(u64::arbitrary(g)),
             15 => Step::FailSync(u64::arbitrary(g)),
-            16 => Step::Room(Option::arbitrary(g)),
+            16 => Step::FreeSpace(Option::arbitrary(g)),
             17 => Step::FailAfter(u8::arbitrary(g) % 12),
-            _ => Step::Repair,
+            _ => Step::ClearFailure,
         }
     }
 }
 
-/// Records that may be found: a prefix of them with at least the first `durable`.
+/// Records that may be found: a prefix of them with at least the first `durable_count`.
 #[derive(Clone, Debug, Default)]
 struct PossibleRecords {
     records: Vec<Vec<u8>>,
-    durable: usize,
+    durable_count: usize,
 }
 
 impl PossibleRecords {
-    fn admits(&self, found: &[Vec<u8>]) -> bool {
-        found.len() >= self.durable && self.records.starts_with(found)
+    fn matches(&self, found: &[Vec<u8>]) -> bool {
+        found.len() >= self.durable_count && self.records.starts_with(found)
     }
 }
 
@@ -73,12 +73,15 @@
         let Ok((log, found)) = RecordLog::open_on_disk(self.disk.clone()) else {
             return Ok(());
         };
-        if !self.expected.admits(&found) && !self.alternatives.iter().any(|possible| possible.admits(&found))
+        if !self.expected.matches(&found)
+            && !self.alternatives.iter().any(|possible| possible.matches(&found))
         {
             return Err(format!("found {found:?}, not of {:?} or {:?}", self.expected, self.alternatives));
         }
-        let before =
-            std::mem::replace(&mut self.expected, PossibleRecords { durable: found.len(), records: found });
+        let before = std::mem::replace(
+            &mut self.expected,
+            PossibleRecords { durable_count: found.len(), records: found },
+        );
         // What is found on a disk that refuses writes may not be found again.
         if log.is_durable() {
             self.alternatives.clear()
@@ -97,9 +100,9 @@
                 self.disk.lose_power(&mut Pcg32::new(*seed, 9));
             }
             Step::FailSync(seed) => self.disk.fail_next_sync(&mut Pcg32::new(*seed, 10)),
-            Step::Room(room) => self.disk.set_free_space(room.map(u64::from)),
+            Step::FreeSpace(bytes) => self.disk.set_free_space(bytes.map(u64::from)),
             Step::FailAfter(steps) => self.disk.fail_after_operations(u64::from(*steps)),
-            Step::Repair => self.disk.clear_failure(),
+            Step::ClearFailure => self.disk.clear_failure(),
             Step::Append(_) | Step::Sync | Step::Rewrite(_) => return self.operate(step),
         }
         Ok(())
@@ -112,48 +115,57 @@
         let Some(mut log) = self.log.take() else {
             return Ok(());
         };
-        let was_durable = log.is_durable();
         match step {
-            Step::Append(size) => {
-                let record = self.record(*size);
-                let mut longer = self.expected.clone();
-                longer.records.push(record.clone());
-                let done = log.append(&record);
-                if !was_durable && log.is_durable() {
-                    self.alternatives.clear();
-                }
-                match done {
-                    Ok(()) => self.expected = longer,
-                    Err(_) => self.alternatives.push(longer),
-                }
+            Step::Append(size) => self.append(&mut log, *size),
+            Step::Rewrite(count) => self.rewrite(&mut log, *count),
+            _ => self.sync(&mut log),
+        }
+        self.log = Some(log);
+        Ok(())
+    }
+
+    fn append(&mut self, log: &mut RecordLog<MemoryDisk>, size: u8) {
+        let was_durable = log.is_durable();
+        let record = self.record(size);
+        let mut longer = self.expected.clone();
+        longer.records.push(record.clone());
+        let appended = log.append(&record);
+        if !was_durable && log.is_durable() {
+            self.alternatives.clear();
+        }
+        match appended {
+            Ok(()) => self.expected = longer,
+            Err(_) => self.alternatives.push(longer),
+        }
+    }
+
+    fn rewrite(&mut self, log: &mut RecordLog<MemoryDisk>, count: u8) {
+        let records: Vec<_> = (0..count).map(|size| self.record(size)).collect();
+        let rewritten = PossibleRecords { durable_count: records.len(), records };
+        match log.rewrite(&rewritten.records) {
+            Ok(()) => {
+                self.expected = rewritten;
+                self.alternatives.clear();
             }
-            Step::Rewrite(count) => {
-                let records: Vec<_> = (0..*count).map(|size| self.record(size)).collect();
-                let possible = PossibleRecords { durable: records.len(), records };
-                match log.rewrite(&possible.records) {
-                    Ok(()) => {
-                        self.expected = possible;
-                        self.alternatives.clear();
-                    }
-                    Err(_) => self.alternatives.push(possible),
-                }
+            Err(_) => self.alternatives.push(rewritten),
+        }
+    }
+
+    fn sync(&mut self, log: &mut RecordLog<MemoryDisk>) {
+        let was_durable = log.is_durable();
+        match log.sync() {
+            Ok(()) => {
+                self.expected.durable_count = self.expected.records.len();
+                self.alternatives.clear();
             }
-            _ => match log.sync() {
-                Ok(()) => {
-                    self.expected.durable = self.expected.records.len();
+            Err(_) => {
+                if !was_durable && log.is_durable() {
                     self.alternatives.clear();
                 }
-                Err(_) => {
-                    if !was_durable && log.is_durable() {
-                        self.alternatives.clear();
-                    }
-                    self.alternatives.push(self.expected.clone());
-                    self.expected.records.truncate(self.expected.durable);
-                }
-            },
+                self.alternatives.push(self.expected.clone());
+                self.expected.records.truncate(self.expected.durable_count);
+            }
         }
-        self.log = Some(log);
-        Ok(())
     }
 }
 
--- a/crates/record-log/tests/writer.rs
+++ b/crates/record-log/tests/writer.rs
@@ -11,8 +11,8 @@
 fn start(disk: &MemoryDisk, queue_capacity: usize) -> (LogWriter, Receiver<WriteCompletion>) {
     let (log, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
     let (sender, completions) = channel();
-    let writer = LogWriter::start(log, queue_capacity, move |done| {
-        let _ = sender.send(done);
+    let writer = LogWriter::start(log, queue_capacity, move |completion| {
+        let _ = sender.send(completion);
     });
     (writer.unwrap(), completions)
 }
@@ -21,8 +21,8 @@
     RecordLog::open_on_disk(disk.clone()).unwrap().1
 }
 
-fn done(tokens: impl IntoIterator<Item = u64>, ok: bool) -> Vec<WriteCompletion> {
-    tokens.into_iter().map(|token| WriteCompletion { token, is_durable: ok }).collect()
+fn expected_completions(tokens: impl IntoIterator<Item = u64>, is_durable: bool) -> Vec<WriteCompletion> {
+    tokens.into_iter().map(|token| WriteCompletion { token, is_durable }).collect()
 }
 
 #[test]
@@ -32,8 +32,8 @@
     for token in 0..50 {
         writer.append(token, vec![token as u8; 5]).unwrap();
     }
-    let sender: Vec<WriteCompletion> = completions.iter().take(50).collect();
-    assert_eq!(sender, done(0..50, true));
+    let results: Vec<WriteCompletion> = completions.iter().take(50).collect();
+    assert_eq!(results, expected_completions(0..50, true));
     disk.lose_power(&mut Pcg32::new(1, 1));
     drop(writer);
     assert_eq!(found(&disk), (0..50).map(|token| vec![token; 5]).collect::<Vec<_>>());
@@ -52,7 +52,7 @@
     disk.resume();
     assert_eq!(
         completions.iter().take(MAX_GROUP_COMMIT).collect::<Vec<_>>(),
-        done(0..MAX_GROUP_COMMIT as u64, true)
+        expected_completions(0..MAX_GROUP_COMMIT as u64, true)
     );
     assert_eq!(disk.file_sync_count() - before, 1);
     writer.close();
@@ -69,7 +69,7 @@
     assert!(matches!(writer.append(1, vec![1]), Err(LogError::QueueFull)));
     assert!(matches!(writer.rewrite(1, vec![]), Err(LogError::QueueFull)));
     disk.resume();
-    assert!(completions.iter().take(accepted).all(|answer| answer.is_durable));
+    assert!(completions.iter().take(accepted).all(|result| result.is_durable));
     writer.append(7, vec![1]).unwrap();
     assert_eq!(completions.recv(), Ok(WriteCompletion { token: 7, is_durable: true }));
 }
@@ -82,7 +82,7 @@
     let accepted = (0..64).filter(|token| writer.append(*token, vec![1; MAX_RECORD_LENGTH]).is_ok()).count();
     assert_eq!(accepted as u64, MAX_QUEUED_BYTES / MAX_RECORD_LENGTH as u64);
     disk.resume();
-    assert_eq!(completions.iter().take(accepted).filter(|answer| answer.is_durable).count(), accepted);
+    assert_eq!(completions.iter().take(accepted).filter(|result| result.is_durable).count(), accepted);
     writer.append(9, vec![1]).unwrap();
     assert_eq!(completions.recv(), Ok(WriteCompletion { token: 9, is_durable: true }));
 }
@@ -96,7 +96,7 @@
     writer.rewrite(2, vec![vec![2], vec![3]]).unwrap();
     writer.append(3, vec![4]).unwrap();
     disk.resume();
-    assert_eq!(completions.iter().take(3).collect::<Vec<_>>(), done(1..4, true));
+    assert_eq!(completions.iter().take(3).collect::<Vec<_>>(), expected_completions(1..4, true));
     assert_eq!(writer.length(), disk.contents("state.2").unwrap().len() as u64);
     assert_eq!(writer.last_error_code(), 0);
     writer.close();
@@ -115,10 +115,10 @@
     writer.rewrite(3, vec![]).unwrap();
     writer.append(4, vec![5]).unwrap();
     disk.resume();
-    let sender: Vec<WriteCompletion> = completions.iter().take(5).collect();
-    assert!(sender.iter().map(|answer| answer.token).eq(0..5));
+    let results: Vec<WriteCompletion> = completions.iter().take(5).collect();
+    assert!(results.iter().map(|result| result.token).eq(0..5));
     assert_eq!(
-        sender.iter().map(|answer| answer.is_durable).collect::<Vec<_>>(),
+        results.iter().map(|result| result.is_durable).collect::<Vec<_>>(),
         [false, false, false, true, true]
     );
     assert_eq!(writer.last_error_code(), 703);
@@ -153,5 +153,5 @@
     }
     drop(writer);
     disk.resume();
-    assert_eq!(completions.iter().collect::<Vec<_>>(), done(0..9, true));
+    assert_eq!(completions.iter().collect::<Vec<_>>(), expected_completions(0..9, true));
 }
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -86,12 +86,12 @@
     run(async {
         let (listener, to) = listen().await;
         let caller = Caller::new();
-        for late in [true, false] {
-            let calling = caller.clone();
-            let call = spawn_local(async move { calling.call(to, &SingleUse { number: 1 }, LONG).await });
+        for is_late in [true, false] {
+            let caller = caller.clone();
+            let call = spawn_local(async move { caller.call(to, &SingleUse { number: 1 }, LONG).await });
             let (mut stream, _) = listener.accept().await.unwrap();
             read_call(&mut stream).await.unwrap();
-            if late {
+            if is_late {
                 tokio::time::pause();
                 assert_eq!(call.await.unwrap(), Err(CallError::Timeout));
                 tokio::time::resume();
@@ -224,15 +224,14 @@
         let mut calls = Vec::new();
         let mut streams = Vec::new();
         for _ in 0..7 {
-            let calling = caller.clone();
-            calls
-                .push(spawn_local(async move { calling.call(to, &Divide { number: 1, by: 1 }, LONG).await }));
+            let caller = caller.clone();
+            calls.push(spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG).await }));
             let (mut stream, _) = listener.accept().await.unwrap();
             read_call(&mut stream).await.unwrap();
             streams.push(stream);
         }
-        for (at, (stream, call)) in streams.iter_mut().zip(calls).enumerate() {
-            stream.write_all(&response_to(at + 1, &[0x82, 1, 2])).await.unwrap();
+        for (index, (stream, call)) in streams.iter_mut().zip(calls).enumerate() {
+            stream.write_all(&response_to(index + 1, &[0x82, 1, 2])).await.unwrap();
             assert!(call.await.unwrap().is_ok());
         }
         // The first four to become idle are kept.
@@ -280,14 +279,14 @@
 fn slow_and_invalid_requests_are_ended() {
     run(async {
         let (to, _) = host(handlers(&HandledCalls::default())).await;
-        let end = "connection: close\r\n";
+        let close = "connection: close\r\n";
         let cases = [
             (String::new(), "", None),
             ("POST /once HTTP/1.1\r\nho".to_owned(), "", None),
             ("POST /once HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nab".to_owned(), "408", Some("813")),
-            (format!("POST /what HTTP/1.1\r\n{end}content-length: 0\r\n\r\n"), "404", Some("810")),
-            (format!("GET /once HTTP/1.1\r\n{end}\r\n"), "404", Some("810")),
-            (format!("POST /once HTTP/1.1\r\n{end}content-length: 1\r\n\r\n\u{1}"), "400", Some("811")),
+            (format!("POST /what HTTP/1.1\r\n{close}content-length: 0\r\n\r\n"), "404", Some("810")),
+            (format!("GET /once HTTP/1.1\r\n{close}\r\n"), "404", Some("810")),
+            (format!("POST /once HTTP/1.1\r\n{close}content-length: 1\r\n\r\n\u{1}"), "400", Some("811")),
             ("POST /once HTTP/1.1\r\ncontent-length: 8388609\r\n\r\n".to_owned(), "413", Some("812")),
             ("\0\0\0\0\r\n\r\n".to_owned(), "400", None),
         ];
@@ -328,11 +327,11 @@
 #[test]
 fn connections_beyond_the_limit_are_rejected_when_all_are_busy() {
     run(async {
-        let (starts, mut started) = mpsc::unbounded_channel();
-        let (finishes, finished) = tokio::sync::watch::channel(false);
+        let (start_sender, mut started) = mpsc::unbounded_channel();
+        let (finish_sender, finished) = tokio::sync::watch::channel(false);
         let handlers = Handlers::new()
             .with_handler::<SingleUse>(async move |call, _| {
-                let _ = starts.send(());
+                let _ = start_sender.send(());
                 let _ = finished.clone().wait_for(|finished| *finished).await;
                 Ok(call.number)
             })
@@ -341,12 +340,12 @@
         let caller = Caller::new();
         let mut calls = Vec::new();
         for number in 0..2 {
-            let calling = caller.clone();
-            calls.push(spawn_local(async move { calling.call(to, &SingleUse { number }, LONG).await }));
+            let caller = caller.clone();
+            calls.push(spawn_local(async move { caller.call(to, &SingleUse { number }, LONG).await }));
             started.recv().await.unwrap();
         }
         assert_eq!(caller.call(to, &SingleUse { number: 9 }, LONG).await, Err(CallError::ConnectionLost));
-        finishes.send(true).unwrap();
+        finish_sender.send(true).unwrap();
         for (number, call) in calls.into_iter().enumerate() {
             assert_eq!(call.await.unwrap(), Ok(number as u32));
         }
--- a/crates/rpc/tests/contract.rs
+++ b/crates/rpc/tests/contract.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// Hosts on a transport.
+/// A transport and the servers that it reaches.
 trait Network {
     type Transport: Transport + Clone + 'static;
     fn transport(&self) -> Self::Transport;
@@ -34,17 +34,20 @@
 }
 
 #[derive(Default)]
-struct InMemory(LoopbackTransport, u16);
+struct InMemory {
+    transport: LoopbackTransport,
+    hosts: u16,
+}
 
 impl Network for InMemory {
     type Transport = LoopbackTransport;
     fn transport(&self) -> LoopbackTransport {
-        self.0.at(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1))
+        self.transport.at(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1))
     }
     async fn host(&mut self, handlers: Handlers) -> SocketAddrV4 {
-        self.1 += 1;
-        let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1000 + self.1);
-        self.0.serve(address, Rc::new(handlers));
+        self.hosts += 1;
+        let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1000 + self.hosts);
+        self.transport.serve(address, Rc::new(handlers));
         address
     }
 }
@@ -138,13 +141,13 @@
 type Started = mpsc::UnboundedReceiver<oneshot::Sender<()>>;
 
 fn suspended_handler() -> (Handlers, Started, mpsc::UnboundedReceiver<bool>) {
-    let (starts, started) = mpsc::unbounded_channel();
-    let (finishes, finished) = mpsc::unbounded_channel();
+    let (start_sender, started) = mpsc::unbounded_channel();
+    let (finish_sender, finished) = mpsc::unbounded_channel();
     let handlers = Handlers::new().with_handler::<Divide>(async move |call, _| {
-        let (go, resumption) = oneshot::channel();
-        let _ = starts.send(go);
+        let (resume, resumption) = oneshot::channel();
+        let _ = start_sender.send(resume);
         let resumed = resumption.await.is_ok();
-        let _ = finishes.send(resumed);
+        let _ = finish_sender.send(resumed);
         Ok(Quotient { quotient: call.number, remainder: 0 })
     });
     (handlers, started, finished)
@@ -154,18 +157,18 @@
     let (handlers, mut started, mut finished) = suspended_handler();
     let to = network.host(handlers).await;
     let transport = network.transport();
-    let calling = transport.clone();
-    let call = spawn_local(async move { calling.call(to, &Divide { number: 1, by: 1 }, LONG).await });
-    let go = started.recv().await.unwrap();
+    let caller = transport.clone();
+    let call = spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG).await });
+    let resume = started.recv().await.unwrap();
     // From here the clock jumps to the timeout as soon as the runtime is idle.
     tokio::time::pause();
     assert_eq!(call.await.unwrap(), Err(CallError::Timeout));
     tokio::time::resume();
     // The handler was not cancelled, and the next call gets its own response.
-    go.send(()).unwrap();
+    resume.send(()).unwrap();
     assert_eq!(finished.recv().await, Some(true));
-    let calling = transport.clone();
-    let call = spawn_local(async move { calling.call(to, &Divide { number: 2, by: 1 }, LONG).await });
+    let caller = transport.clone();
+    let call = spawn_local(async move { caller.call(to, &Divide { number: 2, by: 1 }, LONG).await });
     started.recv().await.unwrap().send(()).unwrap();
     assert_eq!(call.await.unwrap(), Ok(Quotient { quotient: 2, remainder: 0 }));
 }
@@ -175,10 +178,10 @@
     let to = network.host(handlers).await;
     let transport = network.transport();
     let call = spawn_local(async move { transport.call(to, &Divide { number: 1, by: 1 }, LONG).await });
-    let go = started.recv().await.unwrap();
+    let resume = started.recv().await.unwrap();
     call.abort();
     assert!(call.await.unwrap_err().is_cancelled());
-    go.send(()).unwrap();
+    resume.send(()).unwrap();
     assert_eq!(finished.recv().await, Some(true));
 }
 
@@ -191,12 +194,12 @@
             spawn_local(async move { transport.call(to, &Divide { number, by: 1 }, LONG).await })
         })
         .collect();
-    let mut suspended_handler = Vec::new();
+    let mut resumptions = Vec::new();
     for _ in 0..30 {
-        suspended_handler.push(started.recv().await.unwrap());
+        resumptions.push(started.recv().await.unwrap());
     }
-    for go in suspended_handler.into_iter().rev() {
-        go.send(()).unwrap();
+    for resume in resumptions.into_iter().rev() {
+        resume.send(()).unwrap();
     }
     for (number, call) in calls.into_iter().enumerate() {
         assert_eq!(call.await.unwrap(), Ok(Quotient { quotient: number as u32, remainder: 0 }));
@@ -209,16 +212,16 @@
         .host(handlers.with_limits(ServerLimits { max_concurrent_calls: 1, ..ServerLimits::default() }))
         .await;
     let transport = network.transport();
-    let calling = transport.clone();
-    let call = spawn_local(async move { calling.call(to, &Divide { number: 1, by: 1 }, LONG).await });
-    let go = started.recv().await.unwrap();
+    let caller = transport.clone();
+    let call = spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG).await });
+    let resume = started.recv().await.unwrap();
     let rejected = Err(CallError::Rejected(CallRejection::Overloaded));
     assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, rejected);
     // A call whose caller is gone counts as long as it runs.
     call.abort();
     assert!(call.await.is_err());
     assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, rejected);
-    go.send(()).unwrap();
+    resume.send(()).unwrap();
     assert_eq!(finished.recv().await, Some(true));
     let call = spawn_local(async move { transport.call(to, &Divide { number: 3, by: 1 }, LONG).await });
     started.recv().await.unwrap().send(()).unwrap();
@@ -239,7 +242,7 @@
 }
 
 async fn handlers_get_the_address_of_the_caller(mut network: impl Network) {
-    let (sender, mut resumed) = mpsc::unbounded_channel();
+    let (sender, mut addresses) = mpsc::unbounded_channel();
     let to = network
         .host(Handlers::new().with_handler::<Fill>(async move |_, peer| {
             let _ = sender.send(*peer.address.ip());
@@ -247,7 +250,7 @@
         }))
         .await;
     assert!(network.transport().call(to, &fill(1, 1), LONG).await.is_err());
-    assert_eq!(resumed.recv().await, Some(Ipv4Addr::LOCALHOST));
+    assert_eq!(addresses.recv().await, Some(Ipv4Addr::LOCALHOST));
 }
 
 macro_rules! contract {
--- a/crates/rpc/tests/response_matching.rs
+++ b/crates/rpc/tests/response_matching.rs
@@ -161,7 +161,7 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Reads one call; `late` goes out as its first byte is there.
+/// Reads one call, its id and body; `delayed_copy` is sent when its first byte has arrived.
 async fn read(
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
@@ -170,12 +170,14 @@
     loop {
         if let Some(head) = received.windows(4).position(|four| four == b"\r\n\r\n") {
             let text = String::from_utf8(received[..head].to_vec()).expect("text");
-            let of = |name: &str| text.lines().find_map(|line| line.strip_prefix(name).map(str::to_owned));
-            let end = head + 4 + of("content-length: ").map_or(0, |length| length.parse().expect("a number"));
+            let header =
+                |name: &str| text.lines().find_map(|line| line.strip_prefix(name).map(str::to_owned));
+            let end =
+                head + 4 + header("content-length: ").map_or(0, |length| length.parse().expect("a number"));
             if received.len() >= end {
                 let body = received[head + 4..end].to_vec();
                 received.drain(..end);
-                return Some((of("call-id: "), body));
+                return Some((header("call-id: "), body));
             }
         }
         if stream.read_buf(received).await.unwrap_or(0) == 0 {
@@ -281,7 +283,7 @@
     });
 }
 
-/// The end of the answer lay in the kernel while this process was frozen: what it says may be long out of date.
+/// The end of the response waited in the kernel while the process was suspended: the response may be out of date.
 #[test]
 fn a_response_that_is_read_after_the_deadline_is_a_timeout() {
     run(async {
@@ -291,12 +293,11 @@
             )
             .await;
         let caller = Caller::new();
-        let (calling, address) = (caller.clone(), peer.address);
-        // A task of its own: it runs behind the one that reads the connection.
-        let call =
-            spawn_local(
-                async move { calling.call(address, &Divide { number: 1, by: 1 }, SHORT_TIMEOUT).await },
-            );
+        let (task_caller, address) = (caller.clone(), peer.address);
+        // In a task of its own, which runs after the one that reads the connection.
+        let call = spawn_local(async move {
+            task_caller.call(address, &Divide { number: 1, by: 1 }, SHORT_TIMEOUT).await
+        });
         assert_eq!(call.await.expect("an end"), Err(CallError::Timeout));
         assert!(caller.call(peer.address, &Divide { number: 2, by: 1 }, LONG).await.is_ok());
         assert_eq!(peer.connections(), [0, 1]);
