--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -4,9 +4,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use crate::errors::ConfigError;
 use crate::operators::Operators;
 use mosshead_known::listing::{Listing, read_listing};
-use mosshead_settings::{self as settings, JsonError, JsonField, NamedSettings};
+use mosshead_settings::{self as settings, JsonField, NamedSettings};
 use tinyjson::JsonValue;
 
 /// Keys that may be absent at any time.
@@ -35,19 +36,24 @@
 }
 
 impl Config {
-    /// Whether a configuration that replaces this one has all keys of it. A fault names the key.
-    pub(crate) fn replaced_by(&self, next: &Self) -> Result<(), String> {
-        lacking(&self.json, &next.json, "")
-            .map_or(Ok(()), |key| Err(format!("{key}: missing, and in force now")))
+    /// Checks that a configuration that is to replace this one has all of its keys.
+    ///
+    /// # Errors
+    /// The first key that the next configuration lacks.
+    pub(crate) fn check_replacement(&self, next: &Self) -> Result<(), ConfigError> {
+        lacking(&self.json, &next.json, "").map_or(Ok(()), |key| Err(ConfigError::MissingKey(key)))
     }
 
-    /// Reads the text of a configuration; a fault names the key.
-    pub fn read(text: &str) -> Result<Self, String> {
+    /// Reads the text of a configuration.
+    ///
+    /// # Errors
+    /// When the text is not JSON, lacks a key, or has a value of the wrong type or out of range; the message names the key.
+    pub fn read(text: &str) -> Result<Self, ConfigError> {
         let json = settings::parse_json(text)?;
         let top = JsonField::root(&json);
-        let address = |name| -> Result<SocketAddr, JsonError> {
+        let address = |name| -> Result<SocketAddr, ConfigError> {
             let found = top.field(name)?;
-            found.string()?.parse().map_err(|_| found.broken_rule("not an address with a port"))
+            found.string()?.parse().map_err(|_| found.broken_rule("not an address with a port").into())
         };
         let ops = top.optional_field("ops")?.map(|_| address("ops")).transpose()?;
         let seed = top.field("seed")?;
@@ -56,7 +62,7 @@
         // Danger: told of more, the module takes connections for open that are not. Whatever the platform states, the
         // protocol carries one request at a time on each.
         named.settings.limits.streams_per_connection = 1;
-        named.settings.check().map_err(|error| error.to_string())?;
+        named.settings.check()?;
         let sockets = limits.field("sockets")?;
         if sockets.integer()? < 64 {
             return Err(sockets.broken_rule("too few to serve: at least 64 are needed").into());
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -14,6 +14,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
+use std::string::FromUtf8Error;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -21,6 +22,7 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg, sockopt::socket_acceptconn,
 };
+use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Interest};
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, UnixListener, UnixStream};
@@ -33,7 +35,7 @@
 use crate::log::say;
 use crate::module::Module;
 use mosshead_known::listing::{Listing, read_listing, write_listing};
-use mosshead_settings::{self as settings, JsonField};
+use mosshead_settings::{self as settings, JsonError, JsonField};
 
 /// A predecessor hands over within this time, or there is none.
 const PATIENCE: Duration = Duration::from_millis(1000);
@@ -67,6 +69,28 @@
     }
 }
 
+/// Why a predecessor that answers has not handed over; the new process then starts without it.
+#[derive(Debug, Error)]
+pub(crate) enum HandoverError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("the predecessor did not answer")]
+    NoReply,
+    #[error("what was handed over does not listen")]
+    NotListening,
+    #[error("what was handed over listens at {0}")]
+    WrongAddress(SocketAddr),
+    #[error("the predecessor has ended")]
+    PredecessorEnded,
+    #[error("the list has no length")]
+    NoListLength,
+    #[error(transparent)]
+    NotText(#[from] FromUtf8Error),
+    /// The list is not JSON, or not one of servers; the message names the key.
+    #[error(transparent)]
+    InvalidList(#[from] JsonError),
+}
+
 /// What a predecessor has handed over.
 pub(crate) struct Taken {
     pub(crate) listener: Listening,
@@ -75,49 +99,49 @@
 }
 
 /// Asks the process that serves at `listen` to hand over; none where there is no such process.
-pub(crate) async fn take(path: &Path, listen: SocketAddr) -> Result<Option<Taken>, String> {
+pub(crate) async fn take(path: &Path, listen: SocketAddr) -> Result<Option<Taken>, HandoverError> {
     let asked = timeout(PATIENCE, ask(path, listen)).await;
-    asked.unwrap_or_else(|_| Err("the predecessor did not answer".to_owned()))
+    asked.unwrap_or_else(|_| Err(HandoverError::NoReply))
 }
 
-async fn ask(path: &Path, listen: SocketAddr) -> Result<Option<Taken>, String> {
-    let wrong = |error: io::Error| error.to_string();
-    let (short, _folder) = fitting(path).map_err(wrong)?;
+async fn ask(path: &Path, listen: SocketAddr) -> Result<Option<Taken>, HandoverError> {
+    let (short, _folder) = fitting(path)?;
     let mut stream = match UnixStream::connect(short).await {
         Ok(stream) => stream,
         Err(error) if matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
             return Ok(None);
         }
-        Err(error) => return Err(wrong(error)),
+        Err(error) => return Err(error.into()),
     };
-    stream.write_all(b"take 1\n").await.map_err(wrong)?;
+    stream.write_all(b"take 1\n").await?;
     let socket = loop {
-        stream.readable().await.map_err(wrong)?;
+        stream.readable().await?;
         match stream.try_io(Interest::READABLE, || receive(&stream)) {
             Ok(socket) => break socket,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            Err(error) => return Err(wrong(error)),
+            Err(error) => return Err(error.into()),
         }
     };
     // Danger: whoever can write into the folder could hand over anything.
-    if !socket_acceptconn(&socket).map_err(|error| error.to_string())? {
-        return Err("what was handed over does not listen".to_owned());
+    if !socket_acceptconn(&socket).map_err(io::Error::from)? {
+        return Err(HandoverError::NotListening);
     }
     let listener = Listening::from(socket);
-    let at = listener.local_addr().map_err(wrong)?;
+    let at = listener.local_addr()?;
     if at.ip() != listen.ip() || (listen.port() != 0 && at.port() != listen.port()) {
-        return Err(format!("what was handed over listens at {at}"));
+        return Err(HandoverError::WrongAddress(at));
     }
-    listener.set_nonblocking(true).map_err(wrong)?;
+    listener.set_nonblocking(true)?;
     let (reader, writer) = stream.into_split();
     let mut reader = BufReader::new(reader);
-    let line = line(&mut reader).await.map_err(wrong)?.ok_or("the predecessor has ended")?;
+    let line = line(&mut reader).await?.ok_or(HandoverError::PredecessorEnded)?;
     let length = line.strip_prefix("list ").and_then(|length| length.parse::<u64>().ok());
-    let length = length.filter(|length| *length <= LIST).ok_or("the list has no length")?;
+    let length = length.filter(|length| *length <= LIST).ok_or(HandoverError::NoListLength)?;
     let mut text = vec![0; length as usize];
-    reader.read_exact(&mut text).await.map_err(wrong)?;
-    let text = String::from_utf8(text).map_err(|error| error.to_string())?;
-    let known = read_listing(&JsonField::root(&settings::parse_json(&text)?))?;
+    reader.read_exact(&mut text).await?;
+    let text = String::from_utf8(text)?;
+    let json = settings::parse_json(&text)?;
+    let known = read_listing(&JsonField::root(&json))?;
     Ok(Some(Taken { listener, known, link: (reader, writer) }))
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,6 +7,7 @@
 mod connection_log;
 mod control;
 mod door;
+mod errors;
 mod execute_node;
 mod flow;
 mod framing;
@@ -24,6 +25,7 @@
 mod tuning;
 
 pub use config::Config;
+pub use errors::{ConfigError, LoadConfigError};
 pub use operators::Operators;
 
 use std::io;
@@ -40,6 +42,7 @@
 use crate::log::say;
 use budget::Budget;
 use control::Control;
+use errors::ReloadError;
 use handover::{Handover, Shares};
 use keeper::Keeper;
 use machine_list::MachineList;
@@ -62,9 +65,13 @@
 
 /// Serves until SIGTERM or SIGINT; every job taken has its answer when this returns. On SIGHUP `read` gives
 /// the configuration as it is now.
+///
+/// # Errors
+/// When an address can't be bound, the process can't start its runtime or handle signals, the settings are not valid, or
+/// the actor that decides has ended.
 pub fn run(
     config: Config,
-    read: impl Fn() -> Result<Config, String> + Clone + Send + 'static,
+    read: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let actors = LocalSet::new();
@@ -76,7 +83,7 @@
 
 async fn serve(
     mut config: Config,
-    read: impl Fn() -> Result<Config, String> + Clone + Send + 'static,
+    read: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
 ) -> io::Result<()> {
     let hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -159,7 +166,7 @@
     // A stop does not wait for this thread, as it would for the runtime's own.
     std::thread::spawn(move || drop(read.send(keeper::read(&from))));
     let found = timeout(keeper::PATIENCE, found).await.ok().and_then(Result::ok);
-    let found = found.unwrap_or_else(|| Err(Spoilt::TimedOut));
+    let found = found.unwrap_or(Err(Spoilt::TimedOut));
     let believed = believe(&config.known, found, &config.name, stored::unix_ms());
     for verdict in &believed.verdicts {
         say!(part = %verdict.part, fate = %verdict.fate, why = %verdict.why, life = believed.life, "former life");
@@ -190,7 +197,7 @@
 /// it now says. Jobs and connections live on; what else the file changes counts from the next start.
 async fn reload(
     mut hangup: Signal,
-    read: impl Fn() -> Result<Config, String> + Clone + Send + 'static,
+    read: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
     list: MachineList,
     module: Module,
     front: Rc<Front>,
@@ -199,13 +206,13 @@
     while hangup.recv().await.is_some() {
         // Danger: a file system that hangs must not stop the jobs.
         let read = spawn_blocking(read.clone()).await;
-        let next = read.unwrap_or_else(|fault| Err(fault.to_string()));
-        let next = next.and_then(|next| running.replaced_by(&next).map(|()| next));
-        let taken = match next {
-            Ok(next) => module.retune(next.named.clone()).await.map(|terms| (next, terms)),
-            Err(fault) => Err(fault),
+        let adopted = async {
+            let next = read??;
+            running.check_replacement(&next)?;
+            let terms = module.retune(next.named.clone()).await?;
+            Ok::<_, ReloadError>((next, terms))
         };
-        match taken {
+        match adopted.await {
             Ok((next, terms)) => {
                 front.retuned(terms);
                 say!(
@@ -217,7 +224,7 @@
                 list.move_to(next.discovery);
                 running = next;
             }
-            Err(fault) => say!(fault = %fault, "reload failed"),
+            Err(error) => say!(fault = %error, "reload failed"),
         }
     }
 }
--- a/crates/proxy/src/machine_list.rs
+++ b/crates/proxy/src/machine_list.rs
@@ -2,10 +2,12 @@
 
 use std::net::SocketAddr;
 use std::pin::pin;
+use std::str::Utf8Error;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use hyper::{Request, StatusCode};
+use thiserror::Error;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{sleep_until, timeout};
 
@@ -17,9 +19,9 @@
 use crate::messages::Mail;
 use mosshead_comeback::Silence;
 use mosshead_decide::interface::Seconds;
-use mosshead_http_links::{CloseReason, read_body};
+use mosshead_http_links::{BodyError, CloseReason, read_body};
 use mosshead_known::listing::{Listing, read_listing};
-use mosshead_settings::{self as settings, JsonField};
+use mosshead_settings::{self as settings, JsonError, JsonField};
 
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
 /// arose in any case: a call that discovery has forgotten must be over by then.
@@ -107,17 +109,17 @@
                     held = Some(listing.version);
                     let _ = home.send(Mail::List(Some(listing)));
                 }
-                Watched::Answered(Err(fault)) => {
+                Watched::Answered(Err(error)) => {
                     if let Some(left_out) = failed.admit() {
                         let left_out = (left_out > 0).then_some(left_out);
-                        say!(why = %fault.why, left_out, "machine-list failed");
+                        say!(why = %error, left_out, "machine-list failed");
                     }
-                    if fault.silent && silence.reopens() {
+                    if error.is_silent_watch() && silence.reopens() {
                         caller.link = None;
                         from = Instant::now();
                         continue;
                     }
-                    if fault.nonsense {
+                    if error.is_unusable_response() {
                         held = None;
                     }
                     caller.link = None;
@@ -155,7 +157,7 @@
 }
 
 enum Watched {
-    Answered(Result<Listing, Fault>),
+    Answered(Result<Listing, ListError>),
     Moved(SocketAddr),
     Closed,
 }
@@ -185,17 +187,54 @@
     }
 }
 
-struct Fault {
-    why: String,
-    /// It answered, but nothing that can be read.
-    nonsense: bool,
-    /// A watch was up, and nothing came of it.
-    silent: bool,
+/// Why a call for the list has failed.
+#[derive(Debug, Error)]
+enum ListError {
+    /// No response in time; whether the call was a watch, which discovery has to answer, or one for the whole list, which
+    /// may still wait for its turn.
+    #[error("no answer in time")]
+    TimedOut { watching: bool },
+    #[error("no connection")]
+    NoConnection,
+    #[error(transparent)]
+    InvalidRequest(#[from] hyper::http::Error),
+    #[error(transparent)]
+    Connection(#[from] hyper::Error),
+    #[error("answered {}", .0.as_u16())]
+    Status(StatusCode),
+    #[error("body {0:?}")]
+    Body(BodyError),
+    #[error(transparent)]
+    NotText(#[from] Utf8Error),
+    /// The body is not JSON, or not a list of servers; the message names the key.
+    #[error(transparent)]
+    InvalidList(#[from] JsonError),
+    #[error("changes in place of the whole list")]
+    ChangesForWholeList,
+    #[error("version {found} after {held}")]
+    OlderChanges { found: u64, held: u64 },
 }
 
-impl Fault {
-    fn nonsense(why: String) -> Self {
-        Self { why, nonsense: true, silent: false }
+impl ListError {
+    /// Whether discovery has responded, with something that can't be used.
+    fn is_unusable_response(&self) -> bool {
+        match self {
+            Self::Body(_)
+            | Self::NotText(_)
+            | Self::InvalidList(_)
+            | Self::ChangesForWholeList
+            | Self::OlderChanges { .. } => true,
+            Self::TimedOut { .. }
+            | Self::NoConnection
+            | Self::InvalidRequest(_)
+            | Self::Connection(_)
+            | Self::Status(_) => false,
+        }
+    }
+
+    /// Whether a watch was up and nothing came of it.
+    fn is_silent_watch(&self) -> bool {
+        matches!(self, Self::TimedOut { watching: true })
     }
 }
 
@@ -213,27 +252,23 @@
         self.discovery = discovery;
     }
 
-    async fn call(&mut self, held: Option<u64>) -> Result<Listing, Fault> {
+    async fn call(&mut self, held: Option<u64>) -> Result<Listing, ListError> {
         let wait = held.map_or(Duration::ZERO, |_| HOLD);
-        // A call for the whole list may still wait for its turn: that is no silence.
-        let silent = held.is_some();
-        let late = || Fault { why: "no answer in time".to_owned(), nonsense: false, silent };
-        let text = timeout(wait + LATE, self.fetch(held)).await.map_err(|_| late())??;
-        let text = str::from_utf8(&text).map_err(|error| Fault::nonsense(error.to_string()))?;
-        let json = settings::parse_json(text).map_err(|error| Fault::nonsense(error.to_string()))?;
-        let listing =
-            read_listing(&JsonField::root(&json)).map_err(|error| Fault::nonsense(error.to_string()))?;
+        let timed_out = ListError::TimedOut { watching: held.is_some() };
+        let text = timeout(wait + LATE, self.fetch(held)).await.map_err(|_| timed_out)??;
+        let text = str::from_utf8(&text)?;
+        let json = settings::parse_json(text)?;
+        let listing = read_listing(&JsonField::root(&json))?;
         match held {
-            None if !listing.full => Err(Fault::nonsense("changes in place of the whole list".to_owned())),
+            None if !listing.full => Err(ListError::ChangesForWholeList),
             Some(held) if !listing.full && listing.version < held => {
-                Err(Fault::nonsense(format!("version {} after {held}", listing.version)))
+                Err(ListError::OlderChanges { found: listing.version, held })
             }
             _ => Ok(listing),
         }
     }
 
-    async fn fetch(&mut self, held: Option<u64>) -> Result<Bytes, Fault> {
-        let fault = |why: &str| Fault { why: why.to_owned(), nonsense: false, silent: false };
+    async fn fetch(&mut self, held: Option<u64>) -> Result<Bytes, ListError> {
         if let Some(link) = &mut self.link
             && !link.ready().await
         {
@@ -243,20 +278,20 @@
             self.link =
                 OutboundConnection::open(MACHINE_LIST, self.discovery, self.connect_timeout, ()).await;
         }
-        let link = self.link.as_mut().ok_or_else(|| fault("no connection"))?;
+        let link = self.link.as_mut().ok_or(ListError::NoConnection)?;
         let target = match held {
             Some(version) => format!("/catalog/members?from={version}&hold_ms={}", HOLD.as_millis()),
             None => "/catalog/members".to_owned(),
         };
         let request = Request::get(target).header("host", self.discovery.to_string());
-        let request = request.body(Flow::from(Bytes::new())).map_err(|error| fault(&error.to_string()))?;
+        let request = request.body(Flow::from(Bytes::new()))?;
         link.record.set_default_close_reason(CloseReason::Abandoned);
-        let answer = link.send(request, 0).await.map_err(|error| fault(&error.to_string()))?;
+        let answer = link.send(request, 0).await?;
         if answer.status() != StatusCode::OK {
-            return Err(fault(&format!("answered {}", answer.status().as_u16())));
+            return Err(ListError::Status(answer.status()));
         }
         let body = read_body(answer.into_body(), LIST_LIMIT).await;
-        let body = body.map_err(|error| Fault::nonsense(format!("body {error:?}")))?;
+        let body = body.map_err(ListError::Body)?;
         link.record.set_default_close_reason(CloseReason::ClosedByPeer);
         Ok(body)
     }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,11 +1,13 @@
 //! The client proxy's command line.
 
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use lexopt::prelude::*;
 use mosshead::log::{self, Format};
-use mosshead::{self as proxy, Config, Operators};
+use mosshead::{self as proxy, Config, LoadConfigError, Operators};
+use thiserror::Error;
 
 const USAGE: &str = "usage: mosshead serve [--config FILE] [--operators FILE] [--log text|json]
        mosshead check-config [--config FILE] [--operators FILE]
@@ -61,22 +63,33 @@
     }
 }
 
-fn read(Files(path, operators): &Files) -> Result<Config, String> {
-    let text =
-        |path: &Path| std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()));
-    let mut config = Config::read(&text(path)?).map_err(|fault| format!("{}: {fault}", path.display()))?;
+fn read(Files(path, operators): &Files) -> Result<Config, LoadConfigError> {
+    let text = |path: &Path| {
+        std::fs::read_to_string(path)
+            .map_err(|source| LoadConfigError::Unreadable { path: path.to_owned(), source })
+    };
+    let invalid = |path: &Path, source| LoadConfigError::Invalid { path: path.to_owned(), source };
+    let mut config = Config::read(&text(path)?).map_err(|error| invalid(path, error))?;
     if let Some(path) = operators {
-        let read = Operators::read(&text(path)?);
-        config.operators = read.map_err(|fault| format!("{}: {fault}", path.display()))?;
+        config.operators = Operators::read(&text(path)?).map_err(|error| invalid(path, error))?;
     }
     if let (None, Some(ops)) = (config.ops, std::env::var_os("BALANCER_OPS")) {
         let ops = ops.to_str().and_then(|ops| ops.parse().ok());
-        config.ops = Some(ops.ok_or("BALANCER_OPS: not an address with a port")?);
+        config.ops = Some(ops.ok_or(LoadConfigError::InvalidAdminAddress)?);
     }
     Ok(config)
 }
 
-fn run(command: Command) -> Result<(), String> {
+/// Why a sub-command failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    Load(#[from] LoadConfigError),
+    #[error(transparent)]
+    Serve(#[from] io::Error),
+}
+
+fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Help => println!("{USAGE}"),
         Command::Version => println!("mosshead {}", env!("CARGO_PKG_VERSION")),
@@ -90,7 +103,7 @@
         Command::Serve(files, format) => {
             let config = read(&files)?;
             let _written = log::start(format);
-            proxy::run(config, move || read(&files)).map_err(|error| error.to_string())?;
+            proxy::run(config, move || read(&files))?;
         }
     }
     Ok(())
@@ -106,8 +119,8 @@
     };
     match run(command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("mosshead: {fault}");
+        Err(error) => {
+            eprintln!("mosshead: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -10,6 +10,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
+use crate::errors::ApplySettingsError;
 use crate::flow::{Flow, Upload};
 use crate::http::OutboundConnection;
 use crate::tuning::Terms;
@@ -86,7 +87,7 @@
     /// The last byte of a job's body has come.
     Whole(RequestId),
     /// Other settings, and whom to tell what submitters may name from now on.
-    Retune(Box<NamedSettings>, oneshot::Sender<Result<Terms, String>>),
+    Retune(Box<NamedSettings>, oneshot::Sender<Result<Terms, ApplySettingsError>>),
 }
 
 /// The outcome of one attempt.
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -21,6 +21,7 @@
 use crate::config::Config;
 use crate::control::Control;
 use crate::duration;
+use crate::errors::ApplySettingsError;
 use crate::execute_node;
 use crate::ids::Ids;
 use crate::log::say;
@@ -123,10 +124,10 @@
     }
 
     /// Takes other settings up, all or none; gives what submitters may name from now on.
-    pub(crate) async fn retune(&self, named: NamedSettings) -> Result<Terms, String> {
+    pub(crate) async fn retune(&self, named: NamedSettings) -> Result<Terms, ApplySettingsError> {
         let (owed, terms) = oneshot::channel();
         self.send(Mail::Retune(Box::new(named), owed));
-        terms.await.unwrap_or_else(|_| Err("the module has ended".to_owned()))
+        terms.await.unwrap_or(Err(ApplySettingsError::BalancerStopped))
     }
 
     /// The machine list as it is known now.
@@ -444,7 +445,7 @@
         }
     }
 
-    fn retune(&mut self, named: NamedSettings) -> Result<Terms, String> {
+    fn retune(&mut self, named: NamedSettings) -> Result<Terms, ApplySettingsError> {
         let named = named.renumbered(&mut self.zones, &mut self.kinds);
         let held: HashSet<ClassId> = self.jobs.values().map(|held| held.class).collect();
         let mut tuning = self.tuning.clone();
@@ -452,7 +453,7 @@
         let Change { settings, terms, open, heirs } = change;
         let (limits, membership) = (settings.limits.clone(), settings.membership);
         let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        self.balancer.apply_settings(settings, &open, &heirs).map_err(|fault| fault.to_string())?;
+        self.balancer.apply_settings(settings, &open, &heirs)?;
         // Nothing can fail from here on.
         self.tuning = tuning;
         self.ids.keep(duration(longest));
@@ -497,7 +498,7 @@
         let upload = call.body.upload().cloned();
         let (owed, sent, class, most) = (Some(owed), Vec::new(), job.class, self.limits.max_attempts);
         self.jobs.insert(id, Held { id: job.id, class, most, call, owed, deadline, time_left, sent, out: 0 });
-        let request = Request { id: id, time_left, class: job.class, tenant: job.tenant };
+        let request = Request { id, time_left, class: job.class, tenant: job.tenant };
         match upload {
             Some(upload) => {
                 upload.belongs_to(self.module.mailbox.clone(), id);
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -2,7 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use mosshead_settings::{JsonError, JsonField, parse_json};
+use mosshead_settings::{JsonField, parse_json};
+
+use crate::errors::ConfigError;
 
 /// What the operators grant, read and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -12,24 +14,28 @@
 }
 
 impl Operators {
-    /// Reads the text of an operators' file; a fault names the key.
-    pub fn read(text: &str) -> Result<Self, JsonError> {
+    /// Reads the text of an operators' file.
+    ///
+    /// # Errors
+    /// When the text is not JSON, has a key that is not known, or names a folder by a path that is not absolute; the
+    /// message names the key.
+    pub fn read(text: &str) -> Result<Self, ConfigError> {
         let json = parse_json(text)?;
         let top = JsonField::root(&json);
         for (name, found) in top.fields()? {
             // Danger: a key that was misspelt would grant nothing, and nobody would know.
             if name != "state" {
-                return Err(found.broken_rule("not known here"));
+                return Err(found.broken_rule("not known here").into());
             }
         }
-        let folder = |state: JsonField| -> Result<PathBuf, JsonError> {
+        let folder = |state: JsonField| -> Result<PathBuf, ConfigError> {
             if let Some((_, found)) = state.fields()?.into_iter().find(|(name, _)| *name != "folder") {
-                return Err(found.broken_rule("not known here"));
+                return Err(found.broken_rule("not known here").into());
             }
             let folder = state.field("folder")?;
             let path = Path::new(folder.string()?);
             if !path.is_absolute() {
-                return Err(folder.broken_rule("not an absolute path"));
+                return Err(folder.broken_rule("not an absolute path").into());
             }
             Ok(path.to_owned())
         };
--- a/crates/proxy/src/tuning.rs
+++ b/crates/proxy/src/tuning.rs
@@ -9,12 +9,14 @@
 use mosshead_decide::interface::*;
 use mosshead_settings::NamedSettings;
 
+use crate::errors::ApplySettingsError;
+
 /// For so long after a change a name still has its former terms: submitters learn of it a moment later.
 const GRACE: Duration = Duration::from_millis(1000);
 /// A place that no name points to is used again after this: whoever read it before has mailed its job by then.
 const REST: Duration = Duration::from_secs(60);
 /// More places than this within that time are too many changes.
-const MOST: usize = 1024;
+pub(crate) const MAX_CLASS_SLOTS: usize = 1024;
 
 /// What a name stands for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -93,7 +95,7 @@
         named: &NamedSettings,
         held: impl Fn(ClassId) -> bool,
         now: Instant,
-    ) -> Result<Change, String> {
+    ) -> Result<Change, ApplySettingsError> {
         let mut next = self.clone();
         let mut heirs = Vec::new();
         let before: HashMap<&str, usize> = (self.places.iter().enumerate())
@@ -125,8 +127,8 @@
             }
             heirs.extend(before.get(name).map(|from| (ClassId(*from), ClassId(to))));
         }
-        if next.places.len() > MOST {
-            return Err(format!("settings.classes: over {MOST} definitions within a minute"));
+        if next.places.len() > MAX_CLASS_SLOTS {
+            return Err(ApplySettingsError::TooManyClassDefinitions);
         }
         // A tenant keeps its number and its name; one that is dropped has no share: whatever it still sends is beyond it.
         next.shares.iter_mut().for_each(|tenant| tenant.share = 0.0);
@@ -228,7 +230,7 @@
             let change = tuning.change(&other, |class| class.0 == 0, now).expect("a change");
             assert!(change.settings.classes.len() <= 3 && change.settings.classes[0].deadline == 1.0);
         }
-        let mut flood = (0..2 * MOST).map(|turn| {
+        let mut flood = (0..2 * MAX_CLASS_SLOTS).map(|turn| {
             tuning.change(&named(&[("a", "free", 500.0 + turn as f64)]), |_| false, now).is_err()
         });
         assert!(flood.any(|refused| refused));
