--- a/crates/registry/src/entry.rs
+++ b/crates/registry/src/entry.rs
@@ -28,7 +28,7 @@
     }
 
     /// Drops the models of a tombstone. Entries are normalized before they are compared: with its models an entry
-    /// would supersede the normalized form that is stored, and be taken in again each time.
+    /// would supersede the normalized form that is stored, and replace it each time.
     pub(crate) fn normalize(&mut self) {
         if self.server.is_removed() {
             self.server.models = Vec::new();
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -21,7 +21,7 @@
 use crate::source_index::SourceIndex;
 use crate::{Entry, Server, SourceId};
 
-/// The most servers that are held, tombstones not counted.
+/// The most servers that are kept, tombstones not counted.
 pub const MAX_SERVERS: usize = 32_768;
 
 /// The registry of model servers of one process.
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -8,7 +8,7 @@
 
 use crate::{SourceId, VersionVector};
 
-/// A source without contact for longer counts as lost: others mark the servers whose heartbeats it received.
+/// A source without contact for longer counts as lost: others suspect the servers whose heartbeats it received.
 pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How many contacts are kept; the oldest go first.
--- a/crates/registry/tests/encoding.rs
+++ b/crates/registry/tests/encoding.rs
@@ -63,7 +63,7 @@
     }
 }
 
-fn round<T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug>(value: &T) {
+fn assert_round_trip<T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug>(value: &T) {
     let bytes = minicbor::to_vec(value).unwrap();
     assert_eq!(&minicbor::decode::<T>(&bytes).unwrap(), value);
 }
@@ -84,9 +84,9 @@
 
 quickcheck! {
     fn deltas_survive_encoding(delta: AnyDelta) -> bool {
-        round(&delta.0);
-        round(&delta.0.vector);
-        delta.0.entries.iter().for_each(round);
+        assert_round_trip(&delta.0);
+        assert_round_trip(&delta.0.vector);
+        delta.0.entries.iter().for_each(assert_round_trip);
         true
     }
 
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -45,8 +45,8 @@
     }
     let last = 4 * 1200;
     let suspected_at = run(&mut registry, last, last + 10_000).unwrap();
-    let silence = HEARTBEAT_INTERVAL_MILLIS * 16 / 5;
-    assert!((last + silence..=last + silence + 200).contains(&suspected_at), "{suspected_at}");
+    let timeout = HEARTBEAT_INTERVAL_MILLIS * 16 / 5;
+    assert!((last + timeout..=last + timeout + 200).contains(&suspected_at), "{suspected_at}");
     assert!(is_suspected(&registry));
     assert_eq!(registry.get("i-1").unwrap().sequence, 5);
     let removed_at = run(&mut registry, last + 10_100, last + 40_000).unwrap();
--- a/crates/registry/tests/former_formats.rs
+++ b/crates/registry/tests/former_formats.rs
@@ -63,7 +63,7 @@
     Entry { server, source: SourceId(0x0123_4567_89ab_cdef), version: 12 }
 }
 
-/// A decode server that drains and is not heard.
+/// A decode server that is draining and suspected.
 fn draining() -> Entry {
     let server = Server {
         id: "i-2".into(),
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -9,7 +9,54 @@
 use mosshead_registry::{
     Delta, Entry, MAX_TOMBSTONES, OperState, Registry, Server, SourceId, TOMBSTONE_LIFETIME, VersionVector,
 };
-use mosshead_time::{Duration, whole_millis};
+use mosshead_time::{Duration, Instant, whole_millis};
+
+/// Sends a new control node all entries of a proxy, in truncated deltas.
+fn restore(node: &mut Registry, proxy: &Registry) {
+    // All deltas are computed from the vector that the control node has shown at its start.
+    let vector = node.vector();
+    let mut max_entries = 7;
+    loop {
+        let delta = proxy.missing_entries(&vector, max_entries);
+        let is_truncated = delta.is_truncated;
+        node.merge(millis(1000), delta);
+        if !is_truncated {
+            return;
+        }
+        max_entries += 10;
+    }
+}
+
+/// One control node tells another which servers have sent it heartbeats since an instant.
+fn send_digest(now: u64, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
+    let digest = nodes[from].heartbeats_since(since);
+    let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
+    let source = nodes[from].local_id();
+    nodes[to].record_remote_heartbeats(millis(now), source, digest);
+}
+
+/// For seven seconds the servers 2 to 19 send heartbeats to the first of three new control nodes.
+fn run_with_heartbeats(nodes: &mut [Registry]) {
+    for now in (1000..8000).step_by(100) {
+        for number in 0..3 {
+            let peer = SourceId(4 + (number + 1) % 3);
+            nodes[number as usize].record_contact(millis(now), peer);
+        }
+        if now % 1000 == 0 {
+            for number in 2..20 {
+                let outcome = nodes[0].record_heartbeat(millis(now), server(number, 5 + now / 1000));
+                assert!(!outcome.changed, "{now} {number}");
+            }
+        }
+        if now % 300 == 0 {
+            send_digest(now, nodes, 0, 1, millis(0));
+            send_digest(now, nodes, 0, 2, millis(0));
+        }
+        for node in &mut *nodes {
+            node.tick(millis(now));
+        }
+    }
+}
 
 #[test]
 fn proxies_restore_the_registry_after_all_control_nodes_restart() {
@@ -31,18 +78,7 @@
         let proxy = &mut proxies[number % 2];
         assert!(node.has_unknown_source(&proxy.vector()));
         assert!(node.missing_entries(&proxy.vector(), 100).is_empty());
-        // All deltas of the transfer are computed from the vector that the control node has vector at its start.
-        let vector = node.vector();
-        let mut max_entries = 7;
-        loop {
-            let delta = proxy.missing_entries(&vector, max_entries);
-            let more = delta.is_truncated;
-            node.merge(millis(1000), delta);
-            if !more {
-                break;
-            }
-            max_entries += 10;
-        }
+        restore(node, proxy);
         assert!(!node.has_unknown_source(&proxy.vector()));
         assert_eq!(all_entries(node), before);
     }
@@ -56,31 +92,7 @@
     assert!(nodes[0].record_heartbeat(millis(1000), server(0, 1)).is_outdated);
     assert!(nodes[1].record_heartbeat(millis(1000), server(1, 3)).is_outdated);
     // Servers with heartbeats stay without a new version; the others are suspected by the new incarnations in time.
-    for now in (1000..8000).step_by(100) {
-        for number in 0..3 {
-            let peer = SourceId(4 + (number + 1) % 3);
-            nodes[number as usize].record_contact(millis(now), peer);
-        }
-        if now % 1000 == 0 {
-            for number in 2..20 {
-                let outcome = nodes[0].record_heartbeat(millis(now), server(number, 5 + now / 1000));
-                assert!(!outcome.changed, "{now} {number}");
-            }
-        }
-        if now % 300 == 0 {
-            let alive = nodes[0].heartbeats_since(millis(0));
-            for other in &mut nodes[1..] {
-                other.record_remote_heartbeats(
-                    millis(now),
-                    SourceId(4),
-                    alive.iter().map(|(i, s)| (i.as_str(), *s)),
-                );
-            }
-        }
-        for node in &mut nodes {
-            node.tick(millis(now));
-        }
-    }
+    run_with_heartbeats(&mut nodes);
     synchronize_all(8000, &mut nodes);
     for node in &nodes {
         assert_consistent(node);
@@ -121,68 +133,66 @@
     assert_eq!(b.vector().get(SourceId(3)), 1);
 }
 
+/// The control nodes exchange entries, each with each.
+fn exchange(now: u64, nodes: &mut [Registry], before_each: impl Fn(&mut [Registry], usize, usize)) {
+    for from in 0..nodes.len() {
+        for to in 0..nodes.len() {
+            if from != to {
+                before_each(nodes, from, to);
+                synchronize_pair(now, nodes, from, to, 50);
+            }
+        }
+    }
+}
+
+/// One second in which a control node restarts, one server changes and the others send unchanged heartbeats.
+fn run_incarnation(incarnation: u64, nodes: &mut [Registry], proxy: &mut Registry) {
+    let now = incarnation * 1000;
+    let at = (incarnation % 3) as usize;
+    nodes[at] = control_node(4 + incarnation);
+    synchronize_pair(now, nodes, (at + 1) % 3, at, 50);
+    for number in 0..60_u8 {
+        let slots = 1 + (incarnation.saturating_sub(u64::from(number)) / 60) as u32;
+        let server = Server { slots, ..server(number, incarnation + 1) };
+        nodes[usize::from(number) % 3].record_heartbeat(millis(now), server);
+    }
+    exchange(now, nodes, |nodes, from, to| {
+        let peer = nodes[from].local_id();
+        nodes[to].record_contact(millis(now), peer);
+    });
+    synchronize(now, &nodes[at], proxy, 50);
+    for registry in nodes.iter_mut().chain([proxy]) {
+        registry.tick(millis(now));
+    }
+}
+
 /// Thousands of incarnations of three control nodes, one ending each second, each with a change or two.
 #[test]
 fn the_vector_stays_small_over_thousands_of_incarnations() {
     let mut nodes: Vec<Registry> = (1..=3).map(control_node).collect();
     let mut proxy = read_replica(u64::MAX);
-    let mut sequence = 0;
-    let mut max_entries = 0;
-    for life in 0..3000_u64 {
-        let now = life * 1000;
-        let at = (life % 3) as usize;
-        nodes[at] = control_node(4 + life);
-        synchronize_pair(now, &mut nodes, (at + 1) % 3, at, 50);
-        sequence += 1;
-        for number in 0..60_u8 {
-            // One server changes in each incarnation, the others send unchanged heartbeats.
-            let to = usize::from(number) % 3;
-            let slots = 1 + (life.saturating_sub(u64::from(number)) / 60) as u32;
-            nodes[to].record_heartbeat(millis(now), Server { slots, ..server(number, sequence) });
-        }
-        for from in 0..3 {
-            for to in 0..3 {
-                if from != to {
-                    let peer = nodes[from].local_id();
-                    nodes[to].record_contact(millis(now), peer);
-                    synchronize_pair(now, &mut nodes, from, to, 50);
-                }
-            }
-        }
-        synchronize(now, &nodes[at], &mut proxy, 50);
-        for node in &mut nodes {
-            node.tick(millis(now));
-        }
-        proxy.tick(millis(now));
+    let mut max_sources = 0;
+    for incarnation in 0..3000 {
+        run_incarnation(incarnation, &mut nodes, &mut proxy);
         for registry in nodes.iter().chain([&proxy]) {
-            max_entries = max_entries.max(registry.vector().len());
+            max_sources = max_sources.max(registry.vector().len());
         }
     }
-    assert!(max_entries <= 16 + 8, "{max_entries}");
+    assert!(max_sources <= 16 + 8, "{max_sources}");
     synchronize_all(3_000_000, &mut nodes);
     assert_consistent(&proxy);
     assert_eq!(proxy.len(), 60);
     // Once the restarts have stopped, the remaining old sources disappear.
+    let mut sequence = 3000;
     for now in (3_000_000..3_000_000 + 3 * whole_millis(TOMBSTONE_LIFETIME)).step_by(1000) {
         sequence += 1;
         for number in 0..60_u8 {
             let server = Server { slots: 9999, ..server(number, sequence) };
             nodes[usize::from(number) % 3].record_heartbeat(millis(now), server);
         }
-        for from in 0..3 {
-            for to in 0..3 {
-                if from != to {
-                    let peer = nodes[from].local_id();
-                    let alive = nodes[from].heartbeats_since(millis(now) - Duration::from_millis(1500));
-                    nodes[to].record_remote_heartbeats(
-                        millis(now),
-                        peer,
-                        alive.iter().map(|(i, s)| (i.as_str(), *s)),
-                    );
-                    synchronize_pair(now, &mut nodes, from, to, 50);
-                }
-            }
-        }
+        exchange(now, &mut nodes, |nodes, from, to| {
+            send_digest(now, nodes, from, to, millis(now) - Duration::from_millis(1500));
+        });
         for node in &mut nodes {
             node.tick(millis(now));
         }
