--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/admin.rs
@@ -26,7 +26,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::connection_log::OPERATOR;
-use crate::control::Control;
+use crate::lifecycle::Control;
 use crate::log::say;
 
 /// So many callers are heard at once; the longest-standing one goes when a further one comes.
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -18,17 +18,17 @@
 use tokio::time::sleep_until;
 
 use crate::budget::Budget;
+use crate::class_table::{Change, Terms, Tuning};
 use crate::config::Config;
-use crate::control::Control;
 use crate::duration;
+use crate::endpoint_list::MachineList;
 use crate::errors::ApplySettingsError;
-use crate::execute_node;
-use crate::ids::Ids;
+use crate::lifecycle::Control;
 use crate::log::say;
-use crate::machine_list::MachineList;
 use crate::messages::{Answer, Call, Ended, Job, Mail, NodeMail, ProbeTicket, Ticket, Told};
-use crate::stored::{Stored, Tables};
-use crate::tuning::{Change, Terms, Tuning};
+use crate::request_ids::Ids;
+use crate::server;
+use crate::stored_state::{Stored, Tables};
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
 use mosshead_decide::{NameTable, Stage, Wants};
@@ -699,7 +699,7 @@
 
     /// Starts the actor of an execute node that is new here, under a number that nobody has.
     fn number(&mut self, machine: Machine, told: Told) -> usize {
-        let mailbox = execute_node::start(&self.limits, self.budget.clone(), told);
+        let mailbox = server::start(&self.limits, self.budget.clone(), told);
         let at = self.free.pop().unwrap_or(self.nodes.len());
         self.numbers.insert(machine.id.clone(), at);
         let started_at = self.started_at(&machine);
@@ -749,7 +749,7 @@
             let settings = parse_json(SETTINGS)
                 .and_then(|json| read_settings(&JsonField::root(&json)))
                 .expect("settings");
-            let node = execute_node::start(&settings.settings.limits, Budget::of(1), told);
+            let node = server::start(&settings.settings.limits, Budget::of(1), told);
             let (mailbox, mut mail) = unbounded_channel();
             let (verb, target, id) = ("GET".to_owned(), "/".to_owned(), "1".to_owned());
             let body = Payload::Whole(Bytes::new());
--- a/crates/proxy/src/flow.rs
+++ b/crates/proxy/src/body.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Sleep, sleep_until, timeout_at};
 
-use crate::http::OutboundConnection;
+use crate::load_report::OutboundConnection;
 use crate::messages::Mail;
 use mosshead_decide::interface::RequestId;
 use mosshead_http_links::{BodyError, MAX_BUFFERED_BODY_BYTES, WriteProgress};
--- a/crates/proxy/src/submitter.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -26,16 +26,16 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
 use crate::LONGEST;
+use crate::balancer_actor::Module;
+use crate::body::{self, Flow, Start, Upload};
 use crate::budget::{Budget, Permit};
+use crate::class_table::{Term, Terms};
 use crate::connection_log::SUBMITTER;
-use crate::control::Control;
-use crate::flow::{self, Flow, Start, Upload};
 use crate::framing::Framing;
 use crate::handover::Handover;
+use crate::lifecycle::Control;
 use crate::log::{Bounded, say};
 use crate::messages::{Answer, Call, Job, Payload};
-use crate::module::Module;
-use crate::tuning::{Term, Terms};
 use mosshead_decide::interface::{ClassId, RepeatEffect, TenantId};
 use mosshead_http_links::{
     BodyError, CloseReason, ConnectionLogGuard, ConnectionRecord, IDEMPOTENCY_KEY_HEADER,
@@ -467,7 +467,7 @@
         let too_long = Turned(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
         // Danger: a submitter that never ends its body would hold its descriptor for good.
         let late = Turned(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
-        let body = flow::start(body, None).await.map_err(|fault| match fault {
+        let body = body::start(body, None).await.map_err(|fault| match fault {
             BodyError::TooLong => too_long,
             BodyError::Timeout => late,
             BodyError::Interrupted | BodyError::InvalidLength => {
--- a/crates/proxy/src/machine_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{sleep_until, timeout};
 
+use crate::body::Flow;
 use crate::connection_log::MACHINE_LIST;
 use crate::duration;
-use crate::flow::Flow;
-use crate::http::OutboundConnection;
+use crate::load_report::OutboundConnection;
 use crate::log::{Bounded, say};
 use crate::messages::Mail;
 use mosshead_comeback::Silence;
--- a/crates/proxy/src/errors.rs
+++ b/crates/proxy/src/errors.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-use crate::tuning::MAX_CLASS_SLOTS;
+use crate::class_table::MAX_CLASS_SLOTS;
 
 /// A text is not a configuration, or not one that may replace the running one. The message names the key.
 #[derive(Clone, Debug, PartialEq, Error)]
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -30,10 +30,10 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{interval, timeout};
 
+use crate::balancer_actor::Module;
 use crate::budget::Budget;
-use crate::control::Control;
+use crate::lifecycle::Control;
 use crate::log::say;
-use crate::module::Module;
 use mosshead_known::listing::{Listing, read_listing, write_listing};
 use mosshead_settings::{self as settings, JsonError, JsonField};
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,27 +2,27 @@
 //!
 //! `docs/client-proxy.md` follows a job through them.
 
+mod admin;
+mod balancer_actor;
+mod body;
 mod budget;
+mod class_table;
+mod client_connection;
 mod config;
 mod connection_log;
-mod control;
-mod door;
+mod endpoint_list;
 mod errors;
-mod execute_node;
-mod flow;
 mod framing;
 mod handover;
-mod http;
-mod ids;
-mod keeper;
+mod lifecycle;
+mod load_report;
 pub mod log;
-mod machine_list;
 mod messages;
-mod module;
 mod operators;
-mod stored;
-mod submitter;
-mod tuning;
+mod request_ids;
+mod server;
+mod snapshot_writer;
+mod stored_state;
 
 pub use config::Config;
 pub use errors::{ConfigError, LoadConfigError};
@@ -40,18 +40,18 @@
 use tokio::time::timeout;
 
 use crate::log::say;
+use balancer_actor::Module;
 use budget::Budget;
-use control::Control;
+use client_connection::Front;
+use endpoint_list::MachineList;
 use errors::ReloadError;
 use handover::{Handover, Shares};
-use keeper::Keeper;
-use machine_list::MachineList;
-use module::Module;
+use lifecycle::Control;
 use mosshead_decide::interface::Seconds;
 use mosshead_known::believe::believe;
 use mosshead_known::snapshot::Spoilt;
-use stored::Stored;
-use submitter::Front;
+use snapshot_writer::Keeper;
+use stored_state::Stored;
 
 /// So many connections wait for the accept loop.
 const BACKLOG: u32 = 4096;
@@ -115,14 +115,14 @@
     let (module, terms, actor) =
         Module::new(&config, back, list.clone(), control.clone(), stored).map_err(io::Error::other)?;
     let mut deciding = spawn_local(actor);
-    spawn_local(machine_list::run(
+    spawn_local(endpoint_list::run(
         config.discovery,
         version,
         limits.connect_timeout,
         asked,
         module.mailbox(),
     ));
-    let ops = config.ops.map(|ops| door::open(ops, control.clone())).transpose()?;
+    let ops = config.ops.map(|ops| admin::open(ops, control.clone())).transpose()?;
     say!(
         name = %config.name,
         listen = %listener.local_addr()?,
@@ -164,10 +164,10 @@
     // Danger: a disk that hangs must not keep a proxy from serving.
     let (read, found) = oneshot::channel();
     // A stop does not wait for this thread, as it would for the runtime's own.
-    std::thread::spawn(move || drop(read.send(keeper::read(&from))));
-    let found = timeout(keeper::PATIENCE, found).await.ok().and_then(Result::ok);
+    std::thread::spawn(move || drop(read.send(snapshot_writer::read(&from))));
+    let found = timeout(snapshot_writer::PATIENCE, found).await.ok().and_then(Result::ok);
     let found = found.unwrap_or(Err(Spoilt::TimedOut));
-    let believed = believe(&config.known, found, &config.name, stored::unix_ms());
+    let believed = believe(&config.known, found, &config.name, stored_state::unix_ms());
     for verdict in &believed.verdicts {
         say!(part = %verdict.part, fate = %verdict.fate, why = %verdict.why, life = believed.life, "former life");
     }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,6 +1,6 @@
 //! Connections that carry bodies as this proxy sends them, and load reports.
 
-use crate::flow::Flow;
+use crate::body::Flow;
 use mosshead_decide::interface::LoadReport;
 
 /// An open connection to an execute node, or to the machine list.
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -10,10 +10,10 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
+use crate::body::{Flow, Upload};
+use crate::class_table::Terms;
 use crate::errors::ApplySettingsError;
-use crate::flow::{Flow, Upload};
-use crate::http::OutboundConnection;
-use crate::tuning::Terms;
+use crate::load_report::OutboundConnection;
 use mosshead_known::listing::Listing;
 
 /// What passes through the proxy unchanged.
--- a/crates/proxy/src/execute_node.rs
+++ b/crates/proxy/src/server.rs
@@ -14,11 +14,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout_at};
 
+use crate::body::{self, Flow, Start};
 use crate::budget::Budget;
 use crate::connection_log::EXECUTE_NODE;
 use crate::duration;
-use crate::flow::{self, Flow, Start};
-use crate::http::{self, OutboundConnection};
+use crate::load_report::{self, OutboundConnection};
 use crate::messages::{Call, NodeMail, Payload, ProbeTicket, Ticket, Told};
 use mosshead_decide::interface::*;
 use mosshead_http_links::{
@@ -279,7 +279,7 @@
         Result::of(Outcome::TimedOut)
     });
     if result.report == LoadReport::default() && result.outcome == Outcome::Served {
-        result.report = http::load_report(&String::from_utf8_lossy(&result.body));
+        result.report = load_report::load_report(&String::from_utf8_lossy(&result.body));
     }
     ticket.settle(result.outcome, result.report);
     let _ = way.home.send(NodeMail::Over(None, usable(result.link).await, way.chosen.addr));
@@ -376,7 +376,7 @@
 async fn decode(link: OutboundConnection, answer: Response<Incoming>) -> Result {
     let headed = Some(Instant::now());
     let header = |name| answer.headers().get(name).and_then(|value| value.to_str().ok());
-    let report = header("x-backend-load").map(http::load_report).unwrap_or_default();
+    let report = header("x-backend-load").map(load_report::load_report).unwrap_or_default();
     let unprocessed = header("x-unprocessed").is_some_and(|value| value.trim() == "1");
     let outcome = match answer.status() {
         StatusCode::OK => Outcome::Served,
@@ -397,7 +397,7 @@
     };
     let fault = match framed {
         true if outcome == Outcome::Served => {
-            match flow::start(answer.into_body(), Some(ANSWER_WAIT)).await {
+            match body::start(answer.into_body(), Some(ANSWER_WAIT)).await {
                 Ok(Start::Whole(body)) => {
                     return Result { report, body, link: fit(link), headed, ..Result::of(outcome) };
                 }
--- a/crates/proxy/src/stored.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -9,7 +9,7 @@
 use mosshead_known::listing::{Listing, Machine};
 use mosshead_known::snapshot::{Figures, LEFT_MOST, Left, Snapshot};
 
-use crate::keeper::Keeper;
+use crate::snapshot_writer::Keeper;
 
 /// The clock that all machines read.
 pub(crate) fn unix_ms() -> u64 {
