--- a/crates/comeback/src/lib.rs
+++ b/crates/comeback/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Times are in seconds; every bound is a share of a time that the settings name. Draws are handed in.
 
-mod life;
-mod pace;
+mod backoff;
+mod lifecycle;
 
-pub use life::{Life, Stage, Wants};
-pub use pace::{Pace, Silence};
+pub use backoff::{Pace, Silence};
+pub use lifecycle::{Life, Stage, Wants};
