--- a/crates/comeback/src/lib.rs
+++ b/crates/comeback/src/lib.rs
@@ -1,10 +1,11 @@
-//! How a fleet comes back without a stampede, with no talk between its members: what each may do is spread by what it
-//! knows of the fleet's size and by what it sees fail, and each knows how far it has come.
+//! How the proxies of a fleet recover from a common outage without a thundering herd and without talking to each other:
+//! what each may do is spread by the size of the fleet and by its own failures, and each knows how far it has recovered.
 //!
-//! Times are in seconds; every bound is a share of a time that the settings name. Draws are handed in.
+//! No I/O, no clock, no generator: instants and random numbers are handed in. Times are in seconds; bounds are shares of a
+//! time that the settings name.
 
 mod backoff;
 mod lifecycle;
 
-pub use backoff::{Pace, Silence};
-pub use lifecycle::{Life, Stage, Wants};
+pub use backoff::{DiscoveryBackoff, WatchReopening};
+pub use lifecycle::{InstanceLifecycle, RecoveryBlocker, RecoveryStage};
--- a/crates/comeback/src/lifecycle.rs
+++ b/crates/comeback/src/lifecycle.rs
@@ -1,140 +1,161 @@
-//! How far an instance has come since its start, and what it still waits for.
+//! How far an instance has recovered since its start, and what it still waits for.
 
 use std::fmt;
 
-/// So many of its last answers are looked at.
-const LAST: u32 = 32;
-/// It takes this many to tell.
-const LEAST: u32 = 16;
-/// This share of them has to have come in time.
-const GOOD: f64 = 0.9;
-/// Few ask: after so long the last ones tell,
-const QUIET: f64 = 5.0;
-/// so many of them; where nobody asks there is nothing to wait for.
-const FEW: u32 = 3;
-/// A directory that has been silent for so many times the time allowed between calls is not heard.
-const SILENT: f64 = 4.0;
-
-/// A state of the way back. The order is that of the way.
+/// Bound of the last responses that are looked at.
+const MAX_RESPONSES: u32 = 32;
+/// Responses that it takes to judge by.
+const MIN_RESPONSES: u32 = 16;
+/// Share of the responses that have to be in time.
+const REQUIRED_IN_TIME_SHARE: f64 = 0.9;
+/// After so many seconds with few requests the last [`FEW_RESPONSES`] are enough to judge by.
+const QUIET_PERIOD_S: f64 = 5.0;
+/// Responses that have to be in time where there are few requests; with none there is nothing to wait for.
+const FEW_RESPONSES: u32 = 3;
+/// Once a call has failed, the list is outdated when the last update is so many times the time between calls ago.
+const OUTDATED_AFTER_INTERVALS: f64 = 4.0;
+
+/// How far an instance has recovered, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
-    /// Nobody has named a server that may be sent to: everything is refused, harmlessly.
+pub enum RecoveryStage {
+    /// No server is known that requests may be sent to; all are rejected.
     #[default]
-    Cold,
-    /// A list of hearsay names servers: it is served by, less what is known to have left.
-    Listed,
-    /// The directory has told its list in this life, and little else is known.
-    Warming,
-    /// Answers come in time.
-    Full,
+    NoServers,
+    /// Requests are sent by a list that discovery hasn't confirmed to this instance, without the servers known to have left.
+    UnconfirmedList,
+    /// Discovery has sent its list to this instance, and too little else is known.
+    WarmingUp,
+    /// Responses are in time.
+    FullService,
 }
 
-/// What an instance waits for that is not in full service.
+/// What an instance waits for before it is in full service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wants {
-    /// A server that may be sent to.
+pub enum RecoveryBlocker {
+    /// A server that requests may be sent to.
     Servers,
-    /// The directory's own word.
-    Word,
-    /// Answers, to tell by.
-    Answers,
-    /// Answers that come in time.
-    Time,
-    /// Nothing.
+    /// An update of the list by discovery.
+    DiscoveryUpdate,
+    /// Enough responses to judge by.
+    Responses,
+    /// Responses that are in time.
+    TimelyResponses,
+    /// It is in full service.
     Nothing,
 }
 
-impl fmt::Display for Stage {
+impl fmt::Display for RecoveryStage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Stage::Cold => "cold",
-            Stage::Listed => "listed",
-            Stage::Warming => "warming",
-            Stage::Full => "full",
+            RecoveryStage::NoServers => "cold",
+            RecoveryStage::UnconfirmedList => "listed",
+            RecoveryStage::WarmingUp => "warming",
+            RecoveryStage::FullService => "full",
         })
     }
 }
 
-impl fmt::Display for Wants {
+impl fmt::Display for RecoveryBlocker {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Wants::Servers => "no server may be sent to",
-            Wants::Word => "discovery has not told its list in this life, or not for long",
-            Wants::Answers => "too few answers to tell by",
-            Wants::Time => "answers come late, or not at all",
-            Wants::Nothing => "nothing",
+            RecoveryBlocker::Servers => "no server may be sent to",
+            RecoveryBlocker::DiscoveryUpdate => {
+                "discovery has not told its list in this life, or not for long"
+            }
+            RecoveryBlocker::Responses => "too few answers to tell by",
+            RecoveryBlocker::TimelyResponses => "answers come late, or not at all",
+            RecoveryBlocker::Nothing => "nothing",
         })
     }
 }
 
-/// The life of one instance, told of by its events. Instants are in seconds, on any clock that moves forward.
+/// The recovery of one instance, by its events. Instants are in seconds, on any clock that doesn't go back.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Life {
-    servers: bool,
-    /// When the directory last told something; none before, and after a standstill.
-    word: Option<f64>,
-    /// A call has failed since.
-    failed: bool,
-    /// The last answers, the latest in the lowest bit, and how many there are.
-    answers: u32,
-    count: u32,
-    /// When the first word of this life came.
-    since: Option<f64>,
-    full: bool,
+pub struct InstanceLifecycle {
+    has_servers: bool,
+    /// When discovery last sent an update; `None` before the first, and after a suspension.
+    last_update_at: Option<f64>,
+    /// Whether a call has failed since the last update.
+    has_call_failed: bool,
+    /// Whether the last responses were in time: the latest in the lowest bit.
+    responses_in_time: u32,
+    /// How many bits of `responses_in_time` count, at most [`MAX_RESPONSES`].
+    response_count: u32,
+    /// When the first update came, since the start or a suspension.
+    first_update_at: Option<f64>,
+    is_in_full_service: bool,
 }
 
-impl Life {
-    /// Whether there is a server that may be sent to.
-    pub fn servers(&mut self, some: bool) {
-        self.servers = some;
+impl InstanceLifecycle {
+    /// Sets whether there is a server that requests may be sent to.
+    pub fn set_has_servers(&mut self, has_servers: bool) {
+        self.has_servers = has_servers;
     }
 
-    /// The directory has told its list, or that nothing is new.
-    pub fn told(&mut self, now: f64) {
-        (self.word, self.failed) = (Some(now), false);
-        self.since.get_or_insert(now);
+    /// Discovery has sent its list, or that nothing has changed.
+    pub fn on_discovery_update(&mut self, now: f64) {
+        self.last_update_at = Some(now);
+        self.has_call_failed = false;
+        self.first_update_at.get_or_insert(now);
     }
 
-    /// A call to the directory has failed. One that is merely quiet has nothing to tell.
-    pub fn failed(&mut self) {
-        self.failed = true;
+    /// A call to discovery has failed. As long as none fails, silence means that nothing has changed.
+    pub fn on_discovery_failure(&mut self) {
+        self.has_call_failed = true;
     }
 
-    /// The instance stood still: whatever the directory has told meanwhile it does not know.
-    pub fn stood_still(&mut self) {
-        (self.word, self.full) = (None, false);
-        (self.answers, self.count, self.since) = (0, 0, None);
+    /// The process was suspended and goes on: what discovery said meanwhile is not known.
+    pub fn on_suspended(&mut self) {
+        *self = InstanceLifecycle {
+            has_servers: self.has_servers,
+            has_call_failed: self.has_call_failed,
+            ..InstanceLifecycle::default()
+        };
     }
 
-    /// A job has its final answer, in time or not.
-    pub fn answered(&mut self, in_time: bool) {
-        self.answers = self.answers << 1 | u32::from(in_time);
-        self.count = (self.count + 1).min(LAST);
+    /// A request has its final response, in time or not.
+    pub fn on_response(&mut self, is_in_time: bool) {
+        self.responses_in_time = self.responses_in_time << 1 | u32::from(is_in_time);
+        self.response_count = (self.response_count + 1).min(MAX_RESPONSES);
     }
 
-    /// Whether the directory's word is known. `within` is the time allowed between calls.
-    pub fn knows(&self, now: f64, within: f64) -> bool {
-        self.word.is_some_and(|word| !self.failed || now - word <= SILENT * within)
+    /// Whether the list is discovery's, and not outdated. `call_interval` is the time allowed between calls.
+    pub fn has_current_list(&self, now: f64, call_interval: f64) -> bool {
+        self.last_update_at.is_some_and(|last_update_at| {
+            !self.has_call_failed || now - last_update_at <= OUTDATED_AFTER_INTERVALS * call_interval
+        })
     }
 
-    /// Where it is on its way, and what it waits for. Full service, once reached, ends with the word alone: a jam is no matter
-    /// of a start.
-    pub fn stage(&mut self, now: f64, within: f64) -> (Stage, Wants) {
-        if !self.servers {
-            return (Stage::Cold, Wants::Servers);
+    /// How far the instance has recovered, and what it waits for. `call_interval` is the time allowed between calls.
+    ///
+    /// Full service, once reached, ends only when the list is outdated: late responses alone are no matter of a start.
+    pub fn stage(&mut self, now: f64, call_interval: f64) -> (RecoveryStage, RecoveryBlocker) {
+        if !self.has_servers {
+            return (RecoveryStage::NoServers, RecoveryBlocker::Servers);
         }
-        if !self.knows(now, within) {
-            return (Stage::Listed, Wants::Word);
+        if !self.has_current_list(now, call_interval) {
+            return (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate);
         }
-        let good = f64::from(self.answers.count_ones());
-        // Danger: one that few ask would never come to full service.
-        let few = (1_u32 << self.count.min(FEW)) - 1;
-        let quiet = self.since.is_some_and(|since| now - since >= QUIET) && self.answers & few == few;
-        self.full |= quiet || (self.count >= LEAST && good >= GOOD * f64::from(self.count));
-        match self.full {
-            true => (Stage::Full, Wants::Nothing),
-            false if self.count < LEAST => (Stage::Warming, Wants::Answers),
-            false => (Stage::Warming, Wants::Time),
+        self.is_in_full_service |= self.is_quiet_and_in_time(now) || self.has_enough_in_time();
+        if self.is_in_full_service {
+            (RecoveryStage::FullService, RecoveryBlocker::Nothing)
+        } else if self.response_count < MIN_RESPONSES {
+            (RecoveryStage::WarmingUp, RecoveryBlocker::Responses)
+        } else {
+            (RecoveryStage::WarmingUp, RecoveryBlocker::TimelyResponses)
         }
     }
+
+    /// An instance with few requests would never have [`MIN_RESPONSES`]: after a while the last few are enough.
+    fn is_quiet_and_in_time(&self, now: f64) -> bool {
+        let few = (1_u32 << self.response_count.min(FEW_RESPONSES)) - 1;
+        let is_over = self.first_update_at.is_some_and(|first| now - first >= QUIET_PERIOD_S);
+        is_over && self.responses_in_time & few == few
+    }
+
+    fn has_enough_in_time(&self) -> bool {
+        let in_time = f64::from(self.responses_in_time.count_ones());
+        self.response_count >= MIN_RESPONSES
+            && in_time >= REQUIRED_IN_TIME_SHARE * f64::from(self.response_count)
+    }
 }
--- a/crates/comeback/tests/backoff.rs
+++ b/crates/comeback/tests/backoff.rs
@@ -1,122 +1,131 @@
-//! A fleet that starts in one instant, against a directory that answers calls in turn, also those given up.
+//! A fleet that starts at once, against a directory that answers calls in turn, including those given up.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use mosshead_comeback::{Pace, Silence};
+use mosshead_comeback::{DiscoveryBackoff, WatchReopening};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The time allowed between calls.
-const WITHIN: f64 = 10.0;
-/// A call that has waited so long has failed.
-const TIMEOUT: f64 = 2.0;
+/// The time allowed between calls, in seconds.
+const CALL_INTERVAL_S: f64 = 10.0;
+/// A call that has waited so many seconds has failed.
+const CALL_TIMEOUT_S: f64 = 2.0;
 
-struct Seen {
+struct Outcome {
     /// When each caller had its first answer.
     answered: Vec<f64>,
     /// When calls came.
     calls: Vec<f64>,
 }
 
-/// All call at zero and again as `wait` says, until all are answered or the time is over. What waits in the line costs the
-/// directory its turn, whether its caller still waits or not.
-fn start(callers: usize, a_second: f64, seed: u64, wait: impl Fn(&mut Pace, f64) -> f64) -> Seen {
+/// All call at zero and again after the delay that `wait` returns, until all are answered or the time is over. A call in the
+/// queue costs the directory its turn, whether its caller still waits or not.
+fn start(
+    callers: usize,
+    calls_per_second: f64,
+    seed: u64,
+    wait: impl Fn(&mut DiscoveryBackoff, f64) -> f64,
+) -> Outcome {
     let mut state = seed;
-    let mut chance = move || {
+    let mut random = move || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as f64 / (1_u64 << 31) as f64
     };
-    let mut paces = vec![Pace::default(); callers];
+    let mut backoffs = vec![DiscoveryBackoff::default(); callers];
     let micros = |at: f64| (at * 1e6) as u64;
     let mut due: BinaryHeap<Reverse<(u64, usize)>> =
         (0..callers).map(|caller| Reverse((0, caller))).collect();
-    let mut seen = Seen { answered: vec![f64::INFINITY; callers], calls: Vec::new() };
-    let mut free = 0.0_f64;
+    let mut outcome = Outcome { answered: vec![f64::INFINITY; callers], calls: Vec::new() };
+    let mut directory_free_at = 0.0_f64;
     while let Some(Reverse((at, caller))) = due.pop() {
         let at = at as f64 / 1e6;
         if at > 300.0 {
             break;
         }
-        seen.calls.push(at);
-        free = free.max(at) + 1.0 / a_second;
-        if free - at <= TIMEOUT {
-            seen.answered[caller] = free;
+        outcome.calls.push(at);
+        directory_free_at = directory_free_at.max(at) + 1.0 / calls_per_second;
+        if directory_free_at - at <= CALL_TIMEOUT_S {
+            outcome.answered[caller] = directory_free_at;
         } else {
-            let again = at + TIMEOUT + wait(&mut paces[caller], chance());
+            let again = at + CALL_TIMEOUT_S + wait(&mut backoffs[caller], random());
             due.push(Reverse((micros(again), caller)));
         }
     }
-    seen
+    outcome
 }
 
-fn paced(fleet: f64) -> impl Fn(&mut Pace, f64) -> f64 {
-    move |pace, chance| pace.failed(WITHIN, fleet, chance)
+fn with_backoff(fleet: f64) -> impl Fn(&mut DiscoveryBackoff, f64) -> f64 {
+    move |backoff, random| backoff.on_failure(CALL_INTERVAL_S, fleet, random)
 }
 
-fn last(seen: &Seen) -> f64 {
-    seen.answered.iter().copied().fold(0.0, f64::max)
+fn last_answer_at(outcome: &Outcome) -> f64 {
+    outcome.answered.iter().copied().fold(0.0, f64::max)
 }
 
-/// Danger: the waits before this pace, half a second doubled three times, let 60 of 100 callers of a directory that answers 20
-/// calls a second go without a list for good.
+/// An earlier backoff, half a second doubled three times, let 60 of 100 callers of a directory that answers 20 calls a second
+/// go without a list for good.
 #[test]
-fn a_hundred_are_answered_by_a_directory_that_is_overbooked() {
-    let seen = start(100, 20.0, 1, paced(100.0));
-    assert!(last(&seen) < 15.0, "the last after {} s", last(&seen));
-    let hasty = start(100, 20.0, 1, |_, chance| 0.5 + 0.5 * chance);
-    assert!(last(&hasty) > 60.0, "a hasty fleet: the last after {} s", last(&hasty));
+fn a_hundred_callers_are_answered_by_an_overloaded_directory() {
+    let outcome = start(100, 20.0, 1, with_backoff(100.0));
+    assert!(last_answer_at(&outcome) < 15.0, "the last after {} s", last_answer_at(&outcome));
+    let without_backoff = start(100, 20.0, 1, |_, random| 0.5 + 0.5 * random);
+    assert!(
+        last_answer_at(&without_backoff) > 60.0,
+        "without backoff: the last after {} s",
+        last_answer_at(&without_backoff)
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the fleet's size, also where it is known wrongly by four, all are answered, and what comes in a tenth of a second
-    /// after the first instant stays below what the size allows.
+    /// Whatever the fleet's size, also if it is known wrongly by a factor of four, all are answered, and the calls in a tenth of a
+    /// second after the first instant stay below what the size allows.
     #[test]
-    fn every_caller_is_answered(callers in 1_usize..5000, wrong in prop::sample::select(vec![0.25, 1.0, 4.0]), seed: u64) {
-        // A directory that could not answer all of them within the time allowed between calls would be of no use to them.
-        let a_second = (callers as f64 / WITHIN).max(5.0);
-        let fleet = callers as f64 * wrong;
-        let seen = start(callers, a_second, seed, paced(fleet));
-        prop_assert!(last(&seen).is_finite());
-        let first = WITHIN * (0.02 * fleet).clamp(0.05, 0.4);
-        // The mean of the fullest round, and what chance may add to it in any of hundreds of spans.
+    fn every_caller_is_answered(callers in 1_usize..5000, size_error in prop::sample::select(vec![0.25, 1.0, 4.0]), seed: u64) {
+        // A directory that could not answer all of them within the time allowed between calls would be useless.
+        let calls_per_second = (callers as f64 / CALL_INTERVAL_S).max(5.0);
+        let fleet = callers as f64 * size_error;
+        let outcome = start(callers, calls_per_second, seed, with_backoff(fleet));
+        prop_assert!(last_answer_at(&outcome).is_finite());
+        let first = CALL_INTERVAL_S * (0.02 * fleet).clamp(0.05, 0.4);
+        // The mean of the busiest span, and what randomness may add to it in any of hundreds of spans.
         let mean = callers as f64 * 0.1 / first;
-        let most = 6.0_f64.mul_add(mean.sqrt(), mean) + 4.0;
-        let later: Vec<f64> = seen.calls.iter().copied().filter(|at| *at > 0.0).collect();
+        let max_calls = 6.0_f64.mul_add(mean.sqrt(), mean) + 4.0;
+        let later: Vec<f64> = outcome.calls.iter().copied().filter(|at| *at > 0.0).collect();
         let mut from = 0;
         for to in 0..later.len() {
             while later[from] + 0.1 <= later[to] {
                 from += 1;
             }
-            prop_assert!(((to - from) as f64) < most, "{} within 0.1 s of {}, {most} allowed", to - from, later[from]);
+            prop_assert!(((to - from) as f64) < max_calls, "{} within 0.1 s of {}, {max_calls} allowed", to - from, later[from]);
         }
     }
 
-    /// Nobody goes without asking for four times the time allowed, where the settings would take that for told.
+    /// Nobody goes without a call for four times the time allowed, after which the list would be outdated.
     #[test]
-    fn no_wait_is_too_long(fleet in 0.0..1e9_f64, failures in 0..40_u32, chance in 0.0..=1.0_f64) {
-        let mut pace = Pace::default();
-        (0..failures).for_each(|_| _ = pace.failed(WITHIN, fleet, chance));
-        prop_assert!(pace.failed(WITHIN, fleet, chance) < 4.0 * WITHIN - TIMEOUT);
+    fn no_delay_is_too_long(fleet in 0.0..1e9_f64, failures in 0..40_u32, random in 0.0..=1.0_f64) {
+        let mut backoff = DiscoveryBackoff::default();
+        (0..failures).for_each(|_| _ = backoff.on_failure(CALL_INTERVAL_S, fleet, random));
+        prop_assert!(backoff.on_failure(CALL_INTERVAL_S, fleet, random) < 4.0 * CALL_INTERVAL_S - CALL_TIMEOUT_S);
     }
 }
 
-/// Danger: a pause before a silent watch is opened anew sends to nodes that count as told to drain; none at all would call a
-/// directory that is gone without end.
+/// With a delay before the watch is opened again, requests are sent to servers that count as known to drain; without any bound a
+/// directory that is gone would be called without end.
 #[test]
-fn a_silent_watch_is_opened_anew_at_once_and_once() {
-    let mut silence = Silence::default();
-    assert_eq!([silence.reopens(), silence.reopens(), silence.reopens()], [true, false, false]);
-    silence.answered();
-    assert_eq!([silence.reopens(), silence.reopens()], [true, false]);
+fn a_watch_without_an_answer_is_reopened_at_once_and_once() {
+    let mut watch = WatchReopening::default();
+    assert_eq!([watch.should_reopen(), watch.should_reopen(), watch.should_reopen()], [true, false, false]);
+    watch.on_answer();
+    assert_eq!([watch.should_reopen(), watch.should_reopen()], [true, false]);
 }
 
-/// A few callers may come at once; the more there are, the longer the span, and it has an end.
+/// A few may call at once; the more there are, the longer the span, up to a bound.
 #[test]
-fn the_first_calls_of_many_are_spread() {
-    let span = |fleet| Pace::default().first(WITHIN, fleet);
+fn the_first_calls_of_many_instances_are_spread() {
+    let span = |fleet| DiscoveryBackoff::default().first_call_spread(CALL_INTERVAL_S, fleet);
     assert_eq!((span(1.0), span(20.0)), (0.0, 0.0));
     assert!(span(30.0) > 1.9 && span(40.0) > span(30.0));
     assert_eq!((span(1e9), span(100.0)), (4.0, 4.0));
--- a/crates/comeback/tests/lifecycle.rs
+++ b/crates/comeback/tests/lifecycle.rs
@@ -1,96 +1,116 @@
-//! The states of the way back.
+//! The stages of recovery.
 
-use mosshead_comeback::{Life, Stage, Wants};
+use mosshead_comeback::{InstanceLifecycle, RecoveryBlocker, RecoveryStage};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const WITHIN: f64 = 10.0;
+const CALL_INTERVAL_S: f64 = 10.0;
 
-fn answers(life: &mut Life, good: usize, bad: usize) {
-    (0..bad).for_each(|_| life.answered(false));
-    (0..good).for_each(|_| life.answered(true));
+fn record_responses(lifecycle: &mut InstanceLifecycle, in_time: usize, late: usize) {
+    (0..late).for_each(|_| lifecycle.on_response(false));
+    (0..in_time).for_each(|_| lifecycle.on_response(true));
 }
 
-/// The way of a proxy that comes back with an old list, and what it says it waits for.
+/// The recovery of a proxy that starts with a stored list, and what it says it waits for.
 #[test]
-fn each_state_is_entered_for_its_reason() {
-    let mut life = Life::default();
-    assert_eq!(life.stage(0.0, WITHIN), (Stage::Cold, Wants::Servers));
-    life.servers(true);
-    answers(&mut life, 32, 0);
-    assert_eq!(life.stage(0.1, WITHIN), (Stage::Listed, Wants::Word), "served by hearsay is not full");
-    life = Life::default();
-    life.servers(true);
-    life.told(1.0);
-    assert_eq!(life.stage(1.0, WITHIN), (Stage::Warming, Wants::Answers));
-    answers(&mut life, 12, 20);
-    assert_eq!(life.stage(2.0, WITHIN), (Stage::Warming, Wants::Time));
-    answers(&mut life, 17, 0);
-    assert_eq!(life.stage(3.0, WITHIN), (Stage::Full, Wants::Nothing));
-    // A jam does not end it; discovery's silence does, and its word brings it back.
-    answers(&mut life, 0, 32);
-    assert_eq!(life.stage(4.0, WITHIN).0, Stage::Full);
-    assert_eq!(life.stage(42.0, WITHIN).0, Stage::Full, "a directory that is quiet has nothing to tell");
-    life.failed();
-    assert_eq!(life.stage(41.0, WITHIN).0, Stage::Full);
-    assert_eq!(life.stage(42.0, WITHIN), (Stage::Listed, Wants::Word));
-    life.told(42.0);
-    assert_eq!(life.stage(42.0, WITHIN).0, Stage::Full);
+fn each_stage_is_entered_for_its_reason() {
+    let mut lifecycle = InstanceLifecycle::default();
+    assert_eq!(lifecycle.stage(0.0, CALL_INTERVAL_S), (RecoveryStage::NoServers, RecoveryBlocker::Servers));
+    lifecycle.set_has_servers(true);
+    record_responses(&mut lifecycle, 32, 0);
+    assert_eq!(
+        lifecycle.stage(0.1, CALL_INTERVAL_S),
+        (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate),
+        "service by an unconfirmed list is not full"
+    );
+    lifecycle = InstanceLifecycle::default();
+    lifecycle.set_has_servers(true);
+    lifecycle.on_discovery_update(1.0);
+    assert_eq!(lifecycle.stage(1.0, CALL_INTERVAL_S), (RecoveryStage::WarmingUp, RecoveryBlocker::Responses));
+    record_responses(&mut lifecycle, 12, 20);
+    assert_eq!(
+        lifecycle.stage(2.0, CALL_INTERVAL_S),
+        (RecoveryStage::WarmingUp, RecoveryBlocker::TimelyResponses)
+    );
+    record_responses(&mut lifecycle, 17, 0);
+    assert_eq!(lifecycle.stage(3.0, CALL_INTERVAL_S), (RecoveryStage::FullService, RecoveryBlocker::Nothing));
+    // Late responses don't end it; an outdated list does, and an update restores it.
+    record_responses(&mut lifecycle, 0, 32);
+    assert_eq!(lifecycle.stage(4.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(
+        lifecycle.stage(42.0, CALL_INTERVAL_S).0,
+        RecoveryStage::FullService,
+        "silence without a failure means no change"
+    );
+    lifecycle.on_discovery_failure();
+    assert_eq!(lifecycle.stage(41.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(
+        lifecycle.stage(42.0, CALL_INTERVAL_S),
+        (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate)
+    );
+    lifecycle.on_discovery_update(42.0);
+    assert_eq!(lifecycle.stage(42.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
 }
 
-/// Danger: a process that stood still believes that no time has passed; all it knows is hearsay until discovery speaks.
+/// A suspended process believes that no time has passed, so its list is unconfirmed until discovery sends an update.
 #[test]
-fn who_stood_still_starts_again_from_hearsay() {
-    let mut life = Life::default();
-    life.servers(true);
-    life.told(1.0);
-    answers(&mut life, 32, 0);
-    assert_eq!(life.stage(2.0, WITHIN).0, Stage::Full);
-    life.stood_still();
-    assert_eq!(life.stage(2.1, WITHIN), (Stage::Listed, Wants::Word));
-    life.told(2.2);
-    assert_eq!(life.stage(2.2, WITHIN), (Stage::Warming, Wants::Answers));
+fn a_suspended_instance_starts_again_from_an_unconfirmed_list() {
+    let mut lifecycle = InstanceLifecycle::default();
+    lifecycle.set_has_servers(true);
+    lifecycle.on_discovery_update(1.0);
+    record_responses(&mut lifecycle, 32, 0);
+    assert_eq!(lifecycle.stage(2.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    lifecycle.on_suspended();
+    assert_eq!(
+        lifecycle.stage(2.1, CALL_INTERVAL_S),
+        (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate)
+    );
+    lifecycle.on_discovery_update(2.2);
+    assert_eq!(lifecycle.stage(2.2, CALL_INTERVAL_S), (RecoveryStage::WarmingUp, RecoveryBlocker::Responses));
 }
 
-/// One to whom nobody comes has nothing to wait for.
+/// An instance without requests has no responses to wait for.
 #[test]
-fn who_is_asked_nothing_is_full_after_a_while() {
-    let mut life = Life::default();
-    life.servers(true);
-    life.told(1.0);
-    assert_eq!(life.stage(5.9, WITHIN).0, Stage::Warming);
-    assert_eq!(life.stage(6.0, WITHIN).0, Stage::Full);
+fn an_instance_without_requests_is_in_full_service_after_a_while() {
+    let mut lifecycle = InstanceLifecycle::default();
+    lifecycle.set_has_servers(true);
+    lifecycle.on_discovery_update(1.0);
+    assert_eq!(lifecycle.stage(5.9, CALL_INTERVAL_S).0, RecoveryStage::WarmingUp);
+    assert_eq!(lifecycle.stage(6.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
 }
 
-/// Danger: one that is asked once in some seconds would never have answers enough.
+/// An instance with a request every few seconds would never have enough responses.
 #[test]
-fn who_is_asked_little_is_full_once_its_last_answers_came_in_time() {
-    let mut life = Life::default();
-    life.servers(true);
-    life.told(1.0);
-    answers(&mut life, 2, 1);
-    assert_eq!(life.stage(60.0, WITHIN), (Stage::Warming, Wants::Answers));
-    life.answered(true);
-    assert_eq!(life.stage(60.0, WITHIN).0, Stage::Full);
+fn an_instance_with_few_requests_is_in_full_service_once_its_last_responses_are_in_time() {
+    let mut lifecycle = InstanceLifecycle::default();
+    lifecycle.set_has_servers(true);
+    lifecycle.on_discovery_update(1.0);
+    record_responses(&mut lifecycle, 2, 1);
+    assert_eq!(
+        lifecycle.stage(60.0, CALL_INTERVAL_S),
+        (RecoveryStage::WarmingUp, RecoveryBlocker::Responses)
+    );
+    lifecycle.on_response(true);
+    assert_eq!(lifecycle.stage(60.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Servers(bool),
-    Told,
-    Failed,
-    Stood,
-    Answers(u8, u8),
+    DiscoveryUpdate,
+    DiscoveryFailure,
+    Suspended,
+    Responses(u8, u8),
     Wait(f64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         any::<bool>().prop_map(Step::Servers),
-        Just(Step::Told),
-        Just(Step::Failed),
-        Just(Step::Stood),
-        (0_u8..40, 0_u8..40).prop_map(|(good, bad)| Step::Answers(good, bad)),
+        Just(Step::DiscoveryUpdate),
+        Just(Step::DiscoveryFailure),
+        Just(Step::Suspended),
+        (0_u8..40, 0_u8..40).prop_map(|(in_time, late)| Step::Responses(in_time, late)),
         (0.0..60.0_f64).prop_map(Step::Wait),
     ]
 }
@@ -98,41 +118,41 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Nothing is full without a server or without discovery's word, and whatever went before, an instance becomes full once the
-    /// world is sound.
+    /// No instance is in full service without servers or with an outdated list, and each reaches it, whatever went before,
+    /// once there are no faults.
     #[test]
-    fn everybody_becomes_full_once_the_world_is_sound(steps in prop::collection::vec(step(), 0..40)) {
-        let (mut life, mut now) = (Life::default(), 0.0);
-        let (mut servers, mut word, mut failed) = (false, None, false);
+    fn every_instance_reaches_full_service_once_there_are_no_faults(steps in prop::collection::vec(step(), 0..40)) {
+        let (mut lifecycle, mut now) = (InstanceLifecycle::default(), 0.0);
+        let (mut has_servers, mut last_update_at, mut has_call_failed) = (false, None, false);
         for step in steps {
             match step {
-                Step::Servers(some) => {
-                    servers = some;
-                    life.servers(some);
+                Step::Servers(has_servers_now) => {
+                    has_servers = has_servers_now;
+                    lifecycle.set_has_servers(has_servers_now);
                 }
-                Step::Told => {
-                    (word, failed) = (Some(now), false);
-                    life.told(now);
+                Step::DiscoveryUpdate => {
+                    (last_update_at, has_call_failed) = (Some(now), false);
+                    lifecycle.on_discovery_update(now);
                 }
-                Step::Failed => {
-                    failed = true;
-                    life.failed();
+                Step::DiscoveryFailure => {
+                    has_call_failed = true;
+                    lifecycle.on_discovery_failure();
                 }
-                Step::Stood => {
-                    word = None;
-                    life.stood_still();
+                Step::Suspended => {
+                    last_update_at = None;
+                    lifecycle.on_suspended();
                 }
-                Step::Answers(good, bad) => answers(&mut life, good.into(), bad.into()),
+                Step::Responses(in_time, late) => record_responses(&mut lifecycle, in_time.into(), late.into()),
                 Step::Wait(seconds) => now += seconds,
             }
-            let (stage, _) = life.stage(now, WITHIN);
-            prop_assert_eq!(stage == Stage::Cold, !servers);
-            let heard = word.is_some_and(|word| !failed || now - word <= 4.0 * WITHIN);
-            prop_assert!(stage <= Stage::Listed || (servers && heard));
+            let (stage, _) = lifecycle.stage(now, CALL_INTERVAL_S);
+            prop_assert_eq!(stage == RecoveryStage::NoServers, !has_servers);
+            let is_list_current = last_update_at.is_some_and(|last_update_at| !has_call_failed || now - last_update_at <= 4.0 * CALL_INTERVAL_S);
+            prop_assert!(stage <= RecoveryStage::UnconfirmedList || (has_servers && is_list_current));
         }
-        life.servers(true);
-        life.told(now);
-        answers(&mut life, 32, 0);
-        prop_assert_eq!(life.stage(now, WITHIN), (Stage::Full, Wants::Nothing));
+        lifecycle.set_has_servers(true);
+        lifecycle.on_discovery_update(now);
+        record_responses(&mut lifecycle, 32, 0);
+        prop_assert_eq!(lifecycle.stage(now, CALL_INTERVAL_S), (RecoveryStage::FullService, RecoveryBlocker::Nothing));
     }
 }
--- a/crates/decide/src/policy/fleet_review.rs
+++ b/crates/decide/src/policy/fleet_review.rs
@@ -13,7 +13,7 @@
             ListUpdate::Failed => {
                 let random = self.random_unit();
                 let (within, proxies) = (self.settings.rules.refresh_within, self.settings.proxy_count);
-                let delay = self.state.list_backoff.failed(within, proxies, random);
+                let delay = self.state.list_backoff.on_failure(within, proxies, random);
                 return actions.push(Action::SetTimer { delay, token: TimerToken(WATCH_LIST_TOKEN) });
             }
             ListUpdate::Changes(entries) => self.state.update_list(now, entries, &mut self.rng),
@@ -25,14 +25,14 @@
             }
             ListUpdate::Full(entries) => self.state.replace_list(now, entries, &mut self.rng),
         }
-        self.state.list_backoff.answered();
+        self.state.list_backoff.on_answer();
         self.review_fleet(now);
     }
 
     /// How long a proxy with a saved list waits before its first call, so that a fleet that starts at once spreads out.
     fn first_list_delay(&mut self) -> Seconds {
         let (within, proxies) = (self.settings.rules.refresh_within, self.settings.proxy_count);
-        let spread = self.state.list_backoff.first(within, proxies);
+        let spread = self.state.list_backoff.first_call_spread(within, proxies);
         if spread > 0.0 { spread * self.random_unit() } else { 0.0 }
     }
 
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -1,6 +1,6 @@
 //! How far the proxy has recovered since its start, as its events tell.
 
-use mosshead_comeback::{Stage, Wants};
+use mosshead_comeback::{RecoveryBlocker, RecoveryStage};
 
 use crate::Balancer;
 use crate::interface::{Action, Event, ListUpdate, Outcome, Seconds};
@@ -16,11 +16,11 @@
             let has_servers = [&self.state.local, &self.state.remote, &self.state.slow_starting]
                 .into_iter()
                 .any(|servers| !servers.is_empty());
-            self.state.recovery.servers(has_servers);
+            self.state.recovery.set_has_servers(has_servers);
         }
         let is_unserved = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
         for _ in actions[first_new..].iter().filter(is_unserved) {
-            self.state.recovery.answered(false);
+            self.state.recovery.on_response(false);
         }
         // Full service, once reached, stays; so the stage is looked at after each event.
         self.recovery_stage(now);
@@ -28,12 +28,14 @@
 
     fn record_recovery(&mut self, now: Seconds, event: &Event) {
         match event {
-            Event::ListUpdated(ListUpdate::Full(_) | ListUpdate::Changes(_)) => self.state.recovery.told(now),
-            Event::ListUpdated(ListUpdate::Failed) => self.state.recovery.failed(),
+            Event::ListUpdated(ListUpdate::Full(_) | ListUpdate::Changes(_)) => {
+                self.state.recovery.on_discovery_update(now)
+            }
+            Event::ListUpdated(ListUpdate::Failed) => self.state.recovery.on_discovery_failure(),
             Event::AttemptEnded { request, outcome: Outcome::Served, settled: true, .. } => {
                 if let Some(target_time) = self.state.request_mut(*request).map(|pending| pending.target_time)
                 {
-                    self.state.recovery.answered(now <= target_time);
+                    self.state.recovery.on_response(now <= target_time);
                 }
             }
             _ => {}
@@ -41,12 +43,12 @@
     }
 
     /// How far the proxy has recovered, and what it waits for.
-    pub fn recovery_stage(&mut self, now: Seconds) -> (Stage, Wants) {
+    pub fn recovery_stage(&mut self, now: Seconds) -> (RecoveryStage, RecoveryBlocker) {
         self.state.recovery.stage(now, self.settings.rules.refresh_within)
     }
 
     /// The process was suspended and goes on: what the list said meanwhile is not known.
     pub fn on_process_suspended(&mut self) {
-        self.state.recovery.stood_still();
+        self.state.recovery.on_suspended();
     }
 }
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use mosshead_comeback::{Life, Pace};
+use mosshead_comeback::{DiscoveryBackoff, InstanceLifecycle};
 use rand_core::RngCore;
 
 use super::class_stats::{ClassStats, MachineKindStats, TARGET_SERVICE_TIMES, ZoneStats};
@@ -73,9 +73,9 @@
     /// The fraction of the work that belongs to restricted classes.
     pub(crate) restricted_work: Mean,
     /// The backoff between calls for the list.
-    pub(crate) list_backoff: Pace,
+    pub(crate) list_backoff: DiscoveryBackoff,
     /// How far this process has recovered since its start.
-    pub(crate) recovery: Life,
+    pub(crate) recovery: InstanceLifecycle,
 }
 
 impl PolicyState {
@@ -116,8 +116,8 @@
             market_of_class: markets(classes),
             reserved_share: 1.0,
             restricted_work: Mean::default(),
-            list_backoff: Pace::default(),
-            recovery: Life::default(),
+            list_backoff: DiscoveryBackoff::default(),
+            recovery: InstanceLifecycle::default(),
         }
     }
 
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -19,7 +19,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use mosshead_decide::Stage;
+use mosshead_decide::RecoveryStage;
 use mosshead_http_links::{CloseReason, ConnectionLogGuard, ConnectionRecord};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, JoinSet, LocalSet};
@@ -149,7 +149,7 @@
 fn state(control: &Control) -> String {
     let (way, start) = control.way_back();
     let seconds = |span: Duration| format!("{:.3}", span.as_secs_f64());
-    let wants = if way.stage == Stage::Full { String::new() } else { way.wants.to_string() };
+    let wants = if way.stage == RecoveryStage::FullService { String::new() } else { way.wants.to_string() };
     let full = way.full.map_or("null".to_owned(), |full| seconds(full - start));
     let life = way.life.map_or("null".to_owned(), |life| life.to_string());
     format!(
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -31,7 +31,7 @@
 use crate::stored_state::{Stored, Tables};
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
-use mosshead_decide::{NameTable, Stage, Wants};
+use mosshead_decide::{NameTable, RecoveryBlocker, RecoveryStage};
 use mosshead_known::listing::{Listing, Machine};
 use mosshead_settings::NamedSettings;
 
@@ -98,7 +98,7 @@
             events: VecDeque::new(),
             stood: None,
             stored,
-            way: (Stage::Cold, Wants::Servers),
+            way: (RecoveryStage::NoServers, RecoveryBlocker::Servers),
         };
         let known = config.known.clone();
         let run = async move {
@@ -237,7 +237,7 @@
     /// Where the operators grant a folder for it.
     stored: Option<Stored>,
     /// How far this life had come when that was last looked at.
-    way: (Stage, Wants),
+    way: (RecoveryStage, RecoveryBlocker),
 }
 
 /// The last time that the process stood still.
@@ -440,7 +440,7 @@
         }
         let (stage, wants) = way;
         if self.module.control.come_to(stage, wants) {
-            let wants = (stage != Stage::Full).then(|| tracing::field::display(wants));
+            let wants = (stage != RecoveryStage::FullService).then(|| tracing::field::display(wants));
             say!(stage = %stage, wants, after_s = format!("{now:.3}"), "way back");
         }
     }
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -17,7 +17,7 @@
 use crate::load_report::OutboundConnection;
 use crate::log::{Bounded, say};
 use crate::messages::Mail;
-use mosshead_comeback::Silence;
+use mosshead_comeback::WatchReopening;
 use mosshead_decide::interface::Seconds;
 use mosshead_http_links::{BodyError, CloseReason, read_body};
 use mosshead_known::listing::{Listing, read_listing};
@@ -82,7 +82,7 @@
     // the whole list is due.
     let mut held = version;
     let mut told = Told::default();
-    let mut silence = Silence::default();
+    let mut silence = WatchReopening::default();
     let failed = Bounded::new();
     while let Some(ask) = mailbox.recv().await {
         if let Ask::Move(to) = ask {
@@ -103,7 +103,7 @@
                     from = called + OLDER_PACE;
                 }
                 Watched::Answered(Ok(listing)) => {
-                    silence.answered();
+                    silence.on_answer();
                     let news = held.is_none_or(|held| listing.version > held);
                     from = if news { Instant::now() } else { called + PACE };
                     held = Some(listing.version);
@@ -114,7 +114,7 @@
                         let left_out = (left_out > 0).then_some(left_out);
                         say!(why = %error, left_out, "machine-list failed");
                     }
-                    if error.is_silent_watch() && silence.reopens() {
+                    if error.is_silent_watch() && silence.should_reopen() {
                         caller.link = None;
                         from = Instant::now();
                         continue;
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-use mosshead_decide::{Stage, Wants};
+use mosshead_decide::{RecoveryBlocker, RecoveryStage};
 use tokio::sync::watch;
 
 /// How far this life has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct WayBack {
-    pub(crate) stage: Stage,
-    pub(crate) wants: Wants,
+    pub(crate) stage: RecoveryStage,
+    pub(crate) wants: RecoveryBlocker,
     /// When it came to that,
     pub(crate) since: Instant,
     /// and when it was first in full service, if it was.
@@ -38,7 +38,13 @@
     pub(crate) fn new() -> Arc<Self> {
         let (ready, stopping) = (AtomicBool::new(false), AtomicBool::new(false));
         let (start, drain, asked) = (Instant::now(), watch::Sender::new(None), watch::Sender::new(false));
-        let way = WayBack { stage: Stage::Cold, wants: Wants::Servers, since: start, full: None, life: None };
+        let way = WayBack {
+            stage: RecoveryStage::NoServers,
+            wants: RecoveryBlocker::Servers,
+            since: start,
+            full: None,
+            life: None,
+        };
         Arc::new(Self { drain, ready, stopping, asked, start, way_back: Mutex::new(way) })
     }
 
@@ -53,13 +59,13 @@
     }
 
     /// It has come so far now; says whether that is news of the state, not of what it waits for.
-    pub(crate) fn come_to(&self, stage: Stage, wants: Wants) -> bool {
+    pub(crate) fn come_to(&self, stage: RecoveryStage, wants: RecoveryBlocker) -> bool {
         let mut way = self.way_back.lock().unwrap_or_else(PoisonError::into_inner);
         let news = way.stage != stage;
         if news {
             way.since = Instant::now();
         }
-        if stage == Stage::Full {
+        if stage == RecoveryStage::FullService {
             let since = way.since;
             way.full.get_or_insert(since);
         }
--- a/crates/simulate/src/brains.rs
+++ b/crates/simulate/src/brains.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 use mosshead_decide::interface::{Action, Event, Seconds};
-use mosshead_decide::{LearnedValue, Stage};
+use mosshead_decide::{LearnedValue, RecoveryStage};
 use mosshead_world::True;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -83,7 +83,7 @@
 
 impl Threads {
     /// How far each policy has come by now.
-    pub fn stages(&mut self, now: Seconds) -> Vec<Stage> {
+    pub fn stages(&mut self, now: Seconds) -> Vec<RecoveryStage> {
         self.minds.iter_mut().flatten().map(|mind| mind.way_back(now)).collect()
     }
 }
--- a/crates/simulate/src/host.rs
+++ b/crates/simulate/src/host.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use mosshead_comeback::Silence;
+use mosshead_comeback::WatchReopening;
 use mosshead_decide::interface::*;
 use mosshead_world::discovery::Call;
 use mosshead_world::facts::{Answer, Verdict};
@@ -54,7 +54,7 @@
     /// What discovery itself has told.
     told: u64,
     call: Option<u64>,
-    silence: Silence,
+    silence: WatchReopening,
     owed: usize,
 }
 
@@ -304,7 +304,7 @@
                 if self.proxies[proxy].call == Some(number) {
                     self.proxies[proxy].call = None;
                     self.world.input(self.now, Input::Forget { proxy, number });
-                    if self.proxies[proxy].silence.reopens() {
+                    if self.proxies[proxy].silence.should_reopen() {
                         self.ask(proxy);
                     } else {
                         self.failed(proxy);
@@ -738,7 +738,7 @@
         let Some((version, full, lines)) = listed else {
             return self.failed(proxy);
         };
-        self.proxies[proxy].silence.answered();
+        self.proxies[proxy].silence.on_answer();
         if version < self.proxies[proxy].told {
             let life = self.proxies[proxy].life;
             return self.queue.push(self.now + OLDER_AGAIN, Due::Again { proxy, life });
--- a/crates/simulate/src/policies.rs
+++ b/crates/simulate/src/policies.rs
@@ -8,7 +8,7 @@
 use std::str::FromStr;
 
 use mosshead_decide::interface::*;
-use mosshead_decide::{Balancer, LearnedValue, Stage, Subject};
+use mosshead_decide::{Balancer, LearnedValue, RecoveryStage, Subject};
 use mosshead_world::True;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -33,8 +33,8 @@
     }
 
     /// How far this life has come; policies without states are where they always are.
-    fn way_back(&mut self, _now: Seconds) -> Stage {
-        Stage::Full
+    fn way_back(&mut self, _now: Seconds) -> RecoveryStage {
+        RecoveryStage::FullService
     }
 
     /// Starts from what a former life learnt so long ago.
@@ -52,7 +52,7 @@
         learnt
     }
 
-    fn way_back(&mut self, now: Seconds) -> Stage {
+    fn way_back(&mut self, now: Seconds) -> RecoveryStage {
         Balancer::recovery_stage(self, now).0
     }
 
--- a/crates/simulate/tests/fleets.rs
+++ b/crates/simulate/tests/fleets.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-use mosshead_decide::Stage;
+use mosshead_decide::RecoveryStage;
 use mosshead_decide::interface::{Action, Seconds, TimerToken};
 use mosshead_simulate::brains::{BrainError, Brains, Mail, Threads, Wanted};
 use mosshead_simulate::policies::Kind;
@@ -145,7 +145,7 @@
         assert!(day.kept, "{what}: {}", day.violations[0]);
         assert_eq!(day.ledger.all.open(), 0, "{what}: every wish has ended");
         let stages = brains.stages(day.length_s);
-        let full = stages.iter().filter(|stage| **stage == Stage::Full).count();
+        let full = stages.iter().filter(|stage| **stage == RecoveryStage::FullService).count();
         assert_eq!((full as u64, stages.len() as u64), (fleet.proxies, fleet.proxies), "{what}");
         assert_eq!(past_its_bound(&fleet, &day, &sends), None, "{what}");
     }
@@ -234,7 +234,7 @@
     let (day, _) = played(&Fleet { text, proxies, nodes, rate, answers }, 1, &mut brains);
     assert!(day.kept, "{}", day.violations[0]);
     let stages = brains.stages(day.length_s);
-    assert!(stages.iter().all(|stage| *stage == Stage::Full), "{stages:?}");
+    assert!(stages.iter().all(|stage| *stage == RecoveryStage::FullService), "{stages:?}");
     let calls: Vec<u64> = day.ledger.tenths.iter().map(|tenth| tenth.calls).collect();
     let (down, up) = ((down.0 / 100_000) as usize, (up.0 / 100_000) as usize);
     // While it is down each calls once in some 16 s; it comes back to the same pace.
