--- a/crates/config/examples/change_cost.rs
+++ b/crates/config/examples/change_cost.rs
@@ -6,7 +6,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use mosshead_config::Config;
+use mosshead_config::{Config, ConfigError};
 
 fn route(number: usize, timeout_ms: u64) -> String {
     format!(
@@ -51,56 +51,72 @@
 /// How many configurations are parsed to measure the memory of one.
 const COPIES: usize = 20;
 
-fn main() -> Result<(), mosshead_config::ConfigError> {
+fn print_row(routes: usize, change: &str, step: &str, micros: f64) {
+    println!("{routes:>6} {change:>8} {step:>13} {micros:>10.1}");
+}
+
+/// Prints the memory of one configuration.
+fn print_memory(routes: usize, text: &str) -> Result<(), ConfigError> {
+    let before = resident_kib();
+    let configs: Vec<Config> =
+        (0..COPIES).map(|_| Config::parse(text.as_bytes())).collect::<Result<_, _>>()?;
+    println!(
+        "{routes:>6} KiB of one configuration: {}",
+        resident_kib().saturating_sub(before) / configs.len()
+    );
+    Ok(())
+}
+
+fn print_lookup(routes: usize, config: &Config) {
+    let mut next = 0;
+    let find = || {
+        next = (next + 7919) % routes;
+        config.find_route(&format!("host{:03}.example", next % 200), &format!("/p{next}/x")).is_some()
+    };
+    print_row(routes, "-", "find_route", fastest_micros(find));
+}
+
+/// Prints the cost of adding many routes at once.
+fn print_many(routes: usize, old: &Config) -> Result<(), ConfigError> {
+    let added: Vec<String> = (routes..routes + ADDED_ROUTES).map(|number| route(number, 2500)).collect();
+    let change = format!("{{\"revision\":2,\"upsert\":{{\"route_entries\":[{}]}}}}", added.join(","));
+    let new = old.modify(change.as_bytes())?;
+    let patch = old.patch_to(&new);
+    print_row(routes, "add many", "modify", fastest_micros(|| old.modify(change.as_bytes())));
+    print_row(routes, "add many", "patch_to", fastest_micros(|| old.patch_to(&new)));
+    print_row(routes, "add many", "apply_patch", fastest_micros(|| old.apply_patch(&patch)));
+    Ok(())
+}
+
+/// Prints the cost of one change in every step that it goes through.
+fn print_change(routes: usize, old: &Config, name: &str, change: &str) -> Result<(), ConfigError> {
+    let change = format!("{{\"revision\":2,{change}}}");
+    let new = old.modify(change.as_bytes())?;
+    let patch = old.patch_to(&new);
+    let text = new.to_json();
+    print_row(routes, name, "modify", fastest_micros(|| old.modify(change.as_bytes())));
+    print_row(routes, name, "parse_sharing", fastest_micros(|| old.parse_sharing(text.as_bytes())));
+    print_row(routes, name, "to_json", fastest_micros(|| new.to_json()));
+    print_row(routes, name, "patch_to", fastest_micros(|| old.patch_to(&new)));
+    print_row(routes, name, "apply_patch", fastest_micros(|| old.apply_patch(&patch)));
+    Ok(())
+}
+
+fn main() -> Result<(), ConfigError> {
     println!("{:>6} {:>8} {:>13} {:>10}", "routes", "change", "step", "us");
     for routes in [20, 500, 5_000, 10_000] {
         let text = config_text(routes);
-        let before = resident_kib();
-        let configs: Vec<Config> =
-            (0..COPIES).map(|_| Config::parse(text.as_bytes())).collect::<Result<_, _>>()?;
-        println!(
-            "{routes:>6} KiB of one configuration: {}",
-            (resident_kib().saturating_sub(before)) / COPIES
-        );
-        drop(configs);
+        print_memory(routes, &text)?;
         let old = Config::parse(text.as_bytes())?;
-        let row = |change: &str, step: &str, micros: f64| {
-            println!("{routes:>6} {change:>8} {step:>13} {micros:>10.1}");
-        };
-        row("-", "parse", fastest_micros(|| Config::parse(text.as_bytes())));
-        let mut next = 0;
-        row(
-            "-",
-            "find_route",
-            fastest_micros(|| {
-                next = (next + 7919) % routes;
-                old.find_route(&format!("host{:03}.example", next % 200), &format!("/p{next}/x")).is_some()
-            }),
-        );
+        print_row(routes, "-", "parse", fastest_micros(|| Config::parse(text.as_bytes())));
+        print_lookup(routes, &old);
+        print_many(routes, &old)?;
         let middle = routes / 2;
-        let many: Vec<String> = (routes..routes + ADDED_ROUTES).map(|number| route(number, 2500)).collect();
-        let many = format!("{{\"revision\":2,\"upsert\":{{\"route_entries\":[{}]}}}}", many.join(","));
-        let grown = old.modify(many.as_bytes())?;
-        let patch = old.patch_to(&grown);
-        row("add many", "modify", fastest_micros(|| old.modify(many.as_bytes())));
-        row("add many", "patch_to", fastest_micros(|| old.patch_to(&grown)));
-        row("add many", "apply_patch", fastest_micros(|| old.apply_patch(&patch)));
-        let changes = [
-            ("change", format!("\"upsert\":{{\"route_entries\":[{}]}}", route(middle, 2600))),
-            ("add", format!("\"upsert\":{{\"route_entries\":[{}]}}", route(routes, 2500))),
-            ("remove", format!("\"withdraw\":{{\"route_entries\":[\"r-{middle:05}x\"]}}")),
-        ];
-        for (name, change) in changes {
-            let change = format!("{{\"revision\":2,{change}}}");
-            let new = old.modify(change.as_bytes())?;
-            let patch = old.patch_to(&new);
-            row(name, "modify", fastest_micros(|| old.modify(change.as_bytes())));
-            let text = new.to_json();
-            row(name, "parse_sharing", fastest_micros(|| old.parse_sharing(text.as_bytes())));
-            row(name, "to_json", fastest_micros(|| new.to_json()));
-            row(name, "patch_to", fastest_micros(|| old.patch_to(&new)));
-            row(name, "apply_patch", fastest_micros(|| old.apply_patch(&patch)));
-        }
+        let upsert = |route: String| format!("\"upsert\":{{\"route_entries\":[{route}]}}");
+        print_change(routes, &old, "change", &upsert(route(middle, 2600)))?;
+        print_change(routes, &old, "add", &upsert(route(routes, 2500)))?;
+        let withdraw = format!("\"withdraw\":{{\"route_entries\":[\"r-{middle:05}x\"]}}");
+        print_change(routes, &old, "remove", &withdraw)?;
     }
     Ok(())
 }
--- a/crates/decide/src/policy/first_attempt.rs
+++ b/crates/decide/src/policy/first_attempt.rs
@@ -14,9 +14,9 @@
         if !to_probe.is_empty() {
             return self.send_probes(now, token, chosen, to_probe, actions);
         }
-        // Requests that waited for a server with a free place would pile up, and all of them would be late.
-        let mut warm = self.state.local.iter().chain(&self.state.remote);
-        if chosen.is_none() && warm.any(|&index| self.is_allowed(now, &request, index)) {
+        // Requests that waited for a server that is not full would pile up, and all of them would be late.
+        let mut started = self.state.local.iter().chain(&self.state.remote);
+        if chosen.is_none() && started.any(|&index| self.is_allowed(now, &request, index)) {
             return self.give_up(token, 1.0, actions);
         }
         if !self.admits(now, &request, chosen) {
--- a/crates/decide/src/policy/fleet_review.rs
+++ b/crates/decide/src/policy/fleet_review.rs
@@ -52,10 +52,10 @@
         let rules = &self.settings.rules;
         // Where most of the fleet is in slow start, a share of what it can do now is more than the server can.
         let least_capacity = size * SLOW_START_OVERLOAD / rules.overload_factor;
-        let (slow_starting, warm): (Vec<usize>, Vec<usize>) =
+        let (slow_starting, started): (Vec<usize>, Vec<usize>) =
             ready.into_iter().partition(|index| self.slow_start_factor(endpoint(index), now) < 1.0);
         let own_zone = self.settings.zone;
-        let (local, remote) = warm.into_iter().partition(|index| endpoint(index).entry.zone == own_zone);
+        let (local, remote) = started.into_iter().partition(|index| endpoint(index).entry.zone == own_zone);
         self.state.next_review_at =
             if slow_starting.is_empty() { f64::INFINITY } else { now + REVIEW_SHARE * rules.slow_start };
         self.state.overload.set_capacity(capacity);
--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -36,7 +36,7 @@
         self.choose_of_pair(now, request, &candidates)
     }
 
-    /// The one with the lower load of two distinct candidates drawn at random: the one place where a server is chosen.
+    /// The one with the lower load of two distinct candidates drawn at random: nothing else chooses a server.
     fn choose_of_pair(&mut self, now: Seconds, request: &PendingRequest, candidates: &[usize]) -> Choice {
         // The pair that was probed for this request stays its pair.
         let probed: Vec<usize> =
--- a/crates/decide/tests/guarantees.rs
+++ b/crates/decide/tests/guarantees.rs
@@ -53,7 +53,7 @@
     assert!(host.end_attempt(second, Outcome::Cancelled, LoadReport::default()).is_empty());
     assert!(
         host.handle(Event::RequestWithdrawn { request: first.request }).is_empty(),
-        "an id that is no longer held"
+        "an id that is no longer pending"
     );
     assert!(host.advance(5.0).is_empty());
 }
--- a/crates/decide/tests/load_estimation.rs
+++ b/crates/decide/tests/load_estimation.rs
@@ -14,7 +14,7 @@
     host.now += 0.005;
     host.end_attempt(busy[0], Outcome::Served, load_report(1.6, 0.0));
     let next = host.place_request(UNSAFE);
-    assert_eq!(next.endpoint.0, 0, "one response makes place for one request");
+    assert_eq!(next.endpoint.0, 0, "one response admits one request");
     assert_eq!(host.place_request(UNSAFE).endpoint.0, 1, "and not for all that the report has not seen");
 }
 
@@ -150,17 +150,17 @@
         let mut all = settings();
         all.classes.iter_mut().for_each(|class| class.latency_target = 2.0);
         let mut host = Host::new(all, fleet(2));
-        let tell = |host: &mut Host, endpoint: u32, held: f64| {
-            end_probe(host, EndpointId(endpoint), 0.001, load_report(held, 0.0));
+        let report_load = |host: &mut Host, endpoint: u32, in_flight: f64| {
+            end_probe(host, EndpointId(endpoint), 0.001, load_report(in_flight, 0.0));
         };
         for index in 0..100 {
             host.now += 0.01;
             let step = if renewed { f64::from(index % 2) } else { 0.0 };
-            (0..2).for_each(|endpoint| tell(&mut host, endpoint, 2.0 + step));
+            (0..2).for_each(|endpoint| report_load(&mut host, endpoint, 2.0 + step));
         }
         host.now += 0.01;
-        tell(&mut host, 0, 4.1);
-        tell(&mut host, 1, 1.1);
+        report_load(&mut host, 0, 4.1);
+        report_load(&mut host, 1, 1.1);
         for _ in 0..3 {
             host.request(SAFE);
         }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -13,7 +13,7 @@
     all.classes[UNSAFE.0].value = 8.0;
     let mut hosts: Vec<Host> = (0..100).map(|seed| Host::seeded(all.clone(), fleet(6), seed)).collect();
     // Makes so many requests of each class at each proxy, served after `wait`; returns the fraction of each that was sent.
-    let mut round = |requests: usize, wait: Seconds, gap: Seconds| {
+    let mut serve_requests = |requests: usize, wait: Seconds, gap: Seconds| {
         let mut sent = [0.0; 2];
         for host in &mut hosts {
             for class in [SAFE, UNSAFE].repeat(requests) {
@@ -28,14 +28,17 @@
         }
         sent
     };
-    let sound = round(5, 0.06, 0.1);
-    assert!(sound[0] > 0.95 && sound[1] > 0.95, "of a healthy fleet's requests {sound:?} are sent");
-    round(5, 0.45, 0.1);
-    let strained = round(5, 0.45, 0.1);
-    assert!(strained[0] < 0.5 && strained[0] < strained[1] && strained[1] < 0.8, "{strained:?} are sent on");
-    round(30, 0.06, 2.0);
-    let over = round(5, 0.06, 0.1);
-    assert!(over[0] > 0.9 && over[1] > 0.9, "{over:?} are sent when it is over");
+    let healthy = serve_requests(5, 0.06, 0.1);
+    assert!(healthy[0] > 0.95 && healthy[1] > 0.95, "of a healthy fleet's requests {healthy:?} are sent");
+    serve_requests(5, 0.45, 0.1);
+    let overloaded = serve_requests(5, 0.45, 0.1);
+    assert!(
+        overloaded[0] < 0.5 && overloaded[0] < overloaded[1] && overloaded[1] < 0.8,
+        "{overloaded:?} are sent on"
+    );
+    serve_requests(30, 0.06, 2.0);
+    let recovered = serve_requests(5, 0.06, 0.1);
+    assert!(recovered[0] > 0.9 && recovered[1] > 0.9, "{recovered:?} are sent when it is recovered");
 }
 
 /// Regression: where a service takes much of the latency target, an idle fleet looks overloaded. Reliable reports are the
@@ -72,7 +75,7 @@
     all.classes[UNSAFE.0].value = 8.0;
     let mut hosts: Vec<Host> = (0..100).map(|seed| Host::seeded(all.clone(), fleet(10), seed)).collect();
     // Makes so many requests of each class at each proxy, all served after the same time.
-    let round = |hosts: &mut [Host], requests: usize| {
+    let serve_requests = |hosts: &mut [Host], requests: usize| {
         let mut sent = [0.0; 2];
         for host in hosts {
             for class in [SAFE, UNSAFE].repeat(requests) {
@@ -87,15 +90,15 @@
         }
         sent
     };
-    let sound = round(&mut hosts, 20);
-    assert!(sound[0] > 0.95, "of a healthy fleet's requests {sound:?} are sent");
+    let healthy = serve_requests(&mut hosts, 20);
+    assert!(healthy[0] > 0.95, "of a healthy fleet's requests {healthy:?} are sent");
     let drains = |index: u32| ListEntry { readiness: Readiness::Draining, ..entry(index) };
     hosts.iter_mut().for_each(|host| {
         _ = host.handle(Event::ListUpdated(ListUpdate::Changes((0..5).map(drains).collect())))
     });
-    let fewer = round(&mut hosts, 2);
+    let fewer = serve_requests(&mut hosts, 2);
     assert!(fewer[0] < 0.8 && fewer[0] < fewer[1], "{fewer:?} are sent on to half of the servers");
-    round(&mut hosts, 100);
-    let usual = round(&mut hosts, 5);
+    serve_requests(&mut hosts, 100);
+    let usual = serve_requests(&mut hosts, 5);
     assert!(usual[0] > 0.95, "{usual:?} are sent once answers have told that half of them can do it");
 }
--- a/crates/decide/tests/restricted_classes.rs
+++ b/crates/decide/tests/restricted_classes.rs
@@ -17,21 +17,21 @@
 /// Regression: work that may run anywhere displaces what is restricted to a few servers.
 #[test]
 fn unrestricted_work_leaves_reserved_servers_their_share() {
-    for bound in [0, 6] {
+    for restricted in [0, 6] {
         let mut host = with_bound_class();
         let mut there = 0;
         for index in 0..400 {
-            let class = if index % 10 < bound { UNSAFE } else { SAFE };
+            let class = if index % 10 < restricted { UNSAFE } else { SAFE };
             let sent = host.place_request(class);
             there += usize::from(class == SAFE && index >= 200 && sent.endpoint.0 >= 8);
             host.now += 0.01;
             host.serve(sent);
         }
-        // A third of the servers; 6 of 10 requests are bound to them, or none.
+        // A third of the servers; 6 of 10 requests are restricted to them, or none.
         assert_eq!(
             there == 0,
-            bound == 6,
-            "{there} unrestricted ones to reserved servers with {bound} of 10 bound"
+            restricted == 6,
+            "{there} unrestricted ones to reserved servers with {restricted} of 10 restricted"
         );
     }
 }
@@ -46,14 +46,14 @@
     }
     host.now += 5.0;
     let rejections = |host: &mut Host, class: ClassId| {
-        let refused_here = (0..40).filter(|_| {
+        let rejected = (0..40).filter(|_| {
             let (request, actions) = request_as_and_take_back(host, class);
             is_rejected(&actions, request)
         });
-        refused_here.count()
+        rejected.count()
     };
-    let (bound, other) = (rejections(&mut host, UNSAFE), rejections(&mut host, SAFE));
-    assert!(bound >= 30 && other <= 5, "{bound} and {other} of 40 rejected");
+    let (restricted, other) = (rejections(&mut host, UNSAFE), rejections(&mut host, SAFE));
+    assert!(restricted >= 30 && other <= 5, "{restricted} and {other} of 40 rejected");
 }
 
 /// Sends a restricted request to one of two permitted servers of six and ends its attempts until none follows.
--- a/crates/decide/tests/slow_start.rs
+++ b/crates/decide/tests/slow_start.rs
@@ -75,10 +75,11 @@
     for server in 1..4 {
         host.update_entry(ListEntry { started_at: Some(host.now), ..entry(server) });
     }
-    let mut cold = 0;
+    let mut to_slow_starting = 0;
     // Each takes 0.06 s, so that the old server is kept busy and loses to one that has nothing in flight.
     for _ in 0..1500 {
-        cold += sent_endpoints(&host.request(SAFE).1).iter().filter(|endpoint| endpoint.0 > 0).count();
+        to_slow_starting +=
+            sent_endpoints(&host.request(SAFE).1).iter().filter(|endpoint| endpoint.0 > 0).count();
         host.now += 0.01;
         while host.in_flight.first().is_some_and(|sent| host.now - sent.sent_at >= 0.06) {
             let sent = host.in_flight[0];
@@ -86,7 +87,10 @@
         }
     }
     // By then each can do three quarters, all of them 2.3 times what the old one can.
-    assert!((150..=750).contains(&cold), "{cold} of 1500 to three slow-starting servers of four");
+    assert!(
+        (150..=750).contains(&to_slow_starting),
+        "{to_slow_starting} of 1500 to three slow-starting servers of four"
+    );
 }
 
 /// Regression: with the whole fleet in slow start, a share of the present capacity is more than a server can do.
