--- a/crates/consensus/tests/fleet/checker.rs
+++ b/crates/consensus/tests/fleet/checker.rs
@@ -7,7 +7,7 @@
 };
 
 /// A machine and the life of its process.
-pub(crate) type Life = (usize, u64);
+pub(crate) type Incarnation = (usize, u64);
 
 /// A digest that no other number has.
 pub(crate) fn digest(number: u64) -> RequestDigest {
@@ -31,16 +31,16 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
-    pub(crate) life: Life,
+pub(crate) struct SentRequest {
+    pub(crate) incarnation: Incarnation,
     pub(crate) at: u64,
     pub(crate) kind: Kind,
     acknowledged: u64,
 }
 
 #[derive(Default)]
-pub(crate) struct Book {
-    pub(crate) asks: BTreeMap<u64, Ask>,
+pub(crate) struct Checker {
+    pub(crate) requests: BTreeMap<u64, SentRequest>,
     open: BTreeSet<u64>,
     answered: BTreeMap<u64, ClientReply>,
     changes: BTreeMap<RequestDigest, Change>,
@@ -48,8 +48,8 @@
     taken_on: BTreeMap<u64, RequestDigest>,
     committed: BTreeMap<u64, RequestDigest>,
     committed_on: BTreeMap<u64, RequestDigest>,
-    shown: BTreeMap<Life, u64>,
-    primaries: BTreeMap<Term, (MemberId, Life)>,
+    shown: BTreeMap<Incarnation, u64>,
+    primaries: BTreeMap<Term, (MemberId, Incarnation)>,
     /// The highest revision that was acknowledged.
     pub(crate) acknowledged: u64,
     /// When each revision became the highest that was acknowledged.
@@ -61,55 +61,62 @@
     pub(crate) violations: Vec<String>,
 }
 
-impl Book {
-    pub(crate) fn broken(&mut self, rule: &str, what: String) {
+impl Checker {
+    pub(crate) fn report_violation(&mut self, rule: &str, what: String) {
         self.violations.push(format!("{rule}: {what}"));
     }
 
-    pub(crate) fn asked(&mut self, id: u64, life: Life, at: u64, kind: Kind) {
+    pub(crate) fn asked(&mut self, id: u64, incarnation: Incarnation, at: u64, kind: Kind) {
         if let Kind::Change(change) = &kind {
             self.changes.entry(change.digest).or_insert_with(|| change.clone());
         }
         self.open.insert(id);
-        self.asks.insert(id, Ask { life, at, kind, acknowledged: self.acknowledged });
+        self.requests.insert(id, SentRequest { incarnation, at, kind, acknowledged: self.acknowledged });
     }
 
-    pub(crate) fn open(&self) -> impl Iterator<Item = (&u64, &Ask)> {
-        self.open.iter().filter_map(|id| self.asks.get_key_value(id))
+    pub(crate) fn open(&self) -> impl Iterator<Item = (&u64, &SentRequest)> {
+        self.open.iter().filter_map(|id| self.requests.get_key_value(id))
     }
 
     /// Whether an ask to the process that a machine runs has no answer yet.
     pub(crate) fn is_open_at(&self, id: u64, machine: usize) -> bool {
-        self.open.contains(&id) && self.asks.get(&id).is_some_and(|a| a.life.0 == machine)
+        self.open.contains(&id) && self.requests.get(&id).is_some_and(|a| a.incarnation.0 == machine)
     }
 
-    pub(crate) fn verdict(&self, id: u64) -> Option<&ClientReply> {
+    pub(crate) fn reply(&self, id: u64) -> Option<&ClientReply> {
         self.answered.get(&id)
     }
 
     /// The asks of a process that is gone get no answer.
-    pub(crate) fn died(&mut self, life: Life) {
-        let asks = &self.asks;
-        self.open.retain(|id| asks.get(id).is_some_and(|a| a.life != life));
+    pub(crate) fn died(&mut self, incarnation: Incarnation) {
+        let requests = &self.requests;
+        self.open.retain(|id| requests.get(id).is_some_and(|a| a.incarnation != incarnation));
     }
 
-    pub(crate) fn answer(&mut self, id: u64, life: Life, verdict: ClientReply) {
-        let Some(ask) = self.asks.get(&id).cloned() else {
-            return self.broken("one answer", format!("ask {id} was never asked at {life:?}"));
+    pub(crate) fn answer(&mut self, id: u64, incarnation: Incarnation, reply: ClientReply) {
+        let Some(request) = self.requests.get(&id).cloned() else {
+            return self
+                .report_violation("one answer", format!("ask {id} was never asked at {incarnation:?}"));
         };
-        if ask.life != life || self.answered.contains_key(&id) {
-            self.broken("one answer", format!("ask {id} was answered again by {life:?}: {verdict:?}"));
+        if request.incarnation != incarnation || self.answered.contains_key(&id) {
+            self.report_violation(
+                "one answer",
+                format!("ask {id} was answered again by {incarnation:?}: {reply:?}"),
+            );
         }
-        match (&ask.kind, &verdict) {
+        match (&request.kind, &reply) {
             (Kind::Change(change), ClientReply::Committed { revision }) => {
                 if *revision != change.revision {
-                    self.broken("taken", format!("{change:?} as {revision}"));
+                    self.report_violation("taken", format!("{change:?} as {revision}"));
                 }
                 self.taken(change);
             }
             (Kind::Change(change), ClientReply::Stale { current_revision: current }) => {
                 if self.committed.get(&change.revision) == Some(&change.digest) {
-                    self.broken("stale", format!("{change:?} is committed, got stale by {current}"));
+                    self.report_violation(
+                        "stale",
+                        format!("{change:?} is committed, got stale by {current}"),
+                    );
                 }
                 self.stale.insert(change.digest, *current);
             }
@@ -117,13 +124,13 @@
                 // Only what so many others came after is forgotten.
                 let later = self.committed.range(change.revision..).count();
                 if later < DEDUPLICATION_WINDOW {
-                    self.broken("forgotten", format!("{change:?} has {later} after it"));
+                    self.report_violation("forgotten", format!("{change:?} has {later} after it"));
                 }
             }
             (Kind::Read, ClientReply::CurrentState { state }) => {
-                if state.revision < ask.acknowledged {
-                    let acknowledged = ask.acknowledged;
-                    self.broken(
+                if state.revision < request.acknowledged {
+                    let acknowledged = request.acknowledged;
+                    self.report_violation(
                         "lost",
                         format!("read {} though {acknowledged} was taken before", state.revision),
                     );
@@ -135,22 +142,25 @@
                 self.stale.insert(change.digest, 0);
             }
             (_, ClientReply::NotPrimary { .. } | ClientReply::Unavailable) => {}
-            (kind, verdict) => self.broken("one answer", format!("{kind:?} got {verdict:?}")),
+            (kind, reply) => self.report_violation("one answer", format!("{kind:?} got {reply:?}")),
         }
         self.open.remove(&id);
-        self.answered.insert(id, verdict);
+        self.answered.insert(id, reply);
     }
 
     fn taken(&mut self, change: &Change) {
         if self.stale.contains_key(&change.digest) {
-            self.broken("stale", format!("{change:?} was stale and is taken"));
+            self.report_violation("stale", format!("{change:?} was stale and is taken"));
         }
         let first = *self.taken_on.entry(change.base).or_insert(change.digest);
         if first != change.digest {
-            self.broken("race", format!("two changes on {}: {first:?} and {:?}", change.base, change.digest));
+            self.report_violation(
+                "race",
+                format!("two changes on {}: {first:?} and {:?}", change.base, change.digest),
+            );
         }
         if self.committed.get(&change.revision) != Some(&change.digest) {
-            self.broken("taken", format!("{change:?} is not committed"));
+            self.report_violation("taken", format!("{change:?} is not committed"));
         }
         if change.revision >= self.acknowledged {
             self.acknowledged = change.revision;
@@ -164,38 +174,44 @@
     fn seen(&mut self, state: &ControlState) {
         if state.revision == 0 {
             if !state.body.is_empty() || !state.applied_requests.is_empty() {
-                self.broken("committed", format!("{state:?}"));
+                self.report_violation("committed", format!("{state:?}"));
             }
             return;
         }
         let mut calls = state.applied_requests.iter().rev();
         let Some(last) = calls.next() else {
-            return self.broken("committed", format!("{state:?} without its call"));
+            return self.report_violation("committed", format!("{state:?} without its call"));
         };
         let Some(change) = self.changes.get(&last.digest).cloned() else {
-            return self.broken("committed", format!("{state:?}, which nobody asked for"));
+            return self.report_violation("committed", format!("{state:?}, which nobody asked for"));
         };
         let base = calls.next().map_or(0, |c| c.revision);
         if change.revision != state.revision || change.body[..] != state.body[..] || change.base != base {
-            self.broken("committed", format!("{change:?} became {state:?}"));
+            self.report_violation("committed", format!("{change:?} became {state:?}"));
         }
         let first = *self.committed_on.entry(change.base).or_insert(change.digest);
         if first != change.digest {
-            self.broken(
+            self.report_violation(
                 "race",
                 format!("two changes on {} committed: {first:?} and {:?}", change.base, change.digest),
             );
         }
         let newest = self.newest.clone().filter(|n| n.revision <= state.revision);
         if let Some(newest) = newest.filter(|n| state.applied_requests.iter().all(|c| c.digest != n.digest)) {
-            self.broken("lost", format!("{newest:?} was taken, and {} came without it", state.revision));
+            self.report_violation(
+                "lost",
+                format!("{newest:?} was taken, and {} came without it", state.revision),
+            );
         }
         if self.stale.contains_key(&change.digest) {
-            self.broken("stale", format!("{change:?} was stale and is committed"));
+            self.report_violation("stale", format!("{change:?} was stale and is committed"));
         }
         let first = *self.committed.entry(change.revision).or_insert(change.digest);
         if first != change.digest {
-            self.broken("race", format!("revision {} is {first:?} and {:?}", change.revision, change.digest));
+            self.report_violation(
+                "race",
+                format!("revision {} is {first:?} and {:?}", change.revision, change.digest),
+            );
         }
     }
 
@@ -206,21 +222,24 @@
     }
 
     /// A process says that it is in touch: what it shows has all that was acknowledged before the bound.
-    pub(crate) fn claimed_contact(&mut self, life: Life, shown: u64, bound: u64) {
+    pub(crate) fn claimed_contact(&mut self, incarnation: Incarnation, shown: u64, bound: u64) {
         let wanted = self.now.checked_sub(bound + 1).map_or(0, |at| self.acknowledged_by(at));
         if shown < wanted {
-            self.broken(
+            self.report_violation(
                 "contact",
-                format!("{life:?} is in touch and shows {shown}; {wanted} is older than {bound} ms"),
+                format!("{incarnation:?} is in touch and shows {shown}; {wanted} is older than {bound} ms"),
             );
         }
     }
 
-    pub(crate) fn shown(&mut self, life: Life, state: &ControlState) {
+    pub(crate) fn shown(&mut self, incarnation: Incarnation, state: &ControlState) {
         self.seen(state);
-        let last = self.shown.insert(life, state.revision);
+        let last = self.shown.insert(incarnation, state.revision);
         if last.is_some_and(|last| last >= state.revision) {
-            self.broken("back", format!("{life:?} showed {last:?}, then {}", state.revision));
+            self.report_violation(
+                "back",
+                format!("{incarnation:?} showed {last:?}, then {}", state.revision),
+            );
         }
     }
 
@@ -229,18 +248,24 @@
         self.primaries.contains_key(&term)
     }
 
-    pub(crate) fn primary(&mut self, member: MemberId, life: Life, term: Term, continued: bool) {
+    pub(crate) fn primary(
+        &mut self,
+        member: MemberId,
+        incarnation: Incarnation,
+        term: Term,
+        continued: bool,
+    ) {
         if let Some(other) = self.primaries.get(&term) {
             let other = *other;
-            self.broken("term", format!("{term:?} is led by {other:?} and {life:?}"));
+            self.report_violation("term", format!("{term:?} is led by {other:?} and {incarnation:?}"));
         }
         let below = self.primaries.range(..term).next_back().map(|(_, who)| *who);
-        if continued && below != Some((member, life)) {
-            self.broken("term", format!("{life:?} continued at {term:?} after {below:?}"));
+        if continued && below != Some((member, incarnation)) {
+            self.report_violation("term", format!("{incarnation:?} continued at {term:?} after {below:?}"));
         }
         if self.primaries.range(term..).any(|(_, who)| who.0 == member) {
-            self.broken("term", format!("{member:?} went back to {term:?}"));
+            self.report_violation("term", format!("{member:?} went back to {term:?}"));
         }
-        self.primaries.insert(term, (member, life));
+        self.primaries.insert(term, (member, incarnation));
     }
 }
--- a/crates/consensus/tests/fleet/day.rs
+++ b/crates/consensus/tests/fleet/day.rs
@@ -3,7 +3,7 @@
 use mosshead_consensus::{InjectedFault, Input, Node};
 
 use crate::checker::Kind;
-use crate::world::{AfterEnd, Event, Leave, World, address};
+use crate::world::{AfterShutdown, Event, Shutdown, World, address};
 
 #[derive(Clone, Debug)]
 pub(crate) enum Act {
@@ -27,7 +27,7 @@
     Full(Vec<usize>),
     Terminate(usize),
     /// The machine is told to end, and does when it may, or at its grace.
-    Leave(usize, AfterEnd),
+    Shutdown(usize, AfterShutdown),
     Seeds,
 }
 
@@ -89,8 +89,8 @@
                 let pause = self.below(500);
                 self.after(span + pause, Event::Act(Act::Start(machine)));
             }
-            Act::Leave(machine, then) => {
-                self.machines[machine].leave = Some(Leave { since: self.now, then });
+            Act::Shutdown(machine, then) => {
+                self.machines[machine].shutdown = Some(Shutdown { since: self.now, then });
                 self.step(machine, Input::ShutDown);
             }
             Act::Seeds => {
@@ -218,15 +218,15 @@
             return Err(format!("at {}: liveness: no primary", self.now));
         };
         // Operators race: somebody's change gets through.
-        let taken = self.book.taken;
+        let taken = self.checker.taken;
         let change = self.fresh_change(primary);
-        let ask = self.ask(primary, Kind::Change(change));
-        let read = self.ask(primary, Kind::Read);
+        let request_id = self.send_request(primary, Kind::Change(change));
+        let read = self.send_request(primary, Kind::Read);
         self.run(700)?;
-        let (change, read) = (self.book.verdict(ask).cloned(), self.book.verdict(read).cloned());
+        let (change, read) = (self.checker.reply(request_id).cloned(), self.checker.reply(read).cloned());
         use mosshead_consensus::ClientReply::{Committed, CurrentState, Stale};
         let change_fine = matches!(change, Some(Committed { .. } | Stale { .. }));
-        if !change_fine || !matches!(read, Some(CurrentState { .. })) || self.book.taken == taken {
+        if !change_fine || !matches!(read, Some(CurrentState { .. })) || self.checker.taken == taken {
             return Err(format!("at {}: liveness: m{primary} answered {change:?}, {read:?}", self.now));
         }
         self.noise = noise;
@@ -267,7 +267,7 @@
         self.noise = 0;
         self.run(5_000)?;
         let standing = self.standing();
-        let newest = self.book.acknowledged;
+        let newest = self.checker.acknowledged;
         let primary = self.primary();
         for machine in &standing {
             let Some(node) = self.node(*machine) else { return Err(format!("m{machine} doesn't run")) };
@@ -293,9 +293,9 @@
                 ));
             }
         }
-        let reads: Vec<u64> = primary.into_iter().map(|p| self.ask(p, Kind::Read)).collect();
+        let reads: Vec<u64> = primary.into_iter().map(|p| self.send_request(p, Kind::Read)).collect();
         self.run(300)?;
-        match reads.first().and_then(|r| self.book.verdict(*r)) {
+        match reads.first().and_then(|r| self.checker.reply(*r)) {
             Some(mosshead_consensus::ClientReply::CurrentState { .. }) => Ok(()),
             other => Err(format!("at {}: settled: read {other:?}", self.now)),
         }
--- a/crates/consensus/tests/fleet/days.rs
+++ b/crates/consensus/tests/fleet/days.rs
@@ -11,7 +11,7 @@
     let (mut taken, mut broken) = (0, Vec::new());
     for seed in seeds.clone() {
         match play(seed, None) {
-            Ok(world) => taken += world.book.taken,
+            Ok(world) => taken += world.checker.taken,
             Err(what) => broken.push(what),
         }
     }
--- a/crates/consensus/tests/fleet/large_states.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -8,12 +8,14 @@
 
 use crate::checker::{Change, Kind, digest};
 use crate::day::Act;
-use crate::scenarios::{around, calm_with, lead, other_lead, roles, told, verdict_at, want};
+use crate::support::{
+    calm_with, current_primary, ensure, holds_and_finds, links_of, primary_other_than, reply_at, roles,
+};
 use crate::world::{Bandwidth, World};
 
 const SCALE: usize = 10;
 const SLOW: Bandwidth =
-    Bandwidth { link: 1_500, disk: 5_000, most_message: (8 << 20) / 10, large_message: (64 << 10) / 10 };
+    Bandwidth { link: 1_500, disk: 5_000, max_message: (8 << 20) / 10, large_message: (64 << 10) / 10 };
 /// From one change to the next.
 const PAUSE: u64 = 30;
 
@@ -43,12 +45,12 @@
 
 /// Another configuration, with nothing in common with the one before.
 fn grow(world: &mut World, body: Vec<u8>) -> Result<(), String> {
-    let primary = lead(world)?;
+    let primary = current_primary(world)?;
     let change = Change { body, ..world.fresh_change(primary) };
-    let verdict = verdict_at(world, primary, Kind::Change(change), 1_200)?;
-    want(
-        matches!(verdict, Some(ClientReply::Committed { .. })),
-        &format!("the large one is answered {verdict:?}"),
+    let reply = reply_at(world, primary, Kind::Change(change), 1_200)?;
+    ensure(
+        matches!(reply, Some(ClientReply::Committed { .. })),
+        &format!("the large one is answered {reply:?}"),
     )
 }
 
@@ -65,25 +67,27 @@
 
 /// Changes follow each other for a while; says how many were taken.
 fn stream(world: &mut World, span: u64) -> Result<u64, String> {
-    let (before, end) = (world.book.taken, world.now + span);
+    let (before, end) = (world.checker.taken, world.now + span);
     let mut open: Option<(u64, u64)> = None;
     while world.now < end {
-        let waits = open.is_some_and(|(ask, at)| world.book.verdict(ask).is_none() && world.now < at + 1_400);
+        let waits = open.is_some_and(|(request_id, at)| {
+            world.checker.reply(request_id).is_none() && world.now < at + 1_400
+        });
         let primary = world.primary().filter(|p| world.node(*p).is_some_and(Node::is_primary));
         if let Some(primary) = primary.filter(|_| !waits)
             && let Some(change) = small_change(world, primary)
         {
-            open = Some((world.ask(primary, Kind::Change(change)), world.now));
+            open = Some((world.send_request(primary, Kind::Change(change)), world.now));
         }
         world.run(PAUSE)?;
     }
-    Ok(world.book.taken - before)
+    Ok(world.checker.taken - before)
 }
 
 /// How far a machine is behind the newest committed state, in revisions.
 fn behind(world: &World, machine: usize) -> Result<u64, String> {
     let known = world.node(machine).and_then(Node::committed_state).map_or(0, |s| s.revision);
-    let primary = lead(world)?;
+    let primary = current_primary(world)?;
     let newest = world.node(primary).and_then(Node::committed_state).map_or(0, |s| s.revision);
     Ok(newest.saturating_sub(known))
 }
@@ -105,22 +109,22 @@
     for seed in 0..3 {
         let mut world = fleet(seed, 3, 1, 3_000_000, injected_fault)?;
         let taken = stream(&mut world, 1_500)?;
-        want(taken >= 30, &format!("{taken} changes in 1.5 s"))?;
+        ensure(taken >= 30, &format!("{taken} changes in 1.5 s"))?;
         let (_, backups, witnesses) = roles(&world)?;
         let wiped = if seed == 0 { backups[0] } else { witnesses[0] };
         world.act(Act::Wipe(vec![wiped]));
         world.start(wiped);
         catches_up(&mut world, wiped, 3_000)?;
         let taken = stream(&mut world, 1_500)?;
-        want(taken >= 30, &format!("{taken} changes in 1.5 s after it"))?;
-        want(behind(&world, wiped)? <= 3, "it falls behind again")?;
+        ensure(taken >= 30, &format!("{taken} changes in 1.5 s after it"))?;
+        ensure(behind(&world, wiped)? <= 3, "it falls behind again")?;
     }
     Ok(())
 }
 
 #[test]
 fn a_wiped_member_catches_up_while_changes_go_on() {
-    told(wiped_member, InjectedFault::WholeStates);
+    holds_and_finds(wiped_member, InjectedFault::WholeStates);
 }
 
 /// A member is away for hundreds of changes.
@@ -134,7 +138,7 @@
         while taken < 300 && world.now < 30_000 {
             taken += stream(&mut world, 1_000)?;
         }
-        want(taken >= 300, &format!("{taken} changes in 25 s"))?;
+        ensure(taken >= 300, &format!("{taken} changes in 25 s"))?;
         world.start(away);
         catches_up(&mut world, away, 2_500)?;
     }
@@ -143,24 +147,24 @@
 
 #[test]
 fn a_restarted_member_catches_up_after_hundreds_of_changes() {
-    told(restarted_member, InjectedFault::WholeStates);
+    holds_and_finds(restarted_member, InjectedFault::WholeStates);
 }
 
 #[test]
 fn a_leader_elected_after_hundreds_of_changes_has_the_newest_state() {
     for seed in 6..9 {
-        let story = || {
+        let scenario = || {
             let mut world = fleet(seed, 4, 1, 3_000_000, None)?;
             for _ in 0..2 {
                 let taken = stream(&mut world, 6_000)?;
-                want(taken >= 100, &format!("{taken} changes in 6 s"))?;
-                let old = lead(&world)?;
+                ensure(taken >= 100, &format!("{taken} changes in 6 s"))?;
+                let old = current_primary(&world)?;
                 world.act(Act::WipePrimary(0));
                 world.run(2_000)?;
-                let new = other_lead(&world, old)?;
-                let verdict = verdict_at(&mut world, new, Kind::Read, 300)?;
-                want(
-                    matches!(verdict, Some(ClientReply::CurrentState { .. })),
+                let new = primary_other_than(&world, old)?;
+                let reply = reply_at(&mut world, new, Kind::Read, 300)?;
+                ensure(
+                    matches!(reply, Some(ClientReply::CurrentState { .. })),
                     "the new primary doesn't answer",
                 )?;
                 world.start(old);
@@ -170,7 +174,7 @@
             }
             world.settle()
         };
-        story().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
+        scenario().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
     }
 }
 
@@ -188,45 +192,45 @@
     world.act(Act::Kill(vec![primary]));
     world.step(witnesses[0], Input::Message { from, message: Message::TransferLeadership { term } });
     world.run(1_400)?;
-    want(world.node(witnesses[0]).is_some_and(Node::is_primary), "the witness doesn't lead")?;
-    want(world.node(backups[0]).is_some_and(|n| !n.is_primary()), "two lead")?;
+    ensure(world.node(witnesses[0]).is_some_and(Node::is_primary), "the witness doesn't lead")?;
+    ensure(world.node(backups[0]).is_some_and(|n| !n.is_primary()), "two lead")?;
     let taken = stream(&mut world, 1_000)?;
-    want(taken >= 10, &format!("{taken} changes in a second"))
+    ensure(taken >= 10, &format!("{taken} changes in a second"))
 }
 
 #[test]
 fn a_take_over_waits_for_a_large_state_that_is_on_its_way() {
-    told(fetched_state, InjectedFault::IgnoreTransferProgress);
+    holds_and_finds(fetched_state, InjectedFault::IgnoreTransferProgress);
 }
 
 #[test]
 fn the_largest_configuration_is_taken_and_one_byte_more_is_refused() {
-    let story = || {
+    let scenario = || {
         let mut world = World::new(10, 3, 1, None);
         world.machines.iter_mut().for_each(|m| m.settings.chunk_sizes = ChunkSizes::default());
         world.noise = 0;
         world.run(3_000)?;
-        let primary = lead(&world)?;
+        let primary = current_primary(&world)?;
         for (length, taken) in [(MAX_BODY_BYTES, true), (MAX_BODY_BYTES + 1, false), (10, true)] {
             let change = world.fresh_change(primary);
             let change = Change { body: vec![b'x'; length], ..change };
-            let verdict = verdict_at(&mut world, primary, Kind::Change(change), 1_000)?;
+            let reply = reply_at(&mut world, primary, Kind::Change(change), 1_000)?;
             let fine = match taken {
-                true => matches!(verdict, Some(ClientReply::Committed { .. })),
-                false => verdict == Some(ClientReply::TooLarge),
+                true => matches!(reply, Some(ClientReply::Committed { .. })),
+                false => reply == Some(ClientReply::TooLarge),
             };
-            want(fine, &format!("{length} bytes: {verdict:?}"))?;
+            ensure(fine, &format!("{length} bytes: {reply:?}"))?;
         }
         world.settle()
     };
-    story().unwrap_or_else(|what: String| panic!("{what}"));
+    scenario().unwrap_or_else(|what: String| panic!("{what}"));
 }
 
 /// The largest configuration that is taken, on five machines.
 fn largest_on_five_machines(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = fleet(12, 5, 2, 4_000_000, injected_fault)?;
     let taken = stream(&mut world, 1_500)?;
-    want(taken >= 30, &format!("{taken} changes in 1.5 s"))?;
+    ensure(taken >= 30, &format!("{taken} changes in 1.5 s"))?;
     let (_, backups, _) = roles(&world)?;
     world.act(Act::Wipe(vec![backups[0]]));
     world.start(backups[0]);
@@ -235,7 +239,7 @@
 
 #[test]
 fn the_largest_configuration_is_replicated_on_five_machines() {
-    told(largest_on_five_machines, InjectedFault::WholeStates);
+    holds_and_finds(largest_on_five_machines, InjectedFault::WholeStates);
 }
 
 /// Random troubles while changes go on, each healed; no rule is broken, and all know all in the end.
@@ -252,7 +256,7 @@
             3 => Act::WipePrimary(0),
             4 => Act::Freeze(some),
             5 => Act::Terminate(some[0]),
-            6 => Act::Cut(some.iter().flat_map(|m| around(&world, *m)).collect()),
+            6 => Act::Cut(some.iter().flat_map(|m| links_of(&world, *m)).collect()),
             _ => Act::Full(some),
         };
         world.act(act);
@@ -312,12 +316,12 @@
     for real_bytes in [100_000, 3_000_000] {
         let mut figures = Vec::new();
         for injected_fault in [Some(InjectedFault::WholeStates), None] {
-            let story = || {
+            let scenario = || {
                 let mut world = World::new(11, 3, 1, injected_fault);
                 world.noise = 0;
                 world.run(3_000)?;
                 let fast = 1 << 30;
-                let limits = Bandwidth { link: fast, disk: fast, most_message: fast, large_message: fast };
+                let limits = Bandwidth { link: fast, disk: fast, max_message: fast, large_message: fast };
                 world.bandwidth = Some(limits);
                 for machine in &mut world.machines {
                     machine.settings.log_rewrite_bytes = 4 << 20;
@@ -338,8 +342,8 @@
                     (world.written_bytes - written) / taken.max(1),
                 ))
             };
-            let (taken, sent, written) = story().unwrap_or_else(|what: String| panic!("{what}"));
-            want(taken >= 10, "few changes").unwrap_or_else(|what| panic!("{what}"));
+            let (taken, sent, written) = scenario().unwrap_or_else(|what: String| panic!("{what}"));
+            ensure(taken >= 10, "few changes").unwrap_or_else(|what| panic!("{what}"));
             println!(
                 "{real_bytes} bytes, {injected_fault:?}: {taken} changes, {sent} bytes sent and {written} written each"
             );
--- a/crates/consensus/tests/fleet/member_turnover.rs
+++ b/crates/consensus/tests/fleet/member_turnover.rs
@@ -5,17 +5,17 @@
 use mosshead_time::Duration;
 
 use crate::day::Act;
-use crate::scenarios::{calm, lead, roles, taken, want};
-use crate::world::{AfterEnd, Event, World};
+use crate::support::{calm, commit_change, current_primary, ensure, roles};
+use crate::world::{AfterShutdown, Event, World};
 
 /// The spans from a start to the next loss, as the platform may set them.
 const SYNCS: [u64; 3] = [1_500, 4_000, 6_000];
 
 /// What is done in a whole fleet; it ends before the next losses.
-type Story = fn(&mut World, u64) -> Result<(), String>;
+type Scenario = fn(&mut World, u64) -> Result<(), String>;
 
 /// A fleet in calm whose spans follow from the platform's.
-fn fleet(
+pub(crate) fn fleet(
     seed: u64,
     sync: u64,
     failures: usize,
@@ -29,14 +29,14 @@
         .for_each(|m| m.settings.timings = Timings::for_join_deadline(Duration::from_millis(sync)));
     world.run(3_000)?;
     for _ in 0..3 {
-        taken(&mut world, 400)?;
+        commit_change(&mut world, 400)?;
     }
     Ok(world)
 }
 
 impl World {
     /// A new machine that starts now, with the spans of the others.
-    fn newcomer(&mut self) -> usize {
+    pub(crate) fn newcomer(&mut self) -> usize {
         let timings = self.machines[0].settings.timings.clone();
         let seeds = self.some_seeds();
         let new = self.add_machine(false);
@@ -46,20 +46,20 @@
         new
     }
 
-    fn newcomers(&mut self, count: usize) {
+    pub(crate) fn newcomers(&mut self, count: usize) {
         for _ in 0..count {
             self.newcomer();
         }
     }
 
     /// A machine is taken away without notice.
-    fn take_away(&mut self, machine: usize) {
+    pub(crate) fn take_away(&mut self, machine: usize) {
         self.kill(machine, true);
         self.machines[machine].gone = true;
     }
 
     /// The primary and as many other holders of the state as may be lost lose their disks, for good.
-    fn lose_holders(&mut self) -> Result<(), String> {
+    pub(crate) fn lose_holders(&mut self) -> Result<(), String> {
         let (primary, backups, witnesses) = roles(self)?;
         let lost: Vec<usize> = [primary].into_iter().chain(backups).chain(witnesses).collect();
         for machine in lost.into_iter().take(self.failures) {
@@ -69,7 +69,7 @@
     }
 
     /// Some member by the primary's record, by chance.
-    fn some_member(&mut self) -> Result<usize, String> {
+    pub(crate) fn some_member(&mut self) -> Result<usize, String> {
         let (primary, backups, witnesses) = roles(self)?;
         Ok(match self.below(3) {
             0 => primary,
@@ -78,29 +78,29 @@
         })
     }
 
-    fn run_until(&mut self, at: u64) -> Result<(), String> {
+    pub(crate) fn run_until(&mut self, at: u64) -> Result<(), String> {
         self.run(at.saturating_sub(self.now))
     }
 
-    fn run_until_ended(&mut self, machine: usize) -> Result<(), String> {
-        while self.machines[machine].leave.is_some() {
+    pub(crate) fn run_until_ended(&mut self, machine: usize) -> Result<(), String> {
+        while self.machines[machine].shutdown.is_some() {
             self.run(5)?;
         }
         Ok(())
     }
 
     /// The record of a primary, so a decided one.
-    fn decided(&self) -> Option<EpochConfig> {
+    pub(crate) fn decided(&self) -> Option<EpochConfig> {
         let primary = self.running().into_iter().find(|m| self.node(*m).is_some_and(Node::is_primary))?;
         self.node(primary).and_then(Node::epoch_config).cloned()
     }
 
-    fn round(&self) -> Result<u64, String> {
+    pub(crate) fn round(&self) -> Result<u64, String> {
         self.decided().map(|record| record.term.number).ok_or("no record".to_string())
     }
 
     /// Whether as many may be lost as should be: all members run, and nothing is changing.
-    fn is_whole(&self) -> bool {
+    pub(crate) fn is_whole(&self) -> bool {
         let Some(record) = self.decided() else { return false };
         let here =
             |id| self.running().into_iter().any(|m| self.node(m).is_some_and(|n| n.local_member().id == id));
@@ -109,9 +109,9 @@
     }
 
     /// Waits until the fleet is whole; says how long that took since a moment.
-    fn whole_since(&mut self, since: u64) -> Result<u64, String> {
+    pub(crate) fn whole_since(&mut self, since: u64) -> Result<u64, String> {
         while !self.is_whole() {
-            want(self.now < since + 10_000, "the fleet doesn't become whole")?;
+            ensure(self.now < since + 10_000, "the fleet doesn't become whole")?;
             self.run(10)?;
         }
         Ok(self.now - since)
@@ -123,7 +123,7 @@
     world.newcomer();
     world.run(sync)?;
     let old = world.some_member()?;
-    world.act(Act::Leave(old, AfterEnd::Gone));
+    world.act(Act::Shutdown(old, AfterShutdown::Gone));
     world.run_until_ended(old)?;
     if roles(world).is_err() {
         // The leaver was primary: its successor may be on its way.
@@ -140,7 +140,7 @@
         let pause = world.below(1_000);
         world.run(pause)?;
         let old = world.some_member()?;
-        world.act(Act::Leave(old, AfterEnd::Gone));
+        world.act(Act::Shutdown(old, AfterShutdown::Gone));
         world.run_until(counts)?;
     }
     Ok(())
@@ -149,7 +149,7 @@
 /// The old machine is told to end first, and the new one starts soon after.
 fn replaced_late(world: &mut World, sync: u64) -> Result<(), String> {
     let old = world.some_member()?;
-    world.act(Act::Leave(old, AfterEnd::Gone));
+    world.act(Act::Shutdown(old, AfterShutdown::Gone));
     let pause = world.below(600);
     world.run(pause)?;
     world.newcomer();
@@ -174,7 +174,7 @@
             world.after(pause, Event::Act(Act::Start(machine)));
             world.run(pause)?;
         } else {
-            world.act(Act::Leave(machine, AfterEnd::Restart));
+            world.act(Act::Shutdown(machine, AfterShutdown::Restart));
             world.run_until_ended(machine)?;
             while world.node(machine).is_none() {
                 world.run(5)?;
@@ -205,7 +205,7 @@
     let (backup, witness) = (backups[0], witnesses[0]);
     world.newcomer();
     world.run(sync)?;
-    world.act(Act::Leave(witness, AfterEnd::Gone));
+    world.act(Act::Shutdown(witness, AfterShutdown::Gone));
     world.run(sync)?;
     let cut = [primary, backup][world.below(2) as usize];
     let living = [primary, backup].into_iter().find(|m| *m != cut).ok_or("none")?;
@@ -221,19 +221,19 @@
     Ok(())
 }
 
-const STORIES: [Story; 7] =
+const STORIES: [Scenario; 7] =
     [replaced_after_a_wait, replaced, replaced_late, lost, rolled, wiped_twice, joined_by_old_seeds];
 
 /// A story, and the losses right after it: the rest goes on, and nothing that was acknowledged is lost.
 fn and_losses(
-    story: Story,
+    scenario: Scenario,
     seed: u64,
     sync: u64,
     injected_fault: Option<InjectedFault>,
 ) -> Result<World, String> {
     let mut world = fleet(seed, sync, 1 + seed as usize % 2, injected_fault)?;
     world.hire(2 * (seed as usize / 2 % 2));
-    story(&mut world, sync)?;
+    scenario(&mut world, sync)?;
     world.lose_holders()?;
     world.probe()?;
     Ok(world)
@@ -244,8 +244,8 @@
     let mut world = fleet(seed, sync, 1 + seed as usize % 2, None)?;
     world.hire(2);
     for _ in 0..3 {
-        let story = STORIES[world.below(STORIES.len() as u64) as usize];
-        story(&mut world, sync)?;
+        let scenario = STORIES[world.below(STORIES.len() as u64) as usize];
+        scenario(&mut world, sync)?;
         world.lose_holders()?;
         world.probe()?;
         world.heal();
@@ -271,13 +271,13 @@
     what.collect()
 }
 
-fn holds(story: Story) {
-    let found = broken(|seed, sync| and_losses(story, seed, sync, None), 60 + more_seeds());
+fn holds(scenario: Scenario) {
+    let found = broken(|seed, sync| and_losses(scenario, seed, sync, None), 60 + more_seeds());
     assert!(found.is_empty(), "{}:\n{}", found.len(), found.join("\n"));
 }
 
-fn finds(story: Story, injected_fault: InjectedFault, rules: &[&str]) {
-    let found = broken(|seed, sync| and_losses(story, seed, sync, Some(injected_fault)), 30);
+fn finds(scenario: Scenario, injected_fault: InjectedFault, rules: &[&str]) {
+    let found = broken(|seed, sync| and_losses(scenario, seed, sync, Some(injected_fault)), 30);
     assert!(!found.is_empty(), "{injected_fault:?} was not found");
     println!("{injected_fault:?}: {} of 90, {:.200}", found.len(), found[0]);
     let named = |what: &String| rules.iter().any(|rule| what.contains(rule));
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_leaver_ends_when_others_have_its_vote_and_its_copy() {
+fn a_member_shuts_down_when_others_have_its_vote_and_its_copy() {
     holds(replaced_after_a_wait);
 }
 
@@ -326,12 +326,12 @@
 }
 
 #[test]
-fn a_leaver_that_just_ends_is_missed() {
+fn a_member_that_shuts_down_at_once_is_missed() {
     finds(replaced_after_a_wait, InjectedFault::ShutDownAtOnce, &["no primary"]);
 }
 
 #[test]
-fn a_leaver_that_keeps_its_place_is_missed() {
+fn a_departing_member_that_keeps_its_place_is_missed() {
     finds(replaced_after_a_wait, InjectedFault::KeepDepartingMembers, &["no primary"]);
 }
 
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_record_names_no_holder_without_the_state() {
+fn a_configuration_names_no_holder_without_the_state() {
     let lax = |seed, sync| {
         let mut world = World::new(seed, 3, 1, Some(InjectedFault::SkipRewriteUnderNewTerm));
         world.checks_holders = true;
@@ -355,141 +355,40 @@
 #[test]
 fn a_restart_in_place_is_quick_and_changes_no_member() {
     for seed in 0..60 {
-        let story = || {
+        let scenario = || {
             let mut world = calm(seed, 3, 1, None)?;
             let before = world.decided().ok_or("no record")?.members;
             let machine = world.some_member()?;
-            world.act(Act::Leave(machine, AfterEnd::Restart));
+            world.act(Act::Shutdown(machine, AfterShutdown::Restart));
             world.run_until_ended(machine)?;
-            want(world.longest_leave <= 600, &format!("it took {} ms to end", world.longest_leave))?;
-            taken(&mut world, 400)?;
+            ensure(world.longest_shutdown <= 600, &format!("it took {} ms to end", world.longest_shutdown))?;
+            commit_change(&mut world, 400)?;
             world.run(1_000)?;
             let after = world.decided().ok_or("no record")?.members;
-            want(before == after, "the members have changed")?;
-            lead(&world).map(|_| ())
+            ensure(before == after, "the members have changed")?;
+            current_primary(&world).map(|_| ())
         };
-        story().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
+        scenario().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
     }
 }
 
 /// Without a primary nobody lets a leaver go: it ends by itself, well before its grace.
 #[test]
-fn a_leaver_that_nobody_hears_ends() {
+fn a_member_that_nobody_hears_shuts_down() {
     for seed in 0..20 {
-        let story = || {
+        let scenario = || {
             let mut world = calm(seed, 3, 1, None)?;
             let all = world.standing();
             for machine in &all {
-                world.act(Act::Leave(*machine, AfterEnd::Restart));
+                world.act(Act::Shutdown(*machine, AfterShutdown::Restart));
             }
             world.run(5_000)?;
-            want((2_500..=2_700).contains(&world.longest_leave), &format!("{} ms", world.longest_leave))?;
-            taken(&mut world, 400).map(|_| ())
+            ensure(
+                (2_500..=2_700).contains(&world.longest_shutdown),
+                &format!("{} ms", world.longest_shutdown),
+            )?;
+            commit_change(&mut world, 400).map(|_| ())
         };
-        story().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
+        scenario().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
     }
 }
-
-/// How many epochs the loss of a witness's disk makes; the machine is back soon.
-fn epochs_after_a_wipe(seed: u64, injected_fault: Option<InjectedFault>) -> Result<u64, String> {
-    let mut world = fleet(seed, 4_000, 1 + seed as usize % 2, injected_fault)?;
-    let (_, _, witnesses) = roles(&world)?;
-    let before = world.round()?;
-    world.act(Act::Wipe(vec![witnesses[0]]));
-    let pause = 20 + world.below(150);
-    world.run(pause)?;
-    world.start(witnesses[0]);
-    world.run(1_500)?;
-    Ok(world.round()? - before)
-}
-
-/// The record with both, and the one after it: the disk that was lost does not come back in between.
-#[test]
-fn a_disk_that_was_lost_gets_its_place_back_never() {
-    for seed in 0..200 {
-        assert_eq!(epochs_after_a_wipe(seed, None), Ok(2), "seed {seed}");
-    }
-    let returns = |seed: &u64| epochs_after_a_wipe(*seed, Some(InjectedFault::StaleNewcomer)) != Ok(2);
-    let found = (0..100).filter(returns).count();
-    assert!(found > 0, "it was not found");
-    println!("StaleNewcomer: {found} of 100");
-}
-
-/// How long a fleet of five is not whole after two losses and two newcomers, from the newcomers' start.
-fn after_two_losses(seed: u64, injected_fault: Option<InjectedFault>) -> Result<u64, String> {
-    let mut world = fleet(seed, 1_500, 2, injected_fault)?;
-    world.lose_holders()?;
-    let since = world.now;
-    world.newcomers(2);
-    world.run(300)?;
-    world.whole_since(since)
-}
-
-/// The same if both were followers: their silence begins at the same moment.
-fn after_two_lost_followers(seed: u64, injected_fault: Option<InjectedFault>) -> Result<u64, String> {
-    let mut world = fleet(seed, 1_500, 2, injected_fault)?;
-    let (_, backups, witnesses) = roles(&world)?;
-    let since = world.now;
-    [backups[0], witnesses[0]].into_iter().for_each(|machine| world.take_away(machine));
-    world.newcomers(2);
-    world.run(300)?;
-    world.whole_since(since)
-}
-
-/// The same for a fleet of three that has lost its primary.
-fn after_a_lost_primary(seed: u64, injected_fault: Option<InjectedFault>) -> Result<u64, String> {
-    let mut world = fleet(seed, 1_500, 1, injected_fault)?;
-    world.lose_holders()?;
-    let since = world.now;
-    world.newcomer();
-    world.run(300)?;
-    world.whole_since(since)
-}
-
-/// The same after a planned replacement of one, from the leaver's signal.
-fn after_a_leave(seed: u64, injected_fault: Option<InjectedFault>) -> Result<u64, String> {
-    let mut world = fleet(seed, 4_000, 1 + seed as usize % 2, injected_fault)?;
-    world.newcomer();
-    world.run(1_000)?;
-    let old = world.some_member()?;
-    let since = world.now;
-    world.act(Act::Leave(old, AfterEnd::Gone));
-    world.run_until_ended(old)?;
-    world.whole_since(since)
-}
-
-/// Median and the value that 99 in 100 don't pass.
-fn figures(
-    measure: fn(u64, Option<InjectedFault>) -> Result<u64, String>,
-    injected_fault: Option<InjectedFault>,
-) -> (u64, u64) {
-    let spans = (0..300)
-        .map(|seed| measure(seed, injected_fault).unwrap_or_else(|what| panic!("seed {seed}: {what}")));
-    let mut spans: Vec<u64> = spans.collect();
-    spans.sort_unstable();
-    let found = (spans[spans.len() / 2], spans[spans.len() * 99 / 100]);
-    println!("{injected_fault:?}: {} ms, {} ms in 99 of 100", found.0, found.1);
-    found
-}
-
-#[test]
-fn two_losses_are_made_up_for_at_once() {
-    let (_, most) = figures(after_two_losses, None);
-    assert!(most <= 1_500, "{most} ms");
-    let together = figures(after_two_lost_followers, None);
-    let in_turn = figures(after_two_lost_followers, Some(InjectedFault::OneNewcomerAtATime));
-    assert!(together.0 + 100 <= in_turn.0, "{together:?}, {in_turn:?}");
-}
-
-#[test]
-fn a_lost_primary_was_silent_before_the_take_over() {
-    let found = figures(after_a_lost_primary, None);
-    let flawed = figures(after_a_lost_primary, Some(InjectedFault::ForgetSilenceOfMembers));
-    assert!(found.1 <= 1_200 && found.0 + 300 <= flawed.0, "{found:?}, {flawed:?}");
-}
-
-#[test]
-fn a_planned_replacement_is_done_at_once() {
-    let (median, most) = figures(after_a_leave, None);
-    assert!(median <= 200 && most <= 400, "{median} ms, {most} ms");
-}
--- a/crates/consensus/tests/fleet/message_orders.rs
+++ b/crates/consensus/tests/fleet/message_orders.rs
@@ -4,7 +4,7 @@
 use mosshead_consensus::{InjectedFault, Node};
 
 use crate::day::Act;
-use crate::scenarios::around;
+use crate::support::links_of;
 use crate::world::World;
 
 const OPERATORS: usize = 8;
@@ -21,7 +21,7 @@
         for _ in 0..CUTS {
             if let Some(primary) = world.primary() {
                 let kind = world.below(3);
-                let mut links = around(world, primary);
+                let mut links = links_of(world, primary);
                 links.retain(|(from, to)| match kind {
                     0 => true,
                     1 => *from == primary,
@@ -47,7 +47,7 @@
         let world = play(seed, None).unwrap_or_else(|what| panic!("{what}"));
         let state = world.primary().and_then(|p| world.node(p)).and_then(Node::committed_state);
         let forgotten = state.map_or(0, |s| s.highest_expired_revision);
-        assert!(forgotten > 0, "seed {seed}: fewer changes than are remembered, of {}", world.book.taken);
+        assert!(forgotten > 0, "seed {seed}: fewer changes than are remembered, of {}", world.checker.taken);
     }
 }
 
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -10,7 +10,7 @@
     /// What it wants an answer to.
     call: Option<Kind>,
     /// The ask that is open, and since when.
-    ask: Option<(u64, u64)>,
+    request_id: Option<(u64, u64)>,
     hops: usize,
     wait_until: u64,
     /// Calls that were taken, to be repeated now and then.
@@ -37,10 +37,10 @@
         self.after(20, Event::Operator(index));
         let now = self.now;
         let operator = &mut self.operators[index];
-        if operator.ask.is_some_and(|(_, at)| now < at + 1_000) || now < operator.wait_until {
+        if operator.request_id.is_some_and(|(_, at)| now < at + 1_000) || now < operator.wait_until {
             return;
         }
-        operator.ask = None;
+        operator.request_id = None;
         operator.hops = 0;
         if operator.call.is_none() {
             self.next_call(index);
@@ -56,7 +56,7 @@
             && let Some(kind @ Kind::Change(_)) = self.operators[index].call.clone()
         {
             let other = running[self.below(running.len() as u64) as usize];
-            self.ask(other, kind);
+            self.send_request(other, kind);
         }
     }
 
@@ -86,27 +86,29 @@
     fn call(&mut self, index: usize, target: usize) {
         let Some(kind) = self.operators[index].call.clone() else { return };
         // The answer may come within the ask.
-        let id = self.peek_ask();
-        self.operators[index].ask = Some((id, self.now));
-        self.ask(target, kind);
+        let id = self.peek_request_id();
+        self.operators[index].request_id = Some((id, self.now));
+        self.send_request(target, kind);
     }
 
     /// An answer has come: on to the next step, at the operator's next look.
-    pub(crate) fn answered(&mut self, ask: u64) {
-        let Some(index) = self.operators.iter().position(|o| o.ask.is_some_and(|(id, _)| id == ask)) else {
+    pub(crate) fn answered(&mut self, request_id: u64) {
+        let Some(index) =
+            self.operators.iter().position(|o| o.request_id.is_some_and(|(id, _)| id == request_id))
+        else {
             return;
         };
-        let Some(verdict) = self.book.verdict(ask).cloned() else { return };
+        let Some(reply) = self.checker.reply(request_id).cloned() else { return };
         let pause = 100 + self.below(200);
         let now = self.now;
-        let hint = match &verdict {
+        let hint = match &reply {
             ClientReply::NotPrimary { primary: Some(address) } => self.at(*address),
             _ => None,
         };
         let hint = hint.filter(|m| self.machines[*m].node.is_some());
         let operator = &mut self.operators[index];
-        operator.ask = None;
-        match (verdict, &operator.call) {
+        operator.request_id = None;
+        match (reply, &operator.call) {
             (ClientReply::CurrentState { state }, _) => {
                 operator.base = Some(state.revision);
                 operator.call = None;
--- a/crates/consensus/tests/fleet/read_lease.rs
+++ b/crates/consensus/tests/fleet/read_lease.rs
@@ -3,7 +3,9 @@
 use mosshead_consensus::InjectedFault;
 
 use crate::day::Act;
-use crate::scenarios::{around, calm, lead, other_lead, roles, taken_at, told, want};
+use crate::support::{
+    calm, commit_change_at, current_primary, ensure, holds_and_finds, links_of, primary_other_than, roles,
+};
 use crate::world::{KINDS, World};
 
 /// How long machines are cut off or frozen.
@@ -23,16 +25,16 @@
         Direction::From => link.0 == machine,
         Direction::Both => true,
     };
-    around(world, machine).into_iter().filter(|(from, to)| from != to).filter(wanted).collect()
+    links_of(world, machine).into_iter().filter(|(from, to)| from != to).filter(wanted).collect()
 }
 
 /// A trouble of twenty seconds while operators go on; then what was held back arrives at once.
 fn trouble(world: &mut World, act: Act) -> Result<(), String> {
-    let before = world.book.taken;
+    let before = world.checker.taken;
     world.hire(2);
     world.act(act);
     world.run(CUT)?;
-    want(world.book.taken > before + 5, "nothing was taken meanwhile")?;
+    ensure(world.checker.taken > before + 5, "nothing was taken meanwhile")?;
     world.heal();
     world.run(3_000)?;
     world.settle()
@@ -51,7 +53,7 @@
 
 #[test]
 fn a_thawed_follower_is_not_in_touch_by_what_was_held_back() {
-    told(frozen_follower, InjectedFault::ContactByArrival);
+    holds_and_finds(frozen_follower, InjectedFault::ContactByArrival);
 }
 
 /// What becomes of some links, by machines.
@@ -78,7 +80,7 @@
 
 #[test]
 fn a_follower_that_was_cut_off_is_not_in_touch_by_what_was_held_back() {
-    told(cut_follower, InjectedFault::ContactByArrival);
+    holds_and_finds(cut_follower, InjectedFault::ContactByArrival);
 }
 
 fn cut_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
@@ -86,14 +88,14 @@
         for direction in DIRECTIONS {
             for cut in CUTS {
                 let mut world = calm(420 + machines as u64, machines, failures, injected_fault)?;
-                let primary = lead(&world)?;
+                let primary = current_primary(&world)?;
                 let links = links(&world, primary, direction);
                 trouble(&mut world, cut(links))?;
             }
         }
         let mut world = calm(430 + machines as u64, machines, failures, injected_fault)?;
         world.frozen_backlog = 8;
-        let primary = lead(&world)?;
+        let primary = current_primary(&world)?;
         trouble(&mut world, Act::Freeze(vec![primary]))?;
     }
     Ok(())
@@ -101,7 +103,7 @@
 
 #[test]
 fn a_primary_that_was_cut_off_is_not_in_touch_by_what_was_held_back() {
-    told(cut_primary, InjectedFault::ContactByArrival);
+    holds_and_finds(cut_primary, InjectedFault::ContactByArrival);
 }
 
 /// What is committed never reaches a witness, while heartbeats do.
@@ -113,16 +115,16 @@
     world.kind_loss[committed] = 1_000;
     world.hire(2);
     world.run(5_000)?;
-    want(!world.in_touch(witnesses[0]), "a witness without the state says that it is in touch")?;
+    ensure(!world.in_touch(witnesses[0]), "a witness without the state says that it is in touch")?;
     world.kind_loss[committed] = 0;
     world.run(500)?;
-    want(world.in_touch(witnesses[0]), "a witness with the state isn't in touch")?;
+    ensure(world.in_touch(witnesses[0]), "a witness with the state isn't in touch")?;
     world.settle()
 }
 
 #[test]
 fn a_follower_that_lacks_the_state_is_not_in_touch() {
-    told(states_lost, InjectedFault::ContactWithoutState);
+    holds_and_finds(states_lost, InjectedFault::ContactWithoutState);
 }
 
 /// A heartbeat that was sent to an earlier run of a process reaches the next one, whose clock says the same.
@@ -138,7 +140,7 @@
     world.kill(machine, false);
     world.hire(2);
     world.run(CUT)?;
-    let others = around(&world, machine).into_iter().filter(|link| *link != (primary, machine)).collect();
+    let others = links_of(&world, machine).into_iter().filter(|link| *link != (primary, machine)).collect();
     world.act(Act::Cut(others));
     world.start(machine);
     world.run(500)?;
@@ -150,13 +152,13 @@
 
 #[test]
 fn a_stamp_of_another_life_proves_nothing() {
-    told(another_life, InjectedFault::ContactOfOtherIncarnations);
+    holds_and_finds(another_life, InjectedFault::ContactOfOtherIncarnations);
 }
 
 /// A node is frozen so long after it has proposed its record; others lead meanwhile.
 fn frozen_take_over(delay: u64, injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut world = calm(450, 3, 1, injected_fault)?;
-    let old = lead(&world)?;
+    let old = current_primary(&world)?;
     world.kill(old, false);
     let proposes = |w: &World, m: &usize| {
         w.node(*m).is_some_and(|n| {
@@ -168,20 +170,20 @@
         if let Some(candidate) = world.running().into_iter().find(|m| proposes(&world, m)) {
             break candidate;
         }
-        want(world.now < 10_000, "nobody takes over")?;
+        ensure(world.now < 10_000, "nobody takes over")?;
     };
     let term = world.node(candidate).and_then(|n| n.epoch_config()).map(|r| r.term).ok_or("down")?;
     world.run(delay)?;
-    if world.book.was_led(term) {
+    if world.checker.was_led(term) {
         return Ok(());
     }
     world.act(Act::Freeze(vec![candidate]));
     world.start(old);
     world.hire(2);
     world.run(CUT)?;
-    other_lead(&world, candidate)?;
+    primary_other_than(&world, candidate)?;
     world.heal();
-    want(!world.book.was_led(term), "a take-over from before a freeze comes to its end")?;
+    ensure(!world.checker.was_led(term), "a take-over from before a freeze comes to its end")?;
     world.settle()
 }
 
@@ -191,7 +193,7 @@
 
 #[test]
 fn a_take_over_does_not_outlast_a_freeze() {
-    told(frozen_take_overs, InjectedFault::LateTakeOver);
+    holds_and_finds(frozen_take_overs, InjectedFault::LateTakeOver);
 }
 
 /// A thawed follower, with old heartbeats in its queue, doesn't hold up the election after a real loss.
@@ -207,22 +209,22 @@
         world.run(550)?;
         world.thaw(machine);
         world.run(550)?;
-        other_lead(&world, primary).map_err(|what| format!("seed {seed}: {what}"))?;
+        primary_other_than(&world, primary).map_err(|what| format!("seed {seed}: {what}"))?;
     }
     Ok(())
 }
 
 #[test]
 fn old_heartbeats_do_not_hold_up_an_election() {
-    told(fooled_voter, InjectedFault::ContactByArrival);
+    holds_and_finds(fooled_voter, InjectedFault::ContactByArrival);
 }
 
 #[test]
 fn a_thawed_primary_does_not_claim_to_lead_before_its_first_step() {
-    let story = || {
+    let scenario = || {
         let mut world = calm(470, 3, 1, None)?;
-        let old = lead(&world)?;
-        want(
+        let old = current_primary(&world)?;
+        ensure(
             world.node(old).is_some_and(|n| n.holds_primary_lease(world.clock(old))),
             "it doesn't lead before",
         )?;
@@ -230,20 +232,20 @@
         world.run(CUT)?;
         let node = world.node(old).ok_or("down")?;
         let clock = world.clock(old);
-        want(node.is_primary(), "it was stepped")?;
-        want(!node.holds_primary_lease(clock) && node.primary_at(clock).is_none(), "it claims to lead")?;
-        want(!node.has_quorum_contact(clock), "it claims to be in touch")?;
+        ensure(node.is_primary(), "it was stepped")?;
+        ensure(!node.holds_primary_lease(clock) && node.primary_at(clock).is_none(), "it claims to lead")?;
+        ensure(!node.has_quorum_contact(clock), "it claims to be in touch")?;
         world.thaw(old);
         world.settle()
     };
-    story().unwrap_or_else(|what: String| panic!("{what}"));
+    scenario().unwrap_or_else(|what: String| panic!("{what}"));
 }
 
 #[test]
 fn a_restarted_member_is_in_touch_a_round_trip_after_the_next_heartbeat() {
     let mut worst = 0;
     for seed in 480..500 {
-        let story = || {
+        let scenario = || {
             let mut world = calm(seed, 3, 1, None)?;
             let (_, backups, witnesses) = roles(&world)?;
             let machine = if seed % 2 == 0 { backups[0] } else { witnesses[0] };
@@ -256,7 +258,7 @@
             }
             Ok(world.now - since)
         };
-        let took = story().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
+        let took = scenario().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
         worst = worst.max(took);
     }
     println!("worst time until in touch: {worst} ms");
@@ -269,16 +271,16 @@
     for from in 0..machines {
         for to in (0..machines).filter(|to| *to != from) {
             let mut world = calm(500 + (machines * from + to) as u64, machines, failures, injected_fault)?;
-            let primary = lead(&world)?;
+            let primary = current_primary(&world)?;
             world.act(Act::Cut(vec![(from, to)]));
             for _ in 0..10 {
                 world.run(1_000)?;
-                taken_at(&mut world, primary, 1_000)?;
+                commit_change_at(&mut world, primary, 1_000)?;
             }
             for machine in world.running() {
                 // Proof of contact takes both directions.
                 let proves = ![(from, to), (to, from)].contains(&(primary, machine));
-                want(!proves || world.in_touch(machine), &format!("m{machine} isn't in touch"))?;
+                ensure(!proves || world.in_touch(machine), &format!("m{machine} isn't in touch"))?;
             }
         }
     }
@@ -292,5 +294,5 @@
 
 #[test]
 fn a_link_that_fails_one_way_moves_no_primary() {
-    told(one_way_links, InjectedFault::AlwaysWilling);
+    holds_and_finds(one_way_links, InjectedFault::AlwaysWilling);
 }
--- a/crates/consensus/tests/fleet/recovery.rs
+++ b/crates/consensus/tests/fleet/recovery.rs
@@ -7,7 +7,7 @@
 
 use crate::checker::Kind;
 use crate::day::Act;
-use crate::scenarios::{around, calm, lead, want};
+use crate::support::{calm, current_primary, ensure, links_of};
 use crate::world::{Event, World};
 
 /// Seeds of each loss when no number is asked for.
@@ -63,23 +63,26 @@
 /// ClientRequests for changes like an operator who knows at each moment who leads.
 #[derive(Default)]
 struct Prober {
-    asks: Vec<u64>,
+    requests: Vec<u64>,
 }
 
 impl Prober {
     fn probe(&mut self, world: &mut World, reachable: &[usize]) {
         for machine in reachable {
             let leads = world.node(*machine).is_some_and(|n| n.holds_primary_lease(world.clock(*machine)));
-            let waits = self.asks.iter().any(|ask| world.book.is_open_at(*ask, *machine));
+            let waits =
+                self.requests.iter().any(|request_id| world.checker.is_open_at(*request_id, *machine));
             if leads && !waits {
                 let change = world.fresh_change(*machine);
-                self.asks.push(world.ask(*machine, Kind::Change(change)));
+                self.requests.push(world.send_request(*machine, Kind::Change(change)));
             }
         }
     }
 
     fn is_acknowledged(&self, world: &World) -> bool {
-        self.asks.iter().any(|ask| matches!(world.book.verdict(*ask), Some(ClientReply::Committed { .. })))
+        self.requests
+            .iter()
+            .any(|request_id| matches!(world.checker.reply(*request_id), Some(ClientReply::Committed { .. })))
     }
 }
 
@@ -126,9 +129,9 @@
     world.noise = 5;
     let phase = world.below(1_000);
     world.run(phase)?;
-    let leader = lead(&world)?;
+    let leader = current_primary(&world)?;
     let since = world.now;
-    let links = around(&world, leader).into_iter().filter(|(from, to)| from != to);
+    let links = links_of(&world, leader).into_iter().filter(|(from, to)| from != to);
     match loss {
         Loss::LeaderKilled => {
             world.kill(leader, true);
@@ -221,7 +224,7 @@
             percentile(whole, 50),
             percentile(whole, 99),
         );
-        if let Err(what) = want(percentile(full, 50) <= AIM, &format!("{loss:?}")) {
+        if let Err(what) = ensure(percentile(full, 50) <= AIM, &format!("{loss:?}")) {
             slow.push(what);
         }
     }
--- a/crates/consensus/tests/fleet/repeated_requests.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -5,8 +5,10 @@
 
 use crate::checker::Kind;
 use crate::day::Act;
-use crate::scenarios::{calm, calm_with, lead, roles, taken, told, verdict_at, want};
-use crate::world::{CALLER_LISTENS, World};
+use crate::support::{
+    calm, calm_with, commit_change, current_primary, ensure, holds_and_finds, reply_at, roles,
+};
+use crate::world::{CALLER_TIMEOUT, World};
 
 /// More changes than a state remembers calls.
 const HUNDREDS: usize = 300;
@@ -16,20 +18,23 @@
     let mut world = calm(11, 3, 1, injected_fault)?;
     let mut changes = Vec::new();
     for _ in 0..HUNDREDS {
-        changes.push(taken(&mut world, 60)?);
+        changes.push(commit_change(&mut world, 60)?);
     }
-    let primary = lead(&world)?;
+    let primary = current_primary(&world)?;
     let mut acknowledged = 0;
     for change in changes {
-        let verdict = verdict_at(&mut world, primary, Kind::Change(change), 250)?;
-        acknowledged += usize::from(matches!(verdict, Some(ClientReply::Committed { .. })));
+        let reply = reply_at(&mut world, primary, Kind::Change(change), 250)?;
+        acknowledged += usize::from(matches!(reply, Some(ClientReply::Committed { .. })));
     }
-    want(acknowledged == mosshead_consensus::DEDUPLICATION_WINDOW, "the latest calls are acknowledged again")
+    ensure(
+        acknowledged == mosshead_consensus::DEDUPLICATION_WINDOW,
+        "the latest calls are acknowledged again",
+    )
 }
 
 #[test]
 fn a_call_taken_hundreds_of_changes_ago_is_never_refused() {
-    told(repeated_after_hundreds, InjectedFault::RejectExpired);
+    holds_and_finds(repeated_after_hundreds, InjectedFault::RejectExpired);
 }
 
 /// The backup's disk stalls for longer than the caller listens: no clear answer in time, but the write goes on.
@@ -48,19 +53,19 @@
     let (primary, backups, _) = roles(&world)?;
     world.act(Act::Stall(backups, 1_500));
     let change = world.fresh_change(primary);
-    let first = verdict_at(&mut world, primary, Kind::Change(change.clone()), CALLER_LISTENS)?;
-    want(first == Some(ClientReply::Unavailable), "the caller gets no answer in time")?;
+    let first = reply_at(&mut world, primary, Kind::Change(change.clone()), CALLER_TIMEOUT)?;
+    ensure(first == Some(ClientReply::Unavailable), "the caller gets no answer in time")?;
     world.run(1_000)?;
     let committed = world.node(primary).and_then(Node::committed_state).map(|s| s.revision);
-    want(committed == Some(change.revision), "the write under way is finished")?;
+    ensure(committed == Some(change.revision), "the write under way is finished")?;
     for machine in world.running() {
-        let again = verdict_at(&mut world, machine, Kind::Change(change.clone()), 500)?;
+        let again = reply_at(&mut world, machine, Kind::Change(change.clone()), 500)?;
         let fine = match again {
             Some(ClientReply::Committed { .. }) => machine == primary,
             Some(ClientReply::NotPrimary { .. }) => machine != primary,
             _ => false,
         };
-        want(fine, "the repeat is acknowledged, or sent on to who acknowledges it")?;
+        ensure(fine, "the repeat is acknowledged, or sent on to who acknowledges it")?;
     }
     Ok(())
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn flaws_are_found() {
+fn injected_faults_are_found() {
     for injected_fault in [InjectedFault::ForgetPromise, InjectedFault::CommitAlone] {
         let core = Core { injected_fault: Some(injected_fault), claims: 1, changes: 1, ..Core::default() };
         let (states, found) = look(core, usize::MAX);
@@ -519,7 +519,7 @@
 
 /// A wiped disk and repeats find what take-overs alone don't.
 #[test]
-fn flaws_are_found_by_walks() {
+fn injected_faults_are_found_by_walks() {
     for injected_fault in [InjectedFault::SkipRewriteUnderNewTerm, InjectedFault::ForgetAppliedRequests] {
         let found =
             (0..20).find_map(|seed| walk(Core { injected_fault: Some(injected_fault), ..ALL }, seed, 50_000));
