--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/client_requests.rs
@@ -11,9 +11,9 @@
 use crate::event::ClientReply;
 use crate::injected_fault::InjectedFault;
 
-/// So many requests of a kind wait; more are unavailable at once.
+/// The most changes that wait, and the most unconfirmed replies; a request beyond that is answered as unavailable at once.
 const MAX_WAITING: usize = 64;
-/// With [`InjectedFault::ReplyLate`], requests expire so much later.
+/// With [`InjectedFault::ReplyLate`], requests expire this much later.
 const INJECTED_DELAY: Duration = Duration::from_millis(350);
 
 /// An operator's change of the state.
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -13,9 +13,9 @@
     ForgetPromise,
     /// A take-over takes the highest revision, whatever its write term.
     NewestByRevision,
-    /// A primary answers reads without a majority's word.
+    /// A primary answers reads without the confirmation of a majority.
     ReadUnconfirmed,
-    /// A primary answers that a base is stale without a majority's word.
+    /// A primary answers that a base is stale without the confirmation of a majority.
     StaleUnconfirmed,
     /// A backup publishes what it has written.
     PublishUncommitted,
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -9,7 +9,7 @@
 use crate::message::Message;
 use crate::term::Term;
 
-/// The transfer is sent again for so long.
+/// The transfer is sent again for this long, as it may be lost.
 const RESEND_PERIOD: Duration = Duration::from_millis(300);
 
 /// The role of the primary on its way to another node.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -5,6 +5,13 @@
 //! [`Input`]s, carries out the [`Output`]s in their order, and confirms every write in order. See
 //! `docs/design/0007-fleet.md`, "Control state".
 //!
+//! For readers of raft-rs: there is no log of entries. The replicated value is one state; a write carries all of it, or the
+//! delta from the state before. A [`Term`] belongs to one proposer (a ballot of Paxos), and a candidate is a node that takes
+//! over (module `take_over`). It collects promises, has the newest state written under its term by itself and its backups,
+//! and only then has an [`EpochConfig`] accepted by a majority: the primary with the nodes that hold the state. From then on
+//! a change is committed when the primary and all of its backups have written it. Where an epoch doesn't fit any more, its
+//! primary takes over from itself, which is called a renewal.
+//!
 //! A node consists of parts that own their state: the acceptor, the disk, the learner of committed states, the election, the
 //! transfers of large states and others. What outlives a role is in the core; the roles (follower, take-over, primary) work
 //! on it, and ask the node for a transition to another role.
--- a/crates/consensus/src/member_removal.rs
+++ b/crates/consensus/src/member_removal.rs
@@ -12,7 +12,7 @@
 
 /// A node that shuts down does so after this long, removed from the membership or not.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The word of a departing member counts for so long; after it, only its silence does.
+/// The announcement of a departing member counts for this long. After that it is replaced only if it falls silent.
 const DEPARTURE_LIFETIME: Duration = Duration::from_millis(3_000);
 /// More departing members than this are ignored.
 const MAX_DEPARTING: usize = 64;
@@ -20,7 +20,7 @@
 /// What a node knows of those that shut down, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct MemberRemoval {
-    /// Since when this node shuts down.
+    /// When this node was first asked to shut down; none while it serves.
     shutdown_requested_at: Option<Instant>,
     /// When this node last told the others.
     announced_at: Option<Instant>,
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -280,18 +280,14 @@
 
     pub(crate) fn is_within_bounds(&self) -> bool {
         match self {
-            Message::PreVoteResponse { config: record, .. }
-            | Message::Promise { config: record, .. }
-            | Message::Heartbeat { config: record, .. } => {
-                record.as_ref().is_none_or(EpochConfig::is_within_bounds)
-            }
-            Message::Accept { config: record } | Message::KnownConfig { config: record } => {
-                record.is_within_bounds()
-            }
+            Message::PreVoteResponse { config, .. }
+            | Message::Promise { config, .. }
+            | Message::Heartbeat { config, .. } => config.as_ref().is_none_or(EpochConfig::is_within_bounds),
+            Message::Accept { config } | Message::KnownConfig { config } => config.is_within_bounds(),
             Message::FetchedState { state, .. }
             | Message::ReplicateState { state }
             | Message::CommittedState { state } => state.is_within_bounds(),
-            Message::CommittedDeltas { deltas: changes } => changes.len() <= MAX_DELTAS,
+            Message::CommittedDeltas { deltas } => deltas.len() <= MAX_DELTAS,
             _ => true,
         }
     }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -58,7 +58,7 @@
         let (durable, rebuilt_bytes) = DurableState::replay(records)?;
         let identity = match &durable.identity {
             Some(identity) => identity.clone(),
-            // Promises without an identity: the disk is not whole.
+            // The identity is written first, so a log that has records but no identity is incomplete.
             None if !records.is_empty() => return Err(StoredStateError::Disordered(0)),
             None => new_identity(&settings, &mut rng),
         };
@@ -89,17 +89,21 @@
         Ok(node)
     }
 
-    /// Takes what happened; returns what is to be done, in this order. An earlier time than before counts as the last one.
+    /// Takes what happened; returns what is to be done, in this order. An instant before that of the last step counts as that
+    /// one.
     pub fn step(&mut self, now: Instant, input: Input) -> Vec<Output> {
         self.core.context.now = self.core.context.now.max(now);
-        // A thawed node looks at its lease, or at its take-over, before anything that came meanwhile.
+        // A node that was suspended (a paused virtual machine) checks its lease, or its take-over, before anything that
+        // arrived meanwhile.
         self.renew_lease();
         self.end_overdue_take_over();
         self.on_input(input);
+        // Before the identity is durable, only the disk has timers: its first write is the identity.
         self.run_disk_timers();
         if self.core.storage.is_open() {
             self.run_timers();
         }
+        // Before requests are served: one that was answered as unavailable is not started afterwards.
         self.core.requests.expire(&mut self.core.context);
         self.serve_requests();
         self.complete_unsynced_writes();
--- a/crates/consensus/src/node/disk.rs
+++ b/crates/consensus/src/node/disk.rs
@@ -84,6 +84,8 @@
         }
     }
 
+    /// Writes what the disk needs. Where it needs nothing, a follower without a vote writes the newest configuration, so that
+    /// it finds the others after its next start.
     pub(super) fn run_disk_timers(&mut self) {
         let core = &mut self.core;
         let is_idle = core.storage.run_timers(&mut core.context, core.acceptor.promised());
@@ -95,7 +97,8 @@
         }
     }
 
-    /// With [`crate::InjectedFault::RespondUnsynced`], writes are answered at once.
+    /// With [`crate::InjectedFault::RespondUnsynced`], writes are answered in the step that starts them; without it there are
+    /// none here.
     pub(super) fn complete_unsynced_writes(&mut self) {
         while let Some(write) = self.core.storage.take_unsynced() {
             self.complete(write);
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -16,7 +16,7 @@
     pub(super) fn may_take_over(&self) -> bool {
         let is_eligible = match self.core.epoch.config() {
             Some(config) => config.has_member(self.core.local().id),
-            None => self.core.knows_bootstrap_voters(),
+            None => self.core.may_bootstrap(),
         };
         is_eligible && self.core.is_healthy() && self.role.is_follower()
     }
--- a/crates/consensus/src/node/queries.rs
+++ b/crates/consensus/src/node/queries.rs
@@ -13,7 +13,7 @@
 use crate::member_removal::SHUTDOWN_TIMEOUT;
 use crate::term::{Member, Term};
 
-/// A node with [`InjectedFault::ShutDownAtOnce`] shuts down after so long.
+/// A node with [`InjectedFault::ShutDownAtOnce`] shuts down after this time.
 const INJECTED_SHUTDOWN: Duration = Duration::from_millis(150);
 
 impl<R: RngCore> Node<R> {
@@ -94,7 +94,7 @@
     }
 
     /// After [`crate::Input::ShutDown`]: whether the process may end. The others need nothing more of this node, or it has
-    /// waited for their word for long enough. Looked at after each step.
+    /// waited for its removal for long enough. Looked at after each step.
     pub fn may_shut_down(&self) -> bool {
         let Some(age) = self.core.removal.shutdown_age(self.core.now()) else { return false };
         if age >= SHUTDOWN_TIMEOUT {
--- a/crates/consensus/src/node_core.rs
+++ b/crates/consensus/src/node_core.rs
@@ -41,7 +41,9 @@
     /// Kept through a renewal, started over by a new primary.
     pub(crate) peers: Peers,
     /// When the newest heartbeat was sent that a majority has answered: the lease of this node as primary counts from there.
+    /// Outlives the role of the primary, since the lease holds on through a renewal.
     pub(crate) primary_lease_confirmed_at: Option<Instant>,
+    /// Kept through a renewal, as the peers are.
     pub(crate) delta_log: DeltaLog,
     /// The role of the primary on its way from this node to another one.
     pub(crate) leadership_transfer: Option<LeadershipTransfer>,
@@ -90,8 +92,9 @@
         self.bootstrap_voters().is_some()
     }
 
-    /// Before there is a configuration: whether this bootstrap voter knows the others, or has waited for long enough.
-    pub(crate) fn knows_bootstrap_voters(&self) -> bool {
+    /// Before there is a configuration: whether this node is a bootstrap voter, and knows the others or has waited for long
+    /// enough.
+    pub(crate) fn may_bootstrap(&self) -> bool {
         let Some(voters) = self.bootstrap_voters() else { return false };
         let waited = self.context.elapsed(self.context.started_at);
         waited >= self.context.timings().bootstrap_timeout
@@ -119,8 +122,8 @@
         states.into_iter().flatten().find(|state| state.version().has_same_body(version))
     }
 
-    /// Whether this node, as primary, may send heartbeats.
-    pub(crate) fn holds_primary_lease(&self) -> bool {
+    /// Whether this node, as primary, may send heartbeats: only while its lease holds at the time of this step.
+    pub(crate) fn may_send_heartbeats(&self) -> bool {
         self.context.is_within_lease(self.primary_lease_confirmed_at, self.now())
             || self.has_fault(InjectedFault::NoLease)
     }
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -30,9 +30,9 @@
     pub(crate) last_acknowledged_heartbeat_sent_at: Instant,
     /// The sequence number of that heartbeat; zero at the start of an epoch.
     pub(crate) acknowledged_heartbeat: u64,
-    /// Whether its disk takes writes, by its last word.
+    /// Whether its disk takes writes and it does not shut down, by its last message.
     pub(crate) is_healthy: bool,
-    /// When it last said so.
+    /// When it was last known to be healthy.
     pub(crate) last_healthy_at: Instant,
     pub(crate) is_bootstrap_voter: bool,
     /// The term of the highest configuration that it has seen.
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/primary.rs
@@ -27,7 +27,8 @@
     state: ControlState,
     /// The sequence number of the last heartbeat.
     last_heartbeat: u64,
-    /// The first heartbeat that reports the last state that was not sent as a delta.
+    /// The first heartbeat that reports the last state that was not sent as a delta. A response to an earlier heartbeat may
+    /// have been sent before that state arrived, so a lower revision in it doesn't show that the peer lacks the state.
     first_heartbeat_of_full_state: u64,
     /// The latest heartbeats, oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -49,11 +49,11 @@
         let reached = core.peers.majority_value(core.local(), &self.config, values, sent_at);
         let confirmed_at = reached.min(core.now());
         core.primary_lease_confirmed_at = core.primary_lease_confirmed_at.max(Some(confirmed_at));
-        core.holds_primary_lease()
+        core.may_send_heartbeats()
     }
 
     pub(crate) fn send_heartbeats_to_all(&mut self, core: &mut NodeCore) {
-        if core.holds_primary_lease() {
+        if core.may_send_heartbeats() {
             self.next_heartbeat_at = core.now() + core.context.timings().heartbeat_interval;
             self.send_heartbeats(core, Recipients::All);
         }
@@ -61,7 +61,7 @@
 
     /// Sends heartbeats between the regular ones.
     pub(super) fn send_heartbeats_to_voters(&mut self, core: &mut NodeCore) {
-        if core.holds_primary_lease() {
+        if core.may_send_heartbeats() {
             self.send_heartbeats(core, Recipients::Voters);
         }
     }
@@ -92,7 +92,7 @@
 
     /// Repeats the last heartbeat for one peer.
     fn send_heartbeat_to(&self, core: &mut NodeCore, id: MemberId) {
-        let Some(peer) = core.peers.get(id).filter(|_| core.holds_primary_lease()) else { return };
+        let Some(peer) = core.peers.get(id).filter(|_| core.may_send_heartbeats()) else { return };
         let (to, heartbeat) = (peer.member.address, self.heartbeat_for(peer));
         core.send(to, heartbeat);
     }
@@ -125,7 +125,7 @@
             self.higher_term_seen_since.get_or_insert(core.now());
         }
         if self.take_due_state(core, from.id, response) {
-            self.send_news(core, from, response.committed_revision);
+            self.send_catch_up(core, from, response.committed_revision);
         }
         if is_voter && response.accepted_term < self.term && !has_promised_higher {
             core.send(from.address, Message::Accept { config: self.config.clone() });
@@ -173,7 +173,7 @@
     }
 
     /// Sends the committed state to one that knows an older one: the deltas since then, or the whole state.
-    fn send_news(&self, core: &mut NodeCore, to: Member, known_revision: Option<u64>) {
+    fn send_catch_up(&self, core: &mut NodeCore, to: Member, known_revision: Option<u64>) {
         let state: &ControlState = &self.state;
         let max_bytes = core.context.settings.chunk_sizes.large_state_bytes.min(state.body.len());
         let deltas = known_revision.and_then(|revision| core.delta_log.since(revision, state));
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -64,22 +64,22 @@
         }
         let mut members = self.primary.config.members.clone();
         let one_at_a_time = self.core.has_fault(InjectedFault::OneNewcomerAtATime);
-        let (mut has_changed, mut has_unplaced) = (false, false);
+        let (mut has_changed, mut has_unassigned) = (false, false);
         for newcomer in self.newcomers() {
-            match self.give_place(&mut members, newcomer) {
+            match self.assign_slot(&mut members, newcomer) {
                 true => has_changed = true,
-                false => has_unplaced = true,
+                false => has_unassigned = true,
             }
             if has_changed && one_at_a_time {
                 break;
             }
         }
-        let waits = has_unplaced && !one_at_a_time && members.iter().any(|m| self.is_nearly_replaceable(m));
+        let waits = has_unassigned && !one_at_a_time && members.iter().any(|m| self.is_nearly_replaceable(m));
         (has_changed && !waits).then_some(members)
     }
 
     /// Those that may become members: first those at the address of one, whose disk they replace; of two disks at one
-    /// address the one that was received from last takes the place in the end.
+    /// address the one that was received from last gets the slot in the end.
     fn newcomers(&self) -> Vec<Member> {
         let config = &self.primary.config;
         // A disk that was wiped was received from lately, too. Only what has answered in this epoch is there.
@@ -99,11 +99,11 @@
         newcomers.into_iter().map(|peer| peer.member).collect()
     }
 
-    /// Gives a newcomer the place of the disk before it at its address, an empty one, or that of a member that is gone.
+    /// Gives a newcomer the slot of the disk before it at its address, a free one, or that of a member that is gone.
     /// Returns whether there was one.
-    fn give_place(&self, members: &mut Vec<Member>, newcomer: Member) -> bool {
-        if let Some(place) = members.iter_mut().find(|m| m.address == newcomer.address) {
-            *place = newcomer;
+    fn assign_slot(&self, members: &mut Vec<Member>, newcomer: Member) -> bool {
+        if let Some(slot) = members.iter_mut().find(|m| m.address == newcomer.address) {
+            *slot = newcomer;
             return true;
         }
         if members.len() < self.core.context.settings.member_count() {
@@ -113,8 +113,8 @@
         let Some(gone) = self.most_silent(members).or_else(|| self.departing_to_replace(members)) else {
             return false;
         };
-        let Some(place) = members.iter_mut().find(|m| m.id == gone) else { return false };
-        *place = newcomer;
+        let Some(slot) = members.iter_mut().find(|m| m.id == gone) else { return false };
+        *slot = newcomer;
         true
     }
 
@@ -158,7 +158,7 @@
 
     /// Whether the member may shut down without a copy or a vote less than there could be.
     ///
-    /// A member whose place nobody waits for stays a member: the membership must not shrink, so that the return of the
+    /// A member whose slot nobody waits for stays a member: the membership must not shrink, so that the return of the
     /// member makes up for the next loss at once.
     pub(super) fn may_be_removed(&self, id: MemberId) -> bool {
         let config = &self.primary.config;
--- a/crates/consensus/src/primary/renewal.rs
+++ b/crates/consensus/src/primary/renewal.rs
@@ -48,12 +48,12 @@
         let is_stalled = core.storage.writes.oldest_age(core.now())
             > core.context.timings().local_write_timeout
             && !core.has_fault(InjectedFault::KeepStalledPrimary);
-        let is_shut_down = core
+        let is_shutdown_due = core
             .removal
             .shutdown_age(core.now())
             .is_some_and(|age| !self.is_writing() || age >= MAX_SHUTDOWN_WRITE);
         is_stalled
-            || is_shut_down
+            || is_shutdown_due
             || core.storage.writes.failed_at.is_some() && self.successor(core).is_some()
     }
 
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -7,11 +7,11 @@
 use super::PrimaryState;
 use crate::control_state::{ControlState, StateVersion};
 use crate::injected_fault::InjectedFault;
+use crate::limits::MAX_TRANSFER_TIME;
 use crate::message::Message;
 use crate::node_core::NodeCore;
 use crate::snapshot::StatePurpose;
 use crate::state_delta::StateDelta;
-use crate::take_over::MAX_TRANSFER;
 use crate::term::{Member, MemberId};
 
 /// A change that is being written.
@@ -90,7 +90,7 @@
     /// A backup is receiving the state: it is not slow.
     pub(crate) fn record_transfer_progress(&mut self, core: &NodeCore, version: StateVersion) {
         let Some(write) = self.pending_write_of(version) else { return };
-        if core.context.elapsed(write.started_at) < MAX_TRANSFER {
+        if core.context.elapsed(write.started_at) < MAX_TRANSFER_TIME {
             write.last_progress_at = core.now();
         }
     }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -17,11 +17,11 @@
     pub bootstrap: bool,
     /// The internal addresses of the seeds. With `bootstrap` and an empty disk, these are the bootstrap voters.
     pub seeds: Vec<SocketAddrV4>,
-    /// All spans.
+    /// The intervals and timeouts.
     pub timings: Timings,
     /// The log is rewritten when the records since the last time are longer than this.
     pub log_rewrite_bytes: usize,
-    /// From which length on states go in pieces, and how long those are.
+    /// From which length on states are sent in chunks, and how long those are.
     pub chunk_sizes: ChunkSizes,
     /// A fault built in, to see that the checkers of the tests find it.
     #[doc(hidden)]
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -63,7 +63,7 @@
     pub bytes: Arc<[u8]>,
 }
 
-/// From which length on states go in chunks, and how long those are.
+/// From which length on states are sent in chunks, and how long those are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChunkSizes {
     /// Bodies and deltas of more bytes than this are large.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -166,8 +166,8 @@
     /// Starts what the disk needs while no write is pending. Returns whether it is idle.
     pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) -> bool {
         let retry_interval = context.timings().disk_retry_interval;
-        let has_failed = self.writes.failed_at.is_some_and(|at| context.elapsed(at) < retry_interval);
-        if !self.writes.queue.is_empty() || has_failed {
+        let is_backing_off = self.writes.failed_at.is_some_and(|at| context.elapsed(at) < retry_interval);
+        if !self.writes.queue.is_empty() || is_backing_off {
             return false;
         }
         if !self.is_open() {
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -13,13 +13,12 @@
 use crate::control_state::{ControlState, StateVersion};
 use crate::epoch_config::EpochConfig;
 use crate::injected_fault::InjectedFault;
+use crate::limits::MAX_TRANSFER_TIME;
 use crate::node_core::NodeCore;
 use crate::term::{Member, MemberId, Term};
 use crate::transition::{TakeOverPlan, Transition};
 use crate::votes::Votes;
 
-/// A phase or a write that waits for a large state is given time as long as chunks are requested, up to this.
-pub(crate) const MAX_TRANSFER: Duration = Duration::from_millis(5_000);
 /// More rejections than this end a renewal.
 const MAX_REJECTIONS: u8 = 3;
 
@@ -158,7 +157,7 @@
             _ => false,
         };
         let is_ignored = core.has_fault(InjectedFault::IgnoreTransferProgress);
-        let max_phase = if is_ignored { Duration::ZERO } else { MAX_TRANSFER };
+        let max_phase = if is_ignored { Duration::ZERO } else { MAX_TRANSFER_TIME };
         if is_awaited && core.context.elapsed(self.phase_started_at) < max_phase {
             self.last_progress_at = core.now();
         }
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -7,7 +7,7 @@
 use crate::limits::MAX_MEMBERS;
 use crate::term::{Member, MemberId};
 
-/// Strangers may vote, too; more voters than this are ignored.
+/// Nodes that are no members may vote, too; votes beyond this number are ignored.
 const MAX_VOTES: usize = 4 * MAX_MEMBERS;
 
 /// Who has agreed.
