--- a/crates/emulator/src/folders.rs
+++ b/crates/emulator/src/folders.rs
@@ -8,8 +8,8 @@
 use mosshead_world::scenario::Folder;
 
 /// The file that a program keeps there, and the one that it writes first.
-const FILE: &str = snapshot::FILE;
-const FRESH: &str = snapshot::FRESH;
+const FILE: &str = snapshot::SNAPSHOT_FILE;
+const FRESH: &str = snapshot::NEW_SNAPSHOT_FILE;
 /// A clock that has gone back makes what was written look so much later.
 const AN_HOUR_MS: u64 = 3_600_000;
 
--- a/crates/known/src/lib.rs
+++ b/crates/known/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a proxy knows of the fleet: the list's form, the snapshot that one life leaves to the next, and what of both may
-//! still be believed.
+//! What a proxy stores about its fleet: the server list, the snapshot that one instance leaves to the next, and what the next
+//! may still believe of it.
 //!
 //! Nothing here does I/O or reads a clock: bytes and instants are handed in.
 
-pub mod believe;
-pub mod listing;
+pub mod restore;
+pub mod server_list;
 pub mod snapshot;
--- a/crates/known/tests/former_formats.rs
+++ b/crates/known/tests/former_formats.rs
@@ -4,15 +4,17 @@
 use std::path::Path;
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::listing::{Listing, Machine};
-use mosshead_known::snapshot::{FILE, FRESH, LOCK, Left, Snapshot, frame, read, write};
+use mosshead_known::server_list::{ListedServer, ServerList};
+use mosshead_known::snapshot::{
+    EndedServer, LOCK_FILE, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, frame, read, write,
+};
 
 fn file() -> Vec<u8> {
     std::fs::read(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/former/snapshot")).unwrap()
 }
 
-fn machine(id: &str, port: u16, readiness: Readiness) -> Machine {
-    Machine {
+fn machine(id: &str, port: u16, readiness: Readiness) -> ListedServer {
+    ListedServer {
         id: id.to_owned(),
         addr: format!("127.0.0.1:{port}").parse().unwrap(),
         zone: "east-a".to_owned(),
@@ -30,14 +32,15 @@
         machine("s-2", 5002, Readiness::Draining),
         machine("s-3", 5003, Readiness::Removed),
     ];
-    let left = Left { id: "s-0".to_owned(), started_ms: 1_799_998_000_000.0, told_ms: 1_799_999_990_000 };
+    let left =
+        EndedServer { id: "s-0".to_owned(), started_ms: 1_799_998_000_000.0, told_ms: 1_799_999_990_000 };
     let figures = BTreeMap::from([("price".to_owned(), -3.5), ("service".to_owned(), 0.25)]);
     let owners = ["all", "class/chat", "kind/large", "zone/east-a", "node/s-1"];
     Snapshot {
         instance: "proxy-1".to_owned(),
         life: 4,
         written_ms: 1_799_999_999_000,
-        list: Listing { version: 12, full: true, machines },
+        list: ServerList { version: 12, full: true, machines },
         told_ms: 1_799_999_998_500,
         left: vec![left],
         learnt: owners.map(|owner| (owner.to_owned(), figures.clone())).into(),
@@ -60,5 +63,5 @@
 
 #[test]
 fn the_files_of_a_folder_have_the_names_of_earlier_versions() {
-    assert_eq!([FILE, FRESH, LOCK], ["snapshot", "snapshot.new", "lock"]);
+    assert_eq!([SNAPSHOT_FILE, NEW_SNAPSHOT_FILE, LOCK_FILE], ["snapshot", "snapshot.new", "lock"]);
 }
--- a/crates/known/tests/known.rs
+++ b/crates/known/tests/known.rs
@@ -3,17 +3,20 @@
 use std::collections::BTreeMap;
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::believe::{Believed, FRESH_MS, Fate, LEARNT_MS, LIST_MS, Part, believe};
-use mosshead_known::listing::{Listing, Machine};
-use mosshead_known::snapshot::{Left, Snapshot, Spoilt, frame, read, write};
+use mosshead_known::restore::{
+    FRESH_LEARNED_AGE_MS, MAX_LEARNED_AGE_MS, MAX_LIST_AGE_MS, PartOutcome, RestoredState, SnapshotPart,
+    restore,
+};
+use mosshead_known::server_list::{ListedServer, ServerList};
+use mosshead_known::snapshot::{EndedServer, Snapshot, SnapshotError, frame, read, write};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const NOW: u64 = 1_800_000_000_000;
 
-fn machine(id: &str, readiness: Readiness, started_ms: f64) -> Machine {
+fn machine(id: &str, readiness: Readiness, started_ms: f64) -> ListedServer {
     let port = 5000 + id.len() as u16;
-    Machine {
+    ListedServer {
         id: id.to_owned(),
         addr: format!("127.0.0.1:{port}").parse().expect("an address"),
         zone: "z".to_owned(),
@@ -25,9 +28,9 @@
     }
 }
 
-fn listing(version: u64, machines: &[(&str, Readiness)]) -> Listing {
+fn server_list(version: u64, machines: &[(&str, Readiness)]) -> ServerList {
     let machines = machines.iter().map(|(id, readiness)| machine(id, *readiness, 0.0)).collect();
-    Listing { version, full: true, machines }
+    ServerList { version, full: true, machines }
 }
 
 fn snapshot() -> Snapshot {
@@ -36,24 +39,27 @@
         instance: "n3".to_owned(),
         life: 4,
         written_ms: NOW - 1000,
-        list: listing(12, &[("a", Readiness::Ready), ("bb", Readiness::Draining), ("ccc", Readiness::Ready)]),
+        list: server_list(
+            12,
+            &[("a", Readiness::Ready), ("bb", Readiness::Draining), ("ccc", Readiness::Ready)],
+        ),
         told_ms: NOW - 1500,
         left: vec![
-            Left { id: "bb".to_owned(), started_ms: 0.0, told_ms: NOW - 4000 },
-            Left { id: "dddd".to_owned(), started_ms: 0.0, told_ms: NOW - 9000 },
+            EndedServer { id: "bb".to_owned(), started_ms: 0.0, told_ms: NOW - 4000 },
+            EndedServer { id: "dddd".to_owned(), started_ms: 0.0, told_ms: NOW - 9000 },
         ],
         learnt: BTreeMap::from([("class/book-lesson".to_owned(), figures)]),
     }
 }
 
-fn fates(believed: &Believed) -> Vec<Fate> {
-    let parts = [Part::List, Part::Drains, Part::Learnt];
-    assert_eq!(believed.verdicts.iter().map(|verdict| verdict.part).collect::<Vec<_>>(), parts);
-    believed.verdicts.iter().map(|verdict| verdict.fate).collect()
+fn outcomes(restored: &RestoredState) -> Vec<PartOutcome> {
+    let parts = [SnapshotPart::List, SnapshotPart::EndedServers, SnapshotPart::LearnedValues];
+    assert_eq!(restored.reports.iter().map(|report| report.part).collect::<Vec<_>>(), parts);
+    restored.reports.iter().map(|report| report.outcome).collect()
 }
 
-fn ready(believed: &Believed) -> Vec<&str> {
-    let ready = believed.list.machines.iter().filter(|machine| machine.readiness == Readiness::Ready);
+fn ready(restored: &RestoredState) -> Vec<&str> {
+    let ready = restored.list.machines.iter().filter(|machine| machine.readiness == Readiness::Ready);
     ready.map(|machine| machine.id.as_str()).collect()
 }
 
@@ -77,63 +83,68 @@
         assert!(read(&bytes).is_err(), "bit {at}");
     }
     let longer = [bytes.as_slice(), b"x"].concat();
-    assert!(matches!(read(&longer), Err(Spoilt::Length { .. })));
+    assert!(matches!(read(&longer), Err(SnapshotError::WrongLength { .. })));
     let later = String::from_utf8(bytes).expect("text").replacen("snapshot 1", "snapshot 2", 1);
-    assert_eq!(read(later.as_bytes()), Err(Spoilt::Format(2)));
+    assert_eq!(read(later.as_bytes()), Err(SnapshotError::UnsupportedFormat(2)));
 }
 
 /// The platform's list is of before the drain; the former life was told of it.
 #[test]
 fn a_node_that_a_former_life_knew_to_drain_stays_out() {
-    let given = listing(5, &[("a", Readiness::Ready), ("bb", Readiness::Ready), ("dddd", Readiness::Ready)]);
-    let believed = believe(&given, Ok(snapshot()), "n3", NOW);
-    assert_eq!(fates(&believed), [Fate::Taken; 3], "{:?}", believed.verdicts);
-    assert_eq!((ready(&believed), believed.life, believed.merged), (vec!["a", "ccc"], 5, false));
+    let given =
+        server_list(5, &[("a", Readiness::Ready), ("bb", Readiness::Ready), ("dddd", Readiness::Ready)]);
+    let restored = restore(&given, Ok(snapshot()), "n3", NOW);
+    assert_eq!(outcomes(&restored), [PartOutcome::Restored; 3], "{:?}", restored.reports);
+    assert_eq!((ready(&restored), restored.life, restored.merged), (vec!["a", "ccc"], 5, false));
     // The platform wrote its list after the snapshot: that is the base, and what drained stays out of it.
-    let given = Listing { version: 20, ..given };
-    let believed = believe(&given, Ok(snapshot()), "n3", NOW);
-    assert_eq!(fates(&believed)[..2], [Fate::Thrown, Fate::Taken]);
-    assert_eq!((ready(&believed), believed.merged), (vec!["a"], true));
+    let given = ServerList { version: 20, ..given };
+    let restored = restore(&given, Ok(snapshot()), "n3", NOW);
+    assert_eq!(outcomes(&restored)[..2], [PartOutcome::Discarded, PartOutcome::Restored]);
+    assert_eq!((ready(&restored), restored.merged), (vec!["a"], true));
     // One that has started since is another matter.
     let mut given = given;
     given.machines[1].started_ms = 77.0;
-    assert_eq!(ready(&believe(&given, Ok(snapshot()), "n3", NOW)), ["a", "bb"]);
+    assert_eq!(ready(&restore(&given, Ok(snapshot()), "n3", NOW)), ["a", "bb"]);
 }
 
 /// Danger: an old word on drains must not empty a fleet.
 #[test]
 fn drains_do_not_empty_the_list() {
-    let given = listing(20, &[("bb", Readiness::Ready), ("dddd", Readiness::Ready)]);
-    let believed = believe(&given, Ok(snapshot()), "n3", NOW);
-    assert_eq!(fates(&believed)[1], Fate::Thrown);
-    assert_eq!((believed.list, believed.merged), (given, false));
+    let given = server_list(20, &[("bb", Readiness::Ready), ("dddd", Readiness::Ready)]);
+    let restored = restore(&given, Ok(snapshot()), "n3", NOW);
+    assert_eq!(outcomes(&restored)[1], PartOutcome::Discarded);
+    assert_eq!((restored.list, restored.merged), (given, false));
 }
 
 /// Each part by itself: of another instance, of the future, old by one part's bound and not by the other's.
 #[test]
 fn each_part_is_judged_by_itself() {
-    let given = listing(5, &[("a", Readiness::Ready), ("bb", Readiness::Ready)]);
-    let judge = |snapshot: Snapshot, now| believe(&given, Ok(snapshot), "n3", now);
+    let given = server_list(5, &[("a", Readiness::Ready), ("bb", Readiness::Ready)]);
+    let judge = |snapshot: Snapshot, now| restore(&given, Ok(snapshot), "n3", now);
     let foreign = judge(Snapshot { instance: "n4".to_owned(), ..snapshot() }, NOW);
-    assert_eq!((fates(&foreign), &foreign.list, foreign.life), (vec![Fate::Thrown; 3], &given, 1));
-    assert!(foreign.verdicts[0].why.contains("n4"));
+    assert_eq!(
+        (outcomes(&foreign), &foreign.list, foreign.life),
+        (vec![PartOutcome::Discarded; 3], &given, 1)
+    );
+    assert!(foreign.reports[0].reason.to_string().contains("n4"));
     // The clock went back by an hour: the list and what was learnt do not count, the drains only take away.
     let back = judge(snapshot(), NOW - 3_600_000);
-    assert_eq!(fates(&back), [Fate::Thrown, Fate::Taken, Fate::Thrown]);
+    assert_eq!(outcomes(&back), [PartOutcome::Discarded, PartOutcome::Restored, PartOutcome::Discarded]);
     assert_eq!((ready(&back), back.merged), (vec!["a"], true));
-    let aged = judge(snapshot(), snapshot().written_ms + FRESH_MS + 1);
-    assert_eq!(fates(&aged), [Fate::Taken, Fate::Taken, Fate::Aged]);
-    let cold = judge(snapshot(), snapshot().written_ms + LEARNT_MS + 1);
-    assert_eq!(fates(&cold), [Fate::Taken, Fate::Taken, Fate::Thrown]);
+    let aged = judge(snapshot(), snapshot().written_ms + FRESH_LEARNED_AGE_MS + 1);
+    assert_eq!(outcomes(&aged), [PartOutcome::Restored, PartOutcome::Restored, PartOutcome::Outdated]);
+    let cold = judge(snapshot(), snapshot().written_ms + MAX_LEARNED_AGE_MS + 1);
+    assert_eq!(outcomes(&cold), [PartOutcome::Restored, PartOutcome::Restored, PartOutcome::Discarded]);
     assert!(cold.learnt.is_none());
-    let old = judge(snapshot(), snapshot().told_ms + LIST_MS + 1);
-    assert_eq!(fates(&old), [Fate::Thrown, Fate::Aged, Fate::Thrown]);
+    let old = judge(snapshot(), snapshot().told_ms + MAX_LIST_AGE_MS + 1);
+    assert_eq!(outcomes(&old), [PartOutcome::Discarded, PartOutcome::Outdated, PartOutcome::Discarded]);
     assert_eq!(old.list, given);
     let hearsay = judge(Snapshot { told_ms: 0, ..snapshot() }, NOW);
-    assert_eq!(fates(&hearsay)[0], Fate::Thrown);
-    for spoilt in [Spoilt::Empty, Spoilt::Checksum, Spoilt::Format(9)] {
-        let believed = believe(&given, Err(spoilt), "n3", NOW);
-        assert_eq!((fates(&believed), &believed.list), (vec![Fate::Thrown; 3], &given));
+    assert_eq!(outcomes(&hearsay)[0], PartOutcome::Discarded);
+    for error in [SnapshotError::Empty, SnapshotError::ChecksumMismatch, SnapshotError::UnsupportedFormat(9)]
+    {
+        let restored = restore(&given, Err(error), "n3", NOW);
+        assert_eq!((outcomes(&restored), &restored.list), (vec![PartOutcome::Discarded; 3], &given));
     }
 }
 
@@ -141,13 +152,13 @@
     prop::sample::select(vec![Readiness::Ready, Readiness::Draining, Readiness::Removed])
 }
 
-fn any_list() -> impl Strategy<Value = Listing> {
+fn any_list() -> impl Strategy<Value = ServerList> {
     let line = (0_usize..6, readiness(), prop::sample::select(vec![0.0, 7.0]));
     (0_u64..9, prop::collection::btree_map(0_usize..6, line, 0..6)).prop_map(|(version, lines)| {
         let name = |at: usize| "x".repeat(at + 1);
         let machines =
             lines.into_iter().map(|(at, (_, readiness, started))| machine(&name(at), readiness, started));
-        Listing { version, full: true, machines: machines.collect() }
+        ServerList { version, full: true, machines: machines.collect() }
     })
 }
 
@@ -164,22 +175,22 @@
         written in 0_u64..1_200_000,
         told in 0_u64..1_200_000,
     ) {
-        let left: Vec<Left> = left
+        let left: Vec<EndedServer> = left
             .into_iter()
-            .map(|(at, started_ms, ago)| Left { id: "x".repeat(at + 1), started_ms, told_ms: NOW + 5000 - ago })
+            .map(|(at, started_ms, ago)| EndedServer { id: "x".repeat(at + 1), started_ms, told_ms: NOW + 5000 - ago })
             .collect();
         let (written_ms, told_ms) = (NOW + 5000 - written, NOW + 5000 - told);
         let found = Snapshot { list: list.clone(), left: left.clone(), written_ms, told_ms, ..snapshot() };
-        let believed = believe(&given, Ok(found), "n3", NOW);
-        let targets = |list: &Listing| -> Vec<Machine> {
+        let restored = restore(&given, Ok(found), "n3", NOW);
+        let targets = |list: &ServerList| -> Vec<ListedServer> {
             list.machines.iter().filter(|machine| machine.readiness == Readiness::Ready).cloned().collect()
         };
-        let base = if believed.told_ms > 0 { &list } else { &given };
-        let (kept, named) = (targets(&believed.list), targets(base));
+        let base = if restored.told_ms > 0 { &list } else { &given };
+        let (kept, named) = (targets(&restored.list), targets(base));
         prop_assert!(kept.iter().all(|machine| named.contains(machine)));
         prop_assert!(!kept.is_empty() || named.is_empty());
-        let gone = |machine: &Machine| {
-            left.iter().any(|left| left.id == machine.id && left.started_ms == machine.started_ms && NOW + 2000 >= left.told_ms && NOW.saturating_sub(left.told_ms) <= LIST_MS)
+        let gone = |machine: &ListedServer| {
+            left.iter().any(|left| left.id == machine.id && left.started_ms == machine.started_ms && NOW + 2000 >= left.told_ms && NOW.saturating_sub(left.told_ms) <= MAX_LIST_AGE_MS)
         };
         prop_assert!(!kept.iter().any(gone) || named.iter().all(gone));
     }
--- a/crates/known/tests/shared/mod.rs
+++ b/crates/known/tests/shared/mod.rs
@@ -1,8 +1,8 @@
 //! What holds of any bytes that a folder may hold: for the corpus, and for the fuzz target.
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::believe::believe;
-use mosshead_known::listing::Listing;
+use mosshead_known::restore::restore;
+use mosshead_known::server_list::ServerList;
 use mosshead_known::snapshot::{read, write};
 
 /// The clock of whoever reads them.
@@ -16,9 +16,9 @@
         assert_eq!(read(&write(snapshot)).as_ref(), Ok(snapshot));
     }
     let listed = found.as_ref().map_or(Vec::new(), |snapshot| snapshot.list.machines.clone());
-    let given = Listing { version: 3, full: true, machines: Vec::new() };
-    let believed = believe(&given, found, "n3", NOW);
-    assert_eq!(believed.verdicts.len(), 3);
-    let ready = believed.list.machines.iter().filter(|machine| machine.readiness == Readiness::Ready);
+    let given = ServerList { version: 3, full: true, machines: Vec::new() };
+    let restored = restore(&given, found, "n3", NOW);
+    assert_eq!(restored.reports.len(), 3);
+    let ready = restored.list.machines.iter().filter(|machine| machine.readiness == Readiness::Ready);
     assert!(ready.into_iter().all(|machine| listed.contains(machine)));
 }
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -32,7 +32,7 @@
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
 use mosshead_decide::{NameTable, RecoveryBlocker, RecoveryStage};
-use mosshead_known::listing::{Listing, Machine};
+use mosshead_known::server_list::{ListedServer, ServerList};
 use mosshead_settings::NamedSettings;
 
 /// The wait that a requeue notice asks for where the proxy is too full for the module to see the job.
@@ -131,7 +131,7 @@
     }
 
     /// The machine list as it is known now.
-    pub(crate) async fn known(&self) -> Option<Listing> {
+    pub(crate) async fn known(&self) -> Option<ServerList> {
         let (asked, listing) = oneshot::channel();
         self.send(Mail::Known(asked));
         listing.await.ok()
@@ -192,7 +192,7 @@
 
 /// An execute node, as long as the list has it or something is out there.
 struct Node {
-    machine: Machine,
+    machine: ListedServer,
     mailbox: UnboundedSender<NodeMail>,
     listed: bool,
     /// When it started, in the module's time; none for long ago.
@@ -372,7 +372,7 @@
                 self.tell(Event::ListUpdated(ListUpdate::Failed));
                 self.schedule(self.now() + AGENT_AGAIN, Due::Agent);
             }
-            Mail::List(Some(Listing { version, full, machines })) => {
+            Mail::List(Some(ServerList { version, full, machines })) => {
                 self.version = version;
                 let before = if self.stored.is_some() { self.known().machines } else { Vec::new() };
                 let entries = self.listing(machines, full);
@@ -398,9 +398,9 @@
     }
 
     /// The list as it is known now.
-    fn known(&self) -> Listing {
+    fn known(&self) -> ServerList {
         let listed = self.nodes.iter().filter(|node| node.listed);
-        Listing {
+        ServerList {
             version: self.version,
             full: true,
             machines: listed.map(|node| node.machine.clone()).collect(),
@@ -650,7 +650,7 @@
     }
 
     /// Tells the execute nodes what the list says of them, and puts it in the module's terms.
-    fn listing(&mut self, machines: Vec<Machine>, full: bool) -> Vec<ListEntry> {
+    fn listing(&mut self, machines: Vec<ListedServer>, full: bool) -> Vec<ListEntry> {
         if full {
             self.nodes.iter_mut().for_each(|node| node.listed = false);
         }
@@ -692,13 +692,13 @@
 
     /// When a machine started. Danger: with a clock that is behind all that starts looks as if it started later than now, and would be
     /// held for cold until then: it has started by now, whatever its clock says.
-    fn started_at(&self, machine: &Machine) -> Option<Seconds> {
+    fn started_at(&self, machine: &ListedServer) -> Option<Seconds> {
         let at = (machine.started_ms - self.start_unix_ms) / 1000.0;
         (machine.started_ms > 0.0).then(|| if at > self.now() + CLOCK { self.now() } else { at })
     }
 
     /// Starts the actor of an execute node that is new here, under a number that nobody has.
-    fn number(&mut self, machine: Machine, told: Told) -> usize {
+    fn number(&mut self, machine: ListedServer, told: Told) -> usize {
         let mailbox = server::start(&self.limits, self.budget.clone(), told);
         let at = self.free.pop().unwrap_or(self.nodes.len());
         self.numbers.insert(machine.id.clone(), at);
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -6,7 +6,7 @@
 
 use crate::errors::ConfigError;
 use crate::operators::Operators;
-use mosshead_known::listing::{Listing, read_listing};
+use mosshead_known::server_list::{ServerList, read_server_list};
 use mosshead_settings::{self as settings, JsonField, NamedSettings};
 use tinyjson::JsonValue;
 
@@ -27,7 +27,7 @@
     pub(crate) seed: u64,
     pub(crate) memory_mb: f64,
     pub(crate) sockets: u64,
-    pub(crate) known: Listing,
+    pub(crate) known: ServerList,
     pub(crate) named: NamedSettings,
     /// What the operators grant beside it, from the start on.
     pub operators: Operators,
@@ -76,7 +76,7 @@
                 .map_err(|_| seed.broken_rule("not a number in hex"))?,
             memory_mb: limits.field("memory_mb")?.number()?,
             sockets: sockets.integer()?,
-            known: read_listing(&top.field("known")?)?,
+            known: read_server_list(&top.field("known")?)?,
             named,
             operators: Operators::default(),
             json: Arc::new(json),
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -20,7 +20,7 @@
 use mosshead_comeback::WatchReopening;
 use mosshead_decide::interface::Seconds;
 use mosshead_http_links::{BodyError, CloseReason, read_body};
-use mosshead_known::listing::{Listing, read_listing};
+use mosshead_known::server_list::{ServerList, read_server_list};
 use mosshead_settings::{self as settings, JsonError, JsonField};
 
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
@@ -142,7 +142,7 @@
 impl Told {
     /// Whether a list is older than what was told before. Danger: taken for new, it makes nodes that drain or have gone
     /// into targets again.
-    fn is_older(&mut self, listing: &Listing, now: Instant) -> bool {
+    fn is_older(&mut self, listing: &ServerList, now: Instant) -> bool {
         if listing.version >= self.version {
             (self.version, self.older) = (listing.version, None);
             return false;
@@ -157,7 +157,7 @@
 }
 
 enum Watched {
-    Answered(Result<Listing, ListError>),
+    Answered(Result<ServerList, ListError>),
     Moved(SocketAddr),
     Closed,
 }
@@ -252,13 +252,13 @@
         self.discovery = discovery;
     }
 
-    async fn call(&mut self, held: Option<u64>) -> Result<Listing, ListError> {
+    async fn call(&mut self, held: Option<u64>) -> Result<ServerList, ListError> {
         let wait = held.map_or(Duration::ZERO, |_| HOLD);
         let timed_out = ListError::TimedOut { watching: held.is_some() };
         let text = timeout(wait + LATE, self.fetch(held)).await.map_err(|_| timed_out)??;
         let text = str::from_utf8(&text)?;
         let json = settings::parse_json(text)?;
-        let listing = read_listing(&JsonField::root(&json))?;
+        let listing = read_server_list(&JsonField::root(&json))?;
         match held {
             None if !listing.full => Err(ListError::ChangesForWholeList),
             Some(held) if !listing.full && listing.version < held => {
@@ -308,7 +308,7 @@
     /// lost for good must not be disbelieved for ever.
     #[test]
     fn an_older_list_is_not_taken_before_its_time() {
-        let listing = |version| Listing { version, full: true, machines: Vec::new() };
+        let listing = |version| ServerList { version, full: true, machines: Vec::new() };
         let (mut told, now) = (Told::default(), Instant::now());
         assert!(!told.is_older(&listing(7), now));
         assert!(told.is_older(&listing(5), now + OLDER));
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -34,7 +34,7 @@
 use crate::budget::Budget;
 use crate::lifecycle::Control;
 use crate::log::say;
-use mosshead_known::listing::{Listing, read_listing, write_listing};
+use mosshead_known::server_list::{ServerList, read_server_list, write_server_list};
 use mosshead_settings::{self as settings, JsonError, JsonField};
 
 /// A predecessor hands over within this time, or there is none.
@@ -94,7 +94,7 @@
 /// What a predecessor has handed over.
 pub(crate) struct Taken {
     pub(crate) listener: Listening,
-    pub(crate) known: Listing,
+    pub(crate) known: ServerList,
     pub(crate) link: (BufReader<OwnedReadHalf>, OwnedWriteHalf),
 }
 
@@ -141,7 +141,7 @@
     reader.read_exact(&mut text).await?;
     let text = String::from_utf8(text)?;
     let json = settings::parse_json(&text)?;
-    let known = read_listing(&JsonField::root(&json))?;
+    let known = read_server_list(&JsonField::root(&json))?;
     Ok(Some(Taken { listener, known, link: (reader, writer) }))
 }
 
@@ -412,7 +412,7 @@
         }
         let stream = reader.into_inner().reunite(writer).ok()?;
         let listener = self.listener.borrow().clone()?;
-        let list = write_listing(&self.module.known().await?)?;
+        let list = write_server_list(&self.module.known().await?)?;
         loop {
             stream.writable().await.ok()?;
             match stream.try_io(Interest::WRITABLE, || hand(&stream, &*listener)) {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -48,8 +48,8 @@
 use handover::{Handover, Shares};
 use lifecycle::Control;
 use mosshead_decide::interface::Seconds;
-use mosshead_known::believe::believe;
-use mosshead_known::snapshot::Spoilt;
+use mosshead_known::restore::restore;
+use mosshead_known::snapshot::SnapshotError;
 use snapshot_writer::Keeper;
 use stored_state::Stored;
 
@@ -166,10 +166,10 @@
     // A stop does not wait for this thread, as it would for the runtime's own.
     std::thread::spawn(move || drop(read.send(snapshot_writer::read(&from))));
     let found = timeout(snapshot_writer::PATIENCE, found).await.ok().and_then(Result::ok);
-    let found = found.unwrap_or(Err(Spoilt::TimedOut));
-    let believed = believe(&config.known, found, &config.name, stored_state::unix_ms());
-    for verdict in &believed.verdicts {
-        say!(part = %verdict.part, fate = %verdict.fate, why = %verdict.why, life = believed.life, "former life");
+    let found = found.unwrap_or(Err(SnapshotError::TimedOut));
+    let believed = restore(&config.known, found, &config.name, stored_state::unix_ms());
+    for verdict in &believed.reports {
+        say!(part = %verdict.part, fate = %verdict.outcome, why = %verdict.reason, life = believed.life, "former life");
     }
     if !handed_over {
         config.known = believed.list.clone();
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -14,7 +14,7 @@
 use crate::class_table::Terms;
 use crate::errors::ApplySettingsError;
 use crate::load_report::OutboundConnection;
-use mosshead_known::listing::Listing;
+use mosshead_known::server_list::ServerList;
 
 /// What passes through the proxy unchanged.
 #[derive(Debug)]
@@ -81,9 +81,9 @@
         rtt: Seconds,
         report: LoadReport,
     },
-    List(Option<Listing>),
+    List(Option<ServerList>),
     /// What is known of the list, for a successor.
-    Known(oneshot::Sender<Listing>),
+    Known(oneshot::Sender<ServerList>),
     /// The last byte of a job's body has come.
     Whole(RequestId),
     /// Other settings, and whom to tell what submitters may name from now on.
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -10,7 +10,9 @@
 use std::thread;
 use std::time::Duration;
 
-use mosshead_known::snapshot::{self, FILE, FRESH, LARGEST, LOCK, Snapshot, Spoilt};
+use mosshead_known::snapshot::{
+    self, LOCK_FILE, MAX_SNAPSHOT_LEN, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, SnapshotError,
+};
 
 use crate::log::{Bounded, say};
 
@@ -20,27 +22,27 @@
 pub(crate) const PATIENCE: Duration = Duration::from_millis(1000);
 
 /// What a folder holds.
-pub(crate) fn read(folder: &Path) -> Result<Snapshot, Spoilt> {
-    let wrong = |error: io::Error| Spoilt::Unreadable(error.to_string());
+pub(crate) fn read(folder: &Path) -> Result<Snapshot, SnapshotError> {
+    let wrong = |error: io::Error| SnapshotError::Unreadable(error.to_string());
     let mut bytes = Vec::new();
-    match File::open(folder.join(FILE)) {
-        Ok(file) => file.take(LARGEST as u64 + 1).read_to_end(&mut bytes).map_err(wrong)?,
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return Err(Spoilt::Empty),
+    match File::open(folder.join(SNAPSHOT_FILE)) {
+        Ok(file) => file.take(MAX_SNAPSHOT_LEN as u64 + 1).read_to_end(&mut bytes).map_err(wrong)?,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Err(SnapshotError::Empty),
         Err(error) => return Err(wrong(error)),
     };
-    if bytes.len() > LARGEST {
-        return Err(Spoilt::Length { stated: LARGEST, found: bytes.len() });
+    if bytes.len() > MAX_SNAPSHOT_LEN {
+        return Err(SnapshotError::WrongLength { stated: MAX_SNAPSHOT_LEN, found: bytes.len() });
     }
     snapshot::read(&bytes)
 }
 
 /// Writes a snapshot, whole or not at all: a file beside the old one, which takes its place once the disk has it.
 fn write(folder: &Path, snapshot: &Snapshot) -> io::Result<()> {
-    let fresh = folder.join(FRESH);
+    let fresh = folder.join(NEW_SNAPSHOT_FILE);
     let mut file = File::create(&fresh)?;
     file.write_all(&snapshot::write(snapshot))?;
     file.sync_data()?;
-    fs::rename(fresh, folder.join(FILE))?;
+    fs::rename(fresh, folder.join(SNAPSHOT_FILE))?;
     // Danger: without this a machine that loses its power may have neither file.
     File::open(folder)?.sync_all()
 }
@@ -105,7 +107,7 @@
 /// one would write over what the other knows. The kernel frees a lock whose holder has died.
 fn locked(folder: &Path, lock: &mut Option<File>) -> io::Result<()> {
     if lock.is_none() {
-        let file = File::create(folder.join(LOCK))?;
+        let file = File::create(folder.join(LOCK_FILE))?;
         file.try_lock().map_err(|error| match error {
             fs::TryLockError::WouldBlock => io::Error::other("another process keeps its state there"),
             fs::TryLockError::Error(error) => error,
@@ -118,7 +120,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use mosshead_known::listing::Listing;
+    use mosshead_known::server_list::ServerList;
     use std::collections::BTreeMap;
 
     fn snapshot(life: u64) -> Snapshot {
@@ -126,7 +128,7 @@
             instance: "n1".to_owned(),
             life,
             written_ms: 7,
-            list: Listing { version: 1, full: true, machines: Vec::new() },
+            list: ServerList { version: 1, full: true, machines: Vec::new() },
             told_ms: 0,
             left: Vec::new(),
             learnt: BTreeMap::new(),
@@ -138,11 +140,11 @@
     fn a_writer_may_end_at_every_step() {
         let folder = tempfile::tempdir().expect("a folder");
         let folder = folder.path();
-        assert_eq!(read(folder), Err(Spoilt::Empty));
+        assert_eq!(read(folder), Err(SnapshotError::Empty));
         write(folder, &snapshot(1)).expect("written");
         let bytes = snapshot::write(&snapshot(2));
         for cut in 0..=bytes.len() {
-            fs::write(folder.join(FRESH), &bytes[..cut]).expect("a part");
+            fs::write(folder.join(NEW_SNAPSHOT_FILE), &bytes[..cut]).expect("a part");
             assert_eq!(read(folder), Ok(snapshot(1)), "ended at byte {cut}");
         }
         write(folder, &snapshot(3)).expect("written over what was left");
@@ -155,7 +157,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let folder = folder.path();
         write(folder, &snapshot(1)).expect("written");
-        std::os::unix::fs::symlink("/dev/full", folder.join(FRESH)).expect("a link");
+        std::os::unix::fs::symlink("/dev/full", folder.join(NEW_SNAPSHOT_FILE)).expect("a link");
         let error = write(folder, &snapshot(2)).expect_err("no room");
         assert_eq!(error.kind(), io::ErrorKind::StorageFull);
         assert_eq!(read(folder), Ok(snapshot(1)));
@@ -176,7 +178,7 @@
     #[test]
     fn what_is_too_large_is_not_read() {
         let folder = tempfile::tempdir().expect("a folder");
-        fs::write(folder.path().join(FILE), vec![b'x'; LARGEST + 10]).expect("written");
-        assert!(matches!(read(folder.path()), Err(Spoilt::Length { .. })));
+        fs::write(folder.path().join(SNAPSHOT_FILE), vec![b'x'; MAX_SNAPSHOT_LEN + 10]).expect("written");
+        assert!(matches!(read(folder.path()), Err(SnapshotError::WrongLength { .. })));
     }
 }
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -5,9 +5,9 @@
 
 use mosshead_decide::interface::*;
 use mosshead_decide::{LearnedValue, NameTable, Subject};
-use mosshead_known::believe::Believed;
-use mosshead_known::listing::{Listing, Machine};
-use mosshead_known::snapshot::{Figures, LEFT_MOST, Left, Snapshot};
+use mosshead_known::restore::RestoredState;
+use mosshead_known::server_list::{ListedServer, ServerList};
+use mosshead_known::snapshot::{EndedServer, LearnedFigures, MAX_ENDED_SERVERS, Snapshot};
 
 use crate::snapshot_writer::Keeper;
 
@@ -24,14 +24,14 @@
     /// When discovery last told its list, in this life or a former one.
     told_ms: u64,
     /// Nodes that drain or have gone.
-    left: Vec<Left>,
+    left: Vec<EndedServer>,
     /// What a former life learnt, and how old that is, until this one starts from it.
-    learnt: Option<(BTreeMap<String, Figures>, Seconds)>,
+    learnt: Option<(BTreeMap<String, LearnedFigures>, Seconds)>,
 }
 
 impl Stored {
-    pub(crate) fn new(keeper: Keeper, instance: &str, believed: Believed) -> Self {
-        let Believed { told_ms, left, learnt, life, .. } = believed;
+    pub(crate) fn new(keeper: Keeper, instance: &str, believed: RestoredState) -> Self {
+        let RestoredState { told_ms, left, learnt, life, .. } = believed;
         Self { keeper, instance: instance.to_owned(), life, told_ms, left, learnt }
     }
 
@@ -40,10 +40,10 @@
     }
 
     /// Discovery has told this of the nodes that were on the list before, or are on it now.
-    pub(crate) fn told<'a>(&mut self, before: &[Machine], now: impl Iterator<Item = &'a Machine>) {
+    pub(crate) fn told<'a>(&mut self, before: &[ListedServer], now: impl Iterator<Item = &'a ListedServer>) {
         self.told_ms = unix_ms();
-        let now: BTreeMap<&str, &Machine> = now.map(|machine| (machine.id.as_str(), machine)).collect();
-        let serves = |machine: &&&Machine| machine.readiness == Readiness::Ready;
+        let now: BTreeMap<&str, &ListedServer> = now.map(|machine| (machine.id.as_str(), machine)).collect();
+        let serves = |machine: &&&ListedServer| machine.readiness == Readiness::Ready;
         self.left.retain(|left| {
             let there = now.get(left.id.as_str()).filter(serves);
             there.is_none_or(|machine| machine.started_ms != left.started_ms)
@@ -51,17 +51,17 @@
         let gone = before.iter().filter(|machine| !now.contains_key(machine.id.as_str()));
         let drains = now.values().copied().filter(|machine| machine.readiness != Readiness::Ready);
         for machine in gone.chain(drains) {
-            let same = |left: &Left| left.id == machine.id && left.started_ms == machine.started_ms;
+            let same = |left: &EndedServer| left.id == machine.id && left.started_ms == machine.started_ms;
             if !self.left.iter().any(same) {
                 let (id, started_ms, told_ms) = (machine.id.clone(), machine.started_ms, self.told_ms);
-                self.left.push(Left { id, started_ms, told_ms });
+                self.left.push(EndedServer { id, started_ms, told_ms });
             }
         }
-        self.left.drain(..self.left.len().saturating_sub(LEFT_MOST));
+        self.left.drain(..self.left.len().saturating_sub(MAX_ENDED_SERVERS));
     }
 
     /// Leaves this to the next life.
-    pub(crate) fn keep(&self, list: Listing, learnt: BTreeMap<String, Figures>) {
+    pub(crate) fn keep(&self, list: ServerList, learnt: BTreeMap<String, LearnedFigures>) {
         self.keeper.keep(Snapshot {
             instance: self.instance.clone(),
             life: self.life,
@@ -74,7 +74,7 @@
     }
 
     /// What a former life learnt, once.
-    pub(crate) fn recall(&mut self) -> Option<(BTreeMap<String, Figures>, Seconds)> {
+    pub(crate) fn recall(&mut self) -> Option<(BTreeMap<String, LearnedFigures>, Seconds)> {
         self.learnt.take()
     }
 }
@@ -118,8 +118,8 @@
     }
 
     /// Names in place of numbers.
-    pub(crate) fn named(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, Figures> {
-        let mut all = BTreeMap::<String, Figures>::new();
+    pub(crate) fn named(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, LearnedFigures> {
+        let mut all = BTreeMap::<String, LearnedFigures>::new();
         for LearnedValue { subject: of, name, value } in figures {
             if let Some(of) = self.name(of) {
                 all.entry(of).or_default().insert(name, value);
@@ -129,7 +129,7 @@
     }
 
     /// Numbers in place of names; what has no number here is left out.
-    pub(crate) fn numbered(&self, named: &BTreeMap<String, Figures>) -> Vec<LearnedValue> {
+    pub(crate) fn numbered(&self, named: &BTreeMap<String, LearnedFigures>) -> Vec<LearnedValue> {
         let known = named.iter().filter_map(|(name, figures)| Some((self.number(name)?, figures)));
         let figures = known.flat_map(|(of, figures)| {
             figures.iter().map(move |(name, value)| LearnedValue {
@@ -185,7 +185,7 @@
     /// Guards drains over lives: what leaves the list or drains is remembered, what serves again is not.
     #[test]
     fn who_leaves_is_remembered_until_it_serves_again() {
-        let machine = |id: &str, readiness| Machine {
+        let machine = |id: &str, readiness| ListedServer {
             id: id.to_owned(),
             addr: "127.0.0.1:1".parse().expect("an address"),
             zone: String::new(),
@@ -197,9 +197,9 @@
         };
         let folder = tempfile::tempdir().expect("a folder");
         let keeper = Keeper::start(folder.path().to_owned()).expect("a thread");
-        let nothing = Listing { version: 0, full: true, machines: Vec::new() };
-        let found = Err(mosshead_known::snapshot::Spoilt::Empty);
-        let believed = mosshead_known::believe::believe(&nothing, found, "n", 0);
+        let nothing = ServerList { version: 0, full: true, machines: Vec::new() };
+        let found = Err(mosshead_known::snapshot::SnapshotError::Empty);
+        let believed = mosshead_known::restore::restore(&nothing, found, "n", 0);
         let mut stored = Stored::new(keeper, "n", believed);
         let (a, b) = (machine("a", Readiness::Ready), machine("b", Readiness::Ready));
         let drains = machine("b", Readiness::Draining);
@@ -210,9 +210,9 @@
         assert_eq!(left(&stored), ["b", "a"]);
         stored.told(&[drains], [&b].into_iter());
         assert_eq!(left(&stored), ["a"]);
-        for number in 0..2 * LEFT_MOST {
+        for number in 0..2 * MAX_ENDED_SERVERS {
             stored.told(&[machine(&number.to_string(), Readiness::Ready)], std::iter::empty());
         }
-        assert_eq!(stored.left.len(), LEFT_MOST);
+        assert_eq!(stored.left.len(), MAX_ENDED_SERVERS);
     }
 }
