--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -1,6 +1,6 @@
 //! How far the proxy has recovered since its start, as its events tell.
 
-use mosshead_comeback::{RecoveryBlocker, RecoveryStage};
+use mosshead_recovery::{RecoveryBlocker, RecoveryStage};
 
 use crate::Balancer;
 use crate::interface::{Action, Event, ListUpdate, Outcome, Seconds};
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use mosshead_comeback::{DiscoveryBackoff, InstanceLifecycle};
+use mosshead_recovery::{DiscoveryBackoff, InstanceLifecycle};
 use rand_core::RngCore;
 
 use super::class_stats::{ClassStats, MachineKindStats, TARGET_SERVICE_TIMES, ZoneStats};
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -17,10 +17,10 @@
 use crate::load_report::OutboundConnection;
 use crate::log::{Bounded, say};
 use crate::messages::Mail;
-use mosshead_comeback::WatchReopening;
 use mosshead_decide::interface::Seconds;
 use mosshead_http_links::{BodyError, CloseReason, read_body};
 use mosshead_known::server_list::{ServerList, read_server_list};
+use mosshead_recovery::WatchReopening;
 use mosshead_settings::{self as settings, JsonError, JsonField};
 
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
--- a/crates/comeback/tests/backoff.rs
+++ b/crates/recovery/tests/backoff.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use mosshead_comeback::{DiscoveryBackoff, WatchReopening};
+use mosshead_recovery::{DiscoveryBackoff, WatchReopening};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/comeback/tests/lifecycle.rs
+++ b/crates/recovery/tests/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The stages of recovery.
 
-use mosshead_comeback::{InstanceLifecycle, RecoveryBlocker, RecoveryStage};
+use mosshead_recovery::{InstanceLifecycle, RecoveryBlocker, RecoveryStage};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/simulate/src/host.rs
+++ b/crates/simulate/src/host.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use mosshead_comeback::WatchReopening;
 use mosshead_decide::interface::*;
+use mosshead_recovery::WatchReopening;
 use mosshead_world::discovery::Call;
 use mosshead_world::facts::{Answer, Verdict};
 use mosshead_world::queue::Queue;
