--- a/crates/registry/src/registry/anti_entropy.rs
+++ b/crates/registry/src/registry/anti_entropy.rs
@@ -26,7 +26,10 @@
         versions.any(|(&id, &version)| id != self.local_id && version > self.sources.known_version(id))
     }
 
-    /// The entries above a vector, at most `max_entries` and at least one. The vector of the delta covers just these.
+    /// The entries above a vector, at most `max_entries`, which counts as 1 if it is 0.
+    ///
+    /// The vector of the delta covers just these: a truncated delta ends within a source and does not name the sources
+    /// after it, so that the receiver asks for them again.
     pub fn missing_entries(&self, theirs: &VersionVector, max_entries: usize) -> Delta {
         let max_entries = max_entries.max(1);
         let mut delta = Delta { fingerprint: self.fingerprint, ..Delta::default() };
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -14,7 +14,8 @@
 /// A server that has been suspected for longer is removed.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A server is suspected after more than this many heartbeat intervals without a heartbeat, in fifths.
+/// A server is suspected after more than 3.2 heartbeat intervals without a heartbeat. Counted in fifths of an interval,
+/// so that the deadline is computed in whole numbers.
 const SUSPECTED_AFTER_FIFTHS: u32 = 16;
 
 /// When another source has to decide about a server, it is checked again after this.
@@ -101,6 +102,7 @@
         }
         let Some(record) = self.records.get(id) else { return false };
         let is_suspected = record.entry.server.is_suspected;
+        // Who received the last heartbeat suspects the server; who published the suspicion removes it.
         let responsible = if is_suspected { record.entry.source } else { record.last_receiver };
         if responsible != self.local_id && !self.is_source_lost(now, responsible) {
             self.schedule_check_at(id, now + RECHECK_INTERVAL);
@@ -131,6 +133,7 @@
         } else {
             heartbeat_deadline
         };
+        // The time has to be exceeded, not only reached.
         Some(last_instant + Duration::from_millis(1))
     }
 
--- a/crates/registry/src/registry/heartbeats.rs
+++ b/crates/registry/src/registry/heartbeats.rs
@@ -48,7 +48,7 @@
             return HeartbeatOutcome { is_outdated: true, needs_replication, ..HeartbeatOutcome::default() };
         }
         let known = &record.entry.server;
-        // A repeat can only bring the server closer to its removal.
+        // A repeated sequence number counts only if it reports a state closer to `Removed`.
         if server.sequence == record.last_sequence && server.state <= known.state {
             return self.unchanged(&server.id);
         }
@@ -59,6 +59,8 @@
         let has_same_properties = known.has_same_properties(&server);
         let has_moved = known.address != server.address;
         let (source, version) = (record.entry.source, record.entry.version);
+        // An entry above the known version of its source can't be given to other processes: it is published anew here,
+        // even if the heartbeat changes nothing.
         if has_same_properties
             && version <= self.sources.known_version(source)
             && !self.has_too_many_sources(now, source)
--- a/crates/registry/src/registry/storage.rs
+++ b/crates/registry/src/registry/storage.rs
@@ -1,4 +1,4 @@
-//! Stores entries: records, indexes, tombstones and the numbering of what is published here.
+//! Stores entries in memory: records, indexes, tombstones and the numbering of what is published here.
 
 use std::sync::Arc;
 
@@ -53,6 +53,7 @@
         let state_since = match self.records.get_mut(id) {
             Some(record) => {
                 let before = &record.entry.server;
+                // Another node is known to have the state that is replaced; `Up` never needs replication.
                 if !record.needs_replication(self.local_id, self.replicated_version) {
                     record.replicated_state = before.state;
                 }
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SourceIndex {
     sources: BTreeMap<SourceId, Source>,
-    /// How many of `sources` have no entries.
+    /// How many of `sources` have no entries, until [`SourceIndex::drop_empty_sources`].
     empty_sources: usize,
     /// When each other control node was last in contact.
     contacts: BTreeMap<SourceId, Instant>,
@@ -90,6 +90,7 @@
     /// When the source was last in contact or first seen, whichever is later.
     pub(crate) fn last_seen_at(&self, id: SourceId) -> Option<Instant> {
         let first_seen_at = self.sources.get(&id).map(|source| source.first_seen_at);
+        // `None` is less than any instant.
         first_seen_at.max(self.contacts.get(&id).copied())
     }
 
