--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -24,7 +24,7 @@
 /// The end of a valid sequence of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogEnd {
-    /// The offset behind the last record, in bytes.
+    /// The offset after the last record, in bytes.
     pub offset: u64,
     /// The number of records so far, which is the sequence of the next one.
     pub sequence: u64,
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -51,14 +51,14 @@
     next_generation: u64,
     /// The end of the records that are in the file.
     end: LogEnd,
-    /// The end of the records that a successful sync has covered; never behind `end`.
+    /// The end of the records that a successful sync has covered; its offset is at most that of `end`.
     synced_end: LogEnd,
     /// Written into each record. Grows with each opening and whenever records are rolled back, so that what is left of
     /// those is not taken for a successor of newer records.
     incarnation: u64,
     /// Whether the records that were found at the opening are durable.
     is_durable: bool,
-    /// Whether the file may have bytes behind `end`.
+    /// Whether the file may have bytes after `end`.
     has_torn_tail: bool,
     /// Whether the file was changed since the last successful sync.
     has_unsynced_changes: bool,
@@ -136,7 +136,7 @@
         self.is_durable
     }
 
-    /// The number of bytes behind the last valid record that were discarded at the opening.
+    /// The number of bytes after the last valid record that were discarded at the opening.
     pub fn discarded_bytes(&self) -> u64 {
         self.discarded_bytes
     }
@@ -160,6 +160,7 @@
         }
     }
 
+    /// Truncates the file to `end` if there may be bytes after it; tried again at each append and sync until it succeeds.
     fn truncate_torn_tail(&mut self) -> Result<(), LogError> {
         if self.has_torn_tail {
             self.has_unsynced_changes = true;
@@ -202,12 +203,12 @@
         }
     }
 
-    /// Drops the records behind `end`; those may remain in the file, so later ones get a higher incarnation.
+    /// Drops the records after `end`; those may remain in the file, so later ones get a higher incarnation.
     fn roll_back_to(&mut self, end: LogEnd) {
         self.end = end;
         self.incarnation = self.incarnation.saturating_add(1);
         self.has_torn_tail = true;
-        // At once, so that a process that starts after this one was killed does not find them either.
+        // Truncated at once, so that a process that starts after this one was killed does not find them either.
         let _ = self.truncate_torn_tail();
     }
 
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -44,6 +44,12 @@
     records: Vec<Vec<u8>>,
 }
 
+/// The outcome of an append that is not synced yet.
+struct Appended {
+    token: u64,
+    is_appended: bool,
+}
+
 /// What the thread and the handle share.
 #[derive(Debug, Default)]
 struct Shared {
@@ -138,8 +144,8 @@
         self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Notes the error, if any; whether the operation succeeded.
-    fn note(&self, result: Result<(), LogError>) -> bool {
+    /// Stores the code of the error, if any. Returns whether the operation succeeded.
+    fn record_result(&self, result: Result<(), LogError>) -> bool {
         match result {
             Ok(()) => true,
             Err(error) => {
@@ -169,9 +175,8 @@
         }
     }
 
-    /// Appends the records that wait, up to the next rewrite, which is returned unexecuted. In the group,
-    /// `is_durable` only says whether the append succeeded.
-    fn append_group(&mut self, first: WriteRequest) -> (Vec<WriteCompletion>, Option<Rewrite>) {
+    /// Appends the records that wait, up to the next rewrite, which is returned unexecuted.
+    fn append_group(&mut self, first: WriteRequest) -> (Vec<Appended>, Option<Rewrite>) {
         let mut group = Vec::new();
         let mut next = Some(first);
         while let Some(request) = next.take() {
@@ -179,9 +184,9 @@
                 WriteRequest::Append { token, record } => (token, record),
                 WriteRequest::Rewrite(rewrite) => return (group, Some(rewrite)),
             };
-            let is_appended = self.shared.note(self.log.append(&record));
+            let is_appended = self.shared.record_result(self.log.append(&record));
             self.shared.release(record.len() as u64);
-            group.push(WriteCompletion { token, is_durable: is_appended });
+            group.push(Appended { token, is_appended });
             if group.len() < MAX_GROUP_COMMIT {
                 next = self.requests.try_recv().ok();
             }
@@ -190,21 +195,18 @@
     }
 
     /// Syncs the appended records, then reports each: none is durable before the sync, and none if it failed.
-    fn commit_group(&mut self, group: Vec<WriteCompletion>) {
-        let has_records = group.iter().any(|appended| appended.is_durable);
-        let is_synced = has_records && self.shared.note(self.log.sync());
+    fn commit_group(&mut self, group: Vec<Appended>) {
+        let has_records = group.iter().any(|appended| appended.is_appended);
+        let is_synced = has_records && self.shared.record_result(self.log.sync());
         self.publish_length();
-        for appended in group {
-            (self.on_completion)(WriteCompletion {
-                is_durable: appended.is_durable && is_synced,
-                ..appended
-            });
+        for Appended { token, is_appended } in group {
+            (self.on_completion)(WriteCompletion { token, is_durable: is_appended && is_synced });
         }
     }
 
     fn rewrite(&mut self, rewrite: Rewrite) {
         let Rewrite { token, records } = rewrite;
-        let is_durable = self.shared.note(self.log.rewrite(&records));
+        let is_durable = self.shared.record_result(self.log.rewrite(&records));
         self.shared.release(total_length(&records));
         self.publish_length();
         drop(records);
