--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -12,12 +12,12 @@
 /// Contact points of one attempt to join.
 const CONTACTS_PER_JOIN: usize = 3;
 
-/// When to contact whom that isn't known as a member.
+/// When to contact addresses at which no member is known.
 pub(crate) struct Discovery {
     /// Whether the local member has received another's complete list, and isn't alone.
     has_joined: bool,
     next_join_at: Instant,
-    /// Delay before the next attempt but one.
+    /// Delay between the next attempt to join and the one after it.
     join_backoff: Duration,
     next_reconnect_at: Instant,
 }
@@ -68,7 +68,7 @@
         self.join_backoff = (self.join_backoff * 2).min(max_backoff);
         // Several contact points learn of the new member, so that the seeds know everybody; one sends its list.
         let mut contacts = state.contacts.next(CONTACTS_PER_JOIN, state.local_peer.address);
-        contacts.extend(state.random_alive_addresses(CONTACTS_PER_JOIN.saturating_sub(contacts.len()), ""));
+        contacts.extend(state.random_alive_addresses(CONTACTS_PER_JOIN.saturating_sub(contacts.len()), None));
         let mut contacts = contacts.into_iter();
         if let Some(first) = contacts.next() {
             synchronizer.request(state, first, out);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -19,7 +19,8 @@
 const LEAVE_REPETITIONS: u32 = 3;
 /// Members that each announcement of a shutdown is sent to.
 const LEAVE_FANOUT: usize = 6;
-/// Later instants are taken for this one, so that deadlines in the future never pass for due.
+/// Later instants are taken for this one. [`Instant`] saturates at [`Instant::FAR_FUTURE`], so near it a deadline in the
+/// future would be due at once.
 const LATEST_INSTANT: Instant = Instant::from_millis(1 << 62);
 
 /// One member of a fleet.
@@ -143,8 +144,9 @@
 
     /// Takes in the instant of a call.
     ///
-    /// A process that was suspended must not judge others by the time that it has missed, so everything that is due is put
-    /// off by a suspension that is longer than the probe timeout.
+    /// A process that did not run for a while (stopped, or its virtual machine paused) must not suspect others for the time
+    /// that it has missed itself. So a call that is late by more than the probe timeout puts off all timers by that delay,
+    /// except for the expiry of tombstones.
     pub(crate) fn advance(&mut self, now: Instant) {
         let now = now.clamp(self.state.now, LATEST_INSTANT);
         if self.is_started {
@@ -183,7 +185,7 @@
         self.state.table.next_expiry().map_or(next_timer, |expires_at| expires_at.min(next_timer))
     }
 
-    /// The first of the deadlines that are put off after a suspension.
+    /// The first of the deadlines that [`Membership::postpone_timers`] puts off.
     fn next_timer(&self) -> Instant {
         let probe = self.prober.next_deadline(self.state.settings.probe_timeout);
         let suspicion = self.state.suspicion_deadlines.values().min().copied();
--- a/crates/membership/src/outgoing.rs
+++ b/crates/membership/src/outgoing.rs
@@ -49,13 +49,18 @@
 
     /// Sends gossip to so many live members, drawn at random. They learn of the local state by it too.
     pub(crate) fn send_gossip(&mut self, count: usize, out: &mut Vec<Datagram>) {
-        for address in self.random_alive_addresses(count, "") {
+        for address in self.random_alive_addresses(count, None) {
             self.send(address, MessageBody::Gossip, None, out);
         }
     }
 
-    /// Addresses of up to `count` other members that are alive, without the one named `excluded`.
-    pub(crate) fn random_alive_addresses(&mut self, count: usize, excluded: &str) -> Vec<SocketAddrV4> {
+    /// Addresses of up to `count` other members that are alive, without the one named `excluded`, if any.
+    pub(crate) fn random_alive_addresses(
+        &mut self,
+        count: usize,
+        excluded: Option<&str>,
+    ) -> Vec<SocketAddrV4> {
+        // A draw may hit a member that isn't alive, or one that was drawn already.
         let max_draws = 4 * count + 8;
         let mut addresses: Vec<SocketAddrV4> = Vec::new();
         for _ in 0..max_draws {
@@ -64,7 +69,8 @@
             }
             let Some(name) = self.probe_order.draw(&mut *self.rng) else { break };
             let record = self.table.get(name);
-            let alive = record.filter(|record| record.state == MemberState::Alive && name != excluded);
+            let is_excluded = excluded == Some(name.as_str());
+            let alive = record.filter(|record| record.state == MemberState::Alive && !is_excluded);
             if let Some(address) = alive.map(|record| record.peer.address)
                 && !addresses.contains(&address)
             {
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -98,7 +98,7 @@
         }
         probe.is_repeated = true;
         let Some(address) = state.table.get(&probe.target).map(|record| record.peer.address) else { return };
-        for helper in state.random_alive_addresses(state.settings.indirect_probes, &probe.target) {
+        for helper in state.random_alive_addresses(state.settings.indirect_probes, Some(&probe.target)) {
             let (sequence, target) = (probe.sequence, probe.target.clone());
             state.send(helper, MessageBody::PingRequest { sequence, target, address }, None, out);
         }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -27,7 +27,8 @@
         let has_refuted = self.apply_updates(&message);
         let sender_override = self.state.overriding_update(&message.sender);
         self.respond(sender, &message, sender_override, &mut out);
-        // A sender that doesn't know what is believed of it, or that believes wrongly of this member, is notified at once.
+        // A sender that doesn't know what is believed of it, or that holds an outdated belief about this member, is notified
+        // at once, unless the response does it.
         let sender_override = self.state.overriding_update(&message.sender);
         let is_answered = out.iter().any(|datagram| datagram.destination == sender);
         if (has_refuted || sender_override.is_some()) && !is_answered {
@@ -39,7 +40,7 @@
         out
     }
 
-    /// Applies all updates of a message. Whether one of them made the local member refute.
+    /// Applies all updates of a message. Returns whether one of them made the local member refute.
     fn apply_updates(&mut self, message: &Message) -> bool {
         let source = match message.body {
             MessageBody::SyncResponse { .. } => UpdateSource::Sync,
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -12,13 +12,13 @@
 
 /// No encoded update is shorter.
 const MIN_UPDATE_LEN: usize = 16;
-/// A response that changes so many members is worth another request.
+/// A response that changes at least so many members is followed by another request, if the lists still differ.
 const CHANGES_WORTH_ANOTHER_REQUEST: u64 = 8;
 /// So many datagrams in a row with the same digest show that it is the local member that lacks something.
 const MATCHING_DIGESTS: u32 = 4;
-/// Lacking more members than this is urgent; for a larger fleet, lacking more than an eighth of it.
+/// Lacking more members than this shortens the interval between requests.
 const FEW_MEMBERS: usize = 3;
-/// Part of the fleet that may be lacking before it is urgent.
+/// Lacking more than one in so many of the known members is urgent, if that is also more than [`FEW_MEMBERS`].
 const URGENT_SHARE: usize = 8;
 
 /// What another member's datagram says about its live members.
@@ -62,8 +62,8 @@
         out.extend(message.encode().map(|payload| Datagram { destination, payload }));
     }
 
-    /// Takes the end of a response whose updates have been applied. Whether the local list is complete by it, or nearly;
-    /// otherwise there is more to fetch and it is requested.
+    /// Takes the end of a response whose updates have been applied. If it changed much and there is more to fetch, requests
+    /// that and returns false; otherwise returns whether the local member knows any other, and so has joined.
     pub(crate) fn on_response_end(
         &mut self,
         state: &mut ProtocolState,
@@ -81,7 +81,7 @@
         state.table.live_members() > 1
     }
 
-    /// Notes the digest of a datagram.
+    /// Counts how many datagrams in a row had the same digest.
     pub(crate) fn observe(&mut self, digest: u64) {
         let is_same = digest == self.last_digest;
         self.last_digest = digest;
@@ -105,8 +105,9 @@
         }
     }
 
-    /// The shorter, the more members are lacking. If several members in a row agree with each other but not with this one,
-    /// it lacks something too. Otherwise time is left to gossip, and views that differ are synced when it is quiet.
+    /// The least time between two requests: the shorter, the more members are lacking. If several members in a row agree
+    /// with each other but not with this one, it lacks something too. Otherwise time is left to gossip, and views that differ
+    /// are synced when it is quiet.
     fn request_interval(&self, state: &ProtocolState, remote_live_members: u32) -> Duration {
         let local = state.table.live_members();
         let lacking = (remote_live_members as usize).saturating_sub(local);
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -19,7 +19,7 @@
 }
 
 impl ProtocolState {
-    /// Applies an update. Whether it made the local member refute, that is, raise its incarnation.
+    /// Applies an update. Returns whether it made the local member refute, that is, raise its incarnation.
     pub(crate) fn apply_update(&mut self, update: &MemberUpdate, source: UpdateSource) -> bool {
         if update.name == self.local_peer.name {
             return self.apply_local_update(update);
@@ -69,7 +69,9 @@
             // A death is believed as far as a suspicion only: the member may have refuted it already.
             MemberState::Suspect => self.mark_suspect_of_newer_version(update),
             MemberState::Dead if known_state.is_live() => self.mark_suspect_of_newer_version(update),
+            // Dead or left already: only the version is raised, so that older updates don't revive it.
             MemberState::Dead => self.table.put(update.peer(), update.incarnation, known_state),
+            // With the known state first, so that `mark_left` sees whether it was live.
             MemberState::Left => {
                 self.table.put(update.peer(), update.incarnation, known_state);
                 self.mark_left(&update.name);
@@ -123,7 +125,8 @@
         }
     }
 
-    /// An update about the local name: it is refuted if it says more than the local member does of itself.
+    /// An update about the local name. Unless it is older than what the local member says of itself, or only repeats it, it is
+    /// refuted by a higher incarnation. Returns whether it was.
     fn apply_local_update(&mut self, update: &MemberUpdate) -> bool {
         let is_this_instance = update.instance_id == self.local_peer.instance_id;
         if self.is_leaving || (is_this_instance && !self.settings.is_refutation_enabled) {
@@ -142,7 +145,7 @@
     }
 
     fn mark_suspect_of_newer_version(&mut self, update: &MemberUpdate) {
-        // Disseminated as a suspicion, not as a return.
+        // `Sync` only keeps `mark_alive` from disseminating the member as alive; `mark_suspect` disseminates it as a suspect.
         self.mark_alive(update, UpdateSource::Sync);
         self.mark_suspect(&update.name);
     }
