--- a/crates/config/src/chunked_sequence.rs
+++ b/crates/config/src/chunked_sequence.rs
@@ -1,4 +1,5 @@
-//! A persistent sorted sequence, stored in chunks that clones share: a change copies only the chunk that it touches.
+//! A sorted sequence with structural sharing: it is stored in chunks that clones share, and a change copies only the chunk
+//! that it touches.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -15,7 +15,8 @@
 pub(crate) const REVISION: &str = "revision";
 pub(crate) const LIMITS: &str = "limits";
 
-/// The value of a top-level field. Which variant it is depends on the text alone.
+/// The value of a top-level field. Which variant it is depends on the text alone, so that equal texts have equal hashes
+/// whichever way they were parsed.
 #[derive(Debug, Clone)]
 pub(crate) enum FieldValue {
     /// A list of items, each with a name of its own; the empty list too.
--- a/crates/config/src/incremental_parse.rs
+++ b/crates/config/src/incremental_parse.rs
@@ -115,7 +115,7 @@
         self.all.extend(self.old.next().map(|positioned| positioned.item.clone()));
     }
 
-    /// Takes another item as the next new one. If it is an old one, the walk goes on behind it.
+    /// Takes another item as the next new one. If it is an old one, the walk goes on after it.
     fn push_parsed(&mut self, item: Arc<Item>) {
         let old = self.base.get_positioned(item.name());
         let unchanged = old.filter(|old| Item::has_same_text(&old.item, &item));
--- a/crates/config/src/json/string.rs
+++ b/crates/config/src/json/string.rs
@@ -7,7 +7,7 @@
 /// What is said of a text that ends within a value.
 pub(super) const CUT_SHORT: &str = "cut short";
 
-/// Finds the position behind the string that begins at `start`.
+/// Finds the position after the string that begins at `start`.
 ///
 /// # Errors
 ///
--- a/crates/config/src/json/structure.rs
+++ b/crates/config/src/json/structure.rs
@@ -79,7 +79,7 @@
         if self.open_brackets.is_empty() { Ok(()) } else { Err(malformed(CUT_SHORT, position)) }
     }
 
-    /// Passes a string and records it if it is a key; returns the position behind it.
+    /// Passes a string and records it if it is a key; returns the position after it.
     fn pass_string(&mut self, start: usize) -> Result<usize, ConfigError> {
         let end = find_string_end(self.text, start).map_err(|reason| malformed(reason, start))?;
         if std::mem::take(&mut self.expects_key) {
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -34,7 +34,7 @@
     pub path_prefix: String,
     /// How often a request may run.
     pub route_type: RouteType,
-    /// The longest that the operator wants a request held; above 0, in whole milliseconds.
+    /// The longest that a request may take, unless its client asks for less; above 0, in whole milliseconds.
     pub timeout: Duration,
     /// The latency target of a response, to the first event of a stream; the timeout when it is not given.
     pub target_latency: Duration,
@@ -42,7 +42,8 @@
     pub priority: u8,
     /// The services of the route in the operator's order; the weights add up to more than 0.
     pub backends: Vec<WeightedBackend>,
-    /// The most servers that one attempt of a client may be sent to, at least 1; 1 when it is not given.
+    /// The most servers that one request may be delivered to, at least 1; 1 when it is not given. It does not bound
+    /// the resumes of a stream (docs/design/0009-rules-and-tests.md, "Open").
     pub retry_count: u32,
     /// Whether its requests name the parts of their prompt (`X-Prompt-Prefix`).
     pub persistence: bool,
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -23,7 +23,8 @@
     pub engine: Option<Engine>,
 }
 
-/// How the model servers of a service work.
+/// How the model servers of a service work. The data plane uses only whether a service has an engine: it reads the prompts
+/// of requests for these services alone. The fields are checked, and interpreted nowhere in this workspace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// The requests that a server runs in one batch, at least 1.
@@ -34,7 +35,7 @@
     pub token_size_bytes: u64,
     /// The rate at which a server fetches KV cache, in Mbit/s; 0 when it is not given.
     pub link_mbps: f64,
-    /// `stride` of the configuration, at least 1.
+    /// The field `stride`, at least 1; 1 when it is not given.
     pub stride: u32,
     /// How long a server keeps a prefill handle that is not taken; zero when it is not given.
     pub handle_ttl: Duration,
