--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,5 +1,7 @@
 //! The committed state as this node knows it.
 
+use mosshead_time::Instant;
+
 use crate::context::Context;
 use crate::control_state::ControlState;
 use crate::delta_log::OutOfOrderDeltas;
@@ -8,7 +10,6 @@
 use crate::lease_stamp::LeaseStamp;
 use crate::read_lease::ReadLease;
 use crate::state_delta::StateDelta;
-use mosshead_time::Instant;
 
 /// Learns committed states and publishes them to the host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -1,5 +1,7 @@
 //! Heartbeats, and what their responses say.
 
+use mosshead_time::Instant;
+
 use super::{PrimaryState, SentHeartbeat};
 use crate::control_state::ControlState;
 use crate::lease_stamp::LeaseStamp;
@@ -9,7 +11,6 @@
 use crate::snapshot::StatePurpose;
 use crate::state_delta::StateDelta;
 use crate::term::{Member, MemberId, Term};
-use mosshead_time::Instant;
 
 /// So many sent heartbeats are remembered.
 const MAX_SENT_HEARTBEATS: usize = 64;
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -34,6 +34,8 @@
     /// When the messages of the phase were sent last.
     sent_at: Instant,
     promises: BTreeMap<MemberId, ReceivedPromise>,
+    /// Those that have promised, earliest first.
+    promise_order: Vec<MemberId>,
     /// The term of the configuration that the new one follows.
     base_term: Term,
     /// The members of the new configuration.
@@ -62,8 +64,8 @@
     /// The own promise is being written. Others hear of a term only when it is durable here, so that it isn't used twice
     /// after a loss of power.
     LocalPromise,
-    /// The others are asked for their promises; `order` lists those that have promised, earliest first.
-    Prepare { order: Vec<MemberId> },
+    /// The others are asked for their promises.
+    Prepare,
     /// The newest state is fetched.
     FetchState { version: StateVersion, candidates: Vec<MemberId> },
     /// The newest state is written under this term, here and at the backups to be.
@@ -96,6 +98,7 @@
             phase_started_at: now,
             sent_at: now,
             promises: BTreeMap::new(),
+            promise_order: Vec::new(),
             base_term: Term::default(),
             next_members: NextMembers::default(),
         }
@@ -172,7 +175,7 @@
         }
         let is_due = self.take_due_resend(core);
         match &mut self.phase {
-            Phase::Prepare { .. } => {
+            Phase::Prepare => {
                 if is_due {
                     self.request_promises(core);
                 }
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -22,7 +22,7 @@
         if self.term != term || self.phase != Phase::LocalPromise {
             return Transition::Stay;
         }
-        self.enter(Phase::Prepare { order: Vec::new() }, core.now());
+        self.enter(Phase::Prepare, core.now());
         self.request_promises(core);
         let promise = ReceivedPromise {
             member: core.local(),
@@ -56,15 +56,15 @@
             return Transition::Stay;
         }
         self.promises.insert(id, promise);
-        if let Phase::Prepare { order } = &mut self.phase {
-            order.push(id);
-        }
+        self.promise_order.push(id);
         self.evaluate_promises(core)
     }
 
     /// With enough promises, takes the newest state.
     pub(super) fn evaluate_promises(&mut self, core: &mut NodeCore) -> Transition {
-        let Phase::Prepare { order } = &self.phase else { return Transition::Stay };
+        if self.phase != Phase::Prepare {
+            return Transition::Stay;
+        }
         // The highest configuration seen is as good as one accepted: somebody has proposed it.
         let base = core.epoch.config().filter(|config| config.term < self.term).cloned();
         if base.as_ref().is_some_and(|config| !config.has_member(core.local().id)) {
@@ -74,7 +74,7 @@
             return Transition::Stay;
         }
         let next_members = self.choose_members(core, base.as_ref());
-        let Some(candidates) = self.choose_backups(core, order, &next_members.members) else {
+        let Some(candidates) = self.choose_backups(core, &next_members.members) else {
             return Transition::Stay;
         };
         let newest = self.newest_version(core);
@@ -148,17 +148,12 @@
     }
 
     /// Those that may be backups, best first; none if others are worth waiting for.
-    fn choose_backups(
-        &self,
-        core: &NodeCore,
-        order: &[MemberId],
-        members: &[Member],
-    ) -> Option<Vec<MemberId>> {
+    fn choose_backups(&self, core: &NodeCore, members: &[Member]) -> Option<Vec<MemberId>> {
         let wanted = core.context.settings.max_failures;
         let local_version = core.storage.durable.version();
         let mut able: Vec<(&MemberId, &ReceivedPromise)> = self.promises.iter().collect();
         able.retain(|(id, _)| **id != core.local().id && members.iter().any(|m| m.id == **id));
-        let rank = |id: &MemberId| order.iter().position(|promised| promised == id);
+        let rank = |id: &MemberId| self.promise_order.iter().position(|promised| promised == id);
         able.sort_by_key(|(id, p)| {
             (!p.is_healthy, p.version.is_none() || p.version != local_version, rank(id))
         });
