--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -273,7 +273,7 @@
             Message::CommittedDeltas { deltas: changes } => {
                 changes.iter().map(StateDelta::estimated_bytes).sum()
             }
-            Message::SnapshotChunk { chunk: piece } => piece.bytes.len(),
+            Message::SnapshotChunk { chunk } => chunk.bytes.len(),
             _ => 0,
         }
     }
