--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -131,6 +131,7 @@
 impl Call for CompareHeartbeats {
     const NAME: &'static str = "Hears";
     const RETRY_POLICY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
+    /// Carries nothing: `changed` is false and the vector empty. Processes of earlier releases expect this type.
     type Response = ReplicateAck;
 }
 
--- a/crates/programs/src/control_node/acknowledgement.rs
+++ b/crates/programs/src/control_node/acknowledgement.rs
@@ -42,7 +42,7 @@
 
     async fn acknowledge(self: &Rc<Self>, id: &str, outcome: HeartbeatOutcome) -> bool {
         if let Some(error) = outcome.error {
-            spdlog::warn!("registry: heartbeat rejected error={error}");
+            spdlog::warn!("registry: heartbeat rejected instance={id} error={error}");
             return false;
         }
         if outcome.changed {
@@ -52,14 +52,16 @@
         match self.registry.start_acknowledgement(id, &outcome, contact, &replica_set) {
             ShutdownStep::Acknowledge => true,
             ShutdownStep::Reject => false,
-            ShutdownStep::Replicate(replication) => self.collect_copies(replication).await,
+            ShutdownStep::Replicate(replication) => self.replicate_until_decided(replication).await,
         }
     }
 
-    /// Replicates the entry of a draining server until enough control nodes have it. Whether it may be acknowledged.
+    /// Replicates the entry of a draining server until enough control nodes have it, or can't any more. Whether it may be
+    /// acknowledged.
     ///
-    /// If all control nodes that have the entry were lost, clients' requests would go on to the server.
-    async fn collect_copies(self: &Rc<Self>, mut replication: EntryReplication) -> bool {
+    /// A server ends once it is acknowledged. If all control nodes that have the entry were lost then, proxies would go on
+    /// sending requests to it.
+    async fn replicate_until_decided(self: &Rc<Self>, mut replication: EntryReplication) -> bool {
         let entry = replication.entry();
         let mut replies = self.replicate_to_peers(entry);
         loop {
--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -19,7 +19,7 @@
 /// node then serves the registry only.
 pub(crate) async fn run_consensus(control_node: Rc<ControlNode>, data_directory: PathBuf, seed: u64) {
     let Some((log, records)) = open_log(&data_directory, CONSENSUS_LOG).await else { return };
-    spdlog::info!("record-log: opened records={}", records.len());
+    spdlog::info!("record-log: opened log={} records={}", CONSENSUS_LOG.name, records.len());
     let Some(mut completions) = start_writer(&control_node, log) else { return };
     let random = Pcg64Mcg::seed_from_u64(seed);
     match Node::new(node_settings(&control_node), &records, control_node.clock.now(), random) {
--- a/crates/programs/src/control_node/log_directory.rs
+++ b/crates/programs/src/control_node/log_directory.rs
@@ -53,12 +53,13 @@
 /// to be had.
 pub(super) async fn open_log(data_directory: &Path, directory: LogDirectory) -> Option<OpenedLog> {
     let path = directory.path(data_directory);
+    let shown_path = path.display().to_string();
     let (sender, receiver) = oneshot::channel();
     let thread = std::thread::Builder::new().spawn(move || {
         let _ = sender.send(open_with_retries(&path));
     });
     if let Err(error) = thread {
-        spdlog::error!("record-log: no thread to open the log error={error}");
+        spdlog::error!("record-log: no thread to open the log path={shown_path} error={error}");
     }
     receiver.await.ok()
 }
@@ -70,7 +71,7 @@
         match try_open(path) {
             Ok(opened) => return opened,
             Err(error) if !is_logged => {
-                spdlog::warn!("record-log: open failed, retrying error={error}");
+                spdlog::warn!("record-log: open failed, retrying path={} error={error}", path.display());
                 is_logged = true;
             }
             Err(_) => {}
@@ -82,7 +83,8 @@
 fn try_open(path: &Path) -> Result<OpenedLog, OpenError> {
     let (mut log, records) = RecordLog::open(path)?;
     if log.discarded_bytes() > 0 {
-        spdlog::warn!("record-log: discarded torn tail bytes={}", log.discarded_bytes());
+        let (path, bytes) = (path.display(), log.discarded_bytes());
+        spdlog::warn!("record-log: discarded torn tail path={path} bytes={bytes}");
     }
     // A record that was read but may not be on the disk could be lost after this process has acted on it.
     if !log.is_durable() && log.sync().is_err() {
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -136,7 +136,7 @@
         self.step(Input::Seeds(seeds));
     }
 
-    /// The process is about to shut down: the node gives up its place in the consensus group.
+    /// The process is about to shut down: the node asks for its removal from the consensus group, and serves until then.
     pub(crate) fn begin_shutdown(self: &Rc<Self>) {
         self.step(Input::ShutDown);
     }
@@ -218,7 +218,12 @@
                 self.changes.notify();
             }
             Ok(None) => {}
-            Err(error) => spdlog::error!("config: committed configuration unreadable error={error}"),
+            Err(error) => {
+                let revision = state.revision;
+                spdlog::error!(
+                    "config: committed configuration unreadable revision={revision} error={error}"
+                );
+            }
         }
     }
 }
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -109,7 +109,8 @@
                 Some(seeds)
             }
             Err(error) => {
-                spdlog::warn!("settings: reload failed, settings unchanged error={error}");
+                let path = self.settings_path.display();
+                spdlog::warn!("settings: reload failed, settings unchanged path={path} error={error}");
                 None
             }
         }
--- a/crates/programs/src/stage_role.rs
+++ b/crates/programs/src/stage_role.rs
@@ -58,7 +58,10 @@
         }
         let outcome = send(control_node, &assignment, role.term).await;
         let StageAssignment { instance_id, stage } = &assignment;
-        spdlog::info!("stages: assigned instance={instance_id} stage={stage:?} outcome={outcome:?}");
+        let term = role.term.number;
+        spdlog::info!(
+            "stages: assigned instance={instance_id} stage={stage:?} outcome={outcome:?} term={term}"
+        );
         role.scheduler.record_outcome(outcome);
     }
 }
