--- a/crates/emulator/src/folders.rs
+++ b/crates/emulator/src/folders.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use mosshead_known::snapshot;
+use mosshead_snapshot::snapshot;
 use mosshead_world::scenario::Folder;
 
 /// The file that a program keeps there, and the one that it writes first.
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -32,8 +32,8 @@
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
 use mosshead_decide::{NameTable, RecoveryBlocker, RecoveryStage};
-use mosshead_known::server_list::{ListedServer, ServerList};
 use mosshead_settings::NamedSettings;
+use mosshead_snapshot::server_list::{ListedServer, ServerList};
 
 /// The wait that a requeue notice asks for where the proxy is too full for the module to see the job.
 const FULL_WAIT: Seconds = 0.5;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -6,8 +6,8 @@
 
 use crate::errors::ConfigError;
 use crate::operators::Operators;
-use mosshead_known::server_list::{ServerList, read_server_list};
 use mosshead_settings::{self as settings, JsonField, NamedSettings};
+use mosshead_snapshot::server_list::{ServerList, read_server_list};
 use tinyjson::JsonValue;
 
 /// Keys that may be absent at any time.
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -19,9 +19,9 @@
 use crate::messages::Mail;
 use mosshead_decide::interface::Seconds;
 use mosshead_http_links::{BodyError, CloseReason, read_body};
-use mosshead_known::server_list::{ServerList, read_server_list};
 use mosshead_recovery::WatchReopening;
 use mosshead_settings::{self as settings, JsonError, JsonField};
+use mosshead_snapshot::server_list::{ServerList, read_server_list};
 
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
 /// arose in any case: a call that discovery has forgotten must be over by then.
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -34,8 +34,8 @@
 use crate::budget::Budget;
 use crate::lifecycle::Control;
 use crate::log::say;
-use mosshead_known::server_list::{ServerList, read_server_list, write_server_list};
 use mosshead_settings::{self as settings, JsonError, JsonField};
+use mosshead_snapshot::server_list::{ServerList, read_server_list, write_server_list};
 
 /// A predecessor hands over within this time, or there is none.
 const PATIENCE: Duration = Duration::from_millis(1000);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -48,8 +48,8 @@
 use handover::{Handover, Shares};
 use lifecycle::Control;
 use mosshead_decide::interface::Seconds;
-use mosshead_known::restore::restore;
-use mosshead_known::snapshot::SnapshotError;
+use mosshead_snapshot::restore::restore;
+use mosshead_snapshot::snapshot::SnapshotError;
 use snapshot_writer::Keeper;
 use stored_state::Stored;
 
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -14,7 +14,7 @@
 use crate::class_table::Terms;
 use crate::errors::ApplySettingsError;
 use crate::load_report::OutboundConnection;
-use mosshead_known::server_list::ServerList;
+use mosshead_snapshot::server_list::ServerList;
 
 /// What passes through the proxy unchanged.
 #[derive(Debug)]
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use mosshead_known::snapshot::{
+use mosshead_snapshot::snapshot::{
     self, LOCK_FILE, MAX_SNAPSHOT_LEN, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, SnapshotError,
 };
 
@@ -120,7 +120,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use mosshead_known::server_list::ServerList;
+    use mosshead_snapshot::server_list::ServerList;
     use std::collections::BTreeMap;
 
     fn snapshot(life: u64) -> Snapshot {
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -5,9 +5,9 @@
 
 use mosshead_decide::interface::*;
 use mosshead_decide::{LearnedValue, NameTable, Subject};
-use mosshead_known::restore::RestoredState;
-use mosshead_known::server_list::{ListedServer, ServerList};
-use mosshead_known::snapshot::{EndedServer, LearnedFigures, MAX_ENDED_SERVERS, Snapshot};
+use mosshead_snapshot::restore::RestoredState;
+use mosshead_snapshot::server_list::{ListedServer, ServerList};
+use mosshead_snapshot::snapshot::{EndedServer, LearnedFigures, MAX_ENDED_SERVERS, Snapshot};
 
 use crate::snapshot_writer::Keeper;
 
@@ -198,8 +198,8 @@
         let folder = tempfile::tempdir().expect("a folder");
         let keeper = Keeper::start(folder.path().to_owned()).expect("a thread");
         let nothing = ServerList { version: 0, full: true, machines: Vec::new() };
-        let found = Err(mosshead_known::snapshot::SnapshotError::Empty);
-        let believed = mosshead_known::restore::restore(&nothing, found, "n", 0);
+        let found = Err(mosshead_snapshot::snapshot::SnapshotError::Empty);
+        let believed = mosshead_snapshot::restore::restore(&nothing, found, "n", 0);
         let mut stored = Stored::new(keeper, "n", believed);
         let (a, b) = (machine("a", Readiness::Ready), machine("b", Readiness::Ready));
         let drains = machine("b", Readiness::Draining);
--- a/crates/known/tests/former_formats.rs
+++ b/crates/snapshot/tests/former_formats.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::server_list::{ListedServer, ServerList};
-use mosshead_known::snapshot::{
+use mosshead_snapshot::server_list::{ListedServer, ServerList};
+use mosshead_snapshot::snapshot::{
     EndedServer, LOCK_FILE, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, frame, read, write,
 };
 
--- a/crates/known/tests/known.rs
+++ b/crates/snapshot/tests/restore.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::restore::{
+use mosshead_snapshot::restore::{
     FRESH_LEARNED_AGE_MS, MAX_LEARNED_AGE_MS, MAX_LIST_AGE_MS, PartOutcome, RestoredState, SnapshotPart,
     restore,
 };
-use mosshead_known::server_list::{ListedServer, ServerList};
-use mosshead_known::snapshot::{EndedServer, Snapshot, SnapshotError, frame, read, write};
+use mosshead_snapshot::server_list::{ListedServer, ServerList};
+use mosshead_snapshot::snapshot::{EndedServer, Snapshot, SnapshotError, frame, read, write};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -203,7 +203,7 @@
     }
 }
 
-/// Writes the corpus that the fuzz target starts from, and that CI replays: `cargo test -p mosshead-known -- --ignored`.
+/// Writes the corpus that the fuzz target starts from, and that CI replays: `cargo test -p mosshead-snapshot -- --ignored`.
 #[test]
 #[ignore = "it writes files"]
 fn grow_the_corpus() {
--- a/crates/known/tests/server_list.rs
+++ b/crates/snapshot/tests/server_list.rs
@@ -1,8 +1,8 @@
 //! The server list in discovery's form.
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::server_list::{read_server_list, write_server_list};
 use mosshead_settings::{JsonField, parse_json};
+use mosshead_snapshot::server_list::{read_server_list, write_server_list};
 
 /// A proxy that takes over reads what its predecessor knew of draining and starting servers.
 #[test]
--- a/crates/known/tests/shared/mod.rs
+++ b/crates/snapshot/tests/shared/mod.rs
@@ -1,9 +1,9 @@
 //! What holds of any bytes that a folder may hold: for the corpus, and for the fuzz target.
 
 use mosshead_decide::interface::Readiness;
-use mosshead_known::restore::restore;
-use mosshead_known::server_list::ServerList;
-use mosshead_known::snapshot::{read, write};
+use mosshead_snapshot::restore::restore;
+use mosshead_snapshot::server_list::ServerList;
+use mosshead_snapshot::snapshot::{read, write};
 
 /// The clock of whoever reads them.
 const NOW: u64 = 1_800_000_000_000;
