--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' door: a second address, on a thread and a runtime of its own.
+//! The admin endpoint: a second address, on a thread and a runtime of its own.
 //!
-//! Danger: an answer that waits for the actors comes late while 32 MB pass or a crowd comes. Each is given from
+//! An answer that waits for the actors comes late while 32 MB pass or a crowd comes. Each is given from
 //! what both threads share.
 
 use std::collections::VecDeque;
@@ -26,20 +26,20 @@
 use tokio::time::{sleep, timeout};
 
 use crate::connection_log::OPERATOR;
-use crate::lifecycle::Control;
+use crate::lifecycle::Lifecycle;
 use crate::log::say;
 
 /// So many callers are heard at once; the longest-standing one goes when a further one comes.
-const CALLERS: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 /// A call has so long to be whole and to take its answer.
-const CALL: Duration = Duration::from_millis(2000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The most that a call's head holds.
-const HEAD_LIMIT: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// After an accept that failed the next one waits for so long.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Opens the door; it stays open until the process ends.
-pub(crate) fn open(at: SocketAddr, control: Arc<Control>) -> io::Result<SocketAddr> {
+/// Opens the admin endpoint; it stays open until the process ends.
+pub(crate) fn open(at: SocketAddr, lifecycle: Arc<Lifecycle>) -> io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
     let at = listener.local_addr()?;
@@ -47,7 +47,7 @@
     thread::Builder::new().name("ops".to_owned()).spawn(move || {
         LocalSet::new().block_on(&runtime, async {
             match TcpListener::from_std(listener) {
-                Ok(listener) => serve(listener, control).await,
+                Ok(listener) => serve(listener, lifecycle).await,
                 Err(error) => say!(why = %error, "fault: the operators' door is shut"),
             }
         });
@@ -55,21 +55,21 @@
     Ok(at)
 }
 
-async fn serve(listener: TcpListener, control: Arc<Control>) {
+async fn serve(listener: TcpListener, lifecycle: Arc<Lifecycle>) {
     let (mut calls, mut standing) = (JoinSet::new(), VecDeque::<AbortHandle>::new());
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(new) => new,
             Err(error) => {
                 say!(why = %error, "accept failed");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         while calls.try_join_next().is_some() {}
         standing.retain(|call| !call.is_finished());
-        // Danger: callers that say nothing would shut out whoever has something to say.
-        if standing.len() >= CALLERS
+        // Callers that say nothing would shut out whoever has something to say.
+        if standing.len() >= MAX_CONNECTIONS
             && let Some(oldest) = standing.pop_front()
         {
             oldest.abort();
@@ -77,21 +77,21 @@
         standing.push_back(calls.spawn_local(call(
             stream,
             ConnectionLogGuard::open(OPERATOR, peer),
-            control.clone(),
+            lifecycle.clone(),
         )));
     }
 }
 
-async fn call(stream: TcpStream, line: ConnectionLogGuard, control: Arc<Control>) {
-    let record = line.record();
+async fn call(stream: TcpStream, log_guard: ConnectionLogGuard, lifecycle: Arc<Lifecycle>) {
+    let record = log_guard.record();
     record.set_default_close_reason(CloseReason::DescriptorNeeded);
     let service = service_fn(|request: Request<Incoming>| {
-        let answer = answer(&request, &record, &control);
+        let answer = answer(&request, &record, &lifecycle);
         async move { Ok::<_, Infallible>(answer) }
     });
     let mut http = Builder::new();
-    let http = http.keep_alive(false).max_buf_size(HEAD_LIMIT);
-    let reason = match timeout(CALL, http.serve_connection(TokioIo::new(stream), service)).await {
+    let http = http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
+    let reason = match timeout(CALL_TIMEOUT, http.serve_connection(TokioIo::new(stream), service)).await {
         Ok(Ok(())) => CloseReason::AdminRequestAnswered,
         Ok(Err(error)) if error.is_parse() => CloseReason::BadRequest,
         Ok(Err(_)) => CloseReason::ConnectionBroken,
@@ -103,7 +103,7 @@
 fn answer(
     request: &Request<Incoming>,
     record: &ConnectionRecord,
-    control: &Control,
+    lifecycle: &Lifecycle,
 ) -> Response<Full<Bytes>> {
     record.count_message();
     let respond = |status, words: &str| {
@@ -124,20 +124,20 @@
         return response;
     }
     match path {
-        "/ops/readiness" if control.serves() => {
-            control.say_yes();
+        "/ops/readiness" if lifecycle.is_serving() => {
+            lifecycle.confirm_readiness();
             respond(StatusCode::OK, "ready\n")
         }
         "/ops/readiness" => respond(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        "/ops/state" => respond(StatusCode::OK, &state(control)),
+        "/ops/state" => respond(StatusCode::OK, &state(lifecycle)),
         "/ops/drain/start" => {
-            if control.drain(true) {
+            if lifecycle.set_draining(true) {
                 say!("drain started");
             }
             respond(StatusCode::OK, "draining\n")
         }
         _ => {
-            if control.drain(false) {
+            if lifecycle.set_draining(false) {
                 say!("drain stopped");
             }
             respond(StatusCode::OK, "serving\n")
@@ -145,18 +145,19 @@
     }
 }
 
-/// How far this life has come, as one JSON object on a line.
-fn state(control: &Control) -> String {
-    let (way, start) = control.way_back();
+/// How far this incarnation has come, as one JSON object on a line.
+fn state(lifecycle: &Lifecycle) -> String {
+    let (recovery, start) = lifecycle.recovery_state();
     let seconds = |span: Duration| format!("{:.3}", span.as_secs_f64());
-    let wants = if way.stage == RecoveryStage::FullService { String::new() } else { way.wants.to_string() };
-    let full = way.full.map_or("null".to_owned(), |full| seconds(full - start));
-    let life = way.life.map_or("null".to_owned(), |life| life.to_string());
+    let wants =
+        if recovery.stage == RecoveryStage::FullService { String::new() } else { recovery.wants.to_string() };
+    let full = recovery.full.map_or("null".to_owned(), |full| seconds(full - start));
+    let life = recovery.incarnation.map_or("null".to_owned(), |life| life.to_string());
     format!(
         "{{\"stage\":\"{}\",\"wants\":\"{wants}\",\"for_s\":{},\"full_after_s\":{full},\"up_s\":{},\"life\":{life},\"draining\":{}}}\n",
-        way.stage,
-        seconds(way.since.elapsed()),
+        recovery.stage,
+        seconds(recovery.since.elapsed()),
         seconds(start.elapsed()),
-        control.draining(),
+        lifecycle.is_draining(),
     )
 }
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -17,90 +17,94 @@
 use tokio::time::{Sleep, sleep_until, timeout_at};
 
 use crate::load_report::OutboundConnection;
-use crate::messages::Mail;
+use crate::messages::Message;
 use mosshead_decide::interface::RequestId;
 use mosshead_http_links::{BodyError, MAX_BUFFERED_BODY_BYTES, WriteProgress};
 
 /// The most that a body holds that flows.
-pub(crate) const FLOW_LIMIT: u64 = 33 * 1024 * 1024;
+pub(crate) const MAX_STREAMED_BODY_BYTES: u64 = 33 * 1024 * 1024;
 /// A sender may rest for so long,
-const REST: Duration = Duration::from_millis(2000);
+const MAX_SENDER_PAUSE: Duration = Duration::from_millis(2000);
 /// and has to bring so many bytes for each further second.
-const PACE: f64 = 16.0 * 1024.0;
-/// An execute node that has begun its answer may rest for so long.
-const NODE_REST: Duration = Duration::from_secs(10);
+const MIN_BYTES_PER_SECOND: f64 = 16.0 * 1024.0;
+/// A server that has begun its answer may rest for so long.
+const MAX_SERVER_PAUSE: Duration = Duration::from_secs(10);
 
 /// How long a sender has been waited for. Only that counts: not what the other side takes.
 #[derive(Debug)]
-struct Pace {
+struct SenderPace {
     waited: Duration,
     since: Option<Instant>,
     bytes: u64,
 }
 
-impl Pace {
+impl SenderPace {
     fn new() -> Self {
         Self { waited: Duration::ZERO, since: None, bytes: 0 }
     }
 
     /// When the sender, waited for from now or before, is too slow.
-    fn limit(&mut self) -> Instant {
+    fn deadline(&mut self) -> Instant {
         let since = *self.since.get_or_insert_with(Instant::now);
-        let left = REST + Duration::from_secs_f64(self.bytes as f64 / PACE);
-        since + REST.min(left.saturating_sub(self.waited))
+        let left = MAX_SENDER_PAUSE + Duration::from_secs_f64(self.bytes as f64 / MIN_BYTES_PER_SECOND);
+        since + MAX_SENDER_PAUSE.min(left.saturating_sub(self.waited))
     }
 
-    fn came(&mut self, bytes: usize) {
+    fn record_received(&mut self, bytes: usize) {
         self.waited += self.since.take().map_or(Duration::ZERO, |since| since.elapsed());
         self.bytes += bytes as u64;
     }
 }
 
 /// The start of a body: all of it, or what has come when it proved to be large.
-pub(crate) enum Start {
-    Whole(Bytes),
-    More(Bytes, Incoming),
+pub(crate) enum BodyStart {
+    Complete(Bytes),
+    Partial(Bytes, Incoming),
 }
 
-/// Reads a body until it ends or is too large to be held; `patience` bounds the wait for the end of a small one.
-pub(crate) async fn start(mut body: Incoming, patience: Option<Duration>) -> Result<Start, BodyError> {
+/// Reads a body until it ends or is too large to be held; `timeout_for_end` bounds the wait for the end of a small one.
+pub(crate) async fn read_start(
+    mut body: Incoming,
+    timeout_for_end: Option<Duration>,
+) -> Result<BodyStart, BodyError> {
     let length = body.size_hint().exact();
-    if length.is_some_and(|length| length > FLOW_LIMIT) {
+    if length.is_some_and(|length| length > MAX_STREAMED_BODY_BYTES) {
         return Err(BodyError::TooLong);
     }
     if length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64) {
-        return Ok(Start::More(Bytes::new(), body));
+        return Ok(BodyStart::Partial(Bytes::new(), body));
     }
-    let (mut held, mut pace) = (BytesMut::new(), Pace::new());
-    let until = patience.filter(|_| length.is_none()).map(|patience| Instant::now() + patience);
+    let (mut held, mut pace) = (BytesMut::new(), SenderPace::new());
+    let until =
+        timeout_for_end.filter(|_| length.is_none()).map(|timeout_for_end| Instant::now() + timeout_for_end);
     loop {
-        let limit = until.unwrap_or_else(|| pace.limit());
+        let limit = until.unwrap_or_else(|| pace.deadline());
         let frame = match timeout_at(limit.into(), body.frame()).await {
-            Ok(None) => return Ok(Start::Whole(held.freeze())),
+            Ok(None) => return Ok(BodyStart::Complete(held.freeze())),
             Ok(Some(frame)) => frame.map_err(|_| BodyError::Interrupted)?,
-            Err(_) if until.is_some() => return Ok(Start::More(held.freeze(), body)),
+            Err(_) if until.is_some() => return Ok(BodyStart::Partial(held.freeze(), body)),
             Err(_) => return Err(BodyError::Timeout),
         };
         if let Ok(data) = frame.into_data() {
-            pace.came(data.len());
+            pace.record_received(data.len());
             held.extend_from_slice(&data);
             if held.len() > MAX_BUFFERED_BODY_BYTES {
-                return Ok(Start::More(held.freeze(), body));
+                return Ok(BodyStart::Partial(held.freeze(), body));
             }
         }
     }
 }
 
-/// A submitter's large body.
+/// A client's large body.
 pub(crate) struct Upload {
     start: Bytes,
     /// Until an attempt takes it; back again where nothing was read of it.
     rest: RefCell<Option<Incoming>>,
     length: Option<u64>,
     /// When its last byte had come, and when any was last passed on.
-    whole: Cell<Option<Instant>>,
-    moved: Cell<Instant>,
-    home: RefCell<Option<(UnboundedSender<Mail>, RequestId)>>,
+    completed_at: Cell<Option<Instant>>,
+    last_progress: Cell<Instant>,
+    notify: RefCell<Option<(UnboundedSender<Message>, RequestId)>>,
 }
 
 impl std::fmt::Debug for Upload {
@@ -112,27 +116,35 @@
 impl Upload {
     pub(crate) fn new(start: Bytes, rest: Incoming) -> Rc<Self> {
         let length = rest.size_hint().exact().map(|rest| rest + start.len() as u64);
-        let (rest, home) = (RefCell::new(Some(rest)), RefCell::default());
-        let moved = Cell::new(Instant::now());
-        Rc::new(Self { start, rest, length, whole: Cell::new(None), moved, home })
+        let (rest, notify) = (RefCell::new(Some(rest)), RefCell::default());
+        let last_progress = Cell::new(Instant::now());
+        Rc::new(Self { start, rest, length, completed_at: Cell::new(None), last_progress, notify })
     }
 
     /// Whom to tell of its last byte.
-    pub(crate) fn belongs_to(&self, home: UnboundedSender<Mail>, job: RequestId) {
-        self.home.replace(Some((home, job)));
+    pub(crate) fn notify(&self, notify: UnboundedSender<Message>, request: RequestId) {
+        self.notify.replace(Some((notify, request)));
     }
 
     /// Whether another attempt has begun to read it.
-    pub(crate) fn spent(&self) -> bool {
+    pub(crate) fn is_spent(&self) -> bool {
         self.rest.borrow().is_none()
     }
 
     /// The body for one attempt; none where it can't be sent once more.
-    pub(crate) fn flow(self: &Rc<Self>, written: Rc<WriteProgress>) -> Option<Flow> {
+    pub(crate) fn stream_to(self: &Rc<Self>, write_progress: Rc<WriteProgress>) -> Option<OutgoingBody> {
         let rest = self.rest.borrow_mut().take()?;
         let start = Some(self.start.clone()).filter(|start| !start.is_empty());
-        let (upload, pace, timer) = (self.clone(), Pace::new(), None);
-        Some(Flow::Up(Box::new(Up { upload, start, rest: Some(rest), touched: false, pace, timer, written })))
+        let (upload, pace, timer) = (self.clone(), SenderPace::new(), None);
+        Some(OutgoingBody::Upload(Box::new(UploadStream {
+            upload,
+            start,
+            rest: Some(rest),
+            started: false,
+            pace,
+            timer,
+            write_progress,
+        })))
     }
 
     pub(crate) fn length(&self) -> Option<u64> {
@@ -140,125 +152,137 @@
     }
 
     /// When its last byte had come.
-    pub(crate) fn whole(&self) -> Option<Instant> {
-        self.whole.get()
+    pub(crate) fn completed_at(&self) -> Option<Instant> {
+        self.completed_at.get()
     }
 
     /// When any of it was last passed on.
-    pub(crate) fn moved(&self) -> Instant {
-        self.moved.get()
+    pub(crate) fn last_progress(&self) -> Instant {
+        self.last_progress.get()
     }
 
-    fn ended(&self) {
-        if self.whole.get().is_none() {
-            self.whole.set(Some(Instant::now()));
-            if let Some((home, job)) = self.home.borrow_mut().take() {
-                let _ = home.send(Mail::Whole(job));
+    fn finish(&self) {
+        if self.completed_at.get().is_none() {
+            self.completed_at.set(Some(Instant::now()));
+            if let Some((notify, request)) = self.notify.borrow_mut().take() {
+                let _ = notify.send(Message::BodyReceived(request));
             }
         }
     }
 }
 
-/// An upload on its way to an execute node.
-pub(crate) struct Up {
+/// An upload on its way to a server.
+pub(crate) struct UploadStream {
     upload: Rc<Upload>,
     start: Option<Bytes>,
     rest: Option<Incoming>,
-    touched: bool,
-    pace: Pace,
+    started: bool,
+    pace: SenderPace,
     timer: Option<Pin<Box<Sleep>>>,
-    written: Rc<WriteProgress>,
+    write_progress: Rc<WriteProgress>,
 }
 
-impl Drop for Up {
+impl Drop for UploadStream {
     fn drop(&mut self) {
-        if !self.touched {
+        if !self.started {
             self.upload.rest.replace(self.rest.take());
         }
     }
 }
 
-/// What the submitter's connection wants to know of an answer's end: whether it was whole.
-type Ended = Box<dyn FnOnce(bool)>;
+/// What the client's connection wants to know of an answer's end: whether it was whole.
+type OnBodyEnd = Box<dyn FnOnce(bool)>;
 
 /// Where a connection goes that has carried an answer.
-type Home = Box<dyn FnOnce(OutboundConnection)>;
+type OnConnectionFree = Box<dyn FnOnce(OutboundConnection)>;
 
-/// A large answer on its way to the submitter.
-pub(crate) struct Down {
+/// A large answer on its way to the client.
+pub(crate) struct DownloadStream {
     start: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    passed: u64,
+    forwarded: u64,
     timer: Option<Pin<Box<Sleep>>>,
     /// Where the connection goes once the answer has been taken off it.
-    link: Option<(OutboundConnection, Home)>,
-    ended: Option<Ended>,
+    link: Option<(OutboundConnection, OnConnectionFree)>,
+    on_end: Option<OnBodyEnd>,
 }
 
-impl Drop for Down {
+impl Drop for DownloadStream {
     fn drop(&mut self) {
-        self.end(false);
+        self.finish(false);
     }
 }
 
-impl Down {
-    fn end(&mut self, whole: bool) {
-        if let Some((link, home)) = self.link.take()
-            && whole
+impl DownloadStream {
+    fn finish(&mut self, is_complete: bool) {
+        if let Some((link, on_connection_free)) = self.link.take()
+            && is_complete
         {
-            home(link);
+            on_connection_free(link);
         }
-        if let Some(ended) = self.ended.take() {
-            ended(whole);
+        if let Some(on_end) = self.on_end.take() {
+            on_end(is_complete);
         }
     }
 }
 
 /// A body as this proxy sends it.
-pub(crate) enum Flow {
-    Whole(Full<Bytes>),
-    Up(Box<Up>),
-    Down(Box<Down>),
+pub(crate) enum OutgoingBody {
+    Buffered(Full<Bytes>),
+    Upload(Box<UploadStream>),
+    Download(Box<DownloadStream>),
 }
 
-impl std::fmt::Debug for Flow {
+impl std::fmt::Debug for OutgoingBody {
     fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
-        to.write_str(if matches!(self, Flow::Whole(_)) { "a whole body" } else { "a body that flows" })
+        to.write_str(if matches!(self, OutgoingBody::Buffered(_)) {
+            "a whole body"
+        } else {
+            "a body that flows"
+        })
     }
 }
 
-impl From<Bytes> for Flow {
+impl From<Bytes> for OutgoingBody {
     fn from(bytes: Bytes) -> Self {
-        Flow::Whole(Full::new(bytes))
+        OutgoingBody::Buffered(Full::new(bytes))
     }
 }
 
-impl Flow {
-    /// An execute node's large answer; its connection goes to `home` when the whole answer has been passed on.
-    pub(crate) fn down(
+impl OutgoingBody {
+    /// A server's large answer; its connection goes to `on_connection_free` when the whole answer has been passed on.
+    pub(crate) fn download(
         start: Bytes,
         rest: Incoming,
         link: OutboundConnection,
-        home: impl FnOnce(OutboundConnection) + 'static,
+        on_connection_free: impl FnOnce(OutboundConnection) + 'static,
     ) -> Self {
         let length = rest.size_hint().exact().map(|rest| rest + start.len() as u64);
         let start = Some(start).filter(|start| !start.is_empty());
-        let link: Option<(OutboundConnection, Home)> = Some((link, Box::new(home)));
-        Flow::Down(Box::new(Down { start, rest, length, passed: 0, timer: None, link, ended: None }))
+        let link: Option<(OutboundConnection, OnConnectionFree)> = Some((link, Box::new(on_connection_free)));
+        OutgoingBody::Download(Box::new(DownloadStream {
+            start,
+            rest,
+            length,
+            forwarded: 0,
+            timer: None,
+            link,
+            on_end: None,
+        }))
     }
 
-    /// Tells `ended` when the last of it has been passed on, or never will be. A whole one has ended at once.
-    pub(crate) fn tells(&mut self, ended: impl FnOnce(bool) + 'static) {
+    /// Tells `on_end` when the last of it has been passed on, or never will be. A whole one has ended at once.
+    pub(crate) fn on_end(&mut self, on_end: impl FnOnce(bool) + 'static) {
         match self {
-            Flow::Down(down) => down.ended = Some(Box::new(ended)),
-            _ => ended(true),
+            OutgoingBody::Download(down) => down.on_end = Some(Box::new(on_end)),
+            _ => on_end(true),
         }
     }
 }
 
 /// The next frame, or a fault where none comes before `limit`.
-fn paced(
+fn poll_data(
     rest: &mut Incoming,
     timer: &mut Option<Pin<Box<Sleep>>>,
     limit: impl FnOnce() -> Instant,
@@ -284,86 +308,90 @@
     }
 }
 
-impl Up {
+impl UploadStream {
     fn next(&mut self, cx: &mut Context) -> Poll<Option<io::Result<Bytes>>> {
-        self.upload.moved.set(Instant::now());
+        self.upload.last_progress.set(Instant::now());
         if let Some(start) = self.start.take() {
             self.pace.bytes += start.len() as u64;
             return Poll::Ready(Some(Ok(start)));
         }
-        self.touched = true;
+        self.started = true;
         let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
-        let next = ready!(paced(rest, &mut self.timer, || self.pace.limit(), cx));
+        let next = ready!(poll_data(rest, &mut self.timer, || self.pace.deadline(), cx));
         match &next {
             Some(Ok(data)) => {
-                self.pace.came(data.len());
-                if self.pace.bytes > FLOW_LIMIT {
+                self.pace.record_received(data.len());
+                if self.pace.bytes > MAX_STREAMED_BODY_BYTES {
                     return Poll::Ready(Some(Err(io::Error::other("the body is too long"))));
                 }
             }
-            // Danger: its last byte is about to leave; from now on it may run.
+            // Its last byte is about to leave; from now on it may run.
             None => {
-                self.written.mark_complete();
-                self.upload.ended();
+                self.write_progress.mark_complete();
+                self.upload.finish();
             }
             Some(Err(_)) => {}
         }
         if self.upload.length == Some(self.pace.bytes) {
-            self.upload.ended();
+            self.upload.finish();
         }
         Poll::Ready(next)
     }
 }
 
-impl Down {
+impl DownloadStream {
     fn next(&mut self, cx: &mut Context) -> Poll<Option<io::Result<Bytes>>> {
         let next = match self.start.take() {
             Some(start) => Some(Ok(start)),
-            None => ready!(paced(&mut self.rest, &mut self.timer, || Instant::now() + NODE_REST, cx)),
+            None => {
+                ready!(poll_data(&mut self.rest, &mut self.timer, || Instant::now() + MAX_SERVER_PAUSE, cx))
+            }
         };
         match &next {
             Some(Ok(data)) => {
-                self.passed += data.len() as u64;
-                if self.passed > FLOW_LIMIT {
+                self.forwarded += data.len() as u64;
+                if self.forwarded > MAX_STREAMED_BODY_BYTES {
                     return Poll::Ready(Some(Err(io::Error::other("the answer is too long"))));
                 }
                 // With the last byte of a known length hyper asks no further.
-                if self.length == Some(self.passed) {
-                    self.end(true);
+                if self.length == Some(self.forwarded) {
+                    self.finish(true);
                 }
             }
-            None => self.end(true),
-            Some(Err(_)) => self.end(false),
+            None => self.finish(true),
+            Some(Err(_)) => self.finish(false),
         }
         Poll::Ready(next)
     }
 }
 
-impl Body for Flow {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let next = match self.get_mut() {
-            Flow::Whole(whole) => return Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            Flow::Up(up) => ready!(up.next(cx)),
-            Flow::Down(down) => ready!(down.next(cx)),
+            OutgoingBody::Buffered(buffered) => {
+                return Pin::new(buffered).poll_frame(cx).map_err(|never| match never {});
+            }
+            OutgoingBody::Upload(up) => ready!(up.next(cx)),
+            OutgoingBody::Download(down) => ready!(down.next(cx)),
         };
         Poll::Ready(next.map(|data| data.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Flow::Whole(whole) => whole.is_end_stream(),
+            OutgoingBody::Buffered(buffered) => buffered.is_end_stream(),
             _ => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         let length = match self {
-            Flow::Whole(whole) => return whole.size_hint(),
-            Flow::Up(up) => up.upload.length.map(|length| length - up.pace.bytes.min(length)),
-            Flow::Down(down) => down.length.map(|length| length - down.passed.min(length)),
+            OutgoingBody::Buffered(buffered) => return buffered.size_hint(),
+            OutgoingBody::Upload(up) => up.upload.length.map(|length| length - up.pace.bytes.min(length)),
+            OutgoingBody::Download(down) => down.length.map(|length| length - down.forwarded.min(length)),
         };
         length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -7,29 +7,29 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
 /// Descriptors for everything but connections: the runtimes' own, listeners, the log, the list, operators' calls.
-const OTHER: u64 = 32;
+const RESERVED_DESCRIPTORS: u64 = 32;
 /// What a connection may take at the most: a body of 64 KiB, its head, and the buffers of both.
-const CONNECTION_KB: f64 = 96.0;
-/// Submitters hold at most a third of all descriptors; from half of that on they are to let go of idle ones.
-const TIGHT_SHARE: u64 = 6;
+const KIB_PER_CONNECTION: f64 = 96.0;
+/// Clients hold at most a third of all descriptors; from half of that on they are to let go of idle ones.
+const TIGHT_DIVISOR: u64 = 6;
 /// The share of the memory that connections may take together.
 const MEMORY_SHARE: f64 = 0.75;
 
 /// A side's part of the descriptors. When none is left, whoever holds an idle connection closes it.
 #[derive(Clone)]
-pub(crate) struct Budget {
+pub(crate) struct DescriptorBudget {
     free: Arc<Semaphore>,
     count: Rc<Cell<usize>>,
     /// With more than so many taken it is tight.
-    ease: usize,
-    wanted: Rc<watch::Sender<()>>,
+    tight_above: usize,
+    release_requests: Rc<watch::Sender<()>>,
     waiting: Rc<Cell<usize>>,
 }
 
 /// Someone who waits for a descriptor, however the wait ends.
-struct InLine(Rc<Cell<usize>>);
+struct WaiterGuard(Rc<Cell<usize>>);
 
-impl Drop for InLine {
+impl Drop for WaiterGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -38,78 +38,78 @@
 /// One descriptor's worth; given back when dropped.
 pub(crate) type Permit = OwnedSemaphorePermit;
 
-impl Budget {
+impl DescriptorBudget {
     /// Half of what the limits allow for each of the two sides, less what is `kept` from both.
-    pub(crate) fn sides(sockets: u64, memory_mb: f64, kept: u64) -> [Self; 2] {
-        let memory = (memory_mb * 1024.0 * MEMORY_SHARE / CONNECTION_KB) as u64;
-        let each = (sockets.saturating_sub(OTHER + kept).min(memory) / 2).max(1) as usize;
-        let ease = (sockets / TIGHT_SHARE) as usize;
-        [0, 1].map(|_| Self { ease, ..Self::of(each) })
+    pub(crate) fn split(sockets: u64, memory_mb: f64, kept: u64) -> [Self; 2] {
+        let memory = (memory_mb * 1024.0 * MEMORY_SHARE / KIB_PER_CONNECTION) as u64;
+        let each = (sockets.saturating_sub(RESERVED_DESCRIPTORS + kept).min(memory) / 2).max(1) as usize;
+        let tight_above = (sockets / TIGHT_DIVISOR) as usize;
+        [0, 1].map(|_| Self { tight_above, ..Self::new(each) })
     }
 
-    pub(crate) fn of(count: usize) -> Self {
-        let (free, wanted) = (Arc::new(Semaphore::new(count)), Rc::new(watch::Sender::new(())));
+    pub(crate) fn new(count: usize) -> Self {
+        let (free, release_requests) = (Arc::new(Semaphore::new(count)), Rc::new(watch::Sender::new(())));
         let count = Rc::new(Cell::new(count));
-        Self { free, count, ease: usize::MAX, wanted, waiting: Rc::default() }
+        Self { free, count, tight_above: usize::MAX, release_requests, waiting: Rc::default() }
     }
 
     /// Waits for a descriptor; idle connections are closed for it.
-    pub(crate) async fn take(&self) -> Permit {
+    pub(crate) async fn acquire(&self) -> Permit {
         if let Ok(permit) = self.free.clone().try_acquire_owned() {
             return permit;
         }
         self.waiting.set(self.waiting.get() + 1);
-        let _in_line = InLine(self.waiting.clone());
-        self.wanted.send_replace(());
+        let _in_line = WaiterGuard(self.waiting.clone());
+        self.release_requests.send_replace(());
         match self.free.clone().acquire_owned().await {
             Ok(permit) => permit,
             Err(_) => std::future::pending().await, // the semaphore is never closed
         }
     }
 
-    /// Whether many are taken. Danger: who may hold only so many connections to this proxy stops
+    /// Whether many are taken. Who may hold only so many connections to this proxy stops
     /// asking when idle ones fill them, long before this side itself is short.
-    pub(crate) fn tight(&self) -> bool {
-        let taken = self.count().saturating_sub(self.free());
-        taken > self.ease.min(2 * self.count() / 3)
+    pub(crate) fn is_tight(&self) -> bool {
+        let taken = self.size().saturating_sub(self.available());
+        taken > self.tight_above.min(2 * self.size() / 3)
     }
 
     /// How many there are, taken or not.
-    pub(crate) fn count(&self) -> usize {
+    pub(crate) fn size(&self) -> usize {
         self.count.get()
     }
 
     /// How many are not taken.
-    pub(crate) fn free(&self) -> usize {
+    pub(crate) fn available(&self) -> usize {
         self.free.available_permits()
     }
 
     /// Gives up to so many free ones away, to another process; says how many.
     pub(crate) fn give(&self, most: usize) -> usize {
-        let given = self.free.forget_permits(most.min(self.free()));
-        self.count.set(self.count() - given);
+        let given = self.free.forget_permits(most.min(self.available()));
+        self.count.set(self.size() - given);
         given
     }
 
     /// So many more are this process's.
     pub(crate) fn add(&self, more: usize) {
         self.free.add_permits(more);
-        self.count.set(self.count() + more);
+        self.count.set(self.size() + more);
     }
 
     /// Lets idle connections be closed for someone outside of this process.
-    pub(crate) fn want(&self) {
-        self.wanted.send_replace(());
+    pub(crate) fn request_release(&self) {
+        self.release_requests.send_replace(());
     }
 
     /// Whether someone waits for a descriptor.
-    pub(crate) fn short(&self) -> bool {
+    pub(crate) fn has_waiters(&self) -> bool {
         self.waiting.get() > 0
     }
 
     /// Reports when a descriptor is wanted.
-    pub(crate) fn wanted(&self) -> watch::Receiver<()> {
-        self.wanted.subscribe()
+    pub(crate) fn subscribe_release_requests(&self) -> watch::Receiver<()> {
+        self.release_requests.subscribe()
     }
 }
 
@@ -121,10 +121,12 @@
     #[test]
     fn neither_descriptors_nor_memory_are_overdrawn() {
         for (sockets, memory_mb) in [(1024, 192.0), (4096, 64.0), (64, 2048.0)] {
-            let both: usize =
-                Budget::sides(sockets, memory_mb, 0).iter().map(|side| side.free.available_permits()).sum();
-            assert!(both as u64 + OTHER <= sockets, "{both} of {sockets}");
-            assert!(both as f64 * CONNECTION_KB <= memory_mb * 1024.0, "{both} in {memory_mb} MB");
+            let both: usize = DescriptorBudget::split(sockets, memory_mb, 0)
+                .iter()
+                .map(|side| side.free.available_permits())
+                .sum();
+            assert!(both as u64 + RESERVED_DESCRIPTORS <= sockets, "{both} of {sockets}");
+            assert!(both as f64 * KIB_PER_CONNECTION <= memory_mb * 1024.0, "{both} in {memory_mb} MB");
         }
     }
 }
--- a/crates/proxy/src/class_table.rs
+++ b/crates/proxy/src/class_table.rs
@@ -1,6 +1,6 @@
-//! Which place of the module's table each class name points to, over changes of the settings. No I/O.
+//! Which place of the balancer's table each class name points to, over changes of the settings. No I/O.
 //!
-//! Danger: a job is judged by the definition that it came under. Definitions never change in their place.
+//! A request is judged by the definition that it came under. Definitions never change in their place.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,31 +11,31 @@
 
 use crate::errors::ApplySettingsError;
 
-/// For so long after a change a name still has its former terms: submitters learn of it a moment later.
-const GRACE: Duration = Duration::from_millis(1000);
-/// A place that no name points to is used again after this: whoever read it before has mailed its job by then.
-const REST: Duration = Duration::from_secs(60);
+/// For so long after a change a name still has its former terms: clients learn of it a moment later.
+const FORMER_BINDING_PERIOD: Duration = Duration::from_millis(1000);
+/// A place that no name points to is used again after this: whoever read it before has sent its request by then.
+const SLOT_REUSE_DELAY: Duration = Duration::from_secs(60);
 /// More places than this within that time are too many changes.
 pub(crate) const MAX_CLASS_SLOTS: usize = 1024;
 
 /// What a name stands for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Term {
+pub(crate) struct ClassBinding {
     pub(crate) class: ClassId,
     pub(crate) effect: RepeatEffect,
     until: Option<Instant>,
 }
 
-/// What submitters may name at present.
+/// What clients may name at present.
 #[derive(Debug)]
-pub(crate) struct Terms {
-    classes: HashMap<String, Vec<Term>>,
+pub(crate) struct AcceptedNames {
+    classes: HashMap<String, Vec<ClassBinding>>,
     tenants: NameTable,
 }
 
-impl Terms {
+impl AcceptedNames {
     /// What a class's name stands for now, its present terms first.
-    pub(crate) fn class(&self, name: &str, now: Instant) -> impl Iterator<Item = &Term> {
+    pub(crate) fn class(&self, name: &str, now: Instant) -> impl Iterator<Item = &ClassBinding> {
         let terms = self.classes.get(name).map(Vec::as_slice).unwrap_or_default();
         terms.iter().filter(move |term| term.until.is_none_or(|until| now < until))
     }
@@ -47,7 +47,7 @@
 
 /// A place of the table.
 #[derive(Clone, Debug)]
-struct Place {
+struct ClassSlot {
     name: String,
     class: Class,
     /// Since when no name points to it.
@@ -56,37 +56,37 @@
 
 /// The table, and the names that point into it.
 #[derive(Clone, Debug)]
-pub(crate) struct Tuning {
-    places: Vec<Place>,
+pub(crate) struct ClassTable {
+    places: Vec<ClassSlot>,
     tenants: NameTable,
     shares: Vec<Tenant>,
 }
 
-/// A change, whole: nothing of it is in force before the module takes it.
-pub(crate) struct Change {
+/// A change, whole: nothing of it is in force before the balancer takes it.
+pub(crate) struct SettingsChange {
     pub(crate) settings: Settings,
-    pub(crate) terms: Terms,
+    pub(crate) names: AcceptedNames,
     /// The places that names point to.
     pub(crate) open: Vec<ClassId>,
     /// What is learnt at the first of two places goes for the second.
     pub(crate) heirs: Vec<(ClassId, ClassId)>,
 }
 
-impl Tuning {
-    /// The table as the module starts with it: in the order of the settings.
+impl ClassTable {
+    /// The table as the balancer starts with it: in the order of the settings.
     /// The names of all classes, by their numbers.
     pub(crate) fn names(&self) -> Vec<&str> {
         self.places.iter().map(|place| place.name.as_str()).collect()
     }
 
-    pub(crate) fn new(named: &NamedSettings) -> (Self, Terms) {
+    pub(crate) fn new(named: &NamedSettings) -> (Self, AcceptedNames) {
         let names = (0..named.settings.classes.len()).map(|at| named.classes.name(at).to_owned());
         let classes = named.settings.classes.iter().cloned();
-        let places = names.zip(classes).map(|(name, class)| Place { name, class, idle: None }).collect();
+        let places = names.zip(classes).map(|(name, class)| ClassSlot { name, class, idle: None }).collect();
         let (tenants, shares) = (named.tenants.clone(), named.settings.tenants.clone());
-        let mut tuning = Self { places, tenants, shares };
-        let terms = tuning.terms(Instant::now());
-        (tuning, terms)
+        let mut class_table = Self { places, tenants, shares };
+        let names = class_table.accepted_names(Instant::now());
+        (class_table, names)
     }
 
     /// Takes other settings up. `held` says whether a job holds a place; zones and kinds are numbered as in `named`.
@@ -95,7 +95,7 @@
         named: &NamedSettings,
         held: impl Fn(ClassId) -> bool,
         now: Instant,
-    ) -> Result<Change, ApplySettingsError> {
+    ) -> Result<SettingsChange, ApplySettingsError> {
         let mut next = self.clone();
         let mut heirs = Vec::new();
         let before: HashMap<&str, usize> = (self.places.iter().enumerate())
@@ -108,8 +108,9 @@
         for (at, class) in named.settings.classes.iter().enumerate() {
             let name = named.classes.name(at);
             let same = next.places.iter().position(|place| place.name == name && place.class == *class);
-            let free = |(at, place): (usize, &Place)| {
-                let rested = place.idle.is_some_and(|since| now.saturating_duration_since(since) >= REST);
+            let free = |(at, place): (usize, &ClassSlot)| {
+                let rested =
+                    place.idle.is_some_and(|since| now.saturating_duration_since(since) >= SLOT_REUSE_DELAY);
                 (rested && !held(ClassId(at))).then_some(at)
             };
             let to = match same {
@@ -119,7 +120,7 @@
                 }
                 None => next.places.iter().enumerate().find_map(free).unwrap_or(next.places.len()),
             };
-            let place = Place { name: name.to_owned(), class: class.clone(), idle: None };
+            let place = ClassSlot { name: name.to_owned(), class: class.clone(), idle: None };
             if to < next.places.len() {
                 next.places[to] = place;
             } else {
@@ -144,17 +145,17 @@
             tenants: next.shares.clone(),
             ..named.settings.clone()
         };
-        let terms = next.terms(now);
+        let names = next.accepted_names(now);
         let open = (0..next.places.len()).filter(|at| next.places[*at].idle.is_none()).map(ClassId).collect();
         *self = next;
-        Ok(Change { settings, terms, open, heirs })
+        Ok(SettingsChange { settings, names, open, heirs })
     }
 
-    fn terms(&mut self, now: Instant) -> Terms {
-        let mut classes: HashMap<String, Vec<Term>> = HashMap::new();
+    fn accepted_names(&mut self, now: Instant) -> AcceptedNames {
+        let mut classes: HashMap<String, Vec<ClassBinding>> = HashMap::new();
         for (at, place) in self.places.iter().enumerate() {
-            let until = place.idle.map(|since| since + GRACE);
-            let term = Term { class: ClassId(at), effect: place.class.repeat_effect, until };
+            let until = place.idle.map(|since| since + FORMER_BINDING_PERIOD);
+            let term = ClassBinding { class: ClassId(at), effect: place.class.repeat_effect, until };
             let terms = classes.entry(place.name.clone()).or_default();
             match until {
                 None => terms.insert(0, term),
@@ -162,7 +163,7 @@
                 Some(_) => {}
             }
         }
-        Terms { classes, tenants: self.tenants.clone() }
+        AcceptedNames { classes, tenants: self.tenants.clone() }
     }
 }
 
@@ -187,14 +188,14 @@
         read_settings(&JsonField::root(&parse_json(&text).expect("JSON"))).expect("settings")
     }
 
-    fn now_named(terms: &Terms, name: &str, at: Instant) -> Vec<usize> {
+    fn now_named(terms: &AcceptedNames, name: &str, at: Instant) -> Vec<usize> {
         terms.class(name, at).map(|term| term.class.0).collect()
     }
 
-    /// Guards open jobs: a definition that changes moves to another place, and its name with it.
+    /// Guards open requests: a definition that changes moves to another place, and its name with it.
     #[test]
     fn a_definition_never_changes_in_its_place() {
-        let (mut tuning, terms) = Tuning::new(&named(&[("a", "free", 1.0), ("b", "free", 1.0)]));
+        let (mut tuning, terms) = ClassTable::new(&named(&[("a", "free", 1.0), ("b", "free", 1.0)]));
         let now = Instant::now();
         assert_eq!(now_named(&terms, "a", now), [0]);
         let other = named(&[("a", "single_shot", 1.0), ("c", "free", 1.0)]);
@@ -204,14 +205,14 @@
             (change.open.as_slice(), change.heirs.as_slice()),
             ([ClassId(2), ClassId(3)].as_slice(), [(ClassId(0), ClassId(2))].as_slice())
         );
-        let later = now + GRACE;
-        assert_eq!(now_named(&change.terms, "a", now), [2, 0]);
+        let later = now + FORMER_BINDING_PERIOD;
+        assert_eq!(now_named(&change.names, "a", now), [2, 0]);
         assert_eq!(
-            (now_named(&change.terms, "a", later), now_named(&change.terms, "b", now)),
+            (now_named(&change.names, "a", later), now_named(&change.names, "b", now)),
             (vec![2], vec![1])
         );
         assert!(
-            now_named(&change.terms, "b", later).is_empty() && now_named(&change.terms, "x", now).is_empty()
+            now_named(&change.names, "b", later).is_empty() && now_named(&change.names, "x", now).is_empty()
         );
         // And back: the places are still there.
         let back = named(&[("a", "free", 1.0), ("b", "free", 1.0)]);
@@ -219,13 +220,13 @@
         assert_eq!((change.open, change.settings.classes.len()), (vec![ClassId(0), ClassId(1)], 4));
     }
 
-    /// Guards the memory: places that nobody needs are used again, and those that jobs hold are not.
+    /// Guards the memory: places that nobody needs are used again, and those that requests hold are not.
     #[test]
     fn places_are_used_again_once_nobody_holds_them() {
-        let (mut tuning, _) = Tuning::new(&named(&[("a", "free", 1.0)]));
+        let (mut tuning, _) = ClassTable::new(&named(&[("a", "free", 1.0)]));
         let mut now = Instant::now();
         for turn in 0..100 {
-            now += REST;
+            now += SLOT_REUSE_DELAY;
             let other = named(&[("a", "free", 2.0 + f64::from(turn))]);
             let change = tuning.change(&other, |class| class.0 == 0, now).expect("a change");
             assert!(change.settings.classes.len() <= 3 && change.settings.classes[0].deadline == 1.0);
@@ -246,7 +247,7 @@
             named(&[("a", "free", 4.0), ("b", "single_shot", 2.0), ("c", "free", 3.0)]),
         ];
         for order in 0..4_usize.pow(4) {
-            let (mut tuning, _) = Tuning::new(&all[0]);
+            let (mut tuning, _) = ClassTable::new(&all[0]);
             let now = Instant::now();
             let mut last = None;
             for step in 0..4 {
@@ -256,7 +257,8 @@
             let Some((which, change)) = last else { continue };
             let mut open: Vec<_> = change.open.iter().map(|at| &change.settings.classes[at.0]).collect();
             for (at, class) in all[which].settings.classes.iter().enumerate() {
-                let named = now_named(&change.terms, all[which].classes.name(at), now + GRACE);
+                let named =
+                    now_named(&change.names, all[which].classes.name(at), now + FORMER_BINDING_PERIOD);
                 assert_eq!(named.len(), 1);
                 assert_eq!(&change.settings.classes[named[0]], class);
                 open.retain(|held| *held != class);
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! The submitter's side: an accept loop and one actor for each connection, HTTP to jobs, answers to HTTP.
+//! The client's side: an accept loop and one actor for each connection, HTTP to requests, answers to HTTP.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -25,51 +25,51 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-use crate::LONGEST;
-use crate::balancer_actor::Module;
-use crate::body::{self, Flow, Start, Upload};
-use crate::budget::{Budget, Permit};
-use crate::class_table::{Term, Terms};
+use crate::MAX_WAIT;
+use crate::balancer_actor::BalancerHandle;
+use crate::body::{self, BodyStart, OutgoingBody, Upload};
+use crate::budget::{DescriptorBudget, Permit};
+use crate::class_table::{AcceptedNames, ClassBinding};
 use crate::connection_log::SUBMITTER;
-use crate::framing::Framing;
+use crate::framing::RequestFraming;
 use crate::handover::Handover;
-use crate::lifecycle::Control;
-use crate::log::{Bounded, say};
-use crate::messages::{Answer, Call, Job, Payload};
+use crate::lifecycle::Lifecycle;
+use crate::log::{LogLimiter, say};
+use crate::messages::{ClientRequest, FinalResponse, ForwardedRequest, RequestBody};
 use mosshead_decide::interface::{ClassId, RepeatEffect, TenantId};
 use mosshead_http_links::{
     BodyError, CloseReason, ConnectionLogGuard, ConnectionRecord, IDEMPOTENCY_KEY_HEADER,
 };
 
 /// New connections keep coming for so long after a stop is asked for.
-const STOP_ACCEPTING: Duration = Duration::from_millis(450);
+const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
 /// And the last of them is taken to have come once none has for so long.
-const STOP_QUIET: Duration = Duration::from_millis(20);
+const SHUTDOWN_QUIET_PERIOD: Duration = Duration::from_millis(20);
 /// Where a successor accepts, idle connections are kept for so long after a stop is asked for.
-const STOP_KEEPING: Duration = Duration::from_millis(600);
+const SHUTDOWN_IDLE_PERIOD: Duration = Duration::from_millis(600);
 /// A stop waits for descriptors for those in the queue until so long after it was asked for.
-const STOP_WAITING: Duration = Duration::from_millis(1000);
+const SHUTDOWN_DESCRIPTOR_TIMEOUT: Duration = Duration::from_millis(1000);
 /// After an accept that failed, for want of descriptors perhaps, the next one waits for so long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A head has so long from connecting, a later one from its first byte.
-const HEAD: Duration = Duration::from_millis(2500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A connection without an open message is closed after this.
-const IDLE: Duration = Duration::from_millis(2500);
-/// A submitter that takes nothing of its answer for so long is let go; what is in the machine's buffers may take long.
-const READER_REST: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A client that takes nothing of its answer for so long is let go; what is in the machine's buffers may take long.
+const MAX_READER_PAUSE: Duration = Duration::from_secs(30);
 /// While the proxy is being emptied, one that idles or says nothing goes after this.
-const IDLE_IF_DRAINING: Duration = Duration::from_millis(500);
+const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// While descriptors are short, one that has said nothing yet goes after this,
-const SILENT_IF_SHORT: Duration = Duration::from_millis(100);
+const SCARCE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
 /// and one that has had its answer after this.
-const IDLE_IF_SHORT: Duration = Duration::from_millis(100);
+const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 /// and one that stops half way in a head after this: slow writers bring something more often.
-const STALL_IF_SHORT: Duration = Duration::from_millis(800);
+const SCARCE_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How far a stop has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum ShutdownStage {
     Serving,
     /// Connections are still taken; each answer is its connection's last.
     Closing,
@@ -77,137 +77,150 @@
     Stopping,
 }
 
-/// The side that submitters see.
-pub(crate) struct Front {
-    module: Module,
-    terms: RefCell<Rc<Terms>>,
-    budget: Budget,
-    stage: watch::Sender<Stage>,
-    control: Arc<Control>,
-    turned_down: Bounded,
+/// The side that clients see.
+pub(crate) struct ClientFrontend {
+    balancer: BalancerHandle,
+    names: RefCell<Rc<AcceptedNames>>,
+    budget: DescriptorBudget,
+    stage: watch::Sender<ShutdownStage>,
+    lifecycle: Arc<Lifecycle>,
+    rejections: LogLimiter,
 }
 
 /// What a connection is about, as far as that says when it is to be closed.
-struct Progress {
+struct ConnectionProgress {
     /// When it came up, or gave its last answer.
     since: Cell<Instant>,
     /// The first byte that came after that.
-    begun: Cell<Option<Instant>>,
+    first_byte: Cell<Option<Instant>>,
     /// The last byte that came.
-    heard: Cell<Instant>,
+    last_read: Cell<Instant>,
     /// A message's head is whole, and its answer is due.
-    busy: Cell<bool>,
-    answered: Cell<bool>,
+    is_busy: Cell<bool>,
+    has_responded: Cell<bool>,
     /// Descriptors are short.
-    short: Cell<bool>,
+    is_scarce: Cell<bool>,
     /// Since when the proxy is being emptied.
-    draining: Cell<Option<Instant>>,
-    /// Since when the submitter takes no more of what is written.
-    blocked: Cell<Option<Instant>>,
+    draining_since: Cell<Option<Instant>>,
+    /// Since when the client takes no more of what is written.
+    write_blocked_since: Cell<Option<Instant>>,
     /// An answer on it has broken off.
-    spoilt: Cell<bool>,
-    framing: RefCell<Framing>,
+    response_truncated: Cell<bool>,
+    framing: RefCell<RequestFraming>,
 }
 
-impl Progress {
+impl ConnectionProgress {
     fn new() -> Self {
-        let (since, begun, busy) = (Cell::new(Instant::now()), Cell::new(None), Cell::new(false));
-        let (answered, short, draining) = (Cell::new(false), Cell::new(false), Cell::new(None));
-        let (blocked, spoilt, framing) = (Cell::new(None), Cell::new(false), RefCell::new(Framing::new()));
-        let heard = Cell::new(Instant::now());
-        Self { since, begun, heard, busy, answered, short, draining, blocked, spoilt, framing }
+        let (since, first_byte, is_busy) = (Cell::new(Instant::now()), Cell::new(None), Cell::new(false));
+        let (has_responded, is_scarce, draining_since) =
+            (Cell::new(false), Cell::new(false), Cell::new(None));
+        let (write_blocked_since, response_truncated, framing) =
+            (Cell::new(None), Cell::new(false), RefCell::new(RequestFraming::new()));
+        let last_read = Cell::new(Instant::now());
+        Self {
+            since,
+            first_byte,
+            last_read,
+            is_busy,
+            has_responded,
+            is_scarce,
+            draining_since,
+            write_blocked_since,
+            response_truncated,
+            framing,
+        }
     }
 
     /// Bytes have come.
-    fn heard(&self) {
+    fn record_read(&self) {
         let now = Instant::now();
-        self.heard.set(now);
-        if !self.busy.get() && self.begun.get().is_none() {
-            self.begun.set(Some(now));
+        self.last_read.set(now);
+        if !self.is_busy.get() && self.first_byte.get().is_none() {
+            self.first_byte.set(Some(now));
         }
     }
 
-    /// The submitter has taken some of what is written, or has no room for it.
-    fn wrote(&self, some: bool) {
+    /// The client has taken some of what is written, or has no room for it.
+    fn record_write(&self, some: bool) {
         if some {
-            self.blocked.set(None);
+            self.write_blocked_since.set(None);
             self.since.set(Instant::now());
-        } else if self.blocked.get().is_none() {
-            self.blocked.set(Some(Instant::now()));
+        } else if self.write_blocked_since.get().is_none() {
+            self.write_blocked_since.set(Some(Instant::now()));
         }
     }
 
-    fn answered(&self) {
+    fn response_finished(&self) {
         self.since.set(Instant::now());
-        self.begun.set(None);
-        self.busy.set(false);
-        self.answered.set(true);
-        self.short.set(false);
+        self.first_byte.set(None);
+        self.is_busy.set(false);
+        self.has_responded.set(true);
+        self.is_scarce.set(false);
     }
 
     /// By when the message that has begun has to be whole.
-    fn whole_by(&self) -> Instant {
-        match self.begun.get().filter(|_| self.answered.get()) {
-            Some(begun) => begun + HEAD,
-            None => self.since.get() + HEAD,
+    fn head_deadline(&self) -> Instant {
+        match self.first_byte.get().filter(|_| self.has_responded.get()) {
+            Some(first_byte) => first_byte + HEAD_TIMEOUT,
+            None => self.since.get() + HEAD_TIMEOUT,
         }
     }
 
     /// When the connection is to be closed if nothing comes, and why.
-    fn end(&self) -> (Instant, CloseReason) {
-        // Danger: an answer that a slow reader still takes would be cut off.
-        if let Some(blocked) = self.blocked.get() {
-            return (blocked + READER_REST, CloseReason::ResponseUnread);
+    fn close_deadline(&self) -> (Instant, CloseReason) {
+        // An answer that a slow reader still takes would be cut off.
+        if let Some(write_blocked_since) = self.write_blocked_since.get() {
+            return (write_blocked_since + MAX_READER_PAUSE, CloseReason::ResponseUnread);
         }
         let since = self.since.get();
-        if let (None, Some(drain)) = (self.begun.get(), self.draining.get()) {
-            return (since.max(drain) + IDLE_IF_DRAINING, CloseReason::Draining);
+        if let (None, Some(drain)) = (self.first_byte.get(), self.draining_since.get()) {
+            return (since.max(drain) + DRAINING_IDLE_TIMEOUT, CloseReason::Draining);
         }
-        match (self.begun.get(), self.answered.get(), self.short.get()) {
+        match (self.first_byte.get(), self.has_responded.get(), self.is_scarce.get()) {
             (Some(_), _, true) => {
-                let stalled = self.heard.get() + STALL_IF_SHORT;
-                (self.whole_by().min(stalled), CloseReason::RequestTimeout)
+                let stalled = self.last_read.get() + SCARCE_STALL_TIMEOUT;
+                (self.head_deadline().min(stalled), CloseReason::RequestTimeout)
             }
-            (Some(_), _, false) => (self.whole_by(), CloseReason::RequestTimeout),
-            (None, false, false) => (self.whole_by(), CloseReason::NoRequest),
-            (None, true, false) => (since + IDLE, CloseReason::IdleTimeout),
-            (None, false, true) => (since + SILENT_IF_SHORT, CloseReason::DescriptorNeeded),
-            (None, true, true) => (since + IDLE_IF_SHORT, CloseReason::DescriptorNeeded),
+            (Some(_), _, false) => (self.head_deadline(), CloseReason::RequestTimeout),
+            (None, false, false) => (self.head_deadline(), CloseReason::NoRequest),
+            (None, true, false) => (since + IDLE_TIMEOUT, CloseReason::IdleTimeout),
+            (None, false, true) => (since + SCARCE_FIRST_BYTE_TIMEOUT, CloseReason::DescriptorNeeded),
+            (None, true, true) => (since + SCARCE_IDLE_TIMEOUT, CloseReason::DescriptorNeeded),
         }
     }
 }
 
-/// A submitter's stream, which tells when bytes come: hyper says nothing until a head is whole.
-struct Heard {
+/// A client's stream, which tells when bytes come: hyper says nothing until a head is whole.
+struct ClientStream {
     stream: TcpStream,
-    progress: Rc<Progress>,
+    progress: Rc<ConnectionProgress>,
 }
 
-impl Drop for Heard {
+impl Drop for ClientStream {
     fn drop(&mut self) {
-        // Danger: where the end of a body is the end of the connection, half an answer would look whole.
-        if self.progress.spoilt.get() {
+        // Where the end of a body is the end of the connection, half an answer would look whole.
+        if self.progress.response_truncated.get() {
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ClientStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.progress.heard();
+            self.progress.record_read();
             self.progress.framing.borrow_mut().feed(&buf.filled()[before..]);
         }
         read
     }
 }
 
-impl AsyncWrite for Heard {
+impl AsyncWrite for ClientStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.progress.wrote(wrote.is_ready());
+        self.progress.record_write(wrote.is_ready());
         wrote
     }
 
@@ -220,38 +233,44 @@
     }
 }
 
-/// A message that is turned down before it becomes a job.
+/// A message that is rejected before it becomes a request.
 #[derive(Debug, PartialEq)]
-struct Turned(StatusCode, &'static str);
+struct RequestRejection(StatusCode, &'static str);
 
-/// What a message's head says of its job.
-struct HeadRead {
+/// What a message's head says of its request.
+struct RequestHead {
     class: ClassId,
     tenant: Option<TenantId>,
     time_left: f64,
     id: String,
-    key: Option<Bytes>,
+    idempotency_key: Option<Bytes>,
 }
 
-const BAD_ID: Turned = Turned(StatusCode::BAD_REQUEST, "X-Correlation-Id is not 16 hex digits");
-const ID_TAKEN: Turned = Turned(StatusCode::CONFLICT, "X-Correlation-Id is in use");
+const BAD_ID: RequestRejection =
+    RequestRejection(StatusCode::BAD_REQUEST, "X-Correlation-Id is not 16 hex digits");
+const ID_TAKEN: RequestRejection = RequestRejection(StatusCode::CONFLICT, "X-Correlation-Id is in use");
 /// What an id consists of.
 const ID_DIGITS: usize = 16;
 /// The most bytes that an idempotency key may have.
-const KEY_LIMIT: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 /// The most that the head of a message holds.
-const HEAD_LIMIT: usize = 16 * 1024;
-
-impl Front {
-    pub(crate) fn new(module: Module, terms: Terms, budget: Budget, control: Arc<Control>) -> Rc<Self> {
-        let terms = RefCell::new(Rc::new(terms));
-        let (stage, turned_down) = (watch::Sender::new(Stage::Serving), Bounded::new());
-        Rc::new(Self { module, terms, budget, stage, control, turned_down })
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+
+impl ClientFrontend {
+    pub(crate) fn new(
+        balancer: BalancerHandle,
+        names: AcceptedNames,
+        budget: DescriptorBudget,
+        lifecycle: Arc<Lifecycle>,
+    ) -> Rc<Self> {
+        let names = RefCell::new(Rc::new(names));
+        let (stage, rejections) = (watch::Sender::new(ShutdownStage::Serving), LogLimiter::new());
+        Rc::new(Self { balancer, names, budget, stage, lifecycle, rejections })
     }
 
-    /// What submitters may name from now on.
-    pub(crate) fn retuned(&self, terms: Terms) {
-        self.terms.replace(Rc::new(terms));
+    /// What clients may name from now on.
+    pub(crate) fn set_accepted_names(&self, names: AcceptedNames) {
+        self.names.replace(Rc::new(names));
     }
 
     /// Serves until `stop`, then finishes what it has taken.
@@ -268,7 +287,7 @@
                 biased;
                 // It has taken nobody in: the predecessor still does.
                 () = &mut stop => return handover.close(),
-                () = handover.begin() => {}
+                () = handover.wait_until_accepting() => {}
             }
         }
         loop {
@@ -276,10 +295,10 @@
                 biased;
                 () = &mut stop => break,
                 Some(_) = open.join_next() => {}
-                new = self.accept(&listener) => self.start(new, &mut open),
+                new = self.accept(&listener) => self.spawn_connection(new, &mut open),
             }
         }
-        self.stage.send_replace(Stage::Closing);
+        self.stage.send_replace(ShutdownStage::Closing);
         let since = Instant::now();
         let mut relieved = false;
         if let Some(handover) = &handover {
@@ -288,37 +307,38 @@
         loop {
             tokio::select! {
                 biased;
-                () = sleep_until((since + STOP_ACCEPTING).into()) => break,
+                () = sleep_until((since + SHUTDOWN_ACCEPT_PERIOD).into()) => break,
                 // A successor accepts at the same socket: its queue lives on.
-                () = by_successor(&handover) => {
+                () = successor_accepts(&handover) => {
                     relieved = true;
                     break;
                 }
-                new = self.accept(&listener) => self.start(new, &mut open),
+                new = self.accept(&listener) => self.spawn_connection(new, &mut open),
             }
         }
         // What the kernel has accepted would be lost with the listener.
-        // Danger: without a free descriptor nobody comes either, and the queue is full.
+        // Without a free descriptor nobody comes either, and the queue is full.
         while !relieved
-            && let Ok(permit) = timeout_at((since + STOP_WAITING).into(), self.budget.take()).await
-            && let Ok(new) = timeout(STOP_QUIET, self.accept_with(&listener, permit)).await
+            && let Ok(permit) =
+                timeout_at((since + SHUTDOWN_DESCRIPTOR_TIMEOUT).into(), self.budget.acquire()).await
+            && let Ok(new) = timeout(SHUTDOWN_QUIET_PERIOD, self.accept_with(&listener, permit)).await
         {
-            self.start(new, &mut open);
+            self.spawn_connection(new, &mut open);
         }
         drop(listener);
         if let Some(handover) = &handover {
             handover.close();
         }
         if relieved {
-            // Danger: closed at once, idle connections would cross what submitters send on them.
-            sleep_until((since + STOP_KEEPING).into()).await;
+            // Closed at once, idle connections would cross what clients send on them.
+            sleep_until((since + SHUTDOWN_IDLE_PERIOD).into()).await;
         }
-        self.stage.send_replace(Stage::Stopping);
+        self.stage.send_replace(ShutdownStage::Stopping);
         while open.join_next().await.is_some() {}
     }
 
     async fn accept(&self, listener: &TcpListener) -> Option<(TcpStream, ConnectionLogGuard, Permit)> {
-        let permit = self.budget.take().await;
+        let permit = self.budget.acquire().await;
         self.accept_with(listener, permit).await
     }
 
@@ -331,63 +351,72 @@
             Ok((stream, peer)) => Some((stream, ConnectionLogGuard::open(SUBMITTER, peer), permit)),
             Err(error) => {
                 say!(why = %error, "accept failed");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 None
             }
         }
     }
 
-    fn start(self: &Rc<Self>, new: Option<(TcpStream, ConnectionLogGuard, Permit)>, open: &mut JoinSet<()>) {
-        if let Some((stream, line, permit)) = new {
-            open.spawn_local(self.clone().connection(stream, line, permit));
+    fn spawn_connection(
+        self: &Rc<Self>,
+        new: Option<(TcpStream, ConnectionLogGuard, Permit)>,
+        open: &mut JoinSet<()>,
+    ) {
+        if let Some((stream, log_guard, permit)) = new {
+            open.spawn_local(self.clone().serve_connection(stream, log_guard, permit));
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: TcpStream, line: ConnectionLogGuard, _permit: Permit) {
+    async fn serve_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        log_guard: ConnectionLogGuard,
+        _permit: Permit,
+    ) {
         let _ = stream.set_nodelay(true);
-        let record = line.record();
-        let progress = Rc::new(Progress::new());
+        let record = log_guard.record();
+        let progress = Rc::new(ConnectionProgress::new());
         let service = service_fn(|request| {
             let (front, record, progress) = (self.clone(), record.clone(), progress.clone());
             async move {
-                progress.busy.set(true);
-                let both = progress.framing.borrow_mut().next();
-                let mut answer = front.answer(request, &record, both).await;
-                answer.body_mut().tells(move |whole| {
-                    progress.answered();
-                    progress.spoilt.set(!whole);
-                    progress.short.set(front.budget.tight());
+                progress.is_busy.set(true);
+                let has_both_framings = progress.framing.borrow_mut().next();
+                let mut response = front.respond_to(request, &record, has_both_framings).await;
+                response.body_mut().on_end(move |whole| {
+                    progress.response_finished();
+                    progress.response_truncated.set(!whole);
+                    progress.is_scarce.set(front.budget.is_tight());
                     if !whole {
                         record.set_close_reason(CloseReason::ConnectionBroken);
                     }
                 });
-                Ok::<_, Infallible>(answer)
+                Ok::<_, Infallible>(response)
             }
         });
-        let (mut stage, mut wanted) = (self.stage.subscribe(), self.budget.wanted());
-        let mut drains = self.control.drains();
-        progress.draining.set(*drains.borrow_and_update());
-        // Danger: a want from before this line would go unheard.
-        progress.short.set(self.budget.tight());
-        let stream = TokioIo::new(Heard { stream, progress: progress.clone() });
-        let server = Builder::new().max_buf_size(HEAD_LIMIT).serve_connection(stream, service);
-        let (mut server, mut stopping) = (pin!(server), false);
+        let (mut stage, mut wanted) = (self.stage.subscribe(), self.budget.subscribe_release_requests());
+        let mut drains = self.lifecycle.subscribe_draining();
+        progress.draining_since.set(*drains.borrow_and_update());
+        // A want from before this line would go unheard.
+        progress.is_scarce.set(self.budget.is_tight());
+        let stream = TokioIo::new(ClientStream { stream, progress: progress.clone() });
+        let server = Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(stream, service);
+        let (mut server, mut is_stopping) = (pin!(server), false);
         let end = loop {
-            // While a job is held nothing is to be closed: it is looked at again later.
-            let held = || progress.busy.get() && progress.blocked.get().is_none();
-            let close = |at| if held() { Instant::now() + IDLE } else { at };
+            // While a request is held nothing is to be closed: it is looked at again later.
+            let held = || progress.is_busy.get() && progress.write_blocked_since.get().is_none();
+            let close = |at| if held() { Instant::now() + IDLE_TIMEOUT } else { at };
             tokio::select! {
                 biased;
                 end = server.as_mut() => break end,
-                _ = stage.wait_for(|stage| *stage == Stage::Stopping), if !stopping => {
-                    stopping = true;
+                _ = stage.wait_for(|stage| *stage == ShutdownStage::Stopping), if !is_stopping => {
+                    is_stopping = true;
                     record.set_default_close_reason(CloseReason::ShuttingDown);
                     server.as_mut().graceful_shutdown();
                 }
-                _ = wanted.changed() => progress.short.set(true),
-                Ok(()) = drains.changed() => progress.draining.set(*drains.borrow_and_update()),
-                () = sleep_until(close(progress.end().0).into()) => {
-                    let (at, why) = progress.end();
+                _ = wanted.changed() => progress.is_scarce.set(true),
+                Ok(()) = drains.changed() => progress.draining_since.set(*drains.borrow_and_update()),
+                () = sleep_until(close(progress.close_deadline().0).into()) => {
+                    let (at, why) = progress.close_deadline();
                     if !held() && at <= Instant::now() {
                         return record.set_close_reason(why);
                     }
@@ -397,56 +426,60 @@
         if let Err(error) = end {
             let reason =
                 if error.is_parse() { CloseReason::BadRequest } else { CloseReason::ConnectionBroken };
-            // Where a job is held, its submitter has left; the line already says so.
+            // Where a request is held, its client has left; the line already says so.
             if record.close_reason() != CloseReason::ClientGone {
                 record.set_close_reason(reason);
             }
         }
     }
 
-    async fn answer(
+    async fn respond_to(
         &self,
         request: Request<Incoming>,
         record: &ConnectionRecord,
-        both: bool,
-    ) -> Response<Flow> {
+        has_both_framings: bool,
+    ) -> Response<OutgoingBody> {
         record.count_message();
         let mut response = if request.uri().path() == "/_health" {
-            let open = self.control.ready() && !self.control.draining();
+            let open = self.lifecycle.is_ready() && !self.lifecycle.is_draining();
             respond(if open { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, Bytes::new())
         } else {
-            match self.decode(request, both).await {
-                Ok(job) => {
+            match self.read_request(request, has_both_framings).await {
+                Ok(request) => {
                     record.set_default_close_reason(CloseReason::ClientGone);
-                    match self.module.take(job).await {
-                        Answer::IdTaken => self.turn_down(record, ID_TAKEN),
-                        answer => encode(answer),
+                    match self.balancer.submit(request).await {
+                        FinalResponse::IdInUse => self.reject(record, ID_TAKEN),
+                        response => encode_response(response),
                     }
                 }
-                Err(turned) => self.turn_down(record, turned),
+                Err(rejection) => self.reject(record, rejection),
             }
         };
-        let last = match (*self.stage.borrow(), self.control.draining()) {
-            (Stage::Serving, false) => None,
-            (Stage::Serving, true) => Some(CloseReason::Draining),
+        let last = match (*self.stage.borrow(), self.lifecycle.is_draining()) {
+            (ShutdownStage::Serving, false) => None,
+            (ShutdownStage::Serving, true) => Some(CloseReason::Draining),
             _ => Some(CloseReason::ShuttingDown),
         };
         record.set_default_close_reason(last.unwrap_or(CloseReason::ClosedByPeer));
-        // Danger: answered while descriptors are short, it would idle on one. Closed by its answer it crosses no
+        // Answered while descriptors are short, it would idle on one. Closed by its answer it crosses no
         // further message.
-        let short = self.budget.tight();
-        if short {
+        let is_scarce = self.budget.is_tight();
+        if is_scarce {
             record.set_default_close_reason(CloseReason::DescriptorNeeded);
         }
-        if last.is_some() || short {
+        if last.is_some() || is_scarce {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// The answer to what is no job, the last on its connection: what follows there may be part of it.
-    fn turn_down(&self, record: &ConnectionRecord, Turned(status, why): Turned) -> Response<Flow> {
-        match self.turned_down.admit() {
+    /// The answer to what is no request, the last on its connection: what follows there may be part of it.
+    fn reject(
+        &self,
+        record: &ConnectionRecord,
+        RequestRejection(status, why): RequestRejection,
+    ) -> Response<OutgoingBody> {
+        match self.rejections.admit() {
             Some(0) => say!(status = status.as_u16(), why = %why, "turned-down"),
             Some(left_out) => say!(status = status.as_u16(), why = %why, left_out, "turned-down"),
             None => {}
@@ -457,39 +490,44 @@
         response
     }
 
-    async fn decode(&self, request: Request<Incoming>, both: bool) -> Result<Job, Turned> {
+    async fn read_request(
+        &self,
+        request: Request<Incoming>,
+        has_both_framings: bool,
+    ) -> Result<ClientRequest, RequestRejection> {
         let (head, body) = request.into_parts();
-        // Danger: where both framings are given a second message may hide in the body.
-        if both && head.headers.contains_key(TRANSFER_ENCODING) {
-            return Err(Turned(StatusCode::BAD_REQUEST, "the body is framed twice"));
+        // Where both framings are given a second message may hide in the body.
+        if has_both_framings && head.headers.contains_key(TRANSFER_ENCODING) {
+            return Err(RequestRejection(StatusCode::BAD_REQUEST, "the body is framed twice"));
         }
-        let HeadRead { class, tenant, time_left, id, key } = self.read_head(&head)?;
-        let too_long = Turned(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
-        // Danger: a submitter that never ends its body would hold its descriptor for good.
-        let late = Turned(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
-        let body = body::start(body, None).await.map_err(|fault| match fault {
+        let RequestHead { class, tenant, time_left, id, idempotency_key } = self.read_head(&head)?;
+        let too_long = RequestRejection(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
+        // A client that never ends its body would hold its descriptor for good.
+        let late = RequestRejection(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
+        let body = body::read_start(body, None).await.map_err(|fault| match fault {
             BodyError::TooLong => too_long,
             BodyError::Timeout => late,
             BodyError::Interrupted | BodyError::InvalidLength => {
-                Turned(StatusCode::BAD_REQUEST, "the body broke off")
+                RequestRejection(StatusCode::BAD_REQUEST, "the body broke off")
             }
         })?;
         let number = u64::from_str_radix(&id, 16).map_err(|_| BAD_ID)?;
         let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
         let body = match body {
-            Start::Whole(body) => Payload::Whole(body),
-            Start::More(start, rest) => Payload::Flowing(Upload::new(start, rest)),
+            BodyStart::Complete(body) => RequestBody::Buffered(body),
+            BodyStart::Partial(start, rest) => RequestBody::Streaming(Upload::new(start, rest)),
         };
-        let call = Call { verb: head.method.as_str().to_owned(), target, id, key, body };
-        // What the submitter grants counts from its last byte.
+        let forwarded =
+            ForwardedRequest { method: head.method.as_str().to_owned(), target, id, idempotency_key, body };
+        // What the client grants counts from its last byte.
         let arrived = Instant::now();
-        Ok(Job { id: number, class, tenant, time_left, arrived, call })
+        Ok(ClientRequest { id: number, class, tenant, time_left, arrived, forwarded })
     }
 
-    fn read_head(&self, head: &Parts) -> Result<HeadRead, Turned> {
-        let bad = |why| Turned(StatusCode::BAD_REQUEST, why);
+    fn read_head(&self, head: &Parts) -> Result<RequestHead, RequestRejection> {
+        let bad = |why| RequestRejection(StatusCode::BAD_REQUEST, why);
         let header = |name| {
-            let value = single(head, name, "a header is given twice")?;
+            let value = single_header(head, name, "a header is given twice")?;
             value.map(|value| value.to_str().map_err(|_| bad("a header is not text"))).transpose()
         };
         let id = header("x-correlation-id")?.filter(|id| !id.is_empty());
@@ -502,80 +540,89 @@
         if class != first {
             return Err(bad("path and class differ"));
         }
-        let (terms, now) = (self.terms.borrow().clone(), Instant::now());
-        if terms.class(class, now).next().is_none() {
+        let (names, now) = (self.names.borrow().clone(), Instant::now());
+        if names.class(class, now).next().is_none() {
             return Err(bad("the class is not known"));
         }
         let body = head.headers.get(CONTENT_LENGTH).is_some_and(|length| length.as_bytes() != b"0")
             || head.headers.contains_key(TRANSFER_ENCODING);
-        let key = read_key(head)?;
-        // A key on a class that knows none passes on like any other: what is unchanged is as the submitter sent it.
-        let fits = |term: &&Term| match term.effect {
+        let idempotency_key = read_idempotency_key(head)?;
+        // A key on a class that knows none passes on like any other: what is unchanged is as the client sent it.
+        let fits = |binding: &&ClassBinding| match binding.effect {
             RepeatEffect::Safe => head.method == Method::GET && !body,
-            RepeatEffect::Keyed { .. } => head.method == Method::POST && key.is_some(),
+            RepeatEffect::Keyed { .. } => head.method == Method::POST && idempotency_key.is_some(),
             RepeatEffect::Unsafe => head.method == Method::POST,
         };
-        let keyed = |term: &Term| matches!(term.effect, RepeatEffect::Keyed { .. });
-        let keyless = head.method == Method::POST && key.is_none();
-        let other = || match keyless && terms.class(class, now).any(keyed) {
+        let keyed = |binding: &ClassBinding| matches!(binding.effect, RepeatEffect::Keyed { .. });
+        let keyless = head.method == Method::POST && idempotency_key.is_none();
+        let other = || match keyless && names.class(class, now).any(keyed) {
             true => bad("Idempotency-Key is missing"),
-            false => Turned(StatusCode::METHOD_NOT_ALLOWED, "the class goes by another method"),
+            false => RequestRejection(StatusCode::METHOD_NOT_ALLOWED, "the class goes by another method"),
         };
-        let class = terms.class(class, now).find(fits).ok_or_else(other)?.class;
+        let class = names.class(class, now).find(fits).ok_or_else(other)?.class;
         let tenant = match header("x-account")? {
             None | Some("") => None,
-            Some(name) => Some(terms.tenant(name).ok_or(bad("the account is not known"))?),
+            Some(name) => Some(names.tenant(name).ok_or(bad("the account is not known"))?),
         };
         let left = header("x-time-left")?.ok_or(bad("X-Time-Left is missing"))?;
-        let left = left.trim().parse().ok().filter(|left: &f64| (f64::MIN_POSITIVE..=LONGEST).contains(left));
+        let left =
+            left.trim().parse().ok().filter(|left: &f64| (f64::MIN_POSITIVE..=MAX_WAIT).contains(left));
         let time_left = left.ok_or(bad("X-Time-Left is not a time"))?;
-        Ok(HeadRead { class, tenant, time_left, id, key })
+        Ok(RequestHead { class, tenant, time_left, id, idempotency_key })
     }
 }
 
-/// A header that is given once at most. Danger: of two values the execute node may read the other one.
-fn single<'a>(head: &'a Parts, name: &str, twice: &'static str) -> Result<Option<&'a HeaderValue>, Turned> {
+/// A header that is given once at most. Of two values the server may read the other one.
+fn single_header<'a>(
+    head: &'a Parts,
+    name: &str,
+    twice: &'static str,
+) -> Result<Option<&'a HeaderValue>, RequestRejection> {
     let mut values = head.headers.get_all(name).iter();
     let value = values.next();
-    if values.next().is_some() { Err(Turned(StatusCode::BAD_REQUEST, twice)) } else { Ok(value) }
+    if values.next().is_some() { Err(RequestRejection(StatusCode::BAD_REQUEST, twice)) } else { Ok(value) }
 }
 
 /// The idempotency key, if there is one. It need not be text: it passes on byte for byte.
-fn read_key(head: &Parts) -> Result<Option<Bytes>, Turned> {
-    let bad = |why| Turned(StatusCode::BAD_REQUEST, why);
-    match single(head, IDEMPOTENCY_KEY_HEADER, "Idempotency-Key is given twice")? {
-        Some(key) if key.is_empty() => Err(bad("Idempotency-Key is empty")),
-        Some(key) if key.len() > KEY_LIMIT => Err(bad("Idempotency-Key is too long")),
-        key => Ok(key.map(|key| Bytes::copy_from_slice(key.as_bytes()))),
+fn read_idempotency_key(head: &Parts) -> Result<Option<Bytes>, RequestRejection> {
+    let bad = |why| RequestRejection(StatusCode::BAD_REQUEST, why);
+    match single_header(head, IDEMPOTENCY_KEY_HEADER, "Idempotency-Key is given twice")? {
+        Some(idempotency_key) if idempotency_key.is_empty() => Err(bad("Idempotency-Key is empty")),
+        Some(idempotency_key) if idempotency_key.len() > MAX_KEY_BYTES => {
+            Err(bad("Idempotency-Key is too long"))
+        }
+        idempotency_key => {
+            Ok(idempotency_key.map(|idempotency_key| Bytes::copy_from_slice(idempotency_key.as_bytes())))
+        }
     }
 }
 
-/// Ends once a successor accepts at the same door.
-async fn by_successor(handover: &Option<Rc<Handover>>) {
+/// Ends once a successor accepts at the same address.
+async fn successor_accepts(handover: &Option<Rc<Handover>>) {
     match handover {
-        Some(handover) => handover.relieved().await,
+        Some(handover) => handover.wait_for_successor().await,
         None => std::future::pending().await,
     }
 }
 
-fn respond(status: StatusCode, body: impl Into<Flow>) -> Response<Flow> {
+fn respond(status: StatusCode, body: impl Into<OutgoingBody>) -> Response<OutgoingBody> {
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
     response
 }
 
-fn encode(answer: Answer) -> Response<Flow> {
-    match answer {
-        Answer::Served(body) => respond(StatusCode::OK, body),
-        Answer::Requeue(wait) => {
+fn encode_response(response: FinalResponse) -> Response<OutgoingBody> {
+    match response {
+        FinalResponse::Served(body) => respond(StatusCode::OK, body),
+        FinalResponse::RetryLater(wait) => {
             let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
             if let Ok(wait) = HeaderValue::from_str(&format!("{wait:.3}")) {
                 response.headers_mut().insert(RETRY_AFTER, wait);
             }
             response
         }
-        Answer::IdTaken => respond(StatusCode::CONFLICT, Bytes::new()),
+        FinalResponse::IdInUse => respond(StatusCode::CONFLICT, Bytes::new()),
         // Never a code that says it is harmless to try again.
-        Answer::Failed => respond(StatusCode::BAD_GATEWAY, Bytes::new()),
+        FinalResponse::Failed => respond(StatusCode::BAD_GATEWAY, Bytes::new()),
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::errors::ConfigError;
-use crate::operators::Operators;
+use crate::operators::OperatorConfig;
 use mosshead_settings::{self as settings, JsonField, NamedSettings};
 use mosshead_snapshot::server_list::{ServerList, read_server_list};
 use tinyjson::JsonValue;
@@ -18,11 +18,11 @@
 pub struct Config {
     /// The proxy's name, the same after a restart.
     pub name: String,
-    /// Where submitters connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators call, if they do.
     pub ops: Option<SocketAddr>,
-    /// Where the machine list is kept.
+    /// Where the endpoint list is kept.
     pub discovery: SocketAddr,
     pub(crate) seed: u64,
     pub(crate) memory_mb: f64,
@@ -30,7 +30,7 @@
     pub(crate) known: ServerList,
     pub(crate) named: NamedSettings,
     /// What the operators grant beside it, from the start on.
-    pub operators: Operators,
+    pub operators: OperatorConfig,
     /// The text, parsed.
     json: Arc<JsonValue>,
 }
@@ -59,7 +59,7 @@
         let seed = top.field("seed")?;
         let limits = top.field("limits")?;
         let mut named = settings::read_settings(&top.field("settings")?)?;
-        // Danger: told of more, the module takes connections for open that are not. Whatever the platform states, the
+        // Told of more, the balancer takes connections for open that are not. Whatever the platform states, the
         // protocol carries one request at a time on each.
         named.settings.limits.streams_per_connection = 1;
         named.settings.check()?;
@@ -78,13 +78,13 @@
             sockets: sockets.integer()?,
             known: read_server_list(&top.field("known")?)?,
             named,
-            operators: Operators::default(),
+            operators: OperatorConfig::default(),
             json: Arc::new(json),
         })
     }
 }
 
-/// The first key of `old` that is missing in `new`. Danger: what is left out by mistake would fall back on a default.
+/// The first key of `old` that is missing in `new`. What is left out by mistake would fall back on a default.
 /// The objects of a list need the keys that all of the old ones have.
 fn lacking(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
     let member = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
@@ -115,7 +115,7 @@
 mod tests {
     use super::*;
 
-    /// Danger: told of more jobs a connection than the protocol carries, the module takes new connections for open.
+    /// Told of more requests a connection than the protocol carries, the balancer takes new connections for open.
     #[test]
     fn a_connection_carries_one_job_whatever_the_settings_name() {
         let text = r#"{"name":"t","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"0a",
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Discovery's client: a watch on the machine list, one call after the other.
+//! Discovery's client: a watch on the endpoint list, one call after the other.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{sleep_until, timeout};
 
-use crate::body::Flow;
+use crate::body::OutgoingBody;
 use crate::connection_log::MACHINE_LIST;
 use crate::duration;
 use crate::load_report::OutboundConnection;
-use crate::log::{Bounded, say};
-use crate::messages::Mail;
+use crate::log::{LogLimiter, say};
+use crate::messages::Message;
 use mosshead_decide::interface::Seconds;
 use mosshead_http_links::{BodyError, CloseReason, read_body};
 use mosshead_recovery::WatchReopening;
@@ -25,22 +25,22 @@
 
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
 /// arose in any case: a call that discovery has forgotten must be over by then.
-const HOLD: Duration = Duration::from_millis(4000);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(4000);
 /// So long after its wait a call is given up.
-const LATE: Duration = Duration::from_millis(1500);
-/// Whoever answers at once though nothing is new is called again after this. Danger: one that does not wait would
+const RESPONSE_GRACE: Duration = Duration::from_millis(1500);
+/// Whoever answers at once though nothing is new is called again after this. One that does not wait would
 /// be called without end.
-const PACE: Duration = Duration::from_millis(50);
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
 /// A whole list with a version below one that discovery has told of itself is of a discovery that came back with old
 /// state: so long it is taken for that. After this it is taken as it is, for then nobody knows any better.
-const OLDER: Duration = Duration::from_secs(30);
+const STALE_LIST_PERIOD: Duration = Duration::from_secs(30);
 /// And it is called again after this.
-const OLDER_PACE: Duration = Duration::from_millis(1000);
+const STALE_LIST_RETRY_DELAY: Duration = Duration::from_millis(1000);
 /// A list of all machines is larger than other bodies.
-const LIST_LIMIT: usize = 1024 * 1024;
+const MAX_LIST_BYTES: usize = 1024 * 1024;
 
 /// What comes into the list's mailbox.
-pub(crate) enum Ask {
+pub(crate) enum ListCommand {
     /// Watch, if that is not being done.
     Watch,
     /// The list is kept at another address from now on.
@@ -49,22 +49,22 @@
 
 /// The way to the list's actor.
 #[derive(Clone)]
-pub(crate) struct MachineList(UnboundedSender<Ask>);
+pub(crate) struct EndpointList(UnboundedSender<ListCommand>);
 
-impl MachineList {
-    pub(crate) fn new() -> (Self, UnboundedReceiver<Ask>) {
+impl EndpointList {
+    pub(crate) fn new() -> (Self, UnboundedReceiver<ListCommand>) {
         let (mailbox, asked) = unbounded_channel();
         (Self(mailbox), asked)
     }
 
     /// Asks for a watch. It goes on by itself until a call fails.
     pub(crate) fn watch(&self) {
-        let _ = self.0.send(Ask::Watch);
+        let _ = self.0.send(ListCommand::Watch);
     }
 
     /// Moves to another address, and watches there.
     pub(crate) fn move_to(&self, discovery: SocketAddr) {
-        let _ = self.0.send(Ask::Move(discovery));
+        let _ = self.0.send(ListCommand::Move(discovery));
     }
 }
 
@@ -73,43 +73,43 @@
     discovery: SocketAddr,
     version: Option<u64>,
     connect_timeout: Seconds,
-    mut mailbox: UnboundedReceiver<Ask>,
-    home: UnboundedSender<Mail>,
+    mut mailbox: UnboundedReceiver<ListCommand>,
+    home: UnboundedSender<Message>,
 ) {
-    let connect_timeout = duration(connect_timeout).min(LATE);
-    let mut caller = Caller { discovery, connect_timeout, link: None };
+    let connect_timeout = duration(connect_timeout).min(RESPONSE_GRACE);
+    let mut caller = DiscoveryClient { discovery, connect_timeout, link: None };
     // The version to go on from; none where the list held is none of discovery's, as after an answer that made no sense: then
     // the whole list is due.
     let mut held = version;
-    let mut told = Told::default();
+    let mut told = ToldVersion::default();
     let mut silence = WatchReopening::default();
-    let failed = Bounded::new();
+    let failed = LogLimiter::new();
     while let Some(ask) = mailbox.recv().await {
-        if let Ask::Move(to) = ask {
+        if let ListCommand::Move(to) = ask {
             caller.move_to(to);
         }
         let mut from = Instant::now();
         loop {
             let called = Instant::now().max(from);
             match watch(&mut caller, held, from, &mut mailbox).await {
-                Watched::Closed => return,
-                // Danger: the old address falls silent soon, and what it would have told counts as told.
-                Watched::Moved(to) => caller.move_to(to),
-                Watched::Answered(Ok(listing)) if told.is_older(&listing, called) => {
+                WatchOutcome::Closed => return,
+                // The old address falls silent soon, and what it would have told counts as told.
+                WatchOutcome::Moved(to) => caller.move_to(to),
+                WatchOutcome::Answered(Ok(listing)) if told.is_older(&listing, called) => {
                     if let Some(left_out) = failed.admit() {
                         let left_out = (left_out > 0).then_some(left_out);
                         say!(version = listing.version, held = told.version, left_out, "machine-list older");
                     }
-                    from = called + OLDER_PACE;
+                    from = called + STALE_LIST_RETRY_DELAY;
                 }
-                Watched::Answered(Ok(listing)) => {
+                WatchOutcome::Answered(Ok(listing)) => {
                     silence.on_answer();
                     let news = held.is_none_or(|held| listing.version > held);
-                    from = if news { Instant::now() } else { called + PACE };
+                    from = if news { Instant::now() } else { called + MIN_CALL_INTERVAL };
                     held = Some(listing.version);
-                    let _ = home.send(Mail::List(Some(listing)));
+                    let _ = home.send(Message::ListUpdate(Some(listing)));
                 }
-                Watched::Answered(Err(error)) => {
+                WatchOutcome::Answered(Err(error)) => {
                     if let Some(left_out) = failed.admit() {
                         let left_out = (left_out > 0).then_some(left_out);
                         say!(why = %error, left_out, "machine-list failed");
@@ -123,7 +123,7 @@
                         held = None;
                     }
                     caller.link = None;
-                    let _ = home.send(Mail::List(None));
+                    let _ = home.send(Message::ListUpdate(None));
                     break;
                 }
             }
@@ -131,16 +131,16 @@
     }
 }
 
-/// What discovery itself has told in this life. The version of a saved list is hearsay: it may be of another world.
+/// What discovery itself has told in this incarnation. The version of a saved list is hearsay: it may be of another world.
 #[derive(Default)]
-struct Told {
+struct ToldVersion {
     version: u64,
     /// Since when its answers have been older than that.
     older: Option<Instant>,
 }
 
-impl Told {
-    /// Whether a list is older than what was told before. Danger: taken for new, it makes nodes that drain or have gone
+impl ToldVersion {
+    /// Whether a list is older than what was told before. Taken for new, it makes servers that drain or have gone
     /// into targets again.
     fn is_older(&mut self, listing: &ServerList, now: Instant) -> bool {
         if listing.version >= self.version {
@@ -148,7 +148,7 @@
             return false;
         }
         let since = *self.older.get_or_insert(now);
-        let older = now < since + OLDER;
+        let older = now < since + STALE_LIST_PERIOD;
         if !older {
             (self.version, self.older) = (listing.version, None);
         }
@@ -156,7 +156,7 @@
     }
 }
 
-enum Watched {
+enum WatchOutcome {
     Answered(Result<ServerList, ListError>),
     Moved(SocketAddr),
     Closed,
@@ -164,11 +164,11 @@
 
 /// One call, at `from`, unless the list moves meanwhile.
 async fn watch(
-    caller: &mut Caller,
+    caller: &mut DiscoveryClient,
     held: Option<u64>,
     from: Instant,
-    mailbox: &mut UnboundedReceiver<Ask>,
-) -> Watched {
+    mailbox: &mut UnboundedReceiver<ListCommand>,
+) -> WatchOutcome {
     let discovery = caller.discovery;
     let mut call = pin!(async {
         sleep_until(from.into()).await;
@@ -178,11 +178,11 @@
         tokio::select! {
             biased;
             ask = mailbox.recv() => match ask {
-                Some(Ask::Move(to)) if to != discovery => return Watched::Moved(to),
+                Some(ListCommand::Move(to)) if to != discovery => return WatchOutcome::Moved(to),
                 Some(_) => {}
-                None => return Watched::Closed,
+                None => return WatchOutcome::Closed,
             },
-            answer = &mut call => return Watched::Answered(answer),
+            response = &mut call => return WatchOutcome::Answered(response),
         }
     }
 }
@@ -238,13 +238,13 @@
     }
 }
 
-struct Caller {
+struct DiscoveryClient {
     discovery: SocketAddr,
     connect_timeout: Duration,
     link: Option<OutboundConnection>,
 }
 
-impl Caller {
+impl DiscoveryClient {
     fn move_to(&mut self, discovery: SocketAddr) {
         if let Some(link) = self.link.take() {
             link.record.set_close_reason(CloseReason::ConfigReloaded);
@@ -253,9 +253,9 @@
     }
 
     async fn call(&mut self, held: Option<u64>) -> Result<ServerList, ListError> {
-        let wait = held.map_or(Duration::ZERO, |_| HOLD);
+        let wait = held.map_or(Duration::ZERO, |_| WATCH_TIMEOUT);
         let timed_out = ListError::TimedOut { watching: held.is_some() };
-        let text = timeout(wait + LATE, self.fetch(held)).await.map_err(|_| timed_out)??;
+        let text = timeout(wait + RESPONSE_GRACE, self.fetch(held)).await.map_err(|_| timed_out)??;
         let text = str::from_utf8(&text)?;
         let json = settings::parse_json(text)?;
         let listing = read_server_list(&JsonField::root(&json))?;
@@ -280,17 +280,17 @@
         }
         let link = self.link.as_mut().ok_or(ListError::NoConnection)?;
         let target = match held {
-            Some(version) => format!("/catalog/members?from={version}&hold_ms={}", HOLD.as_millis()),
+            Some(version) => format!("/catalog/members?from={version}&hold_ms={}", WATCH_TIMEOUT.as_millis()),
             None => "/catalog/members".to_owned(),
         };
         let request = Request::get(target).header("host", self.discovery.to_string());
-        let request = request.body(Flow::from(Bytes::new()))?;
+        let request = request.body(OutgoingBody::from(Bytes::new()))?;
         link.record.set_default_close_reason(CloseReason::Abandoned);
-        let answer = link.send(request, 0).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(ListError::Status(answer.status()));
+        let response = link.send(request, 0).await?;
+        if response.status() != StatusCode::OK {
+            return Err(ListError::Status(response.status()));
         }
-        let body = read_body(answer.into_body(), LIST_LIMIT).await;
+        let body = read_body(response.into_body(), MAX_LIST_BYTES).await;
         let body = body.map_err(ListError::Body)?;
         link.record.set_default_close_reason(CloseReason::ClosedByPeer);
         Ok(body)
@@ -304,32 +304,32 @@
     use tokio::net::TcpListener;
     use tokio::task::{LocalSet, spawn_local};
 
-    /// Danger: a discovery that comes back with old state makes nodes that drain into targets again; one whose state is
+    /// A discovery that comes back with old state makes servers that drain into targets again; one whose state is
     /// lost for good must not be disbelieved for ever.
     #[test]
     fn an_older_list_is_not_taken_before_its_time() {
         let listing = |version| ServerList { version, full: true, machines: Vec::new() };
-        let (mut told, now) = (Told::default(), Instant::now());
+        let (mut told, now) = (ToldVersion::default(), Instant::now());
         assert!(!told.is_older(&listing(7), now));
-        assert!(told.is_older(&listing(5), now + OLDER));
-        assert!(!told.is_older(&listing(7), now + OLDER));
+        assert!(told.is_older(&listing(5), now + STALE_LIST_PERIOD));
+        assert!(!told.is_older(&listing(7), now + STALE_LIST_PERIOD));
         for (after, older) in [(1, true), (20, true), (30, true), (31, false), (32, false)] {
             assert_eq!(
-                told.is_older(&listing(6), now + OLDER + Duration::from_secs(after)),
+                told.is_older(&listing(6), now + STALE_LIST_PERIOD + Duration::from_secs(after)),
                 older,
                 "{after}"
             );
         }
     }
 
-    /// Danger: one that answers at once though nothing is new would be called without end, and news must not wait.
+    /// One that answers at once though nothing is new would be called without end, and news must not wait.
     #[test]
     fn who_does_not_wait_is_called_at_a_pace() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let addr = listener.local_addr().expect("an address");
-            let (list, asked) = MachineList::new();
+            let (list, asked) = EndpointList::new();
             let (home, _mail) = unbounded_channel();
             list.watch();
             spawn_local(run(addr, Some(1), 1.0, asked, home));
@@ -343,11 +343,11 @@
                 }
                 *took = since.elapsed();
                 let body = format!(r#"{{"version":{version},"full":false,"servers":[]}}"#);
-                let answer = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                stream.write_all(answer.as_bytes()).await.expect("written");
+                let response = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                stream.write_all(response.as_bytes()).await.expect("written");
             }
             // The first call found the list at version 1 and brought news; the next one brought none.
-            assert!(took[1] < PACE / 2 && took[2] >= PACE / 2, "{took:?}");
+            assert!(took[1] < MIN_CALL_INTERVAL / 2 && took[2] >= MIN_CALL_INTERVAL / 2, "{took:?}");
         });
     }
 }
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -1,16 +1,16 @@
-//! Follows the raw bytes of a submitter's connection from head to head.
+//! Follows the raw bytes of a client's connection from head to head.
 //!
-//! Danger: hyper hides a `Content-Length` that stands behind `Transfer-Encoding`, and where both are given a second
+//! Hyper hides a `Content-Length` that stands behind `Transfer-Encoding`, and where both are given a second
 //! message may hide in the body. This looks into each head itself.
 
 use std::collections::VecDeque;
 
 /// A head that is longer is none; hyper turns it down too.
-const HEAD_LIMIT: usize = 32 * 1024;
-const HEADERS: usize = 128;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+const MAX_HEADERS: usize = 128;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum Position {
     Head,
     Body(u64),
     /// The line before a chunk: its size so far, and whether its digits go on.
@@ -26,16 +26,16 @@
 
 /// Where in its messages a connection is.
 #[derive(Debug)]
-pub(crate) struct Framing {
-    at: At,
+pub(crate) struct RequestFraming {
+    at: Position,
     head: Vec<u8>,
     /// For each head that has come: whether it states both framings.
     heads: VecDeque<bool>,
 }
 
-impl Framing {
+impl RequestFraming {
     pub(crate) fn new() -> Self {
-        Self { at: At::Head, head: Vec::new(), heads: VecDeque::new() }
+        Self { at: Position::Head, head: Vec::new(), heads: VecDeque::new() }
     }
 
     /// Whether the next message states both framings; where that is not known it is taken for granted.
@@ -46,15 +46,15 @@
     pub(crate) fn feed(&mut self, mut bytes: &[u8]) {
         while let [first, rest @ ..] = bytes {
             bytes = match self.at {
-                At::Lost => return,
-                At::Body(left) | At::Chunk(left) => {
+                Position::Lost => return,
+                Position::Body(left) | Position::Chunk(left) => {
                     let take = left.min(bytes.len() as u64);
                     let left = left - take;
                     self.at = match self.at {
-                        At::Body(_) if left == 0 => At::Head,
-                        At::Body(_) => At::Body(left),
-                        _ if left == 0 => At::End,
-                        _ => At::Chunk(left),
+                        Position::Body(_) if left == 0 => Position::Head,
+                        Position::Body(_) => Position::Body(left),
+                        _ if left == 0 => Position::End,
+                        _ => Position::Chunk(left),
                     };
                     &bytes[take as usize..]
                 }
@@ -68,49 +68,49 @@
 
     fn byte(&mut self, byte: u8) {
         self.at = match (self.at, byte) {
-            (At::Head, b'\r' | b'\n') if self.head.is_empty() => At::Head,
-            (At::Head, byte) => {
+            (Position::Head, b'\r' | b'\n') if self.head.is_empty() => Position::Head,
+            (Position::Head, byte) => {
                 self.head.push(byte);
                 let ends = byte == b'\n' && (self.head.ends_with(b"\n\r\n") || self.head.ends_with(b"\n\n"));
                 match () {
                     () if ends => self.headers(),
-                    () if self.head.len() > HEAD_LIMIT => At::Lost,
-                    () => At::Head,
+                    () if self.head.len() > MAX_HEAD_BYTES => Position::Lost,
+                    () => Position::Head,
                 }
             }
-            (At::Size(0, _), b'\n') => At::Trailers(0),
-            (At::Size(size, _), b'\n') => At::Chunk(size),
-            (At::Size(size, true), digit) => match (digit as char).to_digit(16) {
-                Some(digit) if size < 1 << 56 => At::Size(size * 16 + u64::from(digit), true),
-                Some(_) => At::Lost,
-                None => At::Size(size, false),
+            (Position::Size(0, _), b'\n') => Position::Trailers(0),
+            (Position::Size(size, _), b'\n') => Position::Chunk(size),
+            (Position::Size(size, true), digit) => match (digit as char).to_digit(16) {
+                Some(digit) if size < 1 << 56 => Position::Size(size * 16 + u64::from(digit), true),
+                Some(_) => Position::Lost,
+                None => Position::Size(size, false),
             },
-            (At::End, b'\n') => At::Size(0, true),
-            (At::Trailers(0), b'\n') => At::Head,
-            (At::Trailers(_), b'\n') => At::Trailers(0),
-            (At::Trailers(held), b'\r') => At::Trailers(held),
-            (At::Trailers(held), _) => At::Trailers(held.saturating_add(1)),
+            (Position::End, b'\n') => Position::Size(0, true),
+            (Position::Trailers(0), b'\n') => Position::Head,
+            (Position::Trailers(_), b'\n') => Position::Trailers(0),
+            (Position::Trailers(held), b'\r') => Position::Trailers(held),
+            (Position::Trailers(held), _) => Position::Trailers(held.saturating_add(1)),
             (at, _) => at,
         };
     }
 
     /// What follows a head that is whole.
-    fn headers(&mut self) -> At {
+    fn headers(&mut self) -> Position {
         let head = std::mem::take(&mut self.head);
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         if !matches!(request.parse(&head), Ok(httparse::Status::Complete(_))) {
-            return At::Lost;
+            return Position::Lost;
         }
         let value = |name: &str| request.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
         let (chunked, length) = (value("transfer-encoding").is_some(), value("content-length"));
         self.heads.push_back(chunked && length.is_some());
         let length = length.map(|length| str::from_utf8(length.value).ok()?.trim().parse().ok());
         match (chunked, length) {
-            (true, _) => At::Size(0, true),
-            (false, None | Some(Some(0))) => At::Head,
-            (false, Some(Some(length))) => At::Body(length),
-            (false, Some(None)) => At::Lost,
+            (true, _) => Position::Size(0, true),
+            (false, None | Some(Some(0))) => Position::Head,
+            (false, Some(Some(length))) => Position::Body(length),
+            (false, Some(None)) => Position::Lost,
         }
     }
 }
@@ -131,16 +131,16 @@
     #[test]
     fn each_head_is_found_however_the_bytes_are_cut() {
         for cut in 1..SOME.len() {
-            let mut framing = Framing::new();
+            let mut framing = RequestFraming::new();
             SOME.as_bytes().chunks(cut).for_each(|part| framing.feed(part));
             assert_eq!(framing.heads, [false, false, false, true, false, true, false], "cut {cut}");
-            assert_eq!(framing.at, At::Head);
+            assert_eq!(framing.at, Position::Head);
         }
     }
 
     #[test]
     fn what_makes_no_sense_is_taken_for_the_worst() {
-        let mut framing = Framing::new();
+        let mut framing = RequestFraming::new();
         framing.feed(b"POST / HTTP/1.1\r\nContent-Length: -5\r\n\r\nGET / HTTP/1.1\r\n\r\n");
         assert!(!framing.next() && framing.next());
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
-//! The client proxy on real sockets: every peer, the machine list and the decisions have an actor each.
+//! The client proxy on real sockets: every peer, the endpoint list and the decisions have an actor each.
 //!
-//! `docs/client-proxy.md` follows a job through them.
+//! `docs/client-proxy.md` follows a request through them.
 
 mod admin;
 mod balancer_actor;
@@ -26,7 +26,7 @@
 
 pub use config::Config;
 pub use errors::{ConfigError, LoadConfigError};
-pub use operators::Operators;
+pub use operators::OperatorConfig;
 
 use std::io;
 use std::net::SocketAddr;
@@ -40,30 +40,30 @@
 use tokio::time::timeout;
 
 use crate::log::say;
-use balancer_actor::Module;
-use budget::Budget;
-use client_connection::Front;
-use endpoint_list::MachineList;
+use balancer_actor::BalancerHandle;
+use budget::DescriptorBudget;
+use client_connection::ClientFrontend;
+use endpoint_list::EndpointList;
 use errors::ReloadError;
-use handover::{Handover, Shares};
-use lifecycle::Control;
+use handover::{BudgetShares, Handover};
+use lifecycle::Lifecycle;
 use mosshead_decide::interface::Seconds;
 use mosshead_snapshot::restore::restore;
 use mosshead_snapshot::snapshot::SnapshotError;
-use snapshot_writer::Keeper;
-use stored_state::Stored;
+use snapshot_writer::SnapshotWriter;
+use stored_state::StoredState;
 
 /// So many connections wait for the accept loop.
 const BACKLOG: u32 = 4096;
 /// No wait is longer: an instant further away could not be reckoned.
-const LONGEST: Seconds = 86_400.0;
+const MAX_WAIT: Seconds = 86_400.0;
 
 /// A span of time for the runtime; what is no span is none.
 fn duration(span: Seconds) -> Duration {
-    Duration::try_from_secs_f64(span.clamp(0.0, LONGEST)).unwrap_or_default()
+    Duration::try_from_secs_f64(span.clamp(0.0, MAX_WAIT)).unwrap_or_default()
 }
 
-/// Serves until SIGTERM or SIGINT; every job taken has its answer when this returns. On SIGHUP `read` gives
+/// Serves until SIGTERM or SIGINT; every request taken has its answer when this returns. On SIGHUP `read` gives
 /// the configuration as it is now.
 ///
 /// # Errors
@@ -88,18 +88,18 @@
     let hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let control = Control::new();
-    let way = config.ops.map(|_| handover::path(config.listen));
+    let lifecycle = Lifecycle::new();
+    let way = config.ops.map(|_| handover::socket_path(config.listen));
     let taken = match &way {
-        Some(path) => handover::take(path, config.listen).await.unwrap_or_else(|why| {
+        Some(path) => handover::request_handover(path, config.listen).await.unwrap_or_else(|why| {
             say!(why = %why, "no handover");
             None
         }),
         None => None,
     };
-    let kept = config.ops.map_or(0, |_| handover::STARTING);
-    let [front, back] = Budget::sides(config.sockets, config.memory_mb, kept);
-    let shares = way.map(|path| (path, Shares::new([front.clone(), back.clone()], taken.is_some())));
+    let kept = config.ops.map_or(0, |_| handover::STARTUP_DESCRIPTORS);
+    let [front, back] = DescriptorBudget::split(config.sockets, config.memory_mb, kept);
+    let shares = way.map(|path| (path, BudgetShares::new([front.clone(), back.clone()], taken.is_some())));
     let (listener, predecessor) = match taken {
         Some(taken) => {
             config.known = taken.known;
@@ -110,19 +110,20 @@
     };
     let listener = Rc::new(listener);
     let (stored, version) = remember(&mut config, predecessor.is_some()).await;
-    let (list, asked) = MachineList::new();
+    let (list, asked) = EndpointList::new();
     let limits = config.named.settings.limits.clone();
-    let (module, terms, actor) =
-        Module::new(&config, back, list.clone(), control.clone(), stored).map_err(io::Error::other)?;
+    let (balancer, names, actor) =
+        BalancerHandle::new(&config, back, list.clone(), lifecycle.clone(), stored)
+            .map_err(io::Error::other)?;
     let mut deciding = spawn_local(actor);
     spawn_local(endpoint_list::run(
         config.discovery,
         version,
         limits.connect_timeout,
         asked,
-        module.mailbox(),
+        balancer.mailbox(),
     ));
-    let ops = config.ops.map(|ops| admin::open(ops, control.clone())).transpose()?;
+    let ops = config.ops.map(|ops| admin::open(ops, lifecycle.clone())).transpose()?;
     say!(
         name = %config.name,
         listen = %listener.local_addr()?,
@@ -132,17 +133,17 @@
         "start"
     );
     let handover = shares.map(|(path, shares)| {
-        let (module, control, listener) = (module.clone(), control.clone(), listener.clone());
-        Handover::new(path, module, shares, control, listener, predecessor)
+        let (balancer, lifecycle, listener) = (balancer.clone(), lifecycle.clone(), listener.clone());
+        Handover::new(path, balancer, shares, lifecycle, listener, predecessor)
     });
-    let front = Front::new(module.clone(), terms, front, control.clone());
-    spawn_local(reload(hangup, read, list, module, front.clone(), config.clone()));
+    let front = ClientFrontend::new(balancer.clone(), names, front, lifecycle.clone());
+    spawn_local(reload(hangup, read, list, balancer, front.clone(), config.clone()));
     let stop = async {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        control.set_stopping();
+        lifecycle.set_stopping();
         say!("stopping");
     };
     tokio::select! {
@@ -155,17 +156,17 @@
     }
 }
 
-/// What a former life left in the folder that the operators grant, if they do; and the version of the list to go on from, if
+/// What a former incarnation left in the folder that the operators grant, if they do; and the version of the list to go on from, if
 /// it is one of discovery's. A predecessor that hands over knows the list better than any folder.
-async fn remember(config: &mut Config, handed_over: bool) -> (Option<Stored>, Option<u64>) {
+async fn remember(config: &mut Config, handed_over: bool) -> (Option<StoredState>, Option<u64>) {
     let given = Some(config.known.version);
     let Some(folder) = config.operators.state.clone() else { return (None, given) };
     let from = folder.clone();
-    // Danger: a disk that hangs must not keep a proxy from serving.
+    // A disk that hangs must not keep a proxy from serving.
     let (read, found) = oneshot::channel();
     // A stop does not wait for this thread, as it would for the runtime's own.
     std::thread::spawn(move || drop(read.send(snapshot_writer::read(&from))));
-    let found = timeout(snapshot_writer::PATIENCE, found).await.ok().and_then(Result::ok);
+    let found = timeout(snapshot_writer::READ_TIMEOUT, found).await.ok().and_then(Result::ok);
     let found = found.unwrap_or(Err(SnapshotError::TimedOut));
     let believed = restore(&config.known, found, &config.name, stored_state::unix_ms());
     for verdict in &believed.reports {
@@ -175,8 +176,8 @@
         config.known = believed.list.clone();
     }
     let version = (handed_over || !believed.merged).then_some(config.known.version);
-    match Keeper::start(folder) {
-        Ok(keeper) => (Some(Stored::new(keeper, &config.name, believed)), version),
+    match SnapshotWriter::start(folder) {
+        Ok(keeper) => (Some(StoredState::new(keeper, &config.name, believed)), version),
         Err(error) => {
             say!(why = %error, "fault: nothing is kept for the next life");
             (None, version)
@@ -194,27 +195,27 @@
 }
 
 /// On each SIGHUP the configuration is read anew: the settings are taken whole or not at all, and the list is watched where
-/// it now says. Jobs and connections live on; what else the file changes counts from the next start.
+/// it now says. Requests and connections live on; what else the file changes counts from the next start.
 async fn reload(
     mut hangup: Signal,
     read: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
-    list: MachineList,
-    module: Module,
-    front: Rc<Front>,
+    list: EndpointList,
+    balancer: BalancerHandle,
+    front: Rc<ClientFrontend>,
     mut running: Config,
 ) {
     while hangup.recv().await.is_some() {
-        // Danger: a file system that hangs must not stop the jobs.
+        // A file system that hangs must not stop the requests.
         let read = spawn_blocking(read.clone()).await;
         let adopted = async {
             let next = read??;
             running.check_replacement(&next)?;
-            let terms = module.retune(next.named.clone()).await?;
-            Ok::<_, ReloadError>((next, terms))
+            let names = balancer.apply_settings(next.named.clone()).await?;
+            Ok::<_, ReloadError>((next, names))
         };
         match adopted.await {
-            Ok((next, terms)) => {
-                front.retuned(terms);
+            Ok((next, names)) => {
+                front.set_accepted_names(names);
                 say!(
                     discovery = %next.discovery,
                     classes = next.named.settings.classes.len(),
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! What both threads share: whether the process can serve, drains or stops.
 //!
-//! Readiness is the process's, health the door's; a stop is neither, and wins over both.
+//! Readiness is the process's, health the admin endpoint's; a stop is neither, and wins over both.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,9 +9,9 @@
 use mosshead_decide::{RecoveryBlocker, RecoveryStage};
 use tokio::sync::watch;
 
-/// How far this life has come.
+/// How far this incarnation has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct WayBack {
+pub(crate) struct RecoveryState {
     pub(crate) stage: RecoveryStage,
     pub(crate) wants: RecoveryBlocker,
     /// When it came to that,
@@ -19,62 +19,63 @@
     /// and when it was first in full service, if it was.
     pub(crate) full: Option<Instant>,
     /// Which life it is, where there is a folder to tell by.
-    pub(crate) life: Option<u64>,
+    pub(crate) incarnation: Option<u64>,
 }
 
 /// The switches, and who may look at them.
-pub(crate) struct Control {
+pub(crate) struct Lifecycle {
     /// Since when the proxy is being emptied.
     drain: watch::Sender<Option<Instant>>,
     ready: AtomicBool,
     stopping: AtomicBool,
     /// An operator has been told that the process can serve.
-    asked: watch::Sender<bool>,
+    readiness_confirmed: watch::Sender<bool>,
     start: Instant,
-    way_back: Mutex<WayBack>,
+    recovery: Mutex<RecoveryState>,
 }
 
-impl Control {
+impl Lifecycle {
     pub(crate) fn new() -> Arc<Self> {
         let (ready, stopping) = (AtomicBool::new(false), AtomicBool::new(false));
-        let (start, drain, asked) = (Instant::now(), watch::Sender::new(None), watch::Sender::new(false));
-        let way = WayBack {
+        let (start, drain, readiness_confirmed) =
+            (Instant::now(), watch::Sender::new(None), watch::Sender::new(false));
+        let recovery = RecoveryState {
             stage: RecoveryStage::NoServers,
             wants: RecoveryBlocker::Servers,
             since: start,
             full: None,
-            life: None,
+            incarnation: None,
         };
-        Arc::new(Self { drain, ready, stopping, asked, start, way_back: Mutex::new(way) })
+        Arc::new(Self { drain, ready, stopping, readiness_confirmed, start, recovery: Mutex::new(recovery) })
     }
 
-    /// How far this life has come, and when it began.
-    pub(crate) fn way_back(&self) -> (WayBack, Instant) {
-        (*self.way_back.lock().unwrap_or_else(PoisonError::into_inner), self.start)
+    /// How far this incarnation has come, and when it began.
+    pub(crate) fn recovery_state(&self) -> (RecoveryState, Instant) {
+        (*self.recovery.lock().unwrap_or_else(PoisonError::into_inner), self.start)
     }
 
     /// It is the life of this number.
-    pub(crate) fn set_life(&self, life: u64) {
-        self.way_back.lock().unwrap_or_else(PoisonError::into_inner).life = Some(life);
+    pub(crate) fn set_incarnation(&self, incarnation: u64) {
+        self.recovery.lock().unwrap_or_else(PoisonError::into_inner).incarnation = Some(incarnation);
     }
 
     /// It has come so far now; says whether that is news of the state, not of what it waits for.
-    pub(crate) fn come_to(&self, stage: RecoveryStage, wants: RecoveryBlocker) -> bool {
-        let mut way = self.way_back.lock().unwrap_or_else(PoisonError::into_inner);
-        let news = way.stage != stage;
+    pub(crate) fn update_recovery(&self, stage: RecoveryStage, wants: RecoveryBlocker) -> bool {
+        let mut recovery = self.recovery.lock().unwrap_or_else(PoisonError::into_inner);
+        let news = recovery.stage != stage;
         if news {
-            way.since = Instant::now();
+            recovery.since = Instant::now();
         }
         if stage == RecoveryStage::FullService {
-            let since = way.since;
-            way.full.get_or_insert(since);
+            let since = recovery.since;
+            recovery.full.get_or_insert(since);
         }
-        (way.stage, way.wants) = (stage, wants);
+        (recovery.stage, recovery.wants) = (stage, wants);
         news
     }
 
     /// Empties the proxy, or brings it back. Asked twice, the first time counts; says whether it changed.
-    pub(crate) fn drain(&self, on: bool) -> bool {
+    pub(crate) fn set_draining(&self, on: bool) -> bool {
         self.drain.send_if_modified(|since| {
             let changed = since.is_some() != on;
             if changed {
@@ -84,12 +85,12 @@
         })
     }
 
-    pub(crate) fn draining(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.drain.borrow().is_some()
     }
 
     /// Reports since when the proxy is being emptied.
-    pub(crate) fn drains(&self) -> watch::Receiver<Option<Instant>> {
+    pub(crate) fn subscribe_draining(&self) -> watch::Receiver<Option<Instant>> {
         self.drain.subscribe()
     }
 
@@ -98,18 +99,19 @@
         self.ready.store(true, Ordering::Release);
     }
 
-    pub(crate) fn ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
     /// An operator is being told so.
-    pub(crate) fn say_yes(&self) {
-        self.asked.send_if_modified(|asked| !std::mem::replace(asked, true));
+    pub(crate) fn confirm_readiness(&self) {
+        self.readiness_confirmed
+            .send_if_modified(|readiness_confirmed| !std::mem::replace(readiness_confirmed, true));
     }
 
     /// Reports whether an operator has been told.
-    pub(crate) fn asked(&self) -> watch::Receiver<bool> {
-        self.asked.subscribe()
+    pub(crate) fn subscribe_readiness_confirmed(&self) -> watch::Receiver<bool> {
+        self.readiness_confirmed.subscribe()
     }
 
     pub(crate) fn set_stopping(&self) {
@@ -117,8 +119,8 @@
     }
 
     /// Whether this process serves whoever comes.
-    pub(crate) fn serves(&self) -> bool {
-        self.ready() && !self.stopping.load(Ordering::Acquire)
+    pub(crate) fn is_serving(&self) -> bool {
+        self.is_ready() && !self.stopping.load(Ordering::Acquire)
     }
 }
 
@@ -129,22 +131,22 @@
     /// Guards calls that come twice: the first one says since when, and each way back is one.
     #[test]
     fn a_drain_counts_from_its_first_call_and_comes_back() {
-        let control = Control::new();
-        assert!(control.drain(true) && control.draining());
-        let since = *control.drains().borrow();
-        assert!(!control.drain(true) && *control.drains().borrow() == since);
-        assert!(control.drain(false) && !control.drain(false) && !control.draining());
+        let lifecycle = Lifecycle::new();
+        assert!(lifecycle.set_draining(true) && lifecycle.is_draining());
+        let since = *lifecycle.subscribe_draining().borrow();
+        assert!(!lifecycle.set_draining(true) && *lifecycle.subscribe_draining().borrow() == since);
+        assert!(lifecycle.set_draining(false) && !lifecycle.set_draining(false) && !lifecycle.is_draining());
     }
 
     #[test]
     fn who_stops_serves_nobody_new_but_stays_ready() {
-        let control = Control::new();
-        assert!(!control.serves());
-        control.set_ready();
-        assert!(control.serves());
-        control.drain(true);
-        assert!(control.serves(), "emptied, the process can still serve");
-        control.set_stopping();
-        assert!(control.ready() && !control.serves());
+        let lifecycle = Lifecycle::new();
+        assert!(!lifecycle.is_serving());
+        lifecycle.set_ready();
+        assert!(lifecycle.is_serving());
+        lifecycle.set_draining(true);
+        assert!(lifecycle.is_serving(), "emptied, the process can still serve");
+        lifecycle.set_stopping();
+        assert!(lifecycle.is_ready() && !lifecycle.is_serving());
     }
 }
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,10 +1,10 @@
 //! Connections that carry bodies as this proxy sends them, and load reports.
 
-use crate::body::Flow;
+use crate::body::OutgoingBody;
 use mosshead_decide::interface::LoadReport;
 
-/// An open connection to an execute node, or to the machine list.
-pub(crate) type OutboundConnection = mosshead_http_links::OutboundConnection<Flow>;
+/// An open connection to a server, or to the endpoint list.
+pub(crate) type OutboundConnection = mosshead_http_links::OutboundConnection<OutgoingBody>;
 
 /// A load report as `name=value,name=value`; what is not understood is left out.
 pub(crate) fn load_report(text: &str) -> LoadReport {
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -1,6 +1,6 @@
 //! The log: events of `tracing`, one a line on standard error, through a bounded queue and a thread that writes.
 //!
-//! Danger: a slow reader of the log must not stop the runtime. What does not fit the queue is dropped and
+//! A slow reader of the log must not stop the runtime. What does not fit the queue is dropped and
 //! counted, and the count is written with the next line that does.
 
 use std::cell::Cell;
@@ -12,9 +12,9 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
 /// So many lines wait for a slow reader of the log.
-const LINES_WAITING: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 /// Lines that others cause at will: so many a second are written.
-const LINES_A_SECOND: u32 = 20;
+const MAX_LINES_PER_SECOND: u32 = 20;
 
 /// How a line is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 }
 
 static LOST: OnceLock<ErrorCounter> = OnceLock::new();
-static TOLD: AtomicUsize = AtomicUsize::new(0);
+static REPORTED: AtomicUsize = AtomicUsize::new(0);
 
 /// Starts the log. Dropping what this returns waits until the log is written, if its reader keeps up.
 pub fn start(format: Format) -> WorkerGuard {
@@ -35,7 +35,7 @@
 }
 
 fn start_to(format: Format, to: impl io::Write + Send + 'static) -> WorkerGuard {
-    let queue = NonBlockingBuilder::default().buffered_lines_limit(LINES_WAITING).lossy(true);
+    let queue = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES).lossy(true);
     let (writer, guard) = queue.thread_name("log").finish(to);
     let _ = LOST.set(writer.error_counter());
     let log = tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_target(false);
@@ -54,7 +54,7 @@
 pub(crate) fn lost() -> usize {
     let Some(counter) = LOST.get() else { return 0 };
     let all = counter.dropped_lines();
-    all.saturating_sub(TOLD.swap(all, Ordering::Relaxed))
+    all.saturating_sub(REPORTED.swap(all, Ordering::Relaxed))
 }
 
 /// Writes an event, and before it how many were lost.
@@ -71,13 +71,13 @@
 pub(crate) use say;
 
 /// Bounds lines that others cause at will.
-pub(crate) struct Bounded {
+pub(crate) struct LogLimiter {
     second: Cell<Instant>,
     written: Cell<u32>,
     left_out: Cell<u64>,
 }
 
-impl Bounded {
+impl LogLimiter {
     pub(crate) fn new() -> Self {
         Self { second: Cell::new(Instant::now()), written: Cell::new(0), left_out: Cell::new(0) }
     }
@@ -89,7 +89,7 @@
             self.written.set(0);
         }
         self.written.set(self.written.get() + 1);
-        if self.written.get() > LINES_A_SECOND {
+        if self.written.get() > MAX_LINES_PER_SECOND {
             self.left_out.set(self.left_out.get() + 1);
             return None;
         }
@@ -106,11 +106,11 @@
     /// Guards the disk and the reader: a flood of faults is counted, not written.
     #[test]
     fn a_flood_is_counted_not_written() {
-        let bounded = Bounded::new();
+        let bounded = LogLimiter::new();
         let written = (0..1000).filter(|_| bounded.admit().is_some()).count();
-        assert_eq!(written, LINES_A_SECOND as usize);
+        assert_eq!(written, MAX_LINES_PER_SECOND as usize);
         bounded.second.set(Instant::now() - Duration::from_secs(1));
-        assert_eq!(bounded.admit(), Some(1000 - u64::from(LINES_A_SECOND)));
+        assert_eq!(bounded.admit(), Some(1000 - u64::from(MAX_LINES_PER_SECOND)));
         assert_eq!(bounded.admit(), Some(0));
     }
 
@@ -135,7 +135,7 @@
         let ((let_go, held), (wrote, lines)) = (channel(), channel());
         let guard = start_to(Format::Text, Stuck(held, wrote));
         let began = Instant::now();
-        for number in 0..5 * LINES_WAITING {
+        for number in 0..5 * MAX_QUEUED_LINES {
             say!(number, reason = %"given-up", "connection");
         }
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -6,7 +6,7 @@
 
 use lexopt::prelude::*;
 use mosshead::log::{self, Format};
-use mosshead::{self as proxy, Config, LoadConfigError, Operators};
+use mosshead::{self as proxy, Config, LoadConfigError, OperatorConfig};
 use thiserror::Error;
 
 const USAGE: &str = "usage: mosshead serve [--config FILE] [--operators FILE] [--log text|json]
@@ -18,11 +18,11 @@
 
 /// The platform's file, and the operators' own.
 #[derive(Clone)]
-struct Files(PathBuf, Option<PathBuf>);
+struct ConfigFiles(PathBuf, Option<PathBuf>);
 
 enum Command {
-    Serve(Files, Format),
-    CheckConfig(Files),
+    Serve(ConfigFiles, Format),
+    CheckConfig(ConfigFiles),
     Version,
     Help,
 }
@@ -53,7 +53,7 @@
             |path: &Option<PathBuf>, name| path.clone().or_else(|| std::env::var_os(name).map(PathBuf::from));
         let config = or_else(&config, "BALANCER_CONFIG");
         let config = config.ok_or("no configuration: give --config or set BALANCER_CONFIG")?;
-        Ok::<_, lexopt::Error>(Files(config, or_else(&operators, "MOSSHEAD_OPERATORS")))
+        Ok::<_, lexopt::Error>(ConfigFiles(config, or_else(&operators, "MOSSHEAD_OPERATORS")))
     };
     match name.as_str() {
         "serve" => Ok(Command::Serve(file()?, format.unwrap_or_default())),
@@ -63,7 +63,7 @@
     }
 }
 
-fn read(Files(path, operators): &Files) -> Result<Config, LoadConfigError> {
+fn read(ConfigFiles(path, operators): &ConfigFiles) -> Result<Config, LoadConfigError> {
     let text = |path: &Path| {
         std::fs::read_to_string(path)
             .map_err(|source| LoadConfigError::Unreadable { path: path.to_owned(), source })
@@ -71,7 +71,7 @@
     let invalid = |path: &Path, source| LoadConfigError::Invalid { path: path.to_owned(), source };
     let mut config = Config::read(&text(path)?).map_err(|error| invalid(path, error))?;
     if let Some(path) = operators {
-        config.operators = Operators::read(&text(path)?).map_err(|error| invalid(path, error))?;
+        config.operators = OperatorConfig::read(&text(path)?).map_err(|error| invalid(path, error))?;
     }
     if let (None, Some(ops)) = (config.ops, std::env::var_os("BALANCER_OPS")) {
         let ops = ops.to_str().and_then(|ops| ops.parse().ok());
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the actors hand to each other: mails, and the tickets that owe an outcome. No actor is named here.
+//! What the actors hand to each other: messages, and the tickets that owe an outcome. No actor is named here.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,199 +10,214 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
-use crate::body::{Flow, Upload};
-use crate::class_table::Terms;
+use crate::body::{OutgoingBody, Upload};
+use crate::class_table::AcceptedNames;
 use crate::errors::ApplySettingsError;
 use crate::load_report::OutboundConnection;
 use mosshead_snapshot::server_list::ServerList;
 
 /// What passes through the proxy unchanged.
 #[derive(Debug)]
-pub(crate) struct Call {
-    pub(crate) verb: String,
+pub(crate) struct ForwardedRequest {
+    pub(crate) method: String,
     pub(crate) target: String,
     pub(crate) id: String,
-    /// The idempotency key, byte for byte. Danger: without it execute nodes take a repeat for new work.
-    pub(crate) key: Option<Bytes>,
-    pub(crate) body: Payload,
+    /// The idempotency key, byte for byte. Without it servers take a repeat for new work.
+    pub(crate) idempotency_key: Option<Bytes>,
+    pub(crate) body: RequestBody,
 }
 
-/// A job's body.
+/// A request's body.
 #[derive(Debug)]
-pub(crate) enum Payload {
-    Whole(Bytes),
-    Flowing(Rc<Upload>),
+pub(crate) enum RequestBody {
+    Buffered(Bytes),
+    Streaming(Rc<Upload>),
 }
 
-impl Payload {
+impl RequestBody {
     /// The body that still comes.
     pub(crate) fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Payload::Whole(_) => None,
-            Payload::Flowing(upload) => Some(upload),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streaming(upload) => Some(upload),
         }
     }
 }
 
-/// A request, as the submitter's side hands it over.
+/// A request, as the client's side hands it over.
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct ClientRequest {
     /// The id that it carries, as a number.
     pub(crate) id: u64,
     pub(crate) class: ClassId,
     pub(crate) tenant: Option<TenantId>,
-    /// How long the submitter waits, counted from `arrived`.
+    /// How long the client waits, counted from `arrived`.
     pub(crate) time_left: Seconds,
     pub(crate) arrived: Instant,
-    pub(crate) call: Call,
+    pub(crate) forwarded: ForwardedRequest,
 }
 
-/// The one final answer to a job.
+/// The one final answer to a request.
 #[derive(Debug)]
-pub(crate) enum Answer {
-    /// An execute node's answer.
-    Served(Flow),
-    /// A requeue notice: trying again is harmless, best after this long.
-    Requeue(Seconds),
+pub(crate) enum FinalResponse {
+    /// A server's answer.
+    Served(OutgoingBody),
+    /// A retry-later response: trying again is harmless, best after this long.
+    RetryLater(Seconds),
     /// Failed; it may have run.
     Failed,
-    /// Not taken on: another job has its id.
-    IdTaken,
+    /// Not taken on: another request has its id.
+    IdInUse,
 }
 
-/// What comes into the module's mailbox.
-pub(crate) enum Mail {
-    Job(RequestId, Job, oneshot::Sender<Answer>),
+/// What comes into the balancer's mailbox.
+pub(crate) enum Message {
+    Request(RequestId, ClientRequest, oneshot::Sender<FinalResponse>),
     Withdrawn(RequestId),
-    Ended(Ended),
-    Probed {
+    AttemptEnded(AttemptResult),
+    ProbeEnded {
         endpoint: EndpointId,
         outcome: Outcome,
         rtt: Seconds,
         report: LoadReport,
     },
-    List(Option<ServerList>),
+    ListUpdate(Option<ServerList>),
     /// What is known of the list, for a successor.
-    Known(oneshot::Sender<ServerList>),
-    /// The last byte of a job's body has come.
-    Whole(RequestId),
-    /// Other settings, and whom to tell what submitters may name from now on.
-    Retune(Box<NamedSettings>, oneshot::Sender<Result<Terms, ApplySettingsError>>),
+    GetList(oneshot::Sender<ServerList>),
+    /// The last byte of a request's body has come.
+    BodyReceived(RequestId),
+    /// Other settings, and whom to tell what clients may name from now on.
+    ApplySettings(Box<NamedSettings>, oneshot::Sender<Result<AcceptedNames, ApplySettingsError>>),
 }
 
 /// The outcome of one attempt.
-pub(crate) struct Ended {
-    pub(crate) job: RequestId,
-    pub(crate) round: AttemptNumber,
+pub(crate) struct AttemptResult {
+    pub(crate) request: RequestId,
+    pub(crate) attempt: AttemptNumber,
     pub(crate) endpoint: EndpointId,
     pub(crate) outcome: Outcome,
     pub(crate) rtt: Seconds,
     pub(crate) report: LoadReport,
-    pub(crate) body: Flow,
+    pub(crate) body: OutgoingBody,
 }
 
-/// What comes into an execute node's mailbox.
-pub(crate) enum NodeMail {
-    /// The machine list has news of it.
-    Told(Told),
-    /// The machine list no longer has it.
-    Gone,
+/// What comes into a server's mailbox.
+pub(crate) enum ServerMessage {
+    /// The endpoint list has news of it.
+    StatusChanged(EndpointStatus),
+    /// The endpoint list no longer has it.
+    Removed,
     /// Nothing follows.
-    End,
-    Attempt(Ticket, Rc<Call>, Instant),
-    Probe(ProbeTicket),
+    Shutdown,
+    Attempt(AttemptGuard, Rc<ForwardedRequest>, Instant),
+    Probe(ProbeGuard),
     Cancel(RequestId, AttemptNumber),
     /// Close the idle connections.
-    Close,
+    CloseIdle,
     /// Other limits are in force.
-    Retuned(Seconds, Seconds),
+    LimitsChanged(Seconds, Seconds),
     /// An attempt or probe is over; its connection may be of further use.
-    Over(Option<(RequestId, AttemptNumber)>, Option<OutboundConnection>, SocketAddr),
+    ConnectionFreed(Option<(RequestId, AttemptNumber)>, Option<OutboundConnection>, SocketAddr),
 }
 
-/// What the machine list says of an execute node.
+/// What the endpoint list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Told {
+pub(crate) struct EndpointStatus {
     pub(crate) addr: SocketAddr,
     pub(crate) readiness: Readiness,
     pub(crate) started_ms: f64,
 }
 
 /// One attempt, which owes exactly one outcome: dropped without one, it was reset and may have run.
-pub(crate) struct Ticket {
-    pub(crate) job: RequestId,
-    pub(crate) round: AttemptNumber,
+pub(crate) struct AttemptGuard {
+    pub(crate) request: RequestId,
+    pub(crate) attempt: AttemptNumber,
     endpoint: EndpointId,
-    began: Instant,
-    done: Option<Instant>,
-    home: Option<UnboundedSender<Mail>>,
+    started: Instant,
+    responded_at: Option<Instant>,
+    outcomes: Option<UnboundedSender<Message>>,
 }
 
-impl Ticket {
+impl AttemptGuard {
     pub(crate) fn new(
-        job: RequestId,
-        round: AttemptNumber,
+        request: RequestId,
+        attempt: AttemptNumber,
         endpoint: EndpointId,
-        home: UnboundedSender<Mail>,
+        outcomes: UnboundedSender<Message>,
     ) -> Self {
-        Self { job, round, endpoint, began: Instant::now(), done: None, home: Some(home) }
+        Self {
+            request,
+            attempt,
+            endpoint,
+            started: Instant::now(),
+            responded_at: None,
+            outcomes: Some(outcomes),
+        }
     }
 
-    /// The node had done its work then: what follows is the way here.
-    pub(crate) fn until(&mut self, headed: Option<Instant>) {
-        self.done = headed;
+    /// The server had done its work then: what follows is the way here.
+    pub(crate) fn set_responded_at(&mut self, head_received_at: Option<Instant>) {
+        self.responded_at = head_received_at;
     }
 
-    /// The node has had the job since `since` only.
-    pub(crate) fn since(&mut self, since: Instant) {
-        self.began = self.began.max(since);
+    /// The server has had the request since `since` only.
+    pub(crate) fn started_no_earlier_than(&mut self, since: Instant) {
+        self.started = self.started.max(since);
     }
 
-    pub(crate) fn settle(mut self, outcome: Outcome, report: LoadReport, body: Flow) {
-        self.report(outcome, report, body);
+    pub(crate) fn finish(mut self, outcome: Outcome, report: LoadReport, body: OutgoingBody) {
+        self.send_result(outcome, report, body);
     }
 
-    fn report(&mut self, outcome: Outcome, report: LoadReport, body: Flow) {
-        let Some(home) = self.home.take() else { return };
-        let Self { job, round, endpoint, .. } = *self;
-        let done = self.done.unwrap_or_else(Instant::now);
-        let rtt = done.saturating_duration_since(self.began).as_secs_f64();
-        // Only a proxy that is about to exit has no module.
-        let _ = home.send(Mail::Ended(Ended { job, round, endpoint, outcome, rtt, report, body }));
+    fn send_result(&mut self, outcome: Outcome, report: LoadReport, body: OutgoingBody) {
+        let Some(outcomes) = self.outcomes.take() else { return };
+        let Self { request, attempt, endpoint, .. } = *self;
+        let responded_at = self.responded_at.unwrap_or_else(Instant::now);
+        let rtt = responded_at.saturating_duration_since(self.started).as_secs_f64();
+        // Only a proxy that is about to exit has no balancer.
+        let _ = outcomes.send(Message::AttemptEnded(AttemptResult {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            rtt,
+            report,
+            body,
+        }));
     }
 }
 
-impl Drop for Ticket {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.report(Outcome::Reset, LoadReport::default(), Bytes::new().into());
+        self.send_result(Outcome::Reset, LoadReport::default(), Bytes::new().into());
     }
 }
 
 /// One probe, which owes exactly one finding.
-pub(crate) struct ProbeTicket {
+pub(crate) struct ProbeGuard {
     endpoint: EndpointId,
-    began: Instant,
-    home: Option<UnboundedSender<Mail>>,
+    started: Instant,
+    outcomes: Option<UnboundedSender<Message>>,
 }
 
-impl ProbeTicket {
-    pub(crate) fn new(endpoint: EndpointId, home: UnboundedSender<Mail>) -> Self {
-        Self { endpoint, began: Instant::now(), home: Some(home) }
+impl ProbeGuard {
+    pub(crate) fn new(endpoint: EndpointId, outcomes: UnboundedSender<Message>) -> Self {
+        Self { endpoint, started: Instant::now(), outcomes: Some(outcomes) }
     }
 
-    pub(crate) fn settle(mut self, outcome: Outcome, report: LoadReport) {
-        self.report(outcome, report);
+    pub(crate) fn finish(mut self, outcome: Outcome, report: LoadReport) {
+        self.send_result(outcome, report);
     }
 
-    fn report(&mut self, outcome: Outcome, report: LoadReport) {
-        let Some(home) = self.home.take() else { return };
-        let rtt = self.began.elapsed().as_secs_f64();
-        let _ = home.send(Mail::Probed { endpoint: self.endpoint, outcome, rtt, report });
+    fn send_result(&mut self, outcome: Outcome, report: LoadReport) {
+        let Some(outcomes) = self.outcomes.take() else { return };
+        let rtt = self.started.elapsed().as_secs_f64();
+        let _ = outcomes.send(Message::ProbeEnded { endpoint: self.endpoint, outcome, rtt, report });
     }
 }
 
-impl Drop for ProbeTicket {
+impl Drop for ProbeGuard {
     fn drop(&mut self) {
-        self.report(Outcome::Reset, LoadReport::default());
+        self.send_result(Outcome::Reset, LoadReport::default());
     }
 }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -8,12 +8,12 @@
 
 /// What the operators grant, read and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Operators {
+pub struct OperatorConfig {
     /// A folder for stored state.
     pub state: Option<PathBuf>,
 }
 
-impl Operators {
+impl OperatorConfig {
     /// Reads the text of an operators' file.
     ///
     /// # Errors
@@ -23,7 +23,7 @@
         let json = parse_json(text)?;
         let top = JsonField::root(&json);
         for (name, found) in top.fields()? {
-            // Danger: a key that was misspelt would grant nothing, and nobody would know.
+            // A key that was misspelt would grant nothing, and nobody would know.
             if name != "state" {
                 return Err(found.broken_rule("not known here").into());
             }
@@ -50,16 +50,16 @@
     /// Guards against a folder that nobody meant: a misspelt key or a path that depends on where the program was started.
     #[test]
     fn what_is_at_fault_is_named() {
-        let granted = Operators { state: Some("/var/lib/mosshead".into()) };
-        assert_eq!(Operators::read(r#"{"state":{"folder":"/var/lib/mosshead"}}"#), Ok(granted));
-        assert_eq!(Operators::read("{}"), Ok(Operators::default()));
+        let granted = OperatorConfig { state: Some("/var/lib/mosshead".into()) };
+        assert_eq!(OperatorConfig::read(r#"{"state":{"folder":"/var/lib/mosshead"}}"#), Ok(granted));
+        assert_eq!(OperatorConfig::read("{}"), Ok(OperatorConfig::default()));
         for (text, fault) in [
             (r#"{"stat":{}}"#, "stat: not known here"),
             (r#"{"state":{"folder":"x"}}"#, "state.folder: not an absolute path"),
             (r#"{"state":{"folder":"/x","size":1}}"#, "state.size: not known here"),
             (r#"{"state":{}}"#, "state: missing field `folder`"),
         ] {
-            assert_eq!(Operators::read(text).expect_err(text).to_string(), fault);
+            assert_eq!(OperatorConfig::read(text).expect_err(text).to_string(), fault);
         }
     }
 }
--- a/crates/proxy/src/request_ids.rs
+++ b/crates/proxy/src/request_ids.rs
@@ -1,44 +1,44 @@
-//! Which ids are taken: by jobs that are held, and by jobs that went out not long ago and may have run.
+//! Which ids are taken: by requests that are held, and by requests that went out not long ago and may have run.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// The ids that no newcomer may bring. Danger: an execute node takes a second job of the same id for the same
-/// job sent again.
-pub(crate) struct Ids {
+/// The ids that no newcomer may bring. A server takes a second request of the same id for the same
+/// request sent again.
+pub(crate) struct RequestIds {
     taken: HashSet<u64>,
-    /// Those of jobs that are over, until when each is kept.
-    over: VecDeque<(Instant, u64)>,
-    keep: Duration,
+    /// Those of requests that are over, until when each is kept.
+    finished: VecDeque<(Instant, u64)>,
+    retention: Duration,
 }
 
-impl Ids {
-    /// `keep`: for how long a job that is over may still run somewhere.
-    pub(crate) fn new(keep: Duration) -> Self {
-        Self { taken: HashSet::new(), over: VecDeque::new(), keep }
+impl RequestIds {
+    /// `retention`: for how long a request that is over may still run somewhere.
+    pub(crate) fn new(retention: Duration) -> Self {
+        Self { taken: HashSet::new(), finished: VecDeque::new(), retention }
     }
 
-    /// Later jobs may run for so long.
-    pub(crate) fn keep(&mut self, keep: Duration) {
-        // Danger: shortened, an id that is kept longer would stand before one that is due.
-        self.keep = self.keep.max(keep);
+    /// Later requests may run for so long.
+    pub(crate) fn extend_retention(&mut self, retention: Duration) {
+        // Shortened, an id that is kept longer would stand before one that is due.
+        self.retention = self.retention.max(retention);
     }
 
     /// Takes an id; false if it is taken already.
-    pub(crate) fn take(&mut self, id: u64, now: Instant) -> bool {
-        while let Some((until, over)) = self.over.front().copied()
+    pub(crate) fn try_reserve(&mut self, id: u64, now: Instant) -> bool {
+        while let Some((until, finished)) = self.finished.front().copied()
             && until <= now
         {
-            self.over.pop_front();
-            self.taken.remove(&over);
+            self.finished.pop_front();
+            self.taken.remove(&finished);
         }
         self.taken.insert(id)
     }
 
-    /// The job is over. One that was never sent leaves its id free at once.
+    /// The request is over. One that was never sent leaves its id free at once.
     pub(crate) fn release(&mut self, id: u64, sent: bool, now: Instant) {
         if sent {
-            self.over.push_back((now + self.keep, id));
+            self.finished.push_back((now + self.retention, id));
         } else {
             self.taken.remove(&id);
         }
@@ -49,17 +49,17 @@
 mod tests {
     use super::*;
 
-    /// Guards against a job that runs twice, and against ids that pile up.
+    /// Guards against a request that runs twice, and against ids that pile up.
     #[test]
     fn an_id_is_free_again_once_its_job_cannot_run_any_more() {
-        let (now, keep) = (Instant::now(), Duration::from_secs(6));
-        let mut ids = Ids::new(keep);
-        assert!(ids.take(1, now) && !ids.take(1, now));
+        let (now, retention) = (Instant::now(), Duration::from_secs(6));
+        let mut ids = RequestIds::new(retention);
+        assert!(ids.try_reserve(1, now) && !ids.try_reserve(1, now));
         ids.release(1, false, now);
-        assert!(ids.take(1, now), "it was never sent");
+        assert!(ids.try_reserve(1, now), "it was never sent");
         ids.release(1, true, now);
-        assert!(!ids.take(1, now + keep / 2) && ids.take(1, now + keep));
-        ids.release(1, true, now + keep);
-        assert!(ids.take(2, now + 3 * keep) && ids.taken.len() == 1 && ids.over.is_empty());
+        assert!(!ids.try_reserve(1, now + retention / 2) && ids.try_reserve(1, now + retention));
+        ids.release(1, true, now + retention);
+        assert!(ids.try_reserve(2, now + 3 * retention) && ids.taken.len() == 1 && ids.finished.is_empty());
     }
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! One actor for each execute node: it owns the connections there, and the attempts and probes on them.
+//! One actor for each server: it owns the connections there, and the attempts and probes on them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,75 +14,86 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout_at};
 
-use crate::body::{self, Flow, Start};
-use crate::budget::Budget;
+use crate::body::{self, BodyStart, OutgoingBody};
+use crate::budget::DescriptorBudget;
 use crate::connection_log::EXECUTE_NODE;
 use crate::duration;
 use crate::load_report::{self, OutboundConnection};
-use crate::messages::{Call, NodeMail, Payload, ProbeTicket, Ticket, Told};
+use crate::messages::{
+    AttemptGuard, EndpointStatus, ForwardedRequest, ProbeGuard, RequestBody, ServerMessage,
+};
 use mosshead_decide::interface::*;
 use mosshead_http_links::{
     BodyError, CloseReason, ConnectionRecord, IDEMPOTENCY_KEY_HEADER, MAX_BUFFERED_BODY_BYTES, WriteProgress,
     read_body,
 };
 
-/// An idle connection is closed after this share of the time that execute nodes keep one: what is
+/// An idle connection is closed after this share of the time that servers keep one: what is
 /// written to one that they have closed is lost.
 const IDLE_SHARE: f64 = 0.9;
 /// An answer whose length is not stated is held for so long, should it prove to be small.
-const ANSWER_WAIT: Duration = Duration::from_millis(10);
-/// A node that takes nothing of a body for so long is given up.
-const UPLOAD_REST: Duration = Duration::from_secs(6);
+const SMALL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10);
+/// A server that takes nothing of a body for so long is given up.
+const MAX_UPLOAD_STALL: Duration = Duration::from_secs(6);
 /// How often it is looked whether the last byte has come.
-const UPLOAD_LOOK: Duration = Duration::from_millis(20);
+const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A probe is given up after so many times the time for connecting.
-const PROBE_TIMEOUT: f64 = 2.0;
+const PROBE_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Starts the actor.
-pub(crate) fn start(limits: &Limits, budget: Budget, told: Told) -> UnboundedSender<NodeMail> {
+pub(crate) fn start(
+    limits: &Limits,
+    budget: DescriptorBudget,
+    status: EndpointStatus,
+) -> UnboundedSender<ServerMessage> {
     let (home, mailbox) = unbounded_channel();
     let connect_timeout = Cell::new(duration(limits.connect_timeout));
-    let shared = Shared { told: Cell::new(told), connect_timeout, budget };
+    let shared = ServerState { status: Cell::new(status), connect_timeout, budget };
     let keep = duration(limits.idle_timeout * IDLE_SHARE);
-    let node =
-        Node { shared: Rc::new(shared), home: home.clone(), idle: Vec::new(), out: HashMap::new(), keep };
+    let node = ServerActor {
+        shared: Rc::new(shared),
+        home: home.clone(),
+        idle: Vec::new(),
+        in_flight: HashMap::new(),
+        keep,
+    };
     spawn_local(node.run(mailbox));
     home
 }
 
-/// What the node's attempts look up.
-struct Shared {
-    told: Cell<Told>,
+/// What the server's attempts look up.
+struct ServerState {
+    status: Cell<EndpointStatus>,
     connect_timeout: Cell<Duration>,
-    budget: Budget,
+    budget: DescriptorBudget,
 }
 
-struct Idle {
+struct IdleConnection {
     link: OutboundConnection,
     since: Instant,
 }
 
-struct Node {
-    shared: Rc<Shared>,
-    home: UnboundedSender<NodeMail>,
+struct ServerActor {
+    shared: Rc<ServerState>,
+    home: UnboundedSender<ServerMessage>,
     /// The one used last stands last and is used first.
-    idle: Vec<Idle>,
-    out: HashMap<(RequestId, AttemptNumber), oneshot::Sender<()>>,
+    idle: Vec<IdleConnection>,
+    in_flight: HashMap<(RequestId, AttemptNumber), oneshot::Sender<()>>,
     keep: Duration,
 }
 
-impl Node {
-    async fn run(mut self, mut mailbox: UnboundedReceiver<NodeMail>) {
-        let mut wanted = self.shared.budget.wanted();
+impl ServerActor {
+    async fn run(mut self, mut mailbox: UnboundedReceiver<ServerMessage>) {
+        let mut wanted = self.shared.budget.subscribe_release_requests();
         loop {
             let expiry = self.idle.first().and_then(|idle| idle.since.checked_add(self.keep));
             tokio::select! {
                 biased;
-                mail = mailbox.recv() => match mail {
-                    Some(NodeMail::End) | None => return self.close(CloseReason::EndpointChanged),
-                    Some(mail) => self.read(mail),
+                message = mailbox.recv() => match message {
+                    Some(ServerMessage::Shutdown) | None => return self.close(CloseReason::EndpointChanged),
+                    Some(message) => self.handle_message(message),
                 },
-                _ = wanted.changed() => self.shed(),
+                _ = wanted.changed() => self.close_longest_idle(),
                 () = async { sleep_until(expiry.unwrap_or_else(Instant::now).into()).await }, if expiry.is_some() => {
                     let idle = self.idle.remove(0);
                     idle.link.record.set_close_reason(CloseReason::IdleTimeout);
@@ -91,62 +102,68 @@
         }
     }
 
-    fn read(&mut self, mail: NodeMail) {
-        match mail {
-            NodeMail::Told(told) => {
-                let before = self.shared.told.replace(told);
-                if (before.addr, before.started_ms) != (told.addr, told.started_ms)
-                    || told.readiness != Readiness::Ready
+    fn handle_message(&mut self, message: ServerMessage) {
+        match message {
+            ServerMessage::StatusChanged(status) => {
+                let before = self.shared.status.replace(status);
+                if (before.addr, before.started_ms) != (status.addr, status.started_ms)
+                    || status.readiness != Readiness::Ready
                 {
                     self.close(CloseReason::EndpointChanged);
                 }
             }
-            NodeMail::End => {}
-            NodeMail::Gone => {
-                self.read(NodeMail::Told(Told { readiness: Readiness::Removed, ..self.shared.told.get() }))
-            }
-            NodeMail::Attempt(ticket, call, until) => {
+            ServerMessage::Shutdown => {}
+            ServerMessage::Removed => self.handle_message(ServerMessage::StatusChanged(EndpointStatus {
+                readiness: Readiness::Removed,
+                ..self.shared.status.get()
+            })),
+            ServerMessage::Attempt(guard, forwarded, deadline) => {
                 let (cancel, cancelled) = oneshot::channel();
-                self.out.insert((ticket.job, ticket.round), cancel);
-                spawn_local(attempt(self.way(), ticket, call, until, cancelled));
+                self.in_flight.insert((guard.request, guard.attempt), cancel);
+                spawn_local(run_attempt(self.exchange_context(), guard, forwarded, deadline, cancelled));
             }
-            NodeMail::Probe(ticket) => drop(spawn_local(probe(self.way(), ticket))),
-            NodeMail::Cancel(job, round) => {
-                if let Some(cancel) = self.out.remove(&(job, round)) {
+            ServerMessage::Probe(guard) => drop(spawn_local(run_probe(self.exchange_context(), guard))),
+            ServerMessage::Cancel(request, attempt) => {
+                if let Some(cancel) = self.in_flight.remove(&(request, attempt)) {
                     let _ = cancel.send(());
                 }
             }
-            NodeMail::Close => self.close(CloseReason::ClosedByPolicy),
-            NodeMail::Retuned(connect_timeout, keepalive) => {
+            ServerMessage::CloseIdle => self.close(CloseReason::ClosedByPolicy),
+            ServerMessage::LimitsChanged(connect_timeout, keepalive) => {
                 self.shared.connect_timeout.set(duration(connect_timeout));
                 self.keep = duration(keepalive * IDLE_SHARE);
             }
-            NodeMail::Over(key, link, addr) => {
+            ServerMessage::ConnectionFreed(key, link, addr) => {
                 if let Some(key) = key {
-                    self.out.remove(&key);
+                    self.in_flight.remove(&key);
                 }
                 let Some(link) = link.filter(|link| !link.is_closed()) else { return };
-                let told = self.shared.told.get();
-                if told.addr != addr || told.readiness != Readiness::Ready {
+                let status = self.shared.status.get();
+                if status.addr != addr || status.readiness != Readiness::Ready {
                     return link.record.set_close_reason(CloseReason::EndpointChanged);
                 }
-                if self.shared.budget.short() {
+                if self.shared.budget.has_waiters() {
                     return link.record.set_close_reason(CloseReason::DescriptorNeeded);
                 }
-                self.idle.push(Idle { link, since: Instant::now() });
+                self.idle.push(IdleConnection { link, since: Instant::now() });
             }
         }
     }
 
     /// The way there for one message: the idle connection used last, if one still stands.
-    fn way(&mut self) -> Way {
+    fn exchange_context(&mut self) -> ExchangeContext {
         self.idle.retain(|idle| !idle.link.is_closed());
         let link = self.idle.pop().map(|idle| idle.link);
-        Way { shared: self.shared.clone(), chosen: self.shared.told.get(), home: self.home.clone(), link }
+        ExchangeContext {
+            shared: self.shared.clone(),
+            chosen_status: self.shared.status.get(),
+            home: self.home.clone(),
+            link,
+        }
     }
 
-    /// Lets go of the connection idle for longest: others may be about to carry a job.
-    fn shed(&mut self) {
+    /// Lets go of the connection idle for longest: others may be about to carry a request.
+    fn close_longest_idle(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0).link.record.set_close_reason(CloseReason::DescriptorNeeded);
         }
@@ -159,51 +176,51 @@
     }
 }
 
-/// What one message to the node needs.
-struct Way {
-    shared: Rc<Shared>,
-    /// What was told of the node when the module chose it.
-    chosen: Told,
-    home: UnboundedSender<NodeMail>,
+/// What one message to the server needs.
+struct ExchangeContext {
+    shared: Rc<ServerState>,
+    /// What was told of the server when the balancer chose it.
+    chosen_status: EndpointStatus,
+    home: UnboundedSender<ServerMessage>,
     link: Option<OutboundConnection>,
 }
 
-/// What came of writing a call to the node.
-struct Result {
+/// What came of writing a call to the server.
+struct ExchangeResult {
     outcome: Outcome,
     report: LoadReport,
     body: Bytes,
     link: Option<OutboundConnection>,
     /// More of the answer than can be held.
-    more: Option<Incoming>,
+    rest_of_body: Option<Incoming>,
     /// When the head of a good answer came.
-    headed: Option<Instant>,
+    head_received_at: Option<Instant>,
 }
 
-impl Result {
-    fn of(outcome: Outcome) -> Self {
+impl ExchangeResult {
+    fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
             report: LoadReport::default(),
             body: Bytes::new(),
             link: None,
-            more: None,
-            headed: None,
+            rest_of_body: None,
+            head_received_at: None,
         }
     }
 }
 
 /// How far an attempt has come, seen from outside: that it never ran can be proved until its last byte.
 #[derive(Default)]
-struct Progress(RefCell<Option<(Rc<WriteProgress>, Rc<ConnectionRecord>)>>);
+struct AttemptProgress(RefCell<Option<(Rc<WriteProgress>, Rc<ConnectionRecord>)>>);
 
-impl Progress {
-    fn begun(&self, link: &OutboundConnection) {
+impl AttemptProgress {
+    fn started(&self, link: &OutboundConnection) {
         *self.0.borrow_mut() = Some((link.write_progress.clone(), link.record.clone()));
     }
 
     /// Its connection is about to be closed. Says whether it may have run.
-    fn given_up(&self) -> bool {
+    fn abandon(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|(written, record)| {
             record.set_close_reason(CloseReason::Abandoned);
             written.is_complete()
@@ -211,205 +228,259 @@
     }
 }
 
-async fn attempt(
-    mut way: Way,
-    mut ticket: Ticket,
-    call: Rc<Call>,
-    until: Instant,
+async fn run_attempt(
+    mut context: ExchangeContext,
+    mut guard: AttemptGuard,
+    forwarded: Rc<ForwardedRequest>,
+    deadline: Instant,
     cancelled: oneshot::Receiver<()>,
 ) {
-    let progress = Progress::default();
-    let key = (ticket.job, ticket.round);
+    let progress = AttemptProgress::default();
+    let key = (guard.request, guard.attempt);
     // Whichever ends first drops the exchange, and that closes its connection.
     let result = tokio::select! {
         biased;
         _ = cancelled => {
-            progress.given_up();
-            Result::of(Outcome::Cancelled)
+            progress.abandon();
+            ExchangeResult::without_response(Outcome::Cancelled)
         }
-        result = exchange(&mut way, &call, until, &progress) => result,
-        () = late(&call, until) => Result::of(if progress.given_up() {
+        result = exchange(&mut context, &forwarded, deadline, &progress) => result,
+        () = attempt_timeout(&forwarded, deadline) => ExchangeResult::without_response(if progress.abandon() {
             Outcome::TimedOut
         } else {
             Outcome::ConnectFailed
         }),
     };
-    if let Some(whole) = call.body.upload().and_then(|upload| upload.whole()) {
-        ticket.since(whole);
+    if let Some(whole) = forwarded.body.upload().and_then(|upload| upload.completed_at()) {
+        guard.started_no_earlier_than(whole);
     }
-    let Result { outcome, report, body, link, more, headed } = result;
-    ticket.until(headed);
-    let (body, link) = match (more, link) {
+    let ExchangeResult { outcome, report, body, link, rest_of_body, head_received_at } = result;
+    guard.set_responded_at(head_received_at);
+    let (body, link) = match (rest_of_body, link) {
         (Some(rest), Some(used)) => {
-            let (home, addr) = (way.home.clone(), way.chosen.addr);
+            let (home, addr) = (context.home.clone(), context.chosen_status.addr);
             let home = move |link| {
-                spawn_local(async move { home.send(NodeMail::Over(None, usable(Some(link)).await, addr)) });
+                spawn_local(async move {
+                    home.send(ServerMessage::ConnectionFreed(
+                        None,
+                        wait_until_reusable(Some(link)).await,
+                        addr,
+                    ))
+                });
             };
-            (Flow::down(body, rest, used, home), None)
+            (OutgoingBody::download(body, rest, used, home), None)
         }
-        (_, link) => (Flow::from(body), link),
+        (_, link) => (OutgoingBody::from(body), link),
     };
-    ticket.settle(outcome, report, body);
-    let _ = way.home.send(NodeMail::Over(Some(key), usable(link).await, way.chosen.addr));
+    guard.finish(outcome, report, body);
+    let _ = context.home.send(ServerMessage::ConnectionFreed(
+        Some(key),
+        wait_until_reusable(link).await,
+        context.chosen_status.addr,
+    ));
 }
 
-/// Ends when an attempt is to be given up. While the job's body still comes, that is when the node takes no more of it; then the
-/// submitter's wait counts from the last byte.
-async fn late(call: &Call, until: Instant) {
-    let Some(upload) = call.body.upload() else { return sleep_until(until.into()).await };
-    let left = until.saturating_duration_since(Instant::now());
+/// Ends when an attempt is to be given up. While the request's body still comes, that is when the server takes no more of it; then the
+/// client's wait counts from the last byte.
+async fn attempt_timeout(forwarded: &ForwardedRequest, deadline: Instant) {
+    let Some(upload) = forwarded.body.upload() else { return sleep_until(deadline.into()).await };
+    let left = deadline.saturating_duration_since(Instant::now());
     loop {
-        let at = upload.whole().map_or(upload.moved() + UPLOAD_REST, |whole| whole + left);
+        let at =
+            upload.completed_at().map_or(upload.last_progress() + MAX_UPLOAD_STALL, |whole| whole + left);
         if at <= Instant::now() {
             return;
         }
         // The last byte may come meanwhile.
-        sleep_until(at.min(Instant::now() + UPLOAD_LOOK).into()).await;
+        sleep_until(at.min(Instant::now() + UPLOAD_POLL_INTERVAL).into()).await;
     }
 }
 
-async fn probe(mut way: Way, ticket: ProbeTicket) {
-    let progress = Progress::default();
-    let (verb, target, id) = ("GET".to_owned(), "/_load".to_owned(), String::new());
-    let call = Call { verb, target, id, key: None, body: Payload::Whole(Bytes::new()) };
-    let until = Instant::now() + way.shared.connect_timeout.get().mul_f64(PROBE_TIMEOUT);
-    let result = timeout_at(until.into(), exchange(&mut way, &call, until, &progress)).await;
+async fn run_probe(mut context: ExchangeContext, guard: ProbeGuard) {
+    let progress = AttemptProgress::default();
+    let (method, target, id) = ("GET".to_owned(), "/_load".to_owned(), String::new());
+    let forwarded = ForwardedRequest {
+        method,
+        target,
+        id,
+        idempotency_key: None,
+        body: RequestBody::Buffered(Bytes::new()),
+    };
+    let deadline = Instant::now() + context.shared.connect_timeout.get().mul_f64(PROBE_TIMEOUT_FACTOR);
+    let result = timeout_at(deadline.into(), exchange(&mut context, &forwarded, deadline, &progress)).await;
     let mut result = result.unwrap_or_else(|_| {
-        progress.given_up();
-        Result::of(Outcome::TimedOut)
+        progress.abandon();
+        ExchangeResult::without_response(Outcome::TimedOut)
     });
     if result.report == LoadReport::default() && result.outcome == Outcome::Served {
         result.report = load_report::load_report(&String::from_utf8_lossy(&result.body));
     }
-    ticket.settle(result.outcome, result.report);
-    let _ = way.home.send(NodeMail::Over(None, usable(result.link).await, way.chosen.addr));
+    guard.finish(result.outcome, result.report);
+    let _ = context.home.send(ServerMessage::ConnectionFreed(
+        None,
+        wait_until_reusable(result.link).await,
+        context.chosen_status.addr,
+    ));
 }
 
 /// A connection fit for the next message; it is that only once the whole answer has been taken off it.
-async fn usable(link: Option<OutboundConnection>) -> Option<OutboundConnection> {
+async fn wait_until_reusable(link: Option<OutboundConnection>) -> Option<OutboundConnection> {
     let mut link = link?;
     link.record.set_default_close_reason(CloseReason::ClosedByPeer);
     link.ready().await.then_some(link)
 }
 
-async fn exchange(way: &mut Way, call: &Call, until: Instant, progress: &Progress) -> Result {
-    let (shared, chosen) = (way.shared.clone(), way.chosen);
+async fn exchange(
+    context: &mut ExchangeContext,
+    forwarded: &ForwardedRequest,
+    deadline: Instant,
+    progress: &AttemptProgress,
+) -> ExchangeResult {
+    let (shared, chosen_status) = (context.shared.clone(), context.chosen_status);
     // What can't be sent once more is not; the connection stays for others.
-    if call.body.upload().is_some_and(|upload| upload.spent()) {
-        let unused = way.link.take();
-        return Result { link: unused, ..Result::of(Outcome::NotSent) };
+    if forwarded.body.upload().is_some_and(|upload| upload.is_spent()) {
+        let unused = context.link.take();
+        return ExchangeResult { link: unused, ..ExchangeResult::without_response(Outcome::NotSent) };
     }
     loop {
-        let kept = match way.link.take() {
+        let kept = match context.link.take() {
             Some(mut link) => link.ready().await.then_some(link),
             None => None,
         };
         let again = kept.is_some();
         let mut link = match kept {
             Some(link) => link,
-            None => match connect(&shared, chosen.addr).await {
+            None => match connect(&shared, chosen_status.addr).await {
                 Ok(link) => link,
-                Err(outcome) => return Result::of(outcome),
+                Err(outcome) => return ExchangeResult::without_response(outcome),
             },
         };
-        // Danger: a drain counts from the first byte, and a connection may take long to come up. A node that
-        // has started anew meanwhile is cold: the module chose it warm.
-        let told = shared.told.get();
-        if told.readiness != Readiness::Ready
-            || told.started_ms != chosen.started_ms
-            || told.addr != chosen.addr
+        // A drain counts from the first byte, and a connection may take long to come up. A server that
+        // has started anew meanwhile is cold: the balancer chose it warm.
+        let status = shared.status.get();
+        if status.readiness != Readiness::Ready
+            || status.started_ms != chosen_status.started_ms
+            || status.addr != chosen_status.addr
         {
             link.record.set_close_reason(CloseReason::EndpointChanged);
-            return Result::of(Outcome::NotSent);
+            return ExchangeResult::without_response(Outcome::NotSent);
         }
-        let (body, length) = match &call.body {
-            Payload::Whole(body) => (Some(Flow::from(body.clone())), body.len()),
-            Payload::Flowing(upload) => {
+        let (body, length) = match &forwarded.body {
+            RequestBody::Buffered(body) => (Some(OutgoingBody::from(body.clone())), body.len()),
+            RequestBody::Streaming(upload) => {
                 let length = upload.length().map_or(usize::MAX, |length| length as usize);
-                (upload.flow(link.write_progress.clone()), length)
+                (upload.stream_to(link.write_progress.clone()), length)
             }
         };
-        let Some(request) = body.and_then(|body| encode(call, told.addr, until, body)) else {
+        let Some(request) = body.and_then(|body| build_request(forwarded, status.addr, deadline, body))
+        else {
             link.record.set_close_reason(CloseReason::Abandoned);
-            return Result::of(Outcome::NotSent);
+            return ExchangeResult::without_response(Outcome::NotSent);
         };
         link.record.set_default_close_reason(CloseReason::ConnectionBroken);
-        progress.begun(&link);
+        progress.started(&link);
         match link.send(request, length).await {
-            Ok(answer) => return decode(link, answer).await,
-            Err(_) if link.write_progress.is_complete() => return Result::of(Outcome::Reset),
+            Ok(response) => return read_response(link, response).await,
+            Err(_) if link.write_progress.is_complete() => {
+                return ExchangeResult::without_response(Outcome::Reset);
+            }
             // It ended, or brought what belongs to no answer, while it was idle: nothing was written to it.
             Err(_) if again && !link.write_progress.has_started() => {
                 link.record.set_close_reason(CloseReason::Stale)
             }
-            Err(_) => return Result::of(Outcome::ConnectFailed),
+            Err(_) => return ExchangeResult::without_response(Outcome::ConnectFailed),
         }
     }
 }
 
-/// A new connection; where this machine has no descriptor left for it, the node is not to blame.
-async fn connect(shared: &Shared, addr: SocketAddr) -> std::result::Result<OutboundConnection, Outcome> {
+/// A new connection; where this machine has no descriptor left for it, the server is not to blame.
+async fn connect(shared: &ServerState, addr: SocketAddr) -> std::result::Result<OutboundConnection, Outcome> {
     let latest = Instant::now() + shared.connect_timeout.get();
-    let permit = timeout_at(latest.into(), shared.budget.take()).await.map_err(|_| Outcome::NotSent)?;
+    let permit = timeout_at(latest.into(), shared.budget.acquire()).await.map_err(|_| Outcome::NotSent)?;
     let within = latest.saturating_duration_since(Instant::now());
     OutboundConnection::open(EXECUTE_NODE, addr, within, permit).await.ok_or(Outcome::ConnectFailed)
 }
 
-fn encode(call: &Call, addr: SocketAddr, until: Instant, body: Flow) -> Option<Request<Flow>> {
-    let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
-    let mut request = Request::builder().method(call.verb.as_str()).uri(call.target.as_str());
+fn build_request(
+    forwarded: &ForwardedRequest,
+    addr: SocketAddr,
+    deadline: Instant,
+    body: OutgoingBody,
+) -> Option<Request<OutgoingBody>> {
+    let left = deadline.saturating_duration_since(Instant::now()).as_secs_f64();
+    let mut request = Request::builder().method(forwarded.method.as_str()).uri(forwarded.target.as_str());
     request = request.header("host", addr.to_string()).header("x-time-left", format!("{left:.3}"));
-    if !call.id.is_empty() {
-        request = request.header("x-correlation-id", call.id.as_str());
+    if !forwarded.id.is_empty() {
+        request = request.header("x-correlation-id", forwarded.id.as_str());
     }
-    if let Some(key) = &call.key {
+    if let Some(key) = &forwarded.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY_HEADER, HeaderValue::from_maybe_shared(key.clone()).ok()?);
     }
     request.body(body).ok()
 }
 
-/// A connection that carried all of the job; answered before that, it is of no further use.
-fn fit(link: OutboundConnection) -> Option<OutboundConnection> {
+/// A connection that carried all of the request; answered before that, it is of no further use.
+fn reusable_after_full_request(link: OutboundConnection) -> Option<OutboundConnection> {
     Some(link).filter(|link| link.write_progress.is_complete())
 }
 
-async fn decode(link: OutboundConnection, answer: Response<Incoming>) -> Result {
-    let headed = Some(Instant::now());
-    let header = |name| answer.headers().get(name).and_then(|value| value.to_str().ok());
+async fn read_response(link: OutboundConnection, response: Response<Incoming>) -> ExchangeResult {
+    let head_received_at = Some(Instant::now());
+    let header = |name| response.headers().get(name).and_then(|value| value.to_str().ok());
     let report = header("x-backend-load").map(load_report::load_report).unwrap_or_default();
     let unprocessed = header("x-unprocessed").is_some_and(|value| value.trim() == "1");
-    let outcome = match answer.status() {
+    let outcome = match response.status() {
         StatusCode::OK => Outcome::Served,
         // Without the mark it may have run, whatever the code says.
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Rejected,
         _ => Outcome::Errored,
     };
-    // Danger: with two lengths nobody can tell whether an answer is whole. Where none is stated its end is the
-    // connection's, if the node says that it will close it.
-    let has = |name| answer.headers().contains_key(name);
+    // With two lengths nobody can tell whether an answer is whole. Where none is stated its end is the
+    // connection's, if the server says that it will close it.
+    let has = |name| response.headers().contains_key(name);
     let framed = match (has(CONTENT_LENGTH), has(TRANSFER_ENCODING)) {
         (true, true) => false,
         (false, false) => {
             let close = header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
-            close || answer.version() == Version::HTTP_10
+            close || response.version() == Version::HTTP_10
         }
         _ => true,
     };
     let fault = match framed {
         true if outcome == Outcome::Served => {
-            match body::start(answer.into_body(), Some(ANSWER_WAIT)).await {
-                Ok(Start::Whole(body)) => {
-                    return Result { report, body, link: fit(link), headed, ..Result::of(outcome) };
+            match body::read_start(response.into_body(), Some(SMALL_RESPONSE_TIMEOUT)).await {
+                Ok(BodyStart::Complete(body)) => {
+                    return ExchangeResult {
+                        report,
+                        body,
+                        link: reusable_after_full_request(link),
+                        head_received_at,
+                        ..ExchangeResult::without_response(outcome)
+                    };
                 }
-                Ok(Start::More(body, rest)) => {
-                    let (link, more) = (Some(link), Some(rest));
-                    return Result { report, body, link, more, headed, ..Result::of(outcome) };
+                Ok(BodyStart::Partial(body, rest)) => {
+                    let (link, rest_of_body) = (Some(link), Some(rest));
+                    return ExchangeResult {
+                        report,
+                        body,
+                        link,
+                        rest_of_body,
+                        head_received_at,
+                        ..ExchangeResult::without_response(outcome)
+                    };
                 }
                 Err(fault) => fault,
             }
         }
-        true => match read_body(answer.into_body(), MAX_BUFFERED_BODY_BYTES).await {
-            Ok(body) => return Result { report, body, link: fit(link), ..Result::of(outcome) },
+        true => match read_body(response.into_body(), MAX_BUFFERED_BODY_BYTES).await {
+            Ok(body) => {
+                return ExchangeResult {
+                    report,
+                    body,
+                    link: reusable_after_full_request(link),
+                    ..ExchangeResult::without_response(outcome)
+                };
+            }
             Err(fault) => fault,
         },
         false => BodyError::InvalidLength,
@@ -417,6 +488,6 @@
     if fault != BodyError::Interrupted {
         link.record.set_close_reason(CloseReason::InvalidResponse);
     }
-    // Danger: a spoilt answer has run, whatever its head claims.
-    Result { report, ..Result::of(Outcome::Reset) }
+    // A broken answer has run, whatever its head claims.
+    ExchangeResult { report, ..ExchangeResult::without_response(Outcome::Reset) }
 }
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,6 +1,6 @@
 //! The folder for stored state: read once at the start, written by a thread of its own.
 //!
-//! Danger: a disk that is full or slow must not touch the jobs. The thread holds one snapshot that waits; a newer one takes its
+//! A disk that is full or slow must not touch the requests. The thread holds one snapshot that waits; a newer one takes its
 //! place.
 
 use std::fs::{self, File};
@@ -14,12 +14,12 @@
     self, LOCK_FILE, MAX_SNAPSHOT_LEN, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, SnapshotError,
 };
 
-use crate::log::{Bounded, say};
+use crate::log::{LogLimiter, say};
 
 /// Between two writes there is at least this: a list that changes all the time is not written all the time.
-const PAUSE: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 /// A folder that does not give its snapshot within this is taken for empty.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(1000);
+pub(crate) const READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// What a folder holds.
 pub(crate) fn read(folder: &Path) -> Result<Snapshot, SnapshotError> {
@@ -43,49 +43,49 @@
     file.write_all(&snapshot::write(snapshot))?;
     file.sync_data()?;
     fs::rename(fresh, folder.join(SNAPSHOT_FILE))?;
-    // Danger: without this a machine that loses its power may have neither file.
+    // Without this a machine that loses its power may have neither file.
     File::open(folder)?.sync_all()
 }
 
 #[derive(Default)]
-struct Slot {
-    waits: Mutex<Option<Snapshot>>,
-    come: Condvar,
+struct PendingSnapshot {
+    next: Mutex<Option<Snapshot>>,
+    arrived: Condvar,
 }
 
 /// The way to the thread that writes.
-pub(crate) struct Keeper(Arc<Slot>);
+pub(crate) struct SnapshotWriter(Arc<PendingSnapshot>);
 
-impl Keeper {
+impl SnapshotWriter {
     /// Starts the thread. It ends with the process.
     pub(crate) fn start(folder: PathBuf) -> io::Result<Self> {
-        let slot = Arc::new(Slot::default());
+        let slot = Arc::new(PendingSnapshot::default());
         let theirs = slot.clone();
-        thread::Builder::new().name("keeper".to_owned()).spawn(move || keep(&folder, &theirs))?;
+        thread::Builder::new().name("keeper".to_owned()).spawn(move || run(&folder, &theirs))?;
         Ok(Self(slot))
     }
 
     /// This is to be kept. What still waits is not written any more.
-    pub(crate) fn keep(&self, snapshot: Snapshot) {
-        *self.0.waits.lock().unwrap_or_else(PoisonError::into_inner) = Some(snapshot);
-        self.0.come.notify_one();
+    pub(crate) fn submit(&self, snapshot: Snapshot) {
+        *self.0.next.lock().unwrap_or_else(PoisonError::into_inner) = Some(snapshot);
+        self.0.arrived.notify_one();
     }
 }
 
-fn keep(folder: &Path, slot: &Slot) {
-    let failed = Bounded::new();
+fn run(folder: &Path, slot: &PendingSnapshot) {
+    let failed = LogLimiter::new();
     let mut lock = None;
     let mut fails = false;
     loop {
-        let mut waits = slot.waits.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut next = slot.next.lock().unwrap_or_else(PoisonError::into_inner);
         let snapshot = loop {
-            match waits.take() {
+            match next.take() {
                 Some(snapshot) => break snapshot,
-                None => waits = slot.come.wait(waits).unwrap_or_else(PoisonError::into_inner),
+                None => next = slot.arrived.wait(next).unwrap_or_else(PoisonError::into_inner),
             }
         };
-        drop(waits);
-        match locked(folder, &mut lock).and_then(|()| write(folder, &snapshot)) {
+        drop(next);
+        match acquire_lock(folder, &mut lock).and_then(|()| write(folder, &snapshot)) {
             Ok(()) if fails => {
                 fails = false;
                 say!("snapshot kept again");
@@ -99,13 +99,13 @@
                 }
             }
         }
-        thread::sleep(PAUSE);
+        thread::sleep(WRITE_INTERVAL);
     }
 }
 
-/// Takes the folder's lock, unless it is held already. Danger: of two processes of one name, as during a replacement, the later
+/// Takes the folder's lock, unless it is held already. Of two processes of one name, as during a replacement, the later
 /// one would write over what the other knows. The kernel frees a lock whose holder has died.
-fn locked(folder: &Path, lock: &mut Option<File>) -> io::Result<()> {
+fn acquire_lock(folder: &Path, lock: &mut Option<File>) -> io::Result<()> {
     if lock.is_none() {
         let file = File::create(folder.join(LOCK_FILE))?;
         file.try_lock().map_err(|error| match error {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Danger: a writer that ends between any two of its steps leaves the old snapshot, or the new one, never less.
+    /// A writer that ends between any two of its steps leaves the old snapshot, or the new one, never less.
     #[test]
     fn a_writer_may_end_at_every_step() {
         let folder = tempfile::tempdir().expect("a folder");
@@ -168,10 +168,10 @@
     fn one_process_writes() {
         let folder = tempfile::tempdir().expect("a folder");
         let (mut first, mut second) = (None, None);
-        locked(folder.path(), &mut first).expect("free");
-        assert!(locked(folder.path(), &mut second).is_err());
+        acquire_lock(folder.path(), &mut first).expect("free");
+        assert!(acquire_lock(folder.path(), &mut second).is_err());
         drop(first);
-        locked(folder.path(), &mut second).expect("free again");
+        acquire_lock(folder.path(), &mut second).expect("free again");
     }
 
     /// A file that grows without end is not read to its end.
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! What this life leaves to the next, where the operators grant a folder: names for what the decisions know by numbers.
+//! What this incarnation leaves to the next, where the operators grant a folder: names for what the decisions know by numbers.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -9,38 +9,42 @@
 use mosshead_snapshot::server_list::{ListedServer, ServerList};
 use mosshead_snapshot::snapshot::{EndedServer, LearnedFigures, MAX_ENDED_SERVERS, Snapshot};
 
-use crate::snapshot_writer::Keeper;
+use crate::snapshot_writer::SnapshotWriter;
 
 /// The clock that all machines read.
 pub(crate) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Stored state of this life.
-pub(crate) struct Stored {
-    keeper: Keeper,
+/// Stored state of this incarnation.
+pub(crate) struct StoredState {
+    writer: SnapshotWriter,
     instance: String,
     life: u64,
-    /// When discovery last told its list, in this life or a former one.
+    /// When discovery last told its list, in this incarnation or a former one.
     told_ms: u64,
     /// Nodes that drain or have gone.
     left: Vec<EndedServer>,
-    /// What a former life learnt, and how old that is, until this one starts from it.
+    /// What a former incarnation learnt, and how old that is, until this one starts from it.
     learnt: Option<(BTreeMap<String, LearnedFigures>, Seconds)>,
 }
 
-impl Stored {
-    pub(crate) fn new(keeper: Keeper, instance: &str, believed: RestoredState) -> Self {
+impl StoredState {
+    pub(crate) fn new(writer: SnapshotWriter, instance: &str, believed: RestoredState) -> Self {
         let RestoredState { told_ms, left, learnt, life, .. } = believed;
-        Self { keeper, instance: instance.to_owned(), life, told_ms, left, learnt }
+        Self { writer, instance: instance.to_owned(), life, told_ms, left, learnt }
     }
 
-    pub(crate) fn life(&self) -> u64 {
+    pub(crate) fn incarnation(&self) -> u64 {
         self.life
     }
 
-    /// Discovery has told this of the nodes that were on the list before, or are on it now.
-    pub(crate) fn told<'a>(&mut self, before: &[ListedServer], now: impl Iterator<Item = &'a ListedServer>) {
+    /// Discovery has told this of the servers that were on the list before, or are on it now.
+    pub(crate) fn record_list<'a>(
+        &mut self,
+        before: &[ListedServer],
+        now: impl Iterator<Item = &'a ListedServer>,
+    ) {
         self.told_ms = unix_ms();
         let now: BTreeMap<&str, &ListedServer> = now.map(|machine| (machine.id.as_str(), machine)).collect();
         let serves = |machine: &&&ListedServer| machine.readiness == Readiness::Ready;
@@ -60,9 +64,9 @@
         self.left.drain(..self.left.len().saturating_sub(MAX_ENDED_SERVERS));
     }
 
-    /// Leaves this to the next life.
-    pub(crate) fn keep(&self, list: ServerList, learnt: BTreeMap<String, LearnedFigures>) {
-        self.keeper.keep(Snapshot {
+    /// Leaves this to the next incarnation.
+    pub(crate) fn write(&self, list: ServerList, learnt: BTreeMap<String, LearnedFigures>) {
+        self.writer.submit(Snapshot {
             instance: self.instance.clone(),
             life: self.life,
             written_ms: unix_ms(),
@@ -73,23 +77,23 @@
         });
     }
 
-    /// What a former life learnt, once.
-    pub(crate) fn recall(&mut self) -> Option<(BTreeMap<String, LearnedFigures>, Seconds)> {
+    /// What a former incarnation learnt, once.
+    pub(crate) fn take_learned(&mut self) -> Option<(BTreeMap<String, LearnedFigures>, Seconds)> {
         self.learnt.take()
     }
 }
 
 /// The tables of names that numbers come from.
-pub(crate) struct Tables<'a> {
+pub(crate) struct NameTables<'a> {
     pub(crate) zones: &'a NameTable,
     pub(crate) kinds: &'a NameTable,
     /// The name of each class, by its number.
     pub(crate) classes: Vec<&'a str>,
-    /// The id of each node that is listed, by its number.
+    /// The id of each server that is listed, by its number.
     pub(crate) nodes: BTreeMap<u32, &'a str>,
 }
 
-impl Tables<'_> {
+impl NameTables<'_> {
     fn name(&self, of: Subject) -> Option<String> {
         Some(match of {
             Subject::Fleet => "all".to_owned(),
@@ -118,7 +122,7 @@
     }
 
     /// Names in place of numbers.
-    pub(crate) fn named(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, LearnedFigures> {
+    pub(crate) fn to_names(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, LearnedFigures> {
         let mut all = BTreeMap::<String, LearnedFigures>::new();
         for LearnedValue { subject: of, name, value } in figures {
             if let Some(of) = self.name(of) {
@@ -129,7 +133,7 @@
     }
 
     /// Numbers in place of names; what has no number here is left out.
-    pub(crate) fn numbered(&self, named: &BTreeMap<String, LearnedFigures>) -> Vec<LearnedValue> {
+    pub(crate) fn to_numbers(&self, named: &BTreeMap<String, LearnedFigures>) -> Vec<LearnedValue> {
         let known = named.iter().filter_map(|(name, figures)| Some((self.number(name)?, figures)));
         let figures = known.flat_map(|(of, figures)| {
             figures.iter().map(move |(name, value)| LearnedValue {
@@ -155,7 +159,7 @@
         };
         let figure = |of, value| LearnedValue { subject: of, name: "x".to_owned(), value };
         let (zones, kinds, classes, nodes) = tables(["book-lesson", "slot-lookup"], ["s-1", "s-2"]);
-        let before = Tables { zones: &zones, kinds: &kinds, classes, nodes };
+        let before = NameTables { zones: &zones, kinds: &kinds, classes, nodes };
         let all = vec![
             figure(Subject::Fleet, 1.0),
             figure(Subject::Class(ClassId(0)), 2.0),
@@ -163,10 +167,10 @@
             figure(Subject::Zone(ZoneId(1), true), 4.0),
             figure(Subject::Endpoint(EndpointId(1)), 5.0),
         ];
-        let named = before.named(all);
+        let named = before.to_names(all);
         let (zones, kinds, classes, nodes) = tables(["slot-lookup", "book-lesson"], ["s-2", "s-9"]);
-        let after = Tables { zones: &zones, kinds: &kinds, classes, nodes };
-        let mut numbered = after.numbered(&named);
+        let after = NameTables { zones: &zones, kinds: &kinds, classes, nodes };
+        let mut numbered = after.to_numbers(&named);
         numbered.sort_by(|one, other| one.value.total_cmp(&other.value));
         let of: Vec<Subject> = numbered.iter().map(|figure| figure.subject).collect();
         let (class, node) = (Subject::Class(ClassId(1)), Subject::Endpoint(EndpointId(0)));
@@ -196,22 +200,22 @@
             started_ms: 0.0,
         };
         let folder = tempfile::tempdir().expect("a folder");
-        let keeper = Keeper::start(folder.path().to_owned()).expect("a thread");
+        let writer = SnapshotWriter::start(folder.path().to_owned()).expect("a thread");
         let nothing = ServerList { version: 0, full: true, machines: Vec::new() };
         let found = Err(mosshead_snapshot::snapshot::SnapshotError::Empty);
         let believed = mosshead_snapshot::restore::restore(&nothing, found, "n", 0);
-        let mut stored = Stored::new(keeper, "n", believed);
+        let mut stored = StoredState::new(writer, "n", believed);
         let (a, b) = (machine("a", Readiness::Ready), machine("b", Readiness::Ready));
         let drains = machine("b", Readiness::Draining);
-        let left = |stored: &Stored| stored.left.iter().map(|left| left.id.clone()).collect::<Vec<_>>();
-        stored.told(&[a.clone(), b.clone()], [&a, &drains].into_iter());
+        let left = |stored: &StoredState| stored.left.iter().map(|left| left.id.clone()).collect::<Vec<_>>();
+        stored.record_list(&[a.clone(), b.clone()], [&a, &drains].into_iter());
         assert_eq!(left(&stored), ["b"]);
-        stored.told(&[a.clone(), drains.clone()], [&drains].into_iter());
+        stored.record_list(&[a.clone(), drains.clone()], [&drains].into_iter());
         assert_eq!(left(&stored), ["b", "a"]);
-        stored.told(&[drains], [&b].into_iter());
+        stored.record_list(&[drains], [&b].into_iter());
         assert_eq!(left(&stored), ["a"]);
         for number in 0..2 * MAX_ENDED_SERVERS {
-            stored.told(&[machine(&number.to_string(), Readiness::Ready)], std::iter::empty());
+            stored.record_list(&[machine(&number.to_string(), Readiness::Ready)], std::iter::empty());
         }
         assert_eq!(stored.left.len(), MAX_ENDED_SERVERS);
     }
