--- a/crates/membership/tests/mutants.rs
+++ b/crates/membership/tests/mutants.rs
@@ -53,8 +53,8 @@
     let mut cluster = Cluster::new(40, 40, settings);
     cluster.loss_per_mille = 200;
     cluster.run(millis(120_000));
-    let journals = cluster.running().flat_map(|process| &process.events);
-    journals.filter(|(_, event)| matches!(event, Event::Died(_))).count()
+    let events = cluster.running().flat_map(|process| &process.events);
+    events.filter(|(_, event)| matches!(event, Event::Died(_))).count()
 }
 
 #[test]
@@ -67,25 +67,24 @@
 
 #[test]
 fn without_refutation_a_suspended_member_does_not_come_back() {
-    for refutes in [true, false] {
-        let mut cluster =
-            Cluster::new(7, 12, Settings { is_refutation_enabled: refutes, ..Settings::default() });
+    for is_refutation_enabled in [true, false] {
+        let mut cluster = Cluster::new(7, 12, Settings { is_refutation_enabled, ..Settings::default() });
         cluster.run(millis(5_000));
         cluster.suspend(5);
         cluster.run(millis(10_000));
         cluster.resume(5);
-        assert_eq!(cluster.settle(millis(8_000)).is_some(), refutes);
+        assert_eq!(cluster.settle(millis(8_000)).is_some(), is_refutation_enabled);
     }
 }
 
 #[test]
 fn without_suspicion_loss_kills_healthy_members() {
-    let hasty = Settings {
+    let without_suspicion = Settings {
         min_suspicion_timeout: millis(1),
         max_suspicion_timeout: millis(1),
         ..Settings::default()
     };
-    let deaths = deaths_with_loss(hasty);
+    let deaths = deaths_with_loss(without_suspicion);
     println!("without suspicion: {deaths} deaths");
     assert!(deaths > 0);
 }
--- a/crates/record-log/tests/contract.rs
+++ b/crates/record-log/tests/contract.rs
@@ -167,13 +167,13 @@
 #[test]
 fn a_missing_directory_is_created() {
     let location = tempfile::tempdir().unwrap();
-    let folder = location.path().join("a/b");
-    let (mut log, found) = RecordLog::open(&folder).unwrap();
+    let directory = location.path().join("a/b");
+    let (mut log, found) = RecordLog::open(&directory).unwrap();
     assert!(found.is_empty());
     log.append(b"x").unwrap();
     log.sync().unwrap();
     drop(log);
-    assert_eq!(RecordLog::open(&folder).unwrap().1, records(&["x"]));
+    assert_eq!(RecordLog::open(&directory).unwrap().1, records(&["x"]));
 }
 
 #[test]
--- a/crates/record-log/tests/disk_failures.rs
+++ b/crates/record-log/tests/disk_failures.rs
@@ -105,7 +105,7 @@
             disk.lose_power(&mut random);
             let mut expected = to_records(if succeeded { &NEW } else { &OLD });
             expected.push(b"next".to_vec());
-            assert_eq!(open(&disk).1, expected, "cut after {steps}");
+            assert_eq!(open(&disk).1, expected, "failing after {steps} operations");
         }
     }
 }
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn records_behind_a_hole_are_never_appended_to() {
+fn records_after_a_hole_are_never_appended_to() {
     for seed in 0..300 {
         let mut random = Pcg32::new(seed, 6);
         let (disk, mut log) = log_with_old_records();
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn stale_bytes_behind_a_repeated_record_are_not_records() {
+fn stale_bytes_after_a_repeated_record_are_not_records() {
     let (disk, mut log) = log_with_old_records();
     log.append(b"again").unwrap();
     let end = log.length() as usize;
@@ -202,7 +202,7 @@
     disk.fail_next_sync(&mut Pcg32::new(1, 1));
     log.sync().unwrap_err();
     log.append(b"again").unwrap();
-    // As if the cut had not reached the disk.
+    // As if the truncation had not reached the disk.
     let mut bytes = disk.contents("state.1").unwrap();
     assert_eq!(bytes.len(), end);
     bytes.extend_from_slice(&stale[end..]);
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -43,8 +43,8 @@
     fn order_and_duplicates_do_not_matter(entries: Vec<ArbitraryEntry>, seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut a, mut b) = (read_replica(100), control_node(101));
-        for said in &entries {
-            a.merge(millis(0), delta([said.0.clone()]));
+        for entry in &entries {
+            a.merge(millis(0), delta([entry.0.clone()]));
         }
         let mut rest = entries.clone();
         rest.extend(entries.iter().filter(|_| rng.next_u32().is_multiple_of(2)).cloned());
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -162,7 +162,7 @@
         c.record_contact(millis(now), SourceId(2));
         let suspected_at = b.tick(millis(now)) | c.tick(millis(now));
         if now <= 10_000 + whole_millis(SOURCE_TIMEOUT) {
-            assert!(!suspected_at, "a is in touch and speaks for itself");
+            assert!(!suspected_at, "a is in contact, so only a may suspect its servers");
         }
         if now == 10_000 + whole_millis(SOURCE_TIMEOUT) + 1000 {
             assert!(is_suspected(&b) && is_suspected(&c));
--- a/crates/registry/tests/heartbeats.rs
+++ b/crates/registry/tests/heartbeats.rs
@@ -180,14 +180,14 @@
     let long = Server { zone: "x".repeat(129), ..server(1, 1) };
     let mut many = server(1, 1);
     many.models = vec![many.models[0].clone(); 1000];
-    for (server, fault, code) in [
+    for (server, error, code) in [
         (no_id, ServerError::MissingId, 1),
         (long, ServerError::NameTooLong, 2),
         (many, ServerError::ModelsTooLong, 3),
     ] {
-        assert_eq!(registry.record_heartbeat(millis(0), server).error, Some(fault));
-        assert_eq!(fault.code(), code);
-        assert!(fault.to_string().starts_with(&format!("registry {code}:")));
+        assert_eq!(registry.record_heartbeat(millis(0), server).error, Some(error));
+        assert_eq!(error.code(), code);
+        assert!(error.to_string().starts_with(&format!("registry {code}:")));
     }
     assert_eq!(registry.deregister(millis(0), "").error, Some(ServerError::MissingId));
     assert_eq!(registry.deregister(millis(0), &"x".repeat(200)).error, Some(ServerError::NameTooLong));
