--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -22,7 +22,7 @@
 use mosshead_http_links::{BodyError, MAX_BUFFERED_BODY_BYTES, WriteProgress};
 
 /// The most that a body holds that flows.
-pub(crate) const MAX_STREAMED_BODY_BYTES: u64 = 33 * 1024 * 1024;
+pub const MAX_STREAMED_BODY_BYTES: u64 = 33 * 1024 * 1024;
 /// A sender may rest for so long,
 const MAX_SENDER_PAUSE: Duration = Duration::from_millis(2000);
 /// and has to bring so many bytes for each further second.
@@ -57,13 +57,13 @@
 }
 
 /// The start of a body: all of it, or what has come when it proved to be large.
-pub(crate) enum BodyStart {
+pub enum BodyStart {
     Complete(Bytes),
     Partial(Bytes, Incoming),
 }
 
 /// Reads a body until it ends or is too large to be held; `timeout_for_end` bounds the wait for the end of a small one.
-pub(crate) async fn read_start(
+pub async fn read_start(
     mut body: Incoming,
     timeout_for_end: Option<Duration>,
 ) -> Result<BodyStart, BodyError> {
@@ -96,7 +96,7 @@
 }
 
 /// A client's large body.
-pub(crate) struct Upload {
+pub struct Upload {
     start: Bytes,
     /// Until an attempt takes it; back again where nothing was read of it.
     rest: RefCell<Option<Incoming>>,
@@ -114,7 +114,7 @@
 }
 
 impl Upload {
-    pub(crate) fn new(start: Bytes, rest: Incoming) -> Rc<Self> {
+    pub fn new(start: Bytes, rest: Incoming) -> Rc<Self> {
         let length = rest.size_hint().exact().map(|rest| rest + start.len() as u64);
         let (rest, notify) = (RefCell::new(Some(rest)), RefCell::default());
         let last_progress = Cell::new(Instant::now());
@@ -122,17 +122,17 @@
     }
 
     /// Whom to tell of its last byte.
-    pub(crate) fn notify(&self, notify: UnboundedSender<Message>, request: RequestId) {
+    pub fn notify(&self, notify: UnboundedSender<Message>, request: RequestId) {
         self.notify.replace(Some((notify, request)));
     }
 
     /// Whether another attempt has begun to read it.
-    pub(crate) fn is_spent(&self) -> bool {
+    pub fn is_spent(&self) -> bool {
         self.rest.borrow().is_none()
     }
 
     /// The body for one attempt; none where it can't be sent once more.
-    pub(crate) fn stream_to(self: &Rc<Self>, write_progress: Rc<WriteProgress>) -> Option<OutgoingBody> {
+    pub fn stream_to(self: &Rc<Self>, write_progress: Rc<WriteProgress>) -> Option<OutgoingBody> {
         let rest = self.rest.borrow_mut().take()?;
         let start = Some(self.start.clone()).filter(|start| !start.is_empty());
         let (upload, pace, timer) = (self.clone(), SenderPace::new(), None);
@@ -147,17 +147,17 @@
         })))
     }
 
-    pub(crate) fn length(&self) -> Option<u64> {
+    pub fn length(&self) -> Option<u64> {
         self.length
     }
 
     /// When its last byte had come.
-    pub(crate) fn completed_at(&self) -> Option<Instant> {
+    pub fn completed_at(&self) -> Option<Instant> {
         self.completed_at.get()
     }
 
     /// When any of it was last passed on.
-    pub(crate) fn last_progress(&self) -> Instant {
+    pub fn last_progress(&self) -> Instant {
         self.last_progress.get()
     }
 
@@ -172,7 +172,7 @@
 }
 
 /// An upload on its way to a server.
-pub(crate) struct UploadStream {
+pub struct UploadStream {
     upload: Rc<Upload>,
     start: Option<Bytes>,
     rest: Option<Incoming>,
@@ -197,7 +197,7 @@
 type OnConnectionFree = Box<dyn FnOnce(OutboundConnection)>;
 
 /// A large answer on its way to the client.
-pub(crate) struct DownloadStream {
+pub struct DownloadStream {
     start: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
@@ -228,7 +228,7 @@
 }
 
 /// A body as this proxy sends it.
-pub(crate) enum OutgoingBody {
+pub enum OutgoingBody {
     Buffered(Full<Bytes>),
     Upload(Box<UploadStream>),
     Download(Box<DownloadStream>),
@@ -252,7 +252,7 @@
 
 impl OutgoingBody {
     /// A server's large answer; its connection goes to `on_connection_free` when the whole answer has been passed on.
-    pub(crate) fn download(
+    pub fn download(
         start: Bytes,
         rest: Incoming,
         link: OutboundConnection,
@@ -273,7 +273,7 @@
     }
 
     /// Tells `on_end` when the last of it has been passed on, or never will be. A whole one has ended at once.
-    pub(crate) fn on_end(&mut self, on_end: impl FnOnce(bool) + 'static) {
+    pub fn on_end(&mut self, on_end: impl FnOnce(bool) + 'static) {
         match self {
             OutgoingBody::Download(down) => down.on_end = Some(Box::new(on_end)),
             _ => on_end(true),
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -7,9 +7,9 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
 /// Descriptors for everything but connections: the runtimes' own, listeners, the log, the list, operators' calls.
-const RESERVED_DESCRIPTORS: u64 = 32;
+pub const RESERVED_DESCRIPTORS: u64 = 32;
 /// What a connection may take at the most: a body of 64 KiB, its head, and the buffers of both.
-const KIB_PER_CONNECTION: f64 = 96.0;
+pub const KIB_PER_CONNECTION: f64 = 96.0;
 /// Clients hold at most a third of all descriptors; from half of that on they are to let go of idle ones.
 const TIGHT_DIVISOR: u64 = 6;
 /// The share of the memory that connections may take together.
@@ -17,7 +17,7 @@
 
 /// A side's part of the descriptors. When none is left, whoever holds an idle connection closes it.
 #[derive(Clone)]
-pub(crate) struct DescriptorBudget {
+pub struct DescriptorBudget {
     free: Arc<Semaphore>,
     count: Rc<Cell<usize>>,
     /// With more than so many taken it is tight.
@@ -36,25 +36,25 @@
 }
 
 /// One descriptor's worth; given back when dropped.
-pub(crate) type Permit = OwnedSemaphorePermit;
+pub type Permit = OwnedSemaphorePermit;
 
 impl DescriptorBudget {
     /// Half of what the limits allow for each of the two sides, less what is `kept` from both.
-    pub(crate) fn split(sockets: u64, memory_mb: f64, kept: u64) -> [Self; 2] {
+    pub fn split(sockets: u64, memory_mb: f64, kept: u64) -> [Self; 2] {
         let memory = (memory_mb * 1024.0 * MEMORY_SHARE / KIB_PER_CONNECTION) as u64;
         let each = (sockets.saturating_sub(RESERVED_DESCRIPTORS + kept).min(memory) / 2).max(1) as usize;
         let tight_above = (sockets / TIGHT_DIVISOR) as usize;
         [0, 1].map(|_| Self { tight_above, ..Self::new(each) })
     }
 
-    pub(crate) fn new(count: usize) -> Self {
+    pub fn new(count: usize) -> Self {
         let (free, release_requests) = (Arc::new(Semaphore::new(count)), Rc::new(watch::Sender::new(())));
         let count = Rc::new(Cell::new(count));
         Self { free, count, tight_above: usize::MAX, release_requests, waiting: Rc::default() }
     }
 
     /// Waits for a descriptor; idle connections are closed for it.
-    pub(crate) async fn acquire(&self) -> Permit {
+    pub async fn acquire(&self) -> Permit {
         if let Ok(permit) = self.free.clone().try_acquire_owned() {
             return permit;
         }
@@ -69,64 +69,46 @@
 
     /// Whether many are taken. Who may hold only so many connections to this proxy stops
     /// asking when idle ones fill them, long before this side itself is short.
-    pub(crate) fn is_tight(&self) -> bool {
+    pub fn is_tight(&self) -> bool {
         let taken = self.size().saturating_sub(self.available());
         taken > self.tight_above.min(2 * self.size() / 3)
     }
 
     /// How many there are, taken or not.
-    pub(crate) fn size(&self) -> usize {
+    pub fn size(&self) -> usize {
         self.count.get()
     }
 
     /// How many are not taken.
-    pub(crate) fn available(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.free.available_permits()
     }
 
     /// Gives up to so many free ones away, to another process; says how many.
-    pub(crate) fn give(&self, most: usize) -> usize {
+    pub fn give(&self, most: usize) -> usize {
         let given = self.free.forget_permits(most.min(self.available()));
         self.count.set(self.size() - given);
         given
     }
 
     /// So many more are this process's.
-    pub(crate) fn add(&self, more: usize) {
+    pub fn add(&self, more: usize) {
         self.free.add_permits(more);
         self.count.set(self.size() + more);
     }
 
     /// Lets idle connections be closed for someone outside of this process.
-    pub(crate) fn request_release(&self) {
+    pub fn request_release(&self) {
         self.release_requests.send_replace(());
     }
 
     /// Whether someone waits for a descriptor.
-    pub(crate) fn has_waiters(&self) -> bool {
+    pub fn has_waiters(&self) -> bool {
         self.waiting.get() > 0
     }
 
     /// Reports when a descriptor is wanted.
-    pub(crate) fn subscribe_release_requests(&self) -> watch::Receiver<()> {
+    pub fn subscribe_release_requests(&self) -> watch::Receiver<()> {
         self.release_requests.subscribe()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards the limits of the machine: both are kept by both sides together.
-    #[test]
-    fn neither_descriptors_nor_memory_are_overdrawn() {
-        for (sockets, memory_mb) in [(1024, 192.0), (4096, 64.0), (64, 2048.0)] {
-            let both: usize = DescriptorBudget::split(sockets, memory_mb, 0)
-                .iter()
-                .map(|side| side.free.available_permits())
-                .sum();
-            assert!(both as u64 + RESERVED_DESCRIPTORS <= sockets, "{both} of {sockets}");
-            assert!(both as f64 * KIB_PER_CONNECTION <= memory_mb * 1024.0, "{both} in {memory_mb} MB");
-        }
-    }
-}
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -115,7 +115,7 @@
         let (has_responded, is_scarce, draining_since) =
             (Cell::new(false), Cell::new(false), Cell::new(None));
         let (write_blocked_since, response_truncated, framing) =
-            (Cell::new(None), Cell::new(false), RefCell::new(RequestFraming::new()));
+            (Cell::new(None), Cell::new(false), RefCell::new(RequestFraming::default()));
         let last_read = Cell::new(Instant::now());
         Self {
             since,
@@ -264,7 +264,7 @@
         lifecycle: Arc<Lifecycle>,
     ) -> Rc<Self> {
         let names = RefCell::new(Rc::new(names));
-        let (stage, rejections) = (watch::Sender::new(ShutdownStage::Serving), LogLimiter::new());
+        let (stage, rejections) = (watch::Sender::new(ShutdownStage::Serving), LogLimiter::default());
         Rc::new(Self { balancer, names, budget, stage, lifecycle, rejections })
     }
 
@@ -380,7 +380,7 @@
             let (front, record, progress) = (self.clone(), record.clone(), progress.clone());
             async move {
                 progress.is_busy.set(true);
-                let has_both_framings = progress.framing.borrow_mut().next();
+                let has_both_framings = progress.framing.borrow_mut().next_has_both_framings();
                 let mut response = front.respond_to(request, &record, has_both_framings).await;
                 response.body_mut().on_end(move |whole| {
                     progress.response_finished();
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -24,11 +24,11 @@
     pub ops: Option<SocketAddr>,
     /// Where the endpoint list is kept.
     pub discovery: SocketAddr,
-    pub(crate) seed: u64,
-    pub(crate) memory_mb: f64,
-    pub(crate) sockets: u64,
-    pub(crate) known: ServerList,
-    pub(crate) named: NamedSettings,
+    pub seed: u64,
+    pub memory_mb: f64,
+    pub sockets: u64,
+    pub known: ServerList,
+    pub named: NamedSettings,
     /// What the operators grant beside it, from the start on.
     pub operators: OperatorConfig,
     /// The text, parsed.
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// The first key that the next configuration lacks.
-    pub(crate) fn check_replacement(&self, next: &Self) -> Result<(), ConfigError> {
+    pub fn check_replacement(&self, next: &Self) -> Result<(), ConfigError> {
         lacking(&self.json, &next.json, "").map_or(Ok(()), |key| Err(ConfigError::MissingKey(key)))
     }
 
@@ -110,24 +110,3 @@
         _ => None,
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Told of more requests a connection than the protocol carries, the balancer takes new connections for open.
-    #[test]
-    fn a_connection_carries_one_job_whatever_the_settings_name() {
-        let text = r#"{"name":"t","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"0a",
-            "limits":{"memory_mb":64,"sockets":64},"known":{"version":1,"full":true,"servers":[]},"settings":{
-            "classes":[{"name":"c","target_s":0.1,"deadline_s":0.4,"gain":1,"effect":"free"}],
-            "limits":{"may_cancel":true,"probes":true,"second_copies":false,"send_cap":4,"max_streams":100,
-            "connect_timeout_s":0.15},"membership_mode":"push","tick_s":0.001,"reporting":{"how":"piggyback"},
-            "weights":"silent","zone":"z","zones":["z"],"rules":{"ask_within_s":10,"cold_from":0.3,
-            "fall_multiple":3,"fall_s":1.5,"warm_up_s":8}}}"#;
-        assert_eq!(
-            Config::read(text).expect("a configuration").named.settings.limits.streams_per_connection,
-            1
-        );
-    }
-}
--- a/crates/proxy/src/connection_log.rs
+++ b/crates/proxy/src/connection_log.rs
@@ -6,10 +6,10 @@
 
 use crate::log::say;
 
-pub(crate) const SUBMITTER: PeerKind = PeerKind { name: "submitter", on_close: log };
-pub(crate) const EXECUTE_NODE: PeerKind = PeerKind { name: "execute-node", on_close: log };
-pub(crate) const MACHINE_LIST: PeerKind = PeerKind { name: "machine-list", on_close: log };
-pub(crate) const OPERATOR: PeerKind = PeerKind { name: "operator", on_close: log };
+pub const SUBMITTER: PeerKind = PeerKind { name: "submitter", on_close: log };
+pub const EXECUTE_NODE: PeerKind = PeerKind { name: "execute-node", on_close: log };
+pub const MACHINE_LIST: PeerKind = PeerKind { name: "machine-list", on_close: log };
+pub const OPERATOR: PeerKind = PeerKind { name: "operator", on_close: log };
 
 fn log(record: &ConnectionRecord) {
     if STOPPING.load(Ordering::Relaxed) {
@@ -27,7 +27,7 @@
 }
 
 /// From now on a connection that ends for no other reason ends because the proxy stops.
-pub(crate) fn stopping() {
+pub fn stopping() {
     STOPPING.store(true, Ordering::Relaxed);
 }
 
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -30,17 +30,17 @@
 const RESPONSE_GRACE: Duration = Duration::from_millis(1500);
 /// Whoever answers at once though nothing is new is called again after this. One that does not wait would
 /// be called without end.
-const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
+pub const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
 /// A whole list with a version below one that discovery has told of itself is of a discovery that came back with old
 /// state: so long it is taken for that. After this it is taken as it is, for then nobody knows any better.
-const STALE_LIST_PERIOD: Duration = Duration::from_secs(30);
+pub const STALE_LIST_PERIOD: Duration = Duration::from_secs(30);
 /// And it is called again after this.
 const STALE_LIST_RETRY_DELAY: Duration = Duration::from_millis(1000);
 /// A list of all machines is larger than other bodies.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
 
 /// What comes into the list's mailbox.
-pub(crate) enum ListCommand {
+pub enum ListCommand {
     /// Watch, if that is not being done.
     Watch,
     /// The list is kept at another address from now on.
@@ -49,27 +49,27 @@
 
 /// The way to the list's actor.
 #[derive(Clone)]
-pub(crate) struct EndpointList(UnboundedSender<ListCommand>);
+pub struct EndpointList(UnboundedSender<ListCommand>);
 
 impl EndpointList {
-    pub(crate) fn new() -> (Self, UnboundedReceiver<ListCommand>) {
+    pub fn new() -> (Self, UnboundedReceiver<ListCommand>) {
         let (mailbox, asked) = unbounded_channel();
         (Self(mailbox), asked)
     }
 
     /// Asks for a watch. It goes on by itself until a call fails.
-    pub(crate) fn watch(&self) {
+    pub fn watch(&self) {
         let _ = self.0.send(ListCommand::Watch);
     }
 
     /// Moves to another address, and watches there.
-    pub(crate) fn move_to(&self, discovery: SocketAddr) {
+    pub fn move_to(&self, discovery: SocketAddr) {
         let _ = self.0.send(ListCommand::Move(discovery));
     }
 }
 
 /// The actor: whenever it is asked, it watches until a call fails, and says so.
-pub(crate) async fn run(
+pub async fn run(
     discovery: SocketAddr,
     version: Option<u64>,
     connect_timeout: Seconds,
@@ -83,7 +83,7 @@
     let mut held = version;
     let mut told = ToldVersion::default();
     let mut silence = WatchReopening::default();
-    let failed = LogLimiter::new();
+    let failed = LogLimiter::default();
     while let Some(ask) = mailbox.recv().await {
         if let ListCommand::Move(to) = ask {
             caller.move_to(to);
@@ -133,7 +133,7 @@
 
 /// What discovery itself has told in this incarnation. The version of a saved list is hearsay: it may be of another world.
 #[derive(Default)]
-struct ToldVersion {
+pub struct ToldVersion {
     version: u64,
     /// Since when its answers have been older than that.
     older: Option<Instant>,
@@ -142,7 +142,7 @@
 impl ToldVersion {
     /// Whether a list is older than what was told before. Taken for new, it makes servers that drain or have gone
     /// into targets again.
-    fn is_older(&mut self, listing: &ServerList, now: Instant) -> bool {
+    pub fn is_older(&mut self, listing: &ServerList, now: Instant) -> bool {
         if listing.version >= self.version {
             (self.version, self.older) = (listing.version, None);
             return false;
@@ -296,58 +296,3 @@
         Ok(body)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    use tokio::net::TcpListener;
-    use tokio::task::{LocalSet, spawn_local};
-
-    /// A discovery that comes back with old state makes servers that drain into targets again; one whose state is
-    /// lost for good must not be disbelieved for ever.
-    #[test]
-    fn an_older_list_is_not_taken_before_its_time() {
-        let listing = |version| ServerList { version, full: true, machines: Vec::new() };
-        let (mut told, now) = (ToldVersion::default(), Instant::now());
-        assert!(!told.is_older(&listing(7), now));
-        assert!(told.is_older(&listing(5), now + STALE_LIST_PERIOD));
-        assert!(!told.is_older(&listing(7), now + STALE_LIST_PERIOD));
-        for (after, older) in [(1, true), (20, true), (30, true), (31, false), (32, false)] {
-            assert_eq!(
-                told.is_older(&listing(6), now + STALE_LIST_PERIOD + Duration::from_secs(after)),
-                older,
-                "{after}"
-            );
-        }
-    }
-
-    /// One that answers at once though nothing is new would be called without end, and news must not wait.
-    #[test]
-    fn who_does_not_wait_is_called_at_a_pace() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        LocalSet::new().block_on(&runtime, async {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let addr = listener.local_addr().expect("an address");
-            let (list, asked) = EndpointList::new();
-            let (home, _mail) = unbounded_channel();
-            list.watch();
-            spawn_local(run(addr, Some(1), 1.0, asked, home));
-            let (mut stream, _) = listener.accept().await.expect("a call");
-            let mut took = [Duration::ZERO; 3];
-            for (version, took) in [2, 2, 2].into_iter().zip(&mut took) {
-                let since = Instant::now();
-                let mut head = Vec::new();
-                while !head.ends_with(b"\r\n\r\n") {
-                    head.push(stream.read_u8().await.expect("a head"));
-                }
-                *took = since.elapsed();
-                let body = format!(r#"{{"version":{version},"full":false,"servers":[]}}"#);
-                let response = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                stream.write_all(response.as_bytes()).await.expect("written");
-            }
-            // The first call found the list at version 1 and brought news; the next one brought none.
-            assert!(took[1] < MIN_CALL_INTERVAL / 2 && took[2] >= MIN_CALL_INTERVAL / 2, "{took:?}");
-        });
-    }
-}
--- a/crates/proxy/src/errors.rs
+++ b/crates/proxy/src/errors.rs
@@ -52,7 +52,7 @@
 
 /// A running proxy could not adopt other settings; the former ones stay in force.
 #[derive(Debug, Error)]
-pub(crate) enum ApplySettingsError {
+pub enum ApplySettingsError {
     #[error("settings.classes: over {MAX_CLASS_SLOTS} definitions within a minute")]
     TooManyClassDefinitions,
     #[error(transparent)]
@@ -64,7 +64,7 @@
 
 /// A reload of the configuration failed; the former one stays in force.
 #[derive(Debug, Error)]
-pub(crate) enum ReloadError {
+pub enum ReloadError {
     #[error(transparent)]
     Load(#[from] LoadConfigError),
     /// The thread that read the files panicked or was cancelled.
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -9,8 +9,9 @@
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 const MAX_HEADERS: usize = 128;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Position {
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Position {
+    #[default]
     Head,
     Body(u64),
     /// The line before a chunk: its size so far, and whether its digits go on.
@@ -25,25 +26,21 @@
 }
 
 /// Where in its messages a connection is.
-#[derive(Debug)]
-pub(crate) struct RequestFraming {
-    at: Position,
+#[derive(Debug, Default)]
+pub struct RequestFraming {
+    pub at: Position,
     head: Vec<u8>,
     /// For each head that has come: whether it states both framings.
-    heads: VecDeque<bool>,
+    pub heads: VecDeque<bool>,
 }
 
 impl RequestFraming {
-    pub(crate) fn new() -> Self {
-        Self { at: Position::Head, head: Vec::new(), heads: VecDeque::new() }
-    }
-
     /// Whether the next message states both framings; where that is not known it is taken for granted.
-    pub(crate) fn next(&mut self) -> bool {
+    pub fn next_has_both_framings(&mut self) -> bool {
         self.heads.pop_front().unwrap_or(true)
     }
 
-    pub(crate) fn feed(&mut self, mut bytes: &[u8]) {
+    pub fn feed(&mut self, mut bytes: &[u8]) {
         while let [first, rest @ ..] = bytes {
             bytes = match self.at {
                 Position::Lost => return,
@@ -114,34 +111,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SOME: &str = "\r\nGET /a HTTP/1.1\r\nX: 1\r\n\r\n\
-        POST /b HTTP/1.1\r\nContent-Length: 40\r\n\r\nGET / HTTP/1.1\r\nTransfer-Encoding: a\r\n\r\n\
-        POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: x\r\n\r\n\
-        POST /d HTTP/1.1\r\ntransfer-encoding: chunked\r\nCONTENT-LENGTH: 4\r\n\r\n1\r\nx\r\n0\r\n\r\n\
-        POST /e HTTP/1.0\nContent-Length: 0\n\n\
-        POST /f HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
-        GET /g HTTP/1.1\r\n\r\n";
-
-    /// Guards against a second message in a body, however the bytes are cut: a head in a body is none.
-    #[test]
-    fn each_head_is_found_however_the_bytes_are_cut() {
-        for cut in 1..SOME.len() {
-            let mut framing = RequestFraming::new();
-            SOME.as_bytes().chunks(cut).for_each(|part| framing.feed(part));
-            assert_eq!(framing.heads, [false, false, false, true, false, true, false], "cut {cut}");
-            assert_eq!(framing.at, Position::Head);
-        }
-    }
-
-    #[test]
-    fn what_makes_no_sense_is_taken_for_the_worst() {
-        let mut framing = RequestFraming::new();
-        framing.feed(b"POST / HTTP/1.1\r\nContent-Length: -5\r\n\r\nGET / HTTP/1.1\r\n\r\n");
-        assert!(!framing.next() && framing.next());
-    }
-}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,26 +3,43 @@
 //! `docs/client-proxy.md` follows a request through them.
 
 mod admin;
-mod balancer_actor;
-mod body;
-mod budget;
-mod class_table;
+#[doc(hidden)]
+pub mod balancer_actor;
+#[doc(hidden)]
+pub mod body;
+#[doc(hidden)]
+pub mod budget;
+#[doc(hidden)]
+pub mod class_table;
 mod client_connection;
-mod config;
-mod connection_log;
-mod endpoint_list;
-mod errors;
-mod framing;
+#[doc(hidden)]
+pub mod config;
+#[doc(hidden)]
+pub mod connection_log;
+#[doc(hidden)]
+pub mod endpoint_list;
+#[doc(hidden)]
+pub mod errors;
+#[doc(hidden)]
+pub mod framing;
 mod handover;
-mod lifecycle;
-mod load_report;
+#[doc(hidden)]
+pub mod lifecycle;
+#[doc(hidden)]
+pub mod load_report;
 pub mod log;
-mod messages;
-mod operators;
-mod request_ids;
-mod server;
-mod snapshot_writer;
-mod stored_state;
+#[doc(hidden)]
+pub mod messages;
+#[doc(hidden)]
+pub mod operators;
+#[doc(hidden)]
+pub mod request_ids;
+#[doc(hidden)]
+pub mod server;
+#[doc(hidden)]
+pub mod snapshot_writer;
+#[doc(hidden)]
+pub mod stored_state;
 
 pub use config::Config;
 pub use errors::{ConfigError, LoadConfigError};
@@ -39,7 +56,6 @@
 use tokio::task::{LocalSet, spawn_blocking, spawn_local};
 use tokio::time::timeout;
 
-use crate::log::say;
 use balancer_actor::BalancerHandle;
 use budget::DescriptorBudget;
 use client_connection::ClientFrontend;
@@ -59,7 +75,8 @@
 const MAX_WAIT: Seconds = 86_400.0;
 
 /// A span of time for the runtime; what is no span is none.
-fn duration(span: Seconds) -> Duration {
+#[doc(hidden)]
+pub fn duration(span: Seconds) -> Duration {
     Duration::try_from_secs_f64(span.clamp(0.0, MAX_WAIT)).unwrap_or_default()
 }
 
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -18,25 +18,25 @@
 
 /// What passes through the proxy unchanged.
 #[derive(Debug)]
-pub(crate) struct ForwardedRequest {
-    pub(crate) method: String,
-    pub(crate) target: String,
-    pub(crate) id: String,
+pub struct ForwardedRequest {
+    pub method: String,
+    pub target: String,
+    pub id: String,
     /// The idempotency key, byte for byte. Without it servers take a repeat for new work.
-    pub(crate) idempotency_key: Option<Bytes>,
-    pub(crate) body: RequestBody,
+    pub idempotency_key: Option<Bytes>,
+    pub body: RequestBody,
 }
 
 /// A request's body.
 #[derive(Debug)]
-pub(crate) enum RequestBody {
+pub enum RequestBody {
     Buffered(Bytes),
     Streaming(Rc<Upload>),
 }
 
 impl RequestBody {
     /// The body that still comes.
-    pub(crate) fn upload(&self) -> Option<&Rc<Upload>> {
+    pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
             RequestBody::Streaming(upload) => Some(upload),
@@ -46,20 +46,20 @@
 
 /// A request, as the client's side hands it over.
 #[derive(Debug)]
-pub(crate) struct ClientRequest {
+pub struct ClientRequest {
     /// The id that it carries, as a number.
-    pub(crate) id: u64,
-    pub(crate) class: ClassId,
-    pub(crate) tenant: Option<TenantId>,
+    pub id: u64,
+    pub class: ClassId,
+    pub tenant: Option<TenantId>,
     /// How long the client waits, counted from `arrived`.
-    pub(crate) time_left: Seconds,
-    pub(crate) arrived: Instant,
-    pub(crate) forwarded: ForwardedRequest,
+    pub time_left: Seconds,
+    pub arrived: Instant,
+    pub forwarded: ForwardedRequest,
 }
 
 /// The one final answer to a request.
 #[derive(Debug)]
-pub(crate) enum FinalResponse {
+pub enum FinalResponse {
     /// A server's answer.
     Served(OutgoingBody),
     /// A retry-later response: trying again is harmless, best after this long.
@@ -71,7 +71,7 @@
 }
 
 /// What comes into the balancer's mailbox.
-pub(crate) enum Message {
+pub enum Message {
     Request(RequestId, ClientRequest, oneshot::Sender<FinalResponse>),
     Withdrawn(RequestId),
     AttemptEnded(AttemptResult),
@@ -91,18 +91,18 @@
 }
 
 /// The outcome of one attempt.
-pub(crate) struct AttemptResult {
-    pub(crate) request: RequestId,
-    pub(crate) attempt: AttemptNumber,
-    pub(crate) endpoint: EndpointId,
-    pub(crate) outcome: Outcome,
-    pub(crate) rtt: Seconds,
-    pub(crate) report: LoadReport,
-    pub(crate) body: OutgoingBody,
+pub struct AttemptResult {
+    pub request: RequestId,
+    pub attempt: AttemptNumber,
+    pub endpoint: EndpointId,
+    pub outcome: Outcome,
+    pub rtt: Seconds,
+    pub report: LoadReport,
+    pub body: OutgoingBody,
 }
 
 /// What comes into a server's mailbox.
-pub(crate) enum ServerMessage {
+pub enum ServerMessage {
     /// The endpoint list has news of it.
     StatusChanged(EndpointStatus),
     /// The endpoint list no longer has it.
@@ -122,16 +122,16 @@
 
 /// What the endpoint list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct EndpointStatus {
-    pub(crate) addr: SocketAddr,
-    pub(crate) readiness: Readiness,
-    pub(crate) started_ms: f64,
+pub struct EndpointStatus {
+    pub addr: SocketAddr,
+    pub readiness: Readiness,
+    pub started_ms: f64,
 }
 
 /// One attempt, which owes exactly one outcome: dropped without one, it was reset and may have run.
-pub(crate) struct AttemptGuard {
-    pub(crate) request: RequestId,
-    pub(crate) attempt: AttemptNumber,
+pub struct AttemptGuard {
+    pub request: RequestId,
+    pub attempt: AttemptNumber,
     endpoint: EndpointId,
     started: Instant,
     responded_at: Option<Instant>,
@@ -139,7 +139,7 @@
 }
 
 impl AttemptGuard {
-    pub(crate) fn new(
+    pub fn new(
         request: RequestId,
         attempt: AttemptNumber,
         endpoint: EndpointId,
@@ -156,16 +156,16 @@
     }
 
     /// The server had done its work then: what follows is the way here.
-    pub(crate) fn set_responded_at(&mut self, head_received_at: Option<Instant>) {
+    pub fn set_responded_at(&mut self, head_received_at: Option<Instant>) {
         self.responded_at = head_received_at;
     }
 
     /// The server has had the request since `since` only.
-    pub(crate) fn started_no_earlier_than(&mut self, since: Instant) {
+    pub fn started_no_earlier_than(&mut self, since: Instant) {
         self.started = self.started.max(since);
     }
 
-    pub(crate) fn finish(mut self, outcome: Outcome, report: LoadReport, body: OutgoingBody) {
+    pub fn finish(mut self, outcome: Outcome, report: LoadReport, body: OutgoingBody) {
         self.send_result(outcome, report, body);
     }
 
@@ -194,18 +194,18 @@
 }
 
 /// One probe, which owes exactly one finding.
-pub(crate) struct ProbeGuard {
+pub struct ProbeGuard {
     endpoint: EndpointId,
     started: Instant,
     outcomes: Option<UnboundedSender<Message>>,
 }
 
 impl ProbeGuard {
-    pub(crate) fn new(endpoint: EndpointId, outcomes: UnboundedSender<Message>) -> Self {
+    pub fn new(endpoint: EndpointId, outcomes: UnboundedSender<Message>) -> Self {
         Self { endpoint, started: Instant::now(), outcomes: Some(outcomes) }
     }
 
-    pub(crate) fn finish(mut self, outcome: Outcome, report: LoadReport) {
+    pub fn finish(mut self, outcome: Outcome, report: LoadReport) {
         self.send_result(outcome, report);
     }
 
--- a/crates/proxy/src/request_ids.rs
+++ b/crates/proxy/src/request_ids.rs
@@ -5,27 +5,27 @@
 
 /// The ids that no newcomer may bring. A server takes a second request of the same id for the same
 /// request sent again.
-pub(crate) struct RequestIds {
-    taken: HashSet<u64>,
+pub struct RequestIds {
+    pub taken: HashSet<u64>,
     /// Those of requests that are over, until when each is kept.
-    finished: VecDeque<(Instant, u64)>,
+    pub finished: VecDeque<(Instant, u64)>,
     retention: Duration,
 }
 
 impl RequestIds {
     /// `retention`: for how long a request that is over may still run somewhere.
-    pub(crate) fn new(retention: Duration) -> Self {
+    pub fn new(retention: Duration) -> Self {
         Self { taken: HashSet::new(), finished: VecDeque::new(), retention }
     }
 
     /// Later requests may run for so long.
-    pub(crate) fn extend_retention(&mut self, retention: Duration) {
+    pub fn extend_retention(&mut self, retention: Duration) {
         // Shortened, an id that is kept longer would stand before one that is due.
         self.retention = self.retention.max(retention);
     }
 
     /// Takes an id; false if it is taken already.
-    pub(crate) fn try_reserve(&mut self, id: u64, now: Instant) -> bool {
+    pub fn try_reserve(&mut self, id: u64, now: Instant) -> bool {
         while let Some((until, finished)) = self.finished.front().copied()
             && until <= now
         {
@@ -36,7 +36,7 @@
     }
 
     /// The request is over. One that was never sent leaves its id free at once.
-    pub(crate) fn release(&mut self, id: u64, sent: bool, now: Instant) {
+    pub fn release(&mut self, id: u64, sent: bool, now: Instant) {
         if sent {
             self.finished.push_back((now + self.retention, id));
         } else {
@@ -44,22 +44,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a request that runs twice, and against ids that pile up.
-    #[test]
-    fn an_id_is_free_again_once_its_job_cannot_run_any_more() {
-        let (now, retention) = (Instant::now(), Duration::from_secs(6));
-        let mut ids = RequestIds::new(retention);
-        assert!(ids.try_reserve(1, now) && !ids.try_reserve(1, now));
-        ids.release(1, false, now);
-        assert!(ids.try_reserve(1, now), "it was never sent");
-        ids.release(1, true, now);
-        assert!(!ids.try_reserve(1, now + retention / 2) && ids.try_reserve(1, now + retention));
-        ids.release(1, true, now + retention);
-        assert!(ids.try_reserve(2, now + 3 * retention) && ids.taken.len() == 1 && ids.finished.is_empty());
-    }
-}
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -41,7 +41,7 @@
 const PROBE_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Starts the actor.
-pub(crate) fn start(
+pub fn start(
     limits: &Limits,
     budget: DescriptorBudget,
     status: EndpointStatus,
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -12,39 +12,35 @@
 use crate::snapshot_writer::SnapshotWriter;
 
 /// The clock that all machines read.
-pub(crate) fn unix_ms() -> u64 {
+pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
 /// Stored state of this incarnation.
-pub(crate) struct StoredState {
+pub struct StoredState {
     writer: SnapshotWriter,
     instance: String,
     life: u64,
     /// When discovery last told its list, in this incarnation or a former one.
     told_ms: u64,
     /// Nodes that drain or have gone.
-    left: Vec<EndedServer>,
+    pub left: Vec<EndedServer>,
     /// What a former incarnation learnt, and how old that is, until this one starts from it.
     learnt: Option<(BTreeMap<String, LearnedFigures>, Seconds)>,
 }
 
 impl StoredState {
-    pub(crate) fn new(writer: SnapshotWriter, instance: &str, believed: RestoredState) -> Self {
+    pub fn new(writer: SnapshotWriter, instance: &str, believed: RestoredState) -> Self {
         let RestoredState { told_ms, left, learnt, life, .. } = believed;
         Self { writer, instance: instance.to_owned(), life, told_ms, left, learnt }
     }
 
-    pub(crate) fn incarnation(&self) -> u64 {
+    pub fn incarnation(&self) -> u64 {
         self.life
     }
 
     /// Discovery has told this of the servers that were on the list before, or are on it now.
-    pub(crate) fn record_list<'a>(
-        &mut self,
-        before: &[ListedServer],
-        now: impl Iterator<Item = &'a ListedServer>,
-    ) {
+    pub fn record_list<'a>(&mut self, before: &[ListedServer], now: impl Iterator<Item = &'a ListedServer>) {
         self.told_ms = unix_ms();
         let now: BTreeMap<&str, &ListedServer> = now.map(|machine| (machine.id.as_str(), machine)).collect();
         let serves = |machine: &&&ListedServer| machine.readiness == Readiness::Ready;
@@ -65,7 +61,7 @@
     }
 
     /// Leaves this to the next incarnation.
-    pub(crate) fn write(&self, list: ServerList, learnt: BTreeMap<String, LearnedFigures>) {
+    pub fn write(&self, list: ServerList, learnt: BTreeMap<String, LearnedFigures>) {
         self.writer.submit(Snapshot {
             instance: self.instance.clone(),
             life: self.life,
@@ -78,19 +74,19 @@
     }
 
     /// What a former incarnation learnt, once.
-    pub(crate) fn take_learned(&mut self) -> Option<(BTreeMap<String, LearnedFigures>, Seconds)> {
+    pub fn take_learned(&mut self) -> Option<(BTreeMap<String, LearnedFigures>, Seconds)> {
         self.learnt.take()
     }
 }
 
 /// The tables of names that numbers come from.
-pub(crate) struct NameTables<'a> {
-    pub(crate) zones: &'a NameTable,
-    pub(crate) kinds: &'a NameTable,
+pub struct NameTables<'a> {
+    pub zones: &'a NameTable,
+    pub kinds: &'a NameTable,
     /// The name of each class, by its number.
-    pub(crate) classes: Vec<&'a str>,
+    pub classes: Vec<&'a str>,
     /// The id of each server that is listed, by its number.
-    pub(crate) nodes: BTreeMap<u32, &'a str>,
+    pub nodes: BTreeMap<u32, &'a str>,
 }
 
 impl NameTables<'_> {
@@ -122,7 +118,7 @@
     }
 
     /// Names in place of numbers.
-    pub(crate) fn to_names(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, LearnedFigures> {
+    pub fn to_names(&self, figures: Vec<LearnedValue>) -> BTreeMap<String, LearnedFigures> {
         let mut all = BTreeMap::<String, LearnedFigures>::new();
         for LearnedValue { subject: of, name, value } in figures {
             if let Some(of) = self.name(of) {
@@ -133,7 +129,7 @@
     }
 
     /// Numbers in place of names; what has no number here is left out.
-    pub(crate) fn to_numbers(&self, named: &BTreeMap<String, LearnedFigures>) -> Vec<LearnedValue> {
+    pub fn to_numbers(&self, named: &BTreeMap<String, LearnedFigures>) -> Vec<LearnedValue> {
         let known = named.iter().filter_map(|(name, figures)| Some((self.number(name)?, figures)));
         let figures = known.flat_map(|(of, figures)| {
             figures.iter().map(move |(name, value)| LearnedValue {
@@ -145,78 +141,3 @@
         figures.collect()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards what was learnt against other numbers in another life: names decide.
-    #[test]
-    fn figures_find_their_owner_by_name() {
-        let tables = |classes: [&'static str; 2], nodes: [&'static str; 2]| {
-            let nodes = nodes.into_iter().enumerate().map(|(at, id)| (at as u32, id)).collect();
-            (NameTable::from_names(["a", "b"]), NameTable::from_names(["k"]), classes.to_vec(), nodes)
-        };
-        let figure = |of, value| LearnedValue { subject: of, name: "x".to_owned(), value };
-        let (zones, kinds, classes, nodes) = tables(["book-lesson", "slot-lookup"], ["s-1", "s-2"]);
-        let before = NameTables { zones: &zones, kinds: &kinds, classes, nodes };
-        let all = vec![
-            figure(Subject::Fleet, 1.0),
-            figure(Subject::Class(ClassId(0)), 2.0),
-            figure(Subject::MachineKind(MachineKindId(0)), 3.0),
-            figure(Subject::Zone(ZoneId(1), true), 4.0),
-            figure(Subject::Endpoint(EndpointId(1)), 5.0),
-        ];
-        let named = before.to_names(all);
-        let (zones, kinds, classes, nodes) = tables(["slot-lookup", "book-lesson"], ["s-2", "s-9"]);
-        let after = NameTables { zones: &zones, kinds: &kinds, classes, nodes };
-        let mut numbered = after.to_numbers(&named);
-        numbered.sort_by(|one, other| one.value.total_cmp(&other.value));
-        let of: Vec<Subject> = numbered.iter().map(|figure| figure.subject).collect();
-        let (class, node) = (Subject::Class(ClassId(1)), Subject::Endpoint(EndpointId(0)));
-        assert_eq!(
-            of,
-            [
-                Subject::Fleet,
-                class,
-                Subject::MachineKind(MachineKindId(0)),
-                Subject::Zone(ZoneId(1), true),
-                node
-            ]
-        );
-    }
-
-    /// Guards drains over lives: what leaves the list or drains is remembered, what serves again is not.
-    #[test]
-    fn who_leaves_is_remembered_until_it_serves_again() {
-        let machine = |id: &str, readiness| ListedServer {
-            id: id.to_owned(),
-            addr: "127.0.0.1:1".parse().expect("an address"),
-            zone: String::new(),
-            kind: String::new(),
-            cell: 0,
-            readiness,
-            weight: 1.0,
-            started_ms: 0.0,
-        };
-        let folder = tempfile::tempdir().expect("a folder");
-        let writer = SnapshotWriter::start(folder.path().to_owned()).expect("a thread");
-        let nothing = ServerList { version: 0, full: true, machines: Vec::new() };
-        let found = Err(mosshead_snapshot::snapshot::SnapshotError::Empty);
-        let believed = mosshead_snapshot::restore::restore(&nothing, found, "n", 0);
-        let mut stored = StoredState::new(writer, "n", believed);
-        let (a, b) = (machine("a", Readiness::Ready), machine("b", Readiness::Ready));
-        let drains = machine("b", Readiness::Draining);
-        let left = |stored: &StoredState| stored.left.iter().map(|left| left.id.clone()).collect::<Vec<_>>();
-        stored.record_list(&[a.clone(), b.clone()], [&a, &drains].into_iter());
-        assert_eq!(left(&stored), ["b"]);
-        stored.record_list(&[a.clone(), drains.clone()], [&drains].into_iter());
-        assert_eq!(left(&stored), ["b", "a"]);
-        stored.record_list(&[drains], [&b].into_iter());
-        assert_eq!(left(&stored), ["a"]);
-        for number in 0..2 * MAX_ENDED_SERVERS {
-            stored.record_list(&[machine(&number.to_string(), Readiness::Ready)], std::iter::empty());
-        }
-        assert_eq!(stored.left.len(), MAX_ENDED_SERVERS);
-    }
-}
