--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -73,7 +73,7 @@
     }
 
     /// Finds the route of a request: of the routes of its host, the one with the longest prefix that begins the path
-    /// (PROTOCOL, "Requests"). The host may have a port, the path a query.
+    /// (PROTOCOL.md, "Requests"). The host may have a port, the path a query.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         self.content.route_table.find(&normalize_host(host), path)
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -9,7 +9,7 @@
 use crate::json::string::quote;
 use crate::stable_hash::{hash_text, mix};
 
-/// The top-level fields with a meaning here (PROTOCOL, "The operator's API").
+/// The top-level fields with a meaning here (PROTOCOL.md, "The operator's API").
 pub(crate) const ROUTES: &str = "route_entries";
 pub(crate) const SERVICES: &str = "backend_services";
 pub(crate) const REVISION: &str = "revision";
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,6 +8,9 @@
 //! configuration): its structure is checked (`json`), it is cut into fields and items (`document_parser`), and what must
 //! hold between these is validated (`validation`). The operator's changes (`operator_calls`) and the patches of other
 //! processes (`patch`) edit the `document` of a configuration and validate only what they touch.
+//!
+//! `PROTOCOL.md`, which comments cite by section, specifies the operator's API, the requests and the model servers. It is
+//! not part of this repository.
 
 mod chunked_sequence;
 mod config;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -7,7 +7,7 @@
 use crate::error::ConfigError;
 use crate::json::object::Object;
 
-/// The bounds for clients (PROTOCOL, "The operator's API", `limits`). No value is below [`Limits::MINIMUM`]: a limit
+/// The bounds for clients (PROTOCOL.md, "The operator's API", `limits`). No value is below [`Limits::MINIMUM`]: a limit
 /// of zero would reject every client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
--- a/crates/config/src/operator_calls.rs
+++ b/crates/config/src/operator_calls.rs
@@ -1,4 +1,4 @@
-//! The operator's calls that change the configuration (PROTOCOL, "The operator's API").
+//! The operator's calls that change the configuration (PROTOCOL.md, "The operator's API").
 
 use crate::config::Config;
 use crate::document::{FieldValue, REVISION};
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -12,7 +12,7 @@
 const DEFAULT_PRIORITY: u64 = 5;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// How often a request may run (PROTOCOL, "Requests", `route_type`).
+/// How often a request may run (PROTOCOL.md, "Requests", `route_type`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// A request may run more than once.
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,4 +1,4 @@
-//! From a document to a configuration: what must hold over all fields (PROTOCOL, "The operator's API").
+//! From a document to a configuration: what must hold over all fields (PROTOCOL.md, "The operator's API").
 
 use std::sync::Arc;
 
