--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -47,7 +47,7 @@
         self.withholds_pre_votes_until = context.now + context.timings().suspicion_timeout / 2;
     }
 
-    /// Whether a message of a term may be accepted. The sender of a lower term is told what was promised.
+    /// Whether a message of a term may be accepted. The sender of a lower term gets a rejection with the promised one.
     pub(crate) fn admits(&self, context: &mut Context, storage: &Storage, from: Member, term: Term) -> bool {
         if term < self.promised {
             context.send(from.address, Message::Reject { term, promised: self.promised });
@@ -103,7 +103,8 @@
             .then(|| storage.state_effect(context, None, state))
     }
 
-    /// What to write for a change of the state before it. A sender whose state before is missing here is told so.
+    /// What to write for a change of the state before it. Where that state is missing here, the sender gets a
+    /// [`Message::MissingBody`].
     pub(crate) fn on_replicate_delta(
         &self,
         context: &mut Context,
--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -10,9 +10,9 @@
 use crate::body_bytes::{decode_body, encode_body};
 use crate::limits::MAX_BODY_BYTES;
 
-/// The base is indexed by blocks of so many bytes; shorter common ranges inside of a change aren't found.
+/// The base is indexed by blocks of this many bytes; shorter common ranges inside of a change aren't found.
 const BLOCK_BYTES: usize = 64;
-/// A delta inserts so many bytes at most: with more, the whole body goes as well.
+/// A delta inserts at most this many bytes: with more, the whole body goes as well.
 const MAX_INSERTED_BYTES: usize = 256 << 10;
 /// A delta that is not this many times shorter than its target does not pay.
 const MIN_COMPRESSION_FACTOR: usize = 2;
--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/client_requests.rs
@@ -38,8 +38,8 @@
 struct UnconfirmedReply {
     request_id: u64,
     received_at: Instant,
-    /// The first heartbeat that confirms; none while a take-over is under way. Only a heartbeat that is sent after the
-    /// request says anything about it.
+    /// The first heartbeat that confirms; none during a take-over. A heartbeat that was sent before the request arrived
+    /// proves nothing: another node may have become primary in between.
     heartbeat: Option<u64>,
     claim: Claim,
 }
--- a/crates/consensus/src/disk_writes.rs
+++ b/crates/consensus/src/disk_writes.rs
@@ -11,7 +11,7 @@
 use crate::state_delta::StateDelta;
 use crate::term::{Member, Term};
 
-/// A node with so many unconfirmed writes takes no more from others.
+/// A node with this many unconfirmed writes takes no more from others.
 const MAX_PENDING_WRITES: usize = 32;
 
 /// What holds once a write is synced.
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -25,6 +25,16 @@
     }
 }
 
+impl StoredStateError {
+    /// The number of the error, for logs and the table in `docs/codes.md`.
+    pub fn code(&self) -> u16 {
+        match self {
+            StoredStateError::Unreadable(_) => 721,
+            StoredStateError::Disordered(_) => 722,
+        }
+    }
+}
+
 /// What a disk is, once and for all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub(crate) struct DiskIdentity {
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -12,9 +12,9 @@
 use crate::term::{Member, MemberId, Term};
 use crate::votes::Votes;
 
-/// Followers that miss their primary at the same time are spread over so long.
+/// Followers that miss their primary at the same time are spread over this time.
 const ATTEMPT_SPREAD: Duration = Duration::from_millis(150);
-/// Witnesses wait so much longer than those that hold the state.
+/// Witnesses wait this much longer than those that hold the state.
 const WITNESS_DELAY: Duration = Duration::from_millis(150);
 /// The first attempt after a start comes after this delay and a random one.
 const FIRST_ATTEMPT: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(200));
@@ -22,7 +22,7 @@
 const PRE_VOTE_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(80));
 /// The next attempt after a failed take-over comes after this delay and a random one.
 const TAKE_OVER_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(250));
-/// A granted pre-vote counts for so long.
+/// A granted pre-vote counts for this long.
 const PRE_VOTE_LIFETIME: Duration = Duration::from_millis(300);
 /// More granted pre-votes than this are ignored.
 const MAX_PRE_VOTES: usize = 64;
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -36,7 +36,7 @@
         base_revision: u64,
         /// The revision that it makes.
         revision: u64,
-        /// The new body, whole.
+        /// The complete new body.
         body: Vec<u8>,
         /// The digest of the request.
         digest: RequestDigest,
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -65,15 +65,15 @@
     ApplyDeltaToAnyState,
     /// A delta is written though the state before it may not stand before it in the log.
     WriteDeltaOnUncertainState,
-    /// A member that shuts down does not wait to be let go.
+    /// A member that shuts down does not wait for its removal.
     ShutDownAtOnce,
-    /// A departing member keeps its place until it was silent for long.
+    /// A departing member keeps its slot until it was silent for long.
     KeepDepartingMembers,
-    /// A silent member keeps its place for as long as the usual timings say, whatever the join deadline is.
+    /// A silent member keeps its slot for as long as the usual timings say, whatever the join deadline is.
     SlowReplacement,
     /// The silence of a lost primary counts from the take-over.
     ForgetSilenceOfMembers,
-    /// Newcomers get places one after the other, each by a take-over.
+    /// Newcomers get slots one after the other, each by a take-over.
     OneNewcomerAtATime,
     /// A disk that was wiped counts as a newcomer while its last message is recent.
     StaleNewcomer,
--- a/crates/consensus/src/join_requests.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -10,17 +10,17 @@
 
 /// More join requests than this are ignored.
 const MAX_JOIN_REQUESTS: usize = 64;
-/// A join request counts for so long.
+/// A join request counts for this long.
 const JOIN_REQUEST_LIFETIME: Duration = Duration::from_millis(1_000);
-/// A newcomer that knows a primary tells all so often that it waits for a place.
+/// A newcomer that knows a primary announces to all at this interval that it waits for a slot.
 const WAITING_INTERVAL: Duration = Duration::from_millis(400);
-/// A newcomer that knows no primary asks so often.
+/// A newcomer that knows no primary asks at this interval.
 const NEWCOMER_INTERVAL: Duration = Duration::from_millis(100);
-/// A member that misses its primary asks so often.
+/// A member that misses its primary asks at this interval.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(300);
-/// A member whose primary was silent for so long looks for the others.
+/// A member whose primary was silent for this long looks for the others.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A newcomer whose primary was silent for so long looks for the others.
+/// A newcomer whose primary was silent for this long looks for the others.
 const NEWCOMER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Somebody who looks for the others.
@@ -71,7 +71,7 @@
     /// Whether a follower is to look for the others now: it knows no primary, or is no member. If so, the next time is set.
     ///
     /// A newcomer asks also while it knows a primary: whoever becomes primary next has to know of those that wait for a
-    /// place before it lets a member go.
+    /// slot before it grants a removal.
     pub(crate) fn take_due(
         &mut self,
         context: &Context,
--- a/crates/consensus/src/member_removal.rs
+++ b/crates/consensus/src/member_removal.rs
@@ -1,5 +1,5 @@
-//! Members that shut down. A member that shuts down says so, and serves on as acceptor and backup until the primary lets it
-//! go: others hold its copy of the state then, and a newcomer that waits for a place has taken its vote.
+//! Members that shut down. A member that shuts down says so, and serves on as acceptor and backup until the primary
+//! grants its removal: others hold its copy of the state then, and a newcomer that waits for a slot has taken its vote.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     shutdown_requested_at: Option<Instant>,
     /// When this node last told the others.
     announced_at: Option<Instant>,
-    /// The term whose primary has let this node go.
+    /// The term whose primary has granted the removal of this node.
     granted_by: Option<Term>,
     /// Who has told this node that it shuts down, and when last.
     departing: BTreeMap<MemberId, Instant>,
@@ -55,14 +55,15 @@
         true
     }
 
-    /// A primary lets this node go.
+    /// A primary grants the removal of this node.
     pub(crate) fn grant(&mut self, term: Term) {
         if self.is_shutting_down() {
             self.granted_by = self.granted_by.max(Some(term));
         }
     }
 
-    /// Whether a primary has let this node go, and nobody has taken over since who may have chosen it again.
+    /// Whether a primary has granted the removal of this node, and nobody has taken over since, who might have chosen it
+    /// again.
     pub(crate) fn is_granted(&self, promised: Term, known_term: Term) -> bool {
         self.granted_by.is_some_and(|term| term >= promised && term >= known_term)
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -109,7 +109,7 @@
         #[n(0)]
         version: StateVersion,
     },
-    /// The sender has not the body that the message refers to: it needs the whole state.
+    /// The sender lacks the body that the message refers to: it needs the whole state.
     #[n(10)]
     MissingBody {
         /// The state.
@@ -211,7 +211,7 @@
         #[n(0)]
         term: Term,
     },
-    /// The sender shuts down, and serves on until it is let go.
+    /// The sender shuts down, and serves on until its removal is granted.
     #[n(19)]
     RequestRemoval,
     /// The primary's answer to a [`Message::RequestRemoval`]: the process may end.
--- a/crates/consensus/src/node/queries.rs
+++ b/crates/consensus/src/node/queries.rs
@@ -1,4 +1,4 @@
-//! What a node tells its host about itself.
+//! What a host can query from its node.
 
 use core::net::SocketAddrV4;
 use core::time::Duration;
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -14,7 +14,7 @@
 
 /// More peers than this are ignored.
 const MAX_PEERS: usize = 64;
-/// A peer that is no member is forgotten after so long a silence.
+/// A peer that is no member is forgotten after a silence of this length.
 const LEARNER_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// A peer was received from lately if its last message is not older than this.
 const RECENT: Duration = Duration::from_millis(350);
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -12,7 +12,7 @@
 use crate::state_delta::StateDelta;
 use crate::term::{Member, MemberId, Term};
 
-/// So many sent heartbeats are remembered.
+/// How many sent heartbeats are remembered.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
 /// Who gets a heartbeat.
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -132,7 +132,7 @@
             && silence + timings.heartbeat_interval > timings.replacement_timeout
     }
 
-    /// The member that was silent for longest, and for long enough to lose its place.
+    /// The member that was silent for longest, and for long enough to lose its slot.
     fn most_silent(&self, members: &[Member]) -> Option<MemberId> {
         let others = members.iter().filter(|m| m.id != self.core.local().id);
         let silent = others.max_by_key(|m| self.silence(m))?;
--- a/crates/consensus/src/primary/renewal.rs
+++ b/crates/consensus/src/primary/renewal.rs
@@ -11,7 +11,7 @@
 use crate::term::Member;
 use crate::transition::{TakeOverPlan, Transition};
 
-/// A primary that shuts down waits so long at most for its pending write.
+/// A primary that shuts down waits this long at most for its pending write.
 const MAX_SHUTDOWN_WRITE: Duration = Duration::from_millis(300);
 
 impl PrimaryState {
@@ -67,7 +67,7 @@
         }) && !core.has_fault(InjectedFault::KeepStalledBackup)
     }
 
-    /// Whether a voter has promised a higher term for so long that its proposer has failed.
+    /// Whether a voter has promised a higher term for so long that its proposer must have failed.
     fn is_superseded(&self, core: &NodeCore) -> bool {
         let timeout = core.context.timings().suspicion_timeout / 2;
         self.higher_term_seen_since.is_some_and(|since| core.now() >= since + timeout)
@@ -97,7 +97,7 @@
         Transition::StepDown
     }
 
-    /// A member shuts down: it is let go where nothing more is needed of it.
+    /// A member shuts down: its removal is granted where nothing more is needed of it.
     pub(crate) fn on_removal_requested(&self, core: &mut NodeCore, from: Member) {
         let may_be_removed = MembershipPlan { core, primary: self }.may_be_removed(from.id);
         if let Some(peer) = core.peers.get_mut(from.id) {
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -21,7 +21,7 @@
     state: ControlState,
     /// What it changes of the state before, where that is shorter.
     delta: Option<StateDelta>,
-    /// Backups that have not the state before: they get the whole state.
+    /// Backups that lack the state before: they get the whole state.
     missing_body: BTreeSet<MemberId>,
     pub(super) is_on_local_disk: bool,
     /// The nodes that have written it.
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A node has not the state before: a backup gets the whole state, once.
+    /// A node lacks the state before: a backup gets the whole state, once.
     pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
         let is_backup = self.config.backups.contains(&from.id);
         let Some(write) = self.pending_write_of(version) else { return };
--- a/crates/consensus/src/read_lease.rs
+++ b/crates/consensus/src/read_lease.rs
@@ -10,7 +10,7 @@
 
 use crate::lease_stamp::LeaseStamp;
 
-/// So many confirmed instants wait for their state; older ones are dropped.
+/// At most this many confirmed instants wait for their state; older ones are dropped.
 const MAX_AWAITING: usize = 64;
 
 /// When this node last answered a heartbeat that the primary is known to have followed by another one.
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -16,15 +16,15 @@
 use crate::snapshot::{SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
 use crate::term::Member;
 
-/// An outgoing transfer without a request for so long is forgotten.
+/// An outgoing transfer without a request for this long is forgotten.
 const OUTGOING_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// So many different states are kept encoded.
+/// How many different states are kept encoded at most.
 const MAX_OUTGOING_STATES: usize = 3;
-/// So many transfers go out at a time.
+/// How many transfers go out at a time at most.
 const MAX_OUTGOING: usize = 32;
-/// An incoming transfer without progress for so long gives way to another.
+/// An incoming transfer without progress for this long gives way to another.
 const INCOMING_STALL: Duration = Duration::from_millis(500);
-/// An incoming transfer without progress for so long is given up.
+/// An incoming transfer without progress for this long is given up.
 const INCOMING_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// A state that is being sent.
@@ -68,11 +68,11 @@
 pub(crate) struct ChunkOutcome {
     /// The version that a take-over fetches, if the chunk is of one.
     pub(crate) fetched_version: Option<StateVersion>,
-    /// The state, if this was its last chunk and it is sound.
+    /// The state, if this was its last chunk and the checksum matches.
     pub(crate) received: Option<ReceivedState>,
 }
 
-/// The transfers under way.
+/// The transfers in progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct SnapshotTransfers {
     outgoing: Vec<OutgoingTransfer>,
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -79,7 +79,7 @@
     state: ControlState,
     /// Those that may be backups, best first.
     candidates: Vec<MemberId>,
-    /// So many of the candidates were asked.
+    /// How many of the candidates were asked, from the first on.
     asked: usize,
     /// Those that have written the state, earliest first.
     written: Vec<MemberId>,
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -13,7 +13,7 @@
 
 /// More promises than this are ignored.
 const MAX_PROMISES: usize = 64;
-/// Healthy backups are worth waiting for, so long.
+/// Healthy backups are worth waiting for this long.
 const HEALTHY_BACKUP_WAIT: Duration = Duration::from_millis(200);
 
 impl TakeOver {
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A candidate has not the body of the state: it gets the whole state, once.
+    /// A candidate lacks the body of the state: it gets the whole state, once.
     pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         let is_known = rewrite.missing_body.contains(&from.id) || !self.promises.contains_key(&from.id);
--- a/crates/consensus/src/timings.rs
+++ b/crates/consensus/src/timings.rs
@@ -2,13 +2,13 @@
 
 use core::time::Duration;
 
-/// Callers go elsewhere after so long without a reply.
+/// Callers go elsewhere after this long without a reply.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The part of [`CALLER_TIMEOUT`] that is left for the way there and back and for the time from one tick to the next.
 const CALLER_MARGIN: Duration = Duration::from_millis(150);
-/// A machine shuts down so long at most after the one that replaces it has started.
+/// A machine shuts down at most this long after the one that replaces it has started.
 const MAX_SHUTDOWN_DELAY: Duration = Duration::from_millis(1_000);
-/// A membership change by two take-overs, and the copy of the state to the new backups, take at most so long.
+/// A membership change by two take-overs, and the copy of the state to the new backups, take at most this long.
 const MAX_MEMBERSHIP_CHANGE: Duration = Duration::from_millis(1_000);
 
 /// Intervals and timeouts of a node.
@@ -16,29 +16,29 @@
 pub struct Timings {
     /// From one heartbeat of the primary to the next.
     pub heartbeat_interval: Duration,
-    /// A primary or a backup that was silent for so long may be replaced in its role.
+    /// A primary or a backup that was silent for this long may be replaced in its role.
     pub suspicion_timeout: Duration,
     /// A primary whose last heartbeat that a majority has answered is older than this steps down. Equal at all nodes.
     pub lease: Duration,
-    /// A member that was silent for so long gives its place to a newcomer.
+    /// A member that was silent for this long gives its slot to a newcomer.
     pub replacement_timeout: Duration,
-    /// A backup that has not written a change for so long is replaced.
+    /// A backup that has not written a change for this long is replaced.
     pub backup_write_timeout: Duration,
-    /// A primary whose own write takes so long gives up its role.
+    /// A primary whose own write takes this long gives up its role.
     pub local_write_timeout: Duration,
     /// A node whose write takes longer than this is not healthy.
     pub unhealthy_write_timeout: Duration,
-    /// A node whose write failed tries its disk again after so long.
+    /// A node whose write failed tries its disk again after this time.
     pub disk_retry_interval: Duration,
-    /// A request that waited so long is answered as unavailable, while its caller still waits.
+    /// A request that waited this long is answered as unavailable, while its caller still waits.
     pub request_timeout: Duration,
-    /// A phase of a take-over that takes so long without progress ends it.
+    /// A phase of a take-over that takes this long without progress ends it.
     pub take_over_step_timeout: Duration,
-    /// A message whose answer is missing is sent again after so long.
+    /// A message whose answer is missing is sent again after this time.
     pub resend_interval: Duration,
     /// The same, for what may be as large as a state.
     pub state_resend_interval: Duration,
-    /// Bootstrap voters wait at most so long until they all know each other.
+    /// Bootstrap voters wait at most this long until they all know each other.
     pub bootstrap_timeout: Duration,
 }
 
--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -276,3 +276,9 @@
     assert!(settings.is_ok());
     assert_eq!(node(&[vec![0xff]], 1).err(), Some(StoredStateError::Unreadable(0)));
 }
+
+#[test]
+fn errors_of_a_stored_state_have_the_codes_of_the_pages() {
+    assert_eq!(StoredStateError::Unreadable(3).code(), 721);
+    assert_eq!(StoredStateError::Disordered(3).code(), 722);
+}
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -79,7 +79,7 @@
         self.current.as_ref()
     }
 
-    /// The revision that processes which watch this node are told; 0 if there is none.
+    /// The revision that is reported to the processes that watch this node; 0 if there is none.
     pub fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         let served = self.current.as_ref().filter(|_| self.may_serve(contact));
         served.map_or(0, |config| config.revision)
--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -25,7 +25,8 @@
     match Node::new(node_settings(&control_node), &records, control_node.clock.now(), random) {
         Ok(node) => control_node.consensus.set_node(node),
         Err(error) => {
-            spdlog::error!("consensus: stored state unreadable error={error}");
+            let code = error.code();
+            spdlog::error!("consensus: stored state unreadable code={code} error={error}");
             return;
         }
     }
--- a/crates/programs/src/control_node/peer_exchange.rs
+++ b/crates/programs/src/control_node/peer_exchange.rs
@@ -22,7 +22,7 @@
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1400);
 /// The pause after a peer did not respond, or has no quorum contact.
 const WATCH_BACKOFF: Duration = Duration::from_millis(200);
-/// A peer that has failed so many times in a row is followed no longer, unless it is found again.
+/// A peer that has failed this many times in a row is followed no longer, unless it is found again.
 const MAX_WATCH_FAILURES: usize = 40;
 /// How often control nodes report to each other which servers send heartbeats.
 const HEARTBEAT_EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -53,7 +53,7 @@
         self.registry.borrow().vector()
     }
 
-    /// Entries above a vector, so many at most.
+    /// Entries above a vector, at most `max` of them.
     pub(super) fn missing_entries(&self, vector: &VersionVector, max: usize) -> Delta {
         self.registry.borrow().missing_entries(vector, max)
     }
--- a/crates/programs/src/control_process.rs
+++ b/crates/programs/src/control_process.rs
@@ -19,11 +19,11 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// The interval of the consensus node's ticks during the shutdown.
 const SHUTDOWN_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// After so many ticks the node looks for peers that it does not follow.
+/// After this many ticks the node looks for peers that it does not follow.
 const TICKS_PER_PEER_CHECK: u64 = 10;
 /// The longest wait for the removal from the membership: as long as the consensus node wants to wait.
 const MAX_REMOVAL_WAIT: Duration = SHUTDOWN_TIMEOUT;
-/// The share of the platform's grace that this wait may take: one in so many.
+/// The share of the platform's grace that this wait may take: one part in this many.
 const REMOVAL_WAIT_DIVISOR: u32 = 3;
 /// The pause before the process exits, in which its last datagrams and responses leave.
 const EXIT_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -22,7 +22,7 @@
 /// How long new connections are accepted after the shutdown began: the platform sends no new clients once two health
 /// checks, a second apart, have failed.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2600);
-/// The process ends so long before the platform would kill it.
+/// The process ends this long before the platform would kill it.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
 /// How often the shutdown looks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -27,7 +27,7 @@
 }
 
 impl SendQueue {
-    /// The queue of a message that carries so many bytes of state.
+    /// The queue of a message that carries `state_bytes` bytes of state.
     pub fn of(state_bytes: usize) -> SendQueue {
         if state_bytes > LARGE_MESSAGE_BYTES { SendQueue::Large } else { SendQueue::Small }
     }
