--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -16,11 +16,13 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Sleep, sleep_until, timeout_at};
 
-use crate::load_report::OutboundConnection;
 use crate::messages::Message;
 use mosshead_decide::interface::RequestId;
 use mosshead_http_links::{BodyError, MAX_BUFFERED_BODY_BYTES, WriteProgress};
 
+/// An open connection to a server, or to the endpoint list.
+pub type OutboundConnection = mosshead_http_links::OutboundConnection<OutgoingBody>;
+
 /// The most that a body holds that flows.
 pub const MAX_STREAMED_BODY_BYTES: u64 = 33 * 1024 * 1024;
 /// A sender may rest for so long,
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -1,45 +1,38 @@
 //! The client's side: an accept loop and one actor for each connection, HTTP to requests, answers to HTTP.
 
-use std::cell::{Cell, RefCell};
+mod head;
+mod progress;
+
+use std::cell::RefCell;
 use std::convert::Infallible;
 use std::future::Future;
-use std::io;
-use std::pin::{Pin, pin};
+use std::pin::pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use hyper::body::Incoming;
-use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
-use hyper::http::request::Parts;
+use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-use crate::MAX_WAIT;
 use crate::balancer_actor::BalancerHandle;
 use crate::body::{self, BodyStart, OutgoingBody, Upload};
 use crate::budget::{DescriptorBudget, Permit};
-use crate::class_table::{AcceptedNames, ClassBinding};
+use crate::class_table::AcceptedNames;
 use crate::connection_log::SUBMITTER;
-use crate::framing::RequestFraming;
 use crate::handover::Handover;
 use crate::lifecycle::Lifecycle;
 use crate::log::{LogLimiter, say};
 use crate::messages::{ClientRequest, FinalResponse, ForwardedRequest, RequestBody};
-use mosshead_decide::interface::{ClassId, RepeatEffect, TenantId};
-use mosshead_http_links::{
-    BodyError, CloseReason, ConnectionLogGuard, ConnectionRecord, IDEMPOTENCY_KEY_HEADER,
-};
+use mosshead_http_links::{BodyError, CloseReason, ConnectionLogGuard, ConnectionRecord};
 
 /// New connections keep coming for so long after a stop is asked for.
 const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
@@ -51,21 +44,11 @@
 const SHUTDOWN_DESCRIPTOR_TIMEOUT: Duration = Duration::from_millis(1000);
 /// After an accept that failed, for want of descriptors perhaps, the next one waits for so long.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-
-/// A head has so long from connecting, a later one from its first byte.
-const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A connection without an open message is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A client that takes nothing of its answer for so long is let go; what is in the machine's buffers may take long.
-const MAX_READER_PAUSE: Duration = Duration::from_secs(30);
-/// While the proxy is being emptied, one that idles or says nothing goes after this.
-const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// While descriptors are short, one that has said nothing yet goes after this,
-const SCARCE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
-/// and one that has had its answer after this.
-const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
-/// and one that stops half way in a head after this: slow writers bring something more often.
-const SCARCE_STALL_TIMEOUT: Duration = Duration::from_millis(800);
+
+use head::*;
+use progress::*;
 
 /// How far a stop has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -86,173 +69,6 @@
     lifecycle: Arc<Lifecycle>,
     rejections: LogLimiter,
 }
-
-/// What a connection is about, as far as that says when it is to be closed.
-struct ConnectionProgress {
-    /// When it came up, or gave its last answer.
-    since: Cell<Instant>,
-    /// The first byte that came after that.
-    first_byte: Cell<Option<Instant>>,
-    /// The last byte that came.
-    last_read: Cell<Instant>,
-    /// A message's head is whole, and its answer is due.
-    is_busy: Cell<bool>,
-    has_responded: Cell<bool>,
-    /// Descriptors are short.
-    is_scarce: Cell<bool>,
-    /// Since when the proxy is being emptied.
-    draining_since: Cell<Option<Instant>>,
-    /// Since when the client takes no more of what is written.
-    write_blocked_since: Cell<Option<Instant>>,
-    /// An answer on it has broken off.
-    response_truncated: Cell<bool>,
-    framing: RefCell<RequestFraming>,
-}
-
-impl ConnectionProgress {
-    fn new() -> Self {
-        let (since, first_byte, is_busy) = (Cell::new(Instant::now()), Cell::new(None), Cell::new(false));
-        let (has_responded, is_scarce, draining_since) =
-            (Cell::new(false), Cell::new(false), Cell::new(None));
-        let (write_blocked_since, response_truncated, framing) =
-            (Cell::new(None), Cell::new(false), RefCell::new(RequestFraming::default()));
-        let last_read = Cell::new(Instant::now());
-        Self {
-            since,
-            first_byte,
-            last_read,
-            is_busy,
-            has_responded,
-            is_scarce,
-            draining_since,
-            write_blocked_since,
-            response_truncated,
-            framing,
-        }
-    }
-
-    /// Bytes have come.
-    fn record_read(&self) {
-        let now = Instant::now();
-        self.last_read.set(now);
-        if !self.is_busy.get() && self.first_byte.get().is_none() {
-            self.first_byte.set(Some(now));
-        }
-    }
-
-    /// The client has taken some of what is written, or has no room for it.
-    fn record_write(&self, some: bool) {
-        if some {
-            self.write_blocked_since.set(None);
-            self.since.set(Instant::now());
-        } else if self.write_blocked_since.get().is_none() {
-            self.write_blocked_since.set(Some(Instant::now()));
-        }
-    }
-
-    fn response_finished(&self) {
-        self.since.set(Instant::now());
-        self.first_byte.set(None);
-        self.is_busy.set(false);
-        self.has_responded.set(true);
-        self.is_scarce.set(false);
-    }
-
-    /// By when the message that has begun has to be whole.
-    fn head_deadline(&self) -> Instant {
-        match self.first_byte.get().filter(|_| self.has_responded.get()) {
-            Some(first_byte) => first_byte + HEAD_TIMEOUT,
-            None => self.since.get() + HEAD_TIMEOUT,
-        }
-    }
-
-    /// When the connection is to be closed if nothing comes, and why.
-    fn close_deadline(&self) -> (Instant, CloseReason) {
-        // An answer that a slow reader still takes would be cut off.
-        if let Some(write_blocked_since) = self.write_blocked_since.get() {
-            return (write_blocked_since + MAX_READER_PAUSE, CloseReason::ResponseUnread);
-        }
-        let since = self.since.get();
-        if let (None, Some(drain)) = (self.first_byte.get(), self.draining_since.get()) {
-            return (since.max(drain) + DRAINING_IDLE_TIMEOUT, CloseReason::Draining);
-        }
-        match (self.first_byte.get(), self.has_responded.get(), self.is_scarce.get()) {
-            (Some(_), _, true) => {
-                let stalled = self.last_read.get() + SCARCE_STALL_TIMEOUT;
-                (self.head_deadline().min(stalled), CloseReason::RequestTimeout)
-            }
-            (Some(_), _, false) => (self.head_deadline(), CloseReason::RequestTimeout),
-            (None, false, false) => (self.head_deadline(), CloseReason::NoRequest),
-            (None, true, false) => (since + IDLE_TIMEOUT, CloseReason::IdleTimeout),
-            (None, false, true) => (since + SCARCE_FIRST_BYTE_TIMEOUT, CloseReason::DescriptorNeeded),
-            (None, true, true) => (since + SCARCE_IDLE_TIMEOUT, CloseReason::DescriptorNeeded),
-        }
-    }
-}
-
-/// A client's stream, which tells when bytes come: hyper says nothing until a head is whole.
-struct ClientStream {
-    stream: TcpStream,
-    progress: Rc<ConnectionProgress>,
-}
-
-impl Drop for ClientStream {
-    fn drop(&mut self) {
-        // Where the end of a body is the end of the connection, half an answer would look whole.
-        if self.progress.response_truncated.get() {
-            let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
-        }
-    }
-}
-
-impl AsyncRead for ClientStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before {
-            self.progress.record_read();
-            self.progress.framing.borrow_mut().feed(&buf.filled()[before..]);
-        }
-        read
-    }
-}
-
-impl AsyncWrite for ClientStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.progress.record_write(wrote.is_ready());
-        wrote
-    }
-
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
-    }
-}
-
-/// A message that is rejected before it becomes a request.
-#[derive(Debug, PartialEq)]
-struct RequestRejection(StatusCode, &'static str);
-
-/// What a message's head says of its request.
-struct RequestHead {
-    class: ClassId,
-    tenant: Option<TenantId>,
-    time_left: f64,
-    id: String,
-    idempotency_key: Option<Bytes>,
-}
-
-const BAD_ID: RequestRejection =
-    RequestRejection(StatusCode::BAD_REQUEST, "X-Correlation-Id is not 16 hex digits");
-const ID_TAKEN: RequestRejection = RequestRejection(StatusCode::CONFLICT, "X-Correlation-Id is in use");
-/// What an id consists of.
-const ID_DIGITS: usize = 16;
-/// The most bytes that an idempotency key may have.
-const MAX_KEY_BYTES: usize = 255;
 /// The most that the head of a message holds.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
@@ -523,78 +339,6 @@
         let arrived = Instant::now();
         Ok(ClientRequest { id: number, class, tenant, time_left, arrived, forwarded })
     }
-
-    fn read_head(&self, head: &Parts) -> Result<RequestHead, RequestRejection> {
-        let bad = |why| RequestRejection(StatusCode::BAD_REQUEST, why);
-        let header = |name| {
-            let value = single_header(head, name, "a header is given twice")?;
-            value.map(|value| value.to_str().map_err(|_| bad("a header is not text"))).transpose()
-        };
-        let id = header("x-correlation-id")?.filter(|id| !id.is_empty());
-        let id = id.ok_or(bad("X-Correlation-Id is missing"))?.to_owned();
-        if id.len() != ID_DIGITS || !id.bytes().all(|digit| digit.is_ascii_hexdigit()) {
-            return Err(BAD_ID);
-        }
-        let first = head.uri.path().split('/').nth(1).unwrap_or_default();
-        let class = header("x-service-class")?.unwrap_or(first);
-        if class != first {
-            return Err(bad("path and class differ"));
-        }
-        let (names, now) = (self.names.borrow().clone(), Instant::now());
-        if names.class(class, now).next().is_none() {
-            return Err(bad("the class is not known"));
-        }
-        let body = head.headers.get(CONTENT_LENGTH).is_some_and(|length| length.as_bytes() != b"0")
-            || head.headers.contains_key(TRANSFER_ENCODING);
-        let idempotency_key = read_idempotency_key(head)?;
-        // A key on a class that knows none passes on like any other: what is unchanged is as the client sent it.
-        let fits = |binding: &&ClassBinding| match binding.effect {
-            RepeatEffect::Safe => head.method == Method::GET && !body,
-            RepeatEffect::Keyed { .. } => head.method == Method::POST && idempotency_key.is_some(),
-            RepeatEffect::Unsafe => head.method == Method::POST,
-        };
-        let keyed = |binding: &ClassBinding| matches!(binding.effect, RepeatEffect::Keyed { .. });
-        let keyless = head.method == Method::POST && idempotency_key.is_none();
-        let other = || match keyless && names.class(class, now).any(keyed) {
-            true => bad("Idempotency-Key is missing"),
-            false => RequestRejection(StatusCode::METHOD_NOT_ALLOWED, "the class goes by another method"),
-        };
-        let class = names.class(class, now).find(fits).ok_or_else(other)?.class;
-        let tenant = match header("x-account")? {
-            None | Some("") => None,
-            Some(name) => Some(names.tenant(name).ok_or(bad("the account is not known"))?),
-        };
-        let left = header("x-time-left")?.ok_or(bad("X-Time-Left is missing"))?;
-        let left =
-            left.trim().parse().ok().filter(|left: &f64| (f64::MIN_POSITIVE..=MAX_WAIT).contains(left));
-        let time_left = left.ok_or(bad("X-Time-Left is not a time"))?;
-        Ok(RequestHead { class, tenant, time_left, id, idempotency_key })
-    }
-}
-
-/// A header that is given once at most. Of two values the server may read the other one.
-fn single_header<'a>(
-    head: &'a Parts,
-    name: &str,
-    twice: &'static str,
-) -> Result<Option<&'a HeaderValue>, RequestRejection> {
-    let mut values = head.headers.get_all(name).iter();
-    let value = values.next();
-    if values.next().is_some() { Err(RequestRejection(StatusCode::BAD_REQUEST, twice)) } else { Ok(value) }
-}
-
-/// The idempotency key, if there is one. It need not be text: it passes on byte for byte.
-fn read_idempotency_key(head: &Parts) -> Result<Option<Bytes>, RequestRejection> {
-    let bad = |why| RequestRejection(StatusCode::BAD_REQUEST, why);
-    match single_header(head, IDEMPOTENCY_KEY_HEADER, "Idempotency-Key is given twice")? {
-        Some(idempotency_key) if idempotency_key.is_empty() => Err(bad("Idempotency-Key is empty")),
-        Some(idempotency_key) if idempotency_key.len() > MAX_KEY_BYTES => {
-            Err(bad("Idempotency-Key is too long"))
-        }
-        idempotency_key => {
-            Ok(idempotency_key.map(|idempotency_key| Bytes::copy_from_slice(idempotency_key.as_bytes())))
-        }
-    }
 }
 
 /// Ends once a successor accepts at the same address.
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{sleep_until, timeout};
 
+use crate::body::OutboundConnection;
 use crate::body::OutgoingBody;
 use crate::connection_log::MACHINE_LIST;
 use crate::duration;
-use crate::load_report::OutboundConnection;
 use crate::log::{LogLimiter, say};
 use crate::messages::Message;
 use mosshead_decide::interface::Seconds;
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,11 +1,7 @@
-//! Connections that carry bodies as this proxy sends them, and load reports.
+//! Load reports of servers.
 
-use crate::body::OutgoingBody;
 use mosshead_decide::interface::LoadReport;
 
-/// An open connection to a server, or to the endpoint list.
-pub type OutboundConnection = mosshead_http_links::OutboundConnection<OutgoingBody>;
-
 /// A load report as `name=value,name=value`; what is not understood is left out.
 pub fn load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -10,10 +10,10 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
+use crate::body::OutboundConnection;
 use crate::body::{OutgoingBody, Upload};
 use crate::class_table::AcceptedNames;
 use crate::errors::ApplySettingsError;
-use crate::load_report::OutboundConnection;
 use mosshead_snapshot::server_list::ServerList;
 
 /// What passes through the proxy unchanged.
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -14,11 +14,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout_at};
 
+use crate::body::OutboundConnection;
 use crate::body::{self, BodyStart, OutgoingBody};
 use crate::budget::DescriptorBudget;
 use crate::connection_log::EXECUTE_NODE;
 use crate::duration;
-use crate::load_report::{self, OutboundConnection};
+use crate::load_report;
 use crate::messages::{
     AttemptGuard, EndpointStatus, ForwardedRequest, ProbeGuard, RequestBody, ServerMessage,
 };
