--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -37,14 +37,14 @@
 /// the next call comes within 0.2 s; it is on this machine, and a call costs nobody anything.
 const LIST_RETRY_DELAY: Seconds = 0.1;
 
-/// Timers that come this much late tell of a process that stood still.
+/// A timer that fires this late shows that the process was suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(300);
-/// What is read within this of its going on may have lain in the machine for as long as it stood.
+/// What is read within this time of the resumption may have waited in the system for the whole suspension.
 const RESUME_WINDOW: Duration = Duration::from_millis(100);
 
-/// All machines read one clock, as exactly as this.
+/// The clocks of all machines agree within this.
 const MAX_CLOCK_SKEW: Seconds = 2.0;
-/// What was learnt is kept so often, where there is a folder for it; the list whenever it changes.
+/// How often what was learnt is stored, where there is a folder; the list is stored whenever it changes.
 const SNAPSHOT_INTERVAL: Seconds = 2.0;
 
 pub use handle::{BalancerHandle, PendingResponse};
@@ -115,7 +115,7 @@
     recovery: (RecoveryStage, RecoveryBlocker),
 }
 
-/// The last time that the process stood still.
+/// The last suspension of the process.
 struct Suspension {
     duration: Duration,
     resumed_at: Instant,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A timer comes late by this much.
+    /// Records that a timer fired late, and with it a suspension if it was late enough.
     fn note_late_timer(&mut self, now: Instant, late: Duration) {
         if late < SUSPENSION_THRESHOLD {
             return;
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -26,7 +26,7 @@
     waiting: Rc<Cell<usize>>,
 }
 
-/// Someone who waits for a descriptor, however the wait ends.
+/// Counts one waiter for a descriptor, until it is dropped.
 struct WaiterGuard(Rc<Cell<usize>>);
 
 impl Drop for WaiterGuard {
@@ -74,40 +74,40 @@
         taken > self.tight_above.min(2 * self.size() / 3)
     }
 
-    /// How many there are, taken or not.
+    /// The number of descriptors, acquired or not.
     pub fn size(&self) -> usize {
         self.count.get()
     }
 
-    /// How many are not taken.
+    /// The number of descriptors that are not acquired.
     pub fn available(&self) -> usize {
         self.free.available_permits()
     }
 
-    /// Gives up to so many free ones away, to another process; says how many.
+    /// Gives up to `most` free descriptors to another process; returns how many.
     pub fn give(&self, most: usize) -> usize {
         let given = self.free.forget_permits(most.min(self.available()));
         self.count.set(self.size() - given);
         given
     }
 
-    /// So many more are this process's.
+    /// Adds descriptors that another process has given.
     pub fn add(&self, more: usize) {
         self.free.add_permits(more);
         self.count.set(self.size() + more);
     }
 
-    /// Lets idle connections be closed for someone outside of this process.
+    /// Asks for idle connections to be closed, for another process.
     pub fn request_release(&self) {
         self.release_requests.send_replace(());
     }
 
-    /// Whether someone waits for a descriptor.
+    /// Whether anybody waits for a descriptor.
     pub fn has_waiters(&self) -> bool {
         self.waiting.get() > 0
     }
 
-    /// Reports when a descriptor is wanted.
+    /// Watches for requests to close idle connections.
     pub fn subscribe_release_requests(&self) -> watch::Receiver<()> {
         self.release_requests.subscribe()
     }
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -34,15 +34,15 @@
 use crate::messages::{ClientRequest, FinalResponse, ForwardedRequest, RequestBody};
 use mosshead_http_links::{BodyError, CloseReason, ConnectionLogGuard, ConnectionRecord};
 
-/// New connections keep coming for so long after a stop is asked for.
+/// How long connections are still accepted once shutdown has been requested.
 const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
-/// And the last of them is taken to have come once none has for so long.
+/// The accept queue counts as empty once no connection has come for this long.
 const SHUTDOWN_QUIET_PERIOD: Duration = Duration::from_millis(20);
-/// Where a successor accepts, idle connections are kept for so long after a stop is asked for.
+/// How long idle connections are kept after a shutdown request where a successor accepts.
 const SHUTDOWN_IDLE_PERIOD: Duration = Duration::from_millis(600);
-/// A stop waits for descriptors for those in the queue until so long after it was asked for.
+/// How long after a shutdown request the accept queue may wait for descriptors.
 const SHUTDOWN_DESCRIPTOR_TIMEOUT: Duration = Duration::from_millis(1000);
-/// After an accept that failed, for want of descriptors perhaps, the next one waits for so long.
+/// The delay before the next accept after one that failed, perhaps for want of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// A connection without an open message is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -50,7 +50,7 @@
 use head::*;
 use progress::*;
 
-/// How far a stop has come.
+/// How far a shutdown has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ShutdownStage {
     Serving,
@@ -84,7 +84,7 @@
         Rc::new(Self { balancer, names, budget, stage, lifecycle, rejections })
     }
 
-    /// What clients may name from now on.
+    /// Replaces the names of classes and tenants that clients may use.
     pub(crate) fn set_accepted_names(&self, names: AcceptedNames) {
         self.names.replace(Rc::new(names));
     }
--- a/crates/proxy/src/client_connection/progress.rs
+++ b/crates/proxy/src/client_connection/progress.rs
@@ -15,25 +15,25 @@
 use super::IDLE_TIMEOUT;
 use crate::framing::RequestFraming;
 
-/// A head has so long from connecting, a later one from its first byte.
+/// The time for a request head, from connecting for the first one, from its first byte for later ones.
 pub(super) const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A client that takes nothing of its answer for so long is let go; what is in the machine's buffers may take long.
+/// A client that reads nothing of its response for this long is disconnected; the system's buffers may take long to empty.
 pub(super) const MAX_READER_PAUSE: Duration = Duration::from_secs(30);
 
-/// While the proxy is being emptied, one that idles or says nothing goes after this.
+/// While the proxy drains, a connection that is idle or has sent nothing is closed after this.
 pub(super) const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// While descriptors are short, one that has said nothing yet goes after this,
+/// While descriptors are scarce, a connection that has sent nothing yet is closed after this,
 pub(super) const SCARCE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// and one that has had its answer after this.
+/// one that has had its response after this,
 pub(super) const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// and one that stops half way in a head after this: slow writers bring something more often.
 pub(super) const SCARCE_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a connection is about, as far as that says when it is to be closed.
+/// The state of a connection, as far as it decides when the connection is closed.
 pub(super) struct ConnectionProgress {
     /// When it came up, or gave its last answer.
     pub(super) since: Cell<Instant>,
@@ -44,9 +44,9 @@
     /// A message's head is whole, and its answer is due.
     pub(super) is_busy: Cell<bool>,
     pub(super) has_responded: Cell<bool>,
-    /// Descriptors are short.
+    /// Whether descriptors are scarce.
     pub(super) is_scarce: Cell<bool>,
-    /// Since when the proxy is being emptied.
+    /// Since when the proxy drains.
     pub(super) draining_since: Cell<Option<Instant>>,
     /// Since when the client takes no more of what is written.
     pub(super) write_blocked_since: Cell<Option<Instant>>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Bytes have come.
+    /// Records that bytes were received.
     pub(super) fn record_read(&self) {
         let now = Instant::now();
         self.last_read.set(now);
@@ -104,7 +104,7 @@
         self.is_scarce.set(false);
     }
 
-    /// By when the message that has begun has to be whole.
+    /// By when the head of the current request has to be complete.
     pub(super) fn head_deadline(&self) -> Instant {
         match self.first_byte.get().filter(|_| self.has_responded.get()) {
             Some(first_byte) => first_byte + HEAD_TIMEOUT,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What the proxy is told when it starts.
+//! The configuration that the proxy starts with.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -26,7 +26,7 @@
 /// How long a watch may wait. What discovery has to tell counts as told 2 s after that, and 6 s after it
 /// arose in any case: a call that discovery has forgotten must be over by then.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4000);
-/// So long after its wait a call is given up.
+/// How long after the end of its wait a call times out.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1500);
 /// Whoever answers at once though nothing is new is called again after this. One that does not wait would
 /// be called without end.
@@ -34,7 +34,7 @@
 /// A whole list with a version below one that discovery has told of itself is of a discovery that came back with old
 /// state: so long it is taken for that. After this it is taken as it is, for then nobody knows any better.
 pub const STALE_LIST_PERIOD: Duration = Duration::from_secs(30);
-/// And it is called again after this.
+/// The delay before the next call after such a list.
 const STALE_LIST_RETRY_DELAY: Duration = Duration::from_millis(1000);
 /// A list of all machines is larger than other bodies.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
@@ -131,7 +131,8 @@
     }
 }
 
-/// What discovery itself has told in this incarnation. The version of a saved list is hearsay: it may be of another world.
+/// The newest version that discovery itself has sent to this incarnation. The version of a saved list does not count: it may be
+/// of another discovery.
 #[derive(Default)]
 pub struct ToldVersion {
     version: u64,
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -18,7 +18,7 @@
     pub since: Instant,
     /// and when it was first in full service, if it was.
     pub full: Option<Instant>,
-    /// Which life it is, where there is a folder to tell by.
+    /// The number of this incarnation; none without a folder for stored state.
     pub incarnation: Option<u64>,
 }
 
@@ -28,7 +28,7 @@
     drain: watch::Sender<Option<Instant>>,
     ready: AtomicBool,
     stopping: AtomicBool,
-    /// An operator has been told that the process can serve.
+    /// Whether an operator has been answered that the process can serve.
     readiness_confirmed: watch::Sender<bool>,
     start: Instant,
     recovery: Mutex<RecoveryState>,
@@ -54,12 +54,12 @@
         (*self.recovery.lock().unwrap_or_else(PoisonError::into_inner), self.start)
     }
 
-    /// It is the life of this number.
+    /// Records the number of this incarnation.
     pub fn set_incarnation(&self, incarnation: u64) {
         self.recovery.lock().unwrap_or_else(PoisonError::into_inner).incarnation = Some(incarnation);
     }
 
-    /// It has come so far now; says whether that is news of the state, not of what it waits for.
+    /// Records the stage of recovery and what it waits for. Returns whether the stage changed.
     pub fn update_recovery(&self, stage: RecoveryStage, wants: RecoveryBlocker) -> bool {
         let mut recovery = self.recovery.lock().unwrap_or_else(PoisonError::into_inner);
         let news = recovery.stage != stage;
@@ -74,7 +74,7 @@
         news
     }
 
-    /// Empties the proxy, or brings it back. Asked twice, the first time counts; says whether it changed.
+    /// Starts or stops draining; a repeated start keeps the time of the first. Returns whether the state changed.
     pub fn set_draining(&self, on: bool) -> bool {
         self.drain.send_if_modified(|since| {
             let changed = since.is_some() != on;
@@ -89,12 +89,12 @@
         self.drain.borrow().is_some()
     }
 
-    /// Reports since when the proxy is being emptied.
+    /// Watches since when the proxy is draining.
     pub fn subscribe_draining(&self) -> watch::Receiver<Option<Instant>> {
         self.drain.subscribe()
     }
 
-    /// There is a list to send by, or none is to be had for now.
+    /// Marks the process ready: it has a list of endpoints, or discovery has none to give for now.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Release);
     }
@@ -103,13 +103,13 @@
         self.ready.load(Ordering::Acquire)
     }
 
-    /// An operator is being told so.
+    /// Records that an operator is being answered that the process can serve.
     pub fn confirm_readiness(&self) {
         self.readiness_confirmed
             .send_if_modified(|readiness_confirmed| !std::mem::replace(readiness_confirmed, true));
     }
 
-    /// Reports whether an operator has been told.
+    /// Watches whether an operator has been answered that the process can serve.
     pub fn subscribe_readiness_confirmed(&self) -> watch::Receiver<bool> {
         self.readiness_confirmed.subscribe()
     }
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -11,9 +11,9 @@
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// So many lines wait for a slow reader of the log.
+/// The most lines that wait for a slow reader of the log.
 pub const MAX_QUEUED_LINES: usize = 1024;
-/// Lines that others cause at will: so many a second are written.
+/// The most lines a second of a kind that others can cause at will.
 pub const MAX_LINES_PER_SECOND: u32 = 20;
 
 /// How a line is written.
@@ -52,7 +52,7 @@
     guard
 }
 
-/// Lines lost since they were last told.
+/// The number of lines lost since this was last asked.
 pub fn lost() -> usize {
     let Some(counter) = LOST.get() else { return 0 };
     let all = counter.dropped_lines();
@@ -74,7 +74,7 @@
 
 pub use say;
 
-/// Bounds lines that others cause at will.
+/// Limits the rate of lines that others can cause at will.
 pub struct LogLimiter {
     /// When the second began that `written` counts in.
     #[doc(hidden)]
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the actors hand to each other: messages, and the tickets that owe an outcome. No actor is named here.
+//! The messages between the actors, and the guards that owe an outcome. This module knows no actor.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::errors::ApplySettingsError;
 use mosshead_snapshot::server_list::ServerList;
 
-/// What passes through the proxy unchanged.
+/// The parts of a request that are forwarded unchanged.
 #[derive(Debug)]
 pub struct ForwardedRequest {
     pub method: String,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A request, as the client's side hands it over.
+/// A request that was received and checked by the client connection.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The id that it carries, as a number.
@@ -70,7 +70,7 @@
     IdInUse,
 }
 
-/// What comes into the balancer's mailbox.
+/// A message to the balancer.
 pub enum Message {
     Request(RequestId, ClientRequest, oneshot::Sender<FinalResponse>),
     Withdrawn(RequestId),
@@ -101,20 +101,20 @@
     pub body: OutgoingBody,
 }
 
-/// What comes into a server's mailbox.
+/// A message to the actor of a server.
 pub enum ServerMessage {
     /// The endpoint list has news of it.
     StatusChanged(EndpointStatus),
     /// The endpoint list no longer has it.
     Removed,
-    /// Nothing follows.
+    /// The actor is to end; no message follows.
     Shutdown,
     Attempt(AttemptGuard, Rc<ForwardedRequest>, Instant),
     Probe(ProbeGuard),
     Cancel(RequestId, AttemptNumber),
-    /// Close the idle connections.
+    /// The idle connections are to be closed.
     CloseIdle,
-    /// Other limits are in force.
+    /// The timeouts for connecting and for idle connections have changed.
     LimitsChanged(Seconds, Seconds),
     /// An attempt or probe is over; its connection may be of further use.
     ConnectionFreed(Option<(RequestId, AttemptNumber)>, Option<OutboundConnection>, SocketAddr),
@@ -155,12 +155,12 @@
         }
     }
 
-    /// The server had done its work then: what follows is the way here.
+    /// Sets when the head of the response came; the time after it is the transfer and not the server's work.
     pub fn set_responded_at(&mut self, head_received_at: Option<Instant>) {
         self.responded_at = head_received_at;
     }
 
-    /// The server has had the request since `since` only.
+    /// Counts the time of the attempt from `since` on, if that is later than its start.
     pub fn started_no_earlier_than(&mut self, since: Instant) {
         self.started = self.started.max(since);
     }
@@ -193,7 +193,7 @@
     }
 }
 
-/// One probe, which owes exactly one finding.
+/// One probe, which owes exactly one outcome.
 pub struct ProbeGuard {
     endpoint: EndpointId,
     started: Instant,
