--- a/crates/programs/src/control_node/acknowledgement.rs
+++ b/crates/programs/src/control_node/acknowledgement.rs
@@ -48,7 +48,7 @@
         if outcome.changed {
             self.changes.notify();
         }
-        let (contact, replica_set) = (self.contact(), self.replica_set());
+        let (contact, replica_set) = (self.quorum_contact(), self.replica_set());
         match self.registry.start_acknowledgement(id, &outcome, contact, &replica_set) {
             ShutdownStep::Acknowledge => true,
             ShutdownStep::Reject => false,
@@ -65,7 +65,7 @@
         let entry = replication.entry();
         let mut replies = self.replicate_to_peers(entry);
         loop {
-            match replication.decision(self.contact()) {
+            match replication.decision(self.quorum_contact()) {
                 AcknowledgementDecision::Acknowledge => {
                     self.registry.on_acknowledged(entry);
                     return true;
--- a/crates/programs/src/control_node/config_store.rs
+++ b/crates/programs/src/control_node/config_store.rs
@@ -5,8 +5,7 @@
 
 use mosshead_config::{Config, ConfigError};
 use mosshead_consensus::ControlState;
-use mosshead_control_plane::ConfigHistory;
-use mosshead_control_plane::QuorumContact;
+use mosshead_control_plane::{ConfigHistory, QuorumContact};
 
 use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigUpdate, OutgoingTransfers};
 
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether a quorum of the members was recently in contact with this node.
-    pub(super) fn contact(&self) -> QuorumContact {
+    pub(super) fn quorum_contact(&self) -> QuorumContact {
         let node = self.node.borrow();
         QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.clock.now())))
     }
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -6,8 +6,7 @@
 
 use mosshead_config::Config;
 use mosshead_consensus::{ClientReply, ControlState, Input, Output, Term};
-use mosshead_control_plane::QuorumContact;
-use mosshead_control_plane::{ChangeProposal, KnownPrimary};
+use mosshead_control_plane::{ChangeProposal, KnownPrimary, QuorumContact};
 use mosshead_registry::SourceId;
 use mosshead_rpc::Caller;
 use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
@@ -82,15 +81,15 @@
         self.consensus.committed_state()
     }
 
-    /// Whether a quorum of the members was recently in contact with this node.
-    pub(crate) fn contact(&self) -> QuorumContact {
-        self.consensus.contact()
+    /// Whether a quorum of the members was recently in contact with this node. Without that, what it knows may be outdated.
+    pub(crate) fn quorum_contact(&self) -> QuorumContact {
+        self.consensus.quorum_contact()
     }
 
     /// The primary, as far as this node knows.
     pub(crate) fn known_primary(&self) -> KnownPrimary {
         match self.consensus.primary() {
-            // Also while a primary takes over from itself: the requests wait there for that moment.
+            // Also while a primary takes over from itself: its consensus node queues the requests meanwhile.
             Some(address) if address == self.settings.internal_address() => KnownPrimary::Local,
             Some(address) => KnownPrimary::Remote(address),
             None => KnownPrimary::Unknown,
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -15,7 +15,7 @@
             consensus.primary().map_or(String::new(), |address| address.to_string()),
             consensus.term().map_or(0, |term| term.number),
             consensus.members().len(),
-            consensus.contact().is_confirmed(),
+            consensus.quorum_contact().is_confirmed(),
             self.config().map_or(0, |config| config.revision),
             self.registry.len(),
             self.gossip.live_proxies(),
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/updates.rs
@@ -39,13 +39,13 @@
 
     /// Responds to a proxy that fetches the configuration.
     pub(super) fn fetch_config(&self, request: ChunkRequest) -> ConfigChunk {
-        self.configs.next_chunk(request, self.contact())
+        self.configs.next_chunk(request, self.quorum_contact())
     }
 
     fn updates_for(&self, call: &WatchUpdates) -> Updates {
         let missing = self.registry.missing_entries(&call.vector, MAX_ENTRIES_PER_RESPONSE);
         let has_newer_entries = !missing.entries.is_empty();
-        let contact = self.contact();
+        let contact = self.quorum_contact();
         Updates {
             revision: self.configs.advertised_revision(contact),
             delta: if call.wants_entries { missing } else { Delta::default() },
