--- a/crates/config/src/json/structure.rs
+++ b/crates/config/src/json/structure.rs
@@ -70,7 +70,7 @@
                 b'{' | b'[' => self.open_bracket(byte, position)?,
                 b'}' | b']' => self.close_bracket(byte, position)?,
                 b',' => {
-                    self.expects_key = matches!(self.open_brackets.last(), Some(OpenBracket::Object { .. }))
+                    self.expects_key = matches!(self.open_brackets.last(), Some(OpenBracket::Object { .. }));
                 }
                 _ => {}
             }
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -62,7 +62,7 @@
         modify(text).map_err(|error| (error.code(), error.location)).expect_err("must be rejected")
     };
     let assert_error = |text: &str, code: u16, location: &str| {
-        assert_eq!(code_and_location(text), (code, location.to_owned()), "{text}")
+        assert_eq!(code_and_location(text), (code, location.to_owned()), "{text}");
     };
     assert_error(r#"{"revision":9,"withdraw":{"backend_services":["wuno96b"]}}"#, 9, "route_entries[1]");
     let one = |route: &str| format!(r#"{{"revision":9,"upsert":{{"route_entries":[{route}]}}}}"#);
--- a/crates/consensus/tests/model/fleet.rs
+++ b/crates/consensus/tests/model/fleet.rs
@@ -163,10 +163,10 @@
                         inputs.insert(0, Input::Written { token });
                     }
                     Output::Reply { reply: ClientReply::Committed { revision }, .. } => {
-                        self.record_committed(machine, revision)
+                        self.record_committed(machine, revision);
                     }
                     Output::Reply { request_id, reply: ClientReply::Stale { .. } } => {
-                        self.record_stale(request_id)
+                        self.record_stale(request_id);
                     }
                     Output::Committed { state } => self.record_published(
                         machine,
--- a/crates/control-plane/tests/fleet/control_node/client_requests.rs
+++ b/crates/control-plane/tests/fleet/control_node/client_requests.rs
@@ -47,7 +47,7 @@
     ) {
         match step {
             AdmissionStep::Respond(response) => {
-                self.reply(control_node, reply_to, Response::Change(response))
+                self.reply(control_node, reply_to, Response::Change(response));
             }
             AdmissionStep::ConfirmState => {
                 let request_id =
@@ -92,7 +92,7 @@
         match process.client_requests.remove(&request_id) {
             None => {}
             Some(ClientRequest::Read(reply_to)) => {
-                self.reply(control_node, reply_to, Response::Read(read_response(reply)))
+                self.reply(control_node, reply_to, Response::Read(read_response(reply)));
             }
             Some(ClientRequest::Confirm(reply_to, mut admission)) => {
                 let step = admission.on_state_confirmed(reply);
--- a/crates/control-plane/tests/fleet/fault_actions.rs
+++ b/crates/control-plane/tests/fleet/fault_actions.rs
@@ -152,9 +152,9 @@
         self.trace(|| format!("stop {control_nodes:?}, disks too: {wipe}, back after {back}"));
         for &control_node in control_nodes {
             if wipe {
-                self.wipe_control_node(control_node)
+                self.wipe_control_node(control_node);
             } else {
-                self.stop_control_node(control_node)
+                self.stop_control_node(control_node);
             }
             self.after(back, Event::Fault(FaultAction::Start(control_node)));
         }
@@ -216,7 +216,7 @@
             }
             FaultAction::Start(control_node) => self.start_control_node(control_node),
             FaultAction::StartAll => {
-                self.members().into_iter().for_each(|control_node| self.start_control_node(control_node))
+                self.members().into_iter().for_each(|control_node| self.start_control_node(control_node));
             }
             FaultAction::LosePrimary { count, wipe, back } => {
                 let Some(primary) = self.primary() else { return };
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -127,7 +127,7 @@
                 self.on_proxy_updates(index, watch_slot, control_node, updates);
             }
             (Purpose::ProxyWatch { watch_slot, control_node }, _) => {
-                self.leave_control_node(index, watch_slot, control_node)
+                self.leave_control_node(index, watch_slot, control_node);
             }
             (Purpose::ProxyFetch { control_node, is_full }, Some(Response::Config(fetched))) => {
                 self.on_proxy_config(index, control_node, is_full, &fetched);
--- a/crates/control-plane/tests/fleet/simulation.rs
+++ b/crates/control-plane/tests/fleet/simulation.rs
@@ -179,11 +179,11 @@
             Event::Deliver { from, to, packet } => self.deliver(from, to, *packet),
             Event::Timeout { request } => self.timeout(request),
             Event::ControlTick { control_node, incarnation } => {
-                self.on_control_node_timer(control_node, incarnation)
+                self.on_control_node_timer(control_node, incarnation);
             }
             Event::Disk { control_node, incarnation } => self.on_disk_write(control_node, incarnation),
             Event::ProxySlot { proxy, incarnation, watch_slot } => {
-                self.on_proxy_timer(proxy, incarnation, watch_slot)
+                self.on_proxy_timer(proxy, incarnation, watch_slot);
             }
             Event::Operator { operator } => self.on_operator_timer(operator),
             Event::Server { server } => self.on_server_timer(server),
--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -15,7 +15,7 @@
 
 /// Checks, formats, explains and compares sites.
 #[derive(Args)]
-pub struct Config {
+pub(crate) struct Config {
     #[command(subcommand)]
     command: Command,
 }
@@ -188,7 +188,7 @@
 }
 
 impl Config {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         match &self.command {
             Command::Check(check) => check.run(),
             Command::Fmt(fmt) => fmt.run(),
@@ -302,7 +302,7 @@
         }
         match &behaviour.route {
             None => {
-                println!("{job}: no route fits; all {} servers, as without a site", platform.servers.len())
+                println!("{job}: no route fits; all {} servers, as without a site", platform.servers.len());
             }
             Some((name, place)) => println!("{job}: route {name:?} ({}:{})", place.file, place.line),
         }
--- a/crates/ctl/src/days.rs
+++ b/crates/ctl/src/days.rs
@@ -19,7 +19,7 @@
 }
 
 /// Days side by side, one a line.
-pub fn beside(days: &[Day]) -> String {
+pub(crate) fn beside(days: &[Day]) -> String {
     let mut rows = vec![
         ["policy", "seed", "figure", "in time", "late", "refused", "failed", "no answer", "jams", "rules"]
             .map(str::to_owned)
@@ -49,7 +49,7 @@
 }
 
 /// The days of each policy taken together: the mean figure, its worst day, what went wrong.
-pub fn means(days: &[Day]) -> String {
+pub(crate) fn means(days: &[Day]) -> String {
     let mut rows = vec![
         [
             "policy",
@@ -97,7 +97,7 @@
 }
 
 /// One day in full.
-pub fn whole(day: &Day, scenario: &mosshead_world::scenario::Scenario) -> String {
+pub(crate) fn whole(day: &Day, scenario: &mosshead_world::scenario::Scenario) -> String {
     let mut rows = vec![vec!["".to_owned(), "asked".to_owned(), "worth kept".to_owned()]];
     rows[0].extend(ENDINGS.iter().map(|ending| format!("{ending:?}").to_lowercase()));
     let mut row = |name: &str, counts: &Counts| {
@@ -130,7 +130,7 @@
 }
 
 /// The broken rules of a day, the first ones with their timelines.
-pub fn broken(day: &Day) -> Option<String> {
+pub(crate) fn broken(day: &Day) -> Option<String> {
     if day.kept {
         return None;
     }
--- a/crates/ctl/src/emulate.rs
+++ b/crates/ctl/src/emulate.rs
@@ -12,7 +12,7 @@
 
 /// Plays a scenario in real time against a command, one program a proxy, on loopback.
 #[derive(Args)]
-pub struct Emulate {
+pub(crate) struct Emulate {
     /// A scenario's name, or a TOML file.
     #[arg(default_value = "minute")]
     scenario: String,
@@ -74,7 +74,7 @@
 }
 
 impl Emulate {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         let scenario = scenarios::read(&self.scenario)?;
         let options = options(self.seed, &self.command, &self.logs, self.late_ms)?;
         let bar = simulate::bar(&format!("{} {}", scenario.title, self.seed));
--- a/crates/ctl/src/fleet_day.rs
+++ b/crates/ctl/src/fleet_day.rs
@@ -17,7 +17,7 @@
 
 /// Plays a scenario against many processes of the program, each way between them and the stand-ins through a link.
 #[derive(Args)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// A scenario's name, or a TOML file.
     #[arg(default_value = "back-herd")]
     scenario: String,
@@ -48,7 +48,7 @@
 }
 
 impl Fleet {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         let mut scenario = scenarios::read(&self.scenario)?;
         if let Some(processes) = self.processes {
             let most = if self.in_virtual_time { 5000 } else { 500 };
--- a/crates/ctl/src/scenarios.rs
+++ b/crates/ctl/src/scenarios.rs
@@ -60,13 +60,13 @@
 
 /// Lists the scenarios that are built in, or prints one.
 #[derive(Args)]
-pub struct Scenarios {
+pub(crate) struct Scenarios {
     /// The one to print, to be changed and played from a file.
     name: Option<String>,
 }
 
 impl Scenarios {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         match &self.name {
             Some(name) => print!("{}", text(name)?),
             None => {
@@ -93,6 +93,6 @@
 }
 
 /// Reads a scenario, built in or from a file; a fault names the file.
-pub fn read(name: &str) -> anyhow::Result<Scenario> {
+pub(crate) fn read(name: &str) -> anyhow::Result<Scenario> {
     Ok(Scenario::read(&text(name)?).map_err(|fault| BadUse(format!("{name}: {fault}")))?)
 }
--- a/crates/ctl/src/simulate.rs
+++ b/crates/ctl/src/simulate.rs
@@ -14,7 +14,7 @@
 
 /// Plays a scenario in virtual time, and sets policies side by side.
 #[derive(Args)]
-pub struct Simulate {
+pub(crate) struct Simulate {
     /// A scenario's name, or a TOML file.
     scenario: String,
     /// The day's seed; several are played one after the other.
@@ -45,12 +45,12 @@
 
 /// Hosts policies for `simulate --processes`.
 #[derive(Args)]
-pub struct Mind {
+pub(crate) struct Mind {
     policy: String,
 }
 
 impl Mind {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         let kind: Kind = self.policy.parse().map_err(BadUse)?;
         brains::serve(kind, std::io::stdin().lock(), std::io::stdout().lock())?;
         Ok(End::Kept)
@@ -58,7 +58,7 @@
 }
 
 impl Simulate {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         let scenario = scenarios::read(&self.scenario)?;
         let mut kinds: Vec<Kind> = Vec::new();
         for name in &self.policies {
@@ -150,7 +150,7 @@
 }
 
 /// A progress line on a terminal, nothing elsewhere.
-pub fn bar(what: &str) -> ProgressBar {
+pub(crate) fn bar(what: &str) -> ProgressBar {
     let bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
     let style = ProgressStyle::with_template("{prefix} {wide_bar} {pos} of {len} s");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
--- a/crates/ctl/src/study.rs
+++ b/crates/ctl/src/study.rs
@@ -22,7 +22,7 @@
 
 /// Plays days of a fleet that comes back, over seeds and sizes, and prints the median and the worst of each figure.
 #[derive(Args)]
-pub struct Study {
+pub(crate) struct Study {
     /// The scenarios, by name or as TOML files.
     #[arg(required = true)]
     scenarios: Vec<String>,
@@ -70,7 +70,7 @@
 }
 
 impl Study {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         let folder = match self.folder.as_deref() {
             None => None,
             Some("kept") => Some(Folder::Kept),
--- a/crates/ctl/src/way_back.rs
+++ b/crates/ctl/src/way_back.rs
@@ -19,7 +19,7 @@
 
 /// Asks proxies how far they have come since their start: cold, listed, warming, full. Exit code 1 unless all are full.
 #[derive(Args)]
-pub struct WayBack {
+pub(crate) struct WayBack {
     /// The operators' address of each proxy.
     #[arg(required = true)]
     at: Vec<SocketAddr>,
@@ -29,7 +29,7 @@
 }
 
 impl WayBack {
-    pub fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<End> {
         let all: Vec<(SocketAddr, anyhow::Result<Value>)> = std::thread::scope(|scope| {
             let asked: Vec<_> = self.at.iter().map(|&at| (at, scope.spawn(move || ask(at)))).collect();
             let answer = |asked: std::thread::ScopedJoinHandle<anyhow::Result<Value>>| {
--- a/crates/decide/src/policy/events.rs
+++ b/crates/decide/src/policy/events.rs
@@ -36,7 +36,7 @@
                 }
             }
             Event::ResponseStarted { request, attempt } => {
-                self.on_response_started(request, attempt, actions)
+                self.on_response_started(request, attempt, actions);
             }
             Event::ProbeEnded { endpoint, outcome, rtt, report } => {
                 self.record_report(now, endpoint, report);
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -29,7 +29,7 @@
     fn record_recovery(&mut self, now: Seconds, event: &Event) {
         match event {
             Event::ListUpdated(ListUpdate::Full(_) | ListUpdate::Changes(_)) => {
-                self.state.recovery.on_discovery_update(now)
+                self.state.recovery.on_discovery_update(now);
             }
             Event::ListUpdated(ListUpdate::Failed) => self.state.recovery.on_discovery_failure(),
             Event::AttemptEnded { request, outcome: Outcome::Served, settled: true, .. } => {
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -94,7 +94,7 @@
     assert!(healthy[0] > 0.95, "of a healthy fleet's requests {healthy:?} are sent");
     let drains = |index: u32| ListEntry { readiness: Readiness::Draining, ..entry(index) };
     hosts.iter_mut().for_each(|host| {
-        _ = host.handle(Event::ListUpdated(ListUpdate::Changes((0..5).map(drains).collect())))
+        _ = host.handle(Event::ListUpdated(ListUpdate::Changes((0..5).map(drains).collect())));
     });
     let fewer = serve_requests(&mut hosts, 2);
     assert!(fewer[0] < 0.8 && fewer[0] < fewer[1], "{fewer:?} are sent on to half of the servers");
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -193,7 +193,7 @@
         let class = world.scenario().class.first();
         class.map(|class| class.name.clone()).unwrap_or_default()
     });
-    let id = format!("{:016x}", how);
+    let id = format!("{how:016x}");
     let head = |lines: &str| format!("GET /{class}/1 HTTP/1.1\r\nHost: app.svc\r\n{lines}");
     match how % 9 {
         0 => ("\x16\x03\x01\x02nothing that can be read\r\n\r\n".to_owned(), false),
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -199,7 +199,7 @@
             Output::Withdrawn { job, .. } => self.clients.leave(job),
             Output::Reset(conn) => self.say(conn, Say::Reset),
             Output::Answered { conn, job, verdict, report } => {
-                self.say(conn, Say::Answer(job, verdict, report))
+                self.say(conn, Say::Answer(job, verdict, report));
             }
             Output::Probed { conn, report, .. } => self.say(conn, Say::Probed(report)),
             Output::Listed(call, listed) => {
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -494,7 +494,7 @@
 #[case::three(Setting { members: 3, until: 3, ..Setting::QUIET })]
 fn one_holds_at_a_time_in_all_states(#[case] setting: Setting) {
     let (until, members) = if long() { (setting.until + 1, 3) } else { (setting.until, setting.members) };
-    assert_eq!(found(Setting { until, members, ..setting }), [""; 0]);
+    assert_eq!(found(Setting { members, until, ..setting }), [""; 0]);
 }
 
 #[rstest]
--- a/crates/membership/tests/malformed_datagrams.rs
+++ b/crates/membership/tests/malformed_datagrams.rs
@@ -211,7 +211,7 @@
     for process in 0..60 {
         cluster.add();
         let peer = &mut cluster.processes[process].peer;
-        peer.name = format!("{process:0width$}", width = MAX_NAME_LEN);
+        peer.name = format!("{process:0MAX_NAME_LEN$}");
         peer.zone = "z".repeat(MAX_ZONE_LEN);
         peer.address.set_port(65_535);
     }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -48,7 +48,7 @@
         Fault::Kill(process) => cluster.kill(process % size),
         Fault::Start(process) => cluster.start(process % size),
         Fault::Leave(process) if cluster.processes[process % size].membership.is_some() => {
-            cluster.leave(process % size, millis(300))
+            cluster.leave(process % size, millis(300));
         }
         Fault::Leave(_) => {}
         Fault::Suspend(process) => cluster.suspend(process % size),
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -179,7 +179,7 @@
         match &mut self.suspension {
             // The first timer that is looked at need not be the one that waited longest.
             Some(suspension) if now < suspension.resumed_at + RESUME_WINDOW => {
-                suspension.duration = late.max(suspension.duration)
+                suspension.duration = late.max(suspension.duration);
             }
             _ => {
                 self.suspension = Some(Suspension { duration: late, resumed_at: now, list_retried: false });
@@ -340,10 +340,10 @@
     fn perform(&mut self, now: Seconds, action: Action) {
         match action {
             Action::Send { request: request_id, endpoint, deadline: until } => {
-                self.send(now, request_id, endpoint, until)
+                self.send(now, request_id, endpoint, until);
             }
             Action::Reject { request: request_id, retry_after: not_before } => {
-                self.send_response(request_id, FinalResponse::RetryLater(not_before))
+                self.send_response(request_id, FinalResponse::RetryLater(not_before));
             }
             Action::Fail { request: request_id } => self.send_response(request_id, FinalResponse::Failed),
             Action::Cancel { request: request_id, attempt } => {
@@ -361,7 +361,7 @@
                 self.post_to_server(endpoint, ServerMessage::Probe(guard));
             }
             Action::CloseIdleConnections { endpoint } => {
-                self.post_to_server(endpoint, ServerMessage::CloseIdle)
+                self.post_to_server(endpoint, ServerMessage::CloseIdle);
             }
             Action::WatchList => self.list.watch(),
             Action::SetTimer { delay, token } => self.schedule(now + delay, ScheduledTask::Timer(token)),
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -284,7 +284,7 @@
     /// Waits until a successor accepts at the same address.
     pub(crate) async fn wait_for_successor(&self) {
         if self.relieved.subscribe().wait_for(|count| *count > 0).await.is_err() {
-            pending().await
+            pending::<()>().await;
         }
     }
 
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -132,7 +132,7 @@
             }
             // It ended, or brought what belongs to no answer, while it was idle: nothing was written to it.
             Err(_) if again && !link.write_progress.has_started() => {
-                link.record.set_close_reason(CloseReason::Stale)
+                link.record.set_close_reason(CloseReason::Stale);
             }
             Err(_) => return ExchangeResult::without_response(Outcome::ConnectFailed),
         }
--- a/crates/proxy/tests/scenario/mod.rs
+++ b/crates/proxy/tests/scenario/mod.rs
@@ -32,7 +32,7 @@
 /// Nothing takes as long: it only keeps a failed test from hanging.
 const PATIENCE: Duration = Duration::from_secs(8);
 
-pub const CONFIG: &str = r#"{"name":"t","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"0a",
+pub(crate) const CONFIG: &str = r#"{"name":"t","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"0a",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[SERVERS]},
 "settings":{"classes":[{"name":"slot-lookup","target_s":3.0,"deadline_s":6.0,"gain":1.0,"dedup_window_s":5.0,"group":"all","effect":"free"},
 {"name":"book-lesson","target_s":3.0,"deadline_s":6.0,"gain":10.0,"group":"all","effect":"single_shot"}],
@@ -63,7 +63,7 @@
 }
 
 /// Plays a scenario; panics at the step that does not go as written.
-pub fn play(scenario: &str) {
+pub(crate) fn play(scenario: &str) {
     let mut stage = Stage::default();
     for step in scenario.lines().map(str::trim).filter(|step| !step.is_empty()) {
         let mut parts = step.splitn(3, ' ');
@@ -166,7 +166,7 @@
         let (lines, log) = channel();
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
         std::thread::spawn(move || {
-            stderr.lines().map_while(Result::ok).for_each(|line| drop(lines.send(line)))
+            stderr.lines().map_while(Result::ok).for_each(|line| drop(lines.send(line)));
         });
         let first = log.recv_timeout(PATIENCE).map_err(|error| error.to_string())?;
         let named = |name| first.split(name).nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
--- a/crates/proxy/tests/stand/mod.rs
+++ b/crates/proxy/tests/stand/mod.rs
@@ -12,10 +12,10 @@
 use tempfile::TempDir;
 
 /// Nothing takes as long: it only keeps a failed test from hanging.
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(8);
 
 /// One message with its body; none where the connection ends first.
-pub fn read(stream: &mut BufReader<TcpStream>) -> Option<String> {
+pub(crate) fn read(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
         if stream.read_line(&mut text).ok()? == 0 {
@@ -30,7 +30,7 @@
 }
 
 /// An execute node: each connection to it has a thread that does this.
-pub fn node(serve: impl Fn(BufReader<TcpStream>) + Clone + Send + 'static) -> SocketAddr {
+pub(crate) fn node(serve: impl Fn(BufReader<TcpStream>) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -42,18 +42,18 @@
     addr
 }
 
-pub fn id_of(job: &str) -> Option<&str> {
+pub(crate) fn id_of(job: &str) -> Option<&str> {
     job.lines().find_map(|line| line.strip_prefix("x-correlation-id: "))
 }
 
-pub struct Proxy {
+pub(crate) struct Proxy {
     pub child: Child,
     pub log: Receiver<String>,
     pub ops: SocketAddr,
 }
 
 /// One call at an operators' address.
-pub fn call_at(ops: SocketAddr, call: &str) -> Option<String> {
+pub(crate) fn call_at(ops: SocketAddr, call: &str) -> Option<String> {
     let mut stream = TcpStream::connect(ops).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     stream.write_all(format!("{call} HTTP/1.1\r\n\r\n").as_bytes()).ok()?;
@@ -68,19 +68,19 @@
 }
 
 impl Proxy {
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &id]).status().expect("kill runs").success());
     }
 
-    pub fn wait(&self, words: &str) {
+    pub(crate) fn wait(&self, words: &str) {
         let began = Instant::now();
         while !self.log.recv_timeout(PATIENCE).expect("a line").contains(words) {
             assert!(began.elapsed() < PATIENCE, "never said: {words}");
         }
     }
 
-    pub fn ends_well(&mut self) {
+    pub(crate) fn ends_well(&mut self) {
         let began = Instant::now();
         let end = loop {
             if let Some(end) = self.child.try_wait().expect("its state") {
@@ -92,12 +92,12 @@
         assert_eq!(end.code(), Some(0));
     }
 
-    pub fn call(&self, call: &str) -> Option<String> {
+    pub(crate) fn call(&self, call: &str) -> Option<String> {
         call_at(self.ops, call)
     }
 
     /// Waits until it says that it can serve.
-    pub fn ready(&self) {
+    pub(crate) fn ready(&self) {
         let began = Instant::now();
         while !self.call("GET /ops/readiness").is_some_and(|answer| answer.contains(" 200 ")) {
             assert!(began.elapsed() < PATIENCE, "never ready");
@@ -114,14 +114,14 @@
 }
 
 /// One deployment: an address, a folder that processes share, a node.
-pub struct Place {
+pub(crate) struct Place {
     pub folder: TempDir,
     pub config: String,
     pub listen: SocketAddr,
 }
 
 impl Place {
-    pub fn new(sockets: u32, node: SocketAddr) -> Self {
+    pub(crate) fn new(sockets: u32, node: SocketAddr) -> Self {
         let server = format!(r#"{{"id":"n1","addr":"{node}","zone":"z","state":"SERVING"}}"#);
         // A port that is free now; both processes bind it. Danger: on an address that others use, whoever connects may get it first.
         let listen = TcpListener::bind((host(), 0)).and_then(|free| free.local_addr()).expect("a port");
@@ -135,12 +135,12 @@
         Self { folder: tempfile::tempdir().expect("a folder"), config, listen }
     }
 
-    pub fn door(&self) -> std::path::PathBuf {
+    pub(crate) fn door(&self) -> std::path::PathBuf {
         let name = self.listen.to_string().replace(['.', ':'], "_");
         self.folder.path().join(format!("mosshead-{name}.sock"))
     }
 
-    pub fn start(&self) -> Proxy {
+    pub(crate) fn start(&self) -> Proxy {
         let path = self.folder.path().join("config.json");
         std::fs::write(&path, &self.config).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_mosshead"));
@@ -159,7 +159,7 @@
         Proxy { child, log, ops: ops.expect("the door's address") }
     }
 
-    pub fn connect(&self) -> Option<BufReader<TcpStream>> {
+    pub(crate) fn connect(&self) -> Option<BufReader<TcpStream>> {
         let stream = TcpStream::connect(self.listen).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).ok()?;
         Some(BufReader::new(stream))
--- a/crates/record-log/tests/model.rs
+++ b/crates/record-log/tests/model.rs
@@ -84,9 +84,9 @@
         );
         // What is found on a disk that refuses writes may not be found again.
         if log.is_durable() {
-            self.alternatives.clear()
+            self.alternatives.clear();
         } else {
-            self.alternatives.push(before)
+            self.alternatives.push(before);
         }
         self.log = Some(log);
         Ok(())
--- a/crates/rpc/tests/response_matching.rs
+++ b/crates/rpc/tests/response_matching.rs
@@ -206,7 +206,7 @@
                             (response.quotient, response.remainder),
                             (call.number, call.by),
                             "{action:?}"
-                        )
+                        );
                     }
                     Err(error) => assert!(
                         matches!(
--- a/crates/simulate/src/host.rs
+++ b/crates/simulate/src/host.rs
@@ -489,14 +489,14 @@
         }
         match action {
             Action::Send { request: job, endpoint, deadline: until } => {
-                self.send(proxy, JobNo(job.0), ServerNo(endpoint.0), until)
+                self.send(proxy, JobNo(job.0), ServerNo(endpoint.0), until);
             }
             Action::Reject { request: job, retry_after: not_before } => {
-                self.answer(JobNo(job.0), Answer::Refused(Time::seconds(not_before)))
+                self.answer(JobNo(job.0), Answer::Refused(Time::seconds(not_before)));
             }
             Action::Fail { request: job } => self.answer(JobNo(job.0), Answer::Failed),
             Action::Cancel { request: job, attempt: round } => {
-                self.give_up(JobNo(job.0), round.0, Outcome::Cancelled)
+                self.give_up(JobNo(job.0), round.0, Outcome::Cancelled);
             }
             Action::Probe { endpoint } => {
                 let (server, since) = (ServerNo(endpoint.0), self.now);
--- a/crates/site/tests/common/mod.rs
+++ b/crates/site/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use mosshead_site::{ClassFacts, Platform};
 use mosshead_units::Time;
 
-pub fn platform() -> Platform {
+pub(crate) fn platform() -> Platform {
     let class = |name: &str, deadline: u64, safe| ClassFacts {
         name: name.to_owned(),
         deadline: Time::ms(deadline),
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -146,9 +146,8 @@
         .ok_or(SnapshotError::InvalidHeader)?;
     let head = str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::InvalidHeader)?;
     let words: Vec<&str> = head.split(' ').collect();
-    let (format, length, sum) = match words[..] {
-        [MAGIC, format, length, sum] => (format, length, sum),
-        _ => return Err(SnapshotError::InvalidHeader),
+    let [MAGIC, format, length, sum] = words[..] else {
+        return Err(SnapshotError::InvalidHeader);
     };
     let format = format.parse().map_err(|_| SnapshotError::InvalidHeader)?;
     if format != FORMAT {
--- a/crates/snapshot/tests/shared/mod.rs
+++ b/crates/snapshot/tests/shared/mod.rs
@@ -10,7 +10,7 @@
 
 /// Bytes are turned down, or are a snapshot that reads the same once it is written again; and whatever it holds adds no target
 /// that it does not list itself.
-pub fn check(bytes: &[u8]) {
+pub(crate) fn check(bytes: &[u8]) {
     let found = read(bytes);
     if let Ok(snapshot) = &found {
         assert_eq!(read(&write(snapshot)).as_ref(), Ok(snapshot));
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -130,9 +130,9 @@
         while let Some(at) = stream.next(now, &load) {
             assert!(at > now);
             if (wave.from..wave.to).contains(&at) {
-                inside += 1
+                inside += 1;
             } else {
-                outside += 1
+                outside += 1;
             }
             now = at;
         }
