--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/client_requests.rs
@@ -1,7 +1,7 @@
 //! The clients' requests that have no reply yet.
 
+use core::net::SocketAddrV4;
 use std::collections::VecDeque;
-use std::net::SocketAddrV4;
 use std::sync::Arc;
 
 use mosshead_time::{Duration, Instant};
