--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,11 +1,19 @@
-//! A duty that one member of a fleet holds at a time, by a lease in a store that all of them reach. No I/O, no clock: a host
-//! tells what happens and when, and carries out what comes of it.
+//! A role that one member of a fleet has at a time, by a lease in a store that all members reach. No I/O, no clock: a host
+//! reports what happens and when ([`Event`]), and carries out what follows ([`Command`]).
 //!
-//! Who holds may act only under a [`Permit`], which ends before the store could give the duty to another, and carries a [`Token`]
-//! that only grows: whoever is acted upon refuses an older one.
+//! The holder may act only under a [`LeasePermit`], which ends before the store could give the role to another member, and
+//! each of its acts carries a [`FencingToken`] that only grows: whatever is acted upon rejects an older one.
 
-mod singleton;
-mod terms;
+mod fencing;
+mod instant;
+mod lease_state;
+mod messages;
+mod role;
+mod timing;
 
-pub use singleton::{Act, Duty, Event, Lease, Permit, Standing, Why, Word};
-pub use terms::{Instant, Terms, Token};
+pub use fencing::{FencingToken, LeasePermit};
+pub use instant::Instant;
+pub use lease_state::{InactiveReason, LeaseState};
+pub use messages::{CallId, Command, Event, LeaseId, StoreId, StoreUpdate};
+pub use role::SingletonRole;
+pub use timing::LeaseTiming;
--- /dev/null
+++ b/crates/lease/src/role/acquisition.rs
@@ -0,0 +1,62 @@
+//! Acquiring the role.
+
+use super::{Phase, Renewal, SingletonRole, Tenure};
+use crate::fencing::FencingToken;
+use crate::instant::Instant;
+use crate::lease_state::InactiveReason;
+use crate::messages::{CallId, Command, LeaseId, StoreId};
+
+impl SingletonRole {
+    pub(super) fn start_acquisition(&mut self, now: Instant, commands: &mut Vec<Command>) {
+        let call_id = self.next_call_id();
+        self.phase = Phase::Acquiring { call_id, sent_at: now };
+        commands.push(Command::Acquire { call_id, epoch: self.highest_seen.epoch });
+    }
+
+    pub(super) fn is_acquiring_by(&self, call_id: CallId) -> bool {
+        matches!(self.phase, Phase::Acquiring { call_id: in_flight, .. } if in_flight == call_id)
+    }
+
+    pub(super) fn on_acquired(
+        &mut self,
+        now: Instant,
+        call_id: CallId,
+        store_id: StoreId,
+        token: FencingToken,
+        lease_id: LeaseId,
+        commands: &mut Vec<Command>,
+    ) {
+        let sent_at = match self.phase {
+            Phase::Acquiring { call_id: in_flight, sent_at } if in_flight == call_id => sent_at,
+            // What an earlier call acquired, and nobody awaits, would have no holder for the length of a lease.
+            _ => return commands.push(Command::Release(lease_id)),
+        };
+        if let Some(reason) = self.objection_to(store_id, token) {
+            self.phase = Phase::Inactive(reason);
+            return commands.extend([Command::Release(lease_id), Command::ReadAndWatch]);
+        }
+        self.highest_seen = token;
+        self.phase = Phase::Holding(Tenure {
+            token,
+            lease_id,
+            permit_until: sent_at + self.timing.permit_duration(),
+            renewal: Renewal::Due(sent_at + self.timing.renewal_interval),
+            is_watching: true,
+        });
+        // Watched from here on: whoever deletes the key of the role takes the role away.
+        commands.push(Command::ReadAndWatch);
+        self.run_due_work(now, commands);
+    }
+
+    /// Why an acquisition must not count. A store that was restored between the last update and the acquisition gives what
+    /// another member may still act under, even with the same token.
+    fn objection_to(&self, store_id: StoreId, token: FencingToken) -> Option<InactiveReason> {
+        if store_id != self.store_id {
+            Some(InactiveReason::ForeignStore)
+        } else if token < self.highest_seen {
+            Some(InactiveReason::StoreRolledBack)
+        } else {
+            None
+        }
+    }
+}
