--- a/crates/capacity-bench/src/configuration.rs
+++ b/crates/capacity-bench/src/configuration.rs
@@ -5,7 +5,7 @@
 
 use mosshead_config::Config;
 use mosshead_programs::calls::FetchConfig;
-use mosshead_programs::config_transfer::{ChunkRequest, ConfigUpdate, OutgoingTransfers};
+use mosshead_programs::config_transfer::{ChunkRequest, ConfigOfferMessage, OutgoingTransfers};
 
 use crate::counter::{encoded, processor_time};
 use crate::memory;
@@ -106,7 +106,7 @@
                 &format!("/v1/part-{}/x", next / 1800),
             )
         });
-        let answer = ConfigUpdate { revision: 2, patches: vec![patch], full_text: None };
+        let answer = ConfigOfferMessage { revision: 2, patches: vec![patch], full_text: None };
         let request = ChunkRequest { base_revision: 1, target_revision: 0, offset: 0 };
         let piece = OutgoingTransfers::default().next_chunk(request, 2, || answer);
         let bytes = encoded(&FetchConfig(request)).len() + encoded(&piece).len();
--- a/crates/capacity-bench/src/control_state.rs
+++ b/crates/capacity-bench/src/control_state.rs
@@ -142,7 +142,7 @@
                 Output::Write { token, .. } | Output::Rewrite { token, .. } => {
                     self.push(now + SYNC, place, Act::Written(token));
                 }
-                Output::Reply { reply: ClientReply::Committed { .. }, .. } => self.taken += 1,
+                Output::Reply { reply: ClientReply::ChangeCommitted { .. }, .. } => self.taken += 1,
                 _ => {}
             }
         }
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -22,6 +22,11 @@
         Disordered(index: usize) {
             display("record {index} of the control state does not fit those before it")
         }
+        /// 722: there are records, but none with the identity of the disk, which is written first: the log is incomplete.
+        /// The text is that of the number's row in `docs/codes.md`.
+        MissingIdentity {
+            display("record 0 of the control state does not fit those before it")
+        }
     }
 }
 
@@ -30,7 +35,7 @@
     pub fn code(&self) -> u16 {
         match self {
             StoredStateError::Unreadable(_) => 721,
-            StoredStateError::Disordered(_) => 722,
+            StoredStateError::Disordered(_) | StoredStateError::MissingIdentity => 722,
         }
     }
 }
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -84,7 +84,7 @@
         reply: ClientReply,
     },
     /// A newer state is committed; revisions rise from one output to the next.
-    Committed {
+    StateCommitted {
         /// The state.
         state: ControlState,
     },
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClientReply {
     /// The change is committed.
-    Committed {
+    ChangeCommitted {
         /// Its revision.
         revision: u64,
     },
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -58,7 +58,7 @@
     /// The state is not rewritten under the new term before the configuration is proposed.
     SkipRewriteUnderNewTerm,
     /// Every change sends and writes the whole state, and every state goes in one message.
-    WholeStates,
+    FullStates,
     /// A phase of a take-over ends though a state that it waits for is being transferred.
     IgnoreTransferProgress,
     /// A delta is applied to whatever state is there.
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -42,7 +42,7 @@
                 || context.has_fault(InjectedFault::PublishOlderState) && known != state.revision
         };
         if self.revision().is_none_or(is_newer) {
-            context.output(Output::Committed { state: state.clone() });
+            context.output(Output::StateCommitted { state: state.clone() });
             self.read_lease.record_published(state.revision);
             self.committed = Some(state);
         }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -19,7 +19,6 @@
 mod acceptor;
 mod body_bytes;
 mod body_delta;
-mod client_requests;
 mod context;
 mod control_state;
 mod delta_log;
@@ -41,6 +40,7 @@
 mod node;
 mod node_core;
 mod peers;
+mod pending_requests;
 mod primary;
 mod random_delay;
 mod read_lease;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -13,7 +13,6 @@
 
 use self::role::Role;
 use crate::acceptor::Acceptor;
-use crate::client_requests::{ChangeRequest, ClientRequests};
 use crate::context::Context;
 use crate::control_state::AppliedRequest;
 use crate::delta_log::DeltaLog;
@@ -29,6 +28,7 @@
 use crate::message::Message;
 use crate::node_core::NodeCore;
 use crate::peers::Peers;
+use crate::pending_requests::{ChangeRequest, PendingRequests};
 use crate::settings::Settings;
 use crate::snapshot_transfer::SnapshotTransfers;
 use crate::storage::Storage;
@@ -58,8 +58,7 @@
         let (durable, rebuilt_bytes) = DurableState::replay(records)?;
         let identity = match &durable.identity {
             Some(identity) => identity.clone(),
-            // The identity is written first, so a log that has records but no identity is incomplete.
-            None if !records.is_empty() => return Err(StoredStateError::Disordered(0)),
+            None if !records.is_empty() => return Err(StoredStateError::MissingIdentity),
             None => new_identity(&settings, &mut rng),
         };
         let local = Member { id: identity.id, address: settings.address };
@@ -73,7 +72,7 @@
             joins: JoinRequests::new(now),
             removal: MemberRemoval::default(),
             transfers: SnapshotTransfers::default(),
-            requests: ClientRequests::default(),
+            requests: PendingRequests::default(),
             peers: Peers::default(),
             primary_lease_confirmed_at: None,
             delta_log: DeltaLog::default(),
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -257,7 +257,7 @@
     /// Whether the offered state is of use.
     fn wants_offered_state(&mut self, from: Member, offer: &SnapshotOffer) -> bool {
         match offer.purpose {
-            StatePurpose::Committed => {
+            StatePurpose::CommittedState => {
                 self.core.learner.revision().is_none_or(|known| known < offer.version.revision)
             }
             StatePurpose::ReplicateState => {
@@ -285,7 +285,7 @@
 
     fn on_received_state(&mut self, from: Member, purpose: StatePurpose, state: ControlState) {
         match purpose {
-            StatePurpose::Committed => self.core.publish(state),
+            StatePurpose::CommittedState => self.core.publish(state),
             StatePurpose::ReplicateState => self.on_replicate_state(from, state),
             StatePurpose::FetchedState { term } => self.on_fetched_state(term, state),
         }
--- a/crates/consensus/src/node_core.rs
+++ b/crates/consensus/src/node_core.rs
@@ -5,7 +5,6 @@
 use mosshead_time::Instant;
 
 use crate::acceptor::Acceptor;
-use crate::client_requests::ClientRequests;
 use crate::context::Context;
 use crate::control_state::{ControlState, StateVersion};
 use crate::delta_log::DeltaLog;
@@ -20,6 +19,7 @@
 use crate::member_removal::MemberRemoval;
 use crate::message::Message;
 use crate::peers::Peers;
+use crate::pending_requests::PendingRequests;
 use crate::snapshot::StatePurpose;
 use crate::snapshot_transfer::SnapshotTransfers;
 use crate::storage::Storage;
@@ -37,7 +37,7 @@
     pub(crate) joins: JoinRequests,
     pub(crate) removal: MemberRemoval,
     pub(crate) transfers: SnapshotTransfers,
-    pub(crate) requests: ClientRequests,
+    pub(crate) requests: PendingRequests,
     /// Kept through a renewal, started over by a new primary.
     pub(crate) peers: Peers,
     /// When the newest heartbeat was sent that a majority has answered: the lease of this node as primary counts from there.
--- a/crates/consensus/src/client_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -54,7 +54,7 @@
 
 /// The requests that have no reply yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct ClientRequests {
+pub(crate) struct PendingRequests {
     /// Changes that wait for the one before them, oldest first.
     queue: VecDeque<ChangeRequest>,
     pending_write: Option<WrittenChange>,
@@ -62,7 +62,7 @@
     unconfirmed: VecDeque<UnconfirmedReply>,
 }
 
-impl ClientRequests {
+impl PendingRequests {
     /// Queues a change.
     pub(crate) fn add_change(&mut self, context: &mut Context, change: ChangeRequest) {
         if self.queue.len() >= MAX_WAITING {
@@ -104,7 +104,7 @@
         let ChangeRequest { request_id, request, received_at, .. } = change;
         match classify(context, current, &change) {
             RequestStatus::AlreadyApplied => {
-                context.reply(request_id, ClientReply::Committed { revision: request.revision });
+                context.reply(request_id, ClientReply::ChangeCommitted { revision: request.revision });
             }
             RequestStatus::Expired => context.reply(request_id, ClientReply::Expired),
             RequestStatus::Stale if context.has_fault(InjectedFault::StaleUnconfirmed) => {
@@ -157,7 +157,7 @@
     pub(crate) fn finish_write(&mut self, context: &mut Context) {
         if let Some(WrittenChange { change, is_answered: false }) = self.pending_write.take() {
             let revision = change.request.revision;
-            context.reply(change.request_id, ClientReply::Committed { revision });
+            context.reply(change.request_id, ClientReply::ChangeCommitted { revision });
         }
     }
 
@@ -180,7 +180,7 @@
 
     /// This node is no primary any more: all are answered.
     pub(crate) fn drop_all(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
-        let ClientRequests { queue, pending_write, unconfirmed } = std::mem::take(self);
+        let PendingRequests { queue, pending_write, unconfirmed } = std::mem::take(self);
         if context.has_fault(InjectedFault::DropClientRequests) {
             return;
         }
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -181,7 +181,7 @@
         let bytes = |deltas: &[StateDelta]| deltas.iter().map(StateDelta::estimated_bytes).sum::<usize>();
         match deltas.filter(|deltas| bytes(deltas) <= max_bytes) {
             Some(deltas) => core.send(to.address, Message::CommittedDeltas { deltas }),
-            None => core.send_state(to, StatePurpose::Committed, state.clone()),
+            None => core.send_state(to, StatePurpose::CommittedState, state.clone()),
         }
     }
 }
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -40,7 +40,7 @@
     /// Sends a change to the disks that have to hold it.
     pub(super) fn start_write(&mut self, core: &mut NodeCore, state: ControlState) {
         let now = core.now();
-        let is_whole = core.has_fault(InjectedFault::WholeStates);
+        let is_whole = core.has_fault(InjectedFault::FullStates);
         let delta = if is_whole { None } else { StateDelta::between(&self.state, &state) };
         self.pending_write = Some(PendingWrite {
             state: state.clone(),
@@ -163,7 +163,7 @@
                 Some(delta) => {
                     core.send(member.address, Message::CommittedDeltas { deltas: vec![delta] });
                 }
-                None => core.send_state(member, StatePurpose::Committed, state.clone()),
+                None => core.send_state(member, StatePurpose::CommittedState, state.clone()),
             }
         }
     }
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -13,7 +13,7 @@
 pub enum StatePurpose {
     /// It is committed: publish it.
     #[n(0)]
-    Committed,
+    CommittedState,
     /// Write it and answer [`crate::Message::Replicated`].
     #[n(1)]
     ReplicateState,
@@ -28,7 +28,7 @@
 
 impl StatePurpose {
     pub(crate) fn is_committed(self) -> bool {
-        self == StatePurpose::Committed
+        self == StatePurpose::CommittedState
     }
 }
 
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -89,9 +89,9 @@
         state: ControlState,
     ) {
         let is_large = state.body.len() > context.settings.chunk_sizes.large_state_bytes;
-        if !is_large || context.has_fault(InjectedFault::WholeStates) {
+        if !is_large || context.has_fault(InjectedFault::FullStates) {
             let message = match purpose {
-                StatePurpose::Committed => Message::CommittedState { state },
+                StatePurpose::CommittedState => Message::CommittedState { state },
                 StatePurpose::ReplicateState => Message::ReplicateState { state },
                 StatePurpose::FetchedState { term } => Message::FetchedState { term, state },
             };
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -83,7 +83,7 @@
         let version = rewrite.state.version();
         // One that has not written the state may know it all the same: worth a question where it is large.
         let is_large = rewrite.state.body.len() > core.context.settings.chunk_sizes.large_state_bytes;
-        let asks_first = is_large && !core.has_fault(InjectedFault::WholeStates);
+        let asks_first = is_large && !core.has_fault(InjectedFault::FullStates);
         let asked = rewrite.candidates.iter().take(rewrite.asked).skip(first);
         for id in asked.filter(|id| !rewrite.written.contains(id)) {
             let Some(promise) = self.promises.get(id) else { continue };
--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -83,7 +83,7 @@
 
 fn offer(g: &mut Gen) -> SnapshotOffer {
     let purpose = match u8::arbitrary(g) % 3 {
-        0 => StatePurpose::Committed,
+        0 => StatePurpose::CommittedState,
         1 => StatePurpose::ReplicateState,
         _ => StatePurpose::FetchedState { term: term(g) },
     };
--- a/crates/consensus/tests/fleet/checker.rs
+++ b/crates/consensus/tests/fleet/checker.rs
@@ -105,7 +105,7 @@
             );
         }
         match (&request.kind, &reply) {
-            (Kind::Change(change), ClientReply::Committed { revision }) => {
+            (Kind::Change(change), ClientReply::ChangeCommitted { revision }) => {
                 if *revision != change.revision {
                     self.report_violation("taken", format!("{change:?} as {revision}"));
                 }
--- a/crates/consensus/tests/fleet/day.rs
+++ b/crates/consensus/tests/fleet/day.rs
@@ -224,8 +224,8 @@
         let read = self.send_request(primary, Kind::Read);
         self.run(700)?;
         let (change, read) = (self.checker.reply(request_id).cloned(), self.checker.reply(read).cloned());
-        use mosshead_consensus::ClientReply::{Committed, CurrentState, Stale};
-        let change_fine = matches!(change, Some(Committed { .. } | Stale { .. }));
+        use mosshead_consensus::ClientReply::{ChangeCommitted, CurrentState, Stale};
+        let change_fine = matches!(change, Some(ChangeCommitted { .. } | Stale { .. }));
         if !change_fine || !matches!(read, Some(CurrentState { .. })) || self.checker.taken == taken {
             return Err(format!("at {}: liveness: m{primary} answered {change:?}, {read:?}", self.now));
         }
--- a/crates/consensus/tests/fleet/large_states.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -49,7 +49,7 @@
     let change = Change { body, ..world.fresh_change(primary) };
     let reply = reply_at(world, primary, Kind::Change(change), 1_200)?;
     ensure(
-        matches!(reply, Some(ClientReply::Committed { .. })),
+        matches!(reply, Some(ClientReply::ChangeCommitted { .. })),
         &format!("the large one is answered {reply:?}"),
     )
 }
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_wiped_member_catches_up_while_changes_go_on() {
-    holds_and_finds(wiped_member, InjectedFault::WholeStates);
+    holds_and_finds(wiped_member, InjectedFault::FullStates);
 }
 
 /// A member is away for hundreds of changes.
@@ -147,7 +147,7 @@
 
 #[test]
 fn a_restarted_member_catches_up_after_hundreds_of_changes() {
-    holds_and_finds(restarted_member, InjectedFault::WholeStates);
+    holds_and_finds(restarted_member, InjectedFault::FullStates);
 }
 
 #[test]
@@ -216,7 +216,7 @@
             let change = Change { body: vec![b'x'; length], ..change };
             let reply = reply_at(&mut world, primary, Kind::Change(change), 1_000)?;
             let fine = match taken {
-                true => matches!(reply, Some(ClientReply::Committed { .. })),
+                true => matches!(reply, Some(ClientReply::ChangeCommitted { .. })),
                 false => reply == Some(ClientReply::TooLarge),
             };
             ensure(fine, &format!("{length} bytes: {reply:?}"))?;
@@ -239,7 +239,7 @@
 
 #[test]
 fn the_largest_configuration_is_replicated_on_five_machines() {
-    holds_and_finds(largest_on_five_machines, InjectedFault::WholeStates);
+    holds_and_finds(largest_on_five_machines, InjectedFault::FullStates);
 }
 
 /// Random troubles while changes go on, each healed; no rule is broken, and all know all in the end.
@@ -298,7 +298,7 @@
     for (failures, real_bytes) in
         [(1, 100_000), (1, 1_000_000), (1, 4_000_000), (2, 1_000_000), (2, 4_000_000)]
     {
-        for injected_fault in [None, Some(InjectedFault::WholeStates)] {
+        for injected_fault in [None, Some(InjectedFault::FullStates)] {
             let spans: Vec<_> =
                 (0..5).map(|seed| catch_up(seed, failures, real_bytes, injected_fault)).collect();
             println!("f = {failures}, {real_bytes} bytes, {injected_fault:?}: {spans:?}");
@@ -315,7 +315,7 @@
 fn bytes_of_a_change_by_size() {
     for real_bytes in [100_000, 3_000_000] {
         let mut figures = Vec::new();
-        for injected_fault in [Some(InjectedFault::WholeStates), None] {
+        for injected_fault in [Some(InjectedFault::FullStates), None] {
             let scenario = || {
                 let mut world = World::new(11, 3, 1, injected_fault);
                 world.noise = 0;
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -113,7 +113,7 @@
                 operator.base = Some(state.revision);
                 operator.call = None;
             }
-            (ClientReply::Committed { revision }, Some(Kind::Change(change))) => {
+            (ClientReply::ChangeCommitted { revision }, Some(Kind::Change(change))) => {
                 if operator.taken.len() >= 1_000 {
                     operator.taken.remove(0);
                 }
--- a/crates/consensus/tests/fleet/recovery.rs
+++ b/crates/consensus/tests/fleet/recovery.rs
@@ -80,9 +80,9 @@
     }
 
     fn is_acknowledged(&self, world: &World) -> bool {
-        self.requests
-            .iter()
-            .any(|request_id| matches!(world.checker.reply(*request_id), Some(ClientReply::Committed { .. })))
+        self.requests.iter().any(|request_id| {
+            matches!(world.checker.reply(*request_id), Some(ClientReply::ChangeCommitted { .. }))
+        })
     }
 }
 
--- a/crates/consensus/tests/fleet/repeated_requests.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -24,7 +24,7 @@
     let mut acknowledged = 0;
     for change in changes {
         let reply = reply_at(&mut world, primary, Kind::Change(change), 250)?;
-        acknowledged += usize::from(matches!(reply, Some(ClientReply::Committed { .. })));
+        acknowledged += usize::from(matches!(reply, Some(ClientReply::ChangeCommitted { .. })));
     }
     ensure(
         acknowledged == mosshead_consensus::DEDUPLICATION_WINDOW,
@@ -61,7 +61,7 @@
     for machine in world.running() {
         let again = reply_at(&mut world, machine, Kind::Change(change.clone()), 500)?;
         let fine = match again {
-            Some(ClientReply::Committed { .. }) => machine == primary,
+            Some(ClientReply::ChangeCommitted { .. }) => machine == primary,
             Some(ClientReply::NotPrimary { .. }) => machine != primary,
             _ => false,
         };
--- a/crates/consensus/tests/fleet/scenarios.rs
+++ b/crates/consensus/tests/fleet/scenarios.rs
@@ -38,7 +38,7 @@
     let next = Change { base: last.revision, revision: last.revision + 1, digest: digest(77), body: vec![7] };
     let old_verdict = reply_at(&mut world, old, Kind::Change(next.clone()), 1_400)?;
     let reply = reply_at(&mut world, new, Kind::Change(next), 500)?;
-    ensure(matches!(reply, Some(ClientReply::Committed { .. })), "the new primary doesn't take it")?;
+    ensure(matches!(reply, Some(ClientReply::ChangeCommitted { .. })), "the new primary doesn't take it")?;
     ensure(old_verdict == Some(ClientReply::Unavailable), "the old primary judges")
 }
 
@@ -146,7 +146,7 @@
     ensure(reply == Some(ClientReply::Unavailable), "the stalled primary answers")?;
     let new = primary_other_than(&world, old)?;
     let reply = reply_at(&mut world, new, Kind::Change(change), 300)?;
-    ensure(matches!(reply, Some(ClientReply::Committed { .. })), "the next primary doesn't take it")?;
+    ensure(matches!(reply, Some(ClientReply::ChangeCommitted { .. })), "the next primary doesn't take it")?;
     world.run(6_000)?;
     commit_change(&mut world, 300).map(|_| ())
 }
@@ -210,7 +210,7 @@
             world.step(old, Input::ShutDown);
             world.run(200)?;
             ensure(
-                matches!(world.checker.reply(request_id), Some(ClientReply::Committed { .. })),
+                matches!(world.checker.reply(request_id), Some(ClientReply::ChangeCommitted { .. })),
                 "the last change is lost",
             )?;
             let new = primary_other_than(&world, old)?;
--- a/crates/consensus/tests/fleet/support.rs
+++ b/crates/consensus/tests/fleet/support.rs
@@ -55,7 +55,7 @@
     let request_id = world.send_request(machine, Kind::Change(change.clone()));
     world.run(span)?;
     match world.checker.reply(request_id) {
-        Some(ClientReply::Committed { .. }) => Ok(change),
+        Some(ClientReply::ChangeCommitted { .. }) => Ok(change),
         other => Err(format!("at {}: m{machine} answered {other:?}", world.now)),
     }
 }
--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -341,14 +341,14 @@
                 Output::Write { token, record } => self.enqueue(machine, (token, false, record)),
                 Output::Rewrite { token, record } => self.enqueue(machine, (token, true, record)),
                 Output::Reply { request_id, reply: result } => {
-                    let taken = matches!(result, ClientReply::Committed { .. });
+                    let taken = matches!(result, ClientReply::ChangeCommitted { .. });
                     self.checker.answer(request_id, (machine, incarnation), result);
                     self.answered(request_id);
                     if taken && let Some(act) = self.armed.take() {
                         self.after(0, Event::Act(act));
                     }
                 }
-                Output::Committed { state } => self.checker.shown((machine, incarnation), &state),
+                Output::StateCommitted { state } => self.checker.shown((machine, incarnation), &state),
                 Output::BecamePrimary { term, continued } => {
                     let record = self.node(machine).and_then(Node::epoch_config).cloned();
                     if let Some(record) = record.filter(|r| r.term == term) {
--- a/crates/consensus/tests/former_formats.rs
+++ b/crates/consensus/tests/former_formats.rs
@@ -168,7 +168,7 @@
         ("26-committed-changes", Message::CommittedDeltas { deltas: vec![state_delta(), state_delta()] }),
         (
             "27-offer-state-committed",
-            Message::OfferSnapshot { offer: snapshot_offer(StatePurpose::Committed) },
+            Message::OfferSnapshot { offer: snapshot_offer(StatePurpose::CommittedState) },
         ),
         (
             "27-offer-state-replicate",
--- a/crates/consensus/tests/model/fleet.rs
+++ b/crates/consensus/tests/model/fleet.rs
@@ -162,13 +162,13 @@
                         self.disks[machine].push(record);
                         inputs.insert(0, Input::Written { token });
                     }
-                    Output::Reply { reply: ClientReply::Committed { revision }, .. } => {
+                    Output::Reply { reply: ClientReply::ChangeCommitted { revision }, .. } => {
                         self.record_committed(machine, revision);
                     }
                     Output::Reply { request_id, reply: ClientReply::Stale { .. } } => {
                         self.record_stale(request_id);
                     }
-                    Output::Committed { state } => self.record_published(
+                    Output::StateCommitted { state } => self.record_published(
                         machine,
                         state.applied_requests.iter().map(|c| c.revision).collect(),
                     ),
--- a/crates/consensus/tests/request_status.rs
+++ b/crates/consensus/tests/request_status.rs
@@ -104,7 +104,7 @@
     for _ in 0..length % 700 {
         let base = alone.current();
         let call = AppliedRequest { revision: base + 1 + rng.next_u64() % 4, digest: digest(&mut rng) };
-        if alone.change(base, call) != Some(ClientReply::Committed { revision: call.revision }) {
+        if alone.change(base, call) != Some(ClientReply::ChangeCommitted { revision: call.revision }) {
             return TestResult::error(format!("{call:?} on {base} was not taken"));
         }
         history.push((base, call));
@@ -117,7 +117,7 @@
     for (index, (base, call)) in history.iter().enumerate() {
         let remembered = index + DEDUPLICATION_WINDOW >= history.len();
         let wanted = if remembered {
-            ClientReply::Committed { revision: call.revision }
+            ClientReply::ChangeCommitted { revision: call.revision }
         } else {
             ClientReply::Expired
         };
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -24,7 +24,7 @@
 
 /// An operator's change as it arrived.
 #[derive(Clone, Debug)]
-pub struct ChangeRequest<B> {
+pub struct OperatorChange<B> {
     /// How the change is made from the body.
     pub kind: ChangeKind,
     /// The revision that it builds on, if the call names one.
@@ -37,7 +37,7 @@
 
 /// Who decides on changes, as far as this control node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KnownPrimary {
+pub enum PrimaryHint {
     /// This node, unless it has lost the role without knowing yet.
     Local,
     /// Another control node, by its internal address.
@@ -73,7 +73,7 @@
 /// One change on its way to a response.
 #[derive(Clone, Debug)]
 pub struct ChangeAdmission<B> {
-    request: ChangeRequest<B>,
+    request: OperatorChange<B>,
     /// The revision that the change builds on; 0 until the first step has read it.
     base_revision: u64,
     /// The revision that the change makes; 0 until the first step has read it.
@@ -97,8 +97,8 @@
     ///
     /// `state` is the newest committed state that this node knows, `config` the configuration parsed from it.
     pub fn begin(
-        request: ChangeRequest<B>,
-        primary: KnownPrimary,
+        request: OperatorChange<B>,
+        primary: PrimaryHint,
         state: Option<&ControlState>,
         config: Option<Arc<Config>>,
         injected_fault: Option<InjectedFault>,
@@ -109,11 +109,11 @@
         (admission, step)
     }
 
-    fn first_step(&mut self, primary: KnownPrimary, state: Option<&ControlState>) -> AdmissionStep {
+    fn first_step(&mut self, primary: PrimaryHint, state: Option<&ControlState>) -> AdmissionStep {
         match primary {
-            KnownPrimary::Local => {}
-            KnownPrimary::Remote(primary) => return respond(ChangeResponse::Redirect { primary }),
-            KnownPrimary::Unknown => return respond(ChangeResponse::Unavailable),
+            PrimaryHint::Local => {}
+            PrimaryHint::Remote(primary) => return respond(ChangeResponse::Redirect { primary }),
+            PrimaryHint::Unknown => return respond(ChangeResponse::Unavailable),
         }
         // No state could make such a change valid, so no quorum needs to confirm the rejection.
         if let Err(error) = self.read_revisions() {
@@ -171,7 +171,7 @@
     /// Takes in the reply to an [`AdmissionStep::Submit`].
     pub fn on_proposal_result(&self, reply: ClientReply) -> ChangeResponse {
         match reply {
-            ClientReply::Committed { revision } => ChangeResponse::Accepted { revision },
+            ClientReply::ChangeCommitted { revision } => ChangeResponse::Accepted { revision },
             ClientReply::Stale { current_revision } => ChangeResponse::Stale { current_revision },
             ClientReply::TooLarge => ChangeResponse::TooLarge,
             ClientReply::Expired => ChangeResponse::Expired,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -18,7 +18,7 @@
     ShutdownStep, latest_local_entries,
 };
 pub use admission::{
-    AdmissionStep, ChangeAdmission, ChangeKind, ChangeProposal, ChangeRequest, KnownPrimary,
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeProposal, OperatorChange, PrimaryHint,
 };
 pub use config_history::ConfigHistory;
 pub use config_offer::{AssembledConfig, ConfigOffer, assemble_config};
--- a/crates/control-plane/tests/admission.rs
+++ b/crates/control-plane/tests/admission.rs
@@ -6,7 +6,7 @@
 use mosshead_config::Config;
 use mosshead_consensus::{AppliedRequest, ClientReply, ControlState, DEDUPLICATION_WINDOW, RequestDigest};
 use mosshead_control_plane::{
-    AdmissionStep, ChangeAdmission, ChangeKind, ChangeRequest, ChangeResponse, InjectedFault, KnownPrimary,
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeResponse, InjectedFault, OperatorChange, PrimaryHint,
     ReadResponse, read_response,
 };
 use quickcheck::quickcheck;
@@ -39,22 +39,22 @@
     ControlState { revision, body, applied_requests, ..ControlState::default() }
 }
 
-fn request(kind: ChangeKind, base: Option<u64>, body: &str) -> ChangeRequest<Vec<u8>> {
-    ChangeRequest { kind, base_revision: base, body: body.as_bytes().to_vec(), digest: DIGEST }
+fn request(kind: ChangeKind, base: Option<u64>, body: &str) -> OperatorChange<Vec<u8>> {
+    OperatorChange { kind, base_revision: base, body: body.as_bytes().to_vec(), digest: DIGEST }
 }
 
-fn replace(base: u64, revision: u64) -> ChangeRequest<Vec<u8>> {
+fn replace(base: u64, revision: u64) -> OperatorChange<Vec<u8>> {
     request(ChangeKind::Replace, Some(base), &text(revision))
 }
 
 /// Begins at a control node that believes to be primary and knows this state.
 fn begin(
-    request: ChangeRequest<Vec<u8>>,
+    request: OperatorChange<Vec<u8>>,
     known: Option<&ControlState>,
     injected: Option<InjectedFault>,
 ) -> (ChangeAdmission<Vec<u8>>, AdmissionStep) {
     let config = known.map(|state| Arc::new(Config::parse(&state.body).expect("a configuration")));
-    ChangeAdmission::begin(request, KnownPrimary::Local, known, config, injected)
+    ChangeAdmission::begin(request, PrimaryHint::Local, known, config, injected)
 }
 
 fn current(state: &ControlState) -> ClientReply {
@@ -76,7 +76,7 @@
     assert_eq!((proposal.base_revision, proposal.revision, proposal.digest), (5, 6, DIGEST));
     assert_eq!(proposal.body, text(6).into_bytes());
     assert_eq!(
-        admission.on_proposal_result(ClientReply::Committed { revision: 6 }),
+        admission.on_proposal_result(ClientReply::ChangeCommitted { revision: 6 }),
         ChangeResponse::Accepted { revision: 6 }
     );
     assert_eq!(admission.on_proposal_result(ClientReply::TooLarge), ChangeResponse::TooLarge);
@@ -119,7 +119,7 @@
     let AdmissionStep::Submit(proposal) = step else { panic!("{step:?}") };
     assert!(proposal.body.is_empty());
     assert_eq!(
-        admission.on_proposal_result(ClientReply::Committed { revision: 8 }),
+        admission.on_proposal_result(ClientReply::ChangeCommitted { revision: 8 }),
         ChangeResponse::Accepted { revision: 8 }
     );
     assert_eq!(admission.on_proposal_result(ClientReply::Unavailable), ChangeResponse::Unavailable);
@@ -169,8 +169,8 @@
 fn a_node_that_is_not_primary_decides_nothing() {
     let other = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7);
     for (primary, response) in [
-        (KnownPrimary::Unknown, ChangeResponse::Unavailable),
-        (KnownPrimary::Remote(other), ChangeResponse::Redirect { primary: other }),
+        (PrimaryHint::Unknown, ChangeResponse::Unavailable),
+        (PrimaryHint::Remote(other), ChangeResponse::Redirect { primary: other }),
     ] {
         let bad = request(ChangeKind::Replace, None, "no JSON");
         let (_, step) = ChangeAdmission::begin(bad, primary, None, None, None);
@@ -227,7 +227,7 @@
     }
 
     fn arbitrary_bodies_are_admitted_without_panic(body: Vec<u8>, base: Option<u64>) -> bool {
-        let request = ChangeRequest { kind: ChangeKind::Modify, base_revision: base, body, digest: DIGEST };
+        let request = OperatorChange { kind: ChangeKind::Modify, base_revision: base, body, digest: DIGEST };
         let (mut admission, _) = begin(request, Some(&state(5, 1)), None);
         let _ = admission.on_state_confirmed(current(&state(6, 1)));
         true
--- a/crates/control-plane/tests/fleet/control_node.rs
+++ b/crates/control-plane/tests/fleet/control_node.rs
@@ -10,7 +10,7 @@
 
 use mosshead_consensus::{Input, Node, Settings};
 use mosshead_control_plane::{
-    ConfigHistory, KnownPrimary, QuorumContact, ReplicaSet, ShutdownAcknowledgements,
+    ConfigHistory, PrimaryHint, QuorumContact, ReplicaSet, ShutdownAcknowledgements,
 };
 use mosshead_registry::{Registry, SourceId};
 use mosshead_time::{Duration, Instant};
@@ -67,12 +67,12 @@
         QuorumContact::from_flag(self.node.has_quorum_contact(now))
     }
 
-    fn known_primary(&self, now: Instant, by_role: bool) -> KnownPrimary {
+    fn known_primary(&self, now: Instant, by_role: bool) -> PrimaryHint {
         let primary = if by_role { self.node.primary() } else { self.node.primary_at(now) };
         match primary.map(|primary| primary.address) {
-            Some(address) if address == self.node.local_member().address => KnownPrimary::Local,
-            Some(address) => KnownPrimary::Remote(address),
-            None => KnownPrimary::Unknown,
+            Some(address) if address == self.node.local_member().address => PrimaryHint::Local,
+            Some(address) => PrimaryHint::Remote(address),
+            None => PrimaryHint::Unknown,
         }
     }
 
--- a/crates/control-plane/tests/fleet/control_node/client_requests.rs
+++ b/crates/control-plane/tests/fleet/control_node/client_requests.rs
@@ -2,7 +2,7 @@
 
 use mosshead_consensus::{ClientReply, Input};
 use mosshead_control_plane::{
-    AdmissionStep, ChangeAdmission, ChangeRequest, ChangeResponse, InjectedFault, KnownPrimary, ReadResponse,
+    AdmissionStep, ChangeAdmission, ChangeResponse, InjectedFault, OperatorChange, PrimaryHint, ReadResponse,
     read_response,
 };
 
@@ -19,7 +19,7 @@
 impl Simulation {
     pub(super) fn admit(&mut self, control_node: usize, reply_to: ReplyTo, change: usize) {
         let change = &self.checker.changes[change];
-        let request = ChangeRequest {
+        let request = OperatorChange {
             kind: change.kind,
             base_revision: Some(change.base),
             body: change.body.clone(),
@@ -70,12 +70,12 @@
     pub(super) fn read_config(&mut self, control_node: usize, reply_to: ReplyTo) {
         let Some(process) = &self.control_nodes[control_node].process else { return };
         let response = match process.known_primary(self.instant(), self.faults.primary_by_role) {
-            KnownPrimary::Local => {
+            PrimaryHint::Local => {
                 let request_id = self.new_client_request(control_node, ClientRequest::Read(reply_to));
                 return self.step_consensus(control_node, Input::Read { request_id });
             }
-            KnownPrimary::Remote(primary) => ReadResponse::Redirect { primary },
-            KnownPrimary::Unknown => ReadResponse::Unavailable,
+            PrimaryHint::Remote(primary) => ReadResponse::Redirect { primary },
+            PrimaryHint::Unknown => ReadResponse::Unavailable,
         };
         self.reply(control_node, reply_to, Response::Read(response));
     }
--- a/crates/control-plane/tests/fleet/control_node/consensus.rs
+++ b/crates/control-plane/tests/fleet/control_node/consensus.rs
@@ -50,7 +50,7 @@
             Output::Write { token, record } => self.write(control_node, token, false, record),
             Output::Rewrite { token, record } => self.write(control_node, token, true, record),
             Output::Reply { request_id, reply } => self.on_client_reply(control_node, request_id, reply),
-            Output::Committed { state } => {
+            Output::StateCommitted { state } => {
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
                 if let Err(error) = process.history.commit(&state) {
                     self.checker.report_violation(
--- a/crates/programs/src/config_transfer.rs
+++ b/crates/programs/src/config_transfer.rs
@@ -12,4 +12,4 @@
 pub use self::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
 pub use self::incoming::{IncomingTransfer, TransferProgress};
 pub use self::outgoing::OutgoingTransfers;
-pub use self::update::ConfigUpdate;
+pub use self::update::ConfigOfferMessage;
--- a/crates/programs/src/config_transfer/incoming.rs
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -1,7 +1,7 @@
 //! The receiver's side of a transfer.
 
 use super::chunk::{ChunkRequest, ConfigChunk};
-use super::update::{ConfigUpdate, max_packed_bytes};
+use super::update::{ConfigOfferMessage, max_packed_bytes};
 
 /// The state of a transfer after a chunk.
 #[derive(Clone, Debug, PartialEq)]
@@ -9,7 +9,7 @@
     /// More chunks are needed.
     Incomplete,
     /// The update is complete.
-    Complete(ConfigUpdate),
+    Complete(ConfigOfferMessage),
     /// The chunks don't fit together, or make no update.
     Corrupt,
 }
@@ -44,7 +44,7 @@
     /// Processes the response to [`next_request`](IncomingTransfer::next_request).
     pub fn on_chunk(&mut self, chunk: &ConfigChunk) -> TransferProgress {
         if chunk.target_revision == 0 {
-            return TransferProgress::Complete(ConfigUpdate::withheld());
+            return TransferProgress::Complete(ConfigOfferMessage::withheld());
         }
         if chunk.target_revision != self.target_revision && !self.restart(chunk) {
             return TransferProgress::Corrupt;
@@ -57,7 +57,7 @@
             return TransferProgress::Incomplete;
         }
         let update =
-            ConfigUpdate::unpack(&self.bytes).filter(|update| update.revision == self.target_revision);
+            ConfigOfferMessage::unpack(&self.bytes).filter(|update| update.revision == self.target_revision);
         update.map_or(TransferProgress::Corrupt, TransferProgress::Complete)
     }
 
--- a/crates/programs/src/config_transfer/outgoing.rs
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
-use super::update::ConfigUpdate;
+use super::update::ConfigOfferMessage;
 
 /// Transfers that a sender keeps in memory at most.
 const MAX_OUTGOING: usize = 16;
@@ -34,7 +34,7 @@
         &mut self,
         request: ChunkRequest,
         newest_revision: u64,
-        make_update: impl FnOnce() -> ConfigUpdate,
+        make_update: impl FnOnce() -> ConfigOfferMessage,
     ) -> ConfigChunk {
         if let Some(packed) = self.find(request.base_revision, request.target_revision) {
             return cut_chunk(request.target_revision, &packed, request.offset);
--- a/crates/programs/src/config_transfer/update.rs
+++ b/crates/programs/src/config_transfer/update.rs
@@ -8,9 +8,9 @@
 /// The length prefix of a packed update, in bytes (little-endian, as `lz4_flex` writes it).
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// The path to the newest configuration: patches in order, or the full text.
+/// A [`ConfigOffer`] as it is sent: patches in order, or the full text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ConfigUpdate {
+pub struct ConfigOfferMessage {
     /// The revision that the update leads to; 0 from a control node that has no quorum contact or no configuration.
     #[n(0)]
     pub revision: u64,
@@ -22,10 +22,10 @@
     pub full_text: Option<String>,
 }
 
-impl ConfigUpdate {
+impl ConfigOfferMessage {
     /// Nothing is offered.
-    pub fn withheld() -> ConfigUpdate {
-        ConfigUpdate { revision: 0, patches: Vec::new(), full_text: None }
+    pub fn withheld() -> ConfigOfferMessage {
+        ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None }
     }
 
     /// Encodes and compresses; `None` if the update is longer than [`MAX_UNPACKED_BYTES`].
@@ -35,8 +35,8 @@
         is_within_bounds.then(|| lz4_flex::compress_prepend_size(&encoded))
     }
 
-    /// Reverses [`pack`](ConfigUpdate::pack); `None` for bytes that it did not make.
-    pub(super) fn unpack(packed: &[u8]) -> Option<ConfigUpdate> {
+    /// Reverses [`pack`](ConfigOfferMessage::pack); `None` for bytes that it did not make.
+    pub(super) fn unpack(packed: &[u8]) -> Option<ConfigOfferMessage> {
         let length = packed.get(..LENGTH_PREFIX_BYTES)?.try_into().map(u32::from_le_bytes).ok()?;
         // The sender chose the length prefix, and the decompressor allocates that much before it reads a byte.
         if length as usize > MAX_UNPACKED_BYTES {
@@ -47,29 +47,33 @@
     }
 }
 
-impl From<ConfigOffer> for ConfigUpdate {
-    fn from(offer: ConfigOffer) -> ConfigUpdate {
+impl From<ConfigOffer> for ConfigOfferMessage {
+    fn from(offer: ConfigOffer) -> ConfigOfferMessage {
         match offer {
-            ConfigOffer::Withheld => ConfigUpdate::withheld(),
-            ConfigOffer::Patches { revision, patches } => ConfigUpdate { revision, patches, full_text: None },
+            ConfigOffer::Withheld => ConfigOfferMessage::withheld(),
+            ConfigOffer::Patches { revision, patches } => {
+                ConfigOfferMessage { revision, patches, full_text: None }
+            }
             ConfigOffer::Full { revision, text } => {
-                ConfigUpdate { revision, patches: Vec::new(), full_text: Some(text) }
+                ConfigOfferMessage { revision, patches: Vec::new(), full_text: Some(text) }
             }
         }
     }
 }
 
-impl From<ConfigUpdate> for ConfigOffer {
-    fn from(update: ConfigUpdate) -> ConfigOffer {
+impl From<ConfigOfferMessage> for ConfigOffer {
+    fn from(update: ConfigOfferMessage) -> ConfigOffer {
         match update {
-            ConfigUpdate { revision, full_text: Some(text), .. } => ConfigOffer::Full { revision, text },
-            ConfigUpdate { revision: 0, .. } => ConfigOffer::Withheld,
-            ConfigUpdate { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
+            ConfigOfferMessage { revision, full_text: Some(text), .. } => {
+                ConfigOffer::Full { revision, text }
+            }
+            ConfigOfferMessage { revision: 0, .. } => ConfigOffer::Withheld,
+            ConfigOfferMessage { revision, patches, .. } => ConfigOffer::Patches { revision, patches },
         }
     }
 }
 
-/// The longest packed form of an update that [`ConfigUpdate::unpack`] accepts, in bytes.
+/// The longest packed form of an update that [`ConfigOfferMessage::unpack`] accepts, in bytes.
 pub(super) fn max_packed_bytes() -> usize {
     lz4_flex::block::get_maximum_output_size(MAX_UNPACKED_BYTES) + LENGTH_PREFIX_BYTES
 }
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue, LOCATION};
 use mosshead_control_plane::{
-    AdmissionStep, ChangeAdmission, ChangeKind, ChangeRequest, ChangeResponse, KnownPrimary, ReadResponse,
+    AdmissionStep, ChangeAdmission, ChangeKind, ChangeResponse, OperatorChange, PrimaryHint, ReadResponse,
     read_response,
 };
 use tinyjson::JsonValue;
@@ -29,7 +29,7 @@
 ) -> ApiResponse {
     let base = headers.get(BASE_REVISION_HEADER).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let digest = request_digest(path, base.unwrap_or(0), &body);
-    let request = ChangeRequest { kind, base_revision: base, body, digest };
+    let request = OperatorChange { kind, base_revision: base, body, digest };
     let answer = admit(control_node, request).await;
     change_response(control_node, answer, path)
 }
@@ -37,9 +37,9 @@
 /// `GET /Configuration.Show`: the configuration that a quorum has confirmed.
 pub(super) async fn show(control_node: &Rc<ControlNode>, path: &str) -> ApiResponse {
     let answer = match control_node.known_primary() {
-        KnownPrimary::Local => read_response(control_node.read_confirmed().await),
-        KnownPrimary::Remote(primary) => ReadResponse::Redirect { primary },
-        KnownPrimary::Unknown => ReadResponse::Unavailable,
+        PrimaryHint::Local => read_response(control_node.read_confirmed().await),
+        PrimaryHint::Remote(primary) => ReadResponse::Redirect { primary },
+        PrimaryHint::Unknown => ReadResponse::Unavailable,
     };
     match answer {
         ReadResponse::Current(state) => json(StatusCode::OK, state.body.to_vec()),
@@ -49,7 +49,7 @@
     }
 }
 
-async fn admit(control_node: &Rc<ControlNode>, request: ChangeRequest<Bytes>) -> ChangeResponse {
+async fn admit(control_node: &Rc<ControlNode>, request: OperatorChange<Bytes>) -> ChangeResponse {
     let (state, config) = (control_node.committed_state(), control_node.config());
     let (mut admission, mut step) =
         ChangeAdmission::begin(request, control_node.known_primary(), state.as_ref(), config, None);
--- a/crates/programs/src/control_node/config_store.rs
+++ b/crates/programs/src/control_node/config_store.rs
@@ -7,7 +7,7 @@
 use mosshead_consensus::ControlState;
 use mosshead_control_plane::{ConfigHistory, QuorumContact};
 
-use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigUpdate, OutgoingTransfers};
+use crate::config_transfer::{ChunkRequest, ConfigChunk, ConfigOfferMessage, OutgoingTransfers};
 
 /// Committed configurations and the transfers in progress.
 #[derive(Default)]
@@ -39,7 +39,7 @@
         if newest_revision == 0 {
             return ConfigChunk::withheld();
         }
-        let make_update = || ConfigUpdate::from(history.offer(request.base_revision, contact));
+        let make_update = || ConfigOfferMessage::from(history.offer(request.base_revision, contact));
         self.transfers.borrow_mut().next_chunk(request, newest_revision, make_update)
     }
 }
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -6,7 +6,7 @@
 
 use mosshead_config::Config;
 use mosshead_consensus::{ClientReply, ControlState, Input, Output, Term};
-use mosshead_control_plane::{ChangeProposal, KnownPrimary, QuorumContact};
+use mosshead_control_plane::{ChangeProposal, PrimaryHint, QuorumContact};
 use mosshead_registry::SourceId;
 use mosshead_rpc::Caller;
 use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
@@ -87,12 +87,12 @@
     }
 
     /// The primary, as far as this node knows.
-    pub(crate) fn known_primary(&self) -> KnownPrimary {
+    pub(crate) fn known_primary(&self) -> PrimaryHint {
         match self.consensus.primary() {
             // Also while a primary takes over from itself: its consensus node queues the requests meanwhile.
-            Some(address) if address == self.settings.internal_address() => KnownPrimary::Local,
-            Some(address) => KnownPrimary::Remote(address),
-            None => KnownPrimary::Unknown,
+            Some(address) if address == self.settings.internal_address() => PrimaryHint::Local,
+            Some(address) => PrimaryHint::Remote(address),
+            None => PrimaryHint::Unknown,
         }
     }
 
@@ -189,7 +189,7 @@
                 self.on_write_queued(token, is_queued);
             }
             Output::Reply { request_id, reply } => self.client_requests.reply(request_id, reply),
-            Output::Committed { state } => self.on_committed(&state),
+            Output::StateCommitted { state } => self.on_committed(&state),
             Output::BecamePrimary { term, .. } => {
                 spdlog::info!("consensus: became primary term={}", term.number);
                 self.changes.notify();
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -9,7 +9,7 @@
 use mosshead_programs::calls::{
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
-use mosshead_programs::config_transfer::{ChunkRequest, ConfigUpdate};
+use mosshead_programs::config_transfer::{ChunkRequest, ConfigOfferMessage};
 use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
@@ -138,7 +138,7 @@
     }
 
     fn fetch_config_and_its_update_survive_encoding(revision: u64, patches: Vec<String>, full_text: Option<String>) -> bool {
-        survives_encoding(&FetchConfig(ChunkRequest { base_revision: revision, target_revision: revision / 2, offset: revision / 3 })) && survives_encoding(&ConfigUpdate { revision, patches, full_text })
+        survives_encoding(&FetchConfig(ChunkRequest { base_revision: revision, target_revision: revision / 2, offset: revision / 3 })) && survives_encoding(&ConfigOfferMessage { revision, patches, full_text })
     }
 
     fn replicate_entries_and_its_ack_survive_encoding(text: String, number: u64, of: Vec<(u64, u64)>, flag: bool) -> bool {
@@ -158,7 +158,7 @@
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>) -> bool {
         let _ = minicbor::decode::<WatchUpdates>(&bytes);
         let _ = minicbor::decode::<Updates>(&bytes);
-        let _ = minicbor::decode::<ConfigUpdate>(&bytes);
+        let _ = minicbor::decode::<ConfigOfferMessage>(&bytes);
         let _ = minicbor::decode::<ReplicateEntries>(&bytes);
         let _ = minicbor::decode::<CompareHeartbeats>(&bytes);
         let _ = minicbor::decode::<ConsensusMessage>(&bytes);
--- a/crates/programs/tests/config_transfer.rs
+++ b/crates/programs/tests/config_transfer.rs
@@ -1,7 +1,7 @@
 //! Transfers of configurations in chunks: the receiver gets the complete update or none.
 
 use minicbor::to_vec;
-use mosshead_programs::config_transfer::ConfigUpdate;
+use mosshead_programs::config_transfer::ConfigOfferMessage;
 use mosshead_programs::config_transfer::{
     CHUNK_BYTES, ChunkRequest, ConfigChunk, IncomingTransfer, OutgoingTransfers, TransferProgress,
 };
@@ -17,13 +17,13 @@
     (0..length).map(|_| next()).collect()
 }
 
-fn full_text_update(revision: u64, length: usize) -> ConfigUpdate {
-    ConfigUpdate { revision, patches: Vec::new(), full_text: Some(noise(length, revision)) }
+fn full_text_update(revision: u64, length: usize) -> ConfigOfferMessage {
+    ConfigOfferMessage { revision, patches: Vec::new(), full_text: Some(noise(length, revision)) }
 }
 
 /// Transfers to the end; `newest` is the update that the sender would make at each chunk. The last progress, and how
 /// many chunks were sent.
-fn fetch(newest: impl Fn(usize) -> ConfigUpdate) -> (TransferProgress, usize) {
+fn fetch(newest: impl Fn(usize) -> ConfigOfferMessage) -> (TransferProgress, usize) {
     let (mut outgoing, mut incoming) = (OutgoingTransfers::default(), IncomingTransfer::new(4));
     for chunks in 0..1_000 {
         let update = newest(chunks);
@@ -55,7 +55,7 @@
     let route =
         |at: usize| format!("{{\"name\":\"r-{at}\",\"path_prefix\":\"/p{at}/\",\"timeout_ms\":2500}},");
     let text: String = (0..6_000).map(route).collect();
-    let update = ConfigUpdate { revision: 6, patches: vec![text.clone()], full_text: None };
+    let update = ConfigOfferMessage { revision: 6, patches: vec![text.clone()], full_text: None };
     let request = ChunkRequest { base_revision: 4, target_revision: 0, offset: 0 };
     let chunk = OutgoingTransfers::default().next_chunk(request, 6, || update);
     assert!(chunk.length * 3 < text.len() as u64, "{} of {}", chunk.length, text.len());
@@ -84,7 +84,7 @@
 #[test]
 fn a_withheld_configuration_completes_the_transfer() {
     let mut incoming = IncomingTransfer::new(4);
-    let nothing = ConfigUpdate { revision: 0, patches: Vec::new(), full_text: None };
+    let nothing = ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None };
     assert_eq!(incoming.on_chunk(&ConfigChunk::withheld()), TransferProgress::Complete(nothing));
 }
 
@@ -110,7 +110,7 @@
     }
 
     fn an_update_arrives_unchanged(revision: u64, patches: Vec<String>, text: Option<String>) -> bool {
-        let update = ConfigUpdate { revision: revision.max(1), patches, full_text: text };
+        let update = ConfigOfferMessage { revision: revision.max(1), patches, full_text: text };
         fetch(|_| update.clone()).0 == TransferProgress::Complete(update.clone())
     }
 }
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -4,7 +4,7 @@
 
 use mosshead_config::Config;
 use mosshead_control_plane::{AssembledConfig, assemble_config};
-use mosshead_programs::config_transfer::ConfigUpdate;
+use mosshead_programs::config_transfer::ConfigOfferMessage;
 use mosshead_programs::update_watcher::{WATCH_SLOTS, requery_pause};
 use tokio::time::Duration;
 
@@ -21,22 +21,22 @@
 }
 
 /// The configuration that an update on the wire leads to.
-fn assemble_update(have: Option<&Config>, update: &ConfigUpdate) -> Option<Arc<Config>> {
+fn assemble_update(have: Option<&Config>, update: &ConfigOfferMessage) -> Option<Arc<Config>> {
     match assemble_config(have, &update.clone().into()) {
         AssembledConfig::Config(config) => Some(config),
         AssembledConfig::Withheld | AssembledConfig::Mismatch => None,
     }
 }
 
-fn patches(revision: u64, patches: Vec<String>) -> ConfigUpdate {
-    ConfigUpdate { revision, patches, full_text: None }
+fn patches(revision: u64, patches: Vec<String>) -> ConfigOfferMessage {
+    ConfigOfferMessage { revision, patches, full_text: None }
 }
 
 #[test]
 fn a_full_text_replaces_any_configuration() {
     let [first, second, third] = three();
     let full_text = Some(third.json().to_string());
-    let update = ConfigUpdate { revision: 12, patches: Vec::new(), full_text };
+    let update = ConfigOfferMessage { revision: 12, patches: Vec::new(), full_text };
     for have in [None, Some(&first), Some(&second)] {
         let config = assemble_update(have, &update).expect("the full text is valid");
         assert_eq!((config.revision, config.json()), (12, third.json()));
@@ -83,7 +83,7 @@
 fn a_full_text_that_is_no_configuration_is_rejected() {
     let [first, ..] = three();
     for text in ["", "{}x", "[]", "{\"revision\":"] {
-        let update = ConfigUpdate { revision: 9, patches: Vec::new(), full_text: Some(text.into()) };
+        let update = ConfigOfferMessage { revision: 9, patches: Vec::new(), full_text: Some(text.into()) };
         assert!(assemble_update(Some(&first), &update).is_none(), "{text}");
     }
 }
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -11,7 +11,7 @@
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
 use mosshead_programs::config_transfer::{
-    ChunkRequest, ConfigChunk, ConfigUpdate, IncomingTransfer, TransferProgress,
+    ChunkRequest, ConfigChunk, ConfigOfferMessage, IncomingTransfer, TransferProgress,
 };
 use mosshead_registry::{Delta, Entry, OperState, Server, SourceId, Stage, VersionVector};
 use mosshead_rpc::Call;
@@ -110,14 +110,14 @@
     }
 }
 
-fn patches() -> ConfigUpdate {
+fn patches() -> ConfigOfferMessage {
     let patches = vec!["{\"revision\":999}".to_owned(), "{\"revision\":1000}".to_owned()];
-    ConfigUpdate { revision: 1_000, patches, full_text: None }
+    ConfigOfferMessage { revision: 1_000, patches, full_text: None }
 }
 
-fn full() -> ConfigUpdate {
+fn full() -> ConfigOfferMessage {
     let text = "{\"name\":\"r\",\"path_prefix\":\"/chat/\"}".repeat(20);
-    ConfigUpdate { revision: 1_000, patches: Vec::new(), full_text: Some(text) }
+    ConfigOfferMessage { revision: 1_000, patches: Vec::new(), full_text: Some(text) }
 }
 
 #[test]
@@ -169,7 +169,7 @@
 fn configurations_of_an_earlier_version_are_read_and_written_alike() {
     check("config-patches", &patches());
     check("config-whole", &full());
-    check("config-withheld", &ConfigUpdate { revision: 0, patches: Vec::new(), full_text: None });
+    check("config-withheld", &ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None });
 }
 
 /// Its bytes are packed; another packer may make others of the same answer, so only reading them is tested.
