--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use mosshead_consensus::{Input, Node, Settings as NodeSettings, Timings};
-use mosshead_record_log::{LogWriter, RecordLog, WriteCompletion};
+use mosshead_record_log::{LogWriter, OpenedLog, RecordLog, WriteCompletion};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::mpsc;
@@ -18,7 +18,8 @@
 /// Runs the consensus node for as long as the future is polled. Without a log that can be read it returns: the control
 /// node then serves the registry only.
 pub(crate) async fn run_consensus(control_node: Rc<ControlNode>, data_directory: PathBuf, seed: u64) {
-    let Some((log, records)) = open_log(&data_directory, CONSENSUS_LOG).await else { return };
+    let opened = open_log(&data_directory, CONSENSUS_LOG).await;
+    let Some(OpenedLog { log, records, .. }) = opened else { return };
     spdlog::info!("record-log: opened log={} records={}", CONSENSUS_LOG.name, records.len());
     let Some(mut completions) = start_writer(&control_node, log) else { return };
     let random = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/programs/src/control_node/log_directory.rs
+++ b/crates/programs/src/control_node/log_directory.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use mosshead_record_log::{DurableLog, LogError, RecordLog};
+use mosshead_record_log::{DurableLog, LogError, OpenedLog, RecordLog};
 use mosshead_time::Duration;
 use quick_error::quick_error;
 use tokio::sync::oneshot;
@@ -46,9 +46,6 @@
     }
 }
 
-/// A log with the records that it holds.
-pub(super) type OpenedLog = (RecordLog, Vec<Vec<u8>>);
-
 /// Opens a log, on a thread of its own: a disk may hang for seconds while the node serves. `None` if there is no thread
 /// to be had.
 pub(super) async fn open_log(data_directory: &Path, directory: LogDirectory) -> Option<OpenedLog> {
@@ -81,14 +78,14 @@
 }
 
 fn try_open(path: &Path) -> Result<OpenedLog, OpenError> {
-    let (mut log, records) = RecordLog::open(path)?;
-    if log.discarded_bytes() > 0 {
-        let (path, bytes) = (path.display(), log.discarded_bytes());
+    let mut opened = RecordLog::open(path)?;
+    if opened.discarded_bytes > 0 {
+        let (path, bytes) = (path.display(), opened.discarded_bytes);
         spdlog::warn!("record-log: discarded torn tail path={path} bytes={bytes}");
     }
     // A record that was read but may not be on the disk could be lost after this process has acted on it.
-    if !log.is_durable() && log.sync().is_err() {
+    if !opened.log.is_durable() && opened.log.sync().is_err() {
         return Err(OpenError::NotDurable);
     }
-    Ok((log, records))
+    Ok(opened)
 }
--- a/crates/programs/src/control_node/registry_storage.rs
+++ b/crates/programs/src/control_node/registry_storage.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use mosshead_record_log::LogWriter;
+use mosshead_record_log::{LogWriter, OpenedLog};
 use mosshead_registry::Delta;
 
 use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
@@ -14,7 +14,8 @@
 
 /// Merges the entries on disk into the registry, and opens the log for new ones.
 pub(crate) async fn restore_registry(control_node: Rc<ControlNode>, data_directory: PathBuf) {
-    let Some((log, records)) = open_log(&data_directory, REGISTRY_LOG).await else { return };
+    let opened = open_log(&data_directory, REGISTRY_LOG).await;
+    let Some(OpenedLog { log, records, .. }) = opened else { return };
     let deltas = records.iter().filter_map(|record| minicbor::decode::<Delta>(record).ok());
     let mut changed = false;
     for delta in deltas {
--- a/crates/record-log/src/disk.rs
+++ b/crates/record-log/src/disk.rs
@@ -1,5 +1,6 @@
 //! What the log needs of a disk.
 
+use std::fmt;
 use std::io;
 
 /// A flat directory of files, with no more than the operations that the log needs.
@@ -51,7 +52,7 @@
 }
 
 /// An open file of a [`Disk`].
-pub trait DiskFile {
+pub trait DiskFile: fmt::Debug {
     /// Reads from the start of the file, `max_bytes` at most.
     ///
     /// # Errors
--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -4,7 +4,7 @@
 //! Record: length (4), sequence (8), incarnation of the writer (8), checksum (4), content.
 //!
 //! The checksum of a record also covers the checksum of its predecessor, and incarnations never decrease. So bytes that
-//! were truncated and came back after a crash, or that follow a hole, do not fit the records before them.
+//! were truncated and came back after a crash, or that follow a hole, are not valid successors of the records before them.
 
 use crc32fast::Hasher;
 
--- a/crates/record-log/src/generation.rs
+++ b/crates/record-log/src/generation.rs
@@ -1,14 +1,16 @@
 //! The generations of a log: each rewrite writes a new file, `state.N`, and the newest complete one is valid.
 //!
 //! A new generation is written and synced as `state.N.new`, then renamed to `state.N`, then the directory is synced. So
-//! under its final name a file holds all records that it was written with.
+//! under its final name a file has all records that it was written with.
+
+use std::io;
 
 use crate::disk::{Disk, DiskFile};
 use crate::error::LogError;
 use crate::format::{self, FRAME_LENGTH, HEADER_LENGTH, LogEnd, MAX_FILE_LENGTH, Scan};
 
 /// Generations are smaller; far above what can be counted to.
-pub(crate) const GENERATION_LIMIT: u64 = 1 << 63;
+const GENERATION_LIMIT: u64 = 1 << 63;
 /// Records are collected up to this length, in bytes, before they are written.
 pub(crate) const WRITE_BUFFER_LENGTH: usize = 256 << 10;
 
@@ -21,6 +23,13 @@
     pub file_length: u64,
 }
 
+/// A generation that was written and is durable under its final name.
+pub(crate) struct NewGeneration<D: Disk> {
+    pub generation: u64,
+    pub file: D::File,
+    pub end: LogEnd,
+}
+
 /// A new generation could not be made durable.
 pub(crate) struct PublishError {
     pub cause: LogError,
@@ -28,7 +37,21 @@
     pub may_exist: bool,
 }
 
-/// The newest complete generation, or the newest with a valid header if none is complete.
+/// A generation that is higher than all among these names.
+///
+/// # Errors
+///
+/// [`LogError::Directory`] if there is none.
+pub(crate) fn first_unused(names: &[String]) -> Result<u64, LogError> {
+    let newest = names.iter().filter_map(|name| parse_any_file_name(name)).max();
+    let next = newest.unwrap_or(0).saturating_add(1);
+    if next >= GENERATION_LIMIT {
+        return Err(LogError::Directory(io::Error::from(io::ErrorKind::InvalidInput)));
+    }
+    Ok(next)
+}
+
+/// The newest complete generation among these names, or the newest with a valid header if none is complete.
 ///
 /// # Errors
 ///
@@ -36,10 +59,12 @@
 /// replace it.
 pub(crate) fn find_newest<D: Disk>(
     disk: &mut D,
-    generations: &[u64],
+    names: &[String],
 ) -> Result<Option<FoundGeneration<D>>, LogError> {
+    let mut generations: Vec<u64> = names.iter().filter_map(|name| parse_file_name(name)).collect();
+    generations.sort_unstable();
     let mut newest_incomplete = None;
-    for generation in generations.iter().rev().copied() {
+    for generation in generations.into_iter().rev() {
         let mut file = disk.open(&file_name(generation)).map_err(LogError::Read)?;
         let bytes = file.read(MAX_FILE_LENGTH.saturating_add(1)).map_err(LogError::Read)?;
         let Some(scan) = format::scan(&bytes, generation) else {
@@ -65,17 +90,17 @@
     generation: u64,
     incarnation: u64,
     records: &[Vec<u8>],
-) -> Result<(D::File, LogEnd), PublishError> {
+) -> Result<NewGeneration<D>, PublishError> {
     let temporary_name = temporary_file_name(generation);
     let written = write_file(disk, &temporary_name, generation, incarnation, records);
-    let (file, end) = written.map_err(|cause| {
+    let new_generation = written.map_err(|cause| {
         let _ = disk.remove(&temporary_name);
         PublishError { cause, may_exist: false }
     })?;
     disk.rename(&temporary_name, &file_name(generation))
         .map_err(|cause| PublishError { cause: LogError::Directory(cause), may_exist: true })?;
     disk.sync().map_err(|cause| PublishError { cause: LogError::Sync(cause), may_exist: true })?;
-    Ok((file, end))
+    Ok(new_generation)
 }
 
 /// Writes and syncs a file with a header and these records.
@@ -85,7 +110,7 @@
     generation: u64,
     incarnation: u64,
     records: &[Vec<u8>],
-) -> Result<(D::File, LogEnd), LogError> {
+) -> Result<NewGeneration<D>, LogError> {
     let total = encoded_length(records);
     let initial_records = u32::try_from(records.len()).map_err(|_| LogError::TooLong(total))?;
     if total > MAX_FILE_LENGTH {
@@ -108,7 +133,7 @@
         file.write(written, &buffer).map_err(LogError::Write)?;
     }
     file.sync().map_err(LogError::Sync)?;
-    Ok((file, end))
+    Ok(NewGeneration { generation, file, end })
 }
 
 /// The length of a file with these records, in bytes.
@@ -129,7 +154,7 @@
 }
 
 /// The generation whose final file name this is.
-pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
+fn parse_file_name(name: &str) -> Option<u64> {
     let number = name.strip_prefix("state.")?.parse::<u64>().ok()?;
     (number < GENERATION_LIMIT && name == file_name(number)).then_some(number)
 }
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -5,15 +5,15 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::{self, JoinHandle};
 
+use crate::durable_log::DurableLog;
 use crate::error::LogError;
-use crate::record_log::DurableLog;
 
 /// The maximum number of records that share one sync.
 pub const MAX_GROUP_COMMIT: usize = 256;
 /// The maximum number of bytes that wait for the disk.
 pub const MAX_QUEUED_BYTES: u64 = 48 << 20;
 
-/// The result of a write that was given to a [`LogWriter`].
+/// The result of a write that was submitted to a [`LogWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteCompletion {
     /// The token that the write was submitted with.
@@ -139,7 +139,7 @@
 }
 
 impl Shared {
-    /// Takes the content of a request off the bytes that are queued.
+    /// Subtracts the content of a request from the bytes that are queued.
     fn release(&self, bytes: u64) {
         self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
--- a/crates/record-log/tests/contract.rs
+++ b/crates/record-log/tests/contract.rs
@@ -1,8 +1,11 @@
-//! What every log does, on both kinds of disks.
+//! What every log does, on a disk in memory and in a directory of the machine.
 
+mod memory_disk;
+
+use memory_disk::MemoryDisk;
 use mosshead_record_log::{
     Directory, Disk, DurableLog, FRAME_LENGTH, HEADER_LENGTH, LogError, MAX_FILE_LENGTH, MAX_RECORD_LENGTH,
-    MemoryDisk, RecordLog,
+    OpenedLog, RecordLog,
 };
 
 /// Where a log is opened again and again.
@@ -10,8 +13,8 @@
     type Disk: Disk;
     fn disk(&self) -> Self::Disk;
 
-    fn open(&self) -> (RecordLog<Self::Disk>, Vec<Vec<u8>>) {
-        RecordLog::open_on_disk(self.disk()).expect("the log opens")
+    fn open(&self) -> OpenedLog<Self::Disk> {
+        RecordLog::open_on_disk(self.disk()).expect("the disk works")
     }
 }
 
@@ -34,30 +37,30 @@
 }
 
 fn a_new_log_is_empty(location: &impl Location) {
-    let (log, found) = location.open();
+    let OpenedLog { log, records: found, .. } = location.open();
     assert!(found.is_empty());
     assert_eq!(log.length(), HEADER_LENGTH as u64);
     drop(log);
-    assert!(location.open().1.is_empty());
+    assert!(location.open().records.is_empty());
 }
 
 fn records_are_kept_in_order(location: &impl Location) {
-    let (mut log, _) = location.open();
+    let OpenedLog { mut log, .. } = location.open();
     for text in ["one", "", "three"] {
         log.append(text.as_bytes()).unwrap();
     }
     log.sync().unwrap();
     assert_eq!(log.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
     drop(log);
-    let (log, found) = location.open();
+    let OpenedLog { log, records: found, discarded_bytes } = location.open();
     assert_eq!(found, records(&["one", "", "three"]));
     assert_eq!(log.length(), (HEADER_LENGTH + 3 * FRAME_LENGTH + 8) as u64);
-    assert_eq!(log.discarded_bytes(), 0);
+    assert_eq!(discarded_bytes, 0);
 }
 
 fn reopening_continues_after_the_last_record(location: &impl Location) {
     for round in 0..5u8 {
-        let (mut log, found) = location.open();
+        let OpenedLog { mut log, records: found, .. } = location.open();
         assert_eq!(found, (0..round).map(|before| vec![before; 9]).collect::<Vec<_>>());
         log.append(&[round; 9]).unwrap();
         log.sync().unwrap();
@@ -65,7 +68,7 @@
 }
 
 fn a_rewrite_replaces_all_records(location: &impl Location) {
-    let (mut log, _) = location.open();
+    let OpenedLog { mut log, .. } = location.open();
     for _ in 0..100 {
         log.append(&[7; 100]).unwrap();
     }
@@ -75,34 +78,34 @@
     log.append(b"more").unwrap();
     log.sync().unwrap();
     drop(log);
-    let (mut log, found) = location.open();
+    let OpenedLog { mut log, records: found, .. } = location.open();
     assert_eq!(found, records(&["sum", "of all", "more"]));
     log.rewrite(&[]).unwrap();
     drop(log);
-    let (mut log, found) = location.open();
+    let OpenedLog { mut log, records: found, .. } = location.open();
     assert!(found.is_empty());
     log.append(b"again").unwrap();
     log.sync().unwrap();
     drop(log);
-    assert_eq!(location.open().1, records(&["again"]));
+    assert_eq!(location.open().records, records(&["again"]));
     assert_eq!(location.disk().file_names().unwrap().len(), 1);
 }
 
 fn a_rewrite_may_exceed_the_write_buffer(location: &impl Location) {
-    let (mut log, _) = location.open();
+    let OpenedLog { mut log, .. } = location.open();
     let all: Vec<Vec<u8>> = (0..40u8).map(|part| vec![part; 50_000]).collect();
     log.rewrite(&all).unwrap();
     log.append(&[99; 300_000]).unwrap();
     log.sync().unwrap();
     drop(log);
-    let (_, found) = location.open();
+    let found = location.open().records;
     assert_eq!(found.len(), 41);
     assert!(found[..40] == all[..]);
     assert_eq!(found[40], vec![99; 300_000]);
 }
 
 fn records_and_files_that_are_too_long_are_rejected(location: &impl Location) {
-    let (mut log, _) = location.open();
+    let OpenedLog { mut log, .. } = location.open();
     log.append(b"short").unwrap();
     let before = log.length();
     let long = vec![1; MAX_RECORD_LENGTH + 1];
@@ -122,7 +125,7 @@
     assert_eq!(appended, 3);
     log.sync().unwrap();
     drop(log);
-    let (mut log, found) = location.open();
+    let OpenedLog { mut log, records: found, .. } = location.open();
     assert_eq!(found.len(), 4);
     log.append(b"short too").unwrap();
     log.sync().unwrap();
@@ -136,12 +139,12 @@
     for name in ["state.7.new", "state.3"] {
         disk.create(name).unwrap();
     }
-    let (mut log, found) = location.open();
+    let OpenedLog { mut log, records: found, .. } = location.open();
     assert!(found.is_empty());
     log.append(b"here").unwrap();
     log.sync().unwrap();
     drop(log);
-    let (_, found) = location.open();
+    let found = location.open().records;
     assert_eq!(found, records(&["here"]));
     let mut names = location.disk().file_names().unwrap();
     names.sort();
@@ -151,7 +154,7 @@
 macro_rules! contract {
     ($($name:ident)*) => {
         mod in_memory {
-            $(#[test] fn $name() { super::$name(&mosshead_record_log::MemoryDisk::new()); })*
+            $(#[test] fn $name() { super::$name(&crate::memory_disk::MemoryDisk::new()); })*
         }
         mod in_a_directory {
             $(#[test] fn $name() { super::$name(&tempfile::tempdir().unwrap()); })*
@@ -168,12 +171,12 @@
 fn a_missing_directory_is_created() {
     let location = tempfile::tempdir().unwrap();
     let directory = location.path().join("a/b");
-    let (mut log, found) = RecordLog::open(&directory).unwrap();
+    let OpenedLog { mut log, records: found, .. } = RecordLog::open(&directory).unwrap();
     assert!(found.is_empty());
     log.append(b"x").unwrap();
     log.sync().unwrap();
     drop(log);
-    assert_eq!(RecordLog::open(&directory).unwrap().1, records(&["x"]));
+    assert_eq!(RecordLog::open(&directory).unwrap().records, records(&["x"]));
 }
 
 #[test]
--- a/crates/record-log/tests/disk_failures.rs
+++ b/crates/record-log/tests/disk_failures.rs
@@ -1,6 +1,9 @@
 //! Disks that fail, fill up and lose power.
 
-use mosshead_record_log::{DurableLog, LogError, MemoryDisk, RecordLog};
+mod memory_disk;
+
+use memory_disk::MemoryDisk;
+use mosshead_record_log::{DurableLog, LogError, OpenedLog, RecordLog};
 use rand_pcg::Pcg32;
 
 const OLD: [&[u8]; 3] = [b"old one", b"old two", b"old three"];
@@ -10,15 +13,15 @@
     records.iter().map(|record| record.to_vec()).collect()
 }
 
-fn open(disk: &MemoryDisk) -> (RecordLog<MemoryDisk>, Vec<Vec<u8>>) {
-    let (log, found) = RecordLog::open_on_disk(disk.clone()).expect("the log opens");
-    assert!(log.is_durable());
-    (log, found)
+fn open(disk: &MemoryDisk) -> OpenedLog<MemoryDisk> {
+    let opened = RecordLog::open_on_disk(disk.clone()).expect("the disk works");
+    assert!(opened.log.is_durable());
+    opened
 }
 
 fn log_with_old_records() -> (MemoryDisk, RecordLog<MemoryDisk>) {
     let disk = MemoryDisk::new();
-    let (mut log, _) = open(&disk);
+    let OpenedLog { mut log, .. } = open(&disk);
     for record in OLD {
         log.append(record).unwrap();
     }
@@ -35,12 +38,12 @@
             disk.fail_after_operations(steps);
             let succeeded = RecordLog::open_on_disk(disk.clone()).is_ok();
             disk.lose_power(&mut random);
-            let (mut log, found) = open(&disk);
+            let OpenedLog { mut log, records: found, .. } = open(&disk);
             assert!(found.is_empty());
             log.append(b"x").unwrap();
             log.sync().unwrap();
             disk.lose_power(&mut random);
-            assert_eq!(open(&disk).1, to_records(&[b"x"]));
+            assert_eq!(open(&disk).records, to_records(&[b"x"]));
             if succeeded {
                 break;
             }
@@ -58,7 +61,7 @@
             disk.fail_after_operations(steps);
             let succeeded = log.rewrite(&to_records(&NEW)).is_ok();
             disk.lose_power(&mut random);
-            let (mut log, mut found) = open(&disk);
+            let OpenedLog { mut log, records: mut found, .. } = open(&disk);
             let is_new = found == to_records(&NEW);
             assert!(is_new || (!succeeded && found == to_records(&OLD)), "{found:?}");
             seen[usize::from(is_new)] += 1;
@@ -67,7 +70,7 @@
             log.sync().unwrap();
             disk.lose_power(&mut random);
             found.push(b"next".to_vec());
-            assert_eq!(open(&disk).1, found);
+            assert_eq!(open(&disk).records, found);
             if succeeded && disk.operation_count() > 0 && steps > 12 {
                 break;
             }
@@ -84,10 +87,10 @@
         let succeeded = log.rewrite(&to_records(&NEW)).is_ok();
         drop(log);
         disk.clear_failure();
-        let (_, found) = open(&disk);
+        let found = open(&disk).records;
         assert!(found == to_records(&NEW) || (!succeeded && found == to_records(&OLD)));
         disk.lose_power(&mut Pcg32::new(steps, 3));
-        assert_eq!(open(&disk).1, found, "what was found once is durable");
+        assert_eq!(open(&disk).records, found, "what was found once is durable");
     }
 }
 
@@ -105,7 +108,7 @@
             disk.lose_power(&mut random);
             let mut expected = to_records(if succeeded { &NEW } else { &OLD });
             expected.push(b"next".to_vec());
-            assert_eq!(open(&disk).1, expected, "failing after {steps} operations");
+            assert_eq!(open(&disk).records, expected, "failing after {steps} operations");
         }
     }
 }
@@ -126,11 +129,11 @@
         assert!(log.rewrite(&to_records(&NEW)).unwrap_err().is_disk_full());
         log.sync().unwrap();
         disk.set_free_space(None);
-        log.append(b"room again").unwrap();
+        log.append(b"space again").unwrap();
         log.sync().unwrap();
-        expected.push(b"room again".to_vec());
+        expected.push(b"space again".to_vec());
         disk.lose_power(&mut Pcg32::new(free_bytes, 5));
-        assert_eq!(open(&disk).1, expected);
+        assert_eq!(open(&disk).records, expected);
     }
 }
 
@@ -141,7 +144,7 @@
     log.append(b"no").unwrap_err();
     drop(log);
     disk.set_free_space(Some(0));
-    let (mut log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let OpenedLog { mut log, records: found, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
     assert_eq!(found, to_records(&OLD));
     assert!(!log.is_durable());
     assert!(log.append(b"no").unwrap_err().is_disk_full());
@@ -152,7 +155,7 @@
     log.append(b"yes").unwrap();
     log.sync().unwrap();
     disk.lose_power(&mut Pcg32::new(1, 1));
-    assert_eq!(open(&disk).1, [to_records(&OLD), to_records(&[b"yes"])].concat());
+    assert_eq!(open(&disk).records, [to_records(&OLD), to_records(&[b"yes"])].concat());
 }
 
 #[test]
@@ -171,15 +174,16 @@
         if seed % 3 > 0 {
             disk.fail_after_operations(seed % 5);
         }
-        let (mut log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+        let OpenedLog { mut log, records: found, discarded_bytes } =
+            RecordLog::open_on_disk(disk.clone()).unwrap();
         assert_eq!(found, to_records(&OLD));
-        assert!(log.discarded_bytes() > 0);
+        assert!(discarded_bytes > 0);
         disk.clear_failure();
         log.append(b"lost").unwrap();
         assert!(log.is_durable());
         if seed % 2 == 0 {
             disk.lose_power(&mut random);
-            let found = open(&disk).1;
+            let found = open(&disk).records;
             assert!(
                 found == to_records(&OLD) || found == [to_records(&OLD), to_records(&[b"lost"])].concat(),
                 "{found:?}"
@@ -187,7 +191,7 @@
         } else {
             log.sync().unwrap();
             disk.lose_power(&mut random);
-            assert_eq!(open(&disk).1, [to_records(&OLD), to_records(&[b"lost"])].concat());
+            assert_eq!(open(&disk).records, [to_records(&OLD), to_records(&[b"lost"])].concat());
         }
     }
 }
@@ -208,7 +212,7 @@
     bytes.extend_from_slice(&stale[end..]);
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.1", bytes);
-    assert_eq!(open(&disk).1, [to_records(&OLD), to_records(&[b"again"])].concat());
+    assert_eq!(open(&disk).records, [to_records(&OLD), to_records(&[b"again"])].concat());
 }
 
 #[test]
@@ -219,13 +223,13 @@
         log.append(b"in the caches").unwrap();
         drop(log);
         disk.fail_next_sync(&mut random);
-        let (log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+        let OpenedLog { log, records: found, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
         assert!(!log.is_durable());
         drop(log);
-        let (_, again) = open(&disk);
+        let again = open(&disk).records;
         assert_eq!(again, found);
         disk.lose_power(&mut random);
-        assert_eq!(open(&disk).1, found);
+        assert_eq!(open(&disk).records, found);
     }
 }
 
@@ -243,17 +247,17 @@
         if seed % 3 == 0 {
             // A process that starts now does not take what is only in the caches for durable.
             drop(log);
-            assert_eq!(open(&disk).1, to_records(&OLD));
+            assert_eq!(open(&disk).records, to_records(&OLD));
             continue;
         }
         log.append(b"gone one").unwrap();
         if seed % 3 == 1 {
             log.sync().unwrap();
             disk.lose_power(&mut random);
-            assert_eq!(open(&disk).1, [to_records(&OLD), to_records(&[b"gone one"])].concat());
+            assert_eq!(open(&disk).records, [to_records(&OLD), to_records(&[b"gone one"])].concat());
         } else {
             disk.lose_power(&mut random);
-            let found = open(&disk).1;
+            let found = open(&disk).records;
             let all = [to_records(&OLD), to_records(&[b"gone one", b"gone two"])].concat();
             assert!(found.len() >= 3 && all.starts_with(&found), "{found:?}");
         }
@@ -278,7 +282,7 @@
         }
         disk.lose_power(&mut Pcg32::new(seed, 8));
         assert!(log.append(b"late").is_err(), "an open file ends with the power");
-        let found = open(&disk).1;
+        let found = open(&disk).records;
         let all = [to_records(&OLD), (0..4u8).map(|number| vec![number; 30]).collect()].concat();
         assert!(found.len() >= 3 && all.starts_with(&found), "{found:?}");
         lengths[found.len()] += 1;
--- a/crates/record-log/tests/former_formats.rs
+++ b/crates/record-log/tests/former_formats.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use mosshead_record_log::{DurableLog, RecordLog};
+use mosshead_record_log::{DurableLog, OpenedLog, RecordLog};
 use tempfile::TempDir;
 
 fn former_folder(name: &str) -> PathBuf {
@@ -35,7 +35,7 @@
 /// Three folders: after appends, after a rewrite and an append, and when that was opened again.
 fn write(folder: &Path) -> [BTreeMap<String, Vec<u8>>; 3] {
     let records = records();
-    let (mut log, found) = RecordLog::open(folder).unwrap();
+    let OpenedLog { mut log, records: found, .. } = RecordLog::open(folder).unwrap();
     assert_eq!(found, Vec::<Vec<u8>>::new());
     records.iter().for_each(|record| log.append(record).unwrap());
     log.sync().unwrap();
@@ -45,7 +45,7 @@
     log.sync().unwrap();
     let rewritten = files(folder);
     drop(log);
-    let (mut log, found) = RecordLog::open(folder).unwrap();
+    let OpenedLog { mut log, records: found, .. } = RecordLog::open(folder).unwrap();
     assert_eq!(found, records[1..]);
     log.append(&records[0]).unwrap();
     log.sync().unwrap();
@@ -70,12 +70,8 @@
     {
         let folder = copy_of(name);
         for _ in 0..2 {
-            let (log, found) = RecordLog::open(folder.path()).unwrap();
-            assert_eq!(
-                (found.as_slice(), log.is_durable(), log.discarded_bytes()),
-                (expected, true, 0),
-                "{name}"
-            );
+            let OpenedLog { log, records: found, discarded_bytes } = RecordLog::open(folder.path()).unwrap();
+            assert_eq!((found.as_slice(), log.is_durable(), discarded_bytes), (expected, true, 0), "{name}");
         }
     }
 }
@@ -88,8 +84,8 @@
     bytes.truncate(bytes.len() - 1);
     std::fs::write(folder.path().join(&name), &bytes).unwrap();
     std::fs::write(folder.path().join("state.7.new"), &bytes[..40]).unwrap();
-    let (log, found) = RecordLog::open(folder.path()).unwrap();
+    let OpenedLog { records: found, discarded_bytes, .. } = RecordLog::open(folder.path()).unwrap();
     assert_eq!(found, records()[1..3]);
-    assert!(log.discarded_bytes() > 0);
+    assert!(discarded_bytes > 0);
     assert_eq!(files(folder.path()).into_keys().collect::<Vec<_>>(), ["state.8"]);
 }
--- a/crates/record-log/src/memory_disk.rs
+++ b/crates/record-log/tests/memory_disk/mod.rs
@@ -1,4 +1,5 @@
-//! A disk in memory with injected faults, for tests and simulations.
+//! A disk in memory with injected faults.
+#![allow(dead_code)]
 
 mod unsynced;
 
@@ -6,22 +7,21 @@
 use std::io::{self, ErrorKind};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
+use mosshead_record_log::{Disk, DiskFile};
 use rand_core::RngCore;
-
-use crate::disk::{Disk, DiskFile};
 use unsynced::{ContentChange, Inode, NameChange, Names, Survival};
 
 /// A disk in memory that loses power, fills up, fails and hangs when a test asks for it. Clones are the same disk.
 ///
 /// After a loss of power each change since the last sync that covered it is there, torn or missing, each for itself.
 #[derive(Clone, Debug, Default)]
-pub struct MemoryDisk {
+pub(crate) struct MemoryDisk {
     shared: Arc<Shared>,
 }
 
 /// An open file of a [`MemoryDisk`]; a loss of power closes it.
 #[derive(Debug)]
-pub struct MemoryFile {
+pub(crate) struct MemoryFile {
     disk: MemoryDisk,
     inode: u64,
     /// The number of power losses before the file was opened.
@@ -57,12 +57,12 @@
 
 impl MemoryDisk {
     /// An empty disk.
-    pub fn new() -> MemoryDisk {
+    pub(crate) fn new() -> MemoryDisk {
         MemoryDisk::default()
     }
 
     /// Loses power and gets it back: injected faults end, open files are closed.
-    pub fn lose_power(&self, random: &mut dyn RngCore) {
+    pub(crate) fn lose_power(&self, random: &mut dyn RngCore) {
         let mut state = self.lock();
         let survival = Survival::draw(random);
         for change in std::mem::take(&mut state.unsynced_names) {
@@ -80,62 +80,62 @@
     }
 
     /// Limits the bytes that can still be written; `None`: no limit. With 0 left no file can be created either.
-    pub fn set_free_space(&self, bytes: Option<u64>) {
+    pub(crate) fn set_free_space(&self, bytes: Option<u64>) {
         self.lock().free_bytes = bytes;
     }
 
     /// After this many more operations each one fails, until the power is lost or [`MemoryDisk::clear_failure`] is
     /// called.
-    pub fn fail_after_operations(&self, operations: u64) {
+    pub(crate) fn fail_after_operations(&self, operations: u64) {
         self.lock().operations_until_failure = Some(operations);
     }
 
     /// Operations succeed again.
-    pub fn clear_failure(&self) {
+    pub(crate) fn clear_failure(&self) {
         self.lock().operations_until_failure = None;
     }
 
     /// Makes the next sync of a file fail; a part of what it should have covered is lost and no later sync brings it
     /// back. Several calls add up.
-    pub fn fail_next_sync(&self, random: &mut dyn RngCore) {
+    pub(crate) fn fail_next_sync(&self, random: &mut dyn RngCore) {
         self.lock().failing_syncs.push(random.next_u64());
     }
 
     /// Makes the disk hang: operations block until [`MemoryDisk::resume`] or a loss of power.
-    pub fn suspend(&self) {
+    pub(crate) fn suspend(&self) {
         self.lock().is_suspended = true;
     }
 
     /// Ends the hang.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.lock().is_suspended = false;
         self.shared.resumed.notify_all();
     }
 
     /// The number of operations so far: creating, writing, setting a length, renaming, removing, syncing.
-    pub fn operation_count(&self) -> u64 {
+    pub(crate) fn operation_count(&self) -> u64 {
         self.lock().operations
     }
 
     /// The number of file syncs so far.
-    pub fn file_sync_count(&self) -> u64 {
+    pub(crate) fn file_sync_count(&self) -> u64 {
         self.lock().file_syncs
     }
 
     /// The names of all files, in order.
-    pub fn list(&self) -> Vec<String> {
+    pub(crate) fn list(&self) -> Vec<String> {
         self.lock().names.keys().cloned().collect()
     }
 
     /// The content of a file.
-    pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
+    pub(crate) fn contents(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.lock();
         let inode = state.inodes.get(state.names.get(name)?)?;
         Some(inode.content().to_vec())
     }
 
     /// Puts a durable file on the disk.
-    pub fn put_durable_file(&self, name: &str, bytes: Vec<u8>) {
+    pub(crate) fn put_durable_file(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.lock();
         let number = state.add_inode(Inode::new_durable(bytes));
         state.names.insert(name.to_owned(), number);
@@ -173,7 +173,7 @@
     fn count_operation(&mut self) -> io::Result<()> {
         if let Some(left) = self.operations_until_failure {
             let Some(left) = left.checked_sub(1) else {
-                return Err(io::Error::other("the disk refuses"));
+                return Err(io::Error::other("the disk rejects the operation"));
             };
             self.operations_until_failure = Some(left);
         }
@@ -183,9 +183,7 @@
 
     /// Takes up to this many bytes of the free space; how many there were.
     fn allocate(&mut self, bytes: usize) -> usize {
-        let Some(free_bytes) = &mut self.free_bytes else {
-            return bytes;
-        };
+        let Some(free_bytes) = &mut self.free_bytes else { return bytes };
         let fitting = usize::try_from(*free_bytes).unwrap_or(usize::MAX).min(bytes);
         *free_bytes = free_bytes.saturating_sub(fitting as u64);
         fitting
--- a/crates/record-log/tests/model.rs
+++ b/crates/record-log/tests/model.rs
@@ -1,6 +1,9 @@
 //! Arbitrary sequences of operations and faults of the disk: synced records are there, in order, and no others appear.
 
-use mosshead_record_log::{DurableLog, MemoryDisk, RecordLog};
+mod memory_disk;
+
+use memory_disk::MemoryDisk;
+use mosshead_record_log::{DurableLog, OpenedLog, RecordLog};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand_pcg::Pcg32;
 
@@ -70,7 +73,7 @@
     }
 
     fn open(&mut self) -> Result<(), String> {
-        let Ok((log, found)) = RecordLog::open_on_disk(self.disk.clone()) else {
+        let Ok(OpenedLog { log, records: found, .. }) = RecordLog::open_on_disk(self.disk.clone()) else {
             return Ok(());
         };
         if !self.expected.matches(&found)
--- a/crates/record-log/tests/recovery.rs
+++ b/crates/record-log/tests/recovery.rs
@@ -1,6 +1,9 @@
 //! What is found in a damaged file.
 
-use mosshead_record_log::{DurableLog, FRAME_LENGTH, HEADER_LENGTH, MemoryDisk, RecordLog};
+mod memory_disk;
+
+use memory_disk::MemoryDisk;
+use mosshead_record_log::{DurableLog, FRAME_LENGTH, HEADER_LENGTH, OpenedLog, RecordLog};
 use quickcheck::quickcheck;
 
 const SIZES: [usize; 6] = [5, 0, 17, 1, 40, 3];
@@ -12,7 +15,7 @@
 /// The bytes of a file with the sample in it, a part of it from a rewrite.
 fn file() -> Vec<u8> {
     let disk = MemoryDisk::new();
-    let (mut log, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let OpenedLog { mut log, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
     let sample = sample();
     log.rewrite(&sample[..2]).unwrap();
     for record in &sample[2..] {
@@ -26,12 +29,12 @@
 fn recovered(bytes: Vec<u8>) -> Vec<Vec<u8>> {
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.2", bytes);
-    let (mut log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let OpenedLog { mut log, records: found, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
     log.append(b"behind").unwrap();
     log.sync().unwrap();
     drop(log);
-    let (log, again) = RecordLog::open_on_disk(disk).unwrap();
-    assert_eq!(log.discarded_bytes(), 0);
+    let OpenedLog { records: again, discarded_bytes, .. } = RecordLog::open_on_disk(disk).unwrap();
+    assert_eq!(discarded_bytes, 0);
     assert_eq!(again[..found.len()], found);
     assert_eq!(again[found.len()..], [b"behind".to_vec()]);
     found
@@ -116,7 +119,7 @@
     let file = file();
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.3", file);
-    assert!(RecordLog::open_on_disk(disk).unwrap().1.is_empty());
+    assert!(RecordLog::open_on_disk(disk).unwrap().records.is_empty());
 }
 
 #[test]
@@ -124,7 +127,7 @@
     let old = file();
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.2", old.clone());
-    let (mut log, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let OpenedLog { mut log, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
     let newer: Vec<Vec<u8>> = (0..4).map(|number| vec![number; 8]).collect();
     log.rewrite(&newer).unwrap();
     drop(log);
@@ -134,7 +137,7 @@
         let disk = MemoryDisk::new();
         disk.put_durable_file("state.2", old.clone());
         disk.put_durable_file("state.4", new[..cut].to_vec());
-        let (mut log, found) = RecordLog::open_on_disk(disk.clone()).unwrap();
+        let OpenedLog { mut log, records: found, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
         assert_eq!(found, if cut == new.len() { newer.clone() } else { sample() }, "cut at {cut}");
         assert_eq!(disk.list().len(), 1);
         log.rewrite(&[b"next".to_vec()]).unwrap();
@@ -147,7 +150,7 @@
     for number in [u64::MAX, 1 << 63] {
         let disk = MemoryDisk::new();
         disk.put_durable_file(&format!("state.{number}"), file());
-        assert!(RecordLog::open_on_disk(disk.clone()).unwrap().1.is_empty());
+        assert!(RecordLog::open_on_disk(disk.clone()).unwrap().records.is_empty());
         assert_eq!(disk.list(), ["state.1".to_owned(), format!("state.{number}")]);
     }
     let disk = MemoryDisk::new();
@@ -159,7 +162,7 @@
     fn arbitrary_files_are_opened_as_empty(bytes: Vec<u8>, name: u8) -> bool {
         let disk = MemoryDisk::new();
         disk.put_durable_file(&format!("state.{name}"), bytes);
-        RecordLog::open_on_disk(disk).unwrap().1.is_empty()
+        RecordLog::open_on_disk(disk).unwrap().records.is_empty()
     }
 
     fn an_arbitrary_tail_changes_no_record(tail: Vec<u8>) -> bool {
--- a/crates/record-log/tests/writer.rs
+++ b/crates/record-log/tests/writer.rs
@@ -1,15 +1,18 @@
 //! The writer thread: order, group commit, bounds, a disk that hangs.
 
+mod memory_disk;
+
 use std::sync::mpsc::{Receiver, channel};
 
+use memory_disk::MemoryDisk;
 use mosshead_record_log::{
-    LogError, LogWriter, MAX_GROUP_COMMIT, MAX_QUEUED_BYTES, MAX_RECORD_LENGTH, MemoryDisk, RecordLog,
+    LogError, LogWriter, MAX_GROUP_COMMIT, MAX_QUEUED_BYTES, MAX_RECORD_LENGTH, OpenedLog, RecordLog,
     WriteCompletion,
 };
 use rand_pcg::Pcg32;
 
 fn start(disk: &MemoryDisk, queue_capacity: usize) -> (LogWriter, Receiver<WriteCompletion>) {
-    let (log, _) = RecordLog::open_on_disk(disk.clone()).unwrap();
+    let OpenedLog { log, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
     let (sender, completions) = channel();
     let writer = LogWriter::start(log, queue_capacity, move |completion| {
         let _ = sender.send(completion);
@@ -18,7 +21,7 @@
 }
 
 fn found(disk: &MemoryDisk) -> Vec<Vec<u8>> {
-    RecordLog::open_on_disk(disk.clone()).unwrap().1
+    RecordLog::open_on_disk(disk.clone()).unwrap().records
 }
 
 fn expected_completions(tokens: impl IntoIterator<Item = u64>, is_durable: bool) -> Vec<WriteCompletion> {
