--- a/crates/membership/src/contact_points.rs
+++ b/crates/membership/src/contact_points.rs
@@ -38,12 +38,12 @@
         push_bounded(&mut self.added, address, MAX_ADDED);
     }
 
-    /// Remembers the address of a member that died.
+    /// Adds the address of a member that died.
     pub(crate) fn add_lost(&mut self, address: SocketAddrV4) {
         push_bounded(&mut self.lost, address, MAX_LOST);
     }
 
-    /// Forgets the address of a lost member, as one that is a member again or has left.
+    /// Drops the address of a lost member that is a member again or has left.
     pub(crate) fn remove_lost(&mut self, address: SocketAddrV4) {
         self.lost.retain(|known| *known != address);
     }
--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Finding other members: joining a fleet, and reconnecting with members that were lost.
 
+use core::net::SocketAddrV4;
+
 use mosshead_time::{Duration, Instant};
-use rand_core::RngCore;
 
-use crate::outgoing::Datagram;
 use crate::settings::Settings;
 use crate::state::ProtocolState;
 use crate::sync::Synchronizer;
@@ -49,47 +49,38 @@
     }
 
     /// Contacts members as long as the local one hasn't joined, or is alone again.
-    pub(crate) fn join_if_due(
-        &mut self,
-        state: &mut ProtocolState,
-        synchronizer: &mut Synchronizer,
-        out: &mut Vec<Datagram>,
-    ) {
-        if self.has_joined && state.table.live_members() <= 1 {
+    pub(crate) fn join_if_due(&mut self, state: &mut ProtocolState, synchronizer: &mut Synchronizer) {
+        if self.has_joined && state.table().live_members() <= 1 {
             self.has_joined = false;
-            self.next_join_at = state.now;
+            self.next_join_at = state.now();
         }
-        if self.has_joined || state.now < self.next_join_at {
+        if self.has_joined || state.now() < self.next_join_at {
             return;
         }
-        let settings = &state.settings;
+        let settings = state.settings();
         let max_backoff = settings.reconnect_interval.max(settings.join_retry_interval);
-        self.next_join_at = state.now + self.join_backoff;
+        self.next_join_at = state.now() + self.join_backoff;
         self.join_backoff = (self.join_backoff * 2).min(max_backoff);
         // Several contact points learn of the new member, so that the seeds know everybody; one sends its list.
-        let mut contacts = state.contacts.next(CONTACTS_PER_JOIN, state.local_peer.address);
+        let mut contacts = state.next_contacts(CONTACTS_PER_JOIN);
         contacts.extend(state.random_alive_addresses(CONTACTS_PER_JOIN.saturating_sub(contacts.len()), None));
         let mut contacts = contacts.into_iter();
         if let Some(first) = contacts.next() {
-            synchronizer.request(state, first, out);
+            synchronizer.request(state, first);
         }
         for address in contacts {
-            let body = ping_whoever_answers(state);
-            state.send(address, body, None, out);
+            ping_whoever_answers(state, address);
         }
     }
 
     /// Pings an address where a member should be that isn't known.
-    pub(crate) fn reconnect_if_due(&mut self, state: &mut ProtocolState, out: &mut Vec<Datagram>) {
-        if state.now < self.next_reconnect_at {
+    pub(crate) fn reconnect_if_due(&mut self, state: &mut ProtocolState) {
+        if state.now() < self.next_reconnect_at {
             return;
         }
-        self.next_reconnect_at = state.now + state.settings.reconnect_interval;
-        let table = &state.table;
-        let is_live = |address| table.has_live_address(address);
-        if let Some(address) = state.contacts.draw_absent(&mut *state.rng, is_live) {
-            let body = ping_whoever_answers(state);
-            state.send(address, body, None, out);
+        self.next_reconnect_at = state.now() + state.settings().reconnect_interval;
+        if let Some(address) = state.draw_absent_contact() {
+            ping_whoever_answers(state, address);
         }
     }
 
@@ -98,13 +89,14 @@
         if self.has_joined { self.next_reconnect_at } else { self.next_reconnect_at.min(self.next_join_at) }
     }
 
-    /// Puts off all that is due.
+    /// Postpones all that is due.
     pub(crate) fn postpone(&mut self, delay: Duration) {
         self.next_join_at += delay;
         self.next_reconnect_at += delay;
     }
 }
 
-fn ping_whoever_answers(state: &mut ProtocolState) -> MessageBody {
-    MessageBody::Ping { sequence: state.rng.next_u32(), target: String::new() }
+fn ping_whoever_answers(state: &mut ProtocolState, address: SocketAddrV4) {
+    let body = MessageBody::Ping { sequence: state.random_sequence(), target: String::new() };
+    state.send(address, body, None);
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -18,28 +18,30 @@
 //!   same way. Addresses of dead members and of absent seeds are pinged now and then, so that the sides of a healed
 //!   partition find each other.
 
+mod change_counter;
 mod contact_points;
+mod datagram;
 mod discovery;
 mod event_log;
 mod gossip_queue;
+mod leave;
+mod local_member;
 mod member_table;
 mod membership;
-mod outgoing;
 mod peer;
 mod probe_order;
 mod prober;
 mod random;
-mod receive;
 mod settings;
 mod state;
+mod suspicions;
 mod sync;
-mod updates;
 mod view;
 mod wire;
 
+pub use datagram::Datagram;
 pub use event_log::Event;
 pub use membership::Membership;
-pub use outgoing::Datagram;
 pub use peer::{MAX_NAME_LEN, MAX_ZONE_LEN, MemberState, Peer, PeerError};
 pub use settings::Settings;
 pub use view::View;
--- /dev/null
+++ b/crates/membership/src/local_member.rs
@@ -0,0 +1,63 @@
+//! What the local member says of itself.
+
+use crate::peer::{MemberState, Peer};
+use crate::wire::{MAX_INCARNATION, MemberUpdate, UpdateVersion};
+
+const FIRST_INCARNATION: u64 = 1;
+
+/// The local member: its identity, its incarnation and whether it shuts down.
+pub(crate) struct LocalMember {
+    peer: Peer,
+    /// Only raised.
+    incarnation: u64,
+    is_leaving: bool,
+}
+
+impl LocalMember {
+    pub(crate) fn new(peer: Peer) -> LocalMember {
+        LocalMember { peer, incarnation: FIRST_INCARNATION, is_leaving: false }
+    }
+
+    pub(crate) fn peer(&self) -> &Peer {
+        &self.peer
+    }
+
+    pub(crate) fn name(&self) -> &str {
+        &self.peer.name
+    }
+
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.incarnation
+    }
+
+    /// Whether it has announced its shutdown.
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.is_leaving
+    }
+
+    /// From now on its datagrams say that it has left.
+    pub(crate) fn begin_leave(&mut self) {
+        self.is_leaving = true;
+    }
+
+    /// Whether an update is about this run of the process, not about another one with its name.
+    pub(crate) fn is_same_instance(&self, update: &MemberUpdate) -> bool {
+        update.name == self.peer.name && update.instance_id == self.peer.instance_id
+    }
+
+    /// The version of what it says of itself.
+    pub(crate) fn version(&self) -> UpdateVersion {
+        UpdateVersion { incarnation: self.incarnation, instance_id: self.peer.instance_id }
+    }
+
+    /// What it says of itself.
+    pub(crate) fn update(&self) -> MemberUpdate {
+        let state = if self.is_leaving { MemberState::Left } else { MemberState::Alive };
+        MemberUpdate::new(&self.peer, self.incarnation, state)
+    }
+
+    /// Raises the incarnation above that of an update about this member, which it so overrides.
+    pub(crate) fn refute(&mut self, refuted_incarnation: u64) {
+        self.incarnation = refuted_incarnation.saturating_add(1).min(MAX_INCARNATION);
+    }
+}
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Until when a member that is dead or has left is remembered.
+/// Until when the record of a member that is dead or has left is retained.
 struct Tombstone {
     expires_at: Instant,
     name: String,
@@ -95,8 +95,8 @@
         self.iter().any(|record| record.peer.address == address && record.state.is_live())
     }
 
-    /// Makes room for a name that isn't known yet, by forgetting the oldest tombstones. Whether there is room.
-    pub(crate) fn make_room(&mut self) -> bool {
+    /// Frees space for a name that isn't known yet, by dropping the oldest tombstones. Returns whether there is space.
+    pub(crate) fn ensure_capacity(&mut self) -> bool {
         while self.records.len() >= self.max_members {
             let Some(tombstone) = self.tombstones.pop_front() else { return false };
             self.remove_unless_live(&tombstone.name);
@@ -124,13 +124,14 @@
         }
     }
 
-    /// Remembers a member that is dead or has left until an instant, which must not be earlier than that of former calls.
+    /// Retains the record of a member that is dead or has left until an instant, which must not be earlier than that of
+    /// former calls.
     pub(crate) fn add_tombstone(&mut self, name: &str, expires_at: Instant) {
         self.tombstones.retain(|tombstone| tombstone.name != name);
         self.tombstones.push_back(Tombstone { expires_at, name: name.to_owned() });
     }
 
-    /// Forgets the members whose tombstones have expired.
+    /// Drops the members whose tombstones have expired.
     pub(crate) fn remove_expired(&mut self, now: Instant) {
         while self.next_expiry().is_some_and(|expires_at| expires_at <= now) {
             if let Some(tombstone) = self.tombstones.pop_front() {
@@ -167,7 +168,7 @@
         found.into_iter().take(max_updates).map(MemberRecord::update).collect()
     }
 
-    /// Forgets a name whose tombstone is gone, unless the member came back meanwhile.
+    /// Drops a name whose tombstone was removed, unless the member came back meanwhile.
     fn remove_unless_live(&mut self, name: &str) {
         if !self.is_live(name)
             && let Some(old) = self.records.remove(name)
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -4,40 +4,41 @@
 
 use mosshead_time::Instant;
 
-use crate::membership::Membership;
-use crate::outgoing::Datagram;
+use super::Membership;
+use crate::datagram::Datagram;
 use crate::prober::PingRequest;
+use crate::state::UpdateSource;
 use crate::sync::{self, RemoteDigest};
-use crate::updates::UpdateSource;
 use crate::wire::{MemberUpdate, Message, MessageBody};
 
 /// Members that a refutation is sent to at once.
 const REFUTATION_FANOUT: usize = 3;
 
 impl Membership {
-    /// Handles a datagram. Malformed ones and those of other fleets are dropped without an answer.
+    /// Handles a datagram. Malformed ones and those of other fleets are dropped without a response.
     pub fn receive(&mut self, now: Instant, sender: SocketAddrV4, datagram: &[u8]) -> Vec<Datagram> {
-        let mut out = Vec::new();
         self.advance(now);
-        let Some(message) = Message::decode(self.state.settings.fleet_id, datagram) else { return out };
-        let local = &self.state.local_peer;
-        if message.sender.name == local.name && message.sender.instance_id == local.instance_id {
-            return out;
+        let message = Message::decode(self.state.settings().fleet_id, datagram);
+        if let Some(message) = message.filter(|message| !self.state.local().is_same_instance(&message.sender))
+        {
+            self.handle(sender, &message);
         }
-        let has_refuted = self.apply_updates(&message);
+        self.state.take_outbox()
+    }
+
+    fn handle(&mut self, sender: SocketAddrV4, message: &Message) {
+        let has_refuted = self.apply_updates(message);
         let sender_override = self.state.overriding_update(&message.sender);
-        self.respond(sender, &message, sender_override, &mut out);
-        // A sender that doesn't know what is believed of it, or that holds an outdated belief about this member, is notified
+        self.respond(sender, message, sender_override);
+        // A sender that doesn't know what is believed of it, or that has an outdated belief about this member, is notified
         // at once, unless the response does it.
         let sender_override = self.state.overriding_update(&message.sender);
-        let is_answered = out.iter().any(|datagram| datagram.destination == sender);
-        if (has_refuted || sender_override.is_some()) && !is_answered {
-            self.state.send(sender, MessageBody::Gossip, sender_override, &mut out);
+        if (has_refuted || sender_override.is_some()) && !self.state.has_sent_to(sender) {
+            self.state.send(sender, MessageBody::Gossip, sender_override);
         }
         if has_refuted {
-            self.state.send_gossip(REFUTATION_FANOUT, &mut out);
+            self.state.send_gossip(REFUTATION_FANOUT);
         }
-        out
     }
 
     /// Applies all updates of a message. Returns whether one of them made the local member refute.
@@ -53,21 +54,15 @@
         has_refuted
     }
 
-    /// Does what the body of a message asks for. `sender_override` is what the sender should learn about itself.
-    fn respond(
-        &mut self,
-        sender: SocketAddrV4,
-        message: &Message,
-        sender_override: Option<MemberUpdate>,
-        out: &mut Vec<Datagram>,
-    ) {
+    /// Responds to the body of a message. `sender_override` is the update about the sender that overrides its own one.
+    fn respond(&mut self, sender: SocketAddrV4, message: &Message, sender_override: Option<MemberUpdate>) {
         match &message.body {
             MessageBody::Ping { sequence, target } => {
                 let ack = self.ack_or_gossip(*sequence, target);
-                self.state.send(sender, ack, sender_override, out);
+                self.state.send(sender, ack, sender_override);
             }
             MessageBody::Ack { sequence, target } => {
-                self.prober.on_ack(&mut self.state, *sequence, target, out);
+                self.prober.on_ack(&mut self.state, *sequence, target);
             }
             MessageBody::PingRequest { sequence, target, address } => {
                 let request = PingRequest {
@@ -76,53 +71,47 @@
                     target: target.clone(),
                     target_address: *address,
                 };
-                self.prober.on_ping_request(&mut self.state, request, out);
+                self.prober.on_ping_request(&mut self.state, request);
             }
             MessageBody::SyncRequest { bucket_hashes } => {
-                sync::respond(&mut self.state, sender, bucket_hashes, sender_override, out);
+                sync::respond(&mut self.state, sender, bucket_hashes, sender_override);
                 return;
             }
             MessageBody::SyncResponse { is_last, has_more } => {
                 if *is_last {
-                    self.end_sync(sender, message.digest, *has_more, out);
+                    self.end_sync(sender, message.digest, *has_more);
                 }
                 return;
             }
             MessageBody::Gossip => {}
         }
         if message.sender.state.is_live() {
-            self.compare_digests(sender, message, out);
+            self.compare_digests(sender, message);
         }
     }
 
     /// A ping for another name at this address isn't acked: its sender learns who is here, not that the target is alive.
     fn ack_or_gossip(&self, sequence: u32, target: &str) -> MessageBody {
-        let local_name = &self.state.local_peer.name;
+        let local_name = self.state.local().name();
         if target.is_empty() || target == local_name {
-            MessageBody::Ack { sequence, target: local_name.clone() }
+            MessageBody::Ack { sequence, target: local_name.to_owned() }
         } else {
             MessageBody::Gossip
         }
     }
 
-    fn end_sync(
-        &mut self,
-        sender: SocketAddrV4,
-        remote_digest: u64,
-        has_more: bool,
-        out: &mut Vec<Datagram>,
-    ) {
+    fn end_sync(&mut self, sender: SocketAddrV4, remote_digest: u64, has_more: bool) {
         let state = &mut self.state;
-        if self.synchronizer.on_response_end(state, sender, remote_digest, has_more, out) {
-            self.discovery.on_joined(&state.settings);
+        if self.synchronizer.on_response_end(state, sender, remote_digest, has_more) {
+            self.discovery.on_joined(state.settings());
         }
     }
 
-    fn compare_digests(&mut self, sender: SocketAddrV4, message: &Message, out: &mut Vec<Datagram>) {
+    fn compare_digests(&mut self, sender: SocketAddrV4, message: &Message) {
         self.synchronizer.observe(message.digest);
-        if self.discovery.has_joined() && !self.state.is_leaving {
+        if self.discovery.has_joined() && !self.state.local().is_leaving() {
             let remote = RemoteDigest { digest: message.digest, live_members: message.live_members };
-            self.synchronizer.request_if_due(&mut self.state, sender, remote, out);
+            self.synchronizer.request_if_due(&mut self.state, sender, remote);
         }
     }
 }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -46,14 +46,14 @@
 }
 
 /// What is believed about a member. Of two updates with the same incarnation and instance the one with the greater state
-/// holds, so the order of the variants is part of the protocol.
+/// takes precedence, so the order of the variants is part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, CborLen)]
 #[cbor(index_only)]
 pub enum MemberState {
-    /// It answers, or a datagram of it came lately.
+    /// It is not suspected.
     #[n(0)]
     Alive,
-    /// It didn't answer a probe and may still refute.
+    /// It didn't respond to a probe and may still refute.
     #[n(1)]
     Suspect,
     /// It didn't refute in time.
--- a/crates/membership/src/probe_order.rs
+++ b/crates/membership/src/probe_order.rs
@@ -25,6 +25,7 @@
 }
 
 impl ProbeOrder {
+    /// Adds a member, if it is not known yet.
     pub(crate) fn insert(&mut self, name: &str, rng: &mut dyn RngCore) {
         if self.known.insert(name.to_owned()) {
             let position = self.position + index(rng, self.names.len() + 1 - self.position);
@@ -33,14 +34,14 @@
     }
 
     /// Has a live member probed before all others.
-    pub(crate) fn recheck(&mut self, name: &str) {
+    pub(crate) fn queue_recheck(&mut self, name: &str) {
         if self.known.contains(name) && !self.rechecks.iter().any(|known| known == name) {
             self.rechecks.push_back(name.to_owned());
         }
     }
 
     /// Has a member that is believed dead pinged, so that it refutes if it can.
-    pub(crate) fn recheck_dead(&mut self, name: &str) {
+    pub(crate) fn queue_dead_recheck(&mut self, name: &str) {
         let is_known = self.dead_rechecks.iter().any(|known| known == name);
         if self.dead_rechecks.len() < MAX_DEAD_RECHECKS && !is_known {
             self.dead_rechecks.push_back(name.to_owned());
@@ -48,7 +49,7 @@
     }
 
     /// The next member believed dead that is to be pinged.
-    pub(crate) fn next_dead_recheck(&mut self) -> Option<String> {
+    pub(crate) fn pop_dead_recheck(&mut self) -> Option<String> {
         self.dead_rechecks.pop_front()
     }
 
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -4,12 +4,11 @@
 use std::collections::VecDeque;
 
 use mosshead_time::{Duration, Instant};
-use rand_core::RngCore;
 
-use crate::outgoing::Datagram;
 use crate::peer::MemberState;
-use crate::state::ProtocolState;
-use crate::wire::{MessageBody, UpdateVersion};
+use crate::settings::Settings;
+use crate::state::{ProbeTarget, ProtocolState};
+use crate::wire::MessageBody;
 
 /// Bound of the pings on behalf of others whose acks are awaited.
 const MAX_RELAYED_PINGS: usize = 64;
@@ -18,9 +17,7 @@
 
 /// The probe of the present period.
 struct Probe {
-    target: String,
-    /// What was known of the target when it was sent.
-    version: UpdateVersion,
+    target: ProbeTarget,
     sequence: u32,
     sent_at: Instant,
     is_acked: bool,
@@ -35,7 +32,7 @@
     }
 }
 
-/// A ping that another member asked for.
+/// A ping that another member requested.
 struct RelayedPing {
     sequence: u32,
     target: String,
@@ -52,87 +49,87 @@
     pub(crate) target_address: SocketAddrV4,
 }
 
-/// Pings whose acks are awaited.
+/// Protocol periods, and the pings whose acks are awaited.
 #[derive(Default)]
 pub(crate) struct Prober {
+    next_period_at: Instant,
+    /// `None` before the first period, and if there was nobody to probe.
     probe: Option<Probe>,
     /// The oldest first.
     relayed_pings: VecDeque<RelayedPing>,
 }
 
 impl Prober {
-    /// Ends a protocol period: its target is suspected if it didn't answer, unless something newer is known of it.
-    pub(crate) fn end_period(&mut self, state: &mut ProtocolState) {
+    /// Begins the first protocol period after a delay that spreads the periods of members that start together.
+    pub(crate) fn start(&mut self, state: &mut ProtocolState) {
+        let delay = state.random_duration_below(state.settings().probe_interval);
+        self.next_period_at = state.now() + delay;
+    }
+
+    /// Ends a protocol period and begins the next one, if it is time.
+    pub(crate) fn begin_period_if_due(&mut self, state: &mut ProtocolState) {
+        if state.now() < self.next_period_at {
+            return;
+        }
+        self.suspect_unresponsive_target(state);
+        self.next_period_at = state.now() + state.settings().probe_interval;
+        ping_dead_again(state);
+        self.probe_next_target(state);
+        state.send_periodic_gossip();
+    }
+
+    /// The target of the period that ends is suspected if it didn't respond, unless something newer is known of it.
+    fn suspect_unresponsive_target(&mut self, state: &mut ProtocolState) {
         let Some(probe) = self.probe.take().filter(|probe| !probe.is_acked) else { return };
-        let record = state.table.get(&probe.target);
-        if record.is_some_and(|record| record.version() == probe.version) {
-            state.mark_suspect(&probe.target);
+        let record = state.table().get(&probe.target.name);
+        if record.is_some_and(|record| record.version() == probe.target.version) {
+            state.mark_suspect(&probe.target.name);
         }
     }
 
-    /// Begins a protocol period: sends the probe to the next target.
-    pub(crate) fn begin_period(&mut self, state: &mut ProtocolState, out: &mut Vec<Datagram>) {
-        ping_dead_again(state, out);
-        let table = &state.table;
-        let target = state.probe_order.next(|name| table.is_live(name), &mut *state.rng);
-        let Some(target) = target else { return };
-        let Some(record) = state.table.get(&target) else { return };
-        let (version, address) = (record.version(), record.peer.address);
-        let sequence = state.rng.next_u32();
-        self.probe = Some(Probe {
-            target: target.clone(),
-            version,
-            sequence,
-            sent_at: state.now,
-            is_acked: false,
-            is_repeated: false,
-        });
-        ping(state, target, sequence, address, out);
+    fn probe_next_target(&mut self, state: &mut ProtocolState) {
+        let Some(target) = state.next_probe_target() else { return };
+        let sequence = state.random_sequence();
+        let (name, address) = (target.name.clone(), target.address);
+        self.probe =
+            Some(Probe { target, sequence, sent_at: state.now(), is_acked: false, is_repeated: false });
+        ping(state, name, sequence, address);
     }
 
     /// Sends the probe again if it timed out, with ping-reqs to some other members.
-    pub(crate) fn repeat_timed_out_probe(&mut self, state: &mut ProtocolState, out: &mut Vec<Datagram>) {
+    pub(crate) fn repeat_timed_out_probe(&mut self, state: &mut ProtocolState) {
         let Some(probe) = &mut self.probe else { return };
-        if probe.repeat_at(state.settings.probe_timeout).is_none_or(|at| state.now < at) {
+        if probe.repeat_at(state.settings().probe_timeout).is_none_or(|at| state.now() < at) {
             return;
         }
         probe.is_repeated = true;
-        let Some(address) = state.table.get(&probe.target).map(|record| record.peer.address) else { return };
-        for helper in state.random_alive_addresses(state.settings.indirect_probes, Some(&probe.target)) {
-            let (sequence, target) = (probe.sequence, probe.target.clone());
-            state.send(helper, MessageBody::PingRequest { sequence, target, address }, None, out);
+        let name = &probe.target.name;
+        // Its address may have changed since.
+        let Some(address) = state.table().get(name).map(|record| record.peer.address) else { return };
+        for relay in state.random_alive_addresses(state.settings().indirect_probes, Some(name)) {
+            let (sequence, target) = (probe.sequence, name.clone());
+            state.send(relay, MessageBody::PingRequest { sequence, target, address }, None);
         }
-        ping(state, probe.target.clone(), probe.sequence, address, out);
+        ping(state, name.clone(), probe.sequence, address);
     }
 
-    /// Takes an ack, and passes it on if the ping was sent on behalf of another member.
-    pub(crate) fn on_ack(
-        &mut self,
-        state: &mut ProtocolState,
-        sequence: u32,
-        target: &str,
-        out: &mut Vec<Datagram>,
-    ) {
+    /// Handles an ack, and passes it on if the ping was sent on behalf of another member.
+    pub(crate) fn on_ack(&mut self, state: &mut ProtocolState, sequence: u32, target: &str) {
         let probe = self.probe.as_mut();
-        if let Some(probe) = probe.filter(|probe| probe.sequence == sequence && probe.target == target) {
+        if let Some(probe) = probe.filter(|probe| probe.sequence == sequence && probe.target.name == target) {
             probe.is_acked = true;
         }
         let is_acked = |ping: &RelayedPing| ping.sequence == sequence && ping.target == target;
         let position = self.relayed_pings.iter().position(is_acked);
         if let Some(ping) = position.and_then(|position| self.relayed_pings.remove(position)) {
             let ack = MessageBody::Ack { sequence: ping.requested_sequence, target: ping.target };
-            state.send(ping.requester, ack, None, out);
+            state.send(ping.requester, ack, None);
         }
     }
 
     /// Pings a member on behalf of another.
-    pub(crate) fn on_ping_request(
-        &mut self,
-        state: &mut ProtocolState,
-        request: PingRequest,
-        out: &mut Vec<Datagram>,
-    ) {
-        let sequence = state.rng.next_u32();
+    pub(crate) fn on_ping_request(&mut self, state: &mut ProtocolState, request: PingRequest) {
+        let sequence = state.random_sequence();
         if self.relayed_pings.len() >= MAX_RELAYED_PINGS {
             self.relayed_pings.pop_front();
         }
@@ -142,16 +139,21 @@
             requester: request.requester,
             requested_sequence: request.sequence,
         });
-        ping(state, request.target, sequence, request.target_address, out);
+        ping(state, request.target, sequence, request.target_address);
+    }
+
+    pub(crate) fn next_period_at(&self) -> Instant {
+        self.next_period_at
     }
 
     /// When the probe is to be sent again, if it is.
-    pub(crate) fn next_deadline(&self, probe_timeout: Duration) -> Option<Instant> {
-        self.probe.as_ref().and_then(|probe| probe.repeat_at(probe_timeout))
+    pub(crate) fn next_repeat_at(&self, settings: &Settings) -> Option<Instant> {
+        self.probe.as_ref().and_then(|probe| probe.repeat_at(settings.probe_timeout))
     }
 
-    /// Gives the probe under way more time.
+    /// Postpones the next period, and gives the probe in flight more time.
     pub(crate) fn postpone(&mut self, delay: Duration) {
+        self.next_period_at += delay;
         if let Some(probe) = &mut self.probe {
             probe.sent_at += delay;
         }
@@ -159,26 +161,20 @@
 }
 
 /// Sends a ping. A target that isn't believed alive is notified, so that it can refute.
-fn ping(
-    state: &mut ProtocolState,
-    target: String,
-    sequence: u32,
-    address: SocketAddrV4,
-    out: &mut Vec<Datagram>,
-) {
-    let doubted = state.table.get(&target).filter(|record| record.state != MemberState::Alive);
+fn ping(state: &mut ProtocolState, target: String, sequence: u32, address: SocketAddrV4) {
+    let doubted = state.table().get(&target).filter(|record| record.state != MemberState::Alive);
     let update = doubted.map(|record| record.update());
-    state.send(address, MessageBody::Ping { sequence, target }, update, out);
+    state.send(address, MessageBody::Ping { sequence, target }, update);
 }
 
 /// Pings some of the members that are believed dead though others say that they are live.
-fn ping_dead_again(state: &mut ProtocolState, out: &mut Vec<Datagram>) {
+fn ping_dead_again(state: &mut ProtocolState) {
     for _ in 0..DEAD_RECHECKS_PER_PERIOD {
-        let Some(name) = state.probe_order.next_dead_recheck() else { break };
-        let dead = state.table.get(&name).filter(|record| record.state == MemberState::Dead);
+        let Some(name) = state.pop_dead_recheck() else { break };
+        let dead = state.table().get(&name).filter(|record| record.state == MemberState::Dead);
         if let Some(address) = dead.map(|record| record.peer.address) {
-            let sequence = state.rng.next_u32();
-            ping(state, name, sequence, address, out);
+            let sequence = state.random_sequence();
+            ping(state, name, sequence, address);
         }
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -9,9 +9,10 @@
 const MAX_FANOUT: usize = 16;
 const MAX_RETRANSMIT_MULTIPLIER: u32 = 16;
 const MAX_SYNC_DATAGRAMS: usize = 16;
-const MEMBERS_BOUNDS: (usize, usize) = (2, 65_536);
+const MIN_MEMBERS: usize = 2;
+const MAX_MEMBERS: usize = 65_536;
 
-/// How a member probes, gossips and forgets. All members of a fleet should have the same settings.
+/// How a member probes, gossips, syncs, and drops what is old. All members of a fleet should have the same settings.
 ///
 /// Durations have a resolution of one millisecond. Values out of bounds are brought into bounds by
 /// [`Membership::new`](crate::Membership::new).
@@ -45,7 +46,7 @@
     pub max_sync_delay: Duration,
     /// Bound of the datagrams in one response to a sync request.
     pub max_sync_datagrams: usize,
-    /// How long members that are dead or have left are remembered, so that outdated updates don't revive them.
+    /// How long the records of members that are dead or have left are retained, so that outdated updates don't revive them.
     pub tombstone_retention: Duration,
     /// Bound of the known members, those that are dead or have left included.
     pub max_members: usize,
@@ -96,7 +97,7 @@
         self.gossip_fanout = self.gossip_fanout.min(MAX_FANOUT);
         self.retransmit_multiplier = self.retransmit_multiplier.clamp(1, MAX_RETRANSMIT_MULTIPLIER);
         self.max_sync_datagrams = self.max_sync_datagrams.clamp(1, MAX_SYNC_DATAGRAMS);
-        self.max_members = self.max_members.clamp(MEMBERS_BOUNDS.0, MEMBERS_BOUNDS.1);
+        self.max_members = self.max_members.clamp(MIN_MEMBERS, MAX_MEMBERS);
         self
     }
 
--- a/crates/membership/src/outgoing.rs
+++ b/crates/membership/src/state/sending.rs
@@ -2,27 +2,18 @@
 
 use core::net::SocketAddrV4;
 
+use super::ProtocolState;
+use crate::datagram::Datagram;
 use crate::peer::MemberState;
-use crate::state::ProtocolState;
 use crate::wire::{MemberUpdate, Message, MessageBody};
 
-/// A datagram that the host is to send.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Datagram {
-    /// Where to send it.
-    pub destination: SocketAddrV4,
-    /// Its content, at most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
-    pub payload: Vec<u8>,
-}
-
 impl ProtocolState {
-    /// Appends a datagram to `out`, with `first_update` and as much gossip as fits piggybacked on it.
+    /// Sends a message, with `first_update` and as much gossip as fits piggybacked on it.
     pub(crate) fn send(
         &mut self,
         destination: SocketAddrV4,
         body: MessageBody,
         first_update: Option<MemberUpdate>,
-        out: &mut Vec<Datagram>,
     ) {
         let mut message = self.message(body);
         let mut remaining = message.remaining_bytes();
@@ -31,15 +22,29 @@
             message.updates.push(update);
         }
         self.piggyback_gossip(&mut message, remaining);
-        out.push(Datagram { destination, payload: message.encode().unwrap_or_default() });
+        self.outbox.push(Datagram { destination, payload: message.encode().unwrap_or_default() });
+    }
+
+    /// Sends a message as it is, without gossip. One that would be too long is not sent.
+    pub(crate) fn send_without_gossip(&mut self, destination: SocketAddrV4, message: &Message) {
+        self.outbox.extend(message.encode().map(|payload| Datagram { destination, payload }));
+    }
+
+    /// Whether the call at hand sends something to this address.
+    pub(crate) fn has_sent_to(&self, destination: SocketAddrV4) -> bool {
+        self.outbox.iter().any(|datagram| datagram.destination == destination)
+    }
+
+    /// Takes the datagrams of the call at hand.
+    pub(crate) fn take_outbox(&mut self) -> Vec<Datagram> {
+        std::mem::take(&mut self.outbox)
     }
 
     /// A message without updates.
     pub(crate) fn message(&self, body: MessageBody) -> Message {
-        let state = if self.is_leaving { MemberState::Left } else { MemberState::Alive };
         Message {
             fleet_id: self.settings.fleet_id,
-            sender: MemberUpdate::new(&self.local_peer, self.incarnation, state),
+            sender: self.local.update(),
             digest: self.table.digest(),
             body,
             updates: Vec::new(),
@@ -48,9 +53,16 @@
     }
 
     /// Sends gossip to so many live members, drawn at random. They learn of the local state by it too.
-    pub(crate) fn send_gossip(&mut self, count: usize, out: &mut Vec<Datagram>) {
+    pub(crate) fn send_gossip(&mut self, count: usize) {
         for address in self.random_alive_addresses(count, None) {
-            self.send(address, MessageBody::Gossip, None, out);
+            self.send(address, MessageBody::Gossip, None);
+        }
+    }
+
+    /// Sends gossip as once a period, while there is any.
+    pub(crate) fn send_periodic_gossip(&mut self) {
+        if !self.gossip.is_empty() {
+            self.send_gossip(self.settings.gossip_fanout);
         }
     }
 
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/state/updates.rs
@@ -1,11 +1,11 @@
-//! Applying updates: which of two claims about a member holds, and what follows from it.
+//! Applying updates: which of two updates about a member takes precedence, and what follows from it.
 
 use std::cmp::Ordering;
 
+use super::ProtocolState;
 use crate::event_log::Event;
 use crate::peer::MemberState;
-use crate::state::ProtocolState;
-use crate::wire::{MAX_INCARNATION, MemberUpdate};
+use crate::wire::MemberUpdate;
 
 /// How an update was received.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 impl ProtocolState {
     /// Applies an update. Returns whether it made the local member refute, that is, raise its incarnation.
     pub(crate) fn apply_update(&mut self, update: &MemberUpdate, source: UpdateSource) -> bool {
-        if update.name == self.local_peer.name {
+        if update.name == self.local.name() {
             return self.apply_local_update(update);
         }
         let known = self.table.get(&update.name).map(|record| (record.version(), record.state));
@@ -44,7 +44,7 @@
         }
         self.table.set_state(name, MemberState::Suspect);
         let timeout = self.settings.suspicion_timeout(self.table.live_members());
-        self.suspicion_deadlines.insert(name.to_owned(), self.now + timeout);
+        self.suspicions.begin(name, self.now + timeout);
         self.events.append(Event::Suspected(name.to_owned()));
         self.gossip.push(name, self.now);
     }
@@ -95,7 +95,7 @@
             (MemberState::Suspect, MemberState::Dead) => self.mark_dead(&update.name),
             // Believing it would spread the losses of one side of a partition to the other when it heals. The member is
             // probed instead, and refutes if it can.
-            (MemberState::Alive, MemberState::Dead) => self.probe_order.recheck(&update.name),
+            (MemberState::Alive, MemberState::Dead) => self.probe_order.queue_recheck(&update.name),
             (MemberState::Alive | MemberState::Suspect | MemberState::Dead, MemberState::Left) => {
                 self.mark_left(&update.name);
             }
@@ -103,13 +103,13 @@
             (MemberState::Dead, MemberState::Alive | MemberState::Suspect)
                 if source != UpdateSource::Sender =>
             {
-                self.probe_order.recheck_dead(&update.name);
+                self.probe_order.queue_dead_recheck(&update.name);
             }
             _ => {}
         }
     }
 
-    /// An update about a name that isn't known. Deaths and leaves of such names mean nothing here, or are forgotten
+    /// Applies an update about a name that isn't known. Deaths and leaves of such names mean nothing here, or are forgotten
     /// already; a suspicion is believed only as part of a sync.
     fn apply_unknown_update(&mut self, update: &MemberUpdate, source: UpdateSource) {
         let is_accepted = match update.state {
@@ -117,7 +117,7 @@
             MemberState::Suspect => source == UpdateSource::Sync,
             MemberState::Dead | MemberState::Left => false,
         };
-        if is_accepted && self.table.make_room() {
+        if is_accepted && self.table.ensure_capacity() {
             self.mark_alive(update, source);
             if update.state == MemberState::Suspect {
                 self.mark_suspect(&update.name);
@@ -125,32 +125,31 @@
         }
     }
 
-    /// An update about the local name. Unless it is older than what the local member says of itself, or only repeats it, it is
-    /// refuted by a higher incarnation. Returns whether it was.
+    /// Applies an update about the local name. Unless it is older than what the local member says of itself, or only repeats
+    /// it, it is refuted by a higher incarnation. Returns whether it was.
     fn apply_local_update(&mut self, update: &MemberUpdate) -> bool {
-        let is_this_instance = update.instance_id == self.local_peer.instance_id;
-        if self.is_leaving || (is_this_instance && !self.settings.is_refutation_enabled) {
+        let is_this_instance = self.local.is_same_instance(update);
+        if self.local.is_leaving() || (is_this_instance && !self.settings.is_refutation_enabled) {
             return false;
         }
         let is_own_earlier_update = is_this_instance && update.state == MemberState::Alive;
-        let is_overridden =
-            (update.incarnation, update.instance_id) < (self.incarnation, self.local_peer.instance_id);
+        let is_overridden = update.version() < self.local.version();
         if is_own_earlier_update || is_overridden {
             return false;
         }
-        self.incarnation = update.incarnation.saturating_add(1).min(MAX_INCARNATION);
-        self.table.put(self.local_peer.clone(), self.incarnation, MemberState::Alive);
-        self.changed_at = self.now;
+        self.local.refute(update.incarnation);
+        self.table.put(self.local.peer().clone(), self.local.incarnation(), MemberState::Alive);
+        self.changes.record_refutation(self.now);
         true
     }
 
     fn mark_suspect_of_newer_version(&mut self, update: &MemberUpdate) {
-        // `Sync` only keeps `mark_alive` from disseminating the member as alive; `mark_suspect` disseminates it as a suspect.
+        // With `Sync`, `mark_alive` doesn't disseminate the member as alive; `mark_suspect` disseminates it as a suspect.
         self.mark_alive(update, UpdateSource::Sync);
         self.mark_suspect(&update.name);
     }
 
-    /// Takes in that a member is live, by an update that is newer than all known of it.
+    /// Marks a member alive, by an update that is newer than all known of it.
     fn mark_alive(&mut self, update: &MemberUpdate, source: UpdateSource) {
         let peer = update.peer();
         let known = self.table.get(&update.name);
@@ -160,14 +159,14 @@
         }
         self.contacts.remove_lost(peer.address);
         self.table.put(peer.clone(), update.incarnation, MemberState::Alive);
-        let was_suspected = self.suspicion_deadlines.remove(&update.name).is_some();
+        let was_suspected = self.suspicions.end(&update.name);
         if !is_known {
             self.events.append(Event::Joined(peer));
             self.probe_order.insert(&update.name, &mut *self.rng);
         } else if was_suspected {
             self.events.append(Event::Refuted(update.name.clone()));
         }
-        self.record_change();
+        self.changes.record_change(self.now);
         if source != UpdateSource::Sync {
             self.gossip.push(&update.name, self.now);
         }
@@ -179,21 +178,16 @@
         self.contacts.remove_lost(address);
     }
 
-    /// Sets a member dead or left. It is an event only if it was live.
+    /// Marks a member dead or left. It is an event only if it was live.
     fn mark_gone(&mut self, name: &str, state: MemberState, event: Event) {
         let was_live = self.table.is_live(name);
         self.table.set_state(name, state);
-        self.suspicion_deadlines.remove(name);
+        self.suspicions.end(name);
         self.table.add_tombstone(name, self.now + self.settings.tombstone_retention);
         if was_live {
             self.events.append(event);
-            self.record_change();
+            self.changes.record_change(self.now);
             self.gossip.push(name, self.now);
         }
     }
-
-    fn record_change(&mut self) {
-        self.change_count += 1;
-        self.changed_at = self.now;
-    }
 }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,25 +1,23 @@
-//! The anti-entropy sync: digests are compared all the time, and what differs is requested.
+//! The anti-entropy sync: digests are compared with each datagram, and what differs is requested.
 
 use core::net::SocketAddrV4;
 
 use mosshead_time::{Duration, Instant};
 
-use crate::outgoing::Datagram;
-use crate::random::{duration_below, index};
 use crate::settings::half;
 use crate::state::ProtocolState;
 use crate::wire::{BUCKETS, MAX_DATAGRAM_LEN, MemberUpdate, Message, MessageBody};
 
 /// No encoded update is shorter.
 const MIN_UPDATE_LEN: usize = 16;
-/// A response that changes at least so many members is followed by another request, if the lists still differ.
-const CHANGES_WORTH_ANOTHER_REQUEST: u64 = 8;
-/// So many datagrams in a row with the same digest show that it is the local member that lacks something.
+/// A response that changes at least so many members is followed by another request, if the views still differ.
+const MIN_CHANGES_FOR_ANOTHER_REQUEST: u64 = 8;
+/// So many datagrams in a row with the same digest show that it is the local view that is incomplete.
 const MATCHING_DIGESTS: u32 = 4;
-/// Lacking more members than this shortens the interval between requests.
+/// If more members than this are missing, the interval between requests is shorter.
 const FEW_MEMBERS: usize = 3;
-/// Lacking more than one in so many of the known members is urgent, if that is also more than [`FEW_MEMBERS`].
-const URGENT_SHARE: usize = 8;
+/// It is urgent if the missing members are more than the known ones divided by this, and more than [`FEW_MEMBERS`].
+const URGENT_DIVISOR: usize = 8;
 
 /// What another member's datagram says about its live members.
 #[derive(Clone, Copy)]
@@ -37,7 +35,7 @@
     /// The digest of the last datagram, and how many in a row had it.
     last_digest: u64,
     matching_digests: u32,
-    /// [`ProtocolState::change_count`] at the last request.
+    /// [`ChangeCounter::count`](crate::change_counter::ChangeCounter::count) at the last request.
     changes_at_request: u64,
 }
 
@@ -48,21 +46,16 @@
     }
 
     /// Requests the updates that differ.
-    pub(crate) fn request(
-        &mut self,
-        state: &mut ProtocolState,
-        destination: SocketAddrV4,
-        out: &mut Vec<Datagram>,
-    ) {
-        self.last_request_at = state.now;
-        self.jitter = duration_below(&mut *state.rng, half(state.settings.sync_quiet_period));
-        self.changes_at_request = state.change_count;
-        let bucket_hashes = state.table.encoded_bucket_hashes();
+    pub(crate) fn request(&mut self, state: &mut ProtocolState, destination: SocketAddrV4) {
+        self.last_request_at = state.now();
+        self.jitter = state.random_duration_below(half(state.settings().sync_quiet_period));
+        self.changes_at_request = state.changes().count();
+        let bucket_hashes = state.table().encoded_bucket_hashes();
         let message = state.message(MessageBody::SyncRequest { bucket_hashes });
-        out.extend(message.encode().map(|payload| Datagram { destination, payload }));
+        state.send_without_gossip(destination, &message);
     }
 
-    /// Takes the end of a response whose updates have been applied. If it changed much and there is more to fetch, requests
+    /// Handles the end of a response whose updates have been applied. If it changed much and there is more to fetch, requests
     /// that and returns false; otherwise returns whether the local member knows any other, and so has joined.
     pub(crate) fn on_response_end(
         &mut self,
@@ -70,15 +63,14 @@
         sender: SocketAddrV4,
         remote_digest: u64,
         has_more: bool,
-        out: &mut Vec<Datagram>,
     ) -> bool {
-        let differs = remote_digest != state.table.digest();
-        let changes = state.change_count.saturating_sub(self.changes_at_request);
-        if (has_more || differs) && changes >= CHANGES_WORTH_ANOTHER_REQUEST {
-            self.request(state, sender, out);
+        let differs = remote_digest != state.table().digest();
+        let changes = state.changes().count().saturating_sub(self.changes_at_request);
+        if (has_more || differs) && changes >= MIN_CHANGES_FOR_ANOTHER_REQUEST {
+            self.request(state, sender);
             return false;
         }
-        state.table.live_members() > 1
+        state.table().live_members() > 1
     }
 
     /// Counts how many datagrams in a row had the same digest.
@@ -94,50 +86,48 @@
         state: &mut ProtocolState,
         sender: SocketAddrV4,
         remote: RemoteDigest,
-        out: &mut Vec<Datagram>,
     ) {
-        if remote.digest == state.table.digest() {
+        if remote.digest == state.table().digest() {
             return;
         }
-        if state.now - self.last_request_at >= self.request_interval(state, remote.live_members) {
+        if state.now() - self.last_request_at >= self.request_interval(state, remote.live_members) {
             self.matching_digests = 0;
-            self.request(state, sender, out);
+            self.request(state, sender);
         }
     }
 
-    /// The least time between two requests: the shorter, the more members are lacking. If several members in a row agree
-    /// with each other but not with this one, it lacks something too. Otherwise time is left to gossip, and views that differ
-    /// are synced when it is quiet.
+    /// The least time between two requests: the shorter, the more members are missing here. If several members in a row
+    /// agree with each other but not with this one, something is missing, too. Otherwise gossip gets time to spread the
+    /// changes, and views that still differ are synced when there are none any more.
     fn request_interval(&self, state: &ProtocolState, remote_live_members: u32) -> Duration {
-        let local = state.table.live_members();
-        let lacking = (remote_live_members as usize).saturating_sub(local);
-        let quiet_period = state.settings.sync_quiet_period + self.jitter;
-        if lacking > (local / URGENT_SHARE).max(FEW_MEMBERS) || self.matching_digests >= MATCHING_DIGESTS {
-            state.settings.join_retry_interval
-        } else if lacking > FEW_MEMBERS {
+        let local = state.table().live_members();
+        let missing = (remote_live_members as usize).saturating_sub(local);
+        let quiet_period = state.settings().sync_quiet_period + self.jitter;
+        if missing > (local / URGENT_DIVISOR).max(FEW_MEMBERS) || self.matching_digests >= MATCHING_DIGESTS {
+            state.settings().join_retry_interval
+        } else if missing > FEW_MEMBERS {
             half(quiet_period)
-        } else if state.now >= state.changed_at + quiet_period {
+        } else if state.now() >= state.changes().last_at() + quiet_period {
             quiet_period
         } else {
-            state.settings.max_sync_delay + self.jitter
+            state.settings().max_sync_delay + self.jitter
         }
     }
 }
 
 /// Sends the updates of buckets that differ from the requester's, in as many datagrams as are allowed. They begin with
-/// `first_update` and then with a random bucket, so that repeated requests get on even if not everything fits.
+/// `first_update` and then with a random bucket, so that repeated requests bring different updates if not all fit.
 pub(crate) fn respond(
     state: &mut ProtocolState,
     requester: SocketAddrV4,
     bucket_hashes: &[u8],
     first_update: Option<MemberUpdate>,
-    out: &mut Vec<Datagram>,
 ) {
-    let max_datagrams = state.settings.max_sync_datagrams;
-    // More than fit, so that it shows when something is left.
+    let max_datagrams = state.settings().max_sync_datagrams;
+    // More than fit, so that it is known whether some are left.
     let max_updates = max_datagrams * MAX_DATAGRAM_LEN / MIN_UPDATE_LEN;
-    let first_bucket = index(&mut *state.rng, BUCKETS);
-    let differing = state.table.differing_updates(bucket_hashes, first_bucket, max_updates);
+    let first_bucket = state.random_index(BUCKETS);
+    let differing = state.table().differing_updates(bucket_hashes, first_bucket, max_updates);
     let mut updates = first_update.into_iter().chain(differing).peekable();
     for number in 1..=max_datagrams {
         let mut message = state.message(MessageBody::SyncResponse { is_last: false, has_more: false });
@@ -145,7 +135,7 @@
         let has_more = updates.peek().is_some();
         let is_last = !has_more || number == max_datagrams;
         message.body = MessageBody::SyncResponse { is_last, has_more };
-        out.extend(message.encode().map(|payload| Datagram { destination: requester, payload }));
+        state.send_without_gossip(requester, &message);
         if is_last {
             break;
         }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -25,7 +25,7 @@
 pub(crate) struct UpdateVersion {
     /// Raised by the member itself, to refute.
     pub(crate) incarnation: u64,
-    /// Tells instances of one name apart that have the same incarnation.
+    /// Distinguishes instances of one name that have the same incarnation.
     pub(crate) instance_id: u64,
 }
 
@@ -83,7 +83,7 @@
 /// What a message is for.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
 pub(crate) enum MessageBody {
-    /// Asks for an ack. An empty target is whichever member has the address.
+    /// Requests an ack. An empty target is whichever member has the address.
     #[n(0)]
     Ping {
         #[n(0)]
@@ -100,7 +100,7 @@
         #[n(1)]
         target: String,
     },
-    /// Asks the receiver to ping the target and to pass its ack on.
+    /// Requests that the receiver pings the target and passes its ack on.
     #[n(2)]
     PingRequest {
         #[n(0)]
@@ -110,7 +110,7 @@
         #[n(2)]
         address: SocketAddrV4,
     },
-    /// Asks for the updates of those buckets whose hashes differ.
+    /// Requests the updates of those buckets whose hashes differ.
     #[n(3)]
     SyncRequest {
         /// [`BUCKET_HASHES_LEN`] bytes.
@@ -127,7 +127,7 @@
         #[n(1)]
         has_more: bool,
     },
-    /// Carries updates only.
+    /// Carries nothing but updates.
     #[n(5)]
     Gossip,
 }
--- a/crates/membership/tests/cluster/checks.rs
+++ b/crates/membership/tests/cluster/checks.rs
@@ -12,7 +12,7 @@
 
 impl Cluster {
     /// Runs until all agree on who is live, and how long that took; `None` if it takes longer than `max`.
-    pub(crate) fn settle(&mut self, max: Duration) -> Option<Duration> {
+    pub(crate) fn run_until_agreed(&mut self, max: Duration) -> Option<Duration> {
         let start = self.now;
         while !self.is_agreed() {
             if self.now - start >= max {
@@ -23,6 +23,7 @@
         Some(self.now - start)
     }
 
+    /// The processes that run.
     pub(crate) fn running(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().filter(|process| process.membership.is_some())
     }
@@ -55,9 +56,9 @@
     }
 
     /// Checks that each view equals the members that it was built from, and that the counts agree with it.
-    pub(crate) fn check_views(&self) {
+    pub(crate) fn assert_views_match_members(&self) {
         for process in self.running() {
-            let membership = process.membership.as_ref().expect("runs");
+            let membership = process.membership.as_ref().expect("the process runs");
             let live: BTreeMap<String, (Peer, MemberState)> = membership
                 .members()
                 .filter(|(_, state)| state.is_live())
--- a/crates/membership/tests/cluster/mod.rs
+++ b/crates/membership/tests/cluster/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) const FLEET_ID: u64 = 0x6d6f_7373;
 /// What IPv4 and UDP add to each datagram.
 pub(crate) const HEADER_BYTES: u64 = 28;
-/// Datagrams that the socket of a suspended process holds.
+/// Datagrams that the socket of a suspended process buffers.
 const MAX_SOCKET_QUEUE: usize = 200;
 /// Network delays are 1 ms and up to so many more, exclusively.
 const MAX_EXTRA_DELAY_MS: u64 = 4;
@@ -34,13 +34,18 @@
     pub is_suspended: bool,
     pub received_bytes: u64,
     pub sent_bytes: u64,
-    socket_queue: Vec<(SocketAddrV4, Vec<u8>)>,
+    socket_queue: Vec<ReceivedDatagram>,
     wake_at: Instant,
 }
 
+struct ReceivedDatagram {
+    sender: SocketAddrV4,
+    payload: Vec<u8>,
+}
+
 enum Action {
     Wake,
-    Deliver(SocketAddrV4, Vec<u8>),
+    Deliver(ReceivedDatagram),
 }
 
 pub(crate) struct Cluster {
@@ -98,7 +103,7 @@
         }
     }
 
-    /// One more member, at an address of its own; it wakes at once.
+    /// Adds a member at an address of its own; it wakes at once.
     pub(crate) fn add(&mut self) -> usize {
         let index = self.processes.len();
         let peer = Peer {
@@ -141,13 +146,13 @@
         self.wake_at(index, self.now);
     }
 
-    /// Has to be called when addresses of processes were changed.
+    /// Updates the routes to the processes; to be called after their addresses were changed.
     pub(crate) fn update_addresses(&mut self) {
         let processes = self.processes.iter().enumerate();
         self.by_address = processes.map(|(index, process)| (process.peer.address, index)).collect();
     }
 
-    /// A datagram by which a member introduces itself that isn't in this network.
+    /// The first datagram of a member that isn't in this network: a request to join.
     pub(crate) fn datagram_of_stranger(&mut self, index: usize) -> Vec<u8> {
         let peer = Peer {
             name: name(index),
@@ -164,12 +169,12 @@
 
     /// The membership of a process that runs.
     pub(crate) fn membership(&self, index: usize) -> &Membership {
-        self.processes[index].membership.as_ref().expect("runs")
+        self.processes[index].membership.as_ref().expect("the process runs")
     }
 
     /// The membership of a process that runs.
     pub(crate) fn membership_mut(&mut self, index: usize) -> &mut Membership {
-        self.processes[index].membership.as_mut().expect("runs")
+        self.processes[index].membership.as_mut().expect("the process runs")
     }
 
     pub(crate) fn kill(&mut self, index: usize) {
@@ -189,12 +194,12 @@
         self.processes[index].is_suspended = true;
     }
 
-    /// What was received meanwhile is handled after the first tick.
+    /// Continues a suspended process. What was received meanwhile is handled after the first tick.
     pub(crate) fn resume(&mut self, index: usize) {
         self.processes[index].is_suspended = false;
         self.wake_at(index, self.now);
-        for (from, bytes) in std::mem::take(&mut self.processes[index].socket_queue) {
-            self.deliver_at(self.now + millis(1), index, from, bytes);
+        for datagram in std::mem::take(&mut self.processes[index].socket_queue) {
+            self.push(self.now + millis(1), index, Action::Deliver(datagram));
         }
     }
 
@@ -241,25 +246,25 @@
                 process.wake_at = Instant::FAR_FUTURE;
                 membership.tick(now)
             }
-            Action::Deliver(from, bytes) if process.is_suspended => {
+            Action::Deliver(datagram) if process.is_suspended => {
                 if process.socket_queue.len() < MAX_SOCKET_QUEUE {
-                    process.socket_queue.push((from, bytes));
+                    process.socket_queue.push(datagram);
                 }
                 return;
             }
-            Action::Deliver(from, bytes) => {
-                process.received_bytes += bytes.len() as u64 + HEADER_BYTES;
-                membership.receive(now, from, &bytes)
+            Action::Deliver(ReceivedDatagram { sender, payload }) => {
+                process.received_bytes += payload.len() as u64 + HEADER_BYTES;
+                membership.receive(now, sender, &payload)
             }
         };
         self.after_call(index, out);
     }
 
-    /// What a host does after each call.
+    /// Does what a host does after each call.
     fn after_call(&mut self, index: usize, out: Vec<Datagram>) {
         let now = self.now;
         let process = &mut self.processes[index];
-        let membership = process.membership.as_mut().expect("runs");
+        let membership = process.membership.as_mut().expect("the process runs");
         for event in membership.drain_events() {
             process.view.apply(&event);
             process.events.push((now, event));
@@ -287,12 +292,8 @@
             return;
         }
         let at = self.now + millis(1 + self.draw(MAX_EXTRA_DELAY_MS));
-        let from = self.processes[sender].peer.address;
-        self.deliver_at(at, receiver, from, payload);
-    }
-
-    fn deliver_at(&mut self, at: Instant, index: usize, from: SocketAddrV4, bytes: Vec<u8>) {
-        self.push(at, index, Action::Deliver(from, bytes));
+        let sender = self.processes[sender].peer.address;
+        self.push(at, receiver, Action::Deliver(ReceivedDatagram { sender, payload }));
     }
 
     fn push(&mut self, at: Instant, index: usize, action: Action) {
--- a/crates/membership/tests/fault_free.rs
+++ b/crates/membership/tests/fault_free.rs
@@ -14,10 +14,11 @@
         for seed in 0..5 {
             let mut cluster = Cluster::new(seed, size, Settings::default());
             cluster.run(millis(300));
-            let took =
-                cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} don't agree, seed {seed}"));
+            let took = cluster
+                .run_until_agreed(millis(max))
+                .unwrap_or_else(|| panic!("{size} don't agree, seed {seed}"));
             println!("{size} agree after {:?}", took + millis(300));
-            cluster.check_views();
+            cluster.assert_views_match_members();
         }
     }
 }
@@ -30,7 +31,7 @@
         assert!(cluster.is_agreed());
         let victim = size - 1;
         cluster.kill(victim);
-        let took = cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} don't agree"));
+        let took = cluster.run_until_agreed(millis(max)).unwrap_or_else(|| panic!("{size} don't agree"));
         println!("{size}: dead after {took:?}");
         assert_eq!(cluster.observers(&Event::Died(name(victim))), size - 1);
         assert_eq!(
@@ -38,7 +39,7 @@
             size - 1,
             "suspicion comes before removal"
         );
-        cluster.check_views();
+        cluster.assert_views_match_members();
     }
 }
 
@@ -47,7 +48,7 @@
     let mut cluster = Cluster::new(4, 40, Settings::default());
     cluster.run(millis(10_000));
     (0..20).for_each(|process| cluster.kill(process));
-    let took = cluster.settle(millis(25_000)).expect("the other half agrees");
+    let took = cluster.run_until_agreed(millis(25_000)).expect("the other half agrees");
     println!("the other half of 40 agrees after {took:?}");
     for process in 20..40 {
         assert_eq!(cluster.observers(&Event::Died(name(process))), 0);
@@ -67,7 +68,9 @@
             size + 1,
             "has the complete list at once"
         );
-        let took = cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} don't know the new member"));
+        let took = cluster
+            .run_until_agreed(millis(max))
+            .unwrap_or_else(|| panic!("{size} don't know the new member"));
         println!("new member of {size}: known to all after {:?}", took + millis(100));
     }
 }
@@ -86,8 +89,8 @@
         let other = cluster.membership(0);
         assert!(other.members().any(|(peer, state)| peer.name == name(1) && state == MemberState::Left));
         cluster.start(1);
-        assert!(cluster.settle(millis(3_000)).is_some(), "and may come back");
-        cluster.check_views();
+        assert!(cluster.run_until_agreed(millis(3_000)).is_some(), "and may come back");
+        cluster.assert_views_match_members();
     }
 }
 
@@ -110,7 +113,7 @@
                 .count()
         };
         assert!(knows(&cluster) >= 2, "known within a few round trips");
-        cluster.settle(millis(2_000)).expect("replaced");
+        cluster.run_until_agreed(millis(2_000)).expect("replaced");
         assert_eq!(knows(&cluster), 9);
         assert!(cluster.running().all(|process| process.view.live_members().all(|(peer, _)| *peer != old)));
         assert_eq!(cluster.observers(&Event::Died(name(5))), 0);
@@ -143,7 +146,7 @@
     cluster.run(millis(100));
     cluster.processes[5].peer.name = "edge-dixie-east-z-77".to_owned();
     cluster.start(5);
-    cluster.settle(millis(5_000)).expect("the old name is dead, the new one lives");
+    cluster.run_until_agreed(millis(5_000)).expect("the old name is dead, the new one lives");
 }
 
 #[test]
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -19,8 +19,8 @@
         cluster.run(millis(120_000));
         println!("{size} with {loss} of 1,000 lost: {} deaths", deaths(&cluster));
         assert_eq!(deaths(&cluster), 0);
-        let living = |process: &cluster::Process| process.view.live_members().count() == size;
-        assert!(cluster.running().all(living));
+        let is_complete = |process: &cluster::Process| process.view.live_members().count() == size;
+        assert!(cluster.running().all(is_complete));
     }
 }
 
@@ -49,7 +49,7 @@
         }
         cluster.run(millis(8_000));
         assert_eq!(cluster.believers(5), 0, "receiving cut: {is_receiving_cut}");
-        // Nobody is declared dead by the claims of the one that was cut off.
+        // Nobody is declared dead by the updates of the one that was cut off.
         for process in (0..12).filter(|process| *process != 5) {
             assert!(
                 cluster.believers(process) >= 10,
@@ -59,10 +59,10 @@
         cluster.run(millis(10_000));
         cluster.cut_links.clear();
         let took = cluster
-            .settle(millis(10_000))
+            .run_until_agreed(millis(10_000))
             .unwrap_or_else(|| panic!("not back, receiving cut: {is_receiving_cut}"));
         println!("cut off in one direction (receiving cut: {is_receiving_cut}): back after {took:?}");
-        cluster.check_views();
+        cluster.assert_views_match_members();
     }
 }
 
@@ -77,7 +77,8 @@
             assert_eq!(cluster.believers(7), 0);
         }
         cluster.resume(7);
-        let took = cluster.settle(millis(max)).unwrap_or_else(|| panic!("suspended for {span}: not back"));
+        let took =
+            cluster.run_until_agreed(millis(max)).unwrap_or_else(|| panic!("suspended for {span}: not back"));
         println!("suspended for {span} ms: back after {took:?}");
         for process in (0..20).filter(|process| *process != 7) {
             assert_eq!(cluster.observers(&Event::Died(name(process))), 0);
@@ -96,7 +97,7 @@
         cluster.run(millis(span));
         cluster.resume(7);
         let took = cluster
-            .settle(millis(15_000))
+            .run_until_agreed(millis(15_000))
             .unwrap_or_else(|| panic!("after {span}: dead members are still listed"));
         println!("suspended for {span} ms with three deaths: agreed after {took:?}");
         cluster.run(millis(30_000));
@@ -116,7 +117,7 @@
         cluster.run(millis(50));
     }
     assert_eq!(deaths(&cluster), 0);
-    assert!(cluster.settle(millis(5_000)).is_some());
+    assert!(cluster.run_until_agreed(millis(5_000)).is_some());
 }
 
 #[test]
@@ -131,7 +132,7 @@
             cluster.run(millis(gap));
             assert!(cluster.running().all(|other| other.view.live_members().count() + 3 >= size));
         }
-        let took = cluster.settle(millis(5_000)).expect("all agree after the last");
+        let took = cluster.run_until_agreed(millis(5_000)).expect("all agree after the last");
         println!("{size} restarted in turn: agreed after {took:?}");
         assert_eq!(deaths(&cluster), 0);
     }
@@ -150,7 +151,7 @@
             cluster.wake_at(process, at + millis(late));
         }
         cluster.run(millis(spread));
-        let took = cluster.settle(millis(5_000)).expect("all agree");
+        let took = cluster.run_until_agreed(millis(5_000)).expect("all agree");
         println!("30 killed at once, back within {spread} ms: agreed {took:?} later");
     }
 }
@@ -179,7 +180,7 @@
         cluster.seeds[old] = address(process);
     }
     let process = cluster.add();
-    cluster.settle(millis(8_000)).expect("agreed after the replacement");
+    cluster.run_until_agreed(millis(8_000)).expect("agreed after the replacement");
     assert_eq!(cluster.processes[process].view.live_members().count(), 13);
     // Members that have only the first seeds still know each other, though none of these seeds is left.
     cluster.run(millis(90_000));
@@ -203,13 +204,13 @@
     cluster.run(millis(20_000));
     assert_eq!(cluster.processes[late].view.live_members().count(), 1);
     cluster.start(1);
-    cluster.settle(millis(5_000)).expect("found through the seed that came back");
+    cluster.run_until_agreed(millis(5_000)).expect("found through the seed that came back");
     cluster.kill(1);
     let other = cluster.add();
     cluster.run(millis(10_000));
     assert_eq!(cluster.processes[other].view.live_members().count(), 1);
     cluster.membership_mut(other).add_contacts([address(5)]);
-    cluster.settle(millis(8_000)).expect("found through the contact that was added");
+    cluster.run_until_agreed(millis(8_000)).expect("found through the contact that was added");
 }
 
 #[test]
@@ -221,7 +222,7 @@
     cluster.run(millis(5_000));
     assert_eq!(cluster.processes[process].view.live_members().count(), 1);
     cluster.membership_mut(process).set_seeds(vec![address(900), address(3)]);
-    cluster.settle(millis(8_000)).expect("found");
+    cluster.run_until_agreed(millis(8_000)).expect("found");
 }
 
 #[test]
@@ -238,9 +239,11 @@
             assert!(cluster.running().all(|process| process.view.live_members().count() == size / 2));
         }
         cluster.cut_links.clear();
-        let took = cluster.settle(millis(max)).unwrap_or_else(|| panic!("{size} cut for {span}: not merged"));
+        let took = cluster
+            .run_until_agreed(millis(max))
+            .unwrap_or_else(|| panic!("{size} cut for {span}: not merged"));
         println!("{size} in halves for {span} ms: merged after {took:?}");
-        cluster.check_views();
+        cluster.assert_views_match_members();
     }
 }
 
@@ -254,12 +257,14 @@
     cluster.run(millis(40_000));
     let healed = cluster.now;
     cluster.cut_links.clear();
-    cluster.settle(millis(15_000)).expect("merged");
-    let late = |event: &&(Instant, Event)| {
+    cluster.run_until_agreed(millis(15_000)).expect("merged");
+    let is_late_death = |event: &&(Instant, Event)| {
         event.0 > healed && matches!(&event.1, Event::Died(name) if *name != cluster::name(4))
     };
-    let wrong_deaths: usize =
-        others.iter().map(|process| cluster.processes[*process].events.iter().filter(late).count()).sum();
+    let wrong_deaths: usize = others
+        .iter()
+        .map(|process| cluster.processes[*process].events.iter().filter(is_late_death).count())
+        .sum();
     assert_eq!(wrong_deaths, 0, "a healthy member is declared dead after the heal");
 }
 
@@ -272,7 +277,8 @@
         cluster.cut(&all, &all);
         cluster.run(millis(span));
         cluster.cut_links.clear();
-        let took = cluster.settle(millis(20_000)).unwrap_or_else(|| panic!("cut for {span}: not merged"));
+        let took =
+            cluster.run_until_agreed(millis(20_000)).unwrap_or_else(|| panic!("cut for {span}: not merged"));
         println!("all links cut for {span} ms: merged after {took:?}");
     }
 }
@@ -288,7 +294,7 @@
     (0..3).for_each(|process| cluster.kill(process));
     cluster.run(millis(10_000));
     cluster.cut_links.clear();
-    let took = cluster.settle(millis(20_000)).expect("merged, by the addresses of lost members");
+    let took = cluster.run_until_agreed(millis(20_000)).expect("merged, by the addresses of lost members");
     println!("halves without seeds: merged after {took:?}");
 }
 
@@ -311,7 +317,7 @@
         assert!(known.len() <= 1);
     }
     cluster.kill(4);
-    cluster.settle(millis(10_000)).expect("agreed when one is gone");
+    cluster.run_until_agreed(millis(10_000)).expect("agreed when one is gone");
     let sent = cluster.processes[0].sent_bytes;
     cluster.run(millis(10_000));
     assert!(cluster.processes[0].sent_bytes - sent < 20_000);
--- a/crates/membership/tests/malformed_datagrams.rs
+++ b/crates/membership/tests/malformed_datagrams.rs
@@ -218,7 +218,7 @@
     cluster.update_addresses();
     cluster.seeds = (0..3).map(|process| cluster.processes[process].peer.address).collect();
     (0..60).for_each(|process| cluster.start(process));
-    cluster.settle(millis(10_000)).expect("agree");
+    cluster.run_until_agreed(millis(10_000)).expect("agree");
     cluster.loss_per_mille = 300;
     (30..40).for_each(|process| cluster.kill(process));
     cluster.run(millis(20_000));
--- a/crates/membership/tests/mutants.rs
+++ b/crates/membership/tests/mutants.rs
@@ -5,9 +5,16 @@
 use cluster::{Cluster, millis};
 use mosshead_membership::{Event, Settings};
 
+/// The wrong verdicts of all members.
+#[derive(Debug, Default, PartialEq)]
+struct WrongVerdicts {
+    suspicions: usize,
+    deaths: usize,
+}
+
 /// Suspicions and deaths in two minutes among twelve members, one link of which carries nothing.
-fn suspicions_and_deaths_with_a_cut_link(settings: Settings) -> (usize, usize) {
-    let mut counts = (0, 0);
+fn wrong_verdicts_with_a_cut_link(settings: Settings) -> WrongVerdicts {
+    let mut verdicts = WrongVerdicts::default();
     for seed in 0..3 {
         let mut cluster = Cluster::new(seed, 12, settings.clone());
         cluster.run(millis(5_000));
@@ -15,31 +22,31 @@
         cluster.run(millis(120_000));
         for (_, event) in cluster.running().flat_map(|process| &process.events) {
             match event {
-                Event::Suspected(_) => counts.0 += 1,
-                Event::Died(_) => counts.1 += 1,
+                Event::Suspected(_) => verdicts.suspicions += 1,
+                Event::Died(_) => verdicts.deaths += 1,
                 _ => {}
             }
         }
     }
-    counts
+    verdicts
 }
 
 #[test]
 fn with_the_complete_protocol_a_cut_link_does_nothing() {
-    assert_eq!(suspicions_and_deaths_with_a_cut_link(Settings::default()), (0, 0));
+    assert_eq!(wrong_verdicts_with_a_cut_link(Settings::default()), WrongVerdicts::default());
 }
 
 #[test]
 fn without_indirect_probes_a_cut_link_makes_healthy_members_suspect() {
-    let (suspicions, deaths) =
-        suspicions_and_deaths_with_a_cut_link(Settings { indirect_probes: 0, ..Settings::default() });
+    let WrongVerdicts { suspicions, deaths } =
+        wrong_verdicts_with_a_cut_link(Settings { indirect_probes: 0, ..Settings::default() });
     println!("without indirect probes: {suspicions} suspicions, {deaths} deaths");
     assert!(suspicions > 0);
 }
 
 #[test]
 fn without_indirect_probes_and_refutation_a_cut_link_kills_healthy_members() {
-    let (_, deaths) = suspicions_and_deaths_with_a_cut_link(Settings {
+    let WrongVerdicts { deaths, .. } = wrong_verdicts_with_a_cut_link(Settings {
         indirect_probes: 0,
         is_refutation_enabled: false,
         ..Settings::default()
@@ -73,7 +80,7 @@
         cluster.suspend(5);
         cluster.run(millis(10_000));
         cluster.resume(5);
-        assert_eq!(cluster.settle(millis(8_000)).is_some(), is_refutation_enabled);
+        assert_eq!(cluster.run_until_agreed(millis(8_000)).is_some(), is_refutation_enabled);
     }
 }
 
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -80,7 +80,7 @@
             cluster.resume(process);
         }
     }
-    // The seeds run, as a deployment sees to.
+    // A deployment restarts its seeds.
     for process in 0..3 {
         if cluster.processes[process].membership.is_none() {
             cluster.start(process);
@@ -93,8 +93,8 @@
     cluster.run(millis(3_000));
     faults.iter().for_each(|fault| apply(&mut cluster, fault));
     end_faults(&mut cluster);
-    let agreed = cluster.settle(millis(20_000)).is_some();
-    cluster.check_views();
+    let agreed = cluster.run_until_agreed(millis(20_000)).is_some();
+    cluster.assert_views_match_members();
     // They still agree later.
     cluster.run(millis(30_000));
     agreed && cluster.is_agreed()
@@ -109,7 +109,7 @@
 fn healthy_members_stay(seed: u64, faults: Vec<Fault>) -> bool {
     let mut cluster = Cluster::new(seed, 12, Settings::default());
     cluster.run(millis(4_000));
-    let mut missed = 0;
+    let mut missing = 0;
     for fault in &faults {
         match *fault {
             Fault::Kill(process) => cluster.kill(process % 6),
@@ -129,12 +129,12 @@
         let healthy = 6..12;
         for process in healthy.clone() {
             let peer = &cluster.processes[process].peer;
-            let lives =
+            let is_known_to =
                 |other: usize| cluster.processes[other].view.live_members().any(|(known, _)| known == peer);
-            missed += healthy.clone().filter(|other| !lives(*other)).count();
+            missing += healthy.clone().filter(|other| !is_known_to(*other)).count();
         }
     }
-    missed == 0
+    missing == 0
 }
 
 #[test]
@@ -152,7 +152,7 @@
     (0..dead).for_each(|process| cluster.kill(process * 2 % size));
     // Each is probed within two probe rounds, and may then refute.
     let max = millis(1_000 + 800 * size as u64) + Settings::default().suspicion_timeout(size) + millis(1_000);
-    agreed && cluster.settle(max).is_some()
+    agreed && cluster.run_until_agreed(max).is_some()
 }
 
 #[test]
@@ -168,12 +168,12 @@
     cluster.run(millis(10_000));
     (0..30).all(|_| {
         cluster.run(millis(1_000));
-        let lacking =
-            |cluster: &Cluster| cluster.running().any(|process| process.view.live_members().count() != size);
-        if lacking(&cluster) {
+        let is_complete =
+            |cluster: &Cluster| cluster.running().all(|process| process.view.live_members().count() == size);
+        if !is_complete(&cluster) {
             cluster.run(millis(3_000));
         }
-        !lacking(&cluster)
+        is_complete(&cluster)
     })
 }
 
--- a/crates/membership/tests/traffic.rs
+++ b/crates/membership/tests/traffic.rs
@@ -10,35 +10,55 @@
 /// With the headers of IPv4 and UDP.
 const MAX_BYTES_PER_SECOND: u64 = 1_200;
 
+/// The bytes that a member has sent and received so far.
+struct Traffic {
+    sent: u64,
+    received: u64,
+}
+
+/// The traffic of each member.
+fn traffic(cluster: &Cluster) -> Vec<Traffic> {
+    cluster
+        .processes
+        .iter()
+        .map(|process| Traffic { sent: process.sent_bytes, received: process.received_bytes })
+        .collect()
+}
+
+/// The bytes that all members but the first have sent.
+fn sent_by_all_but_first(cluster: &Cluster) -> u64 {
+    cluster.processes.iter().skip(1).map(|process| process.sent_bytes).sum()
+}
+
 #[test]
 fn traffic_per_member_does_not_grow_with_the_fleet() {
     let mut rates = Vec::new();
     for size in [10, 100, 1_000] {
         let mut cluster = Cluster::new(size as u64, size, Settings::default());
         cluster.run(millis(300));
-        let start = cluster.settle(millis(60_000)).expect("agreed after the start");
-        let before: Vec<(u64, u64)> =
-            cluster.processes.iter().map(|process| (process.sent_bytes, process.received_bytes)).collect();
-        let begin: u64 = before.iter().map(|(sent, _)| sent).sum::<u64>() / size as u64;
+        let start = cluster.run_until_agreed(millis(60_000)).expect("agreed after the start");
+        let at_start: u64 = traffic(&cluster).iter().map(|member| member.sent).sum::<u64>() / size as u64;
         // Gossip of the start is sent for some time after all have it.
         cluster.run(millis(15_000));
-        let before: Vec<(u64, u64)> =
-            cluster.processes.iter().map(|process| (process.sent_bytes, process.received_bytes)).collect();
+        let before = traffic(&cluster);
         cluster.run(CALM_PERIOD);
+        let after = traffic(&cluster);
         let rate = |now: u64, then: u64| (now - then) / CALM_PERIOD.as_secs();
-        let each = || cluster.processes.iter().zip(&before);
-        let out = each().map(|(process, (sent, _))| rate(process.sent_bytes, *sent)).max().expect("some");
-        let back = each()
-            .map(|(process, (_, received))| rate(process.received_bytes, *received))
-            .max()
-            .expect("some");
-        let mean =
-            each().map(|(process, (sent, _))| rate(process.sent_bytes, *sent)).sum::<u64>() / size as u64;
+        let sent: Vec<u64> =
+            after.iter().zip(&before).map(|(after, before)| rate(after.sent, before.sent)).collect();
+        let received = after.iter().zip(&before).map(|(after, before)| rate(after.received, before.received));
+        let max_sent = sent.iter().copied().max().expect("the cluster has members");
+        let max_received = received.max().expect("the cluster has members");
+        let mean = sent.iter().sum::<u64>() / size as u64;
         println!(
-            "{size}: start {:?}, {begin} bytes each; calm bytes/s mean {mean}, most out {out}, most in {back}",
+            "{size}: start {:?}, {at_start} bytes each; calm bytes/s mean {mean}, most sent {max_sent}, most received \
+             {max_received}",
             start + millis(300)
         );
-        assert!(out < MAX_BYTES_PER_SECOND && back < MAX_BYTES_PER_SECOND, "{size}: {out} out, {back} in");
+        assert!(
+            max_sent < MAX_BYTES_PER_SECOND && max_received < MAX_BYTES_PER_SECOND,
+            "{size}: {max_sent} sent, {max_received} received"
+        );
         rates.push(mean);
     }
     let slopes: Vec<f64> = rates.windows(2).map(|pair| pair[1] as f64 / pair[0] as f64).collect();
@@ -51,17 +71,15 @@
     for size in [10, 100] {
         let mut cluster = Cluster::new(size as u64, size, Settings::default());
         cluster.run(millis(90_000));
-        let before: u64 = cluster.processes.iter().skip(1).map(|process| process.sent_bytes).sum();
+        let before = sent_by_all_but_first(&cluster);
         cluster.run(millis(30_000));
-        let calm: u64 =
-            cluster.processes.iter().skip(1).map(|process| process.sent_bytes).sum::<u64>() - before;
+        let without_crash = sent_by_all_but_first(&cluster) - before;
         cluster.kill(0);
-        let before: u64 = cluster.processes.iter().skip(1).map(|process| process.sent_bytes).sum();
+        let before = sent_by_all_but_first(&cluster);
         cluster.run(millis(30_000));
-        let busy: u64 =
-            cluster.processes.iter().skip(1).map(|process| process.sent_bytes).sum::<u64>() - before;
-        let more = busy.saturating_sub(calm) / (size as u64 - 1);
-        println!("{size}: a crash costs {more} bytes each");
-        assert!(more < 12_000);
+        let with_crash = sent_by_all_but_first(&cluster) - before;
+        let extra = with_crash.saturating_sub(without_crash) / (size as u64 - 1);
+        println!("{size}: a crash costs {extra} bytes each");
+        assert!(extra < 12_000);
     }
 }
