--- a/crates/capacity-bench/src/fleet.rs
+++ b/crates/capacity-bench/src/fleet.rs
@@ -311,7 +311,7 @@
         let heard = core.counter.time(|| {
             let server = control_api::parse_heartbeat(&id, body.as_bytes());
             server
-                .map(|server| register.record_heartbeat(Instant::from_millis(now), server))
+                .and_then(|server| register.record_heartbeat(Instant::from_millis(now), server).ok())
                 .unwrap_or_default()
         });
         self.heard(home, heard.changed, heard.needs_replication);
@@ -324,7 +324,8 @@
         core.counter.count(0);
         core.counter.count(2);
         let register = &mut core.register;
-        let heard = core.counter.time(|| register.deregister(Instant::from_millis(now), &id));
+        let heard =
+            core.counter.time(|| register.deregister(Instant::from_millis(now), &id).unwrap_or_default());
         self.heard(home, heard.changed, heard.needs_replication);
     }
 
@@ -344,10 +345,10 @@
         let (register, counter) = (&mut core.register, &mut core.counter);
         let bytes = counter.time(|| {
             let mut vector = register.vector();
-            vector.0.insert(register.local_id(), register.version().saturating_sub(64));
+            vector.set(register.local_id(), register.version().saturating_sub(64));
             encoded(&ReplicateEntries { delta: register.missing_entries(&vector, 128) })
         });
-        let shown = VersionVector([(register.local_id(), register.version())].into());
+        let shown = VersionVector::from_iter([(register.local_id(), register.version())]);
         register.mark_replicated(&shown);
         self.take(from, to, &bytes);
     }
@@ -356,7 +357,7 @@
         let Some(core) = self.cores.get(from) else { return };
         let mine = |entry: &&mosshead_registry::Entry| entry.source == core.register.local_id();
         let entries = core.register.entries().filter(mine).cloned().collect();
-        let vector = VersionVector([(core.register.local_id(), core.register.version())].into());
+        let vector = VersionVector::from_iter([(core.register.local_id(), core.register.version())]);
         let delta = Delta { entries, vector: vector.clone(), is_truncated: true, ..Delta::default() };
         let bytes = encoded(&ReplicateEntries { delta });
         self.take(from, to, &bytes);
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -23,7 +23,7 @@
         for at in 0..size {
             let beat =
                 control_api::parse_heartbeat(&format!("instance-{at:05}-0001"), body(at, 1, "up").as_bytes());
-            beat.map(|server| register.record_heartbeat(Instant::from_millis(1), server));
+            beat.map(|server| register.record_heartbeat(Instant::from_millis(1), server).is_ok());
         }
         let weights = RoutingWeights::new(RetryBudgetLimits {
             retry_ratio: 0.2,
--- a/crates/capacity-bench/src/pulls.rs
+++ b/crates/capacity-bench/src/pulls.rs
@@ -187,10 +187,10 @@
             });
             return;
         }
-        for (&source, &version) in &delta.vector.0 {
+        for (source, version) in delta.vector.iter() {
             let have = self.vector.get(source);
             if have >= delta.base.get(source) && version > have {
-                self.vector.0.insert(source, version);
+                self.vector.set(source, version);
             }
         }
     }
--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -189,7 +189,7 @@
 /// The latest entries that were published here: the first delta that another control node gets.
 pub fn latest_local_entries(registry: &Registry) -> Delta {
     let mut vector = registry.vector();
-    vector.0.insert(registry.local_id(), registry.version().saturating_sub(LATEST_VERSIONS));
+    vector.set(registry.local_id(), registry.version().saturating_sub(LATEST_VERSIONS));
     registry.missing_entries(&vector, MAX_LATEST_ENTRIES)
 }
 
--- a/crates/control-plane/tests/acknowledgement.rs
+++ b/crates/control-plane/tests/acknowledgement.rs
@@ -45,8 +45,9 @@
 /// A registry that has recorded the server as draining, with the outcome.
 fn draining() -> (Registry, HeartbeatOutcome) {
     let mut registry = Registry::new(SourceId(1), Duration::from_millis(500));
-    registry.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1));
-    let outcome = registry.record_heartbeat(Instant::from_millis(10), server(OperState::Draining, 2));
+    registry.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1)).unwrap();
+    let outcome =
+        registry.record_heartbeat(Instant::from_millis(10), server(OperState::Draining, 2)).unwrap();
     (registry, outcome)
 }
 
@@ -77,7 +78,7 @@
 #[test]
 fn a_server_that_is_up_is_acknowledged_at_once() {
     let mut registry = Registry::new(SourceId(1), Duration::from_millis(500));
-    let outcome = registry.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1));
+    let outcome = registry.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1)).unwrap();
     let step = begin(
         &ShutdownAcknowledgements::default(),
         &registry,
@@ -147,7 +148,7 @@
 fn a_repeated_call_needs_the_same_replicas() {
     let (mut registry, _) = draining();
     registry.mark_replicated(&vector_with_entry());
-    let again = registry.record_heartbeat(Instant::from_millis(20), server(OperState::Draining, 3));
+    let again = registry.record_heartbeat(Instant::from_millis(20), server(OperState::Draining, 3)).unwrap();
     assert!(!again.needs_replication);
     let members = replica_set(5, 2);
     let step =
@@ -156,7 +157,7 @@
 
     let mut other = Registry::new(SourceId(2), Duration::from_millis(500));
     other.merge(Instant::from_millis(20), latest_local_entries(&registry));
-    let outcome = other.record_heartbeat(Instant::from_millis(30), server(OperState::Draining, 4));
+    let outcome = other.record_heartbeat(Instant::from_millis(30), server(OperState::Draining, 4)).unwrap();
     let there = ReplicaSet { local_address: address(2), ..members };
     let step =
         begin(&ShutdownAcknowledgements::default(), &other, &outcome, QuorumContact::Confirmed, &there);
@@ -182,7 +183,7 @@
     let mut acknowledgements = ShutdownAcknowledgements::default();
     let entry = registry.entry(ID).and_then(EntryVersion::of_shutdown).expect("a shutdown");
     acknowledgements.record_acknowledged(entry);
-    let outcome = registry.deregister(Instant::from_millis(40), ID);
+    let outcome = registry.deregister(Instant::from_millis(40), ID).unwrap();
     let step = begin(&acknowledgements, &registry, &outcome, QuorumContact::Confirmed, &replica_set(5, 2));
     assert!(matches!(step, ShutdownStep::Replicate(_)), "{step:?}");
 }
@@ -203,7 +204,7 @@
     assert_eq!(without_quorum.decision(QuorumContact::Unconfirmed), AcknowledgementDecision::Acknowledge);
     let (mut registry, _) = draining();
     registry.mark_replicated(&vector_with_entry());
-    let again = registry.record_heartbeat(Instant::from_millis(20), server(OperState::Draining, 3));
+    let again = registry.record_heartbeat(Instant::from_millis(20), server(OperState::Draining, 3)).unwrap();
     let repeats =
         ShutdownAcknowledgements::with_injected_fault(Some(InjectedFault::AcknowledgeRepeatsUnchecked));
     let step = begin(&repeats, &registry, &again, QuorumContact::Unconfirmed, &replica_set(5, 2));
--- a/crates/control-plane/tests/fleet/control_node/shutdowns.rs
+++ b/crates/control-plane/tests/fleet/control_node/shutdowns.rs
@@ -5,7 +5,7 @@
 use mosshead_control_plane::{
     AcknowledgementDecision, EntryReplication, EntryVersion, ShutdownStep, latest_local_entries,
 };
-use mosshead_registry::{HeartbeatOutcome, VersionVector};
+use mosshead_registry::{HeartbeatOutcome, RegistrationError, VersionVector};
 
 use super::{MAX_ENTRIES, REPLICATION_TIMEOUT_MS};
 use crate::messages::{Call, Party, Purpose, ReplyTo, Response, ServerResponse};
@@ -24,13 +24,13 @@
         control_node: usize,
         reply_to: ReplyTo,
         id: &str,
-        outcome: HeartbeatOutcome,
+        outcome: Result<HeartbeatOutcome, RegistrationError>,
     ) {
         let (now, tolerated_failures) = (self.instant(), self.tolerated_failures);
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
-        if outcome.error.is_some() {
+        let Ok(outcome) = outcome else {
             return self.reply_to_server(control_node, reply_to, false);
-        }
+        };
         let (contact, replica_set) = (process.contact(now), process.replica_set(tolerated_failures));
         match process.acknowledgements.begin(&process.registry, id, &outcome, contact, &replica_set) {
             ShutdownStep::Acknowledge => self.acknowledge(control_node, reply_to, id),
--- a/crates/programs/src/control_node/acknowledgement.rs
+++ b/crates/programs/src/control_node/acknowledgement.rs
@@ -6,7 +6,7 @@
 use mosshead_control_plane::{
     AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownStep,
 };
-use mosshead_registry::{Delta, HeartbeatOutcome, Server, VersionVector};
+use mosshead_registry::{Delta, HeartbeatOutcome, RegistrationError, Server, VersionVector};
 use mosshead_rpc::Transport;
 use mosshead_time::Duration;
 use tokio::sync::mpsc;
@@ -40,11 +40,18 @@
         self.acknowledge(id, outcome).await
     }
 
-    async fn acknowledge(self: &Rc<Self>, id: &str, outcome: HeartbeatOutcome) -> bool {
-        if let Some(error) = outcome.error {
-            spdlog::warn!("registry: heartbeat rejected instance={id} error={error}");
-            return false;
-        }
+    async fn acknowledge(
+        self: &Rc<Self>,
+        id: &str,
+        outcome: Result<HeartbeatOutcome, RegistrationError>,
+    ) -> bool {
+        let outcome = match outcome {
+            Ok(outcome) => outcome,
+            Err(error) => {
+                spdlog::warn!("registry: heartbeat rejected instance={id} error={error}");
+                return false;
+            }
+        };
         if outcome.changed {
             self.changes.notify();
         }
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -7,7 +7,9 @@
     EntryVersion, QuorumContact, ReplicaSet, ShutdownAcknowledgements, ShutdownStep, latest_local_entries,
 };
 use mosshead_record_log::LogWriter;
-use mosshead_registry::{Delta, HeartbeatOutcome, Registry, Server, SourceId, VersionVector};
+use mosshead_registry::{
+    Delta, HeartbeatOutcome, RegistrationError, Registry, Server, SourceId, VersionVector,
+};
 use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
 use mosshead_time::{Duration, Instant};
 
@@ -68,11 +70,11 @@
         self.registry.borrow_mut().merge(self.now(), delta)
     }
 
-    pub(super) fn record_heartbeat(&self, server: Server) -> HeartbeatOutcome {
+    pub(super) fn record_heartbeat(&self, server: Server) -> Result<HeartbeatOutcome, RegistrationError> {
         self.registry.borrow_mut().record_heartbeat(self.now(), server)
     }
 
-    pub(super) fn deregister(&self, id: &str) -> HeartbeatOutcome {
+    pub(super) fn deregister(&self, id: &str) -> Result<HeartbeatOutcome, RegistrationError> {
         self.registry.borrow_mut().deregister(self.now(), id)
     }
 
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -1,6 +1,5 @@
 //! Calls between processes of the fleet survive encoding and decoding.
 
-use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -30,9 +29,7 @@
 }
 
 fn vector(of: &[(u64, u64)]) -> VersionVector {
-    VersionVector(
-        of.iter().map(|(source, version)| (SourceId(*source), *version)).collect::<BTreeMap<_, _>>(),
-    )
+    of.iter().map(|(source, version)| (SourceId(*source), *version)).collect()
 }
 
 fn delta(text: &str, number: u64, of: &[(u64, u64)], flag: bool) -> Delta {
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -58,7 +58,7 @@
 }
 
 fn vector() -> VersionVector {
-    VersionVector([(SourceId(7), 301), (SourceId(0x0123_4567_89ab_cdef), 12)].into())
+    VersionVector::from_iter([(SourceId(7), 301), (SourceId(0x0123_4567_89ab_cdef), 12)])
 }
 
 fn delta() -> Delta {
--- a/crates/registry/src/delta.rs
+++ b/crates/registry/src/delta.rs
@@ -17,7 +17,7 @@
     /// The receiver's vector once it has merged the entries.
     #[n(2)]
     pub vector: VersionVector,
-    /// The delta was truncated at the bound on its entries: ask again.
+    /// The delta was truncated at the bound on its entries: there is more to request.
     #[n(3)]
     pub is_truncated: bool,
     /// Fingerprint of the sender's whole registry. A receiver that has the same vector and another fingerprint has
--- a/crates/registry/src/entry.rs
+++ b/crates/registry/src/entry.rs
@@ -36,7 +36,7 @@
     }
 
     /// Compares all fields but the warm-up. Any other field that is left out would let processes that receive the same
-    /// entries in a different order keep different ones for good.
+    /// entries in a different order store different ones for good.
     fn precedence(&self, other: &Entry) -> Ordering {
         let (a, b) = (&self.server, &other.server);
         (a.sequence.cmp(&b.sequence))
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -10,21 +10,26 @@
 //! go backwards.
 
 mod delta;
+mod divergence;
 mod entry;
+mod ids_by_instant;
+mod limits;
+mod published_versions;
+mod registration_error;
 mod registry;
 mod server;
-mod server_error;
 mod server_index;
 mod server_record;
 mod source_index;
+mod uptime;
 mod version_vector;
 
 pub use delta::Delta;
 pub use entry::Entry;
+pub use registration_error::RegistrationError;
 pub use registry::{
     HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, SUSPICION_TIMEOUT, TOMBSTONE_LIFETIME,
 };
 pub use server::{Model, OperState, Server, Stage};
-pub use server_error::ServerError;
 pub use source_index::SOURCE_TIMEOUT;
 pub use version_vector::{MAX_VECTOR_SOURCES, SourceId, VersionVector};
--- /dev/null
+++ b/crates/registry/src/limits.rs
@@ -0,0 +1,6 @@
+//! Bounds of what a server may report, in bytes.
+
+/// The longest id, service, zone or software revision.
+pub(crate) const MAX_NAME_BYTES: usize = 128;
+/// The bound on the models of a server with their adapters.
+pub(crate) const MAX_MODEL_BYTES: usize = 8 * 1024;
--- a/crates/registry/src/server_error.rs
+++ b/crates/registry/src/registration_error.rs
@@ -2,12 +2,12 @@
 
 use quick_error::quick_error;
 
-use crate::server::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
+use crate::limits::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
 
 quick_error! {
     /// Why a heartbeat or a deregistration is rejected. Operators know the numbers and texts from the logs.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum ServerError {
+    pub enum RegistrationError {
         /// The instance has no id.
         MissingId {
             display("registry 1: instance without an id")
@@ -20,21 +20,21 @@
         ModelsTooLong {
             display("registry 3: models and adapters over {} bytes", MAX_MODEL_BYTES)
         }
-        /// The registry holds [`MAX_SERVERS`](crate::MAX_SERVERS) servers already.
+        /// There are [`MAX_SERVERS`](crate::MAX_SERVERS) servers already.
         RegistryFull {
             display("registry 4: the register is full")
         }
     }
 }
 
-impl ServerError {
+impl RegistrationError {
     /// The number of this error, as in its text.
     pub fn code(self) -> u16 {
         match self {
-            ServerError::MissingId => 1,
-            ServerError::NameTooLong => 2,
-            ServerError::ModelsTooLong => 3,
-            ServerError::RegistryFull => 4,
+            RegistrationError::MissingId => 1,
+            RegistrationError::NameTooLong => 2,
+            RegistrationError::ModelsTooLong => 3,
+            RegistrationError::RegistryFull => 4,
         }
     }
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,27 +1,32 @@
 //! The registry of one process: its state and the queries. Each concern that changes it has a module of its own.
 
 mod anti_entropy;
+mod entries;
 mod failure_detection;
 mod heartbeats;
-mod storage;
+mod tombstones;
 
 use core::net::SocketAddrV4;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, DefaultHasher};
 use std::sync::Arc;
 
-use mosshead_time::{Duration, Instant};
+use mosshead_time::Duration;
 
 pub use failure_detection::SUSPICION_TIMEOUT;
 pub use heartbeats::HeartbeatOutcome;
-pub use storage::{MAX_TOMBSTONES, TOMBSTONE_LIFETIME};
+pub use tombstones::{MAX_TOMBSTONES, TOMBSTONE_LIFETIME};
 
+use crate::divergence::Divergence;
+use crate::ids_by_instant::IdsByInstant;
+use crate::published_versions::PublishedVersions;
 use crate::server_index::ServerIndex;
 use crate::server_record::ServerRecord;
 use crate::source_index::SourceIndex;
+use crate::uptime::Uptime;
 use crate::{Entry, Server, SourceId};
 
-/// The most servers that are kept, tombstones not counted.
+/// The maximum number of servers, tombstones not counted.
 pub const MAX_SERVERS: usize = 32_768;
 
 /// The registry of model servers of one process.
@@ -41,25 +46,17 @@
     /// The servers of `records` that have not been removed.
     index: ServerIndex,
     /// The tombstones of `records`, by the instant at which they were made.
-    tombstones: BTreeSet<(Instant, Arc<str>)>,
+    tombstones: IdsByInstant,
     /// XOR of the fingerprints of the entries that are no tombstones.
     fingerprint: u64,
 
     /// The timers of `records`, by the instant at which they expire.
-    timers: BTreeSet<(Instant, Arc<str>)>,
-    last_tick: Option<Instant>,
-    /// Since when this process has run without a pause longer than `heartbeat_interval`.
-    running_since: Instant,
+    timers: IdsByInstant,
+    uptime: Uptime,
 
-    /// The last version that was published here.
-    version: u64,
-    /// Up to which version another control node has the entries that were published here.
-    replicated_version: u64,
-
-    /// When a divergence from another registry was last suspected.
-    divergence_suspected_at: Option<Instant>,
-    /// The next tick resets the known versions, so that all entries are received anew.
-    needs_full_sync: bool,
+    /// The versions of the entries that were published here.
+    published: PublishedVersions,
+    divergence: Divergence,
 }
 
 impl Registry {
@@ -72,15 +69,12 @@
             records: HashMap::default(),
             sources: SourceIndex::default(),
             index: ServerIndex::default(),
-            tombstones: BTreeSet::new(),
+            tombstones: IdsByInstant::default(),
             fingerprint: 0,
-            timers: BTreeSet::new(),
-            last_tick: None,
-            running_since: Instant::ORIGIN,
-            version: 0,
-            replicated_version: 0,
-            divergence_suspected_at: None,
-            needs_full_sync: false,
+            timers: IdsByInstant::default(),
+            uptime: Uptime::new(),
+            published: PublishedVersions::default(),
+            divergence: Divergence::default(),
         }
     }
 
@@ -96,7 +90,7 @@
 
     /// The last version that was published here.
     pub fn version(&self) -> u64 {
-        self.version
+        self.published.last()
     }
 
     /// Equal for two registries whose entries have the same ids, sequence numbers, sources and versions. Tombstones do
@@ -153,6 +147,6 @@
     /// Whether the server is shutting down and only this process is known to have that.
     fn needs_replication(&self, id: &str) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.needs_replication(self.local_id, self.replicated_version))
+        record.is_some_and(|record| record.needs_replication(self.local_id, self.published.replicated()))
     }
 }
--- a/crates/registry/src/registry/anti_entropy.rs
+++ b/crates/registry/src/registry/anti_entropy.rs
@@ -1,12 +1,9 @@
 //! Anti-entropy: processes exchange version vectors and the entries that are missing above them.
 
-use mosshead_time::{Duration, Instant};
+use mosshead_time::Instant;
 
 use crate::{Delta, Entry, Registry, VersionVector};
 
-/// How long after one suspected divergence another one may be suspected: a full synchronization sends all entries.
-const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(10);
-
 impl Registry {
     /// The versions up to which this process has all entries in force.
     pub fn vector(&self) -> VersionVector {
@@ -15,21 +12,20 @@
 
     /// Whether another process knows a source of which nothing is known here. It should send its entries.
     pub fn has_unknown_source(&self, theirs: &VersionVector) -> bool {
-        let mut versions = theirs.0.iter();
-        versions
-            .any(|(&id, &version)| version > 0 && id != self.local_id && self.sources.known_version(id) == 0)
+        theirs
+            .iter()
+            .any(|(id, version)| version > 0 && id != self.local_id && self.sources.known_version(id) == 0)
     }
 
     /// Whether another process has a higher version of any source than this one.
     pub fn is_behind(&self, theirs: &VersionVector) -> bool {
-        let mut versions = theirs.0.iter();
-        versions.any(|(&id, &version)| id != self.local_id && version > self.sources.known_version(id))
+        theirs.iter().any(|(id, version)| id != self.local_id && version > self.sources.known_version(id))
     }
 
     /// The entries above a vector, at most `max_entries`, which counts as 1 if it is 0.
     ///
     /// The vector of the delta covers just these: a truncated delta ends within a source and does not name the sources
-    /// after it, so that the receiver asks for them again.
+    /// after it, so that the receiver requests them again.
     pub fn missing_entries(&self, theirs: &VersionVector, max_entries: usize) -> Delta {
         let max_entries = max_entries.max(1);
         let mut delta = Delta { fingerprint: self.fingerprint, ..Delta::default() };
@@ -50,10 +46,10 @@
                 covered = known_version;
             }
             if base > 0 {
-                delta.base.0.insert(source, base);
+                delta.base.set(source, base);
             }
             if covered > 0 {
-                delta.vector.0.insert(source, covered);
+                delta.vector.set(source, covered);
             }
             if delta.is_truncated {
                 break;
@@ -71,26 +67,22 @@
         for entry in delta.entries {
             changed |= self.merge_entry(now, entry);
         }
-        for (&source, &version) in &delta.vector.0 {
+        for (source, version) in delta.vector.iter() {
             // Entries between the known version and the base of the delta may be missing: were the vector raised over
-            // that gap, they would never be asked for again.
+            // that gap, they would never be requested again.
             if source != self.local_id && self.sources.known_version(source) >= delta.base.get(source) {
                 self.sources.raise_known_version(source, version);
             }
         }
         self.sources.drop_empty_sources();
         if !delta.is_truncated && self.has_diverged(now, &delta.vector, delta.fingerprint) {
-            self.divergence_suspected_at = Some(now);
-            self.needs_full_sync = true;
+            self.divergence.suspect(now);
         }
         changed
     }
 
     fn has_diverged(&self, now: Instant, vector: &VersionVector, fingerprint: u64) -> bool {
-        let last = self.divergence_suspected_at;
-        last.is_none_or(|last| now.duration_since(last) >= FULL_SYNC_INTERVAL)
-            && fingerprint != self.fingerprint
-            && self.vector() == *vector
+        self.divergence.may_be_suspected(now) && fingerprint != self.fingerprint && self.vector() == *vector
     }
 
     fn merge_entry(&mut self, now: Instant, mut entry: Entry) -> bool {
@@ -125,9 +117,7 @@
             return true;
         }
         if sequence > record.last_sequence {
-            record.last_sequence = sequence;
-            record.last_heartbeat_at = now;
-            record.last_receiver = entry.source;
+            record.raise_sequence(now, sequence, entry.source);
         }
         self.store(now, entry);
         true
@@ -138,7 +128,7 @@
     fn is_plausible(&self, entry: &Entry) -> bool {
         let owner = self.sources.server_id(entry.source, entry.version);
         entry.server.validate().is_ok()
-            && (entry.source != self.local_id || entry.version <= self.version)
+            && (entry.source != self.local_id || entry.version <= self.published.last())
             && owner.is_none_or(|id| **id == *entry.server.id)
     }
 
@@ -148,12 +138,11 @@
     /// missing above the vector shown to it) and call this with the vector of the response. If the other node has an
     /// entry that supersedes the one sent, it never stores that one, and only its response ends the need to replicate.
     pub fn mark_replicated(&mut self, theirs: &VersionVector) {
-        let version = theirs.get(self.local_id).min(self.version);
-        self.replicated_version = self.replicated_version.max(version);
+        self.published.raise_replicated(theirs.get(self.local_id));
     }
 
     /// Whether another control node is known to have every entry in force that was published here.
     pub fn is_fully_replicated(&self) -> bool {
-        self.replicated_version >= self.sources.last_version(self.local_id)
+        self.published.replicated() >= self.sources.last_version(self.local_id)
     }
 }
--- a/crates/registry/src/registry/storage.rs
+++ b/crates/registry/src/registry/entries.rs
@@ -1,24 +1,19 @@
-//! Stores entries in memory: records, indexes, tombstones and the numbering of what is published here.
+//! The entries in force, in memory: publishing them under new versions, replacing them, and the indexes that follow.
 
 use std::sync::Arc;
 
-use mosshead_time::{Duration, Instant};
+use mosshead_time::Instant;
 
 use crate::server_record::ServerRecord;
 use crate::{Entry, Registry, Server};
 
-/// The most tombstones that are kept; the oldest go first.
-pub const MAX_TOMBSTONES: usize = 16_384;
-/// How long a tombstone is kept.
-pub const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(120);
-
 impl Registry {
     /// Publishes a server under a new version. The caller makes sure that it supersedes the entry in force: other
-    /// processes would not take it in otherwise.
+    /// processes would not merge it otherwise.
     pub(super) fn publish(&mut self, now: Instant, server: Server) {
-        self.version = self.version.saturating_add(1);
-        self.store(now, Entry { server, source: self.local_id, version: self.version });
-        self.sources.raise_known_version(self.local_id, self.version);
+        let version = self.published.next();
+        self.store(now, Entry { server, source: self.local_id, version });
+        self.sources.raise_known_version(self.local_id, version);
     }
 
     /// Publishes what is known about a server with a change to it.
@@ -54,7 +49,7 @@
             Some(record) => {
                 let before = &record.entry.server;
                 // Another node is known to have the state that is replaced; `Up` never needs replication.
-                if !record.needs_replication(self.local_id, self.replicated_version) {
+                if !record.needs_replication(self.local_id, self.published.replicated()) {
                     record.replicated_state = before.state;
                 }
                 if before.is_suspected != entry.server.is_suspected || before.state != entry.server.state {
@@ -70,7 +65,7 @@
             }
         };
         if is_removed {
-            self.tombstones.insert((state_since, id.clone()));
+            self.tombstones.insert(state_since, id);
         }
     }
 
@@ -82,42 +77,15 @@
         }
     }
 
-    fn remove_from_indexes(&mut self, id: &Arc<str>) {
+    pub(super) fn remove_from_indexes(&mut self, id: &Arc<str>) {
         let Some(record) = self.records.get(id) else { return };
         let entry = &record.entry;
         self.sources.remove(entry.source, entry.version);
         if entry.server.is_removed() {
-            self.tombstones.remove(&(record.state_since, id.clone()));
+            self.tombstones.remove(record.state_since, id);
         } else {
             self.fingerprint ^= entry.fingerprint();
             self.index.remove(id, &entry.server);
         }
     }
-
-    /// Drops the tombstones that have reached the end of their lifetime.
-    pub(super) fn expire_tombstones(&mut self, now: Instant) {
-        while let Some((removed_at, id)) = self.tombstones.first().cloned() {
-            if now.duration_since(removed_at) < TOMBSTONE_LIFETIME {
-                break;
-            }
-            self.remove_record(&id);
-        }
-    }
-
-    /// Drops the oldest tombstones beyond [`MAX_TOMBSTONES`].
-    fn evict_tombstones(&mut self) {
-        while self.tombstones.len() > MAX_TOMBSTONES {
-            let Some((_, oldest)) = self.tombstones.first().cloned() else { break };
-            self.remove_record(&oldest);
-        }
-    }
-
-    fn remove_record(&mut self, id: &Arc<str>) {
-        self.remove_from_indexes(id);
-        if let Some(record) = self.records.remove(id)
-            && let Some(expires_at) = record.timer
-        {
-            self.timers.remove(&(expires_at, id.clone()));
-        }
-    }
 }
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -2,7 +2,7 @@
 //!
 //! The node that last received a heartbeat of a server suspects it once the heartbeats stop. If that node is itself
 //! without contact, any other suspects the server instead, and publishes that as a source of its own. Heartbeats that
-//! change nothing get no version, so control nodes tell each other in digests which servers still send them some.
+//! change nothing get no version, so control nodes notify each other in digests which servers still send them some.
 
 use std::sync::Arc;
 
@@ -54,44 +54,31 @@
                 && sequence > record.last_sequence
                 && sequence < DEREGISTERED_SEQUENCE
             {
-                record.last_sequence = sequence;
-                record.last_heartbeat_at = now;
-                record.last_receiver = source;
+                record.raise_sequence(now, sequence, source);
             }
         }
     }
 
     /// Suspects servers without heartbeats, removes those suspected for too long, and drops expired tombstones. To be
     /// called at least once in each heartbeat interval: after a longer pause of this process all servers get their
-    /// full time again. Returns whether an entry has changed.
+    /// full timeout again. Returns whether an entry has changed.
     pub fn tick(&mut self, now: Instant) -> bool {
-        if self.last_tick.is_none_or(|last| now.duration_since(last) > self.heartbeat_interval) {
-            self.running_since = now;
-        }
-        self.last_tick = Some(now);
+        self.uptime.tick(now, self.heartbeat_interval);
         self.expire_tombstones(now);
         self.sources.drop_empty_sources();
         // This waits for the tick: the vector that is shown right after the merge tells the sender what was received.
-        if std::mem::take(&mut self.needs_full_sync) {
+        if self.divergence.take_full_sync() {
             self.sources.reset_known_versions(self.local_id);
         }
         let mut changed = false;
-        for id in self.take_expired_timers(now) {
+        for id in self.timers.take_until(now) {
             changed |= self.check_server(now, &id);
         }
         changed
     }
 
-    fn take_expired_timers(&mut self, now: Instant) -> Vec<Arc<str>> {
-        let mut expired = Vec::new();
-        while let Some((expires_at, _)) = self.timers.first()
-            && *expires_at <= now
-        {
-            expired.extend(self.timers.pop_first().map(|(_, id)| id));
-        }
-        expired
-    }
-
+    /// Suspects or removes a server whose timer has expired, if that is due and not for another node to decide. Returns
+    /// whether its entry has changed.
     fn check_server(&mut self, now: Instant, id: &Arc<str>) -> bool {
         let Some(record) = self.records.get_mut(id) else { return false };
         record.timer = None;
@@ -125,16 +112,16 @@
         if self.is_read_replica || server.is_removed() {
             return None;
         }
-        let last_sign = record.last_heartbeat_at.max(self.running_since);
+        let last_evidence = record.last_heartbeat_at.max(self.uptime.running_since());
         let heartbeat_deadline =
-            last_sign + self.heartbeat_interval.saturating_mul(SUSPECTED_AFTER_FIFTHS) / 5;
-        let last_instant = if server.is_suspected {
+            last_evidence + self.heartbeat_interval.saturating_mul(SUSPECTED_AFTER_FIFTHS) / 5;
+        let tolerated_until = if server.is_suspected {
             heartbeat_deadline.max(record.state_since + SUSPICION_TIMEOUT)
         } else {
             heartbeat_deadline
         };
-        // The time has to be exceeded, not only reached.
-        Some(last_instant + Duration::from_millis(1))
+        // The timeout has to be exceeded, not only reached.
+        Some(tolerated_until + Duration::from_millis(1))
     }
 
     /// Sets the timer of a record whose entry has changed. Heartbeats that change nothing leave the timer as it is: the
@@ -150,15 +137,15 @@
         self.cancel_timer(id);
         if let Some(record) = self.records.get_mut(id) {
             record.timer = Some(expires_at);
-            self.timers.insert((expires_at, id.clone()));
+            self.timers.insert(expires_at, id);
         }
     }
 
-    fn cancel_timer(&mut self, id: &Arc<str>) {
+    pub(super) fn cancel_timer(&mut self, id: &Arc<str>) {
         if let Some(record) = self.records.get_mut(id)
             && let Some(expires_at) = record.timer.take()
         {
-            self.timers.remove(&(expires_at, id.clone()));
+            self.timers.remove(expires_at, id);
         }
     }
 
@@ -167,6 +154,6 @@
         let last_seen_at = self.sources.last_seen_at(source);
         source != self.local_id
             && last_seen_at
-                .is_none_or(|last| now.duration_since(last.max(self.running_since)) > SOURCE_TIMEOUT)
+                .is_none_or(|last| now.duration_since(last.max(self.uptime.running_since())) > SOURCE_TIMEOUT)
     }
 }
--- a/crates/registry/src/registry/heartbeats.rs
+++ b/crates/registry/src/registry/heartbeats.rs
@@ -5,13 +5,13 @@
 use mosshead_time::Instant;
 
 use crate::server::DEREGISTERED_SEQUENCE;
-use crate::{OperState, Registry, Server, ServerError, SourceId};
+use crate::{OperState, RegistrationError, Registry, Server, SourceId};
 
 /// With entries of more sources than this, those of sources without recent contact are published anew here when their
 /// server sends a heartbeat. It bounds the version vector.
-const MAX_SOURCES_KEPT: usize = 16;
+const REPUBLISHING_THRESHOLD: usize = 16;
 
-/// What a heartbeat or a deregistration has done.
+/// What an accepted heartbeat or deregistration has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
     /// It was published under a new version.
@@ -22,22 +22,20 @@
     pub needs_replication: bool,
     /// Its sequence number is below one that is known: it changed nothing.
     pub is_outdated: bool,
-    /// It was rejected and changed nothing.
-    pub error: Option<ServerError>,
-}
-
-impl HeartbeatOutcome {
-    fn rejected(error: ServerError) -> HeartbeatOutcome {
-        HeartbeatOutcome { error: Some(error), ..HeartbeatOutcome::default() }
-    }
 }
 
 impl Registry {
     /// Records a heartbeat that came to this process.
-    pub fn record_heartbeat(&mut self, now: Instant, mut server: Server) -> HeartbeatOutcome {
-        if let Err(error) = server.validate() {
-            return HeartbeatOutcome::rejected(error);
-        }
+    ///
+    /// # Errors
+    ///
+    /// The heartbeat was rejected and has changed nothing.
+    pub fn record_heartbeat(
+        &mut self,
+        now: Instant,
+        mut server: Server,
+    ) -> Result<HeartbeatOutcome, RegistrationError> {
+        server.validate()?;
         server.is_suspected = false;
         server.sequence = server.sequence.min(DEREGISTERED_SEQUENCE - 1);
         let Some(record) = self.records.get_mut(server.id.as_str()) else {
@@ -45,39 +43,41 @@
         };
         if server.sequence < record.last_sequence {
             let needs_replication = self.needs_replication(&server.id);
-            return HeartbeatOutcome { is_outdated: true, needs_replication, ..HeartbeatOutcome::default() };
+            return Ok(HeartbeatOutcome { is_outdated: true, needs_replication, changed: false });
         }
         let known = &record.entry.server;
         // A repeated sequence number counts only if it reports a state closer to `Removed`.
         if server.sequence == record.last_sequence && server.state <= known.state {
-            return self.unchanged(&server.id);
+            return Ok(self.unchanged(&server.id));
         }
-        record.last_sequence = server.sequence;
-        record.last_heartbeat_at = now;
-        record.last_receiver = self.local_id;
-        record.last_local_heartbeat_at = Some(now);
         let has_same_properties = known.has_same_properties(&server);
         let has_moved = known.address != server.address;
+        record.raise_sequence(now, server.sequence, self.local_id);
+        record.last_local_heartbeat_at = Some(now);
         let (source, version) = (record.entry.source, record.entry.version);
-        // An entry above the known version of its source can't be given to other processes: it is published anew here,
+        // An entry above the known version of its source is not sent to other processes: it is published anew here,
         // even if the heartbeat changes nothing.
         if has_same_properties
             && version <= self.sources.known_version(source)
-            && !self.has_too_many_sources(now, source)
+            && !self.needs_republishing(now, source)
         {
-            return self.unchanged(&server.id);
+            return Ok(self.unchanged(&server.id));
         }
         let id = server.id.clone();
         self.publish(now, server);
         if has_moved {
             self.suspect_others_at_address(now, &id);
         }
-        HeartbeatOutcome { changed: true, ..self.unchanged(&id) }
+        Ok(self.changed(&id))
     }
 
-    fn record_first_heartbeat(&mut self, now: Instant, server: Server) -> HeartbeatOutcome {
+    fn record_first_heartbeat(
+        &mut self,
+        now: Instant,
+        server: Server,
+    ) -> Result<HeartbeatOutcome, RegistrationError> {
         if self.is_full() && !server.is_removed() {
-            return HeartbeatOutcome::rejected(ServerError::RegistryFull);
+            return Err(RegistrationError::RegistryFull);
         }
         let id = server.id.clone();
         self.publish(now, server);
@@ -85,26 +85,28 @@
             record.last_local_heartbeat_at = Some(now);
         }
         self.suspect_others_at_address(now, &id);
-        HeartbeatOutcome { changed: true, ..self.unchanged(&id) }
+        Ok(self.changed(&id))
     }
 
     /// Removes a server. Later heartbeats of this instance are outdated.
-    pub fn deregister(&mut self, now: Instant, id: &str) -> HeartbeatOutcome {
+    ///
+    /// # Errors
+    ///
+    /// The id is empty or too long; nothing has changed.
+    pub fn deregister(&mut self, now: Instant, id: &str) -> Result<HeartbeatOutcome, RegistrationError> {
         let mut server = match self.get(id) {
             Some(server) if server.sequence == DEREGISTERED_SEQUENCE && server.is_removed() => {
-                return self.unchanged(id);
+                return Ok(self.unchanged(id));
             }
             Some(server) => server.clone(),
             None => Server::deregistered(id),
         };
-        if let Err(error) = server.validate() {
-            return HeartbeatOutcome::rejected(error);
-        }
+        server.validate()?;
         server.state = OperState::Removed;
         server.is_suspected = false;
         server.sequence = DEREGISTERED_SEQUENCE;
         self.publish(now, server);
-        HeartbeatOutcome { changed: true, ..self.unchanged(id) }
+        Ok(self.changed(id))
     }
 
     fn unchanged(&self, id: &str) -> HeartbeatOutcome {
@@ -112,9 +114,13 @@
         HeartbeatOutcome { needs_replication, ..HeartbeatOutcome::default() }
     }
 
+    fn changed(&self, id: &str) -> HeartbeatOutcome {
+        HeartbeatOutcome { changed: true, ..self.unchanged(id) }
+    }
+
     /// Whether there are so many sources that entries of this one are published anew here.
-    fn has_too_many_sources(&self, now: Instant, source: SourceId) -> bool {
-        self.sources.len() > MAX_SOURCES_KEPT
+    fn needs_republishing(&self, now: Instant, source: SourceId) -> bool {
+        self.sources.len() > REPUBLISHING_THRESHOLD
             && !self.sources.has_recent_contact(now, source)
             && source != self.local_id
     }
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -5,15 +5,12 @@
 use minicbor::{Decode, Encode};
 use mosshead_time::Duration;
 
-use crate::ServerError;
+use crate::RegistrationError;
+use crate::limits::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
 
-/// The longest id, service, zone or software revision, in bytes.
-pub(crate) const MAX_NAME_BYTES: usize = 128;
-/// The bound on the models of a server with their adapters, in bytes.
-pub(crate) const MAX_MODEL_BYTES: usize = 8 * 1024;
-/// What a model adds to the size of the models beside its name.
+/// What a model adds to the size of the models beside its name, in bytes.
 const MODEL_OVERHEAD_BYTES: usize = 16;
-/// What an adapter adds to the size of the models beside its name.
+/// What an adapter adds to the size of the models beside its name, in bytes.
 const ADAPTER_OVERHEAD_BYTES: usize = 8;
 
 /// The sequence number of a deregistered server. It is above that of each heartbeat.
@@ -125,22 +122,22 @@
     ///
     /// # Errors
     ///
-    /// The first bound that is broken, never [`ServerError::RegistryFull`].
-    pub fn validate(&self) -> Result<(), ServerError> {
+    /// The first bound that is broken, never [`RegistrationError::RegistryFull`].
+    pub fn validate(&self) -> Result<(), RegistrationError> {
         if self.id.is_empty() {
-            return Err(ServerError::MissingId);
+            return Err(RegistrationError::MissingId);
         }
         let names = [&self.id, &self.service, &self.zone, &self.software_revision];
         if names.iter().any(|name| name.len() > MAX_NAME_BYTES) {
-            return Err(ServerError::NameTooLong);
+            return Err(RegistrationError::NameTooLong);
         }
         if self.model_bytes() > MAX_MODEL_BYTES {
-            return Err(ServerError::ModelsTooLong);
+            return Err(RegistrationError::ModelsTooLong);
         }
         Ok(())
     }
 
-    /// The size of the models with their adapters.
+    /// The size of the models with their adapters, in bytes.
     fn model_bytes(&self) -> usize {
         let mut bytes = 0_usize;
         for model in &self.models {
--- a/crates/registry/src/server_record.rs
+++ b/crates/registry/src/server_record.rs
@@ -40,6 +40,13 @@
         }
     }
 
+    /// A heartbeat with a sequence number that is not below the known ones has come to a control node.
+    pub(crate) fn raise_sequence(&mut self, now: Instant, sequence: u64, receiver: SourceId) {
+        self.last_sequence = sequence;
+        self.last_heartbeat_at = now;
+        self.last_receiver = receiver;
+    }
+
     /// Whether the server is shutting down and only this process is known to have that. `replicated_version` is the
     /// version up to which another node has the entries that were published here.
     pub(crate) fn needs_replication(&self, local_id: SourceId, replicated_version: u64) -> bool {
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -11,7 +11,7 @@
 /// A source without contact for longer counts as lost: others suspect the servers whose heartbeats it received.
 pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How many contacts are kept; the oldest go first.
+/// The maximum number of contacts; the oldest are dropped first.
 const MAX_CONTACTS: usize = 64;
 
 #[derive(Clone, Debug, Default)]
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Notes that the source itself was in contact.
+    /// Records that the source itself was in contact.
     pub(crate) fn record_contact(&mut self, now: Instant, id: SourceId) {
         let last = self.contacts.entry(id).or_insert(now);
         *last = now.max(*last);
@@ -112,7 +112,7 @@
 
     /// The known versions of all sources.
     pub(crate) fn vector(&self) -> VersionVector {
-        VersionVector(self.known_versions().collect())
+        self.known_versions().collect()
     }
 
     /// The sources that have entries, with their known versions above 0.
--- /dev/null
+++ b/crates/registry/src/uptime.rs
@@ -0,0 +1,31 @@
+//! Since when this process has run without a pause.
+
+use mosshead_time::{Duration, Instant};
+
+/// The ticks of this process. While it does not run, it receives no heartbeats, and servers must not be
+/// suspected for that.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Uptime {
+    last_tick: Option<Instant>,
+    running_since: Instant,
+}
+
+impl Uptime {
+    /// A process that has not ticked yet.
+    pub(crate) fn new() -> Uptime {
+        Uptime { last_tick: None, running_since: Instant::ORIGIN }
+    }
+
+    /// The process runs now. A longer time than `max_pause` since the last tick counts as a pause.
+    pub(crate) fn tick(&mut self, now: Instant, max_pause: Duration) {
+        if self.last_tick.is_none_or(|last| now.duration_since(last) > max_pause) {
+            self.running_since = now;
+        }
+        self.last_tick = Some(now);
+    }
+
+    /// Since when the process has run without a pause.
+    pub(crate) fn running_since(&self) -> Instant {
+        self.running_since
+    }
+}
--- a/crates/registry/src/version_vector.rs
+++ b/crates/registry/src/version_vector.rs
@@ -4,7 +4,7 @@
 
 use minicbor::{Decode, Decoder, Encode, Encoder, decode, encode};
 
-/// The most sources that a decoded vector may name.
+/// The maximum number of sources in a decoded vector.
 pub const MAX_VECTOR_SOURCES: usize = 4096;
 
 /// A source of entries: the number that a control node draws at random for its incarnation.
@@ -15,27 +15,40 @@
 /// For each source the highest version up to which no entry in force is missing. A source that is not named counts
 /// as 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct VersionVector(pub BTreeMap<SourceId, u64>);
+pub struct VersionVector {
+    versions: BTreeMap<SourceId, u64>,
+}
 
 impl VersionVector {
     /// The version for this source; 0 if it is not named.
     pub fn get(&self, source: SourceId) -> u64 {
-        self.0.get(&source).copied().unwrap_or(0)
+        self.versions.get(&source).copied().unwrap_or(0)
+    }
+
+    /// Replaces the version for this source, also by a lower one. Version 0 names the source, too.
+    pub fn set(&mut self, source: SourceId, version: u64) {
+        self.versions.insert(source, version);
+    }
+
+    /// The named sources with their versions, by source.
+    pub fn iter(&self) -> impl Iterator<Item = (SourceId, u64)> + '_ {
+        self.versions.iter().map(|(&source, &version)| (source, version))
     }
 
     /// How many sources are named.
     pub fn len(&self) -> usize {
-        self.0.len()
+        self.versions.len()
     }
 
     /// Whether no source is named.
     pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
+        self.versions.is_empty()
     }
+}
 
-    /// Whether no version is below that of `other`.
-    pub fn covers(&self, other: &VersionVector) -> bool {
-        other.0.iter().all(|(&source, &version)| self.get(source) >= version)
+impl FromIterator<(SourceId, u64)> for VersionVector {
+    fn from_iter<I: IntoIterator<Item = (SourceId, u64)>>(versions: I) -> VersionVector {
+        VersionVector { versions: versions.into_iter().collect() }
     }
 }
 
@@ -45,9 +58,9 @@
         encoder: &mut Encoder<W>,
         _: &mut C,
     ) -> Result<(), encode::Error<W::Error>> {
-        encoder.map(self.0.len() as u64)?;
-        for (source, version) in &self.0 {
-            encoder.u64(source.0)?.u64(*version)?;
+        encoder.map(self.len() as u64)?;
+        for (source, version) in self.iter() {
+            encoder.u64(source.0)?.u64(version)?;
         }
         Ok(())
     }
@@ -58,10 +71,10 @@
         let mut vector = VersionVector::default();
         for pair in decoder.map_iter::<u64, u64>()? {
             let (source, version) = pair?;
-            if vector.0.len() >= MAX_VECTOR_SOURCES {
+            if vector.len() >= MAX_VECTOR_SOURCES {
                 return Err(decode::Error::message("too many sources in a vector"));
             }
-            vector.0.insert(SourceId(source), version);
+            vector.set(SourceId(source), version);
         }
         Ok(vector)
     }
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -7,20 +7,26 @@
 use mosshead_time::{Duration, Instant};
 use rand_core::RngCore;
 
-/// The heartbeat interval of all servers, in milliseconds.
-pub(crate) const HEARTBEAT_INTERVAL_MILLIS: u64 = 1200;
+/// The heartbeat interval of all servers.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 
 /// The instant so many milliseconds after the origin of the clock.
 pub(crate) fn millis(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
+/// The instants from the origin of the clock to `end`, that one not included, one a `step`.
+pub(crate) fn instants_until(end: Instant, step: Duration) -> impl Iterator<Item = Instant> {
+    std::iter::successors(Some(Instant::ORIGIN), move |now| Some(*now + step))
+        .take_while(move |now| *now < end)
+}
+
 pub(crate) fn control_node(number: u64) -> Registry {
-    Registry::new(SourceId(number), Duration::from_millis(HEARTBEAT_INTERVAL_MILLIS))
+    Registry::new(SourceId(number), HEARTBEAT_INTERVAL)
 }
 
 pub(crate) fn read_replica(number: u64) -> Registry {
-    Registry::read_replica(SourceId(number), Duration::from_millis(HEARTBEAT_INTERVAL_MILLIS))
+    Registry::read_replica(SourceId(number), HEARTBEAT_INTERVAL)
 }
 
 pub(crate) fn address(number: u8) -> SocketAddrV4 {
@@ -49,20 +55,26 @@
 }
 
 /// Sends `to` all entries that it is missing, at most `max_entries` in one delta.
-pub(crate) fn synchronize(now: u64, from: &Registry, to: &mut Registry, max_entries: usize) {
+pub(crate) fn synchronize(now: Instant, from: &Registry, to: &mut Registry, max_entries: usize) {
     for _ in 0..100_000 {
         let delta = from.missing_entries(&to.vector(), max_entries);
-        let more = delta.is_truncated;
-        to.merge(millis(now), delta);
-        if !more {
+        let is_truncated = delta.is_truncated;
+        to.merge(now, delta);
+        if !is_truncated {
             return;
         }
     }
-    panic!("a pull that doesn't end");
+    panic!("truncated deltas follow each other without end");
 }
 
-/// The same between two registries of a group.
-pub(crate) fn synchronize_pair(now: u64, all: &mut [Registry], from: usize, to: usize, max_entries: usize) {
+/// Sends one registry of a group all entries that it is missing from another.
+pub(crate) fn synchronize_pair(
+    now: Instant,
+    all: &mut [Registry],
+    from: usize,
+    to: usize,
+    max_entries: usize,
+) {
     let (from, to) = match from < to {
         true => {
             let (left, right) = all.split_at_mut(to);
@@ -83,8 +95,8 @@
     entries
 }
 
-/// All registries exchange deltas until nothing changes.
-pub(crate) fn synchronize_all(now: u64, all: &mut [Registry]) {
+/// Exchanges deltas between all registries until nothing changes.
+pub(crate) fn synchronize_all(now: Instant, all: &mut [Registry]) {
     for _ in 0..50 {
         let mut changed = false;
         for from in 0..all.len() {
@@ -92,7 +104,7 @@
                 if from != to {
                     let delta = all[from].missing_entries(&all[to].vector(), usize::MAX);
                     assert!(!delta.is_truncated);
-                    changed |= all[to].merge(millis(now), delta);
+                    changed |= all[to].merge(now, delta);
                 }
             }
         }
@@ -100,22 +112,22 @@
             return;
         }
     }
-    panic!("the registries don't come to rest");
+    panic!("the registries do not converge");
 }
 
 /// Asserts that the indexes agree with the entries.
 pub(crate) fn assert_consistent(registry: &Registry) {
     let entries = all_entries(registry);
-    let live = entries.iter().filter(|e| e.server.state != OperState::Removed).count();
+    let live = entries.iter().filter(|entry| entry.server.state != OperState::Removed).count();
     assert_eq!(registry.len(), live);
     assert_eq!(registry.servers().count(), live);
     for entry in &entries {
         let server = &entry.server;
         assert_eq!(registry.get(&server.id), Some(server));
         let is_live = server.state != OperState::Removed;
-        assert_eq!(registry.servers_of_service(&server.service).any(|s| s == server), is_live);
+        assert_eq!(registry.servers_of_service(&server.service).any(|found| found == server), is_live);
         assert_eq!(
-            registry.servers_at_address(server.address).any(|s| s == server),
+            registry.servers_at_address(server.address).any(|found| found == server),
             is_live && !server.is_suspected
         );
     }
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -88,12 +88,12 @@
         let mut nodes = [control_node(1), control_node(2), control_node(3)];
         for (number, sequence) in heartbeats {
             let at = (sequence % 3) as usize;
-            nodes[at].record_heartbeat(millis(0), Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) });
+            nodes[at].record_heartbeat(millis(0), Server { slots: (sequence % 5) as u32, ..server(number % 40, sequence % 1000) }).unwrap();
         }
-        synchronize_all(0, &mut nodes);
+        synchronize_all(millis(0), &mut nodes);
         let (mut complete, mut chunked) = (read_replica(8), read_replica(9));
-        synchronize(0, &nodes[0], &mut complete, usize::MAX);
-        synchronize(0, &nodes[0], &mut chunked, max_entries as usize % 5);
+        synchronize(millis(0), &nodes[0], &mut complete, usize::MAX);
+        synchronize(millis(0), &nodes[0], &mut chunked, max_entries as usize % 5);
         all_entries(&complete) == all_entries(&chunked) && complete.vector() == chunked.vector() && all_entries(&complete) == all_entries(&nodes[0])
     }
 }
@@ -103,17 +103,17 @@
     // The delta was meant for an earlier incarnation.
     let (mut a, mut old, mut new) = (control_node(1), control_node(2), control_node(3));
     for number in 0..10 {
-        a.record_heartbeat(millis(0), server(number, 1));
+        a.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
-    synchronize(0, &a, &mut old, 100);
-    a.record_heartbeat(millis(0), server(10, 1));
+    synchronize(millis(0), &a, &mut old, 100);
+    a.record_heartbeat(millis(0), server(10, 1)).unwrap();
     let late = a.missing_entries(&old.vector(), 100);
     assert_eq!(late.entries.len(), 1);
     new.merge(millis(0), late);
     assert_eq!(new.len(), 1);
     assert_eq!(new.vector(), VersionVector::default());
     assert!(new.missing_entries(&VersionVector::default(), 100).is_empty());
-    synchronize(0, &a, &mut new, 3);
+    synchronize(millis(0), &a, &mut new, 3);
     assert_eq!(all_entries(&new), all_entries(&a));
     assert_eq!(new.missing_entries(&VersionVector::default(), 100).entries.len(), 11);
 }
@@ -123,7 +123,7 @@
     // A vector raised over a gap shows in the fingerprint.
     let (mut a, mut p) = (control_node(1), read_replica(9));
     for number in 0..10 {
-        a.record_heartbeat(millis(0), server(number, 1));
+        a.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
     let mut delta = a.missing_entries(&VersionVector::default(), 100);
     delta.entries.remove(4);
@@ -132,7 +132,7 @@
     assert_eq!(p.vector(), a.vector());
     p.tick(millis(1));
     assert!(p.vector().is_empty());
-    synchronize(1, &a, &mut p, 4);
+    synchronize(millis(1), &a, &mut p, 4);
     assert_eq!(all_entries(&p), all_entries(&a));
     // A difference that remains leads to a full synchronization at intervals only.
     let mut odd = a.missing_entries(&p.vector(), 100);
@@ -143,7 +143,7 @@
     p.merge(millis(20_000), odd);
     p.tick(millis(20_000));
     assert!(p.vector().is_empty());
-    synchronize(20_001, &a, &mut p, 100);
+    synchronize(millis(20_001), &a, &mut p, 100);
     assert_eq!(p.vector(), a.vector());
 }
 
@@ -152,7 +152,7 @@
     let (mut a, mut p) = (control_node(1), read_replica(9));
     for sequence in 1..100 {
         for number in 0..50 {
-            a.record_heartbeat(millis(sequence * 1200), server(number, sequence));
+            a.record_heartbeat(millis(sequence * 1200), server(number, sequence)).unwrap();
         }
         let delta = a.missing_entries(&p.vector(), 100);
         assert_eq!(delta.is_empty(), sequence > 1);
--- a/crates/registry/tests/encoding.rs
+++ b/crates/registry/tests/encoding.rs
@@ -40,7 +40,7 @@
 }
 
 fn any_vector(g: &mut Gen) -> VersionVector {
-    VersionVector(Vec::<(u64, u64)>::arbitrary(g).into_iter().map(|(s, v)| (SourceId(s), v)).collect())
+    Vec::<(u64, u64)>::arbitrary(g).into_iter().map(|(source, version)| (SourceId(source), version)).collect()
 }
 
 impl Arbitrary for AnyDelta {
@@ -109,7 +109,7 @@
     /// Deltas that no process without errors sends leave the registry consistent.
     fn implausible_deltas_keep_the_registry_consistent(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
         let (mut a, mut p) = (control_node(1), read_replica(2));
-        a.record_heartbeat(millis(0), server(1, 1));
+        a.record_heartbeat(millis(0), server(1, 1)).unwrap();
         for (delta, now) in deltas.into_iter().zip(times.into_iter().chain([u64::MAX, 0])) {
             a.merge(millis(now), delta.0.clone());
             p.merge(millis(now), delta.0.clone());
@@ -117,8 +117,8 @@
             a.mark_replicated(&delta.0.vector);
             a.missing_entries(&delta.0.vector, 3);
             for entry in delta.0.entries {
-                a.record_heartbeat(millis(now), entry.server.clone());
-                a.deregister(millis(now), &entry.server.service);
+                let _ = a.record_heartbeat(millis(now), entry.server.clone());
+                let _ = a.deregister(millis(now), &entry.server.service);
             }
             a.tick(millis(now));
             p.tick(millis(now));
@@ -131,7 +131,8 @@
 
 #[test]
 fn a_decoded_vector_is_bounded() {
-    let sources = |count: u64| VersionVector((0..count).map(|n| (SourceId(n), n)).collect());
+    let sources =
+        |count: u64| -> VersionVector { (0..count).map(|number| (SourceId(number), number)).collect() };
     let max_entries = MAX_VECTOR_SOURCES as u64;
     assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(max_entries)).unwrap()).is_ok());
     assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(max_entries + 1)).unwrap()).is_err());
--- a/crates/registry/tests/fleet/fleet.rs
+++ b/crates/registry/tests/fleet/fleet.rs
@@ -1,20 +1,27 @@
-//! The registries of the fleet, the faults, and what the processes exchange. Times are milliseconds of virtual time.
+//! The registries of the fleet, the faults, and what the processes exchange.
 
 use std::collections::BTreeSet;
 
-use mosshead_registry::{Registry, SourceId};
-use mosshead_time::Duration;
+use mosshead_registry::Registry;
+use mosshead_time::{Duration, Instant, whole_millis};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::common::{control_node, millis, random_below, read_replica};
+use crate::common::{control_node, random_below, read_replica};
 use crate::servers::SimulatedServer;
 
-pub(crate) const STEP_MILLIS: u64 = 100;
+/// The virtual clock advances by this.
+pub(crate) const STEP: Duration = Duration::from_millis(100);
 /// Faults are injected until then.
-pub(crate) const FAULTS_END: u64 = 60_000;
+pub(crate) const FAULTS_END: Instant = Instant::from_millis(60_000);
 /// The end of a run.
-pub(crate) const RUN_END: u64 = 120_000;
+pub(crate) const RUN_END: Instant = Instant::from_millis(120_000);
+/// How often control nodes exchange digests and entries.
+const NODE_SYNC_INTERVAL: Duration = Duration::from_millis(300);
+/// How often proxies synchronize with the control nodes.
+const PROXY_SYNC_INTERVAL: Duration = Duration::from_millis(500);
+/// How far back a digest goes.
+const DIGEST_WINDOW: Duration = Duration::from_millis(1500);
 pub(crate) const CONTROL_NODES: usize = 3;
 pub(crate) const PROXIES: usize = 4;
 
@@ -32,12 +39,13 @@
     pub(crate) proxy_partitions: BTreeSet<(usize, usize)>,
     /// Control nodes that no server reaches.
     pub(crate) nodes_without_servers: BTreeSet<usize>,
-    pub(crate) next_source: u64,
+    pub(crate) last_source: u64,
     pub(crate) next_server_id: u32,
 }
 
-fn recent_heartbeats(from: &Registry, now: u64) -> (SourceId, Vec<(String, u64)>) {
-    (from.local_id(), from.heartbeats_since(millis(now) - Duration::from_millis(1500)))
+/// The time since the last multiple of an interval.
+pub(crate) fn time_into(now: Instant, interval: Duration) -> Duration {
+    Duration::from_millis(now.as_millis() % whole_millis(interval))
 }
 
 impl Fleet {
@@ -47,13 +55,13 @@
             seed,
             rng: Pcg64Mcg::seed_from_u64(seed),
             control_nodes: Vec::new(),
-            proxies: (0..PROXIES as u64).map(|n| read_replica(1_000_000 + n)).collect(),
+            proxies: (0..PROXIES as u64).map(|number| read_replica(1_000_000 + number)).collect(),
             drained_servers: vec![BTreeSet::new(); PROXIES],
             servers: Vec::new(),
             node_partitions: BTreeSet::new(),
             proxy_partitions: BTreeSet::new(),
             nodes_without_servers: BTreeSet::new(),
-            next_source: 1,
+            last_source: 1,
             next_server_id: 0,
         };
         for _ in 0..CONTROL_NODES {
@@ -67,8 +75,8 @@
     }
 
     fn new_control_node(&mut self) -> Registry {
-        self.next_source += 1;
-        control_node(self.next_source)
+        self.last_source += 1;
+        control_node(self.last_source)
     }
 
     pub(crate) fn one_in(&mut self, count: u64) -> bool {
@@ -80,7 +88,7 @@
     }
 
     /// Restarts processes, and makes or heals partitions.
-    pub(crate) fn inject_faults(&mut self, now: u64) {
+    pub(crate) fn inject_faults(&mut self, now: Instant) {
         self.restart_processes(now);
         self.change_partitions();
     }
@@ -92,7 +100,7 @@
         self.nodes_without_servers.clear();
     }
 
-    fn restart_processes(&mut self, now: u64) {
+    fn restart_processes(&mut self, now: Instant) {
         if self.one_in(40) {
             let at = random_below(&mut self.rng, CONTROL_NODES as u64) as usize;
             self.control_nodes[at] = self.new_control_node();
@@ -104,7 +112,7 @@
         }
         if self.one_in(60) {
             let at = random_below(&mut self.rng, PROXIES as u64) as usize;
-            self.proxies[at] = read_replica(1_000_100 + now);
+            self.proxies[at] = read_replica(1_000_100 + now.as_millis());
             self.drained_servers[at].clear();
         }
     }
@@ -136,44 +144,50 @@
     }
 
     /// Sends another control node the entries that it is missing, and merges its response.
-    pub(crate) fn replicate(&mut self, now: u64, from: usize, to: usize) {
+    pub(crate) fn replicate(&mut self, now: Instant, from: usize, to: usize) {
         let vector = self.control_nodes[from].vector();
         let delta = self.control_nodes[from].missing_entries(&self.control_nodes[to].vector(), 1000);
-        self.control_nodes[to].merge(millis(now), delta);
+        self.control_nodes[to].merge(now, delta);
         let response = self.control_nodes[to].missing_entries(&vector, 1000);
         self.control_nodes[from].mark_replicated(&response.vector);
-        self.control_nodes[from].merge(millis(now), response);
+        self.control_nodes[from].merge(now, response);
     }
 
     /// Runs what is due at this instant.
-    pub(crate) fn step(&mut self, now: u64) {
+    pub(crate) fn step(&mut self, now: Instant) {
         self.send_due_heartbeats(now);
         self.replace_ended_servers(now);
-        if now.is_multiple_of(300) {
+        if time_into(now, NODE_SYNC_INTERVAL).is_zero() {
             self.synchronize_control_nodes(now);
         }
-        if now.is_multiple_of(500) {
+        if time_into(now, PROXY_SYNC_INTERVAL).is_zero() {
             self.synchronize_proxies(now);
         }
         for registry in self.control_nodes.iter_mut().chain(&mut self.proxies) {
-            registry.tick(millis(now));
+            registry.tick(now);
         }
     }
 
-    fn synchronize_control_nodes(&mut self, now: u64) {
+    fn synchronize_control_nodes(&mut self, now: Instant) {
         for from in 0..CONTROL_NODES {
             for to in 0..CONTROL_NODES {
                 if from != to && !self.is_partitioned(from, to) && !(now < FAULTS_END && self.one_in(5)) {
-                    let (source, digest) = recent_heartbeats(&self.control_nodes[from], now);
-                    let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                    self.control_nodes[to].record_remote_heartbeats(millis(now), source, digest);
+                    self.send_digest(now, from, to);
                     self.replicate(now, from, to);
                 }
             }
         }
     }
 
-    fn synchronize_proxies(&mut self, now: u64) {
+    /// One control node tells another which servers have sent it heartbeats lately.
+    fn send_digest(&mut self, now: Instant, from: usize, to: usize) {
+        let digest = self.control_nodes[from].heartbeats_since(now - DIGEST_WINDOW);
+        let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
+        let source = self.control_nodes[from].local_id();
+        self.control_nodes[to].record_remote_heartbeats(now, source, digest);
+    }
+
+    fn synchronize_proxies(&mut self, now: Instant) {
         for at in 0..PROXIES {
             for from in 0..CONTROL_NODES {
                 if !self.proxy_partitions.contains(&(at, from)) {
@@ -184,20 +198,20 @@
     }
 
     /// A proxy sends the entries that a control node is missing and merges its response, at times late or twice.
-    fn synchronize_proxy(&mut self, now: u64, at: usize, from: usize) {
+    fn synchronize_proxy(&mut self, now: Instant, at: usize, from: usize) {
         let max_entries = 1 + random_below(&mut self.rng, 40) as usize;
         let (proxy, node) = (&mut self.proxies[at], &mut self.control_nodes[from]);
         let vector = proxy.vector();
         if node.has_unknown_source(&vector) || node.is_behind(&vector) {
-            node.merge(millis(now), proxy.missing_entries(&node.vector(), max_entries));
+            node.merge(now, proxy.missing_entries(&node.vector(), max_entries));
         }
         let delta = node.missing_entries(&vector, max_entries);
         if now < FAULTS_END && random_below(&mut self.rng, 8) == 0 {
             return;
         }
-        proxy.merge(millis(now), delta.clone());
+        proxy.merge(now, delta.clone());
         if random_below(&mut self.rng, 8) == 0 {
-            proxy.merge(millis(now), delta);
+            proxy.merge(now, delta);
         }
         self.assert_draining_is_final(now, at);
     }
--- a/crates/registry/tests/fleet/invariants.rs
+++ b/crates/registry/tests/fleet/invariants.rs
@@ -3,14 +3,18 @@
 use std::collections::BTreeMap;
 
 use mosshead_registry::{Entry, OperState, Registry, Server};
+use mosshead_time::{Duration, Instant};
 
 use crate::common::assert_consistent;
 use crate::fleet::{FAULTS_END, Fleet};
 use crate::servers::Lifecycle;
 
+/// So long after its acknowledgement a draining state may be unknown to a proxy.
+const DRAINING_KNOWN_WITHIN: Duration = Duration::from_secs(2);
+
 impl Fleet {
     /// A server that a proxy has had as draining is never up there again.
-    pub(crate) fn assert_draining_is_final(&mut self, now: u64, at: usize) {
+    pub(crate) fn assert_draining_is_final(&mut self, now: Instant, at: usize) {
         let drained_servers = &mut self.drained_servers[at];
         for Entry { server, .. } in self.proxies[at].entries() {
             if server.state == OperState::Draining {
@@ -25,15 +29,15 @@
         }
     }
 
-    /// Once the faults have ended, an acknowledged draining state is known to every proxy within 2 s.
-    pub(crate) fn assert_draining_is_known(&self, now: u64) {
+    /// Once the faults have ended, every proxy knows an acknowledged draining state within [`DRAINING_KNOWN_WITHIN`].
+    pub(crate) fn assert_draining_is_known(&self, now: Instant) {
         for server in &self.servers {
             if let Lifecycle::Draining { acknowledged: Some(at) } = server.lifecycle
-                && now > at.max(FAULTS_END) + 2_000
+                && now > at.max(FAULTS_END) + DRAINING_KNOWN_WITHIN
             {
                 for proxy in &self.proxies {
                     assert!(
-                        proxy.get(&server.reported.id).is_some_and(|s| s.state != OperState::Up),
+                        proxy.get(&server.reported.id).is_some_and(|known| known.state != OperState::Up),
                         "seed {}: at {now} {} is not known to be draining",
                         self.seed,
                         server.reported.id
@@ -46,7 +50,7 @@
     /// All registries agree with each other and with the servers.
     pub(crate) fn assert_converged(&self) {
         let live = |registry: &Registry| -> BTreeMap<String, Server> {
-            registry.servers().map(|s| (s.id.clone(), s.clone())).collect()
+            registry.servers().map(|server| (server.id.clone(), server.clone())).collect()
         };
         let first = live(&self.control_nodes[0]);
         for registry in self.control_nodes.iter().chain(&self.proxies) {
@@ -60,9 +64,10 @@
             match server.lifecycle {
                 Lifecycle::Ended(_) => assert!(!first.contains_key(id), "seed {}: {id}", self.seed),
                 _ => {
-                    let known = first.get(id).unwrap_or_else(|| panic!("seed {}: {id} lost", self.seed));
-                    let same = Server { sequence: known.sequence, ..server.reported.clone() };
-                    assert_eq!(known, &same, "seed {}", self.seed);
+                    let known =
+                        first.get(id).unwrap_or_else(|| panic!("seed {}: {id} is missing", self.seed));
+                    let expected = Server { sequence: known.sequence, ..server.reported.clone() };
+                    assert_eq!(known, &expected, "seed {}", self.seed);
                 }
             }
         }
--- a/crates/registry/tests/fleet/main.rs
+++ b/crates/registry/tests/fleet/main.rs
@@ -9,8 +9,8 @@
 mod invariants;
 mod servers;
 
-use common::millis;
-use fleet::{CONTROL_NODES, FAULTS_END, Fleet, RUN_END, STEP_MILLIS};
+use common::{HEARTBEAT_INTERVAL, instants_until, millis};
+use fleet::{CONTROL_NODES, FAULTS_END, Fleet, RUN_END, STEP, time_into};
 use mosshead_registry::Registry;
 use servers::Lifecycle;
 
@@ -27,7 +27,7 @@
     let mut ended = 0;
     for seed in seeds() {
         let mut fleet = Fleet::new(seed);
-        for now in (0..RUN_END).step_by(STEP_MILLIS as usize) {
+        for now in instants_until(RUN_END, STEP) {
             if now < FAULTS_END {
                 fleet.inject_faults(now);
             } else if now == FAULTS_END {
@@ -37,11 +37,11 @@
             fleet.assert_draining_is_known(now);
         }
         fleet.assert_converged();
-        incarnations += fleet.next_source;
+        incarnations += fleet.last_source;
         ended +=
             fleet.servers.iter().filter(|server| matches!(server.lifecycle, Lifecycle::Ended(_))).count();
     }
-    // The runs had restarts and ends of servers in them.
+    // The faults were there: control nodes restarted and servers ended.
     assert!(
         incarnations > 10 * seeds().count() as u64 && ended > 5 * seeds().count(),
         "{incarnations} {ended}"
@@ -52,19 +52,19 @@
 fn a_fleet_without_changes_publishes_no_versions() {
     let mut fleet = Fleet::new(7);
     let mut versions = 0;
-    for now in (0..40_000).step_by(STEP_MILLIS as usize) {
+    for now in instants_until(millis(40_000), STEP) {
         for number in 0..fleet.servers.len() {
-            if now % 1200 == fleet.servers[number].heartbeat_offset {
+            if time_into(now, HEARTBEAT_INTERVAL) == fleet.servers[number].heartbeat_offset {
                 let server = &mut fleet.servers[number];
                 server.reported.sequence += 1;
                 let at = (server.reported.sequence / 5) as usize % CONTROL_NODES;
-                fleet.control_nodes[at].record_heartbeat(millis(now), server.reported.clone());
+                fleet.control_nodes[at].record_heartbeat(now, server.reported.clone()).unwrap();
             }
         }
         let servers = std::mem::take(&mut fleet.servers);
         fleet.step(now);
         fleet.servers = servers;
-        if now == 2_000 {
+        if now == millis(2_000) {
             versions = fleet.control_nodes.iter().map(Registry::version).sum();
         }
     }
--- a/crates/registry/tests/former_formats.rs
+++ b/crates/registry/tests/former_formats.rs
@@ -92,13 +92,13 @@
 }
 
 fn vector() -> VersionVector {
-    VersionVector([(SourceId(7), 301), (SourceId(0x0123_4567_89ab_cdef), 12)].into())
+    VersionVector::from_iter([(SourceId(7), 301), (SourceId(0x0123_4567_89ab_cdef), 12)])
 }
 
 fn delta() -> Delta {
     Delta {
         entries: vec![draining(), removed(), up()],
-        base: VersionVector([(SourceId(7), 299)].into()),
+        base: VersionVector::from_iter([(SourceId(7), 299)]),
         vector: vector(),
         is_truncated: false,
         fingerprint: 0xfedc_ba98_7654_3210,
--- a/crates/registry/tests/heartbeats.rs
+++ b/crates/registry/tests/heartbeats.rs
@@ -3,17 +3,17 @@
 mod common;
 
 use common::{address, assert_consistent, control_node, millis, server, synchronize, with_state};
-use mosshead_registry::{HeartbeatOutcome, MAX_SERVERS, OperState, Server, ServerError};
+use mosshead_registry::{HeartbeatOutcome, MAX_SERVERS, OperState, RegistrationError, Server};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
 #[test]
 fn an_unchanged_heartbeat_gets_no_version() {
     let mut registry = control_node(1);
-    let first = registry.record_heartbeat(millis(0), server(1, 1));
+    let first = registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     assert_eq!(first, HeartbeatOutcome { changed: true, ..HeartbeatOutcome::default() });
     for sequence in 2..1000 {
-        let outcome = registry.record_heartbeat(millis(sequence * 1200), server(1, sequence));
+        let outcome = registry.record_heartbeat(millis(sequence * 1200), server(1, sequence)).unwrap();
         assert_eq!(outcome, HeartbeatOutcome::default());
     }
     assert_eq!(registry.version(), 1);
@@ -23,16 +23,16 @@
 #[test]
 fn remaining_warm_up_alone_is_no_change() {
     let mut registry = control_node(1);
-    registry.record_heartbeat(
-        millis(0),
-        Server { warmup_remaining: Duration::from_millis(9000), ..server(1, 1) },
-    );
+    registry
+        .record_heartbeat(millis(0), Server { warmup_remaining: Duration::from_millis(9000), ..server(1, 1) })
+        .unwrap();
     assert!(
         !registry
             .record_heartbeat(
                 millis(1200),
                 Server { warmup_remaining: Duration::from_millis(7800), ..server(1, 2) }
             )
+            .unwrap()
             .changed
     );
 }
@@ -51,10 +51,10 @@
     ];
     for change in changes {
         let mut registry = control_node(1);
-        registry.record_heartbeat(millis(0), server(1, 1));
+        registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
         let mut second = server(1, 2);
         change(&mut second);
-        assert!(registry.record_heartbeat(millis(1), second.clone()).changed);
+        assert!(registry.record_heartbeat(millis(1), second.clone()).unwrap().changed);
         assert_eq!(registry.get("i-1"), Some(&second));
         assert_consistent(&registry);
     }
@@ -63,79 +63,106 @@
 #[test]
 fn an_outdated_heartbeat_changes_nothing() {
     let mut registry = control_node(1);
-    registry.record_heartbeat(millis(0), with_state(1, 10, OperState::Draining));
-    let late = registry.record_heartbeat(millis(1), server(1, 9));
+    registry.record_heartbeat(millis(0), with_state(1, 10, OperState::Draining)).unwrap();
+    let late = registry.record_heartbeat(millis(1), server(1, 9)).unwrap();
     assert!(late.is_outdated && !late.changed);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Draining);
     // Not even one that is outdated by heartbeats without a version.
     let mut steady = control_node(2);
-    steady.record_heartbeat(millis(0), server(1, 1));
-    steady.record_heartbeat(millis(1), server(1, 5));
-    assert!(steady.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).is_outdated);
+    steady.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    steady.record_heartbeat(millis(1), server(1, 5)).unwrap();
+    assert!(steady.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).unwrap().is_outdated);
     assert_eq!(steady.get("i-1").unwrap().state, OperState::Up);
 }
 
 #[test]
 fn a_repeated_sequence_only_moves_towards_removal() {
     let mut registry = control_node(1);
-    registry.record_heartbeat(millis(0), server(1, 3));
-    assert!(!registry.record_heartbeat(millis(1), Server { slots: 5, ..server(1, 3) }).changed);
-    assert!(registry.record_heartbeat(millis(1), with_state(1, 3, OperState::Draining)).changed);
-    assert!(!registry.record_heartbeat(millis(2), server(1, 3)).changed);
+    registry.record_heartbeat(millis(0), server(1, 3)).unwrap();
+    assert!(!registry.record_heartbeat(millis(1), Server { slots: 5, ..server(1, 3) }).unwrap().changed);
+    assert!(registry.record_heartbeat(millis(1), with_state(1, 3, OperState::Draining)).unwrap().changed);
+    assert!(!registry.record_heartbeat(millis(2), server(1, 3)).unwrap().changed);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Draining);
 }
 
 #[test]
 fn draining_needs_replication_until_another_node_has_it() {
     let (mut registry, mut other) = (control_node(1), control_node(2));
-    registry.record_heartbeat(millis(0), server(1, 1));
-    assert!(registry.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).needs_replication);
+    registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    assert!(
+        registry
+            .record_heartbeat(millis(1), with_state(1, 2, OperState::Draining))
+            .unwrap()
+            .needs_replication
+    );
     // Replication failed and the server repeats its heartbeat: it must not be acknowledged yet.
-    assert!(registry.record_heartbeat(millis(2), with_state(1, 3, OperState::Draining)).needs_replication);
-    assert!(registry.record_heartbeat(millis(2), with_state(1, 2, OperState::Draining)).needs_replication);
+    assert!(
+        registry
+            .record_heartbeat(millis(2), with_state(1, 3, OperState::Draining))
+            .unwrap()
+            .needs_replication
+    );
+    assert!(
+        registry
+            .record_heartbeat(millis(2), with_state(1, 2, OperState::Draining))
+            .unwrap()
+            .needs_replication
+    );
     // Heartbeats of other servers make no difference.
-    registry.record_heartbeat(millis(2), server(2, 1));
-    assert!(registry.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).needs_replication);
-    assert!(!registry.record_heartbeat(millis(2), server(2, 2)).needs_replication);
-    synchronize(3, &registry, &mut other, 10);
+    registry.record_heartbeat(millis(2), server(2, 1)).unwrap();
+    assert!(
+        registry
+            .record_heartbeat(millis(2), with_state(1, 4, OperState::Draining))
+            .unwrap()
+            .needs_replication
+    );
+    assert!(!registry.record_heartbeat(millis(2), server(2, 2)).unwrap().needs_replication);
+    synchronize(millis(3), &registry, &mut other, 10);
     assert!(!registry.is_fully_replicated());
     registry.mark_replicated(&other.vector());
     assert!(registry.is_fully_replicated());
-    assert!(!registry.record_heartbeat(millis(4), with_state(1, 5, OperState::Draining)).needs_replication);
+    assert!(
+        !registry
+            .record_heartbeat(millis(4), with_state(1, 5, OperState::Draining))
+            .unwrap()
+            .needs_replication
+    );
     // The other node has the state from this one.
-    assert!(!other.record_heartbeat(millis(5), with_state(1, 6, OperState::Draining)).needs_replication);
-    assert!(registry.deregister(millis(6), "i-1").needs_replication);
-    assert!(registry.deregister(millis(7), "i-1").needs_replication);
+    assert!(
+        !other.record_heartbeat(millis(5), with_state(1, 6, OperState::Draining)).unwrap().needs_replication
+    );
+    assert!(registry.deregister(millis(6), "i-1").unwrap().needs_replication);
+    assert!(registry.deregister(millis(7), "i-1").unwrap().needs_replication);
     registry.mark_replicated(&other.vector());
-    assert!(registry.deregister(millis(8), "i-1").needs_replication);
-    synchronize(8, &registry, &mut other, 10);
+    assert!(registry.deregister(millis(8), "i-1").unwrap().needs_replication);
+    synchronize(millis(8), &registry, &mut other, 10);
     registry.mark_replicated(&other.vector());
-    assert_eq!(registry.deregister(millis(9), "i-1"), HeartbeatOutcome::default());
+    assert_eq!(registry.deregister(millis(9), "i-1").unwrap(), HeartbeatOutcome::default());
 }
 
 #[test]
 fn a_superseding_entry_of_another_node_ends_the_need_for_replication() {
     // Both receive the deregistration, and the other's entry supersedes.
     let (mut registry, mut other) = (control_node(1), control_node(2));
-    assert!(other.deregister(millis(0), "i-1").needs_replication);
-    assert!(registry.deregister(millis(0), "i-1").needs_replication);
+    assert!(other.deregister(millis(0), "i-1").unwrap().needs_replication);
+    assert!(registry.deregister(millis(0), "i-1").unwrap().needs_replication);
     let vector = registry.vector();
-    synchronize(1, &registry, &mut other, 10);
+    synchronize(millis(1), &registry, &mut other, 10);
     let answer = other.missing_entries(&vector, 10);
     registry.mark_replicated(&answer.vector);
-    assert!(registry.deregister(millis(2), "i-1").needs_replication);
+    assert!(registry.deregister(millis(2), "i-1").unwrap().needs_replication);
     registry.merge(millis(2), answer);
-    assert!(!registry.deregister(millis(2), "i-1").needs_replication);
+    assert!(!registry.deregister(millis(2), "i-1").unwrap().needs_replication);
     assert!(registry.is_fully_replicated());
 }
 
 #[test]
 fn heartbeats_after_deregistration_are_outdated() {
     let mut registry = control_node(1);
-    registry.record_heartbeat(millis(0), server(1, 1));
-    assert!(registry.deregister(millis(1), "i-1").changed);
-    assert!(registry.record_heartbeat(millis(2), server(1, 2)).is_outdated);
-    assert!(registry.record_heartbeat(millis(2), server(1, u64::MAX)).is_outdated);
+    registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    assert!(registry.deregister(millis(1), "i-1").unwrap().changed);
+    assert!(registry.record_heartbeat(millis(2), server(1, 2)).unwrap().is_outdated);
+    assert!(registry.record_heartbeat(millis(2), server(1, u64::MAX)).unwrap().is_outdated);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Removed);
     assert!(registry.is_empty());
     assert_consistent(&registry);
@@ -144,11 +171,11 @@
 #[test]
 fn deregistering_an_unknown_server_leaves_a_tombstone() {
     let (mut registry, mut other) = (control_node(1), control_node(2));
-    assert!(registry.deregister(millis(0), "i-1").changed);
-    assert!(registry.record_heartbeat(millis(1), server(1, 5)).is_outdated);
-    other.record_heartbeat(millis(0), server(1, 5));
-    synchronize(2, &registry, &mut other, 10);
-    synchronize(2, &other, &mut registry, 10);
+    assert!(registry.deregister(millis(0), "i-1").unwrap().changed);
+    assert!(registry.record_heartbeat(millis(1), server(1, 5)).unwrap().is_outdated);
+    other.record_heartbeat(millis(0), server(1, 5)).unwrap();
+    synchronize(millis(2), &registry, &mut other, 10);
+    synchronize(millis(2), &other, &mut registry, 10);
     assert!(other.is_empty() && registry.is_empty());
     assert_eq!(other.get("i-1"), registry.get("i-1"));
     assert_consistent(&other);
@@ -157,18 +184,18 @@
 #[test]
 fn a_new_server_at_an_address_makes_its_predecessor_suspected() {
     let mut registry = control_node(1);
-    registry.record_heartbeat(millis(0), server(1, 7));
+    registry.record_heartbeat(millis(0), server(1, 7)).unwrap();
     let newcomer = Server { address: address(1), ..server(2, 1) };
-    registry.record_heartbeat(millis(1), newcomer.clone());
+    registry.record_heartbeat(millis(1), newcomer.clone()).unwrap();
     assert!(registry.get("i-1").unwrap().is_suspected);
     assert!(!registry.get("i-2").unwrap().is_suspected);
     assert_eq!(registry.servers_at_address(address(1)).map(|s| s.id.as_str()).collect::<Vec<_>>(), ["i-2"]);
     // Unchanged heartbeats of either publish nothing.
     let version = registry.version();
-    assert!(!registry.record_heartbeat(millis(2), Server { sequence: 2, ..newcomer }).changed);
+    assert!(!registry.record_heartbeat(millis(2), Server { sequence: 2, ..newcomer }).unwrap().changed);
     assert_eq!(registry.version(), version);
     // A suspected server that sends a heartbeat is not suspected any more, and the new one is not either.
-    assert!(registry.record_heartbeat(millis(3), server(1, 8)).changed);
+    assert!(registry.record_heartbeat(millis(3), server(1, 8)).unwrap().changed);
     assert!(!registry.get("i-1").unwrap().is_suspected && !registry.get("i-2").unwrap().is_suspected);
     assert_consistent(&registry);
 }
@@ -181,16 +208,16 @@
     let mut many = server(1, 1);
     many.models = vec![many.models[0].clone(); 1000];
     for (server, error, code) in [
-        (no_id, ServerError::MissingId, 1),
-        (long, ServerError::NameTooLong, 2),
-        (many, ServerError::ModelsTooLong, 3),
+        (no_id, RegistrationError::MissingId, 1),
+        (long, RegistrationError::NameTooLong, 2),
+        (many, RegistrationError::ModelsTooLong, 3),
     ] {
-        assert_eq!(registry.record_heartbeat(millis(0), server).error, Some(error));
+        assert_eq!(registry.record_heartbeat(millis(0), server), Err(error));
         assert_eq!(error.code(), code);
         assert!(error.to_string().starts_with(&format!("registry {code}:")));
     }
-    assert_eq!(registry.deregister(millis(0), "").error, Some(ServerError::MissingId));
-    assert_eq!(registry.deregister(millis(0), &"x".repeat(200)).error, Some(ServerError::NameTooLong));
+    assert_eq!(registry.deregister(millis(0), ""), Err(RegistrationError::MissingId));
+    assert_eq!(registry.deregister(millis(0), &"x".repeat(200)), Err(RegistrationError::NameTooLong));
     assert_eq!(registry.version(), 0);
 }
 
@@ -200,15 +227,15 @@
     for number in 0..MAX_SERVERS {
         let outcome = registry.record_heartbeat(millis(0), Server { id: number.to_string(), ..server(1, 1) });
         if number < 2 {
-            assert_eq!(outcome.error, None);
+            assert_eq!(outcome.err(), None);
         }
     }
     assert_eq!(registry.len(), MAX_SERVERS);
-    assert_eq!(registry.record_heartbeat(millis(1), server(1, 1)).error, Some(ServerError::RegistryFull));
-    assert_eq!(ServerError::RegistryFull.code(), 4);
-    assert_eq!(registry.record_heartbeat(millis(1), Server { id: "7".into(), ..server(1, 2) }).error, None);
-    assert!(registry.deregister(millis(2), "7").changed);
-    assert!(registry.record_heartbeat(millis(3), server(1, 1)).changed);
+    assert_eq!(registry.record_heartbeat(millis(1), server(1, 1)), Err(RegistrationError::RegistryFull));
+    assert_eq!(RegistrationError::RegistryFull.code(), 4);
+    assert_eq!(registry.record_heartbeat(millis(1), Server { id: "7".into(), ..server(1, 2) }).err(), None);
+    assert!(registry.deregister(millis(2), "7").unwrap().changed);
+    assert!(registry.record_heartbeat(millis(3), server(1, 1)).unwrap().changed);
 }
 
 quickcheck! {
@@ -220,7 +247,7 @@
         let mut order: Vec<_> = heartbeats.iter().collect();
         order.sort_by_key(|(s, v)| (**s * 7919) ^ u64::from(**v));
         for (&sequence, &slots) in order {
-            registry.record_heartbeat(millis(0), Server { slots, ..server(1, sequence) });
+            registry.record_heartbeat(millis(0), Server { slots, ..server(1, sequence) }).unwrap();
         }
         assert_consistent(&registry);
         registry.get("i-1").map(|s| s.slots) == heartbeats.last_key_value().map(|(_, v)| *v)
--- a/crates/registry/tests/random_exchanges.rs
+++ b/crates/registry/tests/random_exchanges.rs
@@ -24,6 +24,12 @@
     is_deregistered: bool,
 }
 
+struct DeltaInFlight {
+    /// The registry that it is meant for.
+    to: usize,
+    delta: Delta,
+}
+
 struct Exchange {
     seed: u64,
     rng: Pcg64Mcg,
@@ -32,18 +38,18 @@
     registries: Vec<Registry>,
     servers: Vec<ExpectedServer>,
     heartbeats_in_flight: Vec<Server>,
-    /// Deltas with the registry that they are meant for.
-    deltas_in_flight: Vec<(usize, Delta)>,
+    deltas_in_flight: Vec<DeltaInFlight>,
 }
 
 impl Exchange {
     fn new(seed: u64) -> Exchange {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let control_nodes = 3 + random_below(&mut rng, 3) as usize;
-        let mut registries: Vec<Registry> = (0..control_nodes as u64).map(|n| control_node(10 + n)).collect();
-        registries.extend((0..READ_REPLICAS).map(|n| read_replica(100 + n)));
+        let mut registries: Vec<Registry> =
+            (0..control_nodes as u64).map(|number| control_node(10 + number)).collect();
+        registries.extend((0..READ_REPLICAS).map(|number| read_replica(100 + number)));
         let servers = (0..SERVERS)
-            .map(|n| ExpectedServer { last: server(n, 0), arrived: None, is_deregistered: false })
+            .map(|number| ExpectedServer { last: server(number, 0), arrived: None, is_deregistered: false })
             .collect();
         Exchange {
             seed,
@@ -111,14 +117,14 @@
                 server.arrived = Some(heartbeat.clone());
             }
         }
-        self.registries[to].record_heartbeat(millis(0), heartbeat);
+        self.registries[to].record_heartbeat(millis(0), heartbeat).unwrap();
     }
 
     fn deregister(&mut self) {
         let number = self.random_index(usize::from(SERVERS));
         let at = self.random_control_node();
         self.servers[number].is_deregistered = true;
-        self.registries[at].deregister(millis(0), &self.servers[number].last.id);
+        self.registries[at].deregister(millis(0), &self.servers[number].last.id).unwrap();
     }
 
     fn send_digest(&mut self) {
@@ -136,19 +142,20 @@
         let max_entries = self.random_index(6);
         if from != to {
             let vector = self.registries[to].vector();
-            self.deltas_in_flight.push((to, self.registries[from].missing_entries(&vector, max_entries)));
+            let delta = self.registries[from].missing_entries(&vector, max_entries);
+            self.deltas_in_flight.push(DeltaInFlight { to, delta });
         }
     }
 
     /// A delta arrives in any order, twice, at the wrong process, or never.
     fn receive_delta(&mut self) {
         let index = self.random_index(MAX_DELTAS_IN_FLIGHT + 1);
-        let (to, delta) = self.deltas_in_flight.swap_remove(index);
+        let DeltaInFlight { to, delta } = self.deltas_in_flight.swap_remove(index);
         match random_below(&mut self.rng, 6) {
             0 => {}
             1 => {
                 self.registries[to].merge(millis(0), delta.clone());
-                self.deltas_in_flight.push((to, delta));
+                self.deltas_in_flight.push(DeltaInFlight { to, delta });
                 self.deltas_in_flight.swap_remove(0);
             }
             2 => {
@@ -197,7 +204,7 @@
         for _ in 0..STEPS {
             exchange.step();
         }
-        synchronize_all(0, &mut exchange.registries);
+        synchronize_all(millis(0), &mut exchange.registries);
         exchange.assert_converged();
     }
 }
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{
-    HEARTBEAT_INTERVAL_MILLIS, all_entries, assert_consistent, control_node, millis, read_replica, server,
+    HEARTBEAT_INTERVAL, all_entries, assert_consistent, control_node, millis, read_replica, server,
     synchronize, synchronize_all, synchronize_pair, with_state,
 };
 use mosshead_registry::{
@@ -28,11 +28,11 @@
 }
 
 /// One control node tells another which servers have sent it heartbeats since an instant.
-fn send_digest(now: u64, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
+fn send_digest(now: Instant, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
     let digest = nodes[from].heartbeats_since(since);
     let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
     let source = nodes[from].local_id();
-    nodes[to].record_remote_heartbeats(millis(now), source, digest);
+    nodes[to].record_remote_heartbeats(now, source, digest);
 }
 
 /// For seven seconds the servers 2 to 19 send heartbeats to the first of three new control nodes.
@@ -44,13 +44,13 @@
         }
         if now % 1000 == 0 {
             for number in 2..20 {
-                let outcome = nodes[0].record_heartbeat(millis(now), server(number, 5 + now / 1000));
+                let outcome = nodes[0].record_heartbeat(millis(now), server(number, 5 + now / 1000)).unwrap();
                 assert!(!outcome.changed, "{now} {number}");
             }
         }
         if now % 300 == 0 {
-            send_digest(now, nodes, 0, 1, millis(0));
-            send_digest(now, nodes, 0, 2, millis(0));
+            send_digest(millis(now), nodes, 0, 1, millis(0));
+            send_digest(millis(now), nodes, 0, 2, millis(0));
         }
         for node in &mut *nodes {
             node.tick(millis(now));
@@ -63,13 +63,13 @@
     let mut nodes = vec![control_node(1), control_node(2), control_node(3)];
     let mut proxies = vec![read_replica(100), read_replica(101)];
     for number in 0..30 {
-        nodes[number as usize % 3].record_heartbeat(millis(0), server(number, 1));
+        nodes[number as usize % 3].record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
-    nodes[0].record_heartbeat(millis(1), with_state(0, 2, OperState::Draining));
-    nodes[1].deregister(millis(1), "i-1");
-    synchronize_all(1, &mut nodes);
+    nodes[0].record_heartbeat(millis(1), with_state(0, 2, OperState::Draining)).unwrap();
+    nodes[1].deregister(millis(1), "i-1").unwrap();
+    synchronize_all(millis(1), &mut nodes);
     for proxy in &mut proxies {
-        synchronize(1, &nodes[2], proxy, 100);
+        synchronize(millis(1), &nodes[2], proxy, 100);
     }
     let before = all_entries(&proxies[0]);
     // All control nodes restart. The new incarnations know nothing, as the vectors of the proxies show them.
@@ -89,11 +89,11 @@
         }
     }
     // Outdated heartbeats from before the restart revive no server.
-    assert!(nodes[0].record_heartbeat(millis(1000), server(0, 1)).is_outdated);
-    assert!(nodes[1].record_heartbeat(millis(1000), server(1, 3)).is_outdated);
+    assert!(nodes[0].record_heartbeat(millis(1000), server(0, 1)).unwrap().is_outdated);
+    assert!(nodes[1].record_heartbeat(millis(1000), server(1, 3)).unwrap().is_outdated);
     // Servers with heartbeats stay without a new version; the others are suspected by the new incarnations in time.
     run_with_heartbeats(&mut nodes);
-    synchronize_all(8000, &mut nodes);
+    synchronize_all(millis(8000), &mut nodes);
     for node in &nodes {
         assert_consistent(node);
         for number in 2..30 {
@@ -105,14 +105,14 @@
 #[test]
 fn a_proxy_restores_a_change_whose_source_is_lost() {
     let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
-    a.record_heartbeat(millis(0), server(1, 1));
-    synchronize(0, &a, &mut b, 10);
-    a.record_heartbeat(millis(0), server(2, 1));
-    synchronize(0, &a, &mut p, 10);
+    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    synchronize(millis(0), &a, &mut b, 10);
+    a.record_heartbeat(millis(0), server(2, 1)).unwrap();
+    synchronize(millis(0), &a, &mut p, 10);
     drop(a);
     assert!(!b.has_unknown_source(&p.vector()));
     assert!(b.is_behind(&p.vector()));
-    synchronize(0, &p, &mut b, 10);
+    synchronize(millis(0), &p, &mut b, 10);
     assert!(!b.is_behind(&p.vector()));
     assert_eq!(all_entries(&b), all_entries(&p));
 }
@@ -121,20 +121,20 @@
 fn a_restarted_node_catches_up_and_publishes_as_a_new_source() {
     let (mut a, mut b) = (control_node(1), control_node(2));
     for number in 0..20 {
-        a.record_heartbeat(millis(0), server(number, 1));
+        a.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
-    synchronize(0, &a, &mut b, 3);
+    synchronize(millis(0), &a, &mut b, 3);
     let mut again = control_node(3);
-    synchronize(0, &b, &mut again, 3);
+    synchronize(millis(0), &b, &mut again, 3);
     assert_eq!(all_entries(&again), all_entries(&a));
-    again.record_heartbeat(millis(1), Server { slots: 1, ..server(1, 2) });
-    synchronize(1, &again, &mut b, 3);
+    again.record_heartbeat(millis(1), Server { slots: 1, ..server(1, 2) }).unwrap();
+    synchronize(millis(1), &again, &mut b, 3);
     assert_eq!(all_entries(&again), all_entries(&b));
     assert_eq!(b.vector().get(SourceId(3)), 1);
 }
 
 /// The control nodes exchange entries, each with each.
-fn exchange(now: u64, nodes: &mut [Registry], before_each: impl Fn(&mut [Registry], usize, usize)) {
+fn exchange(now: Instant, nodes: &mut [Registry], before_each: impl Fn(&mut [Registry], usize, usize)) {
     for from in 0..nodes.len() {
         for to in 0..nodes.len() {
             if from != to {
@@ -147,22 +147,22 @@
 
 /// One second in which a control node restarts, one server changes and the others send unchanged heartbeats.
 fn run_incarnation(incarnation: u64, nodes: &mut [Registry], proxy: &mut Registry) {
-    let now = incarnation * 1000;
+    let now = millis(incarnation * 1000);
     let at = (incarnation % 3) as usize;
     nodes[at] = control_node(4 + incarnation);
     synchronize_pair(now, nodes, (at + 1) % 3, at, 50);
     for number in 0..60_u8 {
         let slots = 1 + (incarnation.saturating_sub(u64::from(number)) / 60) as u32;
         let server = Server { slots, ..server(number, incarnation + 1) };
-        nodes[usize::from(number) % 3].record_heartbeat(millis(now), server);
+        nodes[usize::from(number) % 3].record_heartbeat(now, server).unwrap();
     }
     exchange(now, nodes, |nodes, from, to| {
         let peer = nodes[from].local_id();
-        nodes[to].record_contact(millis(now), peer);
+        nodes[to].record_contact(now, peer);
     });
     synchronize(now, &nodes[at], proxy, 50);
     for registry in nodes.iter_mut().chain([proxy]) {
-        registry.tick(millis(now));
+        registry.tick(now);
     }
 }
 
@@ -179,7 +179,7 @@
         }
     }
     assert!(max_sources <= 16 + 8, "{max_sources}");
-    synchronize_all(3_000_000, &mut nodes);
+    synchronize_all(millis(3_000_000), &mut nodes);
     assert_consistent(&proxy);
     assert_eq!(proxy.len(), 60);
     // Once the restarts have stopped, the remaining old sources disappear.
@@ -188,10 +188,10 @@
         sequence += 1;
         for number in 0..60_u8 {
             let server = Server { slots: 9999, ..server(number, sequence) };
-            nodes[usize::from(number) % 3].record_heartbeat(millis(now), server);
+            nodes[usize::from(number) % 3].record_heartbeat(millis(now), server).unwrap();
         }
-        exchange(now, &mut nodes, |nodes, from, to| {
-            send_digest(now, nodes, from, to, millis(now) - Duration::from_millis(1500));
+        exchange(millis(now), &mut nodes, |nodes, from, to| {
+            send_digest(millis(now), nodes, from, to, millis(now) - Duration::from_millis(1500));
         });
         for node in &mut nodes {
             node.tick(millis(now));
@@ -208,13 +208,13 @@
     let mut registry = control_node(1);
     let count = MAX_TOMBSTONES as u64 + 500;
     for number in 0..count {
-        registry.deregister(millis(number), &number.to_string());
+        registry.deregister(millis(number), &number.to_string()).unwrap();
     }
     assert!(registry.get("0").is_none());
     assert!(registry.get(&(count - 1).to_string()).is_some());
     assert_eq!(registry.entries().count(), MAX_TOMBSTONES);
     let mut other = read_replica(2);
-    synchronize(count, &registry, &mut other, 1000);
+    synchronize(millis(count), &registry, &mut other, 1000);
     assert_eq!(other.entries().count(), MAX_TOMBSTONES);
     registry.tick(millis(count + whole_millis(TOMBSTONE_LIFETIME)));
     other.tick(millis(count + whole_millis(TOMBSTONE_LIFETIME)));
@@ -225,35 +225,35 @@
 #[test]
 fn sources_without_entries_are_not_in_the_vector() {
     let mut registry = control_node(1);
-    let vector = VersionVector((10..4000).map(|n| (SourceId(n), n)).collect());
+    let vector = VersionVector::from_iter((10..4000).map(|number| (SourceId(number), number)));
     registry.merge(millis(0), Delta { vector: vector.clone(), ..Delta::default() });
     for source in 5000..9000 {
         registry.record_contact(millis(source), SourceId(source));
     }
     assert!(registry.vector().is_empty());
     // The local source is no exception, and its versions go on counting.
-    registry.record_heartbeat(millis(0), server(1, 1));
+    registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     let mut other = control_node(2);
-    synchronize(0, &registry, &mut other, 10);
+    synchronize(millis(0), &registry, &mut other, 10);
     assert_eq!(other.vector().len(), 1);
-    other.record_heartbeat(millis(0), Server { slots: 3, ..server(1, 2) });
-    assert_eq!(other.vector(), VersionVector([(SourceId(2), 1)].into()));
-    synchronize(0, &other, &mut registry, 10);
+    other.record_heartbeat(millis(0), Server { slots: 3, ..server(1, 2) }).unwrap();
+    assert_eq!(other.vector(), VersionVector::from_iter([(SourceId(2), 1)]));
+    synchronize(millis(0), &other, &mut registry, 10);
     assert_eq!(registry.vector(), other.vector());
     assert!(registry.is_fully_replicated());
-    registry.record_heartbeat(millis(0), Server { slots: 4, ..server(1, 3) });
+    registry.record_heartbeat(millis(0), Server { slots: 4, ..server(1, 3) }).unwrap();
     assert!(!registry.is_fully_replicated());
-    synchronize(0, &registry, &mut other, 10);
+    synchronize(millis(0), &registry, &mut other, 10);
     assert_eq!(all_entries(&other), all_entries(&registry));
-    assert_eq!(other.vector(), VersionVector([(SourceId(1), 2)].into()));
+    assert_eq!(other.vector(), VersionVector::from_iter([(SourceId(1), 2)]));
 }
 
 #[test]
 fn entries_claiming_this_source_are_rejected() {
     let mut registry = control_node(1);
-    registry.record_heartbeat(millis(0), server(1, 1));
+    registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     let entry = Entry { server: server(2, 1), source: SourceId(1), version: 50 };
-    let vector = VersionVector([(SourceId(1), 70)].into());
+    let vector = VersionVector::from_iter([(SourceId(1), 70)]);
     assert!(
         !registry
             .merge(millis(0), Delta { entries: vec![entry], vector: vector.clone(), ..Delta::default() })
@@ -262,7 +262,12 @@
     assert!(!registry.has_unknown_source(&vector) && !registry.is_behind(&vector));
     registry.mark_replicated(&vector);
     assert!(registry.is_fully_replicated());
-    assert!(registry.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).needs_replication);
+    assert!(
+        registry
+            .record_heartbeat(millis(1), with_state(1, 2, OperState::Draining))
+            .unwrap()
+            .needs_replication
+    );
 }
 
 #[test]
@@ -277,12 +282,16 @@
     for sequence in 1..=10 {
         for number in 0..10_000 {
             let outcome = registry
-                .record_heartbeat(millis(sequence * HEARTBEAT_INTERVAL_MILLIS), placed(number, sequence));
+                .record_heartbeat(
+                    millis(sequence * whole_millis(HEARTBEAT_INTERVAL)),
+                    placed(number, sequence),
+                )
+                .unwrap();
             assert_eq!(outcome.changed, sequence == 1);
         }
-        assert!(!registry.tick(millis(sequence * HEARTBEAT_INTERVAL_MILLIS)));
+        assert!(!registry.tick(millis(sequence * whole_millis(HEARTBEAT_INTERVAL))));
     }
-    synchronize(0, &registry, &mut other, 1000);
+    synchronize(millis(0), &registry, &mut other, 1000);
     assert_eq!(other.len(), 10_000);
     assert_eq!(registry.version(), 10_000);
     assert_eq!(other.servers_of_service("service-1").count(), 10_000);
