--- a/crates/stage-scheduler/src/scheduler.rs
+++ b/crates/stage-scheduler/src/scheduler.rs
@@ -7,8 +7,8 @@
 
 use crate::policy::StagePolicy;
 
-/// Assignments are remembered for so many cooldowns.
-const COOLDOWNS_REMEMBERED: u32 = 8;
+/// The last assignments of servers are retained for so many cooldowns.
+const RETAINED_COOLDOWNS: u32 = 8;
 
 /// A server is to run a stage from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     Accepted,
     /// The server has seen a higher fencing token: another process is the primary.
     StaleFence,
-    /// The server refused for now, or nothing is known of it. The server may have accepted.
+    /// The server rejected it for now, or there was no response. The server may have accepted it.
     Unknown,
 }
 
@@ -80,7 +80,7 @@
         now: Instant,
         servers: impl Iterator<Item = &'a Server>,
     ) -> Vec<StageAssignment> {
-        // A process that learnt of a higher fencing token isn't the primary any more, whatever it believes.
+        // Another process has a higher fencing token, so this one is not the primary any more.
         if self.is_fenced {
             return Vec::new();
         }
@@ -92,12 +92,12 @@
                 self.assign(now, change, candidates, &mut assignments);
             }
         }
-        let retention = self.policy.reassignment_cooldown * COOLDOWNS_REMEMBERED;
+        let retention = self.policy.reassignment_cooldown * RETAINED_COOLDOWNS;
         self.last_assignments.retain(|_, last| now < last.assigned_at + retention);
         assignments
     }
 
-    /// Takes in what came of an assignment. One of unknown outcome may have been accepted, so the server is left alone for
+    /// Records what came of an assignment. One of unknown outcome may have been accepted, so the server is left alone for
     /// the time of the cooldown like after any other.
     pub fn record_outcome(&mut self, outcome: AssignmentOutcome) {
         match outcome {
@@ -107,7 +107,7 @@
     }
 
     /// Servers that can be reassigned. During its cooldown a server is counted for the stage that it was assigned, since
-    /// its heartbeats may still tell the former one.
+    /// its heartbeats may still report the former one.
     fn candidates_by_service<'a>(
         &self,
         now: Instant,
--- a/crates/stage-scheduler/tests/stages.rs
+++ b/crates/stage-scheduler/tests/stages.rs
@@ -9,7 +9,7 @@
     Server {
         id: format!("i-{index}"),
         service: "llm".into(),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("the address is valid"),
         zone: format!("z{zone}"),
         software_revision: String::new(),
         slots: 64,
@@ -39,25 +39,31 @@
     servers.iter().filter(|server| server.stage == Some(Stage::Prefill)).count()
 }
 
-/// How many assignments are due.
-fn due(scheduler: &mut StageScheduler, now_ms: u64, servers: &[Server]) -> usize {
-    scheduler.due_assignments(Instant::from_millis(now_ms), servers.iter()).len()
+/// The number of assignments that are due.
+fn due(scheduler: &mut StageScheduler, now: Instant, servers: &[Server]) -> usize {
+    scheduler.due_assignments(now, servers.iter()).len()
 }
 
-/// Carries out all assignments at once. How many there were.
-fn carry_out(scheduler: &mut StageScheduler, servers: &mut [Server], from: u64, to: u64) -> usize {
+fn millis(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
+/// Carries out all assignments at once that are due between two instants. Returns how many there were.
+fn carry_out(scheduler: &mut StageScheduler, servers: &mut [Server], from: Instant, to: Instant) -> usize {
     let mut count = 0;
-    for now in (from..to).step_by(100) {
-        for assignment in scheduler.due_assignments(Instant::from_millis(now), servers.iter()) {
+    let mut now = from;
+    while now < to {
+        for assignment in scheduler.due_assignments(now, servers.iter()) {
             let server = servers
                 .iter_mut()
                 .find(|server| server.id == assignment.instance_id)
-                .expect("a server of the list");
+                .expect("assignments name listed servers");
             assert_ne!(server.stage, Some(assignment.stage), "an assignment that changes nothing");
             server.stage = Some(assignment.stage);
             scheduler.record_outcome(AssignmentOutcome::Accepted);
             count += 1;
         }
+        now += Duration::from_millis(100);
     }
     count
 }
@@ -65,24 +71,24 @@
 #[test]
 fn the_share_is_reached_with_the_fewest_assignments_and_then_kept() {
     let (mut scheduler, mut servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
-    assert_eq!(carry_out(&mut scheduler, &mut servers, 0, 2000), 2);
+    assert_eq!(carry_out(&mut scheduler, &mut servers, millis(0), millis(2000)), 2);
     assert_eq!(prefill_servers(&servers), 6);
-    assert_eq!(carry_out(&mut scheduler, &mut servers, 2000, 60_000), 0);
+    assert_eq!(carry_out(&mut scheduler, &mut servers, millis(2000), millis(60_000)), 0);
 }
 
 #[test]
 fn nothing_is_assigned_before_the_share_has_been_off_for_the_delay() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
-    assert_eq!(due(&mut scheduler, 0, &servers), 0);
-    assert_eq!(due(&mut scheduler, 299, &servers), 0);
-    assert_eq!(due(&mut scheduler, 300, &servers), 2);
+    assert_eq!(due(&mut scheduler, millis(0), &servers), 0);
+    assert_eq!(due(&mut scheduler, millis(299), &servers), 0);
+    assert_eq!(due(&mut scheduler, millis(300), &servers), 2);
 }
 
 #[test]
 fn an_imbalance_of_one_server_has_a_longer_delay() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 5));
-    assert!((0..4000).step_by(100).all(|now| due(&mut scheduler, now, &servers) == 0));
-    assert_eq!(due(&mut scheduler, 4000, &servers), 1);
+    assert!((0..4000).step_by(100).all(|now| due(&mut scheduler, millis(now), &servers) == 0));
+    assert_eq!(due(&mut scheduler, millis(4000), &servers), 1);
 }
 
 #[test]
@@ -94,17 +100,17 @@
 #[test]
 fn an_assignment_in_flight_counts_as_carried_out() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
-    due(&mut scheduler, 0, &servers);
-    assert_eq!(due(&mut scheduler, 400, &servers), 2);
+    due(&mut scheduler, millis(0), &servers);
+    assert_eq!(due(&mut scheduler, millis(400), &servers), 2);
     // The heartbeats of the servers still report their former stage.
-    assert!((500..8000).step_by(100).all(|now| due(&mut scheduler, now, &servers) == 0));
+    assert!((500..8000).step_by(100).all(|now| due(&mut scheduler, millis(now), &servers) == 0));
 }
 
 #[test]
 fn a_fenced_scheduler_assigns_nothing_more() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
     scheduler.record_outcome(AssignmentOutcome::StaleFence);
-    assert!((0..5000).step_by(100).all(|now| due(&mut scheduler, now, &servers) == 0));
+    assert!((0..5000).step_by(100).all(|now| due(&mut scheduler, millis(now), &servers) == 0));
 }
 
 #[test]
@@ -112,7 +118,7 @@
     let mut servers: Vec<Server> = (0..9).map(|index| server(index, index / 3, Stage::Decode)).collect();
     let mut scheduler =
         StageScheduler::new(StagePolicy { max_assignments_at_once: 9, ..two_thirds_prefill() });
-    carry_out(&mut scheduler, &mut servers, 0, 2000);
+    carry_out(&mut scheduler, &mut servers, millis(0), millis(2000));
     for zone in ["z0", "z1", "z2"] {
         let here = servers
             .iter()
@@ -135,7 +141,7 @@
         let count = usize::from(count % 40);
         let (mut scheduler, mut servers) = (StageScheduler::new(StagePolicy::default()), fleet(count, usize::from(first) % (count + 1)));
         let before = prefill_servers(&servers);
-        let assignments = carry_out(&mut scheduler, &mut servers, 0, 30_000);
+        let assignments = carry_out(&mut scheduler, &mut servers, millis(0), millis(30_000));
         let after = prefill_servers(&servers);
         let enough = count < 3 || count - after >= 2;
         (count < 2 || after == StagePolicy::default().target_prefill_servers(count)) && enough && assignments == after.abs_diff(before)
--- a/crates/time/src/instant.rs
+++ b/crates/time/src/instant.rs
@@ -1,3 +1,5 @@
+//! Instants of a steady clock.
+
 use core::fmt;
 use core::ops::{Add, AddAssign, Sub};
 use core::time::Duration;
