--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -3,34 +3,41 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use mosshead_simhost::Drill;
+use mosshead_simhost::{Session, WireError};
+use thiserror::Error;
 
-fn drill() -> Result<(), String> {
+#[derive(Debug, Error)]
+enum HostError {
+    #[error("standard input: {0}")]
+    Input(io::Error),
+    #[error("standard output: {0}")]
+    Output(io::Error),
+    #[error(transparent)]
+    Wire(#[from] WireError),
+}
+
+fn run_session() -> Result<(), HostError> {
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
-    let mut drill = Drill::new();
+    let mut session = Session::new();
     let mut bytes = Vec::new();
     loop {
         bytes.clear();
-        if input.read_until(b'\n', &mut bytes).map_err(|error| format!("standard input: {error}"))? == 0 {
-            return drill.end().map_err(|error| error.to_string());
+        if input.read_until(b'\n', &mut bytes).map_err(HostError::Input)? == 0 {
+            return Ok(session.finish()?);
         }
-        // What is not UTF-8 turns into replacement characters, which no message name or number holds.
+        // What is not UTF-8 turns into replacement characters, which no message name or number contains.
         let line = String::from_utf8_lossy(&bytes);
-        let reply = drill.line(line.trim_end_matches(['\n', '\r'])).map_err(|error| error.to_string())?;
-        if let Some(reply) = reply {
-            output
-                .write_all(reply.as_bytes())
-                .and_then(|()| output.flush())
-                .map_err(|error| format!("standard output: {error}"))?;
+        if let Some(reply) = session.handle_line(line.trim_end_matches(['\n', '\r']))? {
+            output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(HostError::Output)?;
         }
     }
 }
 
 fn main() -> ExitCode {
-    match drill() {
+    match run_session() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("mosshead-simhost: {fault}");
+        Err(error) => {
+            eprintln!("mosshead-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,50 +1,51 @@
-//! The wire by hand: exchanges, oddities that are legal, and faults that are not.
+//! The simulator's wire: exchanges written by hand, oddities that are legal, and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-use mosshead_simhost::Drill;
+use mosshead_simhost::Session;
 
-const INFO: &str = r#"{"classes":[{"deadline_s":1.0,"dedup_window_s":5.0,"effect":"free","gain":2.0,"group":"all","late_worth":0.0,"name":"read","streaming":false,"target_s":0.4},{"deadline_s":2.0,"effect":"single_shot","gain":10.0,"late_worth":0.0,"name":"write","target_s":0.4}],"unknown":{"a":[1]},"group_size":3,"limits":{"may_cancel":true,"most_held":20000,"probes":false,"retry_after":true,"max_retry_after_s":1.5,"second_copies":true,"keepalive_s":30.0,"send_cap":3},"machine_types":["m"],"membership_mode":"push","over_share_worth":0.1,"prices":{"cross_zone":0.12},"rank":0,"reporting":{"how":"piggyback","names":["queue","inflight"]},"rules":{"answer_slack_s":0.02,"ask_within_s":10.0,"cold_from":0.15,"drain_grace_s":0.25,"fall_multiple":3.0,"fall_s":1.5,"warm_up_s":23.0},"tenants":[{"name":"farm","quota_per_s":172.0,"share":0.45}],"tick_s":0.005,"weights":"nominal","zone":"b","zones":["a","b"]}"#;
+const SETTINGS: &str = r#"{"classes":[{"deadline_s":1.0,"dedup_window_s":5.0,"effect":"free","gain":2.0,"group":"all","late_worth":0.0,"name":"read","streaming":false,"target_s":0.4},{"deadline_s":2.0,"effect":"single_shot","gain":10.0,"late_worth":0.0,"name":"write","target_s":0.4}],"unknown":{"a":[1]},"group_size":3,"limits":{"may_cancel":true,"most_held":20000,"probes":false,"retry_after":true,"max_retry_after_s":1.5,"second_copies":true,"keepalive_s":30.0,"send_cap":3},"machine_types":["m"],"membership_mode":"push","over_share_worth":0.1,"prices":{"cross_zone":0.12},"rank":0,"reporting":{"how":"piggyback","names":["queue","inflight"]},"rules":{"answer_slack_s":0.02,"ask_within_s":10.0,"cold_from":0.15,"drain_grace_s":0.25,"fall_multiple":3.0,"fall_s":1.5,"warm_up_s":23.0},"tenants":[{"name":"farm","quota_per_s":172.0,"share":0.45}],"tick_s":0.005,"weights":"nominal","zone":"b","zones":["a","b"]}"#;
 
-fn start() -> Vec<String> {
+/// A batch that configures instance 3 and gives it a list with one server.
+fn configuration_lines() -> Vec<String> {
     vec![
         "turn ts_s=8".into(),
         "about i=3".into(),
-        format!("configure rng_seed=5 info={INFO}"),
+        format!("configure rng_seed=5 info={SETTINGS}"),
         "list bank=0 lines=1".into(),
         "item group=0 readiness=Running family_type=m share=1.5 server=10.0.0.1:80 failure_domain=b".into(),
         "topology bank=0 scope=SAVED serial=1".into(),
     ]
 }
 
-fn lines(more: &[&str]) -> Vec<String> {
-    start().into_iter().chain(more.iter().map(|line| line.to_string())).collect()
+fn lines_after_configuration(more: &[&str]) -> Vec<String> {
+    configuration_lines().into_iter().chain(more.iter().map(|line| line.to_string())).collect()
 }
 
-fn feed(lines: &[String]) -> Result<String, String> {
-    let mut drill = Drill::new();
+fn play(lines: &[String]) -> Result<String, String> {
+    let mut session = Session::new();
     let mut replies = String::new();
     for line in lines {
-        replies += &drill.line(line).map_err(|error| error.to_string())?.unwrap_or_default();
+        replies += &session.handle_line(line).map_err(|error| error.to_string())?.unwrap_or_default();
     }
-    drill.end().map_err(|error| error.to_string())?;
+    session.finish().map_err(|error| error.to_string())?;
     Ok(replies)
 }
 
-const ASK: &str = "ingress job=00000000000000aa ttl_s=0.9 band=write client_group=farm flags=0";
+const REQUEST: &str = "ingress job=00000000000000aa ttl_s=0.9 band=write client_group=farm flags=0";
 
 #[test]
-fn a_request_is_delivered_and_its_error_surrendered() {
-    let reply = feed(&lines(&[
-        ASK,
+fn a_request_is_delivered_and_surrendered_after_its_error() {
+    let reply = play(&lines_after_configuration(&[
+        REQUEST,
         "commit",
         "turn ts_s=8.01",
         "about i=3",
         "report_back server=10.0.0.1:80 job=00000000000000aa round_no=0 verdict=BAD rtt_s=0.01 settled=0 metrics=queue:3,inflight:7,new:1",
         "commit",
     ]))
-    .expect("legal");
+    .expect("the lines are legal");
     assert_eq!(
         reply,
         "as i=3\ndeliver job=00000000000000aa server=10.0.0.1:80 until_s=8.900000\ndefer in_s=0.395000 cookie=1\n\
@@ -53,45 +54,51 @@
 }
 
 #[test]
-fn what_a_killed_instance_said_in_the_same_batch_is_dropped() {
-    let mut all = lines(&[ASK, "stop"]);
-    all.extend(start().into_iter().skip(2));
+fn decisions_of_an_instance_that_stops_in_the_same_batch_are_dropped() {
+    let mut all = lines_after_configuration(&[REQUEST, "stop"]);
+    all.extend(configuration_lines().into_iter().skip(2));
     all.push("commit".into());
-    assert_eq!(feed(&all).expect("legal"), "yield\n");
+    assert_eq!(play(&all).expect("the lines are legal"), "yield\n");
 }
 
 #[test]
-fn a_list_number_is_reused_within_a_batch() {
-    let reply = feed(&lines(&[
+fn a_list_number_may_be_reused_within_a_batch() {
+    let reply = play(&lines_after_configuration(&[
         "list bank=0 lines=1",
         "item group=1 readiness=Running server=10.0.0.2:80 failure_domain=elsewhere",
         "topology bank=0 scope=FULL serial=2",
-        ASK,
+        REQUEST,
         "commit",
     ]))
-    .expect("legal");
+    .expect("the lines are legal");
     assert!(reply.contains("server=10.0.0.2:80") && !reply.contains("10.0.0.1"), "{reply}");
 }
 
 #[test]
-fn legal_oddities_are_no_errors() {
+fn legal_oddities_are_accepted() {
     for more in [
         &["mail who=2 raw=68692037", "commit"][..],
         &["withdrawn job=00000000000000ff", "tick_due cookie=77", "commit", "turn ts_s=9", "commit"],
         &["list bank=4 lines=0", "topology bank=4 scope=FULL serial=2", "commit"],
         &["topology bank=9 scope=FAILED serial=2", "commit"],
-        &[ASK, "withdrawn job=00000000000000aa", "begun job=00000000000000aa round_no=0 rtt_s=0.1", "commit"],
+        &[
+            REQUEST,
+            "withdrawn job=00000000000000aa",
+            "begun job=00000000000000aa round_no=0 rtt_s=0.1",
+            "commit",
+        ],
         &["probe_done server=10.0.0.1:80 verdict=GOOD rtt_s=0.1 metrics=queue:0,inflight:0", "commit"],
     ] {
-        let reply = feed(&lines(more)).unwrap_or_else(|error| panic!("{more:?}: {error}"));
+        let reply =
+            play(&lines_after_configuration(more)).unwrap_or_else(|error| panic!("{more:?}: {error}"));
         assert!(reply.ends_with("yield\n"));
     }
 }
 
-/// `read` may go to `special` machines in zone `a` alone; machines of that kind are on no list at first.
+/// `read` may be served only by `special` machines in zone `a`; machines of that kind are on no list at first.
 #[test]
-fn bindings_and_goals_are_passed_on() {
-    let bound = INFO
+fn bindings_and_objectives_reach_the_decisions() {
+    let bound = SETTINGS
         .replacen("\"name\":\"read\"", "\"name\":\"read\",\"runs_on\":[\"special\"],\"runs_in\":[\"a\"]", 1)
         .replacen(
             "\"rank\"",
@@ -99,7 +106,7 @@
             1,
         )
         .replacen("\"fall_s\"", "\"shed_after_start\":true,\"fall_s\"", 1);
-    let mut all = lines(&[
+    let mut all = lines_after_configuration(&[
         "list bank=0 lines=3",
         "item readiness=Running family_type=m server=10.0.0.1:80 failure_domain=a",
         "item readiness=Running family_type=special server=10.0.0.2:80 failure_domain=b",
@@ -112,28 +119,37 @@
         "about i=3",
     ]);
     all[2] = format!("configure rng_seed=5 info={bound}");
-    let reply = feed(&[all.clone(), vec!["commit".into()]].concat()).expect("legal");
+    let reply = play(&[all.clone(), vec!["commit".into()]].concat()).expect("the lines are legal");
     assert!(reply.contains("deliver job=00000000000000aa server=10.0.0.3:80"), "{reply}");
-    let server = reply.split("deliver job=00000000000000ab server=").nth(1).expect("sent").split(' ').next();
+    let server = reply
+        .split("deliver job=00000000000000ab server=")
+        .nth(1)
+        .expect("the request was delivered")
+        .split(' ')
+        .next();
     all.extend([
         format!(
             "report_back server={} job=00000000000000ab round_no=0 verdict=FULL rtt_s=0.01",
-            server.expect("one")
+            server.expect("a delivery names its server")
         ),
         "commit".into(),
     ]);
-    let reply = feed(&all).expect("legal");
+    let reply = play(&all).expect("the lines are legal");
     assert!(reply.ends_with("as i=3\nsurrender job=00000000000000ab\nyield\n"), "{reply}");
 }
 
 #[test]
-fn a_refusal_carries_advice_and_old_idle_connections_are_closed() {
+fn a_rejection_says_when_to_retry_and_old_idle_connections_are_closed() {
     let alone =
-        ["list bank=0 lines=0", "topology bank=0 scope=FULL serial=2", ASK, "commit", "turn ts_s=8.9"];
+        ["list bank=0 lines=0", "topology bank=0 scope=FULL serial=2", REQUEST, "commit", "turn ts_s=8.9"];
     let rest = ["about i=3", "tick_due cookie=1", "commit"];
-    let reply = feed(&lines(&[&alone[..], &rest].concat())).expect("legal");
-    let advice = reply.split("push_back job=00000000000000aa not_before_for_s=").nth(1).expect("advice");
-    let wait: f64 = advice.lines().next().expect("a line").parse().expect("a number");
+    let reply = play(&lines_after_configuration(&[&alone[..], &rest].concat())).expect("the lines are legal");
+    let advice = reply
+        .split("push_back job=00000000000000aa not_before_for_s=")
+        .nth(1)
+        .expect("the rejection says when to retry");
+    let wait: f64 =
+        advice.lines().next().expect("the reply has this line").parse().expect("the delay is a number");
     assert!((0.0..=1.5).contains(&wait), "{wait}");
     let idle = [
         "turn ts_s=8.1",
@@ -142,13 +158,14 @@
         "commit",
     ];
     let later = ["turn ts_s=70", "about i=3", "ingress job=00000000000000ab ttl_s=0.9 band=write", "commit"];
-    let reply = feed(&lines(&[&[ASK, "commit"][..], &idle, &later].concat())).expect("legal");
+    let reply = play(&lines_after_configuration(&[&[REQUEST, "commit"][..], &idle, &later].concat()))
+        .expect("the lines are legal");
     assert!(reply.contains("close server=10.0.0.1:80\ndeliver job=00000000000000ab"), "{reply}");
 }
 
 #[test]
-fn faults_name_the_line_and_what_is_wrong() {
-    for (line, fault) in [
+fn errors_name_the_line_and_what_is_wrong() {
+    for (line, expected) in [
         ("shout loud=1", "line 7: unknown message \"shout\""),
         ("ingress job=00000000000000aa band=read", "line 7: member ttl_s is missing"),
         ("ingress job=aa ttl_s=1 band=read", "line 7: job=aa is not 16 hex digits"),
@@ -170,10 +187,10 @@
         ("configure rng_seed=1 info={", "line 7: info: "),
         ("configure rng_seed=1 info={}", "line 7: info: missing field"),
     ] {
-        let error = feed(&lines(&[line, "commit"])).expect_err(line);
-        assert!(error.starts_with(fault), "{line}: {error}");
+        let error = play(&lines_after_configuration(&[line, "commit"])).expect_err(line);
+        assert!(error.starts_with(expected), "{line}: {error}");
     }
-    for (old, new, fault) in [
+    for (old, new, expected) in [
         (
             "\"name\":\"read\"",
             "\"name\":\"read\",\"runs_on\":\"m\"",
@@ -217,47 +234,49 @@
             "setting goal.availability is -0.1: it must",
         ),
     ] {
-        let bad = INFO.replacen(old, new, 1);
-        let error = feed(&lines(&[&format!("configure rng_seed=1 info={bad}"), "commit"])).expect_err(new);
-        assert!(error.starts_with(&format!("line 7: {fault}")), "{new}: {error}");
+        let bad = SETTINGS.replacen(old, new, 1);
+        let error =
+            play(&lines_after_configuration(&[&format!("configure rng_seed=1 info={bad}"), "commit"]))
+                .expect_err(new);
+        assert!(error.starts_with(&format!("line 7: {expected}")), "{new}: {error}");
     }
-    let bad = INFO.replace("\"send_cap\":3", "\"send_cap\":0");
-    let error =
-        feed(&lines(&[&format!("configure rng_seed=1 info={bad}"), "commit"])).expect_err("no attempts");
+    let bad = SETTINGS.replace("\"send_cap\":3", "\"send_cap\":0");
+    let error = play(&lines_after_configuration(&[&format!("configure rng_seed=1 info={bad}"), "commit"]))
+        .expect_err("an instance without attempts is rejected");
     assert_eq!(error, "line 7: setting limits.max_attempts is 0: it must be at least 1");
-    assert_eq!(feed(&["commit".into()]), Err("line 1: \"commit\" outside a batch".into()));
-    assert_eq!(feed(&start()), Err("line 6: the input ends within a batch".into()));
+    assert_eq!(play(&["commit".into()]), Err("line 1: \"commit\" outside a batch".into()));
+    assert_eq!(play(&configuration_lines()), Err("line 6: the input ends within a batch".into()));
     let cut = ["turn ts_s=1", "list bank=0 lines=2", "item server=a:1 readiness=Running", "commit"]
         .map(String::from);
-    assert_eq!(feed(&cut), Err("line 4: 1 more item lines are due, not \"commit\"".into()));
+    assert_eq!(play(&cut), Err("line 4: 1 more item lines are due, not \"commit\"".into()));
     let early = ["turn ts_s=1", "about i=1", "tick_due cookie=1", "commit"].map(String::from);
-    assert_eq!(feed(&early), Err("line 3: instance 1 was never configured".into()));
+    assert_eq!(play(&early), Err("line 3: instance 1 was never configured".into()));
 }
 
-fn program(input: &[u8]) -> Output {
+fn run_program(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_mosshead-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    // It may stop reading at a fault.
-    let _ = child.stdin.take().expect("piped").write_all(input);
+    // It may stop reading at an error.
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input);
     child.wait_with_output().expect("the program ends")
 }
 
 #[test]
-fn the_program_ends_well_with_its_input_and_badly_with_a_fault() {
-    let good = program(b"turn ts_s=8.4\ncommit\n\nturn ts_s=8.5\ncommit\n");
-    assert!(good.status.success());
-    assert_eq!(String::from_utf8_lossy(&good.stdout), "yield\nyield\n");
+fn the_program_succeeds_at_the_end_of_its_input_and_fails_at_an_error() {
+    let complete = run_program(b"turn ts_s=8.4\ncommit\n\nturn ts_s=8.5\ncommit\n");
+    assert!(complete.status.success());
+    assert_eq!(String::from_utf8_lossy(&complete.stdout), "yield\nyield\n");
     for input in
         [&b"turn ts_s=8.4\n"[..], b"turn\n", b"\xff\xfe\n", b"turn ts_s=1\nabout i=1\nboom\ncommit\n"]
     {
-        let bad = program(input);
-        let error = String::from_utf8_lossy(&bad.stderr).into_owned();
-        assert_eq!(bad.status.code(), Some(1), "{error}");
+        let failed = run_program(input);
+        let error = String::from_utf8_lossy(&failed.stderr).into_owned();
+        assert_eq!(failed.status.code(), Some(1), "{error}");
         assert!(error.starts_with("mosshead-simhost: line ") && !error.contains("panicked"), "{error}");
-        assert!(bad.stdout.is_empty());
+        assert!(failed.stdout.is_empty());
     }
 }
