--- a/crates/capacity-bench/src/configuration.rs
+++ b/crates/capacity-bench/src/configuration.rs
@@ -1,27 +1,28 @@
-//! The part of the configuration.
+//! What the operator's configuration costs: parsing, patches, lookups of routes, and the transfer of one change.
 
 use std::fmt::Write;
-use std::hint::black_box;
 
 use mosshead_config::Config;
 use mosshead_programs::calls::FetchConfig;
 use mosshead_programs::config_transfer::{ChunkRequest, ConfigOfferMessage, OutgoingTransfers};
 
-use crate::counter::{encoded, processor_time};
+use crate::counter::{encoded, mean_micros};
 use crate::memory;
 use crate::table::Table;
 
-/// Changes a day.
-pub const CHANGES: f64 = 11_000.0;
-/// Changes a second, evenly.
-pub const CHANGES_A_SECOND: f64 = CHANGES / 86_400.0;
+/// Changes that the fleet is to bear in a day.
+const CHANGES_PER_DAY: f64 = 11_000.0;
+/// The same per second, evenly spread.
+pub const CHANGES_PER_SECOND: f64 = CHANGES_PER_DAY / 86_400.0;
+/// Copies of a configuration whose memory is measured.
+const COPIES: usize = 32;
 
-/// A configuration of so many routes, as the operator writes it.
-pub fn text(revision: u64, routes: usize, changed: usize) -> String {
+/// A configuration of so many routes, as the operator writes it. The timeout of `changed_route` depends on the revision.
+pub fn configuration_text(revision: u64, routes: usize, changed_route: usize) -> String {
     let mut text = format!("{{\"revision\":{revision},\"route_entries\":[");
     for route in 0..routes {
         let comma = if route == 0 { "" } else { "," };
-        let timeout = if route == changed { 5_000 + revision % 1000 } else { 30_000 };
+        let timeout = if route == changed_route { 5_000 + revision % 1000 } else { 30_000 };
         let _ = write!(
             text,
             concat!(
@@ -60,16 +61,8 @@
     text
 }
 
-fn micros<T>(turns: u32, mut work: impl FnMut() -> T) -> f64 {
-    let start = processor_time();
-    for _ in 0..turns {
-        black_box(work());
-    }
-    processor_time().saturating_sub(start).as_secs_f64() * 1e6 / f64::from(turns.max(1))
-}
-
-/// Configurations of these sizes, each step done `turns` times.
-pub fn cost(sizes: &[usize], turns: u32) -> Table {
+/// Measures configurations with these numbers of routes; each step is repeated so often.
+pub fn measure(sizes: &[usize], repetitions: u32) -> Table {
     let columns = [
         "KB of text",
         "KB each",
@@ -84,53 +77,62 @@
     ];
     let mut table = Table::new("Configuration (mains): one route changed", "routes", &columns);
     for &size in sizes {
-        let (old, new) = (text(1, size, size / 2), text(2, size, size / 2));
-        let (Ok(first), Ok(second)) = (Config::parse(old.as_bytes()), Config::parse(new.as_bytes())) else {
-            table.notes.push(format!("{size} routes can't be read"));
-            continue;
-        };
-        let copies = 32;
-        let before = memory::resident();
-        let kept: Vec<Config> = (0..copies).filter_map(|_| Config::parse(old.as_bytes()).ok()).collect();
-        let kb = memory::each(before, memory::resident(), copies) / 1024.0;
-        std::mem::forget(kept);
-        let read = micros(turns, || Config::parse(old.as_bytes()));
-        let patch_us = micros(turns, || first.patch_to(&second));
-        let patch = first.patch_to(&second);
-        let patched = micros(turns, || first.apply_patch(&patch));
-        let mut next = 0;
-        let find = micros(turns * 1000, || {
-            next = (next + 7919) % size.max(1);
-            first.find_route(
-                &format!("tenant-{}.example", next % 1800),
-                &format!("/v1/part-{}/x", next / 1800),
-            )
-        });
-        let answer = ConfigOfferMessage { revision: 2, patches: vec![patch], full_text: None };
-        let request = ChunkRequest { base_revision: 1, target_revision: 0, offset: 0 };
-        let piece = OutgoingTransfers::default().next_chunk(request, 2, || answer);
-        let bytes = encoded(&FetchConfig(request)).len() + encoded(&piece).len();
-        let share = 1e-6 * 100.0 * CHANGES_A_SECOND;
-        table.row(
-            size,
-            vec![
-                old.len() as f64 / 1024.0,
-                kb,
-                read,
-                patch_us,
-                patched,
-                find,
-                bytes as f64,
-                bytes as f64 * CHANGES_A_SECOND,
-                patched * share,
-                // The primary takes the change, then each core reads what was committed and makes the patch.
-                (patched + read + patch_us) * share,
-            ],
-        );
+        match measure_size(size, repetitions) {
+            Some(values) => table.add_row(size, values),
+            None => table.add_note(format!("{size} routes can't be read")),
+        }
     }
-    table.notes.push("find includes the making of its host and path".into());
-    table
-        .notes
-        .push("a change: FetchConfig and its only piece, one patch packed, without HTTP headers".into());
+    table.add_note("find includes the making of its host and path");
+    table.add_note("a change: FetchConfig and its only piece, one patch packed, without HTTP headers");
     table
 }
+
+fn measure_size(size: usize, repetitions: u32) -> Option<Vec<f64>> {
+    let (old_text, new_text) = (configuration_text(1, size, size / 2), configuration_text(2, size, size / 2));
+    let old = Config::parse(old_text.as_bytes()).ok()?;
+    let new = Config::parse(new_text.as_bytes()).ok()?;
+    let kilobytes = parsed_kilobytes(&old_text);
+    let parse_micros = mean_micros(repetitions, || Config::parse(old_text.as_bytes()));
+    let patch_micros = mean_micros(repetitions, || old.patch_to(&new));
+    let patch = old.patch_to(&new);
+    let apply_micros = mean_micros(repetitions, || old.apply_patch(&patch));
+    let find_micros = mean_find_micros(&old, size, repetitions * 1000);
+    let update = ConfigOfferMessage { revision: 2, patches: vec![patch], full_text: None };
+    let request = ChunkRequest { base_revision: 1, target_revision: 0, offset: 0 };
+    let chunk = OutgoingTransfers::default().next_chunk(request, 2, || update);
+    let bytes = encoded(&FetchConfig(request)).len() + encoded(&chunk).len();
+    let percent_per_micro = 1e-6 * 100.0 * CHANGES_PER_SECOND;
+    Some(vec![
+        old_text.len() as f64 / 1024.0,
+        kilobytes,
+        parse_micros,
+        patch_micros,
+        apply_micros,
+        find_micros,
+        bytes as f64,
+        bytes as f64 * CHANGES_PER_SECOND,
+        apply_micros * percent_per_micro,
+        // The primary applies the change, then each control node parses what was committed and makes the patch.
+        (apply_micros + parse_micros + patch_micros) * percent_per_micro,
+    ])
+}
+
+/// The memory of one parsed configuration.
+fn parsed_kilobytes(text: &str) -> f64 {
+    let before = memory::resident_bytes();
+    let copies: Vec<Config> = (0..COPIES).filter_map(|_| Config::parse(text.as_bytes()).ok()).collect();
+    let kilobytes = memory::growth_per_process(before, memory::resident_bytes(), COPIES) / 1024.0;
+    // Freed memory would be taken by the next size, whose growth would then be measured too low.
+    std::mem::forget(copies);
+    kilobytes
+}
+
+fn mean_find_micros(config: &Config, routes: usize, calls: u32) -> f64 {
+    let mut route = 0;
+    mean_micros(calls, || {
+        // A large prime, so that consecutive lookups are far apart.
+        route = (route + 7919) % routes.max(1);
+        config
+            .find_route(&format!("tenant-{}.example", route % 1800), &format!("/v1/part-{}/x", route / 1800))
+    })
+}
--- a/crates/capacity-bench/src/lib.rs
+++ b/crates/capacity-bench/src/lib.rs
@@ -1,17 +1,22 @@
-//! Hollow processes: the real state machines of the fleet's roles without traffic, many in one process, in virtual time.
+//! What each role of the fleet costs at each size: the real state machines without requests from clients, many in one process,
+//! in virtual time.
 //!
-//! Counted are messages and bytes between processes, the processor time of the state machines' calls (real) and
-//! the resident memory that they take. One table a part, with the slope through all of its sizes.
+//! Counted are messages and bytes between processes, the (real) processor time of the state machines' calls and the resident
+//! memory that they take. Each part has a module that measures it and returns a [`table::Table`], with a line fitted through
+//! all sizes: [`control_state`], [`registry`], [`listing`], [`membership`], [`configuration`]. What they play is in
+//! [`consensus_group`], [`registry_fleet`] and [`membership_fleet`].
 
 pub mod configuration;
+pub mod consensus_group;
 pub mod control_state;
 pub mod counter;
-pub mod fleet;
+mod event_queue;
 pub mod listing;
+mod machines;
 pub mod membership;
+pub mod membership_fleet;
 pub mod memory;
-pub mod pool;
-mod pulls;
 pub mod registry;
+pub mod registry_fleet;
 pub mod slope;
 pub mod table;
--- a/crates/capacity-bench/src/main.rs
+++ b/crates/capacity-bench/src/main.rs
@@ -1,9 +1,10 @@
 //! Prints what each role of the fleet costs at each size.
 
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use bpaf::{OptionParser, Parser, construct, long};
-use mosshead_capacity_bench::fleet::Size;
+use mosshead_capacity_bench::registry::VariedPart;
+use mosshead_capacity_bench::registry_fleet::FleetSize;
 use mosshead_capacity_bench::{configuration, control_state, listing, membership, memory, registry};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,48 +40,63 @@
     let (part, quick) = parser().run();
     let start = Instant::now();
     let wants = |one| part == Part::All || part == one;
-    // What frees much memory comes last: the next part would take it unseen.
+    // What frees much memory comes last: the next part would take it, and its growth would be measured too low.
     if wants(Part::ControlState) {
         let routes: &[usize] = if quick { &[200] } else { &[200, 1_400, 5_000] };
+        let span = Duration::from_secs(if quick { 10 } else { 60 });
         for routes in routes {
-            println!("{}", control_state::cost(&[3, 5], if quick { 10_000 } else { 60_000 }, *routes));
+            println!("{}", control_state::measure(&[3, 5], span, *routes));
         }
     }
     if wants(Part::Registry) {
-        for (by, sizes) in sizes(quick) {
-            for table in registry::cost(by, &sizes, if quick { 3_000 } else { 10_000 }) {
+        let span = Duration::from_secs(if quick { 3 } else { 10 });
+        for (varied_part, sizes) in registry_sizes(quick) {
+            for table in registry::measure(varied_part, &sizes, span) {
                 println!("{table}");
             }
         }
     }
     if wants(Part::Listing) {
-        println!("{}", listing::cost(&[300, 1_000, 3_000, 10_000], if quick { 10 } else { 200 }));
+        println!("{}", listing::measure(&[300, 1_000, 3_000, 10_000], if quick { 10 } else { 200 }));
     }
     if wants(Part::Membership) {
         let sizes: &[usize] = if quick { &[30, 100, 300] } else { &[30, 100, 300, 1_000, 2_000] };
-        println!("{}", membership::calm(sizes, if quick { 5_000 } else { 20_000 }));
+        println!("{}", membership::measure_calm(sizes, Duration::from_secs(if quick { 5 } else { 20 })));
     }
     if wants(Part::Faults) {
         let sizes: &[usize] = if quick { &[30, 100] } else { &[30, 100, 300] };
-        println!("{}", membership::faults(sizes, if quick { 30_000 } else { 120_000 }));
+        println!("{}", membership::measure_faults(sizes, Duration::from_secs(if quick { 30 } else { 120 })));
     }
     if wants(Part::Configuration) {
-        println!("{}", configuration::cost(&[200, 1_400, 5_000], if quick { 5 } else { 40 }));
+        println!("{}", configuration::measure(&[200, 1_400, 5_000], if quick { 5 } else { 40 }));
     }
-    let resident = memory::resident() >> 20;
-    println!("Took {:.1} s; {resident} MB resident at the end.", start.elapsed().as_secs_f64());
+    let megabytes = memory::resident_bytes() >> 20;
+    println!("Took {:.1} s; {megabytes} MB resident at the end.", start.elapsed().as_secs_f64());
 }
 
-fn sizes(quick: bool) -> Vec<(&'static str, Vec<Size>)> {
+/// The fleets of each series of rows, in which one part of the size varies.
+fn registry_sizes(quick: bool) -> Vec<(VariedPart, Vec<FleetSize>)> {
     if quick {
-        let size = |sources| Size { servers: 1_000, sources, pullers: 200, real: 4 };
-        return vec![("sources", vec![size(5), size(9)])];
+        let size = |control_nodes| FleetSize {
+            servers: 1_000,
+            control_nodes,
+            proxies: 200,
+            proxies_with_registry: 4,
+        };
+        return vec![(VariedPart::ControlNodes, vec![size(5), size(9)])];
     }
-    let size = |servers, sources, pullers| Size { servers, sources, pullers, real: 8.min(pullers) };
-    let by = |list: [usize; 4], make: &dyn Fn(usize) -> Size| list.into_iter().map(make).collect();
+    let size = |servers, control_nodes, proxies| FleetSize {
+        servers,
+        control_nodes,
+        proxies,
+        proxies_with_registry: 8.min(proxies),
+    };
+    let control_nodes = [5, 9, 17, 33].map(|control_nodes| size(10_000, control_nodes, 2_000));
+    let servers = [1_000, 3_000, 5_000, 10_000].map(|servers| size(servers, 5, 2_000));
+    let proxies = [100, 500, 1_000, 2_000].map(|proxies| size(10_000, 5, proxies));
     vec![
-        ("sources", by([5, 9, 17, 33], &|sources| size(10_000, sources, 2_000))),
-        ("servers", by([1_000, 3_000, 5_000, 10_000], &|servers| size(servers, 5, 2_000))),
-        ("pullers", by([100, 500, 1_000, 2_000], &|pullers| size(10_000, 5, pullers))),
+        (VariedPart::ControlNodes, control_nodes.to_vec()),
+        (VariedPart::Servers, servers.to_vec()),
+        (VariedPart::Proxies, proxies.to_vec()),
     ]
 }
--- a/crates/capacity-bench/src/membership.rs
+++ b/crates/capacity-bench/src/membership.rs
@@ -1,22 +1,33 @@
-//! The part of membership.
+//! What membership costs: a calm fleet, one that forms, and one under faults.
 
-use std::hint::black_box;
+use mosshead_time::Duration;
 
-use crate::counter::{Counter, processor_time};
+use crate::counter::{Counter, mean_micros};
+use crate::machines::ZONES;
+use crate::membership_fleet::MembershipFleet;
 use crate::memory;
-use crate::pool::Pool;
 use crate::table::Table;
 
 /// Machines set aside for control.
-const CORES: usize = 33;
-/// Datagrams that tell no news are shorter on average.
-const CALM_BYTES: u64 = 130;
-/// Larger fleets take too long to play until they are calm.
-const CALM_MEMBERS: usize = 1_000;
+const CONTROL_NODES: usize = 33;
+/// Datagrams without updates are shorter than this on average.
+const CALM_DATAGRAM_LEN: u64 = 130;
+/// Larger fleets take too long to simulate until they are calm.
+const MAX_CALM_FLEET: usize = 1_000;
+/// All members have started after this.
+const START_PERIOD: Duration = Duration::from_secs(3);
+/// How long the gossip after the start, or the fleet before and after a fault, is measured.
+const GOSSIP_SPAN: Duration = Duration::from_secs(5);
+const FAULT_SPAN: Duration = Duration::from_secs(10);
+const MAX_CALMING_TIME: Duration = Duration::from_secs(600);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
+const RECONNECTION_TIMEOUT: Duration = Duration::from_secs(300);
+/// Between two looks at whether the members have converged.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Fleets of these sizes: while they tell each other who has come, and calm, each for `span_ms`. Those of more than a
-/// thousand are not played until they are calm.
-pub fn calm(sizes: &[usize], span_ms: u64) -> Table {
+/// Measures fleets of these sizes, for `span` each once they are calm: when no member has updates to send. Those of more
+/// than a thousand are measured only while they form.
+pub fn measure_calm(sizes: &[usize], span: Duration) -> Table {
     let columns = [
         "msgs/s each",
         "bytes/s each",
@@ -30,129 +41,152 @@
     ];
     let mut table = Table::new("Membership (membership), calm and while it forms", "members", &columns);
     for &size in sizes {
-        let before = memory::resident();
-        let mut pool = Pool::new(size, CORES.min(size / 10), size as u64);
-        pool.run(3_000);
-        let formed = pool.settle(120_000).map_or(f64::NAN, |ms| ms as f64 / 1000.0 + 3.0);
-        pool.counter = Counter::default();
-        pool.run(5_000);
-        let news = pool.counter.rates(5_000, size);
-        let kb = memory::each(before, memory::resident(), size) / 1024.0;
-        let none = f64::NAN;
-        let mut row = vec![none, none, none, kb, walk(&pool), formed, none, news.bytes, news.share * 100.0];
-        if size <= CALM_MEMBERS
-            && let Some(took) = calm_down(&mut pool)
-        {
-            pool.counter = Counter::default();
-            pool.run(span_ms);
-            let rates = pool.counter.rates(span_ms, size);
-            let calm = [rates.messages, rates.bytes, rates.share * 100.0];
-            row.splice(0..3, calm);
-            row.splice(6..7, [took as f64 / 1000.0 + 5.0]);
-        }
-        table.row(size, row);
-        // Danger: freed memory would be taken by the next size, whose growth would then be told too low.
-        std::mem::forget(pool);
+        table.add_row(size, measure_calm_size(size, span));
     }
-    table.notes.push("bytes with 28 of IPv4 and UDP each; sent ones: as many are received".into());
-    table.notes.push(
-        "in news: the first 5 s after all know of all; s of news: from then until datagrams are short".into(),
+    table.add_note("bytes with 28 of IPv4 and UDP each; sent ones: as many are received");
+    table.add_note(
+        "in news: the first 5 s after all know of all; s of news: from then until datagrams are short",
     );
+    table.add_note("a list of cores: what crates/programs/src/core.rs walks for each answer to a pull");
     table
-        .notes
-        .push("a list of cores: what crates/programs/src/core.rs walks for each answer to a pull".into());
-    table
 }
 
-/// What was told of arrivals has to fall silent first: until datagrams are short, for ten minutes at most. How long it
-/// took in milliseconds.
-fn calm_down(pool: &mut Pool) -> Option<u64> {
-    let start = pool.now;
-    while pool.now - start < 600_000 {
-        let before = pool.counter;
-        pool.run(5_000);
-        let messages = pool.counter.messages.saturating_sub(before.messages);
-        if pool.counter.bytes.saturating_sub(before.bytes) < CALM_BYTES * messages {
-            return Some(pool.now - start);
+fn measure_calm_size(size: usize, span: Duration) -> Vec<f64> {
+    let before = memory::resident_bytes();
+    let mut fleet = MembershipFleet::new(size, CONTROL_NODES.min(size / 10), size as u64);
+    fleet.run(START_PERIOD);
+    let forming_seconds = fleet
+        .run_until_converged(CONVERGENCE_TIMEOUT)
+        .map_or(f64::NAN, |duration| seconds(duration) + seconds(START_PERIOD));
+    fleet.counter = Counter::default();
+    fleet.run(GOSSIP_SPAN);
+    let gossip = fleet.counter.rates(GOSSIP_SPAN, size);
+    let kilobytes = memory::growth_per_process(before, memory::resident_bytes(), size) / 1024.0;
+    let listing_micros = control_node_listing_micros(&fleet);
+    let calming_time = if size <= MAX_CALM_FLEET { run_until_calm(&mut fleet) } else { None };
+    let (calm, gossip_seconds) = match calming_time {
+        Some(calming_time) => {
+            fleet.counter = Counter::default();
+            fleet.run(span);
+            let rates = fleet.counter.rates(span, size);
+            let calm = [rates.messages, rates.bytes, rates.processor_share * 100.0];
+            (calm, seconds(calming_time) + seconds(GOSSIP_SPAN))
+        }
+        None => ([f64::NAN; 3], f64::NAN),
+    };
+    // Freed memory would be taken by the next size, whose growth would then be measured too low.
+    std::mem::forget(fleet);
+    let others = [kilobytes, listing_micros, forming_seconds, gossip_seconds];
+    [&calm[..], &others, &[gossip.bytes, gossip.processor_share * 100.0]].concat()
+}
+
+/// Runs until the gossip about members that have started is over: until datagrams are short, for ten minutes at most. How
+/// long that took.
+fn run_until_calm(fleet: &mut MembershipFleet) -> Option<Duration> {
+    let start = fleet.now();
+    while fleet.now() - start < MAX_CALMING_TIME {
+        let before = fleet.counter;
+        fleet.run(GOSSIP_SPAN);
+        let messages = fleet.counter.messages.saturating_sub(before.messages);
+        if fleet.counter.bytes.saturating_sub(before.bytes) < CALM_DATAGRAM_LEN * messages {
+            return Some(fleet.now() - start);
         }
     }
     None
 }
 
-/// Microseconds of one walk over all members for those of the core.
-fn walk(pool: &Pool) -> f64 {
-    let Some(membership) = pool.ripples().next() else { return 0.0 };
-    let start = processor_time();
-    let turns = 200;
-    for _ in 0..turns {
-        let cores = membership.members().filter(|(peer, health)| peer.is_control_node && health.is_live());
-        black_box(cores.map(|(peer, _)| peer.address).collect::<Vec<_>>());
-    }
-    processor_time().saturating_sub(start).as_secs_f64() * 1e6 / f64::from(turns)
+/// Microseconds that one member takes to list the live control nodes.
+fn control_node_listing_micros(fleet: &MembershipFleet) -> f64 {
+    let Some(membership) = fleet.memberships().next() else { return 0.0 };
+    mean_micros(200, || {
+        let control_nodes =
+            membership.members().filter(|(peer, state)| peer.is_control_node && state.is_live());
+        control_nodes.map(|(peer, _)| peer.address).collect::<Vec<_>>()
+    })
 }
 
 /// What happens to a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// So many end without a word.
-    Lost(usize),
-    /// One ends without a word and is back after a second.
-    Restart,
-    /// Regions hear nothing of each other for so many milliseconds.
-    Apart(u64),
+pub enum Fault {
+    /// So many members end abruptly.
+    MembersEnd(usize),
+    /// One member ends abruptly and starts again after a second.
+    MemberRestarts,
+    /// No datagram passes between regions for so long.
+    RegionsDisconnected(Duration),
 }
 
-/// Seconds until all agree again, and messages and bytes above those of calm, a member.
-pub fn trouble(pool: &mut Pool, trouble: Trouble) -> Option<(f64, f64, f64)> {
-    let size = pool.size();
-    pool.settle(120_000)?;
-    calm_down(pool)?;
-    pool.counter = Counter::default();
-    pool.run(10_000);
-    let calm = pool.counter;
-    pool.counter = Counter::default();
-    let start = pool.now;
-    let took = match trouble {
-        Trouble::Lost(count) => {
-            let last = size.saturating_sub(count);
-            (last..size).for_each(|lost| pool.kill(lost));
-            pool.run(100);
-            pool.settle(120_000)? + 100
+/// What a fault costs, from its start to ten seconds after its effects are over.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FaultCost {
+    /// Seconds until all members have converged again.
+    pub recovery_seconds: f64,
+    /// Messages of each member above those of a calm fleet.
+    pub messages: f64,
+    /// Bytes of each member above those of a calm fleet.
+    pub bytes: f64,
+}
+
+impl FaultCost {
+    const NOT_MEASURED: FaultCost =
+        FaultCost { recovery_seconds: f64::NAN, messages: f64::NAN, bytes: f64::NAN };
+}
+
+/// Injects a fault into a calm fleet; none if the fleet does not become calm, or does not recover in time. Members that
+/// have ended are started again afterwards.
+pub fn measure_fault(fleet: &mut MembershipFleet, fault: Fault) -> Option<FaultCost> {
+    let size = fleet.size();
+    fleet.run_until_converged(CONVERGENCE_TIMEOUT)?;
+    run_until_calm(fleet)?;
+    fleet.counter = Counter::default();
+    fleet.run(FAULT_SPAN);
+    let calm = std::mem::take(&mut fleet.counter);
+    let start = fleet.now();
+    let recovery_time = recover_from(fleet, fault)?;
+    fleet.run(FAULT_SPAN);
+    let spans = (fleet.now() - start).as_millis() as f64 / FAULT_SPAN.as_millis() as f64;
+    let above_calm = |total: u64, calm: u64| (total as f64 - calm as f64 * spans) / size as f64;
+    let messages = above_calm(fleet.counter.messages, calm.messages);
+    let bytes = above_calm(fleet.counter.bytes, calm.bytes);
+    fleet.start_ended();
+    Some(FaultCost { recovery_seconds: seconds(recovery_time), messages, bytes })
+}
+
+/// Injects a fault and runs until the fleet has converged; how long that took from the end of the fault.
+fn recover_from(fleet: &mut MembershipFleet, fault: Fault) -> Option<Duration> {
+    let size = fleet.size();
+    match fault {
+        Fault::MembersEnd(count) => {
+            (size.saturating_sub(count)..size).for_each(|machine| fleet.kill(machine));
+            fleet.run(POLL_INTERVAL);
+            Some(fleet.run_until_converged(CONVERGENCE_TIMEOUT)? + POLL_INTERVAL)
         }
-        Trouble::Restart => {
-            pool.kill(size - 1);
-            pool.run(1_000);
-            let at = pool.now;
-            pool.start(size - 1, at);
-            let mut took = 0;
-            while !(pool.knows_life_of(size - 1) && pool.agree()) {
-                if took > 120_000 {
+        Fault::MemberRestarts => {
+            let machine = size - 1;
+            fleet.kill(machine);
+            fleet.run(Duration::from_secs(1));
+            fleet.start(machine);
+            let start = fleet.now();
+            while !(fleet.is_instance_known(machine) && fleet.is_converged()) {
+                if fleet.now() - start > CONVERGENCE_TIMEOUT {
                     return None;
                 }
-                pool.run(100);
-                took += 100;
+                fleet.run(POLL_INTERVAL);
             }
-            took
+            Some(fleet.now() - start)
         }
-        Trouble::Apart(span) => {
-            pool.set_apart(true);
-            pool.run(span);
-            pool.set_apart(false);
-            pool.run(100);
-            pool.settle(300_000)? + 100
+        Fault::RegionsDisconnected(duration) => {
+            fleet.disconnect_regions();
+            fleet.run(duration);
+            fleet.connect_regions();
+            fleet.run(POLL_INTERVAL);
+            Some(fleet.run_until_converged(RECONNECTION_TIMEOUT)? + POLL_INTERVAL)
         }
-    };
-    pool.run(10_000);
-    let span = (pool.now - start) as f64 / 10_000.0;
-    let above = |all: u64, calm: u64| (all as f64 - calm as f64 * span) / size as f64;
-    let messages = above(pool.counter.messages, calm.messages);
-    let bytes = above(pool.counter.bytes, calm.bytes);
-    pool.start_ended();
-    Some((took as f64 / 1000.0, messages, bytes))
+    }
 }
 
-/// Faults in fleets of these sizes; regions are apart for `apart_ms`.
-pub fn faults(sizes: &[usize], apart_ms: u64) -> Table {
+/// Measures faults in fleets of these sizes; regions are disconnected for so long.
+pub fn measure_faults(sizes: &[usize], disconnection: Duration) -> Table {
     let columns = [
         "s one lost",
         "msgs each",
@@ -168,25 +202,41 @@
         "bytes each",
     ];
     let mut table = Table::new("Membership under faults", "members", &columns);
-    let none = (f64::NAN, f64::NAN, f64::NAN);
     for &size in sizes {
-        let mut pool = Pool::new(size, CORES.min(size / 10), size as u64 + 1);
-        pool.run(3_000);
-        let one = trouble(&mut pool, Trouble::Lost(1)).unwrap_or(none);
-        let restart = trouble(&mut pool, Trouble::Restart).unwrap_or(none);
-        let rack = trouble(&mut pool, Trouble::Lost(20.min(size / 3))).unwrap_or(none);
-        let zone = trouble(&mut pool, Trouble::Lost(size.div_ceil(crate::pool::ZONES))).unwrap_or(none);
-        let apart = trouble(&mut pool, Trouble::Apart(apart_ms)).unwrap_or(none);
-        table.row(
-            size,
-            vec![
-                one.0, one.1, one.2, restart.0, restart.1, restart.2, rack.0, rack.2, zone.0, zone.2,
-                apart.0, apart.2,
-            ],
-        );
+        table.add_row(size, measure_faults_of_size(size, disconnection));
     }
-    let seconds = apart_ms / 1000;
-    table.notes.push(format!("regions apart for {seconds} s; s joined: from then until all agree on all"));
-    table.notes.push("messages and bytes: above calm, from the fault to 10 s after all agree".into());
+    let seconds = disconnection.as_secs();
+    table.add_note(format!("regions apart for {seconds} s; s joined: from then until all agree on all"));
+    table.add_note("messages and bytes: above calm, from the fault to 10 s after all agree");
     table
 }
+
+fn measure_faults_of_size(size: usize, disconnection: Duration) -> Vec<f64> {
+    let mut fleet = MembershipFleet::new(size, CONTROL_NODES.min(size / 10), size as u64 + 1);
+    fleet.run(START_PERIOD);
+    let mut measure = |fault| measure_fault(&mut fleet, fault).unwrap_or(FaultCost::NOT_MEASURED);
+    let one = measure(Fault::MembersEnd(1));
+    let restart = measure(Fault::MemberRestarts);
+    let rack = measure(Fault::MembersEnd(20.min(size / 3)));
+    let zone = measure(Fault::MembersEnd(size.div_ceil(ZONES)));
+    let regions = measure(Fault::RegionsDisconnected(disconnection));
+    vec![
+        one.recovery_seconds,
+        one.messages,
+        one.bytes,
+        restart.recovery_seconds,
+        restart.messages,
+        restart.bytes,
+        rack.recovery_seconds,
+        rack.bytes,
+        zone.recovery_seconds,
+        zone.bytes,
+        regions.recovery_seconds,
+        regions.bytes,
+    ]
+}
+
+/// In whole milliseconds.
+fn seconds(duration: Duration) -> f64 {
+    duration.as_millis() as f64 / 1000.0
+}
