--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use mosshead_registry::{Entry, Model, OperState, Registry, Server, SourceId, Stage};
+use mosshead_registry::{Entry, HeartbeatOutcome, Model, OperState, Registry, Server, SourceId, Stage};
 use mosshead_time::{Duration, Instant};
 use rand_core::RngCore;
 
@@ -54,6 +54,11 @@
     Server { state, ..server(number, sequence) }
 }
 
+/// Records a heartbeat that the registry accepts, and returns what it has done.
+pub(crate) fn heartbeat_outcome(registry: &mut Registry, now: Instant, server: Server) -> HeartbeatOutcome {
+    registry.record_heartbeat(now, server).expect("the server is valid and the registry is not full")
+}
+
 /// Sends `to` all entries that it is missing, at most `max_entries` in one delta.
 pub(crate) fn synchronize(now: Instant, from: &Registry, to: &mut Registry, max_entries: usize) {
     for _ in 0..100_000 {
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -42,31 +42,31 @@
 quickcheck! {
     fn order_and_duplicates_do_not_matter(entries: Vec<ArbitraryEntry>, seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut a, mut b) = (read_replica(100), control_node(101));
+        let (mut first, mut second) = (read_replica(100), control_node(101));
         for entry in &entries {
-            a.merge(millis(0), delta([entry.0.clone()]));
+            first.merge(millis(0), delta([entry.0.clone()]));
         }
         let mut rest = entries.clone();
         rest.extend(entries.iter().filter(|_| rng.next_u32().is_multiple_of(2)).cloned());
         while !rest.is_empty() {
             let take = rest.swap_remove(random_below(&mut rng, rest.len() as u64) as usize);
-            b.merge(millis(0), delta([take.0]));
+            second.merge(millis(0), delta([take.0]));
         }
-        assert_consistent(&a);
-        assert_consistent(&b);
-        assert_eq!(a.fingerprint(), b.fingerprint());
-        all_entries(&a) == all_entries(&b)
+        assert_consistent(&first);
+        assert_consistent(&second);
+        assert_eq!(first.fingerprint(), second.fingerprint());
+        all_entries(&first) == all_entries(&second)
     }
 
     /// A removed or draining server returns to an earlier state only by a higher sequence number.
     fn an_entry_never_returns_to_an_earlier_state(entries: Vec<ArbitraryEntry>) -> bool {
         let mut registry = control_node(100);
-        let mut low: BTreeMap<String, (u64, OperState)> = BTreeMap::new();
+        let mut known: BTreeMap<String, (u64, OperState)> = BTreeMap::new();
         for ArbitraryEntry(entry) in entries {
             let id = entry.server.id.clone();
             registry.merge(millis(0), delta([entry]));
             let now = registry.get(&id).unwrap();
-            let before = low.entry(id).or_insert((now.sequence, now.state));
+            let before = known.entry(id).or_insert((now.sequence, now.state));
             if now.sequence < before.0 || (now.sequence == before.0 && now.state < before.1) {
                 return false;
             }
@@ -75,12 +75,12 @@
         true
     }
 
-    fn supersedes_is_a_strict_total_order(a: ArbitraryEntry, b: ArbitraryEntry, c: ArbitraryEntry) -> bool {
-        let (a, b, c) = (a.0, b.0, c.0);
-        let total = a == b || a.supersedes(&b) != b.supersedes(&a);
-        let chain = !(a.supersedes(&b) && b.supersedes(&c)) || a.supersedes(&c);
-        let is_same = a.server.id != b.server.id; // never compared
-        !a.supersedes(&a) && chain && (total || is_same)
+    fn supersedes_is_a_strict_total_order(first: ArbitraryEntry, second: ArbitraryEntry, third: ArbitraryEntry) -> bool {
+        let (first, second, third) = (first.0, second.0, third.0);
+        let is_total = first == second || first.supersedes(&second) != second.supersedes(&first);
+        let is_transitive = !(first.supersedes(&second) && second.supersedes(&third)) || first.supersedes(&third);
+        let are_different_servers = first.server.id != second.server.id; // never compared
+        !first.supersedes(&first) && is_transitive && (is_total || are_different_servers)
     }
 
     /// Truncated deltas of any size lead to the same entries and vector as one complete delta.
@@ -101,61 +101,61 @@
 #[test]
 fn a_delta_for_a_higher_base_does_not_advance_the_vector() {
     // The delta was meant for an earlier incarnation.
-    let (mut a, mut old, mut new) = (control_node(1), control_node(2), control_node(3));
+    let (mut node, mut old, mut new) = (control_node(1), control_node(2), control_node(3));
     for number in 0..10 {
-        a.record_heartbeat(millis(0), server(number, 1)).unwrap();
+        node.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
-    synchronize(millis(0), &a, &mut old, 100);
-    a.record_heartbeat(millis(0), server(10, 1)).unwrap();
-    let late = a.missing_entries(&old.vector(), 100);
+    synchronize(millis(0), &node, &mut old, 100);
+    node.record_heartbeat(millis(0), server(10, 1)).unwrap();
+    let late = node.missing_entries(&old.vector(), 100);
     assert_eq!(late.entries.len(), 1);
     new.merge(millis(0), late);
     assert_eq!(new.len(), 1);
     assert_eq!(new.vector(), VersionVector::default());
     assert!(new.missing_entries(&VersionVector::default(), 100).is_empty());
-    synchronize(millis(0), &a, &mut new, 3);
-    assert_eq!(all_entries(&new), all_entries(&a));
+    synchronize(millis(0), &node, &mut new, 3);
+    assert_eq!(all_entries(&new), all_entries(&node));
     assert_eq!(new.missing_entries(&VersionVector::default(), 100).entries.len(), 11);
 }
 
 #[test]
 fn a_registry_with_a_gap_detects_it_and_synchronizes_fully() {
     // A vector raised over a gap shows in the fingerprint.
-    let (mut a, mut p) = (control_node(1), read_replica(9));
+    let (mut node, mut proxy) = (control_node(1), read_replica(9));
     for number in 0..10 {
-        a.record_heartbeat(millis(0), server(number, 1)).unwrap();
+        node.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
-    let mut delta = a.missing_entries(&VersionVector::default(), 100);
+    let mut delta = node.missing_entries(&VersionVector::default(), 100);
     delta.entries.remove(4);
-    p.merge(millis(0), delta);
-    assert_eq!(p.len(), 9);
-    assert_eq!(p.vector(), a.vector());
-    p.tick(millis(1));
-    assert!(p.vector().is_empty());
-    synchronize(millis(1), &a, &mut p, 4);
-    assert_eq!(all_entries(&p), all_entries(&a));
+    proxy.merge(millis(0), delta);
+    assert_eq!(proxy.len(), 9);
+    assert_eq!(proxy.vector(), node.vector());
+    proxy.tick(millis(1));
+    assert!(proxy.vector().is_empty());
+    synchronize(millis(1), &node, &mut proxy, 4);
+    assert_eq!(all_entries(&proxy), all_entries(&node));
     // A difference that remains leads to a full synchronization at intervals only.
-    let mut odd = a.missing_entries(&p.vector(), 100);
+    let mut odd = node.missing_entries(&proxy.vector(), 100);
     odd.fingerprint ^= 1;
-    p.merge(millis(2), odd.clone());
-    p.tick(millis(2));
-    assert_eq!(p.vector(), a.vector());
-    p.merge(millis(20_000), odd);
-    p.tick(millis(20_000));
-    assert!(p.vector().is_empty());
-    synchronize(millis(20_001), &a, &mut p, 100);
-    assert_eq!(p.vector(), a.vector());
+    proxy.merge(millis(2), odd.clone());
+    proxy.tick(millis(2));
+    assert_eq!(proxy.vector(), node.vector());
+    proxy.merge(millis(20_000), odd);
+    proxy.tick(millis(20_000));
+    assert!(proxy.vector().is_empty());
+    synchronize(millis(20_001), &node, &mut proxy, 100);
+    assert_eq!(proxy.vector(), node.vector());
 }
 
 #[test]
 fn unchanged_heartbeats_produce_empty_deltas() {
-    let (mut a, mut p) = (control_node(1), read_replica(9));
+    let (mut node, mut proxy) = (control_node(1), read_replica(9));
     for sequence in 1..100 {
         for number in 0..50 {
-            a.record_heartbeat(millis(sequence * 1200), server(number, sequence)).unwrap();
+            node.record_heartbeat(millis(sequence * 1200), server(number, sequence)).unwrap();
         }
-        let delta = a.missing_entries(&p.vector(), 100);
+        let delta = node.missing_entries(&proxy.vector(), 100);
         assert_eq!(delta.is_empty(), sequence > 1);
-        p.merge(millis(sequence * 1200), delta);
+        proxy.merge(millis(sequence * 1200), delta);
     }
 }
--- a/crates/registry/tests/encoding.rs
+++ b/crates/registry/tests/encoding.rs
@@ -108,22 +108,22 @@
 
     /// Deltas that no process without errors sends leave the registry consistent.
     fn implausible_deltas_keep_the_registry_consistent(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
-        let (mut a, mut p) = (control_node(1), read_replica(2));
-        a.record_heartbeat(millis(0), server(1, 1)).unwrap();
+        let (mut node, mut proxy) = (control_node(1), read_replica(2));
+        node.record_heartbeat(millis(0), server(1, 1)).unwrap();
         for (delta, now) in deltas.into_iter().zip(times.into_iter().chain([u64::MAX, 0])) {
-            a.merge(millis(now), delta.0.clone());
-            p.merge(millis(now), delta.0.clone());
-            a.has_unknown_source(&delta.0.vector);
-            a.mark_replicated(&delta.0.vector);
-            a.missing_entries(&delta.0.vector, 3);
+            node.merge(millis(now), delta.0.clone());
+            proxy.merge(millis(now), delta.0.clone());
+            node.has_unknown_source(&delta.0.vector);
+            node.mark_replicated(&delta.0.vector);
+            node.missing_entries(&delta.0.vector, 3);
             for entry in delta.0.entries {
-                let _ = a.record_heartbeat(millis(now), entry.server.clone());
-                let _ = a.deregister(millis(now), &entry.server.service);
+                let _ = node.record_heartbeat(millis(now), entry.server.clone());
+                let _ = node.deregister(millis(now), &entry.server.service);
             }
-            a.tick(millis(now));
-            p.tick(millis(now));
-            assert_consistent(&a);
-            assert_consistent(&p);
+            node.tick(millis(now));
+            proxy.tick(millis(now));
+            assert_consistent(&node);
+            assert_consistent(&proxy);
         }
         true
     }
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    HEARTBEAT_INTERVAL, assert_consistent, control_node, millis, read_replica, server, synchronize,
-    synchronize_all, with_state,
+    HEARTBEAT_INTERVAL, assert_consistent, control_node, heartbeat_outcome, millis, read_replica, server,
+    synchronize, synchronize_all, with_state,
 };
 use mosshead_registry::{
     OperState, Registry, SOURCE_TIMEOUT, SUSPICION_TIMEOUT, SourceId, TOMBSTONE_LIFETIME,
@@ -80,13 +80,13 @@
     run(&mut registry, millis(0), millis(8_000));
     assert!(is_suspected(&registry));
     // A repeat of the last heartbeat is no sign of life.
-    assert!(!registry.record_heartbeat(millis(8_000), server(1, 1)).unwrap().changed);
-    assert!(registry.record_heartbeat(millis(8_000), server(1, 2)).unwrap().changed);
+    assert!(!heartbeat_outcome(&mut registry, millis(8_000), server(1, 1)).changed);
+    assert!(heartbeat_outcome(&mut registry, millis(8_000), server(1, 2)).changed);
     assert!(!is_suspected(&registry));
     run(&mut registry, millis(8_100), millis(60_000));
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Removed);
-    assert!(!registry.record_heartbeat(millis(60_100), server(1, 2)).unwrap().changed);
-    assert!(registry.record_heartbeat(millis(60_100), server(1, 3)).unwrap().changed);
+    assert!(!heartbeat_outcome(&mut registry, millis(60_100), server(1, 2)).changed);
+    assert!(heartbeat_outcome(&mut registry, millis(60_100), server(1, 3)).changed);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Up);
     // It is suspected again after the usual time.
     run(&mut registry, millis(60_100), millis(70_000));
@@ -96,112 +96,112 @@
 
 #[test]
 fn only_the_last_receiver_suspects_a_server() {
-    let (mut a, mut b) = (control_node(1), control_node(2));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    synchronize(millis(0), &a, &mut b, 10);
-    // From now on the server sends unchanged heartbeats to b only.
+    let (mut first, mut second) = (control_node(1), control_node(2));
+    first.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    synchronize(millis(0), &first, &mut second, 10);
+    // From now on the server sends unchanged heartbeats to the second node only.
     for now in (100..30_000).step_by(100) {
         if now % 1200 == 0 {
-            b.record_heartbeat(millis(now), server(1, 1 + now / 1200)).unwrap();
+            second.record_heartbeat(millis(now), server(1, 1 + now / 1200)).unwrap();
         }
         if now % 300 == 0 {
-            send_digest(millis(now), &b, millis(now) - DIGEST_WINDOW, &mut a);
-            send_digest(millis(now), &a, millis(now) - DIGEST_WINDOW, &mut b);
+            send_digest(millis(now), &second, millis(now) - DIGEST_WINDOW, &mut first);
+            send_digest(millis(now), &first, millis(now) - DIGEST_WINDOW, &mut second);
         }
-        assert!(!a.tick(millis(now)) && !b.tick(millis(now)), "{now}");
+        assert!(!first.tick(millis(now)) && !second.tick(millis(now)), "{now}");
     }
-    // The heartbeats stop: b received the last one and suspects the server, a leaves that to b.
-    let mut suspected_at = Vec::new();
+    // The heartbeats stop: the second node received the last one and suspects the server, the first leaves that to it.
+    let mut suspecting = Vec::new();
     for now in (30_000..40_000_u64).step_by(100) {
         if now % 300 == 0 {
-            send_digest(millis(now), &b, millis(now) - DIGEST_WINDOW, &mut a);
-            send_digest(millis(now), &a, millis(now) - DIGEST_WINDOW, &mut b);
+            send_digest(millis(now), &second, millis(now) - DIGEST_WINDOW, &mut first);
+            send_digest(millis(now), &first, millis(now) - DIGEST_WINDOW, &mut second);
         }
-        if a.tick(millis(now)) {
-            suspected_at.push('a');
+        if first.tick(millis(now)) {
+            suspecting.push("first");
         }
-        if b.tick(millis(now)) {
-            suspected_at.push('b');
+        if second.tick(millis(now)) {
+            suspecting.push("second");
         }
     }
-    assert_eq!(suspected_at, ['b']);
-    assert_eq!(a.version(), 1);
+    assert_eq!(suspecting, ["second"]);
+    assert_eq!(first.version(), 1);
 }
 
 #[test]
 fn the_receiver_of_heartbeats_refutes_a_false_suspicion() {
-    let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    synchronize(millis(0), &a, &mut b, 10);
+    let (mut first, mut second, mut proxy) = (control_node(1), control_node(2), read_replica(9));
+    first.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    synchronize(millis(0), &first, &mut second, 10);
     for number in 1..10 {
-        b.record_heartbeat(millis(number * 1200), server(1, 1 + number)).unwrap();
+        second.record_heartbeat(millis(number * 1200), server(1, 1 + number)).unwrap();
     }
     // No digest reaches a.
-    run(&mut a, millis(0), millis(10 * 1200));
-    assert!(is_suspected(&a));
-    synchronize(millis(12_000), &a, &mut p, 10);
-    assert!(is_suspected(&p));
-    // The proxy has a higher version of a than b has: b asks for it, and refutes it.
-    assert!(b.is_behind(&p.vector()));
-    synchronize(millis(12_000), &p, &mut b, 10);
-    assert!(!is_suspected(&b));
-    synchronize(millis(12_000), &b, &mut p, 10);
-    synchronize(millis(12_000), &b, &mut a, 10);
-    assert!(!is_suspected(&p) && !is_suspected(&a));
+    run(&mut first, millis(0), millis(10 * 1200));
+    assert!(is_suspected(&first));
+    synchronize(millis(12_000), &first, &mut proxy, 10);
+    assert!(is_suspected(&proxy));
+    // The proxy has a higher version of the first node than the second has, which requests it and refutes it.
+    assert!(second.is_behind(&proxy.vector()));
+    synchronize(millis(12_000), &proxy, &mut second, 10);
+    assert!(!is_suspected(&second));
+    synchronize(millis(12_000), &second, &mut proxy, 10);
+    synchronize(millis(12_000), &second, &mut first, 10);
+    assert!(!is_suspected(&proxy) && !is_suspected(&first));
 }
 
 #[test]
 fn other_nodes_suspect_the_servers_of_a_lost_source() {
-    let (mut a, mut b, mut c) = (control_node(1), control_node(2), control_node(3));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    synchronize(millis(0), &a, &mut b, 10);
-    synchronize(millis(0), &a, &mut c, 10);
-    // b and c stay in contact, a is in contact for a while.
+    let (mut first, mut second, mut third) = (control_node(1), control_node(2), control_node(3));
+    first.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    synchronize(millis(0), &first, &mut second, 10);
+    synchronize(millis(0), &first, &mut third, 10);
+    // The second and third node stay in contact, the first is in contact for a while.
     for now in (0..60_000).step_by(100) {
         if now <= 10_000 {
-            b.record_contact(millis(now), SourceId(1));
-            c.record_contact(millis(now), SourceId(1));
+            second.record_contact(millis(now), SourceId(1));
+            third.record_contact(millis(now), SourceId(1));
         }
-        b.record_contact(millis(now), SourceId(3));
-        c.record_contact(millis(now), SourceId(2));
-        let suspected_at = b.tick(millis(now)) | c.tick(millis(now));
+        second.record_contact(millis(now), SourceId(3));
+        third.record_contact(millis(now), SourceId(2));
+        let has_changed = second.tick(millis(now)) | third.tick(millis(now));
         if now <= 10_000 + whole_millis(SOURCE_TIMEOUT) {
-            assert!(!suspected_at, "a is in contact, so only a may suspect its servers");
+            assert!(!has_changed, "the first node is in contact, so only it may suspect its servers");
         }
         if now == 10_000 + whole_millis(SOURCE_TIMEOUT) + 1000 {
-            assert!(is_suspected(&b) && is_suspected(&c));
-            let mut all = [b.clone(), c.clone()];
+            assert!(is_suspected(&second) && is_suspected(&third));
+            let mut all = [second.clone(), third.clone()];
             synchronize_all(millis(now), &mut all);
             assert_eq!(common::all_entries(&all[0]), common::all_entries(&all[1]));
         }
     }
-    assert_eq!(b.get("i-1").unwrap().state, OperState::Removed);
-    // a returns with its old entry, which is superseded.
-    synchronize(millis(60_000), &a, &mut b, 10);
-    assert_eq!(b.get("i-1").unwrap().state, OperState::Removed);
+    assert_eq!(second.get("i-1").unwrap().state, OperState::Removed);
+    // The first node returns with its old entry, which is superseded.
+    synchronize(millis(60_000), &first, &mut second, 10);
+    assert_eq!(second.get("i-1").unwrap().state, OperState::Removed);
     // A heartbeat supersedes the tombstone.
-    assert!(b.record_heartbeat(millis(60_000), server(1, 2)).unwrap().changed);
+    assert!(heartbeat_outcome(&mut second, millis(60_000), server(1, 2)).changed);
 }
 
 #[test]
 fn suspicion_never_undoes_an_unknown_draining_state() {
-    // a has the server as up with 1; b has it as draining with 2, and unchanged heartbeats up to 9 that a knows by
-    // digest alone. The suspicion of a must not supersede the draining state.
-    let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    synchronize(millis(0), &a, &mut b, 10);
-    b.record_heartbeat(millis(100), with_state(1, 2, OperState::Draining)).unwrap();
-    synchronize(millis(100), &b, &mut p, 10);
-    b.record_heartbeat(millis(200), with_state(1, 9, OperState::Draining)).unwrap();
-    a.tick(millis(0));
-    send_digest(millis(200), &b, millis(0), &mut a);
-    run(&mut a, millis(0), millis(10_000));
-    assert!(is_suspected(&a));
-    synchronize(millis(10_000), &a, &mut p, 10);
-    assert_eq!(p.get("i-1").unwrap().state, OperState::Draining);
-    let mut all = [a, b, p];
+    // The first node has the server as up with sequence 1; the second has it as draining with 2, and unchanged heartbeats
+    // up to 9 that the first knows by digest alone. The suspicion of the first must not supersede the draining state.
+    let (mut first, mut second, mut proxy) = (control_node(1), control_node(2), read_replica(9));
+    first.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    synchronize(millis(0), &first, &mut second, 10);
+    second.record_heartbeat(millis(100), with_state(1, 2, OperState::Draining)).unwrap();
+    synchronize(millis(100), &second, &mut proxy, 10);
+    second.record_heartbeat(millis(200), with_state(1, 9, OperState::Draining)).unwrap();
+    first.tick(millis(0));
+    send_digest(millis(200), &second, millis(0), &mut first);
+    run(&mut first, millis(0), millis(10_000));
+    assert!(is_suspected(&first));
+    synchronize(millis(10_000), &first, &mut proxy, 10);
+    assert_eq!(proxy.get("i-1").unwrap().state, OperState::Draining);
+    let mut all = [first, second, proxy];
     synchronize_all(millis(10_000), &mut all);
-    assert!(all.iter().all(|r| r.get("i-1").unwrap().state == OperState::Draining));
+    assert!(all.iter().all(|registry| registry.get("i-1").unwrap().state == OperState::Draining));
 }
 
 #[test]
@@ -219,70 +219,71 @@
 
 #[test]
 fn read_replicas_suspect_nobody_but_expire_tombstones() {
-    let (mut a, mut p) = (control_node(1), read_replica(9));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    a.record_heartbeat(millis(0), server(2, 1)).unwrap();
-    a.deregister(millis(0), "i-2").unwrap();
-    synchronize(millis(0), &a, &mut p, 10);
-    assert_eq!(run(&mut p, millis(0), millis(0) + TOMBSTONE_LIFETIME * 2), None);
-    assert!(!is_suspected(&p));
-    assert!(p.get("i-2").is_none());
-    assert_eq!(p.version(), 0);
-    assert_consistent(&p);
+    let (mut node, mut proxy) = (control_node(1), read_replica(9));
+    node.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    node.record_heartbeat(millis(0), server(2, 1)).unwrap();
+    node.deregister(millis(0), "i-2").unwrap();
+    synchronize(millis(0), &node, &mut proxy, 10);
+    assert_eq!(run(&mut proxy, millis(0), millis(0) + TOMBSTONE_LIFETIME * 2), None);
+    assert!(!is_suspected(&proxy));
+    assert!(proxy.get("i-2").is_none());
+    assert_eq!(proxy.version(), 0);
+    assert_consistent(&proxy);
 }
 
 #[test]
 fn a_digest_lists_only_recent_local_heartbeats() {
-    let (mut a, mut b) = (control_node(1), control_node(2));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    a.record_heartbeat(millis(1000), server(2, 1)).unwrap();
-    a.record_heartbeat(millis(1100), server(2, 2)).unwrap();
-    synchronize(millis(1100), &a, &mut b, 10);
-    assert!(b.heartbeats_since(millis(0)).is_empty());
-    assert_eq!(a.heartbeats_since(millis(500)), [("i-2".to_string(), 2)]);
-    let mut all = a.heartbeats_since(millis(0));
+    let (mut first, mut second) = (control_node(1), control_node(2));
+    first.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    first.record_heartbeat(millis(1000), server(2, 1)).unwrap();
+    first.record_heartbeat(millis(1100), server(2, 2)).unwrap();
+    synchronize(millis(1100), &first, &mut second, 10);
+    assert!(second.heartbeats_since(millis(0)).is_empty());
+    assert_eq!(first.heartbeats_since(millis(500)), [("i-2".to_string(), 2)]);
+    let mut all = first.heartbeats_since(millis(0));
     all.sort();
     assert_eq!(all, [("i-1".to_string(), 1), ("i-2".to_string(), 2)]);
     // Servers whose later heartbeats came to another node are left to that node.
-    a.record_remote_heartbeats(millis(1200), SourceId(2), [("i-2", 3), ("nobody", 5)]);
-    assert_eq!(a.heartbeats_since(millis(500)), []);
+    first.record_remote_heartbeats(millis(1200), SourceId(2), [("i-2", 3), ("nobody", 5)]);
+    assert_eq!(first.heartbeats_since(millis(500)), []);
     // Older sequence numbers change nothing.
-    a.record_remote_heartbeats(millis(1300), SourceId(3), [("i-1", 0), ("i-1", u64::MAX)]);
-    assert_eq!(a.heartbeats_since(millis(0)), [("i-1".to_string(), 1)]);
+    first.record_remote_heartbeats(millis(1300), SourceId(3), [("i-1", 0), ("i-1", u64::MAX)]);
+    assert_eq!(first.heartbeats_since(millis(0)), [("i-1".to_string(), 1)]);
 }
 
 #[test]
 fn a_refuted_suspicion_does_not_require_replicating_draining_again() {
-    // a has the server as draining, with unchanged heartbeats up to 8; b suspects it by what it knows.
-    let (mut a, mut b) = (control_node(1), control_node(2));
-    a.record_heartbeat(millis(0), with_state(1, 2, OperState::Draining)).unwrap();
-    synchronize(millis(0), &a, &mut b, 10);
+    // The first node has the server as draining, with unchanged heartbeats up to 8; the second suspects it.
+    let (mut first, mut second) = (control_node(1), control_node(2));
+    first.record_heartbeat(millis(0), with_state(1, 2, OperState::Draining)).unwrap();
+    synchronize(millis(0), &first, &mut second, 10);
     assert!(
-        a.record_heartbeat(millis(100), with_state(1, 8, OperState::Draining)).unwrap().needs_replication
+        heartbeat_outcome(&mut first, millis(100), with_state(1, 8, OperState::Draining)).needs_replication
     );
-    run(&mut b, millis(0), millis(10_000));
-    assert!(is_suspected(&b));
-    let vector = a.vector();
-    synchronize(millis(10_000), &a, &mut b, 10);
-    let answer = b.missing_entries(&vector, 10);
-    a.mark_replicated(&answer.vector);
-    a.merge(millis(10_000), answer);
-    assert!(!is_suspected(&a));
+    run(&mut second, millis(0), millis(10_000));
+    assert!(is_suspected(&second));
+    let vector = first.vector();
+    synchronize(millis(10_000), &first, &mut second, 10);
+    let answer = second.missing_entries(&vector, 10);
+    first.mark_replicated(&answer.vector);
+    first.merge(millis(10_000), answer);
+    assert!(!is_suspected(&first));
     assert!(
-        !a.record_heartbeat(millis(10_100), with_state(1, 9, OperState::Draining)).unwrap().needs_replication
+        !heartbeat_outcome(&mut first, millis(10_100), with_state(1, 9, OperState::Draining))
+            .needs_replication
     );
     // A server that comes up and drains again must be replicated again.
-    assert!(!a.record_heartbeat(millis(10_200), server(1, 10)).unwrap().needs_replication);
+    assert!(!heartbeat_outcome(&mut first, millis(10_200), server(1, 10)).needs_replication);
     assert!(
-        a.record_heartbeat(millis(10_300), with_state(1, 11, OperState::Draining)).unwrap().needs_replication
+        heartbeat_outcome(&mut first, millis(10_300), with_state(1, 11, OperState::Draining))
+            .needs_replication
     );
     // The removal must be replicated though the draining state was.
-    synchronize(millis(10_300), &a, &mut b, 10);
-    a.mark_replicated(&b.vector());
+    synchronize(millis(10_300), &first, &mut second, 10);
+    first.mark_replicated(&second.vector());
     assert!(
-        !a.record_heartbeat(millis(10_400), with_state(1, 12, OperState::Draining))
-            .unwrap()
+        !heartbeat_outcome(&mut first, millis(10_400), with_state(1, 12, OperState::Draining))
             .needs_replication
     );
-    assert!(a.deregister(millis(10_500), "i-1").unwrap().needs_replication);
+    assert!(first.deregister(millis(10_500), "i-1").unwrap().needs_replication);
 }
--- a/crates/registry/tests/heartbeats.rs
+++ b/crates/registry/tests/heartbeats.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{address, assert_consistent, control_node, millis, server, synchronize, with_state};
+use common::{
+    address, assert_consistent, control_node, heartbeat_outcome, millis, server, synchronize, with_state,
+};
 use mosshead_registry::{HeartbeatOutcome, MAX_SERVERS, OperState, RegistrationError, Server};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
@@ -27,34 +29,33 @@
         .record_heartbeat(millis(0), Server { warmup_remaining: Duration::from_millis(9000), ..server(1, 1) })
         .unwrap();
     assert!(
-        !registry
-            .record_heartbeat(
-                millis(1200),
-                Server { warmup_remaining: Duration::from_millis(7800), ..server(1, 2) }
-            )
-            .unwrap()
-            .changed
+        !heartbeat_outcome(
+            &mut registry,
+            millis(1200),
+            Server { warmup_remaining: Duration::from_millis(7800), ..server(1, 2) }
+        )
+        .changed
     );
 }
 
 #[test]
 fn each_reported_property_is_a_change() {
     let changes: [fn(&mut Server); 8] = [
-        |s| s.service.push('x'),
-        |s| s.address = address(99),
-        |s| s.zone.push('x'),
-        |s| s.software_revision.push('x'),
-        |s| s.slots += 1,
-        |s| s.state = OperState::Draining,
-        |s| s.stage = Some(mosshead_registry::Stage::Decode),
-        |s| s.models.clear(),
+        |server| server.service.push('x'),
+        |server| server.address = address(99),
+        |server| server.zone.push('x'),
+        |server| server.software_revision.push('x'),
+        |server| server.slots += 1,
+        |server| server.state = OperState::Draining,
+        |server| server.stage = Some(mosshead_registry::Stage::Decode),
+        |server| server.models.clear(),
     ];
     for change in changes {
         let mut registry = control_node(1);
         registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
         let mut second = server(1, 2);
         change(&mut second);
-        assert!(registry.record_heartbeat(millis(1), second.clone()).unwrap().changed);
+        assert!(heartbeat_outcome(&mut registry, millis(1), second.clone()).changed);
         assert_eq!(registry.get("i-1"), Some(&second));
         assert_consistent(&registry);
     }
@@ -71,7 +72,7 @@
     let mut steady = control_node(2);
     steady.record_heartbeat(millis(0), server(1, 1)).unwrap();
     steady.record_heartbeat(millis(1), server(1, 5)).unwrap();
-    assert!(steady.record_heartbeat(millis(2), with_state(1, 4, OperState::Draining)).unwrap().is_outdated);
+    assert!(heartbeat_outcome(&mut steady, millis(2), with_state(1, 4, OperState::Draining)).is_outdated);
     assert_eq!(steady.get("i-1").unwrap().state, OperState::Up);
 }
 
@@ -79,9 +80,9 @@
 fn a_repeated_sequence_only_moves_towards_removal() {
     let mut registry = control_node(1);
     registry.record_heartbeat(millis(0), server(1, 3)).unwrap();
-    assert!(!registry.record_heartbeat(millis(1), Server { slots: 5, ..server(1, 3) }).unwrap().changed);
-    assert!(registry.record_heartbeat(millis(1), with_state(1, 3, OperState::Draining)).unwrap().changed);
-    assert!(!registry.record_heartbeat(millis(2), server(1, 3)).unwrap().changed);
+    assert!(!heartbeat_outcome(&mut registry, millis(1), Server { slots: 5, ..server(1, 3) }).changed);
+    assert!(heartbeat_outcome(&mut registry, millis(1), with_state(1, 3, OperState::Draining)).changed);
+    assert!(!heartbeat_outcome(&mut registry, millis(2), server(1, 3)).changed);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Draining);
 }
 
@@ -90,46 +91,43 @@
     let (mut registry, mut other) = (control_node(1), control_node(2));
     registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     assert!(
-        registry
-            .record_heartbeat(millis(1), with_state(1, 2, OperState::Draining))
-            .unwrap()
-            .needs_replication
+        heartbeat_outcome(&mut registry, millis(1), with_state(1, 2, OperState::Draining)).needs_replication
     );
     // Replication failed and the server repeats its heartbeat: it must not be acknowledged yet.
     assert!(
-        registry
-            .record_heartbeat(millis(2), with_state(1, 3, OperState::Draining))
-            .unwrap()
-            .needs_replication
+        heartbeat_outcome(&mut registry, millis(2), with_state(1, 3, OperState::Draining)).needs_replication
     );
     assert!(
-        registry
-            .record_heartbeat(millis(2), with_state(1, 2, OperState::Draining))
-            .unwrap()
-            .needs_replication
+        heartbeat_outcome(&mut registry, millis(2), with_state(1, 2, OperState::Draining)).needs_replication
     );
     // Heartbeats of other servers make no difference.
     registry.record_heartbeat(millis(2), server(2, 1)).unwrap();
     assert!(
-        registry
-            .record_heartbeat(millis(2), with_state(1, 4, OperState::Draining))
-            .unwrap()
-            .needs_replication
+        heartbeat_outcome(&mut registry, millis(2), with_state(1, 4, OperState::Draining)).needs_replication
     );
-    assert!(!registry.record_heartbeat(millis(2), server(2, 2)).unwrap().needs_replication);
+    assert!(!heartbeat_outcome(&mut registry, millis(2), server(2, 2)).needs_replication);
     synchronize(millis(3), &registry, &mut other, 10);
     assert!(!registry.is_fully_replicated());
     registry.mark_replicated(&other.vector());
     assert!(registry.is_fully_replicated());
     assert!(
-        !registry
-            .record_heartbeat(millis(4), with_state(1, 5, OperState::Draining))
-            .unwrap()
-            .needs_replication
+        !heartbeat_outcome(&mut registry, millis(4), with_state(1, 5, OperState::Draining)).needs_replication
     );
     // The other node has the state from this one.
     assert!(
-        !other.record_heartbeat(millis(5), with_state(1, 6, OperState::Draining)).unwrap().needs_replication
+        !heartbeat_outcome(&mut other, millis(5), with_state(1, 6, OperState::Draining)).needs_replication
+    );
+}
+
+#[test]
+fn a_deregistration_needs_replication_though_draining_was_replicated() {
+    let (mut registry, mut other) = (control_node(1), control_node(2));
+    registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    registry.record_heartbeat(millis(1), with_state(1, 2, OperState::Draining)).unwrap();
+    synchronize(millis(3), &registry, &mut other, 10);
+    registry.mark_replicated(&other.vector());
+    assert!(
+        !heartbeat_outcome(&mut registry, millis(4), with_state(1, 3, OperState::Draining)).needs_replication
     );
     assert!(registry.deregister(millis(6), "i-1").unwrap().needs_replication);
     assert!(registry.deregister(millis(7), "i-1").unwrap().needs_replication);
@@ -161,8 +159,8 @@
     let mut registry = control_node(1);
     registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     assert!(registry.deregister(millis(1), "i-1").unwrap().changed);
-    assert!(registry.record_heartbeat(millis(2), server(1, 2)).unwrap().is_outdated);
-    assert!(registry.record_heartbeat(millis(2), server(1, u64::MAX)).unwrap().is_outdated);
+    assert!(heartbeat_outcome(&mut registry, millis(2), server(1, 2)).is_outdated);
+    assert!(heartbeat_outcome(&mut registry, millis(2), server(1, u64::MAX)).is_outdated);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Removed);
     assert!(registry.is_empty());
     assert_consistent(&registry);
@@ -172,7 +170,7 @@
 fn deregistering_an_unknown_server_leaves_a_tombstone() {
     let (mut registry, mut other) = (control_node(1), control_node(2));
     assert!(registry.deregister(millis(0), "i-1").unwrap().changed);
-    assert!(registry.record_heartbeat(millis(1), server(1, 5)).unwrap().is_outdated);
+    assert!(heartbeat_outcome(&mut registry, millis(1), server(1, 5)).is_outdated);
     other.record_heartbeat(millis(0), server(1, 5)).unwrap();
     synchronize(millis(2), &registry, &mut other, 10);
     synchronize(millis(2), &other, &mut registry, 10);
@@ -189,13 +187,16 @@
     registry.record_heartbeat(millis(1), newcomer.clone()).unwrap();
     assert!(registry.get("i-1").unwrap().is_suspected);
     assert!(!registry.get("i-2").unwrap().is_suspected);
-    assert_eq!(registry.servers_at_address(address(1)).map(|s| s.id.as_str()).collect::<Vec<_>>(), ["i-2"]);
+    assert_eq!(
+        registry.servers_at_address(address(1)).map(|server| server.id.as_str()).collect::<Vec<_>>(),
+        ["i-2"]
+    );
     // Unchanged heartbeats of either publish nothing.
     let version = registry.version();
-    assert!(!registry.record_heartbeat(millis(2), Server { sequence: 2, ..newcomer }).unwrap().changed);
+    assert!(!heartbeat_outcome(&mut registry, millis(2), Server { sequence: 2, ..newcomer }).changed);
     assert_eq!(registry.version(), version);
     // A suspected server that sends a heartbeat is not suspected any more, and the new one is not either.
-    assert!(registry.record_heartbeat(millis(3), server(1, 8)).unwrap().changed);
+    assert!(heartbeat_outcome(&mut registry, millis(3), server(1, 8)).changed);
     assert!(!registry.get("i-1").unwrap().is_suspected && !registry.get("i-2").unwrap().is_suspected);
     assert_consistent(&registry);
 }
@@ -235,21 +236,21 @@
     assert_eq!(RegistrationError::RegistryFull.code(), 4);
     assert_eq!(registry.record_heartbeat(millis(1), Server { id: "7".into(), ..server(1, 2) }).err(), None);
     assert!(registry.deregister(millis(2), "7").unwrap().changed);
-    assert!(registry.record_heartbeat(millis(3), server(1, 1)).unwrap().changed);
+    assert!(heartbeat_outcome(&mut registry, millis(3), server(1, 1)).changed);
 }
 
 quickcheck! {
     /// In whatever order heartbeats arrive, the highest sequence number stays.
-    fn the_highest_sequence_holds(heartbeats: Vec<(u64, u32)>) -> bool {
+    fn the_highest_sequence_takes_precedence(heartbeats: Vec<(u64, u32)>) -> bool {
         let mut registry = control_node(1);
         // A sequence number belongs to one heartbeat.
-        let heartbeats: std::collections::BTreeMap<u64, u32> = heartbeats.into_iter().map(|(s, v)| (s % 50, v)).collect();
+        let heartbeats: std::collections::BTreeMap<u64, u32> = heartbeats.into_iter().map(|(sequence, slots)| (sequence % 50, slots)).collect();
         let mut order: Vec<_> = heartbeats.iter().collect();
-        order.sort_by_key(|(s, v)| (**s * 7919) ^ u64::from(**v));
+        order.sort_by_key(|(sequence, slots)| (**sequence * 7919) ^ u64::from(**slots));
         for (&sequence, &slots) in order {
             registry.record_heartbeat(millis(0), Server { slots, ..server(1, sequence) }).unwrap();
         }
         assert_consistent(&registry);
-        registry.get("i-1").map(|s| s.slots) == heartbeats.last_key_value().map(|(_, v)| *v)
+        registry.get("i-1").map(|server| server.slots) == heartbeats.last_key_value().map(|(_, slots)| *slots)
     }
 }
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    HEARTBEAT_INTERVAL, all_entries, assert_consistent, control_node, millis, read_replica, server,
-    synchronize, synchronize_all, synchronize_pair, with_state,
+    HEARTBEAT_INTERVAL, all_entries, assert_consistent, control_node, heartbeat_outcome, millis,
+    read_replica, server, synchronize, synchronize_all, synchronize_pair, with_state,
 };
 use mosshead_registry::{
     Delta, Entry, MAX_TOMBSTONES, OperState, Registry, Server, SourceId, TOMBSTONE_LIFETIME, VersionVector,
@@ -89,8 +89,8 @@
         }
     }
     // Outdated heartbeats from before the restart revive no server.
-    assert!(nodes[0].record_heartbeat(millis(1000), server(0, 1)).unwrap().is_outdated);
-    assert!(nodes[1].record_heartbeat(millis(1000), server(1, 3)).unwrap().is_outdated);
+    assert!(heartbeat_outcome(&mut nodes[0], millis(1000), server(0, 1)).is_outdated);
+    assert!(heartbeat_outcome(&mut nodes[1], millis(1000), server(1, 3)).is_outdated);
     // Servers with heartbeats stay without a new version; the others are suspected by the new incarnations in time.
     run_with_heartbeats(&mut nodes);
     synchronize_all(millis(8000), &mut nodes);
@@ -104,33 +104,33 @@
 
 #[test]
 fn a_proxy_restores_a_change_whose_source_is_lost() {
-    let (mut a, mut b, mut p) = (control_node(1), control_node(2), read_replica(9));
-    a.record_heartbeat(millis(0), server(1, 1)).unwrap();
-    synchronize(millis(0), &a, &mut b, 10);
-    a.record_heartbeat(millis(0), server(2, 1)).unwrap();
-    synchronize(millis(0), &a, &mut p, 10);
-    drop(a);
-    assert!(!b.has_unknown_source(&p.vector()));
-    assert!(b.is_behind(&p.vector()));
-    synchronize(millis(0), &p, &mut b, 10);
-    assert!(!b.is_behind(&p.vector()));
-    assert_eq!(all_entries(&b), all_entries(&p));
+    let (mut first, mut second, mut proxy) = (control_node(1), control_node(2), read_replica(9));
+    first.record_heartbeat(millis(0), server(1, 1)).unwrap();
+    synchronize(millis(0), &first, &mut second, 10);
+    first.record_heartbeat(millis(0), server(2, 1)).unwrap();
+    synchronize(millis(0), &first, &mut proxy, 10);
+    drop(first);
+    assert!(!second.has_unknown_source(&proxy.vector()));
+    assert!(second.is_behind(&proxy.vector()));
+    synchronize(millis(0), &proxy, &mut second, 10);
+    assert!(!second.is_behind(&proxy.vector()));
+    assert_eq!(all_entries(&second), all_entries(&proxy));
 }
 
 #[test]
 fn a_restarted_node_catches_up_and_publishes_as_a_new_source() {
-    let (mut a, mut b) = (control_node(1), control_node(2));
+    let (mut first, mut second) = (control_node(1), control_node(2));
     for number in 0..20 {
-        a.record_heartbeat(millis(0), server(number, 1)).unwrap();
+        first.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
-    synchronize(millis(0), &a, &mut b, 3);
+    synchronize(millis(0), &first, &mut second, 3);
     let mut again = control_node(3);
-    synchronize(millis(0), &b, &mut again, 3);
-    assert_eq!(all_entries(&again), all_entries(&a));
+    synchronize(millis(0), &second, &mut again, 3);
+    assert_eq!(all_entries(&again), all_entries(&first));
     again.record_heartbeat(millis(1), Server { slots: 1, ..server(1, 2) }).unwrap();
-    synchronize(millis(1), &again, &mut b, 3);
-    assert_eq!(all_entries(&again), all_entries(&b));
-    assert_eq!(b.vector().get(SourceId(3)), 1);
+    synchronize(millis(1), &again, &mut second, 3);
+    assert_eq!(all_entries(&again), all_entries(&second));
+    assert_eq!(second.vector().get(SourceId(3)), 1);
 }
 
 /// The control nodes exchange entries, each with each.
@@ -263,10 +263,7 @@
     registry.mark_replicated(&vector);
     assert!(registry.is_fully_replicated());
     assert!(
-        registry
-            .record_heartbeat(millis(1), with_state(1, 2, OperState::Draining))
-            .unwrap()
-            .needs_replication
+        heartbeat_outcome(&mut registry, millis(1), with_state(1, 2, OperState::Draining)).needs_replication
     );
 }
 
