--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -13,6 +13,9 @@
 /// The maximum number of bytes that wait for the disk.
 pub const MAX_QUEUED_BYTES: u64 = 48 << 20;
 
+/// No [`LogError`] has this code.
+const NO_ERROR: u16 = 0;
+
 /// The result of a write that was submitted to a [`LogWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteCompletion {
@@ -57,7 +60,7 @@
     queued_bytes: AtomicU64,
     /// The length of the log when the last completion was reported, in bytes.
     length: AtomicU64,
-    /// The code of the last error of the log; 0 if there was none.
+    /// The code of the last error of the log, or [`NO_ERROR`].
     last_error_code: AtomicU16,
 }
 
@@ -109,9 +112,10 @@
         self.shared.length.load(Ordering::Relaxed)
     }
 
-    /// The code of the last error of the log; 0 if there was none.
-    pub fn last_error_code(&self) -> u16 {
-        self.shared.last_error_code.load(Ordering::Relaxed)
+    /// The [code](LogError::code) of the last error of the log; `None` if there was none.
+    pub fn last_error_code(&self) -> Option<u16> {
+        let code = self.shared.last_error_code.load(Ordering::Relaxed);
+        (code != NO_ERROR).then_some(code)
     }
 
     /// Waits until all queued requests are executed. Blocks for as long as the disk hangs, so it must not be called
--- a/crates/record-log/tests/writer.rs
+++ b/crates/record-log/tests/writer.rs
@@ -101,7 +101,7 @@
     disk.resume();
     assert_eq!(completions.iter().take(3).collect::<Vec<_>>(), expected_completions(1..4, true));
     assert_eq!(writer.length(), disk.contents("state.2").unwrap().len() as u64);
-    assert_eq!(writer.last_error_code(), 0);
+    assert_eq!(writer.last_error_code(), None);
     writer.close();
     assert_eq!(found(&disk), [vec![2], vec![3], vec![4]]);
 }
@@ -124,7 +124,7 @@
         results.iter().map(|result| result.is_durable).collect::<Vec<_>>(),
         [false, false, false, true, true]
     );
-    assert_eq!(writer.last_error_code(), 703);
+    assert_eq!(writer.last_error_code(), Some(703));
     writer.close();
     assert_eq!(found(&disk), [vec![5]]);
 }
@@ -138,7 +138,7 @@
         writer.append(token, vec![9; size]).unwrap();
         assert_eq!(completions.recv(), Ok(WriteCompletion { token, is_durable: token == 0 }));
     }
-    assert_eq!(writer.last_error_code(), 702);
+    assert_eq!(writer.last_error_code(), Some(702));
     disk.set_free_space(None);
     writer.append(3, vec![3]).unwrap();
     assert_eq!(completions.recv(), Ok(WriteCompletion { token: 3, is_durable: true }));
--- a/crates/registry/src/entry.rs
+++ b/crates/registry/src/entry.rs
@@ -38,17 +38,17 @@
     /// Compares all fields but the warm-up. Any other field that is left out would let processes that receive the same
     /// entries in a different order store different ones for good.
     fn precedence(&self, other: &Entry) -> Ordering {
-        let (a, b) = (&self.server, &other.server);
-        (a.sequence.cmp(&b.sequence))
-            .then_with(|| a.state.cmp(&b.state))
-            .then_with(|| a.is_suspected.cmp(&b.is_suspected))
-            .then_with(|| a.service.cmp(&b.service))
-            .then_with(|| a.address.cmp(&b.address))
-            .then_with(|| a.zone.cmp(&b.zone))
-            .then_with(|| a.software_revision.cmp(&b.software_revision))
-            .then_with(|| a.slots.cmp(&b.slots))
-            .then_with(|| a.stage.cmp(&b.stage))
-            .then_with(|| a.models.cmp(&b.models))
+        let (server, other_server) = (&self.server, &other.server);
+        (server.sequence.cmp(&other_server.sequence))
+            .then_with(|| server.state.cmp(&other_server.state))
+            .then_with(|| server.is_suspected.cmp(&other_server.is_suspected))
+            .then_with(|| server.service.cmp(&other_server.service))
+            .then_with(|| server.address.cmp(&other_server.address))
+            .then_with(|| server.zone.cmp(&other_server.zone))
+            .then_with(|| server.software_revision.cmp(&other_server.software_revision))
+            .then_with(|| server.slots.cmp(&other_server.slots))
+            .then_with(|| server.stage.cmp(&other_server.stage))
+            .then_with(|| server.models.cmp(&other_server.models))
             .then_with(|| self.source.cmp(&other.source))
             .then_with(|| self.version.cmp(&other.version))
     }
