--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,7 +1,7 @@
-//! The admin endpoint: a second address, on a thread and a runtime of its own.
+//! The admin endpoint for operators: a second address, on a thread and a runtime of its own.
 //!
-//! An answer that waits for the actors comes late while 32 MB pass or a crowd comes. Each is given from
-//! what both threads share.
+//! A response that waited for the actors would be late while they forward large bodies or many clients connect. Each is
+//! made from the state that both threads share, [`Lifecycle`].
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -20,7 +20,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mosshead_decide::RecoveryStage;
-use mosshead_http_links::{CloseReason, ConnectionLogGuard, ConnectionRecord};
+use mosshead_http_links::{CloseReason, ConnectionLogGuard};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, JoinSet, LocalSet};
 use tokio::time::{sleep, timeout};
@@ -29,69 +29,70 @@
 use crate::lifecycle::Lifecycle;
 use crate::log::say;
 
-/// So many callers are heard at once; the longest-standing one goes when a further one comes.
+/// How many connections may be open; the oldest one is closed for a further one.
 const MAX_CONNECTIONS: usize = 8;
-/// A call has so long to be whole and to take its answer.
-const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The most that a call's head holds.
+/// The time for a request and its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
+/// The longest head of a request.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// After an accept that failed the next one waits for so long.
+/// The delay before the next accept after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Opens the admin endpoint; it stays open until the process ends.
-pub(crate) fn open(at: SocketAddr, lifecycle: Arc<Lifecycle>) -> io::Result<SocketAddr> {
-    let listener = std::net::TcpListener::bind(at)?;
+/// Opens the admin endpoint, which stays open until the process ends. Returns its address.
+///
+/// # Errors
+/// The address can't be bound, or the system gives no further thread.
+pub(crate) fn open(address: SocketAddr, lifecycle: Arc<Lifecycle>) -> io::Result<SocketAddr> {
+    let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     thread::Builder::new().name("ops".to_owned()).spawn(move || {
         LocalSet::new().block_on(&runtime, async {
             match TcpListener::from_std(listener) {
                 Ok(listener) => serve(listener, lifecycle).await,
-                Err(error) => say!(why = %error, "fault: the operators' door is shut"),
+                Err(error) => say!(why = %error, "fault: the admin endpoint is closed"),
             }
         });
     })?;
-    Ok(at)
+    Ok(address)
 }
 
 async fn serve(listener: TcpListener, lifecycle: Arc<Lifecycle>) {
-    let (mut calls, mut standing) = (JoinSet::new(), VecDeque::<AbortHandle>::new());
+    let (mut connections, mut open) = (JoinSet::new(), VecDeque::<AbortHandle>::new());
     loop {
         let (stream, peer) = match listener.accept().await {
-            Ok(new) => new,
+            Ok(accepted) => accepted,
             Err(error) => {
                 say!(why = %error, "accept failed");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        while calls.try_join_next().is_some() {}
-        standing.retain(|call| !call.is_finished());
-        // Callers that say nothing would shut out whoever has something to say.
-        if standing.len() >= MAX_CONNECTIONS
-            && let Some(oldest) = standing.pop_front()
+        while connections.try_join_next().is_some() {}
+        open.retain(|connection| !connection.is_finished());
+        // Silent connections must not keep others out.
+        if open.len() >= MAX_CONNECTIONS
+            && let Some(oldest) = open.pop_front()
         {
             oldest.abort();
         }
-        standing.push_back(calls.spawn_local(call(
-            stream,
-            ConnectionLogGuard::open(OPERATOR, peer),
-            lifecycle.clone(),
-        )));
+        let log_guard = ConnectionLogGuard::open(OPERATOR, peer);
+        open.push_back(connections.spawn_local(serve_connection(stream, log_guard, lifecycle.clone())));
     }
 }
 
-async fn call(stream: TcpStream, log_guard: ConnectionLogGuard, lifecycle: Arc<Lifecycle>) {
+async fn serve_connection(stream: TcpStream, log_guard: ConnectionLogGuard, lifecycle: Arc<Lifecycle>) {
     let record = log_guard.record();
     record.set_default_close_reason(CloseReason::DescriptorNeeded);
     let service = service_fn(|request: Request<Incoming>| {
-        let answer = answer(&request, &record, &lifecycle);
-        async move { Ok::<_, Infallible>(answer) }
+        record.count_message();
+        let response = respond_to(&request, &lifecycle);
+        async move { Ok::<_, Infallible>(response) }
     });
     let mut http = Builder::new();
     let http = http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
-    let reason = match timeout(CALL_TIMEOUT, http.serve_connection(TokioIo::new(stream), service)).await {
+    let reason = match timeout(REQUEST_TIMEOUT, http.serve_connection(TokioIo::new(stream), service)).await {
         Ok(Ok(())) => CloseReason::AdminRequestAnswered,
         Ok(Err(error)) if error.is_parse() => CloseReason::BadRequest,
         Ok(Err(_)) => CloseReason::ConnectionBroken,
@@ -100,17 +101,13 @@
     record.set_close_reason(reason);
 }
 
-fn answer(
-    request: &Request<Incoming>,
-    record: &ConnectionRecord,
-    lifecycle: &Lifecycle,
-) -> Response<Full<Bytes>> {
-    record.count_message();
-    let respond = |status, words: &str| {
-        let mut response = Response::new(Full::new(Bytes::copy_from_slice(words.as_bytes())));
-        *response.status_mut() = status;
-        response
-    };
+fn respond(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())));
+    *response.status_mut() = status;
+    response
+}
+
+fn respond_to(request: &Request<Incoming>, lifecycle: &Lifecycle) -> Response<Full<Bytes>> {
     let path = request.uri().path();
     let method = match path {
         "/ops/readiness" | "/ops/state" => Method::GET,
@@ -129,15 +126,15 @@
             respond(StatusCode::OK, "ready\n")
         }
         "/ops/readiness" => respond(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        "/ops/state" => respond(StatusCode::OK, &state(lifecycle)),
+        "/ops/state" => respond(StatusCode::OK, &format_state(lifecycle)),
         "/ops/drain/start" => {
-            if lifecycle.set_draining(true) {
+            if lifecycle.start_draining() {
                 say!("drain started");
             }
             respond(StatusCode::OK, "draining\n")
         }
         _ => {
-            if lifecycle.set_draining(false) {
+            if lifecycle.stop_draining() {
                 say!("drain stopped");
             }
             respond(StatusCode::OK, "serving\n")
@@ -145,19 +142,22 @@
     }
 }
 
-/// How far this incarnation has come, as one JSON object on a line.
-fn state(lifecycle: &Lifecycle) -> String {
-    let (recovery, start) = lifecycle.recovery_state();
+/// How far this incarnation has recovered, as one JSON object on a line.
+fn format_state(lifecycle: &Lifecycle) -> String {
+    let (recovery, started_at) = (lifecycle.recovery_state(), lifecycle.started_at());
     let seconds = |span: Duration| format!("{:.3}", span.as_secs_f64());
-    let wants =
-        if recovery.stage == RecoveryStage::FullService { String::new() } else { recovery.wants.to_string() };
-    let full = recovery.full.map_or("null".to_owned(), |full| seconds(full - start));
-    let life = recovery.incarnation.map_or("null".to_owned(), |life| life.to_string());
+    let or_null = |value: Option<String>| value.unwrap_or("null".to_owned());
+    let wants = match recovery.stage {
+        RecoveryStage::FullService => String::new(),
+        _ => recovery.blocker.to_string(),
+    };
     format!(
-        "{{\"stage\":\"{}\",\"wants\":\"{wants}\",\"for_s\":{},\"full_after_s\":{full},\"up_s\":{},\"life\":{life},\"draining\":{}}}\n",
+        "{{\"stage\":\"{}\",\"wants\":\"{wants}\",\"for_s\":{},\"full_after_s\":{},\"up_s\":{},\"life\":{},\"draining\":{}}}\n",
         recovery.stage,
-        seconds(recovery.since.elapsed()),
-        seconds(start.elapsed()),
+        seconds(recovery.stage_since.elapsed()),
+        or_null(recovery.full_service_at.map(|full_service_at| seconds(full_service_at - started_at))),
+        seconds(started_at.elapsed()),
+        or_null(recovery.incarnation.map(|incarnation| incarnation.to_string())),
         lifecycle.is_draining(),
     )
 }
--- a/crates/proxy/src/balancer_actor/handle.rs
+++ b/crates/proxy/src/balancer_actor/handle.rs
@@ -1,7 +1,7 @@
-//! The way to the balancer for the other actors, and a client that waits there.
+//! The handle by which the other actors reach the balancer, and the response that a client waits for.
 
 use std::cell::Cell;
-use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -17,6 +17,7 @@
 use tokio::sync::oneshot;
 
 use super::BalancerActor;
+use super::schedule::{Schedule, SuspensionDetector};
 use crate::budget::DescriptorBudget;
 use crate::class_table::{AcceptedNames, ClassTable};
 use crate::config::Config;
@@ -28,108 +29,135 @@
 use crate::request_ids::RequestIds;
 use crate::stored_state::StoredState;
 
-/// The way to the balancer.
+/// Sends messages to the balancer's actor.
 #[derive(Clone)]
-pub struct BalancerHandle {
+pub(crate) struct BalancerHandle {
     pub(super) mailbox: UnboundedSender<Message>,
-    pub(super) requests: Rc<Cell<u64>>,
+    /// The number of the next request.
+    next_request: Rc<Cell<u64>>,
     pub(super) lifecycle: Arc<Lifecycle>,
 }
 
 impl BalancerHandle {
-    /// The balancer and its actor, which already knows the saved list.
-    pub fn new(
+    /// A handle, the names that clients may use, and the actor, which has to be run. The actor starts with the list of
+    /// `config`.
+    ///
+    /// # Errors
+    /// The settings are not valid.
+    pub(crate) fn new(
         config: &Config,
         budget: DescriptorBudget,
         list: EndpointList,
         lifecycle: Arc<Lifecycle>,
-        stored: Option<StoredState>,
+        stored_state: Option<StoredState>,
     ) -> Result<(Self, AcceptedNames, impl Future<Output = ()> + use<>), SettingsError> {
-        let (class_table, names) = ClassTable::new(&config.named);
         let (mailbox, messages) = unbounded_channel();
-        let handle = Self { mailbox, requests: Rc::default(), lifecycle };
-        let balancer = Balancer::new(config.named.settings.clone(), config.seed)?;
-        let deadlines = config.named.settings.classes.iter().map(|class| class.deadline);
-        let longest = deadlines.fold(0.0, f64::max);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let mut actor = BalancerActor {
-            balancer,
-            limits: config.named.settings.limits.clone(),
-            membership: config.named.settings.membership,
-            start: Instant::now(),
-            start_unix_ms: unix.as_millis() as f64,
-            handle: handle.clone(),
-            budget,
-            list,
-            server_numbers: HashMap::new(),
-            free_numbers: Vec::new(),
-            zones: config.named.zones.clone(),
-            kinds: config.named.kinds.clone(),
-            servers: Vec::new(),
-            class_table,
-            version: config.known.version,
-            requests: BTreeMap::new(),
-            ids: RequestIds::new(duration(longest)),
-            schedule: BinaryHeap::new(),
-            order: 0,
-            events: VecDeque::new(),
-            suspension: None,
-            stored,
-            recovery: (RecoveryStage::NoServers, RecoveryBlocker::Servers),
-        };
+        let handle = Self { mailbox, next_request: Rc::default(), lifecycle };
+        let (mut actor, names) = BalancerActor::new(config, budget, list, handle.clone(), stored_state)?;
         let known = config.known.clone();
         let run = async move {
-            let entries = actor.apply_list(known.servers, true);
-            if !entries.is_empty() {
-                actor.handle.lifecycle.set_ready();
-            }
-            actor.dispatch_event(Event::ListUpdated(ListUpdate::Saved(entries)));
-            actor.restore_learned();
-            actor.watch_list();
+            actor.start_with(known);
             actor.run(messages).await;
         };
         Ok((handle, names, run))
     }
 
-    /// Takes a request on; the final answer comes of the returned future. Dropping that withdraws the request.
-    pub fn submit(&self, client_request: ClientRequest) -> PendingResponse {
-        let id = RequestId(self.requests.get());
-        self.requests.set(id.0 + 1);
+    /// Submits a request; the final response is that of the returned future. Dropping the future withdraws the request.
+    pub(crate) fn submit(&self, request: ClientRequest) -> PendingResponse {
+        let id = RequestId(self.next_request.get());
+        self.next_request.set(id.0 + 1);
         let (reply, response) = oneshot::channel();
-        self.send(Message::Request(id, client_request, reply));
-        PendingResponse { request_id: id, response, answered: false, handle: self.clone() }
+        self.send(Message::Request { id, request, reply });
+        PendingResponse { request_id: id, response, has_response: false, handle: self.clone() }
     }
 
-    /// Takes other settings up, all or none; gives what clients may name from now on.
-    pub async fn apply_settings(&self, named: NamedSettings) -> Result<AcceptedNames, ApplySettingsError> {
+    /// Applies other settings, all or none; returns what clients may name from now on.
+    ///
+    /// # Errors
+    /// The settings are not valid, have changed too often, or the actor has ended.
+    pub(crate) async fn apply_settings(
+        &self,
+        settings: NamedSettings,
+    ) -> Result<AcceptedNames, ApplySettingsError> {
         let (reply, names) = oneshot::channel();
-        self.send(Message::ApplySettings(Box::new(named), reply));
+        self.send(Message::ApplySettings { settings: Box::new(settings), reply });
         names.await.unwrap_or(Err(ApplySettingsError::BalancerStopped))
     }
 
-    /// The endpoint list as it is known now.
-    pub async fn current_list(&self) -> Option<ServerList> {
-        let (asked, listing) = oneshot::channel();
-        self.send(Message::GetList(asked));
-        listing.await.ok()
+    /// The endpoint list as it is known now; none if the actor has ended.
+    pub(crate) async fn current_list(&self) -> Option<ServerList> {
+        let (reply, list) = oneshot::channel();
+        self.send(Message::GetList(reply));
+        list.await.ok()
     }
 
-    /// Where the other actors post what they have for the balancer.
-    pub fn mailbox(&self) -> UnboundedSender<Message> {
+    /// The mailbox, for the other actors.
+    pub(crate) fn mailbox(&self) -> UnboundedSender<Message> {
         self.mailbox.clone()
     }
 
-    pub(super) fn send(&self, message: Message) {
+    fn send(&self, message: Message) {
         // Only a proxy that is about to exit has no balancer.
         let _ = self.mailbox.send(message);
     }
 }
 
-/// A client that waits for the answer to its request.
-pub struct PendingResponse {
+impl BalancerActor {
+    fn new(
+        config: &Config,
+        budget: DescriptorBudget,
+        list: EndpointList,
+        handle: BalancerHandle,
+        stored_state: Option<StoredState>,
+    ) -> Result<(Self, AcceptedNames), SettingsError> {
+        let settings = &config.named.settings;
+        let (class_table, names) = ClassTable::new(&config.named);
+        let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let actor = Self {
+            balancer: Balancer::new(settings.clone(), config.seed)?,
+            limits: settings.limits.clone(),
+            membership: settings.membership,
+            start: Instant::now(),
+            start_unix_ms: since_epoch.as_millis() as f64,
+            handle,
+            budget,
+            list,
+            list_version: config.known.version,
+            servers: Vec::new(),
+            server_indices: HashMap::new(),
+            free_indices: Vec::new(),
+            zones: config.named.zones.clone(),
+            kinds: config.named.kinds.clone(),
+            class_table,
+            requests: BTreeMap::new(),
+            ids: RequestIds::new(duration(longest_deadline)),
+            schedule: Schedule::default(),
+            pending_events: VecDeque::new(),
+            suspension: SuspensionDetector::default(),
+            stored_state,
+            recovery: (RecoveryStage::NoServers, RecoveryBlocker::Servers),
+        };
+        Ok((actor, names))
+    }
+
+    /// Starts with a saved list, and with what a former incarnation has left.
+    fn start_with(&mut self, known: ServerList) {
+        let entries = self.apply_list(known.servers, true);
+        if !entries.is_empty() {
+            self.handle.lifecycle.set_ready();
+        }
+        self.dispatch_event(Event::ListUpdated(ListUpdate::Saved(entries)));
+        self.restore_learned();
+        self.watch_pushed_list();
+    }
+}
+
+/// The final response to a request, when it is there. Dropped before that, it withdraws the request.
+pub(crate) struct PendingResponse {
     request_id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
-    answered: bool,
+    has_response: bool,
     handle: BalancerHandle,
 }
 
@@ -138,14 +166,14 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<FinalResponse> {
         let response = std::task::ready!(Pin::new(&mut self.response).poll(cx));
-        self.answered = true;
+        self.has_response = true;
         Poll::Ready(response.unwrap_or(FinalResponse::Failed))
     }
 }
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.has_response {
             self.handle.send(Message::Withdrawn(self.request_id));
         }
     }
--- a/crates/proxy/src/balancer_actor/requests.rs
+++ b/crates/proxy/src/balancer_actor/requests.rs
@@ -6,12 +6,17 @@
 use mosshead_decide::interface::*;
 use tokio::sync::oneshot;
 
-use super::{BalancerActor, OVERLOAD_RETRY_AFTER, PendingRequest, ScheduledTask};
+use super::{BalancerActor, PendingRequest, ScheduledTask};
 use crate::log::say;
-use crate::messages::{AttemptGuard, AttemptResult, ClientRequest, FinalResponse, ServerMessage};
+use crate::messages::{
+    AttemptGuard, AttemptKey, AttemptResult, ClientRequest, FinalResponse, ForwardedRequest, ServerMessage,
+};
+
+/// The wait that a client is asked for if the proxy is too full for the balancer to see its request.
+const OVERLOAD_RETRY_AFTER: Seconds = 0.5;
 
 impl BalancerActor {
-    /// The client stops waiting now. The balancer answers before that; should it not, this does.
+    /// The client stops waiting now. The balancer responds before that; should it not have, this does.
     pub(super) fn expire_request(&mut self, request_id: RequestId) {
         if self.requests.get(&request_id).is_some_and(|pending| pending.reply.is_some()) {
             self.send_response(request_id, FinalResponse::Failed);
@@ -19,14 +24,25 @@
         }
     }
 
-    /// The last byte of a request's body has come: its time counts from now on.
-    pub(super) fn body_received(&mut self, id: RequestId) {
+    /// The client has left.
+    pub(super) fn withdraw_request(&mut self, request_id: RequestId) {
+        // If the response was on its way already, the balancer has ended the request.
+        if let Some(pending) = self.requests.get_mut(&request_id)
+            && pending.reply.take().is_some()
+        {
+            self.remove_if_finished(request_id);
+            self.dispatch_event(Event::RequestWithdrawn { request: request_id });
+        }
+    }
+
+    /// The last byte of a request's body has arrived: its time counts from now on.
+    pub(super) fn on_body_received(&mut self, request_id: RequestId) {
         let now = self.now();
-        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(pending) = self.requests.get_mut(&request_id) else { return };
         pending.deadline = now + pending.time_left;
         let (deadline, time_left) = (pending.deadline, pending.time_left);
-        self.schedule(deadline, ScheduledTask::RequestDeadline(id));
-        self.dispatch_event(Event::BodyReceived { request: id, time_left });
+        self.schedule(deadline, ScheduledTask::RequestDeadline(request_id));
+        self.dispatch_event(Event::BodyReceived { request: request_id, time_left });
     }
 
     pub(super) fn admit_request(
@@ -35,50 +51,32 @@
         client_request: ClientRequest,
         reply: oneshot::Sender<FinalResponse>,
     ) {
-        if self.requests.len() >= self.limits.max_pending_requests {
-            // Nothing was sent, so a retry does no harm.
-            let _ =
-                reply.send(FinalResponse::RetryLater(OVERLOAD_RETRY_AFTER.min(self.limits.max_retry_after)));
-            return;
-        }
-        // All that came while the process stood still is read at once. Sent on together, it overloads the
-        // servers, and most of it serves nobody any more. What was refused together must not come back together.
-        let time_left =
-            client_request.time_left - client_request.arrived.elapsed().as_secs_f64() - self.possible_wait();
-        if time_left <= 0.0 {
-            let spread = (client_request.id % 1024) as f64 / 1024.0;
-            let _ = reply.send(FinalResponse::RetryLater(
-                (spread * OVERLOAD_RETRY_AFTER).min(self.limits.max_retry_after),
-            ));
-            return;
-        }
-        if !self.ids.try_reserve(client_request.id, Instant::now()) {
-            let _ = reply.send(FinalResponse::IdInUse);
-            return;
-        }
-        let deadline = self.now() + time_left;
-        let forwarded = Rc::new(client_request.forwarded);
+        let time_left = match self.check_admission(&client_request) {
+            Ok(time_left) => time_left,
+            Err(rejection) => {
+                let _ = reply.send(rejection);
+                return;
+            }
+        };
+        let ClientRequest { id: client_id, class, tenant, forwarded, .. } = client_request;
         let upload = forwarded.body.upload().cloned();
-        let (reply, sent, class, max_attempts) =
-            (Some(reply), Vec::new(), client_request.class, self.limits.max_attempts);
-        self.requests.insert(
-            id,
-            PendingRequest {
-                id: client_request.id,
-                class,
-                max_attempts,
-                forwarded,
-                reply,
-                deadline,
-                time_left,
-                sent,
-                in_flight: 0,
-            },
-        );
-        let request = Request { id, time_left, class: client_request.class, tenant: client_request.tenant };
+        let deadline = self.now() + time_left;
+        let pending = PendingRequest {
+            client_id,
+            class,
+            max_attempts: self.limits.max_attempts,
+            forwarded: Rc::new(forwarded),
+            reply: Some(reply),
+            deadline,
+            time_left,
+            attempts: Vec::new(),
+            in_flight: 0,
+        };
+        self.requests.insert(id, pending);
+        let request = Request { id, time_left, class, tenant };
         match upload {
             Some(upload) => {
-                upload.notify(self.handle.mailbox.clone(), id);
+                upload.notify_when_complete(self.handle.mailbox.clone(), id);
                 self.dispatch_event(Event::HeadReceived(request));
             }
             None => {
@@ -88,19 +86,40 @@
         }
     }
 
-    pub(super) fn attempt_ended(&mut self, ended: AttemptResult) {
-        let AttemptResult { request: request_id, attempt, endpoint, outcome, rtt, report, body } = ended;
-        if let Some(pending) = self.requests.get_mut(&request_id) {
+    /// Checks a request before the balancer sees it, and reserves its id. Returns how long the client still waits.
+    fn check_admission(&mut self, request: &ClientRequest) -> Result<Seconds, FinalResponse> {
+        let max_retry_after = self.limits.max_retry_after;
+        if self.requests.len() >= self.limits.max_pending_requests {
+            return Err(FinalResponse::RetryLater(OVERLOAD_RETRY_AFTER.min(max_retry_after)));
+        }
+        // All that arrived while the process was suspended is read at once. Forwarded together it would overload the
+        // servers, and most of its clients have stopped waiting. What is rejected together must not be retried together.
+        let waited = request.arrived.elapsed().as_secs_f64();
+        let time_left = request.time_left - waited - self.suspension.possible_wait().as_secs_f64();
+        if time_left <= 0.0 {
+            let spread = (request.id % 1024) as f64 / 1024.0;
+            return Err(FinalResponse::RetryLater((spread * OVERLOAD_RETRY_AFTER).min(max_retry_after)));
+        }
+        if !self.ids.try_reserve(request.id, Instant::now()) {
+            return Err(FinalResponse::IdInUse);
+        }
+        Ok(time_left)
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, result: AttemptResult) {
+        let AttemptResult { key: AttemptKey { request, attempt }, endpoint, outcome, rtt, report, body } =
+            result;
+        if let Some(pending) = self.requests.get_mut(&request) {
             pending.in_flight -= 1;
         }
         if outcome == Outcome::Served {
-            self.send_response(request_id, FinalResponse::Served(body));
+            self.send_response(request, FinalResponse::Served(body));
         }
-        let settled = self.requests.get(&request_id).is_none_or(|pending| pending.reply.is_none());
-        self.remove_if_finished(request_id);
+        let settled = self.requests.get(&request).is_none_or(|pending| pending.reply.is_none());
+        self.remove_if_finished(request);
         self.release_server(endpoint);
         self.dispatch_event(Event::AttemptEnded {
-            request: request_id,
+            request,
             attempt,
             endpoint,
             outcome,
@@ -110,57 +129,91 @@
         });
     }
 
-    /// Gives the answer, unless there was one: the first is final.
+    /// Sends the response, unless there was one: the first one is final.
     pub(super) fn send_response(&mut self, request_id: RequestId, response: FinalResponse) {
         if let Some(reply) = self.requests.get_mut(&request_id).and_then(|pending| pending.reply.take()) {
-            // A client that has just left is told nothing.
+            // Fails if the client has just left.
             let _ = reply.send(response);
             self.remove_if_finished(request_id);
         }
     }
 
-    /// Lets go of a request that is over in every respect.
-    pub(super) fn remove_if_finished(&mut self, request_id: RequestId) {
+    /// Removes a request that has its final response and no attempt in flight.
+    fn remove_if_finished(&mut self, request_id: RequestId) {
         let is_finished = |pending: &PendingRequest| pending.reply.is_none() && pending.in_flight == 0;
         if self.requests.get(&request_id).is_some_and(is_finished)
-            && let Some(PendingRequest { id, sent, .. }) = self.requests.remove(&request_id)
+            && let Some(PendingRequest { client_id, attempts, .. }) = self.requests.remove(&request_id)
         {
-            self.ids.release(id, !sent.is_empty(), Instant::now());
+            self.ids.release(client_id, !attempts.is_empty(), Instant::now());
+        }
+    }
+
+    pub(super) fn cancel_attempt(&mut self, key: AttemptKey) {
+        let pending = self.requests.get(&key.request);
+        let endpoint = pending.and_then(|pending| pending.attempts.get(key.attempt.0 as usize).copied());
+        if let Some(endpoint) = endpoint {
+            self.post_to_server(endpoint, ServerMessage::Cancel(key));
         }
     }
 
-    pub(super) fn send(&mut self, now: Seconds, request_id: RequestId, endpoint: EndpointId, until: Seconds) {
+    /// Starts an attempt at a server. Without a `deadline` (0) it may last as long as the client waits.
+    pub(super) fn send(
+        &mut self,
+        now: Seconds,
+        request_id: RequestId,
+        endpoint: EndpointId,
+        deadline: Seconds,
+    ) {
         let pending = self.requests.get_mut(&request_id).filter(|pending| pending.reply.is_some());
-        let Some(pending) = pending.filter(|pending| pending.sent.len() < pending.max_attempts as usize)
+        let Some(pending) = pending.filter(|pending| pending.attempts.len() < pending.max_attempts as usize)
         else {
-            let (attempt, report) = (AttemptNumber(u32::MAX), LoadReport::default());
-            say!(job = request_id.0, "fault: the module sent a job that is over");
-            let outcome = Outcome::NotSent;
-            let is_finished = Event::AttemptEnded {
-                request: request_id,
-                attempt,
-                endpoint,
-                outcome,
-                rtt: 0.0,
-                settled: true,
-                report,
-            };
-            return self.events.push_back(is_finished);
+            return self.refuse_send(request_id, endpoint);
         };
-        let attempt = AttemptNumber(pending.sent.len() as u32);
-        pending.sent.push(endpoint);
+        let attempt = AttemptNumber(pending.attempts.len() as u32);
+        pending.attempts.push(endpoint);
         pending.in_flight += 1;
+        let deadline = pending.attempt_deadline(now, deadline);
+        let forwarded = pending.forwarded.clone();
         self.servers[endpoint.0 as usize].in_flight += 1;
-        let until = if until > 0.0 { until.min(pending.deadline) } else { pending.deadline };
-        // The whole of the wait is left while the body still comes.
-        let until = if pending.forwarded.body.upload().is_some_and(|upload| upload.completed_at().is_none()) {
-            now + pending.time_left
+        let key = AttemptKey { request: request_id, attempt };
+        let guard = AttemptGuard::new(key, endpoint, self.handle.mailbox.clone());
+        let deadline = self.instant(deadline.max(now));
+        self.post_to_server(endpoint, ServerMessage::Attempt { guard, forwarded, deadline });
+    }
+
+    /// The balancer has sent a request that is over or has had all its attempts: a fault of the balancer. It gets the
+    /// outcome that it waits for.
+    fn refuse_send(&mut self, request_id: RequestId, endpoint: EndpointId) {
+        say!(request = request_id.0, "fault: the balancer sent a request that is over");
+        self.pending_events.push_back(Event::AttemptEnded {
+            request: request_id,
+            attempt: AttemptNumber(u32::MAX),
+            endpoint,
+            outcome: Outcome::NotSent,
+            rtt: 0.0,
+            settled: true,
+            report: LoadReport::default(),
+        });
+    }
+}
+
+impl PendingRequest {
+    /// When an attempt times out for which the balancer has set `deadline`, if that is above 0.
+    fn attempt_deadline(&self, now: Seconds, deadline: Seconds) -> Seconds {
+        if self.forwarded.has_incomplete_upload() {
+            // The client's time does not begin before the last byte.
+            now + self.time_left
+        } else if deadline > 0.0 {
+            deadline.min(self.deadline)
         } else {
-            until
-        };
-        let forwarded = pending.forwarded.clone();
-        let guard = AttemptGuard::new(request_id, attempt, endpoint, self.handle.mailbox.clone());
-        let until = self.instant(until.max(now));
-        self.post_to_server(endpoint, ServerMessage::Attempt(guard, forwarded, until));
+            self.deadline
+        }
+    }
+}
+
+impl ForwardedRequest {
+    /// Whether the body still arrives.
+    fn has_incomplete_upload(&self) -> bool {
+        self.body.upload().is_some_and(|upload| upload.completed_at().is_none())
     }
 }
--- a/crates/proxy/src/balancer_actor/servers.rs
+++ b/crates/proxy/src/balancer_actor/servers.rs
@@ -4,26 +4,29 @@
 use mosshead_snapshot::server_list::{ListedServer, ServerList};
 use mosshead_snapshot::unix_time::ServerStart;
 
-use super::{BalancerActor, MAX_CLOCK_SKEW, ServerEntry};
+use super::{BalancerActor, ServerEntry};
 use crate::messages::{EndpointStatus, ServerMessage};
 use crate::server;
 use crate::stored_state::NameTables;
 
+/// How far the clocks of two machines differ at most.
+const MAX_CLOCK_SKEW: Seconds = 2.0;
+
 impl BalancerActor {
     /// The list as it is known now.
     pub(super) fn current_list(&self) -> ServerList {
-        let listed = self.servers.iter().filter(|server| server.listed);
+        let listed = self.servers.iter().filter(|server| server.is_listed);
         ServerList {
-            version: self.version,
+            version: self.list_version,
             is_complete: true,
-            servers: listed.map(|server| server.machine.clone()).collect(),
+            servers: listed.map(|server| server.listing.clone()).collect(),
         }
     }
 
     pub(super) fn name_tables(&self) -> NameTables<'_> {
-        let listed = self.servers.iter().enumerate().filter(|(_, server)| server.listed);
-        let nodes = listed.map(|(at, server)| (at as u32, server.machine.id.as_str())).collect();
-        NameTables { zones: &self.zones, kinds: &self.kinds, classes: self.class_table.names(), nodes }
+        let listed = self.servers.iter().enumerate().filter(|(_, server)| server.is_listed);
+        let servers = listed.map(|(index, server)| (index as u32, server.listing.id.as_str())).collect();
+        NameTables { zones: &self.zones, kinds: &self.kinds, classes: self.class_table.names(), servers }
     }
 
     pub(super) fn post_to_server(&self, endpoint: EndpointId, message: ServerMessage) {
@@ -32,95 +35,98 @@
         }
     }
 
-    /// Something out at a server has its outcome.
+    /// An attempt or probe at the server has its outcome.
     pub(super) fn release_server(&mut self, endpoint: EndpointId) {
-        let at = endpoint.0 as usize;
-        if let Some(server) = self.servers.get_mut(at) {
+        let index = endpoint.0 as usize;
+        if let Some(server) = self.servers.get_mut(index) {
             server.in_flight = server.in_flight.saturating_sub(1);
-            self.retire_server(at);
+            self.remove_server_if_unused(index);
         }
     }
 
-    /// Lets go of a server that has left the list and owes nothing. Servers come and go all day; kept for
-    /// good, they would fill the memory. The balancer has been told: whoever gets the number starts afresh.
-    pub(super) fn retire_server(&mut self, at: usize) {
-        let server = &mut self.servers[at];
+    /// Ends the actor of a server that is no longer listed and has nothing in flight. Servers come and go all day, and
+    /// would fill the memory. The balancer knows that it is removed, so the next one of its number starts without its
+    /// history.
+    pub(super) fn remove_server_if_unused(&mut self, index: usize) {
+        let server = &mut self.servers[index];
+        let is_unused = !server.is_listed && server.in_flight == 0;
         // An id that has come back may have another number by now.
-        if !server.listed && server.in_flight == 0 && self.server_numbers.get(&server.machine.id) == Some(&at)
-        {
-            self.server_numbers.remove(&server.machine.id);
+        if is_unused && self.server_indices.get(&server.listing.id) == Some(&index) {
+            self.server_indices.remove(&server.listing.id);
             let _ = server.mailbox.send(ServerMessage::Shutdown);
-            self.free_numbers.push(at);
+            self.free_indices.push(index);
         }
     }
 
-    /// Tells the servers what the list says of them, and puts it in the balancer's terms.
-    pub(super) fn apply_list(
-        &mut self,
-        listed_servers: Vec<ListedServer>,
-        is_complete: bool,
-    ) -> Vec<ListEntry> {
+    /// Tells the actors of the servers what the list says of them. Returns the list in the balancer's terms.
+    pub(super) fn apply_list(&mut self, listings: Vec<ListedServer>, is_complete: bool) -> Vec<ListEntry> {
         if is_complete {
-            self.servers.iter_mut().for_each(|server| server.listed = false);
+            self.servers.iter_mut().for_each(|server| server.is_listed = false);
         }
-        let mut entries = Vec::with_capacity(listed_servers.len());
-        for machine in listed_servers {
-            let listed = machine.readiness != Readiness::Removed;
-            let status = EndpointStatus {
-                addr: machine.address,
-                readiness: machine.readiness,
-                started_ms: machine.started_at.as_unix_millis(),
-            };
-            let at = match self.server_numbers.get(&machine.id).copied() {
-                Some(at) => {
-                    // An instant reckoned anew with each list would differ a little: a restart each time.
-                    if self.servers[at].machine.started_at != machine.started_at {
-                        self.servers[at].started_at = self.started_at(&machine);
-                    }
-                    self.servers[at].listed = listed;
-                    self.servers[at].machine.clone_from(&machine);
-                    self.post_to_server(EndpointId(at as u32), ServerMessage::StatusChanged(status));
-                    at
-                }
-                None if !listed => continue,
-                None => self.add_server(machine.clone(), status),
-            };
-            let endpoint = EndpointId(at as u32);
-            entries.push(ListEntry {
-                endpoint,
-                readiness: machine.readiness,
-                zone: ZoneId(self.zones.intern(&machine.zone)),
-                kind: MachineKindId(self.kinds.intern(&machine.machine_kind)),
-                group: GroupId(machine.cell),
-                weight: machine.weight,
-                started_at: self.servers[at].started_at,
-            });
+        let mut entries = Vec::with_capacity(listings.len());
+        for listing in listings {
+            entries.extend(self.apply_listing(&listing));
         }
-        for at in self.server_numbers.values().copied().filter(|at| !self.servers[*at].listed) {
-            self.post_to_server(EndpointId(at as u32), ServerMessage::Removed);
+        for index in self.server_indices.values().copied().filter(|index| !self.servers[*index].is_listed) {
+            self.post_to_server(EndpointId(index as u32), ServerMessage::Removed);
         }
         entries
     }
 
-    /// When a machine started. With a clock that is behind all that starts looks as if it started later than now, and would be
-    /// held for cold until then: it has started by now, whatever its clock says.
-    pub(super) fn started_at(&self, machine: &ListedServer) -> Option<Seconds> {
-        let at = (machine.started_at.as_unix_millis() - self.start_unix_ms) / 1000.0;
-        (machine.started_at > ServerStart::LONG_AGO)
-            .then(|| if at > self.now() + MAX_CLOCK_SKEW { self.now() } else { at })
+    /// Applies what the list says of one server. None if it is removed and was not known.
+    fn apply_listing(&mut self, listing: &ListedServer) -> Option<ListEntry> {
+        let is_listed = listing.readiness != Readiness::Removed;
+        let status = EndpointStatus {
+            addr: listing.address,
+            readiness: listing.readiness,
+            started_at: listing.started_at,
+        };
+        let index = match self.server_indices.get(&listing.id).copied() {
+            Some(index) => {
+                // Computed again for each list, the time would differ a little, which would look like a restart.
+                if self.servers[index].listing.started_at != listing.started_at {
+                    self.servers[index].started_at = self.started_at(listing);
+                }
+                self.servers[index].is_listed = is_listed;
+                self.servers[index].listing.clone_from(listing);
+                self.post_to_server(EndpointId(index as u32), ServerMessage::StatusChanged(status));
+                index
+            }
+            None if !is_listed => return None,
+            None => self.add_server(listing.clone(), status),
+        };
+        Some(ListEntry {
+            endpoint: EndpointId(index as u32),
+            readiness: listing.readiness,
+            zone: ZoneId(self.zones.intern(&listing.zone)),
+            kind: MachineKindId(self.kinds.intern(&listing.machine_kind)),
+            group: GroupId(listing.cell),
+            weight: listing.weight,
+            started_at: self.servers[index].started_at,
+        })
+    }
+
+    /// When a server started, in the balancer's time; none if that is not known. With a clock that is behind, each
+    /// server that starts would seem to start in the future and would count as cold until then: it counts as started
+    /// now.
+    fn started_at(&self, listing: &ListedServer) -> Option<Seconds> {
+        let started_at = (listing.started_at.as_unix_millis() - self.start_unix_ms) / 1000.0;
+        let is_in_future = started_at > self.now() + MAX_CLOCK_SKEW;
+        (listing.started_at > ServerStart::LONG_AGO)
+            .then(|| if is_in_future { self.now() } else { started_at })
     }
 
-    /// Starts the actor of a server that is new here, under a number that nobody has.
-    pub(super) fn add_server(&mut self, machine: ListedServer, status: EndpointStatus) -> usize {
+    /// Starts the actor of a new server, under a free number.
+    fn add_server(&mut self, listing: ListedServer, status: EndpointStatus) -> usize {
         let mailbox = server::start(&self.limits, self.budget.clone(), status);
-        let at = self.free_numbers.pop().unwrap_or(self.servers.len());
-        self.server_numbers.insert(machine.id.clone(), at);
-        let started_at = self.started_at(&machine);
-        let server = ServerEntry { machine, mailbox, listed: true, started_at, in_flight: 0 };
-        match self.servers.get_mut(at) {
-            Some(place) => *place = server,
+        let index = self.free_indices.pop().unwrap_or(self.servers.len());
+        self.server_indices.insert(listing.id.clone(), index);
+        let started_at = self.started_at(&listing);
+        let server = ServerEntry { listing, mailbox, is_listed: true, started_at, in_flight: 0 };
+        match self.servers.get_mut(index) {
+            Some(entry) => *entry = server,
             None => self.servers.push(server),
         }
-        at
+        index
     }
 }
--- /dev/null
+++ b/crates/proxy/src/body/download.rs
@@ -0,0 +1,105 @@
+//! A large response of a server, forwarded while it arrives.
+
+use std::io;
+use std::task::{Context, Poll, ready};
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+
+use super::frames::{PollTimer, poll_data};
+use super::{MAX_STREAMED_BODY_BYTES, OutboundConnection};
+
+/// The longest pause of a server within its response.
+const MAX_SERVER_PAUSE: Duration = Duration::from_secs(10);
+
+/// Is told how a response ended: whether all of it was forwarded.
+pub(super) type OnBodyEnd = Box<dyn FnOnce(bool)>;
+/// Is given a connection once a response has been read off it.
+type OnConnectionFree = Box<dyn FnOnce(OutboundConnection)>;
+
+/// A large response on its way to the client.
+pub struct DownloadStream {
+    /// What had been read before the response proved to be large, until it is forwarded.
+    start: Option<Bytes>,
+    rest: Incoming,
+    /// The length of all of it, if it is stated.
+    length: Option<u64>,
+    forwarded: u64,
+    timer: PollTimer,
+    /// The connection that the response arrives on, until it ends.
+    connection: Option<(OutboundConnection, OnConnectionFree)>,
+    on_end: Option<OnBodyEnd>,
+}
+
+impl Drop for DownloadStream {
+    fn drop(&mut self) {
+        self.finish(false);
+    }
+}
+
+impl DownloadStream {
+    pub(super) fn new(
+        start: Bytes,
+        rest: Incoming,
+        connection: OutboundConnection,
+        on_connection_free: impl FnOnce(OutboundConnection) + 'static,
+    ) -> Self {
+        let length = rest.size_hint().exact().map(|rest| rest + start.len() as u64);
+        let on_connection_free: OnConnectionFree = Box::new(on_connection_free);
+        Self {
+            start: Some(start).filter(|start| !start.is_empty()),
+            rest,
+            length,
+            forwarded: 0,
+            timer: None,
+            connection: Some((connection, on_connection_free)),
+            on_end: None,
+        }
+    }
+
+    pub(super) fn set_on_end(&mut self, on_end: OnBodyEnd) {
+        self.on_end = Some(on_end);
+    }
+
+    fn finish(&mut self, is_complete: bool) {
+        if let Some((connection, on_connection_free)) = self.connection.take()
+            && is_complete
+        {
+            on_connection_free(connection);
+        }
+        if let Some(on_end) = self.on_end.take() {
+            on_end(is_complete);
+        }
+    }
+
+    pub(super) fn poll_next(&mut self, cx: &mut Context) -> Poll<Option<io::Result<Bytes>>> {
+        let next = match self.start.take() {
+            Some(start) => Some(Ok(start)),
+            None => {
+                let deadline = || Instant::now() + MAX_SERVER_PAUSE;
+                ready!(poll_data(&mut self.rest, &mut self.timer, deadline, cx))
+            }
+        };
+        match &next {
+            Some(Ok(data)) => {
+                self.forwarded += data.len() as u64;
+                if self.forwarded > MAX_STREAMED_BODY_BYTES {
+                    return Poll::Ready(Some(Err(io::Error::other("the answer is too long"))));
+                }
+                // After the last byte of a stated length hyper does not poll again.
+                if self.length == Some(self.forwarded) {
+                    self.finish(true);
+                }
+            }
+            None => self.finish(true),
+            Some(Err(_)) => self.finish(false),
+        }
+        Poll::Ready(next)
+    }
+
+    /// The bytes that are still to be forwarded, if the length is stated.
+    pub(super) fn remaining(&self) -> Option<u64> {
+        self.length.map(|length| length - self.forwarded.min(length))
+    }
+}
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -1,4 +1,5 @@
-//! How many descriptors may be open: the configuration's figure, shared by both sides.
+//! How many descriptors may be open: the limits of the configuration, divided between connections of clients and
+//! connections to servers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,27 +7,29 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
-/// Descriptors for everything but connections: the runtimes' own, listeners, the log, the list, operators' calls.
+/// The descriptors for everything but connections: the runtimes' own, listeners, the log, the list, operators' calls.
 pub const RESERVED_DESCRIPTORS: u64 = 32;
-/// What a connection may take at the most: a body of 64 KiB, its head, and the buffers of both.
+/// The most memory of a connection, in KiB: a body of 64 KiB, its head, and the buffers of both.
 pub const KIB_PER_CONNECTION: f64 = 96.0;
-/// Clients hold at most a third of all descriptors; from half of that on they are to let go of idle ones.
+/// Clients may use a third of all descriptors at most. From half of that on, their idle connections are closed.
 const TIGHT_DIVISOR: u64 = 6;
-/// The share of the memory that connections may take together.
+/// The share of the memory that all connections together may use.
 const MEMORY_SHARE: f64 = 0.75;
 
-/// A side's part of the descriptors. When none is left, whoever holds an idle connection closes it.
+/// The descriptors of one side. When none is free, the owners of idle connections are asked to close them.
 #[derive(Clone)]
 pub struct DescriptorBudget {
-    free: Arc<Semaphore>,
-    count: Rc<Cell<usize>>,
-    /// With more than so many taken it is tight.
+    available: Arc<Semaphore>,
+    /// All descriptors of this side, in use or not.
+    size: Rc<Cell<usize>>,
+    /// The budget is tight if more than this many are in use.
     tight_above: usize,
     release_requests: Rc<watch::Sender<()>>,
-    waiting: Rc<Cell<usize>>,
+    /// How many wait for a descriptor.
+    waiters: Rc<Cell<usize>>,
 }
 
-/// Counts one waiter for a descriptor, until it is dropped.
+/// Counts one waiter for a descriptor until it is dropped.
 struct WaiterGuard(Rc<Cell<usize>>);
 
 impl Drop for WaiterGuard {
@@ -35,66 +38,73 @@
     }
 }
 
-/// One descriptor's worth; given back when dropped.
+/// The permission to open one descriptor, returned when it is dropped.
 pub type Permit = OwnedSemaphorePermit;
 
 impl DescriptorBudget {
-    /// Half of what the limits allow for each of the two sides, less what is `kept` from both.
-    pub fn split(sockets: u64, memory_mb: f64, kept: u64) -> [Self; 2] {
-        let memory = (memory_mb * 1024.0 * MEMORY_SHARE / KIB_PER_CONNECTION) as u64;
-        let each = (sockets.saturating_sub(RESERVED_DESCRIPTORS + kept).min(memory) / 2).max(1) as usize;
+    /// The budgets of both sides: half of what the limits on descriptors and memory allow for each, without
+    /// `set_aside` descriptors.
+    pub fn split(sockets: u64, memory_mb: f64, set_aside: u64) -> [Self; 2] {
+        let within_memory = (memory_mb * 1024.0 * MEMORY_SHARE / KIB_PER_CONNECTION) as u64;
+        let within_sockets = sockets.saturating_sub(RESERVED_DESCRIPTORS + set_aside);
+        let each = (within_sockets.min(within_memory) / 2).max(1) as usize;
         let tight_above = (sockets / TIGHT_DIVISOR) as usize;
         [0, 1].map(|_| Self { tight_above, ..Self::new(each) })
     }
 
-    pub fn new(count: usize) -> Self {
-        let (free, release_requests) = (Arc::new(Semaphore::new(count)), Rc::new(watch::Sender::new(())));
-        let count = Rc::new(Cell::new(count));
-        Self { free, count, tight_above: usize::MAX, release_requests, waiting: Rc::default() }
+    pub fn new(size: usize) -> Self {
+        Self {
+            available: Arc::new(Semaphore::new(size)),
+            size: Rc::new(Cell::new(size)),
+            tight_above: usize::MAX,
+            release_requests: Rc::new(watch::Sender::new(())),
+            waiters: Rc::default(),
+        }
     }
 
-    /// Waits for a descriptor; idle connections are closed for it.
+    /// Waits for a descriptor, for which idle connections are closed.
     pub async fn acquire(&self) -> Permit {
-        if let Ok(permit) = self.free.clone().try_acquire_owned() {
+        if let Ok(permit) = self.available.clone().try_acquire_owned() {
             return permit;
         }
-        self.waiting.set(self.waiting.get() + 1);
-        let _in_line = WaiterGuard(self.waiting.clone());
+        self.waiters.set(self.waiters.get() + 1);
+        let _waiter_guard = WaiterGuard(self.waiters.clone());
         self.release_requests.send_replace(());
-        match self.free.clone().acquire_owned().await {
+        match self.available.clone().acquire_owned().await {
             Ok(permit) => permit,
-            Err(_) => std::future::pending().await, // the semaphore is never closed
+            // Does not happen: the semaphore is never closed.
+            Err(_) => std::future::pending().await,
         }
     }
 
-    /// Whether many are taken. Who may hold only so many connections to this proxy stops
-    /// asking when idle ones fill them, long before this side itself is short.
+    /// Whether many descriptors are in use. A client that may have only so many connections to this proxy can't open
+    /// further ones when idle ones use them all, long before no descriptor is left here.
     pub fn is_tight(&self) -> bool {
-        let taken = self.size().saturating_sub(self.available());
-        taken > self.tight_above.min(2 * self.size() / 3)
+        let in_use = self.size().saturating_sub(self.available());
+        in_use > self.tight_above.min(2 * self.size() / 3)
     }
 
-    /// The number of descriptors, acquired or not.
+    /// The number of descriptors, in use or not.
     pub fn size(&self) -> usize {
-        self.count.get()
+        self.size.get()
     }
 
-    /// The number of descriptors that are not acquired.
+    /// The number of descriptors that are not in use.
     pub fn available(&self) -> usize {
-        self.free.available_permits()
+        self.available.available_permits()
     }
 
-    /// Gives up to `most` free descriptors to another process; returns how many.
-    pub fn give(&self, most: usize) -> usize {
-        let given = self.free.forget_permits(most.min(self.available()));
-        self.count.set(self.size() - given);
+    /// Gives up to `max` available descriptors to another process; returns how many.
+    pub fn give(&self, max: usize) -> usize {
+        let given = self.available.forget_permits(max.min(self.available()));
+        self.size.set(self.size() - given);
         given
     }
 
     /// Adds descriptors that another process has given.
-    pub fn add(&self, more: usize) {
-        self.free.add_permits(more);
-        self.count.set(self.size() + more);
+    pub fn add(&self, count: usize) {
+        self.available.add_permits(count);
+        self.size.set(self.size() + count);
     }
 
     /// Asks for idle connections to be closed, for another process.
@@ -102,9 +112,9 @@
         self.release_requests.send_replace(());
     }
 
-    /// Whether anybody waits for a descriptor.
+    /// Whether somebody waits for a descriptor.
     pub fn has_waiters(&self) -> bool {
-        self.waiting.get() > 0
+        self.waiters.get() > 0
     }
 
     /// Watches for requests to close idle connections.
--- a/crates/proxy/src/class_table.rs
+++ b/crates/proxy/src/class_table.rs
@@ -1,6 +1,7 @@
-//! Which place of the balancer's table each class name points to, over changes of the settings. No I/O.
+//! Which slot of the balancer's table of classes each name refers to, over changes of the settings. No I/O.
 //!
-//! A request is judged by the definition that it came under. Definitions never change in their place.
+//! A request is judged by the definition of its class at its arrival, so a definition never changes in its slot: a class
+//! that is defined anew gets another slot.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,33 +12,36 @@
 
 use crate::errors::ApplySettingsError;
 
-/// For so long after a change a name still has its former terms: clients learn of it a moment later.
+/// How long a name is still accepted with its former meaning after a change: clients learn of it a moment later.
 pub const FORMER_BINDING_PERIOD: Duration = Duration::from_millis(1000);
-/// A place that no name points to is used again after this: whoever read it before has sent its request by then.
+/// A slot that no name refers to is used again after this: requests that were read under its name have arrived at the
+/// balancer by then.
 pub const SLOT_REUSE_DELAY: Duration = Duration::from_secs(60);
-/// More places than this within that time are too many changes.
+/// More slots than this are in use only if the settings change too often.
 pub const MAX_CLASS_SLOTS: usize = 1024;
 
-/// What a name stands for.
+/// What a name refers to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassBinding {
     pub class: ClassId,
     pub effect: RepeatEffect,
+    /// When the name loses this meaning; none if it is the present one.
     until: Option<Instant>,
 }
 
-/// What clients may name at present.
+/// The names that clients may use.
 #[derive(Debug)]
 pub struct AcceptedNames {
+    /// The present meaning of a name comes first.
     classes: HashMap<String, Vec<ClassBinding>>,
     tenants: NameTable,
 }
 
 impl AcceptedNames {
-    /// What a class's name stands for now, its present terms first.
+    /// What the name of a class refers to at `now`, the present meaning first.
     pub fn class(&self, name: &str, now: Instant) -> impl Iterator<Item = &ClassBinding> {
-        let terms = self.classes.get(name).map(Vec::as_slice).unwrap_or_default();
-        terms.iter().filter(move |term| term.until.is_none_or(|until| now < until))
+        let bindings = self.classes.get(name).map(Vec::as_slice).unwrap_or_default();
+        bindings.iter().filter(move |binding| binding.until.is_none_or(|until| now < until))
     }
 
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
@@ -45,124 +49,162 @@
     }
 }
 
-/// A place of the table.
+/// One slot of the table.
 #[derive(Clone, Debug)]
 struct ClassSlot {
     name: String,
     class: Class,
-    /// Since when no name points to it.
-    idle: Option<Instant>,
+    /// Since when no name refers to it; none if one does.
+    unbound_since: Option<Instant>,
 }
 
-/// The table, and the names that point into it.
+/// The classes, in the order of the balancer's numbers, and the tenants.
 #[derive(Clone, Debug)]
 pub struct ClassTable {
-    places: Vec<ClassSlot>,
-    tenants: NameTable,
-    shares: Vec<Tenant>,
+    slots: Vec<ClassSlot>,
+    tenant_names: NameTable,
+    tenants: Vec<Tenant>,
 }
 
-/// A change, whole: nothing of it is in force before the balancer takes it.
+/// A change of the settings. Nothing of it is in force before the balancer has accepted it.
 pub struct SettingsChange {
     pub settings: Settings,
     pub names: AcceptedNames,
-    /// The places that names point to.
-    pub open: Vec<ClassId>,
-    /// What is learnt at the first of two places goes for the second.
-    pub heirs: Vec<(ClassId, ClassId)>,
+    /// The classes that names refer to.
+    pub active_classes: Vec<ClassId>,
+    /// Classes that were defined anew: the second one of a pair inherits what was learned of the first.
+    pub redefined_classes: Vec<(ClassId, ClassId)>,
 }
 
 impl ClassTable {
     /// The table as the balancer starts with it: in the order of the settings.
-    /// The names of all classes, by their numbers.
-    pub fn names(&self) -> Vec<&str> {
-        self.places.iter().map(|place| place.name.as_str()).collect()
-    }
-
-    pub fn new(named: &NamedSettings) -> (Self, AcceptedNames) {
-        let names = (0..named.settings.classes.len()).map(|at| named.classes.name(at).to_owned());
-        let classes = named.settings.classes.iter().cloned();
-        let places = names.zip(classes).map(|(name, class)| ClassSlot { name, class, idle: None }).collect();
-        let (tenants, shares) = (named.tenants.clone(), named.settings.tenants.clone());
-        let mut class_table = Self { places, tenants, shares };
+    pub fn new(settings: &NamedSettings) -> (Self, AcceptedNames) {
+        let classes = settings.settings.classes.iter().cloned().enumerate();
+        let slots = classes.map(|(index, class)| {
+            let name = settings.classes.name(index).to_owned();
+            ClassSlot { name, class, unbound_since: None }
+        });
+        let class_table = Self {
+            slots: slots.collect(),
+            tenant_names: settings.tenants.clone(),
+            tenants: settings.settings.tenants.clone(),
+        };
         let names = class_table.accepted_names(Instant::now());
         (class_table, names)
     }
 
-    /// Takes other settings up. `held` says whether a job holds a place; zones and kinds are numbered as in `named`.
+    /// The names of all classes, by their numbers.
+    pub fn names(&self) -> Vec<&str> {
+        self.slots.iter().map(|slot| slot.name.as_str()).collect()
+    }
+
+    /// Changes the table to other settings. `is_in_use` says whether a pending request has a class; zones and kinds of
+    /// machines are numbered as in `settings`.
+    ///
+    /// # Errors
+    /// The settings have changed so often that no slot is left. The table then stays as it was.
     pub fn change(
         &mut self,
-        named: &NamedSettings,
-        held: impl Fn(ClassId) -> bool,
+        settings: &NamedSettings,
+        is_in_use: impl Fn(ClassId) -> bool,
         now: Instant,
     ) -> Result<SettingsChange, ApplySettingsError> {
         let mut next = self.clone();
-        let mut heirs = Vec::new();
-        let before: HashMap<&str, usize> = (self.places.iter().enumerate())
-            .filter(|(_, place)| place.idle.is_none())
-            .map(|(at, place)| (place.name.as_str(), at))
-            .collect();
-        for place in &mut next.places {
-            place.idle.get_or_insert(now);
+        let redefined_classes = next.redefine_classes(settings, is_in_use, now);
+        if next.slots.len() > MAX_CLASS_SLOTS {
+            return Err(ApplySettingsError::TooManyClassDefinitions);
+        }
+        next.redefine_tenants(settings);
+        let (names, active_classes) = (next.accepted_names(now), next.active_classes());
+        let settings = Settings {
+            classes: next.slots.iter().map(|slot| slot.class.clone()).collect(),
+            tenants: next.tenants.clone(),
+            ..settings.settings.clone()
+        };
+        *self = next;
+        Ok(SettingsChange { settings, names, active_classes, redefined_classes })
+    }
+
+    /// Binds each name to the slot with its definition, or to another one if it is defined anew. Returns the former and
+    /// the new class of each that is.
+    fn redefine_classes(
+        &mut self,
+        settings: &NamedSettings,
+        is_in_use: impl Fn(ClassId) -> bool,
+        now: Instant,
+    ) -> Vec<(ClassId, ClassId)> {
+        let bound = self.slots.iter().enumerate().filter(|(_, slot)| slot.unbound_since.is_none());
+        let former_classes: HashMap<String, ClassId> =
+            bound.map(|(index, slot)| (slot.name.clone(), ClassId(index))).collect();
+        for slot in &mut self.slots {
+            slot.unbound_since.get_or_insert(now);
         }
-        for (at, class) in named.settings.classes.iter().enumerate() {
-            let name = named.classes.name(at);
-            let same = next.places.iter().position(|place| place.name == name && place.class == *class);
-            let free = |(at, place): (usize, &ClassSlot)| {
-                let rested =
-                    place.idle.is_some_and(|since| now.saturating_duration_since(since) >= SLOT_REUSE_DELAY);
-                (rested && !held(ClassId(at))).then_some(at)
-            };
-            let to = match same {
-                Some(to) => {
-                    next.places[to].idle = None;
-                    continue;
-                }
-                None => next.places.iter().enumerate().find_map(free).unwrap_or(next.places.len()),
-            };
-            let place = ClassSlot { name: name.to_owned(), class: class.clone(), idle: None };
-            if to < next.places.len() {
-                next.places[to] = place;
-            } else {
-                next.places.push(place);
+        let mut redefined_classes = Vec::new();
+        for (index, class) in settings.settings.classes.iter().enumerate() {
+            let name = settings.classes.name(index);
+            if let Some(same) = self.slots.iter_mut().find(|slot| slot.name == name && slot.class == *class) {
+                same.unbound_since = None;
+                continue;
             }
-            heirs.extend(before.get(name).map(|from| (ClassId(*from), ClassId(to))));
+            let slot = ClassSlot { name: name.to_owned(), class: class.clone(), unbound_since: None };
+            let new_class = self.store_class(slot, &is_in_use, now);
+            redefined_classes.extend(former_classes.get(name).map(|former| (*former, new_class)));
         }
-        if next.places.len() > MAX_CLASS_SLOTS {
-            return Err(ApplySettingsError::TooManyClassDefinitions);
+        redefined_classes
+    }
+
+    /// Stores a class in a slot that can be used again, or a new one.
+    fn store_class(
+        &mut self,
+        class: ClassSlot,
+        is_in_use: impl Fn(ClassId) -> bool,
+        now: Instant,
+    ) -> ClassId {
+        let is_reusable = |(index, slot): (usize, &ClassSlot)| {
+            let is_old = slot
+                .unbound_since
+                .is_some_and(|since| now.saturating_duration_since(since) >= SLOT_REUSE_DELAY);
+            is_old && !is_in_use(ClassId(index))
+        };
+        let index = self.slots.iter().enumerate().position(is_reusable);
+        match index {
+            Some(index) => self.slots[index] = class,
+            None => self.slots.push(class),
         }
-        // A tenant keeps its number and its name; one that is dropped has no share: whatever it still sends is beyond it.
-        next.shares.iter_mut().for_each(|tenant| tenant.share = 0.0);
-        for (at, tenant) in named.settings.tenants.iter().enumerate() {
-            let number = next.tenants.intern(named.tenants.name(at));
-            if number == next.shares.len() {
-                next.shares.push(tenant.clone());
+        ClassId(index.unwrap_or(self.slots.len() - 1))
+    }
+
+    /// Sets the shares of the tenants. A tenant keeps its number and its name; one that is dropped has no share, so that
+    /// all that it still sends is in excess of it.
+    fn redefine_tenants(&mut self, settings: &NamedSettings) {
+        self.tenants.iter_mut().for_each(|tenant| tenant.share = 0.0);
+        for (index, tenant) in settings.settings.tenants.iter().enumerate() {
+            let number = self.tenant_names.intern(settings.tenants.name(index));
+            if number == self.tenants.len() {
+                self.tenants.push(tenant.clone());
             }
-            next.shares[number] = tenant.clone();
+            self.tenants[number] = tenant.clone();
         }
-        let settings = Settings {
-            classes: next.places.iter().map(|place| place.class.clone()).collect(),
-            tenants: next.shares.clone(),
-            ..named.settings.clone()
-        };
-        let names = next.accepted_names(now);
-        let open = (0..next.places.len()).filter(|at| next.places[*at].idle.is_none()).map(ClassId).collect();
-        *self = next;
-        Ok(SettingsChange { settings, names, open, heirs })
     }
 
-    fn accepted_names(&mut self, now: Instant) -> AcceptedNames {
+    /// The classes that names refer to.
+    fn active_classes(&self) -> Vec<ClassId> {
+        let bound = self.slots.iter().enumerate().filter(|(_, slot)| slot.unbound_since.is_none());
+        bound.map(|(index, _)| ClassId(index)).collect()
+    }
+
+    fn accepted_names(&self, now: Instant) -> AcceptedNames {
         let mut classes: HashMap<String, Vec<ClassBinding>> = HashMap::new();
-        for (at, place) in self.places.iter().enumerate() {
-            let until = place.idle.map(|since| since + FORMER_BINDING_PERIOD);
-            let term = ClassBinding { class: ClassId(at), effect: place.class.repeat_effect, until };
-            let terms = classes.entry(place.name.clone()).or_default();
+        for (index, slot) in self.slots.iter().enumerate() {
+            let until = slot.unbound_since.map(|since| since + FORMER_BINDING_PERIOD);
+            let binding = ClassBinding { class: ClassId(index), effect: slot.class.repeat_effect, until };
+            let bindings = classes.entry(slot.name.clone()).or_default();
             match until {
-                None => terms.insert(0, term),
-                Some(until) if now < until => terms.push(term),
+                None => bindings.insert(0, binding),
+                Some(until) if now < until => bindings.push(binding),
                 Some(_) => {}
             }
         }
-        AcceptedNames { classes, tenants: self.tenants.clone() }
+        AcceptedNames { classes, tenants: self.tenant_names.clone() }
     }
 }
--- a/crates/proxy/src/client_connection/progress.rs
+++ b/crates/proxy/src/client_connection/progress.rs
@@ -1,4 +1,4 @@
-//! What a client connection is about, and when it is to be closed.
+//! What a connection of a client is doing, and when it is to be closed.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,131 +12,156 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::IDLE_TIMEOUT;
 use crate::framing::RequestFraming;
 
-/// The time for a request head, from connecting for the first one, from its first byte for later ones.
-pub(super) const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-
-/// A client that reads nothing of its response for this long is disconnected; the system's buffers may take long to empty.
-pub(super) const MAX_READER_PAUSE: Duration = Duration::from_secs(30);
-
+/// A connection without an open message is closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The time for the head of a request: for the first one from connecting, for later ones from their first byte.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A client that reads nothing of its response for this long is disconnected; the system's buffers may take long to
+/// empty.
+const MAX_READER_PAUSE: Duration = Duration::from_secs(30);
 /// While the proxy drains, a connection that is idle or has sent nothing is closed after this.
-pub(super) const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
-
-/// While descriptors are scarce, a connection that has sent nothing yet is closed after this,
-pub(super) const SCARCE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
-
-/// one that has had its response after this,
-pub(super) const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
-
-/// and one that stops half way in a head after this: slow writers bring something more often.
-pub(super) const SCARCE_STALL_TIMEOUT: Duration = Duration::from_millis(800);
+const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// While descriptors are scarce, a connection that has sent nothing yet is closed after this.
+const SCARCE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
+/// While descriptors are scarce, a connection that has had its response is closed after this.
+const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
+/// While descriptors are scarce, a connection that stalls within a head is closed after this: slow writers send
+/// something more often.
+const SCARCE_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The state of a connection, as far as it decides when the connection is closed.
 pub(super) struct ConnectionProgress {
-    /// When it came up, or gave its last answer.
-    pub(super) since: Cell<Instant>,
-    /// The first byte that came after that.
-    pub(super) first_byte: Cell<Option<Instant>>,
-    /// The last byte that came.
-    pub(super) last_read: Cell<Instant>,
-    /// A message's head is whole, and its answer is due.
-    pub(super) is_busy: Cell<bool>,
-    pub(super) has_responded: Cell<bool>,
+    /// When it was accepted, had its last response, or the client last took some of a response.
+    idle_since: Cell<Instant>,
+    /// When the first byte of the next message arrived; none before that.
+    first_byte: Cell<Option<Instant>>,
+    /// When the last byte arrived.
+    last_read: Cell<Instant>,
+    /// Whether the head of a message is complete and its response is due.
+    is_busy: Cell<bool>,
+    has_responded: Cell<bool>,
     /// Whether descriptors are scarce.
-    pub(super) is_scarce: Cell<bool>,
+    is_scarce: Cell<bool>,
     /// Since when the proxy drains.
-    pub(super) draining_since: Cell<Option<Instant>>,
+    draining_since: Cell<Option<Instant>>,
     /// Since when the client takes no more of what is written.
-    pub(super) write_blocked_since: Cell<Option<Instant>>,
-    /// An answer on it has broken off.
-    pub(super) response_truncated: Cell<bool>,
-    pub(super) framing: RefCell<RequestFraming>,
+    write_blocked_since: Cell<Option<Instant>>,
+    /// Whether a response has broken off.
+    is_response_truncated: Cell<bool>,
+    framing: RefCell<RequestFraming>,
 }
 
 impl ConnectionProgress {
     pub(super) fn new() -> Self {
-        let (since, first_byte, is_busy) = (Cell::new(Instant::now()), Cell::new(None), Cell::new(false));
-        let (has_responded, is_scarce, draining_since) =
-            (Cell::new(false), Cell::new(false), Cell::new(None));
-        let (write_blocked_since, response_truncated, framing) =
-            (Cell::new(None), Cell::new(false), RefCell::new(RequestFraming::default()));
-        let last_read = Cell::new(Instant::now());
+        let now = Instant::now();
         Self {
-            since,
-            first_byte,
-            last_read,
-            is_busy,
-            has_responded,
-            is_scarce,
-            draining_since,
-            write_blocked_since,
-            response_truncated,
-            framing,
+            idle_since: Cell::new(now),
+            first_byte: Cell::new(None),
+            last_read: Cell::new(now),
+            is_busy: Cell::new(false),
+            has_responded: Cell::new(false),
+            is_scarce: Cell::new(false),
+            draining_since: Cell::new(None),
+            write_blocked_since: Cell::new(None),
+            is_response_truncated: Cell::new(false),
+            framing: RefCell::new(RequestFraming::default()),
         }
     }
 
-    /// Records that bytes were received.
-    pub(super) fn record_read(&self) {
+    /// Records that the head of a message is complete. Returns whether it states both framings of a body.
+    pub(super) fn request_started(&self) -> bool {
+        self.is_busy.set(true);
+        self.framing.borrow_mut().next_has_both_framings()
+    }
+
+    /// Records that the response has been forwarded to its end, or that it has broken off.
+    pub(super) fn response_ended(&self, is_complete: bool) {
+        self.idle_since.set(Instant::now());
+        self.first_byte.set(None);
+        self.is_busy.set(false);
+        self.has_responded.set(true);
+        self.is_response_truncated.set(!is_complete);
+    }
+
+    pub(super) fn set_scarce(&self, is_scarce: bool) {
+        self.is_scarce.set(is_scarce);
+    }
+
+    pub(super) fn set_draining_since(&self, since: Option<Instant>) {
+        self.draining_since.set(since);
+    }
+
+    /// Records bytes that the client has sent.
+    fn record_read(&self, bytes: &[u8]) {
         let now = Instant::now();
         self.last_read.set(now);
         if !self.is_busy.get() && self.first_byte.get().is_none() {
             self.first_byte.set(Some(now));
         }
+        self.framing.borrow_mut().feed(bytes);
     }
 
-    /// The client has taken some of what is written, or has no room for it.
-    pub(super) fn record_write(&self, some: bool) {
-        if some {
+    /// Records whether the client has taken some of what is written, or its buffers are full.
+    fn record_write(&self, was_taken: bool) {
+        if was_taken {
             self.write_blocked_since.set(None);
-            self.since.set(Instant::now());
+            self.idle_since.set(Instant::now());
         } else if self.write_blocked_since.get().is_none() {
             self.write_blocked_since.set(Some(Instant::now()));
         }
     }
 
-    pub(super) fn response_finished(&self) {
-        self.since.set(Instant::now());
-        self.first_byte.set(None);
-        self.is_busy.set(false);
-        self.has_responded.set(true);
-        self.is_scarce.set(false);
+    /// Whether a request is in flight whose client reads: the connection must not be closed.
+    fn must_stay_open(&self) -> bool {
+        self.is_busy.get() && self.write_blocked_since.get().is_none()
+    }
+
+    /// When to check next whether the connection is to be closed.
+    pub(super) fn next_close_check(&self) -> Instant {
+        if self.must_stay_open() { Instant::now() + IDLE_TIMEOUT } else { self.close_deadline().0 }
+    }
+
+    /// Why the connection is to be closed now, if it is.
+    pub(super) fn due_close_reason(&self, now: Instant) -> Option<CloseReason> {
+        let (deadline, reason) = self.close_deadline();
+        (!self.must_stay_open() && deadline <= now).then_some(reason)
     }
 
     /// By when the head of the current request has to be complete.
-    pub(super) fn head_deadline(&self) -> Instant {
+    fn head_deadline(&self) -> Instant {
         match self.first_byte.get().filter(|_| self.has_responded.get()) {
             Some(first_byte) => first_byte + HEAD_TIMEOUT,
-            None => self.since.get() + HEAD_TIMEOUT,
+            None => self.idle_since.get() + HEAD_TIMEOUT,
         }
     }
 
-    /// When the connection is to be closed if nothing comes, and why.
-    pub(super) fn close_deadline(&self) -> (Instant, CloseReason) {
-        // An answer that a slow reader still takes would be cut off.
+    /// When the connection is to be closed if nothing arrives, and why.
+    fn close_deadline(&self) -> (Instant, CloseReason) {
+        // A response that a slow reader still takes must not be cut off.
         if let Some(write_blocked_since) = self.write_blocked_since.get() {
             return (write_blocked_since + MAX_READER_PAUSE, CloseReason::ResponseUnread);
         }
-        let since = self.since.get();
-        if let (None, Some(drain)) = (self.first_byte.get(), self.draining_since.get()) {
-            return (since.max(drain) + DRAINING_IDLE_TIMEOUT, CloseReason::Draining);
+        let idle_since = self.idle_since.get();
+        if let (None, Some(draining_since)) = (self.first_byte.get(), self.draining_since.get()) {
+            return (idle_since.max(draining_since) + DRAINING_IDLE_TIMEOUT, CloseReason::Draining);
         }
         match (self.first_byte.get(), self.has_responded.get(), self.is_scarce.get()) {
             (Some(_), _, true) => {
-                let stalled = self.last_read.get() + SCARCE_STALL_TIMEOUT;
-                (self.head_deadline().min(stalled), CloseReason::RequestTimeout)
+                let stall_deadline = self.last_read.get() + SCARCE_STALL_TIMEOUT;
+                (self.head_deadline().min(stall_deadline), CloseReason::RequestTimeout)
             }
             (Some(_), _, false) => (self.head_deadline(), CloseReason::RequestTimeout),
             (None, false, false) => (self.head_deadline(), CloseReason::NoRequest),
-            (None, true, false) => (since + IDLE_TIMEOUT, CloseReason::IdleTimeout),
-            (None, false, true) => (since + SCARCE_FIRST_BYTE_TIMEOUT, CloseReason::DescriptorNeeded),
-            (None, true, true) => (since + SCARCE_IDLE_TIMEOUT, CloseReason::DescriptorNeeded),
+            (None, true, false) => (idle_since + IDLE_TIMEOUT, CloseReason::IdleTimeout),
+            (None, false, true) => (idle_since + SCARCE_FIRST_BYTE_TIMEOUT, CloseReason::DescriptorNeeded),
+            (None, true, true) => (idle_since + SCARCE_IDLE_TIMEOUT, CloseReason::DescriptorNeeded),
         }
     }
 }
 
-/// A client's stream, which tells when bytes come: hyper says nothing until a head is whole.
+/// A client's stream that records when bytes arrive: hyper says nothing until a head is complete.
 pub(super) struct ClientStream {
     pub(super) stream: TcpStream,
     pub(super) progress: Rc<ConnectionProgress>,
@@ -144,8 +169,8 @@
 
 impl Drop for ClientStream {
     fn drop(&mut self) {
-        // Where the end of a body is the end of the connection, half an answer would look whole.
-        if self.progress.response_truncated.get() {
+        // Where the end of the connection is the end of a body, half a response would look complete: it is reset.
+        if self.progress.is_response_truncated.get() {
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
@@ -156,8 +181,7 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.progress.record_read();
-            self.progress.framing.borrow_mut().feed(&buf.filled()[before..]);
+            self.progress.record_read(&buf.filled()[before..]);
         }
         read
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the proxy starts with.
+//! The configuration: the platform's file, read and checked.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use mosshead_snapshot::server_list::{ServerList, read_server_list};
 use tinyjson::JsonValue;
 
-/// Keys that may be absent at any time.
-const OPTIONAL: [&str; 6] = ["aim_stretch", "passes_deadline", "warm_keys", "fleet", "ops", "known"];
+/// Keys that a configuration may lack, whatever the one before had.
+const OPTIONAL_KEYS: [&str; 6] = ["aim_stretch", "passes_deadline", "warm_keys", "fleet", "ops", "known"];
 
 /// The configuration, read and checked.
 #[derive(Clone, Debug)]
@@ -20,18 +20,23 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, if they do.
+    /// The address of the admin endpoint, if there is one.
     pub ops: Option<SocketAddr>,
-    /// Where the endpoint list is kept.
+    /// The address of discovery, which has the endpoint list.
     pub discovery: SocketAddr,
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
+    /// The limit on memory, in MiB.
     pub memory_mb: f64,
+    /// The limit on open descriptors.
     pub sockets: u64,
+    /// The endpoint list to start with.
     pub known: ServerList,
+    /// The settings of the decisions, with the names of classes, tenants, zones and kinds.
     pub named: NamedSettings,
-    /// What the operators grant beside it, from the start on.
+    /// What the operators' own file grants; it is read at the start only.
     pub operators: OperatorConfig,
-    /// The text, parsed.
+    /// The whole file, for [`Config::check_replacement`].
     json: Arc<JsonValue>,
 }
 
@@ -41,7 +46,7 @@
     /// # Errors
     /// The first key that the next configuration lacks.
     pub fn check_replacement(&self, next: &Self) -> Result<(), ConfigError> {
-        lacking(&self.json, &next.json, "").map_or(Ok(()), |key| Err(ConfigError::MissingKey(key)))
+        find_missing_key(&self.json, &next.json, "").map_or(Ok(()), |key| Err(ConfigError::MissingKey(key)))
     }
 
     /// Reads the text of a configuration.
@@ -59,8 +64,8 @@
         let seed = top.field("seed")?;
         let limits = top.field("limits")?;
         let mut named = settings::read_settings(&top.field("settings")?)?;
-        // Told of more, the balancer takes connections for open that are not. Whatever the platform states, the
-        // protocol carries one request at a time on each.
+        // The protocol carries one request at a time on each connection, whatever the platform states. With more, the
+        // balancer would expect free connections where there are none.
         named.settings.limits.streams_per_connection = 1;
         named.settings.check()?;
         let sockets = limits.field("sockets")?;
@@ -84,16 +89,17 @@
     }
 }
 
-/// The first key of `old` that is missing in `new`. What is left out by mistake would fall back on a default.
-/// The objects of a list need the keys that all of the old ones have.
-fn lacking(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
+/// The path of the first key of `old` that is missing in `new`: a key that was left out by mistake would take its default.
+/// Each object of a list needs the keys that all of the old ones have.
+fn find_missing_key(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
     let member = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match (old, new) {
         (JsonValue::Object(old), JsonValue::Object(new)) => {
-            let mut keys: Vec<_> = old.iter().filter(|(key, _)| !OPTIONAL.contains(&key.as_str())).collect();
+            let mut keys: Vec<_> =
+                old.iter().filter(|(key, _)| !OPTIONAL_KEYS.contains(&key.as_str())).collect();
             keys.sort_by_key(|(key, _)| *key);
             keys.into_iter().find_map(|(key, value)| match new.get(key) {
-                Some(found) => lacking(value, found, &member(key)),
+                Some(found) => find_missing_key(value, found, &member(key)),
                 None => Some(member(key)),
             })
         }
@@ -105,7 +111,7 @@
             let common = JsonValue::Object(common.into_keys().map(|key| (key, JsonValue::Null)).collect());
             let each = new.iter().enumerate().filter(|(_, value)| matches!(value, JsonValue::Object(_)));
             each.map(|(at, value)| (format!("{path}[{at}]"), value))
-                .find_map(|(path, value)| lacking(&common, value, &path))
+                .find_map(|(path, value)| find_missing_key(&common, value, &path))
         }
         _ => None,
     }
--- a/crates/proxy/src/connection_log.rs
+++ b/crates/proxy/src/connection_log.rs
@@ -1,4 +1,5 @@
-//! One line for each connection that ends, on either side, with the code of the reason.
+//! The log line of each connection that ends, to clients, servers, discovery and operators, with the code of the
+//! reason.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -6,13 +7,16 @@
 
 use crate::log::say;
 
-pub const SUBMITTER: PeerKind = PeerKind { name: "submitter", on_close: log };
-pub const EXECUTE_NODE: PeerKind = PeerKind { name: "execute-node", on_close: log };
-pub const MACHINE_LIST: PeerKind = PeerKind { name: "machine-list", on_close: log };
-pub const OPERATOR: PeerKind = PeerKind { name: "operator", on_close: log };
+/// A client. The names appear in the log.
+pub(crate) const CLIENT: PeerKind = PeerKind { name: "submitter", on_close: log_closed };
+pub(crate) const SERVER: PeerKind = PeerKind { name: "execute-node", on_close: log_closed };
+pub(crate) const DISCOVERY: PeerKind = PeerKind { name: "machine-list", on_close: log_closed };
+pub(crate) const OPERATOR: PeerKind = PeerKind { name: "operator", on_close: log_closed };
 
-fn log(record: &ConnectionRecord) {
-    if STOPPING.load(Ordering::Relaxed) {
+static IS_STOPPING: AtomicBool = AtomicBool::new(false);
+
+fn log_closed(record: &ConnectionRecord) {
+    if IS_STOPPING.load(Ordering::Relaxed) {
         record.set_close_reason(CloseReason::ShuttingDown);
     }
     let open_s = format_args!("{:.3}", record.age().as_secs_f64());
@@ -26,9 +30,8 @@
     );
 }
 
-/// From now on a connection that ends for no other reason ends because the proxy stops.
-pub fn stopping() {
-    STOPPING.store(true, Ordering::Relaxed);
+/// Marks the process as stopping: connections that are still open are about to be dropped by the runtime, and that is
+/// the reason that their lines then give.
+pub(crate) fn set_stopping() {
+    IS_STOPPING.store(true, Ordering::Relaxed);
 }
-
-static STOPPING: AtomicBool = AtomicBool::new(false);
--- a/crates/proxy/src/errors.rs
+++ b/crates/proxy/src/errors.rs
@@ -1,6 +1,6 @@
-//! What can go wrong between the operators' files and a proxy that serves by them.
+//! Why a configuration can't be loaded, or not be adopted by a running proxy.
 //!
-//! The texts appear on standard error and in the log; operators search for them.
+//! The messages appear on standard error and in the log, where operators search for them.
 
 use std::io;
 use std::path::PathBuf;
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -1,113 +1,145 @@
-//! Follows the raw bytes of a client's connection from head to head.
+//! Follows the raw bytes of a client's connection from head to head, to find messages that state two lengths.
 //!
-//! Hyper hides a `Content-Length` that stands behind `Transfer-Encoding`, and where both are given a second
-//! message may hide in the body. This looks into each head itself.
+//! With both `Content-Length` and `Transfer-Encoding`, a second message may be hidden in the body, and hyper drops the
+//! former where it follows the latter. So each head is parsed here, too.
 
 use std::collections::VecDeque;
 
-/// A head that is longer is none; hyper turns it down too.
+/// The longest head; hyper rejects a longer one, too.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 const MAX_HEADERS: usize = 128;
 
+/// Where in a message the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Position {
     #[default]
     Head,
-    Body(u64),
-    /// The line before a chunk: its size so far, and whether its digits go on.
-    Size(u64, bool),
-    Chunk(u64),
-    /// The line's end behind a chunk.
-    End,
-    /// Lines behind the last chunk; so many bytes stand in this one.
-    Trailers(u32),
-    /// It makes no sense; hyper will say so.
-    Lost,
+    /// A body of a stated length, of which so many bytes are left.
+    Body { left: u64 },
+    /// The line before a chunk: its size so far, and whether the next byte may be a digit of it.
+    ChunkSize { size: u64, in_digits: bool },
+    /// The data of a chunk, of which so many bytes are left.
+    Chunk { left: u64 },
+    /// The end of the line after a chunk.
+    ChunkEnd,
+    /// A line after the last chunk that has so many bytes so far.
+    Trailers { line_len: u32 },
+    /// The bytes are no HTTP; hyper rejects them.
+    Invalid,
 }
 
 /// Where in its messages a connection is.
 #[derive(Debug, Default)]
 pub struct RequestFraming {
-    pub at: Position,
+    position: Position,
+    /// The head so far.
     head: Vec<u8>,
-    /// For each head that has come: whether it states both framings.
-    pub heads: VecDeque<bool>,
+    /// For each head that is complete, whether it states both framings, until that is asked for.
+    heads_with_both_framings: VecDeque<bool>,
 }
 
 impl RequestFraming {
-    /// Whether the next message states both framings; where that is not known it is taken for granted.
+    /// Whether the next message states both framings. If that is not known, it is assumed.
     pub fn next_has_both_framings(&mut self) -> bool {
-        self.heads.pop_front().unwrap_or(true)
+        self.heads_with_both_framings.pop_front().unwrap_or(true)
     }
 
+    /// Where the next byte belongs.
+    pub fn position(&self) -> Position {
+        self.position
+    }
+
+    /// How many heads are complete of which nobody has asked yet.
+    pub fn pending_heads(&self) -> usize {
+        self.heads_with_both_framings.len()
+    }
+
+    /// Reads bytes as they arrived, cut in any way.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while let [first, rest @ ..] = bytes {
-            bytes = match self.at {
-                Position::Lost => return,
-                Position::Body(left) | Position::Chunk(left) => {
-                    let take = left.min(bytes.len() as u64);
-                    let left = left - take;
-                    self.at = match self.at {
-                        Position::Body(_) if left == 0 => Position::Head,
-                        Position::Body(_) => Position::Body(left),
-                        _ if left == 0 => Position::End,
-                        _ => Position::Chunk(left),
-                    };
-                    &bytes[take as usize..]
+            bytes = match self.position {
+                Position::Invalid => return,
+                Position::Body { left } => {
+                    let taken = left.min(bytes.len() as u64);
+                    let left = left - taken;
+                    self.position = if left == 0 { Position::Head } else { Position::Body { left } };
+                    &bytes[taken as usize..]
+                }
+                Position::Chunk { left } => {
+                    let taken = left.min(bytes.len() as u64);
+                    let left = left - taken;
+                    self.position = if left == 0 { Position::ChunkEnd } else { Position::Chunk { left } };
+                    &bytes[taken as usize..]
                 }
-                _ => {
-                    self.byte(*first);
+                Position::Head
+                | Position::ChunkSize { .. }
+                | Position::ChunkEnd
+                | Position::Trailers { .. } => {
+                    self.position = self.position_after(*first);
                     rest
                 }
             };
         }
     }
 
-    fn byte(&mut self, byte: u8) {
-        self.at = match (self.at, byte) {
+    /// The position after a byte that is not part of a body.
+    fn position_after(&mut self, byte: u8) -> Position {
+        match (self.position, byte) {
             (Position::Head, b'\r' | b'\n') if self.head.is_empty() => Position::Head,
-            (Position::Head, byte) => {
-                self.head.push(byte);
-                let ends = byte == b'\n' && (self.head.ends_with(b"\n\r\n") || self.head.ends_with(b"\n\n"));
-                match () {
-                    () if ends => self.headers(),
-                    () if self.head.len() > MAX_HEAD_BYTES => Position::Lost,
-                    () => Position::Head,
+            (Position::Head, byte) => self.position_after_head_byte(byte),
+            (Position::ChunkSize { size: 0, .. }, b'\n') => Position::Trailers { line_len: 0 },
+            (Position::ChunkSize { size, .. }, b'\n') => Position::Chunk { left: size },
+            (Position::ChunkSize { size, in_digits: true }, digit) => match (digit as char).to_digit(16) {
+                Some(digit) if size < 1 << 56 => {
+                    Position::ChunkSize { size: size * 16 + u64::from(digit), in_digits: true }
                 }
-            }
-            (Position::Size(0, _), b'\n') => Position::Trailers(0),
-            (Position::Size(size, _), b'\n') => Position::Chunk(size),
-            (Position::Size(size, true), digit) => match (digit as char).to_digit(16) {
-                Some(digit) if size < 1 << 56 => Position::Size(size * 16 + u64::from(digit), true),
-                Some(_) => Position::Lost,
-                None => Position::Size(size, false),
+                Some(_) => Position::Invalid,
+                None => Position::ChunkSize { size, in_digits: false },
             },
-            (Position::End, b'\n') => Position::Size(0, true),
-            (Position::Trailers(0), b'\n') => Position::Head,
-            (Position::Trailers(_), b'\n') => Position::Trailers(0),
-            (Position::Trailers(held), b'\r') => Position::Trailers(held),
-            (Position::Trailers(held), _) => Position::Trailers(held.saturating_add(1)),
-            (at, _) => at,
-        };
+            (Position::ChunkEnd, b'\n') => Position::ChunkSize { size: 0, in_digits: true },
+            (Position::Trailers { line_len: 0 }, b'\n') => Position::Head,
+            (Position::Trailers { .. }, b'\n') => Position::Trailers { line_len: 0 },
+            (Position::Trailers { line_len }, b'\r') => Position::Trailers { line_len },
+            (Position::Trailers { line_len }, _) => {
+                Position::Trailers { line_len: line_len.saturating_add(1) }
+            }
+            (position, _) => position,
+        }
+    }
+
+    fn position_after_head_byte(&mut self, byte: u8) -> Position {
+        self.head.push(byte);
+        let is_complete = byte == b'\n' && (self.head.ends_with(b"\n\r\n") || self.head.ends_with(b"\n\n"));
+        if is_complete {
+            self.position_after_head()
+        } else if self.head.len() > MAX_HEAD_BYTES {
+            Position::Invalid
+        } else {
+            Position::Head
+        }
     }
 
-    /// What follows a head that is whole.
-    fn headers(&mut self) -> Position {
+    /// Parses a complete head, and notes whether it states both framings.
+    fn position_after_head(&mut self) -> Position {
         let head = std::mem::take(&mut self.head);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         if !matches!(request.parse(&head), Ok(httparse::Status::Complete(_))) {
-            return Position::Lost;
+            return Position::Invalid;
+        }
+        let header =
+            |name: &str| request.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+        let (is_chunked, length) = (header("transfer-encoding").is_some(), header("content-length"));
+        self.heads_with_both_framings.push_back(is_chunked && length.is_some());
+        if is_chunked {
+            return Position::ChunkSize { size: 0, in_digits: true };
         }
-        let value = |name: &str| request.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
-        let (chunked, length) = (value("transfer-encoding").is_some(), value("content-length"));
-        self.heads.push_back(chunked && length.is_some());
-        let length = length.map(|length| str::from_utf8(length.value).ok()?.trim().parse().ok());
-        match (chunked, length) {
-            (true, _) => Position::Size(0, true),
-            (false, None | Some(Some(0))) => Position::Head,
-            (false, Some(Some(length))) => Position::Body(length),
-            (false, Some(None)) => Position::Lost,
+        let Some(length) = length else { return Position::Head };
+        let length = str::from_utf8(length.value).ok().and_then(|length| length.trim().parse().ok());
+        match length {
+            Some(0) => Position::Head,
+            Some(left) => Position::Body { left },
+            None => Position::Invalid,
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/handover/error.rs
@@ -0,0 +1,47 @@
+//! Why a handover failed, on either side.
+
+use std::io;
+use std::net::SocketAddr;
+use std::string::FromUtf8Error;
+
+use mosshead_settings::JsonError;
+use thiserror::Error;
+
+/// Why a predecessor that answers has not handed over; the new process then starts without it.
+#[derive(Debug, Error)]
+pub(crate) enum HandoverError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("the predecessor did not answer")]
+    NoReply,
+    #[error("what was handed over does not listen")]
+    NotListening,
+    #[error("what was handed over listens at {0}")]
+    WrongAddress(SocketAddr),
+    #[error("the predecessor has ended")]
+    PredecessorEnded,
+    #[error("the list has no length")]
+    NoListLength,
+    #[error(transparent)]
+    NotText(#[from] FromUtf8Error),
+    /// The list is not JSON, or not one of servers; the message names the key.
+    #[error(transparent)]
+    InvalidList(#[from] JsonError),
+}
+
+/// Why a successor that connected has been handed nothing.
+#[derive(Debug, Error)]
+pub(super) enum SendStateError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("the link ended before the request to take over")]
+    Ended,
+    #[error("not a request to take over")]
+    UnknownRequest,
+    #[error("connections are no longer accepted here")]
+    NotListening,
+    #[error("the endpoint list is not known")]
+    NoList,
+    #[error("not taken in time")]
+    TimedOut,
+}
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,125 +1,145 @@
-//! What both threads share: whether the process can serve, drains or stops.
+//! The state of the process that both of its threads share: whether it is ready, drains or stops, and how far it has
+//! recovered.
 //!
-//! Readiness is the process's, health the admin endpoint's; a stop is neither, and wins over both.
+//! A process that drains stays ready: it serves the requests that still arrive, and only its health check fails. One that
+//! stops is ready for nobody.
 
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
 use mosshead_decide::{RecoveryBlocker, RecoveryStage};
 use tokio::sync::watch;
 
-/// How far this incarnation has come.
+/// How far this incarnation has recovered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryState {
     pub stage: RecoveryStage,
-    pub wants: RecoveryBlocker,
-    /// When it came to that,
-    pub since: Instant,
-    /// and when it was first in full service, if it was.
-    pub full: Option<Instant>,
+    /// What it waits for before the next stage.
+    pub blocker: RecoveryBlocker,
+    /// When it came to this stage.
+    pub stage_since: Instant,
+    /// When it was first in full service, if it was.
+    pub full_service_at: Option<Instant>,
     /// The number of this incarnation; none without a folder for stored state.
     pub incarnation: Option<u64>,
 }
 
-/// The switches, and who may look at them.
+/// The state that is shared. Each part is written by one thread and read by any.
 pub struct Lifecycle {
-    /// Since when the proxy is being emptied.
-    drain: watch::Sender<Option<Instant>>,
-    ready: AtomicBool,
-    stopping: AtomicBool,
-    /// Whether an operator has been answered that the process can serve.
+    /// Since when the proxy drains.
+    draining_since: watch::Sender<Option<Instant>>,
+    is_ready: AtomicBool,
+    is_stopping: AtomicBool,
+    /// Whether an operator has been answered that the process is ready.
     readiness_confirmed: watch::Sender<bool>,
-    start: Instant,
+    started_at: Instant,
     recovery: Mutex<RecoveryState>,
 }
 
 impl Lifecycle {
     pub fn new() -> Arc<Self> {
-        let (ready, stopping) = (AtomicBool::new(false), AtomicBool::new(false));
-        let (start, drain, readiness_confirmed) =
-            (Instant::now(), watch::Sender::new(None), watch::Sender::new(false));
+        let started_at = Instant::now();
         let recovery = RecoveryState {
             stage: RecoveryStage::NoServers,
-            wants: RecoveryBlocker::Servers,
-            since: start,
-            full: None,
+            blocker: RecoveryBlocker::Servers,
+            stage_since: started_at,
+            full_service_at: None,
             incarnation: None,
         };
-        Arc::new(Self { drain, ready, stopping, readiness_confirmed, start, recovery: Mutex::new(recovery) })
+        Arc::new(Self {
+            draining_since: watch::Sender::new(None),
+            is_ready: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
+            readiness_confirmed: watch::Sender::new(false),
+            started_at,
+            recovery: Mutex::new(recovery),
+        })
+    }
+
+    /// When this incarnation started.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
+    }
+
+    /// How far this incarnation has recovered.
+    pub fn recovery_state(&self) -> RecoveryState {
+        *self.lock_recovery()
     }
 
-    /// How far this incarnation has come, and when it began.
-    pub fn recovery_state(&self) -> (RecoveryState, Instant) {
-        (*self.recovery.lock().unwrap_or_else(PoisonError::into_inner), self.start)
+    fn lock_recovery(&self) -> MutexGuard<'_, RecoveryState> {
+        self.recovery.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the number of this incarnation.
     pub fn set_incarnation(&self, incarnation: u64) {
-        self.recovery.lock().unwrap_or_else(PoisonError::into_inner).incarnation = Some(incarnation);
+        self.lock_recovery().incarnation = Some(incarnation);
     }
 
-    /// Records the stage of recovery and what it waits for. Returns whether the stage changed.
-    pub fn update_recovery(&self, stage: RecoveryStage, wants: RecoveryBlocker) -> bool {
-        let mut recovery = self.recovery.lock().unwrap_or_else(PoisonError::into_inner);
-        let news = recovery.stage != stage;
-        if news {
-            recovery.since = Instant::now();
+    /// Records the stage of recovery and what it waits for. Returns whether the stage has changed.
+    pub fn update_recovery(&self, stage: RecoveryStage, blocker: RecoveryBlocker) -> bool {
+        let mut recovery = self.lock_recovery();
+        let has_changed = recovery.stage != stage;
+        if has_changed {
+            recovery.stage_since = Instant::now();
         }
         if stage == RecoveryStage::FullService {
-            let since = recovery.since;
-            recovery.full.get_or_insert(since);
+            let stage_since = recovery.stage_since;
+            recovery.full_service_at.get_or_insert(stage_since);
         }
-        (recovery.stage, recovery.wants) = (stage, wants);
-        news
-    }
-
-    /// Starts or stops draining; a repeated start keeps the time of the first. Returns whether the state changed.
-    pub fn set_draining(&self, on: bool) -> bool {
-        self.drain.send_if_modified(|since| {
-            let changed = since.is_some() != on;
-            if changed {
-                *since = on.then(Instant::now);
-            }
-            changed
+        (recovery.stage, recovery.blocker) = (stage, blocker);
+        has_changed
+    }
+
+    /// Starts to drain. Returns false if the proxy drains already; it then keeps the time of the first start.
+    pub fn start_draining(&self) -> bool {
+        self.draining_since.send_if_modified(|since| {
+            let has_changed = since.is_none();
+            since.get_or_insert_with(Instant::now);
+            has_changed
         })
     }
 
+    /// Stops draining. Returns whether the proxy was draining.
+    pub fn stop_draining(&self) -> bool {
+        self.draining_since.send_if_modified(|since| since.take().is_some())
+    }
+
     pub fn is_draining(&self) -> bool {
-        self.drain.borrow().is_some()
+        self.draining_since.borrow().is_some()
     }
 
     /// Watches since when the proxy is draining.
     pub fn subscribe_draining(&self) -> watch::Receiver<Option<Instant>> {
-        self.drain.subscribe()
+        self.draining_since.subscribe()
     }
 
-    /// Marks the process ready: it has a list of endpoints, or discovery has none to give for now.
+    /// Marks the process as ready: it has an endpoint list, or discovery can't be reached for one.
     pub fn set_ready(&self) {
-        self.ready.store(true, Ordering::Release);
+        self.is_ready.store(true, Ordering::Release);
     }
 
     pub fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Acquire)
+        self.is_ready.load(Ordering::Acquire)
     }
 
-    /// Records that an operator is being answered that the process can serve.
+    /// Records that an operator is being answered that the process is ready.
     pub fn confirm_readiness(&self) {
-        self.readiness_confirmed
-            .send_if_modified(|readiness_confirmed| !std::mem::replace(readiness_confirmed, true));
+        self.readiness_confirmed.send_if_modified(|is_confirmed| !std::mem::replace(is_confirmed, true));
     }
 
-    /// Watches whether an operator has been answered that the process can serve.
+    /// Watches whether an operator has been answered that the process is ready.
     pub fn subscribe_readiness_confirmed(&self) -> watch::Receiver<bool> {
         self.readiness_confirmed.subscribe()
     }
 
+    /// Marks the process as stopping.
     pub fn set_stopping(&self) {
-        self.stopping.store(true, Ordering::Release);
+        self.is_stopping.store(true, Ordering::Release);
     }
 
-    /// Whether this process serves whoever comes.
+    /// Whether this process is ready and does not stop.
     pub fn is_serving(&self) -> bool {
-        self.is_ready() && !self.stopping.load(Ordering::Acquire)
+        self.is_ready() && !self.is_stopping.load(Ordering::Acquire)
     }
 }
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,9 +1,9 @@
-//! Load reports of servers.
+//! The load reports that servers send in a header, or as the body of the response to a probe.
 
 use mosshead_decide::interface::LoadReport;
 
-/// A load report as `name=value,name=value`; what is not understood is left out.
-pub fn load_report(text: &str) -> LoadReport {
+/// Reads a load report of the form `name=value,name=value`. Unknown names and invalid numbers are ignored.
+pub fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,8 +1,10 @@
-//! The messages between the actors, and the guards that owe an outcome. This module knows no actor.
+//! The messages between the actors, and the guards that report the outcome of an attempt or a probe.
+//!
+//! This module depends on no actor, so that each actor can depend on it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use mosshead_decide::interface::*;
@@ -13,8 +15,13 @@
 use crate::body::OutboundConnection;
 use crate::body::{OutgoingBody, Upload};
 use crate::class_table::AcceptedNames;
+use crate::duration;
 use crate::errors::ApplySettingsError;
 use mosshead_snapshot::server_list::ServerList;
+use mosshead_snapshot::unix_time::ServerStart;
+
+/// The share of the time that servers keep an idle connection for which this proxy keeps it.
+const IDLE_SHARE: f64 = 0.9;
 
 /// The parts of a request that are forwarded unchanged.
 #[derive(Debug)]
@@ -22,7 +29,7 @@
     pub method: String,
     pub target: String,
     pub id: String,
-    /// The idempotency key, byte for byte. Without it servers take a repeat for new work.
+    /// The idempotency key, byte for byte. Without it servers execute a repeated request again.
     pub idempotency_key: Option<Bytes>,
     pub body: RequestBody,
 }
@@ -35,7 +42,7 @@
 }
 
 impl RequestBody {
-    /// The body that still comes.
+    /// The body, if it is one that is streamed.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -47,7 +54,7 @@
 /// A request that was received and checked by the client connection.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The id that it carries, as a number.
+    /// The client's id of the request, as a number.
     pub id: u64,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
@@ -57,22 +64,28 @@
     pub forwarded: ForwardedRequest,
 }
 
-/// The one final answer to a request.
+/// The one final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// A server's answer.
+    /// A server's response.
     Served(OutgoingBody),
-    /// A retry-later response: trying again is harmless, best after this long.
+    /// Rejected: it never ran, so a retry does no harm, best after this time.
     RetryLater(Seconds),
     /// Failed; it may have run.
     Failed,
-    /// Not taken on: another request has its id.
+    /// Rejected: another request has the same id.
     IdInUse,
 }
 
 /// A message to the balancer.
 pub enum Message {
-    Request(RequestId, ClientRequest, oneshot::Sender<FinalResponse>),
+    /// A client's request, to which one final response is owed.
+    Request {
+        id: RequestId,
+        request: ClientRequest,
+        reply: oneshot::Sender<FinalResponse>,
+    },
+    /// The client of a request has left.
     Withdrawn(RequestId),
     AttemptEnded(AttemptResult),
     ProbeEnded {
@@ -81,43 +94,84 @@
         rtt: Seconds,
         report: LoadReport,
     },
-    ListUpdate(Option<ServerList>),
-    /// What is known of the list, for a successor.
+    /// Discovery has sent a list.
+    ListUpdated(ServerList),
+    /// A call to discovery has failed; the list is no longer watched.
+    ListCallFailed,
+    /// Asks for the list as it is known now, for a successor.
     GetList(oneshot::Sender<ServerList>),
-    /// The last byte of a request's body has come.
+    /// The last byte of a request's body has arrived.
     BodyReceived(RequestId),
-    /// Other settings, and whom to tell what clients may name from now on.
-    ApplySettings(Box<NamedSettings>, oneshot::Sender<Result<AcceptedNames, ApplySettingsError>>),
+    /// Other settings; the reply says what clients may name from now on.
+    ApplySettings {
+        settings: Box<NamedSettings>,
+        reply: oneshot::Sender<Result<AcceptedNames, ApplySettingsError>>,
+    },
 }
 
-/// The outcome of one attempt.
+/// How one attempt ended.
 pub struct AttemptResult {
-    pub request: RequestId,
-    pub attempt: AttemptNumber,
+    pub key: AttemptKey,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
+    /// From the start of the attempt, or the last byte of the request's body, to the head of the response.
     pub rtt: Seconds,
     pub report: LoadReport,
     pub body: OutgoingBody,
 }
 
+/// Which attempt of which request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptKey {
+    pub request: RequestId,
+    pub attempt: AttemptNumber,
+}
+
 /// A message to the actor of a server.
 pub enum ServerMessage {
-    /// The endpoint list has news of it.
+    /// The endpoint list has an update of the server.
     StatusChanged(EndpointStatus),
-    /// The endpoint list no longer has it.
+    /// The endpoint list no longer has the server.
     Removed,
     /// The actor is to end; no message follows.
     Shutdown,
-    Attempt(AttemptGuard, Rc<ForwardedRequest>, Instant),
+    Attempt {
+        guard: AttemptGuard,
+        forwarded: Rc<ForwardedRequest>,
+        deadline: Instant,
+    },
     Probe(ProbeGuard),
-    Cancel(RequestId, AttemptNumber),
+    Cancel(AttemptKey),
     /// The idle connections are to be closed.
     CloseIdle,
-    /// The timeouts for connecting and for idle connections have changed.
-    LimitsChanged(Seconds, Seconds),
-    /// An attempt or probe is over; its connection may be of further use.
-    ConnectionFreed(Option<(RequestId, AttemptNumber)>, Option<OutboundConnection>, SocketAddr),
+    LimitsChanged(ConnectionLimits),
+    /// An attempt or probe is over.
+    ConnectionFreed {
+        /// The attempt, if it was one.
+        attempt: Option<AttemptKey>,
+        /// Its connection, if that can carry a further request.
+        connection: Option<OutboundConnection>,
+        /// Where the connection leads.
+        addr: SocketAddr,
+    },
+}
+
+/// The timeouts of connections to a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionLimits {
+    pub connect_timeout: Duration,
+    /// An idle connection is closed after this, before the server closes it: what is written to one that the server
+    /// has closed is lost.
+    pub max_idle: Duration,
+}
+
+impl From<&Limits> for ConnectionLimits {
+    fn from(limits: &Limits) -> Self {
+        Self {
+            connect_timeout: duration(limits.connect_timeout),
+            max_idle: duration(limits.idle_timeout * IDLE_SHARE),
+        }
+    }
 }
 
 /// What the endpoint list says of a server.
@@ -125,60 +179,53 @@
 pub struct EndpointStatus {
     pub addr: SocketAddr,
     pub readiness: Readiness,
-    pub started_ms: f64,
+    pub started_at: ServerStart,
 }
 
-/// One attempt, which owes exactly one outcome: dropped without one, it was reset and may have run.
+/// Reports exactly one outcome of an attempt. If it is dropped without one, the attempt counts as reset: it may have run.
 pub struct AttemptGuard {
-    pub request: RequestId,
-    pub attempt: AttemptNumber,
+    key: AttemptKey,
     endpoint: EndpointId,
     started: Instant,
+    /// When the head of the response arrived.
     responded_at: Option<Instant>,
-    outcomes: Option<UnboundedSender<Message>>,
+    /// Where the outcome is reported; none once it is.
+    balancer: Option<UnboundedSender<Message>>,
 }
 
 impl AttemptGuard {
-    pub fn new(
-        request: RequestId,
-        attempt: AttemptNumber,
-        endpoint: EndpointId,
-        outcomes: UnboundedSender<Message>,
-    ) -> Self {
-        Self {
-            request,
-            attempt,
-            endpoint,
-            started: Instant::now(),
-            responded_at: None,
-            outcomes: Some(outcomes),
-        }
+    /// The time of the attempt counts from now.
+    pub fn new(key: AttemptKey, endpoint: EndpointId, balancer: UnboundedSender<Message>) -> Self {
+        Self { key, endpoint, started: Instant::now(), responded_at: None, balancer: Some(balancer) }
+    }
+
+    pub fn key(&self) -> AttemptKey {
+        self.key
     }
 
-    /// Sets when the head of the response came; the time after it is the transfer and not the server's work.
-    pub fn set_responded_at(&mut self, head_received_at: Option<Instant>) {
-        self.responded_at = head_received_at;
+    /// Sets when the head of the response arrived; the time after it is transfer and not the server's work.
+    pub fn set_responded_at(&mut self, responded_at: Option<Instant>) {
+        self.responded_at = responded_at;
     }
 
-    /// Counts the time of the attempt from `since` on, if that is later than its start.
-    pub fn started_no_earlier_than(&mut self, since: Instant) {
-        self.started = self.started.max(since);
+    /// Counts the time of the attempt from `start` on, if that is later than its start.
+    pub fn set_earliest_start(&mut self, start: Instant) {
+        self.started = self.started.max(start);
     }
 
+    /// Reports the outcome.
     pub fn finish(mut self, outcome: Outcome, report: LoadReport, body: OutgoingBody) {
         self.send_result(outcome, report, body);
     }
 
     fn send_result(&mut self, outcome: Outcome, report: LoadReport, body: OutgoingBody) {
-        let Some(outcomes) = self.outcomes.take() else { return };
-        let Self { request, attempt, endpoint, .. } = *self;
+        let Some(balancer) = self.balancer.take() else { return };
         let responded_at = self.responded_at.unwrap_or_else(Instant::now);
         let rtt = responded_at.saturating_duration_since(self.started).as_secs_f64();
         // Only a proxy that is about to exit has no balancer.
-        let _ = outcomes.send(Message::AttemptEnded(AttemptResult {
-            request,
-            attempt,
-            endpoint,
+        let _ = balancer.send(Message::AttemptEnded(AttemptResult {
+            key: self.key,
+            endpoint: self.endpoint,
             outcome,
             rtt,
             report,
@@ -193,26 +240,28 @@
     }
 }
 
-/// One probe, which owes exactly one outcome.
+/// Reports exactly one outcome of a probe. If it is dropped without one, the probe counts as reset.
 pub struct ProbeGuard {
     endpoint: EndpointId,
     started: Instant,
-    outcomes: Option<UnboundedSender<Message>>,
+    /// Where the outcome is reported; none once it is.
+    balancer: Option<UnboundedSender<Message>>,
 }
 
 impl ProbeGuard {
-    pub fn new(endpoint: EndpointId, outcomes: UnboundedSender<Message>) -> Self {
-        Self { endpoint, started: Instant::now(), outcomes: Some(outcomes) }
+    pub fn new(endpoint: EndpointId, balancer: UnboundedSender<Message>) -> Self {
+        Self { endpoint, started: Instant::now(), balancer: Some(balancer) }
     }
 
+    /// Reports the outcome.
     pub fn finish(mut self, outcome: Outcome, report: LoadReport) {
         self.send_result(outcome, report);
     }
 
     fn send_result(&mut self, outcome: Outcome, report: LoadReport) {
-        let Some(outcomes) = self.outcomes.take() else { return };
+        let Some(balancer) = self.balancer.take() else { return };
         let rtt = self.started.elapsed().as_secs_f64();
-        let _ = outcomes.send(Message::ProbeEnded { endpoint: self.endpoint, outcome, rtt, report });
+        let _ = balancer.send(Message::ProbeEnded { endpoint: self.endpoint, outcome, rtt, report });
     }
 }
 
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' own file: what the platform does not know of. Without one there is nothing of it.
+//! The operators' own file, with what the platform does not know of.
 
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 /// What the operators grant, read and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorConfig {
-    /// A folder for stored state.
+    /// A folder for stored state; none is used without it.
     pub state: Option<PathBuf>,
 }
 
@@ -23,7 +23,7 @@
         let json = parse_json(text)?;
         let top = JsonField::root(&json);
         for (name, found) in top.fields()? {
-            // A key that was misspelt would grant nothing, and nobody would know.
+            // A misspelt key would grant nothing, and nobody would notice.
             if name != "state" {
                 return Err(found.broken_rule("not known here").into());
             }
--- /dev/null
+++ b/crates/proxy/src/process.rs
@@ -0,0 +1,254 @@
+//! The process: what is opened at the start, in which order, and the reload of the configuration.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use mosshead_snapshot::restore::restore;
+use mosshead_snapshot::snapshot::{Snapshot, SnapshotError};
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::oneshot;
+use tokio::task::{spawn_blocking, spawn_local};
+use tokio::time::timeout;
+
+use crate::balancer_actor::BalancerHandle;
+use crate::budget::DescriptorBudget;
+use crate::client_connection::ClientFrontend;
+use crate::config::Config;
+use crate::endpoint_list::{self, EndpointList};
+use crate::errors::{LoadConfigError, ReloadError};
+use crate::handover::{self, BudgetShares, Handover, HandoverLink, PerSide};
+use crate::lifecycle::Lifecycle;
+use crate::log::say;
+use crate::snapshot_writer::{self, SnapshotWriter};
+use crate::stored_state::{self, StoredState};
+use crate::{admin, duration};
+
+/// How many connections the kernel queues until they are accepted.
+const BACKLOG: u32 = 4096;
+
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+/// See [`crate::run`].
+pub(crate) async fn serve(
+    mut config: Config,
+    read_config: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
+) -> io::Result<()> {
+    let hangup = signal(SignalKind::hangup())?;
+    let mut stop_signals = StopSignals::register()?;
+    let lifecycle = Lifecycle::new();
+    let ClientListener { listener, budgets, replacement } = ClientListener::open(&mut config).await?;
+    let has_predecessor = replacement.as_ref().is_some_and(|replacement| replacement.predecessor.is_some());
+    let Restored { stored_state, list_version } = restore_stored_state(&mut config, has_predecessor).await;
+
+    let (list, list_commands) = EndpointList::new();
+    let (balancer, accepted_names, balancer_actor) =
+        BalancerHandle::new(&config, budgets.server, list.clone(), lifecycle.clone(), stored_state)
+            .map_err(io::Error::other)?;
+    let mut balancer_task = spawn_local(balancer_actor);
+    let connect_timeout = duration(config.named.settings.limits.connect_timeout);
+    let watch = endpoint_list::run(
+        config.discovery,
+        list_version,
+        connect_timeout,
+        list_commands,
+        balancer.mailbox(),
+    );
+    spawn_local(watch);
+    let admin_address = config.ops.map(|at| admin::open(at, lifecycle.clone())).transpose()?;
+    say!(
+        name = %config.name,
+        listen = %listener.local_addr()?,
+        version = %env!("CARGO_PKG_VERSION"),
+        ops = admin_address.map(tracing::field::display),
+        handed_over = has_predecessor.then_some(true),
+        "start"
+    );
+    let handover = replacement.map(|replacement| replacement.start(&balancer, &lifecycle, listener.clone()));
+    let frontend = ClientFrontend::new(balancer.clone(), accepted_names, budgets.client, lifecycle.clone());
+    spawn_local(reload_on_hangup(hangup, read_config, list, balancer, frontend.clone(), config.clone()));
+
+    let stop = async {
+        stop_signals.received().await;
+        lifecycle.set_stopping();
+        say!("stopping");
+    };
+    tokio::select! {
+        () = frontend.serve(listener, stop, handover) => {
+            say!(name = %config.name, "stopped");
+            Ok(())
+        }
+        // Without its decisions the proxy can't go on: the process ends, so that a new one is started.
+        _ = &mut balancer_task => Err(io::Error::other("the module's actor has ended")),
+    }
+}
+
+/// The signals that stop the process.
+struct StopSignals {
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl StopSignals {
+    fn register() -> io::Result<Self> {
+        Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
+    }
+
+    /// Waits for the first one.
+    async fn received(&mut self) {
+        tokio::select! {
+            _ = self.terminate.recv() => {}
+            _ = self.interrupt.recv() => {}
+        }
+    }
+}
+
+/// The socket that clients connect to, with the descriptors that both sides of the proxy may open.
+struct ClientListener {
+    listener: Rc<TcpListener>,
+    budgets: PerSide<DescriptorBudget>,
+    /// Only with an admin endpoint: without it nobody can learn that a successor is ready.
+    replacement: Option<Replacement>,
+}
+
+impl ClientListener {
+    /// Takes the socket over from a predecessor, with the endpoint list that it knows, or opens one.
+    async fn open(config: &mut Config) -> io::Result<Self> {
+        let socket_path = config.ops.map(|_| handover::socket_path(config.listen));
+        let handed_over = match &socket_path {
+            Some(path) => handover::request_handover(path, config.listen).await.unwrap_or_else(|error| {
+                say!(why = %error, "no handover");
+                None
+            }),
+            None => None,
+        };
+        let set_aside = socket_path.as_ref().map_or(0, |_| handover::STARTUP_DESCRIPTORS);
+        let [client, server] = DescriptorBudget::split(config.sockets, config.memory_mb, set_aside);
+        let budgets = PerSide { client, server };
+        let shares =
+            socket_path.map(|path| (path, BudgetShares::new(budgets.clone(), handed_over.is_some())));
+        let (listener, predecessor) = match handed_over {
+            Some(handed_over) => {
+                config.known = handed_over.known;
+                (TcpListener::from_std(handed_over.listener)?, Some(handed_over.link))
+            }
+            None if shares.is_some() => (bind_shared(config.listen)?, None),
+            None => (TcpListener::bind(config.listen).await?, None),
+        };
+        let replacement =
+            shares.map(|(socket_path, shares)| Replacement { socket_path, shares, predecessor });
+        Ok(Self { listener: Rc::new(listener), budgets, replacement })
+    }
+}
+
+/// What the process needs to be replaced, and to replace another one.
+struct Replacement {
+    socket_path: PathBuf,
+    shares: BudgetShares,
+    predecessor: Option<HandoverLink>,
+}
+
+impl Replacement {
+    fn start(
+        self,
+        balancer: &BalancerHandle,
+        lifecycle: &Arc<Lifecycle>,
+        listener: Rc<TcpListener>,
+    ) -> Rc<Handover> {
+        let Self { socket_path, shares, predecessor } = self;
+        Handover::new(socket_path, balancer.clone(), shares, lifecycle.clone(), listener, predecessor)
+    }
+}
+
+/// Opens a listener whose address other processes of this user can share.
+fn bind_shared(listen: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if listen.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    socket.set_reuseaddr(true)?;
+    socket.set_reuseport(true)?;
+    socket.bind(listen)?;
+    socket.listen(BACKLOG)
+}
+
+/// What this incarnation starts from.
+struct Restored {
+    /// None without a folder for stored state, or if that can't be used.
+    stored_state: Option<StoredState>,
+    /// The version from which discovery is to continue the list; none if the list known here is not discovery's.
+    list_version: Option<u64>,
+}
+
+/// Reads what a former incarnation left in the folder that the operators grant, if they grant one.
+///
+/// The list of a predecessor that handed over is newer than that of any folder, and takes precedence.
+async fn restore_stored_state(config: &mut Config, has_predecessor: bool) -> Restored {
+    let Some(folder) = config.operators.state.clone() else {
+        return Restored { stored_state: None, list_version: Some(config.known.version) };
+    };
+    let found = read_snapshot(folder.clone()).await;
+    let restored = restore(&config.known, found, &config.name, stored_state::unix_time());
+    for report in &restored.reports {
+        say!(part = %report.part, fate = %report.outcome, why = %report.reason, life = restored.incarnation, "former life");
+    }
+    if !has_predecessor {
+        config.known = restored.server_list.clone();
+    }
+    let list_version = (has_predecessor || !restored.is_list_modified).then_some(config.known.version);
+    let stored_state = match SnapshotWriter::start(folder) {
+        Ok(writer) => Some(StoredState::new(writer, &config.name, restored)),
+        Err(error) => {
+            say!(why = %error, "fault: no state is stored for the next incarnation");
+            None
+        }
+    };
+    Restored { stored_state, list_version }
+}
+
+/// Reads the snapshot on a thread of its own: a disk that hangs must not keep the proxy from serving. The runtime's
+/// own threads would not do, since a stop waits for them.
+async fn read_snapshot(folder: PathBuf) -> Result<Snapshot, SnapshotError> {
+    let (sender, found) = oneshot::channel();
+    std::thread::spawn(move || drop(sender.send(snapshot_writer::read(&folder))));
+    let found = timeout(snapshot_writer::READ_TIMEOUT, found).await.ok().and_then(Result::ok);
+    found.unwrap_or(Err(SnapshotError::TimedOut))
+}
+
+/// Reads the configuration again on each SIGHUP: its settings are applied as a whole or not at all, and the endpoint
+/// list is watched where it now says. Requests and connections continue; everything else in the file takes effect
+/// at the next start.
+async fn reload_on_hangup(
+    mut hangup: Signal,
+    read_config: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
+    list: EndpointList,
+    balancer: BalancerHandle,
+    frontend: Rc<ClientFrontend>,
+    mut running: Config,
+) {
+    while hangup.recv().await.is_some() {
+        // A file system that hangs must not stop the requests.
+        let read = spawn_blocking(read_config.clone()).await;
+        let adopted = async {
+            let next = read??;
+            running.check_replacement(&next)?;
+            let names = balancer.apply_settings(next.named.clone()).await?;
+            Ok::<_, ReloadError>((next, names))
+        };
+        match adopted.await {
+            Ok((next, names)) => {
+                frontend.set_accepted_names(names);
+                say!(
+                    discovery = %next.discovery,
+                    classes = next.named.settings.classes.len(),
+                    attempts = next.named.settings.limits.max_attempts,
+                    "reloaded"
+                );
+                list.move_to(next.discovery);
+                running = next;
+            }
+            Err(error) => say!(fault = %error, "reload failed"),
+        }
+    }
+}
--- a/crates/proxy/src/request_ids.rs
+++ b/crates/proxy/src/request_ids.rs
@@ -1,46 +1,61 @@
-//! Which ids are taken: by requests that are held, and by requests that went out not long ago and may have run.
+//! The request ids in use: those of pending requests, and of finished ones that may still be running at a server.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// The ids that no newcomer may bring. A server takes a second request of the same id for the same
-/// request sent again.
+/// The ids that no new request may have: a server takes a second request of the same id for a repeat of the first one.
 pub struct RequestIds {
-    pub taken: HashSet<u64>,
-    /// Those of requests that are over, until when each is kept.
-    pub finished: VecDeque<(Instant, u64)>,
+    /// All ids in use, also those in `finished`.
+    in_use: HashSet<u64>,
+    /// The ids of finished requests, with the instant at which each is free again; in the order of these instants.
+    finished: VecDeque<(Instant, u64)>,
     retention: Duration,
 }
 
 impl RequestIds {
-    /// `retention`: for how long a request that is over may still run somewhere.
+    /// `retention` is how long a finished request may still be running at a server.
     pub fn new(retention: Duration) -> Self {
-        Self { taken: HashSet::new(), finished: VecDeque::new(), retention }
+        Self { in_use: HashSet::new(), finished: VecDeque::new(), retention }
     }
 
-    /// Later requests may run for so long.
+    /// Lengthens the retention of requests that finish from now on; a shorter one has no effect.
     pub fn extend_retention(&mut self, retention: Duration) {
-        // Shortened, an id that is kept longer would stand before one that is due.
+        // `finished` would no longer be in order if it could be shortened.
         self.retention = self.retention.max(retention);
     }
 
-    /// Takes an id; false if it is taken already.
+    /// Reserves an id for a new request. Returns whether it was free.
     pub fn try_reserve(&mut self, id: u64, now: Instant) -> bool {
-        while let Some((until, finished)) = self.finished.front().copied()
-            && until <= now
+        while let Some((free_at, finished)) = self.finished.front().copied()
+            && free_at <= now
         {
             self.finished.pop_front();
-            self.taken.remove(&finished);
+            self.in_use.remove(&finished);
         }
-        self.taken.insert(id)
+        self.in_use.insert(id)
     }
 
-    /// The request is over. One that was never sent leaves its id free at once.
-    pub fn release(&mut self, id: u64, sent: bool, now: Instant) {
-        if sent {
+    /// Releases the id of a finished request: at once if it was never sent, else after the retention.
+    pub fn release(&mut self, id: u64, was_sent: bool, now: Instant) {
+        if was_sent {
             self.finished.push_back((now + self.retention, id));
         } else {
-            self.taken.remove(&id);
+            self.in_use.remove(&id);
         }
     }
+
+    /// How many ids are in use.
+    pub fn len(&self) -> usize {
+        self.in_use.len()
+    }
+
+    /// Whether no id is in use.
+    pub fn is_empty(&self) -> bool {
+        self.in_use.is_empty()
+    }
+
+    /// How many of the ids in use are those of finished requests.
+    pub fn finished_len(&self) -> usize {
+        self.finished.len()
+    }
 }
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,7 +1,7 @@
 //! The folder for stored state: read once at the start, written by a thread of its own.
 //!
-//! A disk that is full or slow must not touch the requests. The thread holds one snapshot that waits; a newer one takes its
-//! place.
+//! A disk that is full or slow must not touch the requests. At most one snapshot is queued for the thread; a newer one
+//! replaces it.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -14,21 +14,24 @@
     self, LOCK_FILE, MAX_SNAPSHOT_LEN, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, SnapshotError,
 };
 
-use crate::log::{LogLimiter, say};
+use crate::log::{AdmittedLine, LogLimiter, say};
 
-/// Between two writes there is at least this: a list that changes all the time is not written all the time.
+/// The least time between two writes: a list that changes all the time is not written all the time.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// A folder that does not give its snapshot within this is taken for empty.
+/// A folder whose snapshot can't be read within this time counts as empty.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What a folder holds.
+/// Reads the snapshot of a folder.
+///
+/// # Errors
+/// There is none, or it can't be read or used.
 pub fn read(folder: &Path) -> Result<Snapshot, SnapshotError> {
-    let wrong = |error: io::Error| SnapshotError::Unreadable(error.to_string());
+    let unreadable = |error: io::Error| SnapshotError::Unreadable(error.to_string());
     let mut bytes = Vec::new();
     match File::open(folder.join(SNAPSHOT_FILE)) {
-        Ok(file) => file.take(MAX_SNAPSHOT_LEN as u64 + 1).read_to_end(&mut bytes).map_err(wrong)?,
+        Ok(file) => file.take(MAX_SNAPSHOT_LEN as u64 + 1).read_to_end(&mut bytes).map_err(unreadable)?,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Err(SnapshotError::Empty),
-        Err(error) => return Err(wrong(error)),
+        Err(error) => return Err(unreadable(error)),
     };
     if bytes.len() > MAX_SNAPSHOT_LEN {
         return Err(SnapshotError::WrongLength { stated: MAX_SNAPSHOT_LEN, found: bytes.len() });
@@ -36,65 +39,76 @@
     snapshot::decode(&bytes)
 }
 
-/// Writes a snapshot, whole or not at all: a file beside the old one, which takes its place once the disk has it.
+/// Writes a snapshot atomically: a file beside the old one, which replaces it once it is on the disk.
+///
+/// # Errors
+/// A file operation failed; the old snapshot then stays.
 pub fn write(folder: &Path, snapshot: &Snapshot) -> io::Result<()> {
-    let fresh = folder.join(NEW_SNAPSHOT_FILE);
-    let mut file = File::create(&fresh)?;
+    let new_path = folder.join(NEW_SNAPSHOT_FILE);
+    let mut file = File::create(&new_path)?;
     file.write_all(&snapshot::encode(snapshot))?;
     file.sync_data()?;
-    fs::rename(fresh, folder.join(SNAPSHOT_FILE))?;
-    // Without this a machine that loses its power may have neither file.
+    fs::rename(new_path, folder.join(SNAPSHOT_FILE))?;
+    // Without this, a machine that loses its power may have neither file.
     File::open(folder)?.sync_all()
 }
 
+/// The snapshot that is to be written next.
 #[derive(Default)]
 struct PendingSnapshot {
     next: Mutex<Option<Snapshot>>,
-    arrived: Condvar,
+    submitted: Condvar,
 }
 
-/// The way to the thread that writes.
+impl PendingSnapshot {
+    fn wait_for_next(&self) -> Snapshot {
+        let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
+        loop {
+            match next.take() {
+                Some(snapshot) => return snapshot,
+                None => next = self.submitted.wait(next).unwrap_or_else(PoisonError::into_inner),
+            }
+        }
+    }
+}
+
+/// Submits snapshots to the thread that writes them.
 pub struct SnapshotWriter(Arc<PendingSnapshot>);
 
 impl SnapshotWriter {
-    /// Starts the thread. It ends with the process.
+    /// Starts the thread, which ends with the process.
+    ///
+    /// # Errors
+    /// The system gives no further thread.
     pub fn start(folder: PathBuf) -> io::Result<Self> {
-        let slot = Arc::new(PendingSnapshot::default());
-        let theirs = slot.clone();
-        thread::Builder::new().name("keeper".to_owned()).spawn(move || run(&folder, &theirs))?;
-        Ok(Self(slot))
+        let pending = Arc::new(PendingSnapshot::default());
+        let pending_of_thread = pending.clone();
+        thread::Builder::new().name("keeper".to_owned()).spawn(move || run(&folder, &pending_of_thread))?;
+        Ok(Self(pending))
     }
 
-    /// This is to be kept. What still waits is not written any more.
+    /// Submits a snapshot, in place of one that has not been written yet.
     pub fn submit(&self, snapshot: Snapshot) {
         *self.0.next.lock().unwrap_or_else(PoisonError::into_inner) = Some(snapshot);
-        self.0.arrived.notify_one();
+        self.0.submitted.notify_one();
     }
 }
 
-fn run(folder: &Path, slot: &PendingSnapshot) {
-    let failed = LogLimiter::default();
+fn run(folder: &Path, pending: &PendingSnapshot) {
+    let failure_log = LogLimiter::default();
     let mut lock = None;
-    let mut fails = false;
+    let mut has_failed = false;
     loop {
-        let mut next = slot.next.lock().unwrap_or_else(PoisonError::into_inner);
-        let snapshot = loop {
-            match next.take() {
-                Some(snapshot) => break snapshot,
-                None => next = slot.arrived.wait(next).unwrap_or_else(PoisonError::into_inner),
-            }
-        };
-        drop(next);
+        let snapshot = pending.wait_for_next();
         match acquire_lock(folder, &mut lock).and_then(|()| write(folder, &snapshot)) {
-            Ok(()) if fails => {
-                fails = false;
+            Ok(()) if has_failed => {
+                has_failed = false;
                 say!("snapshot kept again");
             }
             Ok(()) => {}
             Err(error) => {
-                fails = true;
-                if let Some(left_out) = failed.admit() {
-                    let left_out = (left_out > 0).then_some(left_out);
+                has_failed = true;
+                if let Some(AdmittedLine { left_out }) = failure_log.admit() {
                     say!(why = %error, left_out, "snapshot failed");
                 }
             }
@@ -103,8 +117,12 @@
     }
 }
 
-/// Takes the folder's lock, unless it is held already. Of two processes of one name, as during a replacement, the later
-/// one would write over what the other knows. The kernel frees a lock whose holder has died.
+/// Takes the lock of the folder, unless this process has it already. Of two processes of one name, as during a
+/// replacement, the later one would overwrite what the other one knows. The kernel frees the lock of a process that
+/// has died.
+///
+/// # Errors
+/// Another process has the lock, or its file can't be created.
 pub fn acquire_lock(folder: &Path, lock: &mut Option<File>) -> io::Result<()> {
     if lock.is_none() {
         let file = File::create(folder.join(LOCK_FILE))?;
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -1,4 +1,7 @@
-//! What this incarnation leaves to the next, where the operators grant a folder: names for what the decisions know by numbers.
+//! What this incarnation stores for the next one, if the operators grant a folder for it.
+//!
+//! The balancer knows classes, zones, kinds and servers by number. What is stored has their names, since the numbers of
+//! the next incarnation are others.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -12,58 +15,70 @@
 
 use crate::snapshot_writer::SnapshotWriter;
 
-/// The time by the clock that all machines read.
+/// The time by the machine's clock.
 pub fn unix_time() -> UnixTime {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixTime::from_millis(since_epoch.as_millis() as u64)
 }
 
-/// Stored state of this incarnation.
+/// What this incarnation stores, as far as it is not the balancer's.
 pub struct StoredState {
     writer: SnapshotWriter,
+    /// The name of the instance, the same for all incarnations.
     instance: String,
     incarnation: u64,
     /// When discovery last confirmed its list, to this incarnation or a former one.
     list_confirmed_at: Option<UnixTime>,
-    /// Servers that drain or have ended.
-    pub ended_servers: Vec<EndedServer>,
+    /// Servers that drain or have ended, the oldest first.
+    ended_servers: Vec<EndedServer>,
     /// What a former incarnation learned, until this one starts from it.
     learned_values: Option<RestoredValues>,
 }
 
 impl StoredState {
-    pub fn new(writer: SnapshotWriter, instance: &str, believed: RestoredState) -> Self {
-        let RestoredState { list_confirmed_at, ended_servers, learned_values, incarnation, .. } = believed;
-        let instance = instance.to_owned();
-        Self { writer, instance, incarnation, list_confirmed_at, ended_servers, learned_values }
+    pub fn new(writer: SnapshotWriter, instance: &str, restored: RestoredState) -> Self {
+        Self {
+            writer,
+            instance: instance.to_owned(),
+            incarnation: restored.incarnation,
+            list_confirmed_at: restored.list_confirmed_at,
+            ended_servers: restored.ended_servers,
+            learned_values: restored.learned_values,
+        }
     }
 
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Discovery has told this of the servers that were on the list before, or are on it now.
+    /// The servers that drain or have ended, the oldest first.
+    pub fn ended_servers(&self) -> &[EndedServer] {
+        &self.ended_servers
+    }
+
+    /// Records a list that discovery has sent: the servers that were listed `before`, and those that are listed `now`.
     pub fn record_list<'a>(&mut self, before: &[ListedServer], now: impl Iterator<Item = &'a ListedServer>) {
         let reported_at = unix_time();
         self.list_confirmed_at = Some(reported_at);
-        let now: BTreeMap<&str, &ListedServer> = now.map(|machine| (machine.id.as_str(), machine)).collect();
-        let serves = |machine: &&&ListedServer| machine.readiness == Readiness::Ready;
+        let now: BTreeMap<&str, &ListedServer> = now.map(|server| (server.id.as_str(), server)).collect();
         self.ended_servers.retain(|ended| {
-            let there = now.get(ended.id.as_str()).filter(serves);
-            there.is_none_or(|machine| machine.started_at != ended.started_at)
+            let listed = now.get(ended.id.as_str());
+            let is_serving = listed
+                .is_some_and(|server| server.readiness == Readiness::Ready && ended.is_same_server(server));
+            !is_serving
         });
-        let gone = before.iter().filter(|machine| !now.contains_key(machine.id.as_str()));
-        let drains = now.values().copied().filter(|machine| machine.readiness != Readiness::Ready);
-        for machine in gone.chain(drains) {
-            if !self.ended_servers.iter().any(|ended| ended.is_same_server(machine)) {
-                let (id, started_at) = (machine.id.clone(), machine.started_at);
+        let removed = before.iter().filter(|server| !now.contains_key(server.id.as_str()));
+        let draining = now.values().copied().filter(|server| server.readiness != Readiness::Ready);
+        for server in removed.chain(draining) {
+            if !self.ended_servers.iter().any(|ended| ended.is_same_server(server)) {
+                let (id, started_at) = (server.id.clone(), server.started_at);
                 self.ended_servers.push(EndedServer { id, started_at, reported_at });
             }
         }
         self.ended_servers.drain(..self.ended_servers.len().saturating_sub(MAX_ENDED_SERVERS));
     }
 
-    /// Leaves this to the next incarnation.
+    /// Stores the list and learned values for the next incarnation.
     pub fn write(&self, server_list: ServerList, learned_values: LearnedValuesBySubject) {
         self.writer.submit(Snapshot {
             instance_name: self.instance.clone(),
@@ -76,71 +91,73 @@
         });
     }
 
-    /// What a former incarnation learned, once.
+    /// Takes what a former incarnation learned; none if that was taken before, or there is nothing.
     pub fn take_learned(&mut self) -> Option<RestoredValues> {
         self.learned_values.take()
     }
 }
 
-/// The tables of names that numbers come from.
+/// The names of all that the balancer knows by number.
 pub struct NameTables<'a> {
     pub zones: &'a NameTable,
     pub kinds: &'a NameTable,
     /// The name of each class, by its number.
     pub classes: Vec<&'a str>,
     /// The id of each server that is listed, by its number.
-    pub nodes: BTreeMap<u32, &'a str>,
+    pub servers: BTreeMap<u32, &'a str>,
 }
 
 impl NameTables<'_> {
-    fn name(&self, of: Subject) -> Option<String> {
-        Some(match of {
+    /// How a subject is named in a snapshot.
+    fn name(&self, subject: Subject) -> Option<String> {
+        Some(match subject {
             Subject::Fleet => "all".to_owned(),
             Subject::Class(ClassId(at)) => format!("class/{}", self.classes.get(at)?),
             Subject::MachineKind(MachineKindId(at)) => format!("kind/{}", self.kinds.find_name(at)?),
             Subject::Zone(ZoneId(at), bound) => {
                 format!("{}/{}", if bound { "bound" } else { "zone" }, self.zones.find_name(at)?)
             }
-            Subject::Endpoint(EndpointId(at)) => format!("node/{}", self.nodes.get(&at)?),
+            Subject::Endpoint(EndpointId(at)) => format!("node/{}", self.servers.get(&at)?),
         })
     }
 
-    fn number(&self, name: &str) -> Option<Subject> {
+    /// The subject of a name in a snapshot.
+    fn subject(&self, name: &str) -> Option<Subject> {
         if name == "all" {
             return Some(Subject::Fleet);
         }
-        let (what, name) = name.split_once('/')?;
-        Some(match what {
-            // Of classes that were defined anew the latest is the one in force.
+        let (subject_kind, name) = name.split_once('/')?;
+        Some(match subject_kind {
+            // Of several definitions of a class the latest one is in force.
             "class" => Subject::Class(ClassId(self.classes.iter().rposition(|class| *class == name)?)),
             "kind" => Subject::MachineKind(MachineKindId(self.kinds.find_number(name)?)),
-            "zone" | "bound" => Subject::Zone(ZoneId(self.zones.find_number(name)?), what == "bound"),
-            "node" => Subject::Endpoint(EndpointId(*self.nodes.iter().find(|(_, id)| **id == name)?.0)),
+            "zone" | "bound" => Subject::Zone(ZoneId(self.zones.find_number(name)?), subject_kind == "bound"),
+            "node" => Subject::Endpoint(EndpointId(*self.servers.iter().find(|(_, id)| **id == name)?.0)),
             _ => return None,
         })
     }
 
-    /// Names in place of numbers.
-    pub fn to_names(&self, figures: Vec<LearnedValue>) -> LearnedValuesBySubject {
-        let mut all = LearnedValuesBySubject::new();
-        for LearnedValue { subject: of, name, value } in figures {
-            if let Some(of) = self.name(of) {
-                all.entry(of).or_default().insert(name, value);
+    /// Learned values under the names of their subjects; those of subjects without a name are left out.
+    pub fn to_names(&self, values: Vec<LearnedValue>) -> LearnedValuesBySubject {
+        let mut named = LearnedValuesBySubject::new();
+        for LearnedValue { subject, name, value } in values {
+            if let Some(subject) = self.name(subject) {
+                named.entry(subject).or_default().insert(name, value);
             }
         }
-        all
+        named
     }
 
-    /// Numbers in place of names; what has no number here is left out.
+    /// Learned values by the numbers of their subjects; those of subjects that are unknown here are left out.
     pub fn to_numbers(&self, named: &LearnedValuesBySubject) -> Vec<LearnedValue> {
-        let known = named.iter().filter_map(|(name, figures)| Some((self.number(name)?, figures)));
-        let figures = known.flat_map(|(of, figures)| {
-            figures.iter().map(move |(name, value)| LearnedValue {
-                subject: of,
+        let known = named.iter().filter_map(|(name, values)| Some((self.subject(name)?, values)));
+        let values = known.flat_map(|(subject, values)| {
+            values.iter().map(move |(name, value)| LearnedValue {
+                subject,
                 name: name.clone(),
                 value: *value,
             })
         });
-        figures.collect()
+        values.collect()
     }
 }
