--- /dev/null
+++ b/crates/proxy/tests/network/stop.rs
@@ -0,0 +1,50 @@
+//! SIGTERM: requests are finished, connections are still accepted for a while, and idle ones are closed.
+
+use rstest::rstest;
+
+use crate::scenario::play;
+
+#[rstest]
+#[case::requests_are_finished(
+    "proxy start n1
+     b send GET /_health
+     b expect 200
+     a send POST /book-lesson
+     n1 expect book-lesson
+     proxy close
+     proxy wait stopping
+     c send GET /_health
+     c expect 200 connection:+close
+     b expect closed
+     n1 send 200 body=booked
+     a expect 200 booked connection:
+     a expect closed
+     proxy wait side=execute-node
+     proxy expect exit 0"
+)]
+#[case::an_incomplete_head_does_not_delay_it(
+    "proxy start n1
+     a send raw GET /slot-
+     proxy close
+     a expect closed
+     proxy expect exit 0"
+)]
+fn a_stop_loses_no_request(#[case] scenario: &str) {
+    play(scenario);
+}
+
+/// The accept queue would be lost with the listener, also if no descriptor is free to accept it.
+#[test]
+fn a_stop_serves_connections_that_wait_for_a_descriptor() {
+    let crowd: String = (0..30).map(|at| format!("c{at} send raw GET /slot-\n")).collect();
+    play(&format!(
+        "proxy start n1 sockets=64
+         {crowd}
+         a send GET /slot-lookup
+         proxy close
+         n1 expect slot-lookup
+         n1 send 200 body=ok
+         a expect ok
+         proxy expect exit 0"
+    ));
+}
--- a/crates/proxy/tests/replace.rs
+++ b/crates/proxy/tests/replace.rs
@@ -1,374 +1,391 @@
-//! The replacement of a process that serves, with real processes under load: each job is counted to one answer.
+//! The replacement of a running process by another one under load: each request has one response.
 
-mod scenario;
-mod stand;
+mod common;
 
-use std::io::{BufReader, Write};
+use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::net::UnixListener;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::mpsc::channel;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
 
+use common::deployment::{Deployment, request_id, spawn_server};
+use common::proxy_process::{ProxyProcess, call_admin_at};
+use common::{TIMEOUT, read_message};
 use rstest::rstest;
-use stand::{PATIENCE, Place, Proxy, call_at, id_of, node, read};
+use thiserror::Error;
 
-/// An execute node that answers each job after a moment with its id, and notes which came.
-fn echo(ran: Arc<Mutex<Vec<String>>>) -> SocketAddr {
-    node(move |mut stream| {
-        while let Some(job) = read(&mut stream) {
-            let id = id_of(&job).expect("an id").to_owned();
-            ran.lock().expect("the list").push(id.clone());
+/// The ids of the requests that a server has executed.
+type ExecutedIds = Arc<Mutex<Vec<String>>>;
+
+/// A server that responds to each request after a moment, with its id.
+fn spawn_echo_server(executed: ExecutedIds) -> SocketAddr {
+    spawn_server(move |mut stream| {
+        while let Some(request) = read_message(&mut stream) {
+            let id = request_id(&request).expect("an id").to_owned();
+            executed.lock().expect("no thread panics with the lock").push(id.clone());
             thread::sleep(Duration::from_millis(4));
-            let answer = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{id}", id.len());
-            if stream.get_mut().write_all(answer.as_bytes()).is_err() {
+            let response = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{id}", id.len());
+            if stream.get_mut().write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
     })
 }
 
-/// A deployment over such a node.
-struct Deployed {
-    place: Place,
-    ran: Arc<Mutex<Vec<String>>>,
+/// A deployment over such a server.
+struct EchoDeployment {
+    deployment: Deployment,
+    executed: ExecutedIds,
 }
 
-impl std::ops::Deref for Deployed {
-    type Target = Place;
+impl std::ops::Deref for EchoDeployment {
+    type Target = Deployment;
 
-    fn deref(&self) -> &Place {
-        &self.place
+    fn deref(&self) -> &Deployment {
+        &self.deployment
     }
 }
 
-impl Deployed {
+impl EchoDeployment {
     fn new(sockets: u32) -> Self {
-        let ran = Arc::new(Mutex::new(Vec::new()));
-        Self { place: Place::new(sockets, echo(ran.clone())), ran }
+        let executed = ExecutedIds::default();
+        Self { deployment: Deployment::new(sockets, spawn_echo_server(executed.clone())), executed }
     }
 
-    /// Keeps submitters busy until told to stop; each counts what it sent, and names what got no answer.
-    fn load(&self) -> Load {
-        let (stop, sent, lost) = (Arc::new(AtomicBool::new(false)), Arc::default(), Arc::default());
-        let load = Load { stop, sent, lost, submitters: Vec::new() };
-        let submitters = (0..8).map(|which| {
-            let (listen, stop) = (self.listen, load.stop.clone());
-            let (sent, lost): (Arc<AtomicU64>, Arc<Mutex<Vec<String>>>) =
-                (load.sent.clone(), load.lost.clone());
-            thread::spawn(move || {
-                let mut kept: Option<BufReader<TcpStream>> = None;
-                let mut turn = 0;
-                while !stop.load(Ordering::Relaxed) {
-                    turn += 1;
-                    let id = format!("{:08x}{turn:08x}", which + 1);
-                    // Some submitters bring each job on a connection of its own.
-                    if which % 2 == 0 {
-                        kept = None;
-                    }
-                    sent.fetch_add(1, Ordering::Relaxed);
-                    if let Err(fault) = ask(listen, &mut kept, &id) {
-                        lost.lock().expect("the list").push(format!("{id}: {fault}"));
-                    }
-                }
-            })
+    fn executed(&self) -> MutexGuard<'_, Vec<String>> {
+        self.executed.lock().expect("no thread panics with the lock")
+    }
+
+    /// Starts eight clients that send one request after the other.
+    fn start_load(&self) -> Load {
+        let load = Load::default();
+        let clients = (0..8).map(|client| {
+            let (listen, shared) = (self.listen, load.shared.clone());
+            thread::spawn(move || run_client(client, listen, &shared))
         });
-        Load { submitters: submitters.collect(), ..load }
+        Load { clients: clients.collect(), ..load }
     }
 }
 
-/// One job to its one answer. Where a close crosses it on a kept connection it goes once more, on a new one.
-fn ask(listen: SocketAddr, kept: &mut Option<BufReader<TcpStream>>, id: &str) -> Result<(), String> {
-    let old = kept.is_some();
-    let stream = match kept.take() {
-        Some(stream) => Ok(stream),
-        None => TcpStream::connect(listen).map(BufReader::new),
+/// Sends requests until the load is stopped.
+fn run_client(client: u32, listen: SocketAddr, load: &SharedLoad) {
+    let mut idle = None;
+    let mut request_number = 0;
+    while !load.is_stopping.load(Ordering::Relaxed) {
+        request_number += 1;
+        let id = format!("{:08x}{request_number:08x}", client + 1);
+        // Some clients open a connection for each request.
+        if client.is_multiple_of(2) {
+            idle = None;
+        }
+        load.sent.fetch_add(1, Ordering::Relaxed);
+        if let Err(error) = send_request(listen, &mut idle, &id) {
+            load.lost.lock().expect("no thread panics with the lock").push(format!("{id}: {error}"));
+        }
+    }
+}
+
+/// Why a request has no valid response.
+#[derive(Debug, Error)]
+enum RequestError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("{0}")]
+    WrongResponse(String),
+    #[error("closed without a response")]
+    Closed,
+}
+
+/// Sends a request and checks its response. A request that crosses with the end of an idle connection is sent again, on
+/// a new one.
+fn send_request(
+    listen: SocketAddr,
+    idle: &mut Option<BufReader<TcpStream>>,
+    id: &str,
+) -> Result<(), RequestError> {
+    let is_reused = idle.is_some();
+    let mut stream = match idle.take() {
+        Some(stream) => stream,
+        None => BufReader::new(TcpStream::connect(listen)?),
     };
-    let mut stream = stream.map_err(|error| error.to_string())?;
-    stream.get_ref().set_read_timeout(Some(PATIENCE)).map_err(|error| error.to_string())?;
-    let job = format!(
+    stream.get_ref().set_read_timeout(Some(TIMEOUT))?;
+    let request = format!(
         "POST /book-lesson HTTP/1.1\r\nX-Service-Class: book-lesson\r\nX-Time-Left: 5\r\n\
          X-Correlation-Id: {id}\r\nContent-Length: 0\r\n\r\n"
     );
-    let answer = stream.get_mut().write_all(job.as_bytes()).ok().and_then(|()| read(&mut stream));
-    match answer {
-        // A requeue notice is an answer too: many at once at one node are more than it is trusted with.
-        Some(answer)
-            if (answer.starts_with("HTTP/1.1 200") && answer.ends_with(id))
-                || (answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after")) =>
+    let response =
+        stream.get_mut().write_all(request.as_bytes()).ok().and_then(|()| read_message(&mut stream));
+    match response {
+        // A rejection is a response, too: at first one server is trusted with few requests at once.
+        Some(response)
+            if (response.starts_with("HTTP/1.1 200") && response.ends_with(id))
+                || (response.starts_with("HTTP/1.1 503") && response.contains("retry-after")) =>
         {
-            if !answer.to_lowercase().contains("connection: close") {
-                *kept = Some(stream);
+            if !response.to_lowercase().contains("connection: close") {
+                *idle = Some(stream);
             }
             Ok(())
         }
-        Some(answer) => Err(answer),
-        None if old => ask(listen, kept, id),
-        None => Err("closed without an answer".to_owned()),
+        Some(response) => Err(RequestError::WrongResponse(response)),
+        None if is_reused => send_request(listen, idle, id),
+        None => Err(RequestError::Closed),
     }
 }
 
+/// Clients that send requests until the load is stopped.
+#[derive(Default)]
 struct Load {
-    stop: Arc<AtomicBool>,
-    sent: Arc<AtomicU64>,
-    lost: Arc<Mutex<Vec<String>>>,
-    submitters: Vec<thread::JoinHandle<()>>,
+    shared: Arc<SharedLoad>,
+    clients: Vec<thread::JoinHandle<()>>,
+}
+
+#[derive(Default)]
+struct SharedLoad {
+    is_stopping: AtomicBool,
+    /// How many requests were sent.
+    sent: AtomicU64,
+    /// The requests without a valid response.
+    lost: Mutex<Vec<String>>,
 }
 
 impl Load {
-    /// Waits until so many more jobs have been sent.
-    fn goes_on(&self, more: u64) {
-        let (until, began) = (self.sent.load(Ordering::Relaxed) + more, Instant::now());
-        while self.sent.load(Ordering::Relaxed) < until {
-            assert!(began.elapsed() < PATIENCE, "the load stands still");
+    /// Waits until so many more requests have been sent.
+    fn wait_for_requests(&self, count: u64) {
+        let sent = || self.shared.sent.load(Ordering::Relaxed);
+        let (target, started_at) = (sent() + count, Instant::now());
+        while sent() < target {
+            assert!(started_at.elapsed() < TIMEOUT, "no requests are sent");
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Ends the load; gives what was lost, the first of it.
-    fn end(self) -> Vec<String> {
-        self.stop.store(true, Ordering::Relaxed);
-        self.submitters.into_iter().for_each(|submitter| submitter.join().expect("a submitter"));
-        let lost = self.lost.lock().expect("the list");
+    /// Stops the load. Returns the first requests without a valid response.
+    fn stop(self) -> Vec<String> {
+        self.shared.is_stopping.store(true, Ordering::Relaxed);
+        self.clients.into_iter().for_each(|client| client.join().expect("the client does not panic"));
+        let lost = self.shared.lost.lock().expect("no thread panics with the lock");
         lost.iter().take(9).cloned().collect()
     }
 
-    /// It goes on for a while, and then it turns out that nothing was lost.
-    fn loses_nothing(self) {
-        self.goes_on(50);
-        let lost = self.end();
+    /// Goes on for a while, and checks that each request has had a valid response.
+    fn assert_nothing_lost(self) {
+        self.wait_for_requests(50);
+        let lost = self.stop();
         assert!(lost.is_empty(), "{lost:?}");
     }
 }
 
-/// Danger: what waits in a queue that is closed is reset, and what comes meanwhile finds nobody.
+/// Connections in the accept queue of a closed listener would be reset, and new ones refused.
 #[rstest]
-#[case::calmly("")]
-#[case::with_a_new_configuration_meanwhile("HUP")]
-fn nothing_is_lost_over_replacements_in_a_row(#[case] signal: &str) {
-    let place = Deployed::new(256);
-    let mut old = place.start();
-    old.ready();
-    let load = place.load();
+#[case::alone("")]
+#[case::during_reloads("HUP")]
+fn replacements_in_a_row_lose_no_request(#[case] signal: &str) {
+    let deployment = EchoDeployment::new(256);
+    let mut old = deployment.start_ready();
+    let load = deployment.start_load();
     for _ in 0..4 {
-        load.goes_on(50);
-        let new = place.start();
+        load.wait_for_requests(50);
+        let new = deployment.start();
         if !signal.is_empty() {
             old.signal(signal);
             new.signal(signal);
         }
-        new.ready();
+        new.wait_until_ready();
         old.signal("TERM");
-        old.ends_well();
+        old.wait_for_success();
         old = new;
     }
-    load.loses_nothing();
-    let ran = place.ran.lock().expect("the list");
-    assert!(ran.len() > 100, "only {} jobs ran", ran.len());
-    let once: std::collections::HashSet<&String> = ran.iter().collect();
-    assert_eq!(once.len(), ran.len(), "a job that must not run twice did");
+    load.assert_nothing_lost();
+    let executed = deployment.executed();
+    assert!(executed.len() > 100, "only {} requests were executed", executed.len());
+    let distinct: std::collections::HashSet<&String> = executed.iter().collect();
+    assert_eq!(distinct.len(), executed.len(), "an unsafe request was executed twice");
 }
 
-/// The new process dies before its yes: it has taken nobody in, and the old one goes on.
+/// Before it is ready it has accepted no connection, and the old process goes on.
 #[test]
-fn a_successor_that_dies_before_its_yes_takes_nothing_with_it() {
-    let place = Deployed::new(256);
-    let mut old = place.start();
-    old.ready();
-    let load = place.load();
-    for end in ["KILL", "TERM", "KILL"] {
-        let mut new = place.start();
-        load.goes_on(100);
-        new.signal(end);
-        let _ = new.child.wait();
-        old.wait("successor gone accepted=false");
-        load.goes_on(100);
+fn a_successor_that_ends_before_it_is_ready_loses_no_request() {
+    let deployment = EchoDeployment::new(256);
+    let mut old = deployment.start_ready();
+    let load = deployment.start_load();
+    for signal in ["KILL", "TERM", "KILL"] {
+        let mut new = deployment.start();
+        load.wait_for_requests(100);
+        new.end_by_signal(signal);
+        old.wait_for_log("successor gone accepted=false");
+        load.wait_for_requests(100);
     }
-    let mut new = place.start();
-    new.ready();
+    let mut new = deployment.start_ready();
     old.signal("TERM");
-    old.ends_well();
-    load.loses_nothing();
+    old.wait_for_success();
+    load.assert_nothing_lost();
     new.signal("TERM");
-    new.ends_well();
-    assert!(!place.door().exists(), "who stops takes its name along");
+    new.wait_for_success();
+    assert!(!deployment.handover_path().exists(), "a process that stops removes its socket");
 }
 
-/// The old process is killed outright in the middle: only what it held is lost, and the new one has all.
+/// Only the requests in flight at the old process are lost, and the new one accepts connections.
 #[test]
-fn a_predecessor_that_is_killed_leaves_the_door_open() {
-    let place = Deployed::new(256);
-    let mut old = place.start();
-    old.ready();
-    let load = place.load();
-    load.goes_on(50);
-    let new = place.start();
-    old.signal("KILL");
-    let _ = old.child.wait();
-    new.wait("predecessor gone");
-    load.goes_on(200);
-    let lost = load.end();
-    assert!(lost.len() <= 8, "more than one a submitter: {lost:?}");
-    assert!(ask(place.listen, &mut None, "00000000000000aa").is_ok());
+fn a_predecessor_that_is_killed_loses_only_its_requests_in_flight() {
+    let deployment = EchoDeployment::new(256);
+    let mut old = deployment.start_ready();
+    let load = deployment.start_load();
+    load.wait_for_requests(50);
+    let new = deployment.start();
+    old.end_by_signal("KILL");
+    new.wait_for_log("predecessor gone");
+    load.wait_for_requests(200);
+    let lost = load.stop();
+    assert!(lost.len() <= 8, "more than one of each client: {lost:?}");
+    assert!(send_request(deployment.listen, &mut None, "00000000000000aa").is_ok());
 }
 
-/// The new one dies right after its yes: the old one, not yet told to stop, has the name and the permits again.
+/// The old process, which was not stopped yet, accepts successors and has all descriptors again.
 #[test]
-fn a_successor_that_dies_after_its_yes_can_be_followed_by_another() {
-    let place = Deployed::new(256);
-    let mut old = place.start();
-    old.ready();
-    let mut first = place.start();
-    first.ready();
+fn a_successor_that_is_killed_once_it_accepts_can_be_followed_by_another() {
+    let deployment = EchoDeployment::new(256);
+    let mut old = deployment.start_ready();
+    let mut first = deployment.start_ready();
     thread::sleep(Duration::from_millis(100));
-    first.signal("KILL");
-    let _ = first.child.wait();
-    old.wait("successor gone accepted=true");
-    let load = place.load();
-    let new = place.start();
-    new.ready();
+    first.end_by_signal("KILL");
+    old.wait_for_log("successor gone accepted=true");
+    let load = deployment.start_load();
+    let _new = deployment.start_ready();
     old.signal("TERM");
-    old.wait("stopped");
-    old.ends_well();
-    load.loses_nothing();
+    old.wait_for_log("stopped");
+    old.wait_for_success();
+    load.assert_nothing_lost();
 }
 
-/// What lies under the name is no predecessor: the address is shared, and the new process serves.
+/// The address is shared, and the new process serves.
 #[rstest]
-#[case::a_socket_nobody_waits_at("socket")]
+#[case::a_socket_at_which_nobody_listens("socket")]
 #[case::a_file("file")]
 #[case::a_folder("folder")]
-#[case::someone_who_says_nothing("silent")]
-fn what_is_no_predecessor_stops_nobody(#[case] what: &str) {
-    let place = Deployed::new(256);
-    let mut old = place.start();
-    old.ready();
-    let _ = std::fs::remove_file(place.door());
-    let path = place.door();
-    let silent = match what {
+#[case::a_process_that_says_nothing("silent")]
+fn a_process_starts_if_there_is_no_predecessor_at_the_socket(#[case] found: &str) {
+    let deployment = EchoDeployment::new(256);
+    let mut old = deployment.start_ready();
+    let path = deployment.handover_path();
+    let _ = std::fs::remove_file(&path);
+    let silent = match found {
         "file" => std::fs::write(&path, "strange").map(|()| None),
         "folder" => std::fs::create_dir(&path).map(|()| None),
-        _ => UnixListener::bind(&path).map(|waiting| Some(waiting).filter(|_| what == "silent")),
+        _ => UnixListener::bind(&path).map(|listener| Some(listener).filter(|_| found == "silent")),
     };
-    let _silent = silent.expect("something strange");
-    let new = place.start();
-    new.ready();
+    let _silent = silent.expect("the path is free");
+    let _new = deployment.start_ready();
     old.signal("TERM");
-    old.ends_well();
-    let load = place.load();
-    load.loses_nothing();
+    old.wait_for_success();
+    let load = deployment.start_load();
+    load.assert_nothing_lost();
 }
 
-/// Both together keep the limits of one, also when the old one is full, and the new one can serve all the same.
+/// The old process closes idle connections for its successor.
 #[test]
-fn a_full_process_leaves_its_successor_room_and_both_keep_the_limit() {
+fn both_processes_together_stay_within_the_limit_on_descriptors_though_the_old_one_is_full() {
     const SOCKETS: u32 = 96;
-    let place = Deployed::new(SOCKETS);
-    let mut old = place.start();
-    old.ready();
-    let crowd: Vec<_> = (0..60).map(|_| place.connect()).collect();
-    old.wait("reason=shed");
-    let new = place.start();
-    new.ready();
-    let load = place.load();
-    let held = |proxy: &Proxy| {
-        std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).map_or(0, |all| all.count())
+    let deployment = EchoDeployment::new(SOCKETS);
+    let mut old = deployment.start_ready();
+    let idle: Vec<_> = (0..60).map(|_| deployment.connect()).collect();
+    old.wait_for_log("reason=shed");
+    let new = deployment.start_ready();
+    let load = deployment.start_load();
+    let open_descriptors = |proxy: &ProxyProcess| {
+        std::fs::read_dir(format!("/proc/{}/fd", proxy.id())).map_or(0, |descriptors| descriptors.count())
     };
-    let most = (0..100).map(|_| {
+    let samples = (0..100).map(|_| {
         thread::sleep(Duration::from_millis(5));
-        held(&old) + held(&new)
+        open_descriptors(&old) + open_descriptors(&new)
     });
-    let most = most.max().unwrap_or(0);
-    assert!(most <= SOCKETS as usize, "{most} descriptors");
+    let peak = samples.max().unwrap_or(0);
+    assert!(peak <= SOCKETS as usize, "{peak} descriptors");
     old.signal("TERM");
-    old.ends_well();
-    load.loses_nothing();
-    drop(crowd);
+    old.wait_for_success();
+    load.assert_nothing_lost();
+    drop(idle);
 }
 
-/// Danger: by the list that it was configured with, a new process would send to a node that drains.
+/// By the list of its configuration alone, a new process would send requests to a server that drains.
 #[test]
-fn a_successor_knows_the_drains_that_its_predecessor_knew() {
-    let mut deployed = Deployed::new(256);
-    let other = echo(Arc::default());
-    let drains =
+fn a_successor_has_the_endpoint_list_of_its_predecessor() {
+    let mut echo = EchoDeployment::new(256);
+    let other = spawn_echo_server(ExecutedIds::default());
+    let update =
         r#"{"version":9,"full":false,"servers":[{"id":"n1","addr":"127.0.0.1:1","state":"DRAINING"}]}"#;
-    let (asked, calls) = channel();
-    let list = node(move |mut stream| {
-        while let Some(call) = read(&mut stream) {
-            let _ = asked.send(call.lines().next().unwrap_or_default().to_owned());
+    let (sender, calls) = channel();
+    let discovery = spawn_server(move |mut stream| {
+        while let Some(call) = read_message(&mut stream) {
+            let _ = sender.send(call.lines().next().unwrap_or_default().to_owned());
             if call.contains("from=1&") {
-                let answer = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{drains}", drains.len());
-                stream.get_mut().write_all(answer.as_bytes()).expect("an answer is taken");
+                let response = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{update}", update.len());
+                stream.get_mut().write_all(response.as_bytes()).expect("the proxy reads the list");
             }
         }
     });
-    let more = format!(r#""servers":[{{"id":"n2","addr":"{other}","zone":"z","state":"SERVING"}},"#);
-    let place = &mut deployed.place;
-    place.config =
-        place.config.replace("\"servers\":[", &more).replace("127.0.0.1:1\"", &format!("{list}\""));
-    let mut old = deployed.start();
-    old.ready();
-    let next = || calls.recv_timeout(PATIENCE).expect("a call for the list");
-    assert!(next().contains("from=1&") && next().contains("from=9&"));
-    let new = deployed.start();
-    assert!(next().contains("from=9&"), "it goes on from where the old one was");
-    new.ready();
+    let servers = format!(r#""servers":[{{"id":"n2","addr":"{other}","zone":"z","state":"SERVING"}},"#);
+    let config = &mut echo.deployment.config;
+    *config = config.replace("\"servers\":[", &servers).replace("127.0.0.1:1\"", &format!("{discovery}\""));
+    let mut old = echo.start_ready();
+    let next_call = || calls.recv_timeout(TIMEOUT).expect("a call for the list");
+    assert!(next_call().contains("from=1&") && next_call().contains("from=9&"));
+    let new = echo.start();
+    assert!(next_call().contains("from=9&"), "it continues from the version of the old process");
+    new.wait_until_ready();
     old.signal("TERM");
-    old.ends_well();
+    old.wait_for_success();
     for id in 0..20 {
-        ask(deployed.listen, &mut None, &format!("{id:016x}")).expect("an answer");
+        send_request(echo.listen, &mut None, &format!("{id:016x}")).expect("a valid response");
     }
-    assert!(deployed.ran.lock().expect("the list").is_empty(), "sent to a node that drains");
+    assert!(echo.executed().is_empty(), "requests were sent to a server that drains");
 }
 
-/// A second replacement begins while the first one's old process still finishes its jobs.
+/// A second replacement begins while the old process of the first one still finishes its requests.
 #[test]
-fn replacements_that_overlap_lose_nothing() {
-    let place = Deployed::new(256);
-    let mut old = place.start();
-    old.ready();
-    let load = place.load();
+fn overlapping_replacements_lose_no_request() {
+    let deployment = EchoDeployment::new(256);
+    let mut old = deployment.start_ready();
+    let load = deployment.start_load();
     for _ in 0..3 {
-        let mut middle = place.start();
-        middle.ready();
+        let mut middle = deployment.start_ready();
         old.signal("TERM");
-        let new = place.start();
-        new.ready();
+        let new = deployment.start_ready();
         middle.signal("TERM");
-        old.ends_well();
-        middle.ends_well();
+        old.wait_for_success();
+        middle.wait_for_success();
         old = new;
-        load.goes_on(50);
+        load.wait_for_requests(50);
     }
-    let lost = load.end();
+    let lost = load.stop();
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Calls that come at the same time from many operators: all are answered, and the last word stands.
+/// Many operators call at the same time; the state is that of the last call.
 #[test]
-fn drains_at_the_same_time_end_in_one_state() {
-    let place = Deployed::new(256);
-    let proxy = place.start();
-    proxy.ready();
+fn concurrent_drain_calls_are_all_answered_and_end_in_one_state() {
+    let deployment = EchoDeployment::new(256);
+    let proxy = deployment.start_ready();
     thread::scope(|scope| {
         let calls: Vec<_> = (0..6)
-            .map(|at| {
-                let call = if at % 2 == 0 { "POST /ops/drain/start" } else { "POST /ops/drain/stop" };
-                let ops = proxy.ops;
-                scope.spawn(move || call_at(ops, call))
+            .map(|caller| {
+                let request = if caller % 2 == 0 { "POST /ops/drain/start" } else { "POST /ops/drain/stop" };
+                let admin = proxy.admin();
+                scope.spawn(move || call_admin_at(admin, request))
             })
             .collect();
         for call in calls {
-            assert!(call.join().expect("a caller").expect("an answer").contains(" 200 "));
+            let response = call.join().expect("the caller does not panic").expect("a response");
+            assert!(response.contains(" 200 "));
         }
     });
-    for (call, health) in [("start", " 503 "), ("stop", " 200 ")] {
-        assert!(proxy.call(&format!("POST /ops/drain/{call}")).expect("an answer").contains(" 200 "));
-        let mut stream = place.connect().expect("the door");
-        stream.get_mut().write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("a call is taken");
-        assert!(read(&mut stream).expect("an answer").contains(health), "after {call}");
+    for (action, health) in [("start", " 503 "), ("stop", " 200 ")] {
+        let response = proxy.call_admin(&format!("POST /ops/drain/{action}")).expect("a response");
+        assert!(response.contains(" 200 "));
+        let mut stream = deployment.connect().expect("the proxy listens");
+        stream.get_mut().write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("the request is sent");
+        assert!(read_message(&mut stream).expect("a response").contains(health), "after {action}");
     }
 }
