--- a/crates/decide/src/interface/actions.rs
+++ b/crates/decide/src/interface/actions.rs
@@ -1,4 +1,4 @@
-//! What the balancer tells its host to do.
+//! What the balancer has its host do.
 
 use super::ids::{AttemptNumber, EndpointId, RequestId, Seconds, TimerToken};
 
--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the host tells the balancer.
+//! What the host reports to the balancer.
 
 use super::endpoint_list::ListUpdate;
 use super::ids::{AttemptNumber, ClassId, EndpointId, RequestId, Seconds, TenantId, TimerToken};
--- a/crates/decide/src/interface/mod.rs
+++ b/crates/decide/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The interface between the balancer and its host: the settings it starts from, the events it is told and the actions it
+//! The interface between the balancer and its host: the settings it starts from, the events it receives and the actions it
 //! answers with.
 //!
 //! Nothing here decides anything. Instants are read on the host's own steady clock, which may start anywhere.
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told when it starts: the requests it decides about, and what its host allows.
+//! What a balancer starts with: the requests it decides about, and what its host allows.
 
 use super::endpoint_list::ListEntry;
 use super::events::Outcome;
@@ -110,9 +110,9 @@
     pub can_hedge: bool,
     /// The most attempts that one request may have.
     pub max_attempts: u32,
-    /// The simulator tells clients when to retry; on sockets they are always told.
+    /// Clients can be asked to retry after a time; on sockets they always can.
     pub can_advise_retry_after: bool,
-    /// The longest wait before a retry that a client can be told.
+    /// The longest wait before a retry that a client can be asked for.
     pub max_retry_after: Seconds,
     /// How many attempts one connection carries at once.
     pub streams_per_connection: u32,
@@ -164,7 +164,7 @@
     pub allowed_miss_fraction: Option<f64>,
 }
 
-/// What a balancer is told when it starts.
+/// What a balancer starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The zone of this proxy.
--- a/crates/decide/src/learned_values.rs
+++ b/crates/decide/src/learned_values.rs
@@ -2,13 +2,13 @@
 
 use crate::Balancer;
 use crate::interface::{ClassId, EndpointId, MachineKindId, Readiness, Seconds, ZoneId};
-use crate::policy::OVERLOAD_LIFE;
+use crate::policy::OVERLOAD_DECAY;
 use crate::state::{Ejection, EjectionCause, Mean};
 
 /// Learned values decay with this, in seconds.
-const LEARNED_LIFE: Seconds = 30.0;
+const LEARNED_DECAY: Seconds = 30.0;
 /// Loads and prices decay with so many mean deadlines.
-const LOAD_LIFE: f64 = 1.0;
+const LOAD_DECAY: f64 = 1.0;
 /// A restored mean counts for so many samples at most: new responses soon weigh more.
 const MAX_RESTORED_SAMPLES: f64 = 32.0;
 /// No learned value is larger than this.
@@ -89,7 +89,7 @@
             export.add_mean(zone_subject(index), names::LOG_LOAD, &zone.log_load);
         }
         export.add(Subject::Fleet, names::REPORT_AGE, state.report_age);
-        let overload = state.overload.read(now, OVERLOAD_LIFE * state.mean_deadline);
+        let overload = state.overload.read(now, OVERLOAD_DECAY * state.mean_deadline);
         export.add(Subject::Fleet, names::OVERLOAD, overload);
         for (index, &market) in state.market_of_class.iter().enumerate() {
             export.add(Subject::Class(ClassId(index)), names::LOG_PRICE, state.log_prices[market]);
@@ -103,7 +103,7 @@
                 export.add(subject, names::LOG_SLOWNESS, endpoint.log_slowness);
             }
             if let Some(ejection) = endpoint.ejection {
-                let is_silent = ejection.cause == EjectionCause::Silence;
+                let is_silent = ejection.cause == EjectionCause::NoResponse;
                 export.add(subject, names::EJECTED_FOR, ejection.until - now);
                 export.add(subject, names::EJECTIONS, f64::from(ejection.repetitions));
                 export.add(subject, names::EJECTED_FOR_SILENCE, f64::from(u8::from(is_silent)));
@@ -116,8 +116,8 @@
     /// for long: what this process sees weighs more within some dozens of responses.
     pub fn restore_learned(&mut self, now: Seconds, values: &[LearnedValue], age: Seconds) {
         let age = age.max(0.0);
-        let load_weight = (-age / (LOAD_LIFE * self.state.mean_deadline)).exp();
-        let import = Import { values, weight: (-age / LEARNED_LIFE).exp(), load_weight };
+        let load_weight = (-age / (LOAD_DECAY * self.state.mean_deadline)).exp();
+        let import = Import { values, weight: (-age / LEARNED_DECAY).exp(), load_weight };
         self.restore_fleet(now, &import);
         self.restore_classes(&import);
         for (index, kind) in self.state.kinds.iter_mut().enumerate() {
@@ -180,7 +180,7 @@
             let remaining = remaining.map_or(0.0, |remaining| (remaining - age).min(longest));
             if remaining > 0.0 {
                 let is_silent = import.find(subject, names::EJECTED_FOR_SILENCE) == Some(1.0);
-                let cause = if is_silent { EjectionCause::Silence } else { EjectionCause::Errors };
+                let cause = if is_silent { EjectionCause::NoResponse } else { EjectionCause::Errors };
                 let repetitions = import.find(subject, names::EJECTIONS).unwrap_or(0.0);
                 let repetitions = repetitions.clamp(0.0, MAX_RESTORED_REPETITIONS) as u32;
                 let until = now + remaining;
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -28,4 +28,4 @@
 mod tuning;
 
 pub use balancer::Balancer;
-pub(crate) use tuning::OVERLOAD_LIFE;
+pub(crate) use tuning::OVERLOAD_DECAY;
--- a/crates/decide/src/policy/admission.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is admitted: its value, set against the price of work.
 
 use super::balancer::Balancer;
-use super::tuning::{MAX_RETRY_BUDGET, MEAN_GAIN, OVERLOAD_LIFE, PRICE_RANGE};
+use super::tuning::{MAX_RETRY_BUDGET, MEAN_GAIN, OVERLOAD_DECAY, PRICE_RANGE};
 use crate::interface::{Action, ClassId, EndpointId, Request, Seconds, TenantId};
 use crate::state::{Endpoint, PendingRequest};
 
@@ -29,7 +29,7 @@
 const FIRST_ATTEMPT_TICKS: f64 = 3.0;
 /// Beyond this overload the price of work rises at once,
 const OVERLOAD_FREE: f64 = 0.23;
-/// so many times as steeply, as far as reports tell less.
+/// so many times as steeply, as far as reports say less.
 const OVERLOAD_PRICE: f64 = 20.0;
 /// The overload counts as many times more as the ready servers can do less than while responses came; up to this.
 const MAX_CAPACITY_LOSS: f64 = 3.0;
@@ -69,9 +69,9 @@
         self.decide_first_attempt(now, token, actions);
     }
 
-    /// How long ago the client of a new request first tried, as far as its remaining time tells.
+    /// How long ago the client of a new request first tried, as far as its remaining time shows.
     ///
-    /// First attempts mostly have the same time left. A retry has the rest of its deadline, which tells when the first
+    /// First attempts mostly have the same time left. A retry has the rest of its deadline, which shows when the first
     /// attempt was made; but a client that merely waits less than others must not be rejected as late. So a request counts
     /// as a retry only if one that was first tried at that time ended unserved here.
     fn time_since_first_attempt(&mut self, now: Seconds, request: &Request) -> Seconds {
@@ -135,8 +135,8 @@
         let endpoint = self.state.endpoint(id);
         let odds = self.admission_odds(now, request, endpoint);
         // A proxy that sends nothing to a zone would never learn that its queues are gone.
-        let last_heard_at = self.state.zones[self.load_pool(&endpoint.entry)].last_heard_at;
-        let is_silent = now - last_heard_at > ZONE_SILENCE * self.state.mean_deadline;
+        let last_contact_at = self.state.zones[self.load_pool(&endpoint.entry)].last_contact_at;
+        let is_silent = now - last_contact_at > ZONE_SILENCE * self.state.mean_deadline;
         let is_admitted =
             self.random_unit() < odds.acceptance || (is_silent && self.random_unit() < ZONE_TRIALS);
         if !is_admitted {
@@ -172,7 +172,7 @@
         let queue_per_slot = self.queue_per_slot(endpoint, now);
         let log_price = self.state.log_prices[self.state.market_of_class[class.0]];
         let learned_price = if log_price > PRICE_RANGE.0.ln() { log_price.exp() } else { 0.0 };
-        // A queue can outgrow the latency target before the first late response tells of it.
+        // A queue can outgrow the latency target before the first late response shows it.
         let max_wait = (MAX_WAIT_SHARE * (request.target_time - now)).max(self.settings.timer_resolution);
         let queueing_price = (queue_per_slot * self.state.mean_service.value / max_wait).powi(QUEUEING_POWER);
         let price =
@@ -190,9 +190,9 @@
     /// The overload by now; it decays, as a proxy that sends nothing would never learn that it is over.
     fn overload(&self, now: Seconds) -> f64 {
         // Servers that drain or are in slow start leave their work to fewer, which are overloaded before a response
-        // tells.
+        // shows it.
         let capacity_loss = self.state.overload.capacity_loss().min(MAX_CAPACITY_LOSS);
-        self.state.overload.read(now, OVERLOAD_LIFE * self.state.mean_deadline) * capacity_loss
+        self.state.overload.read(now, OVERLOAD_DECAY * self.state.mean_deadline) * capacity_loss
     }
 
     /// The fraction of its value that a request likely earns when it takes `time` from now.
--- a/crates/decide/src/policy/balancer.rs
+++ b/crates/decide/src/policy/balancer.rs
@@ -35,7 +35,8 @@
     }
 
     /// Applies other settings. Pending requests keep their classes, so only such classes may change that no pending
-    /// request has. `open` are the classes of new requests; the second of two `heirs` inherits what is known of the first.
+    /// request has. `active_classes` are those of new requests. Of a pair of `redefined_classes` the second
+    /// one inherits what is known of the first.
     ///
     /// # Errors
     ///
@@ -43,11 +44,11 @@
     pub fn apply_settings(
         &mut self,
         settings: Settings,
-        open: &[ClassId],
-        heirs: &[(ClassId, ClassId)],
+        active_classes: &[ClassId],
+        redefined_classes: &[(ClassId, ClassId)],
     ) -> Result<(), SettingsError> {
         settings.check()?;
-        self.state.apply_settings(&self.settings, &settings, open, heirs);
+        self.state.apply_settings(&self.settings, &settings, active_classes, redefined_classes);
         self.settings = settings;
         Ok(())
     }
--- a/crates/decide/src/policy/completion.rs
+++ b/crates/decide/src/policy/completion.rs
@@ -22,7 +22,7 @@
 
     /// Answers a request that no server serves: it is rejected where a retry provably does no harm, else it has failed.
     ///
-    /// The client is told to wait for what is queued, spread at random: clients that were rejected together must not come
+    /// The client is asked to wait for what is queued, spread at random: clients that were rejected together must not come
     /// back together.
     pub(super) fn give_up(&mut self, token: u64, queue_per_slot: f64, actions: &mut Vec<Action>) {
         let wait = queue_per_slot * self.state.mean_service.value * self.random_unit();
--- a/crates/decide/src/policy/first_attempt.rs
+++ b/crates/decide/src/policy/first_attempt.rs
@@ -7,7 +7,7 @@
 use crate::state::EjectionCause;
 
 impl Balancer {
-    /// Probes, sends, holds or rejects a request that has not been sent yet.
+    /// Probes for, sends, delays or rejects a request that has not been sent yet.
     pub(super) fn decide_first_attempt(&mut self, now: Seconds, token: u64, actions: &mut Vec<Action>) {
         let request = self.state.requests[&token].clone();
         let Choice { endpoint: chosen, to_probe } = self.choose_endpoint(now, &request);
@@ -61,7 +61,7 @@
             Outcome::Served | Outcome::Rejected => {
                 self.state.probes_paused_until = now + PROBE_PAUSE * self.state.mean_deadline;
             }
-            _ => self.eject(now, id, EjectionCause::Silence),
+            _ => self.eject(now, id, EjectionCause::NoResponse),
         }
         for token in std::mem::take(&mut self.state.awaiting_probes) {
             let request = self.state.requests.get_mut(&token);
--- a/crates/decide/src/policy/load_estimation.rs
+++ b/crates/decide/src/policy/load_estimation.rs
@@ -1,4 +1,4 @@
-//! The load, the pace and the queue of a server, and what reports and responses tell of them.
+//! The load, the pace and the queue of a server, and what reports and responses say of them.
 
 use super::balancer::Balancer;
 use super::tuning::{INITIAL_REPORT_AGE, MEAN_GAIN, SAMPLE_CAP, STALE_REPORT, STALL_FACTOR};
@@ -16,9 +16,9 @@
 /// A server's slowness counts only beyond this (a natural logarithm): smaller differences are chance.
 const SLOWNESS_NOISE: f64 = 0.25;
 /// What a report says of others' load decays with this many mean service times: queues turn over meanwhile.
-const REPORT_LIFE: f64 = 2.5;
+const REPORT_DECAY: f64 = 2.5;
 /// A server's slowness decays with this many mean deadlines without a response, so that it is tried again.
-const SLOWNESS_LIFE: f64 = 2.0;
+const SLOWNESS_DECAY: f64 = 2.0;
 /// The cost of a new connection, as a fraction of a mean value, counts for so many requests.
 const CONNECTION_LOAD: f64 = 4.0;
 
@@ -64,17 +64,17 @@
 
     /// How much of what a server's last report says of others still holds.
     pub(super) fn report_freshness(&self, endpoint: &Endpoint, now: Seconds) -> f64 {
-        (-(now - endpoint.reported_at) / (REPORT_LIFE * self.state.mean_service.value)).exp()
+        (-(now - endpoint.reported_at) / (REPORT_DECAY * self.state.mean_service.value)).exp()
     }
 
     /// How many times slower than its kind the server looks, by its responses or by its silence.
     fn slowdown(&self, endpoint: &Endpoint, now: Seconds) -> f64 {
-        let silence = now - endpoint.last_heard_at;
-        let decay = (-silence / (SLOWNESS_LIFE * self.state.mean_deadline)).exp();
+        let since_contact = now - endpoint.last_contact_at;
+        let decay = (-since_contact / (SLOWNESS_DECAY * self.state.mean_deadline)).exp();
         let measured = (endpoint.log_slowness * decay - SLOWNESS_NOISE).max(0.0).exp();
-        // A server that does not respond never shows a long response time; its silence has to count.
+        // A server that does not respond never shows a long response time; the time without one has to count.
         let is_busy = endpoint.in_flight > 0.0;
-        let stalled = if is_busy { silence / (STALL_FACTOR * endpoint.expected_time) } else { 0.0 };
+        let stalled = if is_busy { since_contact / (STALL_FACTOR * endpoint.expected_time) } else { 0.0 };
         measured.max(stalled)
     }
 
@@ -141,13 +141,17 @@
     /// Learns how old reports are on arrival.
     fn update_report_age(&mut self, now: Seconds, id: EndpointId, report: LoadReport, load: f64) {
         let endpoint = self.state.endpoint(id);
-        let lives_since = (now - endpoint.reported_at) / (REPORT_LIFE * self.state.mean_service.value);
-        if !lives_since.is_finite() || load <= 0.0 || load.is_nan() {
+        let decay_times_since = (now - endpoint.reported_at) / (REPORT_DECAY * self.state.mean_service.value);
+        if !decay_times_since.is_finite() || load <= 0.0 || load.is_nan() {
             return;
         }
-        // An equal report was not renewed meanwhile, nor will be for as long; an idle server's tells nothing.
+        // An equal report was not renewed meanwhile, nor will be for as long; an idle server's says nothing.
         let age = self.state.report_age;
-        let sample = if report == endpoint.report { age + lives_since } else { age.min(lives_since / 2.0) };
+        let sample = if report == endpoint.report {
+            age + decay_times_since
+        } else {
+            age.min(decay_times_since / 2.0)
+        };
         self.state.report_age += REPORT_GAIN * (sample.min(SAMPLE_CAP * INITIAL_REPORT_AGE) - age);
     }
 
@@ -163,15 +167,15 @@
         }
     }
 
-    /// Adds a load per unit of capacity to the means of its zone and of the fleet. The longer nothing was heard of the
+    /// Adds a load per unit of capacity to the means of its zone and of the fleet. The longer nothing was received from the
     /// zone, the more it counts: a proxy with few reports of it would follow a rush only after it has passed.
     fn record_load(&mut self, now: Seconds, id: EndpointId, load: f64) {
         let pool = self.load_pool(&self.state.endpoint(id).entry);
         let mean_deadline = self.state.mean_deadline;
         let zone = &mut self.state.zones[pool];
-        let gain = 1.0 - ((zone.last_heard_at - now) / mean_deadline).exp();
+        let gain = 1.0 - ((zone.last_contact_at - now) / mean_deadline).exp();
         zone.log_load.add(load.ln_1p(), gain.max(REPORT_GAIN));
-        zone.last_heard_at = now;
+        zone.last_contact_at = now;
         self.state.fleet_log_load.add(load.ln_1p(), REPORT_GAIN);
     }
 
@@ -186,7 +190,7 @@
     /// would take an overloaded zone for idle.
     pub(super) fn record_unanswered(&mut self, now: Seconds, id: EndpointId, waited: Seconds) {
         let endpoint = self.state.endpoint(id);
-        // One hung server must not close its zone: the queue that it tells of is bounded.
+        // One hung server must not close its zone: the queue that is concluded from it is bounded.
         let service_times = (waited / self.state.mean_service.value).min(SAMPLE_CAP);
         let load = self.load(endpoint, now).max(self.state.slots(endpoint) * service_times);
         let capacity = self.capacity(endpoint, now);
@@ -213,7 +217,7 @@
         let kind_mean = &mut self.state.kinds[kind.0].log_slowness;
         kind_mean.add(log_slowness, KIND_GAIN);
         let kind_slowness = kind_mean.value;
-        // Measured against its kind: against a mean that has moved since, a server not heard from looks slow or fast.
+        // Measured against its kind: against a mean that has moved since, a server without a response looks slow or fast.
         let endpoint = self.state.endpoint_mut(id);
         endpoint.log_slowness += SLOWNESS_GAIN * (log_slowness - kind_slowness - endpoint.log_slowness);
         self.state.fleet_log_slowness.add(log_slowness, KIND_GAIN);
--- a/crates/decide/src/policy/outcome.rs
+++ b/crates/decide/src/policy/outcome.rs
@@ -1,7 +1,7 @@
 //! What is learned from the outcome of an attempt.
 
 use super::balancer::Balancer;
-use super::tuning::{OVERLOAD_LIFE, STALL_FACTOR};
+use super::tuning::{OVERLOAD_DECAY, STALL_FACTOR};
 use crate::interface::{AttemptNumber, ClassId, EndpointId, Outcome, Seconds};
 use crate::state::{Attempt, EjectionCause};
 
@@ -47,7 +47,7 @@
         }
         let attempt = attempt.and_then(|(token, number)| self.finish_attempt(token, number, outcome));
         if matches!(outcome, Outcome::Served | Outcome::Errored | Outcome::Rejected) {
-            self.record_sign_of_life(now, id, attempt.as_ref().map(|(_, attempt)| attempt));
+            self.record_contact(now, id, attempt.as_ref().map(|(_, attempt)| attempt));
         }
         self.update_health(now, &ending, attempt.as_ref());
         if let Some((class, attempt)) = &attempt {
@@ -78,7 +78,7 @@
             outcome,
             rtt,
             is_given_up,
-            is_silent: now - rtt + tick >= endpoint.last_heard_at,
+            is_silent: now - rtt + tick >= endpoint.last_contact_at,
             is_overdue: rtt >= 2.0 * STALL_FACTOR * endpoint.expected_time,
         }
     }
@@ -98,11 +98,11 @@
         Some((request.class, attempt.clone()))
     }
 
-    fn record_sign_of_life(&mut self, now: Seconds, id: EndpointId, attempt: Option<&Attempt>) {
+    fn record_contact(&mut self, now: Seconds, id: EndpointId, attempt: Option<&Attempt>) {
         let pool = self.load_pool(&self.state.endpoint(id).entry);
-        self.state.zones[pool].last_heard_at = now;
+        self.state.zones[pool].last_contact_at = now;
         let endpoint = self.state.endpoint_mut(id);
-        (endpoint.last_heard_at, endpoint.connection_used_at) = (now, now);
+        (endpoint.last_contact_at, endpoint.connection_used_at) = (now, now);
         if let Some(attempt) = attempt {
             endpoint.expected_time = attempt.expected_time;
         }
@@ -124,7 +124,9 @@
             }
             // A server that fails at once has a low load and would be chosen again and again.
             Outcome::Errored => self.record_failure(now, id, EjectionCause::Errors),
-            Outcome::ConnectFailed | Outcome::Reset => self.record_failure(now, id, EjectionCause::Silence),
+            Outcome::ConnectFailed | Outcome::Reset => {
+                self.record_failure(now, id, EjectionCause::NoResponse);
+            }
             Outcome::Rejected => {
                 // A full server whose report is old looks idle.
                 let slots = self.state.slots(endpoint);
@@ -132,10 +134,10 @@
                 endpoint.load_of_others += slots;
                 endpoint.reported_at = now;
             }
-            Outcome::TimedOut if ending.is_silent => self.record_failure(now, id, EjectionCause::Silence),
+            Outcome::TimedOut if ending.is_silent => self.record_failure(now, id, EjectionCause::NoResponse),
             // The attempts at a hung server are cancelled in the end, or for a hedged one; then it looks idle.
             Outcome::Cancelled if ending.is_silent && ending.is_overdue => {
-                self.record_failure(now, id, EjectionCause::Silence);
+                self.record_failure(now, id, EjectionCause::NoResponse);
             }
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -149,8 +151,8 @@
         }
         let share = (ending.rtt / self.settings.classes[class.0].latency_target).min(1.0);
         let sample = if is_missed { OVERLOAD_MISS } else { share };
-        let life = OVERLOAD_LIFE * self.state.mean_deadline;
-        self.state.overload.add(now, life, sample, OVERLOAD_GAIN);
+        let time_constant = OVERLOAD_DECAY * self.state.mean_deadline;
+        self.state.overload.add(now, time_constant, sample, OVERLOAD_GAIN);
     }
 
     /// Full servers reject whatever comes next; the value of requests has to decide before them.
--- a/crates/decide/src/policy/retry.rs
+++ b/crates/decide/src/policy/retry.rs
@@ -44,7 +44,7 @@
     fn may_hedge(&self, now: Seconds, request: &PendingRequest) -> bool {
         let is_silent = |endpoint: EndpointId, sent_at: Seconds| {
             let endpoint = self.state.endpoint(endpoint);
-            endpoint.last_heard_at <= sent_at && endpoint.ejection.is_some()
+            endpoint.last_contact_at <= sent_at && endpoint.ejection.is_some()
         };
         let is_late = request.in_flight().all(|(_, attempt)| {
             now - attempt.sent_at >= STALL_FACTOR * attempt.expected_time
--- a/crates/decide/src/policy/sending.rs
+++ b/crates/decide/src/policy/sending.rs
@@ -10,7 +10,7 @@
 const NO_CANDIDATE_TICKS: f64 = 4.0;
 
 impl Balancer {
-    /// Sends a request to its server, or holds it for a moment if it has none.
+    /// Sends a request to its server, or delays it for a moment if it has none.
     pub(super) fn send(
         &mut self,
         now: Seconds,
@@ -37,7 +37,7 @@
         self.prepare_connection(now, id, actions);
         let endpoint = self.state.endpoint_mut(id);
         if endpoint.in_flight == 0.0 {
-            endpoint.last_heard_at = endpoint.last_heard_at.max(now);
+            endpoint.last_contact_at = endpoint.last_contact_at.max(now);
             endpoint.expected_time = expected_time;
         }
         endpoint.in_flight += 1.0;
--- a/crates/decide/src/policy/tuning.rs
+++ b/crates/decide/src/policy/tuning.rs
@@ -16,14 +16,14 @@
 /// The price's range, in units of the mean value of work; at the lowest price nothing is rejected.
 pub(super) const PRICE_RANGE: (f64, f64) = (0.02, 4.0);
 /// The overload decays within so many mean deadlines.
-pub(crate) const OVERLOAD_LIFE: f64 = 10.0;
+pub(crate) const OVERLOAD_DECAY: f64 = 10.0;
 
 /// What the fleet can do is computed anew after this fraction of a slow start.
 pub(super) const REVIEW_SHARE: f64 = 1.0 / 16.0;
 /// The traffic is assumed to be up to so many times what the servers past their slow start can do.
 pub(super) const SLOW_START_OVERLOAD: f64 = 2.0;
 
-/// How old reports are assumed to be on arrival, in lives of a report, until that is measured.
+/// How old reports are assumed to be on arrival, in decay times of a report, until that is measured.
 pub(super) const INITIAL_REPORT_AGE: f64 = 1.4;
 /// A report of which less than this fraction still holds is stale: a pair with one is probed.
 pub(super) const STALE_REPORT: f64 = 0.05;
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -1,4 +1,4 @@
-//! How far the proxy has recovered since its start, as its events tell.
+//! How far the proxy has recovered since its start, by its events.
 
 use mosshead_recovery::{RecoveryBlocker, RecoveryStage};
 
--- a/crates/decide/src/state/class_stats.rs
+++ b/crates/decide/src/state/class_stats.rs
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Records that a request ended unserved. Clients do not retry one whose first attempt is older than `life`.
-    pub(crate) fn record_unserved(&mut self, first_attempt_at: Seconds, life: Seconds) {
+    /// Records that a request ended unserved. Clients do not retry one whose first attempt is older than `max_age`.
+    pub(crate) fn record_unserved(&mut self, first_attempt_at: Seconds, max_age: Seconds) {
         let is_full = self.unserved_since.len() >= MAX_UNSERVED;
-        if is_full || self.unserved_since.front().is_some_and(|oldest| *oldest < first_attempt_at - life) {
+        if is_full || self.unserved_since.front().is_some_and(|oldest| *oldest < first_attempt_at - max_age) {
             self.unserved_since.pop_front();
         }
         self.unserved_since.push_back(first_attempt_at);
@@ -70,5 +70,5 @@
     /// `ln(1 + load)` of others' load per unit of capacity, which a server without a report is assumed to have.
     pub(crate) log_load: Mean,
     /// When a server of the zone last responded or reported.
-    pub(crate) last_heard_at: Seconds,
+    pub(crate) last_contact_at: Seconds,
 }
--- a/crates/decide/src/state/endpoint.rs
+++ b/crates/decide/src/state/endpoint.rs
@@ -18,7 +18,7 @@
     /// The natural logarithm of how its response times compare with those of its kind.
     pub(crate) log_slowness: f64,
     /// The last response, or the send that ended an idle time.
-    pub(crate) last_heard_at: Seconds,
+    pub(crate) last_contact_at: Seconds,
     /// How long the next response is expected to take.
     pub(crate) expected_time: Seconds,
     /// Set while the server is left out, or on trial.
@@ -43,7 +43,7 @@
             report: LoadReport::default(),
             reported_at: f64::NEG_INFINITY,
             log_slowness: 0.0,
-            last_heard_at: now,
+            last_contact_at: now,
             expected_time: f64::INFINITY,
             ejection: None,
             failure_log_odds: 0.0,
@@ -66,7 +66,7 @@
     /// It responds with errors.
     Errors,
     /// It cannot be reached or does not respond.
-    Silence,
+    NoResponse,
 }
 
 /// The ejection of a server that failed, and its way back.
--- a/crates/decide/src/state/overload.rs
+++ b/crates/decide/src/state/overload.rs
@@ -1,4 +1,4 @@
-//! How overloaded the fleet is, as far as its response times tell.
+//! How overloaded the fleet is, as far as its response times show.
 
 use crate::interface::Seconds;
 
@@ -23,9 +23,9 @@
         }
     }
 
-    /// The mean share, which decays with `life` while there is no response.
-    pub(crate) fn read(&self, now: Seconds, life: Seconds) -> f64 {
-        self.value * ((self.updated_at - now) / life).exp()
+    /// The mean share, which decays with `time_constant` while there is no response.
+    pub(crate) fn read(&self, now: Seconds, time_constant: Seconds) -> f64 {
+        self.value * ((self.updated_at - now) / time_constant).exp()
     }
 
     /// Starts from what a former incarnation knew.
@@ -34,8 +34,8 @@
     }
 
     /// Adds the share that one response took, with the weight `gain`.
-    pub(crate) fn add(&mut self, now: Seconds, life: Seconds, share: f64, gain: f64) {
-        let before = self.read(now, life);
+    pub(crate) fn add(&mut self, now: Seconds, time_constant: Seconds, share: f64, gain: f64) {
+        let before = self.read(now, time_constant);
         (self.value, self.updated_at) = (before + gain * (share - before), now);
         self.mean_capacity += gain * (self.capacity - self.mean_capacity);
     }
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -52,7 +52,7 @@
     pub(crate) fleet_log_slowness: Mean,
     pub(crate) fleet_log_load: Mean,
     pub(crate) mean_service: Mean,
-    /// How old a report is on arrival, in lives of a report, as far as repeated ones tell.
+    /// How old a report is on arrival, in decay times of a report, as far as repeated ones tell.
     pub(crate) report_age: f64,
     /// The fraction of attempts that fail, at any server.
     pub(crate) failure_rate: Mean,
@@ -160,7 +160,7 @@
     /// Takes one entry of the list; a server that is new draws its preference from `rng`.
     fn update_entry(&mut self, now: Seconds, entry: ListEntry, rng: &mut impl RngCore) {
         let index = entry.endpoint.0 as usize;
-        let zone = ZoneStats { log_load: Mean::default(), last_heard_at: now };
+        let zone = ZoneStats { log_load: Mean::default(), last_contact_at: now };
         self.kinds.resize(self.kinds.len().max(entry.kind.0 + 1), MachineKindStats::default());
         self.zones.resize(self.zones.len().max(2 * entry.zone.0 + 2), zone);
         while self.endpoints.len() <= index {
@@ -183,14 +183,14 @@
         }
     }
 
-    /// Takes other settings in place of `old`. `open` are the classes of new requests; the second of two `heirs`
-    /// inherits what is known of the first.
+    /// Takes other settings in place of `old`. `active_classes` are those of new requests. Of a pair of
+    /// `redefined_classes` the second one inherits what is known of the first.
     pub(crate) fn apply_settings(
         &mut self,
         old: &Settings,
         new: &Settings,
-        open: &[ClassId],
-        heirs: &[(ClassId, ClassId)],
+        active_classes: &[ClassId],
+        redefined_classes: &[(ClassId, ClassId)],
     ) {
         for (index, class) in new.classes.iter().enumerate() {
             if index >= self.classes.len() {
@@ -199,19 +199,20 @@
                 self.classes[index] = ClassStats::new(class);
             }
         }
-        for &(from, to) in heirs {
-            self.classes[to.0].service_time = self.classes[from.0].service_time;
-            if old.classes[from.0].deadline == new.classes[to.0].deadline {
-                self.classes[to.0] = self.classes[from.0].clone();
+        for &(former, redefined) in redefined_classes {
+            self.classes[redefined.0].service_time = self.classes[former.0].service_time;
+            if old.classes[former.0].deadline == new.classes[redefined.0].deadline {
+                self.classes[redefined.0] = self.classes[former.0].clone();
             }
         }
         let lowest_price = self.log_prices.iter().copied().fold(f64::INFINITY, f64::min);
         self.log_prices.resize(new.classes.len(), lowest_price);
         self.market_of_class = markets(&new.classes);
         self.tenant_rates.resize(new.tenants.len(), Rate::default());
-        let open = || open.iter().map(|class| &new.classes[class.0]);
-        self.mean_deadline = open().map(|class| class.deadline).sum::<f64>() / open().count().max(1) as f64;
-        self.shortest_target = open().map(|class| class.latency_target).fold(f64::INFINITY, f64::min);
+        let active = || active_classes.iter().map(|class| &new.classes[class.0]);
+        self.mean_deadline =
+            active().map(|class| class.deadline).sum::<f64>() / active().count().max(1) as f64;
+        self.shortest_target = active().map(|class| class.latency_target).fold(f64::INFINITY, f64::min);
         self.initial_concurrency = initial_concurrency(new);
     }
 }
--- a/crates/decide/src/state/statistics.rs
+++ b/crates/decide/src/state/statistics.rs
@@ -32,14 +32,14 @@
 }
 
 impl Rate {
-    /// Events per second, over about the last `life`.
-    pub(crate) fn read(&self, now: Seconds, life: Seconds) -> f64 {
-        self.count * (-(now - self.updated_at).max(0.0) / life).exp() / life
+    /// Events per second, over about the last `time_constant`.
+    pub(crate) fn read(&self, now: Seconds, time_constant: Seconds) -> f64 {
+        self.count * (-(now - self.updated_at).max(0.0) / time_constant).exp() / time_constant
     }
 
     /// Counts one event.
-    pub(crate) fn add(&mut self, now: Seconds, life: Seconds) {
-        self.count = self.read(now, life) * life + 1.0;
+    pub(crate) fn add(&mut self, now: Seconds, time_constant: Seconds) {
+        self.count = self.read(now, time_constant) * time_constant + 1.0;
         self.updated_at = now;
     }
 }
