--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Subcommand};
 use miette::{GraphicalReportHandler, GraphicalTheme};
 use mosshead_simulate::proxy_settings;
-use mosshead_site::{ClassFacts, Fault, Files, Platform, Question, Site};
+use mosshead_site::{Files, Platform, PlatformServer, RequestClass, RequestDescription, Site, SiteError};
 use mosshead_world::{Time, World};
 use serde_json::{Value, json};
 
@@ -129,29 +129,33 @@
         let settings = &config["settings"];
         let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
         let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
-        let class = |class: &Value| ClassFacts {
+        let class = |class: &Value| RequestClass {
             name: text(&class["name"]),
             deadline: Time::from_seconds(class["deadline_s"].as_f64().unwrap_or_default()),
-            safe: class["effect"] == "free",
+            may_execute_twice: class["effect"] == "free",
         };
-        let classes: Vec<ClassFacts> = list(&settings["classes"]).iter().map(class).collect();
+        let classes: Vec<RequestClass> = list(&settings["classes"]).iter().map(class).collect();
         if classes.is_empty() {
             return Err(BadUse("--platform: no `settings.classes` in that file".to_owned()).into());
         }
         let servers = list(&config["known"]["servers"]);
-        let server = |server: &Value| (text(&server["zone"]), text(&server["kind"]), text(&server["id"]));
+        let server = |server: &Value| PlatformServer {
+            zone: text(&server["zone"]),
+            kind: text(&server["kind"]),
+            id: text(&server["id"]),
+        };
         let platform = Platform {
             classes,
             tenants: list(&settings["tenants"]).iter().map(|tenant| text(&tenant["name"])).collect(),
             zones: list(&settings["zones"]).iter().map(text).collect(),
             kinds: list(&settings["machine_types"]).iter().map(text).collect(),
             servers: servers.iter().map(server).collect(),
-            attempts: settings["limits"]["send_cap"].as_u64().unwrap_or(u64::from(u32::MAX)) as u32,
+            max_attempts: settings["limits"]["send_cap"].as_u64().unwrap_or(u64::from(u32::MAX)) as u32,
         };
         Ok((platform, text(&settings["zone"])))
     }
 
-    fn site(&self, path: &str, platform: &Platform, zone: &str) -> Result<Site, Vec<Fault>> {
+    fn site(&self, path: &str, platform: &Platform, zone: &str) -> Result<Site, Vec<SiteError>> {
         if path == "none" {
             return Ok(Site::default());
         }
@@ -160,12 +164,12 @@
         if faults.is_empty() { Ok(site) } else { Err(faults) }
     }
 
-    fn tell(&self, faults: &[Fault]) {
+    fn tell(&self, faults: &[SiteError]) {
         if self.json {
-            let fault = |fault: &Fault| {
+            let fault = |fault: &SiteError| {
                 let (line, column) = fault.position();
                 json!({"file": fault.file(), "line": line, "column": column, "message": fault.message(),
-                    "source": fault.line(), "help": fault.help_text(), "included_at": fault.chain()})
+                    "source": fault.source_line(), "help": fault.help_text(), "included_at": fault.include_chain()})
             };
             println!("{}", json!({"faults": faults.iter().map(fault).collect::<Vec<_>>()}));
             return;
@@ -288,41 +292,47 @@
                 return Ok(End::Broken);
             }
         };
-        let job = Question {
+        let request = RequestDescription {
             class: self.class.clone(),
             tenant: self.tenant.clone(),
-            method: if class.safe { "GET" } else { "POST" }.to_owned(),
+            method: if class.may_execute_twice { "GET" } else { "POST" }.to_owned(),
             path: self.path.clone().unwrap_or_else(|| format!("/{}", self.class)),
             headers: Vec::new(),
         };
-        let behaviour = mosshead_site::explain(&site, &job, &platform.servers);
+        let behaviour = mosshead_site::explain(&site, &request, &platform.servers);
         if self.against.json {
             println!("{}", serde_json::to_string(&behaviour)?);
             return Ok(End::Kept);
         }
         match &behaviour.route {
             None => {
-                println!("{job}: no route fits; all {} servers, as without a site", platform.servers.len());
+                println!(
+                    "{request}: no route fits; all {} servers, as without a site",
+                    platform.servers.len()
+                );
             }
-            Some((name, place)) => println!("{job}: route {name:?} ({}:{})", place.file, place.line),
+            Some(route) => println!(
+                "{request}: route {:?} ({}:{})",
+                route.text, route.location.file, route.location.line
+            ),
         }
-        if let Some(wait) = behaviour.refused_s {
+        if let Some(wait) = behaviour.rejected_for_seconds {
             println!("  refused, to come back after {wait} s");
         }
         for reached in &behaviour.pools {
-            let instead = reached.fallen_back_on.as_ref();
+            let instead = reached.fallback.as_ref();
             let instead = instead.map(|pool| format!(", which falls back on {pool:?}")).unwrap_or_default();
             println!(
                 "  {:.2} % to pool {:?}{instead} ({}:{}): {}",
-                reached.part * 100.0,
+                reached.share * 100.0,
                 reached.pool,
-                reached.place.file,
-                reached.place.line,
+                reached.location.file,
+                reached.location.line,
                 if reached.members.is_empty() { "no server".to_owned() } else { reached.members.join(", ") }
             );
         }
-        for (name, (value, place)) in &behaviour.limits {
-            println!("  {name} {value} ({}:{})", place.file, place.line);
+        for (name, limit) in &behaviour.limits {
+            println!("  {name} {} ({}:{})", limit.text, limit.location.file, limit.location.line);
         }
         Ok(End::Kept)
     }
--- a/crates/routes/benches/route.rs
+++ b/crates/routes/benches/route.rs
@@ -1,28 +1,29 @@
-//! The routing of one job at 200 routes.
+//! The routing of one request at 200 routes.
 #![allow(missing_docs)] // criterion_group! writes a function without any.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use mosshead_routes::{Job, Router};
-use mosshead_site::{Memory, read};
+use mosshead_routes::{Request, Router};
+use mosshead_site::{MemoryFiles, read};
 
-fn site(routes: usize) -> String {
+fn site_text(routes: usize) -> String {
     let mut text = "pool \"a\"\npool \"b\"\n".to_owned();
-    for at in 0..routes {
+    for route in 0..routes {
         text += &format!(
-            "route \"r{at}\" {{\n path \"/c/p{at}/\"\n to \"a\" share=\"30%\"\n to \"b\" share=\"70%\"\n}}\n"
+            "route \"r{route}\" {{\n path \"/c/p{route}/\"\n to \"a\" share=\"30%\"\n to \"b\" share=\"70%\"\n}}\n"
         );
     }
     text
 }
 
 fn route(criterion: &mut Criterion) {
-    let site = read(&Memory::one("site.kdl", &site(200)), "site.kdl", "n0", "a").expect("a site");
+    let site = read(&MemoryFiles::single("site.kdl", &site_text(200)), "site.kdl", "n0", "a")
+        .expect("the site is valid");
     let router = Router::new(site, &["c".to_owned()], &[], 1);
     for (name, path) in [("first", "/c/p0/1"), ("middle", "/c/p100/1"), ("last", "/c/p199/1"), ("none", "/d")]
     {
-        let job = Job { class: 0, tenant: None, method: "GET", path, header: &|_| None, key: 0x5eed };
+        let request = Request { class: 0, tenant: None, method: "GET", path, header: &|_| None, key: 0x5eed };
         criterion.bench_function(&format!("200 routes, {name}"), |bench| {
-            bench.iter(|| std::hint::black_box(router.route(std::hint::black_box(&job))));
+            bench.iter(|| std::hint::black_box(router.route(std::hint::black_box(&request))));
         });
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,16 +1,16 @@
-//! Which servers a job may go to, and under which limits: a [`mosshead_site::Site`] applied to jobs and the list.
+//! Which servers a request may go to, and under which limits: a [`mosshead_site::Site`] applied to requests and the list.
 //!
-//! Nothing here does I/O, reads a clock or draws: the caller hands over instants and the job's key. The decision
-//! module still chooses among the candidates; what is handed to it is smaller, never other.
+//! Nothing here does I/O, reads a clock or draws: the caller hands over instants and the request's key. The decision
+//! module still selects among the candidates; it is given fewer servers, never others.
 //!
-//! - [`Router`] finds a job's route; a job keeps the router that it came under while the site changes.
-//! - [`Members`] knows who is in which pool as the list changes, and which pool stands in for one that is short.
-//! - [`Ledger`] keeps a policy's retry budget and its limit on jobs out at once.
+//! - [`Router`] finds a request's route; a request keeps the router under which it arrived while the site changes.
+//! - [`PoolMembers`] knows which servers are in which pool as the list changes, and which pool replaces one that is too small.
+//! - [`PolicyBudget`] keeps a policy's retry budget and its limit of requests in flight.
 
-mod ledger;
-mod members;
+mod policy_budget;
+mod pool_members;
 mod router;
 
-pub use ledger::{Ledger, Taken};
-pub use members::{Candidates, Listed, Members};
-pub use router::{Job, Routed, Router};
+pub use policy_budget::{PolicyBudget, RequestPermit};
+pub use pool_members::{Candidates, ListedServer, PoolMembers};
+pub use router::{Request, RouteDecision, Router};
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,83 +1,68 @@
-//! From a job to its pool: the first route that fits, and its part of a split.
+//! From a request to its pool: the first route that matches, and the request's part of a split.
 
 use std::sync::Arc;
 
-use mosshead_site::{Limits, Route, Site, Target, Weighted};
+use mosshead_site::{Limits, Route, RouteMatch, RouteTarget, Site, WeightedPool};
 use mosshead_units::Time;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A job, as far as routes look at it.
+/// A request, as far as routes look at it.
 #[derive(Clone, Copy)]
-pub struct Job<'a> {
-    /// Its class, by place in the platform's list.
+pub struct Request<'a> {
+    /// Its class, by index in the platform's list.
     pub class: usize,
-    /// Its tenant, by place in the platform's list.
+    /// Its tenant, by index in the platform's list.
     pub tenant: Option<usize>,
     /// Its method.
     pub method: &'a str,
     /// Its path.
     pub path: &'a str,
-    /// Its headers: the value of a name in small letters.
+    /// Returns the value of a header, by its name in lower case.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
-    /// What belongs together: jobs of one key stay in one part of a split.
+    /// Requests with the same key stay in the same part of a split.
     pub key: u64,
 }
 
-/// Where a job leads.
+/// Where a request is to go.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Routed {
-    /// No route fits: all servers, under the platform's limits.
-    Open,
-    /// To this pool.
+pub enum RouteDecision {
+    /// No route matches: to any server, under the platform's limits.
+    AllServers,
+    /// To a pool.
     Pool {
-        /// Which.
+        /// The index of the pool in the site.
         pool: usize,
-        /// Under which policy, by place in the site.
+        /// The index of the policy in the site.
         policy: Option<usize>,
     },
-    /// It is refused, to come back after this long.
-    Refused(Time),
+    /// It is rejected; the client may retry after this delay.
+    Reject(Time),
 }
 
-/// A site, prepared for jobs.
+/// A site, prepared for requests.
 #[derive(Debug)]
 pub struct Router {
     site: Site,
-    /// For each class and tenant, the routes that can fit, in their order: `None` tenant stands first.
-    table: Vec<Vec<u32>>,
+    /// For each class and tenant the indices of the routes that can match, in their order; requests without a tenant come
+    /// before the tenants of their class.
+    candidate_routes: Vec<Vec<u32>>,
     tenants: usize,
-    /// What each pool's name comes to in a split.
-    seeds: Vec<u64>,
+    /// For each pool the hash of its name, by which it takes part in splits.
+    pool_seeds: Vec<u64>,
     version: u64,
 }
 
 impl Router {
     /// Prepares a site for the platform's classes and tenants.
     pub fn new(site: Site, classes: &[String], tenants: &[String], version: u64) -> Arc<Self> {
-        let fits = |of: &[String], name: Option<&String>| {
-            of.is_empty() || name.is_some_and(|name| of.contains(name))
-        };
-        let mut table = Vec::with_capacity(classes.len() * (tenants.len() + 1));
+        let mut candidate_routes = Vec::with_capacity(classes.len() * (tenants.len() + 1));
         for class in classes {
             for tenant in std::iter::once(None).chain(tenants.iter().map(Some)) {
-                let can = |route: &Route| {
-                    fits(&route.matches.classes, Some(class)) && fits(&route.matches.tenants, tenant)
-                };
-                let routes = site.routes.iter().enumerate().filter(|(_, route)| can(route));
-                let mut own: Vec<u32> = Vec::new();
-                for (at, route) in routes {
-                    own.push(at as u32);
-                    // What stands behind a route that takes all is never reached.
-                    let matches = &route.matches;
-                    if matches.paths.is_empty() && matches.methods.is_empty() && matches.headers.is_empty() {
-                        break;
-                    }
-                }
-                table.push(own);
+                candidate_routes.push(routes_for(&site, class, tenant));
             }
         }
-        let seeds = site.pools.iter().map(|pool| xxh3_64_with_seed(pool.name.as_bytes(), 0)).collect();
-        Arc::new(Self { table, tenants: tenants.len(), seeds, site, version })
+        let pool_seeds = site.pools.iter().map(|pool| xxh3_64_with_seed(pool.name.as_bytes(), 0)).collect();
+        Arc::new(Self { site, candidate_routes, tenants: tenants.len(), pool_seeds, version })
     }
 
     /// The site.
@@ -85,48 +70,75 @@
         &self.site
     }
 
-    /// Which version of the site this is: a job keeps the one that it came under.
+    /// Which version of the site this is: a request keeps the one under which it arrived.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The limits of a policy; the platform's, where there is none.
+    /// The limits of a policy; without one none, so that those of the platform are in force.
     pub fn limits(&self, policy: Option<usize>) -> Limits {
         policy.map(|policy| self.site.policies[policy].limits).unwrap_or_default()
     }
 
-    /// Where a job leads.
-    pub fn route(&self, job: &Job) -> Routed {
-        let row = job.class * (self.tenants + 1) + job.tenant.map_or(0, |tenant| tenant + 1);
-        let Some(routes) = self.table.get(row) else { return Routed::Open };
-        let route = routes.iter().map(|at| &self.site.routes[*at as usize]).find(|route| {
-            let matches = &route.matches;
-            (matches.methods.is_empty() || matches.methods.iter().any(|method| method == job.method))
-                && (matches.paths.is_empty()
-                    || matches.paths.iter().any(|start| job.path.starts_with(start.as_str())))
-                && matches.headers.iter().all(|(name, value)| (job.header)(name) == Some(value))
-        });
-        match route.map(|route| (&route.target, route.policy)) {
-            None => Routed::Open,
-            Some((Target::Refuse(wait), _)) => Routed::Refused(*wait),
-            Some((Target::Pools(split), policy)) => Routed::Pool { pool: self.part(split, job.key), policy },
+    /// Where a request is to go.
+    pub fn route(&self, request: &Request) -> RouteDecision {
+        let column = request.tenant.map_or(0, |tenant| tenant + 1);
+        let row = request.class * (self.tenants + 1) + column;
+        let Some(candidates) = self.candidate_routes.get(row) else { return RouteDecision::AllServers };
+        let mut candidates = candidates.iter().map(|index| &self.site.routes[*index as usize]);
+        match candidates.find(|route| matches_message(&route.matches, request)) {
+            None => RouteDecision::AllServers,
+            Some(Route { target: RouteTarget::Reject(retry_after), .. }) => {
+                RouteDecision::Reject(*retry_after)
+            }
+            Some(Route { target: RouteTarget::Pools(split), policy, .. }) => {
+                RouteDecision::Pool { pool: self.select_pool(split, request.key), policy: *policy }
+            }
         }
     }
 
-    /// The part of a split that a key is in. By weighted rendezvous: each pool bids for the key by its own hash
-    /// and weight, so that as weights move only those keys move that have to.
-    fn part(&self, split: &[Weighted], key: u64) -> usize {
+    /// The pool of a key, by weighted rendezvous hashing: each pool bids for the key by its own hash and its share, so that
+    /// only those keys move that have to when shares change.
+    fn select_pool(&self, split: &[WeightedPool], key: u64) -> usize {
         if let [only] = split {
             return only.pool;
         }
-        let bid = |weighted: &&Weighted| {
-            let hash = xxh3_64_with_seed(&key.to_le_bytes(), self.seeds[weighted.pool]);
-            // From above 0 to 1: its logarithm is finite.
+        let bid = |weighted: &&WeightedPool| {
+            let hash = xxh3_64_with_seed(&key.to_le_bytes(), self.pool_seeds[weighted.pool]);
+            // Above 0 and at most 1: its logarithm is finite.
             let unit = ((hash >> 11) + 1) as f64 / (1_u64 << 53) as f64;
-            -unit.ln() / weighted.part
+            -unit.ln() / weighted.share
         };
-        let parts = split.iter().filter(|weighted| weighted.part > 0.0);
-        let best = parts.min_by(|one, other| bid(one).total_cmp(&bid(other)));
-        best.map_or(split[0].pool, |weighted| weighted.pool)
+        let bidders = split.iter().filter(|weighted| weighted.share > 0.0);
+        let lowest = bidders.min_by(|one, other| bid(one).total_cmp(&bid(other)));
+        lowest.map_or(split[0].pool, |weighted| weighted.pool)
+    }
+}
+
+/// The indices of the routes that can match requests of a class and tenant.
+fn routes_for(site: &Site, class: &String, tenant: Option<&String>) -> Vec<u32> {
+    let is_listed = |names: &[String], name: Option<&String>| {
+        names.is_empty() || name.is_some_and(|name| names.contains(name))
+    };
+    let mut indices = Vec::new();
+    for (index, route) in site.routes.iter().enumerate() {
+        let matches = &route.matches;
+        if !is_listed(&matches.classes, Some(class)) || !is_listed(&matches.tenants, tenant) {
+            continue;
+        }
+        indices.push(index as u32);
+        // Routes behind one that matches all of these requests are never reached.
+        if matches.paths.is_empty() && matches.methods.is_empty() && matches.headers.is_empty() {
+            break;
+        }
     }
+    indices
+}
+
+/// Whether method, path and headers of a request match; class and tenant are not compared.
+fn matches_message(matches: &RouteMatch, request: &Request) -> bool {
+    (matches.methods.is_empty() || matches.methods.iter().any(|method| method == request.method))
+        && (matches.paths.is_empty()
+            || matches.paths.iter().any(|prefix| request.path.starts_with(prefix.as_str())))
+        && matches.headers.iter().all(|(name, value)| (request.header)(name) == Some(value))
 }
--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -1,146 +1,155 @@
-//! What is wrong with a site that reads well: routes that can never be taken, pools that nobody is in, limits
-//! that the platform does not grant.
+//! What is wrong with a valid site on a platform: routes that can never be taken, pools without members, limits that the
+//! platform does not grant.
 
 use std::collections::BTreeSet;
 
-use mosshead_units::Time;
+use crate::error::SiteError;
+use crate::model::{Policy, Pool, Route, RouteMatch, Site, SourceLocation};
+use crate::platform::{Platform, RequestClass};
 
-use crate::fault::Fault;
-use crate::model::*;
-
-/// A class, as the platform has it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ClassFacts {
-    /// Its name.
-    pub name: String,
-    /// How long a client waits.
-    pub deadline: Time,
-    /// It may run twice.
-    pub safe: bool,
-}
-
-/// What a site is checked against.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Platform {
-    /// The classes.
-    pub classes: Vec<ClassFacts>,
-    /// The tenants.
-    pub tenants: Vec<String>,
-    /// The zones.
-    pub zones: Vec<String>,
-    /// The kinds of machine.
-    pub kinds: Vec<String>,
-    /// The servers, by zone, kind and id; where none are given, membership is not checked.
-    pub servers: Vec<(String, String, String)>,
-    /// The most attempts.
-    pub attempts: u32,
+/// All errors of a site on this platform.
+pub fn check(site: &Site, platform: &Platform) -> Vec<SiteError> {
+    let mut checker = Checker { site, platform, errors: Vec::new() };
+    for (index, pool) in site.pools.iter().enumerate() {
+        checker.check_members(pool);
+        checker.check_fallbacks(index, pool);
+    }
+    site.policies.iter().for_each(|policy| checker.check_policy(policy));
+    for (index, route) in site.routes.iter().enumerate() {
+        checker.check_names(route);
+        checker.check_is_reachable(route, &site.routes[..index]);
+        checker.check_limits(route);
+    }
+    checker.errors
 }
 
-fn list(names: impl IntoIterator<Item = impl AsRef<str>>) -> String {
-    let names: Vec<String> = names.into_iter().map(|name| format!("{:?}", name.as_ref())).collect();
-    if names.is_empty() { "none".to_owned() } else { names.join(", ") }
+struct Checker<'a> {
+    site: &'a Site,
+    platform: &'a Platform,
+    errors: Vec<SiteError>,
 }
 
-/// Whether all that `later` lets in, `earlier` lets in too.
-fn covers(earlier: &Match, later: &Match) -> bool {
-    let over = |wide: &[String], narrow: &[String], fit: &dyn Fn(&str, &str) -> bool| {
-        wide.is_empty()
-            || (!narrow.is_empty() && narrow.iter().all(|one| wide.iter().any(|other| fit(other, one))))
-    };
-    let same = |wide: &str, narrow: &str| wide == narrow;
-    over(&earlier.classes, &later.classes, &same)
-        && over(&earlier.tenants, &later.tenants, &same)
-        && over(&earlier.methods, &later.methods, &same)
-        && over(&earlier.paths, &later.paths, &|wide, narrow| narrow.starts_with(wide))
-        && earlier.headers.iter().all(|header| later.headers.contains(header))
-}
+impl Checker<'_> {
+    fn report(&mut self, location: &SourceLocation, message: String, help: &str) {
+        self.errors.push(self.site.error_at(location, message, help));
+    }
 
-/// All faults of a site on this platform.
-pub fn check(site: &Site, platform: &Platform) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    for (at, pool) in site.pools.iter().enumerate() {
-        let mut wrong = |message: String, help: &str| faults.push(site.fault(&pool.place, message, help));
-        let mut known_names = true;
-        for (what, named, known) in
+    fn check_members(&mut self, pool: &Pool) {
+        let platform = self.platform;
+        let mut has_unknown_name = false;
+        for (subject, names, known) in
             [("zone", &pool.zones, &platform.zones), ("kind", &pool.kinds, &platform.kinds)]
         {
-            for name in named.iter().filter(|name| !known.contains(name)) {
-                known_names = false;
+            for name in names.iter().filter(|name| !known.contains(name)) {
+                has_unknown_name = true;
                 let message =
-                    format!("the pool {:?} wants the {what} {name:?}, which there is not", pool.name);
-                wrong(message, &format!("the platform has {}", list(known)));
+                    format!("the pool {:?} wants the {subject} {name:?}, which there is not", pool.name);
+                self.report(&pool.location, message, &format!("the platform has {}", quoted_list(known)));
             }
         }
-        let empty = platform.servers.iter().all(|(zone, kind, id)| !pool.has(zone, kind, id));
-        if !platform.servers.is_empty() && known_names && empty {
+        let is_empty = !platform.servers.iter().any(|server| pool.has_server(server));
+        if !platform.servers.is_empty() && !has_unknown_name && is_empty {
             let message = format!("no server on the list is in the pool {:?}", pool.name);
-            wrong(message, "widen its `zone`, `kind` or `id`: they all have to fit");
+            self.report(&pool.location, message, "widen its `zone`, `kind` or `id`: they all have to fit");
         }
-        let (mut seen, mut next) = (BTreeSet::from([at]), pool.fallback);
-        while let Some(to) = next {
-            if !seen.insert(to) {
-                // Told once, by the first of the circle.
-                if to == at && seen.first() == Some(&at) {
+    }
+
+    /// A circle of fallbacks is reported once, for its first pool.
+    fn check_fallbacks(&mut self, index: usize, pool: &Pool) {
+        let (mut visited, mut next) = (BTreeSet::from([index]), pool.fallback);
+        while let Some(fallback) = next {
+            if !visited.insert(fallback) {
+                if fallback == index && visited.first() == Some(&index) {
                     let message = format!("the pool {:?} falls back on itself", pool.name);
-                    wrong(message, "take one of the fallbacks of this circle out");
+                    self.report(&pool.location, message, "take one of the fallbacks of this circle out");
                 }
-                break;
+                return;
             }
-            next = site.pools[to].fallback;
+            next = self.site.pools[fallback].fallback;
         }
     }
-    for policy in &site.policies {
-        if let Some(attempts) = policy.limits.attempts.filter(|attempts| *attempts > platform.attempts) {
+
+    fn check_policy(&mut self, policy: &Policy) {
+        let max_attempts = self.platform.max_attempts;
+        if let Some(attempts) = policy.limits.attempts.filter(|attempts| *attempts > max_attempts) {
             let message = format!(
-                "the policy {:?} allows {attempts} attempts, the platform {}",
-                policy.name, platform.attempts
+                "the policy {:?} allows {attempts} attempts, the platform {max_attempts}",
+                policy.name
             );
-            let help = format!("write `attempts {}` or fewer", platform.attempts);
-            faults.push(site.fault(&policy.place, message, &help));
+            self.report(&policy.location, message, &format!("write `attempts {max_attempts}` or fewer"));
         }
     }
-    for (at, route) in site.routes.iter().enumerate() {
-        let mut wrong = |message: String, help: &str| faults.push(site.fault(&route.place, message, help));
+
+    fn check_names(&mut self, route: &Route) {
+        let platform = self.platform;
         for name in &route.matches.classes {
             if platform.classes.iter().all(|class| class.name != *name) {
                 let message =
                     format!("the route {:?} is for the class {name:?}, which there is not", route.name);
-                let known = platform.classes.iter().map(|class| &class.name);
-                wrong(message, &format!("the platform has {}", list(known)));
+                let known = quoted_list(platform.classes.iter().map(|class| &class.name));
+                self.report(&route.location, message, &format!("the platform has {known}"));
             }
         }
         for name in route.matches.tenants.iter().filter(|name| !platform.tenants.contains(name)) {
             let message =
                 format!("the route {:?} is for the tenant {name:?}, which there is not", route.name);
-            wrong(message, &format!("the platform has {}", list(&platform.tenants)));
+            let known = quoted_list(&platform.tenants);
+            self.report(&route.location, message, &format!("the platform has {known}"));
         }
-        if let Some(first) = site.routes[..at].iter().find(|first| covers(&first.matches, &route.matches)) {
+    }
+
+    fn check_is_reachable(&mut self, route: &Route, earlier_routes: &[Route]) {
+        if let Some(earlier) = earlier_routes.iter().find(|earlier| covers(&earlier.matches, &route.matches))
+        {
             let message = format!(
                 "the route {:?} is never taken: {:?} at {}:{} takes all its jobs first",
-                route.name, first.name, first.place.file, first.place.line
+                route.name, earlier.name, earlier.location.file, earlier.location.line
             );
-            wrong(message, "put the narrower route first");
+            self.report(&route.location, message, "put the narrower route first");
         }
-        let Some(policy) = route.policy.map(|policy| &site.policies[policy]) else { continue };
-        let ours = |class: &&ClassFacts| {
-            route.matches.classes.is_empty() || route.matches.classes.contains(&class.name)
-        };
-        for class in platform.classes.iter().filter(ours) {
-            if policy.limits.second_copies == Some(true) && !class.safe {
+    }
+
+    fn check_limits(&mut self, route: &Route) {
+        let Some(policy) = route.policy.map(|policy| &self.site.policies[policy]) else { return };
+        let (name, classes) = (&route.name, &route.matches.classes);
+        let is_for = |class: &&RequestClass| classes.is_empty() || classes.contains(&class.name);
+        for class in self.platform.classes.iter().filter(is_for) {
+            if policy.limits.can_hedge == Some(true) && !class.may_execute_twice {
                 let message = format!(
-                    "the route {:?} sends second copies of {:?}, which must never run twice",
-                    route.name, class.name
+                    "the route {name:?} sends second copies of {:?}, which must never run twice",
+                    class.name
                 );
-                wrong(message, "leave the class out, or write `second-copies #false`");
+                let help = "leave the class out, or write `second-copies #false`";
+                self.report(&route.location, message, help);
             }
             if let Some(limit) = policy.limits.time_limit.filter(|limit| *limit > class.deadline) {
                 let message = format!(
-                    "the route {:?} gives {:?} {limit}, but its clients wait {} only",
-                    route.name, class.name, class.deadline
+                    "the route {name:?} gives {:?} {limit}, but its clients wait {} only",
+                    class.name, class.deadline
                 );
-                wrong(message, "write a `time-limit` within the class's deadline");
+                let help = "write a `time-limit` within the class's deadline";
+                self.report(&route.location, message, help);
             }
         }
     }
-    faults
+}
+
+fn quoted_list(names: impl IntoIterator<Item = impl AsRef<str>>) -> String {
+    let names: Vec<String> = names.into_iter().map(|name| format!("{:?}", name.as_ref())).collect();
+    if names.is_empty() { "none".to_owned() } else { names.join(", ") }
+}
+
+/// Whether `earlier` matches all requests that `later` matches.
+fn covers(earlier: &RouteMatch, later: &RouteMatch) -> bool {
+    let covers_list = |wide: &[String], narrow: &[String], covers_item: &dyn Fn(&str, &str) -> bool| {
+        let is_covered = |item: &String| wide.iter().any(|wide_item| covers_item(wide_item, item));
+        wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(is_covered))
+    };
+    let equals = |wide: &str, narrow: &str| wide == narrow;
+    let is_prefix = |wide: &str, narrow: &str| narrow.starts_with(wide);
+    covers_list(&earlier.classes, &later.classes, &equals)
+        && covers_list(&earlier.tenants, &later.tenants, &equals)
+        && covers_list(&earlier.methods, &later.methods, &equals)
+        && covers_list(&earlier.paths, &later.paths, &is_prefix)
+        && earlier.headers.iter().all(|header| later.headers.contains(header))
 }
--- a/crates/site/src/fault.rs
+++ b/crates/site/src/error.rs
@@ -1,30 +1,30 @@
-//! What is wrong with a site: where, what, and what to write instead.
+//! What is wrong with a site: what, where, and what to write instead.
 
 use std::fmt;
 use std::sync::Arc;
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode, SourceSpan};
 
-/// One fault.
+/// One error of a site.
 #[derive(Clone, Debug)]
-pub struct Fault {
+pub struct SiteError {
     source: Arc<NamedSource<String>>,
     span: SourceSpan,
     message: String,
     help: Option<String>,
-    /// The includes that led here, the innermost first.
-    chain: Vec<String>,
+    /// Where the file is included, the innermost first.
+    include_chain: Vec<String>,
 }
 
-impl Fault {
+impl SiteError {
     pub(crate) fn new(
         source: Arc<NamedSource<String>>,
         span: SourceSpan,
         message: impl Into<String>,
         help: Option<String>,
-        chain: Vec<String>,
+        include_chain: Vec<String>,
     ) -> Self {
-        Self { source, span, message: message.into(), help, chain }
+        Self { source, span, message: message.into(), help, include_chain }
     }
 
     /// What is wrong.
@@ -37,7 +37,7 @@
         self.help.as_deref()
     }
 
-    /// The file.
+    /// The path of the file.
     pub fn file(&self) -> &str {
         self.source.name()
     }
@@ -47,14 +47,14 @@
         position(self.source.inner(), self.span.offset())
     }
 
-    /// The line at fault.
-    pub fn line(&self) -> &str {
+    /// The text of the line.
+    pub fn source_line(&self) -> &str {
         self.source.inner().lines().nth(self.position().0 - 1).unwrap_or_default()
     }
 
-    /// Where the files that include this one do so, the innermost first.
-    pub fn chain(&self) -> &[String] {
-        &self.chain
+    /// Where the file is included, as `FILE:LINE`, the innermost first.
+    pub fn include_chain(&self) -> &[String] {
+        &self.include_chain
     }
 }
 
@@ -66,19 +66,19 @@
     (line, column)
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SiteError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SiteError {}
 
-impl Diagnostic for Fault {
+impl Diagnostic for SiteError {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
         let mut text = self.help.clone().unwrap_or_default();
-        for link in &self.chain {
-            text += &format!("{}included at {link}", if text.is_empty() { "" } else { "\n" });
+        for location in &self.include_chain {
+            text += &format!("{}included at {location}", if text.is_empty() { "" } else { "\n" });
         }
         (!text.is_empty()).then(|| Box::new(text) as Box<dyn fmt::Display>)
     }
@@ -92,18 +92,18 @@
     }
 }
 
-/// All faults of a site, in the order of their places.
+/// All errors of a site, in the order of their locations.
 #[derive(Clone, Debug, Default)]
-pub struct Faults(pub Vec<Fault>);
+pub struct SiteErrors(pub Vec<SiteError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for SiteErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for fault in &self.0 {
-            let (line, column) = fault.position();
-            writeln!(f, "{}:{line}:{column}: {}", fault.file(), fault.message)?;
+        for error in &self.0 {
+            let (line, column) = error.position();
+            writeln!(f, "{}:{line}:{column}: {}", error.file(), error.message)?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for SiteErrors {}
--- a/crates/site/src/files.rs
+++ b/crates/site/src/files.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Gives the bytes of a file. Tests and tools put their own in its place.
+/// Reads files. Tests and tools put their own in place of the disk.
 pub trait Files {
-    /// The whole file, or why it cannot be had. No more than `limit` bytes and one are needed.
+    /// The content of a file. Only its first `limit` bytes and one more are needed.
     ///
     /// # Errors
     ///
@@ -13,31 +13,32 @@
     fn read(&self, path: &str, limit: usize) -> io::Result<Vec<u8>>;
 }
 
-/// Files that are held in memory, by path.
+/// Files in memory, by path.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(pub BTreeMap<String, Vec<u8>>);
+pub struct MemoryFiles(pub BTreeMap<String, Vec<u8>>);
 
-impl Memory {
+impl MemoryFiles {
     /// One file.
-    pub fn one(path: &str, text: &str) -> Self {
+    pub fn single(path: &str, text: &str) -> Self {
         Self(BTreeMap::from([(path.to_owned(), text.as_bytes().to_vec())]))
     }
 }
 
-impl Files for Memory {
+impl Files for MemoryFiles {
     fn read(&self, path: &str, limit: usize) -> io::Result<Vec<u8>> {
         let bytes = self.0.get(path).ok_or(io::ErrorKind::NotFound)?;
         Ok(bytes[..bytes.len().min(limit + 1)].to_vec())
     }
 }
 
-/// The path that an include names, seen from the file that includes it.
-pub(crate) fn beside(including: &str, path: &str) -> String {
-    let folder = including.rsplit_once('/').map_or("", |(folder, _)| folder);
-    let whole =
+/// The path that an include names, as seen from the file that includes it. A file has one path, however it is included:
+/// circles of includes are found by it.
+pub(crate) fn resolve_include(including_file: &str, path: &str) -> String {
+    let folder = including_file.rsplit_once('/').map_or("", |(folder, _)| folder);
+    let full_path =
         if path.starts_with('/') || folder.is_empty() { path.to_owned() } else { format!("{folder}/{path}") };
     let mut parts: Vec<&str> = Vec::new();
-    for part in whole.split('/') {
+    for part in full_path.split('/') {
         match part {
             "." => {}
             ".." if parts.last().is_some_and(|last| !last.is_empty() && *last != "..") => {
@@ -48,17 +49,3 @@
     }
     parts.join("/")
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards the search for include cycles: one file has one path.
-    #[test]
-    fn a_path_is_seen_from_the_including_file() {
-        assert_eq!(beside("deploy/site.kdl", "pools.kdl"), "deploy/pools.kdl");
-        assert_eq!(beside("deploy/a/site.kdl", "../b/./pools.kdl"), "deploy/b/pools.kdl");
-        assert_eq!(beside("site.kdl", "../x.kdl"), "../x.kdl");
-        assert_eq!(beside("deploy/site.kdl", "/etc/x.kdl"), "/etc/x.kdl");
-    }
-}
--- a/crates/site/src/format.rs
+++ b/crates/site/src/format.rs
@@ -1,8 +1,8 @@
-//! The one way in which a site is written out. Comments stay; meaning stays; a second pass changes nothing.
+//! The standard form of a site's text. Comments and meaning stay; formatting twice changes nothing more.
 
 use kdl::{KdlDocument, KdlError};
 
-/// The text in the one form.
+/// The text in the standard form.
 ///
 /// # Errors
 ///
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,21 +1,27 @@
-//! The operators' language: which servers form a pool, which jobs go to which pool, and under which limits.
+//! The operators' language: which servers form a pool, which requests go to which pool, and under which limits.
 //!
-//! A site is written in KDL with units, includes and named values; [`read`] turns it into one checked [`Site`].
-//! Every fault names its file, line and column, shows the line, and says what to write instead; all faults of a
-//! site come at once. Nothing here does I/O but through [`Files`].
+//! A site is written in KDL with units, includes and named values; [`read`] turns it into one validated [`Site`].
+//! Every error names its file, line and column, shows the line, and says what to write instead; all errors of a
+//! site are reported at once. [`check`] compares a site with the platform, [`explain`] says what it does with a request,
+//! [`diff`] what changes between two versions, and [`format()`] writes it in its standard form. Nothing here does I/O but
+//! through [`Files`].
 
 mod check;
+mod diff;
+mod error;
 mod explain;
-mod fault;
 mod files;
 mod format;
 mod model;
-mod read;
+mod platform;
+mod reader;
 
-pub use check::{ClassFacts, Platform, check};
-pub use explain::{Behaviour, Change, Question, diff, explain, questions};
-pub use fault::{Fault, Faults};
-pub use files::{Files, Memory};
+pub use check::check;
+pub use diff::{BehaviourChange, diff};
+pub use error::{SiteError, SiteErrors};
+pub use explain::{Behaviour, Located, PoolUse, RequestDescription, explain, sample_requests};
+pub use files::{Files, MemoryFiles};
 pub use format::format;
-pub use model::{Limits, Match, Place, Policy, Pool, Route, Site, Target, Weighted};
-pub use read::read;
+pub use model::{Limits, Policy, Pool, Route, RouteMatch, RouteTarget, Site, SourceLocation, WeightedPool};
+pub use platform::{Platform, PlatformServer, RequestClass};
+pub use reader::read;
--- a/crates/site/src/model.rs
+++ b/crates/site/src/model.rs
@@ -1,17 +1,21 @@
-//! A site as it is used: typed, checked, immutable.
+//! A site as it is used: typed, validated, immutable.
 
 use mosshead_units::{Fraction, Time};
 use serde::Serialize;
 
-/// Where something was written.
+use crate::platform::PlatformServer;
+use crate::reader::{FileId, Source};
+
+/// Where something is written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Place {
-    /// The file.
+pub struct SourceLocation {
+    /// The path of the file.
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
     #[serde(skip)]
-    pub(crate) source: usize,
+    pub(crate) source: FileId,
+    /// Offset and length in bytes.
     #[serde(skip)]
     pub(crate) span: (usize, usize),
 }
@@ -21,82 +25,82 @@
 pub struct Pool {
     /// Its name.
     pub name: String,
-    /// Only servers of these zones; any, where there are none.
+    /// Only servers of these zones are members; of any, if there are none.
     pub zones: Vec<String>,
-    /// Only servers of these kinds; any, where there are none.
+    /// Only servers of these kinds are members; of any, if there are none.
     pub kinds: Vec<String>,
-    /// Only servers whose id fits one of these, `*` standing for anything; any, where there are none.
+    /// Only servers whose id matches one of these patterns are members (`*` stands for any text); any, if there are none.
     pub ids: Vec<String>,
-    /// Where fewer of the list's servers are members than this share, the pool is not used.
-    pub least: f64,
-    /// Where fewer of its members are ready than this share, all members count as ready.
-    pub panic: f64,
-    /// The pool that is used where this one cannot be.
+    /// The pool is used only if at least this share of the list's servers are members, from 0 to 1.
+    pub min_member_share: f64,
+    /// If a smaller share of its members is healthy, requests go to unhealthy members too, from 0 to 1.
+    pub panic_threshold: f64,
+    /// The index of the pool that is used where this one can't be.
     pub fallback: Option<usize>,
-    /// Where it was written.
-    pub place: Place,
+    /// Where it is defined.
+    pub location: SourceLocation,
 }
 
-/// Which jobs a route is for. What is empty fits all.
+/// Which requests a route is for. An empty list matches all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Match {
+pub struct RouteMatch {
     /// Classes.
     pub classes: Vec<String>,
     /// Tenants.
     pub tenants: Vec<String>,
-    /// Starts of the path.
+    /// Prefixes of the path.
     pub paths: Vec<String>,
     /// Methods.
     pub methods: Vec<String>,
-    /// Headers with their values.
+    /// Headers with their values, all of which are required; names in lower case.
     pub headers: Vec<(String, String)>,
 }
 
-/// A pool with its part of a split.
+/// A pool with its share of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weighted {
-    /// Which pool.
+pub struct WeightedPool {
+    /// The index of the pool.
     pub pool: usize,
-    /// Its part of the whole, from 0 to 1; the parts of a split sum to 1.
-    pub part: f64,
+    /// Its share, from 0 to 1; the shares of a route sum to 1.
+    pub share: f64,
 }
 
 /// Where a route leads.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Target {
-    /// To pools, each with its part.
-    Pools(Vec<Weighted>),
-    /// To a refusal, with this come-back time.
-    Refuse(Time),
+pub enum RouteTarget {
+    /// To these pools, at least one.
+    Pools(Vec<WeightedPool>),
+    /// To a rejection, with the delay after which the client may retry.
+    Reject(Time),
 }
 
-/// A route: the first that fits a job is taken.
+/// A route. Of the routes that match a request the first one is taken.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Which jobs it is for.
-    pub matches: Match,
+    /// Which requests it is for.
+    pub matches: RouteMatch,
     /// Where it leads.
-    pub target: Target,
-    /// Under which policy.
+    pub target: RouteTarget,
+    /// The index of its policy.
     pub policy: Option<usize>,
-    /// Where it was written.
-    pub place: Place,
+    /// Where it is defined.
+    pub location: SourceLocation,
 }
 
-/// Limits; what is absent stays as the platform has it.
+/// Limits of requests. Where one is absent, that of the platform is in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
     /// No attempt takes longer.
     pub time_limit: Option<Time>,
-    /// The most attempts.
+    /// How many attempts a request may have at most.
     pub attempts: Option<u32>,
-    /// Retries, as a share of first tries.
+    /// Retries, as a share of first attempts.
     pub retry_budget: Option<Fraction>,
-    /// Whether a second copy may go out.
-    pub second_copies: Option<bool>,
-    /// The most jobs that may be out at once.
+    /// Whether hedged attempts may be sent.
+    pub can_hedge: Option<bool>,
+    /// How many requests may be in flight at most.
     pub concurrency: Option<u32>,
 }
 
@@ -107,66 +111,49 @@
     pub name: String,
     /// The limits.
     pub limits: Limits,
-    /// Where it was written.
-    pub place: Place,
+    /// Where it is defined.
+    pub location: SourceLocation,
 }
 
-/// A site: read once, checked, immutable. One without routes changes nothing.
+/// A validated site: indices in it are those of its own pools and policies. One without routes changes nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     /// The pools.
     pub pools: Vec<Pool>,
     /// The policies.
     pub policies: Vec<Policy>,
-    /// The routes, in their order.
+    /// The routes, in the order in which they are tried.
     pub routes: Vec<Route>,
-    pub(crate) sources: Vec<crate::read::Source>,
+    /// The files of the site, for errors that are found later.
+    pub(crate) sources: Vec<Source>,
 }
 
-/// Whether a text fits a pattern in which `*` stands for anything.
-pub(crate) fn fits(pattern: &str, text: &str) -> bool {
+impl Pool {
+    /// Whether a server of this zone, kind and id is a member.
+    pub fn has_member(&self, zone: &str, kind: &str, id: &str) -> bool {
+        (self.zones.is_empty() || self.zones.iter().any(|member_zone| member_zone == zone))
+            && (self.kinds.is_empty() || self.kinds.iter().any(|member_kind| member_kind == kind))
+            && (self.ids.is_empty() || self.ids.iter().any(|pattern| matches_pattern(pattern, id)))
+    }
+
+    pub(crate) fn has_server(&self, server: &PlatformServer) -> bool {
+        self.has_member(&server.zone, &server.kind, &server.id)
+    }
+}
+
+/// Whether a text matches a pattern in which `*` stands for any text.
+pub(crate) fn matches_pattern(pattern: &str, text: &str) -> bool {
     let mut parts = pattern.split('*');
     let Some(mut rest) = parts.next().and_then(|first| text.strip_prefix(first)) else { return false };
     let Some(last) = pattern.contains('*').then(|| pattern.rsplit('*').next()).flatten() else {
         return rest.is_empty();
     };
-    let middle: Vec<&str> = parts.collect();
-    for part in middle.iter().take(middle.len().saturating_sub(1)) {
+    let parts_after_first: Vec<&str> = parts.collect();
+    for part in parts_after_first.iter().take(parts_after_first.len().saturating_sub(1)) {
         match rest.find(part) {
-            Some(at) => rest = &rest[at + part.len()..],
+            Some(offset) => rest = &rest[offset + part.len()..],
             None => return false,
         }
     }
     rest.len() >= last.len() && rest.ends_with(last)
 }
-
-impl Pool {
-    /// Whether a server of this zone, kind and id is a member.
-    pub fn has(&self, zone: &str, kind: &str, id: &str) -> bool {
-        (self.zones.is_empty() || self.zones.iter().any(|of| of == zone))
-            && (self.kinds.is_empty() || self.kinds.iter().any(|of| of == kind))
-            && (self.ids.is_empty() || self.ids.iter().any(|of| fits(of, id)))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_star_stands_for_anything() {
-        for (pattern, text, fit) in [
-            ("s-1", "s-1", true),
-            ("s-1", "s-12", false),
-            ("s-*", "s-12", true),
-            ("*", "", true),
-            ("*-12", "s-12", true),
-            ("s*2", "s-12", true),
-            ("s*1*2", "s-12", true),
-            ("s*3*2", "s-12", false),
-            ("ab*ba", "aba", false),
-        ] {
-            assert_eq!(fits(pattern, text), fit, "{pattern} {text}");
-        }
-    }
-}
--- a/crates/site/tests/common/mod.rs
+++ b/crates/site/tests/common/mod.rs
@@ -1,19 +1,23 @@
 //! The platform that sites are tested against.
 
-use mosshead_site::{ClassFacts, Platform};
+use mosshead_site::{Platform, PlatformServer, RequestClass};
 use mosshead_units::Time;
 
 pub(crate) fn platform() -> Platform {
-    let class = |name: &str, deadline: u64, safe| ClassFacts {
+    let class = |name: &str, deadline: u64, may_execute_twice| RequestClass {
         name: name.to_owned(),
         deadline: Time::from_millis(deadline),
-        safe,
+        may_execute_twice,
     };
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     let mut servers = Vec::new();
-    for (at, zone) in ["memphis", "nashville", "birmingham"].iter().cycle().take(9).enumerate() {
-        let kind = if at < 5 { "standard" } else { "older" };
-        servers.push((zone.to_string(), kind.to_owned(), format!("s-{at}")));
+    for (number, zone) in ["memphis", "nashville", "birmingham"].iter().cycle().take(9).enumerate() {
+        let kind = if number < 5 { "standard" } else { "older" };
+        servers.push(PlatformServer {
+            zone: zone.to_string(),
+            kind: kind.to_owned(),
+            id: format!("s-{number}"),
+        });
     }
     Platform {
         classes: vec![
@@ -25,6 +29,6 @@
         zones: names(&["memphis", "nashville", "birmingham"]),
         kinds: names(&["standard", "older"]),
         servers,
-        attempts: 4,
+        max_attempts: 4,
     }
 }
