--- a/crates/capacity-bench/src/registry_fleet/mod.rs
+++ b/crates/capacity-bench/src/registry_fleet/mod.rs
@@ -27,7 +27,7 @@
 /// How long an open call waits for updates, as in `programs`.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_TIMEOUT_MS);
 const WATCH_TIMEOUT_MS: u64 = 1_000;
-/// Control nodes tell each other of heartbeats so often, as in `programs`.
+/// The interval at which control nodes tell each other whose heartbeats they receive, as in `programs`.
 const COMPARISON_INTERVAL_MS: u64 = 500;
 /// The most entries in one message, as in `programs`.
 const MAX_ENTRIES: usize = 400;
--- a/crates/capacity-bench/src/registry_fleet/watches.rs
+++ b/crates/capacity-bench/src/registry_fleet/watches.rs
@@ -17,12 +17,12 @@
 /// The configuration's revision, at all processes.
 const REVISION: u64 = 9;
 
-/// Who watches.
+/// The process that watches.
 #[derive(Clone, Copy)]
 pub(super) enum Watcher {
     /// A proxy, which watches the control node of the same number as the slot.
     Proxy { proxy: usize, slot: usize },
-    /// A proxy that was told of entries and asks for them at once.
+    /// A proxy whose last response announced entries without containing them; it asks for them and does not wait.
     ProxyAgain { proxy: usize, slot: usize },
     /// A control node, which watches all others.
     ControlNode { node: usize },
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -1,7 +1,7 @@
 /// Why a member takes no part in a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InactiveReason {
-    /// The host has not let it join, or has told it to leave.
+    /// The host has not let it join, or has had it leave.
     NotJoined,
     /// Operators have given the store no epoch: it is new, or has lost its state.
     MissingEpoch,
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -93,7 +93,7 @@
     /// there on. Replaces the read and the watch before it.
     ReadAndWatch,
     /// Ask for a lease of [`LeaseTiming::lease_duration`](crate::LeaseTiming::lease_duration), and with it acquire the role, if
-    /// nobody holds it and the store still has this epoch.
+    /// no member holds it and the store still has this epoch.
     Acquire {
         /// The number of this call.
         call_id: CallId,
--- a/crates/lease/src/role/acquisition.rs
+++ b/crates/lease/src/role/acquisition.rs
@@ -28,7 +28,7 @@
     ) {
         let sent_at = match self.phase {
             Phase::Acquiring { call_id: in_flight, sent_at } if in_flight == call_id => sent_at,
-            // What an earlier call acquired, and nobody awaits, would have no holder for the length of a lease.
+            // What an earlier call acquired, and no member awaits any more, would have no holder for the length of a lease.
             _ => return commands.push(Command::Release(lease_id)),
         };
         if let Some(reason) = self.objection_to(store_id, token) {
--- a/crates/lease/src/role/mod.rs
+++ b/crates/lease/src/role/mod.rs
@@ -159,7 +159,7 @@
     ) {
         let retry_at = now + self.timing.retry_delay_with_jitter(jitter_millionths);
         if self.is_acquiring_by(call_id) {
-            // The role may depend on a lease that nobody renews: it ends by itself.
+            // The role may depend on a lease that no member renews: it ends by itself.
             self.phase = Phase::BackingOff { read_at: retry_at };
             commands.push(Command::SetTimer(retry_at));
         } else if let Phase::Holding(tenure) = &mut self.phase
--- a/crates/lease/src/role/store_updates.rs
+++ b/crates/lease/src/role/store_updates.rs
@@ -48,10 +48,10 @@
         (self.highest_seen, self.store_id) = (update.position, update.store_id);
         self.phase = match (update.holder, self.phase) {
             (Some(_), _) => Phase::HeldByAnother,
-            // The watch, which has no gap, reported the holder and then its end: nobody may act any more.
+            // The watch, which has no gap, reported the holder and then its end: no member may act any more.
             (None, Phase::HeldByAnother) if is_same_epoch => Phase::Unheld { acquire_at: now },
             (None, Phase::Unheld { acquire_at }) if is_same_epoch => Phase::Unheld { acquire_at },
-            // After a gap nobody knows whether the holder has ended its lease or the store has lost it: a former holder may
+            // After a gap it is unknown whether the holder has ended its lease or the store has lost it: a former holder may
             // still act until its lease has run out.
             (None, _) => Phase::Unheld { acquire_at: now + self.timing.expiry_wait() },
         };
--- a/crates/simhost/src/replies.rs
+++ b/crates/simhost/src/replies.rs
@@ -5,7 +5,7 @@
 use mosshead_decide::NameTable;
 use mosshead_decide::interface::{Action, EndpointId};
 
-/// Appends the line of an action. `can_advise_retry_after` says whether clients are told when to retry.
+/// Appends the line of an action. `can_advise_retry_after` says whether the line has the delay after which the client may retry.
 pub(crate) fn write_action(
     reply: &mut String,
     action: Action,
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-use mosshead_simhost::Session;
+use mosshead_simhost::{LineError, Session, WireError};
 
 const SETTINGS: &str = r#"{"classes":[{"deadline_s":1.0,"dedup_window_s":5.0,"effect":"free","gain":2.0,"group":"all","late_worth":0.0,"name":"read","streaming":false,"target_s":0.4},{"deadline_s":2.0,"effect":"single_shot","gain":10.0,"late_worth":0.0,"name":"write","target_s":0.4}],"unknown":{"a":[1]},"group_size":3,"limits":{"may_cancel":true,"most_held":20000,"probes":false,"retry_after":true,"max_retry_after_s":1.5,"second_copies":true,"keepalive_s":30.0,"send_cap":3},"machine_types":["m"],"membership_mode":"push","over_share_worth":0.1,"prices":{"cross_zone":0.12},"rank":0,"reporting":{"how":"piggyback","names":["queue","inflight"]},"rules":{"answer_slack_s":0.02,"ask_within_s":10.0,"cold_from":0.15,"drain_grace_s":0.25,"fall_multiple":3.0,"fall_s":1.5,"warm_up_s":23.0},"tenants":[{"name":"farm","quota_per_s":172.0,"share":0.45}],"tick_s":0.005,"weights":"nominal","zone":"b","zones":["a","b"]}"#;
 
@@ -23,16 +23,27 @@
     configuration_lines().into_iter().chain(more.iter().map(|line| line.to_string())).collect()
 }
 
-fn play(lines: &[String]) -> Result<String, String> {
+/// All replies of a session.
+fn play(lines: &[String]) -> Result<String, WireError> {
     let mut session = Session::new();
     let mut replies = String::new();
     for line in lines {
-        replies += &session.handle_line(line).map_err(|error| error.to_string())?.unwrap_or_default();
+        replies += &session.handle_line(line)?.unwrap_or_default();
     }
-    session.finish().map_err(|error| error.to_string())?;
+    session.finish()?;
     Ok(replies)
 }
 
+/// The message of the error of a session.
+fn error_of(lines: &[String]) -> String {
+    play(lines).expect_err("the input has an error").to_string()
+}
+
+/// The message of the error of an instance with these settings.
+fn settings_error(settings: &str) -> String {
+    error_of(&lines_after_configuration(&[&format!("configure rng_seed=1 info={settings}"), "commit"]))
+}
+
 const REQUEST: &str = "ingress job=00000000000000aa ttl_s=0.9 band=write client_group=farm flags=0";
 
 #[test]
@@ -164,7 +175,7 @@
 }
 
 #[test]
-fn errors_name_the_line_and_what_is_wrong() {
+fn an_invalid_message_is_rejected_with_its_line_and_member() {
     for (line, expected) in [
         ("shout loud=1", "line 7: unknown message \"shout\""),
         ("ingress job=00000000000000aa band=read", "line 7: member ttl_s is missing"),
@@ -187,9 +198,13 @@
         ("configure rng_seed=1 info={", "line 7: info: "),
         ("configure rng_seed=1 info={}", "line 7: info: missing field"),
     ] {
-        let error = play(&lines_after_configuration(&[line, "commit"])).expect_err(line);
+        let error = error_of(&lines_after_configuration(&[line, "commit"]));
         assert!(error.starts_with(expected), "{line}: {error}");
     }
+}
+
+#[test]
+fn invalid_settings_are_rejected_with_the_path_of_the_value() {
     for (old, new, expected) in [
         (
             "\"name\":\"read\"",
@@ -234,23 +249,26 @@
             "setting goal.availability is -0.1: it must",
         ),
     ] {
-        let bad = SETTINGS.replacen(old, new, 1);
-        let error =
-            play(&lines_after_configuration(&[&format!("configure rng_seed=1 info={bad}"), "commit"]))
-                .expect_err(new);
+        let error = settings_error(&SETTINGS.replacen(old, new, 1));
         assert!(error.starts_with(&format!("line 7: {expected}")), "{new}: {error}");
     }
-    let bad = SETTINGS.replace("\"send_cap\":3", "\"send_cap\":0");
-    let error = play(&lines_after_configuration(&[&format!("configure rng_seed=1 info={bad}"), "commit"]))
-        .expect_err("an instance without attempts is rejected");
+    let error = settings_error(&SETTINGS.replace("\"send_cap\":3", "\"send_cap\":0"));
     assert_eq!(error, "line 7: setting limits.max_attempts is 0: it must be at least 1");
-    assert_eq!(play(&["commit".into()]), Err("line 1: \"commit\" outside a batch".into()));
-    assert_eq!(play(&configuration_lines()), Err("line 6: the input ends within a batch".into()));
-    let cut = ["turn ts_s=1", "list bank=0 lines=2", "item server=a:1 readiness=Running", "commit"]
-        .map(String::from);
-    assert_eq!(play(&cut), Err("line 4: 1 more item lines are due, not \"commit\"".into()));
-    let early = ["turn ts_s=1", "about i=1", "tick_due cookie=1", "commit"].map(String::from);
-    assert_eq!(play(&early), Err("line 3: instance 1 was never configured".into()));
+}
+
+#[test]
+fn a_message_in_the_wrong_place_is_rejected() {
+    let outside_batch = WireError { line: 1, error: LineError::OutsideBatch("commit".to_owned()) };
+    assert_eq!(play(&["commit".into()]), Err(outside_batch));
+    assert_eq!(error_of(&["commit".into()]), "line 1: \"commit\" outside a batch");
+    assert_eq!(error_of(&configuration_lines()), "line 6: the input ends within a batch");
+    let incomplete_list =
+        ["turn ts_s=1", "list bank=0 lines=2", "item server=a:1 readiness=Running", "commit"];
+    let error = error_of(&incomplete_list.map(String::from));
+    assert_eq!(error, "line 4: 1 more item lines are due, not \"commit\"");
+    let unconfigured = ["turn ts_s=1", "about i=1", "tick_due cookie=1", "commit"];
+    let error = error_of(&unconfigured.map(String::from));
+    assert_eq!(error, "line 3: instance 1 was never configured");
 }
 
 fn run_program(input: &[u8]) -> Output {
