--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -4,7 +4,7 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a queue can outgrow the latency target before the first late response tells of it.
+/// Regression: a queue can outgrow the latency target before the first late response shows it.
 #[test]
 fn a_queue_longer_than_the_latency_target_rejects_at_once() {
     let mut host = Host::new(settings(), fleet(1));
@@ -14,23 +14,23 @@
         rejections += usize::from(is_rejected(&actions, request));
     }
     assert!((25..=55).contains(&rejections), "{rejections} of 60 rejected");
-    assert!(host.in_flight.len() < 35, "{} out", host.in_flight.len());
+    assert!(host.in_flight.len() < 35, "{} in flight", host.in_flight.len());
 }
 
-/// Regression: full servers reject whoever comes next, whatever its value, and no response is ever late.
+/// Regression: full servers reject whatever arrives next, whatever its value, and no response is ever late.
 #[test]
 fn rejections_by_crowded_servers_raise_the_price() {
     let mut host = Host::new(settings(), fleet(1));
     let mut rejections = 0;
     for _ in 0..60 {
         (0..3).for_each(|_| drop(host.request(SAFE)));
-        let held = host.in_flight.clone();
+        let others = host.in_flight.clone();
         let (request, _) = host.request(SAFE);
         while let Some(sent) = host.in_flight.iter().copied().find(|sent| sent.request == request) {
             host.end_attempt(sent, Outcome::Rejected, LoadReport::default());
         }
         host.now += 0.05;
-        for sent in held {
+        for sent in others {
             host.serve(sent);
         }
         host.now += 0.5;
@@ -58,7 +58,7 @@
         let class = index % 2;
         let (request, actions) = host.request([SAFE, UNSAFE][class]);
         rejections[class] += i32::from(index >= 1000 && is_rejected(&actions, request));
-        // One at a time, 0.05 s each: half of what is asked for.
+        // One at a time, 0.05 s each: half of the requests.
         if index % 2 == 1
             && let Some(&sent) = host.in_flight.first()
         {
@@ -106,8 +106,8 @@
     let mut rejections = [0; 2];
     for index in 0..100 {
         host.request(SAFE);
-        let held = host.in_flight.clone();
-        // A first try, and a last one 0.5 s after its own first, which was not served.
+        let others = host.in_flight.clone();
+        // A first attempt, and a last one 0.5 s after its own first one, which was not served.
         for (which, time_left) in [(0, 0.9), (1, 1.5 - f64::from(index % 3) / 200.0)] {
             let (request, actions) = host.request_as(UNSAFE, None, time_left);
             rejections[which] += usize::from(is_rejected(&actions, request));
@@ -118,7 +118,7 @@
             }
         }
         host.now += 0.05;
-        for sent in held {
+        for sent in others {
             host.serve(sent);
         }
         host.now += 0.2;
@@ -164,11 +164,11 @@
     let tenants = vec![Tenant { share: 0.5 }, Tenant { share: 0.5 }];
     let mut host = Host::new(Settings { tenants, ..settings() }, fleet(2));
     let mut rejections = [0.0; 2];
-    let mut asked = [0.0; 2];
+    let mut requests = [0.0; 2];
     for index in 0..2000 {
         let tenant = usize::from(index % 8 == 0);
         let (request, actions) = host.request_as(UNSAFE, Some(TenantId(tenant)), 2.0);
-        asked[tenant] += 1.0;
+        requests[tenant] += 1.0;
         rejections[tenant] += f64::from(u8::from(is_rejected(&actions, request)));
         host.now += 0.01;
         // The fleet is too slow for all of it: every third step one response.
@@ -177,7 +177,7 @@
             host.serve(sent);
         }
     }
-    let (flood, quiet) = (rejections[0] / asked[0], rejections[1] / asked[1]);
+    let (flood, quiet) = (rejections[0] / requests[0], rejections[1] / requests[1]);
     assert!(flood > quiet + 0.1, "rejected: {flood:.2} of the flood, {quiet:.2} of the other");
 }
 
@@ -187,21 +187,21 @@
     let mut host = Host::new(settings(), fleet(20));
     let sent = host.place_request(UNSAFE);
     host.end_attempt(sent, Outcome::Served, load_report(60.0, 59.0));
-    let asked = |host: &mut Host| {
+    let is_next_rejected = |host: &mut Host| {
         host.now += 0.05;
         let (request, actions) = host.request(UNSAFE);
         let sent = host.in_flight.last().copied().filter(|sent| sent.request == request);
         sent.map(|sent| host.end_attempt(sent, Outcome::Served, load_report(1.0, 0.0)));
         is_rejected(&actions, request)
     };
-    assert!((0..10).all(|_| asked(&mut host)), "crowded as far as it knows");
+    assert!((0..10).all(|_| is_next_rejected(&mut host)), "crowded as far as it knows");
     host.now += 4.0;
-    assert!(!(0..200).all(|_| asked(&mut host)), "some are taken on to find out");
-    let last = (0..20).filter(|_| asked(&mut host)).count();
+    assert!(!(0..200).all(|_| is_next_rejected(&mut host)), "some are admitted to find out");
+    let last = (0..20).filter(|_| is_next_rejected(&mut host)).count();
     assert!(last < 4, "and then nearly all are: {last} of 20 rejected");
 }
 
-/// Regression: clients that were rejected together and told the same time retry together.
+/// Regression: clients that were rejected together and asked to wait for the same time retry together.
 #[test]
 fn a_rejection_says_when_to_retry_within_the_limit_and_spread() {
     for limit in [0.2, 0.05] {
@@ -212,7 +212,7 @@
             host.request(UNSAFE);
         }
         let advice = host.actions.iter().filter_map(|action| match action {
-            Action::Reject { retry_after: not_before, .. } => Some(*not_before),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
         let waits: Vec<f64> = advice.collect();
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host for one balancer: it keeps the clock, the timers and the attempts in flight.
+//! A host for one balancer, with the clock, the timers and the attempts in flight.
 #![allow(dead_code)]
 
 use mosshead_decide::Balancer;
@@ -93,11 +93,13 @@
     pub(crate) balancer: Balancer,
     /// Every action so far.
     pub(crate) actions: Vec<Action>,
-    /// Attempts whose outcome is still owed to the balancer.
+    /// Attempts whose outcome the balancer does not know yet.
     pub(crate) in_flight: Vec<SentAttempt>,
+    /// Timers with the time at which they are due.
     pub(crate) timers: Vec<(Seconds, TimerToken)>,
-    rounds: std::collections::BTreeMap<RequestId, u32>,
-    next: u64,
+    /// How many attempts each request has had.
+    attempt_counts: std::collections::BTreeMap<RequestId, u32>,
+    next_request: u64,
 }
 
 impl Host {
@@ -106,36 +108,36 @@
     }
 
     pub(crate) fn seeded(settings: Settings, servers: Vec<ListEntry>, seed: u64) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("legal settings");
+        let balancer = Balancer::new(settings, seed).expect("the settings are valid");
         let mut host = Self {
             now: 100.0,
             balancer,
             actions: Vec::new(),
             in_flight: Vec::new(),
             timers: Vec::new(),
-            rounds: Default::default(),
-            next: 0,
+            attempt_counts: Default::default(),
+            next_request: 0,
         };
         host.handle(Event::ListUpdated(ListUpdate::Saved(servers)));
         host
     }
 
-    /// Hands over one event and returns what it led to.
+    /// Passes one event to the balancer, and returns its actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match *action {
-                Action::Send { request, endpoint, deadline: until } => {
-                    let round = self.rounds.entry(request).or_default();
+                Action::Send { request, endpoint, deadline } => {
+                    let attempt_count = self.attempt_counts.entry(request).or_default();
                     self.in_flight.push(SentAttempt {
                         request,
-                        attempt: AttemptNumber(*round),
+                        attempt: AttemptNumber(*attempt_count),
                         endpoint,
                         sent_at: self.now,
-                        deadline: until,
+                        deadline,
                     });
-                    *round += 1;
+                    *attempt_count += 1;
                 }
                 Action::SetTimer { delay, token } => self.timers.push((self.now + delay, token)),
                 _ => {}
@@ -155,13 +157,13 @@
         tenant: Option<TenantId>,
         time_left: Seconds,
     ) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         let actions = self.handle(Event::RequestReceived(Request { id: request, time_left, class, tenant }));
         (request, actions)
     }
 
-    /// Sends a request and returns where its first attempt went; asks again where chance rejects it.
+    /// Sends a request and returns its first attempt; a request that is rejected by chance is followed by another one.
     pub(crate) fn place_request(&mut self, class: ClassId) -> SentAttempt {
         for _ in 0..10 {
             let (request, actions) = self.request(class);
@@ -195,18 +197,18 @@
         self.end_attempt(sent, Outcome::Served, LoadReport::default())
     }
 
-    /// Lets time pass; timers that come due on the way are handed over.
+    /// Lets time pass, and fires the timers that are due meanwhile.
     pub(crate) fn advance(&mut self, time: Seconds) -> Vec<Action> {
-        let (until, mut actions) = (self.now + time, Vec::new());
-        while let Some(at) = (0..self.timers.len())
-            .filter(|&at| self.timers[at].0 <= until)
-            .min_by(|&a, &b| self.timers[a].0.total_cmp(&self.timers[b].0))
+        let (end, mut actions) = (self.now + time, Vec::new());
+        while let Some(index) = (0..self.timers.len())
+            .filter(|&index| self.timers[index].0 <= end)
+            .min_by(|&one, &other| self.timers[one].0.total_cmp(&self.timers[other].0))
         {
-            let (due, token) = self.timers.swap_remove(at);
+            let (due, token) = self.timers.swap_remove(index);
             self.now = self.now.max(due);
             actions.extend(self.handle(Event::TimerFired(token)));
         }
-        self.now = until;
+        self.now = end;
         actions
     }
 
@@ -215,8 +217,8 @@
     }
 }
 
-pub(crate) fn load_report(in_flight: f64, queue: f64) -> LoadReport {
-    LoadReport { in_flight: Some(in_flight), queued: Some(queue) }
+pub(crate) fn load_report(in_flight: f64, queued: f64) -> LoadReport {
+    LoadReport { in_flight: Some(in_flight), queued: Some(queued) }
 }
 
 pub(crate) fn sent_endpoints(actions: &[Action]) -> Vec<EndpointId> {
@@ -235,15 +237,16 @@
     actions.contains(&Action::Fail { request: id })
 }
 
+/// Sends requests one after the other, and counts those that each server gets.
 pub(crate) fn count_requests(host: &mut Host, requests: usize, servers: usize) -> Vec<usize> {
-    let mut count_requests = vec![0; servers];
+    let mut counts = vec![0; servers];
     for _ in 0..requests {
         let sent = host.place_request(SAFE);
-        count_requests[sent.endpoint.0 as usize] += 1;
+        counts[sent.endpoint.0 as usize] += 1;
         host.now += 0.02;
         host.serve(sent);
     }
-    count_requests
+    counts
 }
 
 /// Gives every server a first report, so that none has the mean load of the fleet.
@@ -252,25 +255,25 @@
     while !missing.is_empty() {
         let sent = host.place_request(SAFE);
         host.now += 0.001;
-        let at = sent.endpoint.0 as usize;
-        host.end_attempt(sent, Outcome::Served, reports[at]);
-        missing.retain(|&index| index != at);
+        let server = sent.endpoint.0 as usize;
+        host.end_attempt(sent, Outcome::Served, reports[server]);
+        missing.retain(|&index| index != server);
     }
 }
 
 /// Sends until two attempts are in flight at one server, and fails both; the others are served.
 pub(crate) fn fail_twice(host: &mut Host, class: ClassId, server: EndpointId, outcome: Outcome) {
-    let (mut there, mut elsewhere) = (Vec::new(), Vec::new());
-    while there.len() < 2 && elsewhere.len() < 20 {
+    let (mut at_server, mut at_others) = (Vec::new(), Vec::new());
+    while at_server.len() < 2 && at_others.len() < 20 {
         let sent = host.place_request(class);
-        if sent.endpoint == server { there.push(sent) } else { elsewhere.push(sent) }
+        if sent.endpoint == server { at_server.push(sent) } else { at_others.push(sent) }
     }
     host.now += 0.01;
-    for sent in elsewhere {
+    for sent in at_others {
         host.serve(sent);
     }
     host.now += if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) { 0.7 } else { 0.0 };
-    for sent in there {
+    for sent in at_server {
         if outcome == Outcome::Cancelled {
             host.handle(Event::RequestWithdrawn { request: sent.request });
         }
@@ -279,17 +282,17 @@
     host.in_flight.clear();
 }
 
-/// Makes a request, and takes back what was sent, so that nothing is in flight for the next one.
+/// Makes a request, and ends its attempt as not sent, so that nothing is in flight for the next one.
 pub(crate) fn request_and_take_back(host: &mut Host) -> (RequestId, Vec<Action>) {
     request_as_and_take_back(host, UNSAFE)
 }
 
 pub(crate) fn request_as_and_take_back(host: &mut Host, class: ClassId) -> (RequestId, Vec<Action>) {
-    let asked = host.request(class);
+    let requested = host.request(class);
     if let Some(sent) = host.in_flight.last().copied() {
         host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
     }
-    asked
+    requested
 }
 
 pub(crate) fn end_probe(
@@ -309,8 +312,8 @@
     actions.iter().filter_map(of).collect()
 }
 
-pub(crate) fn settings_with_probes(probe_price: f64) -> Settings {
-    let mut all = Settings { reporting: Reporting::Probes, probe_cost: probe_price, ..settings() };
+pub(crate) fn settings_with_probes(probe_cost: f64) -> Settings {
+    let mut all = Settings { reporting: Reporting::Probes, probe_cost, ..settings() };
     all.limits.can_probe = true;
     all
 }
--- a/crates/decide/tests/endpoint_list.rs
+++ b/crates/decide/tests/endpoint_list.rs
@@ -29,7 +29,7 @@
     assert!(placed > 3, "{placed} of 20");
 }
 
-/// Regression: a server not heard from yet, measured against a mean that has moved, looks slow or fast.
+/// Regression: a server without a response yet, measured against a mean that has moved, looks slow or fast.
 #[test]
 fn a_server_without_responses_looks_like_any_other() {
     let mut host = Host::new(settings(), fleet(2));
--- a/crates/decide/tests/guarantees.rs
+++ b/crates/decide/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! What holds whatever the load: one final answer in time, and no request that runs twice without permission.
+//! What holds whatever the load: one final response in time, and no request that runs twice without permission.
 
 mod common;
 use common::*;
--- a/crates/decide/tests/load_estimation.rs
+++ b/crates/decide/tests/load_estimation.rs
@@ -1,4 +1,4 @@
-//! What reports and responses tell of the load of servers.
+//! What reports and responses say of the load of servers.
 
 mod common;
 use common::*;
@@ -55,7 +55,7 @@
         let (request, actions) = host.request(UNSAFE);
         is_rejected(&actions, request)
     });
-    assert!(rejections.count() > 8, "servers never heard of are taken to be crowded as well");
+    assert!(rejections.count() > 8, "servers without a response are assumed to be crowded as well");
 }
 
 /// Regression: many proxies, each rejecting until a report shows an idle server, all end up at that one.
@@ -72,7 +72,7 @@
         let (request, actions) = request_and_take_back(&mut host);
         is_rejected(&actions, request)
     });
-    assert!(rejections.count() > 8, "what the rest of the zone holds counts for more than one report");
+    assert!(rejections.count() > 8, "the load of the rest of the zone counts for more than one report");
 }
 
 /// Regression: an idle server reports the same again and again; if it counted as stale, the server would look as full as the others.
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -66,11 +66,11 @@
     assert!(sent >= 285, "of 300 requests {sent} are sent");
 }
 
-/// Regression: where servers drain or are in slow start, fewer get the same work, and responses tell of it only once these are
-/// overloaded. The list tells at once: the least valuable of a hundred proxies' requests are rejected before any response is
+/// Regression: where servers drain or are in slow start, fewer get the same work, and responses show it only once these are
+/// overloaded. The list shows it at once: the least valuable of a hundred proxies' requests are rejected before any response is
 /// late.
 #[test]
-fn a_fleet_that_shrinks_by_the_list_gets_less_before_a_response_tells() {
+fn a_fleet_that_shrinks_by_the_list_gets_less_before_a_response_shows_it() {
     let mut all = settings();
     all.classes[UNSAFE.0].value = 8.0;
     let mut hosts: Vec<Host> = (0..100).map(|seed| Host::seeded(all.clone(), fleet(10), seed)).collect();
@@ -100,5 +100,5 @@
     assert!(fewer[0] < 0.8 && fewer[0] < fewer[1], "{fewer:?} are sent on to half of the servers");
     serve_requests(&mut hosts, 100);
     let usual = serve_requests(&mut hosts, 5);
-    assert!(usual[0] > 0.95, "{usual:?} are sent once answers have told that half of them can do it");
+    assert!(usual[0] > 0.95, "{usual:?} are sent once responses have shown that half of them can do it");
 }
--- a/crates/decide/tests/probing.rs
+++ b/crates/decide/tests/probing.rs
@@ -38,7 +38,7 @@
     host
 }
 
-/// Regression: at servers of one slot the lower of a pair often has a queue while another stands idle. Where
+/// Regression: at servers of one slot the lower of a pair often has a queue while another one is idle. Where
 /// reports are reliable, the more loaded one gives way to another until one is idle or enough have been probed.
 #[test]
 fn the_more_loaded_of_a_crowded_pair_gives_way_where_reports_are_reliable() {
@@ -48,7 +48,7 @@
     assert_eq!(pair.len(), 2, "{actions:?}");
     assert!(probed_endpoints(&end_probe(&mut host, pair[0], 0.001, load_report(3.0, 2.0))).is_empty());
     let third = probed_endpoints(&end_probe(&mut host, pair[1], 0.001, load_report(4.0, 3.0)));
-    assert!(third.len() == 1 && !pair.contains(&third[0]), "another one is asked: {third:?}");
+    assert!(third.len() == 1 && !pair.contains(&third[0]), "another one is probed: {third:?}");
     let fourth = probed_endpoints(&end_probe(&mut host, third[0], 0.001, load_report(5.0, 4.0)));
     assert!(fourth.len() == 1 && !pair.contains(&fourth[0]) && fourth != third, "{fourth:?}");
     let fifth = probed_endpoints(&end_probe(&mut host, fourth[0], 0.001, load_report(5.0, 4.0)));
@@ -114,13 +114,13 @@
 #[test]
 fn where_reports_are_reliable_a_proxy_with_little_traffic_probes_any_server() {
     let mut host = with_fresh_reports(settings_with_probes(0.001));
-    let mut asked = std::collections::BTreeSet::new();
+    let mut probed = std::collections::BTreeSet::new();
     for _ in 0..60 {
         host.now += 3.0;
         let pair = probed_endpoints(&host.request(SAFE).1);
-        asked.extend(pair.iter().map(|server| server.0));
+        probed.extend(pair.iter().map(|server| server.0));
         pair.into_iter().for_each(|server| drop(end_probe(&mut host, server, 0.001, load_report(0.0, 0.0))));
         std::mem::take(&mut host.in_flight).into_iter().for_each(|sent| drop(host.serve(sent)));
     }
-    assert_eq!(asked.len(), 10, "{asked:?}");
+    assert_eq!(probed.len(), 10, "{probed:?}");
 }
--- a/crates/decide/tests/random_scenarios/checker.rs
+++ b/crates/decide/tests/random_scenarios/checker.rs
@@ -1,10 +1,10 @@
-//! What must hold of every action, checked against the events that the balancer was told.
+//! The guarantees, checked for each action against the events before it.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use mosshead_decide::interface::*;
 
-/// An attempt whose outcome the balancer has not been told yet.
+/// An attempt whose outcome the balancer does not know yet.
 pub(crate) struct InFlight {
     pub(crate) request: RequestId,
     pub(crate) attempt: AttemptNumber,
@@ -12,24 +12,39 @@
     pub(crate) sent_at: Seconds,
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 pub(crate) struct PendingRequest {
     class: ClassId,
     pub(crate) deadline: Seconds,
-    attempts: Vec<(EndpointId, Seconds, Option<Outcome>)>,
+    attempts: Vec<Attempt>,
+}
+
+struct Attempt {
+    endpoint: EndpointId,
+    sent_at: Seconds,
+    /// None while it is in flight.
+    outcome: Option<Outcome>,
+}
+
+/// The start of a server.
+struct ServerStart {
+    started_at: Seconds,
+    /// The attempts sent to it in its first two seconds, in the unscaled time.
+    attempts: u64,
 }
 
 /// Follows the events, and checks the actions.
 pub(crate) struct Checker {
+    /// What all times are multiplied by.
     scale: f64,
     pub(crate) settings: Settings,
-    pub(crate) open: BTreeMap<RequestId, PendingRequest>,
-    done: BTreeMap<RequestId, ()>,
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
+    ended: BTreeSet<RequestId>,
     ready: BTreeMap<EndpointId, ListEntry>,
     pub(crate) listed: BTreeMap<EndpointId, ListEntry>,
     pub(crate) next_request: u64,
-    /// For each server: when it last started, and the attempts sent in its first two seconds.
-    starts: BTreeMap<EndpointId, (Seconds, u64)>,
+    /// The servers that have started during the scenario.
+    starts: BTreeMap<EndpointId, ServerStart>,
 }
 
 impl Checker {
@@ -41,8 +56,8 @@
         Checker {
             scale,
             settings,
-            open: BTreeMap::new(),
-            done: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            ended: BTreeSet::new(),
             ready: BTreeMap::new(),
             listed: BTreeMap::new(),
             next_request: 0,
@@ -50,7 +65,7 @@
         }
     }
 
-    /// Follows what the balancer is told.
+    /// Follows an event that the balancer gets.
     pub(crate) fn on_event(&mut self, now: Seconds, event: &Event) {
         match event {
             Event::ListUpdated(ListUpdate::Saved(entries) | ListUpdate::Changes(entries)) => {
@@ -59,20 +74,20 @@
             Event::RequestReceived(request) => {
                 let deadline = now + request.time_left;
                 let pending = PendingRequest { class: request.class, deadline, attempts: Vec::new() };
-                self.open.insert(request.id, pending);
+                self.pending.insert(request.id, pending);
             }
             Event::AttemptEnded { request: id, attempt, outcome, settled, .. } => {
-                if let Some(request) = self.open.get_mut(id) {
-                    request.attempts[attempt.0 as usize].2 = Some(*outcome);
+                if let Some(request) = self.pending.get_mut(id) {
+                    request.attempts[attempt.0 as usize].outcome = Some(*outcome);
                     if *settled {
-                        self.open.remove(id);
-                        self.done.insert(*id, ());
+                        self.pending.remove(id);
+                        self.ended.insert(*id);
                     }
                 }
             }
             Event::RequestWithdrawn { request } => {
-                self.open.remove(request);
-                self.done.insert(*request, ());
+                self.pending.remove(request);
+                self.ended.insert(*request);
             }
             _ => {}
         }
@@ -81,8 +96,8 @@
     fn update_entry(&mut self, now: Seconds, entry: &ListEntry) {
         self.listed.insert(entry.endpoint, entry.clone());
         self.starts.remove(&entry.endpoint);
-        if let Some(started) = entry.started_at.filter(|started| *started == now) {
-            self.starts.insert(entry.endpoint, (started, 0));
+        if let Some(started_at) = entry.started_at.filter(|started_at| *started_at == now) {
+            self.starts.insert(entry.endpoint, ServerStart { started_at, attempts: 0 });
         }
         self.ready.remove(&entry.endpoint);
         if entry.readiness == Readiness::Ready {
@@ -95,24 +110,24 @@
         match action {
             Action::Send { request: id, endpoint, deadline } => {
                 self.check_send(now, id, endpoint, deadline);
-                let request = self.open.get_mut(&id).expect("an open request");
+                let request = self.pending.get_mut(&id).expect("the request is pending");
                 let attempt = AttemptNumber(request.attempts.len() as u32);
                 in_flight.push(InFlight { request: id, attempt, endpoint, sent_at: now });
-                request.attempts.push((endpoint, now, None));
+                request.attempts.push(Attempt { endpoint, sent_at: now, outcome: None });
             }
             Action::Reject { request: id, retry_after } => {
                 assert!((0.0..=0.2 * self.scale).contains(&retry_after));
-                let request = self.open.remove(&id).expect("one final answer");
-                let may_have_run = request.attempts.iter().any(|attempt| !self.never_ran(attempt.2));
+                let request = self.pending.remove(&id).expect("one final response");
+                let may_have_run = request.attempts.iter().any(|attempt| !self.never_ran(attempt.outcome));
                 let effect = self.settings.classes[request.class.0].repeat_effect;
-                let harmless =
+                let is_harmless =
                     matches!(effect, RepeatEffect::Safe | RepeatEffect::Keyed { scope: DedupScope::All, .. });
-                assert!(!may_have_run || harmless, "rejected what may have run");
-                self.done.insert(id, ());
+                assert!(!may_have_run || is_harmless, "a request that may have run was rejected");
+                self.ended.insert(id);
             }
             Action::Fail { request: id } => {
-                assert!(self.open.remove(&id).is_some(), "one final answer");
-                self.done.insert(id, ());
+                assert!(self.pending.remove(&id).is_some(), "one final response");
+                self.ended.insert(id);
             }
             Action::Cancel { .. } => assert!(self.settings.limits.can_cancel),
             Action::Probe { .. } => assert!(self.settings.limits.can_probe),
@@ -123,24 +138,24 @@
     }
 
     fn check_send(&mut self, now: Seconds, id: RequestId, endpoint: EndpointId, deadline: Seconds) {
-        assert!(!self.done.contains_key(&id), "sent after the final answer");
-        let request = self.open.get(&id).expect("an open request");
+        assert!(!self.ended.contains(&id), "sent after the final response");
+        let request = self.pending.get(&id).expect("the request is pending");
         let class = &self.settings.classes[request.class.0];
-        let target = self.ready.get(&endpoint).expect("a ready server");
+        let target = self.ready.get(&endpoint).expect("the server is ready");
         assert!(deadline <= request.deadline + 1e-6 && now < request.deadline);
         assert!((request.attempts.len() as u32) < self.settings.limits.max_attempts);
-        let other_attempts = request.attempts.iter().filter(|attempt| attempt.2.is_none()).count();
+        let other_attempts = request.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
         assert!(other_attempts == 0 || self.settings.limits.can_hedge);
         assert!(class.machine_kinds.as_ref().is_none_or(|kinds| kinds.contains(&target.kind)), "kind");
         assert!(class.zones.as_ref().is_none_or(|zones| zones.contains(&target.zone)), "zone");
-        let ran = request.attempts.iter().find(|attempt| !self.never_ran(attempt.2));
-        if let Some((first, sent, _)) = ran {
+        let ran = request.attempts.iter().find(|attempt| !self.never_ran(attempt.outcome));
+        if let Some(Attempt { endpoint: first, sent_at, .. }) = ran {
             let first = &self.listed[first];
             match class.repeat_effect {
                 RepeatEffect::Safe => {}
                 RepeatEffect::Unsafe => panic!("an unsafe request that may have run was sent again"),
                 RepeatEffect::Keyed { scope, window } => {
-                    assert!(now < sent + window, "past the window");
+                    assert!(now < sent_at + window, "repeated after the window");
                     match scope {
                         DedupScope::All => {}
                         DedupScope::Zone => assert_eq!(first.zone, target.zone),
@@ -149,12 +164,12 @@
                 }
             }
         }
-        if let Some((started, sent)) = self.starts.get_mut(&endpoint)
-            && now < *started + 2.0 * self.scale
+        if let Some(ServerStart { started_at, attempts }) = self.starts.get_mut(&endpoint)
+            && now < *started_at + 2.0 * self.scale
         {
-            *sent += 1;
+            *attempts += 1;
             // A hundred mean requests a second x 0.8 x a quarter x two seconds; cheap ones may be more.
-            assert!(*sent <= 60, "{sent} to a server in slow start since {started}");
+            assert!(*attempts <= 60, "{attempts} attempts at a server in slow start since {started_at}");
         }
     }
 }
--- a/crates/decide/tests/random_scenarios/main.rs
+++ b/crates/decide/tests/random_scenarios/main.rs
@@ -12,9 +12,9 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-struct Draw(Pcg32);
+struct RandomStream(Pcg32);
 
-impl Draw {
+impl RandomStream {
     fn below(&mut self, count: u32) -> u32 {
         self.0.next_u32() % count
     }
@@ -25,23 +25,23 @@
 }
 
 /// Random settings whose times are multiplied by `scale`.
-fn varied(draw: &mut Draw, scale: f64) -> Settings {
+fn random_settings(random: &mut RandomStream, scale: f64) -> Settings {
     let mut all = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Group];
     all.classes[KEYED.0].repeat_effect =
-        RepeatEffect::Keyed { scope: scopes[draw.below(3) as usize], window: 0.3 };
-    all.classes[SAFE.0].late_value = if draw.one_in(2) { 0.0 } else { 0.5 };
-    all.classes[UNSAFE.0].late_value = if draw.one_in(2) { 0.0 } else { 0.5 };
-    all.limits.can_hedge = draw.one_in(2);
-    all.limits.can_cancel = draw.one_in(2);
-    all.limits.can_probe = draw.one_in(2);
-    all.limits.max_attempts = 1 + draw.below(5);
-    all.limits.streams_per_connection = 1 + 9 * draw.below(2);
-    all.reporting = [Reporting::Responses, Reporting::Probes, Reporting::None][draw.below(3) as usize];
-    all.membership = if draw.one_in(2) { Membership::Pull } else { Membership::Push };
-    all.weights = if draw.one_in(2) { Weights::Size } else { Weights::Unused };
-    all.tenants = vec![Tenant { share: 0.5 }; draw.below(3) as usize];
-    all.rules.may_reject_after_start = draw.one_in(2);
+        RepeatEffect::Keyed { scope: scopes[random.below(3) as usize], window: 0.3 };
+    all.classes[SAFE.0].late_value = if random.one_in(2) { 0.0 } else { 0.5 };
+    all.classes[UNSAFE.0].late_value = if random.one_in(2) { 0.0 } else { 0.5 };
+    all.limits.can_hedge = random.one_in(2);
+    all.limits.can_cancel = random.one_in(2);
+    all.limits.can_probe = random.one_in(2);
+    all.limits.max_attempts = 1 + random.below(5);
+    all.limits.streams_per_connection = 1 + 9 * random.below(2);
+    all.reporting = [Reporting::Responses, Reporting::Probes, Reporting::None][random.below(3) as usize];
+    all.membership = if random.one_in(2) { Membership::Pull } else { Membership::Push };
+    all.weights = if random.one_in(2) { Weights::Size } else { Weights::Unused };
+    all.tenants = vec![Tenant { share: 0.5 }; random.below(3) as usize];
+    all.rules.may_reject_after_start = random.one_in(2);
     all.timer_resolution *= scale;
     let (limits, rules) = (&mut all.limits, &mut all.rules);
     for time in [&mut limits.max_retry_after, &mut limits.idle_timeout, &mut limits.connect_timeout] {
@@ -56,15 +56,15 @@
         if let RepeatEffect::Keyed { window, .. } = &mut class.repeat_effect {
             *window *= scale;
         }
-        class.machine_kinds = draw.one_in(4).then(|| vec![MachineKindId(draw.below(2) as usize)]);
-        class.zones = draw.one_in(4).then(|| vec![ZoneId(0), ZoneId(draw.below(3) as usize)]);
+        class.machine_kinds = random.one_in(4).then(|| vec![MachineKindId(random.below(2) as usize)]);
+        class.zones = random.one_in(4).then(|| vec![ZoneId(0), ZoneId(random.below(3) as usize)]);
     }
     all
 }
 
 /// A host that plays one random scenario, whose times are multiplied by `scale`.
 struct Scenario {
-    draw: Draw,
+    random: RandomStream,
     scale: f64,
     now: Seconds,
     servers: u32,
@@ -76,27 +76,27 @@
     probed: Vec<EndpointId>,
     /// Events that the balancer gets at the end of the step.
     events: Vec<Event>,
-    /// All that the balancer did, with times divided by `scale`.
+    /// All actions of the balancer, with times divided by `scale`.
     actions: Vec<Action>,
 }
 
 impl Scenario {
     fn new(seed: u64, scale: f64) -> Self {
-        let mut draw = Draw(Pcg32::seed_from_u64(seed));
-        let settings = varied(&mut draw, scale);
-        let balancer = Balancer::new(settings.clone(), seed).expect("legal settings");
+        let mut random = RandomStream(Pcg32::seed_from_u64(seed));
+        let settings = random_settings(&mut random, scale);
+        let balancer = Balancer::new(settings.clone(), seed).expect("the settings are valid");
         let now = 50.0 * scale;
-        let servers = draw.below(12);
+        let servers = random.below(12);
         let mut entries = Vec::new();
         for endpoint in 0..servers {
-            let zone = ZoneId(draw.below(3) as usize);
-            let weight = f64::from(draw.below(4));
-            let started_at = draw.one_in(4).then_some(now - scale * f64::from(draw.below(30)));
-            let kind = MachineKindId(draw.below(2) as usize);
+            let zone = ZoneId(random.below(3) as usize);
+            let weight = f64::from(random.below(4));
+            let started_at = random.one_in(4).then_some(now - scale * f64::from(random.below(30)));
+            let kind = MachineKindId(random.below(2) as usize);
             entries.push(ListEntry { zone, kind, weight, started_at, ..entry(endpoint) });
         }
         Scenario {
-            draw,
+            random,
             scale,
             now,
             servers,
@@ -111,24 +111,24 @@
     }
 
     fn step(&mut self, may_add_request: bool) {
-        let ticks = 1 + if self.draw.one_in(200) { self.draw.below(600) } else { 0 };
+        let ticks = 1 + if self.random.one_in(200) { self.random.below(600) } else { 0 };
         self.now += self.scale * 0.005 * f64::from(ticks);
         self.fire_timers();
         self.end_probes();
         self.end_attempts();
         self.update_list();
-        if may_add_request && self.draw.one_in(2) {
+        if may_add_request && self.random.one_in(2) {
             self.add_request();
         }
-        if self.draw.one_in(40)
-            && let Some(&request) = self.checker.open.keys().next()
+        if self.random.one_in(40)
+            && let Some(&request) = self.checker.pending.keys().next()
         {
             self.events.push(Event::RequestWithdrawn { request });
         }
         for event in std::mem::take(&mut self.events) {
             self.handle(event);
         }
-        for (id, request) in &self.checker.open {
+        for (id, request) in &self.checker.pending {
             assert!(self.now <= request.deadline + 0.005 * self.scale, "{id:?} is overdue");
         }
     }
@@ -144,26 +144,29 @@
 
     fn end_probes(&mut self) {
         for endpoint in std::mem::take(&mut self.probed) {
-            let outcome = if self.draw.one_in(9) { Outcome::TimedOut } else { Outcome::Served };
+            let outcome = if self.random.one_in(9) { Outcome::TimedOut } else { Outcome::Served };
             let report = self.draw_report();
             self.events.push(Event::ProbeEnded { endpoint, outcome, rtt: 0.001 * self.scale, report });
         }
     }
 
     fn draw_report(&mut self) -> LoadReport {
-        load_report(f64::from(self.draw.below(9)), f64::from(self.draw.below(5)))
+        load_report(f64::from(self.random.below(9)), f64::from(self.random.below(5)))
     }
 
     /// Ends attempts at random, and those that are past the deadline of their requests.
     fn end_attempts(&mut self) {
         for attempt in std::mem::take(&mut self.in_flight) {
-            let is_overdue =
-                self.checker.open.get(&attempt.request).is_some_and(|request| self.now >= request.deadline);
-            if !is_overdue && !self.draw.one_in(20) {
+            let is_overdue = self
+                .checker
+                .pending
+                .get(&attempt.request)
+                .is_some_and(|request| self.now >= request.deadline);
+            if !is_overdue && !self.random.one_in(20) {
                 self.in_flight.push(attempt);
                 continue;
             }
-            let outcome = match self.draw.below(14) {
+            let outcome = match self.random.below(14) {
                 _ if is_overdue => Outcome::TimedOut,
                 0 => Outcome::Errored,
                 1 => Outcome::Rejected,
@@ -173,13 +176,13 @@
                 5 => Outcome::Cancelled,
                 _ => Outcome::Served,
             };
-            let report = match self.draw.below(4) {
+            let report = match self.random.below(4) {
                 0 => LoadReport::default(),
-                1 => load_report(f64::from(self.draw.below(1000)), 0.0),
+                1 => load_report(f64::from(self.random.below(1000)), 0.0),
                 _ => self.draw_report(),
             };
             let InFlight { request, attempt, endpoint, sent_at } = attempt;
-            let settled = !self.checker.open.contains_key(&request) || outcome == Outcome::Served;
+            let settled = !self.checker.pending.contains_key(&request) || outcome == Outcome::Served;
             let rtt = self.now - sent_at;
             self.events.push(Event::AttemptEnded {
                 request,
@@ -194,18 +197,18 @@
     }
 
     fn update_list(&mut self) {
-        if self.draw.one_in(60) && self.servers > 0 {
+        if self.random.one_in(60) && self.servers > 0 {
             let readiness =
-                [Readiness::Ready, Readiness::Draining, Readiness::Removed][self.draw.below(3) as usize];
-            let started_at = self.draw.one_in(2).then_some(self.now);
-            let endpoint = EndpointId(self.draw.below(self.servers));
+                [Readiness::Ready, Readiness::Draining, Readiness::Removed][self.random.below(3) as usize];
+            let started_at = self.random.one_in(2).then_some(self.now);
+            let endpoint = EndpointId(self.random.below(self.servers));
             let old = self.checker.listed.get(&endpoint).cloned().unwrap_or_else(|| entry(endpoint.0));
             let kind =
-                if self.draw.one_in(4) { MachineKindId(self.draw.below(2) as usize) } else { old.kind };
+                if self.random.one_in(4) { MachineKindId(self.random.below(2) as usize) } else { old.kind };
             let changed = ListEntry { readiness, started_at, kind, ..old };
             self.events.push(Event::ListUpdated(ListUpdate::Changes(vec![changed])));
         }
-        if self.draw.one_in(300) {
+        if self.random.one_in(300) {
             self.events.push(Event::ListUpdated(ListUpdate::Failed));
         }
     }
@@ -214,12 +217,12 @@
         let id = RequestId(self.checker.next_request);
         self.checker.next_request += 1;
         let tenant = (!self.checker.settings.tenants.is_empty()).then_some(TenantId(0));
-        let time_left = self.scale * (0.05 + f64::from(self.draw.below(40)) / 20.0);
-        let class = ClassId(self.draw.below(3) as usize);
+        let time_left = self.scale * (0.05 + f64::from(self.random.below(40)) / 20.0);
+        let class = ClassId(self.random.below(3) as usize);
         self.events.push(Event::RequestReceived(Request { id, time_left, class, tenant }));
     }
 
-    /// Hands one event to the balancer, and checks what it does about it.
+    /// Passes one event to the balancer, and checks its actions.
     fn handle(&mut self, event: Event) {
         self.checker.on_event(self.now, &event);
         let mut actions = Vec::new();
@@ -251,14 +254,14 @@
     }
 }
 
-/// Plays a scenario, and returns everything that the balancer did, with times divided by `scale`.
+/// Plays a scenario, and returns all actions of the balancer, with times divided by `scale`.
 fn play(seed: u64, scale: f64) -> Vec<Action> {
     let mut scenario = Scenario::new(seed, scale);
     for step in 0..4000 {
         scenario.step(step < 3000);
     }
-    let open = &scenario.checker.open;
-    assert!(open.is_empty(), "seed {seed}: left without an answer: {:?}", open.keys());
+    let pending = &scenario.checker.pending;
+    assert!(pending.is_empty(), "seed {seed}: without a final response: {:?}", pending.keys());
     scenario.actions
 }
 
@@ -273,8 +276,8 @@
     assert!(sends > 4_000, "{sends} sends");
 }
 
-/// Regression: a constant in seconds that fits one deployment fails another whose requests live for a twentieth of the time. With
-/// every time multiplied by one factor the same is done; powers of two, so that figures scale to the last bit.
+/// Regression: a constant in seconds that fits one deployment fails another whose requests have a twentieth of the time. With
+/// every time multiplied by one factor the same is done; powers of two, so that values scale to the last bit.
 #[test]
 fn decisions_do_not_depend_on_the_scale_of_times() {
     for seed in 0..24 {
@@ -282,7 +285,7 @@
         for power in [-5, -4, -2, -1, 1, 2, 4, 5] {
             let scaled = play(seed, 2_f64.powi(power));
             let differs = usual.iter().zip(&scaled).position(|(one, other)| one != other);
-            assert_eq!(differs.map(|at| (&usual[at], &scaled[at])), None, "seed {seed}, 2^{power}");
+            assert_eq!(differs.map(|index| (&usual[index], &scaled[index])), None, "seed {seed}, 2^{power}");
             assert_eq!(usual.len(), scaled.len(), "seed {seed}, 2^{power}");
         }
     }
--- a/crates/decide/tests/server_selection.rs
+++ b/crates/decide/tests/server_selection.rs
@@ -19,7 +19,7 @@
     for _ in 0..8 {
         placed[host.place_request(UNSAFE).endpoint.0 as usize] += 1;
     }
-    assert_eq!(placed, [4, 4], "each send raises the figure of its server");
+    assert_eq!(placed, [4, 4], "each attempt raises the load of its server");
     let mut host = Host::new(settings(), fleet(2));
     let ties = count_requests(&mut host, 200, 2);
     assert!(ties.iter().all(|count| (60..140).contains(count)), "{ties:?}");
--- a/crates/decide/tests/settings.rs
+++ b/crates/decide/tests/settings.rs
@@ -11,7 +11,7 @@
     assert_eq!(error.to_string(), "setting classes is 0: it must be at least one class");
     let mut all = settings();
     all.classes[0].latency_target = f64::NAN;
-    assert_eq!(Balancer::new(all, 1).expect_err("no aim").name, "classes.target");
+    assert_eq!(Balancer::new(all, 1).expect_err("no latency target").name, "classes.target");
     let mut all = settings();
     all.rules.overload_factor = 0.0;
     assert_eq!(Balancer::new(all.clone(), 1).expect_err("no multiple").name, "rules.fall_multiple");
@@ -19,7 +19,7 @@
     assert_eq!(Balancer::new(all, 1).expect_err("no window").name, "rules.fall");
 }
 
-/// Other settings hold for the requests that arrive after them; pending ones keep theirs.
+/// Other settings apply to the requests that arrive after them; pending ones keep theirs.
 #[test]
 fn pending_requests_keep_the_settings_that_they_arrived_under() {
     let mut host = Host::new(settings(), fleet(4));
