--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -12,6 +12,6 @@
 mod state;
 
 pub use learned_values::{LearnedValue, Subject};
-pub use mosshead_recovery::{RecoveryBlocker, RecoveryStage};
+pub use mosshead_recovery::{RecoveryBlocker, RecoveryStage, RecoveryStatus};
 pub use name_table::NameTable;
 pub use policy::Balancer;
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -1,6 +1,6 @@
 //! How far the proxy has recovered since its start, by its events.
 
-use mosshead_recovery::{RecoveryBlocker, RecoveryStage};
+use mosshead_recovery::RecoveryStatus;
 
 use crate::Balancer;
 use crate::interface::{Action, Event, ListUpdate, Outcome, Seconds};
@@ -23,7 +23,7 @@
             self.state.recovery.on_response(false);
         }
         // Full service, once reached, stays; so the stage is looked at after each event.
-        self.recovery_stage(now);
+        self.recovery_status(now);
     }
 
     fn record_recovery(&mut self, now: Seconds, event: &Event) {
@@ -43,8 +43,8 @@
     }
 
     /// How far the proxy has recovered, and what it waits for.
-    pub fn recovery_stage(&mut self, now: Seconds) -> (RecoveryStage, RecoveryBlocker) {
-        self.state.recovery.stage(now, self.settings.rules.refresh_within)
+    pub fn recovery_status(&mut self, now: Seconds) -> RecoveryStatus {
+        self.state.recovery.status(now, self.settings.rules.refresh_within)
     }
 
     /// The process was suspended and goes on: what the list said meanwhile is not known.
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -147,13 +147,13 @@
     let (recovery, started_at) = (lifecycle.recovery_state(), lifecycle.started_at());
     let seconds = |span: Duration| format!("{:.3}", span.as_secs_f64());
     let or_null = |value: Option<String>| value.unwrap_or("null".to_owned());
-    let wants = match recovery.stage {
+    let wants = match recovery.status.stage {
         RecoveryStage::FullService => String::new(),
-        _ => recovery.blocker.to_string(),
+        _ => recovery.status.blocker.to_string(),
     };
     format!(
         "{{\"stage\":\"{}\",\"wants\":\"{wants}\",\"for_s\":{},\"full_after_s\":{},\"up_s\":{},\"life\":{},\"draining\":{}}}\n",
-        recovery.stage,
+        recovery.status.stage,
         seconds(recovery.stage_since.elapsed()),
         or_null(recovery.full_service_at.map(|full_service_at| seconds(full_service_at - started_at))),
         seconds(started_at.elapsed()),
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -31,7 +31,7 @@
 use crate::stored_state::StoredState;
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
-use mosshead_decide::{NameTable, RecoveryBlocker, RecoveryStage};
+use mosshead_decide::{NameTable, RecoveryStage, RecoveryStatus};
 use mosshead_settings::NamedSettings;
 use mosshead_snapshot::server_list::ListedServer;
 
@@ -102,7 +102,7 @@
     /// None if the operators grant no folder for it.
     stored_state: Option<StoredState>,
     /// How far this incarnation had recovered when that was last reported.
-    recovery: (RecoveryStage, RecoveryBlocker),
+    recovery: RecoveryStatus,
 }
 
 impl BalancerActor {
@@ -197,12 +197,12 @@
 
     /// Reports how far this incarnation has recovered, if that has changed.
     fn report_recovery(&mut self, now: Seconds) {
-        let recovery = self.balancer.recovery_stage(now);
+        let recovery = self.balancer.recovery_status(now);
         if recovery == std::mem::replace(&mut self.recovery, recovery) {
             return;
         }
-        let (stage, blocker) = recovery;
-        if self.handle.lifecycle.update_recovery(stage, blocker) {
+        if self.handle.lifecycle.update_recovery(recovery) {
+            let RecoveryStatus { stage, blocker } = recovery;
             let wants = (stage != RecoveryStage::FullService).then(|| tracing::field::display(blocker));
             say!(stage = %stage, wants, after_s = format!("{now:.3}"), "way back");
         }
--- a/crates/proxy/src/balancer_actor/handle.rs
+++ b/crates/proxy/src/balancer_actor/handle.rs
@@ -10,7 +10,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use mosshead_decide::interface::*;
-use mosshead_decide::{Balancer, RecoveryBlocker, RecoveryStage};
+use mosshead_decide::{Balancer, RecoveryStatus};
 use mosshead_settings::NamedSettings;
 use mosshead_snapshot::server_list::ServerList;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -136,7 +136,7 @@
             pending_events: VecDeque::new(),
             suspension: SuspensionDetector::default(),
             stored_state,
-            recovery: (RecoveryStage::NoServers, RecoveryBlocker::Servers),
+            recovery: RecoveryStatus::AT_START,
         };
         Ok((actor, names))
     }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -8,15 +8,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use mosshead_decide::{RecoveryBlocker, RecoveryStage};
+use mosshead_decide::{RecoveryStage, RecoveryStatus};
 use tokio::sync::watch;
 
 /// How far this incarnation has recovered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryState {
-    pub stage: RecoveryStage,
-    /// What it waits for before the next stage.
-    pub blocker: RecoveryBlocker,
+    pub status: RecoveryStatus,
     /// When it came to this stage.
     pub stage_since: Instant,
     /// When it was first in full service, if it was.
@@ -41,8 +39,7 @@
     pub fn new() -> Arc<Self> {
         let started_at = Instant::now();
         let recovery = RecoveryState {
-            stage: RecoveryStage::NoServers,
-            blocker: RecoveryBlocker::Servers,
+            status: RecoveryStatus::AT_START,
             stage_since: started_at,
             full_service_at: None,
             incarnation: None,
@@ -76,18 +73,18 @@
         self.lock_recovery().incarnation = Some(incarnation);
     }
 
-    /// Records the stage of recovery and what it waits for. Returns whether the stage has changed.
-    pub fn update_recovery(&self, stage: RecoveryStage, blocker: RecoveryBlocker) -> bool {
+    /// Records how far this incarnation has recovered. Returns whether the stage has changed.
+    pub fn update_recovery(&self, status: RecoveryStatus) -> bool {
         let mut recovery = self.lock_recovery();
-        let has_changed = recovery.stage != stage;
+        let has_changed = recovery.status.stage != status.stage;
         if has_changed {
             recovery.stage_since = Instant::now();
         }
-        if stage == RecoveryStage::FullService {
+        if status.stage == RecoveryStage::FullService {
             let stage_since = recovery.stage_since;
             recovery.full_service_at.get_or_insert(stage_since);
         }
-        (recovery.stage, recovery.blocker) = (stage, blocker);
+        recovery.status = status;
         has_changed
     }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -8,4 +8,4 @@
 mod lifecycle;
 
 pub use backoff::{DiscoveryBackoff, WatchReopening};
-pub use lifecycle::{InstanceLifecycle, RecoveryBlocker, RecoveryStage};
+pub use lifecycle::{InstanceLifecycle, RecoveryBlocker, RecoveryStage, RecoveryStatus};
--- a/crates/recovery/src/lifecycle.rs
+++ b/crates/recovery/src/lifecycle.rs
@@ -44,6 +44,21 @@
     Nothing,
 }
 
+/// How far an instance has recovered, and what it waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecoveryStatus {
+    /// How far it has come.
+    pub stage: RecoveryStage,
+    /// What keeps it from the next stage.
+    pub blocker: RecoveryBlocker,
+}
+
+impl RecoveryStatus {
+    /// The status of an instance without servers, as each one is at its start.
+    pub const AT_START: RecoveryStatus =
+        RecoveryStatus { stage: RecoveryStage::NoServers, blocker: RecoveryBlocker::Servers };
+}
+
 impl fmt::Display for RecoveryStage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
@@ -129,21 +144,24 @@
     /// How far the instance has recovered, and what it waits for. `call_interval` is the time allowed between calls.
     ///
     /// Full service, once reached, ends only when the list is outdated: late responses alone are no matter of a start.
-    pub fn stage(&mut self, now: f64, call_interval: f64) -> (RecoveryStage, RecoveryBlocker) {
+    pub fn status(&mut self, now: f64, call_interval: f64) -> RecoveryStatus {
         if !self.has_servers {
-            return (RecoveryStage::NoServers, RecoveryBlocker::Servers);
+            return RecoveryStatus::AT_START;
         }
         if !self.has_current_list(now, call_interval) {
-            return (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate);
+            let blocker = RecoveryBlocker::DiscoveryUpdate;
+            return RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker };
         }
         self.is_in_full_service |= self.is_quiet_and_in_time(now) || self.has_enough_in_time();
         if self.is_in_full_service {
-            (RecoveryStage::FullService, RecoveryBlocker::Nothing)
-        } else if self.response_count < MIN_RESPONSES {
-            (RecoveryStage::WarmingUp, RecoveryBlocker::Responses)
-        } else {
-            (RecoveryStage::WarmingUp, RecoveryBlocker::TimelyResponses)
+            return RecoveryStatus { stage: RecoveryStage::FullService, blocker: RecoveryBlocker::Nothing };
         }
+        let blocker = if self.response_count < MIN_RESPONSES {
+            RecoveryBlocker::Responses
+        } else {
+            RecoveryBlocker::TimelyResponses
+        };
+        RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker }
     }
 
     /// An instance with few requests would never have [`MIN_RESPONSES`]: after a while the last few are enough.
--- a/crates/recovery/tests/lifecycle.rs
+++ b/crates/recovery/tests/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The stages of recovery.
 
-use mosshead_recovery::{InstanceLifecycle, RecoveryBlocker, RecoveryStage};
+use mosshead_recovery::{InstanceLifecycle, RecoveryBlocker, RecoveryStage, RecoveryStatus};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -15,41 +15,41 @@
 #[test]
 fn each_stage_is_entered_for_its_reason() {
     let mut lifecycle = InstanceLifecycle::default();
-    assert_eq!(lifecycle.stage(0.0, CALL_INTERVAL_S), (RecoveryStage::NoServers, RecoveryBlocker::Servers));
+    assert_eq!(lifecycle.status(0.0, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::NoServers, blocker: RecoveryBlocker::Servers });
     lifecycle.set_has_servers(true);
     record_responses(&mut lifecycle, 32, 0);
     assert_eq!(
-        lifecycle.stage(0.1, CALL_INTERVAL_S),
-        (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate),
+        lifecycle.status(0.1, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker: RecoveryBlocker::DiscoveryUpdate },
         "service by an unconfirmed list is not full"
     );
     lifecycle = InstanceLifecycle::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
-    assert_eq!(lifecycle.stage(1.0, CALL_INTERVAL_S), (RecoveryStage::WarmingUp, RecoveryBlocker::Responses));
+    assert_eq!(lifecycle.status(1.0, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses });
     record_responses(&mut lifecycle, 12, 20);
     assert_eq!(
-        lifecycle.stage(2.0, CALL_INTERVAL_S),
-        (RecoveryStage::WarmingUp, RecoveryBlocker::TimelyResponses)
+        lifecycle.status(2.0, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::TimelyResponses }
     );
     record_responses(&mut lifecycle, 17, 0);
-    assert_eq!(lifecycle.stage(3.0, CALL_INTERVAL_S), (RecoveryStage::FullService, RecoveryBlocker::Nothing));
+    assert_eq!(lifecycle.status(3.0, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::FullService, blocker: RecoveryBlocker::Nothing });
     // Late responses don't end it; an outdated list does, and an update restores it.
     record_responses(&mut lifecycle, 0, 32);
-    assert_eq!(lifecycle.stage(4.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(lifecycle.status(4.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
     assert_eq!(
-        lifecycle.stage(42.0, CALL_INTERVAL_S).0,
+        lifecycle.status(42.0, CALL_INTERVAL_S).stage,
         RecoveryStage::FullService,
         "silence without a failure means no change"
     );
     lifecycle.on_discovery_failure();
-    assert_eq!(lifecycle.stage(41.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(lifecycle.status(41.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
     assert_eq!(
-        lifecycle.stage(42.0, CALL_INTERVAL_S),
-        (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate)
+        lifecycle.status(42.0, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker: RecoveryBlocker::DiscoveryUpdate }
     );
     lifecycle.on_discovery_update(42.0);
-    assert_eq!(lifecycle.stage(42.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(lifecycle.status(42.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
 }
 
 /// A suspended process believes that no time has passed, so its list is unconfirmed until discovery sends an update.
@@ -59,14 +59,14 @@
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
     record_responses(&mut lifecycle, 32, 0);
-    assert_eq!(lifecycle.stage(2.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(lifecycle.status(2.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
     lifecycle.on_suspended();
     assert_eq!(
-        lifecycle.stage(2.1, CALL_INTERVAL_S),
-        (RecoveryStage::UnconfirmedList, RecoveryBlocker::DiscoveryUpdate)
+        lifecycle.status(2.1, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker: RecoveryBlocker::DiscoveryUpdate }
     );
     lifecycle.on_discovery_update(2.2);
-    assert_eq!(lifecycle.stage(2.2, CALL_INTERVAL_S), (RecoveryStage::WarmingUp, RecoveryBlocker::Responses));
+    assert_eq!(lifecycle.status(2.2, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses });
 }
 
 /// An instance without requests has no responses to wait for.
@@ -75,8 +75,8 @@
     let mut lifecycle = InstanceLifecycle::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
-    assert_eq!(lifecycle.stage(5.9, CALL_INTERVAL_S).0, RecoveryStage::WarmingUp);
-    assert_eq!(lifecycle.stage(6.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(lifecycle.status(5.9, CALL_INTERVAL_S).stage, RecoveryStage::WarmingUp);
+    assert_eq!(lifecycle.status(6.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
 }
 
 /// An instance with a request every few seconds would never have enough responses.
@@ -87,11 +87,11 @@
     lifecycle.on_discovery_update(1.0);
     record_responses(&mut lifecycle, 2, 1);
     assert_eq!(
-        lifecycle.stage(60.0, CALL_INTERVAL_S),
-        (RecoveryStage::WarmingUp, RecoveryBlocker::Responses)
+        lifecycle.status(60.0, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses }
     );
     lifecycle.on_response(true);
-    assert_eq!(lifecycle.stage(60.0, CALL_INTERVAL_S).0, RecoveryStage::FullService);
+    assert_eq!(lifecycle.status(60.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
 }
 
 #[derive(Clone, Debug)]
@@ -145,7 +145,7 @@
                 Step::Responses(in_time, late) => record_responses(&mut lifecycle, in_time.into(), late.into()),
                 Step::Wait(seconds) => now += seconds,
             }
-            let (stage, _) = lifecycle.stage(now, CALL_INTERVAL_S);
+            let stage = lifecycle.status(now, CALL_INTERVAL_S).stage;
             prop_assert_eq!(stage == RecoveryStage::NoServers, !has_servers);
             let is_list_current = last_update_at.is_some_and(|last_update_at| !has_call_failed || now - last_update_at <= 4.0 * CALL_INTERVAL_S);
             prop_assert!(stage <= RecoveryStage::UnconfirmedList || (has_servers && is_list_current));
@@ -153,6 +153,6 @@
         lifecycle.set_has_servers(true);
         lifecycle.on_discovery_update(now);
         record_responses(&mut lifecycle, 32, 0);
-        prop_assert_eq!(lifecycle.stage(now, CALL_INTERVAL_S), (RecoveryStage::FullService, RecoveryBlocker::Nothing));
+        prop_assert_eq!(lifecycle.status(now, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::FullService, blocker: RecoveryBlocker::Nothing });
     }
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -45,13 +45,6 @@
     BrokenRule(&'static str),
 }
 
-/// For callers that report errors as texts.
-impl From<JsonError> for String {
-    fn from(error: JsonError) -> String {
-        error.to_string()
-    }
-}
-
 fn prefix(path: &str) -> String {
     if path.is_empty() { String::new() } else { format!("{path}: ") }
 }
--- a/crates/settings/tests/json.rs
+++ b/crates/settings/tests/json.rs
@@ -2,9 +2,10 @@
 
 use mosshead_settings::{InvalidValue, JsonError, JsonField, parse_json};
 
-/// Reads a text by a function, to the error's text if there is one.
+/// Reads a text by a function; the error is its message.
 fn read<T>(text: &str, read: impl Fn(&JsonField) -> Result<T, JsonError>) -> Result<T, String> {
-    Ok(read(&JsonField::root(&parse_json(text)?))?)
+    let json = parse_json(text).map_err(|error| error.to_string())?;
+    read(&JsonField::root(&json)).map_err(|error| error.to_string())
 }
 
 #[test]
--- a/crates/simulate/src/policies/mod.rs
+++ b/crates/simulate/src/policies/mod.rs
@@ -47,7 +47,7 @@
     }
 
     fn recovery_stage(&mut self, now: Seconds) -> RecoveryStage {
-        Balancer::recovery_stage(self, now).0
+        self.recovery_status(now).stage
     }
 
     fn restore_learned(&mut self, now: Seconds, learned: &[LearnedValue], age: Seconds) {
