--- a/crates/recovery/tests/lifecycle.rs
+++ b/crates/recovery/tests/lifecycle.rs
@@ -15,7 +15,10 @@
 #[test]
 fn each_stage_is_entered_for_its_reason() {
     let mut lifecycle = InstanceLifecycle::default();
-    assert_eq!(lifecycle.status(0.0, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::NoServers, blocker: RecoveryBlocker::Servers });
+    assert_eq!(
+        lifecycle.status(0.0, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::NoServers, blocker: RecoveryBlocker::Servers }
+    );
     lifecycle.set_has_servers(true);
     record_responses(&mut lifecycle, 32, 0);
     assert_eq!(
@@ -26,14 +29,20 @@
     lifecycle = InstanceLifecycle::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
-    assert_eq!(lifecycle.status(1.0, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses });
+    assert_eq!(
+        lifecycle.status(1.0, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses }
+    );
     record_responses(&mut lifecycle, 12, 20);
     assert_eq!(
         lifecycle.status(2.0, CALL_INTERVAL_S),
         RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::TimelyResponses }
     );
     record_responses(&mut lifecycle, 17, 0);
-    assert_eq!(lifecycle.status(3.0, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::FullService, blocker: RecoveryBlocker::Nothing });
+    assert_eq!(
+        lifecycle.status(3.0, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::FullService, blocker: RecoveryBlocker::Nothing }
+    );
     // Late responses don't end it; an outdated list does, and an update restores it.
     record_responses(&mut lifecycle, 0, 32);
     assert_eq!(lifecycle.status(4.0, CALL_INTERVAL_S).stage, RecoveryStage::FullService);
@@ -66,7 +75,10 @@
         RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker: RecoveryBlocker::DiscoveryUpdate }
     );
     lifecycle.on_discovery_update(2.2);
-    assert_eq!(lifecycle.status(2.2, CALL_INTERVAL_S), RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses });
+    assert_eq!(
+        lifecycle.status(2.2, CALL_INTERVAL_S),
+        RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker: RecoveryBlocker::Responses }
+    );
 }
 
 /// An instance without requests has no responses to wait for.
