--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -1,4 +1,7 @@
-//! What comes from outside: messages and logs, whole, cut short or made up.
+//! What comes from outside: messages and logs, complete, truncated or arbitrary.
+
+use std::collections::VecDeque;
+use std::net::{Ipv4Addr, SocketAddrV4};
 
 use minicbor::{decode, to_vec};
 use mosshead_consensus::{
@@ -6,43 +9,43 @@
     MemberId, Message, Node, Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta,
     StatePurpose, StateVersion, StoredStateError, Term, checksum,
 };
-use mosshead_time::Instant;
+use mosshead_time::{Duration, Instant};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use std::net::{Ipv4Addr, SocketAddrV4};
 
 #[derive(Clone, Debug)]
-struct Any(Message);
+struct AnyMessage(Message);
 
-fn address(g: &mut Gen) -> SocketAddrV4 {
+fn any_address(g: &mut Gen) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, u8::arbitrary(g) % 4), 7720)
 }
 
-fn id(g: &mut Gen) -> MemberId {
+fn any_member_id(g: &mut Gen) -> MemberId {
     MemberId(u64::arbitrary(g) % 5)
 }
 
-fn term(g: &mut Gen) -> Term {
-    let round = if u8::arbitrary(g) % 8 == 0 { u64::arbitrary(g) } else { u64::arbitrary(g) % 6 };
-    Term { number: round, proposer: id(g) }
+fn any_term(g: &mut Gen) -> Term {
+    let number = if u8::arbitrary(g) % 8 == 0 { u64::arbitrary(g) } else { u64::arbitrary(g) % 6 };
+    Term { number, proposer: any_member_id(g) }
 }
 
-fn stamp(g: &mut Gen) -> LeaseStamp {
+fn any_lease_stamp(g: &mut Gen) -> LeaseStamp {
     LeaseStamp { incarnation: u64::arbitrary(g) % 3, answered_at: Instant::from_millis(u64::arbitrary(g)) }
 }
 
-fn member(g: &mut Gen) -> Member {
-    Member { id: id(g), address: address(g) }
+fn any_member(g: &mut Gen) -> Member {
+    Member { id: any_member_id(g), address: any_address(g) }
 }
 
-fn members(g: &mut Gen) -> Vec<Member> {
-    (0..u8::arbitrary(g) % 40).map(|_| member(g)).collect()
+fn any_members(g: &mut Gen) -> Vec<Member> {
+    (0..u8::arbitrary(g) % 40).map(|_| any_member(g)).collect()
 }
 
-fn record(g: &mut Gen) -> EpochConfig {
-    let backups = (0..u8::arbitrary(g) % 4).map(|_| id(g)).collect();
-    EpochConfig { term: term(g), outgoing_members: members(g), members: members(g), primary: id(g), backups }
+fn any_config(g: &mut Gen) -> EpochConfig {
+    let backups = (0..u8::arbitrary(g) % 4).map(|_| any_member_id(g)).collect();
+    let (term, outgoing_members, members) = (any_term(g), any_members(g), any_members(g));
+    EpochConfig { term, outgoing_members, members, primary: any_member_id(g), backups }
 }
 
 fn digest(number: u64) -> RequestDigest {
@@ -51,121 +54,153 @@
     RequestDigest(bytes)
 }
 
-fn version(g: &mut Gen) -> StateVersion {
-    StateVersion { write_term: term(g), revision: u64::arbitrary(g) % 6, first_write_term: term(g) }
+fn any_version(g: &mut Gen) -> StateVersion {
+    let write_term = any_term(g);
+    StateVersion { write_term, revision: u64::arbitrary(g) % 6, first_write_term: any_term(g) }
 }
 
-fn state(g: &mut Gen) -> ControlState {
-    let v = version(g);
-    let call =
+fn any_state(g: &mut Gen) -> ControlState {
+    let version = any_version(g);
+    let any_request =
         |g: &mut Gen| AppliedRequest { revision: u64::arbitrary(g), digest: digest(u64::arbitrary(g)) };
-    let taken: Vec<AppliedRequest> = (0..u8::arbitrary(g) % 4).map(|_| call(g)).collect();
+    let applied_requests: Vec<AppliedRequest> = (0..u8::arbitrary(g) % 4).map(|_| any_request(g)).collect();
     let body = Vec::<u8>::arbitrary(g).into();
-    let forgotten = u64::arbitrary(g) % 3;
+    let highest_expired_revision = u64::arbitrary(g) % 3;
     ControlState {
-        write_term: v.write_term,
-        first_write_term: v.first_write_term,
-        revision: v.revision,
+        write_term: version.write_term,
+        first_write_term: version.first_write_term,
+        revision: version.revision,
         body,
-        applied_requests: taken.into(),
-        highest_expired_revision: forgotten,
+        applied_requests: applied_requests.into(),
+        highest_expired_revision,
     }
 }
 
-fn change(g: &mut Gen) -> StateDelta {
-    let previous = state(g);
+fn any_delta(g: &mut Gen) -> StateDelta {
+    let previous = any_state(g);
     let longer = BodyDelta::between(&previous.body, &[&previous.body[..], &[7; 9]].concat());
-    let shorter = BodyDelta::between(&[1; 50], &[1; 40]).expect("a delta");
-    let call = AppliedRequest { revision: u64::arbitrary(g) % 6, digest: digest(u64::arbitrary(g)) };
+    let shorter = BodyDelta::between(&[1; 50], &[1; 40]).expect("the bodies have most in common");
+    let request = AppliedRequest { revision: u64::arbitrary(g) % 6, digest: digest(u64::arbitrary(g)) };
     let delta = longer.unwrap_or(shorter);
-    StateDelta { previous: previous.version(), term: term(g), request: call, delta }
+    StateDelta { previous: previous.version(), term: any_term(g), request, delta }
 }
 
-fn offer(g: &mut Gen) -> SnapshotOffer {
+fn any_offer(g: &mut Gen) -> SnapshotOffer {
     let purpose = match u8::arbitrary(g) % 3 {
         0 => StatePurpose::CommittedState,
         1 => StatePurpose::ReplicateState,
-        _ => StatePurpose::FetchedState { term: term(g) },
+        _ => StatePurpose::FetchedState { term: any_term(g) },
     };
-    let encoded = to_vec(state(g)).unwrap_or_default();
+    let encoded = to_vec(any_state(g)).unwrap_or_default();
     let length = if bool::arbitrary(g) { encoded.len() as u64 } else { u64::arbitrary(g) };
-    SnapshotOffer { purpose, version: version(g), length, checksum: checksum(&encoded) }
+    SnapshotOffer { purpose, version: any_version(g), length, checksum: checksum(&encoded) }
 }
 
-fn piece(g: &mut Gen) -> SnapshotChunk {
+fn any_chunk(g: &mut Gen) -> SnapshotChunk {
     let offset = if bool::arbitrary(g) { 0 } else { u64::arbitrary(g) };
-    SnapshotChunk { version: version(g), offset, bytes: to_vec(state(g)).unwrap_or_default().into() }
+    SnapshotChunk { version: any_version(g), offset, bytes: to_vec(any_state(g)).unwrap_or_default().into() }
 }
 
-fn flip<T>(g: &mut Gen, make: impl Fn(&mut Gen) -> T) -> Option<T> {
+fn maybe<T>(g: &mut Gen, make: impl Fn(&mut Gen) -> T) -> Option<T> {
     bool::arbitrary(g).then(|| make(g))
 }
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
-        let yes = bool::arbitrary(g);
-        Any(match u8::arbitrary(g) % 26 {
+impl Arbitrary for AnyMessage {
+    fn arbitrary(g: &mut Gen) -> AnyMessage {
+        let flag = bool::arbitrary(g);
+        AnyMessage(match u8::arbitrary(g) % 26 {
             0 => Message::PreVote,
             1 => Message::PreVoteResponse {
-                granted: yes,
+                granted: flag,
                 is_bootstrap_voter: bool::arbitrary(g),
-                config: flip(g, record),
+                config: maybe(g, any_config),
             },
-            2 => Message::Prepare { term: term(g) },
+            2 => Message::Prepare { term: any_term(g) },
             3 => Message::Promise {
-                term: term(g),
-                is_bootstrap_voter: yes,
+                term: any_term(g),
+                is_bootstrap_voter: flag,
                 is_healthy: bool::arbitrary(g),
-                config: flip(g, record),
-                version: flip(g, version),
+                config: maybe(g, any_config),
+                version: maybe(g, any_version),
             },
-            4 => Message::Reject { term: term(g), promised: term(g) },
-            5 => Message::FetchState { term: term(g), version: version(g) },
-            6 => Message::FetchedState { term: term(g), state: state(g) },
-            7 => Message::ReplicateState { state: state(g) },
-            8 => Message::RewriteUnderNewTerm { version: version(g) },
-            9 => Message::Replicated { version: version(g) },
-            10 => Message::MissingBody { version: version(g) },
-            11 => Message::Accept { config: record(g) },
-            12 => Message::Accepted { term: term(g), is_bootstrap_voter: yes },
+            4 => Message::Reject { term: any_term(g), promised: any_term(g) },
+            5 => Message::FetchState { term: any_term(g), version: any_version(g) },
+            6 => Message::FetchedState { term: any_term(g), state: any_state(g) },
+            7 => Message::ReplicateState { state: any_state(g) },
+            8 => Message::RewriteUnderNewTerm { version: any_version(g) },
+            9 => Message::Replicated { version: any_version(g) },
+            10 => Message::MissingBody { version: any_version(g) },
+            11 => Message::Accept { config: any_config(g) },
+            12 => Message::Accepted { term: any_term(g), is_bootstrap_voter: flag },
             13 => Message::Heartbeat {
-                term: term(g),
+                term: any_term(g),
                 sequence: u64::arbitrary(g),
-                committed: version(g),
-                config: flip(g, record),
-                echoed_stamp: flip(g, stamp),
+                committed: any_version(g),
+                config: maybe(g, any_config),
+                echoed_stamp: maybe(g, any_lease_stamp),
             },
             14 => Message::HeartbeatResponse {
-                term: term(g),
+                term: any_term(g),
                 sequence: u64::arbitrary(g),
-                promised: term(g),
-                accepted_term: term(g),
-                known_term: term(g),
-                committed_revision: flip(g, u64::arbitrary),
-                is_healthy: yes,
-                lease_stamp: stamp(g),
+                promised: any_term(g),
+                accepted_term: any_term(g),
+                known_term: any_term(g),
+                committed_revision: maybe(g, u64::arbitrary),
+                is_healthy: flag,
+                lease_stamp: any_lease_stamp(g),
             },
-            15 => Message::CommittedState { state: state(g) },
-            16 => Message::Join { is_bootstrap_voter: yes, known_term: term(g) },
-            17 => Message::KnownConfig { config: record(g) },
-            18 => Message::TransferLeadership { term: term(g) },
-            19 => Message::ReplicateDelta { delta: change(g) },
-            20 => Message::CommittedDeltas { deltas: (0..u8::arbitrary(g) % 4).map(|_| change(g)).collect() },
-            21 => Message::OfferSnapshot { offer: offer(g) },
-            22 => Message::FetchChunk { version: version(g), offset: u64::arbitrary(g) % 100 },
-            23 => Message::SnapshotChunk { chunk: piece(g) },
+            15 => Message::CommittedState { state: any_state(g) },
+            16 => Message::Join { is_bootstrap_voter: flag, known_term: any_term(g) },
+            17 => Message::KnownConfig { config: any_config(g) },
+            18 => Message::TransferLeadership { term: any_term(g) },
+            19 => Message::ReplicateDelta { delta: any_delta(g) },
+            20 => {
+                Message::CommittedDeltas { deltas: (0..u8::arbitrary(g) % 4).map(|_| any_delta(g)).collect() }
+            }
+            21 => Message::OfferSnapshot { offer: any_offer(g) },
+            22 => Message::FetchChunk { version: any_version(g), offset: u64::arbitrary(g) % 100 },
+            23 => Message::SnapshotChunk { chunk: any_chunk(g) },
             24 => Message::RequestRemoval,
-            _ => Message::RemovalGranted { term: term(g) },
+            _ => Message::RemovalGranted { term: any_term(g) },
         })
     }
 }
 
+/// A step of a node: a tick, a request or a message, some time after the one before.
 #[derive(Clone, Debug)]
-struct Step(u64, u64, Any, Member);
+struct Step {
+    /// In milliseconds.
+    after: u64,
+    kind: u64,
+    message: AnyMessage,
+    from: Member,
+}
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        Step(u64::arbitrary(g) % 400, u64::arbitrary(g) % 10, Any::arbitrary(g), member(g))
+        let (after, kind) = (u64::arbitrary(g) % 400, u64::arbitrary(g) % 10);
+        Step { after, kind, message: AnyMessage::arbitrary(g), from: any_member(g) }
+    }
+}
+
+impl Step {
+    fn input(self, request_id: u64) -> Input {
+        match self.kind {
+            0 => Input::Tick,
+            1 => Input::Change {
+                request_id,
+                base_revision: self.after % 3,
+                revision: 1 + self.after % 5,
+                body: vec![1],
+                digest: digest(self.after),
+            },
+            2 => Input::Read { request_id },
+            _ => Input::Message { from: self.from, message: self.message.0 },
+        }
+    }
+
+    fn is_request(&self) -> bool {
+        matches!(self.kind, 1 | 2)
     }
 }
 
@@ -180,100 +215,114 @@
 
 type Log = Vec<Vec<u8>>;
 
-/// A node on made-up messages; its log, and the asks with their answers.
-fn run(steps: Vec<Step>, failures: usize) -> (Log, Vec<u64>, Vec<(u64, ClientReply)>) {
-    let (mut log, mut asked, mut answers) = (Vec::new(), Vec::new(), Vec::new());
-    let Ok(mut node) = node(&[], failures) else { return (log, asked, answers) };
-    let (mut now, mut waiting) = (0, Vec::new());
-    let end = Step(
-        2_000,
-        0,
-        Any(Message::PreVote),
-        Member { id: MemberId(9), address: node.local_member().address },
-    );
-    for (ask, Step(span, kind, message, from)) in steps.into_iter().chain([end]).enumerate() {
-        let ask = ask as u64;
-        now += span;
-        let mut inputs = match kind {
-            0 => vec![Input::Tick],
-            1 => vec![Input::Change {
-                request_id: ask,
-                base_revision: span % 3,
-                revision: 1 + span % 5,
-                body: vec![1],
-                digest: digest(span),
-            }],
-            2 => vec![Input::Read { request_id: ask }],
-            _ => vec![Input::Message { from, message: message.0 }],
-        };
-        if matches!(kind, 1 | 2) {
-            asked.push(ask);
-        }
-        while let Some(input) = inputs.pop() {
-            for output in node.step(Instant::from_millis(now), input) {
+/// What became of a node after its steps.
+#[derive(Default)]
+struct Run {
+    log: Log,
+    request_ids: Vec<u64>,
+    replies: Vec<(u64, ClientReply)>,
+    /// The writes in flight.
+    writes: VecDeque<Write>,
+}
+
+struct Write {
+    token: u64,
+    replaces_log: bool,
+    record: Vec<u8>,
+}
+
+impl Run {
+    /// A step, and the writes that follow from it; each of them fails or is stored.
+    fn step(&mut self, node: &mut Node<Pcg64Mcg>, now: Instant, input: Input, writes_fail: bool) {
+        let mut next = Some(input);
+        while let Some(input) = next {
+            for output in node.step(now, input) {
                 match output {
-                    Output::Write { token, record } => waiting.push((token, false, record)),
-                    Output::Rewrite { token, record } => waiting.push((token, true, record)),
-                    Output::Reply { request_id: ask, reply: result } => answers.push((ask, result)),
+                    Output::Write { token, record } => {
+                        self.writes.push_back(Write { token, replaces_log: false, record });
+                    }
+                    Output::Rewrite { token, record } => {
+                        self.writes.push_back(Write { token, replaces_log: true, record });
+                    }
+                    Output::Reply { request_id, reply } => self.replies.push((request_id, reply)),
                     _ => {}
                 }
             }
-            if inputs.is_empty() && !waiting.is_empty() {
-                let (token, whole, record) = waiting.remove(0);
-                let fails = span % 13 == 0;
-                if !fails && whole {
-                    log.clear();
-                }
-                if !fails {
-                    log.push(record);
-                }
-                inputs.push(if fails { Input::WriteFailed { token } } else { Input::Written { token } });
-            }
+            next = self.writes.pop_front().map(|write| self.finish(write, writes_fail));
+        }
+    }
+
+    fn finish(&mut self, write: Write, fails: bool) -> Input {
+        let Write { token, replaces_log, record } = write;
+        if fails {
+            return Input::WriteFailed { token };
+        }
+        if replaces_log {
+            self.log.clear();
+        }
+        self.log.push(record);
+        Input::Written { token }
+    }
+}
+
+/// Plays arbitrary steps to a node, and a long time at the end in which each request gets its reply.
+fn run(steps: Vec<Step>, failures: usize) -> Run {
+    let mut run = Run::default();
+    let Ok(mut node) = node(&[], failures) else { return run };
+    let from = Member { id: MemberId(9), address: node.local_member().address };
+    let last = Step { after: 2_000, kind: 0, message: AnyMessage(Message::PreVote), from };
+    let mut now = Instant::ORIGIN;
+    for (request_id, step) in (0..).zip(steps.into_iter().chain([last])) {
+        now += Duration::from_millis(step.after);
+        if step.is_request() {
+            run.request_ids.push(request_id);
         }
+        let writes_fail = step.after.is_multiple_of(13);
+        run.step(&mut node, now, step.input(request_id), writes_fail);
     }
-    (log, asked, answers)
+    run
 }
 
 quickcheck! {
-    fn messages_come_back(message: Any) -> bool {
+    fn a_decoded_message_equals_the_encoded_one(message: AnyMessage) -> bool {
         let bytes = to_vec(&message.0).unwrap_or_default();
-        decode::<Message>(&bytes).is_ok_and(|m| m == message.0)
+        decode::<Message>(&bytes).is_ok_and(|decoded| decoded == message.0)
     }
 
-    fn cut_messages_are_refused(message: Any, at: usize) -> bool {
+    fn a_truncated_message_is_rejected(message: AnyMessage, length: usize) -> bool {
         let bytes = to_vec(&message.0).unwrap_or_default();
-        decode::<Message>(&bytes[..at % bytes.len()]).is_err()
+        decode::<Message>(&bytes[..length % bytes.len()]).is_err()
     }
 
-    fn made_up_messages_do_no_harm(steps: Vec<Step>, failures: usize) -> bool {
-        let (log, mut asked, answers) = run(steps, failures);
-        // Each ask has one answer, and the log can be read.
-        let mut answered: Vec<u64> = answers.iter().map(|(ask, _)| *ask).collect();
+    /// Each request gets one reply, and the log can be read.
+    fn arbitrary_messages_do_no_harm(steps: Vec<Step>, failures: usize) -> bool {
+        let Run { log, mut request_ids, replies, .. } = run(steps, failures);
+        let mut answered: Vec<u64> = replies.iter().map(|(request_id, _)| *request_id).collect();
         answered.sort_unstable();
-        asked.sort_unstable();
-        answered == asked && node(&log, 1).is_ok()
+        request_ids.sort_unstable();
+        answered == request_ids && node(&log, 1).is_ok()
     }
 
-    fn made_up_logs_are_read_or_refused(records: Vec<Vec<u8>>) -> bool {
+    fn an_arbitrary_log_is_read_or_rejected(records: Vec<Vec<u8>>) -> bool {
         records.is_empty() || node(&records, 1).is_err()
     }
 
-    fn cut_logs_are_read_or_refused(steps: Vec<Step>, at: usize, bit: u8) -> bool {
-        let (mut log, _, _) = run(steps, 1);
-        let last = log.last_mut().map(|r| {
-            let place = at % r.len();
-            r[place] ^= 1 << (bit % 8);
+    fn a_corrupted_log_is_read_or_rejected(steps: Vec<Step>, position: usize, bit: u8) -> bool {
+        let Run { mut log, .. } = run(steps, 1);
+        let last = log.last_mut().map(|record| {
+            let position = position % record.len();
+            record[position] ^= 1 << (bit % 8);
         });
-        // Whatever it reads, it doesn't fall over.
-        let _ = node(&log, 1).map(|mut n| n.step(Instant::from_millis(1), Input::Tick));
+        // Whatever it reads, it doesn't panic.
+        let _ = node(&log, 1).map(|mut node| node.step(Instant::from_millis(1), Input::Tick));
         last.is_some()
     }
 }
 
 #[test]
-fn a_log_that_tells_no_number_is_refused() {
-    let settings = node(&[], 1).map(|n| n.local_member());
-    assert!(settings.is_ok());
+fn a_log_without_an_identity_is_rejected() {
+    let member = node(&[], 1).map(|node| node.local_member());
+    assert!(member.is_ok());
     assert_eq!(node(&[vec![0xff]], 1).err(), Some(StoredStateError::Unreadable(0)));
 }
 
--- a/crates/consensus/tests/fleet/large_states.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -292,7 +292,7 @@
     Ok((catches_up(&mut world, witnesses[0], 4_000)?, taken))
 }
 
-/// Prints how long a wiped member needs by the size of the configuration, as it is and with whole states as it was.
+/// Prints how long a wiped member needs by the size of the configuration, as it is and with full states as it was.
 #[test]
 fn time_to_catch_up_by_size() {
     for (failures, real_bytes) in
@@ -310,7 +310,7 @@
     }
 }
 
-/// Prints what a small change costs, as it is and with whole states as it was.
+/// Prints what a small change costs, as it is and with full states as it was.
 #[test]
 fn bytes_of_a_change_by_size() {
     for real_bytes in [100_000, 3_000_000] {
--- a/crates/consensus/tests/request_status.rs
+++ b/crates/consensus/tests/request_status.rs
@@ -1,4 +1,4 @@
-//! What is said of calls that come again: over random histories, none that was taken is refused, and what can be told is.
+//! The status of repeated requests: over random histories, none that was applied is rejected, and what can be told is.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -12,34 +12,35 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A node that is the only member, on a disk that is always well.
-struct Alone {
+/// A node that is the only member, on a disk without faults.
+struct SingleNode {
     node: Node<Pcg64Mcg>,
     log: Vec<Vec<u8>>,
     now: Instant,
-    asks: u64,
+    request_count: u64,
 }
 
 fn start(log: &[Vec<u8>], now: Instant) -> Node<Pcg64Mcg> {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7720);
     let mut settings = Settings::new(address, 0, true, vec![address]);
     settings.log_rewrite_bytes = 100_000;
-    Node::new(settings, log, now, Pcg64Mcg::seed_from_u64(1)).expect("its own log")
+    Node::new(settings, log, now, Pcg64Mcg::seed_from_u64(1)).expect("the node has written this log itself")
 }
 
-impl Alone {
-    fn new(log: Vec<Vec<u8>>) -> Alone {
-        let mut alone = Alone { node: start(&log, Instant::ORIGIN), log, now: Instant::ORIGIN, asks: 0 };
-        alone.lead();
-        alone
+impl SingleNode {
+    fn new(log: Vec<Vec<u8>>) -> SingleNode {
+        let now = Instant::ORIGIN;
+        let mut single = SingleNode { node: start(&log, now), log, now, request_count: 0 };
+        single.run_until_primary();
+        single
     }
 
     fn restart(&mut self) {
         self.node = start(&self.log, self.now);
-        self.lead();
+        self.run_until_primary();
     }
 
-    fn lead(&mut self) {
+    fn run_until_primary(&mut self) {
         while !self.node.is_primary() {
             self.now += Duration::from_millis(50);
             self.step(Input::Tick);
@@ -47,7 +48,7 @@
     }
 
     fn step(&mut self, input: Input) -> Option<ClientReply> {
-        let (mut inputs, mut verdict) = (vec![input], None);
+        let (mut inputs, mut last_reply) = (vec![input], None);
         while let Some(input) = inputs.pop() {
             for output in self.node.step(self.now, input) {
                 match output {
@@ -59,33 +60,40 @@
                         self.log = vec![record];
                         inputs.insert(0, Input::Written { token });
                     }
-                    Output::Reply { reply: result, .. } => verdict = Some(result),
+                    Output::Reply { reply, .. } => last_reply = Some(reply),
                     _ => {}
                 }
             }
         }
-        verdict
+        last_reply
     }
 
-    fn change(&mut self, base: u64, call: AppliedRequest) -> Option<ClientReply> {
-        self.asks += 1;
-        let (ask, AppliedRequest { revision, digest }) = (self.asks, call);
-        self.step(Input::Change { request_id: ask, base_revision: base, revision, body: vec![1], digest })
+    fn change(&mut self, base_revision: u64, request: AppliedRequest) -> Option<ClientReply> {
+        self.request_count += 1;
+        let AppliedRequest { revision, digest } = request;
+        let request_id = self.request_count;
+        self.step(Input::Change { request_id, base_revision, revision, body: vec![1], digest })
     }
 
-    fn current(&self) -> u64 {
-        self.node.committed_state().map_or(0, |s| s.revision)
+    fn current_revision(&self) -> u64 {
+        self.node.committed_state().map_or(0, |state| state.revision)
     }
 }
 
-/// What a checker that forgets nothing says of a call that was never taken.
-fn wanted(history: &[(u64, AppliedRequest)], base: u64, revision: u64) -> RequestStatus {
-    let current = history.last().map_or(0, |(_, call)| call.revision);
-    let forgotten =
-        history.len().checked_sub(DEDUPLICATION_WINDOW + 1).map_or(0, |at| history[at].1.revision);
+/// A change of a history, with the revision that it builds on.
+struct AppliedChange {
+    base: u64,
+    request: AppliedRequest,
+}
+
+/// The status that a checker that forgets nothing expects of a request that was never applied.
+fn expected_status(history: &[AppliedChange], base: u64, revision: u64) -> RequestStatus {
+    let current = history.last().map_or(0, |change| change.request.revision);
+    let expired = history.len().checked_sub(DEDUPLICATION_WINDOW + 1);
+    let expired = expired.map_or(0, |index| history[index].request.revision);
     match (base == current, revision > base) {
         (true, true) => RequestStatus::Acceptable,
-        (false, true) if revision <= forgotten => RequestStatus::Expired,
+        (false, true) if revision <= expired => RequestStatus::Expired,
         _ => RequestStatus::Stale,
     }
 }
@@ -96,90 +104,125 @@
     RequestDigest(bytes)
 }
 
-/// A history of changes with restarts, then every call again and many that were never made.
-fn history_is_judged(seed: u64, length: u16) -> TestResult {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut alone = Alone::new(Vec::new());
-    let mut history: Vec<(u64, AppliedRequest)> = Vec::new();
+/// A random history of changes with restarts.
+fn random_history(
+    rng: &mut Pcg64Mcg,
+    single: &mut SingleNode,
+    length: u16,
+) -> Result<Vec<AppliedChange>, String> {
+    let mut history = Vec::new();
     for _ in 0..length % 700 {
-        let base = alone.current();
-        let call = AppliedRequest { revision: base + 1 + rng.next_u64() % 4, digest: digest(&mut rng) };
-        if alone.change(base, call) != Some(ClientReply::ChangeCommitted { revision: call.revision }) {
-            return TestResult::error(format!("{call:?} on {base} was not taken"));
+        let base = single.current_revision();
+        let request = AppliedRequest { revision: base + 1 + rng.next_u64() % 4, digest: digest(rng) };
+        if single.change(base, request) != Some(ClientReply::ChangeCommitted { revision: request.revision }) {
+            return Err(format!("{request:?} on {base} was not committed"));
         }
-        history.push((base, call));
-        if rng.next_u64() % 200 == 0 {
-            alone.restart();
+        history.push(AppliedChange { base, request });
+        if rng.next_u64().is_multiple_of(200) {
+            single.restart();
         }
     }
-    alone.restart();
-    let current = alone.current();
-    for (index, (base, call)) in history.iter().enumerate() {
-        let remembered = index + DEDUPLICATION_WINDOW >= history.len();
-        let wanted = if remembered {
-            ClientReply::ChangeCommitted { revision: call.revision }
+    single.restart();
+    Ok(history)
+}
+
+/// Every request of the history again: the latest are acknowledged, the others have expired.
+fn check_repeats(single: &mut SingleNode, history: &[AppliedChange]) -> Result<(), String> {
+    for (index, AppliedChange { base, request }) in history.iter().enumerate() {
+        let is_remembered = index + DEDUPLICATION_WINDOW >= history.len();
+        let expected = if is_remembered {
+            ClientReply::ChangeCommitted { revision: request.revision }
         } else {
             ClientReply::Expired
         };
-        let verdict = alone.change(*base, *call);
-        if verdict.as_ref() != Some(&wanted) {
-            return TestResult::error(format!("{call:?}, {index} of {}: {verdict:?}", history.len()));
+        let reply = single.change(*base, *request);
+        if reply.as_ref() != Some(&expected) {
+            return Err(format!("{request:?}, {index} of {}: {reply:?}", history.len()));
         }
     }
+    Ok(())
+}
+
+/// Requests that were never applied, on random bases.
+fn check_other_requests(
+    rng: &mut Pcg64Mcg,
+    single: &mut SingleNode,
+    history: &[AppliedChange],
+) -> Result<(), String> {
+    let current_revision = single.current_revision();
     for _ in 0..300 {
-        let any = |rng: &mut Pcg64Mcg| rng.next_u64() % (current + 3);
-        let base = if rng.next_u64() % 4 == 0 { current } else { any(&mut rng) };
-        let call = AppliedRequest { revision: any(&mut rng), digest: digest(&mut rng) };
-        let wanted = match wanted(&history, base, call.revision) {
+        let any_revision = |rng: &mut Pcg64Mcg| rng.next_u64() % (current_revision + 3);
+        let base = if rng.next_u64().is_multiple_of(4) { current_revision } else { any_revision(rng) };
+        let request = AppliedRequest { revision: any_revision(rng), digest: digest(rng) };
+        let expected = match expected_status(history, base, request.revision) {
             RequestStatus::Expired => ClientReply::Expired,
-            RequestStatus::Stale => ClientReply::Stale { current_revision: current },
-            // It would be taken, and end the history.
+            RequestStatus::Stale => ClientReply::Stale { current_revision },
+            // It would be committed, and end the history.
             _ => continue,
         };
-        let verdict = alone.change(base, call);
-        if verdict.as_ref() != Some(&wanted) {
-            return TestResult::error(format!("{call:?} on {base}: {verdict:?}, not {wanted:?}"));
+        let reply = single.change(base, request);
+        if reply.as_ref() != Some(&expected) {
+            return Err(format!("{request:?} on {base}: {reply:?}, not {expected:?}"));
         }
     }
-    TestResult::passed()
+    Ok(())
+}
+
+/// A random history, then every request of it again and many that were never sent.
+fn has_expected_replies(seed: u64, length: u16) -> TestResult {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut single = SingleNode::new(Vec::new());
+    let result = random_history(&mut rng, &mut single, length).and_then(|history| {
+        check_repeats(&mut single, &history)?;
+        check_other_requests(&mut rng, &mut single, &history)
+    });
+    result.map_or_else(TestResult::error, |()| TestResult::passed())
 }
 
 #[test]
-fn no_call_that_was_taken_is_refused_and_the_others_are_told() {
-    let judged = history_is_judged as fn(u64, u16) -> TestResult;
-    QuickCheck::new().tests(60).quickcheck(judged);
+fn no_applied_request_is_rejected_and_all_others_are_classified() {
+    let property = has_expected_replies as fn(u64, u16) -> TestResult;
+    QuickCheck::new().tests(60).quickcheck(property);
+}
+
+/// How earlier versions wrote the digests of requests.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum DigestFormat {
+    Bytes32,
+    Bits64,
 }
 
-/// A state as versions before the floor wrote it, with digests of 32 bytes or of 64 bits.
-fn old_state(calls: &[AppliedRequest], short: bool) -> Vec<u8> {
+/// A state as versions wrote it that did not know which revisions have expired.
+fn old_state(requests: &[AppliedRequest], digest_format: DigestFormat) -> Vec<u8> {
     let mut e = Encoder::new(Vec::new());
     let mut write = || -> Result<(), minicbor::encode::Error<core::convert::Infallible>> {
         e.array(5)?.array(2)?.u64(4)?.u64(9)?.array(2)?.u64(3)?.u64(9)?;
-        e.u64(calls.last().map_or(0, |c| c.revision))?.bytes(b"{}")?;
-        e.array(calls.len() as u64)?;
-        for call in calls {
-            e.array(2)?.u64(call.revision)?;
-            match short {
-                true => e.u64(u64::MAX - call.revision)?,
-                false => e.bytes(&call.digest.0)?,
+        e.u64(requests.last().map_or(0, |request| request.revision))?.bytes(b"{}")?;
+        e.array(requests.len() as u64)?;
+        for request in requests {
+            e.array(2)?.u64(request.revision)?;
+            match digest_format {
+                DigestFormat::Bits64 => e.u64(u64::MAX - request.revision)?,
+                DigestFormat::Bytes32 => e.bytes(&request.digest.0)?,
             };
         }
         Ok(())
     };
-    write().expect("it fits in memory");
+    write().expect("a write to memory does not fail");
     e.into_writer()
 }
 
-fn calls(count: u64) -> Vec<AppliedRequest> {
+fn requests(count: u64) -> Vec<AppliedRequest> {
     (1..=count)
         .map(|number| AppliedRequest { revision: 10 * number, digest: RequestDigest([number as u8; 32]) })
         .collect()
 }
 
 #[test]
-fn a_full_state_without_a_floor_may_have_forgotten_all_below() {
-    let calls = calls(DEDUPLICATION_WINDOW as u64);
-    let state: ControlState = minicbor::decode(&old_state(&calls, false)).expect("an old state");
+fn all_revisions_below_a_full_old_state_may_have_expired() {
+    let requests = requests(DEDUPLICATION_WINDOW as u64);
+    let state: ControlState =
+        minicbor::decode(&old_state(&requests, DigestFormat::Bytes32)).expect("an old state can be read");
     assert_eq!((state.revision, state.highest_expired_revision), (2_560, 9));
     assert_eq!(
         state.classify_request(3, AppliedRequest { revision: 9, digest: RequestDigest([77; 32]) }),
@@ -189,12 +232,13 @@
         state.classify_request(3, AppliedRequest { revision: 11, digest: RequestDigest([77; 32]) }),
         RequestStatus::Stale
     );
-    assert_eq!(state.classify_request(0, calls[0]), RequestStatus::AlreadyApplied);
+    assert_eq!(state.classify_request(0, requests[0]), RequestStatus::AlreadyApplied);
 }
 
 #[test]
-fn a_state_without_a_floor_that_is_not_full_has_forgotten_nothing() {
-    let state: ControlState = minicbor::decode(&old_state(&calls(255), false)).expect("an old state");
+fn nothing_has_expired_in_an_old_state_that_is_not_full() {
+    let state: ControlState = minicbor::decode(&old_state(&requests(255), DigestFormat::Bytes32))
+        .expect("an old state can be read");
     assert_eq!(state.highest_expired_revision, 0);
     assert_eq!(
         state.classify_request(3, AppliedRequest { revision: 9, digest: RequestDigest([77; 32]) }),
@@ -203,21 +247,23 @@
 }
 
 #[test]
-fn calls_with_a_short_digest_are_forgotten() {
-    let calls = calls(20);
-    let state: ControlState = minicbor::decode(&old_state(&calls, true)).expect("an old state");
+fn requests_with_a_short_digest_have_expired() {
+    let requests = requests(20);
+    let state: ControlState =
+        minicbor::decode(&old_state(&requests, DigestFormat::Bits64)).expect("an old state can be read");
     assert_eq!((state.revision, state.highest_expired_revision, state.applied_requests.len()), (200, 200, 0));
     // It may be a repeat of the last one, or another change on the same base.
-    assert_eq!(state.classify_request(190, calls[19]), RequestStatus::Expired);
+    assert_eq!(state.classify_request(190, requests[19]), RequestStatus::Expired);
     assert_eq!(
-        state.classify_request(190, AppliedRequest { revision: 201, ..calls[19] }),
+        state.classify_request(190, AppliedRequest { revision: 201, ..requests[19] }),
         RequestStatus::Stale
     );
     assert_eq!(
-        state.classify_request(200, AppliedRequest { revision: 201, ..calls[19] }),
+        state.classify_request(200, AppliedRequest { revision: 201, ..requests[19] }),
         RequestStatus::Acceptable
     );
     let again: ControlState =
-        minicbor::decode(&minicbor::to_vec(&state).expect("memory")).expect("a new state");
+        minicbor::decode(&minicbor::to_vec(&state).expect("a write to memory does not fail"))
+            .expect("what was written can be read");
     assert_eq!(again, state);
 }
