--- a/crates/control-plane/tests/fleet/checker.rs
+++ b/crates/control-plane/tests/fleet/checker.rs
@@ -5,9 +5,11 @@
 use mosshead_config::Config;
 use mosshead_consensus::RequestDigest;
 use mosshead_control_plane::ChangeKind;
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
-/// A control node that was isolated from a quorum for longer must hand out no configuration, in milliseconds.
-pub(crate) const ISOLATED_MS: u64 = 2_000;
+/// A control node that was isolated from a quorum for longer must serve no configuration and acknowledge no shutdown.
+pub(crate) const MAX_ISOLATION: Duration = millis(2_000);
 
 /// A control node and the incarnation of its process.
 type TokenHolder = (usize, u64);
@@ -36,7 +38,7 @@
 /// A server whose shutdown was acknowledged to it.
 pub(crate) struct AcknowledgedServer {
     pub(crate) server: String,
-    pub(crate) acknowledged: u64,
+    pub(crate) acknowledged_at: Instant,
 }
 
 #[derive(Default)]
@@ -45,7 +47,7 @@
     accepted_on: BTreeMap<u64, usize>,
     texts: BTreeMap<u64, String>,
     /// When each revision was acknowledged to an operator.
-    acknowledged: BTreeMap<u64, u64>,
+    acknowledged: BTreeMap<u64, Instant>,
     pub(crate) shutdowns: Vec<AcknowledgedServer>,
     /// How many shutdowns were checked at a proxy.
     pub(crate) shutdown_checks: u64,
@@ -110,8 +112,8 @@
     }
 
     /// The highest revision that was acknowledged by then.
-    pub(crate) fn acknowledged_by(&self, time: u64) -> u64 {
-        let before = self.acknowledged.iter().filter(|(_, at)| **at <= time);
+    pub(crate) fn acknowledged_by(&self, instant: Instant) -> u64 {
+        let before = self.acknowledged.iter().filter(|(_, at)| **at <= instant);
         before.map(|(revision, _)| *revision).max().unwrap_or(0)
     }
 
@@ -119,7 +121,7 @@
         self.acknowledged.len()
     }
 
-    pub(crate) fn accepted(&mut self, now: u64, change: usize) {
+    pub(crate) fn on_accepted(&mut self, now: Instant, change: usize) {
         let record = &mut self.changes[change];
         self.repeats += u64::from(record.is_accepted);
         record.is_accepted = true;
@@ -154,7 +156,7 @@
                 format!("change {change} is rejected by {current}, when {acknowledged} was acknowledged");
             self.report_violation("outdated state", description);
         }
-        self.rejected(change);
+        self.on_rejected(change);
     }
 
     /// A change is rejected as invalid.
@@ -162,10 +164,10 @@
         if self.changes[change].is_valid {
             self.report_violation("rejected", format!("change {change} is valid, and rejected as invalid"));
         }
-        self.rejected(change);
+        self.on_rejected(change);
     }
 
-    fn rejected(&mut self, change: usize) {
+    fn on_rejected(&mut self, change: usize) {
         let record = &mut self.changes[change];
         record.is_rejected = true;
         if record.is_accepted || record.was_in_force {
@@ -189,15 +191,15 @@
     /// A proxy has put a configuration in force.
     pub(crate) fn on_config_in_force(
         &mut self,
-        now: u64,
+        now: Instant,
         proxy: usize,
         config: &Config,
-        isolated_millis: u64,
+        isolated_for: Duration,
     ) {
         self.configurations += 1;
-        if isolated_millis > ISOLATED_MS {
+        if isolated_for > MAX_ISOLATION {
             let description = format!(
-                "proxy {proxy} takes {} at {now} from a control node isolated for {isolated_millis} ms",
+                "proxy {proxy} takes {} at {now} from a control node isolated for {isolated_for:?}",
                 config.revision
             );
             self.report_violation("quorum contact", description);
@@ -215,14 +217,17 @@
         };
         let record = &mut self.changes[author];
         record.was_in_force = true;
-        let is_sound = record.is_valid && !record.is_rejected && record.revision == revision;
+        let may_be_in_force = record.is_valid && !record.is_rejected && record.revision == revision;
         let applied_changes = applied_changes(text);
-        let is_whole = applied_changes == record.applied_changes;
-        if !is_sound {
+        let is_complete = applied_changes == record.applied_changes;
+        if !may_be_in_force {
             self.report_violation("rejected", format!("change {author} is in force as {revision}"));
         }
-        if !is_whole {
-            self.report_violation("lost change", format!("number {revision} holds {applied_changes:?}"));
+        if !is_complete {
+            self.report_violation(
+                "lost change",
+                format!("number {revision} consists of {applied_changes:?}"),
+            );
         }
         let is_missing = |(change, record): &(usize, &ChangeRecord)| {
             record.is_accepted && record.revision <= revision && !applied_changes.contains(change)
@@ -251,8 +256,8 @@
 }
 
 fn author(text: &str) -> Option<usize> {
-    let rest = text.split_once("\"author\":")?.1;
-    rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+    let (_, behind) = text.split_once("\"author\":")?;
+    behind.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
 /// The changes that a configuration consists of.
--- a/crates/control-plane/tests/fleet/control_node.rs
+++ b/crates/control-plane/tests/fleet/control_node.rs
@@ -14,24 +14,24 @@
 };
 use mosshead_registry::{Registry, SourceId};
 use mosshead_time::{Duration, Instant};
-use rand_core::{RngCore, SeedableRng};
+use mosshead_virtual_fleet::{Disk, control_node_address, millis};
+use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 use self::client_requests::ClientRequest;
-use self::consensus::Disk;
 use self::shutdowns::PendingAcknowledgement;
 use crate::messages::Party;
-use crate::simulation::{Event, Simulation, TICK_MS, address};
+use crate::simulation::{Event, Simulation, TICK_INTERVAL};
 use crate::stage_role::StageRole;
 
-pub(crate) const HEARTBEAT_INTERVAL_MS: u64 = 500;
+pub(crate) const HEARTBEAT_INTERVAL: Duration = millis(500);
 /// The most registry entries in one response.
 const MAX_ENTRIES: usize = 400;
 /// How long after its start a node asks for the entries that it is missing.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(6);
 /// How long the replication of a shutdown to one member may take.
-const REPLICATION_TIMEOUT_MS: u64 = 350;
-const CALL_TIMEOUT_MS: u64 = 900;
+const REPLICATION_TIMEOUT: Duration = millis(350);
+const CALL_TIMEOUT: Duration = millis(900);
 
 pub(crate) struct SimulatedControlNode {
     pub(crate) address: SocketAddrV4,
@@ -39,12 +39,12 @@
     pub(crate) process: Option<Process>,
     pub(crate) incarnation: u64,
     pub(crate) disk: Disk,
-    /// It is replaced, and never starts is_second.
+    /// It is replaced, and never starts again.
     pub(crate) is_removed: bool,
     /// Since when no quorum reaches it, by the links of the network.
-    pub(crate) isolated_since: Option<u64>,
+    pub(crate) isolated_since: Option<Instant>,
     /// When a fault last affected it.
-    pub(crate) last_disturbed_at: u64,
+    pub(crate) last_disturbed_at: Instant,
 }
 
 /// The memory of a process.
@@ -58,7 +58,7 @@
     pending_acknowledgements: BTreeMap<u64, PendingAcknowledgement>,
     next_acknowledgement: u64,
     pub(crate) stage_role: StageRole,
-    started: Instant,
+    started_at: Instant,
     tick_count: u64,
 }
 
@@ -85,19 +85,20 @@
 impl Simulation {
     pub(crate) fn add_control_node(&mut self, bootstrap: bool) -> usize {
         let control_node = self.control_nodes.len();
-        let seeds = (0..3).map(address).collect();
-        let mut settings = Settings::new(address(control_node), self.tolerated_failures, bootstrap, seeds);
+        let (now, address) = (self.now(), control_node_address(control_node));
+        let seeds = (0..3).map(control_node_address).collect();
+        let mut settings = Settings::new(address, self.tolerated_failures, bootstrap, seeds);
         settings.injected_fault = self.faults.consensus;
         settings.log_rewrite_bytes = 20_000;
         self.control_nodes.push(SimulatedControlNode {
-            address: address(control_node),
+            address,
             settings,
             process: None,
             incarnation: 0,
             disk: Disk::default(),
             is_removed: false,
-            isolated_since: Some(self.now),
-            last_disturbed_at: self.now,
+            isolated_since: Some(now),
+            last_disturbed_at: now,
         });
         control_node
     }
@@ -106,13 +107,13 @@
         if self.control_nodes[control_node].is_removed || self.control_nodes[control_node].process.is_some() {
             return;
         }
-        let seed = self.rng.next_u64();
-        let source = SourceId(self.rng.next_u64());
-        let (now, injected) = (self.instant(), self.faults.control);
+        let seed = self.random.next_u64();
+        let source = SourceId(self.random.next_u64());
+        let (now, injected) = (self.now(), self.faults.control);
         let simulated = &mut self.control_nodes[control_node];
         simulated.incarnation += 1;
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let node = match Node::new(simulated.settings.clone(), &simulated.disk.records, now, rng) {
+        let node = match Node::new(simulated.settings.clone(), simulated.disk.records(), now, rng) {
             Ok(node) => node,
             Err(error) => {
                 return self
@@ -122,7 +123,7 @@
         };
         simulated.process = Some(Process {
             node,
-            registry: Registry::new(source, Duration::from_millis(HEARTBEAT_INTERVAL_MS)),
+            registry: Registry::new(source, HEARTBEAT_INTERVAL),
             history: ConfigHistory::with_injected_fault(injected),
             acknowledgements: ShutdownAcknowledgements::with_injected_fault(injected),
             client_requests: BTreeMap::new(),
@@ -130,26 +131,23 @@
             pending_acknowledgements: BTreeMap::new(),
             next_acknowledgement: 0,
             stage_role: StageRole::default(),
-            started: now,
+            started_at: now,
             tick_count: 0,
         });
         let incarnation = simulated.incarnation;
         self.note_disturbed(Party::Control(control_node));
         self.note_isolation();
-        let offset = self.random_below(TICK_MS);
+        let offset = self.random_duration_below(TICK_INTERVAL);
         self.after(offset, Event::ControlTick { control_node, incarnation });
     }
 
     /// Stops a process. Of the writes in flight a random number, the first ones, are on disk.
     pub(crate) fn stop_control_node(&mut self, control_node: usize) {
-        let kept = self.random_below(4) as usize;
+        let stored = self.random_below(4) as usize;
         let simulated = &mut self.control_nodes[control_node];
         simulated.process = None;
         simulated.incarnation += 1;
-        let queue = std::mem::take(&mut simulated.disk.queue);
-        for (_, rewrite, record) in queue.into_iter().take(kept) {
-            simulated.disk.put(rewrite, record);
-        }
+        simulated.disk.lose_unsynced(stored);
         self.network.paused.remove(&Party::Control(control_node));
         self.note_disturbed(Party::Control(control_node));
         self.note_isolation();
@@ -157,7 +155,7 @@
 
     pub(crate) fn wipe_control_node(&mut self, control_node: usize) {
         self.stop_control_node(control_node);
-        self.control_nodes[control_node].disk = Disk::default();
+        self.control_nodes[control_node].disk.wipe();
         self.control_nodes[control_node].settings.bootstrap = false;
     }
 
@@ -170,12 +168,12 @@
         if !self.is_paused(Party::Control(control_node)) {
             self.tick_control_node(control_node);
         }
-        self.after(TICK_MS, Event::ControlTick { control_node, incarnation });
+        self.after(TICK_INTERVAL, Event::ControlTick { control_node, incarnation });
     }
 
     pub(crate) fn tick_control_node(&mut self, control_node: usize) {
         self.step_consensus(control_node, Input::Tick);
-        let now = self.instant();
+        let now = self.now();
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         process.tick_count += 1;
         let tick_count = process.tick_count;
--- a/crates/control-plane/tests/fleet/control_node/calls.rs
+++ b/crates/control-plane/tests/fleet/control_node/calls.rs
@@ -4,11 +4,17 @@
 
 use mosshead_registry::{SourceId, VersionVector};
 use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
-use super::{CALL_TIMEOUT_MS, MAX_ENTRIES, RECOVERY_WINDOW, REPLICATION_TIMEOUT_MS};
+use super::{CALL_TIMEOUT, MAX_ENTRIES, RECOVERY_WINDOW, REPLICATION_TIMEOUT};
 use crate::messages::{Call, FetchedConfig, Party, PendingCall, Purpose, ReplyTo, Response, Updates};
 use crate::simulation::Simulation;
 
+/// The heartbeats of this time are compared with those of other control nodes.
+const HEARTBEATS_COMPARED: Duration = millis(1_500);
+/// The most registry entries that a node hands to one that is missing some.
+const MAX_ENTRIES_HANDED: usize = 5_000;
+
 impl Simulation {
     pub(super) fn others(&self, control_node: usize) -> Vec<usize> {
         self.members().into_iter().filter(|other| *other != control_node).collect()
@@ -20,14 +26,14 @@
             let vector = process.registry.vector();
             let call = Call::WatchUpdates { vector, is_proxy: false };
             let purpose = Purpose::WatchPeer { other: self.control_nodes[other].address };
-            self.request(Party::Control(control_node), Party::Control(other), call, purpose, CALL_TIMEOUT_MS);
+            self.request(Party::Control(control_node), Party::Control(other), call, purpose, CALL_TIMEOUT);
         }
     }
 
     pub(super) fn compare_heartbeats(&mut self, control_node: usize, now: Instant) {
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         process.registry.tick(now);
-        let digest = process.registry.heartbeats_since(now - Duration::from_millis(1_500));
+        let digest = process.registry.heartbeats_since(now - HEARTBEATS_COMPARED);
         let source = process.registry.local_id().0;
         for other in self.others(control_node) {
             let call = Call::CompareHeartbeats { source, digest: digest.clone() };
@@ -36,7 +42,7 @@
                 Party::Control(other),
                 call,
                 Purpose::Ignore,
-                REPLICATION_TIMEOUT_MS,
+                REPLICATION_TIMEOUT,
             );
         }
     }
@@ -51,14 +57,14 @@
             }
             Call::FetchConfig { known_revision } => self.serve_fetch(control_node, reply_to, known_revision),
             Call::ReplicateEntries { delta } => {
-                let now = self.instant();
+                let now = self.now();
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
                 process.registry.merge(now, delta);
                 let vector = process.registry.vector();
                 self.reply(control_node, reply_to, Response::Replicated(vector));
             }
             Call::CompareHeartbeats { source, digest } => {
-                let now = self.instant();
+                let now = self.now();
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
                 let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
                 process.registry.record_remote_heartbeats(now, SourceId(source), digest);
@@ -66,14 +72,14 @@
             Call::ChangeConfig { change } => self.admit(control_node, reply_to, change),
             Call::ReadConfig => self.read_config(control_node, reply_to),
             Call::Heartbeat(server) => {
-                let now = self.instant();
+                let now = self.now();
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
                 let id = server.id.clone();
                 let outcome = process.registry.record_heartbeat(now, server);
                 self.acknowledge_or_replicate(control_node, reply_to, &id, outcome);
             }
             Call::Deregister { id } => {
-                let now = self.instant();
+                let now = self.now();
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
                 let outcome = process.registry.deregister(now, &id);
                 self.acknowledge_or_replicate(control_node, reply_to, &id, outcome);
@@ -89,7 +95,7 @@
         vector: &VersionVector,
         is_proxy: bool,
     ) {
-        let now = self.instant();
+        let now = self.now();
         let control_nodes: Vec<SocketAddrV4> =
             self.members().into_iter().map(|control_node| self.control_nodes[control_node].address).collect();
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
@@ -97,7 +103,7 @@
             process.registry.mark_replicated(vector);
         }
         let contact = process.contact(now);
-        let is_new = now < process.started + RECOVERY_WINDOW;
+        let is_new = now < process.started_at + RECOVERY_WINDOW;
         let has_missing_entries =
             process.registry.has_unknown_source(vector) || process.registry.is_behind(vector);
         let response = Updates {
@@ -111,10 +117,10 @@
     }
 
     pub(super) fn serve_fetch(&mut self, control_node: usize, reply_to: ReplyTo, known_revision: u64) {
-        let isolated_millis = self.isolated_millis(control_node);
+        let isolated_for = self.isolated_for(control_node);
         let Some(process) = &self.control_nodes[control_node].process else { return };
-        let offer = process.history.offer(known_revision, process.contact(self.instant()));
-        self.reply(control_node, reply_to, Response::Config(FetchedConfig { offer, isolated_millis }));
+        let offer = process.history.offer(known_revision, process.contact(self.now()));
+        self.reply(control_node, reply_to, Response::Config(FetchedConfig { offer, isolated_for }));
     }
 
     pub(crate) fn on_control_node_response(
@@ -123,7 +129,7 @@
         pending: PendingCall,
         response: Option<Response>,
     ) {
-        let now = self.instant();
+        let now = self.now();
         match (pending.purpose, response) {
             (Purpose::Replicate { acknowledgement, other, is_second }, response) => {
                 self.on_replicated(control_node, acknowledgement, other, is_second, response);
@@ -135,14 +141,15 @@
                     && let Some(to) = self.control_node_at(other)
                 {
                     let Some(process) = &self.control_nodes[control_node].process else { return };
-                    let delta = process.registry.missing_entries(&VersionVector::default(), 5_000);
+                    let delta =
+                        process.registry.missing_entries(&VersionVector::default(), MAX_ENTRIES_HANDED);
                     let call = Call::ReplicateEntries { delta };
                     self.request(
                         Party::Control(control_node),
                         Party::Control(to),
                         call,
                         Purpose::Ignore,
-                        CALL_TIMEOUT_MS,
+                        CALL_TIMEOUT,
                     );
                 }
             }
--- a/crates/control-plane/tests/fleet/control_node/client_requests.rs
+++ b/crates/control-plane/tests/fleet/control_node/client_requests.rs
@@ -5,6 +5,7 @@
     AdmissionStep, ChangeAdmission, ChangeResponse, InjectedFault, OperatorChange, PrimaryHint, ReadResponse,
     read_response,
 };
+use mosshead_time::Duration;
 
 use crate::messages::{ReplyTo, Response};
 use crate::simulation::{Event, Simulation};
@@ -30,7 +31,7 @@
         let (state, config) = (process.node.committed_state().cloned(), process.history.current().cloned());
         let (admission, step) = ChangeAdmission::begin(
             request,
-            process.known_primary(self.instant(), self.faults.primary_by_role),
+            process.known_primary(self.now(), self.faults.primary_by_role),
             state.as_ref(),
             config,
             injected,
@@ -69,7 +70,7 @@
 
     pub(super) fn read_config(&mut self, control_node: usize, reply_to: ReplyTo) {
         let Some(process) = &self.control_nodes[control_node].process else { return };
-        let response = match process.known_primary(self.instant(), self.faults.primary_by_role) {
+        let response = match process.known_primary(self.now(), self.faults.primary_by_role) {
             PrimaryHint::Local => {
                 let request_id = self.new_client_request(control_node, ClientRequest::Read(reply_to));
                 return self.step_consensus(control_node, Input::Read { request_id });
@@ -103,7 +104,7 @@
                 let is_accepted = matches!(response, ChangeResponse::Accepted { .. });
                 self.reply(control_node, reply_to, Response::Change(response));
                 if is_accepted && let Some(action) = self.after_change.take() {
-                    self.after(0, Event::Fault(action));
+                    self.after(Duration::ZERO, Event::Fault(action));
                 }
             }
         }
--- a/crates/control-plane/tests/fleet/control_node/consensus.rs
+++ b/crates/control-plane/tests/fleet/control_node/consensus.rs
@@ -1,28 +1,17 @@
-//! The consensus node of a control node, and its disk.
-
-use std::collections::VecDeque;
+//! The consensus node of a control node, and the writes to its disk.
 
 use mosshead_consensus::{Input, Member, Message, Output};
+use mosshead_time::Duration;
+use mosshead_virtual_fleet::{DiskWrite, millis};
 
 use crate::messages::{Packet, Party};
 use crate::simulation::{Event, Simulation};
 
-/// The disk of a control node.
-#[derive(Default)]
-pub(crate) struct Disk {
-    pub(crate) records: Vec<Vec<u8>>,
-    /// Writes in flight: token, whether the log is replaced, record.
-    pub(super) queue: VecDeque<(u64, bool, Vec<u8>)>,
-}
-
-impl Disk {
-    pub(super) fn put(&mut self, rewrite: bool, record: Vec<u8>) {
-        if rewrite {
-            self.records.clear();
-        }
-        self.records.push(record);
-    }
-}
+/// The shortest time of a write, and what less than may be added.
+const MIN_WRITE_TIME: Duration = millis(2);
+const WRITE_TIME_VARIATION: Duration = millis(4);
+/// Whether a paused process goes on is looked at in such intervals.
+const PAUSE_CHECK_INTERVAL: Duration = millis(20);
 
 impl Simulation {
     pub(crate) fn on_consensus_message(&mut self, control_node: usize, from: Member, message: Message) {
@@ -30,7 +19,7 @@
     }
 
     pub(super) fn step_consensus(&mut self, control_node: usize, input: Input) {
-        let now = self.instant();
+        let now = self.now();
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         let outputs = process.node.step(now, input);
         let member = process.node.local_member();
@@ -47,8 +36,12 @@
                     self.send(Party::Control(control_node), Party::Control(to), packet);
                 }
             }
-            Output::Write { token, record } => self.write(control_node, token, false, record),
-            Output::Rewrite { token, record } => self.write(control_node, token, true, record),
+            Output::Write { token, record } => {
+                self.submit_write(control_node, DiskWrite { token, replaces_log: false, record });
+            }
+            Output::Rewrite { token, record } => {
+                self.submit_write(control_node, DiskWrite { token, replaces_log: true, record });
+            }
             Output::Reply { request_id, reply } => self.on_client_reply(control_node, request_id, reply),
             Output::StateCommitted { state } => {
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
@@ -63,28 +56,31 @@
         }
     }
 
-    pub(super) fn write(&mut self, control_node: usize, token: u64, rewrite: bool, record: Vec<u8>) {
-        let incarnation = self.control_nodes[control_node].incarnation;
-        self.control_nodes[control_node].disk.queue.push_back((token, rewrite, record));
-        if self.control_nodes[control_node].disk.queue.len() == 1 {
-            let span = 2 + self.random_below(4);
-            self.after(span, Event::Disk { control_node, incarnation });
+    fn submit_write(&mut self, control_node: usize, write: DiskWrite) {
+        self.control_nodes[control_node].disk.submit(write);
+        if self.control_nodes[control_node].disk.in_flight_count() == 1 {
+            self.start_write(control_node);
         }
     }
 
+    fn start_write(&mut self, control_node: usize) {
+        let incarnation = self.control_nodes[control_node].incarnation;
+        let write_time = MIN_WRITE_TIME + self.random_duration_below(WRITE_TIME_VARIATION);
+        self.after(write_time, Event::DiskWrite { control_node, incarnation });
+    }
+
     pub(crate) fn on_disk_write(&mut self, control_node: usize, incarnation: u64) {
         if self.control_nodes[control_node].incarnation != incarnation {
             return;
         }
         if self.is_paused(Party::Control(control_node)) {
-            return self.after(20, Event::Disk { control_node, incarnation });
+            return self.after(PAUSE_CHECK_INTERVAL, Event::DiskWrite { control_node, incarnation });
         }
         let disk = &mut self.control_nodes[control_node].disk;
-        let Some((token, rewrite, record)) = disk.queue.pop_front() else { return };
-        disk.put(rewrite, record);
-        if !disk.queue.is_empty() {
-            let span = 2 + self.random_below(4);
-            self.after(span, Event::Disk { control_node, incarnation });
+        let Some(DiskWrite { token, replaces_log, record }) = disk.take_first() else { return };
+        disk.store(replaces_log, record);
+        if disk.in_flight_count() > 0 {
+            self.start_write(control_node);
         }
         self.step_consensus(control_node, Input::Written { token });
     }
--- a/crates/control-plane/tests/fleet/control_node/shutdowns.rs
+++ b/crates/control-plane/tests/fleet/control_node/shutdowns.rs
@@ -7,7 +7,7 @@
 };
 use mosshead_registry::{HeartbeatOutcome, RegistrationError, VersionVector};
 
-use super::{MAX_ENTRIES, REPLICATION_TIMEOUT_MS};
+use super::{MAX_ENTRIES, REPLICATION_TIMEOUT};
 use crate::messages::{Call, Party, Purpose, ReplyTo, Response, ServerResponse};
 use crate::simulation::Simulation;
 
@@ -26,7 +26,7 @@
         id: &str,
         outcome: Result<HeartbeatOutcome, RegistrationError>,
     ) {
-        let (now, tolerated_failures) = (self.instant(), self.tolerated_failures);
+        let (now, tolerated_failures) = (self.now(), self.tolerated_failures);
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         let Ok(outcome) = outcome else {
             return self.reply_to_server(control_node, reply_to, false);
@@ -70,13 +70,13 @@
                 Party::Control(to),
                 Call::ReplicateEntries { delta },
                 purpose,
-                REPLICATION_TIMEOUT_MS,
+                REPLICATION_TIMEOUT,
             );
         }
     }
 
     pub(super) fn decide(&mut self, control_node: usize, number: u64) {
-        let now = self.instant();
+        let now = self.now();
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         let contact = process.contact(now);
         let Some(acknowledgement) = process.pending_acknowledgements.get(&number) else { return };
@@ -95,11 +95,11 @@
     }
 
     pub(super) fn reply_to_server(&mut self, control_node: usize, reply_to: ReplyTo, is_acknowledged: bool) {
-        let isolated_millis = self.isolated_millis(control_node);
+        let isolated_for = self.isolated_for(control_node);
         self.reply(
             control_node,
             reply_to,
-            Response::Server(ServerResponse { is_acknowledged, isolated_millis }),
+            Response::Server(ServerResponse { is_acknowledged, isolated_for }),
         );
     }
 
--- a/crates/control-plane/tests/fleet/fault_actions.rs
+++ b/crates/control-plane/tests/fleet/fault_actions.rs
@@ -1,10 +1,16 @@
 //! Faults: partitions, pauses, restarts, losses of disks and of power, and what they do to the fleet.
 
+use mosshead_registry::OperState;
+use mosshead_time::Duration;
+use mosshead_virtual_fleet::{control_node_address, millis};
+
 use crate::messages::Party;
-use crate::simulation::{Event, Simulation, address};
+use crate::simulation::{Event, Simulation};
 
-/// How long after a fault a control node is synchronized again, in milliseconds.
-const SYNC_MS: u64 = 5_000;
+/// How long after a fault a control node is synchronized again.
+const SYNC_TIME: Duration = millis(5_000);
+/// How long the control nodes stay down that have acknowledged a shutdown.
+const REPLICAS_LOST_FOR: Duration = millis(6_000);
 
 /// A fault, or the end of one.
 #[derive(Clone, Debug)]
@@ -17,7 +23,7 @@
     LosePrimary {
         count: usize,
         wipe: bool,
-        back: u64,
+        restart_after: Duration,
     },
     /// As many control nodes that have a server's shutdown as may fail are stopped, and the server ends. Only if it was
     /// acknowledged by the node `only`, if one is named.
@@ -56,7 +62,7 @@
 impl Simulation {
     /// Whether a fault affects a control node, or it is not synchronized again after one.
     fn is_disturbed(&self, control_node: usize) -> bool {
-        self.is_disturbed_since(Party::Control(control_node), self.now.saturating_sub(SYNC_MS))
+        self.is_disturbed_since(Party::Control(control_node), self.now() - SYNC_TIME)
     }
 
     /// Control nodes that may fail now; in half of the cases the primary is the first.
@@ -68,12 +74,12 @@
         let mut healthy: Vec<usize> =
             members.into_iter().filter(|control_node| !self.is_disturbed(*control_node)).collect();
         let mut chosen: Vec<usize> = Vec::new();
-        if self.random_below(2) == 0 {
+        if self.random.is_one_in(2) {
             chosen.extend(self.primary().filter(|control_node| healthy.contains(control_node)));
         }
         while chosen.len() < healthy.len() {
-            let at = self.random_below(healthy.len() as u64) as usize;
-            let control_node = healthy.swap_remove(at);
+            let index = self.random.index(healthy.len());
+            let control_node = healthy.swap_remove(index);
             if !chosen.contains(&control_node) {
                 chosen.push(control_node);
             }
@@ -82,11 +88,12 @@
         chosen
     }
 
-    fn span(&mut self) -> u64 {
+    /// How long a fault lasts: a moment, some seconds, or long.
+    fn draw_fault_duration(&mut self) -> Duration {
         match self.random_below(3) {
-            0 => 200 + self.random_below(1_500),
-            1 => 1_500 + self.random_below(5_000),
-            _ => 20_000,
+            0 => millis(200) + self.random_duration_below(millis(1_500)),
+            1 => millis(1_500) + self.random_duration_below(millis(5_000)),
+            _ => millis(20_000),
         }
     }
 
@@ -96,18 +103,19 @@
         if control_nodes.is_empty() {
             return;
         }
-        let proxies: Vec<usize> = (0..self.proxies.len()).filter(|_| self.one_in_three()).collect();
-        let restart = self.random_below(2) == 0;
+        let proxies: Vec<usize> = (0..self.proxies.len()).filter(|_| self.random.is_one_in(3)).collect();
+        let restart = self.random.is_one_in(2);
         for &proxy in &proxies {
             // Often with seeds in its own partition only.
             if restart {
-                let seeds: Vec<_> = control_nodes.iter().map(|control_node| address(*control_node)).collect();
+                let seeds: Vec<_> =
+                    control_nodes.iter().map(|control_node| control_node_address(*control_node)).collect();
                 self.start_proxy(proxy, &seeds);
             }
         }
         let side: Vec<Party> = control_nodes
             .iter()
-            .map(|c| Party::Control(*c))
+            .map(|control_node| Party::Control(*control_node))
             .chain(proxies.iter().map(|p| Party::Proxy(*p)))
             .collect();
         let others: Vec<Party> = self.inner_parties().into_iter().filter(|p| !side.contains(p)).collect();
@@ -117,15 +125,11 @@
             _ => self.partition(&side, &others),
         }
         self.partitioned.extend(side.iter().copied());
-        self.trace(|| format!("partition {side:?}, {} links", self.network.partitions.len()));
-        let span = self.span();
+        self.trace(|| format!("partition {side:?}, {} links", self.network.links.cut_count()));
+        let span = self.draw_fault_duration();
         self.after(span, Event::Fault(FaultAction::Heal));
     }
 
-    fn one_in_three(&mut self) -> bool {
-        self.random_below(3) == 0
-    }
-
     fn inner_parties(&self) -> Vec<Party> {
         let control_nodes = self.members().into_iter().map(Party::Control);
         control_nodes.chain((0..self.proxies.len()).map(Party::Proxy)).collect()
@@ -136,7 +140,7 @@
         for control_node in self.pick_to_disturb(max_count) {
             self.trace(|| format!("pause control node {control_node}"));
             self.pause(Party::Control(control_node));
-            let span = self.span();
+            let span = self.draw_fault_duration();
             self.after(span, Event::Fault(FaultAction::Resume(Party::Control(control_node))));
         }
     }
@@ -144,19 +148,19 @@
     pub(crate) fn restart_some(&mut self, wipe: bool) {
         let max_count = 1 + self.random_below(2) as usize;
         let control_nodes = self.pick_to_disturb(max_count);
-        let back = 100 + self.random_below(3_000);
-        self.stop_and_restart(&control_nodes, wipe, back);
+        let restart_after = millis(100) + self.random_duration_below(millis(3_000));
+        self.stop_and_restart(&control_nodes, wipe, restart_after);
     }
 
-    fn stop_and_restart(&mut self, control_nodes: &[usize], wipe: bool, back: u64) {
-        self.trace(|| format!("stop {control_nodes:?}, disks too: {wipe}, back after {back}"));
+    fn stop_and_restart(&mut self, control_nodes: &[usize], wipe: bool, restart_after: Duration) {
+        self.trace(|| format!("stop {control_nodes:?}, disks too: {wipe}, for {restart_after:?}"));
         for &control_node in control_nodes {
             if wipe {
                 self.wipe_control_node(control_node);
             } else {
                 self.stop_control_node(control_node);
             }
-            self.after(back, Event::Fault(FaultAction::Start(control_node)));
+            self.after(restart_after, Event::Fault(FaultAction::Start(control_node)));
         }
     }
 
@@ -166,8 +170,8 @@
         self.stop_control_node(control_node);
         self.control_nodes[control_node].is_removed = true;
         let newcomer = self.add_control_node(false);
-        let back = self.random_below(2_000);
-        self.after(back, Event::Fault(FaultAction::Start(newcomer)));
+        let start_after = self.random_duration_below(millis(2_000));
+        self.after(start_after, Event::Fault(FaultAction::Start(newcomer)));
     }
 
     pub(crate) fn lose_power(&mut self) {
@@ -175,19 +179,19 @@
         for control_node in self.running() {
             self.stop_control_node(control_node);
         }
-        let back = 100 + self.random_below(2_000);
-        self.after(back, Event::Fault(FaultAction::StartAll));
+        let restart_after = millis(100) + self.random_duration_below(millis(2_000));
+        self.after(restart_after, Event::Fault(FaultAction::StartAll));
     }
 
     pub(crate) fn disturb_proxy(&mut self) {
-        let proxy = self.random_below(self.proxies.len() as u64) as usize;
+        let proxy = self.random.index(self.proxies.len());
         self.trace(|| format!("fault at proxy {proxy}"));
-        if self.random_below(2) == 0 {
-            let seeds: Vec<_> = (0..3).map(address).collect();
+        if self.random.is_one_in(2) {
+            let seeds: Vec<_> = (0..3).map(control_node_address).collect();
             self.start_proxy(proxy, &seeds);
         } else {
             self.pause(Party::Proxy(proxy));
-            let span = self.span();
+            let span = self.draw_fault_duration();
             self.after(span, Event::Fault(FaultAction::Resume(Party::Proxy(proxy))));
         }
     }
@@ -198,7 +202,7 @@
         self.trace(|| "isolate all".to_owned());
         self.partition(&control_nodes, &control_nodes);
         self.partitioned.extend(control_nodes);
-        let span = 500 + self.random_below(5_000);
+        let span = millis(500) + self.random_duration_below(millis(5_000));
         self.after(span, Event::Fault(FaultAction::Heal));
     }
 
@@ -218,16 +222,16 @@
             FaultAction::StartAll => {
                 self.members().into_iter().for_each(|control_node| self.start_control_node(control_node));
             }
-            FaultAction::LosePrimary { count, wipe, back } => {
+            FaultAction::LosePrimary { count, wipe, restart_after } => {
                 let Some(primary) = self.primary() else { return };
                 let mut control_nodes = self.pick_to_disturb(count);
                 if !control_nodes.is_empty()
                     && !control_nodes.contains(&primary)
-                    && self.control_nodes[primary].last_disturbed_at < self.now
+                    && self.control_nodes[primary].last_disturbed_at < self.now()
                 {
                     control_nodes[0] = primary;
                 }
-                self.stop_and_restart(&control_nodes, wipe, back);
+                self.stop_and_restart(&control_nodes, wipe, restart_after);
             }
             FaultAction::LoseReplicas { shutdown, .. } => self.lose_replicas(shutdown),
         }
@@ -238,7 +242,7 @@
         let has_entry = |control_node: &usize| {
             let process = self.control_nodes[*control_node].process.as_ref();
             let entry = process.and_then(|process| process.registry.get(&id));
-            entry.is_some_and(|entry| entry.state > mosshead_registry::OperState::Up)
+            entry.is_some_and(|entry| entry.state > OperState::Up)
         };
         let mut control_nodes = vec![control_node];
         control_nodes
@@ -247,6 +251,6 @@
         let disturbed = others.filter(|other| self.is_disturbed(*other)).count();
         control_nodes.truncate(self.tolerated_failures.saturating_sub(disturbed));
         self.end_server(server, &id);
-        self.stop_and_restart(&control_nodes, false, 6_000);
+        self.stop_and_restart(&control_nodes, false, REPLICAS_LOST_FOR);
     }
 }
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -6,6 +6,7 @@
 use mosshead_control_plane::{ChangeResponse, ConfigOffer, QuorumContact, ReadResponse};
 use mosshead_registry::{Delta, Server, Stage, VersionVector};
 use mosshead_stage_scheduler::AssignmentOutcome;
+use mosshead_time::Duration;
 
 /// Who sends and receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -86,7 +87,7 @@
 pub(crate) struct FetchedConfig {
     pub(crate) offer: ConfigOffer,
     /// How long no quorum had reached the node when it responded, by the links of the network: for the checker only.
-    pub(crate) isolated_millis: u64,
+    pub(crate) isolated_for: Duration,
 }
 
 /// The response to a heartbeat or a deregistration.
@@ -94,7 +95,7 @@
 pub(crate) struct ServerResponse {
     pub(crate) is_acknowledged: bool,
     /// As with [`FetchedConfig`].
-    pub(crate) isolated_millis: u64,
+    pub(crate) isolated_for: Duration,
 }
 
 /// What a call was sent for.
--- a/crates/control-plane/tests/fleet/network.rs
+++ b/crates/control-plane/tests/fleet/network.rs
@@ -2,17 +2,22 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+use mosshead_time::Duration;
+use mosshead_virtual_fleet::{Links, Noise, millis};
+
 use crate::messages::{Call, Packet, Party, PendingCall, Purpose, ReplyTo, Response};
 use crate::simulation::{Event, Simulation};
 
+/// A paused process notices in such intervals that a call has timed out.
+const TIMEOUT_CHECK_INTERVAL: Duration = millis(50);
+
 #[derive(Default)]
 pub(crate) struct Network {
-    /// Links that are down, each in one direction.
-    pub(crate) partitions: BTreeSet<(Party, Party)>,
+    pub(crate) links: Links<Party>,
     /// The packets that wait for each paused process.
     pub(crate) paused: BTreeMap<Party, Vec<(Party, Packet)>>,
-    /// How many packets of a thousand are lost, delayed or duplicated, each.
-    pub(crate) noise_per_mille: u64,
+    /// Only packets of consensus are duplicated.
+    pub(crate) noise: Noise,
     /// How many responses of a thousand to operators are lost.
     pub(crate) response_loss_per_mille: u64,
     pub(crate) pending: BTreeMap<u64, PendingCall>,
@@ -25,25 +30,35 @@
     }
 
     pub(crate) fn is_partitioned(&self, from: Party, to: Party) -> bool {
-        self.network.partitions.contains(&(from, to))
+        self.network.links.is_cut(from, to)
     }
 
     pub(crate) fn send(&mut self, from: Party, to: Party, packet: Packet) {
-        let noise_per_mille = self.network.noise_per_mille;
-        if self.is_partitioned(from, to) || self.random_below(1_000) < noise_per_mille {
+        let (noise, random) = (self.network.noise, &mut self.random);
+        if self.network.links.is_cut(from, to) || noise.draw_loss(random) {
             return;
         }
-        let late = if self.random_below(1_000) < noise_per_mille { self.random_below(500) } else { 0 };
-        let delay = 1 + self.random_below(3) + late;
-        if matches!(packet, Packet::Consensus { .. }) && self.random_below(1_000) < noise_per_mille {
-            let duplicate_delay = self.random_below(300);
-            self.after(duplicate_delay, Event::Deliver { from, to, packet: Box::new(packet.clone()) });
+        // The order of these draws is part of what a seed means.
+        let is_late = noise.draw_is_late(random);
+        let lateness = if is_late { noise.draw_lateness(random) } else { Duration::ZERO };
+        let delay = noise.draw_delay(random) + lateness;
+        if matches!(packet, Packet::Consensus { .. })
+            && let Some(delay_of_copy) = noise.draw_duplicate(random)
+        {
+            self.after(delay_of_copy, Event::Deliver { from, to, packet: Box::new(packet.clone()) });
         }
         self.after(delay, Event::Deliver { from, to, packet: Box::new(packet) });
     }
 
     /// Sends a call. Its sender gets the response, or notice of the timeout.
-    pub(crate) fn request(&mut self, from: Party, to: Party, call: Call, purpose: Purpose, timeout: u64) {
+    pub(crate) fn request(
+        &mut self,
+        from: Party,
+        to: Party,
+        call: Call,
+        purpose: Purpose,
+        timeout: Duration,
+    ) {
         let request = self.network.next_request;
         self.network.next_request += 1;
         let incarnation = self.incarnation(from);
@@ -54,7 +69,7 @@
 
     pub(crate) fn reply(&mut self, control_node: usize, reply_to: ReplyTo, response: Response) {
         let to_operator = matches!(reply_to.from, Party::Operator(_));
-        if to_operator && self.random_below(1_000) < self.network.response_loss_per_mille {
+        if to_operator && self.random.is_per_mille(self.network.response_loss_per_mille) {
             return;
         }
         let packet = Packet::Response { request: reply_to.request, response };
@@ -91,7 +106,7 @@
     pub(crate) fn timeout(&mut self, request: u64) {
         let Some(pending) = self.network.pending.get(&request) else { return };
         if self.is_paused(pending.from) {
-            self.after(50, Event::Timeout { request });
+            self.after(TIMEOUT_CHECK_INTERVAL, Event::Timeout { request });
         } else {
             self.finish_call(request, None);
         }
@@ -122,7 +137,7 @@
     pub(crate) fn resume(&mut self, party: Party) {
         let Some(buffer) = self.network.paused.remove(&party) else { return };
         self.note_isolation();
-        if self.random_below(2) == 0
+        if self.random.is_one_in(2)
             && let Party::Control(control_node) = party
         {
             self.tick_control_node(control_node);
@@ -132,7 +147,7 @@
         for (from, packet) in buffer {
             connections.entry(from).or_default().push_back(packet);
         }
-        while let Some(from) = self.pick(&connections.keys().copied().collect::<Vec<_>>()) {
+        while let Some(from) = self.random.pick(&connections.keys().copied().collect::<Vec<_>>()) {
             match connections.get_mut(&from).and_then(VecDeque::pop_front) {
                 Some(packet) => self.receive(party, packet),
                 None => drop(connections.remove(&from)),
@@ -142,35 +157,29 @@
 
     /// Takes down all links between two groups, in both directions.
     pub(crate) fn partition(&mut self, one: &[Party], other: &[Party]) {
-        for &a in one {
-            for &b in other.iter().filter(|b| **b != a) {
-                self.network.partitions.insert((a, b));
-                self.network.partitions.insert((b, a));
-            }
-        }
+        self.network.links.partition(one, other);
         self.note_isolation();
     }
 
     /// Takes down all links from one group to another.
     pub(crate) fn partition_one_way(&mut self, from: &[Party], to: &[Party]) {
-        let pairs = from.iter().flat_map(|a| to.iter().map(|b| (*a, *b)));
-        self.network.partitions.extend(pairs.filter(|(a, b)| a != b));
+        self.network.links.cut_one_way(from, to);
         self.note_isolation();
     }
 
     pub(crate) fn heal(&mut self) {
-        self.network.partitions.clear();
+        self.network.links.heal();
         self.note_isolation();
     }
 
     /// Updates which control nodes no quorum reaches, directly or through others.
     pub(crate) fn note_isolation(&mut self) {
-        let running: Vec<usize> = self.running().into_iter().collect();
+        let running = self.running();
         let total = self.members().len();
         for control_node in self.members() {
             let count_reaching = self.count_reaching(control_node, &running);
             let is_isolated = 2 * count_reaching <= total || !running.contains(&control_node);
-            let now = self.now;
+            let now = self.now();
             let since = &mut self.control_nodes[control_node].isolated_since;
             match is_isolated {
                 true => *since = Some(since.unwrap_or(now)),
@@ -200,7 +209,9 @@
         }
     }
 
-    pub(crate) fn isolated_millis(&self, control_node: usize) -> u64 {
-        self.control_nodes[control_node].isolated_since.map_or(0, |since| self.now - since)
+    /// For how long no quorum has reached a control node.
+    pub(crate) fn isolated_for(&self, control_node: usize) -> Duration {
+        let since = self.control_nodes[control_node].isolated_since;
+        since.map_or(Duration::ZERO, |since| self.now() - since)
     }
 }
--- a/crates/control-plane/tests/fleet/operator.rs
+++ b/crates/control-plane/tests/fleet/operator.rs
@@ -1,28 +1,35 @@
 //! Operators that race for one revision: each repeats a call unchanged, to any control node, until its result is known.
 
 use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
 
 use mosshead_control_plane::{ChangeKind, ChangeResponse, ReadResponse};
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
 use crate::checker::applied_changes;
 use crate::messages::{Call, Party, PendingCall, Purpose, Response};
 use crate::simulation::{Event, Simulation};
 
-const TICK_INTERVAL_MS: u64 = 40;
+/// An operator sends its first call after this.
+const FIRST_CALL_DELAY: Duration = millis(800);
+const TICK_INTERVAL: Duration = millis(40);
 /// How long an operator waits for a response.
-const RESPONSE_TIMEOUT_MS: u64 = 1_000;
+const RESPONSE_TIMEOUT: Duration = millis(1_000);
+/// How many accepted changes an operator remembers, to repeat them.
+const MAX_REMEMBERED_CHANGES: usize = 40;
 const MAX_REDIRECTS: usize = 2;
 
 #[derive(Default)]
 pub(crate) struct Operator {
-    /// The change whose result it does not know it yet.
+    /// The change whose result it does not know yet.
     change: Option<usize>,
     /// The revision that its next change builds on, and the changes that this one consists of.
     base: Option<(u64, BTreeSet<usize>)>,
     accepted: Vec<usize>,
     redirects: usize,
     is_waiting: bool,
-    idle_until: u64,
+    idle_until: Instant,
     /// Reads the configuration back before its next new change.
     reads_next: bool,
 }
@@ -39,13 +46,14 @@
     pub(crate) fn add_operator(&mut self) {
         self.operators.push(Operator::default());
         let operator = self.operators.len() - 1;
-        self.after(800, Event::Operator { operator });
+        self.after(FIRST_CALL_DELAY, Event::Operator { operator });
     }
 
     pub(crate) fn on_operator_timer(&mut self, index: usize) {
-        self.after(TICK_INTERVAL_MS, Event::Operator { operator: index });
+        self.after(TICK_INTERVAL, Event::Operator { operator: index });
+        let now = self.now();
         let operator = &mut self.operators[index];
-        if operator.is_waiting || self.now < operator.idle_until {
+        if operator.is_waiting || now < operator.idle_until {
             return;
         }
         operator.redirects = 0;
@@ -53,22 +61,22 @@
             self.next_change(index);
         }
         let members = self.members();
-        if let Some(control_node) = self.pick(&members) {
+        if let Some(control_node) = self.random.pick(&members) {
             self.call(index, control_node);
         }
         // The same call twice at once, to two control nodes.
-        if self.random_below(10) == 0
+        if self.random.is_one_in(10)
             && self.operators[index].change.is_some()
-            && let Some(other) = self.pick(&members)
+            && let Some(other) = self.random.pick(&members)
         {
             self.call(index, other);
         }
     }
 
     fn next_change(&mut self, index: usize) {
-        let is_repeat = self.random_below(10) == 0;
+        let is_repeat = self.random.is_one_in(10);
         let accepted = self.operators[index].accepted.clone();
-        if is_repeat && let Some(change) = self.pick(&accepted) {
+        if is_repeat && let Some(change) = self.random.pick(&accepted) {
             self.operators[index].change = Some(change);
             return;
         }
@@ -87,13 +95,7 @@
             None => (Call::ReadConfig, Purpose::OperatorRead { acknowledged }),
         };
         self.operators[index].is_waiting = true;
-        self.request(
-            Party::Operator(index),
-            Party::Control(control_node),
-            call,
-            purpose,
-            RESPONSE_TIMEOUT_MS,
-        );
+        self.request(Party::Operator(index), Party::Control(control_node), call, purpose, RESPONSE_TIMEOUT);
     }
 
     pub(crate) fn on_operator_response(
@@ -103,8 +105,8 @@
         response: Option<Response>,
     ) {
         self.operators[index].is_waiting = false;
-        let idle_time = 50 + self.random_below(150);
-        self.operators[index].idle_until = self.now + idle_time;
+        let idle_time = millis(50) + self.random_duration_below(millis(150));
+        self.operators[index].idle_until = self.now() + idle_time;
         match (pending.purpose, response) {
             (Purpose::OperatorChange { change, acknowledged }, Some(Response::Change(response))) => {
                 self.on_change_response(index, change, acknowledged, response);
@@ -129,13 +131,13 @@
                 if revision != self.checker.changes[change].revision {
                     self.checker.report_violation("accepted", format!("change {change} as {revision}"));
                 }
-                self.checker.accepted(self.now, change);
+                self.checker.on_accepted(self.now(), change);
                 if is_current {
                     self.change_accepted(index, change);
                 }
             }
-            ChangeResponse::Stale { current_revision: current } => {
-                self.checker.on_stale(change, current, acknowledged);
+            ChangeResponse::Stale { current_revision } => {
+                self.checker.on_stale(change, current_revision, acknowledged);
                 self.forget_change(index, is_current);
             }
             ChangeResponse::Invalid { .. } => {
@@ -148,23 +150,23 @@
                     format!("change {change} is small, and rejected as too large"),
                 );
             }
-            ChangeResponse::Redirect { primary: leader } if is_current => self.redirect(index, leader),
+            ChangeResponse::Redirect { primary } if is_current => self.redirect(index, primary),
             ChangeResponse::Redirect { .. } | ChangeResponse::Expired | ChangeResponse::Unavailable => {}
         }
     }
 
     fn change_accepted(&mut self, index: usize, change: usize) {
-        let idle_time = 100 + self.random_below(600);
+        let idle_until = self.now() + millis(100) + self.random_duration_below(millis(600));
         let continues = self.random_below(3) > 0;
         let record = &self.checker.changes[change];
         let base = (record.revision, record.applied_changes.clone());
         let operator = &mut self.operators[index];
         operator.change = None;
-        operator.idle_until = self.now + idle_time;
+        operator.idle_until = idle_until;
         let is_repeat = operator.accepted.contains(&change);
         operator.base = (continues && !is_repeat && !operator.reads_next).then_some(base);
         operator.accepted.push(change);
-        if operator.accepted.len() > 40 {
+        if operator.accepted.len() > MAX_REMEMBERED_CHANGES {
             operator.accepted.remove(0);
         }
     }
@@ -190,15 +192,15 @@
                 self.checker.on_read(0, "", acknowledged);
                 self.operators[index].base = Some((0, BTreeSet::new()));
             }
-            ReadResponse::Redirect { primary: leader } => self.redirect(index, leader),
+            ReadResponse::Redirect { primary } => self.redirect(index, primary),
             ReadResponse::Unavailable => {}
         }
     }
 
-    fn redirect(&mut self, index: usize, leader: std::net::SocketAddrV4) {
+    fn redirect(&mut self, index: usize, primary: SocketAddrV4) {
         self.operators[index].redirects += 1;
         if self.operators[index].redirects <= MAX_REDIRECTS
-            && let Some(control_node) = self.control_node_at(leader)
+            && let Some(control_node) = self.control_node_at(primary)
         {
             self.call(index, control_node);
         }
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -7,16 +7,18 @@
 use mosshead_control_plane::{AssembledConfig, ControlNodePool, WatchSession, assemble_config};
 use mosshead_registry::{Registry, SourceId, VersionVector};
 use mosshead_time::{Duration, Instant};
-use rand_core::RngCore;
+use mosshead_virtual_fleet::{control_node_address, millis};
 
-use crate::control_node::HEARTBEAT_INTERVAL_MS;
+use crate::control_node::HEARTBEAT_INTERVAL;
 use crate::messages::{Call, FetchedConfig, Party, PendingCall, Purpose, Response, Updates};
-use crate::simulation::{Event, Simulation, address};
+use crate::simulation::{Event, Simulation};
 
 pub(crate) const WATCH_SLOTS: usize = 3;
-const WATCH_INTERVAL_MS: u64 = 100;
-const WATCH_TIMEOUT_MS: u64 = 1_400;
-const FETCH_TIMEOUT_MS: u64 = 1_500;
+const WATCH_INTERVAL: Duration = millis(100);
+const WATCH_TIMEOUT: Duration = millis(1_400);
+const FETCH_TIMEOUT: Duration = millis(1_500);
+/// Without a control node to watch, the next attempt follows after this.
+const ACQUIRE_INTERVAL: Duration = millis(150);
 const MAX_REPLICATED_ENTRIES: usize = 5_000;
 
 pub(crate) struct Proxy {
@@ -27,7 +29,7 @@
     watch_slots: [WatchSlot; WATCH_SLOTS],
     is_fetching: bool,
     /// When a fault last affected it or its links.
-    pub(crate) last_disturbed_at: u64,
+    pub(crate) last_disturbed_at: Instant,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -38,36 +40,39 @@
 
 impl Simulation {
     pub(crate) fn add_proxy(&mut self) {
-        let source = SourceId(self.rng.next_u64());
+        let source = SourceId(self.random.next_u64());
         self.proxies.push(Proxy {
             incarnation: 0,
             config: None,
-            registry: Registry::read_replica(source, Duration::from_millis(HEARTBEAT_INTERVAL_MS)),
+            registry: Registry::read_replica(source, HEARTBEAT_INTERVAL),
             pool: ControlNodePool::default(),
             watch_slots: Default::default(),
             is_fetching: false,
-            last_disturbed_at: self.now,
+            last_disturbed_at: self.now(),
         });
-        let seeds = (0..3).map(address).collect::<Vec<_>>();
+        let seeds = (0..3).map(control_node_address).collect::<Vec<_>>();
         self.start_proxy(self.proxies.len() - 1, &seeds);
     }
 
     /// Restarts the process: it knows its seeds only.
     pub(crate) fn start_proxy(&mut self, index: usize, seeds: &[SocketAddrV4]) {
-        let source = SourceId(self.rng.next_u64());
-        let (now, injected) = (self.now, self.faults.proxy);
+        let source = SourceId(self.random.next_u64());
+        let (now, injected) = (self.now(), self.faults.proxy);
         self.network.paused.remove(&Party::Proxy(index));
         let proxy = &mut self.proxies[index];
         proxy.incarnation += 1;
         proxy.config = None;
-        proxy.registry = Registry::read_replica(source, Duration::from_millis(HEARTBEAT_INTERVAL_MS));
+        proxy.registry = Registry::read_replica(source, HEARTBEAT_INTERVAL);
         proxy.pool = ControlNodePool::new(seeds).with_injected_fault(injected);
         proxy.watch_slots = Default::default();
         proxy.is_fetching = false;
         proxy.last_disturbed_at = now;
         let incarnation = proxy.incarnation;
         for watch_slot in 0..WATCH_SLOTS {
-            self.after(1 + watch_slot as u64, Event::ProxySlot { proxy: index, incarnation, watch_slot });
+            self.after(
+                millis(1 + watch_slot as u64),
+                Event::ProxySlot { proxy: index, incarnation, watch_slot },
+            );
         }
     }
 
@@ -76,16 +81,16 @@
             return;
         }
         if self.is_paused(Party::Proxy(index)) {
-            return self.after(WATCH_INTERVAL_MS, Event::ProxySlot { proxy: index, incarnation, watch_slot });
+            return self.after(WATCH_INTERVAL, Event::ProxySlot { proxy: index, incarnation, watch_slot });
         }
-        let now = self.now;
+        let now = self.now();
         let proxy = &mut self.proxies[index];
         if proxy.watch_slots[watch_slot].control_node.is_none() {
-            let control_node = proxy.pool.acquire(Instant::from_millis(now));
+            let control_node = proxy.pool.acquire(now);
             proxy.watch_slots[watch_slot] = WatchSlot { control_node, session: WatchSession::default() };
         }
         let Some(control_node) = proxy.watch_slots[watch_slot].control_node else {
-            return self.after(150, Event::ProxySlot { proxy: index, incarnation, watch_slot });
+            return self.after(ACQUIRE_INTERVAL, Event::ProxySlot { proxy: index, incarnation, watch_slot });
         };
         let call = Call::WatchUpdates { vector: proxy.registry.vector(), is_proxy: true };
         self.proxy_request(
@@ -93,7 +98,7 @@
             control_node,
             call,
             Purpose::ProxyWatch { watch_slot, control_node },
-            WATCH_TIMEOUT_MS,
+            WATCH_TIMEOUT,
         );
     }
 
@@ -103,7 +108,7 @@
         control_node: SocketAddrV4,
         call: Call,
         purpose: Purpose,
-        timeout: u64,
+        timeout: Duration,
     ) {
         match self.control_node_at(control_node) {
             Some(to) => self.request(Party::Proxy(index), Party::Control(to), call, purpose, timeout),
@@ -138,12 +143,13 @@
     }
 
     fn leave_control_node(&mut self, index: usize, watch_slot: usize, control_node: SocketAddrV4) {
-        let now = self.now;
+        let now = self.now();
         let proxy = &mut self.proxies[index];
-        proxy.pool.release(Instant::from_millis(now), control_node);
+        proxy.pool.release(now, control_node);
         proxy.watch_slots[watch_slot].control_node = None;
         let incarnation = proxy.incarnation;
-        self.after(60 + 40 * watch_slot as u64, Event::ProxySlot { proxy: index, incarnation, watch_slot });
+        let pause = millis(60 + 40 * watch_slot as u64);
+        self.after(pause, Event::ProxySlot { proxy: index, incarnation, watch_slot });
     }
 
     fn on_proxy_updates(
@@ -153,15 +159,14 @@
         control_node: SocketAddrV4,
         updates: Updates,
     ) {
-        let now = self.now;
+        let now = self.now();
         let proxy = &mut self.proxies[index];
-        proxy.registry.merge(Instant::from_millis(now), updates.delta);
-        proxy.registry.tick(Instant::from_millis(now));
+        proxy.registry.merge(now, updates.delta);
+        proxy.registry.tick(now);
         proxy.pool.update_members(&updates.control_nodes, updates.contact);
-        let on_config_in_force = proxy.config.as_ref().map_or(0, |config| config.revision);
-        let wants = proxy.pool.should_fetch_config(on_config_in_force, updates.revision, updates.contact);
-        let continues =
-            proxy.watch_slots[watch_slot].session.should_continue(Instant::from_millis(now), updates.contact);
+        let known_revision = proxy.config.as_ref().map_or(0, |config| config.revision);
+        let wants = proxy.pool.should_fetch_config(known_revision, updates.revision, updates.contact);
+        let continues = proxy.watch_slots[watch_slot].session.should_continue(now, updates.contact);
         let incarnation = proxy.incarnation;
         let fetches = wants && !proxy.is_fetching;
         if updates.wants_entries {
@@ -171,7 +176,7 @@
                 control_node,
                 Call::ReplicateEntries { delta },
                 Purpose::Ignore,
-                WATCH_TIMEOUT_MS,
+                WATCH_TIMEOUT,
             );
         }
         if fetches {
@@ -180,13 +185,13 @@
             self.proxy_request(
                 index,
                 control_node,
-                Call::FetchConfig { known_revision: on_config_in_force },
+                Call::FetchConfig { known_revision },
                 purpose,
-                FETCH_TIMEOUT_MS,
+                FETCH_TIMEOUT,
             );
         }
         if continues {
-            self.after(WATCH_INTERVAL_MS, Event::ProxySlot { proxy: index, incarnation, watch_slot });
+            self.after(WATCH_INTERVAL, Event::ProxySlot { proxy: index, incarnation, watch_slot });
         } else {
             self.leave_control_node(index, watch_slot, control_node);
         }
@@ -207,7 +212,8 @@
                 // As in the data plane, the revision in force never goes back.
                 if proxy.config.as_ref().is_none_or(|own| own.revision < config.revision) {
                     proxy.config = Some(config.clone());
-                    self.checker.on_config_in_force(self.now, index, &config, fetched.isolated_millis);
+                    let now = self.now();
+                    self.checker.on_config_in_force(now, index, &config, fetched.isolated_for);
                 }
             }
             AssembledConfig::Mismatch if !is_full => {
@@ -218,7 +224,7 @@
                     control_node,
                     Call::FetchConfig { known_revision: 0 },
                     purpose,
-                    FETCH_TIMEOUT_MS,
+                    FETCH_TIMEOUT,
                 );
             }
             AssembledConfig::Mismatch | AssembledConfig::Withheld => {}
--- a/crates/control-plane/tests/fleet/random_run.rs
+++ b/crates/control-plane/tests/fleet/random_run.rs
@@ -1,14 +1,23 @@
 //! A random run: one fault after another, then a recovery in which everything must work again.
 
+use mosshead_time::Duration;
+use mosshead_virtual_fleet::millis;
+
 use crate::fault_actions::FaultAction;
 use crate::messages::Party;
 use crate::operator::Operator;
 use crate::simulation::{InjectedFaults, Simulation};
 
-/// How long the fleet has to recover, in milliseconds.
-const RECOVERY_MS: u64 = 10_000;
-/// Within this a proxy without faults has an acknowledged configuration in force, in milliseconds.
-const CONFIG_BOUND_MS: u64 = 4_000;
+/// Within this a new fleet works.
+const BOOTSTRAP_TIME: Duration = millis(5_000);
+/// How many faults strike in a run.
+const FAULTS_PER_RUN: usize = 6;
+/// How long the fleet has to recover.
+const RECOVERY_TIME: Duration = millis(10_000);
+/// Within this a proxy without faults has an acknowledged configuration in force.
+const CONFIG_BOUND: Duration = millis(4_000);
+/// Within this each operator reads the configuration back.
+const READ_BACK_TIME: Duration = millis(3_000);
 
 /// The random run of a seed.
 pub(crate) fn play(seed: u64, faults: InjectedFaults) -> Result<Simulation, String> {
@@ -20,10 +29,10 @@
 
 impl Simulation {
     fn run_random_faults(&mut self) -> Result<(), String> {
-        self.run(5_000)?;
-        for _ in 0..6 {
+        self.run(BOOTSTRAP_TIME)?;
+        for _ in 0..FAULTS_PER_RUN {
             self.inject_fault();
-            let pause = 500 + self.random_below(7_000);
+            let pause = millis(500) + self.random_duration_below(millis(7_000));
             self.run(pause)?;
         }
         self.recover()
@@ -35,12 +44,12 @@
         self.after_shutdown = None;
         self.heal_all();
         let accepted = self.checker.accepted_count();
-        self.run(RECOVERY_MS)?;
-        let (now, reads) = (self.now, self.checker.reads);
+        self.run(RECOVERY_TIME)?;
+        let (now, reads) = (self.now(), self.checker.reads);
         if self.checker.accepted_count() == accepted {
             return Err(format!("at {now}: no change was accepted in the recovery"));
         }
-        let wanted = self.checker.acknowledged_by(now - CONFIG_BOUND_MS);
+        let wanted = self.checker.acknowledged_by(now - CONFIG_BOUND);
         for (index, proxy) in self.proxies.iter().enumerate() {
             let revision = proxy.config.as_ref().map_or(0, |config| config.revision);
             if revision < wanted {
@@ -48,7 +57,7 @@
             }
         }
         self.operators.iter_mut().for_each(Operator::read_back_next);
-        self.run(3_000)?;
+        self.run(READ_BACK_TIME)?;
         if self.checker.reads == reads {
             return Err("nothing was read back in the recovery".into());
         }
@@ -73,9 +82,9 @@
             7 => self.disturb_proxy(),
             8 => self.isolate_all(),
             9 | 10 => {
-                let (count, wipe, back) =
-                    (1 + self.random_below(2) as usize, self.random_below(2) == 0, self.random_below(2_500));
-                self.after_change = Some(FaultAction::LosePrimary { count, wipe, back });
+                let (count, wipe) = (1 + self.random_below(2) as usize, self.random.is_one_in(2));
+                let restart_after = self.random_duration_below(millis(2_500));
+                self.after_change = Some(FaultAction::LosePrimary { count, wipe, restart_after });
             }
             _ => self.after_shutdown = Some(FaultAction::LoseReplicas { only: None, shutdown: None }),
         }
--- a/crates/control-plane/tests/fleet/scenarios.rs
+++ b/crates/control-plane/tests/fleet/scenarios.rs
@@ -2,10 +2,11 @@
 //! servers that shut down through a minority or through control nodes that fail.
 
 use mosshead_control_plane::InjectedFault;
+use mosshead_virtual_fleet::{control_node_address, millis};
 
 use crate::fault_actions::FaultAction;
 use crate::messages::Party;
-use crate::simulation::{InjectedFaults, Simulation, address};
+use crate::simulation::{InjectedFaults, Simulation};
 
 const SEEDS: u64 = 40;
 
@@ -34,14 +35,14 @@
 /// A primary is paused until another one has committed changes, and resumed with calls waiting for it.
 fn paused_primary(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 1, faults);
-    simulation.run(5_000)?;
+    simulation.run(millis(5_000))?;
     for _ in 0..6 {
         let Some(primary) = simulation.primary() else { return Err("nobody is primary".into()) };
         simulation.pause(Party::Control(primary));
-        let span = 2_000 + simulation.random_below(2_000);
+        let span = millis(2_000) + simulation.random_duration_below(millis(2_000));
         simulation.run(span)?;
         simulation.resume(Party::Control(primary));
-        simulation.run(2_500)?;
+        simulation.run(millis(2_500))?;
     }
     simulation.recover()
 }
@@ -61,7 +62,7 @@
 /// their side that knows only these.
 fn proxy_in_minority(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 1 + (seed % 2) as usize, faults);
-    simulation.run(6_000)?;
+    simulation.run(millis(6_000))?;
     let Some(primary) = simulation.primary() else { return Err("nobody is primary".into()) };
     let others = simulation.members().into_iter().filter(|control_node| *control_node != primary);
     let minority: Vec<usize> =
@@ -72,10 +73,10 @@
     let others: Vec<Party> = all.filter(|party| !side.contains(party)).collect();
     simulation.partition(&side, &others);
     simulation.partitioned.extend(side);
-    simulation.run(3_000)?;
-    let seeds: Vec<_> = minority.iter().map(|control_node| address(*control_node)).collect();
+    simulation.run(millis(3_000))?;
+    let seeds: Vec<_> = minority.iter().map(|control_node| control_node_address(*control_node)).collect();
     simulation.start_proxy(0, &seeds);
-    simulation.run(17_000)?;
+    simulation.run(millis(17_000))?;
     if simulation.proxies[0].config.is_some() {
         return Err("quorum contact: the proxy in the minority has a configuration".into());
     }
@@ -101,7 +102,7 @@
 /// When it acknowledges one of them, it fails with the other node that has the entry, and the server ends.
 fn lost_replicas(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 2, faults);
-    simulation.run(6_000)?;
+    simulation.run(millis(6_000))?;
     for control_node in 0..3 {
         let others: Vec<Party> = simulation
             .members()
@@ -115,10 +116,10 @@
         simulation.partition(&[Party::Control(control_node)], &others);
         simulation.partitioned.insert(Party::Control(control_node));
         simulation.drain_all();
-        simulation.run(450)?;
+        simulation.run(millis(450))?;
         simulation.apply(FaultAction::Heal);
         simulation.after_shutdown = None;
-        simulation.run(14_000)?;
+        simulation.run(millis(14_000))?;
     }
     simulation.recover()
 }
@@ -136,13 +137,13 @@
 /// Two of five control nodes are partitioned together; servers that shut down reach them as well as the others.
 fn minority_of_two(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 2, faults);
-    simulation.run(5_000)?;
+    simulation.run(millis(5_000))?;
     let minority = [Party::Control(0), Party::Control(1)];
     let all = simulation.members().into_iter().map(Party::Control).chain((0..3).map(Party::Proxy));
     let others: Vec<Party> = all.filter(|party| !minority.contains(party)).collect();
     simulation.partition(&minority, &others);
     simulation.partitioned.extend(minority);
-    simulation.run(20_000)?;
+    simulation.run(millis(20_000))?;
     simulation.recover()
 }
 
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -3,34 +3,37 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use mosshead_registry::{OperState, Server, Stage};
+use mosshead_registry::{OperState, Registry, Server, Stage};
 use mosshead_stage_scheduler::AssignmentOutcome;
-use mosshead_time::Duration;
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
-use crate::checker::{AcknowledgedServer, ISOLATED_MS};
-use crate::control_node::HEARTBEAT_INTERVAL_MS;
+use crate::checker::{AcknowledgedServer, MAX_ISOLATION};
+use crate::control_node::HEARTBEAT_INTERVAL;
 use crate::messages::{Call, Packet, Party, Purpose, ReplyTo, Response};
 use crate::simulation::{Event, Simulation};
 
-const TICK_INTERVAL_MS: u64 = 100;
+const TICK_INTERVAL: Duration = millis(100);
+/// How long a server waits for a response.
+const RESPONSE_TIMEOUT: Duration = millis(1_000);
 /// Within this every proxy without faults knows an acknowledged shutdown.
-pub(crate) const SHUTDOWN_BOUND_MS: u64 = 5_000;
+const SHUTDOWN_BOUND: Duration = millis(5_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     Up {
-        until: u64,
+        until: Instant,
     },
     /// Reports that it is draining, and is not acknowledged yet.
     Draining,
     /// Draining is acknowledged: it goes on sending heartbeats, and deregisters then.
     Acknowledged {
-        until: u64,
+        until: Instant,
     },
     Deregistering,
     /// Has ended; a new incarnation starts at the address.
     Ended {
-        until: u64,
+        until: Instant,
     },
 }
 
@@ -40,7 +43,8 @@
     lifecycle: Lifecycle,
     control_node: Option<usize>,
     is_waiting: bool,
-    next: u64,
+    next_call_at: Instant,
+    /// The highest fencing token that it has seen.
     token: u64,
 }
 
@@ -61,7 +65,7 @@
             models: Vec::new(),
             sequence: 0,
         };
-        let until = self.now + 4_000 + self.random_below(20_000);
+        let until = self.draw_shutdown_time();
         let (control_node, lifecycle) = (None, Lifecycle::Up { until });
         self.servers.push(SimulatedServer {
             incarnation: 0,
@@ -69,26 +73,31 @@
             lifecycle,
             control_node,
             is_waiting: false,
-            next: 0,
+            next_call_at: Instant::ORIGIN,
             token: 0,
         });
-        let at = self.random_below(1_500);
-        self.after(at, Event::Server { server });
+        let delay = self.random_duration_below(millis(1_500));
+        self.after(delay, Event::Server { server });
+    }
+
+    /// When a server that starts now is to shut down.
+    fn draw_shutdown_time(&mut self) -> Instant {
+        self.now() + millis(4_000) + self.random_duration_below(millis(20_000))
     }
 
     pub(crate) fn on_server_timer(&mut self, index: usize) {
-        self.after(TICK_INTERVAL_MS, Event::Server { server: index });
+        self.after(TICK_INTERVAL, Event::Server { server: index });
         self.advance_lifecycle(index);
-        let server = &self.servers[index];
-        if server.is_waiting || self.now < server.next || matches!(server.lifecycle, Lifecycle::Ended { .. })
-        {
+        let (now, server) = (self.now(), &self.servers[index]);
+        let has_ended = matches!(server.lifecycle, Lifecycle::Ended { .. });
+        if server.is_waiting || now < server.next_call_at || has_ended {
             return;
         }
         let members = self.members();
         let control_node =
             match self.servers[index].control_node.filter(|control_node| members.contains(control_node)) {
                 Some(control_node) => Some(control_node),
-                None => self.pick(&members),
+                None => self.random.pick(&members),
             };
         let Some(control_node) = control_node else { return };
         let server = &mut self.servers[index];
@@ -100,21 +109,21 @@
             _ => Call::Heartbeat(server.reported.clone()),
         };
         let purpose = Purpose::ServerCall { is_shutdown: server.reported.state > OperState::Up };
-        self.request(Party::Server(index), Party::Control(control_node), call, purpose, 1_000);
+        self.request(Party::Server(index), Party::Control(control_node), call, purpose, RESPONSE_TIMEOUT);
     }
 
     fn advance_lifecycle(&mut self, index: usize) {
-        let now = self.now;
+        let now = self.now();
         match self.servers[index].lifecycle {
             Lifecycle::Up { until } if now >= until => {
                 let server = &mut self.servers[index];
                 server.lifecycle = Lifecycle::Draining;
                 server.reported.state = OperState::Draining;
-                server.next = now;
+                server.next_call_at = now;
             }
             Lifecycle::Acknowledged { until } if now >= until => {
                 self.servers[index].lifecycle = Lifecycle::Deregistering;
-                self.servers[index].next = now;
+                self.servers[index].next_call_at = now;
             }
             Lifecycle::Ended { until } if now >= until => self.next_incarnation(index),
             _ => {}
@@ -122,7 +131,7 @@
     }
 
     fn next_incarnation(&mut self, index: usize) {
-        let until = self.now + 4_000 + self.random_below(20_000);
+        let until = self.draw_shutdown_time();
         let server = &mut self.servers[index];
         server.incarnation += 1;
         server.reported.id = format!("i-{index}-{}", server.incarnation);
@@ -134,11 +143,11 @@
         server.token = 0;
     }
 
-    /// All servers that are up start to acknowledged.
+    /// All servers that are up start to drain.
     pub(crate) fn drain_all(&mut self) {
         for server in &mut self.servers {
             if matches!(server.lifecycle, Lifecycle::Up { .. }) {
-                server.lifecycle = Lifecycle::Up { until: 0 };
+                server.lifecycle = Lifecycle::Up { until: Instant::ORIGIN };
             }
         }
     }
@@ -155,41 +164,40 @@
         let Party::Server(server) = from else { return };
         if let Some(action) = self.after_shutdown.take_if(|action| action.is_for(control_node)) {
             // The server ends too, so that it does not repeat its call.
-            self.servers[server].lifecycle = Lifecycle::Acknowledged { until: self.now };
-            self.after(0, Event::Fault(action.after_shutdown(control_node, server, id)));
+            self.servers[server].lifecycle = Lifecycle::Acknowledged { until: self.now() };
+            self.after(Duration::ZERO, Event::Fault(action.after_shutdown(control_node, server, id)));
         }
     }
 
     pub(crate) fn on_server_response(&mut self, index: usize, is_shutdown: bool, response: Option<Response>) {
-        let retry_delay = 100 + self.random_below(200);
-        let ends_at_once = self.random_below(2) == 0;
-        let (now, downtime) = (self.now, 1_000 + self.random_below(3_000));
+        let retry_delay = millis(100) + self.random_duration_below(millis(200));
+        let ends_at_once = self.random.is_one_in(2);
+        let downtime = millis(1_000) + self.random_duration_below(millis(3_000));
+        let now = self.now();
         let server = &mut self.servers[index];
         server.is_waiting = false;
         let response = match response {
             Some(Response::Server(response)) if response.is_acknowledged => response,
             _ => {
                 server.control_node = None;
-                server.next = now + retry_delay;
+                server.next_call_at = now + retry_delay;
                 return;
             }
         };
-        if is_shutdown && response.isolated_millis > ISOLATED_MS {
-            let description = format!(
-                "{} by a control node isolated for {} ms",
-                server.reported.id, response.isolated_millis
-            );
+        if is_shutdown && response.isolated_for > MAX_ISOLATION {
+            let description =
+                format!("{} by a control node isolated for {:?}", server.reported.id, response.isolated_for);
             self.checker.report_violation("acknowledged without quorum", description);
         }
         let server = &mut self.servers[index];
-        server.next = now + HEARTBEAT_INTERVAL_MS;
+        server.next_call_at = now + HEARTBEAT_INTERVAL;
         match server.lifecycle {
             // This responds to a heartbeat that was sent before the draining.
-            Lifecycle::Draining if !is_shutdown => server.next = now,
+            Lifecycle::Draining if !is_shutdown => server.next_call_at = now,
             Lifecycle::Draining => {
                 server.lifecycle = match ends_at_once {
                     true => Lifecycle::Ended { until: now + downtime },
-                    false => Lifecycle::Acknowledged { until: now + 1_000 },
+                    false => Lifecycle::Acknowledged { until: now + millis(1_000) },
                 };
                 let id = server.reported.id.clone();
                 self.shutdown_acknowledged(id);
@@ -206,7 +214,7 @@
     /// Ends a server that has just been acknowledged.
     pub(crate) fn end_server(&mut self, index: usize, id: &str) {
         if self.servers[index].reported.id == id {
-            self.servers[index].lifecycle = Lifecycle::Ended { until: self.now + 20_000 };
+            self.servers[index].lifecycle = Lifecycle::Ended { until: self.now() + millis(20_000) };
             self.shutdown_acknowledged(id.to_owned());
         }
     }
@@ -214,14 +222,14 @@
     fn shutdown_acknowledged(&mut self, server: String) {
         self.trace(|| format!("{server} is acknowledged"));
         let acknowledged = self.checker.shutdowns.len();
-        self.checker.shutdowns.push(AcknowledgedServer { server, acknowledged: self.now });
-        self.after(SHUTDOWN_BOUND_MS, Event::CheckShutdown { acknowledged });
+        self.checker.shutdowns.push(AcknowledgedServer { server, acknowledged_at: self.now() });
+        self.after(SHUTDOWN_BOUND, Event::CheckShutdown { acknowledged });
     }
 
     /// Checks every proxy without faults meanwhile, unless more control nodes than tolerated were disturbed.
     pub(crate) fn check_shutdown(&mut self, acknowledged: usize) {
         let acknowledged = &self.checker.shutdowns[acknowledged];
-        let (since, id) = (acknowledged.acknowledged, acknowledged.server.clone());
+        let (since, id) = (acknowledged.acknowledged_at, acknowledged.server.clone());
         let members = self.members().into_iter().map(Party::Control);
         let disturbed = members.filter(|control_node| self.is_disturbed_since(*control_node, since)).count();
         if disturbed > self.tolerated_failures {
@@ -244,7 +252,7 @@
 
     /// What each process knows about a server.
     fn describe_entries(&self, id: &str) -> String {
-        let entry = |registry: &mosshead_registry::Registry| {
+        let entry = |registry: &Registry| {
             let entry = registry.entry(id);
             entry.map(|entry| (entry.source, entry.version, entry.server.state, entry.server.sequence))
         };
--- a/crates/control-plane/tests/fleet/simulation.rs
+++ b/crates/control-plane/tests/fleet/simulation.rs
@@ -1,14 +1,12 @@
-//! The simulation: virtual time in milliseconds, its events, and all parties.
+//! The simulation: virtual time, its events, and all parties.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
 
 use mosshead_consensus::InjectedFault as ConsensusFault;
 use mosshead_control_plane::InjectedFault;
-use mosshead_time::Instant;
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg64Mcg;
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::{EventQueue, Noise, RandomSource, millis};
 
 use crate::checker::Checker;
 use crate::control_node::SimulatedControlNode;
@@ -19,7 +17,12 @@
 use crate::proxy::Proxy;
 use crate::server::SimulatedServer;
 
-pub(crate) const TICK_MS: u64 = 50;
+/// What the clock of a simulation shows at its start.
+const START: Instant = Instant::from_millis(1_000);
+pub(crate) const TICK_INTERVAL: Duration = millis(50);
+const PROXIES: usize = 3;
+const OPERATORS: usize = 2;
+const SERVERS: usize = 6;
 
 pub(crate) enum Event {
     Deliver {
@@ -34,7 +37,7 @@
         control_node: usize,
         incarnation: u64,
     },
-    Disk {
+    DiskWrite {
         control_node: usize,
         incarnation: u64,
     },
@@ -69,11 +72,8 @@
 }
 
 pub(crate) struct Simulation {
-    pub(crate) now: u64,
-    pub(crate) rng: Pcg64Mcg,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Event>,
-    next_event: u64,
+    pub(crate) random: RandomSource,
+    events: EventQueue<Event>,
     pub(crate) network: Network,
     pub(crate) control_nodes: Vec<SimulatedControlNode>,
     pub(crate) proxies: Vec<Proxy>,
@@ -90,20 +90,14 @@
     is_traced: bool,
 }
 
-pub(crate) fn address(control_node: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, control_node as u8 + 1), 7720)
-}
-
 impl Simulation {
     /// A fleet that starts for the first time, with as many control nodes as the tolerated failures need.
     pub(crate) fn new(seed: u64, tolerated_failures: usize, faults: InjectedFaults) -> Simulation {
-        let network = Network { noise_per_mille: 3, response_loss_per_mille: 30, ..Network::default() };
+        let noise = Noise::per_mille(3);
+        let network = Network { noise, response_loss_per_mille: 30, ..Network::default() };
         let mut simulation = Simulation {
-            now: 1_000,
-            rng: Pcg64Mcg::seed_from_u64(seed),
-            queue: BinaryHeap::new(),
-            events: BTreeMap::new(),
-            next_event: 0,
+            random: RandomSource::from_seed(seed),
+            events: EventQueue::new(START),
             network,
             control_nodes: Vec::new(),
             proxies: Vec::new(),
@@ -121,56 +115,45 @@
             let control_node = simulation.add_control_node(true);
             simulation.start_control_node(control_node);
         }
-        (0..3).for_each(|_| simulation.add_proxy());
-        (0..2).for_each(|_| simulation.add_operator());
-        (0..6).for_each(|_| simulation.add_server());
+        (0..PROXIES).for_each(|_| simulation.add_proxy());
+        (0..OPERATORS).for_each(|_| simulation.add_operator());
+        (0..SERVERS).for_each(|_| simulation.add_server());
         simulation
     }
 
-    /// The present instant, for the decisions under test.
-    pub(crate) fn instant(&self) -> Instant {
-        Instant::from_millis(self.now)
+    pub(crate) fn now(&self) -> Instant {
+        self.events.now()
     }
 
     /// Prints what happens if `FLEET_TRACE` is set.
     pub(crate) fn trace(&self, description: impl FnOnce() -> String) {
         if self.is_traced {
-            println!("{} {}", self.now, description());
+            println!("{} {}", self.now().as_millis(), description());
         }
     }
 
     pub(crate) fn random_below(&mut self, bound: u64) -> u64 {
-        self.rng.next_u64() % bound.max(1)
+        self.random.below(bound)
     }
 
-    pub(crate) fn pick<T: Copy>(&mut self, from: &[T]) -> Option<T> {
-        let at = self.random_below(from.len() as u64) as usize;
-        from.get(at).copied()
+    pub(crate) fn random_duration_below(&mut self, bound: Duration) -> Duration {
+        self.random.duration_below(bound)
     }
 
-    pub(crate) fn after(&mut self, span: u64, event: Event) {
-        self.queue.push(Reverse((self.now + span, self.next_event)));
-        self.events.insert(self.next_event, event);
-        self.next_event += 1;
+    pub(crate) fn after(&mut self, span: Duration, event: Event) {
+        self.events.schedule_after(span, event);
     }
 
     /// Lets time pass. Returns the violation, if there is one.
-    pub(crate) fn run(&mut self, span: u64) -> Result<(), String> {
-        let end = self.now + span;
-        while let Some(Reverse((at, number))) = self.queue.peek().copied() {
-            if at > end {
-                break;
-            }
-            self.queue.pop();
-            self.now = at;
-            if let Some(event) = self.events.remove(&number) {
-                self.handle_event(event);
-            }
+    pub(crate) fn run(&mut self, span: Duration) -> Result<(), String> {
+        let end = self.now() + span;
+        while let Some(event) = self.events.next_until(end) {
+            self.handle_event(event);
             if let Some(violation) = &self.checker.violation {
-                return Err(format!("at {}: {violation}", self.now));
+                return Err(format!("at {}: {violation}", self.now()));
             }
         }
-        self.now = end;
+        self.events.advance_to(end);
         Ok(())
     }
 
@@ -181,7 +164,7 @@
             Event::ControlTick { control_node, incarnation } => {
                 self.on_control_node_timer(control_node, incarnation);
             }
-            Event::Disk { control_node, incarnation } => self.on_disk_write(control_node, incarnation),
+            Event::DiskWrite { control_node, incarnation } => self.on_disk_write(control_node, incarnation),
             Event::ProxySlot { proxy, incarnation, watch_slot } => {
                 self.on_proxy_timer(proxy, incarnation, watch_slot);
             }
@@ -202,30 +185,31 @@
     }
 
     /// Whether a fault has affected a process or its links at any time from then on.
-    pub(crate) fn is_disturbed_since(&self, party: Party, since: u64) -> bool {
-        let disturbed = match party {
+    pub(crate) fn is_disturbed_since(&self, party: Party, since: Instant) -> bool {
+        let last_disturbed_at = match party {
             Party::Control(control_node) => self.control_nodes[control_node].last_disturbed_at,
             Party::Proxy(proxy) => self.proxies[proxy].last_disturbed_at,
-            Party::Operator(_) | Party::Server(_) => 0,
+            Party::Operator(_) | Party::Server(_) => Instant::ORIGIN,
         };
         let is_down = matches!(party, Party::Control(control_node) if self.control_nodes[control_node].process.is_none());
-        is_down || disturbed >= since || self.is_paused(party) || self.partitioned.contains(&party)
+        is_down || last_disturbed_at >= since || self.is_paused(party) || self.partitioned.contains(&party)
     }
 
     /// Notes that a fault has affected a process until now.
     pub(crate) fn note_disturbed(&mut self, party: Party) {
+        let now = self.now();
         match party {
-            Party::Control(control_node) => self.control_nodes[control_node].last_disturbed_at = self.now,
-            Party::Proxy(proxy) => self.proxies[proxy].last_disturbed_at = self.now,
+            Party::Control(control_node) => self.control_nodes[control_node].last_disturbed_at = now,
+            Party::Proxy(proxy) => self.proxies[proxy].last_disturbed_at = now,
             Party::Operator(_) | Party::Server(_) => {}
         }
     }
 
     /// The control node that has the address now.
-    pub(crate) fn control_node_at(&self, at: SocketAddrV4) -> Option<usize> {
+    pub(crate) fn control_node_at(&self, address: SocketAddrV4) -> Option<usize> {
         self.control_nodes
             .iter()
-            .position(|control_node| control_node.address == at && !control_node.is_removed)
+            .position(|control_node| control_node.address == address && !control_node.is_removed)
     }
 
     /// The control nodes that have not been replaced.
@@ -241,15 +225,15 @@
             .collect()
     }
 
-    /// The node that believes to be primary, under the highest term.
+    /// The control node that believes to be primary, under the highest term.
     pub(crate) fn primary(&self) -> Option<usize> {
         let term = |control_node: &usize| {
             self.control_nodes[*control_node].process.as_ref().map(|process| process.node.term())
         };
-        let leads = |control_node: &usize| {
+        let is_primary = |control_node: &usize| {
             let process = self.control_nodes[*control_node].process.as_ref();
             process.is_some_and(|process| process.node.is_primary())
         };
-        self.running().into_iter().filter(leads).max_by_key(term)
+        self.running().into_iter().filter(is_primary).max_by_key(term)
     }
 }
--- a/crates/control-plane/tests/fleet/stage_role.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -2,45 +2,55 @@
 
 use mosshead_consensus::Term;
 use mosshead_stage_scheduler::{AssignmentOutcome, StagePolicy, StageScheduler, fencing_token};
-use mosshead_time::Instant;
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
 use crate::messages::{Call, Party, Purpose, Response};
 use crate::simulation::Simulation;
 
-const LEASE_MS: u64 = 3_000;
-const MARGIN_MS: u64 = 500;
-const ASSIGNMENT_TIMEOUT_MS: u64 = 600;
+const LEASE: Duration = millis(3_000);
+/// Added to the lease, for clocks that differ.
+const LEASE_MARGIN: Duration = millis(500);
+const ASSIGNMENT_TIMEOUT: Duration = millis(600);
 
 #[derive(Default)]
 pub(crate) struct StageRole {
-    current: Option<(Term, u64, StageScheduler)>,
+    current: Option<ActiveRole>,
+}
+
+/// The role under a term.
+struct ActiveRole {
+    term: Term,
+    since: Instant,
+    scheduler: StageScheduler,
 }
 
 impl Simulation {
-    fn held_term(&self, control_node: usize) -> Option<Term> {
+    fn term_of_lease(&self, control_node: usize) -> Option<Term> {
         let node = &self.control_nodes[control_node].process.as_ref()?.node;
-        node.holds_primary_lease(self.instant()).then(|| node.term())
+        node.holds_primary_lease(self.now()).then(|| node.term())
     }
 
     pub(crate) fn run_stage_role(&mut self, control_node: usize) {
-        let (now, term) = (self.now, self.held_term(control_node));
+        let (now, term) = (self.now(), self.term_of_lease(control_node));
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         let Some(term) = term else {
             process.stage_role.current = None;
             return;
         };
-        if process.stage_role.current.as_ref().is_none_or(|current| current.0 != term) {
-            process.stage_role.current = Some((term, now, StageScheduler::new(StagePolicy::default())));
+        if process.stage_role.current.as_ref().is_none_or(|current| current.term != term) {
+            let scheduler = StageScheduler::new(StagePolicy::default());
+            process.stage_role.current = Some(ActiveRole { term, since: now, scheduler });
         }
-        let Some((_, since, scheduler)) = &mut process.stage_role.current else { return };
-        if now < *since + LEASE_MS + MARGIN_MS {
+        let Some(ActiveRole { since, scheduler, .. }) = &mut process.stage_role.current else { return };
+        if now < *since + LEASE + LEASE_MARGIN {
             return;
         }
         let token = match self.faults.token_without_term {
             true => 1,
             false => fencing_token(term.number, term.proposer.0),
         };
-        for assignment in scheduler.due_assignments(Instant::from_millis(now), process.registry.servers()) {
+        for assignment in scheduler.due_assignments(now, process.registry.servers()) {
             self.checker.on_assignment((control_node, self.control_nodes[control_node].incarnation), token);
             let server = self.servers.iter().position(|server| server.reported.id == assignment.instance_id);
             let Some(server) = server else { continue };
@@ -50,7 +60,7 @@
                 Party::Server(server),
                 call,
                 Purpose::AssignStage,
-                ASSIGNMENT_TIMEOUT_MS,
+                ASSIGNMENT_TIMEOUT,
             );
         }
     }
@@ -61,8 +71,8 @@
             _ => AssignmentOutcome::Unknown,
         };
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
-        if let Some((_, _, scheduler)) = &mut process.stage_role.current {
-            scheduler.record_outcome(response);
+        if let Some(role) = &mut process.stage_role.current {
+            role.scheduler.record_outcome(response);
         }
     }
 }
