--- a/crates/consensus/tests/fleet/checker.rs
+++ b/crates/consensus/tests/fleet/checker.rs
@@ -1,13 +1,19 @@
-//! What was asked, answered and shown, and whether that breaks a rule.
+//! What was requested, replied and published, and whether that violates a rule.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use mosshead_consensus::{
     ClientReply, ControlState, DEDUPLICATION_WINDOW, MAX_BODY_BYTES, MemberId, RequestDigest, Term,
 };
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
-/// A machine and the life of its process.
-pub(crate) type Incarnation = (usize, u64);
+/// A process: the machine that it runs on, and the number of its incarnation there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ProcessId {
+    pub(crate) machine: usize,
+    pub(crate) incarnation: u64,
+}
 
 /// A digest that no other number has.
 pub(crate) fn digest(number: u64) -> RequestDigest {
@@ -25,247 +31,282 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Kind {
+pub(crate) enum RequestKind {
     Read,
     Change(Change),
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct SentRequest {
-    pub(crate) incarnation: Incarnation,
-    pub(crate) at: u64,
-    pub(crate) kind: Kind,
+    pub(crate) process: ProcessId,
+    pub(crate) sent_at: Instant,
+    pub(crate) kind: RequestKind,
+    /// The highest revision that was acknowledged when the request was sent.
     acknowledged: u64,
 }
 
 #[derive(Default)]
 pub(crate) struct Checker {
-    pub(crate) requests: BTreeMap<u64, SentRequest>,
+    requests: BTreeMap<u64, SentRequest>,
     open: BTreeSet<u64>,
-    answered: BTreeMap<u64, ClientReply>,
+    replies: BTreeMap<u64, ClientReply>,
     changes: BTreeMap<RequestDigest, Change>,
+    /// The changes that were rejected as stale, each by the revision that was current.
     stale: BTreeMap<RequestDigest, u64>,
-    taken_on: BTreeMap<u64, RequestDigest>,
-    committed: BTreeMap<u64, RequestDigest>,
+    /// The change that was accepted on each base, and the one that was committed on it.
+    accepted_on: BTreeMap<u64, RequestDigest>,
     committed_on: BTreeMap<u64, RequestDigest>,
-    shown: BTreeMap<Incarnation, u64>,
-    primaries: BTreeMap<Term, (MemberId, Incarnation)>,
+    committed: BTreeMap<u64, RequestDigest>,
+    /// The newest revision that each process has published.
+    published: BTreeMap<ProcessId, u64>,
+    primaries: BTreeMap<Term, (MemberId, ProcessId)>,
     /// The highest revision that was acknowledged.
     pub(crate) acknowledged: u64,
     /// When each revision became the highest that was acknowledged.
-    acknowledgements: Vec<(u64, u64)>,
-    /// The time of what is being written down.
-    pub(crate) now: u64,
+    acknowledgements: Vec<(Instant, u64)>,
+    /// The instant of what is being recorded.
+    pub(crate) now: Instant,
     newest: Option<Change>,
-    pub(crate) taken: u64,
+    /// How often a change was acknowledged, repeats included.
+    pub(crate) accepted_count: u64,
     pub(crate) violations: Vec<String>,
 }
 
 impl Checker {
-    pub(crate) fn report_violation(&mut self, rule: &str, what: String) {
-        self.violations.push(format!("{rule}: {what}"));
+    pub(crate) fn report_violation(&mut self, rule: &str, description: String) {
+        self.violations.push(format!("{rule}: {description}"));
     }
 
-    pub(crate) fn asked(&mut self, id: u64, incarnation: Incarnation, at: u64, kind: Kind) {
-        if let Kind::Change(change) = &kind {
+    pub(crate) fn record_request(
+        &mut self,
+        id: u64,
+        process: ProcessId,
+        sent_at: Instant,
+        kind: RequestKind,
+    ) {
+        if let RequestKind::Change(change) = &kind {
             self.changes.entry(change.digest).or_insert_with(|| change.clone());
         }
         self.open.insert(id);
-        self.requests.insert(id, SentRequest { incarnation, at, kind, acknowledged: self.acknowledged });
+        let acknowledged = self.acknowledged;
+        self.requests.insert(id, SentRequest { process, sent_at, kind, acknowledged });
     }
 
-    pub(crate) fn open(&self) -> impl Iterator<Item = (&u64, &SentRequest)> {
+    pub(crate) fn open_requests(&self) -> impl Iterator<Item = (&u64, &SentRequest)> {
         self.open.iter().filter_map(|id| self.requests.get_key_value(id))
     }
 
-    /// Whether an ask to the process that a machine runs has no answer yet.
+    /// Whether a request to the process that a machine runs has no reply yet.
     pub(crate) fn is_open_at(&self, id: u64, machine: usize) -> bool {
-        self.open.contains(&id) && self.requests.get(&id).is_some_and(|a| a.incarnation.0 == machine)
+        self.open.contains(&id)
+            && self.requests.get(&id).is_some_and(|request| request.process.machine == machine)
     }
 
     pub(crate) fn reply(&self, id: u64) -> Option<&ClientReply> {
-        self.answered.get(&id)
+        self.replies.get(&id)
     }
 
-    /// The asks of a process that is gone get no answer.
-    pub(crate) fn died(&mut self, incarnation: Incarnation) {
+    /// The requests to a process that has ended get no reply.
+    pub(crate) fn record_process_end(&mut self, process: ProcessId) {
         let requests = &self.requests;
-        self.open.retain(|id| requests.get(id).is_some_and(|a| a.incarnation != incarnation));
+        self.open.retain(|id| requests.get(id).is_some_and(|request| request.process != process));
     }
 
-    pub(crate) fn answer(&mut self, id: u64, incarnation: Incarnation, reply: ClientReply) {
+    pub(crate) fn record_reply(&mut self, id: u64, process: ProcessId, reply: ClientReply) {
         let Some(request) = self.requests.get(&id).cloned() else {
             return self
-                .report_violation("one answer", format!("ask {id} was never asked at {incarnation:?}"));
+                .report_violation("single reply", format!("request {id} was never sent to {process:?}"));
         };
-        if request.incarnation != incarnation || self.answered.contains_key(&id) {
+        if request.process != process || self.replies.contains_key(&id) {
             self.report_violation(
-                "one answer",
-                format!("ask {id} was answered again by {incarnation:?}: {reply:?}"),
+                "single reply",
+                format!("request {id} has another reply from {process:?}: {reply:?}"),
             );
         }
-        match (&request.kind, &reply) {
-            (Kind::Change(change), ClientReply::ChangeCommitted { revision }) => {
+        match &request.kind {
+            RequestKind::Change(change) => self.check_change_reply(change, &reply),
+            RequestKind::Read => self.check_read_reply(request.acknowledged, &reply),
+        }
+        self.open.remove(&id);
+        self.replies.insert(id, reply);
+    }
+
+    fn check_change_reply(&mut self, change: &Change, reply: &ClientReply) {
+        match reply {
+            ClientReply::ChangeCommitted { revision } => {
                 if *revision != change.revision {
-                    self.report_violation("taken", format!("{change:?} as {revision}"));
+                    self.report_violation("accepted", format!("{change:?} as {revision}"));
                 }
-                self.taken(change);
+                self.record_accepted(change);
             }
-            (Kind::Change(change), ClientReply::Stale { current_revision: current }) => {
+            ClientReply::Stale { current_revision } => {
                 if self.committed.get(&change.revision) == Some(&change.digest) {
                     self.report_violation(
-                        "stale",
-                        format!("{change:?} is committed, got stale by {current}"),
+                        "rejected",
+                        format!("{change:?} is committed, and is rejected by {current_revision}"),
                     );
                 }
-                self.stale.insert(change.digest, *current);
+                self.stale.insert(change.digest, *current_revision);
             }
-            (Kind::Change(change), ClientReply::Expired) => {
-                // Only what so many others came after is forgotten.
-                let later = self.committed.range(change.revision..).count();
-                if later < DEDUPLICATION_WINDOW {
-                    self.report_violation("forgotten", format!("{change:?} has {later} after it"));
+            ClientReply::Expired => {
+                // Only a change that so many others came after is expired.
+                let later_count = self.committed.range(change.revision..).count();
+                if later_count < DEDUPLICATION_WINDOW {
+                    self.report_violation("expired", format!("{change:?} has {later_count} after it"));
                 }
             }
-            (Kind::Read, ClientReply::CurrentState { state }) => {
-                if state.revision < request.acknowledged {
-                    let acknowledged = request.acknowledged;
+            // Never accepted: like a stale one it must not be committed later.
+            ClientReply::TooLarge if change.body.len() > MAX_BODY_BYTES => {
+                self.stale.insert(change.digest, 0);
+            }
+            ClientReply::NotPrimary { .. } | ClientReply::Unavailable => {}
+            reply => self.report_violation("single reply", format!("{change:?} got {reply:?}")),
+        }
+    }
+
+    fn check_read_reply(&mut self, acknowledged: u64, reply: &ClientReply) {
+        match reply {
+            ClientReply::CurrentState { state } => {
+                if state.revision < acknowledged {
                     self.report_violation(
-                        "lost",
-                        format!("read {} though {acknowledged} was taken before", state.revision),
+                        "lost change",
+                        format!("read {} though {acknowledged} was acknowledged before", state.revision),
                     );
                 }
-                self.seen(state);
+                self.check_committed_state(state);
             }
-            // Never taken: as a stale one it may not be committed later.
-            (Kind::Change(change), ClientReply::TooLarge) if change.body.len() > MAX_BODY_BYTES => {
-                self.stale.insert(change.digest, 0);
-            }
-            (_, ClientReply::NotPrimary { .. } | ClientReply::Unavailable) => {}
-            (kind, reply) => self.report_violation("one answer", format!("{kind:?} got {reply:?}")),
+            ClientReply::NotPrimary { .. } | ClientReply::Unavailable => {}
+            reply => self.report_violation("single reply", format!("a read got {reply:?}")),
         }
-        self.open.remove(&id);
-        self.answered.insert(id, reply);
     }
 
-    fn taken(&mut self, change: &Change) {
+    fn record_accepted(&mut self, change: &Change) {
         if self.stale.contains_key(&change.digest) {
-            self.report_violation("stale", format!("{change:?} was stale and is taken"));
+            self.report_violation("rejected", format!("{change:?} was rejected, and is accepted"));
         }
-        let first = *self.taken_on.entry(change.base).or_insert(change.digest);
+        let first = *self.accepted_on.entry(change.base).or_insert(change.digest);
         if first != change.digest {
             self.report_violation(
-                "race",
-                format!("two changes on {}: {first:?} and {:?}", change.base, change.digest),
+                "conflict",
+                format!("two changes are accepted on {}: {first:?} and {:?}", change.base, change.digest),
             );
         }
         if self.committed.get(&change.revision) != Some(&change.digest) {
-            self.report_violation("taken", format!("{change:?} is not committed"));
+            self.report_violation("accepted", format!("{change:?} is not committed"));
         }
         if change.revision >= self.acknowledged {
             self.acknowledged = change.revision;
             self.acknowledgements.push((self.now, change.revision));
             self.newest = Some(change.clone());
         }
-        self.taken += 1;
+        self.accepted_count += 1;
     }
 
-    /// A committed state, from wherever.
-    fn seen(&mut self, state: &ControlState) {
+    /// Checks a committed state, whichever node it comes from.
+    fn check_committed_state(&mut self, state: &ControlState) {
         if state.revision == 0 {
             if !state.body.is_empty() || !state.applied_requests.is_empty() {
-                self.report_violation("committed", format!("{state:?}"));
+                self.report_violation("committed state", format!("{state:?}"));
             }
             return;
         }
-        let mut calls = state.applied_requests.iter().rev();
-        let Some(last) = calls.next() else {
-            return self.report_violation("committed", format!("{state:?} without its call"));
+        let mut requests = state.applied_requests.iter().rev();
+        let Some(last) = requests.next() else {
+            return self.report_violation("committed state", format!("{state:?} without its request"));
         };
         let Some(change) = self.changes.get(&last.digest).cloned() else {
-            return self.report_violation("committed", format!("{state:?}, which nobody asked for"));
+            return self.report_violation("committed state", format!("{state:?}, which nobody requested"));
         };
-        let base = calls.next().map_or(0, |c| c.revision);
+        let base = requests.next().map_or(0, |request| request.revision);
         if change.revision != state.revision || change.body[..] != state.body[..] || change.base != base {
-            self.report_violation("committed", format!("{change:?} became {state:?}"));
+            self.report_violation("committed state", format!("{change:?} became {state:?}"));
         }
+        self.check_no_change_is_lost(state);
+        self.record_committed(&change);
+    }
+
+    fn check_no_change_is_lost(&mut self, state: &ControlState) {
+        let Some(newest) = self.newest.as_ref().filter(|newest| newest.revision <= state.revision) else {
+            return;
+        };
+        if state.applied_requests.iter().all(|request| request.digest != newest.digest) {
+            let description = format!("{newest:?} was accepted, and {} is without it", state.revision);
+            self.report_violation("lost change", description);
+        }
+    }
+
+    fn record_committed(&mut self, change: &Change) {
         let first = *self.committed_on.entry(change.base).or_insert(change.digest);
         if first != change.digest {
             self.report_violation(
-                "race",
-                format!("two changes on {} committed: {first:?} and {:?}", change.base, change.digest),
-            );
-        }
-        let newest = self.newest.clone().filter(|n| n.revision <= state.revision);
-        if let Some(newest) = newest.filter(|n| state.applied_requests.iter().all(|c| c.digest != n.digest)) {
-            self.report_violation(
-                "lost",
-                format!("{newest:?} was taken, and {} came without it", state.revision),
+                "conflict",
+                format!("two changes are committed on {}: {first:?} and {:?}", change.base, change.digest),
             );
         }
         if self.stale.contains_key(&change.digest) {
-            self.report_violation("stale", format!("{change:?} was stale and is committed"));
+            self.report_violation("rejected", format!("{change:?} was rejected, and is committed"));
         }
         let first = *self.committed.entry(change.revision).or_insert(change.digest);
         if first != change.digest {
             self.report_violation(
-                "race",
+                "conflict",
                 format!("revision {} is {first:?} and {:?}", change.revision, change.digest),
             );
         }
     }
 
-    /// The highest revision that was acknowledged up to a time.
-    fn acknowledged_by(&self, at: u64) -> u64 {
+    /// The highest revision that was acknowledged up to an instant.
+    fn acknowledged_by(&self, at: Instant) -> u64 {
         let count = self.acknowledgements.partition_point(|(when, _)| *when <= at);
         count.checked_sub(1).map_or(0, |last| self.acknowledgements[last].1)
     }
 
-    /// A process says that it is in touch: what it shows has all that was acknowledged before the bound.
-    pub(crate) fn claimed_contact(&mut self, incarnation: Incarnation, shown: u64, bound: u64) {
-        let wanted = self.now.checked_sub(bound + 1).map_or(0, |at| self.acknowledged_by(at));
+    /// A process says that it has contact with a quorum: what it shows has all that was acknowledged longer ago than the
+    /// bound.
+    pub(crate) fn check_claimed_contact(&mut self, process: ProcessId, shown: u64, bound: Duration) {
+        let wanted = self.acknowledged_by(self.now - (bound + millis(1)));
         if shown < wanted {
             self.report_violation(
-                "contact",
-                format!("{incarnation:?} is in touch and shows {shown}; {wanted} is older than {bound} ms"),
+                "quorum contact",
+                format!("{process:?} has contact and shows {shown}; {wanted} is older than {bound:?}"),
             );
         }
     }
 
-    pub(crate) fn shown(&mut self, incarnation: Incarnation, state: &ControlState) {
-        self.seen(state);
-        let last = self.shown.insert(incarnation, state.revision);
+    pub(crate) fn record_published_state(&mut self, process: ProcessId, state: &ControlState) {
+        self.check_committed_state(state);
+        let last = self.published.insert(process, state.revision);
         if last.is_some_and(|last| last >= state.revision) {
             self.report_violation(
-                "back",
-                format!("{incarnation:?} showed {last:?}, then {}", state.revision),
+                "regression",
+                format!("{process:?} published {last:?}, then {}", state.revision),
             );
         }
     }
 
-    /// Whether somebody has led under a ballot.
-    pub(crate) fn was_led(&self, term: Term) -> bool {
+    /// Whether somebody has been primary under a term.
+    pub(crate) fn had_primary(&self, term: Term) -> bool {
         self.primaries.contains_key(&term)
     }
 
-    pub(crate) fn primary(
+    pub(crate) fn record_primary(
         &mut self,
         member: MemberId,
-        incarnation: Incarnation,
+        process: ProcessId,
         term: Term,
         continued: bool,
     ) {
         if let Some(other) = self.primaries.get(&term) {
-            let other = *other;
-            self.report_violation("term", format!("{term:?} is led by {other:?} and {incarnation:?}"));
+            let description = format!("{other:?} and {process:?} are primary under {term:?}");
+            self.report_violation("term", description);
         }
-        let below = self.primaries.range(..term).next_back().map(|(_, who)| *who);
-        if continued && below != Some((member, incarnation)) {
-            self.report_violation("term", format!("{incarnation:?} continued at {term:?} after {below:?}"));
+        let below = self.primaries.range(..term).next_back().map(|(_, primary)| *primary);
+        if continued && below != Some((member, process)) {
+            self.report_violation("term", format!("{process:?} continued at {term:?} after {below:?}"));
         }
-        if self.primaries.range(term..).any(|(_, who)| who.0 == member) {
+        if self.primaries.range(term..).any(|(_, (other, _))| *other == member) {
             self.report_violation("term", format!("{member:?} went back to {term:?}"));
         }
-        self.primaries.insert(term, (member, incarnation));
+        self.primaries.insert(term, (member, process));
     }
 }
--- a/crates/consensus/tests/fleet/main.rs
+++ b/crates/consensus/tests/fleet/main.rs
@@ -1,19 +1,23 @@
-//! A fleet in virtual time: simulated network, disks and operators, faults by seed, and checkers of every rule.
+//! A fleet in virtual time: simulated network, disks and operators, random faults by seed, and checks of every rule.
 
 mod checker;
-mod day;
-mod days;
+mod fault_actions;
+mod injected_faults;
 mod large_states;
+mod large_states_fleet;
+mod liveness;
 mod member_turnover;
 mod membership_scenarios;
-mod message_orders;
-mod mutants;
 mod operator;
+mod primary_scenarios;
+mod racing_operators;
+mod random_day;
+mod random_days;
+mod random_storm;
 mod read_lease;
-mod recovery;
+mod recovery_times;
 mod repeated_requests;
-mod scenarios;
-mod storm;
+mod simulation;
 mod support;
+mod turnover;
 mod turnover_times;
-mod world;
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -1,141 +1,149 @@
-//! Operators that race: each call is repeated unchanged until it has a clear answer.
+//! Operators that race: each request is repeated unchanged until its result is known.
 
 use mosshead_consensus::ClientReply;
+use mosshead_time::{Duration, Instant};
+use mosshead_virtual_fleet::millis;
 
-use crate::checker::{Change, Kind, digest};
-use crate::world::{Event, World, body};
+use crate::checker::{Change, RequestKind, digest};
+use crate::simulation::{Event, Simulation, body};
+
+const TICK_INTERVAL: Duration = millis(20);
+/// How long an operator waits for a reply.
+const REPLY_TIMEOUT: Duration = millis(1_000);
+/// From a reply to the next request: the shortest pause, and what may be added.
+const MIN_PAUSE: Duration = millis(100);
+const PAUSE_VARIATION: Duration = millis(200);
+const MAX_REDIRECTS: usize = 2;
+/// How many accepted changes an operator remembers, to repeat them.
+const MAX_REMEMBERED_CHANGES: usize = 1_000;
 
 #[derive(Default)]
 pub(crate) struct Operator {
-    /// What it wants an answer to.
-    call: Option<Kind>,
-    /// The ask that is open, and since when.
-    request_id: Option<(u64, u64)>,
-    hops: usize,
-    wait_until: u64,
-    /// Calls that were taken, to be repeated now and then.
-    taken: Vec<Change>,
+    /// The request whose result it does not know yet.
+    request: Option<RequestKind>,
+    /// The number of the request that waits for a reply, and when it was sent.
+    open_request: Option<(u64, Instant)>,
+    redirects: usize,
+    idle_until: Instant,
+    /// Changes that were accepted, to be repeated now and then.
+    accepted: Vec<Change>,
+    /// The revision that its next change builds on.
     base: Option<u64>,
 }
 
-impl World {
-    pub(crate) fn hire(&mut self, operators: usize) {
-        for index in 0..operators {
+impl Simulation {
+    pub(crate) fn add_operators(&mut self, count: usize) {
+        for index in 0..count {
             self.operators.push(Operator::default());
-            self.after(index as u64, Event::Operator(index));
+            self.after(millis(index as u64), Event::Operator(index));
         }
     }
 
-    pub(crate) fn dismiss(&mut self) {
+    pub(crate) fn remove_operators(&mut self) {
         self.operators.clear();
     }
 
-    pub(crate) fn operate(&mut self, index: usize) {
+    pub(crate) fn on_operator_timer(&mut self, index: usize) {
         if index >= self.operators.len() {
             return;
         }
-        self.after(20, Event::Operator(index));
-        let now = self.now;
+        self.after(TICK_INTERVAL, Event::Operator(index));
+        let now = self.now();
         let operator = &mut self.operators[index];
-        if operator.request_id.is_some_and(|(_, at)| now < at + 1_000) || now < operator.wait_until {
+        let is_waiting = operator.open_request.is_some_and(|(_, sent_at)| now < sent_at + REPLY_TIMEOUT);
+        if is_waiting || now < operator.idle_until {
             return;
         }
-        operator.request_id = None;
-        operator.hops = 0;
-        if operator.call.is_none() {
-            self.next_call(index);
+        operator.open_request = None;
+        operator.redirects = 0;
+        if operator.request.is_none() {
+            self.next_request(index);
         }
         let running = self.running();
         if running.is_empty() {
             return;
         }
-        let target = running[self.below(running.len() as u64) as usize];
+        let target = running[self.random.index(running.len())];
         self.call(index, target);
-        // The same call twice at once, at two places.
-        if self.below(10) == 0
-            && let Some(kind @ Kind::Change(_)) = self.operators[index].call.clone()
+        // The same change twice at once, to two machines.
+        if self.random.is_one_in(10)
+            && let Some(kind @ RequestKind::Change(_)) = self.operators[index].request.clone()
         {
-            let other = running[self.below(running.len() as u64) as usize];
+            let other = running[self.random.index(running.len())];
             self.send_request(other, kind);
         }
     }
 
-    fn next_call(&mut self, index: usize) {
-        let repeat = self.below(12) == 0;
-        let (number, step, length) = (self.rng_u64(), self.below(self.revision_steps), self.below(4));
+    fn next_request(&mut self, index: usize) {
+        let is_repeat = self.random.is_one_in(12);
+        let number = self.random.next_u64();
+        let (step, length) = (self.random_below(self.revision_steps), self.random_below(4));
         let operator = &mut self.operators[index];
-        let kind = match operator.base.take() {
-            _ if repeat && !operator.taken.is_empty() => {
-                let which = number as usize % operator.taken.len();
-                Kind::Change(operator.taken[which].clone())
+        let request = match operator.base.take() {
+            _ if is_repeat && !operator.accepted.is_empty() => {
+                let repeated = number as usize % operator.accepted.len();
+                RequestKind::Change(operator.accepted[repeated].clone())
             }
             Some(base) => {
                 let body = body(number, length as usize);
-                Kind::Change(Change { base, revision: base + 1 + step, digest: digest(number), body })
+                RequestKind::Change(Change { base, revision: base + 1 + step, digest: digest(number), body })
             }
-            None => Kind::Read,
+            None => RequestKind::Read,
         };
-        operator.call = Some(kind);
-    }
-
-    pub(crate) fn rng_u64(&mut self) -> u64 {
-        use rand_core::RngCore;
-        self.rng.next_u64()
+        operator.request = Some(request);
     }
 
     fn call(&mut self, index: usize, target: usize) {
-        let Some(kind) = self.operators[index].call.clone() else { return };
-        // The answer may come within the ask.
-        let id = self.peek_request_id();
-        self.operators[index].request_id = Some((id, self.now));
+        let Some(kind) = self.operators[index].request.clone() else { return };
+        // The reply may come while the request is sent.
+        let id = self.next_request_id();
+        self.operators[index].open_request = Some((id, self.now()));
         self.send_request(target, kind);
     }
 
-    /// An answer has come: on to the next step, at the operator's next look.
-    pub(crate) fn answered(&mut self, request_id: u64) {
-        let Some(index) =
-            self.operators.iter().position(|o| o.request_id.is_some_and(|(id, _)| id == request_id))
-        else {
-            return;
-        };
+    /// A request has its reply: if an operator waits for it, it goes on with that.
+    pub(crate) fn on_operator_reply(&mut self, request_id: u64) {
+        let waits = |operator: &Operator| operator.open_request.is_some_and(|(id, _)| id == request_id);
+        let Some(index) = self.operators.iter().position(waits) else { return };
         let Some(reply) = self.checker.reply(request_id).cloned() else { return };
-        let pause = 100 + self.below(200);
-        let now = self.now;
-        let hint = match &reply {
-            ClientReply::NotPrimary { primary: Some(address) } => self.at(*address),
+        let idle_until = self.now() + MIN_PAUSE + self.random_duration_below(PAUSE_VARIATION);
+        let redirect = match &reply {
+            ClientReply::NotPrimary { primary: Some(address) } => self.machine_at(*address),
             _ => None,
         };
-        let hint = hint.filter(|m| self.machines[*m].node.is_some());
+        let redirect = redirect.filter(|machine| self.node(*machine).is_some());
         let operator = &mut self.operators[index];
-        operator.request_id = None;
-        match (reply, &operator.call) {
+        operator.open_request = None;
+        match (reply, &operator.request) {
             (ClientReply::CurrentState { state }, _) => {
                 operator.base = Some(state.revision);
-                operator.call = None;
+                operator.request = None;
             }
-            (ClientReply::ChangeCommitted { revision }, Some(Kind::Change(change))) => {
-                if operator.taken.len() >= 1_000 {
-                    operator.taken.remove(0);
+            (ClientReply::ChangeCommitted { revision }, Some(RequestKind::Change(change))) => {
+                if operator.accepted.len() >= MAX_REMEMBERED_CHANGES {
+                    operator.accepted.remove(0);
                 }
-                operator.taken.push(change.clone());
+                operator.accepted.push(change.clone());
                 // Most go on from what they wrote, so that others are behind at times.
                 operator.base = (revision % 3 != 0).then_some(revision);
-                operator.call = None;
-                operator.wait_until = now + pause;
+                operator.request = None;
+                operator.idle_until = idle_until;
             }
-            (ClientReply::Stale { current_revision: current }, _) => {
-                operator.base = Some(current);
-                operator.call = None;
+            (ClientReply::Stale { current_revision }, _) => {
+                operator.base = Some(current_revision);
+                operator.request = None;
             }
-            // Neither taken nor refused, however often it comes.
-            (ClientReply::Expired, _) => operator.call = None,
-            (ClientReply::NotPrimary { .. }, _) if operator.hops < 2 && hint.is_some() => {
-                operator.hops += 1;
-                if let Some(target) = hint {
+            // Neither accepted nor rejected, however often it is sent.
+            (ClientReply::Expired, _) => operator.request = None,
+            (ClientReply::NotPrimary { .. }, _)
+                if operator.redirects < MAX_REDIRECTS && redirect.is_some() =>
+            {
+                operator.redirects += 1;
+                if let Some(target) = redirect {
                     self.call(index, target);
                 }
             }
-            _ => operator.wait_until = now + pause,
+            _ => operator.idle_until = idle_until,
         }
     }
 }
--- a/crates/consensus/tests/fleet/read_lease.rs
+++ b/crates/consensus/tests/fleet/read_lease.rs
@@ -1,17 +1,22 @@
-//! Who says that it is in touch shows no old state, whatever was held back by a network or a frozen process.
+//! Whoever says that it has quorum contact shows no old state, whatever was buffered by a network or for a paused process.
 
-use mosshead_consensus::InjectedFault;
+use mosshead_consensus::{InjectedFault, Node};
+use mosshead_time::Duration;
+use mosshead_virtual_fleet::{Link, millis};
 
-use crate::day::Act;
+use crate::fault_actions::FaultAction;
+use crate::simulation::{Kill, MESSAGE_KINDS, Simulation};
 use crate::support::{
-    calm, commit_change_at, current_primary, ensure, holds_and_finds, links_of, primary_other_than, roles,
+    Roles, calm, commit_change_at, current_primary, ensure, holds, holds_and_finds, links_of,
+    primary_other_than, roles,
 };
-use crate::world::{KINDS, World};
 
-/// How long machines are cut off or frozen.
-const CUT: u64 = 20_000;
+/// How long machines are cut off or paused.
+const FAULT_DURATION: Duration = millis(20_000);
+/// So many messages wait for a process that resumes.
+const PAUSED_BACKLOG: usize = 8;
 
-/// What is cut off from all others.
+/// Which links of a machine are affected.
 #[derive(Clone, Copy, Debug)]
 enum Direction {
     To,
@@ -19,59 +24,64 @@
     Both,
 }
 
-fn links(world: &World, machine: usize, direction: Direction) -> Vec<(usize, usize)> {
-    let wanted = |link: &(usize, usize)| match direction {
-        Direction::To => link.1 == machine,
-        Direction::From => link.0 == machine,
+const DIRECTIONS: [Direction; 3] = [Direction::To, Direction::From, Direction::Both];
+
+fn links(simulation: &Simulation, machine: usize, direction: Direction) -> Vec<Link<usize>> {
+    let is_wanted = |(from, to): &Link<usize>| match direction {
+        Direction::To => *to == machine,
+        Direction::From => *from == machine,
         Direction::Both => true,
     };
-    links_of(world, machine).into_iter().filter(|(from, to)| from != to).filter(wanted).collect()
+    links_of(simulation, machine).into_iter().filter(|(from, to)| from != to).filter(is_wanted).collect()
 }
 
-/// A trouble of twenty seconds while operators go on; then what was held back arrives at once.
-fn trouble(world: &mut World, act: Act) -> Result<(), String> {
-    let before = world.checker.taken;
-    world.hire(2);
-    world.act(act);
-    world.run(CUT)?;
-    ensure(world.checker.taken > before + 5, "nothing was taken meanwhile")?;
-    world.heal();
-    world.run(3_000)?;
-    world.settle()
+/// A fault that lasts while operators go on; then what was buffered arrives at once.
+fn run_lasting_fault(simulation: &mut Simulation, action: FaultAction) -> Result<(), String> {
+    let before = simulation.checker.accepted_count;
+    simulation.add_operators(2);
+    simulation.apply(action);
+    simulation.run(FAULT_DURATION)?;
+    ensure(simulation.checker.accepted_count > before + 5, "too few changes were accepted meanwhile")?;
+    simulation.heal();
+    simulation.run(millis(3_000))?;
+    simulation.check_convergence()
 }
 
-fn frozen_follower(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+/// A backup or a witness, by the seed.
+fn follower(simulation: &Simulation, seed: u64) -> Result<usize, String> {
+    let Roles { backups, witnesses, .. } = roles(simulation)?;
+    Ok(if seed.is_multiple_of(2) { backups[0] } else { witnesses[0] })
+}
+
+fn paused_follower(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 400..410 {
-        let mut world = calm(seed, 3, 1, injected_fault)?;
-        world.frozen_backlog = 8;
-        let (_, backups, witnesses) = roles(&world)?;
-        let machine = if seed % 2 == 0 { backups[0] } else { witnesses[0] };
-        trouble(&mut world, Act::Freeze(vec![machine]))?;
+        let mut simulation = calm(seed, 3, 1, injected_fault)?;
+        simulation.paused_backlog = PAUSED_BACKLOG;
+        let machine = follower(&simulation, seed)?;
+        run_lasting_fault(&mut simulation, FaultAction::Pause(vec![machine]))?;
     }
     Ok(())
 }
 
 #[test]
-fn a_thawed_follower_is_not_in_touch_by_what_was_held_back() {
-    holds_and_finds(frozen_follower, InjectedFault::ContactByArrival);
+fn a_resumed_follower_has_no_quorum_contact_by_buffered_messages() {
+    holds_and_finds(paused_follower, InjectedFault::ContactByArrival);
 }
 
-/// What becomes of some links, by machines.
-type Cut = fn(Vec<(usize, usize)>) -> Act;
+/// What becomes of some links.
+type LinkFault = fn(Vec<Link<usize>>) -> FaultAction;
 
-/// Links that lose everything, and links that hold the first messages back.
-const CUTS: [Cut; 2] = [Act::Cut, Act::Hold];
-const DIRECTIONS: [Direction; 3] = [Direction::To, Direction::From, Direction::Both];
+/// Links that lose everything, and links that buffer the first messages.
+const LINK_FAULTS: [LinkFault; 2] = [FaultAction::CutLinks, FaultAction::BufferLinks];
 
-fn cut_follower(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+fn cut_off_follower(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 410..414 {
         for direction in DIRECTIONS {
-            for cut in CUTS {
-                let mut world = calm(seed, 3, 1, injected_fault)?;
-                let (_, backups, witnesses) = roles(&world)?;
-                let machine = if seed % 2 == 0 { backups[0] } else { witnesses[0] };
-                let links = links(&world, machine, direction);
-                trouble(&mut world, cut(links))?;
+            for link_fault in LINK_FAULTS {
+                let mut simulation = calm(seed, 3, 1, injected_fault)?;
+                let machine = follower(&simulation, seed)?;
+                let links = links(&simulation, machine, direction);
+                run_lasting_fault(&mut simulation, link_fault(links))?;
             }
         }
     }
@@ -79,208 +89,219 @@
 }
 
 #[test]
-fn a_follower_that_was_cut_off_is_not_in_touch_by_what_was_held_back() {
-    holds_and_finds(cut_follower, InjectedFault::ContactByArrival);
+fn a_follower_that_was_cut_off_has_no_quorum_contact_by_buffered_messages() {
+    holds_and_finds(cut_off_follower, InjectedFault::ContactByArrival);
 }
 
-fn cut_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+fn cut_off_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for (machines, failures) in [(3, 1), (5, 2)] {
         for direction in DIRECTIONS {
-            for cut in CUTS {
-                let mut world = calm(420 + machines as u64, machines, failures, injected_fault)?;
-                let primary = current_primary(&world)?;
-                let links = links(&world, primary, direction);
-                trouble(&mut world, cut(links))?;
+            for link_fault in LINK_FAULTS {
+                let mut simulation = calm(420 + machines as u64, machines, failures, injected_fault)?;
+                let primary = current_primary(&simulation)?;
+                let links = links(&simulation, primary, direction);
+                run_lasting_fault(&mut simulation, link_fault(links))?;
             }
         }
-        let mut world = calm(430 + machines as u64, machines, failures, injected_fault)?;
-        world.frozen_backlog = 8;
-        let primary = current_primary(&world)?;
-        trouble(&mut world, Act::Freeze(vec![primary]))?;
+        let mut simulation = calm(430 + machines as u64, machines, failures, injected_fault)?;
+        simulation.paused_backlog = PAUSED_BACKLOG;
+        let primary = current_primary(&simulation)?;
+        run_lasting_fault(&mut simulation, FaultAction::Pause(vec![primary]))?;
     }
     Ok(())
 }
 
 #[test]
-fn a_primary_that_was_cut_off_is_not_in_touch_by_what_was_held_back() {
-    holds_and_finds(cut_primary, InjectedFault::ContactByArrival);
+fn a_primary_that_was_cut_off_has_no_quorum_contact_by_buffered_messages() {
+    holds_and_finds(cut_off_primary, InjectedFault::ContactByArrival);
 }
 
 /// What is committed never reaches a witness, while heartbeats do.
-fn states_lost(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    // The machines of this seed send no state in pieces: all news of committed states is of this kind.
-    let mut world = calm(431, 3, 1, injected_fault)?;
-    let (_, _, witnesses) = roles(&world)?;
-    let committed = KINDS.iter().position(|kind| *kind == "Committed").ok_or("no such kind")?;
-    world.kind_loss[committed] = 1_000;
-    world.hire(2);
-    world.run(5_000)?;
-    ensure(!world.in_touch(witnesses[0]), "a witness without the state says that it is in touch")?;
-    world.kind_loss[committed] = 0;
-    world.run(500)?;
-    ensure(world.in_touch(witnesses[0]), "a witness with the state isn't in touch")?;
-    world.settle()
+fn lost_states(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+    // The machines of this seed send no state in chunks: all updates of committed states are of this kind.
+    let mut simulation = calm(431, 3, 1, injected_fault)?;
+    let Roles { witnesses, .. } = roles(&simulation)?;
+    let committed = MESSAGE_KINDS.iter().position(|kind| *kind == "Committed").ok_or("no such kind")?;
+    simulation.loss_by_kind[committed] = 1_000;
+    simulation.add_operators(2);
+    simulation.run(millis(5_000))?;
+    let has_contact = simulation.has_quorum_contact(witnesses[0]);
+    ensure(!has_contact, "a witness without the state says that it has quorum contact")?;
+    simulation.loss_by_kind[committed] = 0;
+    simulation.run(millis(500))?;
+    let has_contact = simulation.has_quorum_contact(witnesses[0]);
+    ensure(has_contact, "a witness with the state has no quorum contact")?;
+    simulation.check_convergence()
 }
 
 #[test]
-fn a_follower_that_lacks_the_state_is_not_in_touch() {
-    holds_and_finds(states_lost, InjectedFault::ContactWithoutState);
+fn a_follower_that_lacks_the_state_has_no_quorum_contact() {
+    holds_and_finds(lost_states, InjectedFault::ContactWithoutState);
 }
 
-/// A heartbeat that was sent to an earlier run of a process reaches the next one, whose clock says the same.
-fn another_life(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut world = calm(440, 3, 1, injected_fault)?;
-    let (primary, backups, _) = roles(&world)?;
+/// A heartbeat that was sent to an earlier incarnation of a process reaches the next one, whose clock shows the same.
+fn another_incarnation(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+    let mut simulation = calm(440, 3, 1, injected_fault)?;
+    let Roles { primary, backups, .. } = roles(&simulation)?;
     let machine = backups[0];
-    world.kill(machine, false);
-    world.start(machine);
-    world.run(250)?;
-    world.act(Act::Hold(vec![(primary, machine)]));
-    world.run(200)?;
-    world.kill(machine, false);
-    world.hire(2);
-    world.run(CUT)?;
-    let others = links_of(&world, machine).into_iter().filter(|link| *link != (primary, machine)).collect();
-    world.act(Act::Cut(others));
-    world.start(machine);
-    world.run(500)?;
-    world.release_links();
-    world.run(500)?;
-    world.heal();
-    world.settle()
+    simulation.kill(machine, Kill::Process);
+    simulation.start(machine);
+    simulation.run(millis(250))?;
+    simulation.apply(FaultAction::BufferLinks(vec![(primary, machine)]));
+    simulation.run(millis(200))?;
+    simulation.kill(machine, Kill::Process);
+    simulation.add_operators(2);
+    simulation.run(FAULT_DURATION)?;
+    let links = links_of(&simulation, machine).into_iter();
+    let others = links.filter(|link| *link != (primary, machine)).collect();
+    simulation.apply(FaultAction::CutLinks(others));
+    simulation.start(machine);
+    simulation.run(millis(500))?;
+    simulation.flush_links();
+    simulation.run(millis(500))?;
+    simulation.heal();
+    simulation.check_convergence()
 }
 
 #[test]
-fn a_stamp_of_another_life_proves_nothing() {
-    holds_and_finds(another_life, InjectedFault::ContactOfOtherIncarnations);
+fn a_lease_stamp_of_another_incarnation_proves_nothing() {
+    holds_and_finds(another_incarnation, InjectedFault::ContactOfOtherIncarnations);
 }
 
-/// A node is frozen so long after it has proposed its record; others lead meanwhile.
-fn frozen_take_over(delay: u64, injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut world = calm(450, 3, 1, injected_fault)?;
-    let old = current_primary(&world)?;
-    world.kill(old, false);
-    let proposes = |w: &World, m: &usize| {
-        w.node(*m).is_some_and(|n| {
-            !n.is_primary() && n.epoch_config().is_some_and(|r| r.primary == n.local_member().id)
-        })
-    };
-    let candidate = loop {
-        world.run(1)?;
-        if let Some(candidate) = world.running().into_iter().find(|m| proposes(&world, m)) {
-            break candidate;
+/// Runs until a node has proposed a configuration with itself as primary; returns its machine.
+fn run_until_take_over(simulation: &mut Simulation) -> Result<usize, String> {
+    loop {
+        simulation.run(millis(1))?;
+        let proposes_itself = |machine: &usize| {
+            simulation.node(*machine).is_some_and(|node| {
+                let config = node.epoch_config();
+                !node.is_primary() && config.is_some_and(|config| config.primary == node.local_member().id)
+            })
+        };
+        if let Some(candidate) = simulation.running().into_iter().find(proposes_itself) {
+            return Ok(candidate);
         }
-        ensure(world.now < 10_000, "nobody takes over")?;
-    };
-    let term = world.node(candidate).and_then(|n| n.epoch_config()).map(|r| r.term).ok_or("down")?;
-    world.run(delay)?;
-    if world.checker.was_led(term) {
+        ensure(simulation.now().as_millis() < 10_000, "nobody takes over")?;
+    }
+}
+
+/// A node is paused so long after it has proposed its configuration; others become primary meanwhile.
+fn paused_take_over(delay: Duration, injected_fault: Option<InjectedFault>) -> Result<(), String> {
+    let mut simulation = calm(450, 3, 1, injected_fault)?;
+    let old = current_primary(&simulation)?;
+    simulation.kill(old, Kill::Process);
+    let candidate = run_until_take_over(&mut simulation)?;
+    let config = simulation.node(candidate).and_then(Node::epoch_config);
+    let term = config.map(|config| config.term).ok_or("the candidate is down")?;
+    simulation.run(delay)?;
+    if simulation.checker.had_primary(term) {
         return Ok(());
     }
-    world.act(Act::Freeze(vec![candidate]));
-    world.start(old);
-    world.hire(2);
-    world.run(CUT)?;
-    primary_other_than(&world, candidate)?;
-    world.heal();
-    ensure(!world.checker.was_led(term), "a take-over from before a freeze comes to its end")?;
-    world.settle()
+    simulation.apply(FaultAction::Pause(vec![candidate]));
+    simulation.start(old);
+    simulation.add_operators(2);
+    simulation.run(FAULT_DURATION)?;
+    primary_other_than(&simulation, candidate)?;
+    simulation.heal();
+    ensure(!simulation.checker.had_primary(term), "a take-over from before a pause succeeds")?;
+    simulation.check_convergence()
 }
 
-fn frozen_take_overs(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    (0..20).try_for_each(|delay| frozen_take_over(delay, injected_fault))
+fn paused_take_overs(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+    (0..20).try_for_each(|delay| paused_take_over(millis(delay), injected_fault))
 }
 
 #[test]
-fn a_take_over_does_not_outlast_a_freeze() {
-    holds_and_finds(frozen_take_overs, InjectedFault::LateTakeOver);
+fn a_take_over_does_not_outlast_a_pause() {
+    holds_and_finds(paused_take_overs, InjectedFault::LateTakeOver);
 }
 
-/// A thawed follower, with old heartbeats in its queue, doesn't hold up the election after a real loss.
-fn fooled_voter(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+/// A resumed follower, with old heartbeats in its buffer, doesn't delay the election after a real loss.
+fn voter_with_old_heartbeats(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 460..470 {
-        let mut world = calm(seed, 3, 1, injected_fault)?;
-        world.frozen_backlog = 8;
-        let (primary, backups, witnesses) = roles(&world)?;
-        let machine = if seed % 2 == 0 { backups[0] } else { witnesses[0] };
-        world.act(Act::Freeze(vec![machine]));
-        world.run(CUT)?;
-        world.kill(primary, false);
-        world.run(550)?;
-        world.thaw(machine);
-        world.run(550)?;
-        primary_other_than(&world, primary).map_err(|what| format!("seed {seed}: {what}"))?;
+        let mut simulation = calm(seed, 3, 1, injected_fault)?;
+        simulation.paused_backlog = PAUSED_BACKLOG;
+        let primary = current_primary(&simulation)?;
+        let machine = follower(&simulation, seed)?;
+        simulation.apply(FaultAction::Pause(vec![machine]));
+        simulation.run(FAULT_DURATION)?;
+        simulation.kill(primary, Kill::Process);
+        simulation.run(millis(550))?;
+        simulation.resume(machine);
+        simulation.run(millis(550))?;
+        primary_other_than(&simulation, primary).map_err(|violation| format!("seed {seed}: {violation}"))?;
     }
     Ok(())
 }
 
 #[test]
-fn old_heartbeats_do_not_hold_up_an_election() {
-    holds_and_finds(fooled_voter, InjectedFault::ContactByArrival);
+fn old_heartbeats_do_not_delay_an_election() {
+    holds_and_finds(voter_with_old_heartbeats, InjectedFault::ContactByArrival);
 }
 
 #[test]
-fn a_thawed_primary_does_not_claim_to_lead_before_its_first_step() {
-    let scenario = || {
-        let mut world = calm(470, 3, 1, None)?;
-        let old = current_primary(&world)?;
+fn a_resumed_primary_does_not_claim_its_role_before_its_first_step() {
+    holds("without a fault", || {
+        let mut simulation = calm(470, 3, 1, None)?;
+        let old = current_primary(&simulation)?;
+        let clock = simulation.clock(old);
+        let has_lease = simulation.node(old).is_some_and(|node| node.holds_primary_lease(clock));
+        ensure(has_lease, "it has no lease before")?;
+        simulation.apply(FaultAction::Pause(vec![old]));
+        simulation.run(FAULT_DURATION)?;
+        let node = simulation.node(old).ok_or("the old primary is down")?;
+        let clock = simulation.clock(old);
+        ensure(node.is_primary(), "it was stepped")?;
         ensure(
-            world.node(old).is_some_and(|n| n.holds_primary_lease(world.clock(old))),
-            "it doesn't lead before",
+            !node.holds_primary_lease(clock) && node.primary_at(clock).is_none(),
+            "it claims to be primary",
         )?;
-        world.act(Act::Freeze(vec![old]));
-        world.run(CUT)?;
-        let node = world.node(old).ok_or("down")?;
-        let clock = world.clock(old);
-        ensure(node.is_primary(), "it was stepped")?;
-        ensure(!node.holds_primary_lease(clock) && node.primary_at(clock).is_none(), "it claims to lead")?;
-        ensure(!node.has_quorum_contact(clock), "it claims to be in touch")?;
-        world.thaw(old);
-        world.settle()
-    };
-    scenario().unwrap_or_else(|what: String| panic!("{what}"));
+        ensure(!node.has_quorum_contact(clock), "it claims to have quorum contact")?;
+        simulation.resume(old);
+        simulation.check_convergence()
+    });
 }
 
-#[test]
-fn a_restarted_member_is_in_touch_a_round_trip_after_the_next_heartbeat() {
-    let mut worst = 0;
-    for seed in 480..500 {
-        let scenario = || {
-            let mut world = calm(seed, 3, 1, None)?;
-            let (_, backups, witnesses) = roles(&world)?;
-            let machine = if seed % 2 == 0 { backups[0] } else { witnesses[0] };
-            world.kill(machine, false);
-            world.run(50)?;
-            world.start(machine);
-            let since = world.now;
-            while !world.in_touch(machine) && world.now < since + 1_000 {
-                world.run(1)?;
-            }
-            Ok(world.now - since)
-        };
-        let took = scenario().unwrap_or_else(|what: String| panic!("seed {seed}: {what}"));
-        worst = worst.max(took);
+/// How long a member needs from its restart until it has quorum contact.
+fn time_to_quorum_contact(seed: u64) -> Result<Duration, String> {
+    let mut simulation = calm(seed, 3, 1, None)?;
+    let machine = follower(&simulation, seed)?;
+    simulation.kill(machine, Kill::Process);
+    simulation.run(millis(50))?;
+    simulation.start(machine);
+    let since = simulation.now();
+    while !simulation.has_quorum_contact(machine) && simulation.now() < since + millis(1_000) {
+        simulation.run(millis(1))?;
     }
-    println!("worst time until in touch: {worst} ms");
-    // The next heartbeat, its answer, and the next heartbeat at once.
-    assert!(worst <= 100 + 50 + 15, "{worst} ms");
+    Ok(simulation.now() - since)
+}
+
+#[test]
+fn a_restarted_member_has_quorum_contact_a_round_trip_after_the_next_heartbeat() {
+    let times = (480..500).map(|seed| holds(&format!("seed {seed}"), || time_to_quorum_contact(seed)));
+    let worst = times.max().unwrap_or_default();
+    println!("worst time until quorum contact: {worst:?}");
+    // The next heartbeat, its response, and the next heartbeat at once.
+    assert!(worst <= millis(100 + 50 + 15), "{worst:?}");
 }
 
-/// One link fails in one direction: the same machine goes on leading, and takes changes.
+/// One link fails in one direction: the same machine stays primary, and accepts changes.
 fn one_way(machines: usize, failures: usize, injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for from in 0..machines {
         for to in (0..machines).filter(|to| *to != from) {
-            let mut world = calm(500 + (machines * from + to) as u64, machines, failures, injected_fault)?;
-            let primary = current_primary(&world)?;
-            world.act(Act::Cut(vec![(from, to)]));
+            let seed = 500 + (machines * from + to) as u64;
+            let mut simulation = calm(seed, machines, failures, injected_fault)?;
+            let primary = current_primary(&simulation)?;
+            simulation.apply(FaultAction::CutLinks(vec![(from, to)]));
             for _ in 0..10 {
-                world.run(1_000)?;
-                commit_change_at(&mut world, primary, 1_000)?;
+                simulation.run(millis(1_000))?;
+                commit_change_at(&mut simulation, primary, millis(1_000))?;
             }
-            for machine in world.running() {
+            for machine in simulation.running() {
                 // Proof of contact takes both directions.
-                let proves = ![(from, to), (to, from)].contains(&(primary, machine));
-                ensure(!proves || world.in_touch(machine), &format!("m{machine} isn't in touch"))?;
+                let has_both = ![(from, to), (to, from)].contains(&(primary, machine));
+                let has_contact = simulation.has_quorum_contact(machine);
+                ensure(!has_both || has_contact, &format!("m{machine} has no quorum contact"))?;
             }
         }
     }
--- a/crates/consensus/tests/fleet/repeated_requests.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -1,78 +1,79 @@
-//! Calls that are sent again, also hundreds of changes later: acknowledged or left without a clear answer, never refused.
+//! Requests that are sent again, also hundreds of changes later: acknowledged or left without a clear reply, never rejected.
 
-use mosshead_consensus::{ClientReply, InjectedFault, Node, Timings};
+use mosshead_consensus::{ClientReply, DEDUPLICATION_WINDOW, InjectedFault, Node, Timings};
 use mosshead_time::Duration;
+use mosshead_virtual_fleet::millis;
 
-use crate::checker::Kind;
-use crate::day::Act;
+use crate::checker::RequestKind;
+use crate::fault_actions::FaultAction;
+use crate::simulation::{CALLER_TIMEOUT, Simulation};
 use crate::support::{
-    calm, calm_with, commit_change, current_primary, ensure, holds_and_finds, reply_at, roles,
+    Roles, calm, calm_with, commit_change, current_primary, ensure, holds, holds_and_finds, reply_at, roles,
 };
-use crate::world::{CALLER_TIMEOUT, World};
 
-/// More changes than a state remembers calls.
+/// More changes than a state remembers requests.
 const HUNDREDS: usize = 300;
+/// Longer than the disk of the scenario stalls.
+const LONG_WRITE_TIMEOUT: Duration = millis(10_000);
 
-/// A change that was taken is sent again after every other one of some hundreds.
+/// A change that was accepted is sent again after each one of some hundreds.
 fn repeated_after_hundreds(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut world = calm(11, 3, 1, injected_fault)?;
+    let mut simulation = calm(11, 3, 1, injected_fault)?;
     let mut changes = Vec::new();
     for _ in 0..HUNDREDS {
-        changes.push(commit_change(&mut world, 60)?);
+        changes.push(commit_change(&mut simulation, millis(60))?);
     }
-    let primary = current_primary(&world)?;
+    let primary = current_primary(&simulation)?;
     let mut acknowledged = 0;
     for change in changes {
-        let reply = reply_at(&mut world, primary, Kind::Change(change), 250)?;
+        let reply = reply_at(&mut simulation, primary, RequestKind::Change(change), millis(250))?;
         acknowledged += usize::from(matches!(reply, Some(ClientReply::ChangeCommitted { .. })));
     }
     ensure(
-        acknowledged == mosshead_consensus::DEDUPLICATION_WINDOW,
-        "the latest calls are acknowledged again",
+        acknowledged == DEDUPLICATION_WINDOW,
+        &format!("{acknowledged} of the latest requests are acknowledged again"),
     )
 }
 
 #[test]
-fn a_call_taken_hundreds_of_changes_ago_is_never_refused() {
+fn a_change_accepted_hundreds_of_changes_ago_is_never_rejected() {
     holds_and_finds(repeated_after_hundreds, InjectedFault::RejectExpired);
 }
 
-/// The backup's disk stalls for longer than the caller listens: no clear answer in time, but the write goes on.
-fn expired_write() -> Result<(), String> {
-    let mut world = World::new(12, 3, 1, None);
-    for machine in &mut world.machines {
-        let patient = Timings::default();
+/// The backup's disk stalls for longer than the caller waits: no clear reply in time, but the write goes on.
+fn write_outlasts_its_caller() -> Result<(), String> {
+    let mut simulation = Simulation::new(12, 3, 1, None);
+    for machine in &mut simulation.machines {
         machine.settings.timings = Timings {
-            backup_write_timeout: Duration::from_millis(10_000),
-            unhealthy_write_timeout: Duration::from_millis(10_000),
-            local_write_timeout: Duration::from_millis(10_000),
-            ..patient
+            backup_write_timeout: LONG_WRITE_TIMEOUT,
+            unhealthy_write_timeout: LONG_WRITE_TIMEOUT,
+            local_write_timeout: LONG_WRITE_TIMEOUT,
+            ..Timings::default()
         };
     }
-    let mut world = calm_with(world)?;
-    let (primary, backups, _) = roles(&world)?;
-    world.act(Act::Stall(backups, 1_500));
-    let change = world.fresh_change(primary);
-    let first = reply_at(&mut world, primary, Kind::Change(change.clone()), CALLER_TIMEOUT)?;
-    ensure(first == Some(ClientReply::Unavailable), "the caller gets no answer in time")?;
-    world.run(1_000)?;
-    let committed = world.node(primary).and_then(Node::committed_state).map(|s| s.revision);
-    ensure(committed == Some(change.revision), "the write under way is finished")?;
-    for machine in world.running() {
-        let again = reply_at(&mut world, machine, Kind::Change(change.clone()), 500)?;
-        let fine = match again {
+    let mut simulation = calm_with(simulation)?;
+    let Roles { primary, backups, .. } = roles(&simulation)?;
+    simulation.apply(FaultAction::StallDisks(backups, millis(1_500)));
+    let change = simulation.new_change(primary);
+    let kind = RequestKind::Change(change.clone());
+    let first = reply_at(&mut simulation, primary, kind.clone(), CALLER_TIMEOUT)?;
+    ensure(first == Some(ClientReply::Unavailable), &format!("the caller gets {first:?} in time"))?;
+    simulation.run(millis(1_000))?;
+    let committed = simulation.node(primary).and_then(Node::committed_state).map(|state| state.revision);
+    ensure(committed == Some(change.revision), "the write in flight is not finished")?;
+    for machine in simulation.running() {
+        let again = reply_at(&mut simulation, machine, kind.clone(), millis(500))?;
+        let is_expected = match again {
             Some(ClientReply::ChangeCommitted { .. }) => machine == primary,
             Some(ClientReply::NotPrimary { .. }) => machine != primary,
             _ => false,
         };
-        ensure(fine, "the repeat is acknowledged, or sent on to who acknowledges it")?;
+        ensure(is_expected, &format!("m{machine} replies {again:?} to the repeat"))?;
     }
     Ok(())
 }
 
 #[test]
 fn a_write_whose_caller_has_left_is_finished_and_its_repeat_acknowledged() {
-    if let Err(what) = expired_write() {
-        panic!("{what}");
-    }
+    holds("without a fault", write_outlasts_its_caller);
 }
--- a/crates/consensus/tests/fleet/support.rs
+++ b/crates/consensus/tests/fleet/support.rs
@@ -1,99 +1,126 @@
-//! What the scenarios share: fleets in calm, changes that have to be committed, roles.
+//! What the scenarios share: fleets in calm, changes that have to be committed, the roles of machines.
 
 use mosshead_consensus::{ClientReply, InjectedFault, Node};
 use mosshead_time::Duration;
+use mosshead_virtual_fleet::{Link, Noise, millis};
 
-use crate::checker::{Change, Kind};
-use crate::world::World;
+use crate::checker::{Change, RequestKind};
+use crate::simulation::Simulation;
 
-/// The lease of a primary that is to trust in it for long.
-pub(crate) const LONG_LEASE: Duration = Duration::from_millis(60_000);
+/// A lease that outlasts each scenario.
+pub(crate) const LONG_LEASE: Duration = millis(60_000);
+/// Within this a new fleet has a primary.
+pub(crate) const BOOTSTRAP_TIME: Duration = millis(3_000);
+/// Within this a change is committed in calm.
+pub(crate) const COMMIT_TIME: Duration = millis(400);
 
+/// A scenario with nodes that have this fault. Its error says what was violated.
 pub(crate) type Scenario = fn(Option<InjectedFault>) -> Result<(), String>;
 
+/// What the machines do by the configuration of the primary.
+pub(crate) struct Roles {
+    pub(crate) primary: usize,
+    pub(crate) backups: Vec<usize>,
+    pub(crate) witnesses: Vec<usize>,
+}
+
 /// A fleet in calm, without noise, with some state.
 pub(crate) fn calm(
     seed: u64,
     machines: usize,
-    failures: usize,
+    tolerated_failures: usize,
     injected_fault: Option<InjectedFault>,
-) -> Result<World, String> {
-    calm_with(World::new(seed, machines, failures, injected_fault))
+) -> Result<Simulation, String> {
+    calm_with(Simulation::new(seed, machines, tolerated_failures, injected_fault))
 }
 
-pub(crate) fn calm_with(mut world: World) -> Result<World, String> {
-    world.noise = 0;
-    world.run(3_000)?;
+/// The fleet without noise, with some state.
+pub(crate) fn calm_with(mut simulation: Simulation) -> Result<Simulation, String> {
+    simulation.noise = Noise::NONE;
+    simulation.run(BOOTSTRAP_TIME)?;
     for _ in 0..3 {
-        commit_change(&mut world, 400)?;
+        commit_change(&mut simulation, COMMIT_TIME)?;
     }
-    Ok(world)
+    Ok(simulation)
 }
 
-pub(crate) fn ensure(holds: bool, what: &str) -> Result<(), String> {
-    if holds { Ok(()) } else { Err(what.to_string()) }
+pub(crate) fn ensure(holds: bool, description: &str) -> Result<(), String> {
+    if holds { Ok(()) } else { Err(description.to_string()) }
 }
 
-pub(crate) fn current_primary(world: &World) -> Result<usize, String> {
-    world.primary().ok_or_else(|| format!("at {}: no primary", world.now))
+pub(crate) fn current_primary(simulation: &Simulation) -> Result<usize, String> {
+    simulation.primary().ok_or_else(|| format!("at {}: no primary", simulation.now()))
 }
 
-/// A primary other than that machine, which calls itself one still perhaps.
-pub(crate) fn primary_other_than(world: &World, not: usize) -> Result<usize, String> {
-    let leads = |m: &usize| *m != not && world.node(*m).is_some_and(Node::is_primary);
-    world.running().into_iter().find(leads).ok_or_else(|| format!("at {}: no other primary", world.now))
+/// A primary other than that machine, which may still believe to be primary.
+pub(crate) fn primary_other_than(simulation: &Simulation, old: usize) -> Result<usize, String> {
+    let is_other_primary =
+        |machine: &usize| *machine != old && simulation.node(*machine).is_some_and(Node::is_primary);
+    let found = simulation.running().into_iter().find(is_other_primary);
+    found.ok_or_else(|| format!("at {}: no other primary", simulation.now()))
 }
 
-/// A new change at the primary is taken within the span.
-pub(crate) fn commit_change(world: &mut World, span: u64) -> Result<Change, String> {
-    let primary = current_primary(world)?;
-    commit_change_at(world, primary, span)
+/// A new change at the primary is committed within the span.
+pub(crate) fn commit_change(simulation: &mut Simulation, span: Duration) -> Result<Change, String> {
+    let primary = current_primary(simulation)?;
+    commit_change_at(simulation, primary, span)
 }
 
-pub(crate) fn commit_change_at(world: &mut World, machine: usize, span: u64) -> Result<Change, String> {
-    let change = world.fresh_change(machine);
-    let request_id = world.send_request(machine, Kind::Change(change.clone()));
-    world.run(span)?;
-    match world.checker.reply(request_id) {
+pub(crate) fn commit_change_at(
+    simulation: &mut Simulation,
+    machine: usize,
+    span: Duration,
+) -> Result<Change, String> {
+    let change = simulation.new_change(machine);
+    match reply_at(simulation, machine, RequestKind::Change(change.clone()), span)? {
         Some(ClientReply::ChangeCommitted { .. }) => Ok(change),
-        other => Err(format!("at {}: m{machine} answered {other:?}", world.now)),
+        other => Err(format!("at {}: m{machine} replied {other:?}", simulation.now())),
     }
 }
 
+/// Sends a request and lets the span pass. Returns the reply, if there is one.
 pub(crate) fn reply_at(
-    world: &mut World,
+    simulation: &mut Simulation,
     machine: usize,
-    kind: Kind,
-    span: u64,
+    kind: RequestKind,
+    span: Duration,
 ) -> Result<Option<ClientReply>, String> {
-    let request_id = world.send_request(machine, kind);
-    world.run(span)?;
-    Ok(world.checker.reply(request_id).cloned())
+    let request_id = simulation.send_request(machine, kind);
+    simulation.run(span)?;
+    Ok(simulation.checker.reply(request_id).cloned())
 }
 
-/// The record of the primary, by machines.
-pub(crate) fn roles(world: &World) -> Result<(usize, Vec<usize>, Vec<usize>), String> {
-    let primary = current_primary(world)?;
-    let record = world.node(primary).and_then(|n| n.epoch_config()).cloned().ok_or("no record")?;
-    let machine =
-        |id| world.running().into_iter().find(|m| world.node(*m).is_some_and(|n| n.local_member().id == id));
-    let backups: Vec<usize> = record.backups.iter().filter_map(|id| machine(*id)).collect();
-    let others = record.members.iter().filter_map(|m| machine(m.id));
-    let witnesses = others.filter(|m| *m != primary && !backups.contains(m)).collect();
-    Ok((primary, backups, witnesses))
+pub(crate) fn roles(simulation: &Simulation) -> Result<Roles, String> {
+    let primary = current_primary(simulation)?;
+    let config = simulation.node(primary).and_then(Node::epoch_config).ok_or("no configuration")?;
+    let machine_of = |id| {
+        let is_member =
+            |machine: &usize| simulation.node(*machine).is_some_and(|node| node.local_member().id == id);
+        simulation.running().into_iter().find(is_member)
+    };
+    let backups: Vec<usize> = config.backups.iter().filter_map(|id| machine_of(*id)).collect();
+    let members = config.members.iter().filter_map(|member| machine_of(member.id));
+    let witnesses = members.filter(|machine| *machine != primary && !backups.contains(machine)).collect();
+    Ok(Roles { primary, backups, witnesses })
 }
 
-pub(crate) fn links_of(world: &World, machine: usize) -> Vec<(usize, usize)> {
-    world.standing().into_iter().flat_map(|m| [(m, machine), (machine, m)]).collect()
+/// All links to and from a machine.
+pub(crate) fn links_of(simulation: &Simulation, machine: usize) -> Vec<Link<usize>> {
+    simulation.remaining().into_iter().flat_map(|other| [(other, machine), (machine, other)]).collect()
 }
 
-/// Nodes as they are tell the story to its end; nodes with the flaw don't.
+/// The scenario holds with nodes as they are, and finds the fault in nodes that have it.
 pub(crate) fn holds_and_finds(scenario: Scenario, injected_fault: InjectedFault) {
-    if let Err(what) = scenario(None) {
-        panic!("without a injected_fault: {what}");
+    if let Err(violation) = scenario(None) {
+        panic!("without an injected fault: {violation}");
     }
     match scenario(Some(injected_fault)) {
         Ok(()) => panic!("{injected_fault:?} was not found"),
-        Err(what) => println!("{injected_fault:?}: {what:.200}"),
+        Err(violation) => println!("{injected_fault:?}: {violation:.200}"),
     }
 }
+
+/// The scenario holds; a violation is reported with the name of the case, a seed for instance.
+pub(crate) fn holds<T>(case: &str, scenario: impl FnOnce() -> Result<T, String>) -> T {
+    scenario().unwrap_or_else(|violation| panic!("{case}: {violation}"))
+}
