--- a/crates/ctl/src/emulate.rs
+++ b/crates/ctl/src/emulate.rs
@@ -8,7 +8,7 @@
 use mosshead_emulator::{Options, Played, play};
 use mosshead_world::Time;
 
-use crate::{BadUse, End, days, scenarios, simulate};
+use crate::{BadUse, End, day_tables, scenarios, simulate};
 
 /// Plays a scenario in real time against a command, one program a proxy, on loopback.
 #[derive(Args)]
@@ -84,7 +84,7 @@
             println!("{}", serde_json::to_string(&played)?);
         } else {
             print(&played, &scenario);
-            days::broken(&played.day).into_iter().for_each(|broken| println!("\n{broken}"));
+            day_tables::broken(&played.day).into_iter().for_each(|broken| println!("\n{broken}"));
         }
         Ok(match (played.void, played.day.is_clean) {
             (true, _) => End::Void,
@@ -100,7 +100,7 @@
         "\n{} with `{}`, seed {}: {:.1} s, {} proxies, {} requests\n",
         day.scenario, day.policy, day.seed, day.length_s, day.proxies, day.scorecard.total.operations
     );
-    println!("{}", days::whole(day, scenario));
+    println!("{}", day_tables::whole(day, scenario));
     let late = &played.lateness;
     println!(
         "the emulator was late by {:.2} ms in the median, {:.2} ms at 99 %, {:.2} ms at most",
--- a/crates/ctl/src/fleet_day.rs
+++ b/crates/ctl/src/fleet_day.rs
@@ -3,14 +3,14 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use mosshead_rig::checks::Peaks;
+use mosshead_rig::invariants::Peaks;
 use mosshead_rig::{FleetDay, grown, play, play_virtual};
 use mosshead_world::scenario::Scenario;
 use mosshead_world::units::ValueRange;
 use tabled::builder::Builder;
 use tabled::settings::{Alignment, Style, object::Columns};
 
-use crate::{BadUse, End, days, emulate, scenarios, simulate};
+use crate::{BadUse, End, day_tables, emulate, scenarios, simulate};
 
 /// So many breaches are printed.
 const SHOWN: usize = 10;
@@ -92,7 +92,7 @@
         if self.json {
             println!("{}", serde_json::to_string(&day)?);
         } else {
-            println!("{}", days::whole(&day.day, scenario));
+            println!("{}", day_tables::whole(&day.day, scenario));
             for back in &day.returns {
                 let full =
                     back.full_after_s.map_or("never in this day".to_owned(), |after| format!("{after:.2} s"));
@@ -101,7 +101,7 @@
                     back.proxies, back.ended_s, back.up_s, back.peaks.node_load
                 );
             }
-            days::broken(&day.day).into_iter().for_each(|broken| println!("\n{broken}"));
+            day_tables::broken(&day.day).into_iter().for_each(|broken| println!("\n{broken}"));
         }
         Ok(if day.day.is_clean { End::Kept } else { End::Broken })
     }
@@ -180,7 +180,7 @@
         0 => println!("every law of the links was kept"),
         count => println!("{count} breaches on the links"),
     }
-    if let Some(broken) = days::broken(&day.played.day) {
+    if let Some(broken) = day_tables::broken(&day.played.day) {
         println!("\n{broken}");
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,12 +1,12 @@
 //! The command line for all but serving.
 
+mod back_study;
 mod config;
-mod days;
+mod day_tables;
 mod emulate;
 mod fleet_day;
 mod scenarios;
 mod simulate;
-mod study;
 mod way_back;
 
 use std::process::ExitCode;
@@ -35,7 +35,7 @@
     /// Plays a scenario against many processes with faults between them, and judges by what crossed the links.
     FleetDay(fleet_day::Fleet),
     /// Plays days of a fleet that comes back over seeds and sizes: tables and charts.
-    BackStudy(study::Study),
+    BackStudy(back_study::Study),
     /// Asks proxies how far they have come since their start.
     WayBack(way_back::WayBack),
     /// Lists the scenarios that are built in, or prints one.
--- a/crates/ctl/src/simulate.rs
+++ b/crates/ctl/src/simulate.rs
@@ -10,7 +10,7 @@
 use mosshead_simulate::{Day, EventListener, play_day};
 use mosshead_world::Time;
 
-use crate::{BadUse, End, days, scenarios};
+use crate::{BadUse, End, day_tables, scenarios};
 
 /// Plays a scenario in virtual time, and sets policies side by side.
 #[derive(Args)]
@@ -117,7 +117,7 @@
         }
         if all.len() > 1 && !self.json {
             let together = self.seeds.len() > 1 && self.brief;
-            println!("\n{}", if together { days::means(&all) } else { days::beside(&all) });
+            println!("\n{}", if together { day_tables::means(&all) } else { day_tables::beside(&all) });
         }
         Ok(end)
     }
@@ -142,8 +142,8 @@
             day.scorecard.total.operations,
             day.queue_events as f64 / took
         );
-        println!("{}", days::whole(day, scenario));
-        if let Some(broken) = days::broken(day) {
+        println!("{}", day_tables::whole(day, scenario));
+        if let Some(broken) = day_tables::broken(day) {
             println!("\n{broken}");
         }
         Ok(())
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/admin_polls.rs
@@ -9,9 +9,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::between::Place;
-use crate::stage::Stage;
-use crate::wire::Wire;
+use crate::harness::Stage;
+use crate::http::Wire;
+use crate::proxy_links::Place;
 
 /// Each is asked so often,
 const EVERY: Duration = Duration::from_millis(200);
--- a/crates/emulator/src/bin/mosshead-wrong.rs
+++ b/crates/emulator/src/bin/mosshead-faulty-proxy/main.rs
@@ -1,6 +1,6 @@
 //! A small proxy that can be made wrong on purpose, one fault at a time: what the referee is tested with.
 //!
-//! `mosshead-wrong none` is the right one: round robin, one connection an attempt, the plainest rules. The
+//! `mosshead-faulty-proxy none` is the right one: round robin, one connection an attempt, the plainest rules. The
 //! other words name the fault that it then has.
 
 use std::cell::{Cell, RefCell};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use lexopt::prelude::*;
-use mosshead_emulator::wire::{Came, Message, Wire, answer};
+use mosshead_emulator::http::{Came, Message, Wire, answer};
 use serde_json::Value as Json;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{SignalKind, signal};
@@ -384,21 +384,21 @@
     let fault = match word() {
         Ok(fault) => fault,
         Err(error) => {
-            eprintln!("mosshead-wrong: {error}");
+            eprintln!("mosshead-faulty-proxy: {error}");
             return ExitCode::from(2);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("mosshead-wrong: {error}");
+            eprintln!("mosshead-faulty-proxy: {error}");
             return ExitCode::FAILURE;
         }
     };
     match LocalSet::new().block_on(&runtime, serve(fault)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("mosshead-wrong: {fault}");
+            eprintln!("mosshead-faulty-proxy: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -13,8 +13,8 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use crate::stage::Stage;
-use crate::wire::{Came, Leftover, Message, Wire};
+use crate::harness::Stage;
+use crate::http::{Came, Leftover, Message, Wire};
 
 /// A rude client is owed an error or a close within this.
 const OWED: Duration = Duration::from_millis(3000);
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -14,11 +14,11 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::between::Place;
-use crate::programs;
+use crate::harness::Stage;
+use crate::http::{Came, Wire, answer};
+use crate::proxy_links::Place;
+use crate::proxy_processes;
 use crate::servers;
-use crate::stage::Stage;
-use crate::wire::{Came, Wire, answer};
 
 /// So long after discovery has moved its old address closes what is open there.
 const MOVED: Duration = Duration::from_millis(1500);
@@ -132,7 +132,7 @@
 /// Discovery moves for this proxy, which is told by SIGHUP.
 pub(crate) fn move_on(stage: &Rc<Stage>, proxy: usize) {
     if listen(stage, proxy).is_ok() {
-        programs::reload(stage, proxy);
+        proxy_processes::reload(stage, proxy);
     }
 }
 
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/harness.rs
@@ -19,12 +19,12 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::between::{Between, Nothing};
 use crate::clients::Clients;
-use crate::clock::Clock;
-use crate::programs::{Programs, Usage};
+use crate::proxy_links::{Between, Nothing};
+use crate::proxy_processes::{Programs, Usage};
 use crate::servers::{Lane, Servers};
-use crate::{callers, clients, discovery, programs, servers};
+use crate::wake_timer::Clock;
+use crate::{admin_polls, clients, discovery, proxy_processes, servers};
 
 /// The day is void where one event in a hundred came later than this, unless the options say otherwise.
 const LATE_LIMIT: Duration = Duration::from_millis(10);
@@ -210,13 +210,13 @@
                     let _ = waits.send(listed);
                 }
             }
-            Output::StopProxy(proxy) => programs::stop(self, proxy),
-            Output::KillProxy(proxy) => programs::kill(self, proxy),
-            Output::StartProxy(proxy) => programs::restart(self, proxy),
+            Output::StopProxy(proxy) => proxy_processes::stop(self, proxy),
+            Output::KillProxy(proxy) => proxy_processes::kill(self, proxy),
+            Output::StartProxy(proxy) => proxy_processes::restart(self, proxy),
             Output::MoveDiscovery(proxy) => discovery::move_on(self, proxy),
             Output::ClientMisbehaves { proxy, choice } => clients::rude(self, proxy, choice),
-            Output::PauseProxy(proxy) => programs::pause(self, proxy),
-            Output::ResumeProxy(proxy) => programs::resume(self, proxy),
+            Output::PauseProxy(proxy) => proxy_processes::pause(self, proxy),
+            Output::ResumeProxy(proxy) => proxy_processes::resume(self, proxy),
             Output::LinkFaultChanged { fault, is_active } => self.between.ways(&fault, is_active),
             // A kernel brings connections up and refuses them.
             Output::ConnectionEstablished(_) | Output::ConnectionRefused(_) => {}
@@ -309,7 +309,7 @@
             discovery::listen(&stage, proxy).map_err(machine("a port for discovery"))?;
         }
         for proxy in 0..count {
-            programs::start(&stage, proxy).await?;
+            proxy_processes::start(&stage, proxy).await?;
         }
         let began = Instant::now();
         stage.began.set(Some(began));
@@ -317,9 +317,9 @@
         for proxy in 0..count {
             stage.input(Input::ProxyStarted { proxy });
         }
-        spawn_local(programs::measure(stage.clone()));
+        spawn_local(proxy_processes::measure(stage.clone()));
         if scenario.proxy.has_admin_endpoint {
-            spawn_local(callers::ask_all(stage.clone()));
+            spawn_local(admin_polls::ask_all(stage.clone()));
         }
         let watched = stage.clone();
         spawn_local(async move {
@@ -329,7 +329,7 @@
             }
         });
         stage.pump().await;
-        programs::finish(&stage).await;
+        proxy_processes::finish(&stage).await;
         Ok(close(&stage, scenario, options))
     });
     drop(tasks);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,17 +5,17 @@
 //! referee judges by that record; the emulator measures how late it was itself, and voids a day on which it
 //! was too late to judge.
 
-mod between;
-mod callers;
+mod admin_polls;
 mod clients;
-mod clock;
 mod discovery;
-mod folders;
-mod programs;
+mod harness;
+pub mod http;
+mod proxy_links;
+mod proxy_processes;
 mod servers;
-mod stage;
-pub mod wire;
+mod state_folders;
+mod wake_timer;
 
-pub use between::{Between, Place, Process};
-pub use programs::{Usage, Watched};
-pub use stage::{EmulatorError, Lateness, Options, Played, play, play_between};
+pub use harness::{EmulatorError, Lateness, Options, Played, play, play_between};
+pub use proxy_links::{Between, Place, Process};
+pub use proxy_processes::{Usage, Watched};
--- a/crates/emulator/src/programs.rs
+++ b/crates/emulator/src/proxy_processes.rs
@@ -19,12 +19,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::between::Process;
 use crate::discovery::listing;
-use crate::folders;
+use crate::harness::{EmulatorError, Options, Stage};
+use crate::http::{Came, Wire};
+use crate::proxy_links::Process;
 use crate::servers::Lane;
-use crate::stage::{EmulatorError, Options, Stage};
-use crate::wire::{Came, Wire};
+use crate::state_folders;
 
 /// Programs are ready within this, or the day cannot be played.
 const READY: Duration = Duration::from_secs(10);
@@ -180,10 +180,10 @@
 fn grant(stage: &Stage, proxy: usize) -> std::io::Result<Option<PathBuf>> {
     let Some(finds) = stage.world(|world| world.stored_state_condition(proxy)) else { return Ok(None) };
     let folder = &stage.programs.folder;
-    folders::prepare(folder, proxy, stage.programs.count(), finds)?;
+    state_folders::prepare(folder, proxy, stage.programs.count(), finds)?;
     stage.between.process(proxy, Process::Finds(finds.scenario_name()));
     let path = folder.join(format!("n{proxy}.operators.json"));
-    let own = folders::of(folder, proxy);
+    let own = state_folders::of(folder, proxy);
     fs::write(&path, json!({"state": {"folder": own.to_string_lossy()}}).to_string())?;
     Ok(Some(path))
 }
@@ -362,7 +362,7 @@
     let mut over: Vec<Pid> = Vec::new();
     loop {
         if stage.world(|world| world.scenario().proxy.has_state_folder) {
-            folders::remember(&stage.programs.folder, stage.programs.count());
+            state_folders::remember(&stage.programs.folder, stage.programs.count());
         }
         let quarter = (4 * stage.now().0 / stage.programs.length.0.max(1)).min(3) as usize;
         let pids: Vec<(usize, Pid)> = (stage.programs.all.borrow().iter().enumerate())
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::{AbortHandle, spawn_local};
 
-use crate::between::Place;
 use crate::clients::answer_body;
-use crate::stage::{Say, Stage};
-use crate::wire::{Came, Message, Wire, answer};
+use crate::harness::{Say, Stage};
+use crate::http::{Came, Message, Wire, answer};
+use crate::proxy_links::Place;
 
 /// What is done at an address for one proxy.
 enum Door {
--- a/crates/emulator/tests/links.rs
+++ b/crates/emulator/tests/link_invariants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mosshead_emulator::Options;
-use mosshead_rig::checks::Law;
+use mosshead_rig::invariants::Law;
 use mosshead_rig::{FleetDay, play};
 use mosshead_world::scenario::Scenario;
 use rstest::rstest;
@@ -15,7 +15,7 @@
     let errors = "errors = \"10%\"\nconnections = { work = \"2ms\" }";
     let text = text.replace("connections = { work = \"2ms\" }", errors);
     let scenario = Scenario::read(&text).expect("a scenario");
-    let command = vec![env!("CARGO_BIN_EXE_mosshead-wrong").to_owned(), fault.to_owned()];
+    let command = vec![env!("CARGO_BIN_EXE_mosshead-faulty-proxy").to_owned(), fault.to_owned()];
     let mut options = Options::new(1, command);
     options.late_limit = Duration::from_millis(400);
     let day = play(&scenario, &options, |_, _| {}).expect("a day");
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -111,7 +111,7 @@
 
 fn seeded(text: &str, fault: &str, seed: u64) -> Played {
     let scenario = Scenario::read(text).expect("a scenario");
-    let command = vec![env!("CARGO_BIN_EXE_mosshead-wrong").to_owned(), fault.to_owned()];
+    let command = vec![env!("CARGO_BIN_EXE_mosshead-faulty-proxy").to_owned(), fault.to_owned()];
     let mut options = Options::new(seed, command);
     // Tests share the machine: only a standstill voids the day here.
     options.late_limit = Duration::from_millis(400);
@@ -179,7 +179,7 @@
 fn spoilt_and_half_answers_are_the_servers_doing() {
     let more = "\n[[trouble]]\nfault = \"spoilt\"\nat = \"200ms\"\nlength = \"3s\"\nsize = \"20%\"\n";
     let scenario = Scenario::read(&(DAY.to_owned() + more)).expect("a scenario");
-    let command = vec![env!("CARGO_BIN_EXE_mosshead-wrong").to_owned(), "none".to_owned()];
+    let command = vec![env!("CARGO_BIN_EXE_mosshead-faulty-proxy").to_owned(), "none".to_owned()];
     let mut options = Options::new(9, command);
     options.late_limit = Duration::from_millis(400);
     let played = play(&scenario, &options, |_, _| {}).expect("a day");
@@ -203,7 +203,7 @@
 "#;
     let text = DAY.replacen("proxies = 1", "proxies = 2", 1) + more;
     let scenario = Scenario::read(&text).expect("a scenario");
-    let command = vec![env!("CARGO_BIN_EXE_mosshead-wrong").to_owned(), "none".to_owned()];
+    let command = vec![env!("CARGO_BIN_EXE_mosshead-faulty-proxy").to_owned(), "none".to_owned()];
     let mut options = Options::new(5, command);
     options.late_limit = Duration::from_millis(400);
     let played = play(&scenario, &options, |_, _| {}).expect("a day");
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use mosshead_emulator::Options;
-use mosshead_rig::checks::Law;
-use mosshead_rig::record::{Crossed, Crossing};
+use mosshead_rig::invariants::Law;
+use mosshead_rig::link_record::{Crossed, Crossing};
 use mosshead_rig::{FleetDay, play};
 use mosshead_world::events::EventKind;
 use mosshead_world::scenario::Scenario;
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/fleet_day.rs
@@ -15,10 +15,10 @@
 use mosshead_world::{ServerId, Time, World};
 use serde::Serialize;
 
-use crate::checks::{self, Breach, Peaks};
+use crate::full_service;
+use crate::invariants::{self, Breach, Peaks};
+use crate::link_record::{Crossed, Crossing, Record};
 use crate::links::Links;
-use crate::record::{Crossed, Crossing, Record};
-use crate::service;
 
 /// A return of proxies that had ended: when, and how long it took until service was full.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -191,7 +191,7 @@
 fn returns(record: &Record, day: &Day, capacity: &impl Fn(ServerId) -> f64) -> Vec<Return> {
     let outages = outages(record);
     let full = |outage: &Outage| {
-        service::full_again(&day.scorecard.by_quarter_second, outages[0].ended, outage.all_up)
+        full_service::full_again(&day.scorecard.by_quarter_second, outages[0].ended, outage.all_up)
             .map(Time::as_seconds)
     };
     let back = |outage: &Outage| Return {
@@ -199,7 +199,7 @@
         ended_s: outage.ended.as_seconds(),
         up_s: outage.all_up.as_seconds(),
         full_after_s: full(outage),
-        peaks: checks::peaks(record, outage.first_up, capacity),
+        peaks: invariants::peaks(record, outage.first_up, capacity),
     };
     outages.iter().map(back).collect()
 }
@@ -213,8 +213,8 @@
         facts: Vec::new(),
     };
     FleetDay {
-        breaches: checks::all(&record, scenario),
-        calm: checks::peaks(&before, Time::from_millis(1), &capacity),
+        breaches: invariants::all(&record, scenario),
+        calm: invariants::peaks(&before, Time::from_millis(1), &capacity),
         returns,
         discovery_capacity: scenario.discovery.capacity.min.0,
         played,
--- a/crates/rig/src/checks.rs
+++ b/crates/rig/src/invariants.rs
@@ -10,7 +10,7 @@
 use mosshead_world::{ServerId, Time};
 use serde::Serialize;
 
-use crate::record::{Crossed, Crossing, Record};
+use crate::link_record::{Crossed, Crossing, Record};
 
 /// What reached a process so shortly before it was stopped it may not have read.
 const UNREAD: Time = Time::from_millis(50);
@@ -426,7 +426,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::Line;
+    use crate::link_record::Line;
     use mosshead_emulator::Place;
     use mosshead_world::events::Event;
 
--- a/crates/rig/src/record.rs
+++ b/crates/rig/src/link_record.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use mosshead_emulator::wire::{Message, parse};
+use mosshead_emulator::http::{Message, parse};
 use mosshead_emulator::{Place, Process};
 use mosshead_world::Time;
 use mosshead_world::events::{Event, EventKind};
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -24,7 +24,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::record::{Crossed, Crossing, Record, Tap};
+use crate::link_record::{Crossed, Crossing, Record, Tap};
 
 /// What was on its way back to a program when its link was cut still arrives: whoever sent it counts it as told.
 const IN_FLIGHT: Duration = Duration::from_millis(20);
