--- a/crates/ctl/src/fleet_day.rs
+++ b/crates/ctl/src/fleet_day.rs
@@ -1,23 +1,46 @@
-//! `mossheadctl fleet-day`: many processes of the program, with faults on the ways between them.
+//! `mossheadctl fleet-day`: many processes of the proxy, with faults of the links between them and everything else.
 
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 use clap::Args;
 use mosshead_rig::peaks::Peaks;
-use mosshead_rig::{FleetDay, play_fleet_day, play_virtual_fleet_day, with_servers_scaled};
+use mosshead_rig::{FleetDay, VirtualFleetDay, play_fleet_day, play_virtual_fleet_day, with_servers_scaled};
 use mosshead_world::scenario::Scenario;
 use mosshead_world::units::ValueRange;
-use tabled::builder::Builder;
-use tabled::settings::{Alignment, Style, object::Columns};
 
-use crate::{BadUse, End, day_tables, emulate, scenarios, simulate};
+use crate::day_tables::{self, render_table};
+use crate::outcome::{Outcome, UsageError};
+use crate::progress::{day_progress, progress_bar};
+use crate::proxy_command::ProxyCommand;
+use crate::{emulate, scenarios};
 
-/// So many breaches are printed.
-const SHOWN: usize = 10;
+/// The file of the kept folder that has what crossed the links.
+const CROSSED_FILE: &str = "crossed.txt";
+/// How many violations on links are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 10;
+/// The most proxies in virtual time.
+const MAX_VIRTUAL_PROXIES: u64 = 5000;
+/// The most processes in real time.
+const MAX_PROCESSES: u64 = 500;
+/// By what the servers of a scenario can be multiplied.
+const SERVER_FACTORS: RangeInclusive<f64> = 0.1..=1000.0;
+/// The columns of the table of peaks before the peaks themselves.
+const RECOVERY_COLUMNS: [&str; 5] = ["", "ended", "at", "up again", "full after"];
+/// The columns of the peaks.
+const PEAK_COLUMNS: [&str; 7] = [
+    "list calls in 1 s",
+    "failed",
+    "first sends in 0.1 s",
+    "resends in 0.1 s",
+    "resends",
+    "connections a node in 0.1 s",
+    "most load of a node",
+];
 
 /// Plays a scenario against many processes of the program, each way between them and the stand-ins through a link.
 #[derive(Args)]
-pub(crate) struct Fleet {
+pub(crate) struct FleetDayCommand {
     /// A scenario's name, or a TOML file.
     #[arg(default_value = "back-herd")]
     scenario: String,
@@ -36,146 +59,135 @@
     /// Keeps each process's log, and what crossed the links, in this folder.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// The day is void if one event in a hundred came later than this, in milliseconds.
-    #[arg(long, default_value_t = 10.0)]
-    late_ms: f64,
+    #[command(flatten)]
+    proxy: ProxyCommand,
     /// One JSON object, on one line.
     #[arg(long)]
     json: bool,
-    /// The program and its words; without it the `mosshead` beside this program serves.
-    #[arg(last = true)]
-    command: Vec<String>,
 }
 
-impl Fleet {
-    pub(crate) fn run(&self) -> anyhow::Result<End> {
+impl FleetDayCommand {
+    pub(crate) fn run(&self) -> anyhow::Result<Outcome> {
+        let scenario = self.scenario()?;
+        if self.in_virtual_time { self.run_virtual(&scenario) } else { self.run_processes(&scenario) }
+    }
+
+    /// The scenario at the size that was asked for.
+    fn scenario(&self) -> anyhow::Result<Scenario> {
         let mut scenario = scenarios::read(&self.scenario)?;
         if let Some(processes) = self.processes {
-            let most = if self.in_virtual_time { 5000 } else { 500 };
-            if !(1..=most).contains(&processes) {
-                return Err(BadUse(format!("--processes {processes}: write 1 to {most}")).into());
+            let max = if self.in_virtual_time { MAX_VIRTUAL_PROXIES } else { MAX_PROCESSES };
+            if !(1..=max).contains(&processes) {
+                return Err(UsageError(format!("--processes {processes}: write 1 to {max}")).into());
             }
             scenario.load.proxies = ValueRange::single(processes);
         }
-        if !(0.1..=1000.0).contains(&self.times) {
-            return Err(BadUse(format!("--times {}: write 0.1 to 1000", self.times)).into());
-        }
-        scenario = with_servers_scaled(&scenario, self.times);
-        if self.in_virtual_time {
-            return self.virtually(&scenario);
+        if !SERVER_FACTORS.contains(&self.times) {
+            return Err(UsageError(format!("--times {}: write 0.1 to 1000", self.times)).into());
         }
-        let options = emulate::options(self.seed, &self.command, &self.keep, self.late_ms)?;
-        let bar = simulate::bar(&format!("{} {}", scenario.title, self.seed));
-        let day = play_fleet_day(&scenario, &options, emulate::shows(&bar))?;
+        Ok(with_servers_scaled(&scenario, self.times))
+    }
+
+    fn run_processes(&self, scenario: &Scenario) -> anyhow::Result<Outcome> {
+        let options = self.proxy.options(self.seed, self.keep.clone())?;
+        let bar = progress_bar(&format!("{} {}", scenario.title, self.seed));
+        let day = play_fleet_day(scenario, &options, day_progress(&bar))?;
         bar.finish_and_clear();
         if let Some(folder) = &self.keep {
-            std::fs::write(folder.join("crossed.txt"), crossed(&day))?;
+            std::fs::write(folder.join(CROSSED_FILE), record_text(&day))?;
         }
         if self.json {
             println!("{}", serde_json::to_string(&day)?);
         } else {
-            print(&day, &scenario);
+            print_day(&day, scenario);
         }
-        Ok(match (day.emulated.is_void, day.has_no_violations()) {
-            (true, _) => End::Void,
-            (false, true) => End::Kept,
-            (false, false) => End::Broken,
-        })
+        Ok(Outcome::of_real_time_day(day.emulated.is_void, day.has_no_violations()))
     }
-}
 
-impl Fleet {
-    fn virtually(&self, scenario: &Scenario) -> anyhow::Result<End> {
-        let bar = simulate::bar(&format!("{} {}", scenario.title, self.seed));
-        let day = play_virtual_fleet_day(scenario, self.seed, 1, &mut emulate::shows(&bar))?;
+    fn run_virtual(&self, scenario: &Scenario) -> anyhow::Result<Outcome> {
+        let bar = progress_bar(&format!("{} {}", scenario.title, self.seed));
+        let day = play_virtual_fleet_day(scenario, self.seed, 1, &mut day_progress(&bar))?;
         bar.finish_and_clear();
         if self.json {
             println!("{}", serde_json::to_string(&day)?);
         } else {
-            println!("{}", day_tables::whole(&day.day, scenario));
-            for back in &day.recoveries {
-                let full = back
-                    .full_service_after_s
-                    .map_or("never in this day".to_owned(), |after| format!("{after:.2} s"));
-                println!(
-                    "{} ended at {:.2} s, all up at {:.2} s, full service after {full}; at most {:.2} times what a server can do",
-                    back.proxies, back.first_down_s, back.all_up_s, back.peaks.server_load
-                );
-            }
-            day_tables::broken(&day.day).into_iter().for_each(|broken| println!("\n{broken}"));
+            print_virtual_day(&day, scenario);
         }
-        Ok(if day.day.is_clean { End::Kept } else { End::Broken })
+        Ok(Outcome::passed_if(day.day.is_clean))
     }
 }
 
-/// What crossed the links, a line each.
-fn crossed(day: &FleetDay) -> String {
+/// What crossed the links and what the world did, a line each.
+fn record_text(day: &FleetDay) -> String {
     let mut text = String::new();
     for event in &day.record.link_events {
         text += &format!("{event}\n");
     }
-    for fact in &day.record.world_events {
-        text += &format!("{fact}\n");
+    for event in &day.record.world_events {
+        text += &format!("{event}\n");
     }
     text
 }
 
-fn print(day: &FleetDay, scenario: &Scenario) {
-    emulate::print(&day.emulated, scenario);
-    let mut rows = vec![
-        [
-            "",
-            "ended",
-            "at",
-            "up again",
-            "full after",
-            "list calls in 1 s",
-            "failed",
-            "first sends in 0.1 s",
-            "resends in 0.1 s",
-            "resends",
-            "connections a node in 0.1 s",
-            "most load of a node",
-        ]
-        .map(str::to_owned)
-        .to_vec(),
-    ];
-    let peaks = |row: &mut Vec<String>, peaks: &Peaks| {
-        row.push(format!("{} of {:.0}", peaks.calls_in_1s, day.discovery_capacity));
-        row.push(peaks.calls_failed.to_string());
-        row.push(peaks.first_sends_in_100ms.to_string());
-        row.push(peaks.resends_in_100ms.to_string());
-        row.push(format!("{} of {}", peaks.resends, peaks.sends));
-        row.push(peaks.connections_per_server_in_100ms.to_string());
-        row.push(format!("{:.2}", peaks.server_load));
-    };
-    let mut before = ["before", "", "", "", ""].map(str::to_owned).to_vec();
-    peaks(&mut before, &day.calm_peaks);
-    rows.push(before);
-    for (at, back) in day.recoveries.iter().enumerate() {
-        let full =
-            back.full_service_after_s.map_or("not in this day".to_owned(), |after| format!("{after:.2} s"));
-        let mut row = vec![
-            format!("return {}", at + 1),
-            back.proxies.to_string(),
-            format!("{:.2} s", back.first_down_s),
-            format!("{:.2} s", back.all_up_s),
-            full,
-        ];
-        peaks(&mut row, &back.peaks);
-        rows.push(row);
+fn print_virtual_day(day: &VirtualFleetDay, scenario: &Scenario) {
+    println!("{}", day_tables::full_report(&day.day, scenario));
+    for recovery in &day.recoveries {
+        let full_service_after = recovery
+            .full_service_after_s
+            .map_or("never in this day".to_owned(), |after| format!("{after:.2} s"));
+        println!(
+            "{} ended at {:.2} s, all up at {:.2} s, full service after {full_service_after}; at most {:.2} times what a \
+             server can do",
+            recovery.proxies, recovery.first_down_s, recovery.all_up_s, recovery.peaks.server_load
+        );
     }
-    let mut table = Builder::from_iter(rows).build();
-    table.with(Style::markdown()).modify(Columns::new(1..), Alignment::right());
-    println!("\n{table}");
-    for breach in day.link_violations.iter().take(SHOWN) {
-        println!("{breach}");
+    day_tables::print_violations(&day.day);
+}
+
+fn print_day(day: &FleetDay, scenario: &Scenario) {
+    emulate::print_day(&day.emulated, scenario);
+    println!("\n{}", peaks_table(day));
+    for violation in day.link_violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("{violation}");
     }
     match day.link_violations.len() {
         0 => println!("every law of the links was kept"),
         count => println!("{count} breaches on the links"),
     }
-    if let Some(broken) = day_tables::broken(&day.emulated.day) {
-        println!("\n{broken}");
+    day_tables::print_violations(&day.emulated.day);
+}
+
+/// The peaks before any proxy ended, and after each recovery.
+fn peaks_table(day: &FleetDay) -> String {
+    let header = RECOVERY_COLUMNS.into_iter().chain(PEAK_COLUMNS).map(str::to_owned).collect();
+    let mut calm = ["before", "", "", "", ""].map(str::to_owned).to_vec();
+    calm.extend(peak_cells(&day.calm_peaks, day.discovery_capacity));
+    let mut rows = vec![header, calm];
+    for (index, recovery) in day.recoveries.iter().enumerate() {
+        let full_service_after = recovery
+            .full_service_after_s
+            .map_or("not in this day".to_owned(), |after| format!("{after:.2} s"));
+        let mut row = vec![
+            format!("return {}", index + 1),
+            recovery.proxies.to_string(),
+            format!("{:.2} s", recovery.first_down_s),
+            format!("{:.2} s", recovery.all_up_s),
+            full_service_after,
+        ];
+        row.extend(peak_cells(&recovery.peaks, day.discovery_capacity));
+        rows.push(row);
     }
+    render_table(rows, 1)
+}
+
+fn peak_cells(peaks: &Peaks, discovery_capacity: f64) -> [String; PEAK_COLUMNS.len()] {
+    [
+        format!("{} of {discovery_capacity:.0}", peaks.calls_in_1s),
+        peaks.calls_failed.to_string(),
+        peaks.first_sends_in_100ms.to_string(),
+        peaks.resends_in_100ms.to_string(),
+        format!("{} of {}", peaks.resends, peaks.sends),
+        peaks.connections_per_server_in_100ms.to_string(),
+        format!("{:.2}", peaks.server_load),
+    ]
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,10 +1,17 @@
-//! The command line for all but serving.
+//! The command line for all but serving: each command is a module of its name.
+//!
+//! `anyhow` is the one error library of this program. Commands are the outer edge, where the errors of all packages
+//! become a line on standard error and an exit code; nothing here matches on an error, but for [`UsageError`], which
+//! has an exit code of its own.
 
 mod back_study;
 mod config;
 mod day_tables;
 mod emulate;
 mod fleet_day;
+mod outcome;
+mod progress;
+mod proxy_command;
 mod scenarios;
 mod simulate;
 mod way_back;
@@ -13,13 +20,15 @@
 
 use clap::{Parser, Subcommand};
 
+use outcome::{Outcome, UsageError};
+
 /// Plays days for mosshead: in virtual time, and on loopback against real programs.
 ///
 /// Exit codes: 0 every rule was kept, 1 a rule was broken or a program crashed, 2 bad use or a bad scenario,
 /// 3 void, since this machine was late.
 #[derive(Parser)]
 #[command(name = "mossheadctl", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -33,9 +42,9 @@
     /// Plays a scenario on loopback against real programs, and judges them by what crossed the sockets.
     Emulate(emulate::Emulate),
     /// Plays a scenario against many processes with faults between them, and judges by what crossed the links.
-    FleetDay(fleet_day::Fleet),
+    FleetDay(fleet_day::FleetDayCommand),
     /// Plays days of a fleet that comes back over seeds and sizes: tables and charts.
-    BackStudy(back_study::Study),
+    BackStudy(back_study::BackStudy),
     /// Asks proxies how far they have come since their start.
     WayBack(way_back::WayBack),
     /// Lists the scenarios that are built in, or prints one.
@@ -45,42 +54,27 @@
     Mind(simulate::Mind),
 }
 
-/// How a command ended, beside faults.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
-    Kept = 0,
-    Broken = 1,
-    Void = 3,
-}
-
-/// A fault that is the caller's: exit code 2.
-#[derive(Debug)]
-struct BadUse(String);
-
-impl std::fmt::Display for BadUse {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(&self.0)
+impl Command {
+    fn run(&self) -> anyhow::Result<Outcome> {
+        match self {
+            Self::Simulate(command) => command.run(),
+            Self::Config(command) => command.run(),
+            Self::Emulate(command) => command.run(),
+            Self::FleetDay(command) => command.run(),
+            Self::BackStudy(command) => command.run(),
+            Self::WayBack(command) => command.run(),
+            Self::Scenarios(command) => command.run(),
+            Self::Mind(command) => command.run(),
+        }
     }
 }
 
-impl std::error::Error for BadUse {}
-
 fn main() -> ExitCode {
-    let end = match Line::parse().command {
-        Command::Simulate(simulate) => simulate.run(),
-        Command::Config(config) => config.run(),
-        Command::Emulate(emulate) => emulate.run(),
-        Command::FleetDay(fleet) => fleet.run(),
-        Command::BackStudy(study) => study.run(),
-        Command::WayBack(way_back) => way_back.run(),
-        Command::Scenarios(scenarios) => scenarios.run(),
-        Command::Mind(mind) => mind.run(),
-    };
-    match end {
-        Ok(end) => ExitCode::from(end as u8),
-        Err(fault) => {
-            eprintln!("mossheadctl: {fault:#}");
-            ExitCode::from(if fault.is::<BadUse>() { 2 } else { 1 })
+    match CommandLine::parse().command.run() {
+        Ok(outcome) => outcome.into(),
+        Err(error) => {
+            eprintln!("mossheadctl: {error:#}");
+            ExitCode::from(if error.is::<UsageError>() { 2 } else { 1 })
         }
     }
 }
--- a/crates/ctl/src/scenarios.rs
+++ b/crates/ctl/src/scenarios.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use mosshead_world::scenario::Scenario;
 
-use crate::{BadUse, End};
+use crate::outcome::{Outcome, UsageError};
 
 /// The scenarios of `scenarios/`, by name.
 const BUILT_IN: [(&str, &str); 47] = [
@@ -66,33 +66,33 @@
 }
 
 impl Scenarios {
-    pub(crate) fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<Outcome> {
         match &self.name {
-            Some(name) => print!("{}", text(name)?),
+            Some(name) => print!("{}", read_text(name)?),
             None => {
                 for (name, text) in BUILT_IN {
                     println!("{name:16} {}", Scenario::read(text)?.description);
                 }
             }
         }
-        Ok(End::Kept)
+        Ok(Outcome::Passed)
     }
 }
 
-fn text(name: &str) -> anyhow::Result<String> {
+fn read_text(name: &str) -> anyhow::Result<String> {
     if let Some((_, text)) = BUILT_IN.iter().find(|(known, _)| *known == name) {
         return Ok((*text).to_owned());
     }
     let path = Path::new(name);
     if path.extension().is_none() && !path.exists() {
         let known: Vec<&str> = BUILT_IN.iter().map(|(name, _)| *name).collect();
-        let fault = format!("no scenario {name:?}: name a TOML file, or one of {}", known.join(", "));
-        return Err(BadUse(fault).into());
+        let error = format!("no scenario {name:?}: name a TOML file, or one of {}", known.join(", "));
+        return Err(UsageError(error).into());
     }
-    Ok(std::fs::read_to_string(path).map_err(|error| BadUse(format!("{name}: {error}")))?)
+    Ok(std::fs::read_to_string(path).map_err(|error| UsageError(format!("{name}: {error}")))?)
 }
 
-/// Reads a scenario, built in or from a file; a fault names the file.
+/// Reads a scenario, built in or from a file. An error names the file.
 pub(crate) fn read(name: &str) -> anyhow::Result<Scenario> {
-    Ok(Scenario::read(&text(name)?).map_err(|fault| BadUse(format!("{name}: {fault}")))?)
+    Ok(Scenario::read(&read_text(name)?).map_err(|error| UsageError(format!("{name}: {error}")))?)
 }
--- a/crates/ctl/src/simulate.rs
+++ b/crates/ctl/src/simulate.rs
@@ -1,16 +1,17 @@
 //! `mossheadctl simulate`: days in virtual time, policies side by side.
 
 use std::process::Command;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use clap::Args;
-use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use mosshead_simulate::policies::{POLICY_KINDS, PolicyKind, UnknownPolicy};
 use mosshead_simulate::policy_host::{self, PolicyHost, ProcessPolicyHost, ThreadedPolicyHost};
 use mosshead_simulate::{Day, EventListener, play_day};
-use mosshead_world::Time;
+use mosshead_world::scenario::Scenario;
 
-use crate::{BadUse, End, day_tables, scenarios};
+use crate::outcome::{Outcome, UsageError};
+use crate::progress::{day_progress, progress_bar};
+use crate::{day_tables, scenarios};
 
 /// Plays a scenario in virtual time, and sets policies side by side.
 #[derive(Args)]
@@ -36,8 +37,8 @@
     #[arg(long, conflicts_with = "json")]
     brief: bool,
     /// Prints every fact about this request, as it is recorded.
-    #[arg(long)]
-    job: Option<u64>,
+    #[arg(long = "job", value_name = "JOB")]
+    request: Option<u64>,
     /// Prints every fact about servers and proxies, as it is recorded: starts, ends, jams, news of the list.
     #[arg(long)]
     events: bool,
@@ -50,111 +51,116 @@
 }
 
 impl Mind {
-    pub(crate) fn run(&self) -> anyhow::Result<End> {
-        let kind: PolicyKind =
-            self.policy.parse().map_err(|error: UnknownPolicy| BadUse(error.to_string()))?;
+    pub(crate) fn run(&self) -> anyhow::Result<Outcome> {
+        let kind: PolicyKind = self.policy.parse().map_err(unknown_policy)?;
         policy_host::serve(kind, std::io::stdin().lock(), std::io::stdout().lock())?;
-        Ok(End::Kept)
+        Ok(Outcome::Passed)
     }
 }
 
+fn unknown_policy(error: UnknownPolicy) -> UsageError {
+    UsageError(error.to_string())
+}
+
 impl Simulate {
-    pub(crate) fn run(&self) -> anyhow::Result<End> {
+    pub(crate) fn run(&self) -> anyhow::Result<Outcome> {
         let scenario = scenarios::read(&self.scenario)?;
+        let kinds = self.policy_kinds()?;
+        let mut days = Vec::new();
+        for &seed in &self.seeds {
+            for &kind in &kinds {
+                let started_at = Instant::now();
+                let day = self.play(&scenario, seed, kind)?;
+                if !self.brief {
+                    self.print(&day, &scenario, started_at.elapsed())?;
+                }
+                days.push(day);
+            }
+        }
+        if days.len() > 1 && !self.json {
+            let by_policy = self.seeds.len() > 1 && self.brief;
+            let table = match by_policy {
+                true => day_tables::compare_policies(&days),
+                false => day_tables::compare_days(&days),
+            };
+            println!("\n{table}");
+        }
+        Ok(Outcome::passed_if(days.iter().all(|day| day.is_clean)))
+    }
+
+    fn policy_kinds(&self) -> anyhow::Result<Vec<PolicyKind>> {
         let mut kinds: Vec<PolicyKind> = Vec::new();
         for name in &self.policies {
             match name.as_str() {
                 "all" => kinds.extend(POLICY_KINDS),
-                name => kinds.push(name.parse().map_err(|error: UnknownPolicy| BadUse(error.to_string()))?),
+                name => kinds.push(name.parse().map_err(unknown_policy)?),
             }
         }
         if self.processes.is_some() && kinds.contains(&PolicyKind::Oracle) {
-            return Err(BadUse(
-                "the oracle sees the world, so it runs in this process: use --threads".into(),
-            )
-            .into());
+            let error = "the oracle sees the world, so it runs in this process: use --threads";
+            return Err(UsageError(error.to_owned()).into());
         }
-        let (mut all, mut end) = (Vec::new(), End::Kept);
-        for &seed in &self.seeds {
-            for &kind in &kinds {
-                let began = Instant::now();
-                let bar = bar(&format!("{} {kind} {seed}", scenario.title));
-                let mut progress = |now: Time, length: Time| {
-                    bar.set_length(length.0 / 1_000_000);
-                    bar.set_position((now.0 / 1_000_000).min(length.0 / 1_000_000));
-                };
-                let mut brains: Box<dyn PolicyHost> = match self.processes {
-                    Some(count) => {
-                        let program = std::env::current_exe()?;
-                        Box::new(ProcessPolicyHost::start(count, || {
-                            let mut command = Command::new(&program);
-                            command.arg("mind").arg(kind.name());
-                            command
-                        })?)
-                    }
-                    None => Box::new(ThreadedPolicyHost::new(kind, self.threads)),
-                };
-                let (job, events) = (self.job, self.events);
-                let listener = (job.is_some() || events).then(|| -> EventListener {
-                    Box::new(move |fact| {
-                        let about = fact.kind.request().map(|job| job.0);
-                        if about.map_or(events, |about| Some(about) == job) {
-                            eprintln!("{fact}");
-                        }
-                    })
-                });
-                let day = play_day(&scenario, seed, kind.name(), brains.as_mut(), listener, &mut progress)?;
-                bar.finish_and_clear();
-                let took = began.elapsed().as_secs_f64();
-                if !day.is_clean {
-                    end = End::Broken;
-                }
-                if !self.brief {
-                    self.print(&day, &scenario, took)?;
-                }
-                all.push(day);
-            }
-        }
-        if all.len() > 1 && !self.json {
-            let together = self.seeds.len() > 1 && self.brief;
-            println!("\n{}", if together { day_tables::means(&all) } else { day_tables::beside(&all) });
+        Ok(kinds)
+    }
+
+    fn play(&self, scenario: &Scenario, seed: u64, kind: PolicyKind) -> anyhow::Result<Day> {
+        let bar = progress_bar(&format!("{} {kind} {seed}", scenario.title));
+        let mut policy_host = self.start_policy_host(kind)?;
+        let mut progress = day_progress(&bar);
+        let day =
+            play_day(scenario, seed, kind.name(), policy_host.as_mut(), self.event_printer(), &mut progress)?;
+        bar.finish_and_clear();
+        Ok(day)
+    }
+
+    fn start_policy_host(&self, kind: PolicyKind) -> anyhow::Result<Box<dyn PolicyHost>> {
+        let Some(processes) = self.processes else {
+            return Ok(Box::new(ThreadedPolicyHost::new(kind, self.threads)));
+        };
+        let this_program = std::env::current_exe()?;
+        Ok(Box::new(ProcessPolicyHost::start(processes, || {
+            let mut command = Command::new(&this_program);
+            command.arg("mind").arg(kind.name());
+            command
+        })?))
+    }
+
+    /// Prints the events that were asked for, as they are recorded.
+    fn event_printer(&self) -> Option<EventListener> {
+        let (request, prints_others) = (self.request, self.events);
+        if request.is_none() && !prints_others {
+            return None;
         }
-        Ok(end)
+        Some(Box::new(move |event| {
+            let is_asked_for = match event.kind.request() {
+                Some(about) => Some(about.0) == request,
+                None => prints_others,
+            };
+            if is_asked_for {
+                eprintln!("{event}");
+            }
+        }))
     }
 
-    fn print(
-        &self,
-        day: &Day,
-        scenario: &mosshead_world::scenario::Scenario,
-        took: f64,
-    ) -> anyhow::Result<()> {
+    fn print(&self, day: &Day, scenario: &Scenario, elapsed: Duration) -> anyhow::Result<()> {
         if self.json {
             println!("{}", serde_json::to_string(day)?);
             return Ok(());
         }
+        let elapsed_s = elapsed.as_secs_f64();
         println!(
-            "\n{} with {}, seed {}: {:.1} s, {} proxies, {} requests; played in {took:.2} s ({:.0} events a second)\n",
+            "\n{} with {}, seed {}: {:.1} s, {} proxies, {} requests; played in {elapsed_s:.2} s ({:.0} events a \
+             second)\n",
             day.scenario,
             day.policy,
             day.seed,
             day.length_s,
             day.proxies,
             day.scorecard.total.operations,
-            day.queue_events as f64 / took
+            day.queue_events as f64 / elapsed_s
         );
-        println!("{}", day_tables::whole(day, scenario));
-        if let Some(broken) = day_tables::broken(day) {
-            println!("\n{broken}");
-        }
+        println!("{}", day_tables::full_report(day, scenario));
+        day_tables::print_violations(day);
         Ok(())
     }
 }
-
-/// A progress line on a terminal, nothing elsewhere.
-pub(crate) fn bar(what: &str) -> ProgressBar {
-    let bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
-    let style = ProgressStyle::with_template("{prefix} {wide_bar} {pos} of {len} s");
-    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    bar.set_prefix(what.to_owned());
-    bar
-}
--- a/crates/ctl/src/way_back.rs
+++ b/crates/ctl/src/way_back.rs
@@ -1,21 +1,24 @@
-//! `mossheadctl way-back`: how far proxies have come since their start, as their operators' addresses tell.
+//! `mossheadctl way-back`: how far proxies have recovered since their start, as their admin endpoints report.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::thread;
 use std::time::Duration;
 
-use anyhow::{Context, bail};
+use anyhow::{Context, anyhow, bail};
 use clap::Args;
-use serde_json::Value;
-use tabled::builder::Builder;
-use tabled::settings::{Alignment, Style, object::Columns};
+use serde_json::{Value, json};
 
-use crate::End;
+use crate::day_tables::render_table;
+use crate::outcome::Outcome;
 
-/// A proxy answers within this, or it does not answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Its answer is no longer.
-const LONGEST: u64 = 64 * 1024;
+/// How long connecting, writing and each read may take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest response that is read, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
+const COLUMNS: [&str; 8] = ["at", "stage", "waits for", "for", "full after", "up", "life", "draining"];
+/// The column from which on the table has numbers.
+const FIRST_NUMBER_COLUMN: usize = 3;
 
 /// Asks proxies how far they have come since their start: cold, listed, warming, full. Exit code 1 unless all are full.
 #[derive(Args)]
@@ -28,81 +31,101 @@
     json: bool,
 }
 
+/// What a proxy reports of itself.
+struct LoadReport {
+    address: SocketAddr,
+    state: anyhow::Result<Value>,
+}
+
 impl WayBack {
-    pub(crate) fn run(&self) -> anyhow::Result<End> {
-        let all: Vec<(SocketAddr, anyhow::Result<Value>)> = std::thread::scope(|scope| {
-            let asked: Vec<_> = self.at.iter().map(|&at| (at, scope.spawn(move || ask(at)))).collect();
-            let answer = |asked: std::thread::ScopedJoinHandle<anyhow::Result<Value>>| {
-                asked.join().unwrap_or_else(|_| Err(anyhow::anyhow!("not asked")))
-            };
-            asked.into_iter().map(|(at, asked)| (at, answer(asked))).collect()
-        });
-        let full = |state: &anyhow::Result<Value>| state.as_ref().is_ok_and(|state| state["stage"] == "full");
+    pub(crate) fn run(&self) -> anyhow::Result<Outcome> {
+        let reports = self.request_reports();
+        let in_full_service = reports.iter().filter(|report| report.is_in_full_service()).count();
         if self.json {
-            for (at, state) in &all {
-                let mut line = match state {
-                    Ok(state) => state.clone(),
-                    Err(fault) => serde_json::json!({"stage": null, "wants": format!("{fault:#}")}),
-                };
-                line["at"] = at.to_string().into();
-                println!("{line}");
-            }
+            reports.iter().for_each(|report| println!("{}", report.to_json()));
         } else {
-            let head = ["at", "stage", "waits for", "for", "full after", "up", "life", "draining"];
-            let rows = all.iter().map(|(at, state)| row(*at, state));
-            let mut table = Builder::from_iter(std::iter::once(head.map(str::to_owned)).chain(rows)).build();
-            table.with(Style::markdown()).modify(Columns::new(3..), Alignment::right());
-            println!("{table}");
-            println!(
-                "{} of {} in full service",
-                all.iter().filter(|(_, state)| full(state)).count(),
-                all.len()
-            );
+            let header = COLUMNS.map(str::to_owned);
+            let rows = std::iter::once(header).chain(reports.iter().map(LoadReport::cells));
+            println!("{}", render_table(rows, FIRST_NUMBER_COLUMN));
+            println!("{in_full_service} of {} in full service", reports.len());
         }
-        Ok(if all.iter().all(|(_, state)| full(state)) { End::Kept } else { End::Broken })
+        Ok(Outcome::passed_if(in_full_service == reports.len()))
+    }
+
+    /// Calls all proxies at once.
+    fn request_reports(&self) -> Vec<LoadReport> {
+        thread::scope(|scope| {
+            let calls: Vec<_> = self
+                .at
+                .iter()
+                .map(|&address| (address, scope.spawn(move || request_state(address))))
+                .collect();
+            let join = |(address, call): (SocketAddr, thread::ScopedJoinHandle<anyhow::Result<Value>>)| {
+                let state = call.join().unwrap_or_else(|_| Err(anyhow!("not asked")));
+                LoadReport { address, state }
+            };
+            calls.into_iter().map(join).collect()
+        })
     }
 }
 
-fn row(at: SocketAddr, state: &anyhow::Result<Value>) -> [String; 8] {
-    let at = at.to_string();
-    let state = match state {
-        Ok(state) => state,
-        Err(fault) => {
-            return [at, "-".to_owned(), format!("{fault:#}")]
-                .into_iter()
-                .chain(std::iter::repeat_n(String::new(), 5))
-                .collect::<Vec<_>>()
-                .try_into()
-                .unwrap_or_default();
-        }
-    };
-    let text = |name: &str| state[name].as_str().unwrap_or_default().to_owned();
-    let seconds = |name: &str| state[name].as_f64().map_or("-".to_owned(), |span| format!("{span:.1} s"));
-    let life = state["life"].as_u64().map_or("-".to_owned(), |life| life.to_string());
-    let draining = if state["draining"] == true { "yes" } else { "no" }.to_owned();
-    [
-        at,
-        text("stage"),
-        text("wants"),
-        seconds("for_s"),
-        seconds("full_after_s"),
-        seconds("up_s"),
-        life,
-        draining,
-    ]
+impl LoadReport {
+    fn is_in_full_service(&self) -> bool {
+        self.state.as_ref().is_ok_and(|state| state["stage"] == "full")
+    }
+
+    fn to_json(&self) -> Value {
+        let mut json = match &self.state {
+            Ok(state) => state.clone(),
+            Err(error) => json!({"stage": null, "wants": format!("{error:#}")}),
+        };
+        json["at"] = self.address.to_string().into();
+        json
+    }
+
+    fn cells(&self) -> [String; COLUMNS.len()] {
+        let address = self.address.to_string();
+        let state = match &self.state {
+            Ok(state) => state,
+            Err(error) => {
+                let mut cells: [String; COLUMNS.len()] = Default::default();
+                cells[..FIRST_NUMBER_COLUMN].clone_from_slice(&[
+                    address,
+                    "-".to_owned(),
+                    format!("{error:#}"),
+                ]);
+                return cells;
+            }
+        };
+        let text = |name: &str| state[name].as_str().unwrap_or_default().to_owned();
+        let seconds =
+            |name: &str| state[name].as_f64().map_or("-".to_owned(), |seconds| format!("{seconds:.1} s"));
+        let incarnation =
+            state["life"].as_u64().map_or("-".to_owned(), |incarnation| incarnation.to_string());
+        let is_draining = if state["draining"] == true { "yes" } else { "no" };
+        [
+            address,
+            text("stage"),
+            text("wants"),
+            seconds("for_s"),
+            seconds("full_after_s"),
+            seconds("up_s"),
+            incarnation,
+            is_draining.to_owned(),
+        ]
+    }
 }
 
-/// One call to a proxy's operators' address.
-fn ask(at: SocketAddr) -> anyhow::Result<Value> {
-    let mut stream = TcpStream::connect_timeout(&at, PATIENCE).context("no connection")?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
-    stream.write_all(
-        format!("GET /ops/state HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n").as_bytes(),
-    )?;
-    let mut text = String::new();
-    stream.take(LONGEST).read_to_string(&mut text).context("no answer")?;
-    let Some((head, body)) = text.split_once("\r\n\r\n") else { bail!("no answer") };
+/// One call to a proxy's admin endpoint.
+fn request_state(address: SocketAddr) -> anyhow::Result<Value> {
+    let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT).context("no connection")?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
+    stream.set_write_timeout(Some(CALL_TIMEOUT))?;
+    let request = format!("GET /ops/state HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
+    stream.write_all(request.as_bytes())?;
+    let mut response = String::new();
+    stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut response).context("no answer")?;
+    let Some((head, body)) = response.split_once("\r\n\r\n") else { bail!("no answer") };
     if !head.starts_with("HTTP/1.1 200") {
         bail!("it does not know of this call: {}", head.lines().next().unwrap_or_default());
     }
