--- a/crates/emulator/src/bin/mosshead-faulty-proxy/fault.rs
+++ b/crates/emulator/src/bin/mosshead-faulty-proxy/fault.rs
@@ -47,7 +47,7 @@
     RepeatsKeyedLate,
     /// Never asks for the endpoint list.
     NeverAsksForList,
-    /// Takes every list, also one that is older than what it was told before.
+    /// Takes every list, also one that is older than the one before.
     TakesOlderLists,
 }
 
--- a/crates/emulator/src/bin/mosshead-faulty-proxy/server_list.rs
+++ b/crates/emulator/src/bin/mosshead-faulty-proxy/server_list.rs
@@ -34,8 +34,8 @@
     servers: RefCell<BTreeMap<String, Server>>,
     /// The version of the list in use.
     version: Cell<u64>,
-    /// The highest version that discovery itself has told; the saved list does not count.
-    told_version: Cell<u64>,
+    /// The version of the last list that discovery itself has sent; the saved list does not count.
+    received_version: Cell<u64>,
     /// Counts the selections.
     selections: Cell<usize>,
 }
@@ -47,7 +47,7 @@
             fault,
             servers: RefCell::default(),
             version: Cell::new(0),
-            told_version: Cell::new(0),
+            received_version: Cell::new(0),
             selections: Cell::new(0),
         };
         list.apply(saved);
@@ -73,10 +73,10 @@
     /// Takes a list from discovery; false if it is older than one before.
     fn accept(&self, list: &Json) -> bool {
         let version = list["version"].as_u64().unwrap_or(0);
-        if version < self.told_version.get() && self.fault != InjectedFault::TakesOlderLists {
+        if version < self.received_version.get() && self.fault != InjectedFault::TakesOlderLists {
             return false;
         }
-        self.told_version.set(version);
+        self.received_version.set(version);
         self.apply(list);
         true
     }
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -137,7 +137,7 @@
 }
 
 /// Danger: with full rooms twelve proxies that come back amid a jam send a server 3.1 times what it can do in the median, and most such
-/// days never come back to full service. In virtual time the mutant is caught (crates/rig/tests/rooms.rs).
+/// days never come back to full service. In virtual time the mutant is caught (crates/rig/tests/concurrency_limits.rs).
 #[test]
 fn who_comes_back_into_a_jam_does_not_start_with_full_rooms() {
     let (name, text) = scenario!("back-jam");
