--- a/crates/simulate/src/simulation/connections.rs
+++ b/crates/simulate/src/simulation/connections.rs
@@ -1,7 +1,7 @@
 //! Connections of the simulated proxies to servers: each carries one attempt or probe at a time, and waits for the next one.
 
 use mosshead_decide::interface::Outcome;
-use mosshead_world::{ConnectionId, Handshake, Input, ServerId, ServerState, Time};
+use mosshead_world::{ConnectionId, Handshake, Input, ListEntry, ServerId, ServerState, Time};
 
 use super::attempts::AttemptId;
 use super::proxy_process::IdleConnection;
@@ -116,9 +116,7 @@
         connection.state = ConnectionState::Idle;
         let (proxy, server, address) = (connection.proxy, connection.server, connection.address);
         let known = self.proxies[proxy].known_server_mut(server);
-        let is_usable = |entry: &mosshead_world::ListEntry| {
-            entry.state == ServerState::Serving && entry.address == address
-        };
+        let is_usable = |entry: &ListEntry| entry.state == ServerState::Serving && entry.address == address;
         match known.filter(|known| is_usable(&known.entry)) {
             Some(known) => {
                 known.idle_connections.push(IdleConnection { connection: id, since: self.now });
--- a/crates/world/src/arrivals.rs
+++ b/crates/world/src/arrivals.rs
@@ -35,6 +35,16 @@
         Self { length, swing, phase, waves, max_factor }
     }
 
+    /// How many bursts and surges the day has.
+    pub fn wave_count(&self) -> usize {
+        self.waves.len()
+    }
+
+    /// An upper bound on the factor at any instant.
+    pub fn max_factor(&self) -> f64 {
+        self.max_factor
+    }
+
     /// How many times the usual load there is at an instant.
     pub fn factor_at(&self, at: Time) -> f64 {
         let turn = at.as_seconds() / self.length.as_seconds().max(1e-6) + self.phase;
@@ -67,7 +77,7 @@
     })
 }
 
-/// The load is highest where some wave begins, if it is anywhere above the usual. A looser bound, such as the product of all
+/// An upper bound on the factor. The load is highest where some wave begins, if it is anywhere above the usual. A looser bound, such as the product of all
 /// waves, would be correct and far too slow: nearly every candidate of an arrival would be rejected.
 fn max_factor(waves: &[Wave], swing: f64) -> f64 {
     let factor_at_start = |wave: &Wave| -> f64 {
@@ -119,48 +129,3 @@
     let sum: f64 = weights.iter().sum();
     weights.into_iter().map(|weight| rate * weight / sum).collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards long days: with many bursts one after the other, draws are not turned down a million times over.
-    #[test]
-    fn bursts_that_do_not_overlap_do_not_multiply() {
-        let text = include_str!("../../../scenarios/long.toml");
-        let scenario = Scenario::read(text).expect("a scenario");
-        let load = LoadCurve::draw(&scenario, Time::from_millis(270_000), 1);
-        assert!(
-            load.waves.len() > 10 && load.max_factor < 4.0,
-            "{} over {}",
-            load.max_factor,
-            load.waves.len()
-        );
-    }
-
-    /// Guards the load against a bias of the thinning: as many come as the curve says.
-    #[test]
-    fn as_many_come_as_the_load_says() {
-        let length = Time::from_millis(400_000);
-        let wave = Wave { from: Time::from_millis(100_000), to: Time::from_millis(200_000), factor: 3.0 };
-        let load = LoadCurve { length, swing: 0.3, phase: 0.2, waves: vec![wave], max_factor: 3.9 };
-        let mut stream = ArrivalStream::new(5, 0, 50.0);
-        let (mut now, mut inside, mut outside) = (Time::ZERO, 0, 0);
-        while let Some(at) = stream.next_arrival(now, &load) {
-            assert!(at > now);
-            if (wave.from..wave.to).contains(&at) {
-                inside += 1;
-            } else {
-                outside += 1;
-            }
-            now = at;
-        }
-        let mean = |from: u64, to: u64| {
-            (from..to).map(|second| load.factor_at(Time::from_millis(second * 1000 + 500))).sum::<f64>()
-                * 50.0
-        };
-        let (due_inside, due_outside) = (mean(100, 200), mean(0, 100) + mean(200, 400));
-        assert!((f64::from(inside) / due_inside - 1.0).abs() < 0.03, "{inside} of {due_inside}");
-        assert!((f64::from(outside) / due_outside - 1.0).abs() < 0.03, "{outside} of {due_outside}");
-    }
-}
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -6,6 +6,7 @@
 use crate::Time;
 use crate::arrivals::{ArrivalStream, LoadCurve};
 use crate::events::{ClientResponse, EventKind};
+use crate::random::RandomStream;
 use crate::scenario::{RepeatEffect, RequestClass};
 use crate::scorecard::{OperationKind, RequestOutcome};
 
@@ -159,7 +160,7 @@
         &mut self,
         proxy: usize,
         now: Time,
-        work_factor: impl FnOnce(&mut crate::random::RandomStream, f64) -> f64,
+        work_factor: impl FnOnce(&mut RandomStream, f64) -> f64,
     ) -> Operation {
         let random = self.streams[proxy].random();
         let class = random.weighted_index(self.class_weights.iter().copied());
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -16,7 +16,7 @@
 mod servers;
 
 use crate::Time;
-use crate::discovery::DiscoveryCall;
+use crate::discovery::{DiscoveryCall, VersionedList};
 use crate::event_queue::EventQueue;
 use crate::events::{AttemptOutcome, Event, EventKind};
 use crate::random::RandomStream;
@@ -188,7 +188,7 @@
     }
 
     /// The list as discovery shows it now.
-    pub fn current_list(&self) -> &crate::discovery::VersionedList {
+    pub fn current_list(&self) -> &VersionedList {
         self.discovery.list()
     }
 
--- a/crates/world/src/world/servers.rs
+++ b/crates/world/src/world/servers.rs
@@ -2,12 +2,15 @@
 
 use std::collections::BTreeSet;
 
-use super::{ConnectionId, Due, ListEntry, ServerId, ServerMessage, ServerSnapshot, ServerState, World};
+use super::{
+    ConnectionId, Due, ExchangeId, ListEntry, ServerId, ServerMessage, ServerSnapshot, ServerState, World,
+};
 use crate::Time;
 use crate::events::{AttemptOutcome, EventKind};
 use crate::random::RandomStream;
 use crate::scenario::Scenario;
 use crate::server::{CollapseLimit, Server, ServerTraits};
+use crate::units::ValueRange;
 
 /// How long a draining server without requests stays up, where no fault says otherwise.
 pub(super) const DRAINED_LINGER: Time = Time::from_millis(1000);
@@ -249,7 +252,7 @@
             self.record(EventKind::ServerCongested { server });
         }
         for (_, id) in executed.drain(..) {
-            self.on_executed(server, super::ExchangeId(id), report);
+            self.on_executed(server, ExchangeId(id), report);
         }
         self.servers.executed = executed;
         let machine = self.servers.machine(server);
@@ -282,7 +285,7 @@
         self.announce(server, ServerState::Deleted, self.scenario.discovery.silent_end_delay);
     }
 
-    fn announce(&mut self, server: ServerId, state: ServerState, delay: crate::units::ValueRange<Time>) {
+    fn announce(&mut self, server: ServerId, state: ServerState, delay: ValueRange<Time>) {
         let entry = ListEntry { state, ..self.servers.machine(server).list_entry(server) };
         let delay = self.random.list_delays.uniform_time(delay) + self.discovery.extra_change_delay;
         self.queue.push(self.now + delay, Due::ListChange(entry));
