--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -1,15 +1,11 @@
 //! The endpoints of the operator: changes and reads of the configuration.
 
 use std::net::SocketAddrV4;
-use std::rc::Rc;
 
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue, LOCATION};
-use mosshead_control_plane::{
-    AdmissionStep, ChangeAdmission, ChangeKind, ChangeResponse, OperatorChange, PrimaryHint, ReadResponse,
-    read_response,
-};
+use mosshead_control_plane::{ChangeKind, ChangeResponse, OperatorChange, ReadResponse};
 use tinyjson::JsonValue;
 
 use super::request_digest::request_digest;
@@ -21,7 +17,7 @@
 
 /// `POST /Configuration.Replace` and `POST /Configuration.Modify`: a change by the operator.
 pub(super) async fn change(
-    control_node: &Rc<ControlNode>,
+    control_node: &ControlNode,
     kind: ChangeKind,
     path: &str,
     headers: &HeaderMap,
@@ -30,18 +26,12 @@
     let base = headers.get(BASE_REVISION_HEADER).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let digest = request_digest(path, base.unwrap_or(0), &body);
     let request = OperatorChange { kind, base_revision: base, body, digest };
-    let answer = admit(control_node, request).await;
-    change_response(control_node, answer, path)
+    change_response(control_node, control_node.change_config(request).await, path)
 }
 
 /// `GET /Configuration.Show`: the configuration that a quorum has confirmed.
-pub(super) async fn show(control_node: &Rc<ControlNode>, path: &str) -> ApiResponse {
-    let answer = match control_node.known_primary() {
-        PrimaryHint::Local => read_response(control_node.read_confirmed().await),
-        PrimaryHint::Remote(primary) => ReadResponse::Redirect { primary },
-        PrimaryHint::Unknown => ReadResponse::Unavailable,
-    };
-    match answer {
+pub(super) async fn show(control_node: &ControlNode, path: &str) -> ApiResponse {
+    match control_node.read_config().await {
         ReadResponse::Current(state) => json(StatusCode::OK, state.body.to_vec()),
         ReadResponse::Empty => code_only(StatusCode::NOT_FOUND, ResultCode::NoConfiguration),
         ReadResponse::Redirect { primary } => redirect(control_node, primary, path),
@@ -49,24 +39,8 @@
     }
 }
 
-async fn admit(control_node: &Rc<ControlNode>, request: OperatorChange<Bytes>) -> ChangeResponse {
-    let (state, config) = (control_node.committed_state(), control_node.config());
-    let (mut admission, mut step) =
-        ChangeAdmission::begin(request, control_node.known_primary(), state.as_ref(), config, None);
-    loop {
-        step = match step {
-            AdmissionStep::Respond(answer) => return answer,
-            AdmissionStep::ConfirmState => admission.on_state_confirmed(control_node.read_confirmed().await),
-            AdmissionStep::Submit(submission) => {
-                let reply = control_node.submit_change(submission).await;
-                AdmissionStep::Respond(admission.on_proposal_result(reply))
-            }
-        };
-    }
-}
-
-fn change_response(control_node: &ControlNode, answer: ChangeResponse, path: &str) -> ApiResponse {
-    match answer {
+fn change_response(control_node: &ControlNode, response: ChangeResponse, path: &str) -> ApiResponse {
+    match response {
         ChangeResponse::Accepted { revision } => json(StatusCode::OK, format!("{{\"revision\":{revision}}}")),
         ChangeResponse::Stale { current_revision } => {
             let code = ResultCode::StaleRevision.as_str();
@@ -85,15 +59,11 @@
     }
 }
 
-/// Redirects to the primary. Its API is expected on this node's port, which is the same on all control nodes.
+/// Redirects to the API of the primary.
 fn redirect(control_node: &ControlNode, primary: SocketAddrV4, path: &str) -> ApiResponse {
-    if primary == control_node.settings.internal_address() {
-        return unavailable();
-    }
-    let Some(own_address) = control_node.settings.control_plane else { return unavailable() };
+    let Some(address) = control_node.api_address_of(primary) else { return unavailable() };
     let mut response = code_only(StatusCode::TEMPORARY_REDIRECT, ResultCode::NotPrimary);
-    let location = format!("http://{}:{}{path}", primary.ip(), own_address.port());
-    if let Ok(location) = HeaderValue::from_str(&location) {
+    if let Ok(location) = HeaderValue::from_str(&format!("http://{address}{path}")) {
         response.headers_mut().insert(LOCATION, location);
     }
     response
--- a/crates/programs/src/control_api/instances.rs
+++ b/crates/programs/src/control_api/instances.rs
@@ -1,7 +1,5 @@
 //! The endpoints of model servers: heartbeats and deregistration.
 
-use std::rc::Rc;
-
 use hyper::StatusCode;
 
 use super::heartbeat::parse_heartbeat;
@@ -9,7 +7,7 @@
 use crate::control_node::ControlNode;
 
 /// `/Instances.Keepalive/ID`: a heartbeat of a server.
-pub(super) async fn keepalive(control_node: &Rc<ControlNode>, id: &str, body: &[u8]) -> ApiResponse {
+pub(super) async fn keepalive(control_node: &ControlNode, id: &str, body: &[u8]) -> ApiResponse {
     match parse_heartbeat(id, body) {
         Some(server) => acknowledgement(control_node.record_heartbeat(server).await),
         None => code_only(StatusCode::BAD_REQUEST, ResultCode::InvalidHeartbeat),
@@ -17,7 +15,7 @@
 }
 
 /// `/Instances.Deregister/ID`: a server has shut down.
-pub(super) async fn deregister(control_node: &Rc<ControlNode>, id: &str) -> ApiResponse {
+pub(super) async fn deregister(control_node: &ControlNode, id: &str) -> ApiResponse {
     acknowledgement(control_node.deregister(id).await)
 }
 
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -1,27 +1,29 @@
-//! A control node: its member of the consensus group, its replica of the registry, and what it serves to proxies and
-//! other control nodes.
+//! A control node: its member of the consensus group, its replica of the registry, and what it serves to proxies, other
+//! control nodes, model servers and the operator.
+//!
+//! Each concern has a part that owns its state; [`ControlNode`] is composed of them.
 
-mod acknowledgement;
 mod change_notifier;
 mod client_requests;
 mod config_store;
 mod consensus_host;
 mod consensus_sender;
 mod consensus_storage;
+mod directory;
 mod handlers;
 mod log_directory;
 mod node;
+mod operator_service;
 mod peer_exchange;
 mod peer_followers;
 mod proxy_presence;
+mod registration;
 mod registry_host;
 mod registry_log;
 mod registry_storage;
+mod stage_role;
 mod status;
-mod updates;
+mod update_service;
 
-pub(crate) use self::consensus_storage::run_consensus;
-pub(crate) use self::handlers::handlers;
 pub(crate) use self::node::ControlNode;
 pub(crate) use self::peer_followers::PeerFollowers;
-pub(crate) use self::registry_storage::restore_registry;
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -1,56 +1,181 @@
-//! The node's member of the consensus group, and the log that it writes.
+//! The node's member of the consensus group, and what it needs of the host: its clock, its log, its messages to other
+//! members, and the requests that wait for its replies.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
+use std::rc::Rc;
 
-use mosshead_consensus::{ControlState, Input, Member, Node, Output, Term};
-use mosshead_control_plane::QuorumContact;
+use mosshead_consensus::{
+    ClientReply, ControlState, Input, Member, Node, Output, Settings as NodeSettings, StoredStateError, Term,
+};
+use mosshead_control_plane::{ChangeProposal, PrimaryHint, QuorumContact};
 use mosshead_record_log::LogWriter;
+use mosshead_time::Duration;
 use rand_pcg::Pcg64Mcg;
+use tokio::time::timeout;
 
+use super::change_notifier::ChangeNotifier;
+use super::client_requests::ClientRequests;
+use super::config_store::ConfigStore;
+use super::consensus_sender::ConsensusSender;
 use crate::clock::Clock;
 
-/// The consensus node with its clock and its log. Both are absent until the log is opened.
+/// A change or a read without a reply within this time is answered as unavailable.
+const CLIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
+
+/// The consensus node on its host. The node and its log are absent until the log is opened.
 pub(super) struct ConsensusHost {
+    local_address: SocketAddrV4,
     clock: Clock,
     node: RefCell<Option<Node<Pcg64Mcg>>>,
     log: RefCell<Option<LogWriter>>,
+    requests: ClientRequests,
+    sender: Rc<ConsensusSender>,
+    /// Where committed states go.
+    configs: Rc<ConfigStore>,
+    changes: Rc<ChangeNotifier>,
 }
 
 impl ConsensusHost {
-    pub(super) fn new(clock: Clock) -> ConsensusHost {
-        ConsensusHost { clock, node: RefCell::default(), log: RefCell::default() }
+    pub(super) fn new(
+        local_address: SocketAddrV4,
+        clock: Clock,
+        sender: Rc<ConsensusSender>,
+        configs: Rc<ConfigStore>,
+        changes: Rc<ChangeNotifier>,
+    ) -> Rc<ConsensusHost> {
+        Rc::new(ConsensusHost {
+            local_address,
+            clock,
+            node: RefCell::default(),
+            log: RefCell::default(),
+            requests: ClientRequests::default(),
+            sender,
+            configs,
+            changes,
+        })
     }
 
+    /// The log is open for writes.
     pub(super) fn set_log(&self, log: LogWriter) {
         self.log.replace(Some(log));
     }
 
-    pub(super) fn set_node(&self, node: Node<Pcg64Mcg>) {
+    /// Starts the node with the records of its log.
+    pub(super) fn start_node(
+        &self,
+        settings: NodeSettings,
+        records: &[Vec<u8>],
+        random: Pcg64Mcg,
+    ) -> Result<(), StoredStateError> {
+        let node = Node::new(settings, records, self.clock.now(), random)?;
         self.node.replace(Some(node));
+        Ok(())
+    }
+
+    /// Submits a change of the configuration to the consensus group.
+    pub(super) async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> ClientReply {
+        let ChangeProposal { base_revision, revision, body, digest } = change;
+        self.request(|request_id| Input::Change { request_id, base_revision, revision, body, digest }).await
+    }
+
+    /// Reads the newest committed state, once a quorum has confirmed that it is.
+    pub(super) async fn read_confirmed(self: &Rc<Self>) -> ClientReply {
+        self.request(|request_id| Input::Read { request_id }).await
+    }
+
+    async fn request(self: &Rc<Self>, input: impl FnOnce(u64) -> Input) -> ClientReply {
+        let (id, reply) = self.requests.begin();
+        self.step(input(id));
+        let reply = timeout(CLIENT_REQUEST_TIMEOUT, reply).await;
+        self.requests.abandon(id);
+        reply.ok().and_then(Result::ok).unwrap_or(ClientReply::Unavailable)
+    }
+
+    /// Steps the node, and carries out its outputs.
+    pub(super) fn step(self: &Rc<Self>, input: Input) {
+        let request_id = match input {
+            Input::Change { request_id, .. } | Input::Read { request_id } => Some(request_id),
+            _ => None,
+        };
+        let outputs = self.node.borrow_mut().as_mut().map(|node| node.step(self.clock.now(), input));
+        if let Some(outputs) = outputs {
+            outputs.into_iter().for_each(|output| self.carry_out(output));
+        } else if let Some(request_id) = request_id {
+            // The log is not open yet, so that no reply would come.
+            self.requests.reply(request_id, ClientReply::Unavailable);
+        }
     }
 
-    /// Steps the node. `None` while there is none.
-    pub(super) fn step(&self, input: Input) -> Option<Vec<Output>> {
-        self.node.borrow_mut().as_mut().map(|node| node.step(self.clock.now(), input))
+    fn carry_out(self: &Rc<Self>, output: Output) {
+        match output {
+            Output::Send { to, message } => {
+                if let Some(from) = self.local_member() {
+                    self.sender.send(from, to, message);
+                }
+            }
+            Output::Write { token, record } => {
+                let is_queued = self.append(token, record);
+                self.on_write_queued(token, is_queued);
+            }
+            Output::Rewrite { token, record } => {
+                let is_queued = self.rewrite(token, record);
+                self.on_write_queued(token, is_queued);
+            }
+            Output::Reply { request_id, reply } => self.requests.reply(request_id, reply),
+            Output::StateCommitted { state } => self.on_committed(&state),
+            Output::BecamePrimary { term, .. } => {
+                spdlog::info!("consensus: became primary term={}", term.number);
+                self.changes.notify();
+            }
+            Output::SteppedDown => {
+                spdlog::info!("consensus: stepped down as primary");
+                self.changes.notify();
+            }
+        }
     }
 
     /// Queues a record for the log; false if it can't be written.
-    pub(super) fn append(&self, token: u64, record: Vec<u8>) -> bool {
+    fn append(&self, token: u64, record: Vec<u8>) -> bool {
         self.log.borrow().as_ref().is_some_and(|log| log.append(token, record).is_ok())
     }
 
     /// Queues the replacement of the log by one record; false if it can't be written.
-    pub(super) fn rewrite(&self, token: u64, record: Vec<u8>) -> bool {
+    fn rewrite(&self, token: u64, record: Vec<u8>) -> bool {
         self.log.borrow().as_ref().is_some_and(|log| log.rewrite(token, vec![record]).is_ok())
     }
 
+    /// A write that could not be queued fails after the outputs that are carried out now.
+    fn on_write_queued(self: &Rc<Self>, token: u64, is_queued: bool) {
+        if is_queued {
+            return;
+        }
+        let host = self.clone();
+        tokio::task::spawn_local(async move { host.step(Input::WriteFailed { token }) });
+    }
+
+    fn on_committed(&self, state: &ControlState) {
+        match self.configs.commit(state) {
+            Ok(Some(config)) => {
+                spdlog::info!("config: committed revision={}", config.revision);
+                self.changes.notify();
+            }
+            Ok(None) => {}
+            Err(error) => {
+                let revision = state.revision;
+                spdlog::error!(
+                    "config: committed configuration unreadable revision={revision} error={error}"
+                );
+            }
+        }
+    }
+
     /// The length of the log at its last write in bytes; 0 while it is not open.
     pub(super) fn log_bytes(&self) -> u64 {
         self.log.borrow().as_ref().map_or(0, LogWriter::length)
     }
 
-    pub(super) fn local_member(&self) -> Option<Member> {
+    fn local_member(&self) -> Option<Member> {
         self.node.borrow().as_ref().map(Node::local_member)
     }
 
@@ -71,7 +196,17 @@
         node.as_ref().and_then(|node| node.primary_at(self.clock.now())).map(|primary| primary.address)
     }
 
-    /// Whether a quorum of the members was recently in contact with this node.
+    /// Who decides on changes, as far as this node knows.
+    pub(super) fn known_primary(&self) -> PrimaryHint {
+        match self.primary() {
+            // Also while a primary takes over from itself: its consensus node queues the requests meanwhile.
+            Some(address) if address == self.local_address => PrimaryHint::Local,
+            Some(address) => PrimaryHint::Remote(address),
+            None => PrimaryHint::Unknown,
+        }
+    }
+
+    /// Whether a quorum of the members was recently in contact with this node. Without that, what it knows may be outdated.
     pub(super) fn quorum_contact(&self) -> QuorumContact {
         let node = self.node.borrow();
         QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.clock.now())))
@@ -82,6 +217,11 @@
         self.node.borrow().as_ref().map(Node::term)
     }
 
+    /// The term under which this node is the primary; `None` if it is not, or its lease does not hold.
+    pub(super) fn primary_term(&self) -> Option<Term> {
+        self.term().filter(|_| self.is_primary())
+    }
+
     /// The newest committed state that is known here.
     pub(super) fn committed_state(&self) -> Option<ControlState> {
         self.node.borrow().as_ref().and_then(|node| node.committed_state().cloned())
--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -3,51 +3,49 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use mosshead_consensus::{Input, Node, Settings as NodeSettings, Timings};
+use mosshead_consensus::{Input, Settings as NodeSettings};
 use mosshead_record_log::{LogWriter, OpenedLog, RecordLog, WriteCompletion};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::mpsc;
 
+use super::consensus_host::ConsensusHost;
 use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
-use super::node::ControlNode;
 
 /// Where the state of the consensus group is kept.
 const CONSENSUS_LOG: LogDirectory = LogDirectory { name: "consensus", former_name: "headworks" };
 
 /// Runs the consensus node for as long as the future is polled. Without a log that can be read it returns: the control
 /// node then serves the registry only.
-pub(crate) async fn run_consensus(control_node: Rc<ControlNode>, data_directory: PathBuf, seed: u64) {
+pub(super) async fn run_consensus(
+    host: Rc<ConsensusHost>,
+    settings: NodeSettings,
+    data_directory: PathBuf,
+    seed: u64,
+) {
     let opened = open_log(&data_directory, CONSENSUS_LOG).await;
     let Some(OpenedLog { log, records, .. }) = opened else { return };
     spdlog::info!("record-log: opened log={} records={}", CONSENSUS_LOG.name, records.len());
-    let Some(mut completions) = start_writer(&control_node, log) else { return };
-    let random = Pcg64Mcg::seed_from_u64(seed);
-    match Node::new(node_settings(&control_node), &records, control_node.clock.now(), random) {
-        Ok(node) => control_node.consensus.set_node(node),
-        Err(error) => {
-            let code = error.code();
-            spdlog::error!("consensus: stored state unreadable code={code} error={error}");
-            return;
-        }
+    let Some(mut completions) = start_writer(&host, log) else { return };
+    if let Err(error) = host.start_node(settings, &records, Pcg64Mcg::seed_from_u64(seed)) {
+        let code = error.code();
+        spdlog::error!("consensus: stored state unreadable code={code} error={error}");
+        return;
     }
-    control_node.step(Input::Tick);
+    host.step(Input::Tick);
     while let Some(WriteCompletion { token, is_durable, .. }) = completions.recv().await {
-        control_node.step(if is_durable { Input::Written { token } } else { Input::WriteFailed { token } });
+        host.step(if is_durable { Input::Written { token } } else { Input::WriteFailed { token } });
     }
 }
 
-fn start_writer(
-    control_node: &ControlNode,
-    log: RecordLog,
-) -> Option<mpsc::UnboundedReceiver<WriteCompletion>> {
+fn start_writer(host: &ConsensusHost, log: RecordLog) -> Option<mpsc::UnboundedReceiver<WriteCompletion>> {
     let (sender, completions) = mpsc::unbounded_channel();
     let writer = LogWriter::start(log, MAX_QUEUED_WRITES, move |completion| {
         let _ = sender.send(completion);
     });
     match writer {
         Ok(writer) => {
-            control_node.consensus.set_log(writer);
+            host.set_log(writer);
             Some(completions)
         }
         Err(error) => {
@@ -56,16 +54,3 @@
         }
     }
 }
-
-fn node_settings(control_node: &ControlNode) -> NodeSettings {
-    let settings = &control_node.settings;
-    NodeSettings {
-        timings: Timings::for_join_deadline(settings.sync_time()),
-        ..NodeSettings::new(
-            settings.internal_address(),
-            settings.node_failures,
-            settings.bootstrap,
-            settings.internal_seed_addresses(),
-        )
-    }
-}
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -1,48 +1,47 @@
-//! The control node: its parts, and what one triggers in another.
+//! The control node: its parts, and which of them each call, endpoint and task goes to.
 
 use std::net::SocketAddrV4;
+use std::path::PathBuf;
 use std::rc::Rc;
-use std::sync::Arc;
 
-use mosshead_config::Config;
-use mosshead_consensus::{ClientReply, ControlState, Input, Output, Term};
-use mosshead_control_plane::{ChangeProposal, PrimaryHint, QuorumContact};
-use mosshead_registry::SourceId;
-use mosshead_rpc::Caller;
-use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
-use mosshead_time::Duration;
-use tokio::time::{Instant, timeout};
+use bytes::Bytes;
+use mosshead_consensus::{Input, Settings as NodeSettings, Timings};
+use mosshead_control_plane::{ChangeResponse, OperatorChange, ReadResponse};
+use mosshead_registry::{Server, SourceId};
+use mosshead_rpc::{Caller, Handlers};
+use tokio::task::JoinSet;
 
 use super::change_notifier::ChangeNotifier;
-use super::client_requests::ClientRequests;
 use super::config_store::ConfigStore;
 use super::consensus_host::ConsensusHost;
 use super::consensus_sender::ConsensusSender;
-use super::proxy_presence::ProxyPresence;
+use super::consensus_storage::run_consensus;
+use super::directory::ControlNodeDirectory;
+use super::handlers::handlers;
+use super::operator_service::OperatorService;
+use super::peer_exchange::PeerExchange;
+use super::peer_followers::PeerFollowers;
+use super::registration::Registration;
 use super::registry_host::RegistryHost;
+use super::registry_storage::restore_registry;
+use super::stage_role::StageRole;
+use super::status::status;
+use super::update_service::{UpdateService, UpdateSources};
 use crate::clock::Clock;
 use crate::gossip::Gossip;
 use crate::settings::Settings;
 
-/// A change or a read without a reply within this time is answered as unavailable.
-const CLIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
-
 /// A control node. Each part owns its state; none is borrowed across an `await`.
 pub(crate) struct ControlNode {
-    /// The settings of the process.
-    pub(crate) settings: Settings,
-    pub(super) incarnation: u64,
-    pub(super) started_at: Instant,
-    pub(super) clock: Clock,
-    pub(super) caller: Caller,
-    pub(super) gossip: Rc<Gossip>,
-    pub(super) consensus: ConsensusHost,
-    pub(super) registry: RegistryHost,
-    pub(super) configs: ConfigStore,
-    pub(super) proxies: ProxyPresence,
-    pub(super) changes: ChangeNotifier,
-    client_requests: ClientRequests,
-    consensus_sender: Rc<ConsensusSender>,
+    settings: Settings,
+    gossip: Rc<Gossip>,
+    consensus: Rc<ConsensusHost>,
+    registry: Rc<RegistryHost>,
+    configs: Rc<ConfigStore>,
+    operator: OperatorService,
+    registration: Rc<Registration>,
+    updates: Rc<UpdateService>,
+    peer_exchange: Rc<PeerExchange>,
 }
 
 impl ControlNode {
@@ -53,76 +52,105 @@
         clock: Clock,
         gossip: Rc<Gossip>,
     ) -> Rc<ControlNode> {
-        let caller = Caller::new();
+        let (source, caller, address) = (SourceId(incarnation), Caller::new(), settings.internal_address());
+        let (changes, configs) = (Rc::<ChangeNotifier>::default(), Rc::<ConfigStore>::default());
+        let sender = ConsensusSender::new(caller.clone());
+        let consensus = ConsensusHost::new(address, clock, sender, configs.clone(), changes.clone());
+        let registry = RegistryHost::new(clock, source, settings.heartbeat_interval, changes.clone());
+        let seeds = settings.internal_seed_addresses();
+        let directory = ControlNodeDirectory::new(address, seeds, consensus.clone(), gossip.clone());
+        let registration = Registration::new(
+            registry.clone(),
+            consensus.clone(),
+            directory.clone(),
+            caller.clone(),
+            settings.node_failures,
+        );
+        let peer_exchange =
+            PeerExchange::new(&settings.node_name, incarnation, registry.clone(), directory.clone(), caller);
+        let sources = UpdateSources {
+            registry: registry.clone(),
+            configs: configs.clone(),
+            consensus: consensus.clone(),
+            directory,
+            gossip: gossip.clone(),
+            changes,
+        };
         Rc::new(ControlNode {
-            incarnation,
-            started_at: Instant::now(),
-            clock,
-            gossip,
-            consensus: ConsensusHost::new(clock),
-            registry: RegistryHost::new(clock, SourceId(incarnation), settings.heartbeat_interval),
-            configs: ConfigStore::default(),
-            proxies: ProxyPresence::default(),
-            changes: ChangeNotifier::default(),
-            client_requests: ClientRequests::default(),
-            consensus_sender: ConsensusSender::new(caller.clone()),
-            caller,
             settings,
+            gossip,
+            operator: OperatorService::new(consensus.clone(), configs.clone()),
+            updates: UpdateService::new(source, sources),
+            consensus,
+            registry,
+            configs,
+            registration,
+            peer_exchange,
         })
     }
 
-    /// The newest committed configuration that is known here.
-    pub(crate) fn config(&self) -> Option<Arc<Config>> {
-        self.configs.current()
+    /// Starts the tasks that run until the process ends: those of the logs, the peers and the stage role. `seed` is that
+    /// of the random numbers of consensus.
+    pub(crate) fn spawn_tasks(&self, tasks: &mut JoinSet<()>, data_directory: PathBuf, seed: u64) {
+        let (consensus, registry) = (&self.consensus, &self.registry);
+        tasks.spawn_local(self.peer_exchange.clone().exchange_heartbeats());
+        tasks.spawn_local(self.stage_role().run());
+        tasks.spawn_local(restore_registry(registry.clone(), data_directory.clone()));
+        let settings = consensus_settings(&self.settings);
+        tasks.spawn_local(run_consensus(consensus.clone(), settings, data_directory, seed));
+    }
+
+    fn stage_role(&self) -> StageRole {
+        let Settings { node_name, .. } = &self.settings;
+        StageRole::new(self.consensus.clone(), self.registry.clone(), node_name, self.settings.lease())
+    }
+
+    /// The tasks that watch the peers; none runs yet.
+    pub(crate) fn peer_followers(&self) -> PeerFollowers {
+        PeerFollowers::new(self.peer_exchange.clone())
     }
 
-    /// The newest committed state that is known here.
-    pub(crate) fn committed_state(&self) -> Option<ControlState> {
-        self.consensus.committed_state()
+    /// The handlers of the calls between processes of the fleet.
+    pub(crate) fn handlers(&self) -> Handlers {
+        handlers(self.consensus.clone(), self.registry.clone(), self.updates.clone())
     }
 
-    /// Whether a quorum of the members was recently in contact with this node. Without that, what it knows may be outdated.
-    pub(crate) fn quorum_contact(&self) -> QuorumContact {
-        self.consensus.quorum_contact()
+    /// Records a model server's heartbeat. Whether it may be acknowledged.
+    pub(crate) async fn record_heartbeat(&self, server: Server) -> bool {
+        self.registration.record_heartbeat(server).await
     }
 
-    /// The primary, as far as this node knows.
-    pub(crate) fn known_primary(&self) -> PrimaryHint {
-        match self.consensus.primary() {
-            // Also while a primary takes over from itself: its consensus node queues the requests meanwhile.
-            Some(address) if address == self.settings.internal_address() => PrimaryHint::Local,
-            Some(address) => PrimaryHint::Remote(address),
-            None => PrimaryHint::Unknown,
-        }
+    /// Records that a model server has shut down. Whether that may be acknowledged.
+    pub(crate) async fn deregister(&self, id: &str) -> bool {
+        self.registration.deregister(id).await
     }
 
-    /// The term under which this node is the primary; `None` if it is not, or its lease does not hold.
-    pub(crate) fn primary_term(&self) -> Option<Term> {
-        self.consensus.term().filter(|_| self.consensus.is_primary())
+    /// Decides on a change of the configuration by the operator.
+    pub(crate) async fn change_config(&self, request: OperatorChange<Bytes>) -> ChangeResponse {
+        self.operator.change(request).await
     }
 
-    /// Submits a change of the configuration to the consensus group.
-    pub(crate) async fn submit_change(self: &Rc<Self>, change: ChangeProposal) -> ClientReply {
-        let ChangeProposal { base_revision, revision, body, digest } = change;
-        self.request(|request_id| Input::Change { request_id, base_revision, revision, body, digest }).await
+    /// Reads the configuration that a quorum has confirmed.
+    pub(crate) async fn read_config(&self) -> ReadResponse {
+        self.operator.read().await
     }
 
-    /// Reads the newest committed state, once a quorum has confirmed that it is.
-    pub(crate) async fn read_confirmed(self: &Rc<Self>) -> ClientReply {
-        self.request(|request_id| Input::Read { request_id }).await
+    /// The API address of the primary by its internal address; `None` if that is this node, or this node has no API. All
+    /// control nodes are expected to serve their API on the same port.
+    pub(crate) fn api_address_of(&self, primary: SocketAddrV4) -> Option<SocketAddrV4> {
+        let own_api = self.settings.control_plane?;
+        let is_remote = primary != self.settings.internal_address();
+        is_remote.then(|| SocketAddrV4::new(*primary.ip(), own_api.port()))
     }
 
-    async fn request(self: &Rc<Self>, input: impl FnOnce(u64) -> Input) -> ClientReply {
-        let (id, reply) = self.client_requests.begin();
-        self.step(input(id));
-        let reply = timeout(CLIENT_REQUEST_TIMEOUT, reply).await;
-        self.client_requests.abandon(id);
-        reply.ok().and_then(Result::ok).unwrap_or(ClientReply::Unavailable)
+    /// The status as a JSON object.
+    pub(crate) fn status(&self) -> String {
+        status(&self.consensus, &self.configs, &self.registry, &self.gossip)
     }
 
     /// Lets time pass for the consensus node.
-    pub(crate) fn tick(self: &Rc<Self>) {
-        self.step(Input::Tick);
+    pub(crate) fn tick(&self) {
+        self.consensus.step(Input::Tick);
     }
 
     /// Writes what is new in the registry to disk.
@@ -131,98 +159,29 @@
     }
 
     /// The settings name other seeds.
-    pub(crate) fn set_seeds(self: &Rc<Self>, seeds: Vec<SocketAddrV4>) {
-        self.step(Input::Seeds(seeds));
+    pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
+        self.consensus.step(Input::Seeds(seeds));
     }
 
     /// The process is about to shut down: the node asks for its removal from the consensus group, and serves until then.
-    pub(crate) fn begin_shutdown(self: &Rc<Self>) {
-        self.step(Input::ShutDown);
+    pub(crate) fn begin_shutdown(&self) {
+        self.consensus.step(Input::ShutDown);
     }
 
     /// Whether the other members can do without this process.
     pub(crate) fn may_shut_down(&self) -> bool {
         self.consensus.may_shut_down()
     }
+}
 
-    /// The stage assignments that are due.
-    pub(crate) fn due_assignments(&self, scheduler: &mut StageScheduler) -> Vec<StageAssignment> {
-        self.registry.due_assignments(scheduler)
-    }
-
-    /// The address of a model server.
-    pub(crate) fn address_of(&self, id: &str) -> Option<SocketAddrV4> {
-        self.registry.address_of(id)
-    }
-
-    /// Steps the consensus node, and carries out its outputs.
-    pub(super) fn step(self: &Rc<Self>, input: Input) {
-        let request_id = match input {
-            Input::Change { request_id, .. } | Input::Read { request_id } => Some(request_id),
-            _ => None,
-        };
-        let Some(outputs) = self.consensus.step(input) else {
-            // The log is not open yet, so that no reply would come.
-            if let Some(request_id) = request_id {
-                self.client_requests.reply(request_id, ClientReply::Unavailable);
-            }
-            return;
-        };
-        for output in outputs {
-            self.carry_out(output);
-        }
-    }
-
-    fn carry_out(self: &Rc<Self>, output: Output) {
-        match output {
-            Output::Send { to, message } => {
-                if let Some(from) = self.consensus.local_member() {
-                    self.consensus_sender.send(from, to, message);
-                }
-            }
-            Output::Write { token, record } => {
-                let is_queued = self.consensus.append(token, record);
-                self.on_write_queued(token, is_queued);
-            }
-            Output::Rewrite { token, record } => {
-                let is_queued = self.consensus.rewrite(token, record);
-                self.on_write_queued(token, is_queued);
-            }
-            Output::Reply { request_id, reply } => self.client_requests.reply(request_id, reply),
-            Output::StateCommitted { state } => self.on_committed(&state),
-            Output::BecamePrimary { term, .. } => {
-                spdlog::info!("consensus: became primary term={}", term.number);
-                self.changes.notify();
-            }
-            Output::SteppedDown => {
-                spdlog::info!("consensus: stepped down as primary");
-                self.changes.notify();
-            }
-        }
-    }
-
-    /// A write that could not be queued fails after the outputs that are carried out now.
-    fn on_write_queued(self: &Rc<Self>, token: u64, is_queued: bool) {
-        if is_queued {
-            return;
-        }
-        let control_node = self.clone();
-        tokio::task::spawn_local(async move { control_node.step(Input::WriteFailed { token }) });
-    }
-
-    fn on_committed(&self, state: &ControlState) {
-        match self.configs.commit(state) {
-            Ok(Some(config)) => {
-                spdlog::info!("config: committed revision={}", config.revision);
-                self.changes.notify();
-            }
-            Ok(None) => {}
-            Err(error) => {
-                let revision = state.revision;
-                spdlog::error!(
-                    "config: committed configuration unreadable revision={revision} error={error}"
-                );
-            }
-        }
+fn consensus_settings(settings: &Settings) -> NodeSettings {
+    NodeSettings {
+        timings: Timings::for_join_deadline(settings.sync_time()),
+        ..NodeSettings::new(
+            settings.internal_address(),
+            settings.node_failures,
+            settings.bootstrap,
+            settings.internal_seed_addresses(),
+        )
     }
 }
--- a/crates/programs/src/control_node/peer_exchange.rs
+++ b/crates/programs/src/control_node/peer_exchange.rs
@@ -3,12 +3,13 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use mosshead_registry::{Delta, SourceId, VersionVector};
-use mosshead_rpc::Transport;
+use mosshead_registry::{SourceId, VersionVector};
+use mosshead_rpc::{Caller, Transport};
 use mosshead_time::Duration;
 use tokio::time::sleep;
 
-use super::node::ControlNode;
+use super::directory::ControlNodeDirectory;
+use super::registry_host::RegistryHost;
 use crate::calls::{CompareHeartbeats, ReplicateEntries, Updates, WatchUpdates};
 use crate::send_queues::SendQueue;
 
@@ -31,30 +32,37 @@
 /// A report of heartbeats reaches a peer within this time, or is dropped.
 const HEARTBEAT_REPORT_TIMEOUT: Duration = Duration::from_millis(350);
 
-impl ControlNode {
-    /// Merges entries of another control node. Whether the registry has changed.
-    pub(super) fn merge_entries(&self, delta: Delta) -> bool {
-        let changed = self.registry.merge(delta);
-        if changed {
-            self.changes.notify();
-        }
-        changed
+/// The registry's side of the calls to other control nodes.
+pub(super) struct PeerExchange {
+    node_name: String,
+    /// The incarnation of the process, which is its source in the registry too.
+    incarnation: u64,
+    registry: Rc<RegistryHost>,
+    directory: Rc<ControlNodeDirectory>,
+    caller: Caller,
+}
+
+impl PeerExchange {
+    pub(super) fn new(
+        node_name: &str,
+        incarnation: u64,
+        registry: Rc<RegistryHost>,
+        directory: Rc<ControlNodeDirectory>,
+        caller: Caller,
+    ) -> Rc<PeerExchange> {
+        Rc::new(PeerExchange { node_name: node_name.to_owned(), incarnation, registry, directory, caller })
+    }
+
+    /// The other control nodes.
+    pub(super) fn peers(&self) -> Vec<SocketAddrV4> {
+        self.directory.peers()
     }
 
     /// Watches a peer's registry until the peer has failed too often.
     pub(super) async fn follow_peer(self: Rc<Self>, peer: SocketAddrV4) {
         let mut failures = 0;
         while failures < MAX_WATCH_FAILURES {
-            let call = WatchUpdates {
-                name: self.settings.node_name.clone(),
-                incarnation: self.incarnation,
-                is_proxy: false,
-                revision: WatchUpdates::NO_CONFIG_WANTED,
-                vector: self.registry.vector(),
-                wants_entries: true,
-                wait: WATCH_WAIT,
-            };
-            match self.caller.call(peer, &call, WATCH_TIMEOUT).await {
+            match self.caller.call(peer, &self.watch_call(), WATCH_TIMEOUT).await {
                 Ok(updates) => {
                     failures = 0;
                     self.on_peer_updates(peer, updates).await;
@@ -67,8 +75,20 @@
         }
     }
 
+    fn watch_call(&self) -> WatchUpdates {
+        WatchUpdates {
+            name: self.node_name.clone(),
+            incarnation: self.incarnation,
+            is_proxy: false,
+            revision: WatchUpdates::NO_CONFIG_WANTED,
+            vector: self.registry.vector(),
+            wants_entries: true,
+            wait: WATCH_WAIT,
+        }
+    }
+
     async fn on_peer_updates(&self, peer: SocketAddrV4, updates: Updates) {
-        self.merge_entries(updates.delta);
+        self.registry.merge(updates.delta);
         self.registry.record_contact(SourceId(updates.source));
         if updates.needs_entries {
             let delta = self.registry.missing_entries(&VersionVector::default(), MAX_RECOVERY_ENTRIES);
@@ -82,21 +102,19 @@
 
     /// Reports to the peers which servers send heartbeats here, and times servers out, for as long as the future is
     /// polled.
-    pub(crate) async fn exchange_heartbeats(self: Rc<Self>) {
+    pub(super) async fn exchange_heartbeats(self: Rc<Self>) {
         loop {
             sleep(HEARTBEAT_EXCHANGE_INTERVAL).await;
             let sequences = self.registry.recent_heartbeats(HEARTBEAT_WINDOW);
             let call = CompareHeartbeats { source: self.incarnation, sequences };
             for peer in self.peers() {
-                let (control_node, call) = (self.clone(), call.clone());
+                let (caller, call) = (self.caller.clone(), call.clone());
                 // The task ends with the timeout of its call.
                 tokio::task::spawn_local(async move {
-                    let _ = control_node.caller.call(peer, &call, HEARTBEAT_REPORT_TIMEOUT).await;
+                    let _ = caller.call(peer, &call, HEARTBEAT_REPORT_TIMEOUT).await;
                 });
             }
-            if self.registry.tick() {
-                self.changes.notify();
-            }
+            self.registry.tick();
         }
     }
 }
--- a/crates/programs/src/control_node/peer_followers.rs
+++ b/crates/programs/src/control_node/peer_followers.rs
@@ -6,22 +6,26 @@
 
 use tokio::task::JoinHandle;
 
-use super::node::ControlNode;
+use super::peer_exchange::PeerExchange;
 
 /// One task for each peer. They end with this.
-#[derive(Default)]
 pub(crate) struct PeerFollowers {
+    exchange: Rc<PeerExchange>,
     tasks: HashMap<SocketAddrV4, JoinHandle<()>>,
 }
 
 impl PeerFollowers {
+    pub(super) fn new(exchange: Rc<PeerExchange>) -> PeerFollowers {
+        PeerFollowers { exchange, tasks: HashMap::new() }
+    }
+
     /// Starts to follow the peers that are not followed yet, or whose tasks have given up.
-    pub(crate) fn follow_peers_of(&mut self, control_node: &Rc<ControlNode>) {
+    pub(crate) fn follow_new_peers(&mut self) {
         self.tasks.retain(|_, task| !task.is_finished());
-        for peer in control_node.peers() {
+        for peer in self.exchange.peers() {
             self.tasks
                 .entry(peer)
-                .or_insert_with(|| tokio::task::spawn_local(control_node.clone().follow_peer(peer)));
+                .or_insert_with(|| tokio::task::spawn_local(self.exchange.clone().follow_peer(peer)));
         }
     }
 }
--- a/crates/programs/src/control_node/acknowledgement.rs
+++ b/crates/programs/src/control_node/registration.rs
@@ -7,11 +7,13 @@
     AcknowledgementDecision, EntryReplication, EntryVersion, ReplicaSet, ShutdownStep,
 };
 use mosshead_registry::{Delta, HeartbeatOutcome, RegistrationError, Server, VersionVector};
-use mosshead_rpc::Transport;
+use mosshead_rpc::{Caller, Transport};
 use mosshead_time::Duration;
 use tokio::sync::mpsc;
 
-use super::node::ControlNode;
+use super::consensus_host::ConsensusHost;
+use super::directory::ControlNodeDirectory;
+use super::registry_host::RegistryHost;
 use crate::calls::ReplicateEntries;
 
 /// An entry that a server waits for reaches another control node within this time, or that one does not count.
@@ -26,16 +28,36 @@
     vector: Option<VersionVector>,
 }
 
-impl ControlNode {
+/// Registers model servers by their heartbeats, and replicates what has to be on other control nodes first.
+pub(super) struct Registration {
+    registry: Rc<RegistryHost>,
+    consensus: Rc<ConsensusHost>,
+    directory: Rc<ControlNodeDirectory>,
+    caller: Caller,
+    /// How many control nodes may fail at once.
+    tolerated_failures: usize,
+}
+
+impl Registration {
+    pub(super) fn new(
+        registry: Rc<RegistryHost>,
+        consensus: Rc<ConsensusHost>,
+        directory: Rc<ControlNodeDirectory>,
+        caller: Caller,
+        tolerated_failures: usize,
+    ) -> Rc<Registration> {
+        Rc::new(Registration { registry, consensus, directory, caller, tolerated_failures })
+    }
+
     /// Records a server's heartbeat. Whether it may be acknowledged.
-    pub(crate) async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
+    pub(super) async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
         let id = server.id.clone();
         let outcome = self.registry.record_heartbeat(server);
         self.acknowledge(&id, outcome).await
     }
 
     /// Records that a server has shut down. Whether that may be acknowledged.
-    pub(crate) async fn deregister(self: &Rc<Self>, id: &str) -> bool {
+    pub(super) async fn deregister(self: &Rc<Self>, id: &str) -> bool {
         let outcome = self.registry.deregister(id);
         self.acknowledge(id, outcome).await
     }
@@ -52,10 +74,7 @@
                 return false;
             }
         };
-        if outcome.changed {
-            self.changes.notify();
-        }
-        let (contact, replica_set) = (self.quorum_contact(), self.replica_set());
+        let (contact, replica_set) = (self.consensus.quorum_contact(), self.replica_set());
         match self.registry.start_acknowledgement(id, &outcome, contact, &replica_set) {
             ShutdownStep::Acknowledge => true,
             ShutdownStep::Reject => false,
@@ -72,7 +91,7 @@
         let entry = replication.entry();
         let mut replies = self.replicate_to_peers(entry);
         loop {
-            match replication.decision(self.quorum_contact()) {
+            match replication.decision(self.consensus.quorum_contact()) {
                 AcknowledgementDecision::Acknowledge => {
                     self.registry.on_acknowledged(entry);
                     return true;
@@ -88,10 +107,10 @@
     /// Sends an entry to all peers. The tasks go on when enough have responded, so that the others get it too.
     fn replicate_to_peers(self: &Rc<Self>, entry: EntryVersion) -> mpsc::UnboundedReceiver<ReplicationReply> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        for peer in self.peers() {
-            let (control_node, sender) = (self.clone(), sender.clone());
+        for peer in self.directory.peers() {
+            let (registration, sender) = (self.clone(), sender.clone());
             tokio::task::spawn_local(async move {
-                let vector = control_node.replicate_entry(peer, entry).await;
+                let vector = registration.replicate_entry(peer, entry).await;
                 let _ = sender.send(ReplicationReply { peer, vector });
             });
         }
@@ -117,9 +136,9 @@
 
     fn replica_set(&self) -> ReplicaSet {
         ReplicaSet {
-            local_address: self.settings.internal_address(),
+            local_address: self.directory.local_address(),
             members: self.consensus.members(),
-            tolerated_failures: self.settings.node_failures,
+            tolerated_failures: self.tolerated_failures,
         }
     }
 }
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -2,6 +2,7 @@
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
+use std::rc::Rc;
 
 use mosshead_control_plane::{
     EntryVersion, QuorumContact, ReplicaSet, ShutdownAcknowledgements, ShutdownStep, latest_local_entries,
@@ -13,26 +14,34 @@
 use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
 use mosshead_time::{Duration, Instant};
 
+use super::change_notifier::ChangeNotifier;
 use super::registry_log::RegistryLog;
 use crate::clock::Clock;
 
-/// The registry, which of its entries were acknowledged to their servers, and its log.
+/// The registry, which of its entries were acknowledged to their servers, and its log. Whoever waits for something new
+/// is notified when the registry has changed.
 pub(super) struct RegistryHost {
     clock: Clock,
     registry: RefCell<Registry>,
     acknowledgements: RefCell<ShutdownAcknowledgements>,
     log: RegistryLog,
+    changes: Rc<ChangeNotifier>,
 }
 
 impl RegistryHost {
-    pub(super) fn new(clock: Clock, source: SourceId, heartbeat_interval: Duration) -> RegistryHost {
-        let registry = Registry::new(source, heartbeat_interval);
-        RegistryHost {
+    pub(super) fn new(
+        clock: Clock,
+        source: SourceId,
+        heartbeat_interval: Duration,
+        changes: Rc<ChangeNotifier>,
+    ) -> Rc<RegistryHost> {
+        Rc::new(RegistryHost {
             clock,
-            registry: RefCell::new(registry),
+            registry: RefCell::new(Registry::new(source, heartbeat_interval)),
             acknowledgements: RefCell::default(),
             log: RegistryLog::default(),
-        }
+            changes,
+        })
     }
 
     /// The log is open.
@@ -67,15 +76,28 @@
 
     /// Merges entries of others. Whether the registry has changed.
     pub(super) fn merge(&self, delta: Delta) -> bool {
-        self.registry.borrow_mut().merge(self.now(), delta)
+        self.merge_all([delta])
+    }
+
+    /// Merges entries of others, and notifies once. Whether the registry has changed.
+    pub(super) fn merge_all(&self, deltas: impl IntoIterator<Item = Delta>) -> bool {
+        let mut changed = false;
+        for delta in deltas {
+            changed |= self.registry.borrow_mut().merge(self.now(), delta);
+        }
+        self.notify_if(changed)
     }
 
     pub(super) fn record_heartbeat(&self, server: Server) -> Result<HeartbeatOutcome, RegistrationError> {
-        self.registry.borrow_mut().record_heartbeat(self.now(), server)
+        let outcome = self.registry.borrow_mut().record_heartbeat(self.now(), server)?;
+        self.notify_if(outcome.changed);
+        Ok(outcome)
     }
 
     pub(super) fn deregister(&self, id: &str) -> Result<HeartbeatOutcome, RegistrationError> {
-        self.registry.borrow_mut().deregister(self.now(), id)
+        let outcome = self.registry.borrow_mut().deregister(self.now(), id)?;
+        self.notify_if(outcome.changed);
+        Ok(outcome)
     }
 
     /// Another control node has the entries of this vector.
@@ -100,9 +122,10 @@
         self.registry.borrow().heartbeats_since(since)
     }
 
-    /// Lets time pass. Whether the registry has changed.
-    pub(super) fn tick(&self) -> bool {
-        self.registry.borrow_mut().tick(self.now())
+    /// Lets time pass, in which servers may time out.
+    pub(super) fn tick(&self) {
+        let changed = self.registry.borrow_mut().tick(self.now());
+        self.notify_if(changed);
     }
 
     /// Queues what is new for the disk.
@@ -137,6 +160,13 @@
         self.registry.borrow().get(id).map(|server| server.address)
     }
 
+    fn notify_if(&self, changed: bool) -> bool {
+        if changed {
+            self.changes.notify();
+        }
+        changed
+    }
+
     fn now(&self) -> Instant {
         self.clock.now()
     }
--- a/crates/programs/src/control_node/registry_storage.rs
+++ b/crates/programs/src/control_node/registry_storage.rs
@@ -7,26 +7,20 @@
 use mosshead_registry::Delta;
 
 use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
-use super::node::ControlNode;
+use super::registry_host::RegistryHost;
 
 /// Where the registry is kept.
 const REGISTRY_LOG: LogDirectory = LogDirectory { name: "registry", former_name: "catchment" };
 
 /// Merges the entries on disk into the registry, and opens the log for new ones.
-pub(crate) async fn restore_registry(control_node: Rc<ControlNode>, data_directory: PathBuf) {
+pub(super) async fn restore_registry(registry: Rc<RegistryHost>, data_directory: PathBuf) {
     let opened = open_log(&data_directory, REGISTRY_LOG).await;
     let Some(OpenedLog { log, records, .. }) = opened else { return };
     let deltas = records.iter().filter_map(|record| minicbor::decode::<Delta>(record).ok());
-    let mut changed = false;
-    for delta in deltas {
-        changed |= control_node.registry.merge(delta);
-    }
-    spdlog::info!("registry: restored servers={}", control_node.registry.len());
-    if changed {
-        control_node.changes.notify();
-    }
+    registry.merge_all(deltas);
+    spdlog::info!("registry: restored servers={}", registry.len());
     match LogWriter::start(log, MAX_QUEUED_WRITES, |_| {}) {
-        Ok(writer) => control_node.registry.set_log_writer(writer),
+        Ok(writer) => registry.set_log_writer(writer),
         Err(error) => {
             let code = error.code();
             spdlog::error!(
--- /dev/null
+++ b/crates/programs/src/control_node/stage_role.rs
@@ -0,0 +1,103 @@
+//! The singleton role of the primary: it assigns stages to model servers, under a fencing token that rises with its
+//! term.
+
+use std::rc::Rc;
+
+use mosshead_consensus::Term;
+use mosshead_stage_scheduler::{
+    AssignmentOutcome, StageAssignment, StagePolicy, StageScheduler, fencing_token,
+};
+use mosshead_time::Duration;
+use tokio::time::{Instant, sleep};
+
+use super::consensus_host::ConsensusHost;
+use super::registry_host::RegistryHost;
+use crate::stage_orders::{OrderMessage, send_order};
+
+/// How often the owner of the role looks for assignments that are due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How much longer than a lease a new owner waits until it sends orders.
+const TAKEOVER_MARGIN: Duration = Duration::from_millis(500);
+
+/// The role under one term, from the moment at which this node became its owner.
+struct Tenure {
+    term: Term,
+    since: Instant,
+    scheduler: StageScheduler,
+}
+
+impl Tenure {
+    fn new(term: Term) -> Tenure {
+        Tenure { term, since: Instant::now(), scheduler: StageScheduler::new(StagePolicy::default()) }
+    }
+}
+
+/// Owns the role whenever this node is the primary.
+pub(super) struct StageRole {
+    consensus: Rc<ConsensusHost>,
+    registry: Rc<RegistryHost>,
+    /// The node name that orders carry.
+    node_name: String,
+    /// How long after the start of its tenure an owner sends no orders.
+    takeover_delay: Duration,
+    tenure: Option<Tenure>,
+}
+
+impl StageRole {
+    /// `lease` is how long the last order of a former owner may be in flight.
+    pub(super) fn new(
+        consensus: Rc<ConsensusHost>,
+        registry: Rc<RegistryHost>,
+        node_name: &str,
+        lease: Duration,
+    ) -> StageRole {
+        let takeover_delay = lease + TAKEOVER_MARGIN;
+        StageRole { consensus, registry, node_name: node_name.to_owned(), takeover_delay, tenure: None }
+    }
+
+    /// Assigns stages for as long as the future is polled.
+    pub(super) async fn run(mut self) {
+        loop {
+            sleep(CHECK_INTERVAL).await;
+            let Some(term) = self.consensus.primary_term() else {
+                self.tenure = None;
+                continue;
+            };
+            let former = self.tenure.take().filter(|tenure| tenure.term == term);
+            let mut tenure = former.unwrap_or_else(|| Tenure::new(term));
+            if tenure.since.elapsed() >= self.takeover_delay {
+                self.send_due_orders(&mut tenure).await;
+            }
+            self.tenure = Some(tenure);
+        }
+    }
+
+    async fn send_due_orders(&self, tenure: &mut Tenure) {
+        for assignment in self.registry.due_assignments(&mut tenure.scheduler) {
+            // The role may have been lost while the order before was in flight.
+            if self.consensus.primary_term() != Some(tenure.term) {
+                return;
+            }
+            let outcome = self.send(&assignment, tenure.term).await;
+            let StageAssignment { instance_id, stage } = &assignment;
+            let term = tenure.term.number;
+            spdlog::info!(
+                "stages: assigned instance={instance_id} stage={stage:?} outcome={outcome:?} term={term}"
+            );
+            tenure.scheduler.record_outcome(outcome);
+        }
+    }
+
+    async fn send(&self, assignment: &StageAssignment, term: Term) -> AssignmentOutcome {
+        let Some(address) = self.registry.address_of(&assignment.instance_id) else {
+            return AssignmentOutcome::Unknown;
+        };
+        let message = OrderMessage {
+            address,
+            assignment,
+            owner: &self.node_name,
+            fencing_token: fencing_token(term.number, term.proposer.0),
+        };
+        send_order(&message, || self.consensus.primary_term() == Some(term)).await
+    }
+}
--- a/crates/programs/src/control_node/updates.rs
+++ b/crates/programs/src/control_node/update_service.rs
@@ -1,15 +1,20 @@
 //! Updates for proxies and other control nodes: the newest revision, registry entries, and which processes are alive.
 
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use mosshead_registry::Delta;
+use mosshead_registry::{Delta, SourceId};
 use mosshead_time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-use super::node::ControlNode;
+use super::change_notifier::ChangeNotifier;
+use super::config_store::ConfigStore;
+use super::consensus_host::ConsensusHost;
+use super::directory::ControlNodeDirectory;
+use super::proxy_presence::ProxyPresence;
+use super::registry_host::RegistryHost;
 use crate::calls::{Updates, WatchUpdates};
 use crate::config_transfer::{ChunkRequest, ConfigChunk};
+use crate::gossip::Gossip;
 
 /// Entries in one response.
 const MAX_ENTRIES_PER_RESPONSE: usize = 400;
@@ -18,16 +23,40 @@
 /// How long after its start the node asks its callers for entries that it lacks.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-impl ControlNode {
+/// What the service reads from.
+pub(super) struct UpdateSources {
+    pub(super) registry: Rc<RegistryHost>,
+    pub(super) configs: Rc<ConfigStore>,
+    pub(super) consensus: Rc<ConsensusHost>,
+    pub(super) directory: Rc<ControlNodeDirectory>,
+    pub(super) gossip: Rc<Gossip>,
+    pub(super) changes: Rc<ChangeNotifier>,
+}
+
+/// Answers the calls of those who keep up with this control node.
+pub(super) struct UpdateService {
+    source: SourceId,
+    started_at: Instant,
+    sources: UpdateSources,
+    proxies: ProxyPresence,
+}
+
+impl UpdateService {
+    /// `source` is the source that this control node is to the registry.
+    pub(super) fn new(source: SourceId, sources: UpdateSources) -> Rc<UpdateService> {
+        let proxies = ProxyPresence::default();
+        Rc::new(UpdateService { source, started_at: Instant::now(), sources, proxies })
+    }
+
     /// Responds with what is new to the caller, as soon as there is something or the wait is over.
     pub(super) async fn watch_updates(self: Rc<Self>, call: WatchUpdates) -> Updates {
         if call.is_proxy {
             self.proxies.on_call(call.name.clone());
         } else {
-            self.registry.mark_replicated(&call.vector);
+            self.sources.registry.mark_replicated(&call.vector);
         }
         let deadline = Instant::now() + call.wait.min(MAX_WATCH_WAIT);
-        let mut changes = self.changes.subscribe();
+        let mut changes = self.sources.changes.subscribe();
         loop {
             changes.mark_unchanged();
             let updates = self.updates_for(&call);
@@ -39,51 +68,32 @@
 
     /// Responds to a proxy that fetches the configuration.
     pub(super) fn fetch_config(&self, request: ChunkRequest) -> ConfigChunk {
-        self.configs.next_chunk(request, self.quorum_contact())
+        self.sources.configs.next_chunk(request, self.sources.consensus.quorum_contact())
     }
 
     fn updates_for(&self, call: &WatchUpdates) -> Updates {
-        let missing = self.registry.missing_entries(&call.vector, MAX_ENTRIES_PER_RESPONSE);
+        let UpdateSources { registry, configs, consensus, directory, .. } = &self.sources;
+        let missing = registry.missing_entries(&call.vector, MAX_ENTRIES_PER_RESPONSE);
         let has_newer_entries = !missing.entries.is_empty();
-        let contact = self.quorum_contact();
+        let contact = consensus.quorum_contact();
         Updates {
-            revision: self.configs.advertised_revision(contact),
+            revision: configs.advertised_revision(contact),
             delta: if call.wants_entries { missing } else { Delta::default() },
             has_newer_entries,
-            control_nodes: self.control_nodes(),
+            control_nodes: directory.control_nodes(),
             proxy_count: self.proxy_count(),
             has_quorum_contact: contact.is_confirmed(),
             needs_entries: self.needs_entries_of(call),
-            source: self.incarnation,
+            source: self.source.0,
         }
     }
 
     fn needs_entries_of(&self, call: &WatchUpdates) -> bool {
-        self.started_at.elapsed() < RECOVERY_TIME && self.registry.lacks_entries_of(&call.vector)
+        self.started_at.elapsed() < RECOVERY_TIME && self.sources.registry.lacks_entries_of(&call.vector)
     }
 
     fn proxy_count(&self) -> u32 {
-        self.proxies.count().max(self.gossip.live_proxies()) as u32
-    }
-
-    /// The other control nodes that are known here.
-    pub(super) fn peers(&self) -> Vec<SocketAddrV4> {
-        let local_address = self.settings.internal_address();
-        let mut peers = self.control_nodes();
-        peers.retain(|peer| *peer != local_address);
-        peers
-    }
-
-    /// The members of the consensus group and the control nodes in the membership; the seeds while there are none.
-    fn control_nodes(&self) -> Vec<SocketAddrV4> {
-        let mut addresses = self.consensus.members();
-        self.gossip.append_control_nodes(&mut addresses);
-        if addresses.is_empty() {
-            addresses = self.settings.internal_seed_addresses();
-        }
-        addresses.sort_unstable();
-        addresses.dedup();
-        addresses
+        self.proxies.count().max(self.sources.gossip.live_proxies()) as u32
     }
 }
 
--- a/crates/programs/src/control_process.rs
+++ b/crates/programs/src/control_process.rs
@@ -10,10 +10,10 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
-use crate::control_node::{ControlNode, PeerFollowers, handlers, restore_registry, run_consensus};
+use crate::control_api;
+use crate::control_node::{ControlNode, PeerFollowers};
 use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
 use crate::settings::{Settings, SettingsError};
-use crate::{control_api, stage_role};
 
 /// The interval of the main loop, and of the consensus node's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -57,7 +57,7 @@
             process.clock,
             process.gossip.clone(),
         );
-        let followers = PeerFollowers::default();
+        let followers = control_node.peer_followers();
         let mut control = ControlProcess { process, control_node, followers };
         control.serve_calls().await?;
         control.serve_api().await?;
@@ -68,7 +68,7 @@
 
     async fn serve_calls(&mut self) -> Result<(), ProcessError> {
         let listener = bind(self.process.settings.internal_address()).await?;
-        let handlers = Rc::new(handlers(&self.control_node));
+        let handlers = Rc::new(self.control_node.handlers());
         self.process.tasks.spawn_local(mosshead_rpc::serve(listener, handlers));
         Ok(())
     }
@@ -82,11 +82,7 @@
 
     fn spawn_tasks(&mut self, data_directory: PathBuf) {
         let seed = self.process.random.random();
-        let (control_node, tasks) = (&self.control_node, &mut self.process.tasks);
-        tasks.spawn_local(control_node.clone().exchange_heartbeats());
-        tasks.spawn_local(stage_role::run(control_node.clone()));
-        tasks.spawn_local(restore_registry(control_node.clone(), data_directory.clone()));
-        tasks.spawn_local(run_consensus(control_node.clone(), data_directory, seed));
+        self.control_node.spawn_tasks(&mut self.process.tasks, data_directory, seed);
     }
 
     /// The main loop, until the process is signalled to shut down.
@@ -104,7 +100,7 @@
                     self.control_node.persist_registry();
                     tick_count += 1;
                     if tick_count.is_multiple_of(TICKS_PER_PEER_CHECK) {
-                        self.followers.follow_peers_of(&self.control_node);
+                        self.followers.follow_new_peers();
                     }
                 }
             }
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -16,5 +16,4 @@
 pub mod send_queues;
 pub mod settings;
 pub mod stage_orders;
-mod stage_role;
 pub mod update_watcher;
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -17,7 +17,7 @@
 use super::status::status;
 use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
 use crate::settings::{Settings, SettingsError};
-use crate::update_watcher::{UpdateWatcher, WATCH_SLOTS};
+use crate::update_watcher::{UpdateWatcher, WATCH_SLOTS, WatcherIdentity};
 
 /// How long new connections are accepted after the shutdown began: the platform sends no new clients once two health
 /// checks, a second apart, have failed.
@@ -67,8 +67,7 @@
         )));
         let sink = Rc::new(DataPlaneSink::new(data_plane.clone(), registry.clone(), process.gossip.clone()));
         let watcher = UpdateWatcher::new(
-            &settings.node_name,
-            process.incarnation,
+            WatcherIdentity { node_name: settings.node_name.clone(), incarnation: process.incarnation },
             process.clock,
             sink.clone(),
             registry.clone(),
--- /dev/null
+++ b/crates/programs/src/update_watcher/config_fetcher.rs
@@ -0,0 +1,89 @@
+//! Fetches newer configurations from control nodes, one at a time.
+
+use std::cell::Cell;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+use mosshead_config::Config;
+use mosshead_control_plane::{AssembledConfig, assemble_config};
+use mosshead_rpc::{Caller, Transport};
+use mosshead_time::Duration;
+
+use crate::calls::FetchConfig;
+use crate::config_transfer::{IncomingTransfer, TransferProgress};
+
+/// A chunk of the configuration arrives within this time.
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The revision from which the full text of a configuration is sent.
+pub(super) const NO_REVISION: u64 = 0;
+
+/// Marks a configuration as being fetched, until it is dropped.
+struct FetchGuard<'a> {
+    is_fetching: &'a Cell<bool>,
+}
+
+impl FetchGuard<'_> {
+    /// `None` while another fetch is in progress.
+    fn try_new(is_fetching: &Cell<bool>) -> Option<FetchGuard<'_>> {
+        (!is_fetching.replace(true)).then_some(FetchGuard { is_fetching })
+    }
+}
+
+impl Drop for FetchGuard<'_> {
+    fn drop(&mut self) {
+        self.is_fetching.set(false);
+    }
+}
+
+/// Fetches configurations; one fetch is in progress at a time.
+pub(super) struct ConfigFetcher {
+    caller: Caller,
+    is_fetching: Cell<bool>,
+}
+
+impl ConfigFetcher {
+    pub(super) fn new(caller: Caller) -> ConfigFetcher {
+        ConfigFetcher { caller, is_fetching: Cell::new(false) }
+    }
+
+    /// Fetches the newest configuration, by patches to the one in force where they lead to it. `None` if another fetch
+    /// is in progress, a call fails, or the control node offers nothing.
+    pub(super) async fn fetch(
+        &self,
+        control_node: SocketAddrV4,
+        in_force: Option<Arc<Config>>,
+    ) -> Option<Arc<Config>> {
+        let _guard = FetchGuard::try_new(&self.is_fetching)?;
+        let in_force = in_force.as_deref();
+        let revision = in_force.map_or(NO_REVISION, |config| config.revision);
+        let mut assembled = self.fetch_from(control_node, revision, in_force).await;
+        if assembled == Some(AssembledConfig::Mismatch) {
+            assembled = self.fetch_from(control_node, NO_REVISION, in_force).await;
+        }
+        match assembled {
+            Some(AssembledConfig::Config(config)) => Some(config),
+            _ => None,
+        }
+    }
+
+    /// Fetches the update from a revision to the newest. `None` if a call fails or the chunks are corrupt.
+    async fn fetch_from(
+        &self,
+        control_node: SocketAddrV4,
+        base_revision: u64,
+        in_force: Option<&Config>,
+    ) -> Option<AssembledConfig> {
+        let mut transfer = IncomingTransfer::new(base_revision);
+        loop {
+            let call = FetchConfig(transfer.next_request());
+            let chunk = self.caller.call(control_node, &call, CHUNK_TIMEOUT).await.ok()?;
+            match transfer.on_chunk(&chunk) {
+                TransferProgress::Incomplete => {}
+                TransferProgress::Complete(update) => {
+                    return Some(assemble_config(in_force, &update.into()));
+                }
+                TransferProgress::Corrupt => return None,
+            }
+        }
+    }
+}
