--- a/crates/consensus/tests/former_formats.rs
+++ b/crates/consensus/tests/former_formats.rs
@@ -2,16 +2,14 @@
 //! fleet is upgraded, and disks outlive programs, so these bytes must be read, and written again in the same way.
 
 use std::collections::BTreeSet;
-use std::fmt::Debug;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use std::path::PathBuf;
 
-use minicbor::{Decode, Encode};
 use mosshead_consensus::{
     AppliedRequest, BodyDelta, ControlState, EpochConfig, Input, LeaseStamp, Member, MemberId, Message, Node,
     Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta, StatePurpose, StateVersion,
     Term, checksum,
 };
+use mosshead_test_data::FormerData;
 use mosshead_time::Instant;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -20,29 +18,12 @@
 const MESSAGE_NUMBERS: [u32; 26] =
     [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 25, 26, 27, 28, 29];
 
-fn folder(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former").join(name)
+fn former(directory: &str) -> FormerData {
+    FormerData::of_package(env!("CARGO_MANIFEST_DIR")).subdirectory(directory)
 }
 
-fn file(folder_name: &str, name: &str) -> Vec<u8> {
-    let path = folder(folder_name).join(format!("{name}.cbor"));
-    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-fn file_names(folder_name: &str) -> BTreeSet<String> {
-    let entries = std::fs::read_dir(folder(folder_name)).unwrap();
-    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
-    names.filter_map(|name| name.strip_suffix(".cbor").map(str::to_owned)).collect()
-}
-
-/// The file holds this value, and the value makes the same bytes.
-fn check<T>(folder_name: &str, name: &str, value: &T)
-where
-    T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug,
-{
-    let bytes = file(folder_name, name);
-    assert_eq!(&minicbor::decode::<T>(&bytes).unwrap(), value, "{name}");
-    assert_eq!(minicbor::to_vec(value).unwrap(), bytes, "{name}");
+fn file(directory: &str, name: &str) -> Vec<u8> {
+    former(directory).cbor(name)
 }
 
 fn address(last: u8) -> SocketAddrV4 {
@@ -210,22 +191,23 @@
 fn messages_of_earlier_versions_are_read_and_written_alike() {
     let messages = [election_messages(), state_messages(), heartbeat_messages()].concat();
     for (name, message) in &messages {
-        check("messages", name, message);
+        former("messages").assert_round_trip(name, message);
     }
     let names: BTreeSet<String> = messages.iter().map(|(name, _)| (*name).to_owned()).collect();
-    assert_eq!(names, file_names("messages"));
+    assert_eq!(names, former("messages").cbor_names());
     let number = |name: &String| name.split('-').next().unwrap().parse().unwrap();
     assert_eq!(names.iter().map(number).collect::<BTreeSet<u32>>(), BTreeSet::from(MESSAGE_NUMBERS));
 }
 
 #[test]
 fn states_of_earlier_versions_are_read_and_written_alike() {
-    check("states", "state", &control_state());
-    check("states", "empty-state", &ControlState::default());
-    check("states", "change", &state_delta());
-    check("states", "record", &epoch_config());
-    check("states", "version", &state_version(7, 1_000, 5));
-    check("states", "member", &member(3));
+    let states = former("states");
+    states.assert_round_trip("state", &control_state());
+    states.assert_round_trip("empty-state", &ControlState::default());
+    states.assert_round_trip("change", &state_delta());
+    states.assert_round_trip("record", &epoch_config());
+    states.assert_round_trip("version", &state_version(7, 1_000, 5));
+    states.assert_round_trip("member", &member(3));
 }
 
 #[test]
@@ -284,8 +266,8 @@
     ]
 }
 
-fn log(folder_name: &str) -> Vec<Vec<u8>> {
-    file_names(folder_name).iter().map(|name| file(folder_name, name)).collect()
+fn log(directory: &str) -> Vec<Vec<u8>> {
+    former(directory).cbor_names().iter().map(|name| file(directory, name)).collect()
 }
 
 #[test]
--- a/crates/membership/tests/former_formats.rs
+++ b/crates/membership/tests/former_formats.rs
@@ -5,11 +5,11 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
-use std::path::PathBuf;
 
 use cluster::{FLEET_ID, address};
 use minicbor::Decoder;
 use mosshead_membership::{Datagram, MemberState, Membership, Peer, Settings};
+use mosshead_test_data::FormerData;
 use mosshead_time::Instant;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
@@ -17,13 +17,8 @@
 /// The kinds of datagrams, by their number on the wire.
 const KINDS: [&str; 6] = ["ping", "ack", "ping-request", "ask", "page", "tell"];
 
-fn folder() -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former")
-}
-
 fn file(name: &str) -> Vec<u8> {
-    let path = folder().join(format!("{name}.cbor"));
-    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+    FormerData::of_package(env!("CARGO_MANIFEST_DIR")).cbor(name)
 }
 
 fn peer(node: usize) -> Peer {
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -1,11 +1,8 @@
 //! Calls and responses that an earlier version has sent: processes of two versions meet while a fleet is upgraded, so
 //! these bytes must be read, and written again in the same way, under the same names.
 
-use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use std::path::PathBuf;
 
-use minicbor::{Decode, Encode};
 use mosshead_consensus::{Member, MemberId, Message, Term};
 use mosshead_programs::calls::{
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
@@ -15,6 +12,7 @@
 };
 use mosshead_registry::{Delta, Entry, OperState, Server, SourceId, Stage, VersionVector};
 use mosshead_rpc::Call;
+use mosshead_test_data::FormerData;
 use mosshead_time::Duration;
 
 const NAMES: [&str; 16] = [
@@ -36,21 +34,8 @@
     "response-pull-out-of-contact",
 ];
 
-fn folder() -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former")
-}
-
-fn file(name: &str) -> Vec<u8> {
-    let path = folder().join(format!("{name}.cbor"));
-    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-/// The file holds this value: both, and the value that is read from the file, make the same bytes.
-fn check<T: Encode<()> + for<'b> Decode<'b, ()>>(name: &str, value: &T) {
-    let bytes = file(name);
-    assert_eq!(minicbor::to_vec(value).unwrap(), bytes, "{name}");
-    let read: T = minicbor::decode(&bytes).unwrap();
-    assert_eq!(minicbor::to_vec(&read).unwrap(), bytes, "{name}");
+fn former() -> FormerData {
+    FormerData::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn address(last: u8) -> SocketAddrV4 {
@@ -122,8 +107,8 @@
 
 #[test]
 fn calls_of_an_earlier_version_are_read_and_written_alike() {
-    check("call-pull", &watch_updates());
-    check(
+    former().assert_same_encoding("call-pull", &watch_updates());
+    former().assert_same_encoding(
         "call-pull-of-a-proxy",
         &WatchUpdates {
             is_proxy: true,
@@ -133,24 +118,24 @@
             ..watch_updates()
         },
     );
-    check("call-fetch", &FetchConfig(ChunkRequest { base_revision: 0, target_revision: 0, offset: 0 }));
-    check(
+    former().assert_same_encoding("call-fetch", &FetchConfig(ChunkRequest { base_revision: 0, target_revision: 0, offset: 0 }));
+    former().assert_same_encoding(
         "call-fetch-next-piece",
         &FetchConfig(ChunkRequest { base_revision: 999, target_revision: 1_000, offset: 65_536 }),
     );
-    check("call-hand", &ReplicateEntries { delta: delta() });
-    check(
+    former().assert_same_encoding("call-hand", &ReplicateEntries { delta: delta() });
+    former().assert_same_encoding(
         "call-hears",
         &CompareHeartbeats { source: 7, sequences: vec![("i-1".into(), 70_000), ("i-2".into(), 3)] },
     );
     let message = Message::Prepare { term: Term { number: 8, proposer: MemberId(3) } };
-    check("call-epoch", &ConsensusMessage { from: Member { id: MemberId(3), address: address(3) }, message });
+    former().assert_same_encoding("call-epoch", &ConsensusMessage { from: Member { id: MemberId(3), address: address(3) }, message });
 }
 
 #[test]
 fn responses_of_an_earlier_version_are_read_and_written_alike() {
-    check("response-pull", &updates());
-    check(
+    former().assert_same_encoding("response-pull", &updates());
+    former().assert_same_encoding(
         "response-pull-out-of-contact",
         &Updates {
             revision: 0,
@@ -160,24 +145,24 @@
             ..updates()
         },
     );
-    check("response-fetch-withheld", &ConfigChunk::withheld());
-    check("response-hand", &ReplicateAck { changed: true, vector: vector() });
-    check("response-epoch", &());
+    former().assert_same_encoding("response-fetch-withheld", &ConfigChunk::withheld());
+    former().assert_same_encoding("response-hand", &ReplicateAck { changed: true, vector: vector() });
+    former().assert_same_encoding("response-epoch", &());
 }
 
 #[test]
 fn configurations_of_an_earlier_version_are_read_and_written_alike() {
-    check("config-patches", &patches());
-    check("config-whole", &full());
-    check("config-withheld", &ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None });
+    former().assert_same_encoding("config-patches", &patches());
+    former().assert_same_encoding("config-whole", &full());
+    former().assert_same_encoding("config-withheld", &ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None });
 }
 
 /// Its bytes are packed; another packer may make others of the same answer, so only reading them is tested.
 #[test]
 fn a_packed_configuration_of_an_earlier_version_is_unpacked() {
-    let chunk: ConfigChunk = minicbor::decode(&file("response-fetch")).unwrap();
+    let chunk: ConfigChunk = minicbor::decode(&former().cbor("response-fetch")).unwrap();
     assert_eq!((chunk.target_revision, chunk.offset, chunk.length), (1_000, 0, chunk.bytes.len() as u64));
-    assert_eq!(minicbor::to_vec(&chunk).unwrap(), file("response-fetch"));
+    assert_eq!(minicbor::to_vec(&chunk).unwrap(), former().cbor("response-fetch"));
     assert_eq!(IncomingTransfer::new(4).on_chunk(&chunk), TransferProgress::Complete(full()));
 }
 
@@ -195,9 +180,5 @@
 
 #[test]
 fn each_file_of_an_earlier_version_is_tested() {
-    let entries = std::fs::read_dir(folder()).unwrap();
-    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
-    let found: BTreeSet<String> =
-        names.filter_map(|name| name.strip_suffix(".cbor").map(str::to_owned)).collect();
-    assert_eq!(found, NAMES.iter().map(|name| (*name).to_owned()).collect());
+    assert_eq!(former().cbor_names(), NAMES.iter().map(|name| (*name).to_owned()).collect());
 }
--- a/crates/record-log/tests/former_formats.rs
+++ b/crates/record-log/tests/former_formats.rs
@@ -2,29 +2,19 @@
 //! the same calls write the same files.
 
 use std::collections::BTreeMap;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 use mosshead_record_log::{DurableLog, OpenedLog, RecordLog};
+use mosshead_test_data::{FormerData, files_of};
 use tempfile::TempDir;
 
-fn former_folder(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/former").join(name)
+fn former(directory: &str) -> FormerData {
+    FormerData::of_package(env!("CARGO_MANIFEST_DIR")).subdirectory(directory)
 }
 
-/// The files of a folder and their bytes.
-fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
-    let file = |entry: std::fs::DirEntry| {
-        (entry.file_name().into_string().unwrap(), std::fs::read(entry.path()).unwrap())
-    };
-    entries.map(file).collect()
-}
-
-fn copy_of(name: &str) -> TempDir {
+fn copy_of(directory: &str) -> TempDir {
     let copy = tempfile::tempdir().unwrap();
-    for (file, bytes) in files(&former_folder(name)) {
-        std::fs::write(copy.path().join(file), bytes).unwrap();
-    }
+    former(directory).copy_to(copy.path());
     copy
 }
 
@@ -39,26 +29,26 @@
     assert_eq!(found, Vec::<Vec<u8>>::new());
     records.iter().for_each(|record| log.append(record).unwrap());
     log.sync().unwrap();
-    let appended = files(folder);
+    let appended = files_of(folder);
     log.rewrite(&records[1..3]).unwrap();
     log.append(&records[3]).unwrap();
     log.sync().unwrap();
-    let rewritten = files(folder);
+    let rewritten = files_of(folder);
     drop(log);
     let OpenedLog { mut log, records: found, .. } = RecordLog::open(folder).unwrap();
     assert_eq!(found, records[1..]);
     log.append(&records[0]).unwrap();
     log.sync().unwrap();
-    [appended, rewritten, files(folder)]
+    [appended, rewritten, files_of(folder)]
 }
 
 #[test]
 fn the_same_calls_write_the_files_of_an_earlier_version() {
     let folder = tempfile::tempdir().unwrap();
     let [appended, rewritten, reopened] = write(folder.path());
-    assert_eq!(appended, files(&former_folder("appended")));
-    assert_eq!(rewritten, files(&former_folder("rewritten")));
-    assert_eq!(reopened, files(&former_folder("reopened")));
+    assert_eq!(appended, former("appended").files());
+    assert_eq!(rewritten, former("rewritten").files());
+    assert_eq!(reopened, former("reopened").files());
 }
 
 #[test]
@@ -80,12 +70,12 @@
 #[test]
 fn what_an_earlier_version_left_half_written_is_ignored() {
     let folder = copy_of("rewritten");
-    let (name, mut bytes) = files(folder.path()).pop_first().unwrap();
+    let (name, mut bytes) = files_of(folder.path()).pop_first().unwrap();
     bytes.truncate(bytes.len() - 1);
     std::fs::write(folder.path().join(&name), &bytes).unwrap();
     std::fs::write(folder.path().join("state.7.new"), &bytes[..40]).unwrap();
     let OpenedLog { records: found, discarded_bytes, .. } = RecordLog::open(folder.path()).unwrap();
     assert_eq!(found, records()[1..3]);
     assert!(discarded_bytes > 0);
-    assert_eq!(files(folder.path()).into_keys().collect::<Vec<_>>(), ["state.8"]);
+    assert_eq!(files_of(folder.path()).into_keys().collect::<Vec<_>>(), ["state.8"]);
 }
--- a/crates/registry/tests/former_formats.rs
+++ b/crates/registry/tests/former_formats.rs
@@ -3,13 +3,9 @@
 
 mod common;
 
-use std::collections::BTreeSet;
-use std::fmt::Debug;
-use std::path::PathBuf;
-
 use common::{address, control_node, millis};
-use minicbor::{Decode, Encode};
 use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
+use mosshead_test_data::FormerData;
 use mosshead_time::Duration;
 
 const NAMES: [&str; 9] = [
@@ -24,23 +20,8 @@
     "vector",
 ];
 
-fn folder() -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/former")
-}
-
-fn file(name: &str) -> Vec<u8> {
-    let path = folder().join(format!("{name}.cbor"));
-    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-/// The file holds this value, and the value makes the same bytes.
-fn assert_round_trip<T>(name: &str, value: &T)
-where
-    T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq + Debug,
-{
-    let bytes = file(name);
-    assert_eq!(&minicbor::decode::<T>(&bytes).unwrap(), value, "{name}");
-    assert_eq!(minicbor::to_vec(value).unwrap(), bytes, "{name}");
+fn former() -> FormerData {
+    FormerData::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// A prefill server with a model and adapters.
@@ -107,34 +88,30 @@
 
 #[test]
 fn values_of_earlier_versions_are_read_and_written_alike() {
-    assert_round_trip("source-id", &SourceId(0x0123_4567_89ab_cdef));
-    assert_round_trip("vector", &vector());
-    assert_round_trip("empty-vector", &VersionVector::default());
-    assert_round_trip("entry-up", &up());
-    assert_round_trip("entry-draining", &draining());
-    assert_round_trip("entry-gone", &removed());
-    assert_round_trip("delta", &delta());
-    assert_round_trip(
+    former().assert_round_trip("source-id", &SourceId(0x0123_4567_89ab_cdef));
+    former().assert_round_trip("vector", &vector());
+    former().assert_round_trip("empty-vector", &VersionVector::default());
+    former().assert_round_trip("entry-up", &up());
+    former().assert_round_trip("entry-draining", &draining());
+    former().assert_round_trip("entry-gone", &removed());
+    former().assert_round_trip("delta", &delta());
+    former().assert_round_trip(
         "delta-with-more-to-come",
         &Delta { entries: vec![up()], is_truncated: true, ..delta() },
     );
-    assert_round_trip("empty-delta", &Delta::default());
+    former().assert_round_trip("empty-delta", &Delta::default());
 }
 
 #[test]
 fn each_file_of_an_earlier_version_is_tested() {
-    let entries = std::fs::read_dir(folder()).unwrap();
-    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
-    let found: BTreeSet<String> =
-        names.filter_map(|name| name.strip_suffix(".cbor").map(str::to_owned)).collect();
-    assert_eq!(found, NAMES.iter().map(|name| (*name).to_owned()).collect());
+    assert_eq!(former().cbor_names(), NAMES.iter().map(|name| (*name).to_owned()).collect());
 }
 
 /// As after a start: the log of an earlier version holds deltas.
 #[test]
 fn a_registry_takes_in_the_deltas_of_an_earlier_version() {
     let mut registry = control_node(1);
-    assert!(registry.merge(millis(0), minicbor::decode(&file("delta")).unwrap()));
+    assert!(registry.merge(millis(0), minicbor::decode(&former().cbor("delta")).unwrap()));
     assert_eq!(registry.get("i-1"), Some(&up().server));
     assert_eq!(registry.get("i-2"), Some(&draining().server));
     assert_eq!(registry.vector().get(SourceId(7)), 0);
--- a/crates/snapshot/tests/former_formats.rs
+++ b/crates/snapshot/tests/former_formats.rs
@@ -1,7 +1,6 @@
 //! A snapshot that an earlier version has written: a new program starts from what the one before it has left.
 
 use std::collections::BTreeMap;
-use std::path::Path;
 
 use mosshead_decide::interface::Readiness;
 use mosshead_snapshot::server_list::{ListedServer, ServerList};
@@ -9,9 +8,10 @@
     EndedServer, LOCK_FILE, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, add_header, decode, encode,
 };
 use mosshead_snapshot::unix_time::{ServerStart, UnixTime};
+use mosshead_test_data::FormerData;
 
 fn file() -> Vec<u8> {
-    std::fs::read(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/former/snapshot")).unwrap()
+    FormerData::of_package(env!("CARGO_MANIFEST_DIR")).bytes("snapshot")
 }
 
 fn machine(id: &str, port: u16, readiness: Readiness) -> ListedServer {
