--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -56,7 +56,7 @@
         Config { revision, routes, services, limits, content }
     }
 
-    /// The whole configuration as JSON without white space, to be shown and stored. It is built when it is first asked
+    /// The complete configuration as JSON without white space, to be shown and stored. It is built when it is first asked
     /// for, and kept; [`Config::to_json`] keeps nothing.
     pub fn json(&self) -> &Arc<str> {
         self.content.json.get_or_init(|| self.to_json().into())
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -129,7 +129,7 @@
         json
     }
 
-    /// The hash of the whole text, computed without a look at items that haven't changed.
+    /// The hash of the complete text, computed without a look at items that haven't changed.
     pub(crate) fn hash(&self) -> u64 {
         self.fields.iter().fold(0, |hash, field| mix(hash, mix(hash_text(&field.key), field.value.hash())))
     }
--- a/crates/config/src/json/object.rs
+++ b/crates/config/src/json/object.rs
@@ -6,7 +6,7 @@
 use tinyjson::JsonValue;
 
 use super::containers::{RawField, split_object};
-use super::parse::{MAX_WHOLE_NUMBER, parse_value, type_error};
+use super::value::{MAX_WHOLE_NUMBER, parse_value, type_error};
 use crate::error::{ConfigError, ConfigErrorKind};
 
 /// The parsed fields of an object in their order. For many small objects this is quicker than a map for each.
--- a/crates/config/src/json/parse.rs
+++ b/crates/config/src/json/value.rs
@@ -1,4 +1,4 @@
-//! Texts parsed to JSON values.
+//! Texts read as JSON values.
 
 use tinyjson::{JsonParseError, JsonValue};
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,7 +5,7 @@
 //! numbers are kept. What the data plane needs of it is read into [`Route`], [`Service`] and [`Limits`].
 //!
 //! A text goes through [`Config::parse`] (or [`Config::parse_sharing`], which reuses the items of another
-//! configuration): its structure is checked (`json`), it is cut into fields and items (`document_parser`), and what must
+//! configuration): its structure is checked (`json`), it is cut into fields and items (`reader`), and what must
 //! hold between these is validated (`validation`). The operator's changes (`operator_calls`) and the patches of other
 //! processes (`patch`) edit the `document` of a configuration and validate only what they touch.
 //!
@@ -15,16 +15,14 @@
 mod chunked_sequence;
 mod config;
 mod document;
-mod document_parser;
 mod error;
-mod incremental_parse;
 mod item;
 mod item_list;
 mod json;
 mod limits;
 mod operator_calls;
-mod parse;
 mod patch;
+mod reader;
 mod route;
 mod route_table;
 mod routes;
@@ -34,10 +32,10 @@
 
 pub use config::Config;
 pub use error::{ConfigError, ConfigErrorKind, ERROR_CODES};
-pub use json::parse::parse_json;
 pub use json::structure::{MAX_BYTES, MAX_DEPTH};
+pub use json::value::parse_json;
 pub use limits::Limits;
-pub use parse::peek_revision;
+pub use reader::peek_revision;
 pub use route::{Route, RouteType, WeightedBackend};
 pub use routes::Routes;
 pub use service::{Engine, Service};
--- a/crates/config/src/operator_calls.rs
+++ b/crates/config/src/operator_calls.rs
@@ -2,15 +2,14 @@
 
 use crate::config::Config;
 use crate::document::{FieldValue, REVISION};
-use crate::document_parser::{list_fields, object_fields, parse_field_value, parse_items, parse_names};
 use crate::error::{ConfigError, ConfigErrorKind};
 use crate::json::containers::{RawField, RawListField};
-use crate::json::parse::{parse_value, parse_whole_number};
-use crate::parse::check_text;
+use crate::json::value::{parse_value, parse_whole_number};
+use crate::reader::{check_text, list_fields, object_fields, parse_field_value, parse_items, parse_names};
 use crate::validation::validate_changes;
 
 impl Config {
-    /// Parses the body of `Configuration.Replace`: a whole configuration. Its revision must be above that of the
+    /// Parses the body of `Configuration.Replace`: a complete configuration. Its revision must be above that of the
     /// current one, or above 0 if there is none.
     ///
     /// # Errors
--- a/crates/config/src/patch/apply.rs
+++ b/crates/config/src/patch/apply.rs
@@ -6,17 +6,17 @@
 use super::keys::{BASE, DROP, FIELDS, ORDER, SET, SUM, UPSERT, WHOLE, WITHDRAW};
 use crate::config::Config;
 use crate::document::Document;
-use crate::document_parser::{
-    list_fields, object_fields, parse_document, parse_field_value, parse_items, parse_names,
-};
 use crate::error::{ConfigError, ConfigErrorKind};
 use crate::json::containers::RawField;
-use crate::json::parse::{parse_whole_number, type_error};
 use crate::json::string::unquote;
 use crate::json::structure::{MAX_BYTES, MAX_DEPTH, check_structure, decode_utf8};
+use crate::json::value::{parse_whole_number, type_error};
+use crate::reader::{
+    list_fields, object_fields, parse_document, parse_field_value, parse_items, parse_names,
+};
 use crate::validation::{validate, validate_changes};
 
-/// What a patch may have beside a whole configuration, in bytes.
+/// What a patch may have beside a complete configuration, in bytes.
 const HEAD_BYTES: usize = 100;
 /// A patch contains the newer configuration, or parts of it, one level down.
 const MAX_PATCH_DEPTH: usize = MAX_DEPTH + 1;
@@ -49,7 +49,7 @@
     }
 }
 
-/// The document of a configuration after a patch without the whole newer one.
+/// The document of a configuration after a patch that has only parts of the newer one.
 fn patch_document(config: &Config, fields: &mut PatchFields<'_>) -> Result<Document, ConfigError> {
     let base = fields.remove(BASE).unwrap_or("null");
     if parse_whole_number(base, BASE)? != config.revision {
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/reader/full_text.rs
@@ -1,16 +1,16 @@
-//! A whole configuration, parsed with every check.
+//! A complete text, read with every check.
 
+use super::document::parse_document;
 use crate::config::Config;
 use crate::document::REVISION;
-use crate::document_parser::parse_document;
 use crate::error::ConfigError;
 use crate::json::containers::split_object;
-use crate::json::parse::parse_whole_number;
 use crate::json::structure::{MAX_BYTES, MAX_DEPTH, check_structure, decode_utf8};
+use crate::json::value::parse_whole_number;
 use crate::validation::validate;
 
 impl Config {
-    /// Parses a whole configuration.
+    /// Parses a complete configuration.
     ///
     /// # Errors
     ///
@@ -32,7 +32,7 @@
     Ok(text)
 }
 
-/// Reads the revision that the text of a configuration or a change has, before the whole is parsed; `None` if it has
+/// Reads the revision that the text of a configuration or a change has, before the rest is parsed; `None` if it has
 /// none or can't be read.
 pub fn peek_revision(text: &[u8]) -> Option<u64> {
     let fields = split_object(check_text(text).ok()?)?;
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -7,7 +7,7 @@
 
 use crate::error::{ConfigError, ConfigErrorKind};
 use crate::json::object::Object;
-use crate::json::parse::MAX_WHOLE_NUMBER;
+use crate::json::value::MAX_WHOLE_NUMBER;
 
 const DEFAULT_PRIORITY: u64 = 5;
 const DEFAULT_WEIGHT: f64 = 1.0;
