--- a/crates/capacity-bench/tests/small_fleets.rs
+++ b/crates/capacity-bench/tests/small_fleets.rs
@@ -88,8 +88,8 @@
         Config::parse(text.as_bytes()).expect("the configuration is valid")
     };
     let (old, new) = (parse(1), parse(2));
-    let differing = old.routes.iter().zip(new.routes.iter()).filter(|(old, new)| old != new).count();
-    assert_eq!((old.routes.len(), differing), (50, 1));
+    let differing = old.routes().iter().zip(new.routes().iter()).filter(|(old, new)| old != new).count();
+    assert_eq!((old.routes().len(), differing), (50, 1));
     assert_eq!(
         old.find_route("tenant-7.example", "/v1/part-0/x").map(|route| route.name.as_str()),
         Some("route-7")
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -21,14 +21,10 @@
 /// changed.
 #[derive(Clone)]
 pub struct Config {
-    /// Its revision; a configuration replaces only one with a lower revision.
-    pub revision: u64,
-    /// Its routes, in the operator's order.
-    pub routes: Routes,
-    /// Its services by name; contains every service that a route names.
-    pub services: Arc<Services>,
-    /// The bounds for clients.
-    pub limits: Limits,
+    revision: u64,
+    routes: Routes,
+    services: Arc<Services>,
+    limits: Limits,
     content: Arc<Content>,
 }
 
@@ -56,6 +52,26 @@
         Config { revision, routes, services, limits, content }
     }
 
+    /// Its revision; a configuration replaces only one with a lower revision.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Its routes, in the operator's order.
+    pub fn routes(&self) -> &Routes {
+        &self.routes
+    }
+
+    /// Its services by name; contains every service that a route names.
+    pub fn services(&self) -> &Arc<BTreeMap<String, Arc<Service>>> {
+        &self.services
+    }
+
+    /// The bounds for clients.
+    pub fn limits(&self) -> &Limits {
+        &self.limits
+    }
+
     /// The complete configuration as JSON without white space, to be shown and stored. It is built when it is first asked
     /// for, and kept; [`Config::to_json`] keeps nothing.
     pub fn json(&self) -> &Arc<str> {
--- a/crates/config/src/operator_calls.rs
+++ b/crates/config/src/operator_calls.rs
@@ -20,7 +20,7 @@
             Some(current) => current.parse_sharing(text)?,
             None => Config::parse(text)?,
         };
-        check_revision(config.revision, current.map_or(0, |current| current.revision))?;
+        check_revision(config.revision(), current.map_or(0, |current| current.revision()))?;
         Ok(config)
     }
 
@@ -32,7 +32,7 @@
     /// The text can't be read, its revision is not above the current one, or what results is not valid.
     pub fn modify(&self, text: &[u8]) -> Result<Config, ConfigError> {
         let change = Change::parse(check_text(text)?)?;
-        check_revision(change.revision, self.revision)?;
+        check_revision(change.revision, self.revision())?;
         let mut document = self.document().clone();
         for RawField { key, value } in change.withdraw {
             let names = parse_names(value, &format!("withdraw.{key}"))?;
--- a/crates/config/src/patch/apply.rs
+++ b/crates/config/src/patch/apply.rs
@@ -52,7 +52,7 @@
 /// The document of a configuration after a patch that has only parts of the newer one.
 fn patch_document(config: &Config, fields: &mut PatchFields<'_>) -> Result<Document, ConfigError> {
     let base = fields.remove(BASE).unwrap_or("null");
-    if parse_whole_number(base, BASE)? != config.revision {
+    if parse_whole_number(base, BASE)? != config.revision() {
         return Err(ConfigErrorKind::PatchMismatch("made for another revision").at(BASE));
     }
     let mut document = config.document().clone();
--- a/crates/config/src/patch/diff.rs
+++ b/crates/config/src/patch/diff.rs
@@ -9,7 +9,7 @@
 impl Config {
     /// Builds the patch, as JSON, that turns this configuration into the newer one.
     pub fn patch_to(&self, newer: &Config) -> String {
-        let head = format!("{{\"{BASE}\":{},\"{SUM}\":\"{:016x}\"", self.revision, newer.document().hash());
+        let head = format!("{{\"{BASE}\":{},\"{SUM}\":\"{:016x}\"", self.revision(), newer.document().hash());
         let mut patch = head.clone();
         DocumentDiff::new(self.document(), newer.document()).write(&mut patch);
         patch.push('}');
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -61,7 +61,7 @@
 
 /// The services after a change.
 fn update_services(base: &Config, newer: &ItemList) -> Option<Arc<Services>> {
-    let mut services = base.services.clone();
+    let mut services = base.services().clone();
     base.list(SERVICES)?.compare(newer, |old, new| match (old, new) {
         (_, Some(new)) => {
             if let Some(service) = new.as_service() {
@@ -89,7 +89,7 @@
     });
     let has_known_services = |route: &Route| unknown_service(route, services).is_none();
     // A route that has not changed can name an unknown service only if a service was removed.
-    let all_services_stay = base.services.keys().all(|service| services.contains_key(service));
+    let all_services_stay = base.services().keys().all(|service| services.contains_key(service));
     let all_services_known = if all_services_stay {
         added.iter().all(|route| has_known_services(route))
     } else {
--- a/crates/config/tests/change_sequences/main.rs
+++ b/crates/config/tests/change_sequences/main.rs
@@ -154,9 +154,9 @@
     let incremental = first.parse_sharing(next.json().as_bytes()).expect("valid");
     for newer in [&next, &patched, &incremental] {
         let shared =
-            newer.routes.iter().filter(|route| first.routes.iter().any(|old| Arc::ptr_eq(old, route)));
-        assert_eq!((shared.count(), newer.routes.len()), (198, 199));
-        assert!(Arc::ptr_eq(&first.services, &newer.services));
+            newer.routes().iter().filter(|route| first.routes().iter().any(|old| Arc::ptr_eq(old, route)));
+        assert_eq!((shared.count(), newer.routes().len()), (198, 199));
+        assert!(Arc::ptr_eq(first.services(), newer.services()));
     }
 }
 
--- a/crates/config/tests/change_sequences/model.rs
+++ b/crates/config/tests/change_sequences/model.rs
@@ -100,6 +100,6 @@
 
 fn scan_for_route<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a Route> {
     let matches = |route: &&Arc<Route>| route.host == host && path.starts_with(&route.path_prefix);
-    let longest = config.routes.iter().filter(matches).max_by_key(|route| route.path_prefix.len());
+    let longest = config.routes().iter().filter(matches).max_by_key(|route| route.path_prefix.len());
     longest.map(|route| route.as_ref())
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -37,11 +37,11 @@
 pub(crate) fn assert_same(one: &Config, other: &Config) {
     assert_eq!(one.json(), other.json());
     assert_eq!(one, other);
-    assert_eq!(one.revision, other.revision);
-    assert_eq!(one.routes, other.routes);
-    assert_eq!(one.services, other.services);
-    assert_eq!(one.limits, other.limits);
-    for route in one.routes.iter() {
+    assert_eq!(one.revision(), other.revision());
+    assert_eq!(one.routes(), other.routes());
+    assert_eq!(one.services(), other.services());
+    assert_eq!(one.limits(), other.limits());
+    for route in one.routes().iter() {
         // A path ends where its query begins, so a prefix with a question mark begins none.
         let (path, query) = route
             .path_prefix
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -215,11 +215,11 @@
         "M12 at revision: 7 is not above the current revision, 7"
     );
     assert_error(replace(6).expect_err("below"), 12, "revision");
-    assert_eq!(replace(8).map(|config| config.revision), Ok(8));
+    assert_eq!(replace(8).map(|config| config.revision()), Ok(8));
     let modify = |revision: u64| config.modify(format!("{{\"revision\":{revision}}}").as_bytes());
     assert_error(modify(7).expect_err("equal"), 12, "revision");
     assert_error(modify(0).expect_err("below"), 12, "revision");
-    assert_eq!(modify(12).map(|config| config.revision), Ok(12));
+    assert_eq!(modify(12).map(|config| config.revision()), Ok(12));
     assert_eq!(Config::parse_replacement(None, EXAMPLE.as_bytes()), Ok(config.clone()));
     let nothing = EXAMPLE.replacen("7,", "0,", 1);
     assert_error(Config::parse_replacement(None, nothing.as_bytes()).expect_err("0 is none"), 12, "revision");
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -20,9 +20,9 @@
         r#"{{"revision":9,"upsert":{{"route_entries":[{ROUTE},{first}]}},"withdraw":{{"route_entries":["r-2","r-0"]}}}}"#
     ))
     .expect("valid");
-    assert_eq!(config.revision, 9);
-    assert!(config.routes.iter().map(|route| route.name.as_str()).eq(["r-1", "r-9"]));
-    assert_eq!(config.routes[0].path_prefix, "/n/");
+    assert_eq!(config.revision(), 9);
+    assert!(config.routes().iter().map(|route| route.name.as_str()).eq(["r-1", "r-9"]));
+    assert_eq!(config.routes()[0].path_prefix, "/n/");
     assert!(
         config.json().starts_with(&format!(r#"{{"revision":9,"route_entries":[{first},{ROUTE}],"backend_"#))
     );
@@ -37,7 +37,7 @@
         r#"{{"revision":9,"upsert":{{"route_entries":[{second}]}},"withdraw":{{"route_entries":["r-1"]}}}}"#
     ))
     .expect("valid");
-    assert!(config.routes.iter().map(|route| route.name.as_str()).eq(["r-2", "r-1"]));
+    assert!(config.routes().iter().map(|route| route.name.as_str()).eq(["r-2", "r-1"]));
 }
 
 #[test]
@@ -47,7 +47,7 @@
             "withdraw":null,"why":"x"}"#,
     )
     .expect("valid");
-    assert_eq!(config.limits, Limits { max_header_bytes: 20_000, ..Limits::default() });
+    assert_eq!(*config.limits(), Limits { max_header_bytes: 20_000, ..Limits::default() });
     let config = config
         .modify(br#"{"revision":10,"upsert":{"walls":[{"name":"b","x":2}]},"withdraw":{"walls":["a"],"doors":["a"]}}"#)
         .expect("valid");
@@ -96,8 +96,8 @@
         {"name":"r-2","host_header":"ficu95.example","path_prefix":"/lohu930/","timeout_ms":5,"backend_service":"new"}]},
         "withdraw":{"backend_services":["wuno96b"]}}"#;
     let config = modify(text).expect("valid");
-    assert!(config.services.keys().eq(["huvo11a", "new"]));
-    assert_eq!(config.routes[1].backends, [WeightedBackend { service: "new".to_owned(), weight: 1.0 }]);
+    assert!(config.services().keys().eq(["huvo11a", "new"]));
+    assert_eq!(config.routes()[1].backends, [WeightedBackend { service: "new".to_owned(), weight: 1.0 }]);
 }
 
 quickcheck! {
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -14,8 +14,8 @@
 #[test]
 fn the_example_is_parsed() {
     let config = example();
-    assert_eq!(config.revision, 7);
-    let [first, second] = config.routes.as_ref() else { panic!("two routes") };
+    assert_eq!(config.revision(), 7);
+    let [first, second] = config.routes().as_ref() else { panic!("two routes") };
     assert_eq!((first.name.as_str(), first.host.as_str()), ("r-1", "ficu95.example"));
     assert_eq!((first.path_prefix.as_str(), first.route_type), ("/pufi791/", RouteType::Streaming));
     assert_eq!(
@@ -39,8 +39,8 @@
         (Duration::from_secs(5), Duration::from_millis(860))
     );
     assert_eq!(engine.models, ["m"]);
-    assert!(config.services["wuno96b"].engine.is_none());
-    assert_eq!(config.limits, Limits::default());
+    assert!(config.services()["wuno96b"].engine.is_none());
+    assert_eq!(*config.limits(), Limits::default());
 }
 
 #[test]
@@ -63,20 +63,20 @@
             "backend_service":"s","resume":null,"weighted_backends":[]}],"backend_services":[{"name":"s"}]}"#,
     )
     .expect("valid");
-    let route = &config.routes[0];
+    let route = &config.routes()[0];
     let one_milli = Duration::from_millis(1);
     assert_eq!((route.host.as_str(), route.timeout, route.target_latency), ("h", one_milli, one_milli));
     assert_eq!((route.route_type, route.priority, route.retry_count), (RouteType::NonIdempotent, 5, 1));
     assert!(!route.persistence && !route.resume && route.event_gap_target.is_zero());
-    let service = &config.services["s"];
+    let service = &config.services()["s"];
     assert_eq!((service.health_path.as_str(), service.max_connections), ("/health", 64));
-    assert_eq!(config.limits, Limits::default());
+    assert_eq!(*config.limits(), Limits::default());
 }
 
 #[test]
 fn limits_have_minimums() {
     let text = EXAMPLE.replace("16384,", "0,").replace("15000}", "1}").replace("4194304", "5e5");
-    let limits = parse(&text).expect("valid").limits;
+    let limits = *parse(&text).expect("valid").limits();
     assert_eq!(limits.max_header_bytes, Limits::MINIMUM.max_header_bytes);
     assert_eq!(limits.idle_timeout, Limits::MINIMUM.idle_timeout);
     assert_eq!((limits.max_body_bytes, limits.header_timeout), (500_000, Duration::from_secs(3)));
@@ -86,13 +86,13 @@
 fn a_service_with_weight_zero_is_never_chosen() {
     let text = EXAMPLE.replace("\"weight\":90", "\"weight\":0.0");
     let config = parse(&text).expect("one weight may be 0");
-    let route = &config.routes[1];
+    let route = &config.routes()[1];
     for unit in [0.0, 0.3, 1.0, -1.0, 2.0, f64::NAN] {
         assert_eq!(route.choose_service(unit), Some("wuno96b"));
     }
     let with_both = example();
-    assert_eq!(with_both.routes[1].choose_service(0.89), Some("huvo11a"));
-    assert_eq!(with_both.routes[1].choose_service(0.91), Some("wuno96b"));
+    assert_eq!(with_both.routes()[1].choose_service(0.89), Some("huvo11a"));
+    assert_eq!(with_both.routes()[1].choose_service(0.91), Some("wuno96b"));
 }
 
 #[test]
@@ -101,8 +101,8 @@
         EXAMPLE.replace("\"weighted_backends\":[", "\"backend_service\":\"wuno96b\",\"weighted_backends\":[");
     let text = text.replace(",{\"backend_service\":\"wuno96b\",\"weight\":10}", "");
     let config = parse(&text).expect("valid");
-    assert_eq!(config.routes[1].backends, [backend("huvo11a", 90.0), backend("wuno96b", 0.0)]);
-    assert_eq!(config.routes[1].choose_service(1.0), Some("huvo11a"));
+    assert_eq!(config.routes()[1].backends, [backend("huvo11a", 90.0), backend("wuno96b", 0.0)]);
+    assert_eq!(config.routes()[1].choose_service(1.0), Some("huvo11a"));
 }
 
 const ONE_ROUTE: &str = r#"{"revision":1,"route_entries":[{"name":NAME,"host_header":"h","path_prefix":"/",
@@ -152,7 +152,7 @@
             (Ok(config), Ok(tinyjson::JsonValue::Number(value))) => {
                 let max_whole_number = 9_007_199_254_740_992.0;
                 let timeout = Duration::from_millis(f64::min(value, max_whole_number).ceil() as u64);
-                assert_eq!(config.routes[0].timeout, timeout, "{number}");
+                assert_eq!(config.routes()[0].timeout, timeout, "{number}");
             }
             (Err(error), Err(_)) => assert_eq!(error.code(), 3, "{number}"),
             (config, value) => panic!("{number}: {config:?}, {value:?}"),
@@ -164,6 +164,6 @@
     fn any_name_is_parsed_as_it_was_written(name: String) -> bool {
         let quoted = tinyjson::JsonValue::from(name.clone()).stringify().expect("a string");
         let config = parse(&ONE_ROUTE.replace("TIMEOUT", "1").replace("NAME", &quoted));
-        config.map_or(name.is_empty(), |config| config.routes[0].name == name)
+        config.map_or(name.is_empty(), |config| config.routes()[0].name == name)
     }
 }
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -33,8 +33,8 @@
     let one = example();
     let two = parse(&EXAMPLE.replace("2500", "2600").replacen("7,", "8,", 1)).expect("valid");
     let patched = one.apply_patch(&one.patch_to(&two)).expect("fits");
-    assert!(std::sync::Arc::ptr_eq(&one.routes[1], &patched.routes[1]));
-    assert!(!std::sync::Arc::ptr_eq(&one.routes[0], &patched.routes[0]));
+    assert!(std::sync::Arc::ptr_eq(&one.routes()[1], &patched.routes()[1]));
+    assert!(!std::sync::Arc::ptr_eq(&one.routes()[0], &patched.routes()[0]));
 }
 
 #[test]
@@ -51,7 +51,7 @@
         &EXAMPLE[end..]
     );
     let two = parse(&swapped.replacen("7,", "8,", 1)).expect("valid");
-    assert!(two.routes.iter().map(|route| route.name.as_str()).eq(["r-2", "r-1"]));
+    assert!(two.routes().iter().map(|route| route.name.as_str()).eq(["r-2", "r-1"]));
     assert_patches_to(&one, &two);
     assert_patches_to(&two, &one);
     let three = parse(&EXAMPLE.replace("\"later\"", "\"sooner\"")).expect("valid");
@@ -95,7 +95,7 @@
         let mut current = parse(&sample.text()).expect("valid");
         let mut applied = 0;
         for change in changes.iter().take(8) {
-            if let Ok(next) = current.modify(change.text(current.revision + 2).as_bytes()) {
+            if let Ok(next) = current.modify(change.text(current.revision() + 2).as_bytes()) {
                 assert_patches_to(&current, &next);
                 assert_patches_to(&next, &current);
                 current = next;
--- a/crates/config/tests/route_lookup.rs
+++ b/crates/config/tests/route_lookup.rs
@@ -89,7 +89,7 @@
         "[c:80",
     ] {
         let config = config_with_routes(&[(host.to_owned(), "/".to_owned())]);
-        let own = config.routes[0].host.clone();
+        let own = config.routes()[0].host.clone();
         assert_eq!(route_name(&config, &own, "/"), Some("r0"), "{host} as {own}");
         assert_eq!(route_name(&config, host, "/"), Some("r0"), "{host}");
         assert_eq!(route_name(&config, &format!("{own}:443"), "/"), Some("r0"), "{host}");
@@ -98,7 +98,7 @@
 
 fn scan_for_route<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a Route> {
     config
-        .routes
+        .routes()
         .iter()
         .filter(|route| route.host == host.to_ascii_lowercase() && path.starts_with(&route.path_prefix))
         .max_by_key(|route| route.path_prefix.len())
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -157,7 +157,7 @@
         if self.base_revision != state.revision {
             return respond(ChangeResponse::Stale { current_revision: state.revision });
         }
-        let known = self.local_config.clone().filter(|config| config.revision == state.revision);
+        let known = self.local_config.clone().filter(|config| config.revision() == state.revision);
         let config = match known {
             None if state.revision > 0 => match parse_config(self.local_config.as_deref(), &state.body) {
                 Ok(config) => Some(Arc::new(config)),
@@ -184,7 +184,7 @@
 
     /// Applies the change to a configuration.
     fn evaluate(&self, config: Option<&Config>, origin: StateOrigin) -> AdmissionStep {
-        let current_revision = config.map_or(0, |config| config.revision);
+        let current_revision = config.map_or(0, |config| config.revision());
         if self.base_revision != current_revision {
             return self.reject(ChangeResponse::Stale { current_revision }, origin);
         }
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -48,14 +48,14 @@
     /// The committed text is no valid configuration: another version of the software has accepted it. The history
     /// stays as it was.
     pub fn commit(&mut self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
-        let known_revision = self.current.as_ref().map_or(0, |config| config.revision);
+        let known_revision = self.current.as_ref().map_or(0, |config| config.revision());
         if state.revision <= known_revision {
             return Ok(None);
         }
         let config = Arc::new(parse_config(self.current.as_deref(), &state.body)?);
         if let Some(previous) = &self.current {
             let text = previous.patch_to(&config);
-            let (from_revision, to_revision) = (previous.revision, config.revision);
+            let (from_revision, to_revision) = (previous.revision(), config.revision());
             self.patches.push_back(Patch { from_revision, to_revision, text });
             self.evict_patches();
         }
@@ -82,7 +82,7 @@
     /// The revision that is reported to the processes that watch this node; 0 if there is none.
     pub fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         let served = self.current.as_ref().filter(|_| self.may_serve(contact));
-        served.map_or(0, |config| config.revision)
+        served.map_or(0, |config| config.revision())
     }
 
     /// What is offered to a process with the revision `known_revision` (0 if it has none).
@@ -91,15 +91,15 @@
             return ConfigOffer::Withheld;
         };
         match self.patches_from(known_revision, config) {
-            Some(patches) => ConfigOffer::Patches { revision: config.revision, patches },
-            None => ConfigOffer::Full { revision: config.revision, text: config.to_json() },
+            Some(patches) => ConfigOffer::Patches { revision: config.revision(), patches },
+            None => ConfigOffer::Full { revision: config.revision(), text: config.to_json() },
         }
     }
 
     /// The patches from a revision to the newest one, if all are kept and shorter than the complete configuration.
     fn patches_from(&self, revision: u64, config: &Config) -> Option<Vec<String>> {
         let first = self.patches.iter().position(|patch| patch.from_revision == revision)?;
-        self.patches.back().filter(|last| last.to_revision == config.revision)?;
+        self.patches.back().filter(|last| last.to_revision == config.revision())?;
         let patches: Vec<String> = self.patches.iter().skip(first).map(|patch| patch.text.clone()).collect();
         let length: usize = patches.iter().map(String::len).sum();
         (length < config.json_length()).then_some(patches)
--- a/crates/control-plane/src/config_offer.rs
+++ b/crates/control-plane/src/config_offer.rs
@@ -42,7 +42,7 @@
         ConfigOffer::Withheld => return AssembledConfig::Withheld,
         ConfigOffer::Full { text, .. } => parse_config(in_force, text.as_bytes()).ok(),
         ConfigOffer::Patches { revision, patches } => {
-            apply_patches(in_force, patches).filter(|config| config.revision == *revision)
+            apply_patches(in_force, patches).filter(|config| config.revision() == *revision)
         }
     };
     config.map_or(AssembledConfig::Mismatch, |config| AssembledConfig::Config(Arc::new(config)))
--- a/crates/control-plane/tests/fleet/checker.rs
+++ b/crates/control-plane/tests/fleet/checker.rs
@@ -200,11 +200,11 @@
         if isolated_for > MAX_ISOLATION {
             let description = format!(
                 "proxy {proxy} takes {} at {now} from a control node isolated for {isolated_for:?}",
-                config.revision
+                config.revision()
             );
             self.report_violation("quorum contact", description);
         }
-        self.on_config(config.revision, config.json());
+        self.on_config(config.revision(), config.json());
     }
 
     fn on_config(&mut self, revision: u64, text: &str) {
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -164,7 +164,7 @@
         proxy.registry.merge(now, updates.delta);
         proxy.registry.tick(now);
         proxy.pool.update_members(&updates.control_nodes, updates.contact);
-        let known_revision = proxy.config.as_ref().map_or(0, |config| config.revision);
+        let known_revision = proxy.config.as_ref().map_or(0, |config| config.revision());
         let wants = proxy.pool.should_fetch_config(known_revision, updates.revision, updates.contact);
         let continues = proxy.watch_slots[watch_slot].session.should_continue(now, updates.contact);
         let incarnation = proxy.incarnation;
@@ -210,7 +210,7 @@
         match assemble_config(have.as_deref(), &fetched.offer) {
             AssembledConfig::Config(config) => {
                 // As in the data plane, the revision in force never goes back.
-                if proxy.config.as_ref().is_none_or(|own| own.revision < config.revision) {
+                if proxy.config.as_ref().is_none_or(|own| own.revision() < config.revision()) {
                     proxy.config = Some(config.clone());
                     let now = self.now();
                     self.checker.on_config_in_force(now, index, &config, fetched.isolated_for);
--- a/crates/control-plane/tests/fleet/random_run.rs
+++ b/crates/control-plane/tests/fleet/random_run.rs
@@ -51,7 +51,7 @@
         }
         let wanted = self.checker.acknowledged_by(now - CONFIG_BOUND);
         for (index, proxy) in self.proxies.iter().enumerate() {
-            let revision = proxy.config.as_ref().map_or(0, |config| config.revision);
+            let revision = proxy.config.as_ref().map_or(0, |config| config.revision());
             if revision < wanted {
                 return Err(format!("at {now}: proxy {index} has {revision}, and {wanted} was acknowledged"));
             }
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -73,7 +73,7 @@
     /// Puts a configuration into force, and returns whether it did: one that is not newer changes nothing. A proxy
     /// never goes back to an older configuration within one incarnation (RULES.md, CONFIG).
     pub fn configure(&self, config: Arc<Config>) -> bool {
-        let is_newer = self.config().is_none_or(|current| current.revision < config.revision);
+        let is_newer = self.config().is_none_or(|current| current.revision() < config.revision());
         if is_newer {
             self.config.store(Some(config));
         }
@@ -116,7 +116,7 @@
         }
         let Some(config) = self.config() else { return false };
         let router = self.router.borrow();
-        config.services.keys().any(|service| router.endpoints().serves(service))
+        config.services().keys().any(|service| router.endpoints().serves(service))
     }
 
     pub(crate) fn record_failure(&self, server_id: &str, failure: ServerFailure) {
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -72,7 +72,7 @@
 
     fn idle_timeout(&self) -> Duration {
         let config = self.data_plane.config();
-        config.map_or(DEFAULT_IDLE_TIMEOUT, |config| config.limits.idle_timeout.max(MIN_IDLE_TIMEOUT))
+        config.map_or(DEFAULT_IDLE_TIMEOUT, |config| config.limits().idle_timeout.max(MIN_IDLE_TIMEOUT))
     }
 
     async fn serve_connection(&self, stream: TcpStream) {
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -84,7 +84,7 @@
         let Some(config) = self.config() else {
             return Ok(proxy_response(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_CONFIGURED_RETRY_AFTER)));
         };
-        let body = match self.read_request_body(body, &config.limits).await {
+        let body = match self.read_request_body(body, config.limits()).await {
             Ok(body) => body,
             Err(error) => return error.into_response(),
         };
--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -156,7 +156,7 @@
     let short = format!("\"timeout_ms\":{}", SHORT_TIMEOUT.as_millis());
     let text = config().to_json().replace("\"timeout_ms\":8000", &short);
     let config = Config::parse(text.as_bytes()).expect("a valid configuration");
-    assert!(config.routes.iter().all(|route| route.timeout == SHORT_TIMEOUT));
+    assert!(config.routes().iter().all(|route| route.timeout == SHORT_TIMEOUT));
     assert!(proxy.data_plane.configure(Arc::new(config)));
     proxy.data_plane.update_servers(servers.iter().copied());
     proxy
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -178,7 +178,7 @@
 
 fn check_config(file: PathBuf) -> Result<(), CommandError> {
     let config = Config::parse(&std::fs::read(&file)?)?;
-    println!("Configuration {}: {} routes, sound.", config.revision, config.routes.len());
+    println!("Configuration {}: {} routes, sound.", config.revision(), config.routes().len());
     Ok(())
 }
 
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -157,7 +157,7 @@
     fn on_committed(&self, state: &ControlState) {
         match self.configs.commit(state) {
             Ok(Some(config)) => {
-                spdlog::info!("config: committed revision={}", config.revision);
+                spdlog::info!("config: committed revision={}", config.revision());
                 self.changes.notify();
             }
             Ok(None) => {}
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -22,7 +22,7 @@
         consensus.term().map_or(0, |term| term.number),
         consensus.members().len(),
         consensus.quorum_contact().is_confirmed(),
-        configs.current().map_or(0, |config| config.revision),
+        configs.current().map_or(0, |config| config.revision()),
         registry.len(),
         gossip.live_proxies(),
         consensus.log_bytes(),
--- a/crates/programs/src/proxy/sink.rs
+++ b/crates/programs/src/proxy/sink.rs
@@ -42,7 +42,7 @@
     }
 
     fn apply_config(&self, config: Arc<Config>) {
-        let (revision, routes) = (config.revision, config.routes.len());
+        let (revision, routes) = (config.revision(), config.routes().len());
         if self.data_plane.configure(config) {
             spdlog::info!("config: in force revision={revision} routes={routes}");
         }
--- a/crates/programs/src/proxy/status.rs
+++ b/crates/programs/src/proxy/status.rs
@@ -28,8 +28,8 @@
             "\"failed\":{},\"resumed\":{},\"handed_over\":{},\"freed\":{}}}"
         ),
         data_plane.is_ready(),
-        config.as_ref().map_or(0, |config| config.revision),
-        config.as_ref().map_or(0, |config| config.routes.len()),
+        config.as_ref().map_or(0, |config| config.revision()),
+        config.as_ref().map_or(0, |config| config.routes().len()),
         registry.len(),
         since_contact,
         watcher.control_node_count(),
--- a/crates/programs/src/update_watcher/config_fetcher.rs
+++ b/crates/programs/src/update_watcher/config_fetcher.rs
@@ -55,7 +55,7 @@
     ) -> Option<Arc<Config>> {
         let _guard = FetchGuard::try_new(&self.is_fetching)?;
         let in_force = in_force.as_deref();
-        let revision = in_force.map_or(NO_REVISION, |config| config.revision);
+        let revision = in_force.map_or(NO_REVISION, |config| config.revision());
         let mut assembled = self.fetch_from(control_node, revision, in_force).await;
         if assembled == Some(AssembledConfig::Mismatch) {
             assembled = self.fetch_from(control_node, NO_REVISION, in_force).await;
--- a/crates/programs/src/update_watcher/watcher.rs
+++ b/crates/programs/src/update_watcher/watcher.rs
@@ -187,7 +187,7 @@
     }
 
     fn revision_in_force(&self) -> u64 {
-        self.sink.config().map_or(NO_REVISION, |config| config.revision)
+        self.sink.config().map_or(NO_REVISION, |config| config.revision())
     }
 
     /// Sends all entries of the registry to a control node that has lost its memory.
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -39,7 +39,7 @@
     let update = ConfigOfferMessage { revision: 12, patches: Vec::new(), full_text };
     for have in [None, Some(&first), Some(&second)] {
         let config = assemble_update(have, &update).expect("the full text is valid");
-        assert_eq!((config.revision, config.json()), (12, third.json()));
+        assert_eq!((config.revision(), config.json()), (12, third.json()));
     }
 }
 
@@ -48,7 +48,7 @@
     let [first, second, third] = three();
     let chain = vec![first.patch_to(&second), second.patch_to(&third)];
     let config = assemble_update(Some(&first), &patches(12, chain)).expect("fits");
-    assert_eq!((config.revision, config.json()), (12, third.json()));
+    assert_eq!((config.revision(), config.json()), (12, third.json()));
     let config = assemble_update(Some(&first), &patches(9, vec![first.patch_to(&second)])).expect("fits");
     assert_eq!(config.json(), second.json());
     assert!(config.find_route("ficu95.example", "/lohu930/2f").is_some_and(|route| route.retry_count == 1));
