--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one server, and what comes of it is judged by what has been proven.
+//! One attempt: a request is sent to one server, and what comes of it is derived from what has been proven.
 
 use std::rc::Rc;
 
@@ -24,13 +24,20 @@
 /// Each proxy may have at least this many connections to a server.
 const MIN_CONNECTIONS: usize = 6;
 
+/// A connection for one request.
+struct RequestConnection {
+    connection: PooledConnection,
+    /// Whether it has carried requests before.
+    is_reused: bool,
+}
+
 /// What came of one attempt.
 pub(crate) enum AttemptOutcome {
     /// The head of the response to this very request has come.
     Responded(ServerResponse),
     /// The request was not sent completely, so no server can have run it.
     NotDelivered(ServerFailure),
-    /// The server says that it did not run the request and never will.
+    /// The server states that it did not run the request and never will.
     Rejected(StatusCode),
     /// The exchange broke; the request may have run.
     Broken,
@@ -47,7 +54,7 @@
     }
 }
 
-/// What it says of a server that it rejected a request with this status.
+/// The failure of a server that rejected a request with this status.
 pub(crate) fn failure_of_rejection(status: StatusCode) -> ServerFailure {
     if status == StatusCode::MISDIRECTED_REQUEST {
         ServerFailure::WrongInstance
@@ -90,7 +97,8 @@
         extra_headers: &[(HeaderName, HeaderValue)],
     ) -> AttemptOutcome {
         for _ in 0..MAX_CONNECTIONS_PER_ATTEMPT {
-            let (mut connection, is_reused) = match self.connect(target, request, deadline).await {
+            let connected = self.connect(target, request, deadline).await;
+            let RequestConnection { mut connection, is_reused } = match connected {
                 Ok(connected) => connected,
                 Err(error) => return AttemptOutcome::NotDelivered(error.into()),
             };
@@ -115,21 +123,21 @@
         AttemptOutcome::NotDelivered(ServerFailure::BrokenResponse)
     }
 
-    /// A connection for the request, and whether it has carried requests before.
+    /// An idle connection for the request, or else a new one.
     async fn connect(
         &self,
         target: &Target,
         request: &ServerRequest,
         deadline: Deadline,
-    ) -> Result<(PooledConnection, bool), OpenError> {
+    ) -> Result<RequestConnection, OpenError> {
         if !request.needs_new_connection(target)
             && let Some(connection) = self.connections.take_idle(&target.id, request.origin)
         {
-            return Ok((connection, true));
+            return Ok(RequestConnection { connection, is_reused: true });
         }
         let time_left = deadline.timer.saturating_duration_since(Instant::now());
         let connection = self.connections.open(target, request.origin, time_left).await?;
-        Ok((connection, false))
+        Ok(RequestConnection { connection, is_reused: false })
     }
 
     fn check_response(
--- a/crates/data-plane/src/buffered_request.rs
+++ b/crates/data-plane/src/buffered_request.rs
@@ -82,9 +82,9 @@
         }
         let now = self.now();
         let service = &request.service;
-        let id = self.router.borrow_mut().select_server(now, &service.name, &history.avoid)?;
+        let id = self.router.borrow_mut().select_server(now, &service.name, history.servers_to_avoid())?;
         let target = self.target(service, &id)?;
-        if history.delivered > 0 && !self.try_withdraw_retry(request) {
+        if history.is_next_attempt_a_retry() && !self.try_withdraw_retry(request) {
             self.router.borrow_mut().record_inconclusive(&id);
             return None;
         }
@@ -98,17 +98,17 @@
         request: &ClientRequest,
     ) -> AttemptOutcome {
         let half_target_millis = request.route.target_latency.as_millis() as u64 / 2;
-        let silence = Duration::from_millis(half_target_millis).clamp(MIN_SILENCE, SILENT_SERVER_TIMEOUT);
+        let max_silence = Duration::from_millis(half_target_millis).clamp(MIN_SILENCE, SILENT_SERVER_TIMEOUT);
         let extra_headers = [(PRIORITY, request.priority.clone())];
         tokio::select! {
             outcome = self.send_attempt(target, &request.server_request, request.deadline, &extra_headers) => outcome,
-            () = self.wait_until_unresponsive(target, silence, silence), if request.is_repeatable() => {
+            () = self.wait_until_unresponsive(target, max_silence, max_silence), if request.is_repeatable() => {
                 AttemptOutcome::TimedOut
             }
         }
     }
 
-    /// Reads a response to its end, and records what it says of the server.
+    /// Reads a response to its end, and records the result for the server.
     async fn buffer_response(
         &self,
         target: &Target,
--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -48,6 +48,14 @@
     }
 }
 
+/// A client's request that is ready to be sent, by how it is forwarded.
+pub(crate) enum PreparedRequest {
+    /// Its response is buffered.
+    Buffered(ClientRequest),
+    /// Its prompt is prefilled and decoded, and the response is streamed.
+    Prompt(ClientRequest, Prompt),
+}
+
 quick_error! {
     /// Why a client's request can't be sent to any server.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +64,7 @@
         NotConfigured {
             display("no configuration is in force")
         }
-        /// No route fits host and path.
+        /// No route matches host and path.
         NoRoute {
             display("no route fits the host and path of the request")
         }
@@ -121,11 +129,7 @@
     /// # Errors
     ///
     /// The request can't be sent to any server.
-    pub(crate) fn prepare_request(
-        &self,
-        head: &Parts,
-        body: Bytes,
-    ) -> Result<(ClientRequest, Option<Prompt>), RequestError> {
+    pub(crate) fn prepare_request(&self, head: &Parts, body: Bytes) -> Result<PreparedRequest, RequestError> {
         let config = self.config().ok_or(RequestError::NotConfigured)?;
         let route = config.find_route(host(head), head.uri.path()).ok_or(RequestError::NoRoute)?.clone();
         let service = self.choose_service(&config, &route).ok_or(RequestError::NoService)?;
@@ -145,7 +149,10 @@
             route,
             service,
         };
-        Ok((request, prompt))
+        Ok(match prompt {
+            Some(prompt) => PreparedRequest::Prompt(request, prompt),
+            None => PreparedRequest::Buffered(request),
+        })
     }
 
     /// The service of a request: by weight, where the route has several.
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -6,12 +6,11 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use mosshead_http_links::{ConnectOptions, OutboundConnection, PeerKind};
+use mosshead_http_links::{ConnectOptions, CountGuard, OutboundConnection, PeerKind};
 use mosshead_time::Duration;
 use quick_error::quick_error;
 use tokio::time::Instant;
 
-use crate::count_guard::CountGuard;
 use crate::server_request::{RequestOrigin, Target};
 
 /// A connection to a server. It carries requests of one origin only: a late response to the one kind can't come where a
@@ -37,8 +36,7 @@
 /// The kernel breaks a connection whose bytes have gone unacknowledged for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Ends of these connections are not logged one by one.
-const SERVER: PeerKind = PeerKind { name: "server", on_close: |_| {} };
+const SERVER: PeerKind = PeerKind::unlogged("server");
 
 quick_error! {
     /// Why no connection could be opened.
@@ -84,7 +82,7 @@
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection, if there is one. The newest comes first: the server may have closed old ones.
+    /// Takes an idle connection, if there is one. The newest comes first: the server may have closed older ones.
     pub(crate) fn take_idle(&self, server_id: &str, origin: RequestOrigin) -> Option<PooledConnection> {
         let now = Instant::now();
         let mut servers = self.servers.borrow_mut();
@@ -121,8 +119,8 @@
         }
     }
 
-    /// Puts a connection back whose response was read to its end. It is closed instead if `until` has passed: after a
-    /// freeze of this process nobody knows for how long the response lay there, nor what the server has done since. It
+    /// Puts a connection back whose response was read to its end. It is closed instead if `until` has passed: after
+    /// a suspension of this process it is unknown how long the response has waited, and what the server has sent since. It
     /// is closed, too, if further bytes follow the response.
     pub(crate) async fn put(
         &self,
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -26,7 +26,7 @@
     is_draining: Cell<bool>,
     /// Clients' requests that have no complete response yet.
     pub(crate) in_flight: Rc<Cell<usize>>,
-    /// Bytes of clients' request bodies that are held in memory.
+    /// Bytes of clients' request bodies that are buffered.
     pub(crate) buffered_bytes: Rc<Cell<usize>>,
     /// How many proxies share the servers' connections; at least one.
     pub(crate) proxy_count: Cell<usize>,
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -30,7 +30,7 @@
     pub(crate) connection: PooledConnection,
     pub(crate) target: Target,
     pub(crate) request_guard: ServerRequestGuard,
-    /// Held until the first event, where the decode server prefills the prompt itself.
+    /// Kept until the first event, where the decode server prefills the prompt itself.
     pub(crate) prefill_guard: Option<PrefillGuard>,
 }
 
--- a/crates/data-plane/src/event_splitter.rs
+++ b/crates/data-plane/src/event_splitter.rs
@@ -10,13 +10,13 @@
 /// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// What its `id:` line says, if it has one with a number.
+    /// The number of its `id:` line, if it has one.
     pub id: Option<u64>,
     /// The event as it came, with the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// An event is longer than a proxy holds.
+/// An event is longer than a proxy buffers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -9,13 +9,12 @@
 use hyper::service::service_fn;
 use hyper::{Request, Version};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use mosshead_http_links::{CountGuard, accept};
 use mosshead_time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::time::sleep;
 
 use crate::client_stream::{ClientStream, ResetOnDrop};
-use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
 
 /// How many connections clients may have at once.
@@ -26,8 +25,6 @@
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// A connection may be idle for at least this long.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A failed accept is repeated after this time: out of file descriptors it would fail at once, again and again.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// The listener for clients.
 pub struct Frontend {
@@ -55,18 +52,16 @@
     /// Accepts connections for as long as it is polled. Has to be polled within a `LocalSet`.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
-            match listener.accept().await {
-                Ok((stream, _)) if self.open_connections.get() < MAX_CONNECTIONS => {
-                    let frontend = self.clone();
-                    let guard = CountGuard::new(&self.open_connections, 1);
-                    tokio::task::spawn_local(async move {
-                        frontend.serve_connection(stream).await;
-                        drop(guard);
-                    });
-                }
-                Ok(_) => {}
-                Err(_) => sleep(ACCEPT_BACKOFF).await,
+            let stream = accept(&listener).await;
+            if self.open_connections.get() >= MAX_CONNECTIONS {
+                continue;
             }
+            let frontend = self.clone();
+            let guard = CountGuard::new(&self.open_connections, 1);
+            tokio::task::spawn_local(async move {
+                frontend.serve_connection(stream).await;
+                drop(guard);
+            });
         }
     }
 
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -25,14 +25,14 @@
 /// The last event that a client has of a stream; the stream goes on behind it.
 pub(crate) const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Headers that only the system may set: what a client says of stages, handles or instances is dropped.
+/// Headers that only the system may set: a client's own stages, handles or instances are dropped.
 pub(crate) const RESERVED_REQUEST_HEADERS: [&str; 6] =
     ["x-serving-stage", "kv-from", "x-target-instance", "priority", "expect-version", "expect"];
 
 const HOP_BY_HOP: [HeaderName; 7] =
     [CONNECTION, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
-/// Room for the headers that are added to those forwarded.
+/// The capacity for headers that are added to those forwarded.
 const ADDED_HEADERS: usize = 6;
 
 /// The headers without those that concern one connection only.
@@ -56,7 +56,7 @@
     forwarded
 }
 
-/// For how long a server keeps an idle connection, if `Keep-Alive` says so.
+/// For how long a server keeps an idle connection, if `Keep-Alive` states it.
 pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -8,18 +8,19 @@
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use mosshead_config::Limits;
+use mosshead_http_links::CountGuard;
 use quick_error::quick_error;
 use tokio::time::timeout;
 
-use crate::count_guard::CountGuard;
+use crate::client_request::PreparedRequest;
 use crate::data_plane::DataPlane;
 use crate::response::{ResponseAborted, ResponseBody, proxy_response};
 
-/// How many bytes of request bodies are held in memory at once.
+/// How many bytes of request bodies are buffered at once.
 const MAX_BUFFERED_BYTES: usize = 96 * 1024 * 1024;
 /// When a client may come back, in seconds, if no configuration is in force.
 const NOT_CONFIGURED_RETRY_AFTER: f64 = 0.3;
-/// When a client may come back, in seconds, if there is no room for its request.
+/// When a client may come back, in seconds, if the memory for requests is used up.
 const NO_MEMORY_RETRY_AFTER: f64 = 0.5;
 
 quick_error! {
@@ -93,8 +94,10 @@
         let _buffered = CountGuard::new(&self.buffered_bytes, body.len());
         Ok(match self.prepare_request(&head, body) {
             Err(error) => proxy_response(error.status(), error.retry_after()),
-            Ok((request, Some(prompt))) => self.forward_prompt(request, prompt, in_flight).await,
-            Ok((request, None)) => self.forward_buffered(&request).await,
+            Ok(PreparedRequest::Prompt(request, prompt)) => {
+                self.forward_prompt(request, prompt, in_flight).await
+            }
+            Ok(PreparedRequest::Buffered(request)) => self.forward_buffered(&request).await,
         })
     }
 
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -10,7 +10,6 @@
 mod client_request;
 mod client_stream;
 mod connection_pool;
-mod count_guard;
 mod counters;
 mod data_plane;
 mod deadline;
--- a/crates/data-plane/src/load_guards.rs
+++ b/crates/data-plane/src/load_guards.rs
@@ -1,5 +1,5 @@
 //! Guards of what an attempt does to a server's entry in the router: its load, and the trial that it may be after an
-//! ejection. Both are taken back however the attempt ends, also where its client leaves.
+//! ejection. Both are undone however the attempt ends, also where its client leaves.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/data-plane/src/load_report.rs
+++ b/crates/data-plane/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports of servers, and what it says of a server that it doesn't even answer those.
+//! Load reports of servers, and the detection of servers that are unresponsive: they don't even answer those.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 
 /// A server that works answers a request for its load within this time: it needs no slot for that.
 pub(crate) const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A server from which nothing has come for this long is asked for its load, to see whether it responds at all.
+/// A server from which nothing has come for this long gets a load query, which shows whether it responds at all.
 pub(crate) const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(250);
 /// For how long a client's request waits for load reports: a fresh one is not worth more.
 const LOAD_REPORT_WAIT: Duration = Duration::from_millis(12);
@@ -38,7 +38,7 @@
 }
 
 impl DataPlane {
-    /// Asks the prefill servers between which the prompt would be placed for their load, where no report is fresh.
+    /// Queries the load of the prefill servers that the prompt may be sent to, where no report is fresh.
     pub(crate) async fn refresh_prefill_loads(self: &Rc<Self>, service: &Service, prompt: &Prompt) {
         let now = self.now();
         let ids = self.router.borrow_mut().prefill_servers_to_query(now, &service.name, prompt);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Asks a server for its load and records what it reports.
+    /// Queries the load of a server and records its report.
     async fn query_load(self: &Rc<Self>, target: &Target, timeout: Duration) {
         let request = ServerRequest::of_proxy(Method::GET, Uri::from_static("/report"));
         let deadline = self.deadline_in(timeout);
@@ -84,18 +84,18 @@
         self.connections.put(&target.id, connection, keep_alive_timeout(&head.headers), until).await;
     }
 
-    /// Completes once the server has shown that it is unresponsive: nothing has come from it for `silence`, and then it
-    /// does not even report its load within `report_timeout`. Silence alone proves nothing: a request in a long queue
+    /// Completes once the server has shown that it is unresponsive: nothing has come from it for `max_silence`, and then it
+    /// does not even report its load within `report_timeout`. No response alone proves nothing: a request in a long queue
     /// is silent, too, and must not be sent elsewhere for that.
     pub(crate) async fn wait_until_unresponsive(
         self: &Rc<Self>,
         target: &Target,
-        silence: Duration,
+        max_silence: Duration,
         report_timeout: Duration,
     ) {
         loop {
-            tokio::time::sleep(silence).await;
-            let silent_since = self.now() - silence;
+            tokio::time::sleep(max_silence).await;
+            let silent_since = self.now() - max_silence;
             if !self.router.borrow().is_silent_since(silent_since, &target.id) {
                 continue;
             }
--- a/crates/data-plane/src/prefill.rs
+++ b/crates/data-plane/src/prefill.rs
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// There is no handle. What that says of the server has been recorded.
+    /// There is no handle. The failure of the server has been recorded.
     pub(crate) async fn prefill_prompt(
         self: &Rc<Self>,
         target: &Target,
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 
 use hyper::Response;
+use mosshead_http_links::CountGuard;
 use mosshead_registry::OperState;
 use mosshead_routing::{Prompt, ServerPair};
 use mosshead_time::Instant;
 
 use crate::client_request::ClientRequest;
-use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
 use crate::decode::{DecodeFailure, DecodeOutcome};
 use crate::load_guards::SelectionGuard;
@@ -29,7 +29,7 @@
 }
 
 impl DataPlane {
-    /// Makes attempts until a stream begins or none may follow. `in_flight` is held until the stream has ended.
+    /// Makes attempts until a stream begins or none may follow. `in_flight` is kept until the stream has ended.
     pub(crate) async fn forward_prompt(
         self: &Rc<Self>,
         request: ClientRequest,
@@ -110,8 +110,8 @@
     ) -> Option<ServerPair> {
         let service = &request.service.name;
         let mut router = self.router.borrow_mut();
-        let pair = router.select_pair(now, service, prompt, &history.avoid)?;
-        if history.delivered > 0 && !router.try_withdraw_retry(now, service) {
+        let pair = router.select_pair(now, service, prompt, history.servers_to_avoid())?;
+        if history.is_next_attempt_a_retry() && !router.try_withdraw_retry(now, service) {
             pair.prefill.iter().chain([&pair.decode]).for_each(|id| router.record_inconclusive(id));
             return None;
         }
@@ -134,18 +134,18 @@
         };
         let withdraw = || self.router.borrow_mut().try_withdraw_retry(now, &service.name);
         let _selection = SelectionGuard::new(self, &target.id);
-        if history.delivered_prefills > 0 && !withdraw() {
+        if history.is_next_prefill_a_retry() && !withdraw() {
             return Ok(PrefillStep::Decode(None));
         }
         let error = match self.prefill_prompt(&target, request, prompt).await {
             Ok(handle) => {
-                history.delivered_prefills += 1;
+                history.record_delivered_prefill();
                 return Ok(PrefillStep::Decode(Some(handle)));
             }
             Err(error) => error,
         };
         if error != PrefillError::NotDelivered {
-            history.delivered_prefills += 1;
+            history.record_delivered_prefill();
         }
         if error == PrefillError::Rejected && !withdraw() {
             return Err(RetryBudgetExhausted);
@@ -162,12 +162,17 @@
         history: &AttemptHistory,
     ) -> Option<Target> {
         let (now, service) = (self.now(), &request.service);
-        let id = self.router.borrow_mut().confirm_decode_server(now, &service.name, pair, &history.avoid)?;
+        let id = self.router.borrow_mut().confirm_decode_server(
+            now,
+            &service.name,
+            pair,
+            history.servers_to_avoid(),
+        )?;
         self.target(service, &id)
     }
 
-    /// Sends the request to the decode server. If that cannot fetch the KV cache, it is asked once more to prefill the
-    /// prompt itself, which takes a retry out of the budget.
+    /// Sends the request to the decode server. If that cannot fetch the KV cache, the request is sent once more for it to prefill
+    /// the prompt itself, which takes a retry out of the budget.
     async fn decode_or_prefill_locally(
         self: &Rc<Self>,
         request: &ClientRequest,
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether a proxy is ready, and operators' question for its status.
+//! The health check of the platform, and the status for operators.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -10,14 +10,12 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use mosshead_http_links::accept;
 use mosshead_time::Duration;
 use tokio::net::TcpListener;
-use tokio::time::sleep;
 
 /// For how long a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// A failed accept is repeated after this time: out of file descriptors it would fail at once, again and again.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Answers `GET /readiness` with 200 or 503 (PROTOCOL.md, Ingress), and `GET /status` with what `status` returns, for as
 /// long as it is polled. Has to be polled within a `LocalSet`.
@@ -27,10 +25,7 @@
 {
     let (is_ready, status) = (Rc::new(is_ready), Rc::new(status));
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_BACKOFF).await;
-            continue;
-        };
+        let stream = accept(&listener).await;
         let (is_ready, status) = (is_ready.clone(), status.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| respond(request, is_ready.clone(), status.clone()));
--- a/crates/data-plane/src/retry.rs
+++ b/crates/data-plane/src/retry.rs
@@ -1,4 +1,4 @@
-//! When a request is sent once more, and what its client is told if it is not.
+//! When a request is sent once more, and the response to its client if it is not.
 
 use std::rc::Rc;
 
@@ -20,12 +20,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
     /// Servers that are not selected again.
-    pub(crate) avoid: Vec<Rc<str>>,
+    avoid: Vec<Rc<str>>,
     /// Attempts that reached a server. The route's `retry_count` bounds them, and from the second on each takes a retry
     /// out of the budget.
-    pub(crate) delivered: u32,
+    delivered: u32,
     /// Prefills that reached a server. The first one is free, further ones take a retry out of the budget.
-    pub(crate) delivered_prefills: u32,
+    delivered_prefills: u32,
     /// Attempts that reached no server.
     undelivered: u32,
     /// Whether a server may have run the request.
@@ -51,6 +51,26 @@
         self.avoid.push(server_id.clone());
     }
 
+    /// The prefill reached a server.
+    pub(crate) fn record_delivered_prefill(&mut self) {
+        self.delivered_prefills += 1;
+    }
+
+    /// The servers that are not selected again.
+    pub(crate) fn servers_to_avoid(&self) -> &[Rc<str>] {
+        &self.avoid
+    }
+
+    /// Whether the next attempt takes a retry out of the budget.
+    pub(crate) fn is_next_attempt_a_retry(&self) -> bool {
+        self.delivered > 0
+    }
+
+    /// Whether the next prefill takes a retry out of the budget.
+    pub(crate) fn is_next_prefill_a_retry(&self) -> bool {
+        self.delivered_prefills > 0
+    }
+
     /// Whether the request has been sent to as many servers as its route allows.
     pub(crate) fn has_reached_retry_count(&self, request: &ClientRequest) -> bool {
         self.delivered >= request.route.retry_count
--- a/crates/data-plane/src/server_request.rs
+++ b/crates/data-plane/src/server_request.rs
@@ -18,7 +18,7 @@
 pub(crate) enum RequestOrigin {
     /// A client sent it. It bears the client's attempt id, which the response echoes.
     Client,
-    /// The proxy asks for itself. Neither the request nor its response bears an id.
+    /// The proxy sends it on its own account. Neither the request nor its response bears an id.
     Proxy,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Whether this can be the head of its response. A response echoes the id, and has none where the request had none
-    /// (PROTOCOL.md, Servers). Calls of the proxy's own are told apart by their connections, which carry nothing else.
+    /// (PROTOCOL.md, Servers). Calls of the proxy's own are matched by their connections, which carry nothing else.
     pub(crate) fn is_answered_by(&self, head: &Parts) -> bool {
         let echo = head.headers.get(ATTEMPT_ID).filter(|id| !id.is_empty());
         self.origin == RequestOrigin::Proxy || echo == self.attempt_id.as_ref()
--- a/crates/data-plane/src/server_response.rs
+++ b/crates/data-plane/src/server_response.rs
@@ -32,7 +32,7 @@
     head.headers.contains_key(SERVER_SEAL)
 }
 
-/// Whether the end of the body can be told from a broken connection.
+/// Whether the end of the body is distinguishable from a broken connection.
 pub(crate) fn is_framed(head: &Parts) -> bool {
     head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING)
 }
@@ -50,7 +50,7 @@
 }
 
 /// The complete body of a response; `None` where it broke off, was too late or too long, or has an encoding, which no
-/// client asks for.
+/// client requests.
 pub(crate) async fn read_body(head: &Parts, body: Incoming, until: Instant) -> Option<Bytes> {
     let has_end = is_framed(head) || head.status == StatusCode::NO_CONTENT;
     if !has_end || head.headers.contains_key(CONTENT_ENCODING) {
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: events are forwarded as they come. Where the route says so, a broken stream is resumed at another server.
+//! Streams: events are forwarded as they come. Where the route allows it, a broken stream is resumed at another server.
 
 use std::rc::Rc;
 
@@ -6,13 +6,13 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::body::Incoming;
+use mosshead_http_links::CountGuard;
 use mosshead_routing::{Prompt, ServerFailure};
 use mosshead_time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{timeout, timeout_at};
 
 use crate::client_request::ClientRequest;
-use crate::count_guard::CountGuard;
 use crate::data_plane::DataPlane;
 use crate::decode::{DecodeOutcome, DecodeStream};
 use crate::event_splitter::EventSplitter;
--- a/crates/data-plane/tests/buffered_requests.rs
+++ b/crates/data-plane/tests/buffered_requests.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_client_whose_request_all_servers_reject_is_told_when_to_come_back() {
+fn a_client_whose_request_all_servers_reject_gets_a_time_to_retry_after() {
     run(async {
         for path in [NON_IDEMPOTENT, IDEMPOTENT] {
             let stub = StubServer::start("s-1", "plain", None, |_| not_executed(503)).await;
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -33,7 +33,7 @@
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, async { timeout(TEST_TIMEOUT, test).await.expect("in time") });
+    local.block_on(&runtime, async { timeout(TEST_TIMEOUT, test).await.expect("ends in time") });
 }
 
 /// The registry's entry of a server.
--- a/crates/data-plane/tests/common/proxy.rs
+++ b/crates/data-plane/tests/common/proxy.rs
@@ -29,7 +29,7 @@
     pub(crate) frontend: Rc<Frontend>,
     /// Where clients connect.
     pub(crate) address: SocketAddrV4,
-    /// Where the platform asks whether the proxy is ready.
+    /// Where the platform checks whether the proxy is ready.
     pub(crate) readiness_address: SocketAddrV4,
 }
 
--- a/crates/data-plane/tests/common/raw_server.rs
+++ b/crates/data-plane/tests/common/raw_server.rs
@@ -9,7 +9,7 @@
 
 use super::{REQUEST_BODY, listen, server};
 
-/// A server that sends just these bytes for each request in turn, the last ones again and again, and then closes the
+/// A server that sends just these bytes for each request in turn, repeating the last one, and then closes the
 /// connection if `closes`. Returned with the count of its requests.
 pub(crate) async fn raw_server(
     id: &str,
--- a/crates/data-plane/tests/event_splitter.rs
+++ b/crates/data-plane/tests/event_splitter.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_not_held_for_ever() {
+fn an_event_without_end_is_not_buffered_for_ever() {
     let mut splitter = EventSplitter::default();
     assert!((0..100).any(|_| splitter.push(&[b'x'; 8192]).is_err()));
 }
--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! What the operators' pages ask of a request on its way: the client's headers, the time that is left, and that no server
-//! works on for a client that has gone.
+//! What the operators' pages require of a forwarded request: the client's headers, the time that is left, and that no
+//! server goes on working for a client that has left.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use mosshead_config::Config;
 use mosshead_registry::{Server, Stage};
 
-/// An unresponsive server is given up after this silence at least.
+/// An unresponsive server is given up no sooner than after this time without a response.
 const MIN_SILENCE: Duration = Duration::from_millis(250);
 
 async fn prefill_server(behavior: Behavior) -> Rc<StubServer> {
@@ -194,7 +194,8 @@
     });
 }
 
-/// Drops the client's connection once the server has got the request, and waits until the server's has gone, too.
+/// Drops the client's connection once the server has got the request, and waits until the connection to the server is
+/// closed, too.
 async fn leave(proxy: &Proxy, path: &str, server: &StubServer) {
     let prompt = [("x-model-name", "m"), ("x-token-count", "1460,80"), ("x-prompt-prefix", "5c1e07a2:800")];
     tokio::select! {
--- a/crates/data-plane/tests/hostile_server/mod.rs
+++ b/crates/data-plane/tests/hostile_server/mod.rs
@@ -1,4 +1,4 @@
-//! A model server that responds too often, too late or not at all, and counts what reached it whole.
+//! A model server that responds too often, too late or not at all, and counts what reached it completely.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -40,7 +40,7 @@
         self.path == "/report"
     }
 
-    /// The proxy asks for itself, not for a client.
+    /// Whether the proxy sent it on its own account, not for a client.
     pub(crate) fn is_proxy_call(&self) -> bool {
         self.is_load_query() || self.path.starts_with("/kv-handle/")
     }
@@ -66,15 +66,15 @@
 pub(crate) enum Reply {
     /// Sends these bytes; then comes what follows.
     Bytes(Vec<u8>, Aftermath),
-    /// Sends all of these bytes but the last ones, and then the rest at once with nothing on this machine running for
-    /// this long, as if it had been frozen.
-    Frozen(Vec<u8>, Duration),
+    /// Sends all of these bytes but the last ones, and then the rest, and lets nothing run on this thread for this long,
+    /// as if the process had been suspended.
+    Suspended(Vec<u8>, Duration),
     /// Closes the connection without a response.
     Close,
     /// Resets the connection without a response.
     Reset,
     /// Sends nothing, and keeps the connection.
-    Silence,
+    NoResponse,
 }
 
 /// A response that echoes the request's id, if it has one.
@@ -147,10 +147,10 @@
                         Aftermath::Reset => return reset(stream),
                     }
                 }
-                Reply::Frozen(bytes, duration) => send_frozen(&mut stream, &bytes, duration).await,
+                Reply::Suspended(bytes, duration) => send_and_suspend(&mut stream, &bytes, duration).await,
                 Reply::Close => return,
                 Reply::Reset => return reset(stream),
-                Reply::Silence => {}
+                Reply::NoResponse => {}
             }
         }
     }
@@ -164,17 +164,17 @@
         arrival
     }
 
-    /// All that arrived whole.
+    /// All that arrived completely.
     pub(crate) fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.borrow().clone()
     }
 
-    /// The requests of clients that arrived whole.
+    /// The requests of clients that arrived completely.
     pub(crate) fn client_requests(&self) -> Vec<Arrival> {
         self.arrivals().into_iter().filter(|arrival| !arrival.is_proxy_call()).collect()
     }
 
-    /// How often a request with this id arrived whole.
+    /// How often a request with this id arrived completely.
     pub(crate) fn count(&self, attempt_id: &str) -> usize {
         self.client_requests().iter().filter(|arrival| arrival.attempt_id() == Some(attempt_id)).count()
     }
@@ -216,23 +216,23 @@
     })
 }
 
-async fn send_frozen(stream: &mut TcpStream, bytes: &[u8], duration: Duration) {
+async fn send_and_suspend(stream: &mut TcpStream, bytes: &[u8], duration: Duration) {
     let (first, rest) = bytes.split_at(bytes.len() - 2);
     let _ = stream.write_all(first).await;
     wait_turns(5).await;
     let _ = stream.write_all(rest).await;
-    let thawed_at = std::time::Instant::now() + duration;
-    while std::time::Instant::now() < thawed_at {
+    let resumed_at = std::time::Instant::now() + duration;
+    while std::time::Instant::now() < resumed_at {
         std::thread::yield_now();
     }
 }
 
-/// The other side finds its connection reset.
+/// Resets the connection.
 fn reset(stream: TcpStream) {
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Lets all other tasks go on until `is_done`, or for a bounded time.
+/// Lets all other tasks run until `is_done`, or for a bounded time.
 pub(crate) async fn wait_until(is_done: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if is_done() {
--- a/crates/data-plane/tests/limits.rs
+++ b/crates/data-plane/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How often a request is sent, for how long it is held, and what is too long.
+//! How often a request is sent, for how long it may take, and what is too long.
 
 mod common;
 
--- a/crates/data-plane/tests/response_matching.rs
+++ b/crates/data-plane/tests/response_matching.rs
@@ -87,7 +87,7 @@
 #[test]
 fn a_request_that_may_not_be_repeated_is_sent_once_on_reused_and_new_connections() {
     run(async {
-        for reply in [Reply::Close, Reply::Reset, Reply::Silence] {
+        for reply in [Reply::Close, Reply::Reset, Reply::NoResponse] {
             for is_reused in [true, false] {
                 let (good_replies, bad_reply) = (usize::from(is_reused), reply.clone());
                 let script = move |arrival: &Arrival| match arrival.number {
@@ -190,7 +190,7 @@
     });
 }
 
-/// What bears no id can't be told apart by it: a late response to the one would be taken for one to the other.
+/// A response without an id can't be matched by it: a late response to the one would be taken for one to the other.
 #[test]
 fn proxy_calls_and_requests_of_clients_share_no_connection() {
     run(async {
@@ -206,14 +206,14 @@
             let proxy = Proxy::with_servers(1, &[&prefill.server, &second, &decode.server]).await;
             for number in 0..4 {
                 let id = format!("{number:016x}");
-                // The prefill servers are asked for their load before, and the handle is freed, as nobody fetches it.
+                // The prefill servers' load is queried before, and the handle is freed, as nobody fetches it.
                 let response = proxy.post_prompt(NOT_RESUMABLE, &[("x-attempt-id", &id)]).await;
                 assert_eq!(response.status, 503);
                 wait_turns(80).await;
             }
             let arrivals = [prefill.arrivals(), other.arrivals(), decode.arrivals()];
-            assert!(arrivals.iter().flatten().any(|it| it.is_load_query()), "it asks for the load");
-            assert!(arrivals.iter().flatten().any(|it| it.method == "DELETE"), "it frees handles");
+            assert!(arrivals.iter().flatten().any(Arrival::is_load_query), "the load is queried");
+            assert!(arrivals.iter().flatten().any(|arrival| arrival.method == "DELETE"), "handles are freed");
             for arrivals in arrivals {
                 for call in arrivals.iter().filter(|arrival| arrival.is_proxy_call()) {
                     let of_client = arrivals
@@ -226,9 +226,9 @@
     });
 }
 
-/// A process that was frozen finds requests in its buffers whose clients have left long ago.
+/// A process that was suspended finds requests in its buffers whose clients have left long ago.
 #[test]
-fn a_request_that_its_client_left_while_the_proxy_was_frozen_is_not_sent() {
+fn a_request_that_its_client_left_while_the_proxy_was_suspended_is_not_sent() {
     run(async {
         for resets in [false, true] {
             let script = |arrival: &Arrival| Reply::Bytes(own_response(arrival), Aftermath::Quiet);
@@ -238,7 +238,7 @@
             // From here on the proxy does not run until the client has left.
             let head = format!("POST {NON_IDEMPOTENT} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: 1\r\n");
             let request = format!("{head}X-Deadline-Ms: 500\r\nContent-Length: 6\r\n\r\na body");
-            client.write_all(request.as_bytes()).expect("room");
+            client.write_all(request.as_bytes()).expect("the peer reads");
             if resets {
                 let linger = Some(Duration::ZERO);
                 socket2::SockRef::from(&client).set_linger(linger).expect("an option");
@@ -251,13 +251,13 @@
     });
 }
 
-/// The response lay there while the proxy was frozen, past its time: it is the client's own, and nobody knows what else
-/// has become of its connection.
+/// The response waited in the kernel while the proxy was suspended, past its deadline: it is the client's own, and what
+/// else arrived on its connection is unknown.
 #[test]
 fn a_connection_whose_response_was_overdue_is_not_reused() {
     run(async {
         let script = |arrival: &Arrival| match arrival.number {
-            0 => Reply::Frozen(own_response(arrival), Duration::from_millis(350)),
+            0 => Reply::Suspended(own_response(arrival), Duration::from_millis(350)),
             _ => Reply::Bytes(own_response(arrival), Aftermath::Quiet),
         };
         let (hostile, proxy) = plain_server(script).await;
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -216,7 +216,7 @@
     });
 }
 
-/// To such a client the end of the connection is the end of the body: an aborted response must be told apart by a reset.
+/// To such a client the end of the connection is the end of the body: only a reset tells an aborted response from a complete one.
 #[test]
 fn to_a_client_without_chunks_a_broken_stream_does_not_look_complete() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -230,7 +230,7 @@
         let prompt = "X-Model-Name: m\r\nX-Token-Count: 1460,80\r\nX-Prompt-Prefix: 5c1e07a2:800\r\n";
         let deadline = format!("X-Deadline-Ms: {}\r\n", CLIENT_TIMEOUT.as_millis());
         let request = format!("{head}{prompt}{deadline}Content-Length: 6\r\n\r\na body");
-        client.write_all(request.as_bytes()).await.expect("room");
+        client.write_all(request.as_bytes()).await.expect("the peer reads");
         let mut received = Vec::new();
         let end = client.read_to_end(&mut received).await;
         let text = String::from_utf8_lossy(&received);
--- a/crates/http-links/src/close_reason.rs
+++ b/crates/http-links/src/close_reason.rs
@@ -23,7 +23,7 @@
     NoRequest,
     /// The request was not complete in time.
     RequestTimeout,
-    /// The balancing policy asked for idle connections to be closed.
+    /// The balancing policy closed idle connections.
     ClosedByPolicy,
     /// The endpoint list has removed, moved or restarted the server.
     EndpointChanged,
--- a/crates/http-links/src/connection_log.rs
+++ b/crates/http-links/src/connection_log.rs
@@ -16,6 +16,13 @@
     pub on_close: fn(&ConnectionRecord),
 }
 
+impl PeerKind {
+    /// A kind of peer whose connections are not logged one by one.
+    pub const fn unlogged(name: &'static str) -> PeerKind {
+        PeerKind { name, on_close: |_| {} }
+    }
+}
+
 /// What is known of an open connection.
 #[derive(Debug)]
 pub struct ConnectionRecord {
@@ -47,7 +54,7 @@
         }
     }
 
-    /// Sets the reason that holds if the connection ends before [`ConnectionRecord::set_close_reason`] is called.
+    /// Sets the reason that is logged if the connection ends before [`ConnectionRecord::set_close_reason`] is called.
     pub fn set_default_close_reason(&self, reason: CloseReason) {
         if !self.has_close_reason.get() {
             self.close_reason.set(reason);
--- a/crates/data-plane/src/count_guard.rs
+++ b/crates/http-links/src/count_guard.rs
@@ -1,16 +1,18 @@
-//! A guard that counts something for as long as it goes on.
+//! A guard that counts what is open or in flight.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// An amount that is added to a count until the guard is dropped.
-pub(crate) struct CountGuard {
+#[derive(Debug)]
+pub struct CountGuard {
     count: Rc<Cell<usize>>,
     amount: usize,
 }
 
 impl CountGuard {
-    pub(crate) fn new(count: &Rc<Cell<usize>>, amount: usize) -> Self {
+    /// Adds `amount` to the count.
+    pub fn new(count: &Rc<Cell<usize>>, amount: usize) -> Self {
         count.set(count.get() + amount);
         Self { count: count.clone(), amount }
     }
--- a/crates/http-links/src/lib.rs
+++ b/crates/http-links/src/lib.rs
@@ -1,18 +1,22 @@
 //! What all parts that speak HTTP share: outbound connections, how much of a message was written and so whether it may be
-//! sent again, buffered bodies, and why connections end.
+//! sent again, buffered bodies, accepted connections, counts of what is open, and why connections end.
 
+mod accept;
 mod body;
 mod close_reason;
 mod connection_log;
+mod count_guard;
 mod hooked_stream;
 mod outbound_connection;
 mod retry;
 mod tcp_options;
 mod write_progress;
 
+pub use accept::accept;
 pub use body::{BodyError, MAX_BUFFERED_BODY_BYTES, read_body};
 pub use close_reason::CloseReason;
 pub use connection_log::{ConnectionLogGuard, ConnectionRecord, PeerKind};
+pub use count_guard::CountGuard;
 pub use hooked_stream::{HookedStream, StreamHook};
 pub use outbound_connection::{ConnectError, OutboundConnection};
 pub use retry::{RetryPolicy, SendError, SendErrorKind, SendProgress};
--- a/crates/http-links/src/outbound_connection.rs
+++ b/crates/http-links/src/outbound_connection.rs
@@ -31,13 +31,13 @@
 
 impl StreamHook for WriteCounter {
     fn before_write(&self, stream: &TcpStream) -> io::Result<()> {
-        // A process that was suspended finds old messages in its queues; nobody waits for them any more.
+        // A process that was suspended finds messages in its queues that nobody waits for any more.
         if self.0.is_overdue() {
             return Err(io::ErrorKind::TimedOut.into());
         }
         // Bytes that follow the last response would be taken for the response to this message, and what is written to
-        // a connection that has ended is lost. The runtime may not have noticed either yet, so the system is asked
-        // before the first byte.
+        // a connection that has ended is lost. The runtime may not have noticed either yet, so the system is
+        // queried before the first byte.
         let is_first_write = !self.0.has_started();
         if is_first_write && SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok() {
             return Err(io::ErrorKind::ConnectionAborted.into());
--- a/crates/http-links/tests/connection_log.rs
+++ b/crates/http-links/tests/connection_log.rs
@@ -41,7 +41,7 @@
 
 /// Later reasons are consequences of the first.
 #[test]
-fn the_first_close_reason_holds() {
+fn only_the_first_close_reason_counts() {
     let lines = logged(|record| {
         record.set_default_close_reason(CloseReason::ConnectionBroken);
         record.set_default_close_reason(CloseReason::Abandoned);
--- a/crates/http-links/tests/outbound_connection.rs
+++ b/crates/http-links/tests/outbound_connection.rs
@@ -36,7 +36,7 @@
 async fn connected() -> (OutboundConnection<Full<Bytes>>, TcpStream) {
     let (listener, to) = listen();
     let connection = OutboundConnection::open(SERVER, to, LONG_TIMEOUT, ()).await.expect("a connection");
-    (connection, listener.accept().expect("it").0)
+    (connection, listener.accept().expect("a pending connection").0)
 }
 
 fn get() -> hyper::Request<Full<Bytes>> {
@@ -64,7 +64,7 @@
             && connection.write_progress.is_complete()
             && connection.record.message_count() == 1
     );
-    server.join().expect("no fault");
+    server.join().expect("the thread does not panic");
     (connection, response)
 }
 
@@ -72,7 +72,7 @@
 fn a_response_is_received_and_its_body_read_up_to_the_limit() {
     run(async {
         let (mut connection, response) = exchange(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nabcde").await;
-        let body = read_body(response.expect("an answer").into_body(), 5).await;
+        let body = read_body(response.expect("a response").into_body(), 5).await;
         assert_eq!(body.expect("a body"), "abcde");
         // The server closes it between two messages; the runtime notices that later.
         while !connection.is_closed() {
@@ -140,7 +140,7 @@
         let connection =
             OutboundConnection::<Full<Bytes>>::open(LOGGED, to, LONG_TIMEOUT, guard.clone()).await;
         let (mut connection, (mut server, _)) =
-            (connection.expect("a connection"), listener.accept().expect("it"));
+            (connection.expect("a connection"), listener.accept().expect("a pending connection"));
         {
             let mut sending = pin!(connection.send(get(), 0));
             assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
@@ -164,16 +164,16 @@
         let (listener, to) = listen();
         let connection = OutboundConnection::<Empty<Bytes>>::open(SERVER, to, LONG_TIMEOUT, ()).await;
         let (mut connection, (mut server, _)) =
-            (connection.expect("a connection"), listener.accept().expect("it"));
+            (connection.expect("a connection"), listener.accept().expect("a pending connection"));
         let request = hyper::Request::get("/").body(Empty::new()).expect("a request");
         let server = std::thread::spawn(move || {
             let mut head = [0; 64];
             assert!(server.read(&mut head).expect("a head") > 0);
-            server.write_all(b"HTTP/1.1 204 X\r\n\r\n").expect("room");
+            server.write_all(b"HTTP/1.1 204 X\r\n\r\n").expect("the peer reads");
             server
         });
-        assert_eq!(connection.send(request, 0).await.expect("an answer").status(), 204);
-        let _open = server.join().expect("no fault");
+        assert_eq!(connection.send(request, 0).await.expect("a response").status(), 204);
+        let _open = server.join().expect("the thread does not panic");
         assert!(connection.ready().await && !connection.is_closed());
     });
 }
@@ -205,11 +205,11 @@
         let to = listener.local_addr().expect("an address");
         let connection = OutboundConnection::open(SERVER, to, Duration::from_secs(5), ()).await;
         let (mut connection, (mut server, _)) =
-            (connection.expect("a connection"), listener.accept().expect("it"));
+            (connection.expect("a connection"), listener.accept().expect("a pending connection"));
         assert!(connection.ready().await);
         match unsolicited {
-            b"" => server.shutdown(std::net::Shutdown::Write).expect("its end"),
-            unsolicited => server.write_all(unsolicited).expect("room"),
+            b"" => server.shutdown(std::net::Shutdown::Write).expect("shuts down"),
+            unsolicited => server.write_all(unsolicited).expect("the peer reads"),
         }
         let request = hyper::Request::get("/").body(Full::new(Bytes::new())).expect("a request");
         assert!(connection.send(request, 0).await.is_err() && !connection.write_progress.has_started());
@@ -277,7 +277,7 @@
         assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
         tokio::task::yield_now().await;
         assert!(server.read(&mut [0; 64]).expect("the request") > 0);
-        server.write_all(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n").expect("room");
+        server.write_all(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n").expect("the peer reads");
         while tokio::time::Instant::now() < deadline {
             std::thread::yield_now();
         }
@@ -297,13 +297,13 @@
         let request = hyper::Request::post("/").body(Full::new(big)).expect("a request");
         let server = std::thread::spawn(move || {
             assert!(server.read(&mut [0; 64]).expect("the head") > 0);
-            server.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").expect("room");
+            server.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").expect("the peer reads");
             server
         });
         let deadline = tokio::time::Instant::now() + LONG_TIMEOUT;
-        assert_eq!(connection.send_with_deadline(request, deadline).await.expect("an answer").status(), 503);
+        assert_eq!(connection.send_with_deadline(request, deadline).await.expect("a response").status(), 503);
         assert!(!connection.write_progress.is_complete() && !connection.is_reusable(LONG_TIMEOUT).await);
-        drop(server.join().expect("no fault"));
+        drop(server.join().expect("the thread does not panic"));
     });
 }
 
@@ -313,11 +313,11 @@
         let (listener, to) = listen();
         let connection = OutboundConnection::<Full<Bytes>>::open(SERVER, to, LONG_TIMEOUT, ()).await;
         let (mut connection, (mut server, _)) =
-            (connection.expect("a connection"), listener.accept().expect("it"));
+            (connection.expect("a connection"), listener.accept().expect("a pending connection"));
         let server = std::thread::spawn(move || {
             for _ in 0..2 {
                 assert!(server.read(&mut [0; 64]).expect("a request") > 0);
-                server.write_all(b"HTTP/1.1 204 X\r\n\r\n").expect("room");
+                server.write_all(b"HTTP/1.1 204 X\r\n\r\n").expect("the peer reads");
             }
             server
         });
@@ -325,12 +325,12 @@
             let deadline = tokio::time::Instant::now() + LONG_TIMEOUT;
             let request = get();
             assert_eq!(
-                connection.send_with_deadline(request, deadline).await.expect("an answer").status(),
+                connection.send_with_deadline(request, deadline).await.expect("a response").status(),
                 204
             );
             assert!(connection.is_reusable(LONG_TIMEOUT).await);
         }
-        drop(server.join().expect("no fault"));
+        drop(server.join().expect("the thread does not panic"));
     });
 }
 
@@ -344,7 +344,7 @@
     });
 }
 
-/// The proof that a request was not executed, against a server that resets the connection after any number of bytes.
+/// A request that the server received to its last byte never counts as not executed, against a server that resets the connection after any number of bytes.
 #[test]
 fn a_request_received_to_the_last_byte_counts_as_complete() {
     const BODY: usize = 8 << 20;
@@ -373,7 +373,7 @@
                 .send_with_deadline(request.expect("a request"), deadline)
                 .await
                 .expect_err("a reset");
-            let is_complete = server.join().expect("no fault");
+            let is_complete = server.join().expect("the thread does not panic");
             assert!(error.progress.may_have_run() || !is_complete, "{reads}: {error:?}");
             assert!(!is_complete || reads == usize::MAX);
             observed.push(error.progress);
--- a/crates/http-links/tests/write_progress.rs
+++ b/crates/http-links/tests/write_progress.rs
@@ -5,7 +5,7 @@
 use mosshead_http_links::{RetryPolicy, SendProgress, WriteProgress};
 use quickcheck::quickcheck;
 
-/// The proof that a request was not executed holds until its very last byte, however the writes are split.
+/// A request counts as not executed until its very last byte is written, however the writes are split.
 #[test]
 fn a_message_is_complete_with_its_last_byte_only() {
     for length in 1..30 {
--- a/crates/load-board/src/draw.rs
+++ b/crates/load-board/src/draw.rs
@@ -7,7 +7,7 @@
 
 /// A random index below `count`, by one draw; 0 if `count` is 0.
 ///
-/// `count` is bounded to 32 bits, so that its product with the draw fits into 64.
+/// `count` is bounded to 32 bits, so that its product with the draw is within 64 bits.
 pub fn random_index<R: RngCore + ?Sized>(rng: &mut R, count: usize) -> usize {
     let count = u32::try_from(count).unwrap_or(u32::MAX);
     ((u64::from(rng.next_u32()) * u64::from(count)) >> 32) as usize
--- a/crates/programs/src/control_api/server.rs
+++ b/crates/programs/src/control_api/server.rs
@@ -12,8 +12,9 @@
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use mosshead_control_plane::ChangeKind;
+use mosshead_http_links::{CountGuard, accept};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::{Duration, sleep, timeout};
+use tokio::time::{Duration, timeout};
 
 use super::response::{ApiResponse, ResultCode, code_only, json};
 use super::{configuration, instances};
@@ -22,8 +23,6 @@
 
 /// Open connections at most; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 3000;
-/// The wait after a connection could not be accepted, as without a free file descriptor.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// The head of a request arrives within this time.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// The body of a request arrives within this time.
@@ -35,43 +34,21 @@
 const MODIFY_PATH: &str = "/Configuration.Modify";
 const SHOW_PATH: &str = "/Configuration.Show";
 
-/// Counts a connection as open until it is dropped.
-struct ConnectionGuard {
-    open: Rc<Cell<usize>>,
-}
-
-impl ConnectionGuard {
-    fn new(open: &Rc<Cell<usize>>) -> ConnectionGuard {
-        open.set(open.get() + 1);
-        ConnectionGuard { open: open.clone() }
-    }
-}
-
-impl Drop for ConnectionGuard {
-    fn drop(&mut self) {
-        self.open.set(self.open.get().saturating_sub(1));
-    }
-}
-
 /// Accepts connections for as long as the future is polled. Connections are served by tasks of their own, which end
 /// with the connection.
 pub(crate) async fn serve(control_node: Rc<ControlNode>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
-        let stream = match listener.accept().await {
-            Ok((stream, _)) if open.get() < MAX_CONNECTIONS => stream,
-            Ok(_) => continue,
-            Err(_) => {
-                sleep(ACCEPT_BACKOFF).await;
-                continue;
-            }
-        };
-        let guard = ConnectionGuard::new(&open);
+        let stream = accept(&listener).await;
+        if open.get() >= MAX_CONNECTIONS {
+            continue;
+        }
+        let guard = CountGuard::new(&open, 1);
         tokio::task::spawn_local(serve_connection(control_node.clone(), stream, guard));
     }
 }
 
-async fn serve_connection(control_node: Rc<ControlNode>, stream: TcpStream, _guard: ConnectionGuard) {
+async fn serve_connection(control_node: Rc<ControlNode>, stream: TcpStream, _guard: CountGuard) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let control_node = control_node.clone();
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -21,8 +21,7 @@
 /// How a connection for an order is opened.
 const OPENING: ConnectOptions =
     ConnectOptions { timeout: CONNECT_TIMEOUT, user_timeout: Some(TCP_USER_TIMEOUT) };
-/// The ends of these connections are not logged.
-const SERVER: PeerKind = PeerKind { name: "server", on_close: |_| {} };
+const SERVER: PeerKind = PeerKind::unlogged("server");
 
 /// An order to a model server.
 #[derive(Clone, Copy, Debug)]
--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Hashes that place a prompt's shared prefix on the same servers in every proxy (rendezvous hashing).
+//! Hashes that map a prompt's shared prefix to the same servers in every proxy (rendezvous hashing).
 
 /// Spreads the bits of a number (the finisher of splitmix64).
 pub(crate) fn mix(mut x: u64) -> u64 {
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One server as this proxy sees it: what the registry says, the load that this proxy put there, and what its attempts
+//! One server as this proxy sees it: the registry's entry, the load that this proxy put there, and what its attempts
 //! showed.
 
 use std::collections::VecDeque;
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,8 +1,8 @@
-//! Outlier ejection: what this proxy's own attempts say of a server, and when the server gets requests again.
+//! Outlier ejection: what this proxy's own attempts show of a server, and when the server gets requests again.
 
 use mosshead_time::{Duration, Instant};
 
-/// A failure of an attempt that says something of its server.
+/// A failure of an attempt that is evidence about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFailure {
     /// No connection came up, or the machine acknowledged nothing.
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -73,7 +73,7 @@
         vec![first, second]
     }
 
-    /// The cheaper of the servers drawn; a tie is broken at random. `cost` is told whether a server was drawn first.
+    /// The cheaper of the servers drawn; a tie is broken at random. `cost` gets whether the server was drawn first.
     pub(crate) fn select_cheaper(
         &mut self,
         drawn: &[Rc<str>],
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -26,7 +26,7 @@
     handover: Vec<Rc<str>>,
     /// Prefill the prompts of their streams themselves.
     local_prefill: Vec<Rc<str>>,
-    /// Whether the two pools are disjoint; if not, each holds all servers.
+    /// Whether the two pools are disjoint; if not, each contains all servers.
     is_split: bool,
 }
 
@@ -150,7 +150,7 @@
             && prompt.max_output_tokens <= self.weights.max_output_tokens_beside_decode
     }
 
-    /// Whether a prefill elsewhere and the transfer of its KV cache beat a prefill at the decode server.
+    /// Whether a prefill elsewhere and the transfer of its KV cache take less time than a prefill at the decode server.
     fn is_faster(&self, remote: &Selection, local: &Selection) -> bool {
         let speed = self.weights.prefill_tokens_per_milli;
         let remote_millis = remote.cost / speed + self.weights.min_transfer_millis;
@@ -208,7 +208,7 @@
         Some(decode)
     }
 
-    /// The prefill servers between which a prompt would be placed and whose load report is missing or old.
+    /// The prefill servers that a prompt may be sent to and whose load report is missing or old.
     pub fn prefill_servers_to_query(&mut self, now: Instant, service: &str, prompt: &Prompt) -> Vec<Rc<str>> {
         let Some(key) = prompt.affinity_key() else { return Vec::new() };
         let selectable = self.selectable(now, service, LoadKind::Prefill, &[]);
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -1,4 +1,4 @@
-//! What a request says of its prompt, and the servers that were selected for it.
+//! What a request states about its prompt, and the servers that were selected for it.
 
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
 /// A prompt that is to be prefilled and answered.
 #[derive(Clone, Debug, Default)]
 pub struct Prompt {
-    /// Tokens of the whole prompt.
+    /// Tokens of the complete prompt.
     pub tokens: f64,
     /// The prompt's parts in order. The last one belongs to this request or its session; the others are shared.
     pub parts: Vec<PromptPart>,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,5 +1,4 @@
-//! What one proxy decides with, and what it learns from its attempts. How servers are selected stands in `p2c` and
-//! `pairing`.
+//! What one proxy decides with, and what it learns from its attempts. Servers are selected in `p2c` and `pairing`.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,7 +22,7 @@
 const MEAN_PENDING_GAIN: f64 = 0.05;
 /// How long a prefill server gets no handovers after one of its handles could not be fetched.
 const HANDLE_DISTRUST: Duration = Duration::from_millis(1500);
-/// The time of a load report is never the clock's origin, which stands for none.
+/// The time of a load report is never the clock's origin, which means that there is none.
 const EARLIEST_LOAD_REPORT: Instant = Instant::from_millis(1);
 
 /// All that one proxy decides with.
@@ -192,7 +191,7 @@
         }
     }
 
-    /// An attempt failed in a way that says something of the server.
+    /// An attempt failed in a way that is evidence about the server.
     pub fn record_failure(&mut self, now: Instant, id: &str, failure: ServerFailure) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_failure(now, failure);
--- a/crates/routing/src/weights.rs
+++ b/crates/routing/src/weights.rs
@@ -19,7 +19,7 @@
     pub recomputed_token_weight: f64,
     /// How many streams in flight it is worth to stay within a zone.
     pub cross_zone_streams: f64,
-    /// A server is asked for its load again once its last report is this old.
+    /// The load of a server is queried again once its last report is this old.
     pub load_report_refresh: Duration,
     /// A load report counts for this long.
     pub load_report_lifetime: Duration,
--- a/crates/routing/tests/server_selection.rs
+++ b/crates/routing/tests/server_selection.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn draining_and_gone_servers_get_no_requests() {
+fn draining_and_removed_servers_get_no_requests() {
     let mut servers = [server("a", "s", None), server("b", "s", None), server("c", "s", None)];
     servers[0].state = OperState::Draining;
     servers[1].state = OperState::Removed;
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -84,7 +84,7 @@
                 Ok(head) => return self.receive(call, head).await,
                 Err(attempt) if !attempt.may_be_retried(call.retry_policy) => return Err(attempt.error),
                 // The connection had ended, ended meanwhile or carried another call's response. The other idle ones to
-                // this address are as old, so the retry is made on a new one.
+                // this address have been idle for as long, so the retry is made on a new one.
                 Err(_) => self.pool.close_all_to(call.to),
             }
         }
--- a/crates/rpc/src/connection_pool.rs
+++ b/crates/rpc/src/connection_pool.rs
@@ -23,8 +23,7 @@
 /// How long one attempt to connect may take; there are two.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The ends of these connections are not logged.
-const PEER: PeerKind = PeerKind { name: "peer", on_close: |_| {} };
+const PEER: PeerKind = PeerKind::unlogged("peer");
 
 /// An open connection. Dropping it closes it.
 pub(crate) type Connection = OutboundConnection<Full<Bytes>>;
--- a/crates/rpc/src/connection_table.rs
+++ b/crates/rpc/src/connection_table.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// What a connection's task tells the table.
+/// What a connection's task reports to the table.
 pub(crate) struct ConnectionActivity {
     is_busy: Cell<bool>,
     /// The number of the last use, or of the opening.
--- a/crates/rpc/src/handlers.rs
+++ b/crates/rpc/src/handlers.rs
@@ -6,6 +6,8 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
+use mosshead_http_links::CountGuard;
+
 use crate::call::{Call, Peer, decode, encode};
 use crate::error::CallRejection;
 use crate::server_limits::ServerLimits;
@@ -33,7 +35,7 @@
         self
     }
 
-    /// Adds the handler of calls `C`, in place of an earlier one. A handler runs to its end even if its caller is gone,
+    /// Adds the handler of calls `C`, replacing an earlier one. A handler runs to its end even if its caller has given up,
     /// so one that waits for others must have a timeout of its own.
     pub fn with_handler<C: Call>(
         mut self,
@@ -63,7 +65,7 @@
             return Err(CallRejection::Overloaded);
         }
         let response = handler(body, peer);
-        let guard = RunningCallGuard::new(&self.running_calls);
+        let guard = CountGuard::new(&self.running_calls, 1);
         // A caller that goes away cancels this future. A handler that is cancelled between two of its steps would leave
         // state half changed, so it is a task of its own.
         let task = tokio::task::spawn_local(async move {
@@ -73,19 +75,3 @@
         task.await.unwrap_or(Err(CallRejection::HandlerFailed))
     }
 }
-
-/// Counts a call as running until it is dropped.
-struct RunningCallGuard(Rc<Cell<usize>>);
-
-impl RunningCallGuard {
-    fn new(running_calls: &Rc<Cell<usize>>) -> RunningCallGuard {
-        running_calls.set(running_calls.get().saturating_add(1));
-        RunningCallGuard(Rc::clone(running_calls))
-    }
-}
-
-impl Drop for RunningCallGuard {
-    fn drop(&mut self) {
-        self.0.set(self.0.get().saturating_sub(1));
-    }
-}
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -11,7 +11,7 @@
 use crate::call::{Call, decode, encode};
 use crate::error::CallError;
 
-/// In place of a timeout that ends later than the clock can show.
+/// Replaces a timeout that ends later than the clock can represent.
 const MAX_TIMEOUT: Duration = Duration::from_secs(86_400);
 
 /// An encoded call with all that a transport has to know of it.
--- a/crates/rpc/tests/contract.rs
+++ b/crates/rpc/tests/contract.rs
@@ -217,7 +217,7 @@
     let resume = started.recv().await.unwrap();
     let rejected = Err(CallError::Rejected(CallRejection::Overloaded));
     assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, rejected);
-    // A call whose caller is gone counts as long as it runs.
+    // A call whose caller has given up counts as long as it runs.
     call.abort();
     assert!(call.await.is_err());
     assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, rejected);
--- a/crates/rpc/tests/response_matching.rs
+++ b/crates/rpc/tests/response_matching.rs
@@ -46,8 +46,8 @@
     Reset,
     /// Sends nothing.
     Ignore,
-    /// All but the last byte of the answer, and then that byte and nothing that runs on this machine until the call is
-    /// overdue, as if it had been frozen.
+    /// Sends all but the last byte of the response, then that byte, and lets nothing run on this thread until the call
+    /// is overdue, as if the process had been suspended.
     RespondAfterSuspension,
 }
 
@@ -83,7 +83,7 @@
         Ok(call) => minicbor::to_vec(common::Quotient { quotient: call.number, remainder: call.by }),
         Err(_) => minicbor::to_vec(minicbor::decode::<SingleUse>(&arrival.body).expect("a call").number),
     }
-    .expect("it encodes")
+    .expect("encodes")
 }
 
 impl Peer {
@@ -137,7 +137,7 @@
 
     /// How often this call arrived completely.
     fn count<C: Call>(&self, call: &C) -> usize {
-        let body = minicbor::to_vec(call).expect("it encodes");
+        let body = minicbor::to_vec(call).expect("encodes");
         self.arrivals.borrow().iter().filter(|arrival| arrival.body == body).count()
     }
 
@@ -298,7 +298,7 @@
         let call = spawn_local(async move {
             task_caller.call(address, &Divide { number: 1, by: 1 }, SHORT_TIMEOUT).await
         });
-        assert_eq!(call.await.expect("an end"), Err(CallError::Timeout));
+        assert_eq!(call.await.expect("the task does not panic"), Err(CallError::Timeout));
         assert!(caller.call(peer.address, &Divide { number: 2, by: 1 }, LONG).await.is_ok());
         assert_eq!(peer.connections(), [0, 1]);
     });
