--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -40,7 +40,7 @@
 struct Content {
     document: Document,
     route_table: RouteTable,
-    /// The document as text, once it was asked for.
+    /// The document as text, once it was built.
     json: OnceLock<Arc<str>>,
 }
 
@@ -72,8 +72,8 @@
         &self.limits
     }
 
-    /// The complete configuration as JSON without white space, to be shown and stored. It is built when it is first asked
-    /// for, and kept; [`Config::to_json`] keeps nothing.
+    /// The complete configuration as JSON without white space, to be shown and stored. It is built when it is first
+    /// used, and kept; [`Config::to_json`] keeps nothing.
     pub fn json(&self) -> &Arc<str> {
         self.content.json.get_or_init(|| self.to_json().into())
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Puts items into a list: in place of those that have their names, else at the end.
+    /// Replaces the items of a list that have the same names; appends the others.
     ///
     /// # Errors
     ///
--- a/crates/config/src/json/object.rs
+++ b/crates/config/src/json/object.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A number that isn't below 0, rounded up to a whole one, at most 2^53.
+    /// A number that isn't below 0, rounded up to an integer, at most 2^53.
     pub(crate) fn count(&self, key: &str) -> Result<Option<u64>, ConfigError> {
         Ok(self.number(key)?.map(|number| number.min(MAX_WHOLE_NUMBER).ceil() as u64))
     }
@@ -116,7 +116,7 @@
         Ok(self.count(key)?.map(|count| u32::try_from(count).unwrap_or(u32::MAX)))
     }
 
-    /// A span in milliseconds, rounded up to a whole one.
+    /// A span in milliseconds, rounded up to an integer.
     pub(crate) fn millis(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
         Ok(self.count(key)?.map(Duration::from_millis))
     }
--- a/crates/config/src/json/string.rs
+++ b/crates/config/src/json/string.rs
@@ -4,7 +4,7 @@
 
 use tinyjson::JsonValue;
 
-/// What is said of a text that ends within a value.
+/// The reason for a text that ends within a value.
 pub(super) const CUT_SHORT: &str = "cut short";
 
 /// Finds the position after the string that begins at `start`.
--- a/crates/config/src/json/value.rs
+++ b/crates/config/src/json/value.rs
@@ -27,12 +27,12 @@
 ///
 /// # Errors
 ///
-/// The text is not one JSON value, as the library says it.
+/// The text is not one JSON value, with the reason that the library gives.
 pub(crate) fn parse_value(text: &str, location: &str) -> Result<JsonValue, ConfigError> {
     if let Some(value) = parse_fast(text) {
         return Ok(value);
     }
-    // The library says what is wrong.
+    // The library gives the reason.
     text.parse()
         .map_err(|error: JsonParseError| ConfigErrorKind::malformed_json(error.to_string()).at(location))
 }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Says why a text isn't the object or array that it was taken for: it is malformed or of another type.
+/// Why a text isn't the object or array that was expected: it is malformed or of another type.
 pub(crate) fn type_error(text: &str, location: &str, expected: &'static str) -> ConfigError {
     match parse_value(text, location) {
         Err(error) => error,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,8 +5,8 @@
 //! numbers are kept. What the data plane needs of it is read into [`Route`], [`Service`] and [`Limits`].
 //!
 //! A text goes through [`Config::parse`] (or [`Config::parse_sharing`], which reuses the items of another
-//! configuration): its structure is checked (`json`), it is cut into fields and items (`reader`), and what must
-//! hold between these is validated (`validation`). The operator's changes (`operator_calls`) and the patches of other
+//! configuration): its structure is checked (`json`), it is cut into fields and items (`reader`), and how these
+//! relate to each other is validated (`validation`). The operator's changes (`operator_calls`) and the patches of other
 //! processes (`patch`) edit the `document` of a configuration and validate only what they touch.
 //!
 //! `PROTOCOL.md`, which comments cite by section, specifies the operator's API, the requests and the model servers. It is
--- a/crates/config/src/reader/document.rs
+++ b/crates/config/src/reader/document.rs
@@ -8,7 +8,7 @@
 use crate::json::minify::minify;
 use crate::json::value::{parse_value, type_error};
 
-/// Parses a complete configuration; what holds between its fields is not checked.
+/// Parses a complete configuration; how its fields relate to each other is not checked.
 pub(crate) fn parse_document(text: &str) -> Result<Document, ConfigError> {
     let mut document = Document::default();
     for field in list_fields(text, "body")? {
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -38,7 +38,7 @@
         Ok(RouteTable { sorted: ChunkedSequence::from_sorted(sorted) })
     }
 
-    /// Inserts a route in place of the one with its host and path prefix; returns whether there was none.
+    /// Inserts a route, replacing the one with its host and path prefix; returns whether there was none.
     pub(crate) fn insert(&mut self, route: &Arc<Route>) -> bool {
         let compare = |own: &Arc<Route>| compare_match(own, &route.host, &route.path_prefix);
         self.sorted.insert(route.clone(), compare).is_none()
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -7,7 +7,7 @@
 use crate::item_list::ItemList;
 use crate::route::Route;
 
-/// The routes in the operator's order. The slice is built when it is first asked for; [`Routes::len`] and
+/// The routes in the operator's order. The slice is built when it is first used; [`Routes::len`] and
 /// [`Routes::iter`] do without.
 #[derive(Clone)]
 pub struct Routes {
--- a/crates/config/src/stable_hash.rs
+++ b/crates/config/src/stable_hash.rs
@@ -6,7 +6,7 @@
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 const FIRST_MASK: u64 = 0xa076_1d64_78bd_642f;
 const SECOND_MASK: u64 = 0xe703_7ed1_a0b4_28db;
-/// Stands for the ends of a list.
+/// The hash in place of a neighbour at the ends of a list.
 const LIST_END: u64 = 0x8ebc_6af0_9c88_c6e3;
 
 /// Mixes two numbers into one. Their order counts.
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,4 +1,4 @@
-//! From a document to a configuration: what must hold over all fields (PROTOCOL.md, "The operator's API").
+//! From a document to a configuration: what must be true across all fields (PROTOCOL.md, "The operator's API").
 
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// As [`validate`], which says what is wrong, so that the error does not depend on the way in which it was found.
+/// As [`validate`], which finds the error, so that the error does not depend on the way in which it was found.
 pub(crate) fn validate_changes(base: &Config, document: Document) -> Result<Config, ConfigError> {
     match check_changes(base, &document) {
         Some(parts) => Ok(Config::new(parts, document)),
--- a/crates/config/tests/change_sequences/main.rs
+++ b/crates/config/tests/change_sequences/main.rs
@@ -37,12 +37,12 @@
         let modified = current.modify(change.text(next.revision).as_bytes());
         match (modified, full) {
             (Ok(modified), Ok(full)) => {
-                assert_same(&incremental.expect("equal"), &full);
+                assert_same(&incremental.expect("valid, as the full parse was"), &full);
                 assert_equals_full_parse(&current, &modified, &full);
                 // A patch does not depend on the way in which the configurations came about.
                 let patch = current.patch_to(&modified);
                 assert_eq!(patch, current.patch_to(&full));
-                replica = replica.apply_patch(&patch).expect("fits");
+                replica = replica.apply_patch(&patch).expect("the patch applies");
                 assert_same(&replica, &full);
                 patches.push(patch);
                 (current, model) = (modified, next);
@@ -59,7 +59,7 @@
         }
     }
     let late_replica = patches.iter().try_fold(initial, |config, patch| config.apply_patch(patch));
-    assert_same(&late_replica.expect("fits"), &current);
+    assert_same(&late_replica.expect("the patch applies"), &current);
     outcomes
 }
 
@@ -150,7 +150,7 @@
         Edit::RemoveRoute { route: 20 },
     ]);
     let next = first.modify(change.text(2).as_bytes()).expect("valid");
-    let patched = first.apply_patch(&first.patch_to(&next)).expect("fits");
+    let patched = first.apply_patch(&first.patch_to(&next)).expect("the patch applies");
     let incremental = first.parse_sharing(next.json().as_bytes()).expect("valid");
     for newer in [&next, &patched, &incremental] {
         let shared =
@@ -178,7 +178,7 @@
             assert_eq!(incremental, full);
             if let (Ok(incremental), Ok(full)) = (incremental, full) {
                 assert_same(&incremental, &full);
-                assert_same(&one.apply_patch(&one.patch_to(&incremental)).expect("fits"), &full);
+                assert_same(&one.apply_patch(&one.patch_to(&incremental)).expect("the patch applies"), &full);
             }
         }
     }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -78,7 +78,10 @@
     assert_eq!(error_with("\"later\":", "\"limits\":").code(), 5);
     let error = error_with("\"text\":", "\"big\":");
     assert_eq!(error.kind, ConfigErrorKind::DuplicateKey("big".into()));
-    assert_eq!(error.location, format!("byte {}", EXAMPLE.find("\"text\"").expect("there")));
+    assert_eq!(
+        error.location,
+        format!("byte {}", EXAMPLE.find("\"text\"").expect("contained in the example"))
+    );
     assert!(parse(&EXAMPLE.replace("\"blue\"", "[{\"a\":1},{\"a\":{\"a\":2}},\"a\",\"a\"]")).is_ok());
 }
 
@@ -221,8 +224,12 @@
     assert_error(modify(0).expect_err("below"), 12, "revision");
     assert_eq!(modify(12).map(|config| config.revision()), Ok(12));
     assert_eq!(Config::parse_replacement(None, EXAMPLE.as_bytes()), Ok(config.clone()));
-    let nothing = EXAMPLE.replacen("7,", "0,", 1);
-    assert_error(Config::parse_replacement(None, nothing.as_bytes()).expect_err("0 is none"), 12, "revision");
+    let zero = EXAMPLE.replacen("7,", "0,", 1);
+    assert_error(
+        Config::parse_replacement(None, zero.as_bytes()).expect_err("0 is no revision"),
+        12,
+        "revision",
+    );
 }
 
 #[test]
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -127,11 +127,11 @@
         let big = "x".repeat(MAX_BYTES * 2 / 3);
         format!(r#"{{"revision":9,"upsert":{{"{key}":"{big}"}}}}"#)
     };
-    let config = modify(&upsert("one")).expect("there is room");
-    let error = config.modify(upsert("two").replace(":9", ":10").as_bytes()).expect_err("no room");
+    let config = modify(&upsert("one")).expect("within the limit");
+    let error = config.modify(upsert("two").replace(":9", ":10").as_bytes()).expect_err("above the limit");
     assert_eq!((error.code(), error.location.as_str()), (1, "body"));
     let smaller = config.modify(br#"{"revision":11,"upsert":{"one":1}}"#).expect("valid");
     for (from, to) in [(&config, &smaller), (&smaller, &config)] {
-        assert_same(&from.apply_patch(&from.patch_to(to)).expect("fits"), to);
+        assert_same(&from.apply_patch(&from.patch_to(to)).expect("the patch applies"), to);
     }
 }
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -8,7 +8,7 @@
 
 fn assert_patches_to(from: &Config, to: &Config) {
     let patch = from.patch_to(to);
-    assert!(patch.len() <= to.json().len() + 80, "never much longer than the whole configuration");
+    assert!(patch.len() <= to.json().len() + 80, "never much longer than the complete configuration");
     assert_same(&from.apply_patch(&patch).unwrap_or_else(|error| panic!("{error}: {patch}")), to);
 }
 
@@ -32,7 +32,7 @@
 fn unchanged_routes_are_shared() {
     let one = example();
     let two = parse(&EXAMPLE.replace("2500", "2600").replacen("7,", "8,", 1)).expect("valid");
-    let patched = one.apply_patch(&one.patch_to(&two)).expect("fits");
+    let patched = one.apply_patch(&one.patch_to(&two)).expect("the patch applies");
     assert!(std::sync::Arc::ptr_eq(&one.routes()[1], &patched.routes()[1]));
     assert!(!std::sync::Arc::ptr_eq(&one.routes()[0], &patched.routes()[0]));
 }
@@ -40,9 +40,9 @@
 #[test]
 fn a_patch_restores_the_order_of_items_and_fields() {
     let one = example();
-    let start = EXAMPLE.find("{\"name\":\"r-1\"").expect("there");
-    let middle = EXAMPLE.find(",\n    {\"name\":\"r-2\"").expect("there");
-    let end = EXAMPLE.find("\n  ],\n  \"backend").expect("there");
+    let start = EXAMPLE.find("{\"name\":\"r-1\"").expect("contained in the example");
+    let middle = EXAMPLE.find(",\n    {\"name\":\"r-2\"").expect("contained in the example");
+    let end = EXAMPLE.find("\n  ],\n  \"backend").expect("contained in the example");
     let swapped = format!(
         "{}{},{}{}",
         &EXAMPLE[..start],
@@ -71,7 +71,9 @@
     let one = example();
     let two = parse(&EXAMPLE.replace("2500", "2600").replacen("7,", "8,", 1)).expect("valid");
     let patch = one.patch_to(&two);
-    let code = |config: &Config, patch: &str| config.apply_patch(patch).expect_err("does not fit").code();
+    let code = |config: &Config, patch: &str| {
+        config.apply_patch(patch).expect_err("the patch does not apply").code()
+    };
     assert_eq!(code(&two, &patch), 14);
     let other = parse(&EXAMPLE.replace("200}", "201}")).expect("valid");
     let other = other.modify(br#"{"revision":8,"withdraw":{"route_entries":["r-2"]}}"#).expect("valid");
--- a/crates/config/tests/route_lookup.rs
+++ b/crates/config/tests/route_lookup.rs
@@ -61,7 +61,7 @@
         route_match("h", "/a/b/c/d/"),
         route_match("g", "/a/b/c/"),
     ]);
-    for (path, wanted) in [
+    for (path, expected) in [
         ("/a/b/c/e/", "r1"),
         ("/a/b/c/d/", "r4"),
         ("/a/c/", "r2"),
@@ -71,7 +71,7 @@
         ("/a/b/c/d", "r1"),
         ("/a/é/", "r2"),
     ] {
-        assert_eq!(route_name(&config, "h", path), Some(wanted), "{path}");
+        assert_eq!(route_name(&config, "h", path), Some(expected), "{path}");
     }
     assert_eq!(route_name(&config, "[::1]:443", "/a/"), Some("r3"));
     assert_eq!(route_name(&config, "g", "/a/b/"), None);
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -12,7 +12,7 @@
 
 use crate::config_transfer::{ChunkRequest, ConfigChunk};
 
-/// Asks a control node for what is newer than the caller's configuration and registry (a long poll).
+/// Requests from a control node what is newer than the caller's configuration and registry (a long poll).
 ///
 /// The response comes as soon as there is something new, or after [`wait`](WatchUpdates::wait).
 #[derive(Clone, Debug, Encode, Decode)]
@@ -80,7 +80,7 @@
     type Response = Updates;
 }
 
-/// Asks for one chunk of the path from the caller's configuration to the newest.
+/// Requests one chunk of the path from the caller's configuration to the newest.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FetchConfig(#[n(0)] pub ChunkRequest);
--- a/crates/programs/src/config_transfer/chunk.rs
+++ b/crates/programs/src/config_transfer/chunk.rs
@@ -6,7 +6,7 @@
 /// The length of a chunk in bytes: 52 ms on a link of 10 Mbit/s.
 pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Asks for a chunk of the path from one configuration to a newer one.
+/// The request for a chunk of the path from one configuration to a newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ChunkRequest {
     /// The revision that the receiver has; 0: none.
--- a/crates/programs/src/config_transfer/incoming.rs
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -10,7 +10,7 @@
     Incomplete,
     /// The update is complete.
     Complete(ConfigOfferMessage),
-    /// The chunks don't fit together, or make no update.
+    /// The chunks don't continue each other, or don't decode to an update.
     Corrupt,
 }
 
--- a/crates/programs/src/control_api/request_digest.rs
+++ b/crates/programs/src/control_api/request_digest.rs
@@ -1,4 +1,4 @@
-//! The digest that tells a repeat of an operator's request from another request.
+//! The digest that identifies an operator's request, so that a repeat of it is recognized.
 
 use mosshead_consensus::RequestDigest;
 use sha2::{Digest, Sha256};
--- a/crates/programs/src/control_api/response.rs
+++ b/crates/programs/src/control_api/response.rs
@@ -8,7 +8,7 @@
 /// The response of an endpoint: the body is complete before it is sent.
 pub(super) type ApiResponse = Response<Full<Bytes>>;
 
-/// The wait before a repeat that `Retry-After` asks for, in seconds.
+/// The value of `Retry-After`: how long the caller is to wait before it repeats the request, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
 /// A code of docs/codes.md, for the body of a response.
@@ -32,7 +32,7 @@
     NoConfiguration,
     /// The configuration that the change makes is too large.
     ConfigurationTooLarge,
-    /// The request can't be told from one that was accepted long ago.
+    /// Whether the request repeats one that was accepted long ago is unknown.
     Expired,
 }
 
@@ -71,7 +71,8 @@
     retry_later(ResultCode::Unavailable)
 }
 
-/// The request can't be told from one that was accepted long ago, so that it is neither acknowledged nor rejected.
+/// Whether the request repeats one that was accepted long ago is unknown, so that it is neither acknowledged nor
+/// rejected.
 pub(super) fn expired() -> ApiResponse {
     retry_later(ResultCode::Expired)
 }
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -185,7 +185,7 @@
         node.iter().flat_map(|node| node.members()).map(|member| member.address).collect()
     }
 
-    /// Whether this node is the primary and its lease holds at this moment.
+    /// Whether this node is the primary and its lease is valid at this moment.
     pub(super) fn is_primary(&self) -> bool {
         self.node.borrow().as_ref().is_some_and(|node| node.holds_primary_lease(self.clock.now()))
     }
@@ -217,7 +217,7 @@
         self.node.borrow().as_ref().map(Node::term)
     }
 
-    /// The term under which this node is the primary; `None` if it is not, or its lease does not hold.
+    /// The term under which this node is the primary; `None` if it is not, or its lease has expired.
     pub(super) fn primary_term(&self) -> Option<Term> {
         self.term().filter(|_| self.is_primary())
     }
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -163,7 +163,7 @@
         self.consensus.step(Input::Seeds(seeds));
     }
 
-    /// The process is about to shut down: the node asks for its removal from the consensus group, and serves until then.
+    /// The process is about to shut down: the node requests its removal from the consensus group, and serves until then.
     pub(crate) fn begin_shutdown(&self) {
         self.consensus.step(Input::ShutDown);
     }
--- a/crates/programs/src/control_node/registry_log.rs
+++ b/crates/programs/src/control_node/registry_log.rs
@@ -7,7 +7,7 @@
 
 /// A longer log is replaced by one record, in bytes.
 const MAX_LOG_BYTES: u64 = 8 * 1024 * 1024;
-/// Entries of a record that replaces the log: more than a registry holds.
+/// Entries of a record that replaces the log: more than a registry contains.
 const MAX_SNAPSHOT_ENTRIES: usize = 100_000;
 /// Entries of a record that is appended.
 const MAX_APPENDED_ENTRIES: usize = 400;
--- a/crates/programs/src/control_node/registry_storage.rs
+++ b/crates/programs/src/control_node/registry_storage.rs
@@ -1,4 +1,4 @@
-//! Restores the registry from disk. What the disk holds need not be up to date: servers send heartbeats again.
+//! Restores the registry from disk. What is on disk need not be up to date: servers send heartbeats again.
 
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/programs/src/control_node/update_service.rs
+++ b/crates/programs/src/control_node/update_service.rs
@@ -18,9 +18,9 @@
 
 /// Entries in one response.
 const MAX_ENTRIES_PER_RESPONSE: usize = 400;
-/// The longest wait of a call, whatever the caller asks for.
+/// The longest wait of a call, whatever the caller requests.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// How long after its start the node asks its callers for entries that it lacks.
+/// How long after its start the node requests entries that it lacks from its callers.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
 /// What the service reads from.
--- a/crates/programs/src/control_process.rs
+++ b/crates/programs/src/control_process.rs
@@ -12,7 +12,7 @@
 
 use crate::control_api;
 use crate::control_node::{ControlNode, PeerFollowers};
-use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
+use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents, Program};
 use crate::settings::{Settings, SettingsError};
 
 /// The interval of the main loop, and of the consensus node's ticks.
@@ -50,7 +50,7 @@
     async fn start(settings: Settings, settings_path: PathBuf) -> Result<ControlProcess, ProcessError> {
         let data_directory =
             settings.data_directory.clone().ok_or(SettingsError::Missing("data_directory"))?;
-        let process = FleetProcess::start(settings, settings_path, true).await?;
+        let process = FleetProcess::start(settings, settings_path, Program::ControlNode).await?;
         let control_node = ControlNode::new(
             process.settings.clone(),
             process.incarnation,
--- a/crates/programs/src/limits.rs
+++ b/crates/programs/src/limits.rs
@@ -1,6 +1,6 @@
-//! How large a configuration may be, and that every part on its path can hold it.
+//! How large a configuration may be, and that every part on its path accepts one of that size.
 //!
-//! A configuration that is accepted must fit a control state, and that must fit a message between control nodes and a
+//! A configuration that is accepted must be within the bounds of a control state, and that within those of a message between control nodes and a
 //! record on disk. Each part has its own bound; they are compared with each other at compile time.
 
 use mosshead_config::MAX_BYTES as MAX_CONFIGURATION_BYTES;
@@ -13,7 +13,7 @@
 
 /// The bytes of a message beside the state that it carries, at most.
 const MESSAGE_OVERHEAD_BYTES: usize = 4 << 10;
-/// The log may hold a snapshot and four times its length after it before it is rewritten.
+/// The log may contain a snapshot and four times its length after it before it is rewritten.
 const STATES_IN_LOG: u64 = 5;
 
 const _: () = assert!(MAX_CONFIGURATION_BYTES <= MAX_BODY_BYTES, "a valid configuration can be accepted");
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -54,6 +54,15 @@
     }
 }
 
+/// Which of the two programs a process runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Program {
+    /// `mosshead-control`.
+    ControlNode,
+    /// `mosshead-router`.
+    Proxy,
+}
+
 /// A process that takes part in the fleet's membership.
 pub(crate) struct FleetProcess {
     pub(crate) settings: Settings,
@@ -72,7 +81,7 @@
     pub(crate) async fn start(
         settings: Settings,
         settings_path: PathBuf,
-        is_control_node: bool,
+        program: Program,
     ) -> Result<FleetProcess, ProcessError> {
         let clock = Clock::start();
         let mut random = Pcg64Mcg::from_os_rng();
@@ -81,7 +90,7 @@
             name: settings.node_name.clone(),
             instance_id: incarnation,
             address: settings.internal_address(),
-            is_control_node,
+            is_control_node: program == Program::ControlNode,
             zone: settings.zone.clone(),
         };
         let membership = Membership::new(
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -15,7 +15,7 @@
 
 use super::sink::DataPlaneSink;
 use super::status::status;
-use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents};
+use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents, Program};
 use crate::settings::{Settings, SettingsError};
 use crate::update_watcher::{UpdateWatcher, WATCH_SLOTS, WatcherIdentity};
 
@@ -58,7 +58,7 @@
     async fn start(settings: Settings, settings_path: PathBuf) -> Result<ProxyProcess, ProcessError> {
         let front_address =
             settings.front_http.ok_or(SettingsError::Missing("listen_addresses.front_http"))?;
-        let mut process = FleetProcess::start(settings, settings_path, false).await?;
+        let mut process = FleetProcess::start(settings, settings_path, Program::Proxy).await?;
         let settings = &process.settings;
         let data_plane = DataPlane::new(routing_weights(settings), &settings.zone, process.random.random());
         let registry = Rc::new(RefCell::new(Registry::read_replica(
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -17,7 +17,7 @@
 /// By length alone, the largest state needs 0.3 s on a link of 120 Mbit/s.
 const LARGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Which of the bounds holds for a message.
+/// Which of the bounds applies to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendQueue {
     /// Heartbeats, promises, records and short deltas.
--- a/crates/programs/src/settings.rs
+++ b/crates/programs/src/settings.rs
@@ -32,6 +32,15 @@
 const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
+/// A range of ports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// The first port of the range.
+    pub first: u16,
+    /// The last port of the range.
+    pub last: u16,
+}
+
 /// The settings of a process, as docs/operators/fleet.md lists them.
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -47,8 +56,8 @@
     pub readiness: Option<SocketAddrV4>,
     /// `listen_addresses.control_plane`: where a control node serves model servers and the operator.
     pub control_plane: Option<SocketAddrV4>,
-    /// `internal_port_range`: the first and last port for traffic between processes of the fleet. The first is used.
-    pub internal_ports: (u16, u16),
+    /// `internal_port_range`: the ports for traffic between processes of the fleet. The first is used.
+    pub internal_ports: PortRange,
     /// `seed_nodes`: API addresses of control nodes.
     pub seed_nodes: Vec<SocketAddrV4>,
     /// `bootstrap`: whether the fleet starts for the first time.
@@ -109,7 +118,7 @@
         self.bounds.get(name).copied().unwrap_or(default)
     }
 
-    /// `bounds.grace_s`: the time from SIGTERM to SIGKILL. A number that is no `Duration` stands for the longest one.
+    /// `bounds.grace_s`: the time from SIGTERM to SIGKILL. A number that is no `Duration` is taken as the longest one.
     pub fn grace(&self) -> Duration {
         let seconds = self.bound("grace_s", DEFAULT_GRACE_SECONDS);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
@@ -144,11 +153,11 @@
 
     /// The address for traffic of other processes of the fleet, TCP and UDP.
     pub fn internal_address(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.ip_address, self.internal_ports.0)
+        SocketAddrV4::new(self.ip_address, self.internal_ports.first)
     }
 
     /// The internal addresses of the seeds; the ports are the same on all machines.
     pub fn internal_seed_addresses(&self) -> Vec<SocketAddrV4> {
-        self.seed_nodes.iter().map(|seed| SocketAddrV4::new(*seed.ip(), self.internal_ports.0)).collect()
+        self.seed_nodes.iter().map(|seed| SocketAddrV4::new(*seed.ip(), self.internal_ports.first)).collect()
     }
 }
--- a/crates/programs/src/settings/properties.rs
+++ b/crates/programs/src/settings/properties.rs
@@ -6,6 +6,7 @@
 
 use java_properties::{LineContent, PropertiesIter};
 
+use super::PortRange;
 use super::error::SettingsError;
 
 /// What the value of an address field must be.
@@ -17,7 +18,7 @@
 /// The keys of bounds begin with this.
 const BOUND_PREFIX: &str = "bounds.";
 
-/// A value with the line that it stands in, counted from 1.
+/// A value with the number of its line, counted from 1.
 struct Property {
     line: usize,
     value: String,
@@ -100,14 +101,14 @@
         items.map(|item| item.parse().map_err(|_| property.invalid(key, item, ADDRESS))).collect()
     }
 
-    /// Two ports with a comma between them; one port stands for both.
-    pub(super) fn required_port_range(&self, key: &'static str) -> Result<(u16, u16), SettingsError> {
+    /// Two ports with a comma between them; a single port is both.
+    pub(super) fn required_port_range(&self, key: &'static str) -> Result<PortRange, SettingsError> {
         let property = self.by_key.get(key).ok_or(SettingsError::Missing(key))?;
         let text = property.value.as_str();
         let (first, last) = text.split_once(',').unwrap_or((text, text));
         let port =
             |text: &str| text.trim().parse().map_err(|_| property.invalid(key, &property.value, PORT_RANGE));
-        Ok((port(first)?, port(last)?))
+        Ok(PortRange { first: port(first)?, last: port(last)? })
     }
 
     /// All bounds, by their names without the prefix.
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -16,23 +16,23 @@
 /// Whether a value that is encoded, decoded and encoded again stays the same, and its truncated bytes are rejected.
 fn survives_encoding<T: Debug + Encode<()> + for<'b> Decode<'b, ()>>(value: &T) -> bool {
     let bytes = minicbor::to_vec(value).expect("encodes");
-    let back: T = minicbor::decode(&bytes).expect("decodes");
-    let again = minicbor::to_vec(&back).expect("encodes");
+    let decoded: T = minicbor::decode(&bytes).expect("decodes");
+    let encoded_again = minicbor::to_vec(&decoded).expect("encodes");
     let truncated = bytes.len() * 2 / 3;
-    format!("{value:?}") == format!("{back:?}")
-        && bytes == again
+    format!("{value:?}") == format!("{decoded:?}")
+        && bytes == encoded_again
         && minicbor::decode::<T>(&bytes[..truncated]).is_err()
 }
 
-fn address(at: u32, port: u16) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::from(at), port)
+fn address(ip: u32, port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::from(ip), port)
 }
 
-fn vector(of: &[(u64, u64)]) -> VersionVector {
-    of.iter().map(|(source, version)| (SourceId(*source), *version)).collect()
+fn vector(versions: &[(u64, u64)]) -> VersionVector {
+    versions.iter().map(|(source, version)| (SourceId(*source), *version)).collect()
 }
 
-fn delta(text: &str, number: u64, of: &[(u64, u64)], flag: bool) -> Delta {
+fn delta(text: &str, number: u64, versions: &[(u64, u64)], flag: bool) -> Delta {
     let server = |state, stage| Server {
         id: text.into(),
         service: format!("{text}-service"),
@@ -63,70 +63,64 @@
     });
     Delta {
         entries: entries.to_vec(),
-        base: vector(of),
-        vector: vector(of),
+        base: vector(versions),
+        vector: vector(versions),
         is_truncated: flag,
         fingerprint: number,
     }
 }
 
 fn messages(number: u64, body: &[u8], flag: bool) -> Vec<Message> {
-    let ballot = Term { number, proposer: MemberId(number / 2) };
+    let term = Term { number, proposer: MemberId(number / 2) };
     let member = Member { id: MemberId(number), address: address(number as u32, 7720) };
-    let record = EpochConfig {
-        term: ballot,
+    let config = EpochConfig {
+        term,
         outgoing_members: Vec::new(),
         members: vec![member; 3],
         primary: member.id,
         backups: vec![member.id],
     };
-    let version = StateVersion { write_term: ballot, revision: number, first_write_term: Term::default() };
+    let version = StateVersion { write_term: term, revision: number, first_write_term: Term::default() };
     let state = ControlState {
-        write_term: ballot,
-        first_write_term: ballot,
+        write_term: term,
+        first_write_term: term,
         revision: number,
         body: body.into(),
         ..ControlState::default()
     };
     vec![
         Message::PreVote,
-        Message::PreVoteResponse { granted: flag, is_bootstrap_voter: !flag, config: Some(record.clone()) },
-        Message::Prepare { term: ballot },
+        Message::PreVoteResponse { granted: flag, is_bootstrap_voter: !flag, config: Some(config.clone()) },
+        Message::Prepare { term },
         Message::Promise {
-            term: ballot,
+            term,
             is_bootstrap_voter: flag,
             is_healthy: !flag,
-            config: Some(record),
+            config: Some(config),
             version: Some(version),
         },
-        Message::Promise {
-            term: ballot,
-            is_bootstrap_voter: flag,
-            is_healthy: flag,
-            config: None,
-            version: None,
-        },
-        Message::Reject { term: ballot, promised: Term::default() },
-        Message::FetchState { term: ballot, version },
-        Message::FetchedState { term: ballot, state: state.clone() },
+        Message::Promise { term, is_bootstrap_voter: flag, is_healthy: flag, config: None, version: None },
+        Message::Reject { term, promised: Term::default() },
+        Message::FetchState { term, version },
+        Message::FetchedState { term, state: state.clone() },
         Message::ReplicateState { state },
     ]
 }
 
 quickcheck! {
-    fn watch_updates_survives_encoding(name: String, numbers: (u64, u64, u64), of: Vec<(u64, u64)>, flags: (bool, bool)) -> bool {
+    fn watch_updates_survives_encoding(name: String, numbers: (u64, u64, u64), versions: Vec<(u64, u64)>, flags: (bool, bool)) -> bool {
         let (incarnation, revision, wait_ms) = numbers;
         let (is_proxy, wants_entries) = flags;
         let wait = Duration::from_millis(wait_ms);
-        survives_encoding(&WatchUpdates { name, incarnation, is_proxy, revision, vector: vector(&of), wants_entries, wait })
+        survives_encoding(&WatchUpdates { name, incarnation, is_proxy, revision, vector: vector(&versions), wants_entries, wait })
     }
 
-    fn updates_survive_encoding(text: String, number: u64, of: Vec<(u64, u64)>, control_nodes: Vec<(u32, u16)>, flag: bool) -> bool {
+    fn updates_survive_encoding(text: String, number: u64, versions: Vec<(u64, u64)>, control_nodes: Vec<(u32, u16)>, flag: bool) -> bool {
         survives_encoding(&Updates {
             revision: number,
-            delta: delta(&text, number, &of, flag),
+            delta: delta(&text, number, &versions, flag),
             has_newer_entries: flag,
-            control_nodes: control_nodes.into_iter().map(|(at, port)| address(at, port)).collect(),
+            control_nodes: control_nodes.into_iter().map(|(ip, port)| address(ip, port)).collect(),
             proxy_count: number as u32,
             has_quorum_contact: !flag,
             needs_entries: flag,
@@ -138,9 +132,9 @@
         survives_encoding(&FetchConfig(ChunkRequest { base_revision: revision, target_revision: revision / 2, offset: revision / 3 })) && survives_encoding(&ConfigOfferMessage { revision, patches, full_text })
     }
 
-    fn replicate_entries_and_its_ack_survive_encoding(text: String, number: u64, of: Vec<(u64, u64)>, flag: bool) -> bool {
-        survives_encoding(&ReplicateEntries { delta: delta(&text, number, &of, flag) })
-            && survives_encoding(&ReplicateAck { changed: flag, vector: vector(&of) })
+    fn replicate_entries_and_its_ack_survive_encoding(text: String, number: u64, versions: Vec<(u64, u64)>, flag: bool) -> bool {
+        survives_encoding(&ReplicateEntries { delta: delta(&text, number, &versions, flag) })
+            && survives_encoding(&ReplicateAck { changed: flag, vector: vector(&versions) })
     }
 
     fn compare_heartbeats_survives_encoding(source: u64, sequences: Vec<(String, u64)>) -> bool {
--- a/crates/programs/tests/config_transfer.rs
+++ b/crates/programs/tests/config_transfer.rs
@@ -1,9 +1,9 @@
 //! Transfers of configurations in chunks: the receiver gets the complete update or none.
 
 use minicbor::to_vec;
-use mosshead_programs::config_transfer::ConfigOfferMessage;
 use mosshead_programs::config_transfer::{
-    CHUNK_BYTES, ChunkRequest, ConfigChunk, IncomingTransfer, OutgoingTransfers, TransferProgress,
+    CHUNK_BYTES, ChunkRequest, ConfigChunk, ConfigOfferMessage, IncomingTransfer, OutgoingTransfers,
+    TransferProgress,
 };
 use quickcheck::quickcheck;
 
@@ -52,8 +52,9 @@
 
 #[test]
 fn similar_routes_compress_to_a_fraction() {
-    let route =
-        |at: usize| format!("{{\"name\":\"r-{at}\",\"path_prefix\":\"/p{at}/\",\"timeout_ms\":2500}},");
+    let route = |number: usize| {
+        format!("{{\"name\":\"r-{number}\",\"path_prefix\":\"/p{number}/\",\"timeout_ms\":2500}},")
+    };
     let text: String = (0..6_000).map(route).collect();
     let update = ConfigOfferMessage { revision: 6, patches: vec![text.clone()], full_text: None };
     let request = ChunkRequest { base_revision: 4, target_revision: 0, offset: 0 };
@@ -84,8 +85,8 @@
 #[test]
 fn a_withheld_configuration_completes_the_transfer() {
     let mut incoming = IncomingTransfer::new(4);
-    let nothing = ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None };
-    assert_eq!(incoming.on_chunk(&ConfigChunk::withheld()), TransferProgress::Complete(nothing));
+    let withheld = ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None };
+    assert_eq!(incoming.on_chunk(&ConfigChunk::withheld()), TransferProgress::Complete(withheld));
 }
 
 #[test]
--- a/crates/programs/tests/control_api.rs
+++ b/crates/programs/tests/control_api.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn the_documented_sample_is_parsed() {
-    let wanted = Server {
+    let expected = Server {
         id: "i-7f3a91c2".into(),
         service: "huvo11a".into(),
         address: "10.128.0.9:8080".parse().expect("an address"),
@@ -29,7 +29,7 @@
         models: vec![Model { name: "m".into(), revision: 1, adapters: Vec::new() }],
         sequence: 4,
     };
-    assert_eq!(parse_heartbeat("i-7f3a91c2", HEARTBEAT.as_bytes()), Some(wanted));
+    assert_eq!(parse_heartbeat("i-7f3a91c2", HEARTBEAT.as_bytes()), Some(expected));
 }
 
 #[test]
@@ -67,16 +67,16 @@
     }
 
     /// The sample with a part of it replaced.
-    fn a_mutated_sample_never_panics(at: usize, length: u8, with: Vec<u8>) -> bool {
+    fn a_mutated_sample_never_panics(position: usize, length: u8, replacement: Vec<u8>) -> bool {
         let mut bytes = HEARTBEAT.as_bytes().to_vec();
-        let from = at % bytes.len();
+        let from = position % bytes.len();
         let to = (from + usize::from(length)).min(bytes.len());
-        bytes.splice(from..to, with);
+        bytes.splice(from..to, replacement);
         let _ = parse_heartbeat("i", &bytes);
         true
     }
 
-    /// Any number may stand where a number does.
+    /// Where the sample has a number, any other one is accepted or ignored.
     fn any_number_is_tolerated(number: f64) -> bool {
         let text = HEARTBEAT.replace("\"slots\":64", &format!("\"slots\":{number}"));
         let text = text.replace("\"sequence\":4", &format!("\"sequence\":{number}"));
@@ -110,12 +110,12 @@
     }
 
     /// A single byte that differs is always seen.
-    fn another_byte_has_another_digest(base: u64, body: Vec<u8>, at: usize, by: u8) -> TestResult {
-        if body.is_empty() || by == 0 {
+    fn another_byte_has_another_digest(base: u64, body: Vec<u8>, position: usize, flipped_bits: u8) -> TestResult {
+        if body.is_empty() || flipped_bits == 0 {
             return TestResult::discard();
         }
         let mut other = body.clone();
-        other[at % body.len()] ^= by;
+        other[position % body.len()] ^= flipped_bits;
         let path = "/Configuration.Replace";
         TestResult::from_bool(request_digest(path, base, &body) != request_digest(path, base, &other))
     }
@@ -131,7 +131,7 @@
 }
 
 /// The two bodies had one digest of 64 bits, c26c5b9c75a6ffec, under the function that was used before: both operators
-/// would have been told that their change was taken.
+/// would have been answered that their change was accepted.
 #[test]
 fn bodies_that_collided_in_a_64_bit_digest_have_different_digests() {
     let path = "/Configuration.Replace";
@@ -142,8 +142,8 @@
 /// SHA-256 of path, base and body, each behind its length in eight bytes; computed by another implementation.
 #[test]
 fn the_digest_matches_another_implementation() {
-    let wanted = "c4fe1c8d04f00fa9be601e0475c40d7c7bba7bb26d093c614b49ffb490e3b756";
-    assert_eq!(format!("{:?}", request_digest("/Configuration.Replace", 5, b"{}")), wanted);
+    let expected = "c4fe1c8d04f00fa9be601e0475c40d7c7bba7bb26d093c614b49ffb490e3b756";
+    assert_eq!(format!("{:?}", request_digest("/Configuration.Replace", 5, b"{}")), expected);
 }
 
 /// Prints what the digest of a large configuration costs: `cargo test --release -p mosshead-programs cost_of_a_digest -- --nocapture`.
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -118,7 +118,10 @@
             ..watch_updates()
         },
     );
-    former().assert_same_encoding("call-fetch", &FetchConfig(ChunkRequest { base_revision: 0, target_revision: 0, offset: 0 }));
+    former().assert_same_encoding(
+        "call-fetch",
+        &FetchConfig(ChunkRequest { base_revision: 0, target_revision: 0, offset: 0 }),
+    );
     former().assert_same_encoding(
         "call-fetch-next-piece",
         &FetchConfig(ChunkRequest { base_revision: 999, target_revision: 1_000, offset: 65_536 }),
@@ -129,7 +132,10 @@
         &CompareHeartbeats { source: 7, sequences: vec![("i-1".into(), 70_000), ("i-2".into(), 3)] },
     );
     let message = Message::Prepare { term: Term { number: 8, proposer: MemberId(3) } };
-    former().assert_same_encoding("call-epoch", &ConsensusMessage { from: Member { id: MemberId(3), address: address(3) }, message });
+    former().assert_same_encoding(
+        "call-epoch",
+        &ConsensusMessage { from: Member { id: MemberId(3), address: address(3) }, message },
+    );
 }
 
 #[test]
@@ -154,7 +160,10 @@
 fn configurations_of_an_earlier_version_are_read_and_written_alike() {
     former().assert_same_encoding("config-patches", &patches());
     former().assert_same_encoding("config-whole", &full());
-    former().assert_same_encoding("config-withheld", &ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None });
+    former().assert_same_encoding(
+        "config-withheld",
+        &ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None },
+    );
 }
 
 /// Its bytes are packed; another packer may make others of the same answer, so only reading them is tested.
--- a/crates/programs/tests/limits.rs
+++ b/crates/programs/tests/limits.rs
@@ -10,20 +10,20 @@
 
 /// A body of that length, and as many calls as are remembered, with the longest numbers.
 fn largest_state() -> ControlState {
-    let ballot = Term { number: u64::MAX, proposer: MemberId(u64::MAX) };
+    let term = Term { number: u64::MAX, proposer: MemberId(u64::MAX) };
     let empty = ControlState {
-        write_term: ballot,
-        first_write_term: ballot,
+        write_term: term,
+        first_write_term: term,
         revision: u64::MAX,
         ..ControlState::default()
     };
     let body: std::sync::Arc<[u8]> = vec![b'x'; MAX_BODY_BYTES].into();
     let call = |back: u64| AppliedRequest { revision: u64::MAX - back, digest: RequestDigest([u8::MAX; 32]) };
-    (0..2_000).rev().fold(empty, |state, back| state.with_request_applied(ballot, call(back), body.clone()))
+    (0..2_000).rev().fold(empty, |state, back| state.with_request_applied(term, call(back), body.clone()))
 }
 
 #[test]
-fn the_largest_state_fits_into_a_message() {
+fn the_largest_state_is_within_the_bound_of_a_message() {
     let state = largest_state();
     assert!(minicbor::to_vec(&state).is_ok_and(|bytes| bytes.len() <= MAX_STATE_BYTES));
     let from = Member { id: MemberId(u64::MAX), address: "10.0.0.1:7720".parse().expect("an address") };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_largest_request_holds_the_largest_configuration() {
+fn the_largest_request_carries_the_largest_configuration() {
     const { assert!(MAX_REQUEST_BYTES > mosshead_config::MAX_BYTES) };
     const { assert!(MAX_REQUEST_BYTES < MAX_CALL_BYTES) };
 }
--- a/crates/programs/tests/processes.rs
+++ b/crates/programs/tests/processes.rs
@@ -1,5 +1,5 @@
-//! The two programs as processes on loopback: what `status` says, and that a proxy that is told to shut down finishes
-//! what it has read.
+//! The two programs as processes on loopback: what `status` prints, and that a proxy that is terminated finishes the
+//! requests that it has read.
 
 use std::collections::{BTreeSet, HashMap};
 use std::io::{Read, Write};
@@ -16,7 +16,7 @@
 
 /// A step of the test takes no longer, on a busy machine too.
 const BOUND: Duration = Duration::from_secs(20);
-/// How often a process is asked.
+/// The pause between two attempts.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The grace of these processes, in seconds.
 const GRACE_S: u64 = 6;
@@ -53,7 +53,7 @@
     TcpListener::bind((address, 0)).unwrap().local_addr().unwrap().port()
 }
 
-/// Repeats until it gives something.
+/// Repeats an attempt until it succeeds.
 fn eventually<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     while start.elapsed() < BOUND {
@@ -73,8 +73,8 @@
 }
 
 impl Process {
-    fn start(program: &'static str, folder: &Path, settings: &str) -> Process {
-        let path = folder.join("settings");
+    fn start(program: &'static str, directory: &Path, settings: &str) -> Process {
+        let path = directory.join("settings");
         std::fs::write(&path, settings).unwrap();
         let mut command = Command::new(program);
         command.args(["serve", "--settings"]).arg(&path).stdout(Stdio::null());
@@ -138,11 +138,11 @@
     response.starts_with("HTTP/1.1 200 ")
 }
 
-/// A model server that holds each request until it is let go on.
+/// A model server that responds to a request only once the test says so.
 struct ModelServer {
     address: SocketAddrV4,
     received: Receiver<()>,
-    go_on: Sender<()>,
+    respond: Sender<()>,
 }
 
 impl ModelServer {
@@ -150,13 +150,13 @@
         let listener = TcpListener::bind((MODEL_SERVER, 0)).unwrap();
         let address = SocketAddrV4::new(MODEL_SERVER, listener.local_addr().unwrap().port());
         let (received_sender, received) = channel();
-        let (go_on, go_on_receiver) = channel();
-        thread::spawn(move || serve_held(&listener, &received_sender, &go_on_receiver));
-        ModelServer { address, received, go_on }
+        let (respond, respond_signals) = channel();
+        thread::spawn(move || serve_on_signal(&listener, &received_sender, &respond_signals));
+        ModelServer { address, received, respond }
     }
 }
 
-fn serve_held(listener: &TcpListener, received: &Sender<()>, go_on: &Receiver<()>) {
+fn serve_on_signal(listener: &TcpListener, received: &Sender<()>, respond: &Receiver<()>) {
     for stream in listener.incoming() {
         let mut stream = stream.unwrap();
         let mut request = Vec::new();
@@ -165,7 +165,7 @@
             let Ok(count @ 1..) = stream.read(&mut bytes) else { break };
             request.extend_from_slice(&bytes[..count]);
         }
-        if !request.ends_with(b"a body") || received.send(()).is_err() || go_on.recv().is_err() {
+        if !request.ends_with(b"a body") || received.send(()).is_err() || respond.recv().is_err() {
             continue;
         }
         let response = format!(
@@ -182,12 +182,12 @@
     front: SocketAddrV4,
     readiness: SocketAddrV4,
     model_server: ModelServer,
-    _folders: [TempDir; 2],
+    _directories: [TempDir; 2],
 }
 
 impl Fleet {
     fn start() -> Fleet {
-        let folders = [tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap()];
+        let directories = [tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap()];
         let api = SocketAddrV4::new(CONTROL_NODE, free_port(CONTROL_NODE));
         let internal = free_port(CONTROL_NODE);
         let common = |name: &str, address: Ipv4Addr| {
@@ -196,7 +196,7 @@
                  seed_nodes={api}\nkeepalive_ms=1200\nbounds.grace_s={GRACE_S}\n"
             )
         };
-        let data = folders[0].path().join("data");
+        let data = directories[0].path().join("data");
         let settings = format!(
             "{}listen_addresses.control_plane={api}\ndata_directory={}\nbootstrap=true\n\
              fault_tolerance.node_failures=0\n",
@@ -204,18 +204,18 @@
             data.display()
         );
         let control_node =
-            Process::start(env!("CARGO_BIN_EXE_mosshead-control"), folders[0].path(), &settings);
+            Process::start(env!("CARGO_BIN_EXE_mosshead-control"), directories[0].path(), &settings);
         let front = SocketAddrV4::new(PROXY, free_port(PROXY));
         let readiness = SocketAddrV4::new(PROXY, free_port(PROXY));
         let settings = format!(
             "{}listen_addresses.front_http={front}\nlisten_addresses.readiness={readiness}\n",
             common("proxy-1", PROXY)
         );
-        let proxy = Process::start(env!("CARGO_BIN_EXE_mosshead-router"), folders[1].path(), &settings);
+        let proxy = Process::start(env!("CARGO_BIN_EXE_mosshead-router"), directories[1].path(), &settings);
         let model_server = ModelServer::start();
         configure(api, model_server.address);
         eventually("readiness", || is_ok(&get(readiness, "/readiness")).then_some(()));
-        Fleet { control_node, proxy, front, readiness, model_server, _folders: folders }
+        Fleet { control_node, proxy, front, readiness, model_server, _directories: directories }
     }
 }
 
@@ -256,8 +256,8 @@
     eventually("not ready", || is_out(get(fleet.readiness, "/readiness")));
     // Idle connections are closed once the platform sends no new ones; the request still runs then.
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
-    assert!(fleet.proxy.child.try_wait().unwrap().is_none(), "it waits for the request");
-    fleet.model_server.go_on.send(()).unwrap();
+    assert!(fleet.proxy.child.try_wait().unwrap().is_none(), "the proxy waits for its request");
+    fleet.model_server.respond.send(()).unwrap();
     let response = client.join().unwrap();
     assert!(is_ok(&response) && response.ends_with("\r\n\r\ncomplete"), "{response}");
     assert_eq!(fleet.proxy.exit_code(), Some(0));
--- a/crates/programs/tests/send_queues.rs
+++ b/crates/programs/tests/send_queues.rs
@@ -37,17 +37,15 @@
 fn states_are_large_messages_and_others_small() {
     let state = ControlState { body: vec![b'x'; LARGE_MESSAGE_BYTES + 1].into(), ..ControlState::default() };
     let short = ControlState { body: Arc::from(&b"short"[..]), ..ControlState::default() };
-    let ballot = Term::default();
+    let term = Term::default();
     for message in [
         Message::ReplicateState { state: state.clone() },
         Message::CommittedState { state: state.clone() },
-        Message::FetchedState { term: ballot, state },
+        Message::FetchedState { term, state },
     ] {
         assert_eq!(SendQueue::of(message.state_bytes()), SendQueue::Large);
     }
-    for message in
-        [Message::ReplicateState { state: short }, Message::Prepare { term: ballot }, Message::PreVote]
-    {
+    for message in [Message::ReplicateState { state: short }, Message::Prepare { term }, Message::PreVote] {
         assert_eq!(SendQueue::of(message.state_bytes()), SendQueue::Small);
     }
 }
--- a/crates/programs/tests/settings.rs
+++ b/crates/programs/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 
-use mosshead_programs::settings::{Settings, SettingsError};
+use mosshead_programs::settings::{PortRange, Settings, SettingsError};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
@@ -30,7 +30,7 @@
     assert_eq!(settings.front_http, Some(address("10.1.0.10:8161")));
     assert_eq!(settings.readiness, Some(address("10.1.0.10:8167")));
     assert_eq!((settings.control_plane, settings.data_directory.clone()), (None, None));
-    assert_eq!(settings.internal_ports, (7720, 7735));
+    assert_eq!(settings.internal_ports, PortRange { first: 7720, last: 7735 });
     let seeds = ["10.1.0.12:8166", "10.2.0.42:8166", "10.3.0.9:8166"].map(address);
     assert_eq!(settings.seed_nodes, seeds);
     assert_eq!(
--- a/crates/programs/tests/stage_orders.rs
+++ b/crates/programs/tests/stage_orders.rs
@@ -18,7 +18,7 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        timeout(Duration::from_secs(20), test).await.expect("in time");
+        timeout(Duration::from_secs(20), test).await.expect("ends in time");
     });
 }
 
@@ -30,7 +30,7 @@
     /// Closes the connection once the order has arrived.
     Close,
     /// Never responds.
-    Silence,
+    NoResponse,
 }
 
 /// The orders that arrived completely, as text.
@@ -66,7 +66,7 @@
                 let _ = stream.write_all(response.as_bytes()).await;
             }
             Reaction::Close => return,
-            Reaction::Silence => {}
+            Reaction::NoResponse => {}
         }
     }
 }
@@ -100,7 +100,7 @@
             (Reaction::Respond(409), AssignmentOutcome::Unknown),
             (Reaction::Respond(421), AssignmentOutcome::Unknown),
             (Reaction::Close, AssignmentOutcome::Unknown),
-            (Reaction::Silence, AssignmentOutcome::Unknown),
+            (Reaction::NoResponse, AssignmentOutcome::Unknown),
         ] {
             let (address, orders) = server(reaction).await;
             assert_eq!(send_test_order(address, || true).await, outcome, "{reaction:?}");
@@ -118,7 +118,7 @@
         let (sender, receiver) = std::sync::mpsc::channel();
         let server = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
-            stream.write_all(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n").expect("room");
+            stream.write_all(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n").expect("the peer reads");
             sender.send(()).expect("a listener");
             stream.set_read_timeout(Some(Duration::from_secs(2))).expect("an option");
             let mut received = Vec::new();
@@ -130,7 +130,7 @@
             send_test_order(address, || receiver.recv_timeout(Duration::from_secs(5)).is_ok()).await;
         assert_eq!(outcome, AssignmentOutcome::Unknown);
         tokio::task::yield_now().await;
-        assert!(server.join().expect("no fault").is_empty(), "nothing was written");
+        assert!(server.join().expect("the thread does not panic").is_empty(), "nothing was written");
     });
 }
 
