--- a/crates/capacity-bench/src/registry_fleet/replication.rs
+++ b/crates/capacity-bench/src/registry_fleet/replication.rs
@@ -63,8 +63,8 @@
         let response_len = encoded(&response).len() as u64;
         let node = &mut self.control_nodes[from];
         let (registry, source) = (&node.registry, node.registry.local_id());
-        let sequences = node.counter.time(|| registry.heartbeats_since(now - COMPARED_PERIOD));
-        let call = CompareHeartbeats { source: source.0, sequences };
+        let heartbeats = node.counter.time(|| registry.heartbeats_since(now - COMPARED_PERIOD));
+        let call = CompareHeartbeats { source: source.0, heartbeats };
         for to in (0..self.control_nodes.len()).filter(|to| *to != from) {
             let bytes = self.control_nodes[from].counter.time(|| encoded(&call));
             self.count_call(from, to, bytes.len() as u64, response_len);
@@ -72,8 +72,7 @@
             let registry = &mut node.registry;
             node.counter.time(|| {
                 if let Ok(call) = minicbor::decode::<CompareHeartbeats>(&bytes) {
-                    let sequences = call.sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                    registry.record_remote_heartbeats(now, source, sequences);
+                    registry.record_remote_heartbeats(now, source, &call.heartbeats);
                 }
             });
         }
--- a/crates/control-plane/tests/fleet/control_node/calls.rs
+++ b/crates/control-plane/tests/fleet/control_node/calls.rs
@@ -66,8 +66,7 @@
             Call::CompareHeartbeats { source, digest } => {
                 let now = self.now();
                 let Some(process) = &mut self.control_nodes[control_node].process else { return };
-                let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-                process.registry.record_remote_heartbeats(now, SourceId(source), digest);
+                process.registry.record_remote_heartbeats(now, SourceId(source), &digest);
             }
             Call::ChangeConfig { change } => self.admit(control_node, reply_to, change),
             Call::ReadConfig => self.read_config(control_node, reply_to),
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -4,7 +4,7 @@
 
 use mosshead_consensus::{Member, Message};
 use mosshead_control_plane::{ChangeResponse, ConfigOffer, QuorumContact, ReadResponse};
-use mosshead_registry::{Delta, Server, Stage, VersionVector};
+use mosshead_registry::{Delta, ReceivedHeartbeat, Server, Stage, VersionVector};
 use mosshead_stage_scheduler::AssignmentOutcome;
 use mosshead_time::Duration;
 
@@ -45,7 +45,7 @@
     },
     CompareHeartbeats {
         source: u64,
-        digest: Vec<(String, u64)>,
+        digest: Vec<ReceivedHeartbeat>,
     },
     /// An operator's change, by its index in the checker.
     ChangeConfig {
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -6,7 +6,7 @@
 
 use minicbor::{Decode, Encode};
 use mosshead_consensus::{Member, Message};
-use mosshead_registry::{Delta, VersionVector};
+use mosshead_registry::{Delta, ReceivedHeartbeat, VersionVector};
 use mosshead_rpc::{Call, RetryPolicy};
 use mosshead_time::Duration;
 
@@ -123,9 +123,9 @@
     /// The registry source that the caller is.
     #[n(0)]
     pub source: u64,
-    /// Servers by id, each with the sequence number of its last heartbeat.
+    /// The last heartbeats that the caller has received.
     #[n(1)]
-    pub sequences: Vec<(String, u64)>,
+    pub heartbeats: Vec<ReceivedHeartbeat>,
 }
 
 impl Call for CompareHeartbeats {
--- a/crates/programs/src/control_node/handlers.rs
+++ b/crates/programs/src/control_node/handlers.rs
@@ -28,7 +28,7 @@
             Ok(ReplicateAck { changed, vector: registry.vector() })
         })
         .with_handler::<CompareHeartbeats>(async move |call, _| {
-            compared.record_remote_heartbeats(SourceId(call.source), &call.sequences);
+            compared.record_remote_heartbeats(SourceId(call.source), &call.heartbeats);
             Ok(ReplicateAck { changed: false, vector: VersionVector::default() })
         })
         .with_handler::<ConsensusMessage>(async move |call, _| {
--- a/crates/programs/src/control_node/peer_exchange.rs
+++ b/crates/programs/src/control_node/peer_exchange.rs
@@ -105,8 +105,8 @@
     pub(super) async fn exchange_heartbeats(self: Rc<Self>) {
         loop {
             sleep(HEARTBEAT_EXCHANGE_INTERVAL).await;
-            let sequences = self.registry.recent_heartbeats(HEARTBEAT_WINDOW);
-            let call = CompareHeartbeats { source: self.incarnation, sequences };
+            let heartbeats = self.registry.recent_heartbeats(HEARTBEAT_WINDOW);
+            let call = CompareHeartbeats { source: self.incarnation, heartbeats };
             for peer in self.peers() {
                 let (caller, call) = (self.caller.clone(), call.clone());
                 // The task ends with the timeout of its call.
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -9,7 +9,7 @@
 };
 use mosshead_record_log::LogWriter;
 use mosshead_registry::{
-    Delta, HeartbeatOutcome, RegistrationError, Registry, Server, SourceId, VersionVector,
+    Delta, HeartbeatOutcome, ReceivedHeartbeat, RegistrationError, Registry, Server, SourceId, VersionVector,
 };
 use mosshead_stage_scheduler::{StageAssignment, StageScheduler};
 use mosshead_time::{Duration, Instant};
@@ -111,13 +111,12 @@
     }
 
     /// Another control node has reported which servers send it heartbeats.
-    pub(super) fn record_remote_heartbeats(&self, source: SourceId, sequences: &[(String, u64)]) {
-        let sequences = sequences.iter().map(|(id, sequence)| (id.as_str(), *sequence));
-        self.registry.borrow_mut().record_remote_heartbeats(self.now(), source, sequences);
+    pub(super) fn record_remote_heartbeats(&self, source: SourceId, heartbeats: &[ReceivedHeartbeat]) {
+        self.registry.borrow_mut().record_remote_heartbeats(self.now(), source, heartbeats);
     }
 
-    /// The servers that have sent heartbeats here in the last `window`, with their sequence numbers.
-    pub(super) fn recent_heartbeats(&self, window: Duration) -> Vec<(String, u64)> {
+    /// The last heartbeats of the servers that have sent some here in the last `window`.
+    pub(super) fn recent_heartbeats(&self, window: Duration) -> Vec<ReceivedHeartbeat> {
         let since = self.now() - window;
         self.registry.borrow().heartbeats_since(since)
     }
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -9,7 +9,9 @@
     CompareHeartbeats, ConsensusMessage, FetchConfig, ReplicateAck, ReplicateEntries, Updates, WatchUpdates,
 };
 use mosshead_programs::config_transfer::{ChunkRequest, ConfigOfferMessage};
-use mosshead_registry::{Delta, Entry, Model, OperState, Server, SourceId, Stage, VersionVector};
+use mosshead_registry::{
+    Delta, Entry, Model, OperState, ReceivedHeartbeat, Server, SourceId, Stage, VersionVector,
+};
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
@@ -138,7 +140,9 @@
     }
 
     fn compare_heartbeats_survives_encoding(source: u64, sequences: Vec<(String, u64)>) -> bool {
-        survives_encoding(&CompareHeartbeats { source, sequences })
+        let heartbeats =
+            sequences.into_iter().map(|(server_id, sequence)| ReceivedHeartbeat { server_id, sequence }).collect();
+        survives_encoding(&CompareHeartbeats { source, heartbeats })
     }
 
     fn consensus_messages_survive_encoding(number: u64, body: Vec<u8>, flag: bool) -> bool {
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -10,7 +10,7 @@
 use mosshead_programs::config_transfer::{
     ChunkRequest, ConfigChunk, ConfigOfferMessage, IncomingTransfer, TransferProgress,
 };
-use mosshead_registry::{Delta, Entry, OperState, Server, SourceId, Stage, VersionVector};
+use mosshead_registry::{Delta, Entry, OperState, ReceivedHeartbeat, Server, SourceId, Stage, VersionVector};
 use mosshead_rpc::Call;
 use mosshead_test_data::FormerData;
 use mosshead_time::Duration;
@@ -129,7 +129,13 @@
     former().assert_same_encoding("call-hand", &ReplicateEntries { delta: delta() });
     former().assert_same_encoding(
         "call-hears",
-        &CompareHeartbeats { source: 7, sequences: vec![("i-1".into(), 70_000), ("i-2".into(), 3)] },
+        &CompareHeartbeats {
+            source: 7,
+            heartbeats: vec![
+                ReceivedHeartbeat { server_id: "i-1".into(), sequence: 70_000 },
+                ReceivedHeartbeat { server_id: "i-2".into(), sequence: 3 },
+            ],
+        },
     );
     let message = Message::Prepare { term: Term { number: 8, proposer: MemberId(3) } };
     former().assert_same_encoding(
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -15,6 +15,7 @@
 mod ids_by_instant;
 mod limits;
 mod published_versions;
+mod received_heartbeat;
 mod registration_error;
 mod registry;
 mod server;
@@ -26,6 +27,7 @@
 
 pub use delta::Delta;
 pub use entry::Entry;
+pub use received_heartbeat::ReceivedHeartbeat;
 pub use registration_error::RegistrationError;
 pub use registry::{
     HeartbeatOutcome, MAX_SERVERS, MAX_TOMBSTONES, Registry, SUSPICION_TIMEOUT, TOMBSTONE_LIFETIME,
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -9,7 +9,7 @@
 use mosshead_time::{Duration, Instant};
 
 use crate::server::DEREGISTERED_SEQUENCE;
-use crate::{OperState, Registry, SOURCE_TIMEOUT, SourceId};
+use crate::{OperState, ReceivedHeartbeat, Registry, SOURCE_TIMEOUT, SourceId};
 
 /// A server that has been suspected for longer is removed.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(20);
@@ -29,32 +29,35 @@
         }
     }
 
-    /// The servers whose heartbeats came to this very process at `since` or later, with their last sequence numbers.
+    /// The last heartbeats of the servers whose heartbeats came to this very process at `since` or later.
     /// The host sends them to the other control nodes every few hundred milliseconds; `since` should lie well before
     /// the last digest that arrived there.
-    pub fn heartbeats_since(&self, since: Instant) -> Vec<(String, u64)> {
+    pub fn heartbeats_since(&self, since: Instant) -> Vec<ReceivedHeartbeat> {
         self.records
             .values()
             .filter(|record| record.last_receiver == self.local_id)
             .filter(|record| record.last_local_heartbeat_at.is_some_and(|received_at| received_at >= since))
-            .map(|record| (record.entry.server.id.clone(), record.last_sequence))
+            .map(|record| ReceivedHeartbeat {
+                server_id: record.entry.server.id.clone(),
+                sequence: record.last_sequence,
+            })
             .collect()
     }
 
-    /// Records the heartbeats that another control node has received: ids with sequence numbers.
-    pub fn record_remote_heartbeats<'a>(
+    /// Records the heartbeats that another control node has received.
+    pub fn record_remote_heartbeats(
         &mut self,
         now: Instant,
         source: SourceId,
-        digest: impl IntoIterator<Item = (&'a str, u64)>,
+        heartbeats: &[ReceivedHeartbeat],
     ) {
         self.record_contact(now, source);
-        for (id, sequence) in digest {
-            if let Some(record) = self.records.get_mut(id)
-                && sequence > record.last_sequence
-                && sequence < DEREGISTERED_SEQUENCE
+        for ReceivedHeartbeat { server_id, sequence } in heartbeats {
+            if let Some(record) = self.records.get_mut(server_id.as_str())
+                && *sequence > record.last_sequence
+                && *sequence < DEREGISTERED_SEQUENCE
             {
-                record.raise_sequence(now, sequence, source);
+                record.raise_sequence(now, *sequence, source);
             }
         }
     }
--- a/crates/registry/tests/encoding.rs
+++ b/crates/registry/tests/encoding.rs
@@ -8,7 +8,8 @@
 use common::{assert_consistent, control_node, millis, read_replica, server};
 use minicbor::{Decode, Encode};
 use mosshead_registry::{
-    Delta, Entry, MAX_VECTOR_SOURCES, Model, OperState, Server, SourceId, Stage, VersionVector,
+    Delta, Entry, MAX_VECTOR_SOURCES, Model, OperState, ReceivedHeartbeat, Server, SourceId, Stage,
+    VersionVector,
 };
 use mosshead_time::Duration;
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -71,6 +72,7 @@
 fn read_all(bytes: &[u8]) {
     let _ = minicbor::decode::<VersionVector>(bytes);
     let _ = minicbor::decode::<Server>(bytes);
+    let _ = minicbor::decode::<ReceivedHeartbeat>(bytes);
     let _ = minicbor::decode::<Entry>(bytes);
     let _ = minicbor::decode::<OperState>(bytes);
     let _ = minicbor::decode::<SourceId>(bytes);
@@ -90,6 +92,14 @@
         true
     }
 
+    fn a_received_heartbeat_is_encoded_as_a_pair(server_id: String, sequence: u64) -> bool {
+        let heartbeat = ReceivedHeartbeat { server_id: server_id.clone(), sequence };
+        assert_round_trip(&heartbeat);
+        let longer = minicbor::to_vec((&server_id, sequence, 0)).unwrap();
+        minicbor::to_vec(&heartbeat).unwrap() == minicbor::to_vec((server_id, sequence)).unwrap()
+            && minicbor::decode::<ReceivedHeartbeat>(&longer).is_err()
+    }
+
     fn arbitrary_bytes_are_decoded_without_panic(bytes: Vec<u8>) -> bool {
         read_all(&bytes);
         true
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -7,7 +7,7 @@
     synchronize, synchronize_all, with_state,
 };
 use mosshead_registry::{
-    OperState, Registry, SOURCE_TIMEOUT, SUSPICION_TIMEOUT, SourceId, TOMBSTONE_LIFETIME,
+    OperState, ReceivedHeartbeat, Registry, SOURCE_TIMEOUT, SUSPICION_TIMEOUT, SourceId, TOMBSTONE_LIFETIME,
 };
 use mosshead_time::{Duration, Instant, whole_millis};
 
@@ -31,11 +31,11 @@
 /// One control node tells another which servers have sent it heartbeats since an instant.
 fn send_digest(now: Instant, from: &Registry, since: Instant, to: &mut Registry) {
     let digest = from.heartbeats_since(since);
-    to.record_remote_heartbeats(
-        now,
-        from.local_id(),
-        digest.iter().map(|(id, sequence)| (id.as_str(), *sequence)),
-    );
+    to.record_remote_heartbeats(now, from.local_id(), &digest);
+}
+
+fn received(server_id: &str, sequence: u64) -> ReceivedHeartbeat {
+    ReceivedHeartbeat { server_id: server_id.to_owned(), sequence }
 }
 
 fn is_suspected(registry: &Registry) -> bool {
@@ -239,16 +239,20 @@
     first.record_heartbeat(millis(1100), server(2, 2)).unwrap();
     synchronize(millis(1100), &first, &mut second, 10);
     assert!(second.heartbeats_since(millis(0)).is_empty());
-    assert_eq!(first.heartbeats_since(millis(500)), [("i-2".to_string(), 2)]);
+    assert_eq!(first.heartbeats_since(millis(500)), [received("i-2", 2)]);
     let mut all = first.heartbeats_since(millis(0));
     all.sort();
-    assert_eq!(all, [("i-1".to_string(), 1), ("i-2".to_string(), 2)]);
+    assert_eq!(all, [received("i-1", 1), received("i-2", 2)]);
     // Servers whose later heartbeats came to another node are left to that node.
-    first.record_remote_heartbeats(millis(1200), SourceId(2), [("i-2", 3), ("nobody", 5)]);
+    first.record_remote_heartbeats(millis(1200), SourceId(2), &[received("i-2", 3), received("nobody", 5)]);
     assert_eq!(first.heartbeats_since(millis(500)), []);
     // Older sequence numbers change nothing.
-    first.record_remote_heartbeats(millis(1300), SourceId(3), [("i-1", 0), ("i-1", u64::MAX)]);
-    assert_eq!(first.heartbeats_since(millis(0)), [("i-1".to_string(), 1)]);
+    first.record_remote_heartbeats(
+        millis(1300),
+        SourceId(3),
+        &[received("i-1", 0), received("i-1", u64::MAX)],
+    );
+    assert_eq!(first.heartbeats_since(millis(0)), [received("i-1", 1)]);
 }
 
 #[test]
--- a/crates/registry/tests/fleet/fleet.rs
+++ b/crates/registry/tests/fleet/fleet.rs
@@ -182,9 +182,8 @@
     /// One control node tells another which servers have sent it heartbeats lately.
     fn send_digest(&mut self, now: Instant, from: usize, to: usize) {
         let digest = self.control_nodes[from].heartbeats_since(now - DIGEST_WINDOW);
-        let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
         let source = self.control_nodes[from].local_id();
-        self.control_nodes[to].record_remote_heartbeats(now, source, digest);
+        self.control_nodes[to].record_remote_heartbeats(now, source, &digest);
     }
 
     fn synchronize_proxies(&mut self, now: Instant) {
--- a/crates/registry/tests/random_exchanges.rs
+++ b/crates/registry/tests/random_exchanges.rs
@@ -131,9 +131,8 @@
         let from = self.random_control_node();
         let to = self.random_control_node();
         let digest = self.registries[from].heartbeats_since(millis(0));
-        let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
         let source = self.registries[from].local_id();
-        self.registries[to].record_remote_heartbeats(millis(0), source, digest);
+        self.registries[to].record_remote_heartbeats(millis(0), source, &digest);
     }
 
     fn send_delta(&mut self) {
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -30,9 +30,8 @@
 /// One control node tells another which servers have sent it heartbeats since an instant.
 fn send_digest(now: Instant, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
     let digest = nodes[from].heartbeats_since(since);
-    let digest = digest.iter().map(|(id, sequence)| (id.as_str(), *sequence));
     let source = nodes[from].local_id();
-    nodes[to].record_remote_heartbeats(now, source, digest);
+    nodes[to].record_remote_heartbeats(now, source, &digest);
 }
 
 /// For seven seconds the servers 2 to 19 send heartbeats to the first of three new control nodes.
