--- a/crates/decide/src/interface/mod.rs
+++ b/crates/decide/src/interface/mod.rs
@@ -18,7 +18,7 @@
     ZoneId,
 };
 pub use settings::{
-    Class, DedupScope, Limits, Membership, RepeatEffect, Reporting, Rules, ServiceObjective, Settings,
-    Tenant, Weights,
+    Class, ClassRedefinition, DedupScope, Limits, Membership, RepeatEffect, Reporting, Rules,
+    ServiceObjective, Settings, Tenant, Weights,
 };
 pub use settings_check::SettingsError;
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_list::ListEntry;
 use super::events::Outcome;
-use super::ids::{MachineKindId, Seconds, ZoneId};
+use super::ids::{ClassId, MachineKindId, Seconds, ZoneId};
 
 /// Which servers discard the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -164,6 +164,15 @@
     pub allowed_miss_fraction: Option<f64>,
 }
 
+/// A class that is defined anew: requests of the new definition inherit what was learned of the former one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassRedefinition {
+    /// The former definition, which requests in flight keep.
+    pub former: ClassId,
+    /// The new definition.
+    pub new: ClassId,
+}
+
 /// What a balancer starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
--- a/crates/decide/src/policy/balancer.rs
+++ b/crates/decide/src/policy/balancer.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg32;
 
 use super::tuning::{INITIAL_REPORT_AGE, MAX_RETRY_BUDGET, PRICE_RANGE};
-use crate::interface::{ClassId, Seconds, Settings, SettingsError};
+use crate::interface::{ClassId, ClassRedefinition, Seconds, Settings, SettingsError};
 use crate::state::PolicyState;
 
 /// The timer token of calls for the list; requests have the tokens above.
@@ -35,8 +35,7 @@
     }
 
     /// Applies other settings. Pending requests keep their classes, so only such classes may change that no pending
-    /// request has. `active_classes` are those of new requests. Of a pair of `redefined_classes` the second
-    /// one inherits what is known of the first.
+    /// request has. `active_classes` are those of new requests.
     ///
     /// # Errors
     ///
@@ -45,10 +44,10 @@
         &mut self,
         settings: Settings,
         active_classes: &[ClassId],
-        redefined_classes: &[(ClassId, ClassId)],
+        redefinitions: &[ClassRedefinition],
     ) -> Result<(), SettingsError> {
         settings.check()?;
-        self.state.apply_settings(&self.settings, &settings, active_classes, redefined_classes);
+        self.state.apply_settings(&self.settings, &settings, active_classes, redefinitions);
         self.settings = settings;
         Ok(())
     }
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -10,7 +10,9 @@
 use super::overload::Overload;
 use super::pending_request::PendingRequest;
 use super::statistics::{Mean, Rate};
-use crate::interface::{Class, ClassId, EndpointId, ListEntry, Readiness, RequestId, Seconds, Settings};
+use crate::interface::{
+    Class, ClassId, ClassRedefinition, EndpointId, ListEntry, Readiness, RequestId, Seconds, Settings,
+};
 
 /// How many attempts of the whole fleet of proxies a server of which nothing is known may have at once; one of each
 /// proxy at least. If each proxy began with the full number, a fleet that starts at once would overload every server.
@@ -183,14 +185,13 @@
         }
     }
 
-    /// Takes other settings in place of `old`. `active_classes` are those of new requests. Of a pair of
-    /// `redefined_classes` the second one inherits what is known of the first.
+    /// Takes other settings in place of `old`. `active_classes` are those of new requests.
     pub(crate) fn apply_settings(
         &mut self,
         old: &Settings,
         new: &Settings,
         active_classes: &[ClassId],
-        redefined_classes: &[(ClassId, ClassId)],
+        redefinitions: &[ClassRedefinition],
     ) {
         for (index, class) in new.classes.iter().enumerate() {
             if index >= self.classes.len() {
@@ -199,7 +200,7 @@
                 self.classes[index] = ClassStats::new(class);
             }
         }
-        for &(former, redefined) in redefined_classes {
+        for &ClassRedefinition { former, new: redefined } in redefinitions {
             self.classes[redefined.0].service_time = self.classes[former.0].service_time;
             if old.classes[former.0].deadline == new.classes[redefined.0].deadline {
                 self.classes[redefined.0] = self.classes[former.0].clone();
--- a/crates/decide/tests/settings.rs
+++ b/crates/decide/tests/settings.rs
@@ -29,7 +29,9 @@
     other.classes.push(class(RepeatEffect::Unsafe));
     let added = ClassId(other.classes.len() - 1);
     let open = [SAFE, KEYED, added];
-    host.balancer.apply_settings(other, &open, &[(UNSAFE, added)]).expect("legal settings");
+    host.balancer
+        .apply_settings(other, &open, &[ClassRedefinition { former: UNSAFE, new: added }])
+        .expect("legal settings");
     let new = host.place_request(added);
     let actions = host.end_attempt(new, Outcome::ConnectFailed, LoadReport::default());
     assert!(is_rejected(&actions, new.request), "one attempt is all it has: {actions:?}");
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -214,10 +214,10 @@
         let mut class_table = self.class_table.clone();
         let change =
             class_table.change(&settings, |class| classes_in_use.contains(&class), Instant::now())?;
-        let SettingsChange { settings, names, active_classes, redefined_classes } = change;
+        let SettingsChange { settings, names, active_classes, redefinitions } = change;
         let (limits, membership) = (settings.limits.clone(), settings.membership);
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        self.balancer.apply_settings(settings, &active_classes, &redefined_classes)?;
+        self.balancer.apply_settings(settings, &active_classes, &redefinitions)?;
         // Nothing can fail from here on, so the settings take effect as a whole or not at all.
         self.class_table = class_table;
         self.ids.extend_retention(duration(longest_deadline));
--- a/crates/proxy/src/class_table.rs
+++ b/crates/proxy/src/class_table.rs
@@ -72,8 +72,7 @@
     pub names: AcceptedNames,
     /// The classes that names refer to.
     pub active_classes: Vec<ClassId>,
-    /// Classes that were defined anew: the second one of a pair inherits what was learned of the first.
-    pub redefined_classes: Vec<(ClassId, ClassId)>,
+    pub redefinitions: Vec<ClassRedefinition>,
 }
 
 impl ClassTable {
@@ -110,7 +109,7 @@
         now: Instant,
     ) -> Result<SettingsChange, ApplySettingsError> {
         let mut next = self.clone();
-        let redefined_classes = next.redefine_classes(settings, is_in_use, now);
+        let redefinitions = next.redefine_classes(settings, is_in_use, now);
         if next.slots.len() > MAX_CLASS_SLOTS {
             return Err(ApplySettingsError::TooManyClassDefinitions);
         }
@@ -122,24 +121,23 @@
             ..settings.settings.clone()
         };
         *self = next;
-        Ok(SettingsChange { settings, names, active_classes, redefined_classes })
+        Ok(SettingsChange { settings, names, active_classes, redefinitions })
     }
 
-    /// Binds each name to the slot with its definition, or to another one if it is defined anew. Returns the former and
-    /// the new class of each that is.
+    /// Binds each name to the slot with its definition, or to another one if it is defined anew.
     fn redefine_classes(
         &mut self,
         settings: &NamedSettings,
         is_in_use: impl Fn(ClassId) -> bool,
         now: Instant,
-    ) -> Vec<(ClassId, ClassId)> {
+    ) -> Vec<ClassRedefinition> {
         let bound = self.slots.iter().enumerate().filter(|(_, slot)| slot.unbound_since.is_none());
         let former_classes: HashMap<String, ClassId> =
             bound.map(|(index, slot)| (slot.name.clone(), ClassId(index))).collect();
         for slot in &mut self.slots {
             slot.unbound_since.get_or_insert(now);
         }
-        let mut redefined_classes = Vec::new();
+        let mut redefinitions = Vec::new();
         for (index, class) in settings.settings.classes.iter().enumerate() {
             let name = settings.classes.name(index);
             if let Some(same) = self.slots.iter_mut().find(|slot| slot.name == name && slot.class == *class) {
@@ -147,10 +145,11 @@
                 continue;
             }
             let slot = ClassSlot { name: name.to_owned(), class: class.clone(), unbound_since: None };
-            let new_class = self.store_class(slot, &is_in_use, now);
-            redefined_classes.extend(former_classes.get(name).map(|former| (*former, new_class)));
+            let new = self.store_class(slot, &is_in_use, now);
+            let former = former_classes.get(name).copied();
+            redefinitions.extend(former.map(|former| ClassRedefinition { former, new }));
         }
-        redefined_classes
+        redefinitions
     }
 
     /// Stores a class in a slot that can be used again, or a new one.
--- a/crates/proxy/tests/parts/class_table.rs
+++ b/crates/proxy/tests/parts/class_table.rs
@@ -5,7 +5,7 @@
 use mosshead::class_table::{
     AcceptedNames, ClassTable, FORMER_BINDING_PERIOD, MAX_CLASS_SLOTS, SLOT_REUSE_DELAY,
 };
-use mosshead_decide::interface::{ClassId, RepeatEffect};
+use mosshead_decide::interface::{ClassId, ClassRedefinition, RepeatEffect};
 use mosshead_settings::{JsonField, NamedSettings, parse_json, read_settings};
 
 /// Settings with classes of these names, effects and deadlines.
@@ -38,8 +38,11 @@
     let change = table.change(&other, |_| true, now).expect("a change");
     assert_eq!(change.settings.classes[0].repeat_effect, RepeatEffect::Safe);
     assert_eq!(
-        (change.active_classes.as_slice(), change.redefined_classes.as_slice()),
-        ([ClassId(2), ClassId(3)].as_slice(), [(ClassId(0), ClassId(2))].as_slice())
+        (change.active_classes.as_slice(), change.redefinitions.as_slice()),
+        (
+            [ClassId(2), ClassId(3)].as_slice(),
+            [ClassRedefinition { former: ClassId(0), new: ClassId(2) }].as_slice()
+        )
     );
     let later = now + FORMER_BINDING_PERIOD;
     assert_eq!(classes_of(&change.names, "a", now), [2, 0]);
