--- a/crates/rpc/tests/common/mod.rs
+++ b/crates/rpc/tests/common/mod.rs
@@ -103,6 +103,31 @@
     type Response = String;
 }
 
+/// A call that a peer has received completely.
+#[derive(Clone, Debug)]
+pub(crate) struct ReceivedCall {
+    /// The value of the header `call-id`.
+    pub(crate) id: Option<String>,
+    pub(crate) body: Vec<u8>,
+    /// Head and body as they arrived.
+    pub(crate) bytes: Vec<u8>,
+}
+
+/// Removes the first call from what was received; `None` if it is not complete yet.
+pub(crate) fn take_call(received: &mut Vec<u8>) -> Option<ReceivedCall> {
+    let head_length = received.windows(4).position(|four| four == b"\r\n\r\n")?;
+    let head = String::from_utf8(received[..head_length].to_vec()).expect("UTF-8").to_lowercase();
+    let header = |name: &str| head.lines().find_map(|line| line.strip_prefix(name).map(str::to_owned));
+    let body_start = head_length + 4;
+    let body_length = header("content-length: ").expect("the length of the body");
+    let end = body_start + body_length.parse::<usize>().expect("a number");
+    if received.len() < end {
+        return None;
+    }
+    let bytes: Vec<u8> = received.drain(..end).collect();
+    Some(ReceivedCall { id: header("call-id: "), body: bytes[body_start..].to_vec(), bytes })
+}
+
 /// How often `SingleUse` was handled.
 pub(crate) type HandledCalls = Rc<Cell<u32>>;
 
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -5,7 +5,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use common::{Divide, HandledCalls, LONG, SingleUse, address_of, fill, handlers, host, host_at, run};
+use common::{
+    Divide, HandledCalls, LONG, SingleUse, address_of, fill, handlers, host, host_at, run, take_call,
+};
 use mosshead_rpc::{CallError, Caller, Handlers, ServerLimits, Transport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -18,18 +20,14 @@
     (listener, address)
 }
 
-/// Reads one complete call; `None` at the end of the connection.
+/// Reads one complete call as it arrived; `None` at the end of the connection.
 async fn read_call(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut bytes = Vec::new();
+    let mut received = Vec::new();
     loop {
-        if let Some(head) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
-            let text = String::from_utf8(bytes[..head].to_vec()).unwrap().to_lowercase();
-            let length = text.lines().find_map(|line| line.strip_prefix("content-length: ")).unwrap();
-            if bytes.len() >= head + 4 + length.parse::<usize>().unwrap() {
-                return Some(bytes);
-            }
+        if let Some(call) = take_call(&mut received) {
+            return Some(call.bytes);
         }
-        if stream.read_buf(&mut bytes).await.unwrap_or(0) == 0 {
+        if stream.read_buf(&mut received).await.unwrap_or(0) == 0 {
             return None;
         }
     }
--- a/crates/rpc/tests/response_matching.rs
+++ b/crates/rpc/tests/response_matching.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Divide, LONG, SingleUse, address_of, run};
+use common::{Divide, LONG, ReceivedCall, SingleUse, address_of, run, take_call};
 use mosshead_rpc::{Call, CallError, Caller, Transport};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -103,9 +103,9 @@
 
     async fn connection(self: Rc<Peer>, mut stream: TcpStream, connection: usize) {
         let (mut received, mut delayed_copy) = (Vec::new(), None::<Vec<u8>>);
-        while let Some((id, body)) = read(&mut stream, &mut received, &mut delayed_copy).await {
+        while let Some(call) = read(&mut stream, &mut received, &mut delayed_copy).await {
             let index = self.arrivals.borrow().len();
-            let arrival = Arrival { connection, id, body };
+            let arrival = Arrival { connection, id: call.id, body: call.body };
             self.arrivals.borrow_mut().push(arrival.clone());
             let action = (self.action)(index);
             let id = match action {
@@ -161,24 +161,15 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Reads one call, its id and body; `delayed_copy` is sent when its first byte has arrived.
+/// Reads one call; `delayed_copy` is sent when its first byte has arrived.
 async fn read(
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
     delayed_copy: &mut Option<Vec<u8>>,
-) -> Option<(Option<String>, Vec<u8>)> {
+) -> Option<ReceivedCall> {
     loop {
-        if let Some(head) = received.windows(4).position(|four| four == b"\r\n\r\n") {
-            let text = String::from_utf8(received[..head].to_vec()).expect("text");
-            let header =
-                |name: &str| text.lines().find_map(|line| line.strip_prefix(name).map(str::to_owned));
-            let end =
-                head + 4 + header("content-length: ").map_or(0, |length| length.parse().expect("a number"));
-            if received.len() >= end {
-                let body = received[head + 4..end].to_vec();
-                received.drain(..end);
-                return Some((header("call-id: "), body));
-            }
+        if let Some(call) = take_call(received) {
+            return Some(call);
         }
         if stream.read_buf(received).await.unwrap_or(0) == 0 {
             return None;
