--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -7,7 +7,7 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// The present value.
+    /// How often it was incremented since the start of the process.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/crates/http-links/src/connection_log.rs
+++ b/crates/http-links/src/connection_log.rs
@@ -76,7 +76,7 @@
         self.peer_kind.name
     }
 
-    /// The other end.
+    /// The address of the other end.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -95,7 +95,7 @@
 /// acknowledgement, or all of them after the receiver lost its memory.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateEntries {
-    /// The entries.
+    /// Complete above its base vector, so that the receiver can merge it into what it has.
     #[n(0)]
     pub delta: Delta,
 }
@@ -138,10 +138,10 @@
 /// A message between the members of the consensus group.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ConsensusMessage {
-    /// The sender.
+    /// The member that has sent it, by the identity and address under which it can be answered.
     #[n(0)]
     pub from: Member,
-    /// The message.
+    /// What the receiver's consensus node is stepped with.
     #[n(1)]
     pub message: Message,
 }
--- a/crates/programs/src/clock.rs
+++ b/crates/programs/src/clock.rs
@@ -20,7 +20,7 @@
         Clock { start: tokio::time::Instant::now() }
     }
 
-    /// The present instant.
+    /// The instant at which the caller runs.
     pub(crate) fn now(&self) -> Instant {
         self.at(tokio::time::Instant::now())
     }
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -26,26 +26,26 @@
 /// A command of a program.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Serve.
+    /// Run the process until a signal ends it.
     Serve {
-        /// The settings file.
+        /// The settings file; the environment names it where this is absent.
         settings: Option<PathBuf>,
-        /// Whether to log more.
+        /// Whether to log debug events too.
         detailed: bool,
     },
-    /// Read a settings file and say what is wrong with it.
+    /// Read a settings file and print the first error in it.
     CheckSettings {
-        /// The settings file.
+        /// The settings file; the environment names it where this is absent.
         settings: Option<PathBuf>,
     },
-    /// Read a configuration and say what is wrong with it.
+    /// Read a configuration and print the first error in it.
     CheckConfig {
-        /// The configuration.
+        /// A file with the JSON that the operator would send.
         file: PathBuf,
     },
-    /// Ask a running process for its status.
+    /// Print the status of a running process.
     Status {
-        /// Its settings file.
+        /// The settings file of that process; the environment names it where this is absent.
         settings: Option<PathBuf>,
     },
 }
--- a/crates/programs/src/control_api/response.rs
+++ b/crates/programs/src/control_api/response.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// A JSON response.
+/// A response whose body is JSON text.
 pub(super) fn json(status: StatusCode, body: impl Into<Bytes>) -> ApiResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
--- a/crates/programs/src/update_watcher/watcher.rs
+++ b/crates/programs/src/update_watcher/watcher.rs
@@ -29,7 +29,7 @@
 /// Calls with entries to a control node that has lost its memory.
 const MAX_REPLICATION_CALLS: usize = 64;
 
-/// Who watches.
+/// The process that watches, as control nodes count it.
 pub(crate) struct WatcherIdentity {
     /// The node name of the process.
     pub(crate) node_name: String,
--- a/crates/programs/tests/documentation.rs
+++ b/crates/programs/tests/documentation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Folders that hold no pages or sources of this repository.
+/// Directories that contain no pages or sources of this repository.
 const SKIPPED: [&str; 3] = ["target", ".git", "node_modules"];
 /// The pages that name tests: each of their names in backquotes that looks like one is taken for a test.
 const PAGES_WITH_TESTS: [&str; 5] = [
@@ -26,8 +26,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
 }
 
-fn files(folder: &Path, extension: &str, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).unwrap() {
+fn files(directory: &Path, extension: &str, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
         if path.is_dir() && !SKIPPED.contains(&name) {
@@ -126,14 +126,14 @@
     let mut count = 0;
     for page in all_files("md") {
         let text = std::fs::read_to_string(&page).unwrap();
-        let folder = page.parent().unwrap();
+        let directory = page.parent().unwrap();
         for target in links(&text) {
             let path = target.split('#').next().unwrap_or_default();
             if path.is_empty() || path.contains(':') || path.contains(' ') {
                 continue;
             }
             count += 1;
-            if !folder.join(path).exists() {
+            if !directory.join(path).exists() {
                 missing.push(format!("{}: {target}", page.display()));
             }
         }
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -21,7 +21,7 @@
     pub to: SocketAddrV4,
     /// [`Call::NAME`].
     pub name: &'static str,
-    /// The encoded call.
+    /// The call as minicbor, at most [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES) long.
     pub body: Bytes,
     /// [`Call::RETRY_POLICY`].
     pub retry_policy: RetryPolicy,
