--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -4,7 +4,6 @@
 //! Each concern has a part that owns its state; [`ControlNode`] is composed of them.
 
 mod change_notifier;
-mod client_requests;
 mod config_store;
 mod consensus_host;
 mod consensus_sender;
@@ -16,6 +15,7 @@
 mod operator_service;
 mod peer_exchange;
 mod peer_followers;
+mod pending_requests;
 mod proxy_presence;
 mod registration;
 mod registry_host;
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -15,9 +15,9 @@
 use tokio::time::timeout;
 
 use super::change_notifier::ChangeNotifier;
-use super::client_requests::ClientRequests;
 use super::config_store::ConfigStore;
 use super::consensus_sender::ConsensusSender;
+use super::pending_requests::{PendingConsensusRequests, PendingRequest};
 use crate::clock::Clock;
 
 /// A change or a read without a reply within this time is answered as unavailable.
@@ -29,7 +29,7 @@
     clock: Clock,
     node: RefCell<Option<Node<Pcg64Mcg>>>,
     log: RefCell<Option<LogWriter>>,
-    requests: ClientRequests,
+    requests: PendingConsensusRequests,
     sender: Rc<ConsensusSender>,
     /// Where committed states go.
     configs: Rc<ConfigStore>,
@@ -49,7 +49,7 @@
             clock,
             node: RefCell::default(),
             log: RefCell::default(),
-            requests: ClientRequests::default(),
+            requests: PendingConsensusRequests::default(),
             sender,
             configs,
             changes,
@@ -85,7 +85,7 @@
     }
 
     async fn request(self: &Rc<Self>, input: impl FnOnce(u64) -> Input) -> ClientReply {
-        let (id, reply) = self.requests.begin();
+        let PendingRequest { id, reply } = self.requests.begin();
         self.step(input(id));
         let reply = timeout(CLIENT_REQUEST_TIMEOUT, reply).await;
         self.requests.abandon(id);
--- a/crates/programs/src/control_node/client_requests.rs
+++ b/crates/programs/src/control_node/pending_requests.rs
@@ -6,28 +6,35 @@
 use mosshead_consensus::ClientReply;
 use tokio::sync::oneshot;
 
+/// A request in flight.
+pub(super) struct PendingRequest {
+    /// The id under which the consensus node replies.
+    pub(super) id: u64,
+    pub(super) reply: oneshot::Receiver<ClientReply>,
+}
+
 /// Requests in flight, by the id under which the consensus node knows them.
 #[derive(Debug)]
-pub(super) struct ClientRequests {
+pub(super) struct PendingConsensusRequests {
     /// Unique within the incarnation of the process.
     next_id: Cell<u64>,
     in_flight: RefCell<HashMap<u64, oneshot::Sender<ClientReply>>>,
 }
 
-impl Default for ClientRequests {
-    fn default() -> ClientRequests {
-        ClientRequests { next_id: Cell::new(1), in_flight: RefCell::default() }
+impl Default for PendingConsensusRequests {
+    fn default() -> PendingConsensusRequests {
+        PendingConsensusRequests { next_id: Cell::new(1), in_flight: RefCell::default() }
     }
 }
 
-impl ClientRequests {
-    /// Begins a request: its id, and the receiver of its reply.
-    pub(super) fn begin(&self) -> (u64, oneshot::Receiver<ClientReply>) {
+impl PendingConsensusRequests {
+    /// Begins a request.
+    pub(super) fn begin(&self) -> PendingRequest {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        let (sender, receiver) = oneshot::channel();
+        let (sender, reply) = oneshot::channel();
         self.in_flight.borrow_mut().insert(id, sender);
-        (id, receiver)
+        PendingRequest { id, reply }
     }
 
     /// Replies to a request, unless it was abandoned.
