--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -19,10 +19,6 @@
 
 /// How many connections one attempt may use: a pooled one may turn out to have been closed by the server.
 const MAX_CONNECTIONS_PER_ATTEMPT: usize = 4;
-/// Clients are spread unevenly over the proxies: each may have this many times its even share of a server's connections.
-const CONNECTION_SHARE_FACTOR: f64 = 2.0;
-/// Each proxy may have at least this many connections to a server.
-const MIN_CONNECTIONS: usize = 6;
 
 /// A connection for one request.
 struct RequestConnection {
@@ -83,9 +79,11 @@
     pub(crate) fn target(&self, service: &Service, id: &Rc<str>) -> Option<Target> {
         let router = self.router.borrow();
         let address = router.endpoints().get(id)?.server.address;
-        let proxies = self.proxy_count.get().max(2) as f64;
-        let share = CONNECTION_SHARE_FACTOR * f64::from(service.max_connections) / proxies;
-        Some(Target { id: id.clone(), address, max_connections: (share as usize).max(MIN_CONNECTIONS) })
+        Some(Target {
+            id: id.clone(),
+            address,
+            max_connections: self.connection_share(service.max_connections),
+        })
     }
 
     /// Sends a request once and waits for the head of its response.
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -6,6 +6,7 @@
 
 use arc_swap::ArcSwapOption;
 use mosshead_config::Config;
+use mosshead_http_links::CountGuard;
 use mosshead_registry::Server;
 use mosshead_routing::{Router, RoutingWeights, ServerFailure};
 use mosshead_time::{Duration, Instant};
@@ -16,6 +17,13 @@
 use crate::counters::Counters;
 use crate::deadline::Deadline;
 
+/// How many bytes of request bodies are buffered at once.
+const MAX_BUFFERED_BYTES: usize = 96 * 1024 * 1024;
+/// Clients are spread unevenly over the proxies: each may have this many times its even share of a server's connections.
+const CONNECTION_SHARE_FACTOR: f64 = 2.0;
+/// Each proxy may have at least this many connections to a server.
+const MIN_CONNECTIONS: usize = 6;
+
 /// One proxy's data plane.
 pub struct DataPlane {
     config: ArcSwapOption<Config>,
@@ -25,11 +33,11 @@
     started_at: tokio::time::Instant,
     is_draining: Cell<bool>,
     /// Clients' requests that have no complete response yet.
-    pub(crate) in_flight: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
     /// Bytes of clients' request bodies that are buffered.
-    pub(crate) buffered_bytes: Rc<Cell<usize>>,
+    buffered_bytes: Rc<Cell<usize>>,
     /// How many proxies share the servers' connections; at least one.
-    pub(crate) proxy_count: Cell<usize>,
+    proxy_count: Cell<usize>,
     /// What has been done since the start.
     pub counters: Counters,
 }
@@ -108,6 +116,28 @@
         self.in_flight.get()
     }
 
+    /// Counts a client's request as in flight until the guard is dropped.
+    pub(crate) fn begin_request(&self) -> CountGuard {
+        CountGuard::new(&self.in_flight, 1)
+    }
+
+    /// Whether a request body of this length may be buffered beside those that are.
+    pub(crate) fn has_memory_for(&self, body_bytes: usize) -> bool {
+        self.buffered_bytes.get() + body_bytes <= MAX_BUFFERED_BYTES
+    }
+
+    /// Counts a request body as buffered until the guard is dropped.
+    pub(crate) fn count_buffered(&self, body_bytes: usize) -> CountGuard {
+        CountGuard::new(&self.buffered_bytes, body_bytes)
+    }
+
+    /// How many connections this proxy may have to a server of a service that allows `max_connections` to all proxies.
+    pub(crate) fn connection_share(&self, max_connections: u32) -> usize {
+        let proxies = self.proxy_count.get().max(2) as f64;
+        let share = CONNECTION_SHARE_FACTOR * f64::from(max_connections) / proxies;
+        (share as usize).max(MIN_CONNECTIONS)
+    }
+
     /// Whether the proxy may get new clients: it is not draining, a configuration is in force, and at least one of its
     /// services has a server.
     pub fn is_ready(&self) -> bool {
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -8,7 +8,6 @@
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use mosshead_config::Limits;
-use mosshead_http_links::CountGuard;
 use quick_error::quick_error;
 use tokio::time::timeout;
 
@@ -16,8 +15,6 @@
 use crate::data_plane::DataPlane;
 use crate::response::{ResponseAborted, ResponseBody, proxy_response};
 
-/// How many bytes of request bodies are buffered at once.
-const MAX_BUFFERED_BYTES: usize = 96 * 1024 * 1024;
 /// When a client may come back, in seconds, if no configuration is in force.
 const NOT_CONFIGURED_RETRY_AFTER: f64 = 0.3;
 /// When a client may come back, in seconds, if the memory for requests is used up.
@@ -80,7 +77,7 @@
         self: &Rc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<ResponseBody>, ResponseAborted> {
-        let in_flight = CountGuard::new(&self.in_flight, 1);
+        let in_flight = self.begin_request();
         let (head, body) = request.into_parts();
         let Some(config) = self.config() else {
             return Ok(proxy_response(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_CONFIGURED_RETRY_AFTER)));
@@ -91,7 +88,7 @@
         };
         drop(config);
         self.counters.requests.increment();
-        let _buffered = CountGuard::new(&self.buffered_bytes, body.len());
+        let _buffered = self.count_buffered(body.len());
         Ok(match self.prepare_request(&head, body) {
             Err(error) => proxy_response(error.status(), error.retry_after()),
             Ok(PreparedRequest::Prompt(request, prompt)) => {
@@ -106,7 +103,7 @@
         if least_length > limits.max_body_bytes {
             return Err(BodyError::TooLong);
         }
-        if self.buffered_bytes.get() + least_length > MAX_BUFFERED_BYTES {
+        if !self.has_memory_for(least_length) {
             return Err(BodyError::NoMemory);
         }
         let time_allowed = limits.idle_timeout.max(limits.header_timeout);
