--- a/crates/decide/src/learned_values.rs
+++ b/crates/decide/src/learned_values.rs
@@ -5,21 +5,21 @@
 use crate::policy::OVERLOAD_DECAY;
 use crate::state::{Ejection, EjectionCause, Mean};
 
-/// Learned values decay with this, in seconds.
+/// The time constant with which learned values decay.
 const LEARNED_DECAY: Seconds = 30.0;
-/// Loads and prices decay with so many mean deadlines.
+/// The time constant with which loads and prices decay, in mean deadlines.
 const LOAD_DECAY: f64 = 1.0;
-/// A restored mean counts for so many samples at most: new responses soon weigh more.
+/// The most samples that a restored mean counts for, so that new responses soon weigh more.
 const MAX_RESTORED_SAMPLES: f64 = 32.0;
 /// No learned value is larger than this.
 const MAX_LEARNED_VALUE: f64 = 1e6;
 /// No restored overload is larger than this.
 const MAX_RESTORED_OVERLOAD: f64 = 2.0;
-/// No server is restored as so many times (a natural logarithm) slower or faster than its kind.
+/// The largest restored slowness of a server compared with its kind, either way; a natural logarithm.
 const MAX_RESTORED_LOG_SLOWNESS: f64 = 3.0;
-/// A restored ejection lasts for so many mean deadlines at most,
+/// How long a restored ejection lasts at most, in mean deadlines.
 const MAX_RESTORED_EJECTION: f64 = 4.0;
-/// and has so many repetitions at most.
+/// How many repetitions a restored ejection has at most.
 const MAX_RESTORED_REPETITIONS: f64 = 2.0;
 
 /// The names of the values. They stand in snapshots on disk, and must not change.
@@ -51,8 +51,10 @@
     Class(ClassId),
     /// A kind of machine.
     MachineKind(MachineKindId),
-    /// A zone; `true` for its servers that are reserved for some class, `false` for the others.
-    Zone(ZoneId, bool),
+    /// A zone, without its servers that are reserved for some class.
+    Zone(ZoneId),
+    /// The servers of a zone that are reserved for some class.
+    ReservedServers(ZoneId),
     /// A server.
     Endpoint(EndpointId),
 }
@@ -192,7 +194,8 @@
 
 /// What the statistics at an index of the zones describe.
 fn zone_subject(index: usize) -> Subject {
-    Subject::Zone(ZoneId(index / 2), index % 2 == 1)
+    let zone = ZoneId(index / 2);
+    if index.is_multiple_of(2) { Subject::Zone(zone) } else { Subject::ReservedServers(zone) }
 }
 
 #[derive(Default)]
--- a/crates/decide/src/policy/admission.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is admitted: its value, set against the price of work.
 
 use super::balancer::Balancer;
-use super::tuning::{MAX_RETRY_BUDGET, MEAN_GAIN, OVERLOAD_DECAY, PRICE_RANGE};
+use super::tuning::{MAX_RETRY_BUDGET, MEAN_GAIN, MIN_PRICE, OVERLOAD_DECAY};
 use crate::interface::{Action, ClassId, EndpointId, Request, Seconds, TenantId};
 use crate::state::{Endpoint, PendingRequest};
 
@@ -9,29 +9,29 @@
 const RETRY_BUDGET_SHARE: f64 = 0.2;
 /// A first attempt waits for probes during this fraction of the latency target.
 const PROBE_WAIT: f64 = 1.0 / 16.0;
-/// Where a zone has been silent for so many mean deadlines,
+/// A zone is silent if for this multiple of the mean deadline none of its servers has responded or reported.
 const ZONE_SILENCE: f64 = 2.0;
-/// this fraction of the requests that would be rejected there go there as trials.
+/// The fraction of the requests rejected for a silent zone that are sent there nevertheless, as trials.
 const ZONE_TRIALS: f64 = 0.125;
-/// A rejection where the wait is under half of its limit says by this much that the price is too high.
+/// By how much a rejection lowers the price if the wait is under half of its limit, in units of a missed response.
 const PRICE_RELIEF: f64 = 0.2;
 /// A rejected request counts as a miss with at least this fraction of its latency target left.
 const FIRST_TRY_TIME_LEFT: f64 = 0.9;
 /// Queueing may take this fraction of the time to the target: longer queues keep crowded servers slow.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// How sharply rejection sets in as the expected queueing time nears that limit.
+/// How sharply rejection sets in as the expected queueing time approaches [`MAX_WAIT_SHARE`].
 const QUEUEING_POWER: i32 = 6;
-/// The price counts in proportion to the queue per slot, up to so many.
+/// The price counts in proportion to the queue per slot, up to this length.
 const MAX_PRICED_QUEUE: f64 = 4.0;
-/// The usual time of a first attempt is given up after so many requests in a row that differ.
+/// The usual time of a first attempt is given up after this number of requests in a row that differ.
 const MAX_USUAL_VOTES: f64 = 64.0;
 /// How exactly clients say when they first tried, in units of the timer resolution.
 const FIRST_ATTEMPT_TICKS: f64 = 3.0;
-/// Beyond this overload the price of work rises at once,
-const OVERLOAD_FREE: f64 = 0.23;
-/// so many times as steeply, as far as reports say less.
+/// Up to this overload the price of work stays as it was learned.
+const MAX_FREE_OVERLOAD: f64 = 0.23;
+/// The price of overload beyond [`MAX_FREE_OVERLOAD`], as far as reports are not reliable.
 const OVERLOAD_PRICE: f64 = 20.0;
-/// The overload counts as many times more as the ready servers can do less than while responses came; up to this.
+/// The overload is multiplied by the loss of capacity since the responses that it was learned from, up to this factor.
 const MAX_CAPACITY_LOSS: f64 = 3.0;
 
 /// What a request may expect at a server.
@@ -171,7 +171,7 @@
         // Responses also miss their target at unhealthy servers; work on an idle server displaces nothing.
         let queue_per_slot = self.queue_per_slot(endpoint, now);
         let log_price = self.state.log_prices[self.state.market_of_class[class.0]];
-        let learned_price = if log_price > PRICE_RANGE.0.ln() { log_price.exp() } else { 0.0 };
+        let learned_price = if log_price > MIN_PRICE.ln() { log_price.exp() } else { 0.0 };
         // A queue can outgrow the latency target before the first late response shows it.
         let max_wait = (MAX_WAIT_SHARE * (request.target_time - now)).max(self.settings.timer_resolution);
         let queueing_price = (queue_per_slot * self.state.mean_service.value / max_wait).powi(QUEUEING_POWER);
@@ -184,7 +184,7 @@
     /// service time is much of the latency target and reports are reliable, these are better evidence.
     fn overload_price(&self, now: Seconds) -> f64 {
         let unreliability = (1.0 - self.report_reliability().powi(2)).powi(2);
-        OVERLOAD_PRICE * unreliability * (self.overload(now) - OVERLOAD_FREE).max(0.0)
+        OVERLOAD_PRICE * unreliability * (self.overload(now) - MAX_FREE_OVERLOAD).max(0.0)
     }
 
     /// The overload by now; it decays, as a proxy that sends nothing would never learn that it is over.
--- a/crates/decide/src/policy/balancer.rs
+++ b/crates/decide/src/policy/balancer.rs
@@ -1,9 +1,9 @@
-//! The balancer: its settings, its random numbers and what it remembers.
+//! The balancer: its settings, its random numbers and its state.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::tuning::{INITIAL_REPORT_AGE, MAX_RETRY_BUDGET, PRICE_RANGE};
+use super::tuning::{INITIAL_REPORT_AGE, MAX_RETRY_BUDGET, MIN_PRICE};
 use crate::interface::{ClassId, ClassRedefinition, Seconds, Settings, SettingsError};
 use crate::state::PolicyState;
 
@@ -30,7 +30,7 @@
         state.next_token = WATCH_LIST_TOKEN + 1;
         state.report_age = INITIAL_REPORT_AGE;
         state.retry_budget = MAX_RETRY_BUDGET / 2.0;
-        state.log_prices.fill(PRICE_RANGE.0.ln());
+        state.log_prices.fill(MIN_PRICE.ln());
         Ok(Self { rng: Pcg32::seed_from_u64(seed), state, settings })
     }
 
--- a/crates/decide/src/policy/ejection.rs
+++ b/crates/decide/src/policy/ejection.rs
@@ -1,19 +1,19 @@
-//! Outlier ejection: servers that fail are left out, and come back by trials.
+//! Outlier ejection: servers that fail are no candidates until trials have succeeded.
 
 use super::balancer::Balancer;
 use super::tuning::MEAN_GAIN;
 use crate::interface::{ClassId, EndpointId, Seconds};
 use crate::state::{Ejection, EjectionCause, PendingRequest};
 
-/// A server is ejected for a mean deadline, doubled with each failed trial at most so many times.
+/// How often the time of an ejection, at first a mean deadline, is doubled at most. Each failed trial doubles it.
 const MAX_EJECTION_DOUBLINGS: u32 = 2;
-/// The assumed failure rate of an unhealthy server;
+/// The assumed failure rate of an unhealthy server.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.5;
-/// a healthy one fails as often as all do, which is assumed to be at least this.
+/// The least failure rate that is assumed of a healthy server, which otherwise fails as often as all do.
 const MIN_FAILURE_RATE: f64 = 0.01;
 /// A server is ejected once the natural logarithm of the odds that it is unhealthy has reached this.
 const EJECTION_LOG_ODDS: f64 = 5.0;
-/// So many trials in a row must succeed before an ejected server is an ordinary candidate again.
+/// How many trials in a row must succeed before an ejected server is an ordinary candidate again.
 const TRIALS_TO_RECOVER: u32 = 3;
 
 impl Balancer {
--- a/crates/decide/src/policy/fleet_review.rs
+++ b/crates/decide/src/policy/fleet_review.rs
@@ -36,7 +36,7 @@
         if spread > 0.0 { spread * self.random_unit() } else { 0.0 }
     }
 
-    /// Computes anew which servers are ready, which of them are in slow start, and what all of them can do.
+    /// Computes which servers are ready, which of them are in slow start, and what all of them can do.
     pub(super) fn review_fleet(&mut self, now: Seconds) {
         let endpoint = |index: &usize| &self.state.endpoints[*index];
         let is_ready = |index: &usize| endpoint(index).entry.readiness == Readiness::Ready;
--- a/crates/decide/src/policy/load_estimation.rs
+++ b/crates/decide/src/policy/load_estimation.rs
@@ -19,7 +19,7 @@
 const REPORT_DECAY: f64 = 2.5;
 /// A server's slowness decays with this many mean deadlines without a response, so that it is tried again.
 const SLOWNESS_DECAY: f64 = 2.0;
-/// The cost of a new connection, as a fraction of a mean value, counts for so many requests.
+/// The load, in requests, of a new connection that costs a mean value.
 const CONNECTION_LOAD: f64 = 4.0;
 
 impl Balancer {
--- a/crates/decide/src/policy/outcome.rs
+++ b/crates/decide/src/policy/outcome.rs
@@ -5,9 +5,9 @@
 use crate::interface::{AttemptNumber, ClassId, EndpointId, Outcome, Seconds};
 use crate::state::{Attempt, EjectionCause};
 
-/// The overload is the fraction of the latency target that responses take; one that never comes counts for so much.
+/// The overload is the fraction of the latency target that responses take. This is what a missing response counts.
 const OVERLOAD_MISS: f64 = 2.0;
-/// An attempt that was given up after this fraction of the shortest latency target counts as one that never came.
+/// An attempt that was given up after this fraction of the shortest latency target counts as a missing response.
 const OVERLOAD_MISS_AFTER: f64 = 0.9;
 /// The weight of a response in the overload. Learned over more responses, a proxy with little traffic would know of an
 /// overload only when it is over.
--- a/crates/decide/src/policy/price.rs
+++ b/crates/decide/src/policy/price.rs
@@ -1,7 +1,7 @@
-//! The price of work, which rises while responses miss their target, and what a request's time is worth.
+//! The price of work, which rises while responses miss their target, and until when a response has a value.
 
 use super::balancer::Balancer;
-use super::tuning::PRICE_RANGE;
+use super::tuning::{MAX_PRICE, MIN_PRICE};
 use crate::interface::{ClassId, RepeatEffect, Seconds};
 use crate::state::PendingRequest;
 
@@ -16,7 +16,7 @@
     /// Requests also miss their target at unhealthy servers; callers count only misses behind queues, as only these are a
     /// sign of overload.
     pub(super) fn adjust_price(&mut self, class: ClassId, missed: f64) {
-        let (lowest, highest) = (PRICE_RANGE.0.ln(), PRICE_RANGE.1.ln());
+        let (lowest, highest) = (MIN_PRICE.ln(), MAX_PRICE.ln());
         let log_price = &mut self.state.log_prices[self.state.market_of_class[class.0]];
         *log_price = (*log_price + PRICE_GAIN * (missed.min(1.0) - ALLOWED_MISSES)).clamp(lowest, highest);
     }
--- a/crates/decide/src/policy/sending.rs
+++ b/crates/decide/src/policy/sending.rs
@@ -6,7 +6,7 @@
 
 /// A request is hedged at the earliest once this fraction of its latency target has passed.
 const HEDGE_AFTER: f64 = 0.5;
-/// A request without a candidate looks again after so many times the timer resolution.
+/// After this multiple of the timer resolution a request without a candidate looks for one again.
 const NO_CANDIDATE_TICKS: f64 = 4.0;
 
 impl Balancer {
--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -9,15 +9,17 @@
 
 /// All proxies together send a server in slow start at most this fraction of the stated multiple of its share.
 const SLOW_START_SHARE: f64 = 0.4;
-/// The pair is drawn from so many servers at least of the own zone, and of the others,
+/// The least number of servers of the own zone, and of the others, from which the pair is drawn.
 const MIN_SUBSET: usize = 3;
-/// and from so many for each own request in a mean deadline: reports of more would be too old without probes.
+/// The pair is drawn from this number of servers for each own request in a mean deadline, if that is more. The reports
+/// of more servers would be too old without probes.
 const SUBSET_SHARE: f64 = 0.25;
-/// The pair is probed before a first attempt where two probes cost less than this fraction of a mean value.
+/// The pair is probed before a first attempt if two probes cost at most this fraction of a mean value.
 const MAX_PROBE_COST: f64 = 0.05;
-/// Where so much of a report holds on arrival, the more loaded one of a crowded pair gives way to another server,
+/// Reports are reliable if on arrival their weight is at least this fraction. The more loaded one of a crowded pair then
+/// gives way to another server.
 const RELIABLE_REPORT: f64 = 0.5;
-/// until so many have been probed.
+/// How many servers may be probed for a request.
 const MAX_PROBED: usize = 5;
 
 /// The server for an attempt.
--- a/crates/decide/src/state/class_stats.rs
+++ b/crates/decide/src/state/class_stats.rs
@@ -5,9 +5,9 @@
 use super::statistics::Mean;
 use crate::interface::{Class, Seconds};
 
-/// The first guess at the service time of a class: its latency target allows so many of them.
+/// How many service times the latency target of a class allows, as a first guess.
 pub(super) const TARGET_SERVICE_TIMES: f64 = 6.0;
-/// So many requests that ended unserved are remembered for each class.
+/// How many requests that ended unserved are remembered for each class.
 const MAX_UNSERVED: usize = 1024;
 
 /// What has been learned of a class.
--- a/crates/decide/src/state/endpoint.rs
+++ b/crates/decide/src/state/endpoint.rs
@@ -1,8 +1,8 @@
-//! What is remembered of one server.
+//! What is known of one server.
 
 use crate::interface::{ListEntry, LoadReport, Seconds};
 
-/// After a late response a server may have this fraction of the attempts that it had.
+/// A late response reduces the limit to this fraction of the attempts in flight.
 const LATE_RESPONSE_FACTOR: f64 = 0.7;
 
 /// One server.
@@ -21,7 +21,7 @@
     pub(crate) last_contact_at: Seconds,
     /// How long the next response is expected to take.
     pub(crate) expected_time: Seconds,
-    /// Set while the server is left out, or on trial.
+    /// Set while the server is ejected, or on trial.
     pub(crate) ejection: Option<Ejection>,
     /// The natural logarithm of the odds that it is unhealthy, by its failures and successes; never negative.
     pub(crate) failure_log_odds: f64,
@@ -69,7 +69,7 @@
     NoResponse,
 }
 
-/// The ejection of a server that failed, and its way back.
+/// The ejection of a server that failed, and its trials.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ejection {
     pub(crate) cause: EjectionCause,
--- a/crates/decide/src/state/pending_request.rs
+++ b/crates/decide/src/state/pending_request.rs
@@ -1,4 +1,4 @@
-//! What is remembered of a request that has no final answer yet.
+//! A request without a final response, and its attempts.
 
 use crate::interface::{Action, AttemptNumber, ClassId, EndpointId, Outcome, Request, RequestId, Seconds};
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A request that the balancer owes a final answer.
+/// A request to which a final response is owed.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) id: RequestId,
@@ -50,7 +50,7 @@
     pub(crate) slow_start_draw: f64,
     /// It avoids servers that are reserved for other classes, while there are others.
     pub(crate) avoids_reserved: bool,
-    /// The fraction of its value that is left of it by its tenant's share.
+    /// The fraction of its value that remains in view of its tenant's share.
     pub(crate) share_factor: f64,
     /// The pair of servers that was probed for it, and stays its pair.
     pub(crate) probed_pair: Vec<usize>,
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -1,4 +1,4 @@
-//! All that one balancer remembers.
+//! The state of one balancer.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -17,10 +17,10 @@
 /// How many attempts of the whole fleet of proxies a server of which nothing is known may have at once; one of each
 /// proxy at least. If each proxy began with the full number, a fleet that starts at once would overload every server.
 const INITIAL_FLEET_CONCURRENCY: f64 = 16.0;
-/// How many samples the first guess of the failure rate stands for.
+/// How many samples the first guess of the failure rate counts for.
 const INITIAL_FAILURE_SAMPLES: f64 = 64.0;
 
-/// All that one balancer remembers.
+/// The state of one balancer.
 #[derive(Clone, Debug)]
 pub(crate) struct PolicyState {
     /// By [`EndpointId`]; servers that were removed keep their index.
@@ -33,9 +33,9 @@
     pub(crate) slow_starting: Vec<usize>,
     /// What the ready servers can do at present, in units of their sizes.
     pub(crate) fleet_capacity: f64,
-    /// When the three lists above and the capacity are computed anew, if no list comes before.
+    /// When the three lists above and the capacity are computed again, if no list comes before.
     pub(crate) next_review_at: Seconds,
-    /// Requests without a final answer, by their timer tokens.
+    /// Requests without a final response, by their timer tokens.
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
     /// The timer tokens of these requests.
     pub(crate) tokens: HashMap<RequestId, u64>,
@@ -54,7 +54,7 @@
     pub(crate) fleet_log_slowness: Mean,
     pub(crate) fleet_log_load: Mean,
     pub(crate) mean_service: Mean,
-    /// How old a report is on arrival, in decay times of a report, as far as repeated ones tell.
+    /// How old a report is on arrival, in decay times of a report, as far as repeated ones show it.
     pub(crate) report_age: f64,
     /// The fraction of attempts that fail, at any server.
     pub(crate) failure_rate: Mean,
@@ -136,7 +136,7 @@
         self.kinds[endpoint.entry.kind.0].slots.value
     }
 
-    /// A request without a final answer.
+    /// A request without a final response.
     pub(crate) fn request_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(self.tokens.get(&id)?)
     }
--- a/crates/decide/src/state/statistics.rs
+++ b/crates/decide/src/state/statistics.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     pub(crate) value: f64,
-    /// How many samples the value stands for.
+    /// How many samples the value counts for.
     pub(crate) samples: f64,
 }
 
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -112,12 +112,11 @@
     fn name(&self, subject: Subject) -> Option<String> {
         Some(match subject {
             Subject::Fleet => "all".to_owned(),
-            Subject::Class(ClassId(at)) => format!("class/{}", self.classes.get(at)?),
-            Subject::MachineKind(MachineKindId(at)) => format!("kind/{}", self.kinds.find_name(at)?),
-            Subject::Zone(ZoneId(at), bound) => {
-                format!("{}/{}", if bound { "bound" } else { "zone" }, self.zones.find_name(at)?)
-            }
-            Subject::Endpoint(EndpointId(at)) => format!("node/{}", self.servers.get(&at)?),
+            Subject::Class(ClassId(number)) => format!("class/{}", self.classes.get(number)?),
+            Subject::MachineKind(MachineKindId(number)) => format!("kind/{}", self.kinds.find_name(number)?),
+            Subject::Zone(ZoneId(number)) => format!("zone/{}", self.zones.find_name(number)?),
+            Subject::ReservedServers(ZoneId(number)) => format!("bound/{}", self.zones.find_name(number)?),
+            Subject::Endpoint(EndpointId(number)) => format!("node/{}", self.servers.get(&number)?),
         })
     }
 
@@ -131,7 +130,8 @@
             // Of several definitions of a class the latest one is in force.
             "class" => Subject::Class(ClassId(self.classes.iter().rposition(|class| *class == name)?)),
             "kind" => Subject::MachineKind(MachineKindId(self.kinds.find_number(name)?)),
-            "zone" | "bound" => Subject::Zone(ZoneId(self.zones.find_number(name)?), subject_kind == "bound"),
+            "zone" => Subject::Zone(ZoneId(self.zones.find_number(name)?)),
+            "bound" => Subject::ReservedServers(ZoneId(self.zones.find_number(name)?)),
             "node" => Subject::Endpoint(EndpointId(*self.servers.iter().find(|(_, id)| **id == name)?.0)),
             _ => return None,
         })
--- a/crates/proxy/tests/parts/stored_state.rs
+++ b/crates/proxy/tests/parts/stored_state.rs
@@ -22,7 +22,7 @@
         value(Subject::Fleet, 1.0),
         value(Subject::Class(ClassId(0)), 2.0),
         value(Subject::MachineKind(MachineKindId(0)), 3.0),
-        value(Subject::Zone(ZoneId(1), true), 4.0),
+        value(Subject::ReservedServers(ZoneId(1)), 4.0),
         value(Subject::Endpoint(EndpointId(1)), 5.0),
     ]);
     let (zones, kinds, classes, servers) = tables(["slot-lookup", "book-lesson"], ["s-2", "s-9"]);
@@ -36,7 +36,7 @@
             Subject::Fleet,
             Subject::Class(ClassId(1)),
             Subject::MachineKind(MachineKindId(0)),
-            Subject::Zone(ZoneId(1), true),
+            Subject::ReservedServers(ZoneId(1)),
             Subject::Endpoint(EndpointId(0)),
         ]
     );
