--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -150,7 +150,7 @@
     harness.apply(Input::ResponseSent { request: request.id, response });
     let Some(mut connection) = connection else { return };
     match connection.idle_state() {
-        IdleState::Quiet if !request.uses_own_connection && !connection.closes_after_message => {
+        IdleState::Quiet if !request.uses_own_connection && !connection.closes_after_message() => {
             let idle = IdleConnection { connection, last_request: request.id };
             harness.clients.idle.borrow_mut()[request.proxy].push(idle);
         }
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,8 +1,10 @@
 //! HTTP/1.1 messages as bytes, so that a corrupted message can be sent and a malformed one be recognized.
 
 use std::io;
+use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
+use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -72,11 +74,9 @@
 
 /// A connection, with the bytes that were received beyond the last message.
 pub struct HttpConnection {
-    /// The TCP connection.
-    pub stream: TcpStream,
+    stream: TcpStream,
     buffer: BytesMut,
-    /// Whether the last message that was read asked for the connection to be closed.
-    pub closes_after_message: bool,
+    closes_after_message: bool,
 }
 
 impl HttpConnection {
@@ -96,6 +96,26 @@
         self.stream.write_all(bytes).await
     }
 
+    /// Ends this side of the connection; what the other side sends can still be read.
+    ///
+    /// # Errors
+    ///
+    /// The connection has ended.
+    pub async fn end_sending(&mut self) -> io::Result<()> {
+        self.stream.shutdown().await
+    }
+
+    /// Drops the connection with a reset, as the kernel does with those of a process that dies.
+    pub fn reset(self) {
+        // A connection that has ended already needs no reset.
+        let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
+    }
+
+    /// Whether the last message that was read asked for the connection to be closed.
+    pub fn closes_after_message(&self) -> bool {
+        self.closes_after_message
+    }
+
     async fn read_more(&mut self) -> io::Result<usize> {
         self.stream.read_buf(&mut self.buffer).await
     }
--- a/crates/emulator/src/malformed_clients.rs
+++ b/crates/emulator/src/malformed_clients.rs
@@ -3,7 +3,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -94,7 +93,7 @@
     // A proxy that has closed before the last byte has rejected the request.
     let _ = connection.write_all(request.as_bytes()).await;
     if ends_sending {
-        let _ = connection.stream.shutdown().await;
+        let _ = connection.end_sending().await;
     }
     tokio::select! {
         received = connection.read_message(MessageKind::Response) => {
--- a/crates/emulator/src/servers/connection.rs
+++ b/crates/emulator/src/servers/connection.rs
@@ -1,12 +1,10 @@
 //! One connection of a proxy to a server: requests are handed to the world, and its responses are written.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use mosshead_world::events::AttemptOutcome;
 use mosshead_world::server::LoadReport;
 use mosshead_world::{ConnectionId, Handshake, Input, RequestId};
-use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
@@ -52,10 +50,7 @@
     let ended_by = connection.run().await;
     harness.connections.borrow_mut().remove(&id);
     match ended_by {
-        EndedBy::Server => {
-            // The kernel resets the connections of a process that dies.
-            let _ = SockRef::from(&connection.http.stream).set_linger(Some(Duration::ZERO));
-        }
+        EndedBy::Server => connection.http.reset(),
         EndedBy::Proxy => harness.apply(Input::ConnectionClosed { connection: id }),
     }
 }
