--- a/crates/membership/tests/cluster/mod.rs
+++ b/crates/membership/tests/cluster/mod.rs
@@ -153,7 +153,7 @@
     }
 
     /// The first datagram of a member that isn't in this network: a request to join.
-    pub(crate) fn datagram_of_stranger(&mut self, index: usize) -> Vec<u8> {
+    pub(crate) fn datagram_of_outsider(&mut self, index: usize) -> Vec<u8> {
         let peer = Peer {
             name: name(index),
             instance_id: self.rng.next_u64(),
--- a/crates/membership/tests/fault_free.rs
+++ b/crates/membership/tests/fault_free.rs
@@ -146,7 +146,7 @@
     cluster.run(millis(100));
     cluster.processes[5].peer.name = "edge-dixie-east-z-77".to_owned();
     cluster.start(5);
-    cluster.run_until_agreed(millis(5_000)).expect("the old name is dead, the new one lives");
+    cluster.run_until_agreed(millis(5_000)).expect("the old name is dead, the new one is alive");
 }
 
 #[test]
@@ -202,9 +202,9 @@
     cluster.add();
     let mut view = mosshead_membership::View::default();
     let membership = cluster.membership_mut(0);
-    let mut strangers = Cluster::empty(2, Settings::default());
+    let mut outsiders = Cluster::empty(2, Settings::default());
     for process in 1..9_000 {
-        let other = strangers.datagram_of_stranger(process);
+        let other = outsiders.datagram_of_outsider(process);
         membership.receive(Instant::from_millis(process as u64), address(process), &other);
     }
     membership.drain_events().iter().for_each(|event| view.apply(event));
@@ -219,9 +219,9 @@
     let mut cluster = Cluster::empty(1, Settings { max_members: 50, ..Settings::default() });
     cluster.add();
     let membership = cluster.membership_mut(0);
-    let mut strangers = Cluster::empty(2, Settings::default());
+    let mut outsiders = Cluster::empty(2, Settings::default());
     for process in 1..500 {
-        let other = strangers.datagram_of_stranger(process);
+        let other = outsiders.datagram_of_outsider(process);
         membership.receive(Instant::from_millis(process as u64), address(process), &other);
     }
     assert_eq!(membership.members().count(), 50);
--- a/crates/membership/tests/malformed_datagrams.rs
+++ b/crates/membership/tests/malformed_datagrams.rs
@@ -152,14 +152,14 @@
     let mut cluster = Cluster::new(1, 1, Settings::default());
     cluster.run(millis(400));
     let mut other = Cluster::empty(2, Settings::default());
-    let mut bytes = other.datagram_of_stranger(5);
+    let mut bytes = other.datagram_of_outsider(5);
     let membership = cluster.membership_mut(0);
     assert!(!membership.receive(Instant::from_millis(400), address(5), &bytes).is_empty());
     bytes.resize(MAX_DATAGRAM_LEN + 1, 0);
     assert!(membership.receive(Instant::from_millis(400), address(5), &bytes).is_empty());
     other.settings.fleet_id += 1;
     assert!(
-        membership.receive(Instant::from_millis(400), address(6), &other.datagram_of_stranger(6)).is_empty()
+        membership.receive(Instant::from_millis(400), address(6), &other.datagram_of_outsider(6)).is_empty()
     );
     assert_eq!(membership.members().count(), 2);
 }
--- a/crates/record-log/tests/memory_disk/mod.rs
+++ b/crates/record-log/tests/memory_disk/mod.rs
@@ -11,7 +11,7 @@
 use rand_core::RngCore;
 use unsynced::{ContentChange, Inode, NameChange, Names, Survival};
 
-/// A disk in memory that loses power, fills up, fails and hangs when a test asks for it. Clones are the same disk.
+/// A disk in memory that loses power, fills up, fails and hangs when a test demands it. Clones are the same disk.
 ///
 /// After a loss of power each change since the last sync that covered it is there, torn or missing, each for itself.
 #[derive(Clone, Debug, Default)]
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -28,7 +28,7 @@
     first
 }
 
-/// One control node tells another which servers have sent it heartbeats since an instant.
+/// One control node reports to another which servers have sent it heartbeats since an instant.
 fn send_digest(now: Instant, from: &Registry, since: Instant, to: &mut Registry) {
     let digest = from.heartbeats_since(since);
     to.record_remote_heartbeats(now, from.local_id(), &digest);
--- a/crates/registry/tests/fleet/fleet.rs
+++ b/crates/registry/tests/fleet/fleet.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// One control node tells another which servers have sent it heartbeats lately.
+    /// One control node reports to another which servers have sent it heartbeats lately.
     fn send_digest(&mut self, now: Instant, from: usize, to: usize) {
         let digest = self.control_nodes[from].heartbeats_since(now - DIGEST_WINDOW);
         let source = self.control_nodes[from].local_id();
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// One control node tells another which servers have sent it heartbeats since an instant.
+/// One control node reports to another which servers have sent it heartbeats since an instant.
 fn send_digest(now: Instant, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
     let digest = nodes[from].heartbeats_since(since);
     let source = nodes[from].local_id();
