--- a/crates/emulator/src/proxy_processes.rs
+++ b/crates/emulator/src/proxy_processes.rs
@@ -74,7 +74,7 @@
     /// The day's own folder, for configurations and stored state.
     folder: PathBuf,
     state_folders: StateFolders,
-    proxies: RefCell<Vec<ProxyProcess>>,
+    processes: RefCell<Vec<ProxyProcess>>,
     usage: RefCell<UsageByQuarter>,
     /// The start of the day on the clock that all machines read, which may be off by the scenario.
     day_start_unix_ms: u64,
@@ -100,7 +100,7 @@
             logs: options.logs.clone(),
             state_folders: StateFolders::new(folder.clone(), count),
             folder,
-            proxies: RefCell::new((0..count).map(not_started).collect()),
+            processes: RefCell::new((0..count).map(not_started).collect()),
             usage: RefCell::new(UsageByQuarter::new(world.length())),
             day_start_unix_ms: since_epoch.as_millis() as u64 + behind.0 / 1000 - ahead.0 / 1000,
             is_day_over: Cell::new(false),
@@ -114,31 +114,31 @@
 
     /// Where clients connect to a proxy.
     pub(crate) fn address(&self, proxy: usize) -> SocketAddr {
-        self.proxies.borrow()[proxy].address
+        self.processes.borrow()[proxy].address
     }
 
     /// Where operators call a proxy, if the scenario has them.
     pub(crate) fn admin_address(&self, proxy: usize) -> Option<SocketAddr> {
-        self.proxies.borrow()[proxy].admin_address
+        self.processes.borrow()[proxy].admin_address
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.proxies.borrow().len()
+        self.processes.borrow().len()
     }
 
     pub(crate) fn is_running(&self, proxy: usize) -> bool {
-        self.proxies.borrow()[proxy].is_running
+        self.processes.borrow()[proxy].is_running
     }
 
     /// Whether a proxy runs, and its end was not ordered.
     pub(crate) fn is_up(&self, proxy: usize) -> bool {
-        let process = &self.proxies.borrow()[proxy];
+        let process = &self.processes.borrow()[proxy];
         process.is_running && !process.stop_requested
     }
 
     /// The proxy finds discovery at this address from now on; the former address is notified by a drop.
     pub(crate) fn set_discovery(&self, proxy: usize, address: SocketAddr, moved: watch::Sender<()>) {
-        let process = &mut self.proxies.borrow_mut()[proxy];
+        let process = &mut self.processes.borrow_mut()[proxy];
         process.discovery_address = Some(address);
         process.discovery_moved = Some(moved);
     }
@@ -149,7 +149,7 @@
     }
 
     fn request_stop(&self, proxy: usize) {
-        self.proxies.borrow_mut()[proxy].stop_requested = true;
+        self.processes.borrow_mut()[proxy].stop_requested = true;
     }
 
     fn signal(&self, proxy: usize, signal: ProcessSignal) {
@@ -165,7 +165,7 @@
     }
 
     fn send_signal(&self, proxy: usize, signal: Signal) {
-        if let Some(pid) = self.proxies.borrow()[proxy].pid {
+        if let Some(pid) = self.processes.borrow()[proxy].pid {
             // A process that has just ended needs no signal any more.
             let _ = kill_process(pid, signal);
         }
--- a/crates/emulator/src/proxy_processes/config_file.rs
+++ b/crates/emulator/src/proxy_processes/config_file.rs
@@ -20,7 +20,7 @@
 pub(super) fn write_config(harness: &Harness, proxy: usize) -> io::Result<()> {
     let saved = harness.with_world(|world| world.saved_list(proxy));
     let (address, admin_address, discovery_address, incarnation) = {
-        let process = &harness.proxies.proxies.borrow()[proxy];
+        let process = &harness.proxies.processes.borrow()[proxy];
         (process.address, process.admin_address, process.discovery_address, process.incarnation)
     };
     let scenario = harness.with_world(|world| world.scenario().proxy.clone());
--- a/crates/emulator/src/proxy_processes/control.rs
+++ b/crates/emulator/src/proxy_processes/control.rs
@@ -97,7 +97,7 @@
             }
             sleep(END_CHECK_INTERVAL).await;
         }
-        let supervisor = proxies.proxies.borrow_mut()[proxy].supervisor.take();
+        let supervisor = proxies.processes.borrow_mut()[proxy].supervisor.take();
         if let Some(supervisor) = supervisor {
             // A supervisor neither panics nor is aborted, and a killed process ends.
             let _ = supervisor.await;
--- a/crates/emulator/src/proxy_processes/launch.rs
+++ b/crates/emulator/src/proxy_processes/launch.rs
@@ -32,7 +32,7 @@
     let child = spawn_process(harness, proxy)
         .map_err(|error| EmulatorError::Start { command: command.clone(), error })?;
     let supervisor = spawn_local(supervise(harness.clone(), proxy, child));
-    harness.proxies.proxies.borrow_mut()[proxy].supervisor = Some(supervisor);
+    harness.proxies.processes.borrow_mut()[proxy].supervisor = Some(supervisor);
     wait_until_ready(harness, proxy).await.map_err(|reason| EmulatorError::NotReady {
         proxy,
         command,
@@ -45,7 +45,7 @@
 
 fn spawn_process(harness: &Rc<Harness>, proxy: usize) -> io::Result<Child> {
     let has_admin_endpoint = harness.with_world(|world| world.scenario().proxy.has_admin_endpoint);
-    begin_incarnation(&mut harness.proxies.proxies.borrow_mut()[proxy], has_admin_endpoint)?;
+    begin_incarnation(&mut harness.proxies.processes.borrow_mut()[proxy], has_admin_endpoint)?;
     write_config(harness, proxy)?;
     let child = command(harness, proxy)?.spawn()?;
     let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
@@ -54,7 +54,7 @@
     if prlimit(pid, Resource::Nofile, limit).is_err() {
         harness.report_misbehaviour(proxy, "it ended as it started");
     }
-    harness.proxies.proxies.borrow_mut()[proxy].on_started(pid);
+    harness.proxies.processes.borrow_mut()[proxy].on_started(pid);
     harness.links.on_process_event(proxy, ProcessEvent::Started);
     Ok(child)
 }
@@ -80,7 +80,7 @@
     let proxies = &harness.proxies;
     let operators_file = write_operators_file(harness, proxy)?;
     let (address, discovery_address, incarnation) = {
-        let process = &proxies.proxies.borrow()[proxy];
+        let process = &proxies.processes.borrow()[proxy];
         (process.address, process.discovery_address, process.incarnation)
     };
     let log = match &proxies.logs {
@@ -139,10 +139,10 @@
 
 /// Owns a process until its end, and notifies the world of that.
 async fn supervise(harness: Rc<Harness>, proxy: usize, mut child: Child) {
-    let incarnation = harness.proxies.proxies.borrow()[proxy].incarnation;
+    let incarnation = harness.proxies.processes.borrow()[proxy].incarnation;
     let exit = child.wait().await;
     let stop_requested = {
-        let process = &mut harness.proxies.proxies.borrow_mut()[proxy];
+        let process = &mut harness.proxies.processes.borrow_mut()[proxy];
         if process.incarnation != incarnation {
             return;
         }
--- a/crates/emulator/src/proxy_processes/resource_usage.rs
+++ b/crates/emulator/src/proxy_processes/resource_usage.rs
@@ -84,7 +84,7 @@
             proxies.state_folders.save_first_snapshots();
         }
         let sampled_at = harness.now();
-        let running: Vec<(usize, Pid)> = (proxies.proxies.borrow().iter().enumerate())
+        let running: Vec<(usize, Pid)> = (proxies.processes.borrow().iter().enumerate())
             .filter_map(|(proxy, process)| Some((proxy, process.pid?)))
             .collect();
         for (proxy, pid) in running {
