--- a/crates/world/src/world/attempts.rs
+++ b/crates/world/src/world/attempts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::connections::Delivery;
-use super::{ConnectionId, Due, RequestId, ServerId, ServerMessage, ServerState, World};
+use super::{ConnectionId, Due, RequestId, ServerId, ServerMessage, World};
 use crate::Time;
 use crate::events::{AttemptOutcome, EventKind};
 use crate::scenario::{DeduplicationScope, RepeatEffect, RequestClass};
@@ -82,9 +82,9 @@
 
 impl World {
     pub(super) fn on_attempt_started(&mut self, connection: ConnectionId, request: RequestId) {
-        let Some(link) = self.network.connection(connection) else { return };
-        if let Some(server) = link.server {
-            let proxy = link.proxy;
+        if let (Some(proxy), Some(server)) =
+            (self.network.proxy_of(connection), self.network.server_of(connection))
+        {
             self.record(EventKind::AttemptStarted { request, proxy, server, connection });
         }
     }
@@ -95,16 +95,15 @@
         request: RequestId,
         is_intact: bool,
     ) {
-        let Some(link) = self.network.connection_mut(connection) else { return };
-        let Some(server) = link.server else { return };
+        let Some(server) = self.network.server_of(connection) else { return };
         let id = self.exchanges.next_id();
-        let first_use = link.start_exchange(id, self.now);
+        let Some(first_use) = self.network.start_exchange(connection, id, self.now) else { return };
         self.scorecard.attempts += 1;
         let deduplication_group = self.deduplication_group(request, server).unwrap_or_default();
         let written =
             EventKind::AttemptWritten { request, server, connection, is_intact, deduplication_group };
         self.record(written);
-        let traits = &self.servers.machine(server).traits;
+        let traits = self.servers.machine(server).traits();
         let (handshake_work, round_trips) = (traits.handshake_work, traits.handshake_round_trips);
         let work = self.clients.work_of(request) + if first_use.is_first { handshake_work } else { 0.0 };
         let (is_abandoned, is_dropped_repeat) = (false, false);
@@ -135,22 +134,21 @@
         let Some(&Exchange { request, connection, work, .. }) = self.exchanges.open.get(&id) else { return };
         self.advance_server(server);
         let machine = self.servers.machine_mut(server);
-        let Some(process) = &mut machine.process else { return };
-        let has_too_many_connections = process.connection_count() > machine.traits.max_connections;
-        if machine.state != ServerState::Serving || has_too_many_connections {
+        if !machine.is_running() {
+            return;
+        }
+        if !machine.takes_requests() {
             return self.reject_attempt(id);
         }
-        if machine.fast_error_share > 0.0 && machine.random.random_bool(machine.fast_error_share) {
-            let report = process.load_report();
+        if machine.draw_fast_error() {
+            let report = machine.process().map(Server::load_report).unwrap_or_default();
             self.record(EventKind::ServerAccepted { request, server });
             self.exchanges.open.remove(&id);
             let outcome = AttemptOutcome::Errored;
             return self.send_to_proxy(connection, ServerMessage::Response { exchange: id, outcome, report });
         }
-        let link = self.network.connection(connection);
-        let is_notified = link.is_some_and(|link| machine.notified_proxies.contains(&link.proxy));
-        machine.sent_work.total += work;
-        machine.sent_work.by_notified += if is_notified { work } else { 0.0 };
+        machine.record_sent_work(self.network.proxy_of(connection), work);
+        let Some(process) = machine.process_mut() else { return };
         match process.offer_request(id.0, work) {
             Admission::Accepted => self.on_accepted(id, request, server, work),
             Admission::Rejected => self.reject_attempt(id),
@@ -170,9 +168,7 @@
 
     fn on_collapse(&mut self, server: ServerId) {
         self.scorecard.collapses += 1;
-        // Proxies that were not notified of its start cannot know that it is cold.
-        let sent_work = self.servers.machine(server).sent_work;
-        if 3.0 * sent_work.by_notified >= 2.0 * sent_work.total {
+        if self.servers.machine(server).was_sent_work_knowingly() {
             self.record(EventKind::ServerCollapsed { server });
         }
         self.end_server_for_good(server);
@@ -180,7 +176,7 @@
 
     fn reject_attempt(&mut self, id: ExchangeId) {
         let Some(exchange) = self.exchanges.open.remove(&id) else { return };
-        let process = self.servers.machine(exchange.server).process.as_ref();
+        let process = self.servers.machine(exchange.server).process();
         let report = process.map(Server::load_report).unwrap_or_default();
         let outcome = AttemptOutcome::Rejected;
         self.send_to_proxy(exchange.connection, ServerMessage::Response { exchange: id, outcome, report });
@@ -198,7 +194,7 @@
         if is_useless || outcome != AttemptOutcome::Served {
             self.scorecard.wasted_work += exchange.work;
         }
-        if !self.servers.machine(server).is_cut_off {
+        if !self.servers.machine(server).is_cut_off() {
             self.send_to_proxy(
                 exchange.connection,
                 ServerMessage::Response { exchange: id, outcome, report },
@@ -212,7 +208,7 @@
         exchange.is_abandoned = true;
         let server = exchange.server;
         self.advance_server(server);
-        let process = self.servers.machine_mut(server).process.as_mut();
+        let process = self.servers.machine_mut(server).process_mut();
         if process.is_some_and(|process| process.abandon_request(id.0)) {
             self.exchanges.open.remove(&id);
             self.schedule_server_step(server);
@@ -222,7 +218,7 @@
     /// The group of servers that drop each other's repeats of a request; `None` for a request without an idempotency key.
     fn deduplication_group(&self, request: RequestId, server: ServerId) -> Option<usize> {
         Some(match self.keyed_class_of(request)?.deduplication_scope {
-            DeduplicationScope::Zone => self.servers.machine(server).traits.zone,
+            DeduplicationScope::Zone => self.servers.machine(server).zone(),
             DeduplicationScope::AllServers => 0,
         })
     }
@@ -257,7 +253,7 @@
             Delivery::ConnectionGone => self.send_to_proxy(connection, ServerMessage::ConnectionReset),
             Delivery::Delivered => {
                 self.advance_server(server);
-                if let Some(process) = &mut self.servers.machine_mut(server).process {
+                if let Some(process) = self.servers.machine_mut(server).process_mut() {
                     process.accept_probe();
                     let report = process.load_report();
                     self.send_to_proxy(connection, ServerMessage::ProbeResponse { number, report });
--- a/crates/world/src/world/clients.rs
+++ b/crates/world/src/world/clients.rs
@@ -226,7 +226,7 @@
         let RequestClass { deadline, repeat_effect: effect, .. } = self.scenario.classes[class];
         let operation_left = began_at + deadline - self.now;
         let time_left = operation_left.min(deadline.scaled_by(self.clients.habits.patience));
-        if !self.proxies[proxy].is_up {
+        if !self.proxies[proxy].is_up() {
             return self.on_not_served(id, RequestOutcome::Unreachable, None);
         }
         let request = self.clients.add_request(id, proxy);
@@ -320,7 +320,7 @@
     pub(super) fn on_client_misbehaves(&mut self, outputs: &mut Vec<Output>) {
         let random = &mut self.random.incidents;
         let proxy = random.index_below(self.proxies.len());
-        if self.proxies[proxy].is_up {
+        if self.proxies[proxy].is_up() {
             outputs.push(Output::ClientMisbehaves { proxy, choice: random.bits() });
         }
         let wait = random.exponential(1.0 / self.clients.misbehaving_rate());
--- a/crates/world/src/world/connections.rs
+++ b/crates/world/src/world/connections.rs
@@ -10,16 +10,16 @@
 use crate::server::LoadReport;
 
 /// A connection from a proxy.
-pub(super) struct Connection {
-    pub(super) proxy: usize,
-    pub(super) address: u32,
+struct Connection {
+    proxy: usize,
+    address: u32,
     /// The server that it leads to, once it is established.
-    pub(super) server: Option<ServerId>,
+    server: Option<ServerId>,
     /// The next request is its first one, which pays for the handshake.
     is_unused: bool,
     handshake: Handshake,
     /// The attempt in flight on it.
-    pub(super) exchange: Option<ExchangeId>,
+    exchange: Option<ExchangeId>,
     last_used_at: Time,
 }
 
@@ -33,7 +33,7 @@
 
 impl Connection {
     /// Puts an attempt on the connection.
-    pub(super) fn start_exchange(&mut self, exchange: ExchangeId, now: Time) -> FirstUse {
+    fn start_exchange(&mut self, exchange: ExchangeId, now: Time) -> FirstUse {
         let is_first = std::mem::take(&mut self.is_unused);
         self.exchange = Some(exchange);
         self.last_used_at = now;
@@ -60,12 +60,19 @@
         Self { connections: HashMap::new(), zone_delays, jitter, random }
     }
 
-    pub(super) fn connection(&self, connection: ConnectionId) -> Option<&Connection> {
-        self.connections.get(&connection)
+    /// The proxy of a connection.
+    pub(super) fn proxy_of(&self, connection: ConnectionId) -> Option<usize> {
+        self.connections.get(&connection).map(|connection| connection.proxy)
     }
 
-    pub(super) fn connection_mut(&mut self, connection: ConnectionId) -> Option<&mut Connection> {
-        self.connections.get_mut(&connection)
+    /// An attempt is put on a connection.
+    pub(super) fn start_exchange(
+        &mut self,
+        connection: ConnectionId,
+        exchange: ExchangeId,
+        now: Time,
+    ) -> Option<FirstUse> {
+        Some(self.connections.get_mut(&connection)?.start_exchange(exchange, now))
     }
 
     /// The server that an established connection leads to.
@@ -86,20 +93,19 @@
 impl World {
     /// How long a message takes on a connection, in either direction.
     pub(super) fn message_delay(&mut self, connection: ConnectionId) -> Option<Time> {
-        let Connection { proxy, address, server, .. } = *self.network.connection(connection)?;
+        let Connection { proxy, address, server, .. } = *self.network.connections.get(&connection)?;
         let server = server.or_else(|| self.servers.listener_at(address));
-        let zone = server.map_or(0, |server| self.servers.machine(server).traits.zone);
-        let delay = self.network.zone_delays[self.proxies[proxy].zone][zone];
+        let zone = server.map_or(0, |server| self.servers.machine(server).zone());
+        let delay = self.network.zone_delays[self.proxies[proxy].zone()][zone];
         let fault_delay = self.draw_fault_delay(proxy, LinkKind::Server, Some(zone));
         Some(self.network.with_jitter(delay) + fault_delay)
     }
 
     /// Whether what is sent now on a connection to a server passes in this direction.
     fn connection_passes(&self, connection: ConnectionId, server: ServerId, direction: Direction) -> bool {
-        let zone = self.servers.machine(server).traits.zone;
-        self.network.connection(connection).is_none_or(|connection| {
-            self.link_passes(connection.proxy, LinkKind::Server, Some(zone), direction)
-        })
+        let zone = self.servers.machine(server).zone();
+        let proxy = self.network.proxy_of(connection);
+        proxy.is_none_or(|proxy| self.link_passes(proxy, LinkKind::Server, Some(zone), direction))
     }
 
     pub(super) fn open_connection(
@@ -136,20 +142,16 @@
         let server = self.servers.listener_at(connection.address);
         connection.server = server;
         if let Some(server) = server {
-            let machine = self.servers.machine_mut(server);
-            machine.connections.insert(id);
-            if let Some(process) = &mut machine.process {
-                process.open_connection();
-            }
+            self.servers.machine_mut(server).add_connection(id);
         }
     }
 
     /// The first message of a handshake reaches its address.
     pub(super) fn on_handshake_arrives(&mut self, id: ConnectionId) {
-        let Some(connection) = self.network.connection(id) else { return };
+        let Some(connection) = self.network.connections.get(&id) else { return };
         let listener = self.servers.listener_at(connection.address);
         let Some(delay) = self.message_delay(id) else { return };
-        let running = listener.filter(|server| self.servers.machine(*server).process.is_some());
+        let running = listener.filter(|server| self.servers.machine(*server).is_running());
         let Some(server) = running else {
             return self.schedule_message(delay, id, ServerMessage::ConnectionRefused);
         };
@@ -157,8 +159,8 @@
             .into_iter()
             .all(|direction| self.connection_passes(id, server, direction));
         let machine = self.servers.machine(server);
-        if !machine.is_cut_off && passes {
-            let round_trips = machine.traits.handshake_round_trips.max(1);
+        if !machine.is_cut_off() && passes {
+            let round_trips = machine.traits().handshake_round_trips.max(1);
             self.attach_to_listener(id);
             // One way of the first round trip is over.
             let delay = delay.scaled_by((2 * round_trips - 1) as f64);
@@ -173,10 +175,10 @@
     /// Whether a message reaches the server's side of a connection, and the connection is still there.
     pub(super) fn delivery(&self, connection: ConnectionId, server: ServerId) -> Delivery {
         let machine = self.servers.machine(server);
-        if machine.is_cut_off || !self.connection_passes(connection, server, Direction::FromProxy) {
+        if machine.is_cut_off() || !self.connection_passes(connection, server, Direction::FromProxy) {
             return Delivery::Lost;
         }
-        match machine.process.is_some() && machine.connections.contains(&connection) {
+        match machine.is_running() && machine.has_connection(connection) {
             true => Delivery::Delivered,
             false => Delivery::ConnectionGone,
         }
@@ -190,7 +192,7 @@
             &mut message
             && let Some(server) = server
         {
-            add_noise(report, server, self.servers.machine(server).traits.report_noise);
+            add_noise(report, server, self.servers.machine(server).traits().report_noise);
         }
         if server.is_none_or(|server| self.connection_passes(connection, server, Direction::ToProxy)) {
             self.schedule_message(delay, connection, message);
@@ -268,12 +270,12 @@
     pub(super) fn close_idle_connections(&mut self) {
         for server in self.servers.ids() {
             let machine = self.servers.machine(server);
-            let idle_timeout = machine.traits.idle_timeout;
-            let is_expired = |id: &&ConnectionId| {
+            let idle_timeout = machine.traits().idle_timeout;
+            let is_expired = |id: &ConnectionId| {
                 let connection = self.network.connections.get(id);
                 connection.is_some_and(|connection| connection.is_idle_for(idle_timeout, self.now))
             };
-            let expired: Vec<ConnectionId> = machine.connections.iter().filter(is_expired).copied().collect();
+            let expired: Vec<ConnectionId> = machine.connections().filter(is_expired).collect();
             for connection in expired {
                 self.reset_connection(server, connection);
             }
--- a/crates/world/src/world/discovery_service.rs
+++ b/crates/world/src/world/discovery_service.rs
@@ -16,7 +16,7 @@
     /// Rises with each [`Due::DiscoveryStep`], of which only the last one counts.
     step: u64,
     /// What a fault adds to the time after which a change enters the list.
-    pub(super) extra_change_delay: Time,
+    extra_change_delay: Time,
     /// Lists with the instant from which each was shown, the oldest first.
     history: VecDeque<(Time, VersionedList)>,
 }
@@ -26,6 +26,19 @@
         Self { discovery, step: 0, extra_change_delay: Time::ZERO, history: VecDeque::new() }
     }
 
+    /// What faults add to the time after which a change enters the list.
+    pub(super) fn extra_change_delay(&self) -> Time {
+        self.extra_change_delay
+    }
+
+    pub(super) fn add_change_delay(&mut self, delay: Time) {
+        self.extra_change_delay += delay;
+    }
+
+    pub(super) fn remove_change_delay(&mut self, delay: Time) {
+        self.extra_change_delay = self.extra_change_delay - delay;
+    }
+
     /// The current list, also while discovery serves a backup.
     pub(super) fn list(&self) -> &VersionedList {
         self.discovery.list()
@@ -72,7 +85,7 @@
     /// A proxy calls discovery.
     pub(super) fn on_discovery_called(&mut self, call: DiscoveryCall) {
         self.scorecard.record_discovery_call(self.now);
-        self.proxies[call.proxy].last_discovery_contact = self.now;
+        self.proxies[call.proxy].record_discovery_call(self.now);
         let delay = self.discovery_delay(call.proxy);
         self.queue.push(self.now + delay, Due::DiscoveryCallArrives(call));
     }
@@ -145,14 +158,11 @@
         }
         if let Some(ListResponse { version, is_full, entries }) = &response {
             // A list that is older than one that the proxy had before notifies it of nothing.
-            let known_version = &mut self.proxies[call.proxy].known_version;
-            if *version >= *known_version {
-                *known_version = *version;
+            if self.proxies[call.proxy].record_list_version(*version) {
                 self.notify_proxy(call.proxy, *is_full, entries);
             }
         }
-        self.proxies[call.proxy].last_discovery_contact = self.now;
-        self.proxies[call.proxy].has_failed_call = response.is_none();
+        self.proxies[call.proxy].record_discovery_response(self.now, response.is_some());
         outputs.push(Output::DiscoveryResponded(call, response));
     }
 }
--- a/crates/world/src/world/faults.rs
+++ b/crates/world/src/world/faults.rs
@@ -1,8 +1,8 @@
 //! The faults of the day: they begin, repeat and end.
 
-use super::proxies::RestartConditions;
-use super::servers::{DRAINED_LINGER, Machine};
-use super::{ConnectionId, Due, LinkChange, Output, ServerId, ServerState, World};
+use super::machine::Machine;
+use super::proxies::{ProxyState, RestartConditions};
+use super::{ConnectionId, Due, LinkChange, Output, ServerId, World};
 use crate::Time;
 use crate::fault::{FaultKind, FaultSpec, StartReference};
 use crate::random::RandomStream;
@@ -85,13 +85,13 @@
                 self.queue.push(self.now, Due::FaultToggles { fault: index, is_on: true });
             }
             FaultKind::ServerReplacement => {
-                self.servers.drained_linger = active.delay.max(DRAINED_LINGER);
+                self.servers.extend_drained_linger(active.delay);
                 self.queue.push(self.now, Due::ServerReplaced { fault: index });
             }
             FaultKind::ConnectionResets => {
                 self.queue.push(self.now, Due::ConnectionsReset { fault: index });
             }
-            FaultKind::DelayedDiscovery => self.discovery.extra_change_delay += active.delay,
+            FaultKind::DelayedDiscovery => self.discovery.add_change_delay(active.delay),
             FaultKind::DiscoveryDown => self.set_discovery_down(true),
             FaultKind::DiscoveryRestored => {
                 let age = random.uniform_time(spec.state_age);
@@ -134,9 +134,9 @@
         let zone = spec.zone.as_ref().and_then(|name| self.scenario.zone_index(name));
         let is_in_zone = |other: usize| zone.is_none_or(|zone| zone == other);
         let serving = self.servers.iter().filter(|(_, machine)| machine.is_serving());
-        let servers = serving.filter(|(_, machine)| is_in_zone(machine.traits.zone));
+        let servers = serving.filter(|(_, machine)| is_in_zone(machine.zone()));
         let servers = draw_affected(servers.map(|(server, _)| server).collect(), share, random);
-        let proxies = (0..self.proxies.len()).filter(|&proxy| is_in_zone(self.proxies[proxy].zone));
+        let proxies = (0..self.proxies.len()).filter(|&proxy| is_in_zone(self.proxies[proxy].zone()));
         let proxies = draw_affected(proxies.collect(), share, random);
         ActiveFault { servers, proxies, severity, factor, delay, until }
     }
@@ -161,7 +161,7 @@
             FaultKind::SilentServers => {
                 for &server in &active.servers {
                     self.advance_server(server);
-                    self.servers.machine_mut(server).is_cut_off = true;
+                    self.servers.machine_mut(server).cut_off();
                     self.topology_version += 1;
                     self.announce_cut_off(server);
                     self.queue.push(active.until, Due::ServerReturns(server));
@@ -209,7 +209,7 @@
 
     /// If all proxies are up, the faults that wait for that are scheduled.
     pub(super) fn schedule_waiting_faults(&mut self) {
-        if !self.proxies.iter().all(|proxy| proxy.is_up) {
+        if !self.proxies.iter().all(ProxyState::is_up) {
             return;
         }
         for index in std::mem::take(&mut self.faults.waiting_for_proxies) {
@@ -232,10 +232,7 @@
             FaultKind::DelayedReports => {
                 self.servers.processes_mut().for_each(|process| process.set_report_delay(Time::ZERO));
             }
-            FaultKind::DelayedDiscovery => {
-                let delay = &mut self.discovery.extra_change_delay;
-                *delay = *delay - active.delay;
-            }
+            FaultKind::DelayedDiscovery => self.discovery.remove_change_delay(active.delay),
             FaultKind::DiscoveryDown => self.set_discovery_down(false),
             FaultKind::DiscoveryRestored => {
                 self.update_discovery(|discovery, _, finished| discovery.restore(None, finished));
@@ -251,7 +248,7 @@
 
     fn set_fast_errors(&mut self, servers: &[ServerId], share: f64) {
         for &server in servers {
-            self.servers.machine_mut(server).fast_error_share = share;
+            self.servers.machine_mut(server).set_fast_error_share(share);
         }
     }
 
@@ -259,7 +256,7 @@
     fn change_servers(&mut self, servers: &[ServerId], change: impl Fn(&mut Server)) {
         for &server in servers {
             self.advance_server(server);
-            if let Some(process) = &mut self.servers.machine_mut(server).process {
+            if let Some(process) = self.servers.machine_mut(server).process_mut() {
                 change(process);
             }
             self.schedule_server_step(server);
@@ -305,16 +302,16 @@
     }
 
     fn drain_server(&mut self, server: ServerId) {
-        self.servers.machine_mut(server).state = ServerState::Draining;
+        self.servers.machine_mut(server).drain();
         self.announce_server(server);
         let limit = self.random.incidents.uniform_time(MAX_DRAIN_TIME);
-        let ends_at = self.now + limit.max(self.servers.drained_linger);
+        let ends_at = self.now + limit.max(self.servers.drained_linger());
         self.queue.push(ends_at, Due::ServerEnds(server));
     }
 
     /// Starts a new server of the same kind and zone, with this probability at an address that was used before.
     fn start_replacement(&mut self, old: ServerId, address_reuse: f64) {
-        let ServerTraits { kind, zone, .. } = self.servers.machine(old).traits;
+        let &ServerTraits { kind, zone, .. } = self.servers.machine(old).traits();
         let seed = self.random.incidents.bits();
         let mut random = RandomStream::new(seed, "replacement", self.servers.len() as u64);
         let traits = ServerTraits::draw(&self.scenario.kinds[kind], kind, zone, &mut random);
@@ -334,8 +331,7 @@
         let (until, share) = (active.until, active.severity);
         if !active.servers.is_empty() {
             let server = active.servers[self.random.incidents.index_below(active.servers.len())];
-            let connections: Vec<ConnectionId> =
-                self.servers.machine(server).connections.iter().copied().collect();
+            let connections: Vec<ConnectionId> = self.servers.machine(server).connections().collect();
             for connection in connections {
                 if self.random.incidents.random_bool(share) {
                     self.reset_connection(server, connection);
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -11,6 +11,7 @@
 mod discovery_service;
 mod faults;
 mod links;
+mod machine;
 mod model;
 mod proxies;
 mod servers;
@@ -174,7 +175,7 @@
 
     /// The index of a proxy's zone.
     pub fn proxy_zone(&self, proxy: usize) -> usize {
-        self.proxies[proxy].zone
+        self.proxies[proxy].zone()
     }
 
     /// The mean work of a request, in seconds on a standard core.
@@ -184,7 +185,7 @@
 
     /// What a server is like.
     pub fn server_traits(&self, server: ServerId) -> &ServerTraits {
-        &self.servers.machine(server).traits
+        self.servers.machine(server).traits()
     }
 
     /// The list as discovery shows it now.
@@ -207,7 +208,7 @@
     pub fn listener_at(&self, address: u32) -> Option<(ServerId, bool)> {
         let server = self.servers.listener_at(address)?;
         let machine = self.servers.machine(server);
-        machine.process.is_some().then_some((server, machine.is_cut_off))
+        machine.is_running().then_some((server, machine.is_cut_off()))
     }
 
     /// Whether the day is over: no client waits, and none will come.
--- a/crates/world/src/world/proxies.rs
+++ b/crates/world/src/world/proxies.rs
@@ -18,8 +18,8 @@
 /// A proxy, as far as the world knows it.
 #[derive(Default)]
 pub(super) struct ProxyState {
-    pub(super) zone: usize,
-    pub(super) is_up: bool,
+    zone: usize,
+    is_up: bool,
     /// A fault has stopped it or killed it.
     is_stopping: bool,
     /// It is suspended; clients and discovery take it for running.
@@ -27,11 +27,11 @@
     /// The state of each server that it was notified of last.
     notified_states: HashMap<ServerId, ServerState>,
     /// The version of the last list that it has received from discovery.
-    pub(super) known_version: u64,
+    known_version: u64,
     /// When it last called discovery, or received a response.
-    pub(super) last_discovery_contact: Time,
+    last_discovery_contact: Time,
     /// Whether its last call to discovery was answered with a failure.
-    pub(super) has_failed_call: bool,
+    has_failed_call: bool,
     /// The list that it finds when it starts next, and how old that is.
     saved_list: SavedList,
     saved_list_age: Time,
@@ -52,6 +52,30 @@
         Self { zone, ..Self::default() }
     }
 
+    pub(super) fn zone(&self) -> usize {
+        self.zone
+    }
+
+    pub(super) fn is_up(&self) -> bool {
+        self.is_up
+    }
+
+    pub(super) fn record_discovery_call(&mut self, now: Time) {
+        self.last_discovery_contact = now;
+    }
+
+    pub(super) fn record_discovery_response(&mut self, now: Time, is_success: bool) {
+        self.last_discovery_contact = now;
+        self.has_failed_call = !is_success;
+    }
+
+    /// The proxy receives a list; false where it had a newer one before.
+    pub(super) fn record_list_version(&mut self, version: u64) -> bool {
+        let is_news = version >= self.known_version;
+        self.known_version = version.max(self.known_version);
+        is_news
+    }
+
     /// A fault stops or kills the proxy.
     pub(super) fn stop(&mut self, conditions: RestartConditions) {
         self.is_stopping = true;
@@ -130,10 +154,7 @@
     pub(super) fn notify_proxy(&mut self, proxy: usize, is_full: bool, entries: &[ListEntry]) {
         let changes = self.proxies[proxy].changes_by(is_full, entries);
         for entry in entries {
-            let machine = self.servers.machine_mut(entry.server);
-            if machine.started_at == entry.started_at {
-                machine.notified_proxies.insert(proxy);
-            }
+            self.servers.machine_mut(entry.server).notify_of_start(proxy, entry.started_at);
         }
         for (server, state) in changes {
             if self.proxies[proxy].notified_states.insert(server, state) != Some(state) {
--- a/crates/world/src/world/servers.rs
+++ b/crates/world/src/world/servers.rs
@@ -1,100 +1,15 @@
-//! Servers: their machines, processes and addresses.
+//! Servers: all machines, their addresses, and the processes on them.
 
-use std::collections::BTreeSet;
-
-use super::{
-    ConnectionId, Due, ExchangeId, ListEntry, ServerId, ServerMessage, ServerSnapshot, ServerState, World,
-};
+use super::machine::Machine;
+use super::{Due, ExchangeId, ListEntry, ServerId, ServerMessage, ServerSnapshot, ServerState, World};
 use crate::Time;
 use crate::events::{AttemptOutcome, EventKind};
-use crate::random::RandomStream;
 use crate::scenario::Scenario;
-use crate::server::{CollapseLimit, Server, ServerTraits};
+use crate::server::{CollapseLimit, Server};
 use crate::units::ValueRange;
 
-/// How long a draining server without requests stays up, where no fault says otherwise.
-pub(super) const DRAINED_LINGER: Time = Time::from_millis(1000);
-
-/// Work that was sent to a server since its process started, in seconds on a standard core.
-#[derive(Clone, Copy, Default)]
-pub(super) struct SentWork {
-    /// By proxies that had been notified of the start,
-    pub(super) by_notified: f64,
-    /// and by all proxies.
-    pub(super) total: f64,
-}
-
-/// A machine with the process of a server, if that runs.
-pub(super) struct Machine {
-    pub(super) traits: ServerTraits,
-    pub(super) process: Option<Server>,
-    pub(super) address: u32,
-    /// Its state as it will be on the list.
-    pub(super) state: ServerState,
-    pub(super) started_at: Time,
-    /// Nothing reaches it, and nothing comes from it.
-    pub(super) is_cut_off: bool,
-    /// The proxies that have been notified of its last start.
-    pub(super) notified_proxies: BTreeSet<usize>,
-    pub(super) sent_work: SentWork,
-    /// The share of requests that a fault lets fail at once.
-    pub(super) fast_error_share: f64,
-    /// Rises with each [`Due::ServerStep`], of which only the last one counts.
-    step: u64,
-    pub(super) connections: BTreeSet<ConnectionId>,
-    pub(super) random: RandomStream,
-}
-
-impl Machine {
-    /// A machine whose process does not run yet.
-    pub(super) fn new(traits: ServerTraits, address: u32, started_at: Time, random: RandomStream) -> Self {
-        Self {
-            traits,
-            process: None,
-            address,
-            state: ServerState::Serving,
-            started_at,
-            is_cut_off: false,
-            notified_proxies: BTreeSet::new(),
-            sent_work: SentWork::default(),
-            fast_error_share: 0.0,
-            step: 0,
-            connections: BTreeSet::new(),
-            random,
-        }
-    }
-
-    /// Whether it serves and can be reached.
-    pub(super) fn is_serving(&self) -> bool {
-        self.state == ServerState::Serving && self.process.is_some() && !self.is_cut_off
-    }
-
-    fn list_entry(&self, server: ServerId) -> ListEntry {
-        ListEntry { server, address: self.address, state: self.state, started_at: self.started_at }
-    }
-
-    fn snapshot(&self, server: ServerId) -> Option<ServerSnapshot> {
-        let process = self.process.as_ref()?;
-        let is_usable =
-            self.state == ServerState::Serving && !self.is_cut_off && self.fast_error_share == 0.0;
-        Some(ServerSnapshot {
-            server,
-            address: self.address,
-            is_usable,
-            in_flight: process.in_flight() as f64,
-            capacity: process.current_capacity(),
-        })
-    }
-
-    /// A connection of the machine has ended.
-    pub(super) fn remove_connection(&mut self, connection: ConnectionId) {
-        if self.connections.remove(&connection)
-            && let Some(process) = &mut self.process
-        {
-            process.close_connection();
-        }
-    }
-}
+/// How long a draining server without requests stays up, at least.
+const MIN_DRAINED_LINGER: Time = Time::from_millis(1000);
 
 /// All machines, and who listens at each address.
 pub(super) struct Servers {
@@ -105,7 +20,7 @@
     free_addresses: Vec<u32>,
     collapse_limit: CollapseLimit,
     /// How long a draining server without requests stays up.
-    pub(super) drained_linger: Time,
+    drained_linger: Time,
     /// Requests that a server has executed, while it is advanced; kept to save the allocation.
     executed: Vec<(Time, u64)>,
 }
@@ -121,7 +36,7 @@
                 multiple: rules.collapse_multiple,
                 window: rules.collapse_window,
             },
-            drained_linger: DRAINED_LINGER,
+            drained_linger: MIN_DRAINED_LINGER,
             executed: Vec::new(),
         }
     }
@@ -149,14 +64,13 @@
 
     /// All processes that run.
     pub(super) fn processes_mut(&mut self) -> impl Iterator<Item = &mut Server> {
-        self.machines.iter_mut().filter_map(|machine| machine.process.as_mut())
+        self.machines.iter_mut().filter_map(Machine::process_mut)
     }
 
     /// Adds a machine whose process runs since before the day, with its full capacity, and listens at its address, the next
     /// one.
     pub(super) fn add_running(&mut self, mut machine: Machine) {
-        let traits = machine.traits.clone();
-        machine.process = Some(Server::start(machine.started_at, traits, true, self.collapse_limit));
+        machine.start_before_day(self.collapse_limit);
         self.listeners.push(Some(ServerId(self.machines.len() as u32)));
         self.machines.push(machine);
     }
@@ -180,8 +94,8 @@
     /// takes it for its former server's must not be led elsewhere.
     pub(super) fn free_address_in(&self, zone: usize) -> Option<usize> {
         let is_in_zone = |&address: &u32| {
-            let last = self.machines.iter().rev().find(|machine| machine.address == address);
-            last.is_some_and(|last| last.traits.zone == zone)
+            let last = self.machines.iter().rev().find(|machine| machine.address() == address);
+            last.is_some_and(|last| last.zone() == zone)
         };
         self.free_addresses.iter().rposition(is_in_zone)
     }
@@ -197,8 +111,29 @@
         self.listeners.len() as u32 - 1
     }
 
+    /// The process of a server starts, and listens at its address; false where the server is gone for good.
+    fn start_process(&mut self, server: ServerId, now: Time) -> bool {
+        let collapse_limit = self.collapse_limit;
+        let machine = self.machine_mut(server);
+        let (address, has_started) = (machine.address(), machine.start_process(now, collapse_limit));
+        if has_started {
+            self.listeners[address as usize] = Some(server);
+        }
+        has_started
+    }
+
+    /// How long a draining server without requests stays up.
+    pub(super) fn drained_linger(&self) -> Time {
+        self.drained_linger
+    }
+
+    /// A fault lets draining servers without requests stay up for this long, if that is more than usual.
+    pub(super) fn extend_drained_linger(&mut self, linger: Time) {
+        self.drained_linger = linger.max(MIN_DRAINED_LINGER);
+    }
+
     fn release_address(&mut self, server: ServerId) {
-        let address = self.machine(server).address;
+        let address = self.machine(server).address();
         if self.listeners[address as usize] == Some(server) {
             self.listeners[address as usize] = None;
             self.free_addresses.push(address);
@@ -207,7 +142,7 @@
 
     /// The capacity of all servers when they are warm, in standard cores.
     pub(super) fn full_capacity(&self) -> f64 {
-        self.machines.iter().map(|machine| machine.traits.full_capacity()).sum()
+        self.machines.iter().map(|machine| machine.traits().full_capacity()).sum()
     }
 
     pub(super) fn list_entries(&self) -> Vec<ListEntry> {
@@ -222,16 +157,13 @@
 impl World {
     /// Schedules the next change of a server's state.
     pub(super) fn schedule_server_step(&mut self, server: ServerId) {
-        let machine = self.servers.machine_mut(server);
-        if let Some(process) = &machine.process {
-            machine.step += 1;
-            let (at, step) = (process.next_event_at(), machine.step);
+        if let Some((at, step)) = self.servers.machine_mut(server).next_step() {
             self.queue.push(at, Due::ServerStep { server, step });
         }
     }
 
     pub(super) fn on_server_step(&mut self, server: ServerId, step: u64) {
-        if self.servers.machine(server).step == step {
+        if self.servers.machine(server).is_current_step(step) {
             self.advance_server(server);
             self.schedule_server_step(server);
         }
@@ -240,7 +172,7 @@
     /// Lets time pass at a server until now, and sends the responses to what it has executed.
     pub(super) fn advance_server(&mut self, server: ServerId) {
         let mut executed = std::mem::take(&mut self.servers.executed);
-        let Some(process) = &mut self.servers.machine_mut(server).process else {
+        let Some(process) = self.servers.machine_mut(server).process_mut() else {
             self.servers.executed = executed;
             return;
         };
@@ -255,17 +187,14 @@
             self.on_executed(server, ExchangeId(id), report);
         }
         self.servers.executed = executed;
-        let machine = self.servers.machine(server);
-        let is_drained = machine.process.as_ref().is_some_and(|process| process.in_flight() == 0);
-        if machine.state == ServerState::Draining && is_drained {
+        if self.servers.machine(server).is_drained() {
             self.queue.push(self.now + self.servers.drained_linger, Due::ServerEnds(server));
         }
     }
 
     /// The outcome of a request that a server has executed.
     pub(super) fn draw_execution_outcome(&mut self, server: ServerId) -> AttemptOutcome {
-        let machine = self.servers.machine_mut(server);
-        if machine.random.random_bool(machine.traits.error_rate) {
+        if self.servers.machine_mut(server).draw_error() {
             return AttemptOutcome::Errored;
         }
         let corrupted_share = self.faults.corrupted_share(&self.scenario.faults);
@@ -277,7 +206,7 @@
 
     /// The state of a server has changed: that enters the list after some time.
     pub(super) fn announce_server(&mut self, server: ServerId) {
-        self.announce(server, self.servers.machine(server).state, self.scenario.discovery.change_delay);
+        self.announce(server, self.servers.machine(server).state(), self.scenario.discovery.change_delay);
     }
 
     /// A machine was cut off: the list will say that its server is gone, although it may come back.
@@ -287,25 +216,20 @@
 
     fn announce(&mut self, server: ServerId, state: ServerState, delay: ValueRange<Time>) {
         let entry = ListEntry { state, ..self.servers.machine(server).list_entry(server) };
-        let delay = self.random.list_delays.uniform_time(delay) + self.discovery.extra_change_delay;
+        let delay = self.random.list_delays.uniform_time(delay) + self.discovery.extra_change_delay();
         self.queue.push(self.now + delay, Due::ListChange(entry));
     }
 
     /// All connections of a server end by a reset.
     pub(super) fn reset_all_connections(&mut self, server: ServerId) {
-        let machine = self.servers.machine_mut(server);
-        let connections = std::mem::take(&mut machine.connections);
-        if let Some(process) = &mut machine.process {
-            connections.iter().for_each(|_| process.close_connection());
-        }
-        for connection in connections {
+        for connection in self.servers.machine_mut(server).remove_all_connections() {
             self.send_to_proxy(connection, ServerMessage::ConnectionReset);
         }
     }
 
     /// The process of a server ends. What it had in flight was executed in part, and is never answered.
     pub(super) fn end_process(&mut self, server: ServerId) {
-        if self.servers.machine_mut(server).process.take().is_none() {
+        if !self.servers.machine_mut(server).end_process() {
             return;
         }
         self.topology_version += 1;
@@ -313,36 +237,27 @@
         for work in self.exchanges.drop_all_of(server) {
             self.scorecard.wasted_work += work;
         }
-        if !self.servers.machine(server).is_cut_off {
+        if !self.servers.machine(server).is_cut_off() {
             self.reset_all_connections(server);
         }
     }
 
     /// The process of a server ends, and no other one will start on its machine.
     pub(super) fn end_server_for_good(&mut self, server: ServerId) {
-        if self.servers.machine(server).process.is_none() {
+        if !self.servers.machine(server).is_running() {
             return;
         }
         self.end_process(server);
-        self.servers.machine_mut(server).state = ServerState::Deleted;
+        self.servers.machine_mut(server).delete();
         self.servers.release_address(server);
         self.announce_server(server);
     }
 
     /// The process of a server starts, cold.
     pub(super) fn start_server(&mut self, server: ServerId) {
-        let (now, collapse_limit) = (self.now, self.servers.collapse_limit);
-        let machine = self.servers.machine_mut(server);
-        if machine.state == ServerState::Deleted {
+        if !self.servers.start_process(server, self.now) {
             return;
         }
-        machine.process = Some(Server::start(now, machine.traits.clone(), false, collapse_limit));
-        machine.started_at = now;
-        machine.fast_error_share = 0.0;
-        machine.notified_proxies.clear();
-        machine.sent_work = SentWork::default();
-        let address = machine.address as usize;
-        self.servers.listeners[address] = Some(server);
         self.topology_version += 1;
         self.record(EventKind::ServerStarted { server });
         self.announce_server(server);
@@ -351,7 +266,7 @@
 
     /// A machine that was cut off is back.
     pub(super) fn reconnect_machine(&mut self, server: ServerId) {
-        if std::mem::take(&mut self.servers.machine_mut(server).is_cut_off) {
+        if self.servers.machine_mut(server).reconnect() {
             self.topology_version += 1;
             self.reset_all_connections(server);
             self.announce_server(server);
