--- a/crates/simulate/src/simulation/client_requests.rs
+++ b/crates/simulate/src/simulation/client_requests.rs
@@ -24,14 +24,14 @@
 impl Simulation<'_> {
     pub(super) fn on_request(&mut self, request: Request) {
         let Request { id, proxy, class, tenant, time_left, .. } = request;
-        if !self.proxies[proxy].is_up {
+        if !self.proxies[proxy].is_up() {
             return self.send_response(id, ClientResponse::Aborted);
         }
-        if self.proxies[proxy].pending_requests >= self.world.scenario().proxy.max_pending_requests {
+        if self.proxies[proxy].pending_requests() >= self.world.scenario().proxy.max_pending_requests {
             return self.send_response(id, ClientResponse::Rejected(RETRY_AFTER_WHEN_FULL));
         }
         let deadline = self.now + time_left;
-        self.proxies[proxy].pending_requests += 1;
+        self.proxies[proxy].begin_request();
         let (attempts_started, attempts_in_flight) = (0, 0);
         let pending =
             PendingRequest { proxy, awaits_response: true, deadline, attempts_started, attempts_in_flight };
@@ -84,7 +84,7 @@
         let pending = self.requests.get_mut(&request).filter(|pending| pending.awaits_response);
         let Some(pending) = pending else { return false };
         pending.awaits_response = false;
-        self.proxies[pending.proxy].pending_requests -= 1;
+        self.proxies[pending.proxy].end_request();
         true
     }
 
--- a/crates/simulate/src/simulation/list_watch.rs
+++ b/crates/simulate/src/simulation/list_watch.rs
@@ -29,12 +29,11 @@
 
     /// A proxy calls for changes of the list, unless it has an open call.
     pub(super) fn call_for_list(&mut self, proxy: usize) {
-        if self.proxies[proxy].open_list_call.is_some() {
+        if self.proxies[proxy].has_open_list_call() {
             return;
         }
         let number = take_next(&mut self.next_ids.list_call);
-        self.proxies[proxy].open_list_call = Some(number);
-        let known_version = Some(self.proxies[proxy].list_version);
+        let known_version = Some(self.proxies[proxy].begin_list_call(number));
         let call = DiscoveryCall { proxy, number, known_version, max_wait: MAX_CALL_WAIT };
         self.world.handle_input(self.now, Input::DiscoveryCalled(call));
         let timeout = self.now + MAX_CALL_WAIT + CALL_MARGIN;
@@ -42,12 +41,11 @@
     }
 
     pub(super) fn on_list_call_timeout(&mut self, proxy: usize, number: u64) {
-        if self.proxies[proxy].open_list_call != Some(number) {
+        if !self.proxies[proxy].end_list_call(number) {
             return;
         }
-        self.proxies[proxy].open_list_call = None;
         self.world.handle_input(self.now, Input::DiscoveryCallAbandoned { proxy, number });
-        if self.proxies[proxy].watch_reopening.should_reopen() {
+        if self.proxies[proxy].should_reopen_watch() {
             self.call_for_list(proxy);
         } else {
             self.on_list_call_failed(proxy);
@@ -56,29 +54,24 @@
 
     fn on_list_call_failed(&mut self, proxy: usize) {
         self.add_event(proxy, Event::ListUpdated(ListUpdate::Failed));
-        let instance = self.proxies[proxy].instance;
+        let instance = self.proxies[proxy].instance();
         self.queue.push(self.now + AGENT_RETRY_INTERVAL, Due::AgentRetry { proxy, instance });
     }
 
     /// Discovery's response, or `None` where the call failed.
     pub(super) fn on_list_response(&mut self, call: DiscoveryCall, response: Option<ListResponse>) {
         let proxy = call.proxy;
-        let state = &mut self.proxies[proxy];
-        if state.open_list_call != Some(call.number) {
+        if !self.proxies[proxy].end_list_call(call.number) {
             return;
         }
-        state.open_list_call = None;
         let Some(ListResponse { version, is_full, entries }) = response else {
             return self.on_list_call_failed(proxy);
         };
-        state.watch_reopening.on_answer();
-        if version < state.received_version {
-            let instance = state.instance;
+        if !self.proxies[proxy].record_list_version(version) {
+            let instance = self.proxies[proxy].instance();
             let at = self.now + RETRY_AFTER_OUTDATED_LIST;
             return self.queue.push(at, Due::ListCallRetry { proxy, instance });
         }
-        state.list_version = version;
-        state.received_version = version;
         if is_full {
             self.delete_unlisted(proxy, &entries);
         }
--- a/crates/simulate/src/simulation/mod.rs
+++ b/crates/simulate/src/simulation/mod.rs
@@ -185,7 +185,7 @@
         match due {
             Due::Tick => self.run_tick()?,
             Due::PolicyTimer { proxy, instance, token } => {
-                if self.proxies[proxy].instance == instance {
+                if self.proxies[proxy].instance() == instance {
                     self.add_event(proxy, Event::TimerFired(token));
                 }
             }
@@ -253,10 +253,10 @@
 
     /// The policy of a proxy handles an event at the next tick.
     fn add_event(&mut self, proxy: usize, event: Event) {
-        if !self.proxies[proxy].is_up {
+        if !self.proxies[proxy].is_up() {
             return;
         }
-        self.proxies[proxy].events.push(event);
+        self.proxies[proxy].add_event(event);
         self.proxies_with_events.insert(proxy);
         self.schedule_tick();
     }
@@ -276,7 +276,7 @@
         proxies.retain(|proxy| !self.suspended.contains_key(proxy));
         let events: Vec<ProxyEvents> = proxies
             .into_iter()
-            .map(|proxy| ProxyEvents { proxy, events: std::mem::take(&mut self.proxies[proxy].events) })
+            .map(|proxy| ProxyEvents { proxy, events: self.proxies[proxy].take_events() })
             .filter(|own| !own.events.is_empty())
             .collect();
         let snapshots = if self.shows_servers { self.world.server_snapshots() } else { Vec::new() };
@@ -291,7 +291,7 @@
 
     /// Carries out an action of the policy of a proxy. An earlier action of the same tick may have ended its process.
     fn carry_out(&mut self, proxy: usize, action: Action) {
-        if !self.proxies[proxy].is_up {
+        if !self.proxies[proxy].is_up() {
             return;
         }
         match action {
@@ -312,7 +312,7 @@
             }
             Action::WatchList => self.call_for_list(proxy),
             Action::SetTimer { delay, token } => {
-                let instance = self.proxies[proxy].instance;
+                let instance = self.proxies[proxy].instance();
                 let at = self.now + Time::from_seconds(delay);
                 self.queue.push(at, Due::PolicyTimer { proxy, instance, token });
             }
--- a/crates/simulate/src/simulation/proxy_process.rs
+++ b/crates/simulate/src/simulation/proxy_process.rs
@@ -12,24 +12,24 @@
 /// A proxy and its process.
 #[derive(Default)]
 pub(super) struct SimulatedProxy {
-    pub(super) is_up: bool,
+    is_up: bool,
     /// It was stopped by SIGTERM, and ends with its last request.
-    pub(super) is_stopping: bool,
+    is_stopping: bool,
     /// How often its process has started.
-    pub(super) instance: u32,
+    instance: u32,
     /// What its policy has to handle at the next tick.
-    pub(super) events: Vec<Event>,
+    events: Vec<Event>,
     /// By server.
     known_servers: Vec<Option<KnownServer>>,
     /// The version of the list that it has; at first that of the saved list.
-    pub(super) list_version: u64,
+    list_version: u64,
     /// The version of the last list that it has received from discovery.
-    pub(super) received_version: u64,
+    received_version: u64,
     /// The number of its open call for the list.
-    pub(super) open_list_call: Option<u64>,
-    pub(super) watch_reopening: WatchReopening,
+    open_list_call: Option<u64>,
+    watch_reopening: WatchReopening,
     /// How many requests have no response yet.
-    pub(super) pending_requests: u64,
+    pending_requests: u64,
 }
 
 /// An idle connection.
@@ -48,6 +48,83 @@
 }
 
 impl SimulatedProxy {
+    /// The next process of a proxy, which has read this version of a saved list.
+    fn next_instance(&self, list_version: u64) -> Self {
+        Self { is_up: true, instance: self.instance + 1, list_version, ..Self::default() }
+    }
+
+    /// The proxy after its process has ended.
+    fn ended(&self) -> Self {
+        Self { instance: self.instance, ..Self::default() }
+    }
+
+    pub(super) fn is_up(&self) -> bool {
+        self.is_up
+    }
+
+    /// How often its process has started.
+    pub(super) fn instance(&self) -> u32 {
+        self.instance
+    }
+
+    /// The policy handles an event at the next tick.
+    pub(super) fn add_event(&mut self, event: Event) {
+        self.events.push(event);
+    }
+
+    /// What the policy has to handle at this tick.
+    pub(super) fn take_events(&mut self) -> Vec<Event> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// How many requests have no response yet.
+    pub(super) fn pending_requests(&self) -> u64 {
+        self.pending_requests
+    }
+
+    pub(super) fn begin_request(&mut self) {
+        self.pending_requests += 1;
+    }
+
+    pub(super) fn end_request(&mut self) {
+        self.pending_requests -= 1;
+    }
+
+    /// Begins a call for the list with this number, and returns the version of the list that it has.
+    pub(super) fn begin_list_call(&mut self, number: u64) -> u64 {
+        self.open_list_call = Some(number);
+        self.list_version
+    }
+
+    pub(super) fn has_open_list_call(&self) -> bool {
+        self.open_list_call.is_some()
+    }
+
+    /// Ends a call for the list; false if it is not the open one.
+    pub(super) fn end_list_call(&mut self, number: u64) -> bool {
+        let is_open = self.open_list_call == Some(number);
+        if is_open {
+            self.open_list_call = None;
+        }
+        is_open
+    }
+
+    /// Whether a watch without a response is opened again at once.
+    pub(super) fn should_reopen_watch(&mut self) -> bool {
+        self.watch_reopening.should_reopen()
+    }
+
+    /// Discovery has responded with a list; false if it is older than one that was received before.
+    pub(super) fn record_list_version(&mut self, version: u64) -> bool {
+        self.watch_reopening.on_answer();
+        if version < self.received_version {
+            return false;
+        }
+        self.list_version = version;
+        self.received_version = version;
+        true
+    }
+
     /// Whether it is up, and its process is the one of this number.
     pub(super) fn is_running_as(&self, instance: u32) -> bool {
         self.is_up && self.instance == instance
@@ -95,19 +172,13 @@
             self.end_proxy(proxy);
         }
         let saved_list = self.world.saved_list(proxy);
-        let instance = self.proxies[proxy].instance + 1;
-        self.proxies[proxy] = SimulatedProxy {
-            is_up: true,
-            instance,
-            list_version: saved_list.version,
-            ..SimulatedProxy::default()
-        };
+        self.proxies[proxy] = self.proxies[proxy].next_instance(saved_list.version);
         let start = match self.world.stored_state_condition(proxy) {
             Some(StoredStateCondition::Kept) => PolicyStart::WithLearnedValues,
             _ => PolicyStart::Fresh,
         };
         let settings = proxy_settings::to_json(&self.world, proxy).to_string();
-        self.policies.start_policy(proxy, &settings, self.policy_seed(proxy, instance), start)?;
+        self.policies.start_policy(proxy, &settings, self.policy_seed(proxy), start)?;
         let entries = self.update_list(proxy, &saved_list.entries);
         self.add_event(proxy, Event::ListUpdated(ListUpdate::Saved(entries)));
         self.follow_agent(proxy);
@@ -116,8 +187,8 @@
     }
 
     /// A seed for the policy of each instance of each proxy, from the seed of the day.
-    fn policy_seed(&self, proxy: usize, instance: u32) -> u64 {
-        let seed = self.seed ^ (proxy as u64) << 20 ^ u64::from(instance);
+    fn policy_seed(&self, proxy: usize) -> u64 {
+        let seed = self.seed ^ (proxy as u64) << 20 ^ u64::from(self.proxies[proxy].instance);
         seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)
     }
 
@@ -132,8 +203,7 @@
         self.requests.retain(|_, request| request.proxy != proxy);
         let requests = &self.requests;
         self.attempts.retain(|attempt, _| requests.contains_key(&attempt.request));
-        let instance = self.proxies[proxy].instance;
-        self.proxies[proxy] = SimulatedProxy { instance, ..SimulatedProxy::default() };
+        self.proxies[proxy] = self.proxies[proxy].ended();
         self.proxies_with_events.remove(&proxy);
         self.suspended.remove(&proxy);
         self.world.handle_input(self.now, Input::ProxyStopped { proxy });
