--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -21,8 +21,28 @@
     pub max_wait: Time,
 }
 
-/// A finished call: the response, or `None` where the call failed.
-pub type FinishedCall = (DiscoveryCall, Option<ListResponse>);
+/// A call that has finished.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FinishedCall {
+    /// The call.
+    pub call: DiscoveryCall,
+    /// The response, or `None` where the call failed.
+    pub response: Option<ListResponse>,
+}
+
+impl FinishedCall {
+    fn failed(call: DiscoveryCall) -> Self {
+        Self { call, response: None }
+    }
+}
+
+/// A change of the list.
+#[derive(Clone, Copy, Debug)]
+struct Change {
+    /// The version of the list that it led to.
+    version: u64,
+    entry: ListEntry,
+}
 
 /// A complete list with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -62,8 +82,8 @@
 #[derive(Clone, Debug)]
 pub struct Discovery {
     list: VersionedList,
-    /// Recent changes with the version that each led to, the oldest first.
-    changes: VecDeque<(u64, ListEntry)>,
+    /// Recent changes, the oldest first.
+    changes: VecDeque<Change>,
     queue: VecDeque<QueuedCall>,
     /// When the first call of the queue is worked through.
     busy_until: Time,
@@ -109,7 +129,7 @@
             self.list.entries.push(change);
             self.list.entries.sort_by_key(|entry| entry.server);
         }
-        self.changes.push_back((self.list.version, change));
+        self.changes.push_back(Change { version: self.list.version, entry: change });
         if self.changes.len() > MAX_REMEMBERED_CHANGES {
             self.changes.pop_front();
         }
@@ -130,7 +150,7 @@
             return self.parked.push(ParkedCall { until: now + call.max_wait, call });
         }
         if self.is_down {
-            return finished.push((call, None));
+            return finished.push(FinishedCall::failed(call));
         }
         self.queue.push_back(QueuedCall { arrived_at: now, call });
         if self.queue.len() == 1 {
@@ -144,7 +164,7 @@
         if !self.timing.is_pushed {
             let queued = std::mem::take(&mut self.queue).into_iter().map(|queued| queued.call);
             let parked = std::mem::take(&mut self.parked).into_iter().map(|parked| parked.call);
-            finished.extend(queued.chain(parked).map(|call| (call, None)));
+            finished.extend(queued.chain(parked).map(FinishedCall::failed));
         }
     }
 
@@ -205,7 +225,7 @@
     fn serve_queued_call(&mut self, arrived_at: Time, call: DiscoveryCall, finished: &mut Vec<FinishedCall>) {
         let (at, timeout) = (self.busy_until, self.timing.call_timeout);
         if arrived_at + timeout < at {
-            finished.push((call, None));
+            finished.push(FinishedCall::failed(call));
         } else if !self.has_news_for(&call) && call.max_wait > Time::ZERO {
             self.parked.push(ParkedCall { until: at + call.max_wait, call });
         } else {
@@ -215,7 +235,7 @@
         // again.
         while self.queue.front().is_some_and(|queued| queued.arrived_at + timeout < at) {
             if let Some(QueuedCall { call, .. }) = self.queue.pop_front() {
-                finished.push((call, None));
+                finished.push(FinishedCall::failed(call));
             }
         }
         self.busy_until = at + self.timing.time_per_call;
@@ -236,25 +256,25 @@
             entries: list.entries.clone(),
         };
         if let Some(backup) = &self.backup {
-            return (call, Some(full(backup)));
+            return FinishedCall { call, response: Some(full(backup)) };
         }
         let version = self.list.version;
-        let oldest = self.changes.front().map_or(version, |(version, _)| version - 1);
+        let oldest = self.changes.front().map_or(version, |change| change.version - 1);
         let response = match call.known_version {
             Some(known) if known >= oldest && known <= version => {
                 ListResponse { version, is_full: false, entries: self.changes_since(known) }
             }
             _ => full(&self.list),
         };
-        (call, Some(response))
+        FinishedCall { call, response: Some(response) }
     }
 
     /// The last change of each server that changed after this version, in the order of the changes.
     fn changes_since(&self, known: u64) -> Vec<ListEntry> {
         let mut entries: Vec<ListEntry> = Vec::new();
-        for (_, change) in self.changes.iter().filter(|(version, _)| *version > known) {
-            entries.retain(|entry| entry.server != change.server);
-            entries.push(*change);
+        for change in self.changes.iter().filter(|change| change.version > known) {
+            entries.retain(|entry| entry.server != change.entry.server);
+            entries.push(change.entry);
         }
         entries
     }
--- a/crates/world/src/server/mod.rs
+++ b/crates/world/src/server/mod.rs
@@ -62,6 +62,23 @@
     }
 }
 
+/// A request that a server has executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Executed {
+    /// When its execution ended.
+    pub at: Time,
+    /// The id that it was offered with.
+    pub id: u64,
+}
+
+/// A request in the queue.
+#[derive(Clone, Copy, Debug)]
+struct Waiting {
+    id: u64,
+    /// In seconds on a standard core.
+    work: f64,
+}
+
 /// A request in execution, ordered by when it will be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Executing {
@@ -88,8 +105,7 @@
     /// of them are given the same.
     work_per_request: f64,
     executing: BTreeSet<Executing>,
-    /// Id and work of the requests in the queue.
-    waiting: VecDeque<(u64, f64)>,
+    waiting: VecDeque<Waiting>,
     /// Work of probes that is not done yet, in seconds on a standard core.
     probe_work: f64,
     connections: u64,
@@ -216,8 +232,8 @@
         next.min(congestion_change.unwrap_or(Time::NEVER)).max(self.now)
     }
 
-    /// Lets time pass until `now`. Appends to `done` the requests that were executed, with their instants and in their order.
-    pub fn advance(&mut self, now: Time, done: &mut Vec<(Time, u64)>) {
+    /// Lets time pass until `now`. Appends to `done` the requests that were executed, in the order of their ends.
+    pub fn advance(&mut self, now: Time, done: &mut Vec<Executed>) {
         loop {
             let next = self.next_event_at();
             if next > now {
@@ -229,7 +245,7 @@
     }
 
     /// Lets time pass up to the next event at most: until then all rates are constant.
-    fn advance_to_event(&mut self, now: Time, done: &mut Vec<(Time, u64)>) {
+    fn advance_to_event(&mut self, now: Time, done: &mut Vec<Executed>) {
         self.do_work((now - self.now).as_seconds());
         self.now = self.now.max(now);
         while let Some(&first) = self.executing.first()
@@ -237,7 +253,7 @@
         {
             self.executing.pop_first();
             self.reports.record_served();
-            done.push((self.now, first.id));
+            done.push(Executed { at: self.now, id: first.id });
             self.start_queued_requests();
         }
         if self.executing.is_empty() {
@@ -266,7 +282,7 @@
 
     fn start_queued_requests(&mut self) {
         while self.executing.len() < self.traits.slots
-            && let Some((id, work)) = self.waiting.pop_front()
+            && let Some(Waiting { id, work }) = self.waiting.pop_front()
         {
             let goal_bits = (self.work_per_request + work.max(WORK_ROUNDING)).to_bits();
             self.executing.insert(Executing { goal_bits, id });
@@ -292,7 +308,7 @@
         if self.executing.len() >= self.traits.slots && self.waiting.len() >= self.traits.queue_slots {
             return Admission::Rejected;
         }
-        self.waiting.push_back((id, work));
+        self.waiting.push_back(Waiting { id, work });
         self.start_queued_requests();
         self.update_congestion();
         Admission::Accepted
@@ -303,7 +319,7 @@
     pub fn abandon_request(&mut self, id: u64) -> bool {
         let in_flight_before = self.in_flight();
         if self.traits.drops_abandoned || self.traits.stops_abandoned {
-            self.waiting.retain(|(waiting, _)| *waiting != id);
+            self.waiting.retain(|waiting| waiting.id != id);
         }
         if self.traits.stops_abandoned {
             self.executing.retain(|executing| executing.id != id);
@@ -315,7 +331,7 @@
 
     /// Whether a request waits.
     pub fn is_queued(&self, id: u64) -> bool {
-        self.waiting.iter().any(|(waiting, _)| *waiting == id)
+        self.waiting.iter().any(|waiting| waiting.id == id)
     }
 
     /// A probe arrives.
--- a/crates/world/src/world/discovery_service.rs
+++ b/crates/world/src/world/discovery_service.rs
@@ -10,6 +10,12 @@
 /// So many earlier lists are remembered.
 const MAX_REMEMBERED_LISTS: usize = 512;
 
+/// A list, and since when discovery has shown it.
+struct FormerList {
+    since: Time,
+    list: VersionedList,
+}
+
 /// Discovery with its history.
 pub(super) struct DiscoveryService {
     discovery: Discovery,
@@ -17,8 +23,8 @@
     step: u64,
     /// What a fault adds to the time after which a change enters the list.
     extra_change_delay: Time,
-    /// Lists with the instant from which each was shown, the oldest first.
-    history: VecDeque<(Time, VersionedList)>,
+    /// The oldest first.
+    history: VecDeque<FormerList>,
 }
 
 impl DiscoveryService {
@@ -58,7 +64,7 @@
 
     /// Remembers the current list, which is shown from now on.
     pub(super) fn remember_list(&mut self, now: Time) {
-        self.history.push_back((now, self.discovery.list().clone()));
+        self.history.push_back(FormerList { since: now, list: self.discovery.list().clone() });
         if self.history.len() > MAX_REMEMBERED_LISTS {
             self.history.pop_front();
         }
@@ -67,9 +73,9 @@
     /// The list as it was shown `age` ago.
     pub(super) fn list_before(&self, age: Time, now: Time) -> VersionedList {
         let at = now - age;
-        let older = self.history.iter().rev().find(|(since, _)| *since <= at).or(self.history.front());
+        let older = self.history.iter().rev().find(|former| former.since <= at).or(self.history.front());
         match older {
-            Some((_, list)) if age > Time::ZERO => list.clone(),
+            Some(FormerList { list, .. }) if age > Time::ZERO => list.clone(),
             _ => self.discovery.list().clone(),
         }
     }
@@ -125,9 +131,9 @@
 
     /// Sends responses, and schedules the next change of discovery's state.
     pub(super) fn send_discovery_responses(&mut self, finished: Vec<FinishedCall>) {
-        for (call, response) in finished {
-            let delay = self.discovery_delay(call.proxy);
-            self.queue.push(self.now + delay, Due::DiscoveryResponseArrives(call, response));
+        for finished_call in finished {
+            let delay = self.discovery_delay(finished_call.call.proxy);
+            self.queue.push(self.now + delay, Due::DiscoveryResponseArrives(finished_call));
         }
         self.discovery.step += 1;
         let next = self.discovery.discovery.next_event_at();
@@ -149,8 +155,7 @@
     /// A response of discovery reaches its proxy.
     pub(super) fn on_discovery_response_arrives(
         &mut self,
-        call: DiscoveryCall,
-        response: Option<ListResponse>,
+        FinishedCall { call, response }: FinishedCall,
         outputs: &mut Vec<Output>,
     ) {
         if !self.link_passes(call.proxy, LinkKind::Discovery, None, Direction::ToProxy) {
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -17,7 +17,7 @@
 mod servers;
 
 use crate::Time;
-use crate::discovery::{DiscoveryCall, VersionedList};
+use crate::discovery::{DiscoveryCall, FinishedCall, VersionedList};
 use crate::event_queue::EventQueue;
 use crate::events::{AttemptOutcome, Event, EventKind};
 use crate::random::RandomStream;
@@ -80,7 +80,7 @@
     /// A call reaches discovery.
     DiscoveryCallArrives(DiscoveryCall),
     /// A response of discovery reaches its proxy.
-    DiscoveryResponseArrives(DiscoveryCall, Option<ListResponse>),
+    DiscoveryResponseArrives(FinishedCall),
     /// A change enters discovery's list.
     ListChange(ListEntry),
     /// A fault, by its index in the scenario, begins.
@@ -265,8 +265,8 @@
             }
             Due::DiscoveryStep { step } => self.on_discovery_step(step),
             Due::DiscoveryCallArrives(call) => self.on_discovery_call_arrives(call),
-            Due::DiscoveryResponseArrives(call, response) => {
-                self.on_discovery_response_arrives(call, response, outputs);
+            Due::DiscoveryResponseArrives(finished) => {
+                self.on_discovery_response_arrives(finished, outputs);
             }
             Due::ListChange(entry) => self.on_list_change(entry),
             Due::FaultBegins(fault) => self.begin_fault(fault, outputs),
--- a/crates/world/src/world/servers.rs
+++ b/crates/world/src/world/servers.rs
@@ -5,7 +5,7 @@
 use crate::Time;
 use crate::events::{AttemptOutcome, EventKind};
 use crate::scenario::Scenario;
-use crate::server::{CollapseLimit, Server};
+use crate::server::{CollapseLimit, Executed, Server};
 use crate::units::ValueRange;
 
 /// How long a draining server without requests stays up, at least.
@@ -22,7 +22,7 @@
     /// How long a draining server without requests stays up.
     drained_linger: Time,
     /// Requests that a server has executed, while it is advanced; kept to save the allocation.
-    executed: Vec<(Time, u64)>,
+    executed: Vec<Executed>,
 }
 
 impl Servers {
@@ -183,7 +183,7 @@
             self.scorecard.congestions += 1;
             self.record(EventKind::ServerCongested { server });
         }
-        for (_, id) in executed.drain(..) {
+        for Executed { id, .. } in executed.drain(..) {
             self.on_executed(server, ExchangeId(id), report);
         }
         self.servers.executed = executed;
--- a/crates/world/tests/server.rs
+++ b/crates/world/tests/server.rs
@@ -116,7 +116,7 @@
     server.set_hanging(false);
     server.advance(Time::from_millis(21_000), &mut done);
     assert_eq!(done.len(), 1);
-    assert!(done[0].0 > Time::from_millis(20_000));
+    assert!(done[0].at > Time::from_millis(20_000));
 }
 
 /// Guards days on which a cancelled request stops at once: otherwise it would occupy a server of one slot for nothing.
--- a/crates/world/tests/theory.rs
+++ b/crates/world/tests/theory.rs
@@ -3,7 +3,7 @@
 use mosshead_world::Time;
 use mosshead_world::random::RandomStream;
 use mosshead_world::scenario::Scenario;
-use mosshead_world::server::{Admission, CollapseLimit, Server, ServerTraits};
+use mosshead_world::server::{Admission, CollapseLimit, Executed, Server, ServerTraits};
 use rstest::rstest;
 
 const KIND: &str = r#"
@@ -67,7 +67,7 @@
         let work = random.exponential(service);
         assert_eq!(server.offer_request(id, work), Admission::Accepted);
         arrivals.insert(id, now);
-        for (at, id) in done.drain(..) {
+        for Executed { at, id } in done.drain(..) {
             sojourn += (at - arrivals.remove(&id).expect("it has arrived")).as_seconds();
             executed += 1;
         }
