--- a/crates/world/src/server/mod.rs
+++ b/crates/world/src/server/mod.rs
@@ -31,6 +31,15 @@
     Collapsed,
 }
 
+/// Whether a server has its full capacity when its process starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StartCondition {
+    /// It has, as all servers have when a day begins.
+    Warm,
+    /// It has not: it warms up.
+    Cold,
+}
+
 /// How much a cold server can bear: more than `multiple` times its present capacity within `window`, and it collapses.
 #[derive(Clone, Copy, Debug)]
 pub struct CollapseLimit {
@@ -98,8 +107,7 @@
 pub struct Server {
     traits: ServerTraits,
     started_at: Time,
-    /// Whether it had its full capacity from the start, as all do when a day begins.
-    started_warm: bool,
+    start_condition: StartCondition,
     now: Time,
     /// Work that each request in execution would have been given since it was last idle, in seconds on a standard core: all
     /// of them are given the same.
@@ -119,11 +127,16 @@
 }
 
 impl Server {
-    /// A process that starts now, with its full capacity (`started_warm`) or cold.
-    pub fn start(now: Time, traits: ServerTraits, started_warm: bool, collapse_limit: CollapseLimit) -> Self {
+    /// A process that starts now.
+    pub fn start(
+        now: Time,
+        traits: ServerTraits,
+        start_condition: StartCondition,
+        collapse_limit: CollapseLimit,
+    ) -> Self {
         Self {
             started_at: now,
-            started_warm,
+            start_condition,
             now,
             work_per_request: 0.0,
             executing: BTreeSet::new(),
@@ -167,7 +180,7 @@
 
     /// The share of its capacity that it has warmed up to.
     pub fn warm_up_progress(&self) -> f64 {
-        if self.started_warm || self.traits.warm_up == Time::ZERO {
+        if self.start_condition == StartCondition::Warm || self.traits.warm_up == Time::ZERO {
             return 1.0;
         }
         let age = (self.now - self.started_at).0 as f64 / self.traits.warm_up.0 as f64;
--- a/crates/world/src/world/machine.rs
+++ b/crates/world/src/world/machine.rs
@@ -5,7 +5,7 @@
 use super::{ConnectionId, ListEntry, ServerId, ServerSnapshot, ServerState};
 use crate::Time;
 use crate::random::RandomStream;
-use crate::server::{CollapseLimit, Server, ServerTraits};
+use crate::server::{CollapseLimit, Server, ServerTraits, StartCondition};
 
 /// Work that was sent to a server since its process started, in seconds on a standard core.
 #[derive(Clone, Copy, Default)]
@@ -58,7 +58,8 @@
 
     /// The process runs since before the day, with its full capacity.
     pub(super) fn start_before_day(&mut self, collapse_limit: CollapseLimit) {
-        self.process = Some(Server::start(self.started_at, self.traits.clone(), true, collapse_limit));
+        self.process =
+            Some(Server::start(self.started_at, self.traits.clone(), StartCondition::Warm, collapse_limit));
     }
 
     /// The process starts now, cold; false where the server is gone for good.
@@ -66,7 +67,7 @@
         if self.state == ServerState::Deleted {
             return false;
         }
-        self.process = Some(Server::start(now, self.traits.clone(), false, collapse_limit));
+        self.process = Some(Server::start(now, self.traits.clone(), StartCondition::Cold, collapse_limit));
         self.started_at = now;
         self.fast_error_share = 0.0;
         self.notified_proxies.clear();
--- a/crates/world/tests/server.rs
+++ b/crates/world/tests/server.rs
@@ -3,7 +3,7 @@
 use mosshead_world::Time;
 use mosshead_world::random::RandomStream;
 use mosshead_world::scenario::Scenario;
-use mosshead_world::server::{Admission, CollapseLimit, Server, ServerTraits};
+use mosshead_world::server::{Admission, CollapseLimit, Server, ServerTraits, StartCondition};
 
 fn traits(changes: &[(&str, &str)]) -> ServerTraits {
     let mut text = include_str!("../../../scenarios/calm.toml").to_owned();
@@ -15,11 +15,11 @@
     ServerTraits::draw(&scenario.kinds[0], 0, 0, &mut RandomStream::new(3, "test", 0))
 }
 
-fn server(traits: &ServerTraits, warm: bool) -> Server {
+fn server(traits: &ServerTraits, start_condition: StartCondition) -> Server {
     Server::start(
         Time::ZERO,
         traits.clone(),
-        warm,
+        start_condition,
         CollapseLimit { multiple: 3.0, window: Time::from_millis(3000) },
     )
 }
@@ -27,7 +27,7 @@
 #[test]
 fn a_cold_server_starts_at_its_initial_capacity_and_warms_up_in_time() {
     let traits = traits(&[]);
-    let mut server = server(&traits, false);
+    let mut server = server(&traits, StartCondition::Cold);
     assert!((server.warm_up_progress() - traits.initial_capacity).abs() < 1e-9);
     let (mut done, mut before) = (Vec::new(), 0.0);
     for step in 1..=90 {
@@ -42,7 +42,7 @@
 #[test]
 fn a_cold_server_collapses_above_its_limit_and_not_before() {
     let traits = traits(&[]);
-    let mut cold = server(&traits, false);
+    let mut cold = server(&traits, StartCondition::Cold);
     let budget = 3.0 * 3.0 * cold.healthy_capacity();
     let mut sent = 0.0;
     let collapsing_request = (0..10_000).find(|id| {
@@ -50,7 +50,7 @@
         cold.offer_request(*id, 0.05) == Admission::Collapsed
     });
     assert!(collapsing_request.is_some() && sent > budget && sent <= budget + 0.051, "{sent} of {budget}");
-    let mut warm = server(&traits, true);
+    let mut warm = server(&traits, StartCondition::Warm);
     assert!((0..10_000).all(|id| warm.offer_request(id, 0.05) != Admission::Collapsed));
 }
 
@@ -60,7 +60,7 @@
 fn an_overloaded_server_becomes_congested_and_recovers_only_after_a_rest() {
     let traits = traits(&[]);
     let congestion = traits.congestion.expect("a kind with congestion");
-    let mut server = server(&traits, true);
+    let mut server = server(&traits, StartCondition::Warm);
     let mut done = Vec::new();
     let overload = (congestion.enter_above * traits.cores) as u64 + 2;
     (0..overload).for_each(|id| assert_eq!(server.offer_request(id, 10.0), Admission::Accepted));
@@ -78,7 +78,7 @@
 #[test]
 fn a_full_server_rejects_and_drops_only_abandoned_requests_that_wait() {
     let traits = traits(&[("errors = \"0%..0.2%\"", "drops_given_up = true")]);
-    let mut server = server(&traits, true);
+    let mut server = server(&traits, StartCondition::Warm);
     let most = (traits.slots + traits.queue_slots) as u64;
     (0..most).for_each(|id| assert_eq!(server.offer_request(id, 1.0), Admission::Accepted));
     assert_eq!(server.offer_request(most, 1.0), Admission::Rejected);
@@ -91,7 +91,7 @@
 #[test]
 fn reports_are_shown_at_the_age_of_their_delay() {
     let traits = traits(&[]);
-    let mut server = server(&traits, true);
+    let mut server = server(&traits, StartCondition::Warm);
     let mut done = Vec::new();
     assert_eq!(server.load_report().in_flight, 0.0);
     (0..5).for_each(|id| assert_eq!(server.offer_request(id, 100.0), Admission::Accepted));
@@ -107,7 +107,7 @@
 #[test]
 fn a_hanging_server_executes_nothing_and_then_goes_on() {
     let traits = traits(&[]);
-    let mut server = server(&traits, true);
+    let mut server = server(&traits, StartCondition::Warm);
     let mut done = Vec::new();
     assert_eq!(server.offer_request(1, 0.1), Admission::Accepted);
     server.set_hanging(true);
@@ -125,7 +125,7 @@
     for stops in ["", "stops_given_up = true"] {
         let change = format!("cores = 3\nslots_per_core = 1\ndrops_given_up = true\n{stops}");
         let one_slot = ("slots_per_core = \"2..6\"\n", "");
-        let mut server = server(&traits(&[one_slot, ("cores = 3", &change)]), true);
+        let mut server = server(&traits(&[one_slot, ("cores = 3", &change)]), StartCondition::Warm);
         let mut done = Vec::new();
         for id in 0..4 {
             assert_eq!(server.offer_request(id, 1.0), Admission::Accepted);
--- a/crates/world/tests/theory.rs
+++ b/crates/world/tests/theory.rs
@@ -3,7 +3,7 @@
 use mosshead_world::Time;
 use mosshead_world::random::RandomStream;
 use mosshead_world::scenario::Scenario;
-use mosshead_world::server::{Admission, CollapseLimit, Executed, Server, ServerTraits};
+use mosshead_world::server::{Admission, CollapseLimit, Executed, Server, ServerTraits, StartCondition};
 use rstest::rstest;
 
 const KIND: &str = r#"
@@ -54,7 +54,7 @@
     let mut server = Server::start(
         Time::ZERO,
         traits,
-        true,
+        StartCondition::Warm,
         CollapseLimit { multiple: 3.0, window: Time::from_millis(3000) },
     );
     let (service, count) = (0.01, 1_500_000_u64);
