--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -9,7 +9,7 @@
     MemberId, Message, Node, Output, RequestDigest, Settings, SnapshotChunk, SnapshotOffer, StateDelta,
     StatePurpose, StateVersion, StoredStateError, Term, checksum,
 };
-use mosshead_time::{Duration, Instant};
+use mosshead_time::{Duration, Instant, whole_millis};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -169,8 +169,7 @@
 /// A step of a node: a tick, a request or a message, some time after the one before.
 #[derive(Clone, Debug)]
 struct Step {
-    /// In milliseconds.
-    after: u64,
+    after: Duration,
     kind: u64,
     message: AnyMessage,
     from: Member,
@@ -178,27 +177,33 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let (after, kind) = (u64::arbitrary(g) % 400, u64::arbitrary(g) % 10);
+        let (after, kind) = (Duration::from_millis(u64::arbitrary(g) % 400), u64::arbitrary(g) % 10);
         Step { after, kind, message: AnyMessage::arbitrary(g), from: any_member(g) }
     }
 }
 
 impl Step {
     fn input(self, request_id: u64) -> Input {
+        let number = self.number();
         match self.kind {
             0 => Input::Tick,
             1 => Input::Change {
                 request_id,
-                base_revision: self.after % 3,
-                revision: 1 + self.after % 5,
+                base_revision: number % 3,
+                revision: 1 + number % 5,
                 body: vec![1],
-                digest: digest(self.after),
+                digest: digest(number),
             },
             2 => Input::Read { request_id },
             _ => Input::Message { from: self.from, message: self.message.0 },
         }
     }
 
+    /// What the revisions of a change, and whether writes fail, follow from.
+    fn number(&self) -> u64 {
+        whole_millis(self.after)
+    }
+
     fn is_request(&self) -> bool {
         matches!(self.kind, 1 | 2)
     }
@@ -270,14 +275,14 @@
     let mut run = Run::default();
     let Ok(mut node) = node(&[], failures) else { return run };
     let from = Member { id: MemberId(9), address: node.local_member().address };
-    let last = Step { after: 2_000, kind: 0, message: AnyMessage(Message::PreVote), from };
+    let last = Step { after: Duration::from_secs(2), kind: 0, message: AnyMessage(Message::PreVote), from };
     let mut now = Instant::ORIGIN;
     for (request_id, step) in (0..).zip(steps.into_iter().chain([last])) {
-        now += Duration::from_millis(step.after);
+        now += step.after;
         if step.is_request() {
             run.request_ids.push(request_id);
         }
-        let writes_fail = step.after.is_multiple_of(13);
+        let writes_fail = step.number().is_multiple_of(13);
         run.step(&mut node, now, step.input(request_id), writes_fail);
     }
     run
--- a/crates/consensus/tests/fleet/checker.rs
+++ b/crates/consensus/tests/fleet/checker.rs
@@ -6,14 +6,7 @@
     ClientReply, ControlState, DEDUPLICATION_WINDOW, MAX_BODY_BYTES, MemberId, RequestDigest, Term,
 };
 use mosshead_time::{Duration, Instant};
-use mosshead_virtual_fleet::millis;
-
-/// A process: the machine that it runs on, and the number of its incarnation there.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ProcessId {
-    pub(crate) machine: usize,
-    pub(crate) incarnation: u64,
-}
+use mosshead_virtual_fleet::{ProcessId, millis};
 
 /// A digest that no other number has.
 pub(crate) fn digest(number: u64) -> RequestDigest {
@@ -45,6 +38,13 @@
     acknowledged: u64,
 }
 
+/// The primary of a term: a member, which is a disk, and its process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Primary {
+    member: MemberId,
+    process: ProcessId,
+}
+
 #[derive(Default)]
 pub(crate) struct Checker {
     requests: BTreeMap<u64, SentRequest>,
@@ -59,7 +59,7 @@
     committed: BTreeMap<u64, RequestDigest>,
     /// The newest revision that each process has published.
     published: BTreeMap<ProcessId, u64>,
-    primaries: BTreeMap<Term, (MemberId, ProcessId)>,
+    primaries: BTreeMap<Term, Primary>,
     /// The highest revision that was acknowledged.
     pub(crate) acknowledged: u64,
     /// When each revision became the highest that was acknowledged.
@@ -301,12 +301,12 @@
             self.report_violation("term", description);
         }
         let below = self.primaries.range(..term).next_back().map(|(_, primary)| *primary);
-        if continued && below != Some((member, process)) {
+        if continued && below != Some(Primary { member, process }) {
             self.report_violation("term", format!("{process:?} continued at {term:?} after {below:?}"));
         }
-        if self.primaries.range(term..).any(|(_, (other, _))| *other == member) {
+        if self.primaries.range(term..).any(|(_, other)| other.member == member) {
             self.report_violation("term", format!("{member:?} went back to {term:?}"));
         }
-        self.primaries.insert(term, (member, process));
+        self.primaries.insert(term, Primary { member, process });
     }
 }
--- a/crates/consensus/tests/fleet/large_states.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use mosshead_consensus::{ChunkSizes, ClientReply, InjectedFault, Input, MAX_BODY_BYTES, Message, Node};
-use mosshead_time::Duration;
+use mosshead_time::{Duration, Instant};
 use mosshead_virtual_fleet::{Noise, millis};
 
 use crate::checker::{Change, RequestKind};
@@ -20,6 +20,9 @@
 const LARGE_BYTES: usize = 3_000_000;
 const LARGEST_BYTES: usize = 4_000_000;
 
+/// A machine is absent until then at most.
+const END_OF_ABSENCE: Instant = Instant::from_millis(30_000);
+
 fn wiped_member(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 0..3 {
         let mut simulation = fleet(seed, 3, 1, LARGE_BYTES, injected_fault)?;
@@ -48,7 +51,7 @@
         let away = if seed == 3 { backups[0] } else { witnesses[0] };
         simulation.apply(FaultAction::Kill(vec![away]));
         let mut accepted = 0;
-        while accepted < 300 && simulation.now().as_millis() < 30_000 {
+        while accepted < 300 && simulation.now() < END_OF_ABSENCE {
             accepted += stream_changes(&mut simulation, millis(1_000))?;
         }
         ensure(accepted >= 300, &format!("{accepted} changes in 25 s"))?;
--- a/crates/consensus/tests/fleet/membership_scenarios.rs
+++ b/crates/consensus/tests/fleet/membership_scenarios.rs
@@ -2,6 +2,7 @@
 //! that the scenario is about.
 
 use mosshead_consensus::{InjectedFault, Node, Timings};
+use mosshead_time::Instant;
 use mosshead_virtual_fleet::{Noise, control_node_address, millis};
 
 use crate::checker::RequestKind;
@@ -12,6 +13,9 @@
     links_of, primary_other_than, roles,
 };
 
+/// A change of members has begun by then.
+const JOINT_BY: Instant = Instant::from_millis(10_000);
+
 /// The old side of a partition must not give its places to newcomers while the rest goes on.
 fn two_sides(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut simulation = Simulation::new(11, 5, 1, injected_fault);
@@ -27,7 +31,7 @@
     let is_joint = |simulation: &Simulation| {
         simulation.node(primary).and_then(Node::epoch_config).is_some_and(|config| config.is_joint())
     };
-    while !is_joint(&simulation) && simulation.now().as_millis() < 10_000 {
+    while !is_joint(&simulation) && simulation.now() < JOINT_BY {
         simulation.run(millis(1))?;
     }
     // The joint configuration is in flight to a newcomer and to none of the old members.
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -17,12 +17,17 @@
 /// How many accepted changes an operator remembers, to repeat them.
 const MAX_REMEMBERED_CHANGES: usize = 1_000;
 
+struct OpenRequest {
+    id: u64,
+    sent_at: Instant,
+}
+
 #[derive(Default)]
 pub(crate) struct Operator {
     /// The request whose result it does not know yet.
     request: Option<RequestKind>,
-    /// The number of the request that waits for a reply, and when it was sent.
-    open_request: Option<(u64, Instant)>,
+    /// The request that waits for a reply.
+    open_request: Option<OpenRequest>,
     redirects: usize,
     idle_until: Instant,
     /// Changes that were accepted, to be repeated now and then.
@@ -50,7 +55,8 @@
         self.after(TICK_INTERVAL, Event::Operator(index));
         let now = self.now();
         let operator = &mut self.operators[index];
-        let is_waiting = operator.open_request.is_some_and(|(_, sent_at)| now < sent_at + REPLY_TIMEOUT);
+        let is_waiting =
+            operator.open_request.as_ref().is_some_and(|open| now < open.sent_at + REPLY_TIMEOUT);
         if is_waiting || now < operator.idle_until {
             return;
         }
@@ -97,13 +103,14 @@
         let Some(kind) = self.operators[index].request.clone() else { return };
         // The reply may come while the request is sent.
         let id = self.next_request_id();
-        self.operators[index].open_request = Some((id, self.now()));
+        self.operators[index].open_request = Some(OpenRequest { id, sent_at: self.now() });
         self.send_request(target, kind);
     }
 
     /// A request has its reply: if an operator waits for it, it goes on with that.
     pub(crate) fn on_operator_reply(&mut self, request_id: u64) {
-        let waits = |operator: &Operator| operator.open_request.is_some_and(|(id, _)| id == request_id);
+        let waits =
+            |operator: &Operator| operator.open_request.as_ref().is_some_and(|open| open.id == request_id);
         let Some(index) = self.operators.iter().position(waits) else { return };
         let Some(reply) = self.checker.reply(request_id).cloned() else { return };
         let idle_until = self.now() + MIN_PAUSE + self.random_duration_below(PAUSE_VARIATION);
--- a/crates/consensus/tests/fleet/read_lease.rs
+++ b/crates/consensus/tests/fleet/read_lease.rs
@@ -1,7 +1,7 @@
 //! Whoever says that it has quorum contact shows no old state, whatever was buffered by a network or for a paused process.
 
 use mosshead_consensus::{InjectedFault, Node};
-use mosshead_time::Duration;
+use mosshead_time::{Duration, Instant};
 use mosshead_virtual_fleet::{Link, millis};
 
 use crate::fault_actions::FaultAction;
@@ -16,6 +16,9 @@
 /// So many messages wait for a process that resumes.
 const PAUSED_BACKLOG: usize = 8;
 
+/// A take-over has begun by then.
+const TAKE_OVER_BY: Instant = Instant::from_millis(10_000);
+
 /// Which links of a machine are affected.
 #[derive(Clone, Copy, Debug)]
 enum Direction {
@@ -181,7 +184,7 @@
         if let Some(candidate) = simulation.running().into_iter().find(proposes_itself) {
             return Ok(candidate);
         }
-        ensure(simulation.now().as_millis() < 10_000, "nobody takes over")?;
+        ensure(simulation.now() < TAKE_OVER_BY, "nobody takes over")?;
     }
 }
 
--- a/crates/consensus/tests/fleet/simulation.rs
+++ b/crates/consensus/tests/fleet/simulation.rs
@@ -13,7 +13,9 @@
     ChunkSizes, ClientReply, InjectedFault, Input, Member, Message, Node, Output, Settings, Term,
 };
 use mosshead_time::{Duration, Instant};
-use mosshead_virtual_fleet::{EventQueue, Link, Links, Noise, RandomSource, control_node_address, millis};
+use mosshead_virtual_fleet::{
+    EventQueue, Link, Links, Noise, ProcessId, RandomSource, control_node_address, millis,
+};
 use rand_pcg::Pcg64Mcg;
 
 pub(crate) use self::disk::{FaultyDisk, USUAL_WRITE_TIME_VARIATION};
@@ -21,7 +23,7 @@
 pub(crate) use self::network::{Bandwidth, MESSAGE_KINDS};
 pub(crate) use self::process::{AfterShutdown, Kill, Shutdown};
 pub(crate) use self::requests::{CALLER_TIMEOUT, body};
-use crate::checker::{Checker, ProcessId};
+use crate::checker::Checker;
 use crate::fault_actions::FaultAction;
 use crate::operator::Operator;
 
--- a/crates/control-plane/tests/fleet/checker.rs
+++ b/crates/control-plane/tests/fleet/checker.rs
@@ -1,19 +1,17 @@
 //! What operators, proxies and servers observed, and whether it violates an invariant.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::AddAssign;
 
 use mosshead_config::Config;
 use mosshead_consensus::RequestDigest;
 use mosshead_control_plane::ChangeKind;
 use mosshead_time::{Duration, Instant};
-use mosshead_virtual_fleet::millis;
+use mosshead_virtual_fleet::{ProcessId, millis};
 
 /// A control node that was isolated from a quorum for longer must serve no configuration and acknowledge no shutdown.
 pub(crate) const MAX_ISOLATION: Duration = millis(2_000);
 
-/// A control node and the incarnation of its process.
-type TokenHolder = (usize, u64);
-
 /// A distinct digest for each change.
 fn digest(change: usize) -> RequestDigest {
     let mut bytes = [0; 32];
@@ -21,6 +19,48 @@
     RequestDigest(bytes)
 }
 
+/// A configuration that an operator knows, and builds its next change on.
+#[derive(Clone, Default)]
+pub(crate) struct KnownConfig {
+    pub(crate) revision: u64,
+    /// The changes that it consists of.
+    pub(crate) applied_changes: BTreeSet<usize>,
+}
+
+/// The highest fencing token, and who has assigned stages under it.
+#[derive(Clone, Copy)]
+struct HighestToken {
+    token: u64,
+    holder: ProcessId,
+}
+
+/// How often what is checked has happened.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct Counts {
+    pub(crate) accepted: u64,
+    /// Changes that were accepted again.
+    pub(crate) repeats: u64,
+    /// Changes that were rejected as stale.
+    pub(crate) rejections: u64,
+    pub(crate) read_backs: u64,
+    pub(crate) configs_in_force: u64,
+    pub(crate) assignments: u64,
+    /// Shutdowns that were checked at a proxy.
+    pub(crate) shutdown_checks: u64,
+}
+
+impl AddAssign for Counts {
+    fn add_assign(&mut self, other: Counts) {
+        self.accepted += other.accepted;
+        self.repeats += other.repeats;
+        self.rejections += other.rejections;
+        self.read_backs += other.read_backs;
+        self.configs_in_force += other.configs_in_force;
+        self.assignments += other.assignments;
+        self.shutdown_checks += other.shutdown_checks;
+    }
+}
+
 pub(crate) struct ChangeRecord {
     pub(crate) kind: ChangeKind,
     pub(crate) base: u64,
@@ -49,14 +89,8 @@
     /// When each revision was acknowledged to an operator.
     acknowledged: BTreeMap<u64, Instant>,
     pub(crate) shutdowns: Vec<AcknowledgedServer>,
-    /// How many shutdowns were checked at a proxy.
-    pub(crate) shutdown_checks: u64,
-    highest_token: Option<(u64, TokenHolder)>,
-    pub(crate) assignments: u64,
-    pub(crate) reads: u64,
-    pub(crate) rejections: u64,
-    pub(crate) repeats: u64,
-    pub(crate) configurations: u64,
+    highest_token: Option<HighestToken>,
+    pub(crate) counts: Counts,
     pub(crate) violation: Option<String>,
 }
 
@@ -68,12 +102,12 @@
     pub(crate) fn new_change(
         &mut self,
         kind: ChangeKind,
-        base: (u64, &BTreeSet<usize>),
+        base: &KnownConfig,
         revision: u64,
         is_valid: bool,
     ) -> usize {
         let change = self.changes.len();
-        let mut applied_changes = base.1.clone();
+        let mut applied_changes = base.applied_changes.clone();
         applied_changes.insert(change);
         let body = match (kind, is_valid) {
             (_, false) => {
@@ -93,7 +127,7 @@
         };
         self.changes.push(ChangeRecord {
             kind,
-            base: base.0,
+            base: base.revision,
             revision,
             digest: digest(change),
             body: body.into_bytes(),
@@ -117,13 +151,9 @@
         before.map(|(revision, _)| *revision).max().unwrap_or(0)
     }
 
-    pub(crate) fn accepted_count(&self) -> usize {
-        self.acknowledged.len()
-    }
-
     pub(crate) fn on_accepted(&mut self, now: Instant, change: usize) {
         let record = &mut self.changes[change];
-        self.repeats += u64::from(record.is_accepted);
+        self.counts.repeats += u64::from(record.is_accepted);
         record.is_accepted = true;
         let (base, revision) = (record.base, record.revision);
         let (is_rejected, is_valid) = (record.is_rejected, record.is_valid);
@@ -141,6 +171,7 @@
             );
         }
         self.acknowledged.entry(revision).or_insert(now);
+        self.counts.accepted = self.acknowledged.len() as u64;
         let without = self.texts.range(revision..).find(|(_, text)| !applied_changes(text).contains(&change));
         if let Some((at, _)) = without {
             let description = format!("change {change} is accepted as {revision}, and {at} is without it");
@@ -150,7 +181,7 @@
 
     /// A change is rejected as stale. `acknowledged` is the highest revision acknowledged when the call was sent.
     pub(crate) fn on_stale(&mut self, change: usize, current: u64, acknowledged: u64) {
-        self.rejections += 1;
+        self.counts.rejections += 1;
         if current < acknowledged {
             let description =
                 format!("change {change} is rejected by {current}, when {acknowledged} was acknowledged");
@@ -176,7 +207,7 @@
     }
 
     pub(crate) fn on_read(&mut self, revision: u64, text: &str, acknowledged: u64) {
-        self.reads += 1;
+        self.counts.read_backs += 1;
         if revision < acknowledged {
             self.report_violation(
                 "lost change",
@@ -196,7 +227,7 @@
         config: &Config,
         isolated_for: Duration,
     ) {
-        self.configurations += 1;
+        self.counts.configs_in_force += 1;
         if isolated_for > MAX_ISOLATION {
             let description = format!(
                 "proxy {proxy} takes {} at {now} from a control node isolated for {isolated_for:?}",
@@ -240,17 +271,18 @@
         }
     }
 
-    pub(crate) fn on_assignment(&mut self, holder: TokenHolder, token: u64) {
-        self.assignments += 1;
-        if let Some((highest, other)) = self.highest_token
+    pub(crate) fn on_assignment(&mut self, holder: ProcessId, token: u64) {
+        self.counts.assignments += 1;
+        let highest = self.highest_token;
+        if let Some(HighestToken { token: highest, holder: other }) = highest
             && (token < highest || token == highest && holder != other)
         {
             let description =
                 format!("{holder:?} assigns under {token:#x} after {other:?} under {highest:#x}");
             self.report_violation("fencing token", description);
         }
-        if self.highest_token.is_none_or(|(highest, _)| token > highest) {
-            self.highest_token = Some((token, holder));
+        if highest.is_none_or(|highest| token > highest.token) {
+            self.highest_token = Some(HighestToken { token, holder });
         }
     }
 }
--- a/crates/control-plane/tests/fleet/operator.rs
+++ b/crates/control-plane/tests/fleet/operator.rs
@@ -1,13 +1,12 @@
 //! Operators that race for one revision: each repeats a call unchanged, to any control node, until its result is known.
 
-use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
 use mosshead_control_plane::{ChangeKind, ChangeResponse, ReadResponse};
 use mosshead_time::{Duration, Instant};
 use mosshead_virtual_fleet::millis;
 
-use crate::checker::applied_changes;
+use crate::checker::{KnownConfig, applied_changes};
 use crate::messages::{Call, Party, PendingCall, Purpose, Response};
 use crate::simulation::{Event, Simulation};
 
@@ -24,8 +23,8 @@
 pub(crate) struct Operator {
     /// The change whose result it does not know yet.
     change: Option<usize>,
-    /// The revision that its next change builds on, and the changes that this one consists of.
-    base: Option<(u64, BTreeSet<usize>)>,
+    /// What its next change builds on.
+    base: Option<KnownConfig>,
     accepted: Vec<usize>,
     redirects: usize,
     is_waiting: bool,
@@ -81,10 +80,11 @@
             return;
         }
         let (draw, step) = (self.random_below(100), self.random_below(3));
-        let Some((base, applied_changes)) = self.operators[index].base.take() else { return };
-        let kind = if base == 0 || draw < 30 { ChangeKind::Replace } else { ChangeKind::Modify };
+        let Some(base) = self.operators[index].base.take() else { return };
+        let kind = if base.revision == 0 || draw < 30 { ChangeKind::Replace } else { ChangeKind::Modify };
         let is_valid = draw % 12 != 0;
-        let change = self.checker.new_change(kind, (base, &applied_changes), base + 1 + step / 2, is_valid);
+        let revision = base.revision + 1 + step / 2;
+        let change = self.checker.new_change(kind, &base, revision, is_valid);
         self.operators[index].change = Some(change);
     }
 
@@ -159,7 +159,7 @@
         let idle_until = self.now() + millis(100) + self.random_duration_below(millis(600));
         let continues = self.random_below(3) > 0;
         let record = &self.checker.changes[change];
-        let base = (record.revision, record.applied_changes.clone());
+        let base = KnownConfig { revision: record.revision, applied_changes: record.applied_changes.clone() };
         let operator = &mut self.operators[index];
         operator.change = None;
         operator.idle_until = idle_until;
@@ -186,11 +186,12 @@
             ReadResponse::Current(state) => {
                 let text = String::from_utf8_lossy(&state.body).into_owned();
                 self.checker.on_read(state.revision, &text, acknowledged);
-                self.operators[index].base = Some((state.revision, applied_changes(&text)));
+                self.operators[index].base =
+                    Some(KnownConfig { revision: state.revision, applied_changes: applied_changes(&text) });
             }
             ReadResponse::Empty => {
                 self.checker.on_read(0, "", acknowledged);
-                self.operators[index].base = Some((0, BTreeSet::new()));
+                self.operators[index].base = Some(KnownConfig::default());
             }
             ReadResponse::Redirect { primary } => self.redirect(index, primary),
             ReadResponse::Unavailable => {}
--- a/crates/control-plane/tests/fleet/random_run.rs
+++ b/crates/control-plane/tests/fleet/random_run.rs
@@ -43,10 +43,10 @@
         self.after_change = None;
         self.after_shutdown = None;
         self.heal_all();
-        let accepted = self.checker.accepted_count();
+        let accepted = self.checker.counts.accepted;
         self.run(RECOVERY_TIME)?;
-        let (now, reads) = (self.now(), self.checker.reads);
-        if self.checker.accepted_count() == accepted {
+        let (now, read_backs) = (self.now(), self.checker.counts.read_backs);
+        if self.checker.counts.accepted == accepted {
             return Err(format!("at {now}: no change was accepted in the recovery"));
         }
         let wanted = self.checker.acknowledged_by(now - CONFIG_BOUND);
@@ -58,7 +58,7 @@
         }
         self.operators.iter_mut().for_each(Operator::read_back_next);
         self.run(READ_BACK_TIME)?;
-        if self.checker.reads == reads {
+        if self.checker.counts.read_backs == read_backs {
             return Err("nothing was read back in the recovery".into());
         }
         Ok(())
--- a/crates/control-plane/tests/fleet/random_runs.rs
+++ b/crates/control-plane/tests/fleet/random_runs.rs
@@ -1,75 +1,70 @@
 //! Random runs of many seeds violate no invariant. `FLEET_DAYS` adds that many, `FLEET_SEED` runs one alone.
 
+use crate::checker::Counts;
 use crate::random_run;
 use crate::simulation::InjectedFaults;
 
 const RUNS_PER_TEST: u64 = 500;
 
 fn run_all(seeds: std::ops::Range<u64>) {
-    let (mut accepted, mut assignments, mut shutdowns, mut reads) = (0, 0, 0, 0);
-    let (mut rejections, mut repeats, mut configurations) = (0, 0, 0);
+    let mut totals = Counts::default();
     let mut violations = Vec::new();
     for seed in seeds.clone() {
         match random_run::play(seed, InjectedFaults::default()) {
-            Ok(simulation) => {
-                let checker = &simulation.checker;
-                accepted += checker.accepted_count() as u64;
-                (assignments, shutdowns, reads) = (
-                    assignments + checker.assignments,
-                    shutdowns + checker.shutdown_checks,
-                    reads + checker.reads,
-                );
-                (rejections, repeats) = (rejections + checker.rejections, repeats + checker.repeats);
-                configurations += checker.configurations;
-            }
+            Ok(simulation) => totals += simulation.checker.counts,
             Err(description) => violations.push(description),
         }
     }
+    let Counts { accepted, repeats, rejections, read_backs, configs_in_force, assignments, shutdown_checks } =
+        totals;
     println!(
         "runs {seeds:?}: {accepted} changes accepted, {repeats} repeats accepted, {rejections} rejected as stale, \
-         {reads} read-backs, {configurations} configurations in force, {assignments} stage assignments, {shutdowns} shutdowns checked"
+         {read_backs} read-backs, {configs_in_force} configurations in force, {assignments} stage assignments, \
+         {shutdown_checks} shutdowns checked"
     );
     assert!(violations.is_empty(), "{} of the runs {seeds:?}:\n{}", violations.len(), violations.join("\n"));
     let count = seeds.end - seeds.start;
     assert!(accepted >= 20 * count, "{accepted} changes");
-    assert!(shutdowns >= 5 * count, "{shutdowns} shutdowns");
+    assert!(shutdown_checks >= 5 * count, "{shutdown_checks} shutdowns");
     assert!(assignments >= count / 4, "{assignments} assignments");
 }
 
-fn number(name: &str) -> Option<u64> {
+fn number_from_env(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 #[test]
-fn run_of_one_seed() {
-    if let Err(description) = random_run::play(number("FLEET_SEED").unwrap_or(1), InjectedFaults::default()) {
+fn the_run_of_one_seed_violates_no_invariant() {
+    if let Err(description) =
+        random_run::play(number_from_env("FLEET_SEED").unwrap_or(1), InjectedFaults::default())
+    {
         panic!("{description}");
     }
 }
 
 #[test]
-fn random_runs_of_the_first_range() {
+fn random_runs_of_the_first_range_violate_no_invariant() {
     run_all(0..RUNS_PER_TEST);
 }
 
 #[test]
-fn random_runs_of_the_second_range() {
+fn random_runs_of_the_second_range_violate_no_invariant() {
     run_all(RUNS_PER_TEST..2 * RUNS_PER_TEST);
 }
 
 #[test]
-fn random_runs_of_the_third_range() {
+fn random_runs_of_the_third_range_violate_no_invariant() {
     run_all(2 * RUNS_PER_TEST..3 * RUNS_PER_TEST);
 }
 
 #[test]
-fn random_runs_of_the_fourth_range() {
+fn random_runs_of_the_fourth_range_violate_no_invariant() {
     run_all(3 * RUNS_PER_TEST..4 * RUNS_PER_TEST);
 }
 
 #[test]
-fn additional_random_runs() {
-    let wanted = number("FLEET_DAYS").unwrap_or(0);
+fn additional_random_runs_violate_no_invariant() {
+    let wanted = number_from_env("FLEET_DAYS").unwrap_or(0);
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get().min(4)) as u64;
     let first = 4 * RUNS_PER_TEST;
     let shares: Vec<_> = (0..threads)
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -240,7 +240,7 @@
                 continue;
             }
             let proxy = &self.proxies[index];
-            self.checker.shutdown_checks += 1;
+            self.checker.counts.shutdown_checks += 1;
             if proxy.registry.get(&id).is_some_and(|server| server.state < OperState::Draining) {
                 self.trace(|| self.describe_entries(&id));
                 let description =
--- a/crates/control-plane/tests/fleet/stage_role.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -3,7 +3,7 @@
 use mosshead_consensus::Term;
 use mosshead_stage_scheduler::{AssignmentOutcome, StagePolicy, StageScheduler, fencing_token};
 use mosshead_time::{Duration, Instant};
-use mosshead_virtual_fleet::millis;
+use mosshead_virtual_fleet::{ProcessId, millis};
 
 use crate::messages::{Call, Party, Purpose, Response};
 use crate::simulation::Simulation;
@@ -51,7 +51,8 @@
             false => fencing_token(term.number, term.proposer.0),
         };
         for assignment in scheduler.due_assignments(now, process.registry.servers()) {
-            self.checker.on_assignment((control_node, self.control_nodes[control_node].incarnation), token);
+            let incarnation = self.control_nodes[control_node].incarnation;
+            self.checker.on_assignment(ProcessId { machine: control_node, incarnation }, token);
             let server = self.servers.iter().position(|server| server.reported.id == assignment.instance_id);
             let Some(server) = server else { continue };
             let call = Call::AssignStage { id: assignment.instance_id, stage: assignment.stage, token };
--- a/crates/virtual-fleet/src/lib.rs
+++ b/crates/virtual-fleet/src/lib.rs
@@ -11,6 +11,7 @@
 mod event_queue;
 mod links;
 mod noise;
+mod process_id;
 mod random_source;
 
 pub use address::control_node_address;
@@ -18,6 +19,7 @@
 pub use event_queue::EventQueue;
 pub use links::{Link, Links};
 pub use noise::Noise;
+pub use process_id::ProcessId;
 pub use random_source::RandomSource;
 
 use mosshead_time::Duration;
