--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -9,9 +9,10 @@
 
 use mosshead_registry::{Delta, Entry, HeartbeatOutcome, OperState, Registry, SourceId, VersionVector};
 
-use crate::{InjectedFault, QuorumContact};
+use crate::injected_fault::InjectedFault;
+use crate::quorum_contact::QuorumContact;
 
-/// How many acknowledged entries are remembered. One that is forgotten is only replicated again.
+/// How many acknowledged entries are remembered. One that was dropped is replicated again if the server repeats its call.
 const MAX_REMEMBERED_ENTRIES: usize = 4_096;
 /// The first delta to another control node starts this many versions back, so that it overlaps with what that node
 /// has and no gap remains.
@@ -41,7 +42,7 @@
     }
 }
 
-/// Which control nodes have to store an entry.
+/// The control nodes that may store an entry, and how many failures it has to survive.
 #[derive(Clone, Debug)]
 pub struct ReplicaSet {
     /// The control node that received the server's call.
@@ -55,19 +56,19 @@
 /// Whether a shutdown is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcknowledgementDecision {
-    /// It is.
+    /// Enough members store the entry.
     Acknowledge,
     /// More replicas are needed, and members have yet to respond.
     Wait,
-    /// It is not; the server repeats its call.
+    /// Too few members can store the entry, or there is no quorum contact; the server repeats its call.
     Reject,
 }
 
-/// The replication of one entry to the members.
+/// The progress of the replication of one entry to the other members.
 #[derive(Clone, Debug)]
 pub struct EntryReplication {
     entry: EntryVersion,
-    /// How many other members have to store the entry.
+    /// How many other members have to store the entry; at most as many as there are.
     needed: usize,
     /// Members that have not responded yet.
     pending: BTreeSet<SocketAddrV4>,
@@ -103,7 +104,7 @@
         self.entry
     }
 
-    /// Records the response of a control node, its vector, or that there is none.
+    /// Records the vector in the response of a control node; `None` if the call to it has failed.
     pub fn record_reply(&mut self, from: SocketAddrV4, vector: Option<&VersionVector>) {
         let has_entry = vector.is_some_and(|vector| self.entry.is_covered_by(vector));
         if self.pending.remove(&from) && has_entry {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What the server is answered now.
+    /// Whether the shutdown is acknowledged now, by the replicas so far.
     pub fn decision(&self, contact: QuorumContact) -> AcknowledgementDecision {
         let may_acknowledge =
             contact.is_confirmed() || has_fault(self.injected_fault, InjectedFault::AcknowledgeWithoutQuorum);
@@ -132,13 +133,13 @@
 pub enum ShutdownStep {
     /// Acknowledge at once: the server does not shut down, or its shutdown was acknowledged before.
     Acknowledge,
-    /// Answer that the server has to repeat its call.
+    /// Respond that the server has to repeat its call.
     Reject,
     /// Replicate the entry to the members first.
     Replicate(EntryReplication),
 }
 
-/// The entries whose shutdown was acknowledged: a server that repeats its call costs no further replication.
+/// The entries whose shutdown was acknowledged: a repeated call causes no further replication.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownAcknowledgements {
     entries: BTreeSet<EntryVersion>,
@@ -154,8 +155,8 @@
 
     /// Decides on a call of a server that the registry has recorded.
     ///
-    /// What counts is the entry in force, whoever published it: a server that repeats its call at another control
-    /// node, since it got no acknowledgement, gets none there either before there are replicas enough.
+    /// It decides by the entry in force, whichever control node has published it: a server that repeats its call at
+    /// another control node is not acknowledged there either before there are enough replicas.
     pub fn begin(
         &self,
         registry: &Registry,
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -1,6 +1,6 @@
-//! Admission of an operator's change: whether it is proposed to consensus, and how it is answered.
+//! Admission of an operator's change: whether it is proposed to consensus, and what the response is.
 //!
-//! Invariant *rejections are confirmed*: a change is called stale or invalid only by a state that a quorum has
+//! Invariant *rejections are confirmed*: a change is rejected as stale or invalid only by a state that a quorum has
 //! confirmed after the change arrived. A change that is accepted costs no extra round trip, since the write itself needs
 //! the quorum; a rejection costs one. A change that was committed is never rejected.
 
@@ -11,27 +11,28 @@
 use mosshead_consensus::{AppliedRequest, ClientReply, ControlState, RequestDigest, RequestStatus};
 
 use crate::config_offer::parse_config;
-use crate::{ChangeError, ChangeResponse, InjectedFault};
+use crate::injected_fault::InjectedFault;
+use crate::response::{ChangeError, ChangeResponse};
 
-/// How a change is made from its body.
+/// What the body of a change contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// The body is the complete new configuration.
     Replace,
-    /// The body names the items to remove and to put in.
+    /// The body lists the items to remove and to put in.
     Modify,
 }
 
 /// An operator's change as it arrived.
 #[derive(Clone, Debug)]
 pub struct OperatorChange<B> {
-    /// How the change is made from the body.
+    /// What the body contains.
     pub kind: ChangeKind,
     /// The revision that it builds on, if the call names one.
     pub base_revision: Option<u64>,
     /// The body, not parsed yet.
     pub body: B,
-    /// Tells a repeat of this call from another call.
+    /// Distinguishes a repeat of this call from another call.
     pub digest: RequestDigest,
 }
 
@@ -66,11 +67,11 @@
     pub revision: u64,
     /// The complete new configuration as JSON; empty if the change is known to be applied already.
     pub body: Vec<u8>,
-    /// Tells a repeat of the call from another call.
+    /// Distinguishes a repeat of the call from another call.
     pub digest: RequestDigest,
 }
 
-/// One change on its way to a response.
+/// The admission of one change, from its arrival to the response.
 #[derive(Clone, Debug)]
 pub struct ChangeAdmission<B> {
     request: OperatorChange<B>,
@@ -83,7 +84,7 @@
     injected_fault: Option<InjectedFault>,
 }
 
-/// Where the state comes from that a change is evaluated against.
+/// Whether the state that a change is evaluated against may be outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StateOrigin {
     /// This node's newest committed state, which may be outdated.
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -1,4 +1,4 @@
-//! Which configuration a control node hands out.
+//! Which configuration a control node offers.
 //!
 //! Invariant *served with quorum contact*: a control node without quorum contact offers no configuration and
 //! advertises no revision, since what it knows may be outdated.
@@ -9,12 +9,13 @@
 use mosshead_config::{Config, ConfigError};
 use mosshead_consensus::ControlState;
 
-use crate::config_offer::parse_config;
-use crate::{ConfigOffer, InjectedFault, QuorumContact};
+use crate::config_offer::{ConfigOffer, parse_config};
+use crate::injected_fault::InjectedFault;
+use crate::quorum_contact::QuorumContact;
 
-/// How many patches are kept for processes with older revisions.
+/// The most patches that are retained for processes with older revisions.
 const MAX_PATCHES: usize = 1024;
-/// The total length of the patches, in bytes.
+/// The most bytes of retained patches.
 const MAX_PATCH_BYTES: usize = 4 * 1024 * 1024;
 
 /// The patch from one committed configuration to the next.
@@ -41,7 +42,7 @@
         ConfigHistory { injected_fault, ..ConfigHistory::default() }
     }
 
-    /// Takes in a committed state. Returns its configuration, or `None` if a revision as new is known already.
+    /// Takes in a committed state. Returns its configuration, or `None` if this or a newer revision is known already.
     ///
     /// # Errors
     ///
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The patches from a revision to the newest one, if all are kept and shorter than the complete configuration.
+    /// The patches from a revision to the newest one, if all are retained and shorter than the complete configuration.
     fn patches_from(&self, revision: u64, config: &Config) -> Option<Vec<String>> {
         let first = self.patches.iter().position(|patch| patch.from_revision == revision)?;
         self.patches.back().filter(|last| last.to_revision == config.revision())?;
--- a/crates/control-plane/src/config_offer.rs
+++ b/crates/control-plane/src/config_offer.rs
@@ -1,10 +1,10 @@
-//! What a control node hands out as configuration, and what a proxy makes of it.
+//! The offer of a configuration by a control node, and its application by a proxy.
 
 use std::sync::Arc;
 
 use mosshead_config::{Config, ConfigError};
 
-/// What is offered to a process that fetches the configuration.
+/// The offer to a process that fetches the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigOffer {
     /// Nothing: the control node has no quorum contact, or no configuration yet.
--- a/crates/control-plane/src/control_node_pool.rs
+++ b/crates/control-plane/src/control_node_pool.rs
@@ -1,4 +1,4 @@
-//! Which control node a proxy asks, and whose configuration it fetches.
+//! Which control nodes a proxy watches, and whose configuration it fetches.
 //!
 //! Invariant *fetched with quorum contact*: a proxy fetches the configuration only from a control node that reports
 //! quorum contact, and the revision in force at a proxy never goes back.
@@ -7,11 +7,12 @@
 
 use mosshead_time::{Duration, Instant};
 
-use crate::{InjectedFault, QuorumContact};
+use crate::injected_fault::InjectedFault;
+use crate::quorum_contact::QuorumContact;
 
 /// The most control nodes that a proxy knows.
 const MAX_CONTROL_NODES: usize = 64;
-/// How long a released control node is not asked again.
+/// How long a released control node is not acquired again.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// A control node without quorum contact for this long is released.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(600);
@@ -22,7 +23,7 @@
     address: SocketAddrV4,
     /// When it was last released, after a failure or without quorum contact; `None` if it never was.
     released_at: Option<Instant>,
-    /// It is acquired, and not released yet.
+    /// Whether the proxy watches it.
     is_acquired: bool,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl ControlNodePool {
-    /// Knows the seeds only.
+    /// The pool of the seeds.
     pub fn new(seeds: &[SocketAddrV4]) -> ControlNodePool {
         let mut pool = ControlNodePool::default();
         pool.add(seeds);
@@ -74,7 +75,7 @@
     }
 
     /// Acquires a control node to watch: one that is not acquired, and was released longest ago or never. `None` if
-    /// there is none, or it was released within the retry delay: nodes that fail at once are not asked in a busy loop.
+    /// there is none, or it was released within the retry delay: nodes that fail at once are not called in a busy loop.
     pub fn acquire(&mut self, now: Instant) -> Option<SocketAddrV4> {
         let free = self.nodes.iter_mut().filter(|node| !node.is_acquired);
         let node = free.min_by_key(|node| node.released_at)?;
@@ -85,7 +86,7 @@
         Some(node.address)
     }
 
-    /// Gives a control node back that failed or has no quorum contact.
+    /// Returns an acquired control node to the pool, after a failure or without quorum contact.
     pub fn release(&mut self, now: Instant, address: SocketAddrV4) {
         for node in self.nodes.iter_mut().filter(|node| node.address == address) {
             node.is_acquired = false;
@@ -106,7 +107,7 @@
     }
 }
 
-/// How long a proxy goes on watching one control node.
+/// Decides how long a proxy watches one control node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchSession {
     /// Since when the control node has reported no quorum contact.
--- a/crates/control-plane/src/injected_fault.rs
+++ b/crates/control-plane/src/injected_fault.rs
@@ -6,7 +6,7 @@
 pub enum InjectedFault {
     /// A change is rejected by the local state, which no quorum has confirmed.
     RejectFromLocalState,
-    /// A control node without quorum contact hands out its configuration.
+    /// A control node without quorum contact offers its configuration.
     ServeWithoutQuorum,
     /// A proxy fetches the configuration from a control node that reports no quorum contact.
     FetchWithoutQuorum,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of the control nodes and of the proxies that follow them, without I/O and without a clock.
 //!
-//! The programs carry these decisions out: [`ChangeAdmission`] decides how an operator's change is answered,
-//! [`ConfigHistory`] which configuration a control node hands out, [`ControlNodePool`] which control node a proxy asks
+//! The programs carry these decisions out: [`ChangeAdmission`] decides on the response to an operator's change,
+//! [`ConfigHistory`] which configuration a control node offers, [`ControlNodePool`] which control nodes a proxy watches
 //! and whose configuration it fetches, and [`ShutdownAcknowledgements`] when a server that shuts down is acknowledged.
 
 mod acknowledgement;
--- a/crates/control-plane/src/response.rs
+++ b/crates/control-plane/src/response.rs
@@ -28,7 +28,8 @@
         /// The internal address of the primary.
         primary: SocketAddrV4,
     },
-    /// Unknown result: the change is so old that it cannot be told from one that was committed and has been forgotten.
+    /// Unknown result: the change is so old that it cannot be distinguished from one that was committed and is not
+    /// remembered any more.
     Expired,
     /// Unknown result: the change may be committed or not.
     Unavailable,
@@ -42,7 +43,7 @@
         MissingBaseRevision {
             display("C07 X-Base-Revision is missing")
         }
-        /// The body has no revision.
+        /// The body lacks the revision that the change makes.
         MissingRevision {
             display("M08 at revision: is missing")
         }
