--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! What this disk promises and accepts.
 //!
 //! A handler returns what is to be written for a message, if anything. The node carries it out: first it raises the promise,
-//! which ends a role under a lower term, then it writes. Nothing is answered before its write is synced.
+//! which ends a role under a lower term, then it writes. No response is sent before the write is synced.
 
 use mosshead_time::Instant;
 
@@ -18,9 +18,9 @@
 /// The promises of this disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
-    /// Nothing of a lower term is accepted. Durable sooner or later, and before it is answered.
+    /// Nothing of a lower term is accepted. Never decreases; durable before the response to its proposer.
     promised: Term,
-    /// A proposer that was promised a term is given time until then: others get no pre-vote.
+    /// Until then no pre-vote is granted, so that the proposer of the promised term can finish.
     withholds_pre_votes_until: Instant,
 }
 
@@ -44,7 +44,7 @@
 
     /// Gives the proposer of the promised term time to finish.
     pub(crate) fn withhold_pre_votes(&mut self, context: &Context) {
-        self.withholds_pre_votes_until = context.now + context.timings().suspicion_timeout / 2;
+        self.withholds_pre_votes_until = context.now() + context.timings().suspicion_timeout / 2;
     }
 
     /// Whether a message of a term may be accepted. The sender of a lower term gets a rejection with the promised one.
@@ -53,7 +53,7 @@
             context.send(from.address, Message::Reject { term, promised: self.promised });
         }
         // A term belongs to one disk: a write of another one under it would be taken for that disk's.
-        term >= self.promised && term.proposer == from.id && !storage.writes.is_full()
+        term >= self.promised && term.proposer == from.id && !storage.is_full()
     }
 
     /// What to write for a promise; none if the term is not above the promised one.
@@ -65,7 +65,7 @@
         Some(DurabilityEffect::Promise(term))
     }
 
-    /// Whether a state of the sender is to be written. What is durable already is answered.
+    /// Whether a state of the sender is to be written. For a durable one, the response is sent.
     pub(crate) fn wants_state(
         &self,
         context: &mut Context,
@@ -74,7 +74,7 @@
         version: &StateVersion,
     ) -> bool {
         self.admits(context, storage, from, version.write_term)
-            && !answer_if_durable(context, storage, from, version)
+            && !respond_if_durable(context, storage, from, version)
     }
 
     /// As [`Acceptor::wants_state`], also below the promised term with [`InjectedFault::ForgetPromise`].
@@ -86,12 +86,12 @@
         version: &StateVersion,
     ) -> bool {
         if context.has_fault(InjectedFault::ForgetPromise) && version.write_term.proposer == from.id {
-            return !answer_if_durable(context, storage, from, version);
+            return !respond_if_durable(context, storage, from, version);
         }
         self.wants_state(context, storage, from, version)
     }
 
-    /// What to write for a whole state.
+    /// What to write for a complete state.
     pub(crate) fn on_replicate_state(
         &self,
         context: &mut Context,
@@ -141,7 +141,7 @@
             return None;
         }
         let has_body = |state: &&ControlState| state.version().has_same_body(&version);
-        let durable = storage.durable.state.as_ref().filter(has_body);
+        let durable = storage.state().filter(has_body);
         if durable.is_some() && storage.may_refer_to_durable_state() {
             return Some(DurabilityEffect::RewriteUnderNewTerm(version));
         }
@@ -154,14 +154,18 @@
 
     /// What to write for a configuration that is neither durable nor being written.
     pub(crate) fn on_accept(&self, storage: &Storage, config: EpochConfig) -> Option<DurabilityEffect> {
-        let is_pending = storage.writes.includes_accept(config.term);
-        (!is_pending).then_some(DurabilityEffect::Accept(config))
+        (!storage.is_writing_config(config.term)).then_some(DurabilityEffect::Accept(config))
     }
 }
 
-/// Answers a state that is durable. Returns whether it is durable or being written, or even a newer one.
-fn answer_if_durable(context: &mut Context, storage: &Storage, from: Member, version: &StateVersion) -> bool {
-    if storage.durable.version() == Some(*version) {
+/// Responds to a state that is durable. Returns whether it, or a newer one, is durable or being written.
+fn respond_if_durable(
+    context: &mut Context,
+    storage: &Storage,
+    from: Member,
+    version: &StateVersion,
+) -> bool {
+    if storage.version() == Some(*version) {
         context.send(from.address, Message::Replicated { version: *version });
     }
     storage.includes_version(version)
--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -12,9 +12,9 @@
 
 /// The base is indexed by blocks of this many bytes; shorter common ranges inside of a change aren't found.
 const BLOCK_BYTES: usize = 64;
-/// A delta inserts at most this many bytes: with more, the whole body goes as well.
+/// A delta inserts at most this many bytes: beyond that, a complete body costs hardly more.
 const MAX_INSERTED_BYTES: usize = 256 << 10;
-/// A delta that is not this many times shorter than its target does not pay.
+/// A delta that is not this many times shorter than its target is not worth its computation.
 const MIN_COMPRESSION_FACTOR: usize = 2;
 /// Slices of this length are compared at once where two bodies begin or end alike.
 const COMPARE_BYTES: usize = 256;
@@ -23,7 +23,7 @@
 /// The lowest bit of an instruction tells an insertion from a copy.
 const INSERT_BIT: u64 = 1;
 
-/// What makes one body of another.
+/// Makes one body of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct BodyDelta {
     /// The length of the result, then the instructions; all numbers as in LEB128, seven bits to a byte.
@@ -50,7 +50,7 @@
             .then(|| BodyDelta { instructions: writer.instructions.into() })
     }
 
-    /// The target, if the instructions fit the base.
+    /// The target; none if the instructions are invalid or refer to ranges that the base does not have.
     pub fn apply(&self, base: &[u8]) -> Option<Vec<u8>> {
         let mut reader = Reader { rest: &self.instructions };
         let length =
@@ -98,11 +98,11 @@
     equal + rest.take_while(|(a, b)| a == b).count()
 }
 
-/// Writes what makes `target` of `base`, which starts at `base_start` of the whole base; none if too much is new.
+/// Writes what makes `target` of `base`, which starts at `base_start` of the complete base; none if too much is new.
 fn write_difference(writer: &mut Writer, base: &[u8], target: &[u8], base_start: usize) -> Option<()> {
     let index = BlockIndex::new(base);
     let mut position = 0;
-    // What was not found in the base starts here.
+    // The bytes from here to `position` were not found in the base.
     let mut unmatched = 0;
     let mut hash = target.get(..BLOCK_BYTES).map(RollingHash::of);
     while let Some(rolling) = hash {
@@ -142,16 +142,17 @@
     }
 
     fn roll(self, leaving: u8, entering: u8) -> RollingHash {
-        let gone = (u64::from(leaving) + 1).wrapping_mul(HASH_FACTOR.wrapping_pow(BLOCK_BYTES as u32 - 1));
-        let value = self.value.wrapping_sub(gone).wrapping_mul(HASH_FACTOR);
+        let removed = (u64::from(leaving) + 1).wrapping_mul(HASH_FACTOR.wrapping_pow(BLOCK_BYTES as u32 - 1));
+        let value = self.value.wrapping_sub(removed).wrapping_mul(HASH_FACTOR);
         RollingHash { value: value.wrapping_add(u64::from(entering) + 1) }
     }
 }
 
-/// Where the blocks of the base are, by their hash. Of those that share a slot the first is kept.
+/// The positions of the blocks of the base, by their hash. Of blocks that share a slot only the first is found.
 struct BlockIndex {
-    /// The number of the block plus one; zero if the slot is free.
+    /// The number of the block plus one; zero if the slot is free. Their number is a power of two.
     slots: Vec<u32>,
+    /// How far a hash is shifted so that it is the index of a slot.
     shift: u32,
 }
 
@@ -236,7 +237,7 @@
             let (first, rest) = self.rest.split_first()?;
             self.rest = rest;
             let group = u64::from(first & 0x7f);
-            // Bits that don't fit are no number.
+            // A number has at most 64 bits.
             if (group << shift) >> shift != group {
                 return None;
             }
--- a/crates/consensus/src/context.rs
+++ b/crates/consensus/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part needs: settings, the local member, the time of this step, and where outputs go.
+//! What every part needs: settings, the local member, the time of this step, and the outputs of this step.
 
 use core::net::SocketAddrV4;
 use core::time::Duration;
@@ -12,15 +12,15 @@
 use crate::term::Member;
 use crate::timings::Timings;
 
-/// The surroundings of the parts of a node.
+/// Lent to the parts of a node in each step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Context {
-    pub(crate) settings: Settings,
-    pub(crate) local: Member,
-    pub(crate) started_at: Instant,
+    settings: Settings,
+    local: Member,
+    started_at: Instant,
     /// The time of the current step; it never goes back.
-    pub(crate) now: Instant,
-    /// Empty between steps.
+    now: Instant,
+    /// In the order in which the host carries them out; empty between steps.
     outputs: Vec<Output>,
 }
 
@@ -29,6 +29,33 @@
         Context { settings, local, started_at: now, now, outputs: Vec::new() }
     }
 
+    pub(crate) fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
+        self.settings.seeds = seeds;
+    }
+
+    pub(crate) fn local(&self) -> Member {
+        self.local
+    }
+
+    /// When this node was created.
+    pub(crate) fn started_at(&self) -> Instant {
+        self.started_at
+    }
+
+    /// The time of the current step.
+    pub(crate) fn now(&self) -> Instant {
+        self.now
+    }
+
+    /// Starts a step. An instant before that of the last step counts as that one.
+    pub(crate) fn start_step(&mut self, now: Instant) {
+        self.now = self.now.max(now);
+    }
+
     pub(crate) fn timings(&self) -> &Timings {
         &self.settings.timings
     }
@@ -57,6 +84,7 @@
         self.outputs.push(output);
     }
 
+    /// Ends a step: all outputs since its start.
     pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/crates/consensus/src/control_state.rs
+++ b/crates/consensus/src/control_state.rs
@@ -12,7 +12,7 @@
 /// How many of the latest applied requests a state remembers.
 pub const DEDUPLICATION_WINDOW: usize = 256;
 
-/// Identifies a state: of two, the higher one holds.
+/// Identifies a state. Of two states, the one with the higher version is in force.
 ///
 /// Exactly one body belongs to each pair of `revision` and `first_write_term`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -34,7 +34,7 @@
     }
 }
 
-/// What tells an operator's request from every other one: the SHA-256 of its whole content.
+/// Distinguishes an operator's request from every other one: the SHA-256 of its complete content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct RequestDigest(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; 32]);
@@ -56,7 +56,7 @@
     pub digest: RequestDigest,
 }
 
-/// What a state knows of an operator's request, before anything is written.
+/// The status of an operator's request by one state, before anything is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
     /// Exactly this request was applied.
@@ -65,7 +65,8 @@
     Acceptable,
     /// It was never applied, and never will be.
     Stale,
-    /// It is so old that it can't be told from an applied request that left the deduplication window: no clear answer.
+    /// It is so old that it can't be distinguished from an applied request that left the deduplication window: it may have
+    /// been applied or not.
     Expired,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl ControlState {
-    /// Which state it is.
+    /// The version of this state.
     pub fn version(&self) -> StateVersion {
         StateVersion {
             write_term: self.write_term,
@@ -131,13 +132,13 @@
         let dropped = (self.applied_requests.len() + 1).saturating_sub(DEDUPLICATION_WINDOW);
         let dropped_revisions = self.applied_requests.iter().take(dropped).map(|r| r.revision);
         let highest_expired_revision = dropped_revisions.fold(self.highest_expired_revision, u64::max);
-        let kept = self.applied_requests.iter().skip(dropped).copied();
+        let remembered = self.applied_requests.iter().skip(dropped).copied();
         ControlState {
             write_term: term,
             first_write_term: term,
             revision: request.revision,
             body,
-            applied_requests: kept.chain([request]).collect(),
+            applied_requests: remembered.chain([request]).collect(),
             highest_expired_revision,
         }
     }
--- a/crates/consensus/src/disk_writes.rs
+++ b/crates/consensus/src/disk_writes.rs
@@ -22,10 +22,13 @@
     Accept(EpochConfig),
     State(ControlState),
     /// A change of the state before it, and the state that it makes.
-    Delta(StateDelta, ControlState),
+    Delta {
+        delta: StateDelta,
+        state: ControlState,
+    },
     RewriteUnderNewTerm(StateVersion),
     Learned(EpochConfig),
-    /// The whole log was replaced by a snapshot.
+    /// The log was replaced by a snapshot.
     LogRewrite,
 }
 
@@ -37,7 +40,7 @@
             DurabilityEffect::Promise(term) => LogRecord::Promise(*term),
             DurabilityEffect::Accept(config) => LogRecord::Accept(config.clone()),
             DurabilityEffect::State(state) => LogRecord::State(state.clone()),
-            DurabilityEffect::Delta(delta, _) => LogRecord::Delta(delta.clone()),
+            DurabilityEffect::Delta { delta, .. } => LogRecord::Delta(delta.clone()),
             DurabilityEffect::RewriteUnderNewTerm(version) => LogRecord::RewriteUnderNewTerm(*version),
             DurabilityEffect::Learned(config) => LogRecord::Learned(config.clone()),
             DurabilityEffect::LogRewrite => return None,
@@ -47,15 +50,15 @@
     /// What it changes in the durable state. The state of a delta was made when the write was queued.
     pub(crate) fn to_durable_record(&self) -> Option<LogRecord> {
         match self {
-            DurabilityEffect::Delta(_, state) => Some(LogRecord::State(state.clone())),
+            DurabilityEffect::Delta { state, .. } => Some(LogRecord::State(state.clone())),
             effect => effect.to_record(),
         }
     }
 
-    /// The whole state that it writes, if any.
+    /// The state that it writes, if any.
     pub(crate) fn state(&self) -> Option<&ControlState> {
         match self {
-            DurabilityEffect::State(state) | DurabilityEffect::Delta(_, state) => Some(state),
+            DurabilityEffect::State(state) | DurabilityEffect::Delta { state, .. } => Some(state),
             _ => None,
         }
     }
@@ -81,32 +84,42 @@
 /// A write that the host has not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingDiskWrite {
+    /// Numbers the writes of this node in the order of their records.
     pub(crate) token: u64,
     pub(crate) started_at: Instant,
     pub(crate) effect: DurabilityEffect,
-    /// The member that asked for the write and is to be answered.
+    /// The member that has requested the write and gets a response; none for what the disk itself needs.
     pub(crate) requester: Option<Member>,
 }
 
-/// The unconfirmed writes, and the length of the log.
+/// The unconfirmed writes, and what has become of the last ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingDiskWrites {
     /// Oldest first; the host confirms them in this order.
-    pub(crate) queue: VecDeque<PendingDiskWrite>,
-    pub(crate) next_token: u64,
-    /// The bytes of the log, as far as known.
-    pub(crate) log_bytes: usize,
-    /// The bytes of the log when it was rewritten last.
-    pub(crate) snapshot_bytes: usize,
-    /// The bytes of all bodies that a replay of the log has to make out of deltas.
-    pub(crate) rebuilt_bytes: usize,
+    queue: VecDeque<PendingDiskWrite>,
+    next_token: u64,
     /// When a write failed last, if none was confirmed since.
-    pub(crate) failed_at: Option<Instant>,
-    /// A failed write of a state may stand in the log all the same, so no record may refer to the state before it.
-    pub(crate) is_last_state_uncertain: bool,
+    failed_at: Option<Instant>,
+    /// A failed write of a state may be in the log all the same, so no record may refer to the state before it.
+    is_last_state_uncertain: bool,
 }
 
 impl PendingDiskWrites {
+    /// The token of the next write.
+    pub(crate) fn take_token(&mut self) -> u64 {
+        let token = self.next_token;
+        self.next_token += 1;
+        token
+    }
+
+    pub(crate) fn push(&mut self, write: PendingDiskWrite) {
+        self.queue.push_back(write);
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.queue.is_empty()
+    }
+
     pub(crate) fn is_full(&self) -> bool {
         self.queue.len() >= MAX_PENDING_WRITES
     }
@@ -116,12 +129,41 @@
         self.queue.front().map_or(Duration::ZERO, |write| now - write.started_at)
     }
 
-    /// Removes the write with the token.
-    pub(crate) fn take(&mut self, token: u64) -> Option<PendingDiskWrite> {
+    /// The write is synced: removes it.
+    pub(crate) fn take_synced(&mut self, token: u64) -> Option<PendingDiskWrite> {
+        let write = self.take(token)?;
+        self.failed_at = None;
+        Some(write)
+    }
+
+    /// The write has failed: removes it. Its record is in the log or not.
+    pub(crate) fn take_failed(&mut self, now: Instant, token: u64) -> Option<PendingDiskWrite> {
+        let write = self.take(token)?;
+        self.failed_at = Some(now);
+        self.is_last_state_uncertain |= write.effect.state().is_some();
+        Some(write)
+    }
+
+    fn take(&mut self, token: u64) -> Option<PendingDiskWrite> {
         let index = self.queue.iter().position(|write| write.token == token)?;
         self.queue.remove(index)
     }
 
+    /// When a write failed last, if none was confirmed since.
+    pub(crate) fn failed_at(&self) -> Option<Instant> {
+        self.failed_at
+    }
+
+    /// Whether a failed write may have left a state in the log that is not the durable one.
+    pub(crate) fn is_last_state_uncertain(&self) -> bool {
+        self.is_last_state_uncertain
+    }
+
+    /// The durable state is the last one in the log: a complete state was synced, or the log was replaced.
+    pub(crate) fn clear_uncertainty(&mut self) {
+        self.is_last_state_uncertain = false;
+    }
+
     /// The latest state that is being written.
     pub(crate) fn latest_state(&self) -> Option<&ControlState> {
         self.queue.iter().rev().find_map(|write| write.effect.state())
@@ -137,6 +179,7 @@
         self.queue.iter().any(|w| matches!(&w.effect, DurabilityEffect::Accept(c) if c.term == term))
     }
 
+    /// Whether a state is being written, or rewritten under a new term.
     pub(crate) fn includes_state(&self) -> bool {
         self.queue.iter().any(|write| write.effect.version().is_some())
     }
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -1,4 +1,4 @@
-//! What a disk holds, and the records of the log that it is replayed from.
+//! The state of a disk, and the records of the log that it is replayed from.
 
 use core::net::SocketAddrV4;
 
@@ -14,11 +14,11 @@
     /// What can be wrong with a log, numbered.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum StoredStateError {
-        /// 721: a record can't be read. A disk whose records are lost is to be emptied: its promises are forgotten.
+        /// 721: a record can't be read. A disk that has lost records is to be emptied: its promises are lost.
         Unreadable(index: usize) {
             display("record {index} of the control state can't be read")
         }
-        /// 722: the records don't fit each other.
+        /// 722: a record does not continue those before it.
         Disordered(index: usize) {
             display("record {index} of the control state does not fit those before it")
         }
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a disk is, once and for all.
+/// Which disk it is; never changes once it is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub(crate) struct DiskIdentity {
     #[n(0)]
@@ -82,33 +82,40 @@
     }
 }
 
-/// What the disk holds for certain.
+/// What is synced to the disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub(crate) struct DurableState {
     /// None until the first write of an empty disk is synced.
     #[n(0)]
-    pub(crate) identity: Option<DiskIdentity>,
-    /// The highest term that this disk has promised.
+    identity: Option<DiskIdentity>,
+    /// The highest term that this disk has promised: not below those of `accepted` and `state`.
     #[n(1)]
-    pub(crate) promised: Term,
+    promised: Term,
     /// The highest configuration that this disk has accepted.
     #[n(2)]
-    pub(crate) accepted: Option<EpochConfig>,
+    accepted: Option<EpochConfig>,
     /// The highest state that was written.
     #[n(3)]
-    pub(crate) state: Option<ControlState>,
+    state: Option<ControlState>,
     /// The latest configuration that was learned without a vote.
     #[n(4)]
-    pub(crate) learned: Option<EpochConfig>,
+    learned: Option<EpochConfig>,
+}
+
+/// The result of a replay.
+pub(crate) struct Replay {
+    pub(crate) durable: DurableState,
+    /// The bodies that were made out of deltas.
+    pub(crate) rebuilt_bytes: usize,
 }
 
 impl DurableState {
-    /// Replays a log from its start. Also returns how many bytes of bodies it has rebuilt from deltas.
+    /// Replays a log from its start.
     ///
     /// # Errors
     ///
-    /// A record can't be decoded or does not fit those before it.
-    pub(crate) fn replay(records: &[Vec<u8>]) -> Result<(DurableState, usize), StoredStateError> {
+    /// A record can't be decoded or does not continue those before it.
+    pub(crate) fn replay(records: &[Vec<u8>]) -> Result<Replay, StoredStateError> {
         let (mut durable, mut rebuilt_bytes) = (DurableState::default(), 0_usize);
         for (index, bytes) in records.iter().enumerate() {
             let record = minicbor::decode(bytes).map_err(|_| StoredStateError::Unreadable(index))?;
@@ -119,18 +126,44 @@
             let body_bytes = durable.state.as_ref().filter(|_| is_delta).map_or(0, |state| state.body.len());
             rebuilt_bytes = rebuilt_bytes.saturating_add(body_bytes);
         }
-        Ok((durable, rebuilt_bytes))
+        Ok(Replay { durable, rebuilt_bytes })
+    }
+
+    /// None until the first write of an empty disk is synced.
+    pub(crate) fn identity(&self) -> Option<&DiskIdentity> {
+        self.identity.as_ref()
+    }
+
+    /// The highest term that this disk has promised.
+    pub(crate) fn promised(&self) -> Term {
+        self.promised
+    }
+
+    /// The same state with this promise.
+    pub(crate) fn with_promise(&self, promised: Term) -> DurableState {
+        DurableState { promised, ..self.clone() }
+    }
+
+    /// The highest state that was written.
+    pub(crate) fn state(&self) -> Option<&ControlState> {
+        self.state.as_ref()
+    }
+
+    /// The configurations on this disk: the accepted one, then the learned one.
+    pub(crate) fn configs(&self) -> impl Iterator<Item = &EpochConfig> {
+        [&self.accepted, &self.learned].into_iter().flatten()
     }
 
     pub(crate) fn version(&self) -> Option<StateVersion> {
         self.state.as_ref().map(ControlState::version)
     }
 
+    /// The term of the accepted configuration; the lowest one without a configuration.
     pub(crate) fn accepted_term(&self) -> Term {
         self.accepted.as_ref().map(|config| config.term).unwrap_or_default()
     }
 
-    /// Applies a record; false if it does not fit those before it.
+    /// Applies a record; false if it does not continue those before it.
     pub(crate) fn apply(&mut self, record: LogRecord) -> bool {
         match record {
             LogRecord::Identity(identity) => return self.apply_identity(identity),
@@ -141,7 +174,7 @@
             LogRecord::Snapshot(snapshot) => *self = *snapshot,
             LogRecord::Learned(config) => self.learned = Some(config),
             LogRecord::Delta(delta) => {
-                let state = self.state.as_ref().and_then(|held| delta.apply(held));
+                let state = self.state.as_ref().and_then(|previous| delta.apply(previous));
                 let Some(state) = state else { return false };
                 self.apply_state(state);
             }
@@ -166,7 +199,7 @@
 
     fn apply_state(&mut self, state: ControlState) {
         self.promised = self.promised.max(state.write_term);
-        if self.version().is_none_or(|held| held <= state.version()) {
+        if self.version().is_none_or(|durable| durable <= state.version()) {
             self.state = Some(state);
         }
     }
--- a/crates/consensus/src/epoch_config.rs
+++ b/crates/consensus/src/epoch_config.rs
@@ -26,7 +26,7 @@
 }
 
 impl EpochConfig {
-    /// Whether the membership is changing: the outgoing members vote still.
+    /// Whether the membership is changing: the outgoing members still vote.
     pub fn is_joint(&self) -> bool {
         self.outgoing_members != self.members
     }
@@ -48,13 +48,14 @@
         self.primary == id || self.backups.contains(&id)
     }
 
-    /// All that vote, each pair of address and number once.
+    /// All that vote, each pair of address and id once.
     pub(crate) fn voters(&self) -> Vec<Member> {
         let mut voters = self.members.clone();
         voters.extend(self.outgoing_members.iter().filter(|m| !self.members.contains(m)));
         voters
     }
 
+    /// Whether its lists are no longer than any node makes them.
     pub(crate) fn is_within_bounds(&self) -> bool {
         self.members.len() <= MAX_MEMBERS
             && self.outgoing_members.len() <= MAX_MEMBERS
--- a/crates/consensus/src/epoch_view.rs
+++ b/crates/consensus/src/epoch_view.rs
@@ -10,14 +10,14 @@
 /// More addresses than this are not remembered.
 const MAX_ADDRESSES: usize = 4 * MAX_MEMBERS;
 
-/// The highest epoch that this node has seen.
+/// The highest epoch that this node has seen, decided or not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct EpochView {
     /// The highest number of a term seen anywhere.
     highest_term_number: u64,
     /// The highest configuration seen, decided or not.
     config: Option<EpochConfig>,
-    /// Where others may be.
+    /// Where other nodes may be; at most [`MAX_ADDRESSES`].
     addresses: BTreeSet<SocketAddrV4>,
 }
 
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What a host hands to a node, and what the node asks of it.
+//! The inputs and outputs of a node.
 
 use core::net::SocketAddrV4;
 
@@ -30,7 +30,7 @@
     },
     /// An operator's change, valid as far as the host knows.
     Change {
-        /// The number of the request, unique within the life of the node.
+        /// The number of the request, unique within the incarnation of the node.
         request_id: u64,
         /// The revision that it builds on.
         base_revision: u64,
@@ -43,7 +43,7 @@
     },
     /// Requests the newest committed state.
     Read {
-        /// The number of the request, unique within the life of the node.
+        /// The number of the request, unique within the incarnation of the node.
         request_id: u64,
     },
     /// The process is to shut down, once [`crate::Node::may_shut_down`].
@@ -69,7 +69,7 @@
         /// The record.
         record: Vec<u8>,
     },
-    /// Replace the whole log by this record, or leave it as it is and report a failure.
+    /// Replace the log by this record, or leave it as it is and report a failure.
     Rewrite {
         /// The number of the write.
         token: u64,
@@ -112,7 +112,7 @@
         /// The current revision.
         current_revision: u64,
     },
-    /// The change can't be told from one that was applied long ago: no clear answer.
+    /// The change can't be distinguished from one that was applied long ago: its outcome is unknown.
     Expired,
     /// Another node is primary; nothing was done.
     NotPrimary {
@@ -121,7 +121,7 @@
     },
     /// The body is longer than [`crate::MAX_BODY_BYTES`]; the change was not applied and never will be.
     TooLarge,
-    /// No answer in time: the change may be applied or not.
+    /// No confirmation in time: the change may be applied or not.
     Unavailable,
     /// The newest committed state.
     CurrentState {
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -21,7 +21,7 @@
     PublishUncommitted,
     /// Applied requests are not remembered.
     ForgetAppliedRequests,
-    /// Client requests are answered when their callers have long gone elsewhere.
+    /// Client requests are answered long after their callers have turned to another node.
     ReplyLate,
     /// A request that can't be told from an expired one is rejected.
     RejectExpired,
@@ -33,7 +33,7 @@
     ContactWithoutState,
     /// A follower that trusts its primary grants pre-votes.
     AlwaysWilling,
-    /// A take-over that was frozen goes on with the answers that came meanwhile.
+    /// A take-over that was suspended goes on with the responses that arrived meanwhile.
     LateTakeOver,
     /// A follower takes stamps of other runs of its process for its own.
     ContactOfOtherIncarnations,
@@ -57,19 +57,19 @@
     AlwaysHealthy,
     /// The state is not rewritten under the new term before the configuration is proposed.
     SkipRewriteUnderNewTerm,
-    /// Every change sends and writes the whole state, and every state goes in one message.
+    /// Every change sends and writes the complete state, and every state goes in one message.
     FullStates,
     /// A phase of a take-over ends though a state that it waits for is being transferred.
     IgnoreTransferProgress,
-    /// A delta is applied to whatever state is there.
+    /// A delta is applied to any state.
     ApplyDeltaToAnyState,
-    /// A delta is written though the state before it may not stand before it in the log.
+    /// A delta is written though the log may have another state before it.
     WriteDeltaOnUncertainState,
     /// A member that shuts down does not wait for its removal.
     ShutDownAtOnce,
     /// A departing member keeps its slot until it was silent for long.
     KeepDepartingMembers,
-    /// A silent member keeps its slot for as long as the usual timings say, whatever the join deadline is.
+    /// A silent member keeps its slot for the default replacement timeout, whatever the join deadline is.
     SlowReplacement,
     /// The silence of a lost primary counts from the take-over.
     ForgetSilenceOfMembers,
--- a/crates/consensus/src/join_requests.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -1,4 +1,4 @@
-//! Those that look for the others, and when this node does.
+//! Nodes that look for the others, and when this one does.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -12,18 +12,18 @@
 const MAX_JOIN_REQUESTS: usize = 64;
 /// A join request counts for this long.
 const JOIN_REQUEST_LIFETIME: Duration = Duration::from_millis(1_000);
-/// A newcomer that knows a primary announces to all at this interval that it waits for a slot.
+/// A newcomer that knows a primary sends join requests at this interval, as it waits for a slot.
 const WAITING_INTERVAL: Duration = Duration::from_millis(400);
-/// A newcomer that knows no primary asks at this interval.
+/// A newcomer that knows no primary sends join requests at this interval.
 const NEWCOMER_INTERVAL: Duration = Duration::from_millis(100);
-/// A member that misses its primary asks at this interval.
+/// A member that misses its primary sends join requests at this interval.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(300);
 /// A member whose primary was silent for this long looks for the others.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A newcomer whose primary was silent for this long looks for the others.
 const NEWCOMER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Somebody who looks for the others.
+/// The latest join request of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct JoinRequest {
     pub(crate) member: Member,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The join requests that count still.
+    /// The join requests that have not expired.
     pub(crate) fn recent(&self, now: Instant) -> impl Iterator<Item = &JoinRequest> {
         self.by_member.values().filter(move |request| now - request.received_at <= JOIN_REQUEST_LIFETIME)
     }
@@ -70,22 +70,22 @@
 
     /// Whether a follower is to look for the others now: it knows no primary, or is no member. If so, the next time is set.
     ///
-    /// A newcomer asks also while it knows a primary: whoever becomes primary next has to know of those that wait for a
-    /// slot before it grants a removal.
+    /// A newcomer sends join requests also while it knows a primary: the next primary has to know of the nodes that wait
+    /// for a slot before it grants a removal.
     pub(crate) fn take_due(
         &mut self,
         context: &Context,
         is_member: bool,
         primary_alive_at: Option<Instant>,
     ) -> bool {
-        let now = context.now;
+        let now = context.now();
         if now < self.next_at {
             return false;
         }
         let timeout = if is_member { MEMBER_TIMEOUT } else { NEWCOMER_TIMEOUT };
         let misses_primary = match primary_alive_at {
             Some(alive_at) => now - alive_at >= timeout,
-            None => !is_member || now - context.started_at >= timeout,
+            None => !is_member || now - context.started_at() >= timeout,
         };
         if is_member && !misses_primary {
             return false;
--- a/crates/consensus/src/known_primary.rs
+++ b/crates/consensus/src/known_primary.rs
@@ -8,14 +8,14 @@
 /// The primary as its heartbeats show it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KnownPrimary {
-    pub(crate) member: Member,
-    pub(crate) term: Term,
+    member: Member,
+    term: Term,
     /// When the first heartbeat of this term arrived.
-    pub(crate) first_heartbeat_at: Instant,
-    /// When the newest heartbeat arrived. It may have waited on its way, so this is good for hints only.
-    pub(crate) last_heartbeat_at: Instant,
+    first_heartbeat_at: Instant,
+    /// When the newest heartbeat arrived. It may have been delayed for any time, so this is good for hints only.
+    last_heartbeat_at: Instant,
     /// The newest of the own stamps that came back: the primary was alive at that instant or later.
-    pub(crate) confirmed_at: Option<Instant>,
+    confirmed_at: Option<Instant>,
 }
 
 impl KnownPrimary {
@@ -23,7 +23,24 @@
         KnownPrimary { member, term, first_heartbeat_at: now, last_heartbeat_at: now, confirmed_at: None }
     }
 
-    /// When this primary is known to have been alive. A new one has the benefit of the doubt.
+    pub(crate) fn member(&self) -> Member {
+        self.member
+    }
+
+    pub(crate) fn term(&self) -> Term {
+        self.term
+    }
+
+    pub(crate) fn record_heartbeat(&mut self, now: Instant) {
+        self.last_heartbeat_at = now;
+    }
+
+    /// The primary has returned a stamp of this instant.
+    pub(crate) fn confirm_alive(&mut self, at: Instant) {
+        self.confirmed_at = self.confirmed_at.max(Some(at));
+    }
+
+    /// When this primary is known to have been alive. A new one is trusted from its first heartbeat on.
     pub(crate) fn alive_at(&self) -> Instant {
         self.confirmed_at.unwrap_or(Instant::ORIGIN).max(self.first_heartbeat_at)
     }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -12,9 +12,14 @@
 /// The transfer is sent again for this long, as it may be lost.
 const RESEND_PERIOD: Duration = Duration::from_millis(300);
 
-/// The role of the primary on its way to another node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+/// The transfer of the role of primary from this node to another one.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeadershipTransfer {
+    in_progress: Option<Transfer>,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Transfer {
     to: SocketAddrV4,
     /// The term of the primary that gives up its role.
     term: Term,
@@ -23,29 +28,45 @@
 }
 
 impl LeadershipTransfer {
-    /// Tells the successor to take over.
-    pub(crate) fn start(context: &mut Context, to: SocketAddrV4, term: Term) -> LeadershipTransfer {
+    /// Requests the successor to take over.
+    pub(crate) fn start(&mut self, context: &mut Context, to: SocketAddrV4, term: Term) {
         context.send(to, Message::TransferLeadership { term });
-        LeadershipTransfer { to, term, started_at: context.now, sent_at: context.now }
+        let now = context.now();
+        self.in_progress = Some(Transfer { to, term, started_at: now, sent_at: now });
+    }
+
+    /// This node is primary again.
+    pub(crate) fn cancel(&mut self) {
+        self.in_progress = None;
     }
 
     /// The successor, while it is likely to be the next primary.
     pub(crate) fn likely_primary(&self, context: &Context) -> Option<SocketAddrV4> {
-        (context.elapsed(self.started_at) <= 2 * context.timings().suspicion_timeout).then_some(self.to)
+        let transfer = self.in_progress.filter(|transfer| !transfer.is_over(context))?;
+        Some(transfer.to)
     }
 
-    /// Sends the transfer again where it may be lost. Returns whether it is over.
-    pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) -> bool {
-        let age = context.elapsed(self.started_at);
-        if age > 2 * context.timings().suspicion_timeout {
-            return true;
+    /// Sends the transfer again where it may be lost, and ends one that is over. `promised` is the highest promise of this
+    /// node.
+    pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) {
+        let Some(transfer) = &mut self.in_progress else { return };
+        if transfer.is_over(context) {
+            self.in_progress = None;
+        } else if transfer.is_resend_due(context, promised) {
+            transfer.sent_at = context.now();
+            context.send(transfer.to, Message::TransferLeadership { term: transfer.term });
         }
+    }
+}
+
+impl Transfer {
+    fn is_over(&self, context: &Context) -> bool {
+        context.elapsed(self.started_at) > 2 * context.timings().suspicion_timeout
+    }
+
+    fn is_resend_due(&self, context: &Context, promised: Term) -> bool {
         let is_taken_over = promised > self.term;
         let is_due = context.elapsed(self.sent_at) >= context.timings().resend_interval;
-        if !is_taken_over && age <= RESEND_PERIOD && is_due {
-            self.sent_at = context.now;
-            context.send(self.to, Message::TransferLeadership { term: self.term });
-        }
-        false
+        !is_taken_over && context.elapsed(self.started_at) <= RESEND_PERIOD && is_due
     }
 }
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Learner {
     /// The newest committed state; its revision never goes back.
-    pub(crate) committed: Option<ControlState>,
+    committed: Option<ControlState>,
     out_of_order_deltas: OutOfOrderDeltas,
-    pub(crate) read_lease: ReadLease,
+    read_lease: ReadLease,
 }
 
 impl Learner {
@@ -29,6 +29,12 @@
         }
     }
 
+    /// The newest committed state.
+    pub(crate) fn committed(&self) -> Option<&ControlState> {
+        self.committed.as_ref()
+    }
+
+    /// The revision of the newest committed state.
     pub(crate) fn revision(&self) -> Option<u64> {
         self.committed.as_ref().map(|state| state.revision)
     }
@@ -48,7 +54,7 @@
         }
     }
 
-    /// Publishes what committed deltas make of the states that are there.
+    /// Publishes what committed deltas make of the durable state or of the committed one.
     pub(crate) fn on_committed_deltas(
         &mut self,
         context: &mut Context,
@@ -62,9 +68,9 @@
             self.out_of_order_deltas.push(delta);
         }
         // The state before a committed one was committed, too.
-        let held = [durable, self.committed.as_ref()].into_iter().flatten();
-        let advanced = held.map(|held| (held.revision, self.out_of_order_deltas.advance(held.clone())));
-        let newer = advanced.filter(|(held, state)| state.revision > *held).map(|(_, state)| state);
+        let bases = [durable, self.committed.as_ref()].into_iter().flatten();
+        let advanced = bases.map(|base| (base.revision, self.out_of_order_deltas.advance(base.clone())));
+        let newer = advanced.filter(|(base, state)| state.revision > *base).map(|(_, state)| state);
         if let Some(state) = newer.max_by_key(|state| state.revision) {
             self.publish(context, state);
         }
@@ -79,16 +85,26 @@
         }
     }
 
+    /// The stamp of a heartbeat response that is sent now.
+    pub(crate) fn lease_stamp(&self, context: &Context) -> LeaseStamp {
+        self.read_lease.stamp(context.now())
+    }
+
+    /// When this node last had proven contact with a majority, as far as it publishes what was committed then.
+    pub(crate) fn contact_confirmed_at(&self) -> Option<Instant> {
+        self.read_lease.confirmed_at()
+    }
+
     /// The instant after which a heartbeat with this stamp was sent, if the stamp proves any.
     pub(crate) fn proven_instant(&self, context: &Context, stamp: Option<LeaseStamp>) -> Option<Instant> {
         if context.has_fault(InjectedFault::ContactByArrival) {
-            return Some(context.now);
+            return Some(context.now());
         }
         let stamp = stamp?;
         if context.has_fault(InjectedFault::ContactOfOtherIncarnations) {
-            return Some(stamp.answered_at).filter(|at| *at <= context.now);
+            return Some(stamp.answered_at).filter(|at| *at <= context.now());
         }
-        self.read_lease.instant_of(stamp, context.now)
+        self.read_lease.instant_of(stamp, context.now())
     }
 
     /// The primary had contact with a majority after `contact_at`, and has committed this revision.
--- a/crates/consensus/src/lease_stamp.rs
+++ b/crates/consensus/src/lease_stamp.rs
@@ -5,10 +5,10 @@
 use minicbor::{Decode, Encode};
 use mosshead_time::Instant;
 
-/// The steady time at which a node answered a heartbeat. Only that node interprets it; the primary returns it.
+/// The steady time of a node when it answered a heartbeat. Only that node interprets it; the primary returns it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct LeaseStamp {
-    /// A random number of this run of the process: steady clocks start anew with each run.
+    /// The random number of this incarnation of the process: steady clocks start anew with each one.
     #[n(0)]
     pub incarnation: u64,
     /// When the node answered, by its own clock.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control state, replicated with a majority: a primary has every change written by its backups before it acknowledges
 //! it, and witnesses that keep only the configurations of epochs decide who becomes primary.
 //!
-//! [`Node`] is a state machine without I/O, clock or randomness of its own, as in raft-rs: a host hands in what happens as
+//! [`Node`] is a state machine without I/O, clock or randomness of its own, as in raft-rs: a host passes what happens as
 //! [`Input`]s, carries out the [`Output`]s in their order, and confirms every write in order. See
 //! `docs/design/0007-fleet.md`, "Control state".
 //!
@@ -9,12 +9,12 @@
 //! delta from the state before. A [`Term`] belongs to one proposer (a ballot of Paxos), and a candidate is a node that takes
 //! over (module `take_over`). It collects promises, has the newest state written under its term by itself and its backups,
 //! and only then has an [`EpochConfig`] accepted by a majority: the primary with the nodes that hold the state. From then on
-//! a change is committed when the primary and all of its backups have written it. Where an epoch doesn't fit any more, its
-//! primary takes over from itself, which is called a renewal.
+//! a change is committed when the primary and all of its backups have written it. Where another configuration
+//! would be better, the primary takes over from itself, which is called a renewal.
 //!
-//! A node consists of parts that own their state: the acceptor, the disk, the learner of committed states, the election, the
-//! transfers of large states and others. What outlives a role is in the core; the roles (follower, take-over, primary) work
-//! on it, and ask the node for a transition to another role.
+//! A node consists of parts that own their state: the acceptor, the disk, the learner of committed states, the failure
+//! detector, the transfers of large states and others. What outlives a role is in the core; the roles (follower, take-over,
+//! primary) work on it, and return to the node a transition to another role.
 
 mod acceptor;
 mod body_bytes;
@@ -24,10 +24,12 @@
 mod delta_log;
 mod disk_writes;
 mod durable_state;
-mod election;
+mod election_timer;
 mod epoch_config;
 mod epoch_view;
 mod event;
+mod failure_detector;
+mod heartbeat_response;
 mod injected_fault;
 mod join_requests;
 mod known_primary;
@@ -35,13 +37,16 @@
 mod learner;
 mod lease_stamp;
 mod limits;
+mod log_size;
 mod member_removal;
 mod message;
 mod node;
 mod node_core;
 mod peers;
 mod pending_requests;
+mod pre_votes;
 mod primary;
+mod primary_lease;
 mod random_delay;
 mod read_lease;
 mod settings;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -4,7 +4,7 @@
 
 /// The longest body of a state, in bytes. A change that makes a longer one is refused before anything is written.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
-/// The longest encoded state with all that it remembers, in bytes: a message that carries a whole state has to hold it.
+/// The longest encoded state with the requests that it remembers, in bytes. A message can carry a complete state.
 pub const MAX_STATE_BYTES: usize = MAX_BODY_BYTES + (1 << 20);
 /// Configurations that name more members than this are ignored.
 pub(crate) const MAX_MEMBERS: usize = 32;
--- a/crates/consensus/src/member_removal.rs
+++ b/crates/consensus/src/member_removal.rs
@@ -1,5 +1,5 @@
-//! Members that shut down. A member that shuts down says so, and serves on as acceptor and backup until the primary
-//! grants its removal: others hold its copy of the state then, and a newcomer that waits for a slot has taken its vote.
+//! Members that shut down. A member that shuts down announces it, and stays acceptor and backup until the primary grants its
+//! removal: by then others hold its copy of the state, and a newcomer that waited for a slot has its vote.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -17,16 +17,16 @@
 /// More departing members than this are ignored.
 const MAX_DEPARTING: usize = 64;
 
-/// What a node knows of those that shut down, itself included.
+/// The members that shut down, as far as this node knows; itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct MemberRemoval {
-    /// When this node was first asked to shut down; none while it serves.
+    /// When the host first requested the shutdown of this node; none before.
     shutdown_requested_at: Option<Instant>,
-    /// When this node last told the others.
+    /// When this node last announced its shutdown.
     announced_at: Option<Instant>,
     /// The term whose primary has granted the removal of this node.
     granted_by: Option<Term>,
-    /// Who has told this node that it shuts down, and when last.
+    /// Members that have announced their shutdown to this node, and when last.
     departing: BTreeMap<MemberId, Instant>,
 }
 
@@ -44,14 +44,14 @@
         self.shutdown_requested_at.map(|at| now - at)
     }
 
-    /// Whether the others are to be told now that this node shuts down. If so, the next time is set.
+    /// Whether the shutdown of this node is to be announced now. If so, the next time is set.
     pub(crate) fn take_due_announcement(&mut self, context: &Context) -> bool {
         let interval = context.timings().resend_interval;
         let is_due = self.announced_at.is_none_or(|at| context.elapsed(at) >= interval);
         if !self.is_shutting_down() || !is_due || context.has_fault(InjectedFault::ShutDownAtOnce) {
             return false;
         }
-        self.announced_at = Some(context.now);
+        self.announced_at = Some(context.now());
         true
     }
 
@@ -62,13 +62,12 @@
         }
     }
 
-    /// Whether a primary has granted the removal of this node, and nobody has taken over since, who might have chosen it
-    /// again.
+    /// Whether a primary has granted the removal of this node, and no take-over since may have chosen it again.
     pub(crate) fn is_granted(&self, promised: Term, known_term: Term) -> bool {
         self.granted_by.is_some_and(|term| term >= promised && term >= known_term)
     }
 
-    /// Whether the member has lately said that it shuts down.
+    /// Whether the member has lately announced its shutdown.
     pub(crate) fn is_departing(&self, id: MemberId, now: Instant) -> bool {
         self.departing.get(&id).is_some_and(|at| now - *at <= DEPARTURE_LIFETIME)
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -15,11 +15,11 @@
 /// The indices of variants and fields are the encoding; old and new processes meet during an update.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// Asks whether the receiver would promise a term. Sent before a term is raised, so that an isolated node disturbs nobody
-    /// (Ongaro, "Consensus: Bridging Theory and Practice", 9.6).
+    /// Requests a pre-vote: whether the receiver would promise a term. Sent before a term is raised, so that an isolated
+    /// node does not interrupt the others (Ongaro, "Consensus: Bridging Theory and Practice", 9.6).
     #[n(0)]
     PreVote,
-    /// The answer to a [`Message::PreVote`].
+    /// The response to a [`Message::PreVote`].
     #[n(1)]
     PreVoteResponse {
         /// Whether the sender suspects the primary, too, and would promise a term.
@@ -68,17 +68,17 @@
         #[n(1)]
         promised: Term,
     },
-    /// Requests a whole state.
+    /// Requests a complete state.
     #[n(5)]
     FetchState {
         /// The term of the take-over.
         #[n(0)]
         term: Term,
-        /// The version that the holder has reported.
+        /// The version that the receiver has reported.
         #[n(1)]
         version: StateVersion,
     },
-    /// The answer to a [`Message::FetchState`].
+    /// The response to a [`Message::FetchState`].
     #[n(6)]
     FetchedState {
         /// The term of the take-over.
@@ -109,7 +109,7 @@
         #[n(0)]
         version: StateVersion,
     },
-    /// The sender lacks the body that the message refers to: it needs the whole state.
+    /// The sender lacks the body that the message refers to: it needs the complete state.
     #[n(10)]
     MissingBody {
         /// The state.
@@ -152,7 +152,7 @@
         #[n(4)]
         echoed_stamp: Option<LeaseStamp>,
     },
-    /// The answer to a [`Message::Heartbeat`].
+    /// The response to a [`Message::Heartbeat`].
     #[n(14)]
     HeartbeatResponse {
         /// The primary's term.
@@ -176,7 +176,7 @@
         /// Whether the sender's disk takes writes.
         #[n(6)]
         is_healthy: bool,
-        /// When the sender answers, by its own clock; to be returned with the next heartbeat.
+        /// When the sender responds, by its own clock; to be returned with the next heartbeat.
         #[n(7)]
         lease_stamp: LeaseStamp,
     },
@@ -197,31 +197,31 @@
         #[n(1)]
         known_term: Term,
     },
-    /// The answer to a [`Message::Join`] of a node that has seen a lower configuration.
+    /// The response to a [`Message::Join`] of a node that has seen a lower configuration.
     #[n(17)]
     KnownConfig {
         /// The highest configuration that the sender has seen.
         #[n(0)]
         config: EpochConfig,
     },
-    /// The primary asks the receiver to take over.
+    /// The primary requests the receiver to take over.
     #[n(18)]
     TransferLeadership {
         /// The primary's term.
         #[n(0)]
         term: Term,
     },
-    /// The sender shuts down, and serves on until its removal is granted.
+    /// The sender shuts down, and stays acceptor and backup until its removal is granted.
     #[n(19)]
     RequestRemoval,
-    /// The primary's answer to a [`Message::RequestRemoval`]: the process may end.
+    /// The primary's response to a [`Message::RequestRemoval`]: the process may end.
     #[n(20)]
     RemovalGranted {
         /// The primary's term.
         #[n(0)]
         term: Term,
     },
-    /// A change to be written on top of the state before it. A receiver that has not that state answers
+    /// A change to be written on top of the state before it. A receiver without that state responds by
     /// [`Message::MissingBody`].
     #[n(25)]
     ReplicateDelta {
@@ -253,7 +253,7 @@
         #[n(1)]
         offset: u64,
     },
-    /// The answer to a [`Message::FetchChunk`].
+    /// The response to a [`Message::FetchChunk`].
     #[n(29)]
     SnapshotChunk {
         /// The chunk.
@@ -263,21 +263,20 @@
 }
 
 impl Message {
-    /// About how many bytes of state it carries: what makes a message large.
+    /// About how many bytes of states it carries; zero for messages that carry none.
     pub fn state_bytes(&self) -> usize {
         match self {
             Message::FetchedState { state, .. }
             | Message::ReplicateState { state }
             | Message::CommittedState { state } => state.body.len(),
-            Message::ReplicateDelta { delta: change } => change.estimated_bytes(),
-            Message::CommittedDeltas { deltas: changes } => {
-                changes.iter().map(StateDelta::estimated_bytes).sum()
-            }
+            Message::ReplicateDelta { delta } => delta.estimated_bytes(),
+            Message::CommittedDeltas { deltas } => deltas.iter().map(StateDelta::estimated_bytes).sum(),
             Message::SnapshotChunk { chunk } => chunk.bytes.len(),
             _ => 0,
         }
     }
 
+    /// Whether its lists are no longer than any node makes them.
     pub(crate) fn is_within_bounds(&self) -> bool {
         match self {
             Message::PreVoteResponse { config, .. }
--- a/crates/consensus/src/node/disk.rs
+++ b/crates/consensus/src/node/disk.rs
@@ -1,24 +1,21 @@
-//! The disk of a node: confirmed and failed writes, and what is written without being asked for.
+//! The disk of a node: confirmed and failed writes, and what is written without a request.
 
 use rand_core::RngCore;
 
 use super::{Node, Role};
 use crate::disk_writes::{DurabilityEffect, PendingDiskWrite};
-use crate::message::Message;
-use crate::term::{Member, Term};
+use crate::term::Term;
 
 impl<R: RngCore> Node<R> {
     pub(super) fn on_written(&mut self, token: u64) {
-        if let Some(write) = self.core.storage.writes.take(token) {
-            self.core.storage.writes.failed_at = None;
+        if let Some(write) = self.core.storage.take_synced(token) {
             self.complete(write);
         }
     }
 
-    /// A failed write is on disk or not: what it was for is given up.
+    /// A failed write is on disk or not: the role that has requested it ends.
     pub(super) fn on_write_failed(&mut self, token: u64) {
-        let Some(write) = self.core.storage.writes.take(token) else { return };
-        self.core.storage.fail(self.core.context.now, &write);
+        let Some(write) = self.core.storage.take_failed(self.core.context.now(), token) else { return };
         if write.requester.is_none_or(|requester| requester.id != self.core.local().id) {
             return;
         }
@@ -30,50 +27,30 @@
         }
     }
 
-    /// A write is durable: whoever has asked for it is answered.
+    /// A write is durable: its requester is notified.
     fn complete(&mut self, write: PendingDiskWrite) {
         self.core.storage.complete(&write);
         let Some(requester) = write.requester else { return };
         if requester.id == self.core.local().id {
             self.on_local_write(&write.effect);
         } else {
-            self.answer_write(requester, &write.effect);
-        }
-    }
-
-    fn answer_write(&mut self, requester: Member, effect: &DurabilityEffect) {
-        match effect {
-            // With a higher promise meanwhile, the answer would be of no use.
-            DurabilityEffect::Promise(term) if self.core.acceptor.promised() == *term => {
-                self.send_promise(requester, *term);
-            }
-            DurabilityEffect::Accept(config) => self.send_accepted(requester, config.term),
-            effect => {
-                if let Some(version) = effect.version() {
-                    self.core.send(requester.address, Message::Replicated { version });
-                }
-            }
+            self.respond_to_write(requester, &write.effect);
         }
     }
 
     /// A write of a role is durable.
     fn on_local_write(&mut self, effect: &DurabilityEffect) {
-        let id = self.core.local().id;
         match (effect, &mut self.role) {
             (DurabilityEffect::Promise(term), _) => self.on_local_promise_written(*term),
             (DurabilityEffect::Accept(config), Role::TakingOver(take_over)) => {
                 let transition = take_over.on_local_config_written(&self.core, config.term);
                 self.apply(transition);
             }
-            (effect, role) => match (effect.version(), role) {
-                (Some(version), Role::Primary(primary)) => {
-                    primary.on_state_written(&mut self.core, id, version);
-                }
-                (Some(version), Role::TakingOver(take_over)) => {
-                    take_over.on_state_written(&mut self.core, id, version);
+            (effect, _) => {
+                if let Some(version) = effect.version() {
+                    self.on_state_written(self.core.local().id, version);
                 }
-                _ => {}
-            },
+            }
         }
     }
 
@@ -97,8 +74,8 @@
         }
     }
 
-    /// With [`crate::InjectedFault::RespondUnsynced`], writes are answered in the step that starts them; without it there are
-    /// none here.
+    /// With [`crate::InjectedFault::RespondUnsynced`], the response to a write is sent in the step that starts it; without it
+    /// there are none here.
     pub(super) fn complete_unsynced_writes(&mut self) {
         while let Some(write) = self.core.storage.take_unsynced() {
             self.complete(write);
--- a/crates/consensus/src/node/queries.rs
+++ b/crates/consensus/src/node/queries.rs
@@ -17,7 +17,7 @@
 const INJECTED_SHUTDOWN: Duration = Duration::from_millis(150);
 
 impl<R: RngCore> Node<R> {
-    /// The number of this disk and the address of this machine.
+    /// The id of this disk and the address of this machine.
     pub fn local_member(&self) -> Member {
         self.core.local()
     }
@@ -33,28 +33,28 @@
             return self.has_quorum_contact(now).then_some(self.core.local());
         }
         let max_silence = 2 * self.core.context.timings().suspicion_timeout;
-        let primary = self.core.election.known_primary.as_ref();
-        primary.filter(|primary| primary.silence(now) <= max_silence).map(|primary| primary.member)
+        self.core.failure_detector.primary_within(max_silence, now)
     }
 
-    /// Whether this node was primary after its last step. Whoever acts on it asks [`Node::holds_primary_lease`].
+    /// Whether this node was primary after its last step. Before acting as primary, check [`Node::holds_primary_lease`].
     pub fn is_primary(&self) -> bool {
         matches!(self.role, Role::Primary(_))
     }
 
     /// Whether this node is primary and its lease holds at this moment, also if it was not stepped for a while.
     pub fn holds_primary_lease(&self, now: Instant) -> bool {
-        self.is_primary() && self.core.context.is_within_lease(self.core.primary_lease_confirmed_at, now)
+        self.is_primary() && self.core.primary_lease.is_valid(&self.core.context, now)
     }
 
-    /// Whether this node lately had contact with a majority: as primary, or by a primary that has. What it publishes then
+    /// Whether this node lately had contact with a majority, as primary or through the primary. If so, what it publishes
     /// is not older than [`crate::Timings::max_staleness`].
     pub fn has_quorum_contact(&self, now: Instant) -> bool {
-        let confirmed_at = match self.role.is_primary_or_renewal() {
-            true => self.core.primary_lease_confirmed_at,
-            false => self.core.learner.read_lease.confirmed_at(),
-        };
-        self.core.context.is_within_lease(confirmed_at, now)
+        let core = &self.core;
+        if self.role.is_primary_or_renewal() {
+            core.primary_lease.is_valid(&core.context, now)
+        } else {
+            core.context.is_within_lease(core.learner.contact_confirmed_at(), now)
+        }
     }
 
     /// The members, as far as known.
@@ -64,14 +64,14 @@
 
     /// The newest committed state that this node knows.
     pub fn committed_state(&self) -> Option<&ControlState> {
-        self.core.learner.committed.as_ref()
+        self.core.learner.committed()
     }
 
     /// The term of the epoch; its number is the fencing token.
     pub fn term(&self) -> Term {
-        match (&self.role, &self.core.election.known_primary) {
+        match (&self.role, self.core.failure_detector.primary()) {
             (Role::Primary(primary), _) => primary.term(),
-            (_, Some(primary)) => primary.term,
+            (_, Some(primary)) => primary.term(),
             _ => self.core.epoch.term(),
         }
     }
@@ -86,15 +86,15 @@
         self.core.is_healthy()
     }
 
-    /// One record that replaces the whole log; none while writes are pending.
+    /// One record that replaces the log; none while writes are pending.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let storage = &self.core.storage;
-        let is_idle = storage.writes.queue.is_empty() && storage.is_open();
-        is_idle.then(|| storage.snapshot_record(self.core.acceptor.promised()))
+        (storage.is_idle() && storage.is_open())
+            .then(|| storage.snapshot_record(self.core.acceptor.promised()))
     }
 
     /// After [`crate::Input::ShutDown`]: whether the process may end. The others need nothing more of this node, or it has
-    /// waited for its removal for long enough. Looked at after each step.
+    /// waited for its removal for [`SHUTDOWN_TIMEOUT`]. To be checked after each step.
     pub fn may_shut_down(&self) -> bool {
         let Some(age) = self.core.removal.shutdown_age(self.core.now()) else { return false };
         if age >= SHUTDOWN_TIMEOUT {
@@ -106,25 +106,24 @@
         if self.core.has_fault(InjectedFault::ShutDownAtOnce) {
             return age >= INJECTED_SHUTDOWN;
         }
-        self.core.epoch.config().is_none_or(|config| self.is_free_of(config))
+        self.core.epoch.config().is_none_or(|config| self.is_dispensable_to(config))
     }
 
-    /// Whether a configuration needs nothing more of this node.
-    fn is_free_of(&self, config: &EpochConfig) -> bool {
+    /// Whether a configuration needs neither the vote nor the state of this node.
+    fn is_dispensable_to(&self, config: &EpochConfig) -> bool {
         let local = self.core.local();
         let is_granted = self.core.removal.is_granted(self.core.acceptor.promised(), config.term);
         // Only decided configurations have heartbeats.
-        let known_primary = self.core.election.known_primary.as_ref();
-        let is_decided = known_primary.is_some_and(|primary| primary.term == config.term);
+        let known_primary = self.core.failure_detector.primary();
+        let is_decided = known_primary.is_some_and(|primary| primary.term() == config.term);
         let is_outside = is_decided && !config.has_voter(local.id);
         let is_alone = config.voters().iter().all(|member| member.address == local.address);
         is_granted || is_outside || is_alone
     }
 
-    /// The address that clients are sent to instead of this node.
+    /// The address that clients are redirected to.
     pub(super) fn redirect_address(&self) -> Option<SocketAddrV4> {
-        let transfer = self.core.leadership_transfer;
-        let successor = transfer.and_then(|transfer| transfer.likely_primary(&self.core.context));
+        let successor = self.core.leadership_transfer.likely_primary(&self.core.context);
         let other = || self.primary().filter(|primary| primary.id != self.core.local().id);
         successor.or_else(|| other().map(|primary| primary.address))
     }
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -7,7 +7,6 @@
 use crate::epoch_config::EpochConfig;
 use crate::event::Output;
 use crate::injected_fault::InjectedFault;
-use crate::known_primary::KnownPrimary;
 use crate::peers::NewEpoch;
 use crate::primary::PrimaryState;
 use crate::take_over::TakeOver;
@@ -15,7 +14,7 @@
 use crate::transition::{DecidedEpoch, TakeOverPlan, Transition};
 use crate::votes::Votes;
 
-/// The role of a node.
+/// The role of a node. A follower has none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
     Follower,
@@ -48,7 +47,7 @@
 }
 
 impl<R: RngCore> Node<R> {
-    /// Changes the role as the present one asks for.
+    /// Carries out what the role has requested.
     pub(super) fn apply(&mut self, transition: Transition) {
         match transition {
             Transition::Stay => {}
@@ -79,28 +78,24 @@
         }
         let was_primary = self.role.is_primary_or_renewal();
         self.role = Role::Follower;
-        self.core.election.forget_primary(self.core.local().id);
+        self.core.failure_detector.forget_primary(self.core.local().id);
         self.await_primary();
         if was_primary {
             self.core.context.output(Output::SteppedDown);
         } else {
-            self.core.election.schedule_take_over_retry(self.core.context.now, &mut self.rng);
+            self.core.election_timer.schedule_take_over_retry(self.core.context.now(), &mut self.rng);
         }
         let primary = self.redirect_address();
         self.core.requests.drop_all(&mut self.core.context, primary);
     }
 
-    fn await_primary(&mut self) {
-        let holds_state = self.core.epoch.holds_state(self.core.local().id);
-        self.core.election.await_primary(&self.core.context, &mut self.rng, holds_state);
-    }
-
-    /// Starts a take-over under a term above all that were seen. Without one, the role stays as it is.
+    /// Starts a take-over under a term above all that were seen. The role stays as it is where there is no higher term, or
+    /// too many writes are pending.
     pub(super) fn start_take_over(&mut self, plan: TakeOverPlan) {
         let promised = self.core.acceptor.promised();
         let local = self.core.local();
         let term = Term { number: self.core.epoch.next_term_number(promised), proposer: local.id };
-        if term <= promised || self.core.storage.writes.is_full() {
+        if term <= promised || self.core.storage.is_full() {
             if let Role::TakingOver(take_over) = &mut self.role {
                 take_over.set_rejections(plan.rejections);
             }
@@ -108,7 +103,7 @@
         }
         self.core.epoch.observe_term(term);
         self.core.acceptor.raise_promise(term);
-        self.core.election.forget_primary(local.id);
+        self.core.failure_detector.forget_primary(local.id);
         self.role = Role::TakingOver(Box::new(TakeOver::new(term, plan, self.core.now())));
         self.core.requests.reset_heartbeats();
         self.core.write(DurabilityEffect::Promise(term), local);
@@ -126,9 +121,9 @@
         self.core.peers.start_epoch(&self.core.context, &new_epoch, &newcomers);
 
         let term = config.term;
-        self.core.election.known_primary = Some(KnownPrimary::new(self.core.local(), term, now));
-        self.core.primary_lease_confirmed_at = Some(proposed_at);
-        self.core.leadership_transfer = None;
+        self.core.failure_detector.start_epoch(now, self.core.context.local(), term);
+        self.core.primary_lease.start_epoch(proposed_at);
+        self.core.leadership_transfer.cancel();
         self.role = Role::Primary(Box::new(PrimaryState::new(config, state.clone(), now)));
 
         self.core.publish(state);
@@ -145,10 +140,10 @@
 
     /// The primary before, if it has no part in this take-over and is suspected.
     fn silent_primary(&self, votes: &Votes) -> Option<MemberId> {
-        let primary = self.core.election.known_primary.as_ref()?;
+        let primary = self.core.failure_detector.primary()?;
         let is_suspected = primary.silence(self.core.now()) >= self.core.context.timings().suspicion_timeout;
-        let is_silent = is_suspected && !votes.includes(&primary.member);
+        let is_silent = is_suspected && !votes.includes(&primary.member());
         (is_silent && !self.core.has_fault(InjectedFault::ForgetSilenceOfMembers))
-            .then_some(primary.member.id)
+            .then(|| primary.member().id)
     }
 }
--- a/crates/consensus/src/node_core.rs
+++ b/crates/consensus/src/node_core.rs
@@ -1,4 +1,7 @@
 //! What a node keeps in every role. The roles work on it and return a [`crate::transition::Transition`].
+//!
+//! Each part owns its state, behind methods. The parts are separate fields, as most of their methods borrow the context, or
+//! another part, at the same time.
 
 use core::net::SocketAddrV4;
 
@@ -9,9 +12,10 @@
 use crate::control_state::{ControlState, StateVersion};
 use crate::delta_log::DeltaLog;
 use crate::disk_writes::DurabilityEffect;
-use crate::election::Election;
+use crate::election_timer::ElectionTimer;
 use crate::epoch_config::EpochConfig;
 use crate::epoch_view::EpochView;
+use crate::failure_detector::FailureDetector;
 use crate::injected_fault::InjectedFault;
 use crate::join_requests::JoinRequests;
 use crate::leadership_transfer::LeadershipTransfer;
@@ -20,10 +24,13 @@
 use crate::message::Message;
 use crate::peers::Peers;
 use crate::pending_requests::PendingRequests;
+use crate::pre_votes::PreVotes;
+use crate::primary_lease::PrimaryLease;
 use crate::snapshot::StatePurpose;
 use crate::snapshot_transfer::SnapshotTransfers;
 use crate::storage::Storage;
 use crate::term::Member;
+use crate::votes::Deciders;
 
 /// The parts of a node that outlive its role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -33,33 +40,60 @@
     pub(crate) acceptor: Acceptor,
     pub(crate) epoch: EpochView,
     pub(crate) learner: Learner,
-    pub(crate) election: Election,
+    pub(crate) failure_detector: FailureDetector,
+    pub(crate) election_timer: ElectionTimer,
+    pub(crate) pre_votes: PreVotes,
     pub(crate) joins: JoinRequests,
     pub(crate) removal: MemberRemoval,
     pub(crate) transfers: SnapshotTransfers,
     pub(crate) requests: PendingRequests,
-    /// Kept through a renewal, started over by a new primary.
+    /// Survives a renewal; a new primary starts without peers.
     pub(crate) peers: Peers,
-    /// When the newest heartbeat was sent that a majority has answered: the lease of this node as primary counts from there.
-    /// Outlives the role of the primary, since the lease holds on through a renewal.
-    pub(crate) primary_lease_confirmed_at: Option<Instant>,
-    /// Kept through a renewal, as the peers are.
+    pub(crate) primary_lease: PrimaryLease,
+    /// Survives a renewal, as the peers do.
     pub(crate) delta_log: DeltaLog,
-    /// The role of the primary on its way from this node to another one.
-    pub(crate) leadership_transfer: Option<LeadershipTransfer>,
+    pub(crate) leadership_transfer: LeadershipTransfer,
 }
 
 impl NodeCore {
+    /// `incarnation` is the random number of this incarnation of the process.
+    pub(crate) fn new(context: Context, storage: Storage, incarnation: u64) -> NodeCore {
+        let (now, promised) = (context.now(), storage.promised());
+        let mut core = NodeCore {
+            context,
+            storage,
+            acceptor: Acceptor::new(promised),
+            epoch: EpochView::new(promised),
+            learner: Learner::new(incarnation),
+            failure_detector: FailureDetector::default(),
+            election_timer: ElectionTimer::default(),
+            pre_votes: PreVotes::default(),
+            joins: JoinRequests::new(now),
+            removal: MemberRemoval::default(),
+            transfers: SnapshotTransfers::default(),
+            requests: PendingRequests::default(),
+            peers: Peers::default(),
+            primary_lease: PrimaryLease::default(),
+            delta_log: DeltaLog::default(),
+            leadership_transfer: LeadershipTransfer::default(),
+        };
+        core.reset_addresses();
+        for config in core.storage.configs() {
+            core.epoch.observe_config(config);
+        }
+        core
+    }
+
     pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
         self.context.has_fault(fault)
     }
 
     pub(crate) fn now(&self) -> Instant {
-        self.context.now
+        self.context.now()
     }
 
     pub(crate) fn local(&self) -> Member {
-        self.context.local
+        self.context.local()
     }
 
     pub(crate) fn send(&mut self, to: SocketAddrV4, message: Message) {
@@ -74,14 +108,14 @@
         self.learner.publish(&mut self.context, state);
     }
 
-    /// Writes for a member, or for this node itself.
+    /// Writes for a member, or for the role of this node.
     pub(crate) fn write(&mut self, effect: DurabilityEffect, requester: Member) {
         self.storage.append(&mut self.context, effect, Some(requester));
     }
 
     /// The addresses of the bootstrap voters, if this disk is one of theirs.
     pub(crate) fn bootstrap_voters(&self) -> Option<&[SocketAddrV4]> {
-        let seeds = &self.context.settings.seeds;
+        let seeds = &self.context.settings().seeds;
         if self.has_fault(InjectedFault::AnyBootstrapVoter) && seeds.contains(&self.local().address) {
             return Some(seeds);
         }
@@ -96,12 +130,12 @@
     /// enough.
     pub(crate) fn may_bootstrap(&self) -> bool {
         let Some(voters) = self.bootstrap_voters() else { return false };
-        let waited = self.context.elapsed(self.context.started_at);
+        let waited = self.context.elapsed(self.context.started_at());
         waited >= self.context.timings().bootstrap_timeout
             || self.joins.include_bootstrap_voters(self.local(), voters)
     }
 
-    /// Those that are asked for a promise.
+    /// Those that promises are requested from.
     pub(crate) fn electorate(&self) -> Vec<Member> {
         match (self.epoch.config(), self.bootstrap_voters()) {
             (Some(config), _) => config.voters(),
@@ -110,28 +144,40 @@
         }
     }
 
+    /// Whose majorities decide on a configuration in a take-over.
+    pub(crate) fn deciders(&self) -> Deciders {
+        match self.has_fault(InjectedFault::NewMembersOnly) {
+            true => Deciders::NewOnly,
+            false => Deciders::OutgoingAndNew,
+        }
+    }
+
+    /// Forgets all addresses but those of the seeds and of the members.
+    pub(crate) fn reset_addresses(&mut self) {
+        let electorate = self.electorate();
+        self.epoch.reset_addresses(&self.context.settings().seeds, &electorate);
+    }
+
     /// Whether the disk takes writes and this node does not shut down.
     pub(crate) fn is_healthy(&self) -> bool {
-        let is_disk_healthy = self.storage.is_healthy(&self.context, self.now());
+        let is_disk_healthy = self.storage.is_healthy(&self.context);
         !self.removal.is_shutting_down() && (is_disk_healthy || self.has_fault(InjectedFault::AlwaysHealthy))
     }
 
     /// A state with this body, if it is durable or committed here.
     pub(crate) fn find_state(&self, version: &StateVersion) -> Option<&ControlState> {
-        let states = [self.storage.durable.state.as_ref(), self.learner.committed.as_ref()];
+        let states = [self.storage.state(), self.learner.committed()];
         states.into_iter().flatten().find(|state| state.version().has_same_body(version))
     }
 
-    /// Whether this node, as primary, may send heartbeats: only while its lease holds at the time of this step.
+    /// Whether this node, as primary, may send heartbeats: only while its lease is valid at the time of this step.
     pub(crate) fn may_send_heartbeats(&self) -> bool {
-        self.context.is_within_lease(self.primary_lease_confirmed_at, self.now())
-            || self.has_fault(InjectedFault::NoLease)
+        self.primary_lease.is_valid(&self.context, self.now()) || self.has_fault(InjectedFault::NoLease)
     }
 
     /// The configuration that a node without a vote needs to find the others after its next start, if it is not durable.
     pub(crate) fn unwritten_config(&self) -> Option<EpochConfig> {
-        let durable = &self.storage.durable;
-        let known = [&durable.accepted, &durable.learned].into_iter().flatten().map(|c| c.term).max();
+        let known = self.storage.configs().map(|config| config.term).max();
         let config = self.epoch.config().filter(|config| known.is_none_or(|known| known < config.term))?;
         (!config.has_voter(self.local().id)).then(|| config.clone())
     }
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -26,7 +26,7 @@
     pub(crate) body: Arc<[u8]>,
 }
 
-/// What is true if the term still holds.
+/// What the reply states, if the term is still in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Claim {
     CurrentState,
@@ -38,7 +38,7 @@
 struct UnconfirmedReply {
     request_id: u64,
     received_at: Instant,
-    /// The first heartbeat that confirms; none during a take-over. A heartbeat that was sent before the request arrived
+    /// The first heartbeat whose responses confirm the reply; none during a take-over. A heartbeat that was sent before the request arrived
     /// proves nothing: another node may have become primary in between.
     heartbeat: Option<u64>,
     claim: Claim,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct WrittenChange {
     change: ChangeRequest,
-    /// Whether the client was told that the outcome is unknown.
+    /// Whether the client has the reply already that the outcome is unknown.
     is_answered: bool,
 }
 
@@ -74,7 +74,7 @@
 
     /// Queues a read until the heartbeat after the last sent one confirms the term; none during a take-over.
     pub(crate) fn add_read(&mut self, context: &mut Context, request_id: u64, heartbeat: Option<u64>) {
-        let received_at = context.now;
+        let received_at = context.now();
         let claim = Claim::CurrentState;
         self.await_confirmation(context, UnconfirmedReply { request_id, received_at, heartbeat, claim });
     }
@@ -92,7 +92,7 @@
         if self.pending_write.is_some() { None } else { self.queue.pop_front() }
     }
 
-    /// Answers a change by the current state, or returns what it makes of that state and keeps it as the pending write.
+    /// Answers a change by the current state, or makes it the pending write and returns the state after it.
     pub(crate) fn apply_change(
         &mut self,
         context: &mut Context,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A renewal is done: the pending write is in the committed state, or never will be.
+    /// A renewal has ended: the pending write is part of the committed state, or never will be.
     pub(crate) fn resolve_pending_write(&mut self, context: &mut Context, committed: &ControlState) {
         let Some(write) = &self.pending_write else { return };
         if committed.has_applied(write.change.request) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// This node is no primary any more: all are answered.
+    /// This node is no primary any more: all requests are answered.
     pub(crate) fn drop_all(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
         let PendingRequests { queue, pending_write, unconfirmed } = std::mem::take(self);
         if context.has_fault(InjectedFault::DropClientRequests) {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Another node was primary in between: what was found stale before counts no more.
+    /// Another node was primary in between: claims of a stale base may be outdated, so their changes are redirected.
     pub(crate) fn reject_stale_claims(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
         let is_read = |waiting: &UnconfirmedReply| matches!(waiting.claim, Claim::CurrentState);
         for waiting in self.unconfirmed.iter().filter(|waiting| !is_read(waiting)) {
@@ -206,7 +206,7 @@
     pub(crate) fn expire(&mut self, context: &mut Context) {
         let is_late = context.has_fault(InjectedFault::ReplyLate);
         let delay = if is_late { INJECTED_DELAY } else { Duration::ZERO };
-        let (now, timeout) = (context.now, context.timings().request_timeout + delay);
+        let (now, timeout) = (context.now(), context.timings().request_timeout + delay);
         let is_expired = |received_at: Instant| now - received_at >= timeout;
         let mut unavailable = |request_id| context.reply(request_id, ClientReply::Unavailable);
         if let Some(write) = &mut self.pending_write
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/primary.rs
@@ -1,7 +1,7 @@
 //! The role of the primary: it sends heartbeats, has changes written by its backups before they are acknowledged, and renews
-//! its epoch when that doesn't fit any more.
+//! its epoch when another configuration would be better.
 
-pub(crate) mod heartbeats;
+mod heartbeats;
 mod membership_plan;
 mod renewal;
 mod replication;
@@ -18,7 +18,7 @@
 use crate::term::Term;
 use crate::transition::Transition;
 
-/// What a primary keeps of its epoch.
+/// The state of a primary within its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PrimaryState {
     term: Term,
@@ -28,13 +28,13 @@
     /// The sequence number of the last heartbeat.
     last_heartbeat: u64,
     /// The first heartbeat that reports the last state that was not sent as a delta. A response to an earlier heartbeat may
-    /// have been sent before that state arrived, so a lower revision in it doesn't show that the peer lacks the state.
+    /// have been sent before that state arrived, so a lower revision in it doesn't prove that the peer lacks the state.
     first_heartbeat_of_full_state: u64,
     /// The latest heartbeats, oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
     next_heartbeat_at: Instant,
     pending_write: Option<PendingWrite>,
-    /// Since when a higher promise of a voter is known.
+    /// When a voter was first found to have promised a higher term.
     higher_term_seen_since: Option<Instant>,
     /// When this node became primary under this term.
     started_at: Instant,
@@ -86,7 +86,7 @@
     pub(crate) fn run_timers(&mut self, core: &mut NodeCore) -> Transition {
         let is_resend_due = self.take_due_resend(core);
         if core.now() >= self.next_heartbeat_at {
-            core.peers.drop_silent_learners(&self.config, core.context.now);
+            core.peers.drop_silent_learners(&self.config, core.context.now());
             self.send_heartbeats_to_all(core);
         }
         if is_resend_due {
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -30,20 +30,20 @@
 
     /// Whether the peer could take part in the next epoch.
     fn is_available(&self, peer: &Peer) -> bool {
-        peer.is_healthy && self.is_recent(peer) && !self.is_departing(peer.member.id)
+        peer.is_healthy() && self.is_recent(peer) && !self.is_departing(peer.member().id)
     }
 
     fn has_lost_backup(&self) -> bool {
         let suspicion_timeout = self.core.context.timings().suspicion_timeout;
-        let is_there = |peer: &Peer| {
-            peer.is_healthy
-                && !self.is_departing(peer.member.id)
+        let is_present = |peer: &Peer| {
+            peer.is_healthy()
+                && !self.is_departing(peer.member().id)
                 && peer.silence(self.core.now()) <= suspicion_timeout
         };
-        self.primary.config.backups.iter().any(|id| !self.peer(*id).is_some_and(is_there))
+        self.primary.config.backups.iter().any(|id| !self.peer(*id).is_some_and(is_present))
     }
 
-    /// Whether a backup is lost and a witness is there for its role.
+    /// Whether a backup is lost and a witness is available in its place.
     pub(super) fn wants_other_backups(&self) -> bool {
         let config = &self.primary.config;
         let is_spare = |member: &Member| {
@@ -57,7 +57,7 @@
     }
 
     /// The members as they should be, if other than they are. Several may change at once: the outgoing and the new ones
-    /// decide on the whole list.
+    /// decide on the complete list.
     pub(super) fn wanted_members(&self) -> Option<Vec<Member>> {
         if self.core.has_fault(InjectedFault::KeepMembers) {
             return None;
@@ -78,49 +78,49 @@
         (has_changed && !waits).then_some(members)
     }
 
-    /// Those that may become members: first those at the address of one, whose disk they replace; of two disks at one
-    /// address the one that was received from last gets the slot in the end.
+    /// Those that may become members: first those at the address of a member, whose disk they replace. Of two disks at
+    /// one address, the one that has sent the last message comes last, and so gets the slot in the end.
     fn newcomers(&self) -> Vec<Member> {
         let config = &self.primary.config;
-        // A disk that was wiped was received from lately, too. Only what has answered in this epoch is there.
-        let is_here = |peer: &Peer| {
-            peer.answered_term == self.primary.term || self.core.has_fault(InjectedFault::StaleNewcomer)
+        // The last message of a disk that was wiped is recent, too. Only a response in this epoch shows that the disk exists.
+        let exists = |peer: &Peer| {
+            peer.answered_term() == self.primary.term || self.core.has_fault(InjectedFault::StaleNewcomer)
         };
         let mut newcomers: Vec<&Peer> = self
             .core
             .peers
             .iter()
-            .filter(|peer| !config.has_member(peer.member.id))
-            .filter(|peer| peer.member.address != self.core.local().address)
-            .filter(|peer| self.is_available(peer) && is_here(peer))
+            .filter(|peer| !config.has_member(peer.member().id))
+            .filter(|peer| peer.member().address != self.core.local().address)
+            .filter(|peer| self.is_available(peer) && exists(peer))
             .collect();
-        let replaces_disk = |p: &Peer| config.members.iter().any(|m| m.address == p.member.address);
-        newcomers.sort_by_key(|peer| (!replaces_disk(peer), peer.last_received_at));
-        newcomers.into_iter().map(|peer| peer.member).collect()
+        let replaces_disk = |p: &Peer| config.members.iter().any(|m| m.address == p.member().address);
+        newcomers.sort_by_key(|peer| (!replaces_disk(peer), peer.last_received_at()));
+        newcomers.into_iter().map(Peer::member).collect()
     }
 
-    /// Gives a newcomer the slot of the disk before it at its address, a free one, or that of a member that is gone.
-    /// Returns whether there was one.
+    /// Gives a newcomer the slot of the former disk at its address, a free one, or that of a member that was silent for
+    /// long or departs. Returns whether there was one.
     fn assign_slot(&self, members: &mut Vec<Member>, newcomer: Member) -> bool {
         if let Some(slot) = members.iter_mut().find(|m| m.address == newcomer.address) {
             *slot = newcomer;
             return true;
         }
-        if members.len() < self.core.context.settings.member_count() {
+        if members.len() < self.core.context.settings().member_count() {
             members.push(newcomer);
             return true;
         }
-        let Some(gone) = self.most_silent(members).or_else(|| self.departing_to_replace(members)) else {
+        let Some(replaced) = self.most_silent(members).or_else(|| self.departing_to_replace(members)) else {
             return false;
         };
-        let Some(slot) = members.iter_mut().find(|m| m.id == gone) else { return false };
+        let Some(slot) = members.iter_mut().find(|m| m.id == replaced) else { return false };
         *slot = newcomer;
         true
     }
 
     /// For how long the member was not healthy or silent.
     fn silence(&self, member: &Member) -> Duration {
-        self.peer(member.id).map_or(Duration::MAX, |p| self.core.context.elapsed(p.last_healthy_at))
+        self.peer(member.id).map_or(Duration::MAX, |p| self.core.context.elapsed(p.last_healthy_at()))
     }
 
     /// Whether the member was lost along with one that may be replaced now: it may be, too, a moment later.
@@ -143,23 +143,24 @@
         (self.silence(silent) > replacement_timeout).then_some(silent.id)
     }
 
-    /// A member that shuts down, if others are there to hold the state in the epoch between.
+    /// A member that shuts down, if enough others can hold the state in the epoch between.
     fn departing_to_replace(&self, members: &[Member]) -> Option<MemberId> {
         if self.core.has_fault(InjectedFault::KeepDepartingMembers) {
             return None;
         }
         let others = || members.iter().filter(|m| m.id != self.core.local().id);
         let departing = others().find(|m| self.is_departing(m.id))?;
-        let is_here = |m: &Member| self.peer(m.id).is_some_and(|peer| self.is_recent(peer));
-        let stays = |m: &&Member| m.id != departing.id && self.primary.config.has_member(m.id) && is_here(m);
+        let is_recent = |m: &Member| self.peer(m.id).is_some_and(|peer| self.is_recent(peer));
+        let stays =
+            |m: &&Member| m.id != departing.id && self.primary.config.has_member(m.id) && is_recent(m);
         let staying = others().filter(stays).count();
-        (staying >= self.core.context.settings.max_failures).then_some(departing.id)
+        (staying >= self.core.context.settings().max_failures).then_some(departing.id)
     }
 
     /// Whether the member may shut down without a copy or a vote less than there could be.
     ///
     /// A member whose slot nobody waits for stays a member: the membership must not shrink, so that the return of the
-    /// member makes up for the next loss at once.
+    /// member compensates for the next loss at once.
     pub(super) fn may_be_removed(&self, id: MemberId) -> bool {
         let config = &self.primary.config;
         if !config.has_voter(id) {
@@ -168,14 +169,14 @@
         !config.is_joint() && !config.holds_state(id) && !self.has_newcomer_waiting()
     }
 
-    /// Whether somebody was received from lately that could be a member, or has not said yet whether it can.
+    /// Whether the last message of a node is recent that could be a member, or has not reported yet whether it can.
     fn has_newcomer_waiting(&self) -> bool {
         self.core.peers.iter().any(|peer| {
-            let is_unknown = peer.answered_term == Term::default();
-            !self.primary.config.has_member(peer.member.id)
-                && !self.is_departing(peer.member.id)
+            let is_unknown = peer.answered_term() == Term::default();
+            !self.primary.config.has_member(peer.member().id)
+                && !self.is_departing(peer.member().id)
                 && self.is_recent(peer)
-                && (peer.is_healthy || is_unknown)
+                && (peer.is_healthy() || is_unknown)
         })
     }
 }
--- a/crates/consensus/src/primary/renewal.rs
+++ b/crates/consensus/src/primary/renewal.rs
@@ -1,13 +1,14 @@
-//! A primary takes over from itself when its epoch doesn't fit any more, and gives its role away when it isn't healthy.
+//! A primary takes over from itself when another configuration would be better, and gives its role away when it isn't
+//! healthy.
 
 use core::time::Duration;
 
 use super::PrimaryState;
 use super::membership_plan::MembershipPlan;
 use crate::injected_fault::InjectedFault;
-use crate::leadership_transfer::LeadershipTransfer;
 use crate::message::Message;
 use crate::node_core::NodeCore;
+use crate::peers::Peer;
 use crate::term::Member;
 use crate::transition::{TakeOverPlan, Transition};
 
@@ -20,7 +21,7 @@
         if self.has_to_resign(core) {
             return self.resign(core);
         }
-        let has_other_writes = !core.storage.writes.queue.is_empty() && !self.is_writing();
+        let has_other_writes = !core.storage.is_idle() && !self.is_writing();
         if core.removal.is_shutting_down() || has_other_writes {
             return Transition::Stay;
         }
@@ -45,25 +46,23 @@
 
     /// Whether the disk is stalled or full, or the node shuts down.
     fn has_to_resign(&self, core: &NodeCore) -> bool {
-        let is_stalled = core.storage.writes.oldest_age(core.now())
-            > core.context.timings().local_write_timeout
+        let write_age = core.storage.oldest_write_age(core.now());
+        let is_stalled = write_age > core.context.timings().local_write_timeout
             && !core.has_fault(InjectedFault::KeepStalledPrimary);
         let is_shutdown_due = core
             .removal
             .shutdown_age(core.now())
             .is_some_and(|age| !self.is_writing() || age >= MAX_SHUTDOWN_WRITE);
-        is_stalled
-            || is_shutdown_due
-            || core.storage.writes.failed_at.is_some() && self.successor(core).is_some()
+        is_stalled || is_shutdown_due || core.storage.has_failed() && self.successor(core).is_some()
     }
 
-    /// Whether a backup has not written a change in time, or is lost while others are there.
+    /// Whether a backup has not written a change in time, or is lost while others are available.
     fn is_backup_slow(&self, plan: &MembershipPlan<'_>) -> bool {
         let core = plan.core;
         let timeout = core.context.timings().backup_write_timeout;
         self.pending_write.as_ref().is_some_and(|write| {
-            let is_late = || core.context.elapsed(write.last_progress_at) >= timeout;
-            write.is_on_local_disk && (is_late() || plan.wants_other_backups())
+            write.awaits_only_backups()
+                && (write.time_without_progress(core.now()) >= timeout || plan.wants_other_backups())
         }) && !core.has_fault(InjectedFault::KeepStalledBackup)
     }
 
@@ -79,10 +78,10 @@
         let is_able = |member: &&Member| {
             let peer = core.peers.get(member.id);
             member.id != core.local().id
-                && peer.is_some_and(|peer| peer.is_healthy && peer.silence(now) <= lease)
+                && peer.is_some_and(|peer| peer.is_healthy() && peer.silence(now) <= lease)
         };
         let rank = |member: &&Member| {
-            let received_at = core.peers.get(member.id).map(|peer| peer.last_received_at);
+            let received_at = core.peers.get(member.id).map(Peer::last_received_at);
             (self.config.backups.contains(&member.id), received_at)
         };
         self.config.members.iter().filter(is_able).max_by_key(rank).copied()
@@ -91,8 +90,7 @@
     /// Gives the role away.
     pub(crate) fn resign(&self, core: &mut NodeCore) -> Transition {
         if let Some(successor) = self.successor(core) {
-            let transfer = LeadershipTransfer::start(&mut core.context, successor.address, self.term);
-            core.leadership_transfer = Some(transfer);
+            core.leadership_transfer.start(&mut core.context, successor.address, self.term);
         }
         Transition::StepDown
     }
@@ -101,7 +99,7 @@
     pub(crate) fn on_removal_requested(&self, core: &mut NodeCore, from: Member) {
         let may_be_removed = MembershipPlan { core, primary: self }.may_be_removed(from.id);
         if let Some(peer) = core.peers.get_mut(from.id) {
-            peer.is_healthy = false;
+            peer.record_shutdown();
         }
         if may_be_removed {
             core.send(from.address, Message::RemovalGranted { term: self.term });
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -1,5 +1,6 @@
 //! A change on its way to the disks of the primary and of the backups.
 
+use core::time::Duration;
 use std::collections::BTreeSet;
 
 use mosshead_time::Instant;
@@ -19,29 +20,40 @@
 pub(crate) struct PendingWrite {
     /// The state after the change.
     state: ControlState,
-    /// What it changes of the state before, where that is shorter.
+    /// The same as a difference to the state before; none where that isn't shorter.
     delta: Option<StateDelta>,
-    /// Backups that lack the state before: they get the whole state.
+    /// Backups that lack the state before: they get the complete state.
     missing_body: BTreeSet<MemberId>,
-    pub(super) is_on_local_disk: bool,
-    /// The nodes that have written it.
+    is_on_local_disk: bool,
+    /// The other nodes that have written it.
     written_by: BTreeSet<MemberId>,
-    /// Since when it waits without progress.
-    pub(super) last_progress_at: Instant,
+    /// When it was started, or a backup requested a chunk of it last.
+    last_progress_at: Instant,
     started_at: Instant,
     sent_at: Instant,
 }
 
+impl PendingWrite {
+    /// Whether this node has written the change, and a backup has not.
+    pub(super) fn awaits_only_backups(&self) -> bool {
+        self.is_on_local_disk
+    }
+
+    pub(super) fn time_without_progress(&self, now: Instant) -> Duration {
+        now - self.last_progress_at
+    }
+}
+
 impl PrimaryState {
     pub(super) fn is_writing(&self) -> bool {
         self.pending_write.is_some()
     }
 
-    /// Sends a change to the disks that have to hold it.
+    /// Starts to write a change to the disks of the primary and of the backups.
     pub(super) fn start_write(&mut self, core: &mut NodeCore, state: ControlState) {
         let now = core.now();
-        let is_whole = core.has_fault(InjectedFault::FullStates);
-        let delta = if is_whole { None } else { StateDelta::between(&self.state, &state) };
+        let sends_full_states = core.has_fault(InjectedFault::FullStates);
+        let delta = if sends_full_states { None } else { StateDelta::between(&self.state, &state) };
         self.pending_write = Some(PendingWrite {
             state: state.clone(),
             delta: delta.clone(),
@@ -60,7 +72,7 @@
     /// Sends the pending write to the backups that have not written it.
     pub(super) fn send_pending_write(&self, core: &mut NodeCore) {
         let Some(write) = &self.pending_write else { return };
-        let large_bytes = core.context.settings.chunk_sizes.large_state_bytes;
+        let large_bytes = core.context.settings().chunk_sizes.large_state_bytes;
         let delta = write.delta.as_ref().filter(|delta| delta.estimated_bytes() <= large_bytes);
         let waiting = self.config.backups.iter().filter(|id| !write.written_by.contains(id));
         for backup in waiting.filter_map(|id| self.config.member(*id)) {
@@ -108,7 +120,7 @@
         }
     }
 
-    /// A node lacks the state before: a backup gets the whole state, once.
+    /// A node lacks the state before: a backup gets the complete state, once.
     pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
         let is_backup = self.config.backups.contains(&from.id);
         let Some(write) = self.pending_write_of(version) else { return };
@@ -129,17 +141,17 @@
     fn commit(&mut self, core: &mut NodeCore) {
         let Some(write) = self.pending_write.take() else { return };
         self.state = write.state.clone();
-        let large_bytes = core.context.settings.chunk_sizes.large_state_bytes;
+        let large_bytes = core.context.settings().chunk_sizes.large_state_bytes;
         let delta = write.delta.filter(|delta| delta.estimated_bytes() <= large_bytes);
         match delta.clone() {
-            Some(delta) => core.delta_log.push(core.context.now, delta),
+            Some(delta) => core.delta_log.push(core.context.now(), delta),
             None => {
                 self.first_heartbeat_of_full_state = self.next_heartbeat();
                 core.delta_log.clear();
             }
         }
         core.publish(write.state.clone());
-        // The backups have the state: the heartbeat tells them that it is committed.
+        // The backups have the state: the heartbeat notifies them that it is committed.
         self.send_heartbeats_to_all(core);
         self.send_committed(core, write.state, delta);
         core.requests.finish_write(&mut core.context);
@@ -150,12 +162,13 @@
         let (now, suspicion_timeout) = (core.now(), core.context.timings().suspicion_timeout);
         let mut recipients = Vec::new();
         for peer in core.peers.iter_mut() {
-            let is_backup = self.config.backups.contains(&peer.member.id);
+            let member = peer.member();
+            let is_backup = self.config.backups.contains(&member.id);
             if !is_backup && peer.silence(now) <= suspicion_timeout {
                 if delta.is_none() {
-                    peer.state_sent_at = Some(now);
+                    peer.record_state_sent(now);
                 }
-                recipients.push(peer.member);
+                recipients.push(member);
             }
         }
         for member in recipients {
--- a/crates/consensus/src/primary/requests.rs
+++ b/crates/consensus/src/primary/requests.rs
@@ -17,7 +17,7 @@
         self.confirm_requests(core);
     }
 
-    /// Sends the replies that a majority has confirmed, and asks it about the rest: one round of heartbeats at a time,
+    /// Sends the replies that a majority has confirmed, and has the rest confirmed: one round of heartbeats at a time,
     /// whatever the number of requests.
     fn confirm_requests(&mut self, core: &mut NodeCore) {
         loop {
--- /dev/null
+++ b/crates/consensus/src/primary_lease.rs
@@ -0,0 +1,30 @@
+//! The lease of a primary: how long it may act without a response of a majority.
+
+use mosshead_time::Instant;
+
+use crate::context::Context;
+
+/// The lease of this node as primary. Outlives the role, since the lease goes on through a renewal.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct PrimaryLease {
+    /// When the newest heartbeat was sent that a majority has answered, or the configuration of the epoch was proposed; none
+    /// before this node was primary.
+    confirmed_at: Option<Instant>,
+}
+
+impl PrimaryLease {
+    /// A new epoch begins: its configuration was proposed at this instant.
+    pub(crate) fn start_epoch(&mut self, proposed_at: Instant) {
+        self.confirmed_at = Some(proposed_at);
+    }
+
+    /// A majority has answered a heartbeat that was sent at this instant.
+    pub(crate) fn extend(&mut self, sent_at: Instant) {
+        self.confirmed_at = self.confirmed_at.max(Some(sent_at));
+    }
+
+    /// Whether the lease is valid at `now`; says nothing of the role.
+    pub(crate) fn is_valid(&self, context: &Context, now: Instant) -> bool {
+        context.is_within_lease(self.confirmed_at, now)
+    }
+}
--- a/crates/consensus/src/read_lease.rs
+++ b/crates/consensus/src/read_lease.rs
@@ -2,7 +2,7 @@
 //!
 //! Each heartbeat response carries a [`LeaseStamp`]: the sender's own steady time. The primary returns the newest stamp of
 //! each peer in its next heartbeat to it. That a heartbeat arrives proves nothing: it may have waited in the queue of a
-//! network or of a frozen process. That it carries a stamp proves that the primary sent it after the time in the stamp.
+//! network or of a suspended process. That it carries a stamp proves that the primary sent it after the time in the stamp.
 
 use std::collections::VecDeque;
 
@@ -10,13 +10,13 @@
 
 use crate::lease_stamp::LeaseStamp;
 
-/// At most this many confirmed instants wait for their state; older ones are dropped.
+/// At most this many instants of contact wait for their committed state; older ones are dropped.
 const MAX_AWAITING: usize = 64;
 
-/// When this node last answered a heartbeat that the primary is known to have followed by another one.
+/// When this node last answered a heartbeat that was followed by another one with the stamp of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReadLease {
-    /// The random number of this run of the process.
+    /// The random number of this incarnation of the process.
     incarnation: u64,
     /// The latest instant of contact whose committed state is published here.
     confirmed_at: Option<Instant>,
@@ -43,7 +43,7 @@
         LeaseStamp { incarnation: self.incarnation, answered_at: now }
     }
 
-    /// The instant in a stamp that came back, if it is one of this run of the process.
+    /// The instant in a returned stamp, if it is one of this incarnation of the process.
     pub(crate) fn instant_of(&self, stamp: LeaseStamp, now: Instant) -> Option<Instant> {
         (stamp.incarnation == self.incarnation && stamp.answered_at <= now).then_some(stamp.answered_at)
     }
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -8,13 +8,13 @@
 use crate::control_state::StateVersion;
 use crate::term::Term;
 
-/// What the receiver of a state is to do with it.
+/// What the receiver of a state is to do with it; the later ones are more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum StatePurpose {
     /// It is committed: publish it.
     #[n(0)]
     CommittedState,
-    /// Write it and answer [`crate::Message::Replicated`].
+    /// Write it and respond by [`crate::Message::Replicated`].
     #[n(1)]
     ReplicateState,
     /// It was fetched for a take-over.
@@ -38,7 +38,7 @@
     /// What the receiver is to do with the state.
     #[n(0)]
     pub purpose: StatePurpose,
-    /// Which state it is.
+    /// The version of the state.
     #[n(1)]
     pub version: StateVersion,
     /// The bytes of the encoded state.
@@ -52,7 +52,7 @@
 /// A chunk of an encoded state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct SnapshotChunk {
-    /// Which state it is of.
+    /// The version of the state.
     #[n(0)]
     pub version: StateVersion,
     /// The offset of its first byte.
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -1,7 +1,7 @@
 //! Large states in chunks: the receiver requests one chunk after the other, so that it sets the pace, a lost chunk is
-//! requested again, and nothing else has to wait behind a whole state.
+//! requested again, and other messages don't wait behind a complete state.
 //!
-//! The sender offers a state. It keeps the encoded state for as long as the receiver requests chunks of it.
+//! The sender offers a state. It retains the encoded state while the receiver requests chunks of it.
 
 use core::time::Duration;
 use std::collections::BTreeSet;
@@ -16,15 +16,15 @@
 use crate::snapshot::{SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
 use crate::term::Member;
 
-/// An outgoing transfer without a request for this long is forgotten.
+/// An outgoing transfer without a request for this long is dropped.
 const OUTGOING_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How many different states are kept encoded at most.
+/// The most different states that are retained in encoded form.
 const MAX_OUTGOING_STATES: usize = 3;
-/// How many transfers go out at a time at most.
+/// The most outgoing transfers at a time.
 const MAX_OUTGOING: usize = 32;
-/// An incoming transfer without progress for this long gives way to another.
+/// An incoming transfer without progress for this long may be replaced by another.
 const INCOMING_STALL: Duration = Duration::from_millis(500);
-/// An incoming transfer without progress for this long is given up.
+/// An incoming transfer without progress for this long is dropped.
 const INCOMING_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// A state that is being sent.
@@ -57,14 +57,14 @@
     pub(crate) version: StateVersion,
 }
 
-/// A state that has arrived whole.
+/// A state that has arrived completely.
 pub(crate) struct ReceivedState {
     pub(crate) from: Member,
     pub(crate) purpose: StatePurpose,
     pub(crate) state: ControlState,
 }
 
-/// What a chunk has brought.
+/// The outcome of a chunk.
 pub(crate) struct ChunkOutcome {
     /// The version that a take-over fetches, if the chunk is of one.
     pub(crate) fetched_version: Option<StateVersion>,
@@ -80,7 +80,7 @@
 }
 
 impl SnapshotTransfers {
-    /// Sends a whole state: in one message, or by an offer where it is large.
+    /// Sends a complete state: in one message, or by an offer where it is large.
     pub(crate) fn send_state(
         &mut self,
         context: &mut Context,
@@ -88,7 +88,7 @@
         purpose: StatePurpose,
         state: ControlState,
     ) {
-        let is_large = state.body.len() > context.settings.chunk_sizes.large_state_bytes;
+        let is_large = state.body.len() > context.settings().chunk_sizes.large_state_bytes;
         if !is_large || context.has_fault(InjectedFault::FullStates) {
             let message = match purpose {
                 StatePurpose::CommittedState => Message::CommittedState { state },
@@ -97,12 +97,12 @@
             };
             return context.send(to.address, message);
         }
-        let (version, now) = (state.version(), context.now);
+        let (version, now) = (state.version(), context.now());
         if self.is_active(to, purpose, version, now - context.timings().state_resend_interval) {
             return;
         }
         let encoded = self.encode(&state);
-        self.make_room(to, purpose, version);
+        self.drop_idle_outgoing(to, purpose, version);
         let (length, checksum) = (encoded.len() as u64, checksum(&encoded));
         let offer = SnapshotOffer { purpose, version, length, checksum };
         self.outgoing.push(OutgoingTransfer { to, offer, encoded, last_active_at: now });
@@ -112,14 +112,14 @@
     /// Whether the receiver has requested a chunk of the state after `since`.
     fn is_active(&self, to: Member, purpose: StatePurpose, version: StateVersion, since: Instant) -> bool {
         let is_same = |transfer: &OutgoingTransfer| {
-            // Whoever gets a committed state learns the changes after it on its own.
+            // A peer that receives a committed state learns the later changes without a transfer.
             let is_same_state = purpose.is_committed() || transfer.offer.version == version;
             transfer.to.id == to.id && transfer.offer.purpose == purpose && is_same_state
         };
         self.outgoing.iter().any(|transfer| is_same(transfer) && transfer.last_active_at > since)
     }
 
-    /// The encoded state; shared by all that get it.
+    /// The encoded state; shared by all transfers of it.
     fn encode(&self, state: &ControlState) -> Arc<[u8]> {
         let known = self.outgoing.iter().find(|transfer| transfer.offer.version == state.version());
         // Writing to memory doesn't fail.
@@ -127,9 +127,9 @@
         known.map_or_else(encode, |transfer| transfer.encoded.clone())
     }
 
-    /// Makes room for one more transfer of the version; the one that was idle for longest is dropped. A peer has at most
-    /// one of a committed state and another one, which the first must not end.
-    fn make_room(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
+    /// Drops transfers so that one more of the version can be added; the one that was idle for longest first. A peer has at
+    /// most one transfer of a committed state and one for another purpose, which the first must not end.
+    fn drop_idle_outgoing(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
         self.outgoing.retain(|transfer| {
             transfer.to.id != to.id || transfer.offer.purpose.is_committed() != purpose.is_committed()
         });
@@ -145,11 +145,11 @@
         others.collect::<BTreeSet<StateVersion>>().len()
     }
 
-    /// Starts to fetch a state that was offered and is of use, unless another transfer comes first.
+    /// Starts to fetch an offered state that is of use, unless a transfer for a purpose as urgent is in progress.
     pub(crate) fn on_offer(&mut self, context: &mut Context, from: Member, offer: SnapshotOffer) {
-        let now = context.now;
+        let now = context.now();
         match &self.incoming {
-            // The offer came again: what was requested may be lost.
+            // The offer was sent again: the request for a chunk may be lost.
             Some(known) if known.from.id == from.id && known.offer == offer => {}
             Some(known)
                 if known.offer.purpose >= offer.purpose && now - known.last_progress_at < INCOMING_STALL =>
@@ -168,7 +168,7 @@
 
     fn request_chunk(&mut self, context: &mut Context) {
         let Some(incoming) = &mut self.incoming else { return };
-        incoming.requested_at = context.now;
+        incoming.requested_at = context.now();
         let (version, offset) = (incoming.offer.version, incoming.bytes.len() as u64);
         context.send(incoming.from.address, Message::FetchChunk { version, offset });
     }
@@ -184,10 +184,10 @@
         let is_requested = |t: &&mut OutgoingTransfer| t.to.id == from.id && t.offer.version == version;
         let transfers = self.outgoing.iter_mut().filter(is_requested);
         let transfer = transfers.max_by_key(|transfer| transfer.offer.purpose)?;
-        transfer.last_active_at = context.now;
+        transfer.last_active_at = context.now();
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
         let rest = transfer.encoded.get(start..).unwrap_or_default();
-        let length = context.settings.chunk_sizes.chunk_bytes.max(1).min(rest.len());
+        let length = context.settings().chunk_sizes.chunk_bytes.max(1).min(rest.len());
         let bytes: Arc<[u8]> = rest.get(..length).unwrap_or_default().into();
         if !bytes.is_empty() {
             let chunk = SnapshotChunk { version, offset, bytes };
@@ -206,12 +206,12 @@
         let incoming = self.incoming.as_mut()?;
         let is_expected = incoming.from.id == from.id && incoming.offer.version == chunk.version;
         let missing = incoming.offer.length.saturating_sub(incoming.bytes.len() as u64);
-        let fits = chunk.offset == incoming.bytes.len() as u64 && chunk.bytes.len() as u64 <= missing;
-        if !is_expected || !fits || chunk.bytes.is_empty() {
+        let is_next = chunk.offset == incoming.bytes.len() as u64 && chunk.bytes.len() as u64 <= missing;
+        if !is_expected || !is_next || chunk.bytes.is_empty() {
             return None;
         }
         incoming.bytes.extend_from_slice(&chunk.bytes);
-        incoming.last_progress_at = context.now;
+        incoming.last_progress_at = context.now();
         let is_fetched = matches!(incoming.offer.purpose, StatePurpose::FetchedState { .. });
         let is_complete = incoming.bytes.len() as u64 >= incoming.offer.length;
         if !is_complete {
@@ -221,7 +221,7 @@
         Some(ChunkOutcome { fetched_version: is_fetched.then_some(chunk.version), received })
     }
 
-    /// The state that has arrived whole, if it is the one that was offered.
+    /// The state that has arrived completely, if it is the one that was offered.
     fn finish_incoming(&mut self) -> Option<ReceivedState> {
         let IncomingTransfer { from, offer, bytes, .. } = self.incoming.take()?;
         if checksum(&bytes) != offer.checksum {
@@ -241,7 +241,7 @@
     }
 
     pub(crate) fn run_timers(&mut self, context: &mut Context) {
-        let now = context.now;
+        let now = context.now();
         self.outgoing.retain(|transfer| now - transfer.last_active_at < OUTGOING_TIMEOUT);
         let Some(incoming) = &self.incoming else { return };
         if now - incoming.last_progress_at >= INCOMING_TIMEOUT {
--- a/crates/consensus/src/state_delta.rs
+++ b/crates/consensus/src/state_delta.rs
@@ -6,7 +6,7 @@
 use crate::control_state::{AppliedRequest, ControlState, StateVersion};
 use crate::term::Term;
 
-/// About what a delta has beside the delta of the body, in bytes.
+/// About the length of a delta without the delta of the body, in bytes.
 const FIXED_BYTES: usize = 100;
 
 /// A change of the state, for those that have the state before it.
@@ -21,13 +21,13 @@
     /// The request that made it.
     #[n(2)]
     pub request: AppliedRequest,
-    /// What makes the new body of the one before.
+    /// Makes the new body of the one before.
     #[n(3)]
     pub delta: BodyDelta,
 }
 
 impl StateDelta {
-    /// The delta from one state to the one right after it; none where the whole state is no longer than its delta, or
+    /// The delta from one state to the one right after it; none where the complete state is hardly longer than its delta, or
     /// where `next` is not the result of exactly one request to `previous`.
     pub fn between(previous: &ControlState, next: &ControlState) -> Option<StateDelta> {
         let request = *next.applied_requests.last()?;
@@ -36,7 +36,7 @@
         Some(StateDelta { previous: previous.version(), term: next.write_term, request, delta })
     }
 
-    /// Which state it makes.
+    /// The version of the state that it makes.
     pub fn version(&self) -> StateVersion {
         StateVersion { write_term: self.term, revision: self.request.revision, first_write_term: self.term }
     }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,5 +1,6 @@
-//! The disk of a node: what it holds for certain, and what is being written.
+//! The disk of a node: what is synced, and what is being written.
 
+use core::time::Duration;
 use std::collections::VecDeque;
 
 use mosshead_time::Instant;
@@ -7,63 +8,123 @@
 use crate::context::Context;
 use crate::control_state::{ControlState, StateVersion};
 use crate::disk_writes::{DurabilityEffect, PendingDiskWrite, PendingDiskWrites};
-use crate::durable_state::{DiskIdentity, DurableState, LogRecord};
+use crate::durable_state::{DiskIdentity, DurableState, LogRecord, Replay, StoredStateError};
+use crate::epoch_config::EpochConfig;
 use crate::event::Output;
 use crate::injected_fault::InjectedFault;
+use crate::log_size::LogSize;
 use crate::state_delta::StateDelta;
 use crate::term::{Member, Term};
 
-/// The log is rewritten when its replay has to rebuild more bytes of bodies than this.
-const MAX_REBUILT_BYTES: usize = 128 << 20;
-/// The log is rewritten when it is this many times as long as after the last rewrite, and long enough by the settings.
-const REWRITE_FACTOR: usize = 4;
-
 /// The disk of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Storage {
     /// Written first; nothing else is written before it is durable.
     identity: DiskIdentity,
-    pub(crate) durable: DurableState,
-    pub(crate) writes: PendingDiskWrites,
+    durable: DurableState,
+    writes: PendingDiskWrites,
+    log_size: LogSize,
     /// With [`InjectedFault::RespondUnsynced`]: writes that are answered before they are synced.
     unsynced: VecDeque<PendingDiskWrite>,
 }
 
 impl Storage {
-    /// The disk with a replayed log of these records.
-    pub(crate) fn new(
-        identity: DiskIdentity,
-        durable: DurableState,
+    /// The disk with a log of these records, oldest first. Without records, it gets a new identity.
+    ///
+    /// # Errors
+    ///
+    /// A record can't be read or does not continue those before it, or the records lack the identity.
+    pub(crate) fn open(
         records: &[Vec<u8>],
-        rebuilt_bytes: usize,
-    ) -> Storage {
-        let log_bytes = records.iter().map(Vec::len).sum();
-        let writes = PendingDiskWrites { log_bytes, rebuilt_bytes, ..PendingDiskWrites::default() };
-        Storage { identity, durable, writes, unsynced: VecDeque::new() }
-    }
-
+        new_identity: impl FnOnce() -> DiskIdentity,
+    ) -> Result<Storage, StoredStateError> {
+        let Replay { durable, rebuilt_bytes } = DurableState::replay(records)?;
+        let identity = match durable.identity() {
+            Some(identity) => identity.clone(),
+            None if records.is_empty() => new_identity(),
+            None => return Err(StoredStateError::MissingIdentity),
+        };
+        Ok(Storage {
+            identity,
+            durable,
+            writes: PendingDiskWrites::default(),
+            log_size: LogSize::of_replayed(records, rebuilt_bytes),
+            unsynced: VecDeque::new(),
+        })
+    }
+
+    /// Also before it is durable.
     pub(crate) fn identity(&self) -> &DiskIdentity {
         &self.identity
     }
 
+    /// The durable control state; none if none was written yet.
+    pub(crate) fn state(&self) -> Option<&ControlState> {
+        self.durable.state()
+    }
+
+    /// The version of the durable state.
+    pub(crate) fn version(&self) -> Option<StateVersion> {
+        self.durable.version()
+    }
+
+    /// The highest durable promise.
+    pub(crate) fn promised(&self) -> Term {
+        self.durable.promised()
+    }
+
+    /// The term of the durable configuration that this disk has accepted; the lowest one without it.
+    pub(crate) fn accepted_term(&self) -> Term {
+        self.durable.accepted_term()
+    }
+
+    /// The durable configurations, accepted or learned.
+    pub(crate) fn configs(&self) -> impl Iterator<Item = &EpochConfig> {
+        self.durable.configs()
+    }
+
     /// Whether the identity is durable: nothing is promised or answered before.
     pub(crate) fn is_open(&self) -> bool {
-        self.durable.identity.is_some()
+        self.durable.identity().is_some()
     }
 
     /// Whether the disk takes writes, and in time.
-    pub(crate) fn is_healthy(&self, context: &Context, now: Instant) -> bool {
-        self.writes.failed_at.is_none()
-            && self.writes.oldest_age(now) <= context.timings().unhealthy_write_timeout
+    pub(crate) fn is_healthy(&self, context: &Context) -> bool {
+        !self.has_failed()
+            && self.oldest_write_age(context.now()) <= context.timings().unhealthy_write_timeout
+    }
+
+    /// Whether the last write failed.
+    pub(crate) fn has_failed(&self) -> bool {
+        self.writes.failed_at().is_some()
+    }
+
+    /// Whether no write is pending.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.writes.is_empty()
     }
 
-    /// One record that replaces the whole log.
+    /// Whether so many writes are pending that none is accepted from other nodes.
+    pub(crate) fn is_full(&self) -> bool {
+        self.writes.is_full()
+    }
+
+    /// For how long the oldest pending write has been pending; zero without one.
+    pub(crate) fn oldest_write_age(&self, now: Instant) -> Duration {
+        self.writes.oldest_age(now)
+    }
+
+    /// Whether the configuration of a term is being written.
+    pub(crate) fn is_writing_config(&self, term: Term) -> bool {
+        self.writes.includes_accept(term)
+    }
+
+    /// One record that replaces the log.
     pub(crate) fn snapshot_record(&self, promised: Term) -> Vec<u8> {
-        let durable = DurableState { promised, ..self.durable.clone() };
-        LogRecord::Snapshot(Box::new(durable)).encode()
+        LogRecord::Snapshot(Box::new(self.durable.with_promise(promised))).encode()
     }
 
-    /// Appends the record of an effect to the log; `requester` is answered when it is synced.
+    /// Appends the record of an effect to the log; `requester` gets a response when it is synced.
     pub(crate) fn append(
         &mut self,
         context: &mut Context,
@@ -71,32 +132,31 @@
         requester: Option<Member>,
     ) {
         let Some(record) = effect.to_record().map(|record| record.encode()) else { return };
-        self.writes.log_bytes += record.len();
-        if let DurabilityEffect::Delta(_, state) = &effect {
-            self.writes.rebuilt_bytes = self.writes.rebuilt_bytes.saturating_add(state.body.len());
+        self.log_size.record_append(record.len());
+        if let DurabilityEffect::Delta { state, .. } = &effect {
+            self.log_size.record_rebuilt_body(state.body.len());
         }
         let token = self.enqueue(context, effect, requester);
         context.output(Output::Write { token, record });
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the log by a snapshot.
     fn rewrite_log(&mut self, context: &mut Context, promised: Term) {
         let record = self.snapshot_record(promised);
-        self.writes.snapshot_bytes = record.len();
+        self.log_size.start_rewrite(record.len());
         let token = self.enqueue(context, DurabilityEffect::LogRewrite, None);
         context.output(Output::Rewrite { token, record });
     }
 
     fn enqueue(&mut self, context: &Context, effect: DurabilityEffect, requester: Option<Member>) -> u64 {
-        let token = self.writes.next_token;
-        self.writes.next_token += 1;
-        let mut write = PendingDiskWrite { token, started_at: context.now, effect, requester };
+        let token = self.writes.take_token();
+        let mut write = PendingDiskWrite { token, started_at: context.now(), effect, requester };
         let is_identity = matches!(write.effect, DurabilityEffect::Identity(_));
         if context.has_fault(InjectedFault::RespondUnsynced) && !is_identity {
             self.unsynced.push_back(write.clone());
             (write.effect, write.requester) = (DurabilityEffect::Promise(Term::default()), None);
         }
-        self.writes.queue.push_back(write);
+        self.writes.push(write);
         token
     }
 
@@ -104,38 +164,36 @@
         self.unsynced.pop_front()
     }
 
-    /// Takes over the effect of a write that is synced.
+    /// The host has confirmed a write; returns it. Its effect is not durable before [`Storage::complete`].
+    pub(crate) fn take_synced(&mut self, token: u64) -> Option<PendingDiskWrite> {
+        self.writes.take_synced(token)
+    }
+
+    /// The host has reported the failure of a write; returns it.
+    pub(crate) fn take_failed(&mut self, now: Instant, token: u64) -> Option<PendingDiskWrite> {
+        self.writes.take_failed(now, token)
+    }
+
+    /// Makes the effect of a synced write part of the durable state.
     pub(crate) fn complete(&mut self, write: &PendingDiskWrite) {
         match write.effect.to_durable_record() {
             Some(record) => {
                 self.durable.apply(record);
             }
-            None => {
-                self.writes.log_bytes = self.writes.snapshot_bytes;
-                self.writes.rebuilt_bytes = 0;
-                self.writes.is_last_state_uncertain = false;
-            }
-        }
-        if matches!(write.effect, DurabilityEffect::State(_)) {
-            self.writes.is_last_state_uncertain = false;
+            None => self.log_size.finish_rewrite(),
         }
-    }
-
-    /// A write failed: it is on disk or not.
-    pub(crate) fn fail(&mut self, now: Instant, write: &PendingDiskWrite) {
-        self.writes.failed_at = Some(now);
-        if write.effect.state().is_some() {
-            self.writes.is_last_state_uncertain = true;
+        if matches!(write.effect, DurabilityEffect::State(_) | DurabilityEffect::LogRewrite) {
+            self.writes.clear_uncertainty();
         }
     }
 
-    /// Whether a record may refer to the state on disk: not while another state is being written, nor after a write of a
-    /// state that failed and may stand in the log all the same, as either would come between the two.
+    /// Whether a record may refer to the durable state: not while another state is being written, nor after a failed write
+    /// of a state, whose record may be in the log all the same: either would come between the two.
     pub(crate) fn may_refer_to_durable_state(&self) -> bool {
-        !self.writes.is_last_state_uncertain && !self.writes.includes_state()
+        !self.writes.is_last_state_uncertain() && !self.writes.includes_state()
     }
 
-    /// How a state is written: as a delta only where the state before it stands in the log for certain.
+    /// How a state is written: as a delta only where the state before it is certainly the last one in the log.
     pub(crate) fn state_effect(
         &self,
         context: &Context,
@@ -147,14 +205,14 @@
         let durable = self.durable.version();
         let is_next = |delta: &StateDelta| durable.is_some_and(|v| v.has_same_body(&delta.previous));
         match delta.filter(|delta| is_certain && is_next(delta)) {
-            Some(delta) => DurabilityEffect::Delta(delta, state),
+            Some(delta) => DurabilityEffect::Delta { delta, state },
             None => DurabilityEffect::State(state),
         }
     }
 
     /// The latest state that is durable or being written.
     pub(crate) fn latest_state(&self) -> Option<&ControlState> {
-        self.writes.latest_state().or(self.durable.state.as_ref())
+        self.writes.latest_state().or(self.state())
     }
 
     /// Whether a state, or a newer one, is durable or being written.
@@ -166,23 +224,18 @@
     /// Starts what the disk needs while no write is pending. Returns whether it is idle.
     pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) -> bool {
         let retry_interval = context.timings().disk_retry_interval;
-        let is_backing_off = self.writes.failed_at.is_some_and(|at| context.elapsed(at) < retry_interval);
-        if !self.writes.queue.is_empty() || is_backing_off {
+        let is_backing_off = self.writes.failed_at().is_some_and(|at| context.elapsed(at) < retry_interval);
+        if !self.is_idle() || is_backing_off {
             return false;
         }
         if !self.is_open() {
             self.append(context, DurabilityEffect::Identity(self.identity.clone()), None);
-        } else if self.writes.failed_at.is_some() {
+        } else if self.has_failed() {
+            // Any write shows whether the disk works again; this one changes nothing.
             self.append(context, DurabilityEffect::Promise(promised), None);
-        } else if self.is_rewrite_due(context) {
+        } else if self.log_size.is_rewrite_due(context.settings().log_rewrite_bytes) {
             self.rewrite_log(context, promised);
         }
-        self.writes.queue.is_empty()
-    }
-
-    fn is_rewrite_due(&self, context: &Context) -> bool {
-        let max_log_bytes =
-            context.settings.log_rewrite_bytes.max(REWRITE_FACTOR * self.writes.snapshot_bytes);
-        self.writes.log_bytes > max_log_bytes || self.writes.rebuilt_bytes > MAX_REBUILT_BYTES
+        self.is_idle()
     }
 }
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -36,7 +36,7 @@
     promises: BTreeMap<MemberId, ReceivedPromise>,
     /// Those that have promised, earliest first.
     promise_order: Vec<MemberId>,
-    /// The term of the configuration that the new one follows.
+    /// The term of the configuration that the new one follows; the lowest one before the promises were evaluated.
     base_term: Term,
     /// The members of the new configuration.
     next_members: NextMembers,
@@ -61,10 +61,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// The own promise is being written. Others hear of a term only when it is durable here, so that it isn't used twice
-    /// after a loss of power.
+    /// The own promise is being written. The term is sent to others only when it is durable here, so that it isn't used
+    /// twice after a loss of power.
     LocalPromise,
-    /// The others are asked for their promises.
+    /// Promises are requested from the others.
     Prepare,
     /// The newest state is fetched.
     FetchState { version: StateVersion, candidates: Vec<MemberId> },
@@ -79,11 +79,11 @@
     state: ControlState,
     /// Those that may be backups, best first.
     candidates: Vec<MemberId>,
-    /// How many of the candidates were asked, from the first on.
-    asked: usize,
+    /// How many of the candidates were sent the state, from the first on.
+    contacted: usize,
     /// Those that have written the state, earliest first.
     written: Vec<MemberId>,
-    /// Those that have said that the body is missing.
+    /// Those that have reported the body as missing.
     missing_body: Vec<MemberId>,
     is_on_local_disk: bool,
 }
@@ -133,7 +133,8 @@
         self.sent_at = now;
     }
 
-    /// Whether the phase is overdue before this step, as after a freeze: what came meanwhile counts no more.
+    /// Whether the phase was overdue before this step, as after a suspension of the process: responses that arrived meanwhile
+    /// don't count.
     pub(crate) fn is_overdue(&self, core: &NodeCore) -> bool {
         core.context.elapsed(self.last_progress_at) > core.context.timings().take_over_step_timeout
             && !core.has_fault(InjectedFault::LateTakeOver)
@@ -148,7 +149,7 @@
         if !self.is_renewal() || rejections > MAX_REJECTIONS {
             return Transition::StepDown;
         }
-        // The others trust this primary still: nobody else will take over for a while.
+        // The others still trust this primary: nobody else will take over for a while.
         Transition::TakeOver(TakeOverPlan { rejections, ..self.plan.clone() })
     }
 
--- a/crates/consensus/src/take_over/accept_phase.rs
+++ b/crates/consensus/src/take_over/accept_phase.rs
@@ -4,7 +4,6 @@
 use crate::control_state::ControlState;
 use crate::disk_writes::DurabilityEffect;
 use crate::epoch_config::EpochConfig;
-use crate::injected_fault::InjectedFault;
 use crate::message::Message;
 use crate::node_core::NodeCore;
 use crate::term::{Member, MemberId, Term};
@@ -67,7 +66,7 @@
             return Transition::Stay;
         };
         votes.add(from, is_bootstrap_voter);
-        if !*is_on_local_disk || !votes.decide(config, core.has_fault(InjectedFault::NewMembersOnly)) {
+        if !*is_on_local_disk || !votes.decide(config, core.deciders()) {
             return Transition::Stay;
         }
         Transition::BecomePrimary(Box::new(DecidedEpoch {
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -13,11 +13,11 @@
 
 /// More promises than this are ignored.
 const MAX_PROMISES: usize = 64;
-/// Healthy backups are worth waiting for this long.
+/// The take-over waits this long for healthy backups.
 const HEALTHY_BACKUP_WAIT: Duration = Duration::from_millis(200);
 
 impl TakeOver {
-    /// The own promise is durable: the others are asked for theirs.
+    /// The own promise is durable: requests those of the others.
     pub(crate) fn on_local_promise_written(&mut self, core: &mut NodeCore, term: Term) -> Transition {
         if self.term != term || self.phase != Phase::LocalPromise {
             return Transition::Stay;
@@ -28,7 +28,7 @@
             member: core.local(),
             is_bootstrap_voter: core.is_bootstrap_voter(),
             is_healthy: core.is_healthy(),
-            version: core.storage.durable.version(),
+            version: core.storage.version(),
         };
         self.on_promise(core, term, promise)
     }
@@ -60,7 +60,7 @@
         self.evaluate_promises(core)
     }
 
-    /// With enough promises, takes the newest state.
+    /// With enough promises, chooses members and backups, and takes the newest state.
     pub(super) fn evaluate_promises(&mut self, core: &mut NodeCore) -> Transition {
         if self.phase != Phase::Prepare {
             return Transition::Stay;
@@ -99,10 +99,7 @@
     fn has_enough_promises(&self, core: &NodeCore, base: Option<&EpochConfig>) -> bool {
         let votes = self.votes();
         match base {
-            Some(base) => {
-                votes.decide(base, core.has_fault(InjectedFault::NewMembersOnly))
-                    && votes.include_state_holder(base)
-            }
+            Some(base) => votes.decide(base, core.deciders()) && votes.include_state_holder(base),
             None => votes.are_majority_of(&core.electorate()),
         }
     }
@@ -140,17 +137,17 @@
         let mut members = vec![core.local()];
         for (_, member) in known {
             let is_new = members.iter().all(|m| m.id != member.id && m.address != member.address);
-            if is_new && members.len() < core.context.settings.member_count() {
+            if is_new && members.len() < core.context.settings().member_count() {
                 members.push(member);
             }
         }
         NextMembers { outgoing: voters.iter().copied().map(Member::bootstrap_voter).collect(), members }
     }
 
-    /// Those that may be backups, best first; none if others are worth waiting for.
+    /// Those that may be backups, best first; none while others are waited for.
     fn choose_backups(&self, core: &NodeCore, members: &[Member]) -> Option<Vec<MemberId>> {
-        let wanted = core.context.settings.max_failures;
-        let local_version = core.storage.durable.version();
+        let wanted = core.context.settings().max_failures;
+        let local_version = core.storage.version();
         let mut able: Vec<(&MemberId, &ReceivedPromise)> = self.promises.iter().collect();
         able.retain(|(id, _)| **id != core.local().id && members.iter().any(|m| m.id == **id));
         let rank = |id: &MemberId| self.promise_order.iter().position(|promised| promised == id);
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -11,17 +11,17 @@
 use crate::snapshot::StatePurpose;
 use crate::term::{Member, MemberId, Term};
 
-/// One more candidate is asked for each such span in which not enough of them have written the state.
+/// One more candidate is sent the state after each such span in which not enough of them have written it.
 const SLOW_BACKUP_WAIT: Duration = Duration::from_millis(150);
 
 impl TakeOver {
-    /// Requests the newest state from one of those that hold it, in turn, as it may be large.
+    /// Requests the newest state from its holders in turn, one at a time, as it may be large.
     pub(super) fn fetch_state(&self, core: &mut NodeCore) {
         if core.transfers.is_fetching(core.now()) {
             return;
         }
         let Phase::FetchState { version, .. } = self.phase else { return };
-        let is_holder = |p: &&ReceivedPromise| p.version.is_some_and(|held| held.has_same_body(&version));
+        let is_holder = |p: &&ReceivedPromise| p.version.is_some_and(|stored| stored.has_same_body(&version));
         let holders: Vec<Member> = self.promises.values().filter(is_holder).map(|p| p.member).collect();
         let waited = core.context.elapsed(self.last_progress_at);
         let interval = core.context.timings().state_resend_interval;
@@ -53,19 +53,19 @@
         candidates: Vec<MemberId>,
     ) {
         let is_skipped = core.has_fault(InjectedFault::SkipRewriteUnderNewTerm);
-        let wanted = core.context.settings.max_failures;
+        let wanted = core.context.settings().max_failures;
         let state = state.rewritten_under(self.term);
         let written = if is_skipped { wanted } else { 0 };
         let rewrite = RewritePhase {
             state: state.clone(),
-            asked: wanted.min(candidates.len()),
+            contacted: wanted.min(candidates.len()),
             written: candidates.iter().take(written).copied().collect(),
             missing_body: Vec::new(),
             candidates,
             is_on_local_disk: false,
         };
         self.enter(Phase::RewriteState(rewrite), core.now());
-        let durable = core.storage.durable.version();
+        let durable = core.storage.version();
         let is_durable = durable.is_some_and(|durable| durable.has_same_body(&state.version()));
         let effect = match is_durable && core.storage.may_refer_to_durable_state() {
             true => DurabilityEffect::RewriteUnderNewTerm(state.version()),
@@ -81,14 +81,14 @@
     fn send_rewrites(&self, core: &mut NodeCore, first: usize) {
         let Phase::RewriteState(rewrite) = &self.phase else { return };
         let version = rewrite.state.version();
-        // One that has not written the state may know it all the same: worth a question where it is large.
-        let is_large = rewrite.state.body.len() > core.context.settings.chunk_sizes.large_state_bytes;
-        let asks_first = is_large && !core.has_fault(InjectedFault::FullStates);
-        let asked = rewrite.candidates.iter().take(rewrite.asked).skip(first);
-        for id in asked.filter(|id| !rewrite.written.contains(id)) {
+        // A node that has not written the state may know it as committed: a large one is sent only if it does not.
+        let is_large = rewrite.state.body.len() > core.context.settings().chunk_sizes.large_state_bytes;
+        let sends_version_first = is_large && !core.has_fault(InjectedFault::FullStates);
+        let recipients = rewrite.candidates.iter().take(rewrite.contacted).skip(first);
+        for id in recipients.filter(|id| !rewrite.written.contains(id)) {
             let Some(promise) = self.promises.get(id) else { continue };
-            let holds_body = promise.version.is_some_and(|held| held.has_same_body(&version));
-            if !rewrite.missing_body.contains(id) && (holds_body || asks_first) {
+            let holds_body = promise.version.is_some_and(|stored| stored.has_same_body(&version));
+            if !rewrite.missing_body.contains(id) && (holds_body || sends_version_first) {
                 core.send(promise.member.address, Message::RewriteUnderNewTerm { version });
             } else {
                 core.send_state(promise.member, StatePurpose::ReplicateState, rewrite.state.clone());
@@ -96,21 +96,21 @@
         }
     }
 
-    /// Asks more candidates where those that were asked are slow, or all of them again.
+    /// Sends the state to more candidates where the first ones are slow, or to all of them again.
     pub(super) fn resend_rewrites(&mut self, core: &mut NodeCore, waited: Duration, is_due: bool) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         let slow = (waited.as_millis() / SLOW_BACKUP_WAIT.as_millis()) as usize;
-        let wanted = (core.context.settings.max_failures + slow).min(rewrite.candidates.len());
-        let first_new = rewrite.asked;
+        let wanted = (core.context.settings().max_failures + slow).min(rewrite.candidates.len());
+        let first_new = rewrite.contacted;
         if wanted > first_new {
-            rewrite.asked = wanted;
+            rewrite.contacted = wanted;
             self.send_rewrites(core, first_new);
         } else if is_due {
             self.send_rewrites(core, 0);
         }
     }
 
-    /// A candidate lacks the body of the state: it gets the whole state, once.
+    /// A candidate lacks the body of the state: it gets the complete state, once.
     pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         let is_known = rewrite.missing_body.contains(&from.id) || !self.promises.contains_key(&from.id);
@@ -132,7 +132,7 @@
         } else if rewrite.candidates.contains(&id) && !rewrite.written.contains(&id) {
             rewrite.written.push(id);
         }
-        let wanted = core.context.settings.max_failures;
+        let wanted = core.context.settings().max_failures;
         if rewrite.is_on_local_disk && rewrite.written.len() >= wanted {
             let (state, backups) = (rewrite.state.clone(), rewrite.written.iter().take(wanted).copied());
             let backups = backups.collect();
--- a/crates/consensus/src/term.rs
+++ b/crates/consensus/src/term.rs
@@ -4,7 +4,7 @@
 
 use minicbor::{Decode, Encode};
 
-/// The random number of a disk.
+/// The random number that identifies a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct MemberId(#[n(0)] pub u64);
@@ -17,10 +17,10 @@
 /// A disk and the internal address of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Member {
-    /// The number of the disk.
+    /// The disk.
     #[n(0)]
     pub id: MemberId,
-    /// Where its process receives messages of the others.
+    /// The internal address at which its process receives messages.
     #[n(1)]
     pub address: SocketAddrV4,
 }
--- a/crates/consensus/src/timings.rs
+++ b/crates/consensus/src/timings.rs
@@ -2,7 +2,7 @@
 
 use core::time::Duration;
 
-/// Callers go elsewhere after this long without a reply.
+/// Callers turn to another node after this long without a reply.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The part of [`CALLER_TIMEOUT`] that is left for the way there and back and for the time from one tick to the next.
 const CALLER_MARGIN: Duration = Duration::from_millis(150);
@@ -30,7 +30,7 @@
     pub unhealthy_write_timeout: Duration,
     /// A node whose write failed tries its disk again after this time.
     pub disk_retry_interval: Duration,
-    /// A request that waited this long is answered as unavailable, while its caller still waits.
+    /// A request that waited this long is answered as unavailable, while its caller still expects a reply.
     pub request_timeout: Duration,
     /// A phase of a take-over that takes this long without progress ends it.
     pub take_over_step_timeout: Duration,
@@ -43,19 +43,19 @@
 }
 
 impl Timings {
-    /// The usual timings, for a platform where newcomers have to be members, with a copy of the state, `deadline` after
-    /// their start. What is left of it is the replacement timeout: not less than the suspicion timeout, not more than
-    /// usual.
+    /// The default timings, for a platform where newcomers have to be members, with a copy of the state, `deadline` after
+    /// their start. The replacement timeout is what remains of it: not less than the suspicion timeout, not more than by
+    /// default.
     pub fn for_join_deadline(deadline: Duration) -> Timings {
-        let usual = Timings::default();
-        let left = deadline.saturating_sub(MAX_SHUTDOWN_DELAY + MAX_MEMBERSHIP_CHANGE);
-        let replacement_timeout = left.clamp(usual.suspicion_timeout, usual.replacement_timeout);
-        Timings { replacement_timeout, ..usual }
+        let defaults = Timings::default();
+        let remaining = deadline.saturating_sub(MAX_SHUTDOWN_DELAY + MAX_MEMBERSHIP_CHANGE);
+        let replacement_timeout = remaining.clamp(defaults.suspicion_timeout, defaults.replacement_timeout);
+        Timings { replacement_timeout, ..defaults }
     }
 
-    /// How old a state may be that a node publishes while it says that it has contact with a quorum.
+    /// How old a state may be that a node publishes while it reports contact with a quorum.
     ///
-    /// Whatever was acknowledged, by whomever, longer ago than this is in that state. A follower has contact for `lease`
+    /// Every change that any node acknowledged longer ago than this is part of that state. A follower has contact for `lease`
     /// after it has answered a heartbeat, if a later heartbeat of the primary proves that, and only once it publishes what
     /// that later one reported as committed. A primary sends heartbeats for `lease` after it has sent one that a majority
     /// has answered without having promised a higher term; until then nobody else has acknowledged anything.
--- a/crates/consensus/src/transition.rs
+++ b/crates/consensus/src/transition.rs
@@ -1,4 +1,4 @@
-//! What a role asks of the node after an event: to stay in the role or to change it.
+//! What a role returns to the node after an event: to stay in the role or to change it.
 
 use mosshead_time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::term::{Member, Term};
 use crate::votes::Votes;
 
-/// What a role asks of the node.
+/// What is to become of the role.
 #[derive(Debug)]
 pub(crate) enum Transition {
     Stay,
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -10,7 +10,16 @@
 /// Nodes that are no members may vote, too; votes beyond this number are ignored.
 const MAX_VOTES: usize = 4 * MAX_MEMBERS;
 
-/// Who has agreed.
+/// Whose majorities decide on a configuration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Deciders {
+    /// The outgoing members and the members, each by a majority.
+    OutgoingAndNew,
+    /// The members only: an injected fault.
+    NewOnly,
+}
+
+/// The nodes that have agreed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Votes {
     by_member: BTreeMap<MemberId, Vote>,
@@ -33,8 +42,8 @@
         self.by_member.get(&id).is_some_and(|vote| vote.is_bootstrap_voter)
     }
 
-    /// Whether the member has agreed. A member that is known by its address only is a bootstrap voter: only a vote that
-    /// says so counts for it, so that a wiped disk at that address has no vote.
+    /// Whether the member has agreed. A member that is known by its address only is a bootstrap voter: only the vote of a
+    /// bootstrap voter counts for it, so that a wiped disk at that address has no vote.
     pub(crate) fn includes(&self, member: &Member) -> bool {
         if member.id == MemberId::UNKNOWN {
             self.by_member.values().any(|v| v.is_bootstrap_voter && v.address == member.address)
@@ -48,10 +57,9 @@
         2 * members.iter().filter(|m| self.includes(m)).count() > members.len()
     }
 
-    /// Whether these decide on a configuration: more than half of the outgoing members and of the members.
-    /// `new_members_only` is an injected fault.
-    pub(crate) fn decide(&self, config: &EpochConfig, new_members_only: bool) -> bool {
-        (new_members_only || self.are_majority_of(&config.outgoing_members))
+    /// Whether these decide on a configuration.
+    pub(crate) fn decide(&self, config: &EpochConfig, deciders: Deciders) -> bool {
+        (deciders == Deciders::NewOnly || self.are_majority_of(&config.outgoing_members))
             && self.are_majority_of(&config.members)
     }
 
