--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Twelve processes of the program with faults on the ways between them: what crossed the links is judged, never
-//! what a process says.
+//! Twelve processes of the program with faults on the links between them. Judged is what crossed the links, never what a
+//! process reports of itself.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,67 +12,68 @@
 use mosshead_world::scenario::Scenario;
 use rstest::rstest;
 
-/// A machine that was late is asked again; it neither passes nor fails a day.
-const TRIES: usize = 4;
+/// How often a day is played at most. A day on which the machine was late neither passes nor fails: it is played again.
+const MAX_PLAYS: usize = 4;
 
-/// So many days are played side by side: more would be late on a small machine.
-const SIDE_BY_SIDE: usize = 3;
+/// How many days are played at the same time: with more, a small machine would be late.
+const MAX_CONCURRENT_DAYS: usize = 3;
 
-static PLAYED: Mutex<usize> = Mutex::new(0);
-static OVER: Condvar = Condvar::new();
+/// One event in a hundred may be this late, since tests share the machine.
+const LATE_LIMIT: Duration = Duration::from_millis(50);
 
-/// One day's turn on this machine.
-struct Turn;
+static RUNNING_DAYS: Mutex<usize> = Mutex::new(0);
+static DAY_ENDED: Condvar = Condvar::new();
 
-impl Turn {
-    fn take() -> Self {
-        let played = PLAYED.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut played =
-            OVER.wait_while(played, |played| *played >= SIDE_BY_SIDE).unwrap_or_else(PoisonError::into_inner);
-        *played += 1;
+/// The right to play a day, given back when it is dropped.
+struct DayPermit;
+
+impl DayPermit {
+    /// Waits until fewer than [`MAX_CONCURRENT_DAYS`] days are played.
+    fn acquire() -> Self {
+        let running = RUNNING_DAYS.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running = DAY_ENDED
+            .wait_while(running, |running| *running >= MAX_CONCURRENT_DAYS)
+            .unwrap_or_else(PoisonError::into_inner);
+        *running += 1;
         Self
     }
 }
 
-impl Drop for Turn {
+impl Drop for DayPermit {
     fn drop(&mut self) {
-        *PLAYED.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        OVER.notify_one();
+        *RUNNING_DAYS.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        DAY_ENDED.notify_one();
     }
 }
 
-fn day(name: &str, text: &str) -> FleetDay {
-    day_of(name, text, &[])
-}
-
-/// A day of the program, started by these words.
-fn day_of(name: &str, text: &str, by: &[&str]) -> FleetDay {
-    let scenario = Scenario::read(text).expect("a scenario");
+/// Plays a scenario with processes of the program, whose command begins with `launcher`, until the machine was on time.
+fn play(name: &str, text: &str, launcher: &[&str]) -> FleetDay {
+    let scenario = Scenario::read(text).expect("the scenario is valid");
     let program = [env!("CARGO_BIN_EXE_mosshead"), "serve"];
-    let command = by.iter().chain(&program).map(|word| (*word).to_owned()).collect();
+    let command = launcher.iter().chain(&program).map(|argument| (*argument).to_owned()).collect();
     let mut options = EmulationOptions::new(1, command);
-    // Tests share the machine: one event in a hundred may be this late.
-    options.late_limit = Duration::from_millis(50);
-    let _turn = Turn::take();
-    let grace = scenario.rules.write_grace.as_seconds() * 1000.0;
+    options.late_limit = LATE_LIMIT;
+    let _permit = DayPermit::acquire();
+    let grace_ms = scenario.rules.write_grace.as_seconds() * 1000.0;
     let mut last = None;
-    for _ in 0..TRIES {
-        let day = play_fleet_day(&scenario, &options, |_, _| {}).expect("a day");
-        let late = day.emulated.lateness;
-        // A rule whose slack is smaller than what this machine was late by is no rule that a proxy broke.
-        if !day.emulated.is_void && (day.emulated.day.is_clean || late.max_ms <= grace) {
+    for _ in 0..MAX_PLAYS {
+        let day = play_fleet_day(&scenario, &options, |_, _| {}).expect("the day is played");
+        let lateness = day.emulated.lateness;
+        // A violation may be the machine's doing where it was later than the slack of the rules.
+        if !day.emulated.is_void && (day.emulated.day.is_clean || lateness.max_ms <= grace_ms) {
             return day;
         }
-        eprintln!("{name}: void, {late:?}");
+        eprintln!("{name}: void, {lateness:?}");
         last = Some(day).filter(|day| !day.emulated.is_void);
     }
     last.unwrap_or_else(|| {
-        panic!("{name}: this machine was late {TRIES} times, and tells nothing of the program")
+        panic!("{name}: this machine was late {MAX_PLAYS} times, and tells nothing of the program")
     })
 }
 
-fn kept(name: &str, text: &str) -> FleetDay {
-    let day = day(name, text);
+/// Plays a scenario on which no rule and no invariant may be violated.
+fn play_clean(name: &str, text: &str) -> FleetDay {
+    let day = play(name, text, &[]);
     assert!(day.emulated.day.is_clean, "{name}: {:?}", day.emulated.day.violations);
     assert_eq!(day.link_violations, [], "{name}");
     day
@@ -103,61 +104,59 @@
 #[case::replaced(scenario!("back-replaced"))]
 #[case::unsized_fleet(scenario!("back-unsized"))]
 #[case::oversized_fleet(scenario!("back-oversized"))]
-fn every_rule_is_kept(#[case] (name, text): (&str, &str)) {
-    kept(name, text);
+fn no_rule_is_broken(#[case] (name, text): (&str, &str)) {
+    play_clean(name, text);
 }
 
-/// Danger: failed calls that come again too soon keep a discovery busy with callers who have given up: 59 failed in this day,
-/// where now 40 do.
+/// Calls that are repeated too soon after a failure keep discovery busy with callers that have given up: 59 failed on this
+/// day before the backoff grew with the fleet, 40 since.
 #[test]
-fn an_overbooked_discovery_gets_its_queue_through() {
+fn an_overloaded_discovery_works_off_its_queue() {
     let (name, text) = scenario!("back-overbooked");
-    let day = kept(name, text);
-    let no_list =
+    let day = play_clean(name, text);
+    let is_failure =
         |kind: &LinkEventKind| matches!(kind, LinkEventKind::ListReceived { status, .. } if *status != 200);
-    let failed = day.record.link_events.iter().filter(|event| no_list(&event.kind)).count();
+    let failed = day.record.link_events.iter().filter(|event| is_failure(&event.kind)).count();
     assert!((1..50).contains(&failed), "{failed} calls failed");
 }
 
-/// Danger: what came while a process stood still is read at once. Sent on together it overdrives the execute nodes: 230
-/// first attempts in a tenth of a second, and 5 times what a node can do, where now the submitters decide.
+/// What arrived while a process was suspended is read at once when it is resumed. Forwarded together it overloads the
+/// servers: 230 first attempts in a tenth of a second, and 5 times what a server can do. Now it is rejected, and the clients
+/// decide.
 #[test]
-fn who_stood_still_does_not_send_on_all_that_waited() {
+fn a_resumed_process_does_not_forward_all_that_arrived_meanwhile() {
     let (name, text) = scenario!("back-paused");
-    let day = kept(name, text);
-    let resumed: Vec<f64> = (day.record.world_events.iter())
-        .filter(|fact| matches!(fact.kind, EventKind::ProxyResumed { .. }))
-        .map(|fact| fact.at.as_seconds())
+    let day = play_clean(name, text);
+    let resumed_at: Vec<f64> = (day.record.world_events.iter())
+        .filter(|event| matches!(event.kind, EventKind::ProxyResumed { .. }))
+        .map(|event| event.at.as_seconds())
         .collect();
-    let since = resumed.first().copied().expect("they go on");
-    let soon = |event: &&LinkEvent| (since..since + 0.08).contains(&event.at.as_seconds());
-    let sent = |event: &&LinkEvent| matches!(event.kind, LinkEventKind::AttemptSent { .. });
-    let at_once = day.record.link_events.iter().filter(soon).filter(sent).count();
-    assert!(resumed.len() == 6 && at_once < 60, "{at_once} within 80 ms of {since}");
+    let first = resumed_at.first().copied().expect("processes are resumed");
+    let is_soon_after = |event: &&LinkEvent| (first..first + 0.08).contains(&event.at.as_seconds());
+    let is_attempt = |event: &&LinkEvent| matches!(event.kind, LinkEventKind::AttemptSent { .. });
+    let attempts = day.record.link_events.iter().filter(is_soon_after).filter(is_attempt).count();
+    assert!(resumed_at.len() == 6 && attempts < 60, "{attempts} within 80 ms of {first}");
 }
 
-/// Danger: with full rooms twelve proxies that come back amid a jam send a server 3.1 times what it can do in the median, and most such
-/// days never come back to full service. In virtual time the mutant is caught (crates/rig/tests/concurrency_limits.rs).
+/// With full concurrency limits, twelve proxies that restart amid a congestion send a server 3.1 times what it can do in the
+/// median, and most such days never recover. In virtual time the mutant is caught (crates/rig/tests/concurrency_limits.rs).
 #[test]
-fn who_comes_back_into_a_jam_does_not_start_with_full_rooms() {
+fn proxies_that_restart_amid_a_congestion_start_with_low_concurrency_limits() {
     let (name, text) = scenario!("back-jam");
-    let back = kept(name, text).recoveries.pop().expect("they come back");
+    let recovery = play_clean(name, text).recoveries.pop().expect("the proxies recover");
     // 2.3 in the median of four seeds and 2.5 at most.
-    assert!(back.peaks.server_load < 3.0, "{} times what a server can do", back.peaks.server_load);
+    assert!(recovery.peaks.server_load < 3.0, "{} times what a server can do", recovery.peaks.server_load);
 }
 
-/// The mutant that the law on former lives has to catch: the same program, told of no folder, so that it believes an old list.
+/// The mutant that the invariant on former drains has to catch: the same program without a folder for stored state, so that
+/// it believes an old list. It breaks no rule of the platform, which counts it as informed only later.
 #[test]
-fn who_keeps_no_state_sends_to_what_its_former_life_knew_to_drain() {
+fn a_proxy_without_stored_state_sends_to_servers_that_its_former_incarnation_knew_to_drain() {
     let (name, text) = scenario!("back-former");
-    let day = day_of(name, text, &["env", "-u", "MOSSHEAD_OPERATORS"]);
-    assert!(
-        day.emulated.day.is_clean,
-        "no rule of the platform is broken by it: {:?}",
-        day.emulated.day.violations
-    );
+    let day = play(name, text, &["env", "-u", "MOSSHEAD_OPERATORS"]);
+    assert!(day.emulated.day.is_clean, "{:?}", day.emulated.day.violations);
     // 516 to 851 on three seeds.
-    assert!(day.link_violations.len() >= 100, "{} breaches", day.link_violations.len());
+    assert!(day.link_violations.len() >= 100, "{} violations", day.link_violations.len());
     assert!(
         day.link_violations.iter().all(|violation| violation.invariant == Invariant::HonorsFormerDrains),
         "{:?}",
@@ -165,12 +164,12 @@
     );
 }
 
-/// Danger: with clocks an hour behind all servers that start look as if they started in an hour, and were held for cold until then: what
-/// they could do was left unused, the others jammed, and full service never came.
+/// To a clock that is an hour behind, servers that start seem to start in an hour. Treated as cold until then, they were left
+/// unused, the others were congested, and the fleet never came back to full service.
 #[test]
-fn clocks_that_are_an_hour_behind_do_not_keep_servers_cold() {
+fn a_clock_that_is_an_hour_behind_does_not_keep_servers_in_slow_start() {
     let (name, text) = scenario!("back-clock");
-    let day = kept(name, text);
-    // 0.63 to 0.69 while they were kept cold, 0.87 and 0.88 since.
+    let day = play_clean(name, text);
+    // 0.63 to 0.69 while they were treated as cold, 0.87 and 0.88 since.
     assert!(day.emulated.day.score > 0.77, "{}", day.emulated.day.score);
 }
