--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -35,7 +35,7 @@
 use mosshead_settings::NamedSettings;
 use mosshead_snapshot::server_list::ListedServer;
 
-use schedule::{Schedule, ScheduledTask, SuspensionDetector};
+use schedule::{DueTask, Schedule, ScheduledTask, SuspensionDetector};
 
 /// How often learned values are stored, if there is a folder for them; the list is stored whenever it changes.
 const SNAPSHOT_INTERVAL: Seconds = 2.0;
@@ -137,7 +137,7 @@
 
     fn run_due_tasks(&mut self) {
         let now = Instant::now();
-        while let Some((task, lateness)) = self.schedule.pop_due(now) {
+        while let Some(DueTask { task, lateness }) = self.schedule.pop_due(now) {
             if self.suspension.record_lateness(now, lateness) {
                 self.balancer.on_process_suspended();
                 say!(stood_s = format!("{:.3}", lateness.as_secs_f64()), "went on");
--- a/crates/proxy/src/balancer_actor/handle.rs
+++ b/crates/proxy/src/balancer_actor/handle.rs
@@ -143,7 +143,7 @@
 
     /// Starts with a saved list, and with what a former incarnation has left.
     fn start_with(&mut self, known: ServerList) {
-        let entries = self.apply_list(known.servers, true);
+        let entries = self.apply_list(ServerList { is_complete: true, ..known });
         if !entries.is_empty() {
             self.handle.lifecycle.set_ready();
         }
--- a/crates/proxy/src/balancer_actor/list.rs
+++ b/crates/proxy/src/balancer_actor/list.rs
@@ -29,10 +29,10 @@
     }
 
     pub(super) fn on_list_updated(&mut self, list: ServerList) {
-        let ServerList { version, is_complete, servers } = list;
-        self.list_version = version;
+        let is_complete = list.is_complete;
+        self.list_version = list.version;
         let former = if self.stored_state.is_some() { self.current_list().servers } else { Vec::new() };
-        let entries = self.apply_list(servers, is_complete);
+        let entries = self.apply_list(list);
         let has_changed = !entries.is_empty() || is_complete;
         if let Some(stored_state) = &mut self.stored_state {
             let listed = self.servers.iter().filter(|server| server.is_listed);
--- a/crates/proxy/src/balancer_actor/schedule.rs
+++ b/crates/proxy/src/balancer_actor/schedule.rs
@@ -19,6 +19,13 @@
     RequestDeadline(RequestId),
 }
 
+/// A task that is to be run now.
+pub(super) struct DueTask {
+    pub(super) task: ScheduledTask,
+    /// How long ago it was due.
+    pub(super) lateness: Duration,
+}
+
 /// Tasks by the instant at which they are due. Those of one instant are run in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct Schedule {
@@ -38,11 +45,11 @@
         self.tasks.peek().map(|Reverse((due, ..))| *due)
     }
 
-    /// Takes the first task that is due by `now`, with how late it is.
-    pub(super) fn pop_due(&mut self, now: Instant) -> Option<(ScheduledTask, Duration)> {
+    /// Takes the first task that is due by `now`.
+    pub(super) fn pop_due(&mut self, now: Instant) -> Option<DueTask> {
         let Reverse((due, _, task)) = self.tasks.peek().copied().filter(|Reverse((due, ..))| *due <= now)?;
         self.tasks.pop();
-        Some((task, now - due))
+        Some(DueTask { task, lateness: now - due })
     }
 }
 
--- a/crates/proxy/src/balancer_actor/servers.rs
+++ b/crates/proxy/src/balancer_actor/servers.rs
@@ -59,12 +59,12 @@
     }
 
     /// Tells the actors of the servers what the list says of them. Returns the list in the balancer's terms.
-    pub(super) fn apply_list(&mut self, listings: Vec<ListedServer>, is_complete: bool) -> Vec<ListEntry> {
-        if is_complete {
+    pub(super) fn apply_list(&mut self, list: ServerList) -> Vec<ListEntry> {
+        if list.is_complete {
             self.servers.iter_mut().for_each(|server| server.is_listed = false);
         }
-        let mut entries = Vec::with_capacity(listings.len());
-        for listing in listings {
+        let mut entries = Vec::with_capacity(list.servers.len());
+        for listing in list.servers {
             entries.extend(self.apply_listing(&listing));
         }
         for index in self.server_indices.values().copied().filter(|index| !self.servers[*index].is_listed) {
--- a/crates/proxy/src/body/download.rs
+++ b/crates/proxy/src/body/download.rs
@@ -18,6 +18,12 @@
 /// Is given a connection once a response has been read off it.
 type OnConnectionFree = Box<dyn FnOnce(OutboundConnection)>;
 
+/// The connection that a response arrives on.
+struct BusyConnection {
+    connection: OutboundConnection,
+    on_free: OnConnectionFree,
+}
+
 /// A large response on its way to the client.
 pub struct DownloadStream {
     /// What had been read before the response proved to be large, until it is forwarded.
@@ -27,8 +33,8 @@
     length: Option<u64>,
     forwarded: u64,
     timer: PollTimer,
-    /// The connection that the response arrives on, until it ends.
-    connection: Option<(OutboundConnection, OnConnectionFree)>,
+    /// None once the response has ended.
+    connection: Option<BusyConnection>,
     on_end: Option<OnBodyEnd>,
 }
 
@@ -46,14 +52,13 @@
         on_connection_free: impl FnOnce(OutboundConnection) + 'static,
     ) -> Self {
         let length = rest.size_hint().exact().map(|rest| rest + start.len() as u64);
-        let on_connection_free: OnConnectionFree = Box::new(on_connection_free);
         Self {
             start: Some(start).filter(|start| !start.is_empty()),
             rest,
             length,
             forwarded: 0,
             timer: None,
-            connection: Some((connection, on_connection_free)),
+            connection: Some(BusyConnection { connection, on_free: Box::new(on_connection_free) }),
             on_end: None,
         }
     }
@@ -63,10 +68,10 @@
     }
 
     fn finish(&mut self, is_complete: bool) {
-        if let Some((connection, on_connection_free)) = self.connection.take()
+        if let Some(BusyConnection { connection, on_free }) = self.connection.take()
             && is_complete
         {
-            on_connection_free(connection);
+            on_free(connection);
         }
         if let Some(on_end) = self.on_end.take() {
             on_end(is_complete);
--- a/crates/proxy/src/handover/predecessor.rs
+++ b/crates/proxy/src/handover/predecessor.rs
@@ -17,8 +17,10 @@
 use super::{HANDOVER_TIMEOUT, Handover, socket};
 use crate::log::say;
 
-/// How often descriptors are granted, and the delay after an accept that failed.
+/// How often descriptors are granted.
 const GRANT_INTERVAL: Duration = Duration::from_millis(20);
+/// The delay before the next accept after one that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The descriptors that a successor opens while it serves, beside its connections. Each side sets them aside for it,
 /// and they are not part of a grant.
 const SERVING_DESCRIPTORS: usize = 8;
@@ -35,7 +37,7 @@
                 Ok((stream, _)) => drop(spawn_local(self.clone().serve_successor(stream))),
                 Err(error) => {
                     say!(why = %error, "accept failed");
-                    sleep(GRANT_INTERVAL).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
