--- a/crates/proxy/src/balancer_actor/requests.rs
+++ b/crates/proxy/src/balancer_actor/requests.rs
@@ -8,9 +8,7 @@
 
 use super::{BalancerActor, PendingRequest, ScheduledTask};
 use crate::log::say;
-use crate::messages::{
-    AttemptGuard, AttemptKey, AttemptResult, ClientRequest, FinalResponse, ForwardedRequest, ServerMessage,
-};
+use crate::messages::{AttemptGuard, AttemptKey, AttemptResult, ClientRequest, FinalResponse, ServerMessage};
 
 /// The wait that a client is asked for if the proxy is too full for the balancer to see its request.
 const OVERLOAD_RETRY_AFTER: Seconds = 0.5;
@@ -167,7 +165,7 @@
         let pending = self.requests.get_mut(&request_id).filter(|pending| pending.reply.is_some());
         let Some(pending) = pending.filter(|pending| pending.attempts.len() < pending.max_attempts as usize)
         else {
-            return self.refuse_send(request_id, endpoint);
+            return self.end_invalid_send(request_id, endpoint);
         };
         let attempt = AttemptNumber(pending.attempts.len() as u32);
         pending.attempts.push(endpoint);
@@ -183,7 +181,7 @@
 
     /// The balancer has sent a request that is over or has had all its attempts: a fault of the balancer. It gets the
     /// outcome that it waits for.
-    fn refuse_send(&mut self, request_id: RequestId, endpoint: EndpointId) {
+    fn end_invalid_send(&mut self, request_id: RequestId, endpoint: EndpointId) {
         say!(request = request_id.0, "fault: the balancer sent a request that is over");
         self.pending_events.push_back(Event::AttemptEnded {
             request: request_id,
@@ -200,7 +198,7 @@
 impl PendingRequest {
     /// When an attempt times out for which the balancer has set `deadline`, if that is above 0.
     fn attempt_deadline(&self, now: Seconds, deadline: Seconds) -> Seconds {
-        if self.forwarded.has_incomplete_upload() {
+        if self.forwarded.body.is_incomplete() {
             // The client's time does not begin before the last byte.
             now + self.time_left
         } else if deadline > 0.0 {
@@ -210,10 +208,3 @@
         }
     }
 }
-
-impl ForwardedRequest {
-    /// Whether the body still arrives.
-    fn has_incomplete_upload(&self) -> bool {
-        self.body.upload().is_some_and(|upload| upload.completed_at().is_none())
-    }
-}
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -49,6 +49,11 @@
             RequestBody::Streaming(upload) => Some(upload),
         }
     }
+
+    /// Whether bytes of it are still to arrive.
+    pub fn is_incomplete(&self) -> bool {
+        self.upload().is_some_and(|upload| upload.completed_at().is_none())
+    }
 }
 
 /// A request that was received and checked by the client connection.
--- a/crates/proxy/tests/network/admin.rs
+++ b/crates/proxy/tests/network/admin.rs
@@ -20,8 +20,8 @@
 
 #[test]
 fn neither_silent_connections_nor_many_clients_block_the_admin_endpoint() {
-    let silent: String = (0..40).map(|at| format!("op{at} send raw GET /ops\n")).collect();
-    let clients: String = (0..20).map(|at| format!("a{at} send raw GET /\n")).collect();
+    let silent: String = (0..40).map(|number| format!("op{number} send raw GET /ops\n")).collect();
+    let clients: String = (0..20).map(|number| format!("a{number} send raw GET /\n")).collect();
     play(&format!(
         "proxy start admin n1 sockets=64
          {silent}
--- a/crates/proxy/tests/network/idle_connections.rs
+++ b/crates/proxy/tests/network/idle_connections.rs
@@ -17,7 +17,7 @@
 /// The connection would otherwise be idle on a descriptor.
 #[test]
 fn a_response_closes_its_connection_while_descriptors_are_scarce() {
-    let many: String = (0..12).map(|at| format!("a{at} send raw GET /slot-\n")).collect();
+    let many: String = (0..12).map(|number| format!("a{number} send raw GET /slot-\n")).collect();
     play(&format!(
         "proxy start n1 sockets=64\n{many}b send GET /_health\nb expect 200 connection:+close\nb expect closed"
     ));
@@ -27,7 +27,7 @@
 #[case::idle("GET /_health")]
 #[case::silent("raw")]
 fn idle_connections_are_closed_for_others_when_descriptors_run_out(#[case] message: &str) {
-    let many: String = (0..40).map(|at| format!("a{at} send {message}\n")).collect();
+    let many: String = (0..40).map(|number| format!("a{number} send {message}\n")).collect();
     play(&format!(
         "proxy start n1 sockets=64
          {many}b send GET /slot-lookup
@@ -41,7 +41,7 @@
 /// Slow clients send something more often than the limit on pauses.
 #[test]
 fn stalled_clients_are_closed_when_descriptors_run_out_and_slow_ones_are_not() {
-    let stalled: String = (0..40).map(|at| format!("c{at} send raw GET /slot-\n")).collect();
+    let stalled: String = (0..40).map(|number| format!("c{number} send raw GET /slot-\n")).collect();
     play(&format!(
         "proxy start n1 sockets=64
          {stalled}
@@ -56,7 +56,7 @@
             .split_inclusive("\\r\\n")
             .map(|part| format!("a send raw {part}\nproxy sleep 0.6\n"))
             .collect();
-    let stalled: String = (0..12).map(|at| format!("c{at} send raw\n")).collect();
+    let stalled: String = (0..12).map(|number| format!("c{number} send raw\n")).collect();
     play(&format!(
         "proxy start n1 sockets=64\n{parts}{stalled}n1 expect slot-lookup\nn1 send 200 body=ok\na expect ok"
     ));
--- a/crates/proxy/tests/network/stop.rs
+++ b/crates/proxy/tests/network/stop.rs
@@ -36,7 +36,7 @@
 /// The accept queue would be lost with the listener, also if no descriptor is free to accept it.
 #[test]
 fn a_stop_serves_connections_that_wait_for_a_descriptor() {
-    let crowd: String = (0..30).map(|at| format!("c{at} send raw GET /slot-\n")).collect();
+    let crowd: String = (0..30).map(|number| format!("c{number} send raw GET /slot-\n")).collect();
     play(&format!(
         "proxy start n1 sockets=64
          {crowd}
