--- a/crates/simulate/tests/days.rs
+++ b/crates/simulate/tests/days.rs
@@ -3,6 +3,7 @@
 use mosshead_simulate::policies::PolicyKind;
 use mosshead_simulate::policy_host::{PolicyHost, PolicyStart, ProxyEvents, ThreadedPolicyHost};
 use mosshead_simulate::{Day, play_day};
+use mosshead_world::referee::Rule;
 use mosshead_world::scenario::Scenario;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -181,3 +182,65 @@
     assert!(actions[0].actions.iter().any(|action| matches!(action, Action::Send { .. })));
     assert_eq!(worker_output[8..], postcard::to_stdvec(&actions).expect("bytes"));
 }
+
+/// Guards readers of `--json`: its keys are older than the names of the fields, and stay.
+#[test]
+fn the_json_of_a_day_keeps_its_keys() {
+    let day = day(&scenario("calm"), 1, PolicyKind::Mosshead, 1);
+    let json = serde_json::to_value(&day).expect("JSON");
+    let keys = |value: &serde_json::Value| -> Vec<String> {
+        let mut keys: Vec<String> = value.as_object().expect("an object").keys().cloned().collect();
+        keys.sort();
+        keys
+    };
+    let day_keys = [
+        "broken",
+        "digest",
+        "events",
+        "facts",
+        "figure",
+        "kept",
+        "ledger",
+        "length_s",
+        "policy",
+        "proxies",
+        "scenario",
+        "seed",
+        "violations",
+    ];
+    assert_eq!(keys(&json), day_keys);
+    let ledger_keys = [
+        "all",
+        "asked_discovery",
+        "attempts",
+        "classes",
+        "fell",
+        "jams",
+        "opened",
+        "probes",
+        "seconds",
+        "tenants",
+        "tries",
+        "wasted",
+        "work",
+    ];
+    assert_eq!(keys(&json["ledger"]), ledger_keys);
+    assert_eq!(keys(&json["ledger"]["all"]), ["asked", "earned", "ended", "worth"]);
+}
+
+/// Guards readers of `--json`: the names of rules there are older than those of the code, and stay.
+#[rstest]
+#[case(Rule::AnsweredByDeadline, "answered")]
+#[case(Rule::SingleResponse, "one-answer")]
+#[case(Rule::GenuineResponse, "genuine")]
+#[case(Rule::NoRepeatedExecution, "never-twice")]
+#[case(Rule::RejectedOnlyIfNotExecuted, "honest-refusal")]
+#[case(Rule::NothingToDrainingServers, "drains")]
+#[case(Rule::NoColdServerCollapses, "cold-servers")]
+#[case(Rule::RequestUnchanged, "intact")]
+#[case(Rule::AttemptLimit, "attempts")]
+#[case(Rule::NothingAfterResponse, "finished")]
+#[case(Rule::ProxyKeepsRunning, "alive")]
+fn the_json_of_a_rule_keeps_its_name(#[case] rule: Rule, #[case] name: &str) {
+    assert_eq!(serde_json::to_value(rule).expect("JSON"), name);
+}
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -279,7 +279,7 @@
             Due::ServerReturns(server) => self.reconnect_machine(server),
             Due::ProxyStarts(proxy) => outputs.push(Output::StartProxy(proxy)),
             Due::ClientMisbehaves => self.on_client_misbehaves(outputs),
-            Due::Housekeeping => self.keep_house(),
+            Due::Housekeeping => self.run_housekeeping(),
         }
     }
 
@@ -310,7 +310,7 @@
     }
 
     /// Once a second: closes idle connections, forgets idempotency keys, and notifies proxies that do not ask.
-    fn keep_house(&mut self) {
+    fn run_housekeeping(&mut self) {
         self.close_idle_connections();
         self.exchanges.forget_keys(|request| !self.clients.has_request(request));
         self.notify_silent_proxies();
--- a/crates/world/src/world/model.rs
+++ b/crates/world/src/world/model.rs
@@ -6,7 +6,7 @@
 use crate::events::{AttemptOutcome, ClientResponse};
 use crate::server::LoadReport;
 
-/// A booking server: one instance of a process's machine. Numbered in the order of their creation; a number is not used again.
+/// A booking server. Servers are numbered in the order of their creation; a number is not used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
