--- a/crates/proxy/tests/network/admin.rs
+++ b/crates/proxy/tests/network/admin.rs
@@ -15,7 +15,13 @@
 #[case::endless_head("raw GET /ops/readiness HTTP/1.1\\r\\nX: ENDLESS", "431")]
 fn an_admin_request_has_its_response(#[case] request: &str, #[case] response: &str) {
     let request = request.replace("ENDLESS", &"x".repeat(20_000));
-    play(&format!("proxy start admin n1\nop send {request}\nop expect {response}\nop expect closed"));
+    play(&format!(
+        "proxy start admin n1
+         proxy await-ready
+         op send {request}
+         op expect {response}
+         op expect closed"
+    ));
 }
 
 #[test]
@@ -105,5 +111,10 @@
 /// Where the configuration names no address for operators, the environment may.
 #[test]
 fn the_environment_can_name_the_admin_address() {
-    play("proxy start admin-by-environment n1\nop send GET /ops/readiness\nop expect 200 ready");
+    play(
+        "proxy start admin-by-environment n1
+         proxy await-ready
+         op send GET /ops/readiness
+         op expect 200 ready",
+    );
 }
--- a/crates/proxy/tests/network/scenario.rs
+++ b/crates/proxy/tests/network/scenario.rs
@@ -17,6 +17,7 @@
 //!     `raw TEXT`;
 //!   - `replace-file WHAT`: SIGHUP, with a `folder`, `bytes` that are no text, or nothing (`gone`) in place of the file;
 //!   - `sleep SECONDS`: where the slowness of a party is what is tested;
+//!   - `await-ready`: until its readiness is 200;
 //!   - `wait TEXT`: until a line of its log contains that;
 //!   - `expect exit N`: it ends with that code.
 //!
@@ -192,6 +193,7 @@
                 }
                 self.proxy().signal("HUP");
             }
+            "await-ready" => self.proxy().wait_until_ready(),
             "wait" => self.proxy().wait_for_log(words),
             "expect" => {
                 let status = self.proxy().wait_for_exit();
