--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -45,7 +45,7 @@
 }
 
 impl Config {
-    /// Puts together what a validation has found; no check is left to this.
+    /// Puts together what a validation has found; nothing is checked here.
     pub(crate) fn new(parts: ValidatedParts, document: Document) -> Config {
         let ValidatedParts { revision, limits, services, routes, route_table } = parts;
         let content = Arc::new(Content { document, route_table, json: OnceLock::new() });
--- a/crates/config/src/item_list.rs
+++ b/crates/config/src/item_list.rs
@@ -85,7 +85,7 @@
         output.push(']');
     }
 
-    /// The hash of the texts of all items in their order. It does not depend on how the list came about.
+    /// The hash of the texts of all items in their order. It does not depend on how the list was made.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
--- a/crates/config/src/json/cursor.rs
+++ b/crates/config/src/json/cursor.rs
@@ -20,7 +20,7 @@
         Cursor { text, position: 0 }
     }
 
-    /// Consumes `expected` if the text goes on with it; returns whether it did.
+    /// Consumes `expected` if the text continues with it; returns whether it did.
     pub(crate) fn consume_text(&mut self, expected: &str) -> bool {
         let rest = self.text.as_bytes().get(self.position..).unwrap_or_default();
         let is_next = rest.starts_with(expected.as_bytes());
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,7 +1,7 @@
 //! From the text of a configuration or of a part of it to what is kept in memory.
 //!
-//! Each module is named after what it reads: [`full_text`] a configuration with every check, [`shared_items`] one that has
-//! most items in common with another, [`document`] top-level fields, [`items`] the items of a list.
+//! Each module is named after what it reads: [`full_text`] a configuration with every check, [`shared_items`] one that
+//! has most items in common with another, [`document`] top-level fields, [`items`] the items of a list.
 
 mod document;
 mod full_text;
--- a/crates/config/src/reader/shared_items.rs
+++ b/crates/config/src/reader/shared_items.rs
@@ -20,8 +20,8 @@
 const MAX_ITEM_DEPTH: usize = MAX_DEPTH - 2;
 
 impl Config {
-    /// Parses a complete configuration as [`Config::parse`] does, with the same result. It costs little where the text has
-    /// most of its items in common with this configuration, and the new configuration shares them.
+    /// Parses a complete configuration as [`Config::parse`] does, with the same result. It costs little where the text
+    /// has most of its items in common with this configuration, and the new configuration shares them.
     ///
     /// # Errors
     ///
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -80,7 +80,7 @@
 fn update_route_table(base: &Config, newer: &ItemList, services: &Services) -> Option<RouteTable> {
     let mut added: Vec<&Arc<Route>> = Vec::new();
     let mut route_table = base.route_table().clone();
-    // All old routes leave the table before the new ones enter: routes may exchange their prefixes.
+    // All older routes are removed before the new ones are inserted: routes may exchange their prefixes.
     base.list(ROUTES)?.compare(newer, |old, new| {
         if let Some(old) = old.and_then(|item| item.as_route()) {
             route_table.remove(old);
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one server, and what comes of it is derived from what has been proven.
+//! One attempt: a request is sent to one server, and its outcome is derived from what has been proven.
 
 use std::rc::Rc;
 
@@ -27,9 +27,9 @@
     is_reused: bool,
 }
 
-/// What came of one attempt.
+/// The outcome of one attempt.
 pub(crate) enum AttemptOutcome {
-    /// The head of the response to this very request has come.
+    /// The head of the response to this very request has arrived.
     Responded(ServerResponse),
     /// The request was not sent completely, so no server can have run it.
     NotDelivered(ServerFailure),
@@ -37,7 +37,7 @@
     Rejected(StatusCode),
     /// The exchange broke; the request may have run.
     Broken,
-    /// No response came in time; the request may have run.
+    /// No response arrived in time; the request may have run.
     TimedOut,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a failed exchange proves; `None` where the attempt may go on over another connection.
+/// What a failed exchange proves; `None` where the attempt may be continued on another connection.
 fn failed_exchange(request: &ServerRequest, error: SendError, is_reused: bool) -> Option<AttemptOutcome> {
     let timed_out = error.kind == SendErrorKind::DeadlinePassed;
     // A server may begin with the last byte: only a request that was not sent completely cannot have run.
@@ -147,7 +147,7 @@
     ) -> AttemptOutcome {
         let (head, body) = response.into_parts();
         self.record_received(&target.id);
-        // A surplus response to an earlier request may come where this one's is due (PROTOCOL.md, Servers).
+        // A surplus response to an earlier request may arrive where this one's is due (PROTOCOL.md, Servers).
         if !request.is_answered_by(&head) {
             return AttemptOutcome::Broken;
         }
--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -22,7 +22,7 @@
 const MIN_TIME_LEFT: Duration = Duration::from_millis(2);
 /// The least urgent priority.
 const MAX_PRIORITY: u8 = 9;
-/// When a client whose service is not known here may come back, in seconds.
+/// The `Retry-After` of a client whose service is not known here, in seconds.
 const UNKNOWN_SERVICE_RETRY_AFTER: f64 = 0.3;
 
 /// What stays the same over all attempts of one client request.
@@ -88,7 +88,7 @@
         }
     }
 
-    /// When the client may come back, in seconds; `None` where that would not help.
+    /// The `Retry-After` of the response in seconds; `None` where a repeat would not help.
     pub(crate) fn retry_after(self) -> Option<f64> {
         (self.status() == StatusCode::SERVICE_UNAVAILABLE).then_some(UNKNOWN_SERVICE_RETRY_AFTER)
     }
@@ -116,14 +116,14 @@
     forwarded
 }
 
-/// The request's prompt; an empty one for a stream that names none, since it is forwarded as it comes all the same.
+/// The request's prompt; an empty one for a stream that names none, since it is forwarded as it arrives all the same.
 fn prompt_of(headers: &HeaderMap, route: &Route, service: &Service) -> Option<Prompt> {
     let prompt = service.engine.as_ref().and_then(|_| parse_prompt(headers));
     prompt.or_else(|| (route.route_type == RouteType::Streaming).then(Prompt::default))
 }
 
 impl DataPlane {
-    /// Looks a request up in the newest configuration, which may have changed while its body came, and counts it in
+    /// Looks a request up in the newest configuration, which may have changed while its body arrived, and counts it in
     /// the retry budget.
     ///
     /// # Errors
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -13,8 +13,8 @@
 
 use crate::server_request::{RequestOrigin, Target};
 
-/// A connection to a server. It carries requests of one origin only: a late response to the one kind can't come where a
-/// response to the other is due.
+/// A connection to a server. It carries requests of one origin only: a late response to the one kind can't arrive where
+/// a response to the other is due.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     pub(crate) outbound: OutboundConnection<Full<Bytes>>,
@@ -31,7 +31,7 @@
 const MAX_IDLE_FOR_PROXY: usize = 2;
 /// Within this time after a response a connection must show that it can carry the next request.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
-/// A connection must come up within this time.
+/// A connection must be established within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The kernel breaks a connection whose bytes have gone unacknowledged for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
@@ -46,7 +46,7 @@
         LimitReached {
             display("as many connections to the server are open as this proxy may have")
         }
-        /// The connection did not come up in time, or was refused.
+        /// The connection was not established in time, or was refused.
         Unreachable {
             display("no connection to the server came up")
         }
@@ -82,7 +82,7 @@
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection, if there is one. The newest comes first: the server may have closed older ones.
+    /// Takes an idle connection, if there is one. The newest is taken first: the server may have closed older ones.
     pub(crate) fn take_idle(&self, server_id: &str, origin: RequestOrigin) -> Option<PooledConnection> {
         let now = Instant::now();
         let mut servers = self.servers.borrow_mut();
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// The target's `max_connections` are open already, or the connection did not come up.
+    /// The target's `max_connections` are open already, or the connection was not established.
     pub(crate) async fn open(
         &self,
         target: &Target,
@@ -120,8 +120,8 @@
     }
 
     /// Puts a connection back whose response was read to its end. It is closed instead if `until` has passed: after
-    /// a suspension of this process it is unknown how long the response has waited, and what the server has sent since. It
-    /// is closed, too, if further bytes follow the response.
+    /// a suspension of this process it is unknown how long the response has waited, and what the server has sent since.
+    /// It is closed, too, if further bytes follow the response.
     pub(crate) async fn put(
         &self,
         server_id: &Rc<str>,
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -19,7 +19,8 @@
 
 /// How many bytes of request bodies are buffered at once.
 const MAX_BUFFERED_BYTES: usize = 96 * 1024 * 1024;
-/// Clients are spread unevenly over the proxies: each may have this many times its even share of a server's connections.
+/// Clients are spread unevenly over the proxies: each may have this many times its even share of a server's
+/// connections.
 const CONNECTION_SHARE_FACTOR: f64 = 2.0;
 /// Each proxy may have at least this many connections to a server.
 const MIN_CONNECTIONS: usize = 6;
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -23,7 +23,7 @@
 /// A decode server prefills at half the speed of a prefill server: each token weighs twice.
 const LOCAL_PREFILL_WEIGHT: f64 = 2.0;
 
-/// A stream whose head has come.
+/// A stream whose head has arrived.
 pub(crate) struct DecodeStream {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
@@ -34,7 +34,7 @@
     pub(crate) prefill_guard: Option<PrefillGuard>,
 }
 
-/// What came of an attempt at a decode server.
+/// The outcome of an attempt at a decode server.
 pub(crate) enum DecodeOutcome {
     /// The stream begins.
     Streaming(DecodeStream),
--- a/crates/data-plane/src/event_splitter.rs
+++ b/crates/data-plane/src/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Splits a stream of server-sent events, which comes in chunks of any size, into complete events.
+//! Splits a stream of server-sent events, which arrives in chunks of any size, into complete events.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 pub struct StreamEvent {
     /// The number of its `id:` line, if it has one.
     pub id: Option<u64>,
-    /// The event as it came, with the empty line that ends it.
+    /// The event as it arrived, with the empty line that ends it.
     pub bytes: Bytes,
 }
 
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -22,7 +22,7 @@
 pub(crate) const SERVING_STAGE: HeaderName = HeaderName::from_static("x-serving-stage");
 /// Where a decode server fetches the KV cache: IP:PORT/HANDLE.
 pub(crate) const KV_FROM: HeaderName = HeaderName::from_static("kv-from");
-/// The last event that a client has of a stream; the stream goes on behind it.
+/// The last event that a client has of a stream; the stream continues behind it.
 pub(crate) const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
 /// Headers that only the system may set: a client's own stages, handles or instances are dropped.
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -15,9 +15,9 @@
 use crate::data_plane::DataPlane;
 use crate::response::{ResponseAborted, ResponseBody, proxy_response};
 
-/// When a client may come back, in seconds, if no configuration is in force.
+/// The `Retry-After` of a client in seconds, if no configuration is in force.
 const NOT_CONFIGURED_RETRY_AFTER: f64 = 0.3;
-/// When a client may come back, in seconds, if the memory for requests is used up.
+/// The `Retry-After` of a client in seconds, if the memory for requests is used up.
 const NO_MEMORY_RETRY_AFTER: f64 = 0.5;
 
 quick_error! {
@@ -32,7 +32,7 @@
         NoMemory {
             display("the bodies of other requests take up the memory")
         }
-        /// It did not come in time.
+        /// It did not arrive in time.
         TimedOut {
             display("the body did not come in time")
         }
--- a/crates/data-plane/src/load_report.rs
+++ b/crates/data-plane/src/load_report.rs
@@ -18,7 +18,7 @@
 
 /// A server that works answers a request for its load within this time: it needs no slot for that.
 pub(crate) const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A server from which nothing has come for this long gets a load query, which shows whether it responds at all.
+/// A server from which nothing has arrived for this long gets a load query, which shows whether it responds at all.
 pub(crate) const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(250);
 /// For how long a client's request waits for load reports: a fresh one is not worth more.
 const LOAD_REPORT_WAIT: Duration = Duration::from_millis(12);
@@ -45,7 +45,7 @@
         let targets: Vec<Target> = ids.iter().filter_map(|id| self.target(service, id)).collect();
         let mut queries = Vec::new();
         for target in targets {
-            // A task of its own goes on when the wait is over, and its report serves the next request.
+            // A task of its own continues when the wait is over, and its report serves the next request.
             let data_plane = self.clone();
             queries.push(tokio::task::spawn_local(async move {
                 data_plane.query_load(&target, LOAD_REPORT_TIMEOUT).await;
@@ -74,7 +74,7 @@
     }
 
     /// The connection is closed where the body is no report: it then belongs to another call, and the report may still
-    /// come where the next response is due.
+    /// arrive where the next response is due.
     async fn record_load_report(&self, target: &Target, response: ServerResponse, until: Instant) {
         let ServerResponse { head, body, connection } = response;
         let body = read_body(&head, body, until).await;
@@ -84,9 +84,9 @@
         self.connections.put(&target.id, connection, keep_alive_timeout(&head.headers), until).await;
     }
 
-    /// Completes once the server has shown that it is unresponsive: nothing has come from it for `max_silence`, and then it
-    /// does not even report its load within `report_timeout`. No response alone proves nothing: a request in a long queue
-    /// is silent, too, and must not be sent elsewhere for that.
+    /// Completes once the server has shown that it is unresponsive: nothing has arrived from it for `max_silence`, and
+    /// then it does not even report its load within `report_timeout`. No response alone proves nothing: a request in a
+    /// long queue is silent, too, and must not be sent elsewhere for that.
     pub(crate) async fn wait_until_unresponsive(
         self: &Rc<Self>,
         target: &Target,
--- a/crates/data-plane/src/prefill.rs
+++ b/crates/data-plane/src/prefill.rs
@@ -1,4 +1,5 @@
-//! The prefill of a prompt by one server for another: the handle of its KV cache, which is freed if nobody fetches it.
+//! The prefill of a prompt by one server for another: the handle of its KV cache, which is freed if no server fetches
+//! it.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -82,7 +83,7 @@
         NotDelivered {
             display("the prompt did not reach the prefill server")
         }
-        /// No response came, or none that names a handle.
+        /// No response arrived, or none that names a handle.
         NoHandle {
             display("the prefill server returned no handle")
         }
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -20,7 +20,7 @@
 /// The retry budget of the service is spent.
 struct RetryBudgetExhausted;
 
-/// How a request goes on after the prefill of its prompt.
+/// The next step of a request after the prefill of its prompt.
 enum PrefillStep {
     /// The decode server fetches the handle's KV cache, or prefills the prompt itself.
     Decode(Option<KvHandle>),
@@ -171,8 +171,8 @@
         self.target(service, &id)
     }
 
-    /// Sends the request to the decode server. If that cannot fetch the KV cache, the request is sent once more for it to prefill
-    /// the prompt itself, which takes a retry out of the budget.
+    /// Sends the request to the decode server. If that cannot fetch the KV cache, the request is sent once more for it
+    /// to prefill the prompt itself, which takes a retry out of the budget.
     async fn decode_or_prefill_locally(
         self: &Rc<Self>,
         request: &ClientRequest,
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -30,7 +30,7 @@
 pub(crate) enum ResponseBody {
     /// All bytes are there; `None` once they have been taken.
     Buffered(Option<Bytes>),
-    /// Bytes come as the server sends them; the body is complete when the sender is dropped.
+    /// Bytes arrive as the server sends them; the body is complete when the sender is dropped.
     Streaming(mpsc::Receiver<Result<Bytes, ResponseAborted>>),
 }
 
--- a/crates/data-plane/src/retry.rs
+++ b/crates/data-plane/src/retry.rs
@@ -10,13 +10,13 @@
 
 /// After more attempts that reached no server a request is given up.
 const MAX_UNDELIVERED_ATTEMPTS: u32 = 4;
-/// The least time after which a rejected client may come back, in seconds.
+/// The shortest `Retry-After` of a rejected client, in seconds.
 const MIN_RETRY_AFTER: f64 = 0.05;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 /// Rejected clients are spread over this part of the route's target latency.
 const RETRY_AFTER_PARTS: f64 = 4.0;
 
-/// What has come of the attempts of one client request so far.
+/// The outcomes of the attempts of one client request so far.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
     /// Servers that are not selected again.
@@ -100,7 +100,7 @@
         if history.may_have_run { self.fail() } else { self.reject(request) }
     }
 
-    /// The response to a request that no server has run: 503, with the time after which the client may come back.
+    /// The response to a request that no server has run: 503, with the time after which the client may retry.
     pub(crate) fn reject(&self, request: &ClientRequest) -> Response<ResponseBody> {
         self.counters.rejected.increment();
         let target_latency = request.route.target_latency.as_millis() as f64;
--- a/crates/data-plane/src/server_request.rs
+++ b/crates/data-plane/src/server_request.rs
@@ -81,7 +81,7 @@
         self.origin == RequestOrigin::Proxy || echo == self.attempt_id.as_ref()
     }
 
-    /// Records that the request may reach the server. This must come before the send: the future that sends may be
+    /// Records that the request may reach the server. This must happen before the send: the future that sends may be
     /// dropped at any moment, and the request may have arrived all the same.
     pub(crate) fn record_send(&self, target: &Target) {
         self.may_have_reached.borrow_mut().push(target.id.clone());
--- a/crates/data-plane/src/server_response.rs
+++ b/crates/data-plane/src/server_response.rs
@@ -20,7 +20,7 @@
 /// For how long the rest of an unwanted response is read, to keep its connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The head of a response to the very request that was sent, and what its body comes from.
+/// The head of a response to the very request that was sent, and the source of its body.
 pub(crate) struct ServerResponse {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -1,4 +1,5 @@
-//! Streams: events are forwarded as they come. Where the route allows it, a broken stream is resumed at another server.
+//! Streams: events are forwarded as they arrive. Where the route allows it, a broken stream is resumed at another
+//! server.
 
 use std::rc::Rc;
 
@@ -42,7 +43,7 @@
     DeadlinePassed,
 }
 
-/// What came next of a server's stream.
+/// The next part of a server's stream.
 enum Received {
     Data(Bytes),
     /// A frame that carries no data.
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -14,7 +14,7 @@
 
 /// Requests from a control node what is newer than the caller's configuration and registry (a long poll).
 ///
-/// The response comes as soon as there is something new, or after [`wait`](WatchUpdates::wait).
+/// The response is sent as soon as there is something new, or after [`wait`](WatchUpdates::wait).
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct WatchUpdates {
     /// The node name of the caller.
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -131,7 +131,7 @@
     construct!([serve, check_settings, check_config, status]).to_options().descr(about)
 }
 
-/// Runs a command and gives the exit code. An error goes to standard error. `serve` is the program's own work.
+/// Runs a command and returns the exit code. An error is printed on standard error. `serve` runs the process.
 pub fn run<F>(command: Command, serve: impl FnOnce(Settings, PathBuf) -> F) -> i32
 where
     F: Future<Output = Result<(), ProcessError>>,
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -102,7 +102,7 @@
         if let Some(outputs) = outputs {
             outputs.into_iter().for_each(|output| self.carry_out(output));
         } else if let Some(request_id) = request_id {
-            // The log is not open yet, so that no reply would come.
+            // The log is not open yet, so that no reply would arrive.
             self.requests.reply(request_id, ClientReply::Unavailable);
         }
     }
@@ -206,7 +206,8 @@
         }
     }
 
-    /// Whether a quorum of the members was recently in contact with this node. Without that, what it knows may be outdated.
+    /// Whether a quorum of the members was recently in contact with this node. Without that, what it knows may be
+    /// outdated.
     pub(super) fn quorum_contact(&self) -> QuorumContact {
         let node = self.node.borrow();
         QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.clock.now())))
--- a/crates/programs/src/control_node/log_directory.rs
+++ b/crates/programs/src/control_node/log_directory.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Opens a log, on a thread of its own: a disk may hang for seconds while the node serves. `None` if there is no thread
-/// to be had.
+/// Opens a log, on a thread of its own: a disk may hang for seconds while the node serves. `None` if no thread can
+/// be started.
 pub(super) async fn open_log(data_directory: &Path, directory: LogDirectory) -> Option<OpenedLog> {
     let path = directory.path(data_directory);
     let shown_path = path.display().to_string();
--- a/crates/programs/src/control_node/registration.rs
+++ b/crates/programs/src/control_node/registration.rs
@@ -21,7 +21,7 @@
 /// Entries that are sent with one call.
 const MAX_ENTRIES_PER_CALL: usize = 400;
 
-/// What came of sending an entry to a peer.
+/// The outcome of sending an entry to a peer.
 struct ReplicationReply {
     peer: SocketAddrV4,
     /// The peer's entries after that; `None` if it has not responded.
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Replicates the entry of a draining server until enough control nodes have it, or can't any more. Whether it may be
-    /// acknowledged.
+    /// Replicates the entry of a draining server until enough control nodes have it, or can't any more. Whether it may
+    /// be acknowledged.
     ///
-    /// A server ends once it is acknowledged. If all control nodes that have the entry were lost then, proxies would go on
-    /// sending requests to it.
+    /// A server ends once it is acknowledged. If all control nodes that have the entry were lost then, proxies would
+    /// continue sending requests to it.
     async fn replicate_until_decided(self: &Rc<Self>, mut replication: EntryReplication) -> bool {
         let entry = replication.entry();
         let mut replies = self.replicate_to_peers(entry);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Sends an entry to all peers. The tasks go on when enough have responded, so that the others get it too.
+    /// Sends an entry to all peers. The tasks continue when enough have responded, so that the others get it too.
     fn replicate_to_peers(self: &Rc<Self>, entry: EntryVersion) -> mpsc::UnboundedReceiver<ReplicationReply> {
         let (sender, receiver) = mpsc::unbounded_channel();
         for peer in self.directory.peers() {
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -24,7 +24,7 @@
 const RELOAD_INTERVAL: Duration = Duration::from_secs(4);
 
 quick_error! {
-    /// Why a program can't start or go on.
+    /// Why a program can't start or continue.
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum ProcessError {
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -133,7 +133,8 @@
         self.watcher.add_control_nodes(&control_nodes);
     }
 
-    /// Drains: first health checks fail while connections are still accepted, then only the requests in flight go on.
+    /// Drains: first health checks fail while connections are still accepted, then only the requests in flight are
+    /// finished.
     async fn shut_down(&self) {
         let start = Instant::now();
         spdlog::info!("router: shutting down in_flight_requests={}", self.data_plane.in_flight_requests());
--- a/crates/programs/src/update_watcher/watcher.rs
+++ b/crates/programs/src/update_watcher/watcher.rs
@@ -18,7 +18,7 @@
 
 /// How long a control node may wait for something new until it responds.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The same for the first call to a control node, whose response is to come at once.
+/// The same for the first call to a control node, whose response is due at once.
 const FIRST_WATCH_WAIT: Duration = Duration::from_millis(1);
 /// How much longer than the wait a response may take.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -31,9 +31,9 @@
     pub(crate) prefill_load: ServerLoad,
     /// Prompts of this proxy that it prefills.
     pub(crate) own_prefills: f64,
-    /// When the last load report came; the origin of the clock where none ever came.
+    /// When the last load report arrived; the origin of the clock where none ever did.
     pub(crate) load_reported_at: Instant,
-    /// When the last byte of any response came; the origin of the clock where none ever came.
+    /// When the last byte of any response arrived; the origin of the clock where none ever did.
     pub(crate) last_received_at: Instant,
     /// What this proxy's attempts showed.
     pub(crate) outlier: OutlierRecord,
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -5,7 +5,7 @@
 /// A failure of an attempt that is evidence about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFailure {
-    /// No connection came up, or the machine acknowledged nothing.
+    /// No connection was established, or the machine acknowledged nothing.
     Unreachable,
     /// The server reset the connection, broke a response off or sent what is no valid response.
     BrokenResponse,
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -167,7 +167,7 @@
         Some(self.select_cheaper(&drawn, cost)?.id)
     }
 
-    /// What it costs that the KV cache and the request come from other zones, in streams in flight.
+    /// What it costs that the KV cache and the request are sent between zones, in streams in flight.
     fn zone_cost(&self, id: &str, prefill_zone: &str) -> f64 {
         let Some(endpoint) = self.endpoints.get(id) else { return 0.0 };
         let cost =
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -172,14 +172,14 @@
         }
     }
 
-    /// Any part of a response came from the server.
+    /// Any part of a response has arrived from the server.
     pub fn record_received(&mut self, now: Instant, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.last_received_at = now;
         }
     }
 
-    /// Whether nothing has come from the server since that instant. A server that is not known counts as silent.
+    /// Whether nothing has arrived from the server since that instant. A server that is not known counts as silent.
     pub fn is_silent_since(&self, since: Instant, id: &str) -> bool {
         self.endpoints.get(id).is_none_or(|endpoint| endpoint.last_received_at < since)
     }
--- a/crates/routing/src/weights.rs
+++ b/crates/routing/src/weights.rs
@@ -25,7 +25,7 @@
     pub load_report_lifetime: Duration,
     /// A prompt with more unshared tokens is not prefilled by a decode server.
     pub max_prefill_tokens_beside_decode: f64,
-    /// Nor is a prompt that may generate more tokens: its stream would go on beside the prefills of others.
+    /// Nor is a prompt that may generate more tokens: its stream would continue beside the prefills of others.
     pub max_output_tokens_beside_decode: f64,
     /// The share of the decode servers that only take streams whose prompt was prefilled elsewhere.
     pub handover_decode_share: f64,
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -116,7 +116,7 @@
     response: Response<Incoming>,
 }
 
-/// A call that was sent and got no response of its own.
+/// A call that was sent and has no response of its own.
 struct FailedAttempt {
     error: CallError,
     progress: SendProgress,
--- a/crates/rpc/src/handlers.rs
+++ b/crates/rpc/src/handlers.rs
@@ -35,8 +35,8 @@
         self
     }
 
-    /// Adds the handler of calls `C`, replacing an earlier one. A handler runs to its end even if its caller has given up,
-    /// so one that waits for others must have a timeout of its own.
+    /// Adds the handler of calls `C`, replacing an earlier one. A handler runs to its end even if its caller has given
+    /// up, so one that waits for others must have a timeout of its own.
     pub fn with_handler<C: Call>(
         mut self,
         handler: impl AsyncFn(C, Peer) -> Result<C::Response, CallRejection> + 'static,
@@ -66,7 +66,7 @@
         }
         let response = handler(body, peer);
         let guard = CountGuard::new(&self.running_calls, 1);
-        // A caller that goes away cancels this future. A handler that is cancelled between two of its steps would leave
+        // A caller that gives up cancels this future. A handler that is cancelled between two of its steps would leave
         // state half changed, so it is a task of its own.
         let task = tokio::task::spawn_local(async move {
             let _guard = guard;
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -26,7 +26,7 @@
 /// The pause after a failed accept, which may be due to a lack of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers calls until it is dropped, which closes its connections; running handlers go on. Needs a `LocalSet`.
+/// Answers calls until it is dropped, which closes its connections; running handlers continue. Needs a `LocalSet`.
 pub async fn serve(listener: TcpListener, handlers: Rc<Handlers>) {
     let max_connections = handlers.limits().max_connections.max(1);
     let use_counter = UseCounter::default();
