--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -49,7 +49,9 @@
             return Choice { endpoint, to_probe: Vec::new() };
         };
         let pair = [from[first], from[second]];
-        let [first, second] = pair.map(|index| (index, self.load_score(&self.state.endpoints[index], now)));
+        let [first, second] = pair.map(|index| {
+            load_board::Candidate::new(index, self.load_score(&self.state.endpoints[index], now))
+        });
         let lower = load_board::lower_of_drawn(first, second);
         let to_probe = match probed.len() {
             0 if self.may_probe(now, request) && pair.iter().any(|&index| self.is_stale(now, index)) => {
--- a/crates/load-board/src/draw.rs
+++ b/crates/load-board/src/draw.rs
@@ -24,19 +24,35 @@
     Some((first, second))
 }
 
+/// A server that was drawn, and its load.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Candidate<T> {
+    /// What the caller names the server by.
+    pub id: T,
+    /// Its load in the caller's unit; the lower one is preferred.
+    pub load: f64,
+}
+
+impl<T> Candidate<T> {
+    /// A candidate with this load.
+    pub fn new(id: T, load: f64) -> Candidate<T> {
+        Candidate { id, load }
+    }
+}
+
 /// The candidate with the lower load of two in random order, as [`two_distinct`] draws them. The first one wins a tie, which
 /// is as good as breaking it at random.
-pub fn lower_of_drawn<T>(first: (T, f64), second: (T, f64)) -> T {
-    if first.1 <= second.1 { first.0 } else { second.0 }
+pub fn lower_of_drawn<T>(first: Candidate<T>, second: Candidate<T>) -> T {
+    if first.load <= second.load { first.id } else { second.id }
 }
 
 /// The candidate with the lower load of two in any order. A tie, and only a tie, costs one draw. A load that is not a
 /// number loses.
-pub fn lower_load<R: RngCore + ?Sized>(rng: &mut R, first: (usize, f64), second: (usize, f64)) -> usize {
-    let is_tie = first.1 == second.1 || (first.1.is_nan() && second.1.is_nan());
+pub fn lower_load<R: RngCore + ?Sized, T>(rng: &mut R, first: Candidate<T>, second: Candidate<T>) -> T {
+    let is_tie = first.load == second.load || (first.load.is_nan() && second.load.is_nan());
     let is_first_lower =
-        if is_tie { random_index(rng, 2) == 0 } else { first.1 < second.1 || second.1.is_nan() };
-    if is_first_lower { first.0 } else { second.0 }
+        if is_tie { random_index(rng, 2) == 0 } else { first.load < second.load || second.load.is_nan() };
+    if is_first_lower { first.id } else { second.id }
 }
 
 /// The rule over candidates 0 to `count`, exclusively: none, the only one, or the lower of two drawn.
@@ -46,7 +62,9 @@
     load: impl Fn(usize) -> f64,
 ) -> Option<usize> {
     match two_distinct(rng, count) {
-        Some((first, second)) => Some(lower_of_drawn((first, load(first)), (second, load(second)))),
+        Some((first, second)) => {
+            Some(lower_of_drawn(Candidate::new(first, load(first)), Candidate::new(second, load(second))))
+        }
         None => (count == 1).then_some(0),
     }
 }
--- a/crates/load-board/src/lib.rs
+++ b/crates/load-board/src/lib.rs
@@ -7,5 +7,5 @@
 mod draw;
 mod server_load;
 
-pub use draw::{lower_load, lower_of_drawn, pick_lower_of_two, random_index, two_distinct};
+pub use draw::{Candidate, lower_load, lower_of_drawn, pick_lower_of_two, random_index, two_distinct};
 pub use server_load::ServerLoad;
--- a/crates/load-board/tests/draw.rs
+++ b/crates/load-board/tests/draw.rs
@@ -1,6 +1,8 @@
 //! The draw of two and the lower of them.
 
-use mosshead_load_board::{lower_load, lower_of_drawn, pick_lower_of_two, random_index, two_distinct};
+use mosshead_load_board::{
+    Candidate, lower_load, lower_of_drawn, pick_lower_of_two, random_index, two_distinct,
+};
 use quickcheck::quickcheck;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -80,7 +82,7 @@
     let (mut rng, mut by_order, mut by_draw) = (Pcg32::seed_from_u64(3), [0; 2], [0; 2]);
     for _ in 0..DRAWS {
         by_order[pick_lower_of_two(&mut rng, 2, |_| 4.0).expect("one of two")] += 1;
-        by_draw[lower_load(&mut rng, (0, 4.0), (1, 4.0))] += 1;
+        by_draw[lower_load(&mut rng, Candidate::new(0, 4.0), Candidate::new(1, 4.0))] += 1;
     }
     assert!(is_even(&by_order) && is_even(&by_draw), "{by_order:?} {by_draw:?}");
 }
@@ -88,16 +90,24 @@
 #[test]
 fn only_a_tie_costs_a_draw_and_nan_loses() {
     let mut rng = counting_rng(5);
-    assert_eq!((lower_load(&mut rng, (8, 1.0), (9, 2.0)), lower_load(&mut rng, (8, 2.0), (9, 1.0))), (8, 9));
-    assert_eq!(
-        (lower_load(&mut rng, (8, f64::NAN), (9, 2.0)), lower_load(&mut rng, (8, 2.0), (9, f64::NAN))),
-        (9, 8)
-    );
+    let candidates = |first: f64, second: f64| (Candidate::new(8, first), Candidate::new(9, second));
+    let mut lower = |first: f64, second: f64| {
+        let (first, second) = candidates(first, second);
+        lower_load(&mut rng, first, second)
+    };
+    assert_eq!((lower(1.0, 2.0), lower(2.0, 1.0)), (8, 9));
+    assert_eq!((lower(f64::NAN, 2.0), lower(2.0, f64::NAN)), (9, 8));
     assert_eq!(rng.draws, 0);
-    lower_load(&mut rng, (8, 2.0), (9, 2.0));
-    lower_load(&mut rng, (8, f64::NAN), (9, f64::NAN));
+    for load in [2.0, f64::NAN] {
+        let (first, second) = candidates(load, load);
+        lower_load(&mut rng, first, second);
+    }
     assert_eq!(rng.draws, 2);
-    assert_eq!((lower_of_drawn(("a", 1.0), ("b", 1.0)), lower_of_drawn(("a", 2.0), ("b", 1.0))), ("a", "b"));
+    let lower_drawn = |first: f64, second: f64| {
+        let (first, second) = candidates(first, second);
+        lower_of_drawn(first, second)
+    };
+    assert_eq!((lower_drawn(1.0, 1.0), lower_drawn(2.0, 1.0)), (8, 9));
 }
 
 /// With distinct loads the highest of all is never the lower of two, and the lowest wins both orders of each of its
@@ -124,7 +134,8 @@
     fn the_lower_load_wins_in_either_order(seed: u64, a: f64, b: f64) -> bool {
         let mut rng = Pcg32::seed_from_u64(seed);
         let wins = |first: bool| if first { a <= b || b.is_nan() } else { b <= a || a.is_nan() };
-        wins(lower_load(&mut rng, (0, a), (1, b)) == 0) && wins(lower_load(&mut rng, (1, b), (0, a)) == 0)
+        let (a, b) = (Candidate::new(0, a), Candidate::new(1, b));
+        wins(lower_load(&mut rng, a, b) == 0) && wins(lower_load(&mut rng, b, a) == 0)
     }
 
     fn one_of_the_candidates_is_picked_if_there_is_any(seed: u64, values: Vec<f64>) -> bool {
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use mosshead_load_board::{lower_load, random_index, two_distinct};
+use mosshead_load_board::{Candidate, lower_load, random_index, two_distinct};
 use mosshead_time::Instant;
 use rand_core::RngCore;
 
@@ -84,7 +84,9 @@
         let index = match costs.as_slice() {
             [] => return None,
             [_] => 0,
-            [first, second, ..] => lower_load(&mut self.rng, (0, *first), (1, *second)),
+            [first, second, ..] => {
+                lower_load(&mut self.rng, Candidate::new(0, *first), Candidate::new(1, *second))
+            }
         };
         Some(Selection { id: drawn.get(index)?.clone(), cost: *costs.get(index)? })
     }
