--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -20,7 +20,7 @@
 const COMPARE_BYTES: usize = 256;
 /// The multiplier of the rolling hash.
 const HASH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The lowest bit of an instruction tells an insertion from a copy.
+/// Set in an insertion, clear in a copy: the lowest bit of an instruction.
 const INSERT_BIT: u64 = 1;
 
 /// Makes one body of another.
@@ -73,12 +73,12 @@
         (target.len() == length).then_some(target)
     }
 
-    /// The bytes of the instructions.
+    /// The length of the instructions, in bytes.
     pub fn len(&self) -> usize {
         self.instructions.len()
     }
 
-    /// Whether there are no instructions; no body comes of that.
+    /// Whether there are no instructions; such a delta can't be applied.
     pub fn is_empty(&self) -> bool {
         self.instructions.is_empty()
     }
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -67,7 +67,7 @@
     /// Replaces everything before it.
     #[n(5)]
     Snapshot(#[n(0)] Box<DurableState>),
-    /// A configuration that this disk has no vote in; it says where the others are.
+    /// A configuration that this disk has no vote in; it has the addresses of the others.
     #[n(6)]
     Learned(#[n(0)] EpochConfig),
     /// A change of the state before this record.
--- a/crates/consensus/src/epoch_view.rs
+++ b/crates/consensus/src/epoch_view.rs
@@ -52,7 +52,7 @@
         self.highest_term_number = self.highest_term_number.max(term.number);
     }
 
-    /// Remembers a configuration that somebody has proposed; returns whether it is newer than the known one.
+    /// Remembers a configuration that a node has proposed; returns whether it is newer than the known one.
     pub(crate) fn observe_config(&mut self, config: &EpochConfig) -> bool {
         self.observe_term(config.term);
         if self.config.as_ref().is_some_and(|known| known.term >= config.term) {
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -23,7 +23,7 @@
     ForgetAppliedRequests,
     /// Client requests are answered long after their callers have turned to another node.
     ReplyLate,
-    /// A request that can't be told from an expired one is rejected.
+    /// A request that can't be distinguished from an expired one is rejected.
     RejectExpired,
     /// The published revision may go back.
     PublishOlderState,
@@ -53,7 +53,7 @@
     KeepMembers,
     /// Client requests are forgotten when the primary steps down.
     DropClientRequests,
-    /// A node with a full disk says that it is healthy.
+    /// A node with a full disk reports that it is healthy.
     AlwaysHealthy,
     /// The state is not rewritten under the new term before the configuration is proposed.
     SkipRewriteUnderNewTerm,
--- a/crates/consensus/src/join_requests.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -16,7 +16,7 @@
 const WAITING_INTERVAL: Duration = Duration::from_millis(400);
 /// A newcomer that knows no primary sends join requests at this interval.
 const NEWCOMER_INTERVAL: Duration = Duration::from_millis(100);
-/// A member that misses its primary sends join requests at this interval.
+/// A member whose primary is silent sends join requests at this interval.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(300);
 /// A member whose primary was silent for this long looks for the others.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -83,14 +83,14 @@
             return false;
         }
         let timeout = if is_member { MEMBER_TIMEOUT } else { NEWCOMER_TIMEOUT };
-        let misses_primary = match primary_alive_at {
+        let is_without_primary = match primary_alive_at {
             Some(alive_at) => now - alive_at >= timeout,
             None => !is_member || now - context.started_at() >= timeout,
         };
-        if is_member && !misses_primary {
+        if is_member && !is_without_primary {
             return false;
         }
-        let interval = match (is_member, misses_primary) {
+        let interval = match (is_member, is_without_primary) {
             (true, _) => MEMBER_INTERVAL,
             (false, true) => NEWCOMER_INTERVAL,
             (false, false) => WAITING_INTERVAL,
--- a/crates/consensus/src/node/responses.rs
+++ b/crates/consensus/src/node/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of other nodes to the role of this one. A response that comes after the end of the role is ignored.
+//! Responses of other nodes to the role of this one. A response that arrives after the end of the role is ignored.
 
 use rand_core::RngCore;
 
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Remembers a configuration that somebody has proposed; a role under a lower term ends.
+    /// Remembers a configuration that a node has proposed; a role under a lower term ends.
     pub(super) fn observe_config(&mut self, config: &EpochConfig) {
         if self.core.epoch.observe_config(config) {
             self.step_down_below(config.term);
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -19,10 +19,14 @@
 /// An operator's change of the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ChangeRequest {
+    /// The number that the host has given it.
     pub(crate) request_id: u64,
     pub(crate) received_at: Instant,
+    /// The revision that it builds on.
     pub(crate) base_revision: u64,
+    /// What the state will remember of it.
     pub(crate) request: AppliedRequest,
+    /// The complete new body; at most [`crate::MAX_BODY_BYTES`].
     pub(crate) body: Arc<[u8]>,
 }
 
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and what their responses say.
+//! Heartbeats, and the handling of their responses.
 
 use mosshead_time::Instant;
 
@@ -14,7 +14,7 @@
 /// How many sent heartbeats are remembered.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
-/// Who gets a heartbeat.
+/// The recipients of a heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Recipients {
     All,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends heartbeats between the regular ones.
+    /// Sends heartbeats between the regular ones, for requests that wait for a confirmation.
     pub(super) fn send_heartbeats_to_voters(&mut self, core: &mut NodeCore) {
         if core.may_send_heartbeats() {
             self.send_heartbeats(core, Recipients::Voters);
--- a/crates/consensus/src/primary_lease.rs
+++ b/crates/consensus/src/primary_lease.rs
@@ -23,7 +23,7 @@
         self.confirmed_at = self.confirmed_at.max(Some(sent_at));
     }
 
-    /// Whether the lease is valid at `now`; says nothing of the role.
+    /// Whether the lease is valid at `now`, whatever the role of this node is.
     pub(crate) fn is_valid(&self, context: &Context, now: Instant) -> bool {
         context.is_within_lease(self.confirmed_at, now)
     }
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -43,7 +43,7 @@
 struct IncomingTransfer {
     from: Member,
     offer: SnapshotOffer,
-    /// The chunks so far, never longer than the offer says.
+    /// The chunks so far; never longer than the offered length.
     bytes: Vec<u8>,
     /// When the last chunk arrived.
     last_progress_at: Instant,
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -140,7 +140,7 @@
             && !core.has_fault(InjectedFault::LateTakeOver)
     }
 
-    /// A higher term was promised by somebody.
+    /// Another node has promised a higher term.
     pub(crate) fn on_reject(&self, term: Term, promised: Term) -> Transition {
         if self.term != term || promised <= term {
             return Transition::Stay;
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -65,7 +65,7 @@
         if self.phase != Phase::Prepare {
             return Transition::Stay;
         }
-        // The highest configuration seen is as good as one accepted: somebody has proposed it.
+        // A configuration that was only seen counts like an accepted one: a node has proposed it, so it may be decided.
         let base = core.epoch.config().filter(|config| config.term < self.term).cloned();
         if base.as_ref().is_some_and(|config| !config.has_member(core.local().id)) {
             return Transition::StepDown;
