--- a/crates/consensus/tests/fleet/fault_actions.rs
+++ b/crates/consensus/tests/fleet/fault_actions.rs
@@ -127,7 +127,7 @@
 
     fn replace(&mut self, machine: usize) {
         self.remove_machine(machine);
-        let new = self.add_machine(false);
+        let new = self.add_newcomer();
         self.machines[new].settings.seeds = self.pick_seeds();
         let delay = self.random_duration_below(REPLACEMENT_START_SPREAD);
         self.after(delay, Event::Fault(FaultAction::Start(new)));
--- a/crates/consensus/tests/fleet/member_turnover.rs
+++ b/crates/consensus/tests/fleet/member_turnover.rs
@@ -107,7 +107,7 @@
     simulation.run(join_deadline)?;
     let cut_off = [primary, backup][simulation.random.index(2)];
     let living = [primary, backup].into_iter().find(|machine| *machine != cut_off).ok_or("none")?;
-    let new = simulation.add_machine(false);
+    let new = simulation.add_newcomer();
     let seeds = [witness, cut_off, living].map(|machine| simulation.machines[machine].address);
     simulation.machines[new].settings.seeds = seeds.to_vec();
     simulation.machines[new].settings.timings = Timings::for_join_deadline(join_deadline);
--- a/crates/consensus/tests/fleet/simulation.rs
+++ b/crates/consensus/tests/fleet/simulation.rs
@@ -155,15 +155,24 @@
             is_traced: std::env::var("CONSENSUS_TRACE").is_ok(),
         };
         for _ in 0..machine_count {
-            let machine = simulation.add_machine(true);
+            let machine = simulation.add_bootstrap_voter();
             let delay = simulation.random.duration_below(FIRST_START_SPREAD);
             simulation.after(delay, Event::Fault(FaultAction::Start(machine)));
         }
         simulation
     }
 
-    /// A machine with an empty disk, not started.
-    pub(crate) fn add_machine(&mut self, bootstrap: bool) -> usize {
+    /// A machine of the first start of the fleet, not started.
+    fn add_bootstrap_voter(&mut self) -> usize {
+        self.add_machine(true)
+    }
+
+    /// A machine with an empty disk that joins a running fleet, not started.
+    pub(crate) fn add_newcomer(&mut self) -> usize {
+        self.add_machine(false)
+    }
+
+    fn add_machine(&mut self, bootstrap: bool) -> usize {
         let machine = self.machines.len();
         let address = control_node_address(machine);
         let seeds = (0..3).map(control_node_address).collect();
--- a/crates/consensus/tests/fleet/turnover.rs
+++ b/crates/consensus/tests/fleet/turnover.rs
@@ -30,7 +30,7 @@
     pub(crate) fn start_newcomer(&mut self) -> usize {
         let timings = self.machines[0].settings.timings.clone();
         let seeds = self.pick_seeds();
-        let new = self.add_machine(false);
+        let new = self.add_newcomer();
         self.machines[new].settings.timings = timings;
         self.machines[new].settings.seeds = seeds;
         self.start(new);
--- a/crates/consensus/tests/model/fleet.rs
+++ b/crates/consensus/tests/model/fleet.rs
@@ -305,7 +305,7 @@
     /// An operator sends a new change to a machine.
     pub(crate) fn send_new_change(&mut self, machine: usize) {
         self.changes += 1;
-        let base = self.nodes[machine].committed_state().map_or(0, |s| s.revision);
+        let base = self.nodes[machine].committed_state().map_or(0, |state| state.revision);
         // Later changes have lower numbers at times.
         let revision = base + 10 - self.changes;
         self.bases.insert(revision, base);
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -22,7 +22,7 @@
     /// A fleet that has started and is at rest.
     fn init_states(&self) -> Vec<Fleet> {
         let mut fleet = Fleet {
-            nodes: (0..3).map(|m| self.node(m, &[], Instant::ORIGIN)).collect(),
+            nodes: (0..3).map(|machine| self.node(machine, &[], Instant::ORIGIN)).collect(),
             clocks: vec![Instant::ORIGIN; 3],
             disks: vec![Vec::new(); 3],
             in_flight: BTreeSet::new(),
@@ -50,7 +50,7 @@
                 fleet.deliver(envelope, Sends::All);
             }
         }
-        assert_eq!(fleet.nodes.iter().filter(|n| n.is_primary()).count(), 1);
+        assert_eq!(fleet.nodes.iter().filter(|node| node.is_primary()).count(), 1);
         fleet.repeats = self.repeats;
         vec![fleet]
     }
--- a/crates/control-plane/tests/fleet/control_node.rs
+++ b/crates/control-plane/tests/fleet/control_node.rs
@@ -83,7 +83,17 @@
 }
 
 impl Simulation {
-    pub(crate) fn add_control_node(&mut self, bootstrap: bool) -> usize {
+    /// A control node of the first start of the fleet, not started.
+    pub(crate) fn add_bootstrap_voter(&mut self) -> usize {
+        self.add_control_node(true)
+    }
+
+    /// A control node with an empty disk that joins a running fleet, not started.
+    pub(crate) fn add_newcomer(&mut self) -> usize {
+        self.add_control_node(false)
+    }
+
+    fn add_control_node(&mut self, bootstrap: bool) -> usize {
         let control_node = self.control_nodes.len();
         let (now, address) = (self.now(), control_node_address(control_node));
         let seeds = (0..3).map(control_node_address).collect();
@@ -153,6 +163,7 @@
         self.note_isolation();
     }
 
+    /// Stops a process, and its disk is lost; it is no bootstrap voter any more.
     pub(crate) fn wipe_control_node(&mut self, control_node: usize) {
         self.stop_control_node(control_node);
         self.control_nodes[control_node].disk.wipe();
--- a/crates/control-plane/tests/fleet/fault_actions.rs
+++ b/crates/control-plane/tests/fleet/fault_actions.rs
@@ -12,6 +12,13 @@
 /// How long the control nodes stay down that have acknowledged a shutdown.
 const REPLICAS_LOST_FOR: Duration = millis(6_000);
 
+/// What is lost when a control node stops.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Loss {
+    Process,
+    ProcessAndDisk,
+}
+
 /// A fault, or the end of one.
 #[derive(Clone, Debug)]
 pub(crate) enum FaultAction {
@@ -19,10 +26,10 @@
     Heal,
     Start(usize),
     StartAll,
-    /// The primary and `count - 1` other control nodes lose their processes, or their disks with them.
+    /// The primary and `count - 1` other control nodes stop, and start again later.
     LosePrimary {
         count: usize,
-        wipe: bool,
+        loss: Loss,
         restart_after: Duration,
     },
     /// As many control nodes that have a server's shutdown as may fail are stopped, and the server ends. Only if it was
@@ -97,6 +104,7 @@
         }
     }
 
+    /// Partitions some control nodes and proxies from the others, in one direction or in both.
     pub(crate) fn partition_some(&mut self) {
         let max_count = 1 + self.random_below(2) as usize;
         let control_nodes = self.pick_to_disturb(max_count);
@@ -116,9 +124,10 @@
         let side: Vec<Party> = control_nodes
             .iter()
             .map(|control_node| Party::Control(*control_node))
-            .chain(proxies.iter().map(|p| Party::Proxy(*p)))
+            .chain(proxies.iter().map(|proxy| Party::Proxy(*proxy)))
             .collect();
-        let others: Vec<Party> = self.inner_parties().into_iter().filter(|p| !side.contains(p)).collect();
+        let others: Vec<Party> =
+            self.inner_parties().into_iter().filter(|party| !side.contains(party)).collect();
         match self.random_below(4) {
             0 => self.partition_one_way(&side, &others),
             1 => self.partition_one_way(&others, &side),
@@ -135,6 +144,7 @@
         control_nodes.chain((0..self.proxies.len()).map(Party::Proxy)).collect()
     }
 
+    /// Pauses control nodes, each for a time of its own.
     pub(crate) fn pause_some(&mut self) {
         let max_count = 1 + self.random_below(2) as usize;
         for control_node in self.pick_to_disturb(max_count) {
@@ -145,35 +155,37 @@
         }
     }
 
-    pub(crate) fn restart_some(&mut self, wipe: bool) {
+    /// Stops control nodes; they start again later.
+    pub(crate) fn restart_some(&mut self, loss: Loss) {
         let max_count = 1 + self.random_below(2) as usize;
         let control_nodes = self.pick_to_disturb(max_count);
         let restart_after = millis(100) + self.random_duration_below(millis(3_000));
-        self.stop_and_restart(&control_nodes, wipe, restart_after);
+        self.stop_and_restart(&control_nodes, loss, restart_after);
     }
 
-    fn stop_and_restart(&mut self, control_nodes: &[usize], wipe: bool, restart_after: Duration) {
-        self.trace(|| format!("stop {control_nodes:?}, disks too: {wipe}, for {restart_after:?}"));
+    fn stop_and_restart(&mut self, control_nodes: &[usize], loss: Loss, restart_after: Duration) {
+        self.trace(|| format!("stop {control_nodes:?}, {loss:?} lost, for {restart_after:?}"));
         for &control_node in control_nodes {
-            if wipe {
-                self.wipe_control_node(control_node);
-            } else {
-                self.stop_control_node(control_node);
+            match loss {
+                Loss::Process => self.stop_control_node(control_node),
+                Loss::ProcessAndDisk => self.wipe_control_node(control_node),
             }
             self.after(restart_after, Event::Fault(FaultAction::Start(control_node)));
         }
     }
 
+    /// Removes a control node; another one starts soon at a new address.
     pub(crate) fn replace_control_node(&mut self) {
         let Some(control_node) = self.pick_to_disturb(1).first().copied() else { return };
         self.trace(|| format!("replace {control_node}"));
         self.stop_control_node(control_node);
         self.control_nodes[control_node].is_removed = true;
-        let newcomer = self.add_control_node(false);
+        let newcomer = self.add_newcomer();
         let start_after = self.random_duration_below(millis(2_000));
         self.after(start_after, Event::Fault(FaultAction::Start(newcomer)));
     }
 
+    /// Stops all control nodes; they start together later.
     pub(crate) fn lose_power(&mut self) {
         self.trace(|| "power loss".to_owned());
         for control_node in self.running() {
@@ -183,6 +195,7 @@
         self.after(restart_after, Event::Fault(FaultAction::StartAll));
     }
 
+    /// Restarts a proxy, or pauses it.
     pub(crate) fn disturb_proxy(&mut self) {
         let proxy = self.random.index(self.proxies.len());
         self.trace(|| format!("fault at proxy {proxy}"));
@@ -222,7 +235,7 @@
             FaultAction::StartAll => {
                 self.members().into_iter().for_each(|control_node| self.start_control_node(control_node));
             }
-            FaultAction::LosePrimary { count, wipe, restart_after } => {
+            FaultAction::LosePrimary { count, loss, restart_after } => {
                 let Some(primary) = self.primary() else { return };
                 let mut control_nodes = self.pick_to_disturb(count);
                 if !control_nodes.is_empty()
@@ -231,7 +244,7 @@
                 {
                     control_nodes[0] = primary;
                 }
-                self.stop_and_restart(&control_nodes, wipe, restart_after);
+                self.stop_and_restart(&control_nodes, loss, restart_after);
             }
             FaultAction::LoseReplicas { shutdown, .. } => self.lose_replicas(shutdown),
         }
@@ -251,6 +264,6 @@
         let disturbed = others.filter(|other| self.is_disturbed(*other)).count();
         control_nodes.truncate(self.tolerated_failures.saturating_sub(disturbed));
         self.end_server(server, &id);
-        self.stop_and_restart(&control_nodes, false, REPLICAS_LOST_FOR);
+        self.stop_and_restart(&control_nodes, Loss::Process, REPLICAS_LOST_FOR);
     }
 }
--- a/crates/control-plane/tests/fleet/random_run.rs
+++ b/crates/control-plane/tests/fleet/random_run.rs
@@ -3,7 +3,7 @@
 use mosshead_time::Duration;
 use mosshead_virtual_fleet::millis;
 
-use crate::fault_actions::FaultAction;
+use crate::fault_actions::{FaultAction, Loss};
 use crate::messages::Party;
 use crate::operator::Operator;
 use crate::simulation::{InjectedFaults, Simulation};
@@ -75,16 +75,17 @@
         match self.random_below(12) {
             0 | 1 => self.partition_some(),
             2 => self.pause_some(),
-            3 => self.restart_some(false),
-            4 => self.restart_some(true),
+            3 => self.restart_some(Loss::Process),
+            4 => self.restart_some(Loss::ProcessAndDisk),
             5 => self.replace_control_node(),
             6 => self.lose_power(),
             7 => self.disturb_proxy(),
             8 => self.isolate_all(),
             9 | 10 => {
-                let (count, wipe) = (1 + self.random_below(2) as usize, self.random.is_one_in(2));
+                let count = 1 + self.random_below(2) as usize;
+                let loss = if self.random.is_one_in(2) { Loss::ProcessAndDisk } else { Loss::Process };
                 let restart_after = self.random_duration_below(millis(2_500));
-                self.after_change = Some(FaultAction::LosePrimary { count, wipe, restart_after });
+                self.after_change = Some(FaultAction::LosePrimary { count, loss, restart_after });
             }
             _ => self.after_shutdown = Some(FaultAction::LoseReplicas { only: None, shutdown: None }),
         }
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -258,10 +258,11 @@
         };
         let control_nodes =
             self.control_nodes.iter().filter_map(|control_node| control_node.process.as_ref());
-        let control_nodes: Vec<_> =
-            control_nodes.map(|p| (p.registry.local_id(), entry(&p.registry), p.registry.vector())).collect();
+        let control_nodes: Vec<_> = control_nodes
+            .map(|node| (node.registry.local_id(), entry(&node.registry), node.registry.vector()))
+            .collect();
         let proxies: Vec<_> =
-            self.proxies.iter().map(|p| (entry(&p.registry), p.registry.vector())).collect();
+            self.proxies.iter().map(|proxy| (entry(&proxy.registry), proxy.registry.vector())).collect();
         format!("{control_nodes:#?}\n{proxies:#?}")
     }
 
--- a/crates/control-plane/tests/fleet/simulation.rs
+++ b/crates/control-plane/tests/fleet/simulation.rs
@@ -112,7 +112,7 @@
             is_traced: std::env::var("FLEET_TRACE").is_ok(),
         };
         for _ in 0..2 * tolerated_failures + 1 {
-            let control_node = simulation.add_control_node(true);
+            let control_node = simulation.add_bootstrap_voter();
             simulation.start_control_node(control_node);
         }
         (0..PROXIES).for_each(|_| simulation.add_proxy());
