--- a/crates/load-board/src/draw.rs
+++ b/crates/load-board/src/draw.rs
@@ -1,4 +1,4 @@
-//! Drawing two distinct candidates at random, and the lower of them.
+//! The power of two choices: draws two distinct candidates at random, and picks the one with the lower load.
 //!
 //! Simulated days with fixed seeds are compared, so how many random numbers a function draws, and in which order, is part
 //! of its contract.
@@ -40,14 +40,14 @@
     }
 }
 
-/// The candidate with the lower load of two in random order, as [`two_distinct`] draws them. The first one wins a tie, which
-/// is as good as breaking it at random.
+/// The candidate with the lower load of two. The first one wins a tie: that is a random choice only if the order of the two is
+/// random, as [`two_distinct`] draws them. For two in a fixed order there is [`lower_load`].
 pub fn lower_of_drawn<T>(first: Candidate<T>, second: Candidate<T>) -> T {
     if first.load <= second.load { first.id } else { second.id }
 }
 
-/// The candidate with the lower load of two in any order. A tie, and only a tie, costs one draw. A load that is not a
-/// number loses.
+/// The candidate with the lower load of two in any order. A tie, and only a tie, costs one draw. A load that is NaN loses to
+/// any other; two of them are a tie.
 pub fn lower_load<R: RngCore + ?Sized, T>(rng: &mut R, first: Candidate<T>, second: Candidate<T>) -> T {
     let is_tie = first.load == second.load || (first.load.is_nan() && second.load.is_nan());
     let is_first_lower =
@@ -55,7 +55,8 @@
     if is_first_lower { first.id } else { second.id }
 }
 
-/// The rule over candidates 0 to `count`, exclusively: none, the only one, or the lower of two drawn.
+/// Picks one of the candidates `0..count` by the power of two choices: the one with the lower `load` of two drawn. The only
+/// candidate is picked without a draw; of none, `None`.
 pub fn pick_lower_of_two<R: RngCore + ?Sized>(
     rng: &mut R,
     count: usize,
--- a/crates/load-board/src/lib.rs
+++ b/crates/load-board/src/lib.rs
@@ -1,8 +1,9 @@
-//! The load board: the last reported load of each server plus own sends since, and the lower of two random candidates.
+//! The load board: an estimate of each server's load, and the power of two choices among servers by that estimate.
 //!
-//! The rule: draw two distinct ready servers, send to the one whose last reported load plus own sends since is lower, and
-//! break ties at random; with one ready server, send there. This is the power of two choices of M. Mitzenmacher (IEEE
-//! Transactions on Parallel and Distributed Systems 12(10), 2001). No I/O, no clock.
+//! The estimate is the last load that the server reported plus the requests that this balancer has sent to it since. The
+//! rule: draw two distinct ready servers, send to the one with the lower estimate, and break ties at random; with one ready
+//! server, send there (M. Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, IEEE Transactions on Parallel
+//! and Distributed Systems 12(10), 2001). No I/O, no clock.
 
 mod draw;
 mod server_load;
--- a/crates/load-board/tests/server_load.rs
+++ b/crates/load-board/tests/server_load.rs
@@ -1,4 +1,4 @@
-//! What the board knows about the load of one server.
+//! The estimate of a server's load: reports, own sends since, and their ends.
 
 use mosshead_load_board::ServerLoad;
 use quickcheck::{Arbitrary, Gen, quickcheck};
