--- a/crates/stage-scheduler/src/fencing.rs
+++ b/crates/stage-scheduler/src/fencing.rs
@@ -1,8 +1,8 @@
 //! The token by which model servers reject assignments of a former primary.
 
-/// How many of the proposer's upper bits are in the token.
+/// How many of the proposer's 64 bits, the highest ones, are in the token.
 const PROPOSER_BITS: u32 = 20;
-/// Higher numbers are clamped, so that the token has 52 bits at most.
+/// Higher term numbers are clamped to this one, so that the token has 52 bits at most.
 const MAX_TERM_NUMBER: u64 = (1 << 32) - 1;
 
 /// The fencing token of a primary: it rises with the term, and no two primaries have the same.
--- a/crates/stage-scheduler/src/lib.rs
+++ b/crates/stage-scheduler/src/lib.rs
@@ -1,8 +1,8 @@
 //! The stage scheduler: which model servers run prefill and which run decode. Decisions only: no I/O, no clock.
 //!
-//! It is a singleton role, carried out by the primary under a [fencing token](fencing_token) that only rises. It assigns
-//! another stage to a server when the share of prefill servers of a service has been off for a while, and never so that
-//! too few servers are left to decode.
+//! It is a singleton role, carried out by the primary under a [fencing token](fencing_token) that only rises. When the
+//! number of a service's prefill servers has differed from its target for a while, servers get the other stage; at least
+//! [`StagePolicy::min_decode_servers`] are left to decode.
 
 mod fencing;
 mod policy;
--- a/crates/stage-scheduler/src/policy.rs
+++ b/crates/stage-scheduler/src/policy.rs
@@ -1,4 +1,4 @@
-//! What the stage scheduler aims at, and how fast.
+//! The targets of the stage scheduler, and its delays.
 
 use mosshead_time::Duration;
 
@@ -7,31 +7,34 @@
 pub struct StagePolicy {
     /// The share of a service's model servers that run prefill, from 0 to 1.
     pub prefill_share: f64,
-    /// At least so many servers run decode, in a service that has at least one server more.
+    /// The fewest servers of a service that run decode. A service with no more servers than this still runs one prefill
+    /// server, if it has two servers at least.
     pub min_decode_servers: usize,
-    /// How long the share has to be off before servers are reassigned.
+    /// How long the number of prefill servers has to differ from its target by more than one before servers are
+    /// reassigned.
     pub imbalance_delay: Duration,
-    /// The same for a share that is off by one server only: that comes and goes while servers are replaced, and each
-    /// assignment costs requests in flight.
+    /// The same for a difference of one server. It is longer, since such differences come and go while servers are
+    /// replaced, and each assignment costs requests in flight.
     pub single_server_imbalance_delay: Duration,
-    /// For so long after an assignment the same server gets no other.
+    /// How long after an assignment the server gets no other.
     pub reassignment_cooldown: Duration,
-    /// Bound of the assignments to one service's servers in one call.
+    /// The most assignments for one service by one call of
+    /// [`StageScheduler::due_assignments`](crate::StageScheduler::due_assignments).
     pub max_assignments_at_once: usize,
 }
 
 impl StagePolicy {
-    /// How many of a service's servers are to run prefill; none if there is only one.
-    pub fn target_prefill_servers(&self, servers: usize) -> usize {
-        if servers < 2 {
+    /// How many servers of a service with `server_count` servers are to run prefill; none if there is only one.
+    pub fn target_prefill_servers(&self, server_count: usize) -> usize {
+        if server_count < 2 {
             return 0;
         }
-        let max_prefill = servers.saturating_sub(self.min_decode_servers).max(1);
-        let target = (servers as f64 * self.prefill_share).round() as usize;
+        let max_prefill = server_count.saturating_sub(self.min_decode_servers).max(1);
+        let target = (server_count as f64 * self.prefill_share).round() as usize;
         target.clamp(1, max_prefill)
     }
 
-    /// How long the number of prefill servers has to be off by `imbalance` before servers are reassigned.
+    /// How long the number of prefill servers has to differ from its target by `imbalance` before servers are reassigned.
     pub(crate) fn delay_for(&self, imbalance: usize) -> Duration {
         if imbalance > 1 { self.imbalance_delay } else { self.single_server_imbalance_delay }
     }
--- a/crates/stage-scheduler/src/scheduler.rs
+++ b/crates/stage-scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Choosing the servers that get another stage.
+//! Chooses the servers that get another stage, and records what became of their assignments.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,10 @@
 
 use crate::policy::StagePolicy;
 
-/// The last assignments of servers are retained for so many cooldowns.
-const RETAINED_COOLDOWNS: u32 = 8;
-
 /// A server is to run a stage from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageAssignment {
-    /// Which server.
+    /// The instance id of the server.
     pub instance_id: String,
     /// The stage that it is to run.
     pub stage: Stage,
@@ -34,9 +31,10 @@
 #[derive(Clone, Debug)]
 pub struct StageScheduler {
     policy: StagePolicy,
-    /// Since when the number of prefill servers of a service has been off; only services for which it is.
+    /// Since when the number of prefill servers has differed from its target, by service. A service that is on target is
+    /// not in the map.
     imbalanced_since: BTreeMap<String, Instant>,
-    /// The last assignment of each server, by its instance.
+    /// The last assignments whose cooldown has not ended, by instance id.
     last_assignments: BTreeMap<String, LastAssignment>,
     /// Whether a server has rejected an assignment as that of a former primary.
     is_fenced: bool,
@@ -48,19 +46,21 @@
     stage: Stage,
 }
 
-/// A server with the stage that it is counted for.
+/// A server that may be reassigned.
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     server: &'a Server,
-    stage: Stage,
+    /// The stage that it is counted for: the one that it was last assigned while that cools down, or else the one that it
+    /// reports.
+    counted_stage: Stage,
 }
 
-/// So many servers of a service are to change from one stage to the other.
+/// How many servers of a service are to change from one stage to the other.
 #[derive(Clone, Copy)]
 struct StageChange {
     from: Stage,
     to: Stage,
-    servers: usize,
+    server_count: usize,
 }
 
 impl StageScheduler {
@@ -74,7 +74,8 @@
         }
     }
 
-    /// The assignments that are due. They count as carried out for the time of the cooldown.
+    /// The assignments that are due among these servers. Until its cooldown ends, a server counts as running the stage that
+    /// it was assigned.
     pub fn due_assignments<'a>(
         &mut self,
         now: Instant,
@@ -92,13 +93,13 @@
                 self.assign(now, change, candidates, &mut assignments);
             }
         }
-        let retention = self.policy.reassignment_cooldown * RETAINED_COOLDOWNS;
-        self.last_assignments.retain(|_, last| now < last.assigned_at + retention);
+        let cooldown = self.policy.reassignment_cooldown;
+        self.last_assignments.retain(|_, last| now < last.assigned_at + cooldown);
         assignments
     }
 
-    /// Records what came of an assignment. One of unknown outcome may have been accepted, so the server is left alone for
-    /// the time of the cooldown like after any other.
+    /// Records what came of an assignment. One of unknown outcome may have been accepted, so its cooldown goes on like that
+    /// of an accepted one.
     pub fn record_outcome(&mut self, outcome: AssignmentOutcome) {
         match outcome {
             AssignmentOutcome::StaleFence => self.is_fenced = true,
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Servers that can be reassigned. During its cooldown a server is counted for the stage that it was assigned, since
-    /// its heartbeats may still report the former one.
+    /// The servers that split prefill and decode and take requests, by service. During its cooldown a server is counted for
+    /// the stage that it was assigned, since its heartbeats may still report the former one.
     fn candidates_by_service<'a>(
         &self,
         now: Instant,
@@ -115,10 +116,13 @@
     ) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
         let mut services: BTreeMap<&str, Vec<Candidate<'a>>> = BTreeMap::new();
         for server in servers {
-            if let (OperState::Up, false, Some(reported)) = (server.state, server.is_suspected, server.stage)
+            if server.state == OperState::Up
+                && !server.is_suspected
+                && let Some(reported_stage) = server.stage
             {
-                let stage = self.cooling_down(now, &server.id).map_or(reported, |last| last.stage);
-                services.entry(server.service.as_str()).or_default().push(Candidate { server, stage });
+                let recent = self.recent_assignment(now, &server.id);
+                let counted_stage = recent.map_or(reported_stage, |assignment| assignment.stage);
+                services.entry(&server.service).or_default().push(Candidate { server, counted_stage });
             }
         }
         services
@@ -132,25 +136,25 @@
         candidates: &[Candidate<'_>],
     ) -> Option<StageChange> {
         let target = self.policy.target_prefill_servers(candidates.len());
-        let prefill = candidates.iter().filter(|candidate| candidate.stage == Stage::Prefill).count();
-        if target == prefill {
+        let prefill = candidates.iter().filter(|candidate| candidate.counted_stage == Stage::Prefill).count();
+        if prefill == target {
             self.imbalanced_since.remove(service);
             return None;
         }
         let since = *self.imbalanced_since.entry(service.to_owned()).or_insert(now);
-        let servers = target.abs_diff(prefill);
-        if now < since + self.policy.delay_for(servers) {
+        let imbalance = target.abs_diff(prefill);
+        if now < since + self.policy.delay_for(imbalance) {
             return None;
         }
         Some(if target > prefill {
-            StageChange { from: Stage::Decode, to: Stage::Prefill, servers }
+            StageChange { from: Stage::Decode, to: Stage::Prefill, server_count: imbalance }
         } else {
-            StageChange { from: Stage::Prefill, to: Stage::Decode, servers }
+            StageChange { from: Stage::Prefill, to: Stage::Decode, server_count: imbalance }
         })
     }
 
-    /// Assigns the new stage to servers of those zones that have the fewest with it, so that no zone is left with one stage
-    /// only.
+    /// Assigns the new stage to servers of the zones that have the fewest servers of that stage, which spreads both stages
+    /// over the zones.
     fn assign(
         &mut self,
         now: Instant,
@@ -158,29 +162,30 @@
         mut candidates: Vec<Candidate<'_>>,
         assignments: &mut Vec<StageAssignment>,
     ) {
-        let mut servers_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
-        for candidate in candidates.iter().filter(|candidate| candidate.stage == change.to) {
-            *servers_by_zone.entry(&candidate.server.zone).or_default() += 1;
+        let mut count_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
+        for candidate in candidates.iter().filter(|candidate| candidate.counted_stage == change.to) {
+            *count_by_zone.entry(&candidate.server.zone).or_default() += 1;
         }
         candidates.retain(|candidate| {
-            candidate.stage == change.from && self.cooling_down(now, &candidate.server.id).is_none()
+            candidate.counted_stage == change.from
+                && self.recent_assignment(now, &candidate.server.id).is_none()
         });
-        for _ in 0..change.servers.min(self.policy.max_assignments_at_once) {
+        for _ in 0..change.server_count.min(self.policy.max_assignments_at_once) {
             let next = candidates.iter().enumerate().min_by_key(|(_, candidate)| {
                 let server = candidate.server;
-                (servers_by_zone.get(server.zone.as_str()).copied().unwrap_or(0), server.id.as_str())
+                (count_by_zone.get(server.zone.as_str()).copied().unwrap_or(0), server.id.as_str())
             });
             let Some((index, _)) = next else { break };
             let server = candidates.swap_remove(index).server;
-            *servers_by_zone.entry(&server.zone).or_default() += 1;
+            *count_by_zone.entry(&server.zone).or_default() += 1;
             let last = LastAssignment { assigned_at: now, stage: change.to };
             self.last_assignments.insert(server.id.clone(), last);
             assignments.push(StageAssignment { instance_id: server.id.clone(), stage: change.to });
         }
     }
 
-    /// The last assignment of a server, if it was less than the cooldown ago.
-    fn cooling_down(&self, now: Instant, instance_id: &str) -> Option<&LastAssignment> {
+    /// The last assignment of a server, if its cooldown has not ended.
+    fn recent_assignment(&self, now: Instant, instance_id: &str) -> Option<&LastAssignment> {
         let last = self.last_assignments.get(instance_id)?;
         (now < last.assigned_at + self.policy.reassignment_cooldown).then_some(last)
     }
--- a/crates/stage-scheduler/tests/stages.rs
+++ b/crates/stage-scheduler/tests/stages.rs
@@ -40,7 +40,7 @@
 }
 
 /// The number of assignments that are due.
-fn due(scheduler: &mut StageScheduler, now: Instant, servers: &[Server]) -> usize {
+fn due_count(scheduler: &mut StageScheduler, now: Instant, servers: &[Server]) -> usize {
     scheduler.due_assignments(now, servers.iter()).len()
 }
 
@@ -79,16 +79,16 @@
 #[test]
 fn nothing_is_assigned_before_the_share_has_been_off_for_the_delay() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
-    assert_eq!(due(&mut scheduler, millis(0), &servers), 0);
-    assert_eq!(due(&mut scheduler, millis(299), &servers), 0);
-    assert_eq!(due(&mut scheduler, millis(300), &servers), 2);
+    assert_eq!(due_count(&mut scheduler, millis(0), &servers), 0);
+    assert_eq!(due_count(&mut scheduler, millis(299), &servers), 0);
+    assert_eq!(due_count(&mut scheduler, millis(300), &servers), 2);
 }
 
 #[test]
 fn an_imbalance_of_one_server_has_a_longer_delay() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 5));
-    assert!((0..4000).step_by(100).all(|now| due(&mut scheduler, millis(now), &servers) == 0));
-    assert_eq!(due(&mut scheduler, millis(4000), &servers), 1);
+    assert!((0..4000).step_by(100).all(|now| due_count(&mut scheduler, millis(now), &servers) == 0));
+    assert_eq!(due_count(&mut scheduler, millis(4000), &servers), 1);
 }
 
 #[test]
@@ -100,17 +100,17 @@
 #[test]
 fn an_assignment_in_flight_counts_as_carried_out() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
-    due(&mut scheduler, millis(0), &servers);
-    assert_eq!(due(&mut scheduler, millis(400), &servers), 2);
+    due_count(&mut scheduler, millis(0), &servers);
+    assert_eq!(due_count(&mut scheduler, millis(400), &servers), 2);
     // The heartbeats of the servers still report their former stage.
-    assert!((500..8000).step_by(100).all(|now| due(&mut scheduler, millis(now), &servers) == 0));
+    assert!((500..8000).step_by(100).all(|now| due_count(&mut scheduler, millis(now), &servers) == 0));
 }
 
 #[test]
 fn a_fenced_scheduler_assigns_nothing_more() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
     scheduler.record_outcome(AssignmentOutcome::StaleFence);
-    assert!((0..5000).step_by(100).all(|now| due(&mut scheduler, millis(now), &servers) == 0));
+    assert!((0..5000).step_by(100).all(|now| due_count(&mut scheduler, millis(now), &servers) == 0));
 }
 
 #[test]
@@ -120,11 +120,11 @@
         StageScheduler::new(StagePolicy { max_assignments_at_once: 9, ..two_thirds_prefill() });
     carry_out(&mut scheduler, &mut servers, millis(0), millis(2000));
     for zone in ["z0", "z1", "z2"] {
-        let here = servers
+        let prefill_in_zone = servers
             .iter()
             .filter(|server| server.zone == zone && server.stage == Some(Stage::Prefill))
             .count();
-        assert_eq!(here, 2, "{zone}");
+        assert_eq!(prefill_in_zone, 2, "{zone}");
     }
 }
 
@@ -137,13 +137,13 @@
 
 quickcheck! {
     /// Any service reaches the share, keeps enough servers that decode, and no server is reassigned twice.
-    fn any_service_converges(count: u8, first: u8) -> bool {
+    fn any_service_converges(count: u8, initial_prefill: u8) -> bool {
         let count = usize::from(count % 40);
-        let (mut scheduler, mut servers) = (StageScheduler::new(StagePolicy::default()), fleet(count, usize::from(first) % (count + 1)));
+        let (mut scheduler, mut servers) = (StageScheduler::new(StagePolicy::default()), fleet(count, usize::from(initial_prefill) % (count + 1)));
         let before = prefill_servers(&servers);
         let assignments = carry_out(&mut scheduler, &mut servers, millis(0), millis(30_000));
         let after = prefill_servers(&servers);
-        let enough = count < 3 || count - after >= 2;
-        (count < 2 || after == StagePolicy::default().target_prefill_servers(count)) && enough && assignments == after.abs_diff(before)
+        let has_min_decode = count < 3 || count - after >= 2;
+        (count < 2 || after == StagePolicy::default().target_prefill_servers(count)) && has_min_decode && assignments == after.abs_diff(before)
     }
 }
