--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -7,14 +7,14 @@
     x ^ (x >> 31)
 }
 
-/// The FNV-1a hash of a text, mixed. Every proxy computes the same one.
-pub(crate) fn hash_id(text: &[u8]) -> u64 {
-    mix(text.iter().fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
-        (sum ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    }))
+/// The FNV-1a hash of an id, mixed. Every proxy computes the same one.
+pub(crate) fn hash_id(id: &[u8]) -> u64 {
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+    mix(id.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)))
 }
 
-/// The rank of a server for a prefix: of all servers, the two highest are the prefix's home.
+/// The rank of a server for a prefix. The two servers with the highest ranks are the homes of the prefix.
 pub(crate) fn rendezvous_rank(id_hash: u64, affinity_key: u64) -> u64 {
     mix(id_hash ^ affinity_key)
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -23,13 +23,13 @@
     pub(crate) id: Rc<str>,
     /// Hash of the id, the same in every proxy.
     pub(crate) id_hash: u64,
-    /// Requests of this proxy in flight there.
+    /// Requests of this proxy in flight there to run: streams at a decode server. Prefills for another server do not count.
     pub(crate) in_flight: ServerLoad,
-    /// Prompt tokens of this proxy that it still has to prefill.
+    /// Prompt tokens of this proxy that the server still has to prefill.
     pub(crate) pending_prefill_tokens: f64,
-    /// Prompts that it prefills for all proxies: its last load report and what this proxy sent since.
+    /// Prompts that the server prefills for all proxies: its last load report and what this proxy sent since.
     pub(crate) prefill_load: ServerLoad,
-    /// Prompts of this proxy that it prefills.
+    /// Prompts that the server prefills for this proxy; never negative.
     pub(crate) own_prefills: f64,
     /// When the last load report arrived; the origin of the clock where none ever did.
     pub(crate) load_reported_at: Instant,
@@ -37,9 +37,9 @@
     pub(crate) last_received_at: Instant,
     /// What this proxy's attempts showed.
     pub(crate) outlier: OutlierRecord,
-    /// Until then its handles count as likely to expire before a decode server fetches them.
+    /// Until then no prompt is prefilled there for another server: a handle of this server could not be fetched.
     pub(crate) handles_distrusted_until: Instant,
-    /// The shared prompt parts that this proxy had prefilled there most recently, the newest last.
+    /// Ids of the shared prompt parts that this proxy had prefilled there most recently, the newest last.
     cached_parts: VecDeque<u64>,
 }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,14 @@
 //! Decisions of the data plane: which server prefills a prompt and which one decodes it, whether an attempt may be
 //! retried, and which servers are ejected as outliers.
 //!
+//! A prefill server computes the KV cache of a prompt and gives out a *handle*, by which a decode server fetches that cache;
+//! the request is then *handed over*. A decode server may also prefill a prompt itself (*local* prefill, in contrast to
+//! *remote*). Two prefill servers are the *homes* of a prompt's shared prefix: prompts with the same prefix go to them from
+//! every proxy, so that they find it in the prefix cache.
+//!
+//! Costs are compared in two units, with a rate of exchange that depends on what is compared: prompt tokens (while a server
+//! for a prefill is selected) and streams in flight (for a decode server, or for a request without a prompt).
+//!
 //! No I/O and no clock: the host hands in each [`Instant`](mosshead_time::Instant) and reports what its attempts showed.
 
 mod affinity;
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -32,21 +32,24 @@
 
 /// What is known of one server's failures.
 ///
-/// A server that was ejected gets a single trial request once its ejection is over; only a success ends the trial.
+/// A server that was ejected is on trial once its ejection is over: it gets one request at a time, until one succeeds or a
+/// failure ejects it again. [`ServerFailure::Overloaded`] only pauses a server: no trial follows from that alone.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierRecord {
     /// Failures that may be chance, less the credit of successes; never negative.
     suspicion: f64,
     /// Ejections since the last success.
     consecutive_ejections: u32,
+    /// The end of the last ejection or pause; the origin of the clock after a success.
     ejected_until: Instant,
-    trial_in_flight: bool,
+    /// Whether the one request of a server on trial is in flight.
+    is_trial_in_flight: bool,
 }
 
 impl OutlierRecord {
     /// Whether the server may be selected: it is not ejected, and no trial request is in flight.
     pub fn is_selectable(&self, now: Instant) -> bool {
-        self.is_healthy(now) && !self.trial_in_flight
+        self.is_healthy(now) && !self.is_trial_in_flight
     }
 
     /// Whether the server is not ejected; a trial in flight doesn't count against it.
@@ -56,20 +59,20 @@
 
     /// The server was selected: after an ejection this request is its trial.
     pub fn record_selection(&mut self) {
-        self.trial_in_flight = self.consecutive_ejections > 0;
+        self.is_trial_in_flight = self.consecutive_ejections > 0;
     }
 
     /// A request there was answered as it should be.
     pub fn record_success(&mut self) {
         self.suspicion = (self.suspicion - SUCCESS_CREDIT).max(0.0);
         self.consecutive_ejections = 0;
-        self.trial_in_flight = false;
+        self.is_trial_in_flight = false;
         self.ejected_until = Instant::ORIGIN;
     }
 
     /// An attempt there failed.
     pub fn record_failure(&mut self, now: Instant, failure: ServerFailure) {
-        self.trial_in_flight = false;
+        self.is_trial_in_flight = false;
         match failure {
             ServerFailure::Overloaded => self.ejected_until = self.ejected_until.max(now + OVERLOAD_PAUSE),
             ServerFailure::Unreachable | ServerFailure::WrongInstance => self.eject(now),
@@ -84,7 +87,7 @@
 
     /// An attempt ended without showing anything of the server.
     pub fn record_inconclusive(&mut self) {
-        self.trial_in_flight = false;
+        self.is_trial_in_flight = false;
     }
 
     /// Does nothing during an ejection: failures of requests that were already in flight don't prolong it.
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -11,9 +11,10 @@
 use crate::load_kind::LoadKind;
 use crate::router::Router;
 
-/// Pending prompt tokens that weigh as much as one stream in flight.
+/// Pending prompt tokens that weigh as much as one stream in flight where a decode server is selected.
 const PENDING_TOKENS_PER_STREAM: f64 = 500.0;
-/// What a request without a prompt costs in another zone: less than one request in flight.
+/// What it costs to send a request without a prompt to another zone, in requests in flight: less than one, so that a server of
+/// this zone with one request more is not preferred.
 const CROSS_ZONE_REQUEST_COST: f64 = 0.6;
 
 /// A server that was selected, and what it costs to send there.
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -12,7 +12,7 @@
 use crate::prompt::{Prompt, ServerPair};
 use crate::router::Router;
 
-/// Prompt tokens that weigh as much as one stream in flight where a prompt would leave its zone.
+/// Prompt tokens that weigh as much as one stream in flight in the price of a prefill in another zone.
 const PREFILL_TOKENS_PER_STREAM: f64 = 400.0;
 /// A decode server prefills at this share of a prefill server's speed (PROTOCOL.md, Prefill and decode).
 const DECODE_SERVER_PREFILL_SPEED: f64 = 0.5;
@@ -40,7 +40,7 @@
         avoid: &[Rc<str>],
     ) -> Option<ServerPair> {
         let prefill_ids = self.trusted_prefill_ids(now, service, avoid);
-        let pools = self.decode_pools(now, service, avoid, prefill_ids.len());
+        let pools = self.decode_pools(self.decode_ids(now, service, avoid), prefill_ids.len());
         self.update_mean_pending(service, LoadKind::Prefill);
         self.update_mean_pending(service, LoadKind::Decode);
         let remote = self.select_for_prefill(now, &prefill_ids, LoadKind::Prefill, prompt);
@@ -66,22 +66,22 @@
             .collect()
     }
 
-    fn decode_pools(
-        &self,
-        now: Instant,
-        service: &str,
-        avoid: &[Rc<str>],
-        prefill_servers: usize,
-    ) -> DecodePools {
+    /// The decode servers that may be sent to, in the order of their hashes. It is the same at every proxy, so that proxies
+    /// that may send to the same servers split them into the same pools.
+    fn decode_ids(&self, now: Instant, service: &str, avoid: &[Rc<str>]) -> Vec<Rc<str>> {
         let mut ranked: Vec<(u64, Rc<str>)> = self
             .selectable(now, service, LoadKind::Decode, avoid)
             .iter()
             .map(|endpoint| (endpoint.id_hash, endpoint.id.clone()))
             .collect();
         ranked.sort_unstable();
-        let all: Vec<Rc<str>> = ranked.into_iter().map(|(_, id)| id).collect();
+        ranked.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// Splits the decode servers `all`, in the order of [`Router::decode_ids`], into pools.
+    fn decode_pools(&self, all: Vec<Rc<str>>, prefill_server_count: usize) -> DecodePools {
         // Where there are enough prefill servers, they prefill every prompt.
-        if all.len() < 2 || prefill_servers >= all.len() {
+        if all.len() < 2 || prefill_server_count >= all.len() {
             return DecodePools { handover: all.clone(), local_prefill: all, is_split: false };
         }
         let share = (all.len() as f64 * self.weights.handover_decode_share).round() as usize;
@@ -120,16 +120,17 @@
         };
         let is_cached =
             is_first_home || prompt.last_shared_part().is_none_or(|part| endpoint.has_cached(part.id));
-        let recomputed =
+        let recomputation =
             if is_cached { 0.0 } else { self.weights.recomputed_token_weight * prompt.shared_tokens() };
-        let in_zone = endpoint.server.zone == self.zone;
-        let zone = if in_zone { 0.0 } else { self.weights.cross_zone_streams * PREFILL_TOKENS_PER_STREAM };
+        let is_in_zone = endpoint.server.zone == self.zone;
+        let zone_crossing =
+            if is_in_zone { 0.0 } else { self.weights.cross_zone_streams * PREFILL_TOKENS_PER_STREAM };
         self.pending_of_other_proxies(now, endpoint, kind)
             + endpoint.pending_prefill_tokens
             + stream_weight * endpoint.in_flight.estimate()
             + prompt.unshared_tokens()
-            + recomputed
-            + zone
+            + recomputation
+            + zone_crossing
     }
 
     /// Prompt tokens that other proxies have pending there: by the server's last load report, or else by what this
@@ -157,7 +158,8 @@
         remote_millis < local.cost / (speed * DECODE_SERVER_PREFILL_SPEED)
     }
 
-    /// One of these for a prompt that was prefilled at `prefill`: streams in flight weigh, and zones that are crossed.
+    /// The decode server out of `ids` for a prompt that was prefilled at `prefill`, by power of two choices. The cost is in
+    /// streams in flight and includes the zones that are crossed.
     fn select_decode(&mut self, ids: &[Rc<str>], prefill: Option<&Rc<str>>) -> Option<Rc<str>> {
         let prefill = prefill.and_then(|id| self.endpoints.get(id));
         let prefill_zone = prefill.map(|endpoint| endpoint.server.zone.clone()).unwrap_or_default();
@@ -175,9 +177,12 @@
         cost(prefill_zone) + cost(&self.zone)
     }
 
+    /// Records that the pair was selected, and that the shared part of the prompt is now cached where it is prefilled.
     fn record_pair(&mut self, prompt: &Prompt, pair: &ServerPair) {
-        let prefills = pair.prefill.as_ref().unwrap_or(&pair.decode);
-        if let (Some(part), Some(endpoint)) = (prompt.last_shared_part(), self.endpoints.get_mut(prefills)) {
+        let prefilling_id = pair.prefill.as_ref().unwrap_or(&pair.decode);
+        if let (Some(part), Some(endpoint)) =
+            (prompt.last_shared_part(), self.endpoints.get_mut(prefilling_id))
+        {
             endpoint.remember_part(part.id);
         }
         pair.prefill.iter().chain([&pair.decode]).for_each(|id| self.record_selection(id));
@@ -202,8 +207,8 @@
             return Some(pair.decode.clone());
         }
         self.record_inconclusive(&pair.decode);
-        let pools = self.decode_pools(now, service, avoid, usize::MAX);
-        let decode = self.select_decode(&pools.handover, pair.prefill.as_ref())?;
+        let decode_ids = self.decode_ids(now, service, avoid);
+        let decode = self.select_decode(&decode_ids, pair.prefill.as_ref())?;
         self.record_selection(&decode);
         Some(decode)
     }
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -4,7 +4,7 @@
 
 use crate::affinity::mix;
 
-/// A prompt has at least this many tokens that no server has cached.
+/// The lower bound of [`Prompt::unshared_tokens`]: a prompt that is cached completely has a cost, too.
 const MIN_UNSHARED_TOKENS: f64 = 16.0;
 
 /// One part of a prompt, as `X-Prompt-Prefix` names it (PROTOCOL.md, Requests).
@@ -28,12 +28,12 @@
 }
 
 impl Prompt {
-    /// The last part that other prompts share, too.
+    /// The last part that other prompts share, too: the one before the last of all.
     pub(crate) fn last_shared_part(&self) -> Option<PromptPart> {
         self.parts.get(self.parts.len().checked_sub(2)?).copied()
     }
 
-    /// What the prompt's home servers are drawn by; `None` where it shares nothing.
+    /// The key by which the home servers of the prompt's shared prefix are ranked; `None` where it shares nothing.
     pub(crate) fn affinity_key(&self) -> Option<u64> {
         self.last_shared_part().map(|part| mix(part.id))
     }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -15,10 +15,10 @@
     pub window: Duration,
 }
 
-/// The window slides in this many steps.
+/// The window slides in this many steps, each of which is one slice.
 const SLICES_PER_WINDOW: u64 = 20;
-/// The share of the allowed retries that is spent: the rule's windows may begin at any instant, and proxies come and go.
-const SAFETY_MARGIN: f64 = 0.8;
+/// The share of the allowed retries that may be spent. Some are held back, since the rule's windows may begin at any instant, and proxies come and go.
+const SPENDABLE_SHARE: f64 = 0.8;
 
 /// What was counted in one step of the window.
 #[derive(Debug)]
@@ -49,8 +49,8 @@
 
     /// Drops the slices that have left the window, and returns the one that `now` falls into.
     fn current_slice(&mut self, now: Instant) -> &mut WindowSlice {
-        let kept_for = self.limits.window + self.slice_length;
-        while let Some(slice) = self.slices.pop_front_if(|slice| slice.start + kept_for <= now) {
+        let retention = self.limits.window + self.slice_length;
+        while let Some(slice) = self.slices.pop_front_if(|slice| slice.start + retention <= now) {
             self.requests -= slice.requests;
             self.retries -= slice.retries;
         }
@@ -73,7 +73,7 @@
         let share_of_extra = self.limits.extra_retries / proxy_count.max(1) as f64;
         let allowed = self.limits.retry_ratio * self.requests + share_of_extra;
         // Every proxy may spend its share in full at the same time, and their sum must still keep the rule.
-        if self.retries + 1.0 > SAFETY_MARGIN * allowed {
+        if self.retries + 1.0 > SPENDABLE_SHARE * allowed {
             return false;
         }
         self.current_slice(now).retries += 1.0;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -14,7 +14,7 @@
 use crate::retry_budget::RetryBudget;
 use crate::weights::RoutingWeights;
 
-/// Tokens of a prefill before any has been seen.
+/// The mean tokens of a prefill before the first one.
 const INITIAL_MEAN_PREFILL_TOKENS: f64 = 3000.0;
 /// The weight of the newest prefill in the moving average of prefill tokens.
 const MEAN_PREFILL_GAIN: f64 = 0.02;
@@ -91,8 +91,8 @@
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// The service's servers that may be sent to, except those in `avoid`: those that neither their ejection nor the
-    /// registry speaks against; if there are none, those that the registry does not suspect; if there are none, all.
+    /// The service's servers in state `up` that may be selected, except those in `avoid`: those that are neither ejected
+    /// nor suspected by the registry; if there are none, those that are not suspected; if there are none, all.
     pub(crate) fn selectable(
         &self,
         now: Instant,
@@ -115,6 +115,7 @@
         if unsuspected.is_empty() { up().collect() } else { unsuspected }
     }
 
+    /// A server was selected: after an ejection this request is its trial.
     pub(crate) fn record_selection(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_selection();
@@ -149,7 +150,7 @@
         }
     }
 
-    /// That prompt was prefilled, or given up.
+    /// A prompt that [`Router::start_prefill`] has counted was prefilled, or its prefill was given up.
     pub fn finish_prefill(&mut self, id: &str, tokens: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.pending_prefill_tokens = (endpoint.pending_prefill_tokens - tokens).max(0.0);
@@ -158,14 +159,14 @@
         }
     }
 
-    /// A request was sent there to run.
+    /// A request was sent to this server to run.
     pub fn start_request(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.in_flight.record_send();
         }
     }
 
-    /// That request has ended.
+    /// A request that [`Router::start_request`] has counted has ended.
     pub fn finish_request(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.in_flight.record_end();
--- a/crates/routing/src/weights.rs
+++ b/crates/routing/src/weights.rs
@@ -15,9 +15,9 @@
     pub stream_weight_tokens: f64,
     /// What the transfer of a KV cache costs at least, in milliseconds.
     pub min_transfer_millis: f64,
-    /// What a token weighs that another server has cached: prefilling it again has a price.
+    /// What a shared prompt token weighs at a server that has not cached it, in unshared prompt tokens.
     pub recomputed_token_weight: f64,
-    /// How many streams in flight it is worth to stay within a zone.
+    /// What it costs to leave a zone, in streams in flight.
     pub cross_zone_streams: f64,
     /// The load of a server is queried again once its last report is this old.
     pub load_report_refresh: Duration,
@@ -25,7 +25,8 @@
     pub load_report_lifetime: Duration,
     /// A prompt with more unshared tokens is not prefilled by a decode server.
     pub max_prefill_tokens_beside_decode: f64,
-    /// Nor is a prompt that may generate more tokens: its stream would continue beside the prefills of others.
+    /// A prompt that may generate more tokens is not prefilled by a decode server either: its stream would be delayed by the
+    /// prefills of others.
     pub max_output_tokens_beside_decode: f64,
     /// The share of the decode servers that only take streams whose prompt was prefilled elsewhere.
     pub handover_decode_share: f64,
--- a/crates/routing/tests/server_selection.rs
+++ b/crates/routing/tests/server_selection.rs
@@ -43,23 +43,23 @@
     seeded_router(servers, 7)
 }
 
-fn engines_of(prefill: usize, decode: usize) -> Vec<Server> {
-    let prefill = (0..prefill).map(|index| server(&format!("r{index}"), "llm", Some(Stage::Prefill)));
-    let decode = (0..decode).map(|index| server(&format!("d{index}"), "llm", Some(Stage::Decode)));
+fn llm_servers_of(prefill_count: usize, decode_count: usize) -> Vec<Server> {
+    let prefill = (0..prefill_count).map(|index| server(&format!("r{index}"), "llm", Some(Stage::Prefill)));
+    let decode = (0..decode_count).map(|index| server(&format!("d{index}"), "llm", Some(Stage::Decode)));
     prefill.chain(decode).collect()
 }
 
-fn engines() -> Vec<Server> {
-    engines_of(4, 5)
+fn llm_servers() -> Vec<Server> {
+    llm_servers_of(4, 5)
 }
 
 fn part(id: u64, tokens: f64) -> PromptPart {
     PromptPart { id, tokens }
 }
 
-/// A prompt whose last shared part is `shared`.
-fn prompt(tokens: f64, shared: u64) -> Prompt {
-    let parts = vec![part(1, 500.0), part(shared, 4000.0), part(999, tokens - 4500.0)];
+/// A prompt whose last shared part has this id.
+fn prompt(tokens: f64, shared_part_id: u64) -> Prompt {
+    let parts = vec![part(1, 500.0), part(shared_part_id, 4000.0), part(999, tokens - 4500.0)];
     Prompt { tokens, parts, max_output_tokens: 40.0 }
 }
 
@@ -133,7 +133,7 @@
 
 #[test]
 fn prompts_that_share_a_prefix_meet_at_the_same_two_prefill_servers() {
-    let mut router = router(&engines());
+    let mut router = router(&llm_servers());
     let mut selected = HashSet::new();
     for _ in 0..200 {
         let pair = router.select_pair(START, "llm", &prompt(60_000.0, 77), &[]).expect("a pair");
@@ -148,7 +148,7 @@
 #[test]
 fn all_proxies_find_the_same_homes_of_a_prefix() {
     let homes = |seed| {
-        let mut router = seeded_router(&engines(), seed);
+        let mut router = seeded_router(&llm_servers(), seed);
         let mut selected: Vec<_> = (0..60)
             .filter_map(|_| {
                 let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[])?;
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_short_prompt_is_prefilled_by_its_decode_server_and_a_long_one_is_handed_over() {
-    let mut router = router(&engines());
+    let mut router = router(&llm_servers());
     assert_eq!(router.select_pair(START, "llm", &short_prompt(10.0), &[]).expect("a pair").prefill, None);
     let long = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]);
     assert!(long.expect("a pair").prefill.is_some());
@@ -174,7 +174,7 @@
 
 #[test]
 fn without_prefill_servers_decode_servers_prefill_prompts_themselves() {
-    let mut router = router(&engines_of(0, 5));
+    let mut router = router(&llm_servers_of(0, 5));
     let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
     assert_eq!(pair.prefill, None);
 }
@@ -193,14 +193,14 @@
 
 #[test]
 fn a_prompt_with_a_long_answer_is_not_prefilled_beside_the_streams_of_others() {
-    let mut router = router(&engines());
+    let mut router = router(&llm_servers());
     let pair = router.select_pair(START, "llm", &short_prompt(400.0), &[]).expect("a pair");
     assert!(pair.prefill.is_some());
 }
 
 #[test]
 fn where_prefill_servers_are_many_they_prefill_every_prompt() {
-    let mut router = router(&engines_of(6, 3));
+    let mut router = router(&llm_servers_of(6, 3));
     let pair = router.select_pair(START, "llm", &short_prompt(10.0), &[]).expect("a pair");
     assert!(pair.prefill.is_some());
 }
@@ -208,7 +208,7 @@
 /// A prefill took 2.7 s; the decode server that had been selected had meanwhile announced that it was draining.
 #[test]
 fn a_decode_server_that_begins_to_drain_during_the_prefill_gets_no_request() {
-    let mut servers = engines();
+    let mut servers = llm_servers();
     let mut router = router(&servers);
     for _ in 0..50 {
         let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_decode_server_that_stays_healthy_keeps_the_request_that_it_was_selected_for() {
-    let mut router = router(&engines());
+    let mut router = router(&llm_servers());
     let pair = router.select_pair(START, "llm", &prompt(60_000.0, 5), &[]).expect("a pair");
     assert_eq!(router.confirm_decode_server(at(2700), "llm", &pair, &[]), Some(pair.decode.clone()));
     router.record_failure(at(2700), &pair.decode, ServerFailure::Unreachable);
