--- a/crates/registry/src/delta.rs
+++ b/crates/registry/src/delta.rs
@@ -7,7 +7,7 @@
 /// The entries that another process is missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Delta {
-    /// Entries above `base`, by source and version.
+    /// Entries above `base`, sorted by source and version.
     #[n(0)]
     pub entries: Vec<Entry>,
     /// The vector that the receiver has shown. The delta is complete between it and `vector` only: a process whose own
--- a/crates/registry/src/divergence.rs
+++ b/crates/registry/src/divergence.rs
@@ -1,15 +1,16 @@
-//! Whether this registry may have diverged from another one, so that all entries have to be received anew.
+//! Suspected divergence: another registry has the same version vector and other entries, so that all entries have to be
+//! received anew (a full synchronization).
 
 use mosshead_time::{Duration, Instant};
 
-/// How long after one suspected divergence another one may be suspected: a full synchronization sends all entries.
+/// How long after one suspected divergence no other is suspected: each one costs the transfer of all entries.
 const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The last suspected divergence and the full synchronization that follows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Divergence {
     suspected_at: Option<Instant>,
-    needs_full_sync: bool,
+    is_full_sync_requested: bool,
 }
 
 impl Divergence {
@@ -18,14 +19,14 @@
         self.suspected_at.is_none_or(|last| now.duration_since(last) >= FULL_SYNC_INTERVAL)
     }
 
-    /// Another registry has the same vector and other entries.
+    /// Records that a divergence is suspected, and requests a full synchronization.
     pub(crate) fn suspect(&mut self, now: Instant) {
         self.suspected_at = Some(now);
-        self.needs_full_sync = true;
+        self.is_full_sync_requested = true;
     }
 
-    /// Whether a full synchronization is to begin now.
-    pub(crate) fn take_full_sync(&mut self) -> bool {
-        std::mem::take(&mut self.needs_full_sync)
+    /// Whether a full synchronization was requested; the request is cleared.
+    pub(crate) fn take_full_sync_request(&mut self) -> bool {
+        std::mem::take(&mut self.is_full_sync_requested)
     }
 }
--- a/crates/registry/src/entry.rs
+++ b/crates/registry/src/entry.rs
@@ -15,7 +15,7 @@
     /// Who published the entry.
     #[n(1)]
     pub source: SourceId,
-    /// Counts the entries of the source, from 1. One source gives one version to one entry only.
+    /// Counts the entries that the source has published, from 1. No two entries of a source have the same version.
     #[n(2)]
     pub version: u64,
 }
@@ -53,8 +53,8 @@
             .then_with(|| self.version.cmp(&other.version))
     }
 
-    /// The entry's share of the registry's fingerprint: FNV-1a over id, sequence, source and version, then the first
-    /// steps of the splitmix64 finalizer.
+    /// What the entry contributes to the fingerprint of a registry, which is the XOR over its entries: FNV-1a over id,
+    /// sequence, source and version, then the first steps of the splitmix64 finalizer.
     pub(crate) fn fingerprint(&self) -> u64 {
         const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
         const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,10 +1,10 @@
 //! The registry of model servers: a replicated set of entries, one for each server instance.
 //!
-//! Each control node that receives heartbeats is a *source* with a random [`SourceId`] for its incarnation. It numbers
-//! the changes that it observes; a heartbeat that changes nothing gets no number. A process that wants to catch up
-//! shows its [`VersionVector`] and receives the entries above it as a [`Delta`]. Of two entries for one server the
-//! greater in a total order stays (see [`Entry::supersedes`]), so all processes converge to the same registry in
-//! whatever order the deltas arrive.
+//! Each control node that receives heartbeats is a *source* with a random [`SourceId`] for its incarnation. It publishes
+//! each change that it observes as an [`Entry`] under its next *version*; a heartbeat that changes nothing gets no version.
+//! A process that wants to catch up shows its [`VersionVector`] and receives the entries above it as a [`Delta`]. Of two
+//! entries for one server the one that [supersedes](Entry::supersedes) the other is stored, the entry *in force*; that is a
+//! total order, so all processes converge to the same registry in whatever order the deltas arrive.
 //!
 //! Nothing here does I/O or reads a clock. The host hands in the present instant of its steady clock, which must never
 //! go backwards.
--- a/crates/registry/src/published_versions.rs
+++ b/crates/registry/src/published_versions.rs
@@ -1,6 +1,6 @@
 //! The numbering of the entries that are published here, and how far other nodes have them.
 
-/// The versions of this process as a source. Both only rise.
+/// The versions of this process as a source. Both only rise, and `replicated` never exceeds `last`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PublishedVersions {
     last: u64,
@@ -25,7 +25,8 @@
         self.replicated
     }
 
-    /// Another control node has the entries up to a version. One that was not published here counts up to the last.
+    /// Records that another control node has the entries up to a version. A version above the last one counts as the last
+    /// one.
     pub(crate) fn raise_replicated(&mut self, version: u64) {
         self.replicated = self.replicated.max(version.min(self.last));
     }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -52,6 +52,7 @@
 
     /// The timers of `records`, by the instant at which they expire.
     timers: IdsByInstant,
+    /// Whether this process itself has been running, without which missing heartbeats mean nothing.
     uptime: Uptime,
 
     /// The versions of the entries that were published here.
@@ -88,7 +89,7 @@
         self.local_id
     }
 
-    /// The last version that was published here.
+    /// The last version that was published here; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.published.last()
     }
@@ -115,12 +116,12 @@
         self.index.ids_at_address(address).filter_map(|id| self.get(id))
     }
 
-    /// A server by its id, also a removed one while its tombstone is kept.
+    /// A server by its id, also a removed one while its tombstone is retained.
     pub fn get(&self, id: &str) -> Option<&Server> {
         self.entry(id).map(|entry| &entry.server)
     }
 
-    /// The entry of a server by its id, also of a removed one while its tombstone is kept.
+    /// The entry of a server by its id, also of a removed one while its tombstone is retained.
     pub fn entry(&self, id: &str) -> Option<&Entry> {
         self.records.get(id).map(|record| &record.entry)
     }
@@ -144,7 +145,7 @@
         self.len() >= MAX_SERVERS
     }
 
-    /// Whether the server is shutting down and only this process is known to have that.
+    /// Whether the server is draining or removed and only this process is known to have stored that.
     fn needs_replication(&self, id: &str) -> bool {
         let record = self.records.get(id);
         record.is_some_and(|record| record.needs_replication(self.local_id, self.published.replicated()))
--- a/crates/registry/src/registry/anti_entropy.rs
+++ b/crates/registry/src/registry/anti_entropy.rs
@@ -10,7 +10,7 @@
         self.sources.vector()
     }
 
-    /// Whether another process knows a source of which nothing is known here. It should send its entries.
+    /// Whether another process has entries of a source of which none are known here, and should send them.
     pub fn has_unknown_source(&self, theirs: &VersionVector) -> bool {
         theirs
             .iter()
@@ -31,7 +31,7 @@
         let mut delta = Delta { fingerprint: self.fingerprint, ..Delta::default() };
         for (source, known_version) in self.sources.known_versions() {
             let base = theirs.get(source);
-            let mut covered = base;
+            let mut covered_version = base;
             for (version, id) in self.sources.entries_above(source, base) {
                 if delta.entries.len() >= max_entries {
                     delta.is_truncated = true;
@@ -39,17 +39,17 @@
                 }
                 if let Some(entry) = self.entry(id) {
                     delta.entries.push(entry.clone());
-                    covered = version;
+                    covered_version = version;
                 }
             }
             if !delta.is_truncated {
-                covered = known_version;
+                covered_version = known_version;
             }
             if base > 0 {
                 delta.base.set(source, base);
             }
-            if covered > 0 {
-                delta.vector.set(source, covered);
+            if covered_version > 0 {
+                delta.vector.set(source, covered_version);
             }
             if delta.is_truncated {
                 break;
@@ -58,7 +58,7 @@
         delta
     }
 
-    /// Merges the entries of another process. Returns whether any was taken in.
+    /// Merges the entries of another process. Returns whether any entry in force has changed.
     ///
     /// If both have the same vector and yet different entries, the next [`Registry::tick`] resets the vector, so that
     /// all entries are received anew.
--- a/crates/registry/src/registry/entries.rs
+++ b/crates/registry/src/registry/entries.rs
@@ -1,4 +1,4 @@
-//! The entries in force, in memory: publishing them under new versions, replacing them, and the indexes that follow.
+//! The entries in force: publishes them under new versions, replaces them, and updates the indexes of them.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
         self.sources.raise_known_version(self.local_id, version);
     }
 
-    /// Publishes what is known about a server with a change to it.
+    /// Publishes what is known about a server, with `change` applied to it.
     pub(super) fn publish_change(&mut self, now: Instant, id: &str, change: impl FnOnce(&mut Server)) {
         let Some(record) = self.records.get(id) else { return };
         let mut server = record.entry.server.clone();
@@ -48,7 +48,7 @@
         let state_since = match self.records.get_mut(id) {
             Some(record) => {
                 let before = &record.entry.server;
-                // Another node is known to have the state that is replaced; `Up` never needs replication.
+                // If the replaced entry needs no replication, another node is known to have its state; `Up` never needs any.
                 if !record.needs_replication(self.local_id, self.published.replicated()) {
                     record.replicated_state = before.state;
                 }
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -70,7 +70,7 @@
         self.expire_tombstones(now);
         self.sources.drop_empty_sources();
         // This waits for the tick: the vector that is shown right after the merge tells the sender what was received.
-        if self.divergence.take_full_sync() {
+        if self.divergence.take_full_sync_request() {
             self.sources.reset_known_versions(self.local_id);
         }
         let mut changed = false;
--- a/crates/registry/src/registry/heartbeats.rs
+++ b/crates/registry/src/registry/heartbeats.rs
@@ -14,11 +14,11 @@
 /// What an accepted heartbeat or deregistration has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// It was published under a new version.
+    /// The entry of the server has changed, and was published under a new version.
     pub changed: bool,
-    /// The server is draining or removed, and only this process is known to have that. It must be replicated to
-    /// another control node before the server is acknowledged (see [`Registry::mark_replicated`]). Repeats of the
-    /// heartbeat report it again until that is done.
+    /// The server is draining or removed, and only this process is known to have stored that. The entry must be replicated
+    /// to another control node before the heartbeat is acknowledged (see [`Registry::mark_replicated`]). Until that is
+    /// done, repeats of the heartbeat report this again.
     pub needs_replication: bool,
     /// Its sequence number is below one that is known: it changed nothing.
     pub is_outdated: bool,
@@ -48,7 +48,7 @@
         let known = &record.entry.server;
         // A repeated sequence number counts only if it reports a state closer to `Removed`.
         if server.sequence == record.last_sequence && server.state <= known.state {
-            return Ok(self.unchanged(&server.id));
+            return Ok(self.unchanged_outcome(&server.id));
         }
         let has_same_properties = known.has_same_properties(&server);
         let has_moved = known.address != server.address;
@@ -61,14 +61,14 @@
             && version <= self.sources.known_version(source)
             && !self.needs_republishing(now, source)
         {
-            return Ok(self.unchanged(&server.id));
+            return Ok(self.unchanged_outcome(&server.id));
         }
         let id = server.id.clone();
         self.publish(now, server);
         if has_moved {
             self.suspect_others_at_address(now, &id);
         }
-        Ok(self.changed(&id))
+        Ok(self.changed_outcome(&id))
     }
 
     fn record_first_heartbeat(
@@ -85,7 +85,7 @@
             record.last_local_heartbeat_at = Some(now);
         }
         self.suspect_others_at_address(now, &id);
-        Ok(self.changed(&id))
+        Ok(self.changed_outcome(&id))
     }
 
     /// Removes a server. Later heartbeats of this instance are outdated.
@@ -96,7 +96,7 @@
     pub fn deregister(&mut self, now: Instant, id: &str) -> Result<HeartbeatOutcome, RegistrationError> {
         let mut server = match self.get(id) {
             Some(server) if server.sequence == DEREGISTERED_SEQUENCE && server.is_removed() => {
-                return Ok(self.unchanged(id));
+                return Ok(self.unchanged_outcome(id));
             }
             Some(server) => server.clone(),
             None => Server::deregistered(id),
@@ -106,16 +106,16 @@
         server.is_suspected = false;
         server.sequence = DEREGISTERED_SEQUENCE;
         self.publish(now, server);
-        Ok(self.changed(id))
+        Ok(self.changed_outcome(id))
     }
 
-    fn unchanged(&self, id: &str) -> HeartbeatOutcome {
+    fn unchanged_outcome(&self, id: &str) -> HeartbeatOutcome {
         let needs_replication = self.needs_replication(id);
         HeartbeatOutcome { needs_replication, ..HeartbeatOutcome::default() }
     }
 
-    fn changed(&self, id: &str) -> HeartbeatOutcome {
-        HeartbeatOutcome { changed: true, ..self.unchanged(id) }
+    fn changed_outcome(&self, id: &str) -> HeartbeatOutcome {
+        HeartbeatOutcome { changed: true, ..self.unchanged_outcome(id) }
     }
 
     /// Whether there are so many sources that entries of this one are published anew here.
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -8,9 +8,9 @@
 use crate::RegistrationError;
 use crate::limits::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
 
-/// What a model adds to the size of the models beside its name, in bytes.
+/// What a model adds to the counted size of a server's models beside its name, in bytes.
 const MODEL_OVERHEAD_BYTES: usize = 16;
-/// What an adapter adds to the size of the models beside its name, in bytes.
+/// What an adapter adds to it beside its name, in bytes.
 const ADAPTER_OVERHEAD_BYTES: usize = 8;
 
 /// The sequence number of a deregistered server. It is above that of each heartbeat.
@@ -69,7 +69,7 @@
     /// Where it serves requests. A later instance may get the same address.
     #[n(2)]
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Name of the zone that it runs in.
     #[n(3)]
     pub zone: String,
     /// Revision of its software, `revision` on the wire.
@@ -81,8 +81,8 @@
     /// `oper_state` of the wire.
     #[n(6)]
     pub state: OperState,
-    /// Its heartbeats have stopped, or another instance has taken its address. Proxies weigh it with their own
-    /// evidence.
+    /// Its heartbeats have stopped, or another instance has taken its address. It may still serve requests: proxies also
+    /// consider what their own attempts show.
     #[n(7)]
     pub is_suspected: bool,
     /// How long it was still warming up when the entry was made. A difference in this alone is no change.
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// The size of the models with their adapters, in bytes.
+    /// The counted size of the models with their adapters, in bytes: names, and a constant for each model and adapter.
     fn model_bytes(&self) -> usize {
         let mut bytes = 0_usize;
         for model in &self.models {
@@ -149,7 +149,8 @@
         bytes
     }
 
-    /// Whether all is equal but the sequence number and the warm-up: the later heartbeat is no change.
+    /// Whether two reports of one instance differ at most in the sequence number and the warm-up. The later one is then no
+    /// change, and is not published.
     pub(crate) fn has_same_properties(&self, other: &Server) -> bool {
         self.state == other.state
             && self.is_suspected == other.is_suspected
--- a/crates/registry/src/server_record.rs
+++ b/crates/registry/src/server_record.rs
@@ -17,11 +17,13 @@
     pub last_receiver: SourceId,
     /// When a heartbeat last came to this very process.
     pub last_local_heartbeat_at: Option<Instant>,
-    /// Since when the state and the suspicion of the entry are what they are.
+    /// When `state` or `is_suspected` of the entry last changed here.
     pub state_since: Instant,
-    /// The furthest state towards [`OperState::Removed`] that another control node is known to have.
+    /// The greatest state, in the order from up to removed, that another control node is known to have stored for the
+    /// server.
     pub replicated_state: OperState,
-    /// When the timer of this record expires; equal to its key in the registry's timers.
+    /// When the server is to be checked next for missing heartbeats: the key of its timer in the registry. None while no
+    /// timer is set.
     pub timer: Option<Instant>,
 }
 
@@ -40,14 +42,15 @@
         }
     }
 
-    /// A heartbeat with a sequence number that is not below the known ones has come to a control node.
+    /// Records a heartbeat that `receiver`, a control node, has received. Its sequence number must not be below
+    /// `last_sequence`.
     pub(crate) fn raise_sequence(&mut self, now: Instant, sequence: u64, receiver: SourceId) {
         self.last_sequence = sequence;
         self.last_heartbeat_at = now;
         self.last_receiver = receiver;
     }
 
-    /// Whether the server is shutting down and only this process is known to have that. `replicated_version` is the
+    /// Whether the server is draining or removed and only this process is known to have stored that. `replicated_version` is the
     /// version up to which another node has the entries that were published here.
     pub(crate) fn needs_replication(&self, local_id: SourceId, replicated_version: u64) -> bool {
         self.entry.server.state > self.replicated_state
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -11,7 +11,7 @@
 /// A source without contact for longer counts as lost: others suspect the servers whose heartbeats it received.
 pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The maximum number of contacts; the oldest are dropped first.
+/// The maximum number of other control nodes whose last contact is remembered; the oldest are dropped first.
 const MAX_CONTACTS: usize = 64;
 
 #[derive(Clone, Debug, Default)]
@@ -33,7 +33,7 @@
     sources: BTreeMap<SourceId, Source>,
     /// How many of `sources` have no entries, until [`SourceIndex::drop_empty_sources`].
     empty_sources: usize,
-    /// When each other control node was last in contact.
+    /// When each other control node was last in contact with this one.
     contacts: BTreeMap<SourceId, Instant>,
 }
 
--- a/crates/registry/src/uptime.rs
+++ b/crates/registry/src/uptime.rs
@@ -2,8 +2,8 @@
 
 use mosshead_time::{Duration, Instant};
 
-/// The ticks of this process. While it does not run, it receives no heartbeats, and servers must not be
-/// suspected for that.
+/// Detects pauses of this process by the time between its ticks. While the process is paused, it receives no heartbeats,
+/// and servers must not be suspected for that.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Uptime {
     last_tick: Option<Instant>,
@@ -16,9 +16,9 @@
         Uptime { last_tick: None, running_since: Instant::ORIGIN }
     }
 
-    /// The process runs now. A longer time than `max_pause` since the last tick counts as a pause.
-    pub(crate) fn tick(&mut self, now: Instant, max_pause: Duration) {
-        if self.last_tick.is_none_or(|last| now.duration_since(last) > max_pause) {
+    /// Records that the process runs now. If the last tick is more than `max_gap` ago, the process was paused since.
+    pub(crate) fn tick(&mut self, now: Instant, max_gap: Duration) {
+        if self.last_tick.is_none_or(|last| now.duration_since(last) > max_gap) {
             self.running_since = now;
         }
         self.last_tick = Some(now);
--- a/crates/registry/src/version_vector.rs
+++ b/crates/registry/src/version_vector.rs
@@ -12,8 +12,8 @@
 #[cbor(transparent)]
 pub struct SourceId(#[n(0)] pub u64);
 
-/// For each source the highest version up to which no entry in force is missing. A source that is not named counts
-/// as 0.
+/// For each source the *known version*: the highest one up to which no entry in force is missing. A source that is not
+/// named counts as 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionVector {
     versions: BTreeMap<SourceId, u64>,
