--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,7 +1,9 @@
+//! Under which number a holder acts, and until when it may.
+
 use crate::instant::Instant;
 
-/// Orders the holders of a role. Each act carries the token of its holder, and the receiver rejects one that is lower than
-/// the highest that it has seen.
+/// Orders the holders of a role. Each act of a holder carries its token, and the receiver rejects an act whose token is lower
+/// than the highest that it has seen.
 ///
 /// Epochs are compared first, so that a store which has lost its state, or was restored from an older copy, can be given a
 /// higher one.
--- a/crates/lease/src/instant.rs
+++ b/crates/lease/src/instant.rs
@@ -1,3 +1,5 @@
+//! The package's own instants, on a clock of the host that also counts suspensions.
+
 use core::ops::Add;
 use core::time::Duration;
 
@@ -20,7 +22,7 @@
     }
 }
 
-/// Saturates; what is smaller than a microsecond is cut off.
+/// Saturates; a fraction of a microsecond is cut off.
 impl Add<Duration> for Instant {
     type Output = Instant;
 
--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -1,3 +1,5 @@
+//! A member's part in a role, for its host to show and to act by.
+
 /// Why a member takes no part in a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InactiveReason {
@@ -5,10 +7,10 @@
     NotJoined,
     /// Operators have given the store no epoch: it is new, or has lost its state.
     MissingEpoch,
-    /// The epoch was given to another store: this one was restored from a copy, or put beside it by mistake. Operators have to
-    /// give it a higher one.
+    /// The epoch was given to another store: this one was restored from a copy of that one, or took its place by mistake.
+    /// Operators have to give it a higher epoch.
     ForeignStore,
-    /// The store is at an older state than was known before: the same remedy.
+    /// The store is at an older state than one that was seen before. Operators have to give it a higher epoch.
     StoreRolledBack,
 }
 
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -3,7 +3,7 @@
 use crate::fencing::FencingToken;
 use crate::instant::Instant;
 
-/// A lease's number in the store.
+/// The store's number of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub u64);
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct StoreId(pub u64);
 
-/// A member's own number of one of its calls, which the event that ends the call repeats.
+/// A member's own number of one of its calls to the store. The event that ends the call has the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CallId(u64);
 
@@ -25,9 +25,9 @@
 /// What the store says of a role: from a linearizable read, or from the watch that continues it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoreUpdate {
-    /// The store that says it.
+    /// The store that this update comes from.
     pub store_id: StoreId,
-    /// The store that operators gave the epoch to.
+    /// The store that operators gave the epoch to. It differs from `store_id` if this store was restored from a copy.
     pub epoch_store_id: StoreId,
     /// The store's epoch and revision at this update.
     pub position: FencingToken,
@@ -48,9 +48,9 @@
     WatchLost,
     /// The store has given the role to this member.
     Acquired {
-        /// The call that asked for it.
+        /// The call that acquired it.
         call_id: CallId,
-        /// The store that answered.
+        /// The store that has given it.
         store_id: StoreId,
         /// Fences the acts of this holder.
         token: FencingToken,
@@ -59,7 +59,7 @@
     },
     /// The role has another holder, or the store another epoch.
     NotAcquired {
-        /// The call that asked for it.
+        /// The call that was to acquire it.
         call_id: CallId,
     },
     /// The store has renewed the lease.
@@ -74,12 +74,12 @@
     },
     /// A call had no response, or an error: the store may have carried it out nevertheless.
     CallFailed {
-        /// The call.
+        /// The call that failed.
         call_id: CallId,
     },
     /// An act was rejected, since its receiver has seen a higher token.
     TokenRejected {
-        /// That one.
+        /// The highest token that the receiver has seen.
         highest_seen: FencingToken,
     },
     /// The instant of the last [`Command::SetTimer`] has come.
@@ -97,14 +97,14 @@
     Acquire {
         /// The number of this call.
         call_id: CallId,
-        /// The epoch.
+        /// The epoch that the store must still have.
         epoch: u64,
     },
-    /// Renew the lease.
+    /// Renew the lease on which the role depends.
     Renew {
         /// The number of this call.
         call_id: CallId,
-        /// The lease.
+        /// The lease to renew.
         lease_id: LeaseId,
     },
     /// Give the lease up, and with it the role.
--- a/crates/lease/src/role/mod.rs
+++ b/crates/lease/src/role/mod.rs
@@ -11,40 +11,35 @@
 use crate::messages::{CallId, Command, Event, LeaseId, StoreId};
 use crate::timing::LeaseTiming;
 
-/// One member's part in a role that one member of a fleet has at a time.
+/// One member's part in a role that one member of a fleet has at a time: a state machine that its host drives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SingletonRole {
     timing: LeaseTiming,
     phase: Phase,
-    /// The highest token, or position of the store, that the member has seen.
+    /// The highest token, or position of the store, that the member has seen. A store below it has lost changes.
     highest_seen: FencingToken,
-    /// The store of the last update that was accepted.
+    /// The store of the last update that was applied.
     store_id: StoreId,
     last_call_id: CallId,
 }
 
+/// What the member knows of the role, and what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
+    /// It takes no part, until the reason is gone.
     Inactive(InactiveReason),
-    /// Nothing is known of the holder; the store is read again at `read_at`.
-    BackingOff {
-        read_at: Instant,
-    },
-    /// A read is in flight, and is repeated at `give_up_at`.
-    Reading {
-        give_up_at: Instant,
-    },
-    /// The role has a holder, which is not this member as it knows itself: it may be an acquisition of its own whose response was lost.
+    /// A call has failed or the watch was lost, so that nothing is known of the holder; the store is read again at `read_at`.
+    BackingOff { read_at: Instant },
+    /// A read is in flight; if it has not returned by `give_up_at`, it is repeated.
+    Reading { give_up_at: Instant },
+    /// The store has a holder that this member does not know to be itself. It may be: by an acquisition of its own whose
+    /// response was lost.
     HeldByAnother,
     /// The role has no holder; a former one may act until `acquire_at`.
-    Unheld {
-        acquire_at: Instant,
-    },
-    /// The store was asked for the role.
-    Acquiring {
-        call_id: CallId,
-        sent_at: Instant,
-    },
+    Unheld { acquire_at: Instant },
+    /// The store was asked for the role by a call that was sent at `sent_at`.
+    Acquiring { call_id: CallId, sent_at: Instant },
+    /// The member has acquired the role; its permit may have ended since.
     Holding(Tenure),
 }
 
@@ -53,13 +48,15 @@
 struct Tenure {
     token: FencingToken,
     lease_id: LeaseId,
-    /// Counted from when the call was sent: the store counts the lease from when it gets it.
+    /// The end of the permit. It is counted from when the last successful call was sent, which is before the store began to
+    /// count the lease.
     permit_until: Instant,
     renewal: Renewal,
     /// Whether the watch has had no gap since the last read.
     is_watching: bool,
 }
 
+/// The next renewal of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Renewal {
     Due(Instant),
@@ -100,7 +97,7 @@
         }
     }
 
-    /// Handles one event and appends what the host has to do, in this order. `jitter_millionths`, a draw from 0 to 999,999,
+    /// Handles one event and appends what the host has to do, in the order of `commands`. `jitter_millionths`, a draw from 0 to 999,999,
     /// keeps a fleet's retries apart.
     pub fn handle_event(
         &mut self,
@@ -145,7 +142,7 @@
             && token < highest_seen
         {
             self.deactivate(InactiveReason::StoreRolledBack, commands);
-            // The watch reports the epoch that operators will give.
+            // The watch will report the higher epoch that operators have to give the store.
             commands.push(Command::ReadAndWatch);
         }
     }
@@ -159,7 +156,7 @@
     ) {
         let retry_at = now + self.timing.retry_delay_with_jitter(jitter_millionths);
         if self.is_acquiring_by(call_id) {
-            // The role may depend on a lease that no member renews: it ends by itself.
+            // The call may have succeeded, in which case the role depends on a lease that no member renews: it will expire.
             self.phase = Phase::BackingOff { read_at: retry_at };
             commands.push(Command::SetTimer(retry_at));
         } else if let Phase::Holding(tenure) = &mut self.phase
@@ -197,6 +194,7 @@
         self.last_call_id
     }
 
+    /// Takes no part any more, and releases the lease if the member holds the role.
     fn deactivate(&mut self, reason: InactiveReason, commands: &mut Vec<Command>) {
         if let Phase::Holding(Tenure { lease_id, .. }) = self.phase {
             commands.push(Command::Release(lease_id));
--- a/crates/lease/src/role/renewal.rs
+++ b/crates/lease/src/role/renewal.rs
@@ -1,10 +1,11 @@
-//! Renewing the lease of the holder.
+//! Renews the lease of the holder, which extends its permit.
 
 use super::{Phase, Renewal, SingletonRole};
 use crate::instant::Instant;
 use crate::messages::{CallId, Command};
 
 impl Renewal {
+    /// Whether it is in flight by this call.
     pub(super) fn is_in_flight(&self, call_id: CallId) -> bool {
         matches!(self, Renewal::InFlight { call_id: in_flight, .. } if *in_flight == call_id)
     }
@@ -19,6 +20,7 @@
         }
     }
 
+    /// Whether this call, which is to renew the lease, is in flight.
     pub(super) fn is_renewing_by(&self, call_id: CallId) -> bool {
         matches!(&self.phase, Phase::Holding(tenure) if tenure.renewal.is_in_flight(call_id))
     }
@@ -30,6 +32,7 @@
         {
             tenure.permit_until = tenure.permit_until.max(sent_at + self.timing.permit_duration());
             tenure.renewal = Renewal::Due(sent_at + self.timing.renewal_interval);
+            // After a gap in the watch: the store answers again, so it can be read.
             if !std::mem::replace(&mut tenure.is_watching, true) {
                 commands.push(Command::ReadAndWatch);
             }
--- a/crates/lease/src/role/store_updates.rs
+++ b/crates/lease/src/role/store_updates.rs
@@ -1,4 +1,4 @@
-//! What the store reports of the role: reads, the watch behind them, and gaps in it.
+//! Reads of the store, the watch that continues each of them, and gaps in the watch.
 
 use super::{Phase, SingletonRole, Tenure};
 use crate::instant::Instant;
@@ -21,7 +21,7 @@
             _ if update.store_id != update.epoch_store_id => {
                 return self.deactivate(InactiveReason::ForeignStore, commands);
             }
-            // The watch may report what was before this member acquired the role.
+            // The watch may still report states from before this member acquired the role.
             Phase::Holding(Tenure { token, .. })
                 if update.position < token && update.position.epoch == token.epoch =>
             {
@@ -31,7 +31,7 @@
                 self.highest_seen = self.highest_seen.max(update.position);
                 return;
             }
-            // The response that is awaited may still say that this member has acquired the role.
+            // The awaited response decides: it may say that this member has acquired the role.
             Phase::Acquiring { .. } => return,
             _ => {}
         }
@@ -42,13 +42,14 @@
         self.run_due_work(now, commands);
     }
 
-    /// A holder that learns of another one, or of none, is the holder no longer. Its lease has ended: there is nothing to release.
+    /// Moves on to what the update says. A holder that learns of another one, or of none, is the holder no longer. Its lease
+    /// has ended: there is nothing to release.
     fn apply_update(&mut self, now: Instant, update: StoreUpdate) {
         let is_same_epoch = update.position.epoch == self.highest_seen.epoch;
         (self.highest_seen, self.store_id) = (update.position, update.store_id);
         self.phase = match (update.holder, self.phase) {
             (Some(_), _) => Phase::HeldByAnother,
-            // The watch, which has no gap, reported the holder and then its end: no member may act any more.
+            // The watch, without a gap, reported a holder and then the end of its lease: no member may act any more.
             (None, Phase::HeldByAnother) if is_same_epoch => Phase::Unheld { acquire_at: now },
             (None, Phase::Unheld { acquire_at }) if is_same_epoch => Phase::Unheld { acquire_at },
             // After a gap it is unknown whether the holder has ended its lease or the store has lost it: a former holder may
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -1,15 +1,17 @@
+//! How long leases and permits last, and when calls to the store are due.
+
 use core::time::Duration;
 
 use crate::instant::whole_micros;
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// The times by which a role is held.
+/// The durations by which a member acquires a role, holds it and retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
     /// How long the store keeps a lease that is not renewed.
     pub lease_duration: Duration,
-    /// By how many parts in a million this machine's clock may run slower than the store's.
+    /// By how many parts in a million this machine's clock and the store's may differ in speed; at most 1,000,000.
     pub clock_drift_ppm: u64,
     /// How long after a renewal was sent the next one is due.
     pub renewal_interval: Duration,
--- a/crates/lease/tests/model/main.rs
+++ b/crates/lease/tests/model/main.rs
@@ -1,4 +1,5 @@
-//! All states of a few members, a store and what the members act upon, stepped through the code of the package itself.
+//! Model checking: all states of a few members, a store and a resource that the members act upon. The members run the code of
+//! the package itself.
 
 mod random_schedule;
 mod scenario;
@@ -86,7 +87,8 @@
     }
 }
 
-/// This mutant shows only after more time than the model of all states has: it is looked for on the random schedules.
+/// This mutant violates a property only after more time than the model of all states has, so it is played on the random
+/// schedules.
 #[test]
 fn a_release_that_ends_any_lease_is_found_on_a_random_schedule() {
     assert!(SEEDS.into_iter().any(|seed| !RandomSchedule::play(seed, Mutant::ReleaseEndsAnyLease).is_safe));
--- a/crates/lease/tests/model/random_schedule.rs
+++ b/crates/lease/tests/model/random_schedule.rs
@@ -1,4 +1,4 @@
-//! Three members under every fault, by a schedule of random steps: for longer than all states can be visited.
+//! Three members under every fault, by a schedule of random steps, over a longer time than all states can be visited for.
 
 use stateright::Model;
 
@@ -42,11 +42,11 @@
     fn take(&mut self, step: Step) {
         self.steps.clear();
         self.world =
-            self.scenario.next_state(&self.world, step).expect("a step that the world offered is possible");
+            self.scenario.next_state(&self.world, step).expect("actions() returns possible steps only");
     }
 
-    /// Ends all faults, and does whatever is possible before time advances: whether a member may act within so many steps of
-    /// time.
+    /// Ends all faults and plays on, with whatever is possible before time advances. Returns whether a member may act within
+    /// `duration` steps of time.
     pub(crate) fn recovers_within(&mut self, duration: u64) -> bool {
         self.world.faults = FaultBudget::NONE;
         let end_time = self.world.now + duration;
--- a/crates/lease/tests/model/scenario.rs
+++ b/crates/lease/tests/model/scenario.rs
@@ -1,4 +1,4 @@
-//! What may happen in a model: its size, the faults, and a mutant.
+//! The parameters of a model: its size, the faults that may happen, and a mutant.
 
 /// How often each fault may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -20,11 +20,11 @@
         FaultBudget { suspensions: 0, lost_responses: 0, restores: 0, watch_gaps: 0, leaves: 0 };
 }
 
-/// What the world does wrong on purpose: the checks have to find each.
+/// What the world does wrong on purpose: each mutant has to violate a property.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
     None,
-    /// What is acted upon accepts any token.
+    /// The resource that the members act upon accepts any token.
     AnyTokenIsAccepted,
     /// The members' clocks stand still while they are suspended.
     ClockStopsInSuspension,
--- a/crates/lease/tests/model/steps.rs
+++ b/crates/lease/tests/model/steps.rs
@@ -10,7 +10,7 @@
 pub(crate) const NO_OLDER_TOKEN: &str = "no act under an older token follows one under a newer token";
 pub(crate) const ACTS: &str = "a member acts";
 
-/// One step; numbers are those of members.
+/// One step; numbers are indices of members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
     AdvanceTime,
--- a/crates/lease/tests/model/store.rs
+++ b/crates/lease/tests/model/store.rs
@@ -1,4 +1,4 @@
-//! The store as the members see it: calls that it serves, leases, and a watch.
+//! A model of the store: its calls, its leases, and what its watch reports.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// How many steps of time a lease lasts.
 pub(crate) const LEASE_DURATION: u64 = 2;
 
-/// What a member asks of the store.
+/// A call of a member to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum StoreCall {
     ReadAndWatch { read_number: u8 },
@@ -31,7 +31,7 @@
     epoch_store_id: u64,
     pub(crate) position: FencingToken,
     pub(crate) holder: Option<Holder>,
-    /// When each lease ends.
+    /// The step of time at which each lease ends.
     lease_ends: BTreeMap<LeaseId, u64>,
     last_lease_id: u64,
 }
@@ -62,7 +62,7 @@
         self.id != self.epoch_store_id
     }
 
-    /// It has again the state of the beginning, and is another store.
+    /// Restores the store from a copy of its initial state: it counts as another store.
     pub(crate) fn restore(&mut self) {
         self.id += 1;
         self.position = FencingToken { epoch: 1, revision: 1 };
@@ -91,8 +91,8 @@
 
     pub(crate) fn renew(&mut self, now: u64, call_id: CallId, lease_id: LeaseId) -> Event {
         match self.lease_ends.get_mut(&lease_id) {
-            Some(ends) => {
-                *ends = now + LEASE_DURATION;
+            Some(ends_at) => {
+                *ends_at = now + LEASE_DURATION;
                 Event::Renewed { call_id }
             }
             None => Event::LeaseNotFound { call_id },
@@ -101,15 +101,15 @@
 
     pub(crate) fn release(&mut self, lease_id: LeaseId, mutant: Mutant) {
         let is_known = self.lease_ends.remove(&lease_id).is_some();
-        let is_holders = self.holder.is_some_and(|holder| holder.lease_id == lease_id);
-        if (is_known && is_holders) || mutant == Mutant::ReleaseEndsAnyLease {
+        let is_of_holder = self.holder.is_some_and(|holder| holder.lease_id == lease_id);
+        if (is_known && is_of_holder) || mutant == Mutant::ReleaseEndsAnyLease {
             self.remove_holder();
         }
     }
 
-    /// Ends the leases that were not renewed in time; whether the role has lost its holder by that.
+    /// Ends the leases that were not renewed in time. Returns whether the role has lost its holder by that.
     pub(crate) fn expire_leases(&mut self, now: u64) -> bool {
-        self.lease_ends.retain(|_, ends| *ends > now);
+        self.lease_ends.retain(|_, ends_at| *ends_at > now);
         let has_expired = self.holder.is_some_and(|holder| !self.lease_ends.contains_key(&holder.lease_id));
         if has_expired {
             self.remove_holder();
--- a/crates/lease/tests/model/world.rs
+++ b/crates/lease/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The members, the store and what they act upon.
+//! The members, the store, and the resource that the members act upon.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::scenario::{FaultBudget, Mutant, Scenario};
 use crate::store::{LEASE_DURATION, Store, StoreCall};
 
-/// What a watch reports, for the read that it continues: an earlier read's reports are ignored.
+/// A report of a watch, with the number of the read that the watch continues: reports of earlier reads are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct WatchReport {
     read_number: u8,
@@ -24,7 +24,7 @@
 pub(crate) struct Member {
     pub(crate) role: SingletonRole,
     pub(crate) is_suspended: bool,
-    /// By how many steps its clock is behind for having been suspended.
+    /// By how many steps of time its clock is behind, since it stood still while the member was suspended.
     pub(crate) clock_lag: u64,
     timer: Option<Instant>,
     /// Number of its last read.
@@ -32,10 +32,10 @@
     /// Whether the store still reports changes to it.
     pub(crate) is_watching: bool,
     pub(crate) calls: Vec<StoreCall>,
-    /// Responses and reports of the watch come on ways of their own: neither waits for the other.
+    /// Responses of the store. They and the reports of the watch are delivered independently of each other.
     pub(crate) responses: Vec<Event>,
     pub(crate) watch_reports: Vec<WatchReport>,
-    /// It has seen that it may act under this token, and is about to.
+    /// It has checked that it may act under this token, and has not acted yet.
     pub(crate) planned_act: Option<FencingToken>,
 }
 
@@ -94,7 +94,7 @@
         let is_hidden = mutant == Mutant::WatchGapsAreHidden;
         if std::mem::replace(&mut self.is_watching, is_hidden) {
             if is_hidden {
-                // What was to be reported is lost, and the member does not learn that.
+                // Pending reports are lost, and the member does not learn that.
                 self.watch_reports.clear();
             } else {
                 self.report(self.read_number, WatchContent::Gap);
@@ -109,7 +109,7 @@
     pub(crate) now: u64,
     pub(crate) members: Vec<Member>,
     pub(crate) store: Store,
-    /// The highest token under which a member has acted, and which member acted last.
+    /// The highest token under which a member has acted: the resource rejects lower ones.
     highest_acted: FencingToken,
     last_actor: Option<usize>,
     /// A member has acted under a lower token than one before it.
@@ -171,7 +171,7 @@
         (0..self.members.len()).for_each(|index| self.expire_timer(index));
     }
 
-    /// The store executes a call; whether its response arrives.
+    /// The store executes a call. Its response arrives only if `is_answered`.
     pub(crate) fn serve(&mut self, index: usize, call: StoreCall, is_answered: bool, mutant: Mutant) {
         let store = &mut self.store;
         let before = (store.holder, store.position.epoch);
@@ -231,7 +231,8 @@
     pub(crate) fn deliver_response(&mut self, index: usize, mutant: Mutant) {
         match self.members[index].responses.remove(0) {
             Event::Renewed { call_id } if mutant == Mutant::PermitCountsFromResponse => {
-                // The same as if it had been sent now: it fails, is sent again, and that is answered at once.
+                // The permit would count from now if the call were sent now: so the call fails, is sent again, and its response
+                // arrives at once.
                 self.handle_event(index, Event::CallFailed { call_id });
                 let member = &mut self.members[index];
                 member.timer = None;
