--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,8 +1,12 @@
 //! What a proxy stores about its fleet: the server list, the snapshot that one instance leaves to the next, and what the next
-//! may still believe of it.
+//! instance may still use of it.
+//!
+//! An *instance* is one run of a proxy's process; those of one name follow each other. At its start it has a server list from
+//! its *platform*, which may be out of date; later lists come from *discovery*, the service that knows all servers.
 //!
 //! Nothing here does I/O or reads a clock: bytes and times are handed in. [`snapshot`] has the file's content and its format,
-//! [`server_list`] the list within it, [`restore`] what a new instance makes of both, and [`part_report`] what it says of that.
+//! [`server_list`] the list within it, [`restore`] what a new instance makes of both, and [`part_report`] how it reports that
+//! in its log.
 
 pub mod part_report;
 pub mod restore;
--- a/crates/snapshot/src/part_report.rs
+++ b/crates/snapshot/src/part_report.rs
@@ -21,22 +21,22 @@
 /// What became of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
-    /// It counts.
+    /// It is used as it was stored.
     Restored,
-    /// It counts for less, or some of it doesn't count.
+    /// It is used, but carries less weight because of its age, or some of it was discarded.
     Outdated,
-    /// It doesn't count.
+    /// It is not used.
     Discarded,
 }
 
 /// A part, what became of it, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartReport {
-    /// Which part.
+    /// The part that the report is about.
     pub part: SnapshotPart,
-    /// What became of it.
+    /// Whether it is used.
     pub outcome: PartOutcome,
-    /// Why.
+    /// Why it is used, or why not.
     pub reason: PartReason,
 }
 
@@ -46,22 +46,22 @@
     }
 }
 
-/// Why a part counts, or doesn't.
+/// Why a part is used, or why not. The texts are those of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PartReason {
     /// The snapshot can't be read.
     #[error(transparent)]
     Unreadable(SnapshotError),
-    /// It is that of an instance with this name.
+    /// The snapshot is that of an instance with this other name.
     #[error("of {0}")]
     OtherInstance(String),
-    /// It was written later than now, by more than clocks differ.
+    /// It was written later than now, by more than clocks of one machine differ.
     #[error("of the future, by {:.0} s", seconds(*ahead))]
     FromTheFuture {
-        /// By how much.
+        /// How far in the future.
         ahead: Duration,
     },
-    /// It is so old.
+    /// The age of the part decided.
     #[error("{:.1} s old", seconds(*age))]
     Age {
         /// The time since the snapshot was written, or since discovery confirmed the list.
@@ -70,31 +70,31 @@
     /// Discovery has never confirmed the list.
     #[error("discovery never told it")]
     Unconfirmed,
-    /// The platform gave a later list.
+    /// The stored list is of an earlier version than the one that the platform gave.
     #[error("version {version}, {given} was given")]
     EarlierVersion {
-        /// Of the stored list.
+        /// The version of the stored list.
         version: u64,
-        /// Of the list that was given.
+        /// The version of the list that the platform gave.
         given: u64,
     },
-    /// The list has this version and age.
+    /// The stored list is used, with this version and age.
     #[error("version {version}, {:.1} s old", seconds(*age))]
     Version {
-        /// Of the stored list.
+        /// The version of the stored list.
         version: u64,
         /// The time since discovery confirmed it.
         age: Duration,
     },
-    /// No server would be left to send to.
+    /// Without the servers that drain or have ended, no server would be left to send to.
     #[error("nothing would be left to send to")]
     NoServerLeft,
-    /// So many servers are known to drain or to have ended.
+    /// How many servers are known to drain or to have ended.
     #[error("{known} known, {listed} of them listed")]
     EndedServers {
-        /// All of them.
+        /// All that are remembered.
         known: usize,
-        /// Those that the list had as ready.
+        /// Those of them that the list had as ready, and that were marked as draining.
         listed: usize,
     },
 }
--- a/crates/snapshot/src/restore.rs
+++ b/crates/snapshot/src/restore.rs
@@ -1,5 +1,5 @@
-//! What a new instance may still believe of a former one's snapshot: each part is judged by itself, and merged with the list
-//! that the platform gave.
+//! What a new instance may still use of a former one's snapshot. Each part is checked by itself, and the list is merged with
+//! the one that the platform gave.
 
 use core::time::Duration;
 
@@ -10,13 +10,13 @@
 use crate::snapshot::{EndedServer, LearnedValuesBySubject, MAX_ENDED_SERVERS, Snapshot, SnapshotError};
 use crate::unix_time::UnixTime;
 
-/// A list, or the knowledge that a server drains, counts as unknown when it is older than this.
+/// A list is not used when it is older than this, and a server that drains or has ended is forgotten after it.
 pub const MAX_LIST_AGE: Duration = Duration::from_secs(600);
-/// Learned values count as unknown when they are older than this.
+/// Learned values are not used when they are older than this.
 pub const MAX_LEARNED_AGE: Duration = Duration::from_secs(60);
-/// Learned values count in full up to this age.
+/// Learned values are reported as restored up to this age, and as outdated above it.
 pub const FRESH_LEARNED_AGE: Duration = Duration::from_secs(2);
-/// The clocks of a machine's processes differ by no more. What was written further in the future is from a clock that was set.
+/// What was written further in the future than this was written before the clock was set back.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
 /// What a new instance starts from.
@@ -24,13 +24,13 @@
 pub struct RestoredState {
     /// The list to serve by until discovery sends one.
     pub server_list: ServerList,
-    /// When discovery confirmed it to a former instance, as far as that is known.
+    /// When discovery last confirmed it to a former instance; none for the platform's list.
     pub list_confirmed_at: Option<UnixTime>,
-    /// Whether servers of it were marked as draining: discovery has no such list under that version.
+    /// Whether servers of it were marked as draining. It then differs from discovery's list of the same version.
     pub is_list_modified: bool,
-    /// Servers that drain or have ended, to be remembered on; at most [`MAX_ENDED_SERVERS`].
+    /// Servers that drain or have ended, for the next snapshot; at most [`MAX_ENDED_SERVERS`].
     pub ended_servers: Vec<EndedServer>,
-    /// Learned values that still count.
+    /// Learned values that are recent enough to be used.
     pub learned_values: Option<RestoredValues>,
     /// Counts the instances of this name that started one after the other, from 1.
     pub incarnation: u64,
@@ -47,14 +47,15 @@
     pub age: Duration,
 }
 
-/// What an instance of this name starts from: the list that the platform gave, and what its folder contained.
+/// What an instance of this name starts from, by the list that the platform gave and the snapshot that was read from its
+/// folder.
 pub fn restore(
     given: &ServerList,
-    found: Result<Snapshot, SnapshotError>,
+    loaded: Result<Snapshot, SnapshotError>,
     instance_name: &str,
     now: UnixTime,
 ) -> RestoredState {
-    match found {
+    match loaded {
         Ok(snapshot) if snapshot.instance_name == instance_name => {
             RestoredState::from_snapshot(given, snapshot, now)
         }
@@ -68,7 +69,7 @@
 
 impl RestoredState {
     fn from_snapshot(given: &ServerList, snapshot: Snapshot, now: UnixTime) -> RestoredState {
-        let written_age = age(snapshot.written_at, now);
+        let written_age = age_at(snapshot.written_at, now);
         let mut restored = RestoredState {
             incarnation: snapshot.incarnation.saturating_add(1),
             ..RestoredState::first(given)
@@ -118,30 +119,30 @@
         }
     }
 
-    /// Marks servers of the list as draining that a former instance knew to drain or to have ended. A list that is older than
-    /// that knowledge would make them targets again.
+    /// Marks servers of the list as draining that a former instance knew to drain or to have ended: the list may be older than
+    /// that knowledge, and requests would be sent to them again.
     fn restore_ended_servers(&mut self, snapshot: &Snapshot, now: UnixTime) -> PartReport {
         let ended_servers = remembered_ended_servers(snapshot, now);
         let mut list = self.server_list.clone();
-        let mut listed = 0;
+        let mut marked = 0;
         for server in list.servers.iter_mut().filter(|server| server.readiness == Readiness::Ready) {
             if ended_servers.iter().any(|ended| ended.is_same_server(server)) {
                 server.readiness = Readiness::Draining;
-                listed += 1;
+                marked += 1;
             }
         }
         let has_ready = list.servers.iter().any(|server| server.readiness == Readiness::Ready);
-        if listed > 0 && !has_ready {
+        if marked > 0 && !has_ready {
             // Outdated knowledge of drains must not empty a fleet whose servers are known.
             return PartReport::discarded(SnapshotPart::EndedServers, PartReason::NoServerLeft);
         }
         let known = ended_servers.len();
-        let is_complete = known == snapshot.ended_servers.len();
+        let are_all_remembered = known == snapshot.ended_servers.len();
         self.server_list = list;
-        self.is_list_modified = listed > 0;
+        self.is_list_modified = marked > 0;
         self.ended_servers = ended_servers;
-        let outcome = if is_complete { PartOutcome::Restored } else { PartOutcome::Outdated };
-        let reason = PartReason::EndedServers { known, listed };
+        let outcome = if are_all_remembered { PartOutcome::Restored } else { PartOutcome::Outdated };
+        let reason = PartReason::EndedServers { known, listed: marked };
         PartReport { part: SnapshotPart::EndedServers, outcome, reason }
     }
 
@@ -164,7 +165,7 @@
     }
 }
 
-/// The age of a stored list, or why it doesn't count.
+/// The age of the stored list, or why it can't be used.
 fn usable_list_age(
     given: &ServerList,
     snapshot: &Snapshot,
@@ -172,7 +173,7 @@
     now: UnixTime,
 ) -> Result<Duration, PartReason> {
     written_age?;
-    let age = age(snapshot.list_confirmed_at.ok_or(PartReason::Unconfirmed)?, now)?;
+    let age = age_at(snapshot.list_confirmed_at.ok_or(PartReason::Unconfirmed)?, now)?;
     if age > MAX_LIST_AGE {
         return Err(PartReason::Age { age });
     }
@@ -183,10 +184,10 @@
     Ok(age)
 }
 
-/// The latest servers that drain or have ended and aren't too old. After the clock was set back they look as if they were
-/// from the future; they count nevertheless, since they only take servers away.
+/// The servers that drain or have ended and were reported recently; the latest, if there are too many. Reports from the future,
+/// as after the clock was set back, are used too: at worst they keep requests from a server.
 fn remembered_ended_servers(snapshot: &Snapshot, now: UnixTime) -> Vec<EndedServer> {
-    let is_recent = |ended: &&EndedServer| age(ended.reported_at, now).unwrap_or_default() <= MAX_LIST_AGE;
+    let is_recent = |ended: &&EndedServer| age_at(ended.reported_at, now).unwrap_or_default() <= MAX_LIST_AGE;
     let mut ended_servers: Vec<EndedServer> =
         snapshot.ended_servers.iter().filter(is_recent).cloned().collect();
     ended_servers.sort_by_key(|ended| ended.reported_at);
@@ -195,7 +196,7 @@
 }
 
 /// The age of what was written at a time; an error if that is in the future.
-fn age(written_at: UnixTime, now: UnixTime) -> Result<Duration, PartReason> {
+fn age_at(written_at: UnixTime, now: UnixTime) -> Result<Duration, PartReason> {
     let ahead = written_at.duration_since(now);
     if ahead > MAX_CLOCK_SKEW {
         return Err(PartReason::FromTheFuture { ahead });
--- a/crates/snapshot/src/server_list.rs
+++ b/crates/snapshot/src/server_list.rs
@@ -8,10 +8,10 @@
 
 use crate::unix_time::ServerStart;
 
-/// The list of servers, or what changed of it.
+/// The list of servers, or the entries that have changed in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerList {
-    /// Its version, as discovery counts them.
+    /// Its version: discovery's number, which grows with each change.
     pub version: u64,
     /// Whether it has all servers; otherwise it has those that changed.
     pub is_complete: bool,
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -18,19 +18,19 @@
 pub const NEW_SNAPSHOT_FILE: &str = "snapshot.new";
 /// The file whose lock shows which process writes.
 pub const LOCK_FILE: &str = "lock";
-/// Bound of a snapshot in bytes.
+/// The maximum length of a snapshot in bytes.
 pub const MAX_SNAPSHOT_LEN: usize = 1024 * 1024;
-/// Bound of the servers that are remembered as ended; the latest are.
+/// The maximum number of servers that are remembered as draining or ended; the latest are retained.
 pub const MAX_ENDED_SERVERS: usize = 256;
 
 const MAGIC: &str = "mosshead-snapshot";
 const FORMAT: u64 = 1;
-/// Bound of the header line in bytes.
+/// The maximum length of the header line in bytes.
 const MAX_HEADER_LEN: usize = 80;
 /// Stands in a snapshot for a list that discovery has never confirmed.
 const NEVER_CONFIRMED: u64 = 0;
 
-/// Learned values of one subject, by their names.
+/// What an instance has learned of one subject from its attempts, by the names of the values.
 pub type LearnedValues = BTreeMap<String, f64>;
 /// Learned values by subject: `all`, `class/NAME`, `kind/NAME`, `zone/NAME`, `bound/NAME`, `node/ID`.
 pub type LearnedValuesBySubject = BTreeMap<String, LearnedValues>;
@@ -47,7 +47,7 @@
 }
 
 impl EndedServer {
-    /// Whether the list means this server: one with the same id and another start is its successor.
+    /// Whether a listed server is this one. A server with the same id and another start is its successor.
     pub fn is_same_server(&self, listed: &ListedServer) -> bool {
         self.id == listed.id && self.started_at == listed.started_at
     }
@@ -87,9 +87,9 @@
     /// Its body is shorter or longer than the header says.
     #[error("{found} bytes of {stated}")]
     WrongLength {
-        /// By the header.
+        /// The length that the header states, in bytes.
         stated: usize,
-        /// Of the body.
+        /// The length of the body, in bytes.
         found: usize,
     },
     /// The checksum differs: the body has changed since it was written.
@@ -104,7 +104,7 @@
     /// Its body is not UTF-8.
     #[error(transparent)]
     Encoding(#[from] Utf8Error),
-    /// Its body is not what a snapshot holds.
+    /// A field of its body is missing, of another type, or breaks a rule.
     #[error(transparent)]
     Content(#[from] JsonError),
 }
@@ -159,7 +159,7 @@
     Ok(read_content(&JsonField::root(&json))?)
 }
 
-/// The body, if it is the one that the header was written for.
+/// The body, if its length and checksum are those that the header states.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
--- a/crates/snapshot/src/unix_time.rs
+++ b/crates/snapshot/src/unix_time.rs
@@ -1,4 +1,4 @@
-//! Wall-clock times. They are compared between processes of one machine, and between a process and discovery.
+//! Wall-clock times: they are compared between the instances of a proxy, and with discovery's times.
 
 use core::ops::{Add, Sub};
 use core::time::Duration;
