--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -4,7 +4,7 @@
 use mosshead_settings::JsonError;
 use thiserror::Error;
 
-/// What is wrong with the input, and in which line.
+/// A line of the input that was rejected, or at which the input must not end.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("line {line}: {error}")]
 pub struct WireError {
@@ -17,7 +17,7 @@
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum LineError {
-    /// A list was announced with more items than have come.
+    /// Another message came before all items of a list had come.
     #[error("{missing} more item lines are due, not {found:?}")]
     ItemExpected {
         /// How many items are missing.
@@ -34,7 +34,7 @@
     /// No `about` line has said which instance an event is for.
     #[error("an event before any about line")]
     NoInstanceSelected,
-    /// The instance of this number was not configured, or was stopped.
+    /// The instance of this number was never configured, or was stopped.
     #[error("instance {0} was never configured")]
     UnknownInstance(u32),
     /// No list has this number.
@@ -46,7 +46,7 @@
     /// A name that neither the settings nor a list has introduced.
     #[error("{subject} {name:?} was never introduced")]
     UnknownName {
-        /// What bears the name.
+        /// What the name is one of: a server, a class or a tenant.
         subject: &'static str,
         /// The name.
         name: String,
@@ -67,7 +67,7 @@
         /// The form that it must have.
         expected: &'static str,
     },
-    /// A member's text is none of the words that have a meaning there.
+    /// A member's text is none of the words that are defined for it.
     #[error("{member} {word:?} is not known")]
     UnknownWord {
         /// The name of the member.
@@ -78,7 +78,7 @@
     /// A pair of the load report is malformed.
     #[error("metrics: {pair:?} {problem}")]
     MalformedMetric {
-        /// The pair.
+        /// The pair, `name:value`.
         pair: String,
         /// What is wrong with it.
         problem: &'static str,
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -6,11 +6,12 @@
 
 use crate::error::LineError;
 
-/// The members of one line, `name=text` each, with a space between them. One of type text runs to the end of the line.
+/// The members of one line, `name=text` each, with a space between them. The text of a member that may contain spaces runs to
+/// the end of the line.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(pub(crate) &'a str);
 
-/// A server as a list on the wire has it, by names.
+/// A server of a list on the wire. It has names, which each instance maps to numbers of its own.
 #[derive(Clone)]
 pub(crate) struct ListItem {
     pub(crate) server: String,
@@ -19,11 +20,12 @@
     pub(crate) machine_kind: String,
     pub(crate) group: u64,
     pub(crate) weight: f64,
-    /// None if it started long ago.
+    /// When its process last started, on the simulator's clock; none if that is long ago.
     pub(crate) started_at: Option<Seconds>,
 }
 
 impl<'a> Fields<'a> {
+    /// The text of a member, if the line has it.
     pub(crate) fn find(self, member: &str) -> Option<&'a str> {
         self.0
             .split(' ')
@@ -32,6 +34,7 @@
             .map(|(_, text)| text)
     }
 
+    /// The text of a member that the line must have.
     pub(crate) fn get(self, member: &'static str) -> Result<&'a str, LineError> {
         self.find(member).ok_or(LineError::MissingMember(member))
     }
@@ -74,6 +77,7 @@
         id.map(RequestId).ok_or_else(|| malformed("job", text, "16 hex digits"))
     }
 
+    /// How an attempt or a probe ended.
     pub(crate) fn outcome(self) -> Result<Outcome, LineError> {
         Ok(match self.get("verdict")? {
             "GOOD" => Outcome::Served,
@@ -88,7 +92,7 @@
         })
     }
 
-    /// The load that a server has reported; empty if it has reported none. Metrics that are not known here are ignored.
+    /// The load that a server has reported, in requests; empty if it has reported none. Other metrics are ignored.
     pub(crate) fn load_report(self) -> Result<LoadReport, LineError> {
         let mut report = LoadReport::default();
         let Some(metrics) = self.find("metrics").filter(|metrics| !matches!(*metrics, "" | "-")) else {
@@ -123,6 +127,7 @@
             machine_kind: text_or_empty("family_type"),
             group: self.find("group").map_or(Ok(0), |_| self.integer("group"))?,
             weight: self.find("share").map_or(Ok(1.0), |_| self.finite_number("share"))?,
+            // On the wire, 0 means long ago.
             started_at: started_at.filter(|started_at| *started_at != 0.0),
         })
     }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a balancer, and the names of what it knows by numbers.
+//! One instance: a balancer, and the tables from the names on the wire to the numbers that the balancer uses.
 
 use core::fmt::Write;
 use std::collections::HashSet;
@@ -11,6 +11,7 @@
 use crate::fields::{Fields, ListItem};
 use crate::replies::write_action;
 
+/// A balancer and what the wire needs beside it.
 pub(crate) struct Instance {
     balancer: Balancer,
     can_advise_retry_after: bool,
@@ -19,9 +20,9 @@
     kinds: NameTable,
     classes: NameTable,
     tenants: NameTable,
-    /// Every request given so far: an outcome may come after its request has ended.
+    /// Every request that was received so far: an outcome may come after its request has ended.
     requests: HashSet<RequestId>,
-    /// What it has decided in this batch.
+    /// The lines of what it has decided in this batch.
     reply: String,
 }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The item by numbers; names that are new get the next ones.
+    /// The item with numbers in place of names. New names get the next numbers.
     pub(crate) fn list_entry(&mut self, item: &ListItem) -> ListEntry {
         ListEntry {
             endpoint: EndpointId(self.endpoints.intern(&item.server) as u32),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Reads a message about requests, probes or timers.
+    /// Reads the message of an event: of a request, an attempt, a probe or a timer.
     pub(crate) fn read_event(&self, message: &str, fields: Fields) -> Result<Event, LineError> {
         Ok(match message {
             "ingress" => Event::RequestReceived(self.read_request(fields)?),
@@ -120,7 +121,7 @@
         known.ok_or(LineError::UnknownRequest(request))
     }
 
-    /// Lets the balancer decide on an event, and keeps its decisions for the reply of this batch.
+    /// Lets the balancer decide on an event, and adds its decisions to the reply of this batch.
     pub(crate) fn handle_event(&mut self, now: Seconds, event: Event) {
         if let Event::RequestReceived(request) = &event {
             self.requests.insert(request.id);
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,8 +1,11 @@
 //! The simulator's wire for the decisions of `mosshead-decide`: lines of text are read as events, and actions are written as
 //! lines of a reply. Nothing is decided here.
 //!
-//! A [`Session`] takes the input line by line. Between `turn` and `commit`, a batch, come the messages: lists of servers by
-//! number, which instance the next events are for, and its events. After `commit` the session replies for all instances.
+//! A [`Session`] takes the input line by line. A line is the name of a message and its members, `name=text` each. The lines
+//! between `turn` and `commit` are a batch: lists of servers by number (`list`, then one `item` a line), `about`, which selects
+//! the instance that the next messages are for, and messages for it. After `commit` the session replies for all instances.
+//!
+//! An *instance* is a balancer with settings of its own: the simulator plays several proxies at a time.
 
 mod error;
 mod fields;
--- a/crates/simhost/src/replies.rs
+++ b/crates/simhost/src/replies.rs
@@ -1,11 +1,12 @@
-//! Writing what an instance decides.
+//! Writes the decisions of an instance as lines of a reply.
 
 use core::fmt::{self, Write};
 
 use mosshead_decide::NameTable;
 use mosshead_decide::interface::{Action, EndpointId};
 
-/// Appends the line of an action. `can_advise_retry_after` says whether the line has the delay after which the client may retry.
+/// Appends the line of an action. Only if `can_advise_retry_after`, the line of a rejection
+/// has the delay after which the client may retry.
 pub(crate) fn write_action(
     reply: &mut String,
     action: Action,
--- a/crates/simhost/src/session.rs
+++ b/crates/simhost/src/session.rs
@@ -8,18 +8,20 @@
 use crate::fields::{Fields, ListItem, unknown_word};
 use crate::instance::Instance;
 
-/// Hosts the instances of one process: it is given the input line by line, and answers each batch with one reply.
+/// Hosts the instances of one process: takes the input line by line, and answers each batch with one reply.
 #[derive(Default)]
 pub struct Session {
     instances: BTreeMap<u32, Instance>,
     lists: BTreeMap<u64, Vec<ListItem>>,
-    /// The list whose items are being read.
+    /// The list of which items are still to come: only `item` lines may follow.
     incomplete_list: Option<IncompleteList>,
+    /// The batch whose messages are being read; none between batches.
     batch: Option<Batch>,
-    /// The number of the last line.
+    /// The number of the last line that was handled, counted from 1.
     line: u64,
 }
 
+#[derive(Clone, Copy)]
 struct IncompleteList {
     number: u64,
     /// At least 1.
@@ -27,6 +29,7 @@
 }
 
 struct Batch {
+    /// The time at which its events happen.
     now: Seconds,
     /// The number of the instance that the next events are for.
     instance: Option<u32>,
@@ -63,23 +66,13 @@
     }
 
     fn handle_message(&mut self, message: &str, fields: Fields) -> Result<Option<String>, LineError> {
-        if let Some(IncompleteList { number, missing_items }) = self.incomplete_list {
-            if message != "item" {
-                return Err(LineError::ItemExpected { missing: missing_items, found: message.to_owned() });
-            }
-            self.lists.entry(number).or_default().push(fields.list_item()?);
-            self.incomplete_list = IncompleteList::unless_complete(number, missing_items - 1);
+        if let Some(list) = self.incomplete_list {
+            self.read_list_item(list, message, fields)?;
             return Ok(None);
         }
         let Some(batch) = &mut self.batch else {
-            return match message {
-                "turn" => {
-                    self.batch = Some(Batch { now: fields.finite_number("ts_s")?, instance: None });
-                    Ok(None)
-                }
-                "" => Ok(None),
-                _ => Err(LineError::OutsideBatch(message.to_owned())),
-            };
+            self.handle_message_outside_batch(message, fields)?;
+            return Ok(None);
         };
         match message {
             "commit" => {
@@ -101,6 +94,32 @@
         Ok(None)
     }
 
+    fn read_list_item(
+        &mut self,
+        list: IncompleteList,
+        message: &str,
+        fields: Fields,
+    ) -> Result<(), LineError> {
+        let IncompleteList { number, missing_items } = list;
+        if message != "item" {
+            return Err(LineError::ItemExpected { missing: missing_items, found: message.to_owned() });
+        }
+        self.lists.entry(number).or_default().push(fields.list_item()?);
+        self.incomplete_list = IncompleteList::unless_complete(number, missing_items - 1);
+        Ok(())
+    }
+
+    /// Begins a batch; empty lines are allowed between batches.
+    fn handle_message_outside_batch(&mut self, message: &str, fields: Fields) -> Result<(), LineError> {
+        match message {
+            "turn" => self.batch = Some(Batch { now: fields.finite_number("ts_s")?, instance: None }),
+            "" => {}
+            _ => return Err(LineError::OutsideBatch(message.to_owned())),
+        }
+        Ok(())
+    }
+
+    /// Handles a message for the selected instance, which has this number.
     fn handle_instance_message(
         &mut self,
         number: u32,
@@ -115,7 +134,7 @@
             return Ok(());
         }
         if message == "stop" {
-            // What the instance decided earlier in this batch goes with it: it names requests that are void now.
+            // Its decisions earlier in this batch are dropped with it: their requests have ended.
             let stopped = self.instances.remove(&number);
             return stopped.map(drop).ok_or(LineError::UnknownInstance(number));
         }
@@ -133,6 +152,7 @@
         Ok(())
     }
 
+    /// What all instances have decided in the batch, and the line that ends a reply.
     fn collect_reply(&mut self) -> String {
         let mut reply = String::new();
         for (number, instance) in &mut self.instances {
@@ -149,6 +169,7 @@
     }
 }
 
+/// Reads a `topology` message: the scope of an update, and the number of the list that it is about.
 fn read_list_update(
     lists: &BTreeMap<u64, Vec<ListItem>>,
     instance: &mut Instance,
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -151,10 +151,11 @@
 
 #[test]
 fn a_rejection_says_when_to_retry_and_old_idle_connections_are_closed() {
-    let alone =
+    let empty_list_and_request =
         ["list bank=0 lines=0", "topology bank=0 scope=FULL serial=2", REQUEST, "commit", "turn ts_s=8.9"];
-    let rest = ["about i=3", "tick_due cookie=1", "commit"];
-    let reply = play(&lines_after_configuration(&[&alone[..], &rest].concat())).expect("the lines are legal");
+    let timer_lines = ["about i=3", "tick_due cookie=1", "commit"];
+    let reply = play(&lines_after_configuration(&[&empty_list_and_request[..], &timer_lines].concat()))
+        .expect("the lines are legal");
     let advice = reply
         .split("push_back job=00000000000000aa not_before_for_s=")
         .nth(1)
@@ -162,15 +163,18 @@
     let wait: f64 =
         advice.lines().next().expect("the reply has this line").parse().expect("the delay is a number");
     assert!((0.0..=1.5).contains(&wait), "{wait}");
-    let idle = [
+    let success_lines = [
         "turn ts_s=8.1",
         "about i=3",
         "report_back server=10.0.0.1:80 job=00000000000000aa verdict=GOOD round_no=0 rtt_s=0.1 settled=1",
         "commit",
     ];
-    let later = ["turn ts_s=70", "about i=3", "ingress job=00000000000000ab ttl_s=0.9 band=write", "commit"];
-    let reply = play(&lines_after_configuration(&[&[REQUEST, "commit"][..], &idle, &later].concat()))
-        .expect("the lines are legal");
+    let later_request_lines =
+        ["turn ts_s=70", "about i=3", "ingress job=00000000000000ab ttl_s=0.9 band=write", "commit"];
+    let reply = play(&lines_after_configuration(
+        &[&[REQUEST, "commit"][..], &success_lines, &later_request_lines].concat(),
+    ))
+    .expect("the lines are legal");
     assert!(reply.contains("close server=10.0.0.1:80\ndeliver job=00000000000000ab"), "{reply}");
 }
 
