--- a/crates/membership/src/change_counter.rs
+++ b/crates/membership/src/change_counter.rs
@@ -1,11 +1,14 @@
-//! How often, and when last, the view of the live members has changed.
+//! How often, and when last, what is believed about the live members has changed.
 
 use mosshead_time::Instant;
 
-/// The changes of the live members and their incarnations. A sync waits until there are none.
+/// The changes of the live members and their incarnations. While there are some, gossip is still spreading them, so a sync
+/// waits; see [`Settings::sync_quiet_period`](crate::Settings::sync_quiet_period).
 #[derive(Default)]
 pub(crate) struct ChangeCounter {
+    /// Changes of other members; never decreases.
     count: u64,
+    /// When `count` was last raised, or the local member last refuted.
     last_at: Instant,
 }
 
--- a/crates/membership/src/contact_points.rs
+++ b/crates/membership/src/contact_points.rs
@@ -7,21 +7,26 @@
 
 use crate::random::{index, shuffle};
 
+/// Bound of the seeds; more are dropped at random.
 const MAX_SEEDS: usize = 16;
+/// Bound of the added addresses; the oldest are dropped.
 const MAX_ADDED: usize = 256;
+/// Bound of the addresses of dead members; the oldest are dropped.
 const MAX_LOST: usize = 256;
-/// Draws of one call of [`ContactPoints::draw_absent`].
+/// Maximum number of draws of one call of [`ContactPoints::draw_absent`].
 const MAX_DRAWS: usize = 4;
 
 /// The addresses, each list bounded.
 #[derive(Default)]
 pub(crate) struct ContactPoints {
+    /// Addresses from the configuration, shuffled.
     seeds: Vec<SocketAddrV4>,
-    /// Addresses that the host has added.
+    /// Addresses that the host knows from elsewhere.
     added: VecDeque<SocketAddrV4>,
     /// Addresses of members that died.
     lost: VecDeque<SocketAddrV4>,
-    /// Where [`ContactPoints::next`] starts.
+    /// Where [`ContactPoints::next_for_join`] starts in the list of all addresses but the local one. May lie behind its end,
+    /// since the list may have become shorter.
     next_start: usize,
 }
 
@@ -49,7 +54,7 @@
     }
 
     /// Up to `count` addresses for an attempt to join, without the local one. The first is another one each time.
-    pub(crate) fn next(&mut self, count: usize, local: SocketAddrV4) -> Vec<SocketAddrV4> {
+    pub(crate) fn next_for_join(&mut self, count: usize, local: SocketAddrV4) -> Vec<SocketAddrV4> {
         let all = self.seeds.iter().chain(&self.added).chain(&self.lost);
         let remote: Vec<SocketAddrV4> = all.filter(|address| **address != local).copied().collect();
         let Some(start) = self.next_start.checked_rem(remote.len()) else { return remote };
@@ -57,7 +62,8 @@
         remote.iter().cycle().skip(start).take(count.min(remote.len())).copied().collect()
     }
 
-    /// An address that no live member has: with equal odds of a lost member, or a seed or added one.
+    /// A random address that no live member has: with equal probability one of a dead member, or one of the seeds and added
+    /// addresses.
     ///
     /// The search gives up after a few draws, since `is_live` walks over all members. Addresses of live members that it
     /// meets are removed, except for seeds.
@@ -78,16 +84,17 @@
     }
 
     fn draw(&self, rng: &mut dyn RngCore) -> Option<SocketAddrV4> {
-        let configured = self.seeds.len() + self.added.len();
-        let is_from_lost = !self.lost.is_empty() && (configured == 0 || index(rng, 2) == 0);
+        let seeds_and_added = self.seeds.len() + self.added.len();
+        let is_from_lost = !self.lost.is_empty() && (seeds_and_added == 0 || index(rng, 2) == 0);
         if is_from_lost {
             self.lost.get(index(rng, self.lost.len())).copied()
         } else {
-            self.seeds.iter().chain(&self.added).nth(index(rng, configured)).copied()
+            self.seeds.iter().chain(&self.added).nth(index(rng, seeds_and_added)).copied()
         }
     }
 }
 
+/// Appends an address, or moves it to the end; drops the oldest one of more than `max_length`.
 fn push_bounded(list: &mut VecDeque<SocketAddrV4>, address: SocketAddrV4, max_length: usize) {
     list.retain(|known| *known != address);
     list.push_back(address);
--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -9,16 +9,19 @@
 use crate::sync::Synchronizer;
 use crate::wire::MessageBody;
 
-/// Contact points of one attempt to join.
+/// Number of contact points in one attempt to join.
 const CONTACTS_PER_JOIN: usize = 3;
 
 /// When to contact addresses at which no member is known.
 pub(crate) struct Discovery {
-    /// Whether the local member has received another's complete list, and isn't alone.
+    /// Whether a sync with another member has ended, so that the local member has that member's complete list, and whether
+    /// there is still another live member.
     has_joined: bool,
+    /// When the next attempt to join is due, unless `has_joined`.
     next_join_at: Instant,
     /// Delay between the next attempt to join and the one after it.
     join_backoff: Duration,
+    /// When an address without a live member is pinged next, see [`Settings::reconnect_interval`].
     next_reconnect_at: Instant,
 }
 
@@ -50,7 +53,7 @@
 
     /// Contacts members as long as the local one hasn't joined, or is alone again.
     pub(crate) fn join_if_due(&mut self, state: &mut ProtocolState, synchronizer: &mut Synchronizer) {
-        if self.has_joined && state.table().live_members() <= 1 {
+        if self.has_joined && state.table().live_member_count() <= 1 {
             self.has_joined = false;
             self.next_join_at = state.now();
         }
@@ -61,7 +64,7 @@
         let max_backoff = settings.reconnect_interval.max(settings.join_retry_interval);
         self.next_join_at = state.now() + self.join_backoff;
         self.join_backoff = (self.join_backoff * 2).min(max_backoff);
-        // Several contact points learn of the new member, so that the seeds know everybody; one sends its list.
+        // One contact point is asked for its list. The others are only pinged, so that they learn of the new member.
         let mut contacts = state.next_contacts(CONTACTS_PER_JOIN);
         contacts.extend(state.random_alive_addresses(CONTACTS_PER_JOIN.saturating_sub(contacts.len()), None));
         let mut contacts = contacts.into_iter();
@@ -69,18 +72,18 @@
             synchronizer.request(state, first);
         }
         for address in contacts {
-            ping_whoever_answers(state, address);
+            ping_address(state, address);
         }
     }
 
-    /// Pings an address where a member should be that isn't known.
+    /// Pings an address that no live member has, where a member may be.
     pub(crate) fn reconnect_if_due(&mut self, state: &mut ProtocolState) {
         if state.now() < self.next_reconnect_at {
             return;
         }
         self.next_reconnect_at = state.now() + state.settings().reconnect_interval;
         if let Some(address) = state.draw_absent_contact() {
-            ping_whoever_answers(state, address);
+            ping_address(state, address);
         }
     }
 
@@ -96,7 +99,8 @@
     }
 }
 
-fn ping_whoever_answers(state: &mut ProtocolState, address: SocketAddrV4) {
+/// Pings whichever member has this address: an empty target matches every name.
+fn ping_address(state: &mut ProtocolState, address: SocketAddrV4) {
     let body = MessageBody::Ping { sequence: state.random_sequence(), target: String::new() };
     state.send(address, body, None);
 }
--- a/crates/membership/src/gossip_queue.rs
+++ b/crates/membership/src/gossip_queue.rs
@@ -5,10 +5,12 @@
 
 use mosshead_time::Instant;
 
-/// Orders updates by how often they were sent, the newest first among those sent equally often.
+/// Orders updates by how often they were sent, the newest first among those sent equally often. The derived order compares
+/// the fields as they are listed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     transmissions: u32,
+    /// Of the push, see [`GossipQueue::last_sequence`].
     sequence: Reverse<u64>,
 }
 
@@ -18,17 +20,24 @@
     priorities: BTreeMap<String, Priority>,
     /// The same as `priorities`, in the order of sending.
     order: BTreeSet<(Priority, String)>,
-    /// When each name was queued, by its sequence number. Sequence numbers rise with time.
-    queued_at: BTreeMap<u64, (Instant, String)>,
+    /// The same names by the sequence numbers of their pushes, the oldest first.
+    by_sequence: BTreeMap<u64, QueuedName>,
+    /// Numbers the pushes, so it rises with time.
     last_sequence: u64,
 }
 
+struct QueuedName {
+    name: String,
+    queued_at: Instant,
+}
+
 impl GossipQueue {
     /// Queues the state of a name, as not sent yet.
     pub(crate) fn push(&mut self, name: &str, now: Instant) {
         self.remove(name);
         self.last_sequence += 1;
-        self.queued_at.insert(self.last_sequence, (now, name.to_owned()));
+        let queued = QueuedName { name: name.to_owned(), queued_at: now };
+        self.by_sequence.insert(self.last_sequence, queued);
         let priority = Priority { transmissions: 0, sequence: Reverse(self.last_sequence) };
         self.insert(name.to_owned(), priority);
     }
@@ -37,14 +46,16 @@
     pub(crate) fn remove(&mut self, name: &str) {
         if let Some(priority) = self.priorities.remove(name) {
             self.order.remove(&(priority, name.to_owned()));
-            self.queued_at.remove(&priority.sequence.0);
+            self.by_sequence.remove(&priority.sequence.0);
         }
     }
 
     /// Drops what was queued before an instant: all know it by now, or a sync will find that they don't.
     pub(crate) fn remove_queued_before(&mut self, instant: Instant) {
-        while let Some(oldest) = self.queued_at.first_entry().filter(|entry| entry.get().0 < instant) {
-            let (_, name) = oldest.remove();
+        while let Some(oldest) =
+            self.by_sequence.first_entry().filter(|entry| entry.get().queued_at < instant)
+        {
+            let QueuedName { name, .. } = oldest.remove();
             self.remove(&name);
         }
     }
--- a/crates/membership/src/leave.rs
+++ b/crates/membership/src/leave.rs
@@ -4,15 +4,17 @@
 
 use crate::state::ProtocolState;
 
-/// After the first announcement it is repeated so many times, once a period.
+/// How often the announcement is repeated after the first one, once a protocol period.
 const REPETITIONS: u32 = 3;
-/// Members that each announcement is sent to.
+/// Number of members that each announcement is sent to.
 const FANOUT: usize = 6;
 
 /// The repetitions of the announcement, once the local member is leaving.
 #[derive(Default)]
 pub(crate) struct LeaveAnnouncer {
+    /// A protocol period after the last announcement, also once none remains.
     next_at: Instant,
+    /// Number of repetitions that are still to be sent.
     remaining: u32,
 }
 
@@ -24,6 +26,7 @@
         self.announce(state);
     }
 
+    /// Repeats the announcement, if one remains and it is time.
     pub(crate) fn repeat_if_due(&mut self, state: &mut ProtocolState) {
         if self.remaining > 0 && state.now() >= self.next_at {
             self.remaining -= 1;
@@ -31,12 +34,13 @@
         }
     }
 
-    /// When the announcement is to be repeated, also if it is not any more.
+    /// A protocol period after the last announcement, also once none remains. By this it is seen how late a call is; when
+    /// the next call is needed is [`LeaveAnnouncer::next_deadline`].
     pub(crate) fn next_at(&self) -> Instant {
         self.next_at
     }
 
-    /// When the announcement is to be repeated; [`Instant::FAR_FUTURE`] if it is not any more.
+    /// When the announcement has to be repeated; [`Instant::FAR_FUTURE`] once none remains.
     pub(crate) fn next_deadline(&self) -> Instant {
         if self.remaining > 0 { self.next_at } else { Instant::FAR_FUTURE }
     }
--- a/crates/membership/src/local_member.rs
+++ b/crates/membership/src/local_member.rs
@@ -1,4 +1,4 @@
-//! What the local member says of itself.
+//! The local member, and the updates that it sends about itself.
 
 use crate::peer::{MemberState, Peer};
 use crate::wire::{MAX_INCARNATION, MemberUpdate, UpdateVersion};
@@ -8,8 +8,9 @@
 /// The local member: its identity, its incarnation and whether it shuts down.
 pub(crate) struct LocalMember {
     peer: Peer,
-    /// Only raised.
+    /// Never lowered, and at most [`MAX_INCARNATION`].
     incarnation: u64,
+    /// Once set, it stays set.
     is_leaving: bool,
 }
 
@@ -35,7 +36,7 @@
         self.is_leaving
     }
 
-    /// From now on its datagrams say that it has left.
+    /// From now on its updates have the state [`MemberState::Left`].
     pub(crate) fn begin_leave(&mut self) {
         self.is_leaving = true;
     }
@@ -45,18 +46,18 @@
         update.name == self.peer.name && update.instance_id == self.peer.instance_id
     }
 
-    /// The version of what it says of itself.
+    /// The version of [`LocalMember::update`].
     pub(crate) fn version(&self) -> UpdateVersion {
         UpdateVersion { incarnation: self.incarnation, instance_id: self.peer.instance_id }
     }
 
-    /// What it says of itself.
+    /// The update about itself that each of its datagrams carries: alive or left.
     pub(crate) fn update(&self) -> MemberUpdate {
         let state = if self.is_leaving { MemberState::Left } else { MemberState::Alive };
         MemberUpdate::new(&self.peer, self.incarnation, state)
     }
 
-    /// Raises the incarnation above that of an update about this member, which it so overrides.
+    /// Raises the incarnation above that of an update about this member, so that what it says of itself overrides the update.
     pub(crate) fn refute(&mut self, refuted_incarnation: u64) {
         self.incarnation = refuted_incarnation.saturating_add(1).min(MAX_INCARNATION);
     }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -6,7 +6,7 @@
 use mosshead_time::Instant;
 
 use crate::peer::{MemberState, Peer};
-use crate::wire::{BUCKETS, MemberUpdate, UpdateVersion};
+use crate::wire::{BUCKET_HASH_LEN, BUCKETS, MemberUpdate, UpdateVersion};
 
 /// What is believed about one name.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     pub(crate) peer: Peer,
     pub(crate) incarnation: u64,
     pub(crate) state: MemberState,
-    /// Hash of name, instance and incarnation.
+    /// [`hash_member`] of name, instance and incarnation.
     hash: u64,
     /// Bucket of the name, below [`BUCKETS`].
     bucket: usize,
@@ -39,14 +39,16 @@
 /// All known members by name, the local one included.
 pub(crate) struct MemberTable {
     records: BTreeMap<String, MemberRecord>,
-    /// Of each bucket the exclusive or of the upper halves of its live members' hashes.
+    /// For each bucket the exclusive or (XOR) of the upper halves of its live members' hashes: XOR, so that a member is added
+    /// and removed by the same operation, and the order does not matter.
     bucket_hashes: [u32; BUCKETS],
-    /// The exclusive or of all live members' hashes.
+    /// The exclusive or (XOR) of all live members' hashes.
     digest: u64,
-    live_members: usize,
-    live_control_nodes: usize,
-    /// In the order of expiry. A member that came back may still have one.
+    live_member_count: usize,
+    live_control_node_count: usize,
+    /// In the order of expiry, at most one a name. A member that came back may still have one.
     tombstones: VecDeque<Tombstone>,
+    /// Bound of `records`, see [`Settings::max_members`](crate::Settings::max_members).
     max_members: usize,
 }
 
@@ -56,8 +58,8 @@
             records: BTreeMap::new(),
             bucket_hashes: [0; BUCKETS],
             digest: 0,
-            live_members: 0,
-            live_control_nodes: 0,
+            live_member_count: 0,
+            live_control_node_count: 0,
             tombstones: VecDeque::new(),
             max_members,
         }
@@ -76,13 +78,13 @@
     }
 
     /// Number of the live members, the local one included.
-    pub(crate) fn live_members(&self) -> usize {
-        self.live_members
+    pub(crate) fn live_member_count(&self) -> usize {
+        self.live_member_count
     }
 
     /// Number of the live members that are control nodes.
-    pub(crate) fn live_control_nodes(&self) -> usize {
-        self.live_control_nodes
+    pub(crate) fn live_control_node_count(&self) -> usize {
+        self.live_control_node_count
     }
 
     /// Digest of the live members. Two members with the same live members, instances and incarnations have the same.
@@ -106,7 +108,8 @@
 
     /// Sets what is believed about a name.
     ///
-    /// Every change of a record goes through here, since counts and hashes have to follow the records.
+    /// Every change of a record goes through here, and every removal through [`MemberTable::remove_unless_live`], since counts
+    /// and hashes have to follow the records.
     pub(crate) fn put(&mut self, peer: Peer, incarnation: u64, state: MemberState) {
         let hash = hash_member(&peer.name, peer.instance_id, incarnation);
         let bucket = (hash_name(&peer.name) % BUCKETS as u64) as usize;
@@ -118,14 +121,15 @@
         }
     }
 
+    /// Changes the state of a known name; an unknown one is ignored.
     pub(crate) fn set_state(&mut self, name: &str, state: MemberState) {
         if let Some(record) = self.records.get(name).cloned() {
             self.put(record.peer, record.incarnation, state);
         }
     }
 
-    /// Retains the record of a member that is dead or has left until an instant, which must not be earlier than that of
-    /// former calls.
+    /// Retains the record of a member that is dead or has left until an instant. It must not be earlier than those of earlier
+    /// calls, so that tombstones stay in the order of expiry.
     pub(crate) fn add_tombstone(&mut self, name: &str, expires_at: Instant) {
         self.tombstones.retain(|tombstone| tombstone.name != name);
         self.tombstones.push_back(Tombstone { expires_at, name: name.to_owned() });
@@ -145,27 +149,29 @@
         self.tombstones.front().map(|tombstone| tombstone.expires_at)
     }
 
-    /// The hashes of all buckets as they are sent.
+    /// The hashes of all buckets as they are sent: big-endian, [`BUCKET_HASH_LEN`] bytes each.
     pub(crate) fn encoded_bucket_hashes(&self) -> Vec<u8> {
         self.bucket_hashes.iter().flat_map(|hash| hash.to_be_bytes()).collect()
     }
 
-    /// At most `max_updates` of the buckets whose hashes differ from another member's, from bucket `first_bucket` on.
+    /// At most `max_updates` updates, about the names in those buckets whose hashes differ from another member's. The buckets
+    /// are taken in turn from `first_bucket` on, and those before it last.
     pub(crate) fn differing_updates(
         &self,
         remote_bucket_hashes: &[u8],
         first_bucket: usize,
         max_updates: usize,
     ) -> Vec<MemberUpdate> {
-        let mut differs = [false; BUCKETS];
-        let hashes = remote_bucket_hashes.chunks(4).zip(&self.bucket_hashes);
-        for (differs, (remote, local)) in differs.iter_mut().zip(hashes) {
+        let mut is_bucket_differing = [false; BUCKETS];
+        let hashes = remote_bucket_hashes.chunks(BUCKET_HASH_LEN).zip(&self.bucket_hashes);
+        for (differs, (remote, local)) in is_bucket_differing.iter_mut().zip(hashes) {
             *differs = remote != local.to_be_bytes();
         }
-        let is_differing = |record: &&MemberRecord| differs.get(record.bucket).copied().unwrap_or(false);
-        let mut found: Vec<&MemberRecord> = self.iter().filter(is_differing).collect();
-        found.sort_by_key(|record| (record.bucket + BUCKETS - first_bucket % BUCKETS) % BUCKETS);
-        found.into_iter().take(max_updates).map(MemberRecord::update).collect()
+        let is_differing =
+            |record: &&MemberRecord| is_bucket_differing.get(record.bucket).copied().unwrap_or(false);
+        let mut differing: Vec<&MemberRecord> = self.iter().filter(is_differing).collect();
+        differing.sort_by_key(|record| buckets_after(first_bucket, record.bucket));
+        differing.into_iter().take(max_updates).map(MemberRecord::update).collect()
     }
 
     /// Drops a name whose tombstone was removed, unless the member came back meanwhile.
@@ -180,19 +186,20 @@
     fn add_to_totals(&mut self, record: &MemberRecord) {
         if record.state.is_live() {
             self.toggle_hashes(record);
-            self.live_members += 1;
-            self.live_control_nodes += usize::from(record.peer.is_control_node);
+            self.live_member_count += 1;
+            self.live_control_node_count += usize::from(record.peer.is_control_node);
         }
     }
 
     fn subtract_from_totals(&mut self, record: &MemberRecord) {
         if record.state.is_live() {
             self.toggle_hashes(record);
-            self.live_members -= 1;
-            self.live_control_nodes -= usize::from(record.peer.is_control_node);
+            self.live_member_count -= 1;
+            self.live_control_node_count -= usize::from(record.peer.is_control_node);
         }
     }
 
+    /// Adds the hashes of a record to the digests, or removes them again.
     fn toggle_hashes(&mut self, record: &MemberRecord) {
         self.digest ^= record.hash;
         if let Some(hash) = self.bucket_hashes.get_mut(record.bucket) {
@@ -201,7 +208,13 @@
     }
 }
 
-/// All members have to hash in the same way, since digests are compared between them.
+/// How many buckets after `first_bucket` a bucket follows, if they are taken in turn.
+fn buckets_after(first_bucket: usize, bucket: usize) -> usize {
+    (bucket + BUCKETS - first_bucket % BUCKETS) % BUCKETS
+}
+
+/// Hash of name, instance and incarnation. All members have to hash in the same way, since digests are compared between
+/// them.
 fn hash_member(name: &str, instance_id: u64, incarnation: u64) -> u64 {
     mix(mix(hash_name(name) ^ instance_id).wrapping_add(incarnation))
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! A member of a fleet: what the host calls, and when it wants to be called.
+//! A member of a fleet: what the host calls, and when the next call is due.
 
 mod receive;
 
@@ -31,7 +31,7 @@
     synchronizer: Synchronizer,
     discovery: Discovery,
     leave: LeaveAnnouncer,
-    /// Whether there was a call already: the first one starts the timers.
+    /// Whether a call with an instant was made: the first one starts the timers.
     is_started: bool,
 }
 
@@ -101,12 +101,12 @@
 
     /// How many control nodes are alive or suspect, the local one included.
     pub fn live_control_nodes(&self) -> usize {
-        self.state.table().live_control_nodes()
+        self.state.table().live_control_node_count()
     }
 
     /// How many proxies are alive or suspect, the local one included.
     pub fn live_proxies(&self) -> usize {
-        self.state.table().live_members() - self.state.table().live_control_nodes()
+        self.state.table().live_member_count() - self.state.table().live_control_node_count()
     }
 
     /// Takes the events since the last call. The first of all is the joining of the local member.
@@ -137,6 +137,7 @@
     fn advance(&mut self, now: Instant) {
         let now = now.clamp(self.state.now(), LATEST_INSTANT);
         if self.is_started {
+            // Zero if the next timer is not due yet.
             let delay = now - self.next_timer();
             if delay > self.state.settings().probe_timeout {
                 self.postpone_timers(delay);
@@ -166,6 +167,7 @@
         self.leave.postpone(delay);
     }
 
+    /// When the next call is needed.
     fn next_deadline(&self) -> Instant {
         if self.is_leaving() {
             return self.leave.next_deadline();
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -11,7 +11,7 @@
 use crate::sync::{self, RemoteDigest};
 use crate::wire::{MemberUpdate, Message, MessageBody};
 
-/// Members that a refutation is sent to at once.
+/// Number of members that a refutation is sent to at once.
 const REFUTATION_FANOUT: usize = 3;
 
 impl Membership {
@@ -26,6 +26,7 @@
         self.state.take_outbox()
     }
 
+    /// Applies the updates of a message first, so that the response already follows from them.
     fn handle(&mut self, sender: SocketAddrV4, message: &Message) {
         let has_refuted = self.apply_updates(message);
         let sender_override = self.state.overriding_update(&message.sender);
@@ -100,6 +101,7 @@
         }
     }
 
+    /// Handles the last datagram of a response to a sync request.
     fn end_sync(&mut self, sender: SocketAddrV4, remote_digest: u64, has_more: bool) {
         let state = &mut self.state;
         if self.synchronizer.on_response_end(state, sender, remote_digest, has_more) {
@@ -107,10 +109,12 @@
         }
     }
 
+    /// Requests a sync if the sender's digest shows that there is something to sync.
     fn compare_digests(&mut self, sender: SocketAddrV4, message: &Message) {
         self.synchronizer.observe(message.digest);
         if self.discovery.has_joined() && !self.state.local().is_leaving() {
-            let remote = RemoteDigest { digest: message.digest, live_members: message.live_members };
+            let remote =
+                RemoteDigest { digest: message.digest, live_member_count: message.live_member_count };
             self.synchronizer.request_if_due(&mut self.state, sender, remote);
         }
     }
--- a/crates/membership/src/probe_order.rs
+++ b/crates/membership/src/probe_order.rs
@@ -9,13 +9,14 @@
 /// Bound of the dead members that wait to be pinged again.
 const MAX_DEAD_RECHECKS: usize = 256;
 
-/// Each other member once a round in a random order, new members at a random position of what is left of the round:
-/// round-robin probe target selection, section 4.3 of the SWIM paper.
+/// Round-robin probe target selection, section 4.3 of the SWIM paper: in a round each other member is probed once, in a
+/// random order. A new member is inserted at a random position of what is left of the round.
 #[derive(Default)]
 pub(crate) struct ProbeOrder {
+    /// The present round. Members that are no longer live stay in it up to its end.
     names: Vec<String>,
     /// The same names as a set.
-    known: BTreeSet<String>,
+    name_set: BTreeSet<String>,
     /// Position of the next target in `names`; at most its length.
     position: usize,
     /// Live members that are probed before all others.
@@ -25,9 +26,9 @@
 }
 
 impl ProbeOrder {
-    /// Adds a member, if it is not known yet.
+    /// Adds a member, unless it is in the round already.
     pub(crate) fn insert(&mut self, name: &str, rng: &mut dyn RngCore) {
-        if self.known.insert(name.to_owned()) {
+        if self.name_set.insert(name.to_owned()) {
             let position = self.position + index(rng, self.names.len() + 1 - self.position);
             self.names.insert(position.min(self.names.len()), name.to_owned());
         }
@@ -35,15 +36,15 @@
 
     /// Has a live member probed before all others.
     pub(crate) fn queue_recheck(&mut self, name: &str) {
-        if self.known.contains(name) && !self.rechecks.iter().any(|known| known == name) {
+        if self.name_set.contains(name) && !self.rechecks.iter().any(|queued| queued == name) {
             self.rechecks.push_back(name.to_owned());
         }
     }
 
     /// Has a member that is believed dead pinged, so that it refutes if it can.
     pub(crate) fn queue_dead_recheck(&mut self, name: &str) {
-        let is_known = self.dead_rechecks.iter().any(|known| known == name);
-        if self.dead_rechecks.len() < MAX_DEAD_RECHECKS && !is_known {
+        let is_queued = self.dead_rechecks.iter().any(|queued| queued == name);
+        if self.dead_rechecks.len() < MAX_DEAD_RECHECKS && !is_queued {
             self.dead_rechecks.push_back(name.to_owned());
         }
     }
@@ -80,7 +81,7 @@
 
     fn begin_round(&mut self, is_live: impl Fn(&str) -> bool, rng: &mut dyn RngCore) {
         self.names.retain(|name| is_live(name));
-        self.known = self.names.iter().cloned().collect();
+        self.name_set = self.names.iter().cloned().collect();
         shuffle(rng, &mut self.names);
         self.position = 0;
     }
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -15,13 +15,14 @@
 /// Members believed dead that are pinged again each period.
 const DEAD_RECHECKS_PER_PERIOD: usize = 4;
 
-/// The probe of the present period.
+/// The probe of the present protocol period.
 struct Probe {
     target: ProbeTarget,
+    /// Of the ping, its repetition and the ping-reqs alike; the ack repeats it.
     sequence: u32,
     sent_at: Instant,
     is_acked: bool,
-    /// Whether the ping was sent again, with ping-reqs to others.
+    /// Whether the probe timeout has passed and the ping was sent again, with ping-reqs to others.
     is_repeated: bool,
 }
 
@@ -32,12 +33,13 @@
     }
 }
 
-/// A ping that another member requested.
+/// A ping that another member requested, whose ack is to be passed on.
 struct RelayedPing {
+    /// Of the ping that was sent to the target.
     sequence: u32,
     target: String,
     requester: SocketAddrV4,
-    /// The sequence of the ping-req, which the ack to the requester has.
+    /// Of the ping-req; the ack that is passed on to the requester has it.
     requested_sequence: u32,
 }
 
@@ -49,7 +51,7 @@
     pub(crate) target_address: SocketAddrV4,
 }
 
-/// Protocol periods, and the pings whose acks are awaited.
+/// The failure detector: the protocol periods, and the pings whose acks are awaited.
 #[derive(Default)]
 pub(crate) struct Prober {
     next_period_at: Instant,
@@ -160,7 +162,7 @@
     }
 }
 
-/// Sends a ping. A target that isn't believed alive is notified, so that it can refute.
+/// Sends a ping. To a target that isn't believed alive it carries that update, so that the target can refute.
 fn ping(state: &mut ProtocolState, target: String, sequence: u32, address: SocketAddrV4) {
     let doubted = state.table().get(&target).filter(|record| record.state != MemberState::Alive);
     let update = doubted.map(|record| record.update());
--- a/crates/membership/src/random.rs
+++ b/crates/membership/src/random.rs
@@ -3,7 +3,7 @@
 use mosshead_time::{Duration, whole_millis};
 use rand_core::RngCore;
 
-/// A number below `end`; 0 if `end` is 0.
+/// A number below `end`; 0 if `end` is 0. The bias of the modulo is negligible for ends far below 2^64.
 fn below(rng: &mut dyn RngCore, end: u64) -> u64 {
     rng.next_u64().checked_rem(end).unwrap_or(0)
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -3,9 +3,12 @@
 use mosshead_time::{Duration, whole_millis};
 
 const MIN_INTERVAL: Duration = Duration::from_millis(1);
+/// Half of it, the upper bound of the probe timeout, is at least [`MIN_INTERVAL`].
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
+/// Upper bound of the tombstone retention and of the delays of a sync.
 const MAX_RETENTION: Duration = Duration::from_secs(86_400);
+/// Upper bound of the number of members that something is sent to at once.
 const MAX_FANOUT: usize = 16;
 const MAX_RETRANSMIT_MULTIPLIER: u32 = 16;
 const MAX_SYNC_DATAGRAMS: usize = 16;
@@ -26,7 +29,7 @@
     pub probe_timeout: Duration,
     /// Number of members that are sent a ping-req when a probe timed out.
     pub indirect_probes: usize,
-    /// Part of the suspicion timeout for each factor of ten of the fleet's size.
+    /// The suspicion timeout is this, times the logarithm to base 10 of the number of live members (at least 1).
     pub suspicion_timeout_per_decade: Duration,
     /// Lower bound of the suspicion timeout.
     pub min_suspicion_timeout: Duration,
@@ -34,15 +37,16 @@
     pub max_suspicion_timeout: Duration,
     /// Number of members that are sent gossip each period besides the probed one, while there is any.
     pub gossip_fanout: usize,
-    /// An update is sent this many times the logarithm to base 2 of the fleet's size.
+    /// An update is sent this many times the logarithm to base 2 of the number of live members and one, rounded
+    /// up; see [`Settings::retransmit_limit`].
     pub retransmit_multiplier: u32,
     /// First delay before another attempt to join; doubled with each attempt, up to `reconnect_interval`.
     pub join_retry_interval: Duration,
     /// Interval of pings to absent seeds and to addresses of dead members.
     pub reconnect_interval: Duration,
-    /// A sync is requested when digests differ and nothing has changed here for this long.
+    /// A sync is requested when digests differ and no change of the members has become known here for this long.
     pub sync_quiet_period: Duration,
-    /// While there are changes all the time, a sync is requested when digests differ and the last was this long ago.
+    /// While there are changes all the time, a sync is requested when digests differ and the last request was this long ago.
     pub max_sync_delay: Duration,
     /// Bound of the datagrams in one response to a sync request.
     pub max_sync_datagrams: usize,
@@ -102,16 +106,17 @@
     }
 
     /// How long a suspect may take to refute, in a fleet with so many live members.
-    pub fn suspicion_timeout(&self, live_members: usize) -> Duration {
-        let decades = (live_members.max(1) as f64).log10().max(1.0);
+    pub fn suspicion_timeout(&self, live_member_count: usize) -> Duration {
+        let decades = (live_member_count.max(1) as f64).log10().max(1.0);
         let millis = whole_millis(self.suspicion_timeout_per_decade) as f64 * decades;
         let upper_bound = self.max_suspicion_timeout.max(self.min_suspicion_timeout);
         Duration::from_millis(millis as u64).clamp(self.min_suspicion_timeout, upper_bound)
     }
 
     /// How often an update is sent, in a fleet with so many live members.
-    pub fn retransmit_limit(&self, live_members: usize) -> u32 {
-        self.retransmit_multiplier * (live_members + 1).next_power_of_two().trailing_zeros()
+    pub fn retransmit_limit(&self, live_member_count: usize) -> u32 {
+        // The logarithm to base 2, rounded up.
+        self.retransmit_multiplier * (live_member_count + 1).next_power_of_two().trailing_zeros()
     }
 }
 
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -28,7 +28,7 @@
 
 /// What a member believes, and what it has to send about it.
 pub(crate) struct ProtocolState {
-    /// Within bounds, see [`Settings::bounded`].
+    /// As [`Settings::bounded`] returned them.
     settings: Settings,
     rng: Box<dyn RngCore + Send>,
     /// The instant of the call at hand. It never goes back.
@@ -45,7 +45,7 @@
     outbox: Vec<Datagram>,
 }
 
-/// A member that is probed, with what was known of it then.
+/// A member that is probed, with what was known of it when the probe began.
 pub(crate) struct ProbeTarget {
     pub(crate) name: String,
     pub(crate) version: UpdateVersion,
@@ -112,12 +112,13 @@
         self.events.drain()
     }
 
-    /// Confirms suspicions that weren't refuted, and drops what is old enough.
+    /// Marks suspects dead that haven't refuted in time, and drops expired tombstones and gossip.
     pub(crate) fn expire(&mut self) {
         for name in self.suspicions.expired(self.now) {
             self.mark_dead(&name);
         }
         self.table.remove_expired(self.now);
+        // Within so many periods an update could have been sent as often as the limit allows.
         let dissemination_time = self.settings.probe_interval * self.retransmit_limit();
         self.gossip.remove_queued_before(self.now - dissemination_time);
     }
@@ -131,22 +132,22 @@
         self.suspicions.postpone(delay);
     }
 
-    /// Replaces the seeds.
+    /// See [`ContactPoints::set_seeds`].
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.contacts.set_seeds(seeds, &mut *self.rng);
     }
 
-    /// Adds an address that the host knows from elsewhere.
+    /// See [`ContactPoints::add`].
     pub(crate) fn add_contact(&mut self, address: SocketAddrV4) {
         self.contacts.add(address);
     }
 
     /// Up to `count` addresses for an attempt to join.
     pub(crate) fn next_contacts(&mut self, count: usize) -> Vec<SocketAddrV4> {
-        self.contacts.next(count, self.local.peer().address)
+        self.contacts.next_for_join(count, self.local.peer().address)
     }
 
-    /// An address where a member should be that isn't known.
+    /// A random address that no live member has, where a member may be.
     pub(crate) fn draw_absent_contact(&mut self) -> Option<SocketAddrV4> {
         let table = &self.table;
         self.contacts.draw_absent(&mut *self.rng, |address| table.has_live_address(address))
@@ -180,8 +181,8 @@
         duration_below(&mut *self.rng, end)
     }
 
-    /// How often an update is sent in a fleet of the present size.
+    /// How often an update is sent, with the present number of live members.
     fn retransmit_limit(&self) -> u32 {
-        self.settings.retransmit_limit(self.table.live_members())
+        self.settings.retransmit_limit(self.table.live_member_count())
     }
 }
--- a/crates/membership/src/state/sending.rs
+++ b/crates/membership/src/state/sending.rs
@@ -8,7 +8,7 @@
 use crate::wire::{MemberUpdate, Message, MessageBody};
 
 impl ProtocolState {
-    /// Sends a message, with `first_update` and as much gossip as fits piggybacked on it.
+    /// Queues a message in the outbox, with `first_update` and as much gossip as fits piggybacked on it.
     pub(crate) fn send(
         &mut self,
         destination: SocketAddrV4,
@@ -25,7 +25,7 @@
         self.outbox.push(Datagram { destination, payload: message.encode().unwrap_or_default() });
     }
 
-    /// Sends a message as it is, without gossip. One that would be too long is not sent.
+    /// Queues a message in the outbox as it is, without gossip. One that would be too long is dropped.
     pub(crate) fn send_without_gossip(&mut self, destination: SocketAddrV4, message: &Message) {
         self.outbox.extend(message.encode().map(|payload| Datagram { destination, payload }));
     }
@@ -48,7 +48,7 @@
             digest: self.table.digest(),
             body,
             updates: Vec::new(),
-            live_members: u32::try_from(self.table.live_members()).unwrap_or(u32::MAX),
+            live_member_count: u32::try_from(self.table.live_member_count()).unwrap_or(u32::MAX),
         }
     }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends gossip as once a period, while there is any.
+    /// Sends the gossip of one protocol period, if there is any.
     pub(crate) fn send_periodic_gossip(&mut self) {
         if !self.gossip.is_empty() {
             self.send_gossip(self.settings.gossip_fanout);
@@ -92,6 +92,8 @@
         addresses
     }
 
+    /// Adds the least sent updates up to the first that doesn't fit into the remaining bytes, and counts their transmission.
+    /// Names without a record are dropped from the gossip.
     fn piggyback_gossip(&mut self, message: &mut Message, mut remaining: usize) {
         let mut sent = Vec::new();
         let mut unknown = Vec::new();
--- a/crates/membership/src/state/updates.rs
+++ b/crates/membership/src/state/updates.rs
@@ -43,7 +43,7 @@
             return;
         }
         self.table.set_state(name, MemberState::Suspect);
-        let timeout = self.settings.suspicion_timeout(self.table.live_members());
+        let timeout = self.settings.suspicion_timeout(self.table.live_member_count());
         self.suspicions.begin(name, self.now + timeout);
         self.events.append(Event::Suspected(name.to_owned()));
         self.gossip.push(name, self.now);
@@ -66,7 +66,7 @@
     fn apply_newer_update(&mut self, update: &MemberUpdate, known_state: MemberState, source: UpdateSource) {
         match update.state {
             MemberState::Alive => self.mark_alive(update, source),
-            // A death is believed as far as a suspicion only: the member may have refuted it already.
+            // A report of a death is treated as a suspicion: the member may have refuted it already.
             MemberState::Suspect => self.mark_suspect_of_newer_version(update),
             MemberState::Dead if known_state.is_live() => self.mark_suspect_of_newer_version(update),
             // Dead or left already: only the version is raised, so that older updates don't revive it.
@@ -86,7 +86,7 @@
         source: UpdateSource,
     ) {
         match (known_state, update.state) {
-            // Others know it already: as good as one more transmission from here.
+            // Others disseminate it as well: that counts as one more transmission from here.
             (known, received) if known == received && source == UpdateSource::Gossip => {
                 let limit = self.retransmit_limit();
                 self.gossip.record_transmissions(std::slice::from_ref(&update.name), limit);
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Applies an update about a name that isn't known. Deaths and leaves of such names mean nothing here, or are forgotten
-    /// already; a suspicion is believed only as part of a sync.
+    /// Applies an update about a name that isn't known. Deaths and leaves of such names are ignored: the member was never known
+    /// here, or its tombstone has expired. A suspicion is believed only as part of a sync.
     fn apply_unknown_update(&mut self, update: &MemberUpdate, source: UpdateSource) {
         let is_accepted = match update.state {
             MemberState::Alive => true,
@@ -144,41 +144,47 @@
     }
 
     fn mark_suspect_of_newer_version(&mut self, update: &MemberUpdate) {
-        // With `Sync`, `mark_alive` doesn't disseminate the member as alive; `mark_suspect` disseminates it as a suspect.
-        self.mark_alive(update, UpdateSource::Sync);
+        // Not disseminated as alive: `mark_suspect` disseminates it as a suspect.
+        self.set_alive(update);
         self.mark_suspect(&update.name);
     }
 
-    /// Marks a member alive, by an update that is newer than all known of it.
+    /// Marks a member alive, by an update that is newer than all known of it, and disseminates it unless it came by a sync.
     fn mark_alive(&mut self, update: &MemberUpdate, source: UpdateSource) {
+        self.set_alive(update);
+        if source != UpdateSource::Sync {
+            self.gossip.push(&update.name, self.now);
+        }
+    }
+
+    /// Marks a member alive, by an update that is newer than all known of it. Nothing is disseminated.
+    fn set_alive(&mut self, update: &MemberUpdate) {
         let peer = update.peer();
         let known = self.table.get(&update.name);
-        let is_known = known.is_some_and(|record| record.state.is_live() && record.peer == peer);
+        let was_live = known.is_some_and(|record| record.state.is_live() && record.peer == peer);
         if let Some(record) = known.filter(|record| record.peer.address != peer.address) {
             self.contacts.remove_lost(record.peer.address);
         }
         self.contacts.remove_lost(peer.address);
         self.table.put(peer.clone(), update.incarnation, MemberState::Alive);
         let was_suspected = self.suspicions.end(&update.name);
-        if !is_known {
+        if !was_live {
             self.events.append(Event::Joined(peer));
             self.probe_order.insert(&update.name, &mut *self.rng);
         } else if was_suspected {
             self.events.append(Event::Refuted(update.name.clone()));
         }
         self.changes.record_change(self.now);
-        if source != UpdateSource::Sync {
-            self.gossip.push(&update.name, self.now);
-        }
     }
 
+    /// Marks a member left and disseminates it. It is no contact point any more: nobody is expected at its address.
     fn mark_left(&mut self, name: &str) {
         let Some(address) = self.table.get(name).map(|record| record.peer.address) else { return };
         self.mark_gone(name, MemberState::Left, Event::Left(name.to_owned()));
         self.contacts.remove_lost(address);
     }
 
-    /// Marks a member dead or left. It is an event only if it was live.
+    /// Marks a member dead or left. Only if it was live, that is an event and is disseminated.
     fn mark_gone(&mut self, name: &str, state: MemberState, event: Event) {
         let was_live = self.table.is_live(name);
         self.table.set_state(name, state);
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -8,22 +8,24 @@
 use crate::state::ProtocolState;
 use crate::wire::{BUCKETS, MAX_DATAGRAM_LEN, MemberUpdate, Message, MessageBody};
 
-/// No encoded update is shorter.
+/// No encoded update is shorter, in bytes.
 const MIN_UPDATE_LEN: usize = 16;
 /// A response that changes at least so many members is followed by another request, if the views still differ.
 const MIN_CHANGES_FOR_ANOTHER_REQUEST: u64 = 8;
-/// So many datagrams in a row with the same digest show that it is the local view that is incomplete.
-const MATCHING_DIGESTS: u32 = 4;
-/// If more members than this are missing, the interval between requests is shorter.
-const FEW_MEMBERS: usize = 3;
-/// It is urgent if the missing members are more than the known ones divided by this, and more than [`FEW_MEMBERS`].
+/// At least so many datagrams in a row with the same digest show that the other members agree, and that it is the local view
+/// that is incomplete.
+const MIN_MATCHING_DIGESTS: u32 = 4;
+/// Up to so many missing members are left to gossip at first; if more are missing, the interval between requests is shorter.
+const MAX_MISSING_FOR_GOSSIP: usize = 3;
+/// A sync is urgent if more members are missing than the known ones divided by this, and more than
+/// [`MAX_MISSING_FOR_GOSSIP`].
 const URGENT_DIVISOR: usize = 8;
 
 /// What another member's datagram says about its live members.
 #[derive(Clone, Copy)]
 pub(crate) struct RemoteDigest {
     pub(crate) digest: u64,
-    pub(crate) live_members: u32,
+    pub(crate) live_member_count: u32,
 }
 
 /// When to request a sync.
@@ -32,8 +34,9 @@
     last_request_at: Instant,
     /// Added to the intervals between requests; drawn at each, so that not all members request at once.
     jitter: Duration,
-    /// The digest of the last datagram, and how many in a row had it.
+    /// The digest of the last datagram.
     last_digest: u64,
+    /// How many datagrams in a row had `last_digest`, since the last request that was due.
     matching_digests: u32,
     /// [`ChangeCounter::count`](crate::change_counter::ChangeCounter::count) at the last request.
     changes_at_request: u64,
@@ -45,7 +48,7 @@
         self.last_request_at = now;
     }
 
-    /// Requests the updates that differ.
+    /// Requests the updates of those buckets that differ from the receiver's.
     pub(crate) fn request(&mut self, state: &mut ProtocolState, destination: SocketAddrV4) {
         self.last_request_at = state.now();
         self.jitter = state.random_duration_below(half(state.settings().sync_quiet_period));
@@ -70,7 +73,7 @@
             self.request(state, sender);
             return false;
         }
-        state.table().live_members() > 1
+        state.table().live_member_count() > 1
     }
 
     /// Counts how many datagrams in a row had the same digest.
@@ -90,22 +93,24 @@
         if remote.digest == state.table().digest() {
             return;
         }
-        if state.now() - self.last_request_at >= self.request_interval(state, remote.live_members) {
+        if state.now() - self.last_request_at >= self.request_interval(state, remote.live_member_count) {
             self.matching_digests = 0;
             self.request(state, sender);
         }
     }
 
-    /// The least time between two requests: the shorter, the more members are missing here. If several members in a row
+    /// The least time between two requests. It is the shorter, the more members are missing here; if several members in a row
     /// agree with each other but not with this one, something is missing, too. Otherwise gossip gets time to spread the
-    /// changes, and views that still differ are synced when there are none any more.
-    fn request_interval(&self, state: &ProtocolState, remote_live_members: u32) -> Duration {
-        let local = state.table().live_members();
-        let missing = (remote_live_members as usize).saturating_sub(local);
+    /// changes, and views that still differ are synced after a quiet period without changes.
+    fn request_interval(&self, state: &ProtocolState, remote_live_member_count: u32) -> Duration {
+        let local = state.table().live_member_count();
+        let missing = (remote_live_member_count as usize).saturating_sub(local);
         let quiet_period = state.settings().sync_quiet_period + self.jitter;
-        if missing > (local / URGENT_DIVISOR).max(FEW_MEMBERS) || self.matching_digests >= MATCHING_DIGESTS {
+        if missing > (local / URGENT_DIVISOR).max(MAX_MISSING_FOR_GOSSIP)
+            || self.matching_digests >= MIN_MATCHING_DIGESTS
+        {
             state.settings().join_retry_interval
-        } else if missing > FEW_MEMBERS {
+        } else if missing > MAX_MISSING_FOR_GOSSIP {
             half(quiet_period)
         } else if state.now() >= state.changes().last_at() + quiet_period {
             quiet_period
@@ -131,7 +136,7 @@
     let mut updates = first_update.into_iter().chain(differing).peekable();
     for number in 1..=max_datagrams {
         let mut message = state.message(MessageBody::SyncResponse { is_last: false, has_more: false });
-        fill(&mut message, &mut updates);
+        add_fitting_updates(&mut message, &mut updates);
         let has_more = updates.peek().is_some();
         let is_last = !has_more || number == max_datagrams;
         message.body = MessageBody::SyncResponse { is_last, has_more };
@@ -142,8 +147,11 @@
     }
 }
 
-/// Adds updates as long as they fit.
-fn fill(message: &mut Message, updates: &mut std::iter::Peekable<impl Iterator<Item = MemberUpdate>>) {
+/// Moves updates into a message as long as they fit.
+fn add_fitting_updates(
+    message: &mut Message,
+    updates: &mut std::iter::Peekable<impl Iterator<Item = MemberUpdate>>,
+) {
     let mut remaining = message.remaining_bytes();
     while let Some(update) = updates.next_if(|update| minicbor::len(update) <= remaining) {
         remaining -= minicbor::len(&update);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -11,8 +11,10 @@
 
 /// Buckets of names, each with a hash of its own, that a sync compares.
 pub(crate) const BUCKETS: usize = 64;
-/// Bytes of the hashes of all buckets, 4 each.
-pub(crate) const BUCKET_HASHES_LEN: usize = BUCKETS * 4;
+/// Bytes of one bucket's hash, a `u32`.
+pub(crate) const BUCKET_HASH_LEN: usize = size_of::<u32>();
+/// Bytes of the hashes of all buckets.
+pub(crate) const BUCKET_HASHES_LEN: usize = BUCKETS * BUCKET_HASH_LEN;
 
 /// Updates with a higher incarnation are malformed, so that there is always a higher one to refute with.
 pub(crate) const MAX_INCARNATION: u64 = 1 << 53;
@@ -20,7 +22,8 @@
 /// Bytes by which the header of an encoded list may grow while updates are added to it.
 const LIST_HEADER_GROWTH: usize = 2;
 
-/// The order of updates about one name. A greater version overrides a lesser one, whatever the states are.
+/// The order of updates about one name. A greater version overrides a lesser one, whatever the states are. The derived order
+/// compares the fields as they are listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct UpdateVersion {
     /// Raised by the member itself, to refute.
@@ -29,7 +32,7 @@
     pub(crate) instance_id: u64,
 }
 
-/// What a member believes about one name.
+/// What a member believes about one name: itself or another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
 pub(crate) struct MemberUpdate {
     #[n(0)]
@@ -83,7 +86,7 @@
 /// What a message is for.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
 pub(crate) enum MessageBody {
-    /// Requests an ack. An empty target is whichever member has the address.
+    /// Requests an ack. An empty target matches whichever member has the address.
     #[n(0)]
     Ping {
         #[n(0)]
@@ -94,7 +97,7 @@
     /// The target is alive: sent by the target, or passed on by a member that pinged it on request.
     #[n(1)]
     Ack {
-        /// That of the ping or ping-req that is answered.
+        /// Of the ping or ping-req that this is the response to.
         #[n(0)]
         sequence: u32,
         #[n(1)]
@@ -145,11 +148,12 @@
     pub(crate) digest: u64,
     #[n(3)]
     pub(crate) body: MessageBody,
+    /// About other members, or about the receiver.
     #[n(4)]
     pub(crate) updates: Vec<MemberUpdate>,
     /// Number of the live members as the sender knows them.
     #[n(5)]
-    pub(crate) live_members: u32,
+    pub(crate) live_member_count: u32,
 }
 
 impl Message {
@@ -162,7 +166,7 @@
         (message.fleet_id == fleet_id && message.is_valid()).then_some(message)
     }
 
-    /// Bytes that are left for updates.
+    /// Bytes that are left for updates in a datagram of the maximum length.
     pub(crate) fn remaining_bytes(&self) -> usize {
         MAX_DATAGRAM_LEN.saturating_sub(minicbor::len(self) + LIST_HEADER_GROWTH)
     }
--- a/crates/membership/tests/cluster/mod.rs
+++ b/crates/membership/tests/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated network in virtual time: members, delays, loss, partitions, suspended processes.
+//! A simulated network in virtual time: members, delays, loss, partitions, suspended processes. All randomness follows from
+//! the seed.
 #![allow(dead_code)]
 
 mod checks;
@@ -32,8 +33,11 @@
     /// All events of this instance, with their times.
     pub events: Vec<(Instant, Event)>,
     pub is_suspended: bool,
+    /// With [`HEADER_BYTES`] for each datagram.
     pub received_bytes: u64,
+    /// With [`HEADER_BYTES`] for each datagram.
     pub sent_bytes: u64,
+    /// What was received while the process was suspended.
     socket_queue: Vec<ReceivedDatagram>,
     wake_at: Instant,
 }
@@ -57,11 +61,12 @@
     pub loss_per_mille: u64,
     /// Links (from, to) that carry nothing.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// When which action of which process is due, in order.
+    /// When an action is due, its key in `actions`, and the index of its process; the first one due on top.
     queue: BinaryHeap<Reverse<(Instant, u64, usize)>>,
     actions: BTreeMap<u64, Action>,
     by_address: BTreeMap<SocketAddrV4, usize>,
     rng: Pcg64,
+    /// Numbers the actions, so that those due at one instant keep their order.
     last_action: u64,
 }
 
@@ -184,8 +189,8 @@
     /// Shuts a member down: it announces that it leaves, and has ended after `grace`.
     pub(crate) fn leave(&mut self, index: usize, grace: Duration) {
         let now = self.now;
-        let out = self.membership_mut(index).leave(now);
-        self.after_call(index, out);
+        let datagrams = self.membership_mut(index).leave(now);
+        self.after_call(index, datagrams);
         self.run_until(now + grace);
         self.kill(index);
     }
@@ -240,7 +245,7 @@
         let now = self.now;
         let process = &mut self.processes[index];
         let Some(membership) = &mut process.membership else { return };
-        let out = match action {
+        let datagrams = match action {
             Action::Wake if process.is_suspended || process.wake_at > now => return,
             Action::Wake => {
                 process.wake_at = Instant::FAR_FUTURE;
@@ -257,11 +262,11 @@
                 membership.receive(now, sender, &payload)
             }
         };
-        self.after_call(index, out);
+        self.after_call(index, datagrams);
     }
 
-    /// Does what a host does after each call.
-    fn after_call(&mut self, index: usize, out: Vec<Datagram>) {
+    /// Does what a host does after each call: applies the events, schedules the next tick, sends the datagrams.
+    fn after_call(&mut self, index: usize, datagrams: Vec<Datagram>) {
         let now = self.now;
         let process = &mut self.processes[index];
         let membership = process.membership.as_mut().expect("the process runs");
@@ -278,7 +283,7 @@
                 self.push(at, index, Action::Wake);
             }
         }
-        for datagram in out {
+        for datagram in datagrams {
             self.send(index, datagram);
         }
     }
--- a/crates/membership/tests/malformed_datagrams.rs
+++ b/crates/membership/tests/malformed_datagrams.rs
@@ -55,9 +55,10 @@
                 datagrams.push(bytes.clone());
                 let target = (0..running).find(|process| address(*process) == to);
                 let Some(process) = target else { continue };
-                let out = members[process].receive(Instant::from_millis(now), from, &bytes);
-                in_flight
-                    .extend(out.into_iter().map(|sent| (address(process), sent.destination, sent.payload)));
+                let responses = members[process].receive(Instant::from_millis(now), from, &bytes);
+                in_flight.extend(
+                    responses.into_iter().map(|sent| (address(process), sent.destination, sent.payload)),
+                );
             }
         }
     }
@@ -65,17 +66,22 @@
     datagrams
 }
 
+/// Hands the datagrams to the first member, a millisecond apart. Returns how many it has sent.
 fn handle_all(cluster: &mut Cluster, datagrams: &[Vec<u8>]) -> usize {
     let now = cluster.now;
     let membership = cluster.membership_mut(0);
-    let mut responses = 0;
+    let mut sent_count = 0;
     for (turn, bytes) in datagrams.iter().enumerate() {
-        let mut out = membership.receive(now + millis(turn as u64), address(turn % 9), bytes);
-        out.extend(membership.tick(now + millis(turn as u64)));
-        assert!(out.iter().all(|sent| !sent.payload.is_empty() && sent.payload.len() <= MAX_DATAGRAM_LEN));
-        responses += out.len();
+        let mut sent = membership.receive(now + millis(turn as u64), address(turn % 9), bytes);
+        sent.extend(membership.tick(now + millis(turn as u64)));
+        assert!(
+            sent.iter().all(|datagram| {
+                !datagram.payload.is_empty() && datagram.payload.len() <= MAX_DATAGRAM_LEN
+            })
+        );
+        sent_count += sent.len();
     }
-    responses
+    sent_count
 }
 
 quickcheck! {
--- a/crates/membership/tests/mutants.rs
+++ b/crates/membership/tests/mutants.rs
@@ -1,11 +1,12 @@
-//! What each part of the protocol is for: without it, a test of the others would fail.
+//! What each part of the protocol is for: with the part turned off, healthy members are suspected or declared dead, or dead
+//! ones come back.
 
 mod cluster;
 
 use cluster::{Cluster, millis};
 use mosshead_membership::{Event, Settings};
 
-/// The wrong verdicts of all members.
+/// How often members have been wrong about another.
 #[derive(Debug, Default, PartialEq)]
 struct WrongVerdicts {
     suspicions: usize,
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,4 +1,5 @@
-//! After any faults, when they end, all that run soon agree on who runs.
+//! Random sequences of faults: after them all members that run soon agree on who runs, and faults of some members make others
+//! miss none of the rest.
 
 mod cluster;
 
@@ -6,6 +7,7 @@
 use mosshead_membership::Settings;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
+/// A step of a random run. Processes are numbers that are reduced to the size of the cluster; times are in milliseconds.
 #[derive(Clone, Debug)]
 enum Fault {
     Kill(usize),
@@ -15,8 +17,10 @@
     Resume(usize),
     Cut(usize, usize),
     CutOneWay(usize, usize),
+    /// Cuts all links between processes that differ in this bit of their number, modulo 3.
     Partition(usize),
     Heal,
+    /// Datagrams lost of 1,000.
     Loss(u64),
     Add,
     Wait(u64),
