--- a/crates/record-log/src/directory.rs
+++ b/crates/record-log/src/directory.rs
@@ -1,4 +1,4 @@
-//! A directory of the machine's file system.
+//! The disk of a running program: a directory of the machine's file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -16,7 +16,8 @@
 #[derive(Debug)]
 pub struct DirectoryFile {
     file: File,
-    /// The offset of the file's cursor if it is known: an append then needs no seek.
+    /// The offset of the file's cursor in bytes, if it is known: an append then needs no seek. `None` after an operation that
+    /// may have left it anywhere.
     cursor: Option<u64>,
 }
 
@@ -72,6 +73,7 @@
 }
 
 impl DirectoryFile {
+    /// Moves the cursor to an offset. Afterwards it counts as unknown until an operation has succeeded.
     fn seek(&mut self, offset: u64) -> io::Result<()> {
         if self.cursor.take() != Some(offset) {
             self.file.seek(SeekFrom::Start(offset))?;
--- a/crates/record-log/src/disk.rs
+++ b/crates/record-log/src/disk.rs
@@ -15,7 +15,8 @@
     /// The directory can't be read.
     fn file_names(&mut self) -> io::Result<Vec<String>>;
 
-    /// Creates an empty file; an existing one of that name is truncated. The name lasts only after a sync.
+    /// Creates an empty file; an existing one of that name is truncated. Its name is durable only after a sync of the file or
+    /// of the disk.
     ///
     /// # Errors
     ///
--- a/crates/record-log/src/durable_log.rs
+++ b/crates/record-log/src/durable_log.rs
@@ -1,4 +1,4 @@
-//! What a log promises to its users.
+//! The operations of a log, and what is durable after each of them.
 
 use crate::error::LogError;
 
@@ -27,6 +27,6 @@
     /// again.
     fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), LogError>;
 
-    /// The length of the log, in bytes.
+    /// The length of the log on the disk, in bytes: the content of its records and what frames them.
     fn length(&self) -> u64;
 }
--- a/crates/record-log/src/error.rs
+++ b/crates/record-log/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a log.
+//! Why operations of a log fail.
 
 use std::io;
 
--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -12,11 +12,11 @@
 
 /// The longest record, in bytes.
 pub const MAX_RECORD_LENGTH: usize = 16 << 20;
-/// The longest file, in bytes; two generations fit on the smallest disk.
+/// The longest file, in bytes. During a rewrite two generations need space on the disk.
 pub const MAX_FILE_LENGTH: u64 = 56 << 20;
 /// The length of the header, in bytes.
 pub const HEADER_LENGTH: usize = 24;
-/// The bytes in front of the content of each record.
+/// The bytes in front of the content of each record: length, sequence, incarnation and checksum.
 pub const FRAME_LENGTH: usize = 24;
 
 const MAGIC: [u8; 8] = *b"cistern1";
@@ -36,21 +36,24 @@
 
 /// What was found in a file.
 pub(crate) struct Scan {
-    /// The records up to the first invalid byte.
+    /// The records in front of the first one that is not valid.
     pub records: Vec<Vec<u8>>,
     /// The end of these records.
     pub end: LogEnd,
-    /// Whether all records that the file was first written with are there.
+    /// Whether all records that the file was first written with are there. If not, its generation was not written completely.
     pub is_complete: bool,
 }
 
+/// A valid record at the start of some bytes.
 struct DecodedRecord<'a> {
     content: &'a [u8],
+    /// The end of the log after this record.
     end: LogEnd,
+    /// The bytes after this record.
     rest: &'a [u8],
 }
 
-/// Appends a header to `output`.
+/// Appends a header to `output`. Returns the end of a log that has no record yet.
 pub(crate) fn encode_header(generation: u64, initial_records: u32, output: &mut Vec<u8>) -> LogEnd {
     let checksum = header_checksum(generation, initial_records);
     output.extend_from_slice(&MAGIC);
@@ -60,7 +63,7 @@
     end_of_header(checksum)
 }
 
-/// Appends a framed record to `output`; `length` is that of `record`.
+/// Appends a framed record to `output`; `length` is that of `record`. Returns the end of the log after it.
 pub(crate) fn encode_record(
     previous: &LogEnd,
     incarnation: u64,
@@ -112,6 +115,7 @@
         .ok_or_else(|| LogError::TooLong(u64::try_from(length).unwrap_or(u64::MAX)))
 }
 
+/// Reads the record at the start of `bytes`; `None` if it is not a valid successor of the `previous` ones.
 fn decode_record<'a>(previous: &LogEnd, bytes: &'a [u8]) -> Option<DecodedRecord<'a>> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sequence, rest) = rest.split_first_chunk::<8>()?;
@@ -139,6 +143,7 @@
     LogEnd { offset: HEADER_LENGTH as u64, sequence: 0, checksum, incarnation: 0 }
 }
 
+/// The end of the log after a record.
 fn end_after(previous: &LogEnd, incarnation: u64, length: u32, checksum: u32) -> LogEnd {
     LogEnd {
         offset: previous.offset.saturating_add(FRAME_LENGTH as u64).saturating_add(u64::from(length)),
--- a/crates/record-log/src/generation.rs
+++ b/crates/record-log/src/generation.rs
@@ -9,17 +9,17 @@
 use crate::error::LogError;
 use crate::format::{self, FRAME_LENGTH, HEADER_LENGTH, LogEnd, MAX_FILE_LENGTH, Scan};
 
-/// Generations are smaller; far above what can be counted to.
+/// All generations are smaller. It is never reached by counting, so a greater number in a file name is not a generation.
 const GENERATION_LIMIT: u64 = 1 << 63;
 /// Records are collected up to this length, in bytes, before they are written.
 pub(crate) const WRITE_BUFFER_LENGTH: usize = 256 << 10;
 
-/// A generation that was found on the disk.
+/// A generation with a valid header that was found on the disk.
 pub(crate) struct FoundGeneration<D: Disk> {
     pub generation: u64,
     pub file: D::File,
     pub scan: Scan,
-    /// In bytes, with what follows the last valid record.
+    /// In bytes, with what follows the last valid record; at most one byte more than [`MAX_FILE_LENGTH`].
     pub file_length: u64,
 }
 
@@ -37,11 +37,11 @@
     pub may_exist: bool,
 }
 
-/// A generation that is higher than all among these names.
+/// The first generation that is higher than all among these names.
 ///
 /// # Errors
 ///
-/// [`LogError::Directory`] if there is none.
+/// [`LogError::Directory`] if that would be [`GENERATION_LIMIT`].
 pub(crate) fn first_unused(names: &[String]) -> Result<u64, LogError> {
     let newest = names.iter().filter_map(|name| parse_any_file_name(name)).max();
     let next = newest.unwrap_or(0).saturating_add(1);
@@ -55,8 +55,8 @@
 ///
 /// # Errors
 ///
-/// [`LogError::Read`] if any newer file can't be read: it may be the newest complete one, so an older one must not
-/// replace it.
+/// [`LogError::Read`] if a newer file than the one found can't be read: it may be the newest complete one, so an older one
+/// must not be used in its place.
 pub(crate) fn find_newest<D: Disk>(
     disk: &mut D,
     names: &[String],
--- a/crates/record-log/src/generation_files.rs
+++ b/crates/record-log/src/generation_files.rs
@@ -10,7 +10,9 @@
 #[derive(Debug)]
 pub(crate) struct GenerationFiles<D: Disk> {
     disk: D,
+    /// The generation that records are appended to.
     current: u64,
+    /// The generation of the next rewrite; greater than all that were published or attempted.
     next: u64,
     /// Generations that a failed rewrite may have left under their final names.
     failed: Vec<u64>,
@@ -49,7 +51,8 @@
         })
     }
 
-    /// A published generation is the current one from now on. Older ones that can't be removed are never valid again.
+    /// Makes a published generation the current one, and removes the older ones. One that can't be removed does no harm, since
+    /// the newest complete generation is valid.
     pub(crate) fn adopt(&mut self, generation: u64) {
         let previous = std::mem::replace(&mut self.current, generation);
         for older in self.failed.drain(..).chain([previous]) {
@@ -77,7 +80,8 @@
         Ok(())
     }
 
-    /// Removes the files of all generations among these names; what can't be removed is older and so never valid.
+    /// Removes the files of all generations among these names, which must be older than the current one. One that can't be
+    /// removed does no harm, since the newest complete generation is valid.
     pub(crate) fn remove_named(&mut self, names: &[String]) {
         for name in names.iter().filter(|name| generation::parse_any_file_name(name).is_some()) {
             let _ = self.disk.remove(name);
--- a/crates/record-log/src/log_file.rs
+++ b/crates/record-log/src/log_file.rs
@@ -22,12 +22,12 @@
     has_torn_tail: bool,
     /// Whether the file was changed since the last successful sync.
     has_unsynced_changes: bool,
-    /// The encoded record of an append; reused, since most are short.
+    /// The encoded record of an append; the allocation is reused, unless the record was a long one.
     buffer: Vec<u8>,
 }
 
 impl<F: DiskFile> LogFile<F> {
-    /// A file whose records up to `end` are synced, and nothing is behind them.
+    /// A file whose records up to `end` are synced, with nothing after them. `incarnation` is written into further ones.
     pub(crate) fn new(file: F, end: LogEnd, incarnation: u64) -> LogFile<F> {
         LogFile {
             file,
@@ -45,6 +45,7 @@
         self.end.offset
     }
 
+    /// The incarnation that is written into further records.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -1,4 +1,4 @@
-//! A log of records on a disk.
+//! The log on a disk: generations, of which one is current.
 
 mod opening;
 
@@ -62,6 +62,8 @@
 
     fn sync(&mut self) -> Result<(), LogError> {
         self.ensure_durable()?;
+        // If this fails, the bytes after the last record remain: the records before them are durable all the same, and the
+        // next append truncates first.
         let _ = self.file.truncate_torn_tail();
         // While a failed generation may come back after a crash, what is written to this older one may be lost.
         let synced = self.generations.remove_failed().and_then(|()| self.file.sync());
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -8,9 +8,9 @@
 use crate::durable_log::DurableLog;
 use crate::error::LogError;
 
-/// The maximum number of records that share one sync.
+/// The maximum number of records that share one sync (group commit).
 pub const MAX_GROUP_COMMIT: usize = 256;
-/// The maximum number of bytes that wait for the disk.
+/// The maximum content of the requests that wait for the disk, in bytes.
 pub const MAX_QUEUED_BYTES: u64 = 48 << 20;
 
 /// No [`LogError`] has this code.
@@ -19,7 +19,7 @@
 /// The result of a write that was submitted to a [`LogWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteCompletion {
-    /// The token that the write was submitted with.
+    /// The number that the caller submitted the write with, to know it again.
     pub token: u64,
     /// Whether the write is durable. If not, it may be found on the disk all the same.
     pub is_durable: bool,
@@ -65,8 +65,8 @@
 }
 
 impl LogWriter {
-    /// Starts the thread. At most `queue_capacity` requests wait. The thread calls `on_completion` once for each
-    /// accepted request, in their order.
+    /// Starts the thread. At most `queue_capacity` requests wait, and at least one may. The thread calls `on_completion` once
+    /// for each accepted request, in their order; it must not block, since the log waits for it.
     ///
     /// # Errors
     ///
@@ -125,6 +125,7 @@
         let _ = self.thread.join();
     }
 
+    /// Queues a request with `bytes` of content, or rejects it if there is too much in the queue.
     fn send(&self, bytes: u64, request: WriteRequest) -> Result<(), LogError> {
         let queued_before = self.shared.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         let sent = if queued_before.saturating_add(bytes) > MAX_QUEUED_BYTES {
@@ -143,7 +144,7 @@
 }
 
 impl Shared {
-    /// Subtracts the content of a request from the bytes that are queued.
+    /// Subtracts the content of a request, in bytes, from [`Shared::queued_bytes`].
     fn release(&self, bytes: u64) {
         self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
@@ -160,7 +161,7 @@
     }
 }
 
-/// What the thread owns.
+/// The thread: it executes the requests in their order.
 struct Worker<L, F> {
     log: L,
     requests: Receiver<WriteRequest>,
@@ -169,6 +170,7 @@
 }
 
 impl<L: DurableLog, F: Fn(WriteCompletion)> Worker<L, F> {
+    /// Runs until the [`LogWriter`] is dropped and the queue is empty.
     fn run(mut self) {
         while let Ok(first) = self.requests.recv() {
             let (group, rewrite) = self.append_group(first);
@@ -208,6 +210,7 @@
         }
     }
 
+    /// Executes a rewrite and reports it.
     fn rewrite(&mut self, rewrite: Rewrite) {
         let Rewrite { token, records } = rewrite;
         let is_durable = self.shared.record_result(self.log.rewrite(&records));
@@ -217,6 +220,7 @@
         (self.on_completion)(WriteCompletion { token, is_durable });
     }
 
+    /// Lets [`LogWriter::length`] return the present length of the log.
     fn publish_length(&self) {
         self.shared.length.store(self.log.length(), Ordering::Relaxed);
     }
--- a/crates/record-log/tests/memory_disk/mod.rs
+++ b/crates/record-log/tests/memory_disk/mod.rs
@@ -46,6 +46,7 @@
     power_cycle: u64,
     /// `None`: unlimited.
     free_bytes: Option<u64>,
+    /// Operations so far, see [`MemoryDisk::operation_count`].
     operations: u64,
     /// `None`: operations succeed.
     operations_until_failure: Option<u64>,
