--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,8 +1,9 @@
 //! How the proxies of a fleet recover from a common outage without a thundering herd and without talking to each other:
-//! what each may do is spread by the size of the fleet and by its own failures, and each knows how far it has recovered.
+//! each instance spreads its calls to discovery by the size of the fleet and by its own failures, and knows how far it has
+//! recovered.
 //!
-//! No I/O, no clock, no generator: instants and random numbers are handed in. Times are in seconds; bounds are shares of a
-//! time that the settings name.
+//! No I/O, no clock, no random generator: instants and random numbers are handed in. Instants and durations are in seconds;
+//! bounds are stated as shares of the time allowed between calls, which the settings name.
 
 mod backoff;
 mod lifecycle;
--- a/crates/recovery/src/lifecycle.rs
+++ b/crates/recovery/src/lifecycle.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-/// Bound of the last responses that are looked at.
+/// How many of the last responses are considered: the bits of [`InstanceLifecycle::responses_in_time`].
 const MAX_RESPONSES: u32 = 32;
-/// Responses that it takes to judge by.
+/// How many responses it takes to judge by.
 const MIN_RESPONSES: u32 = 16;
 /// Share of the responses that have to be in time.
 const REQUIRED_IN_TIME_SHARE: f64 = 0.9;
-/// After so many seconds with few requests the last [`FEW_RESPONSES`] are enough to judge by.
+/// So many seconds after the first update the last [`FEW_RESPONSES`] are enough to judge by.
 const QUIET_PERIOD_S: f64 = 5.0;
-/// Responses that have to be in time where there are few requests; with none there is nothing to wait for.
+/// How many of the last responses have to be in time after the [`QUIET_PERIOD_S`]; all, if there were fewer.
 const FEW_RESPONSES: u32 = 3;
 /// Once a call has failed, the list is outdated when the last update is so many times the time between calls ago.
 const OUTDATED_AFTER_INTERVALS: f64 = 4.0;
@@ -21,11 +21,12 @@
     /// No server is known that requests may be sent to; all are rejected.
     #[default]
     NoServers,
-    /// Requests are sent by a list that discovery hasn't confirmed to this instance, without the servers known to have left.
+    /// Requests are sent by a stored or outdated list, which discovery hasn't confirmed to this instance. Servers that are
+    /// known to have left get none.
     UnconfirmedList,
-    /// Discovery has sent its list to this instance, and too little else is known.
+    /// Discovery has sent its list to this instance, but too few responses were in time yet.
     WarmingUp,
-    /// Responses are in time.
+    /// Enough responses were in time.
     FullService,
 }
 
@@ -40,16 +41,16 @@
     Responses,
     /// Responses that are in time.
     TimelyResponses,
-    /// It is in full service.
+    /// Nothing: it is in full service.
     Nothing,
 }
 
 /// How far an instance has recovered, and what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryStatus {
-    /// How far it has come.
+    /// The stage that it is in.
     pub stage: RecoveryStage,
-    /// What keeps it from the next stage.
+    /// What it needs for the next stage.
     pub blocker: RecoveryBlocker,
 }
 
@@ -98,6 +99,7 @@
     response_count: u32,
     /// When the first update came, since the start or a suspension.
     first_update_at: Option<f64>,
+    /// Whether full service was reached since the start or a suspension.
     is_in_full_service: bool,
 }
 
@@ -134,16 +136,19 @@
         self.response_count = (self.response_count + 1).min(MAX_RESPONSES);
     }
 
-    /// Whether the list is discovery's, and not outdated. `call_interval` is the time allowed between calls.
+    /// Whether discovery has sent its list to this instance, and that is not outdated. `call_interval` is the time allowed
+    /// between calls, in seconds.
     pub fn has_current_list(&self, now: f64, call_interval: f64) -> bool {
         self.last_update_at.is_some_and(|last_update_at| {
             !self.has_call_failed || now - last_update_at <= OUTDATED_AFTER_INTERVALS * call_interval
         })
     }
 
-    /// How far the instance has recovered, and what it waits for. `call_interval` is the time allowed between calls.
+    /// How far the instance has recovered, and what it waits for. `call_interval` is the time allowed between calls, in
+    /// seconds.
     ///
-    /// Full service, once reached, ends only when the list is outdated: late responses alone are no matter of a start.
+    /// Full service, once reached, is left only while there are no servers or the list is outdated: responses that become late
+    /// later on say nothing about the recovery.
     pub fn status(&mut self, now: f64, call_interval: f64) -> RecoveryStatus {
         if !self.has_servers {
             return RecoveryStatus::AT_START;
@@ -164,13 +169,15 @@
         RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker }
     }
 
-    /// An instance with few requests would never have [`MIN_RESPONSES`]: after a while the last few are enough.
+    /// Whether the quiet period is over and the last few responses were in time. An instance with few requests would hardly
+    /// ever have [`MIN_RESPONSES`].
     fn is_quiet_and_in_time(&self, now: f64) -> bool {
-        let few = (1_u32 << self.response_count.min(FEW_RESPONSES)) - 1;
-        let is_over = self.first_update_at.is_some_and(|first| now - first >= QUIET_PERIOD_S);
-        is_over && self.responses_in_time & few == few
+        let last_bits = (1_u32 << self.response_count.min(FEW_RESPONSES)) - 1;
+        let is_quiet_period_over = self.first_update_at.is_some_and(|first| now - first >= QUIET_PERIOD_S);
+        is_quiet_period_over && self.responses_in_time & last_bits == last_bits
     }
 
+    /// Whether there are enough responses to judge by, and enough of them were in time.
     fn has_enough_in_time(&self) -> bool {
         let in_time = f64::from(self.responses_in_time.count_ones());
         self.response_count >= MIN_RESPONSES
--- a/crates/recovery/tests/backoff.rs
+++ b/crates/recovery/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! A fleet that starts at once, against a directory that answers calls in turn, including those given up.
+//! A fleet that starts at once, against a discovery server that answers calls in turn, including those given up.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,20 +12,23 @@
 /// A call that has waited so many seconds has failed.
 const CALL_TIMEOUT_S: f64 = 2.0;
 
+/// Callers that aren't answered by then never are.
+const MAX_TIME_S: f64 = 300.0;
+
 struct Outcome {
-    /// When each caller had its first answer.
-    answered: Vec<f64>,
-    /// When calls came.
-    calls: Vec<f64>,
+    /// When each caller had its first answer, in seconds; infinite if it had none.
+    answered_at: Vec<f64>,
+    /// When calls were made, in seconds, in order.
+    called_at: Vec<f64>,
 }
 
-/// All call at zero and again after the delay that `wait` returns, until all are answered or the time is over. A call in the
-/// queue costs the directory its turn, whether its caller still waits or not.
-fn start(
+/// All call at zero and again after the delay that `backoff_delay` returns, until all are answered or [`MAX_TIME_S`] has
+/// passed. A call in the queue costs the discovery server its time, whether its caller still waits or not.
+fn start_fleet(
     callers: usize,
     calls_per_second: f64,
     seed: u64,
-    wait: impl Fn(&mut DiscoveryBackoff, f64) -> f64,
+    backoff_delay: impl Fn(&mut DiscoveryBackoff, f64) -> f64,
 ) -> Outcome {
     let mut state = seed;
     let mut random = move || {
@@ -36,20 +39,20 @@
     let micros = |at: f64| (at * 1e6) as u64;
     let mut due: BinaryHeap<Reverse<(u64, usize)>> =
         (0..callers).map(|caller| Reverse((0, caller))).collect();
-    let mut outcome = Outcome { answered: vec![f64::INFINITY; callers], calls: Vec::new() };
-    let mut directory_free_at = 0.0_f64;
+    let mut outcome = Outcome { answered_at: vec![f64::INFINITY; callers], called_at: Vec::new() };
+    let mut server_free_at = 0.0_f64;
     while let Some(Reverse((at, caller))) = due.pop() {
         let at = at as f64 / 1e6;
-        if at > 300.0 {
+        if at > MAX_TIME_S {
             break;
         }
-        outcome.calls.push(at);
-        directory_free_at = directory_free_at.max(at) + 1.0 / calls_per_second;
-        if directory_free_at - at <= CALL_TIMEOUT_S {
-            outcome.answered[caller] = directory_free_at;
+        outcome.called_at.push(at);
+        server_free_at = server_free_at.max(at) + 1.0 / calls_per_second;
+        if server_free_at - at <= CALL_TIMEOUT_S {
+            outcome.answered_at[caller] = server_free_at;
         } else {
-            let again = at + CALL_TIMEOUT_S + wait(&mut backoffs[caller], random());
-            due.push(Reverse((micros(again), caller)));
+            let retry_at = at + CALL_TIMEOUT_S + backoff_delay(&mut backoffs[caller], random());
+            due.push(Reverse((micros(retry_at), caller)));
         }
     }
     outcome
@@ -60,16 +63,16 @@
 }
 
 fn last_answer_at(outcome: &Outcome) -> f64 {
-    outcome.answered.iter().copied().fold(0.0, f64::max)
+    outcome.answered_at.iter().copied().fold(0.0, f64::max)
 }
 
-/// An earlier backoff, half a second doubled three times, let 60 of 100 callers of a directory that answers 20 calls a second
+/// An earlier backoff, half a second doubled three times, let 60 of 100 callers of a discovery server that answers 20 calls a second
 /// go without a list for good.
 #[test]
-fn a_hundred_callers_are_answered_by_an_overloaded_directory() {
-    let outcome = start(100, 20.0, 1, with_backoff(100.0));
+fn a_hundred_callers_are_answered_by_an_overloaded_discovery_server() {
+    let outcome = start_fleet(100, 20.0, 1, with_backoff(100.0));
     assert!(last_answer_at(&outcome) < 15.0, "the last after {} s", last_answer_at(&outcome));
-    let without_backoff = start(100, 20.0, 1, |_, random| 0.5 + 0.5 * random);
+    let without_backoff = start_fleet(100, 20.0, 1, |_, random| 0.5 + 0.5 * random);
     assert!(
         last_answer_at(&without_backoff) > 60.0,
         "without backoff: the last after {} s",
@@ -80,20 +83,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the fleet's size, also if it is known wrongly by a factor of four, all are answered, and the calls in a tenth of a
+    /// Whatever the fleet's size, also if the size that callers know is wrong by a factor of four, all are answered, and the calls in a tenth of a
     /// second after the first instant stay below what the size allows.
     #[test]
     fn every_caller_is_answered(callers in 1_usize..5000, size_error in prop::sample::select(vec![0.25, 1.0, 4.0]), seed: u64) {
-        // A directory that could not answer all of them within the time allowed between calls would be useless.
+        // A discovery server that could not answer all of them within the time allowed between calls would be useless.
         let calls_per_second = (callers as f64 / CALL_INTERVAL_S).max(5.0);
         let fleet = callers as f64 * size_error;
-        let outcome = start(callers, calls_per_second, seed, with_backoff(fleet));
+        let outcome = start_fleet(callers, calls_per_second, seed, with_backoff(fleet));
         prop_assert!(last_answer_at(&outcome).is_finite());
         let first = CALL_INTERVAL_S * (0.02 * fleet).clamp(0.05, 0.4);
         // The mean of the busiest span, and what randomness may add to it in any of hundreds of spans.
         let mean = callers as f64 * 0.1 / first;
         let max_calls = 6.0_f64.mul_add(mean.sqrt(), mean) + 4.0;
-        let later: Vec<f64> = outcome.calls.iter().copied().filter(|at| *at > 0.0).collect();
+        let later: Vec<f64> = outcome.called_at.iter().copied().filter(|at| *at > 0.0).collect();
         let mut from = 0;
         for to in 0..later.len() {
             while later[from] + 0.1 <= later[to] {
@@ -113,7 +116,7 @@
 }
 
 /// With a delay before the watch is opened again, requests are sent to servers that count as known to drain; without any bound a
-/// directory that is gone would be called without end.
+/// discovery server that is gone would be called without end.
 #[test]
 fn a_watch_without_an_answer_is_reopened_at_once_and_once() {
     let mut watch = WatchReopening::default();
--- a/crates/time/src/instant.rs
+++ b/crates/time/src/instant.rs
@@ -19,7 +19,7 @@
 impl Instant {
     /// The origin of the clock.
     pub const ORIGIN: Instant = Instant(0);
-    /// Later than every instant that a clock shows.
+    /// Later than every instant that a clock shows: the deadline of what is never due.
     pub const FAR_FUTURE: Instant = Instant(u64::MAX);
 
     /// The instant so many milliseconds after the origin.
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,7 +1,8 @@
-//! Time for the parts that decide: no clock is read here or there.
+//! Instants and durations for the parts that decide. No clock is read here, nor in those parts.
 //!
 //! A host reads its steady clock and hands in an [`Instant`]; a simulation hands in whatever it likes. Spans are
-//! [`Duration`]s of the standard library. Both have millisecond resolution: what is smaller is cut off.
+//! [`Duration`]s of the standard library. Arithmetic with instants, and [`duration_millis`], have a resolution of one
+//! millisecond: fractions are cut off.
 
 mod instant;
 
