--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -6,7 +6,7 @@
 
 use crate::error::{InvalidValue, JsonError};
 
-/// No message of the protocol nests deeper than a few levels.
+/// Maximum nesting depth. No message of the protocol nests deeper than a few levels.
 pub(crate) const MAX_DEPTH: usize = 32;
 /// Whole numbers are exact below this.
 const INTEGER_END: f64 = 9_007_199_254_740_992.0;
@@ -130,7 +130,7 @@
         Ok(number as u64)
     }
 
-    /// True or false.
+    /// A boolean.
     ///
     /// # Errors
     ///
@@ -150,7 +150,7 @@
         known.map(|(_, value)| *value).ok_or_else(|| self.invalid(InvalidValue::UnknownName(text.to_owned())))
     }
 
-    /// The error for a value that breaks a rule of its reader.
+    /// The error of a caller that finds that this value breaks another rule.
     pub fn broken_rule(&self, rule: &'static str) -> JsonError {
         self.invalid(InvalidValue::BrokenRule(rule))
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reading JSON into typed values; above all the settings object of the platform, for the adapter and the proxy alike.
+//! Reading JSON into typed values; above all the settings object that the platform hands to a proxy. Field names are the
+//! platform's, those of the typed values are the code's.
 //!
 //! Every error names the path of the value that is wrong.
 
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -9,13 +9,13 @@
 use crate::error::JsonError;
 use crate::json::JsonField;
 
-/// Longer than any time-out that matters, where no limit is stated.
+/// Stands for a time that the platform doesn't limit, in seconds: longer than any timeout that matters.
 const NO_LIMIT: Seconds = 3600.0;
 
-/// The settings with the names that their numbers stand for.
+/// The settings, with the names that the ids in them stand for.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// The settings.
+    /// The typed values; names are replaced by ids.
     pub settings: Settings,
     /// Zones, by [`ZoneId`].
     pub zones: NameTable,
@@ -28,7 +28,8 @@
 }
 
 impl NamedSettings {
-    /// The same settings with zones and kinds numbered by the given tables, to which unknown names are added.
+    /// The same settings with the zone and machine kind ids of the given tables, to which unknown names are added: so
+    /// ids keep their meaning when the settings are reloaded.
     pub fn renumbered(mut self, zones: &mut NameTable, kinds: &mut NameTable) -> Self {
         let mut zone = |ZoneId(index): ZoneId| ZoneId(zones.intern(self.zones.name(index)));
         let mut kind =
@@ -48,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// A field is missing, of another type, or not one of the names that are known.
+/// A field is missing, of another type, out of bounds, or not one of the names that are known.
 pub fn read_settings(settings: &JsonField) -> Result<NamedSettings, JsonError> {
     let mut zones = read_strings(&settings.field("zones")?.items()?)?;
     let machine_types = settings.optional_items("machine_types")?;
@@ -108,13 +109,13 @@
     Ok(Tenant { share: tenant.number_or("share", 0.0)? })
 }
 
-/// One of the prices; 0 if it isn't stated.
+/// A field of `prices`; 0 if it isn't stated.
 fn read_price(settings: &JsonField, name: &str) -> Result<f64, JsonError> {
     settings.optional_field("prices")?.map_or(Ok(0.0), |prices| prices.number_or(name, 0.0))
 }
 
-/// A restriction of a class to some machine kinds or zones; `None` if it has none. One that no server has yet gets a number
-/// too, since it may turn up later.
+/// The machine kinds or zones that a class is restricted to; `None` if it isn't. One that no server has yet gets an id too,
+/// since a server of it may start later.
 fn read_restriction<T>(
     class: &JsonField,
     name: &str,
@@ -125,6 +126,7 @@
     Ok(Some(names.into_iter().map(id).collect()))
 }
 
+/// Reads a request class. A `group` that is absent or empty stands for [`DedupScope::Group`].
 fn read_class(class: &JsonField, zones: &mut NameTable, kinds: &mut NameTable) -> Result<Class, JsonError> {
     let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
     let scope = match class.optional_field("group")? {
