--- a/crates/http-links/src/body.rs
+++ b/crates/http-links/src/body.rs
@@ -9,7 +9,8 @@
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 quick_error! {
-    /// Why a body could not be read.
+    /// Why a body could not be read. [`read_body`] returns the first two; the others are for callers that limit the time or
+    /// check the headers.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum BodyError {
         /// It is longer than the limit.
@@ -31,7 +32,8 @@
     }
 }
 
-/// Reads a complete body of at most `max_bytes`. A body that states a greater length is not read at all.
+/// Reads a complete body of at most `max_bytes`, without a time limit. A body that states a greater length is not read at
+/// all.
 ///
 /// # Errors
 ///
--- a/crates/http-links/src/close_reason.rs
+++ b/crates/http-links/src/close_reason.rs
@@ -1,6 +1,6 @@
 //! Why connections end.
 
-/// Why a connection ended. `docs/on-call.md` explains each code.
+/// Why a connection ended. In the log it appears as its [code](CloseReason::code), which `docs/on-call.md` explains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The other side closed it between two messages.
@@ -25,7 +25,7 @@
     RequestTimeout,
     /// The balancing policy closed idle connections.
     ClosedByPolicy,
-    /// The endpoint list has removed, moved or restarted the server.
+    /// The server is no longer on the endpoint list, or with another address or instance.
     EndpointChanged,
     /// The configuration names another address for the endpoint list.
     ConfigReloaded,
@@ -48,7 +48,7 @@
 }
 
 impl CloseReason {
-    /// The code in the log.
+    /// The code in the log. Operators search for it, so it stays as it is when a variant gets another name.
     pub fn code(self) -> &'static str {
         match self {
             CloseReason::ClosedByPeer => "closed-by-peer",
--- a/crates/http-links/src/connection_log.rs
+++ b/crates/http-links/src/connection_log.rs
@@ -1,4 +1,4 @@
-//! What is known of a connection: handed to a program's log once, when the connection closes.
+//! The record of a connection, which is handed to the program's log once, when the connection closes.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     }
 }
 
-/// What is known of an open connection.
+/// What is known of a connection: its peer, its age, how many messages it has carried and why it ends.
 #[derive(Debug)]
 pub struct ConnectionRecord {
     peer_kind: PeerKind,
@@ -66,7 +66,7 @@
         self.message_count.set(self.message_count.get() + 1);
     }
 
-    /// The reason as far as it is known.
+    /// The reason why the connection ended or, while it is open, the one that would be logged if it ended now.
     pub fn close_reason(&self) -> CloseReason {
         self.close_reason.get()
     }
--- a/crates/http-links/src/hooked_stream.rs
+++ b/crates/http-links/src/hooked_stream.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A TCP stream with a hook.
+/// A TCP stream with a hook that runs at each write and when the stream is dropped.
 #[derive(Debug)]
 pub struct HookedStream<H: StreamHook> {
     stream: TcpStream,
--- a/crates/http-links/src/outbound_connection.rs
+++ b/crates/http-links/src/outbound_connection.rs
@@ -25,8 +25,8 @@
 use crate::tcp_options::ConnectOptions;
 use crate::write_progress::WriteProgress;
 
-/// Counts what the system has taken of a message. Hyper does not report it, and the proof that a request was not
-/// executed needs it.
+/// Counts the bytes of a message that the system has taken: hyper does not report them, and only they prove that a request
+/// was not executed. Prevents a first byte that would be late, or that a connection in an unknown state would carry.
 struct WriteCounter(Rc<WriteProgress>);
 
 impl StreamHook for WriteCounter {
@@ -92,7 +92,8 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Opens a connection; `guard` is dropped when it closes. Has to be called within a `LocalSet`.
+    /// Opens a connection; `None` if it was not established. `guard` is dropped when the connection closes. Has to be called
+    /// within a `LocalSet`.
     pub async fn open(
         peer_kind: PeerKind,
         to: SocketAddr,
@@ -137,7 +138,8 @@
         self.sender.is_closed()
     }
 
-    /// Waits until the connection can carry the next message; false if it has ended.
+    /// Waits until the last response was read to its end and the connection can carry the next message; false if it has
+    /// ended.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
@@ -186,7 +188,8 @@
         SendErrorKind::ConnectionLost
     }
 
-    /// Sends a request, once, with a body of this length in bytes, and reads the head of its response.
+    /// Sends a request, once, with a body of this length in bytes, and reads the head of its response. There is no deadline:
+    /// the caller limits the time.
     ///
     /// # Errors
     ///
--- a/crates/http-links/src/retry.rs
+++ b/crates/http-links/src/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a message may be sent again: the one decision of it, for requests of clients and for calls between processes
+//! Whether a message may be sent again. This is decided here alone, for requests of clients and for calls between processes
 //! of the fleet alike. `docs/design/calls.md` lists the policy of each message.
 
 use std::error::Error;
@@ -27,7 +27,7 @@
 /// When a message may be sent again after its exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Always: it is idempotent, also if it is handled late.
+    /// Always: handling it twice, or late, has the same effect as once.
     Always,
     /// Only if its last byte was certainly not sent.
     OnlyIfNeverSent,
--- a/crates/http-links/src/tcp_options.rs
+++ b/crates/http-links/src/tcp_options.rs
@@ -28,7 +28,8 @@
 }
 
 /// Sets the options of an inbound or outbound connection: `TCP_NODELAY`, and `TCP_USER_TIMEOUT` if one is given. An
-/// option that the system does not support is left out: without it the connection is only slower to work or to fail.
+/// option that the system does not support is left out: without it the connection works, but is slower, or is found broken
+/// later.
 pub fn set_tcp_options(stream: &TcpStream, user_timeout: Option<Duration>) {
     // Without it the second part of a small message waits for the acknowledgement of the first.
     let _ = stream.set_nodelay(true);
--- a/crates/http-links/src/write_progress.rs
+++ b/crates/http-links/src/write_progress.rs
@@ -12,16 +12,18 @@
 
 /// How much of the current message on a connection the system has taken.
 ///
-/// It is complete with its last byte at the latest, never after it: so a message that is not complete can't have been
-/// executed.
+/// A message counts as complete as soon as its last byte was taken, or earlier, but never later. So a message that does not
+/// count as complete can't have been executed.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
     has_started: Cell<bool>,
-    /// How many bytes of [`END_OF_HEAD`] the written head ends with; all of them within the body.
+    /// How many bytes of [`END_OF_HEAD`] the part of the head that was written ends with; its length once the head is
+    /// complete.
     matched_end_bytes: Cell<usize>,
+    /// Bytes of the body that the system has not taken yet; `usize::MAX` less those taken if the length is not known.
     remaining_body_bytes: Cell<usize>,
     is_complete: Cell<bool>,
-    /// The first byte must be written before.
+    /// The first byte must be written before; `None`: at any time.
     start_deadline: Cell<Option<Instant>>,
 }
 
@@ -64,7 +66,7 @@
         self.is_complete.get()
     }
 
-    /// The end of a body whose length was not known is about to be written.
+    /// To be called before the end of a body is written whose length was not known: it can't be counted.
     pub fn mark_complete(&self) {
         self.is_complete.set(true);
     }
@@ -89,7 +91,7 @@
         }
     }
 
-    /// How many of these bytes belong to the head.
+    /// Follows the head through these bytes. Returns how many of them belong to it.
     fn match_end_of_head(&self, bytes: &[u8]) -> usize {
         let mut position = 0;
         while position < bytes.len() && self.matched_end_bytes.get() < END_OF_HEAD.len() {
