--- a/crates/rpc/src/connection_pool.rs
+++ b/crates/rpc/src/connection_pool.rs
@@ -14,7 +14,7 @@
 use crate::error::CallError;
 use crate::tcp::USER_TIMEOUT;
 
-/// How long an idle connection is kept for the next call.
+/// How long an idle connection stays open for the next call.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
@@ -28,11 +28,12 @@
 /// An open connection. Dropping it closes it.
 pub(crate) type Connection = OutboundConnection<Full<Bytes>>;
 
-/// Connects. The system would send a lost SYN again only after a second, so a second attempt is made before.
+/// Opens a connection, in at most two attempts: the system would send a lost SYN again only after a second, and the second
+/// attempt begins before that.
 ///
 /// # Errors
 ///
-/// [`CallError::Connect`].
+/// [`CallError::Connect`] if neither attempt succeeded by the deadline.
 pub(crate) async fn connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, CallError> {
     let connected = match try_connect(to, deadline).await {
         Err(ConnectError::Unreachable | ConnectError::TimedOut) if Instant::now() < deadline => {
@@ -86,7 +87,7 @@
         None
     }
 
-    /// Keeps a connection that carries no call; closes it if there are too many.
+    /// Stores a connection that carries no call; closes it if there are too many.
     pub(crate) fn put(self: &Rc<ConnectionPool>, to: SocketAddrV4, connection: Connection) {
         if connection.is_closed() || self.count.get() >= MAX_IDLE {
             return;
--- a/crates/rpc/src/connection_table.rs
+++ b/crates/rpc/src/connection_table.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::{AbortHandle, Id};
 
-/// Numbers the uses of all connections of a server.
+/// Numbers the uses of all connections of a server, so that it is known which one was used least recently.
 #[derive(Clone, Default)]
 pub(crate) struct UseCounter(Rc<Cell<u64>>);
 
@@ -19,8 +19,9 @@
 
 /// What a connection's task reports to the table.
 pub(crate) struct ConnectionActivity {
+    /// Whether a call is being handled.
     is_busy: Cell<bool>,
-    /// The number of the last use, or of the opening.
+    /// The [`UseCounter`]'s number of the end of the last call or, before the first, of the opening.
     last_use: Cell<u64>,
     counter: UseCounter,
 }
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -9,8 +9,8 @@
 pub const CALL_ID_HEADER: &str = "call-id";
 
 quick_error! {
-    /// Why the other side has not answered a call. Numbers 810 to 819 are for the handling of calls as such; a handler
-    /// rejects with [`CallRejection::Application`] and a number of its own.
+    /// Why the other side has sent a rejection in place of a response. Numbers 810 to 819 are reserved for this package; a
+    /// handler rejects with [`CallRejection::Application`] and a number of its own.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallRejection {
         /// 810: there is no handler of that name.
@@ -89,7 +89,7 @@
     /// Why a call has no response.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallError {
-        /// 801: no connection, so the call has not arrived.
+        /// 801: no connection was established, so the call was not sent.
         Connect {
             display("can't connect")
         }
@@ -101,7 +101,7 @@
         Rejected(rejection: CallRejection) {
             display("refused: {rejection}")
         }
-        /// 804: the response is not a valid one to this call.
+        /// 804: the response is not a valid one to this call, or the call can't be encoded.
         Malformed {
             display("the answer can't be read")
         }
--- a/crates/rpc/src/handlers.rs
+++ b/crates/rpc/src/handlers.rs
@@ -15,11 +15,12 @@
 type HandlerFuture = Pin<Box<dyn Future<Output = Result<Vec<u8>, CallRejection>>>>;
 type Handler = Box<dyn Fn(&[u8], Peer) -> HandlerFuture>;
 
-/// The handlers of calls by name.
+/// The handlers of calls by [name](Call::NAME), and the limits of the server that runs them.
 #[derive(Default)]
 pub struct Handlers {
     handlers: HashMap<&'static str, Handler>,
     limits: ServerLimits,
+    /// The number of handlers that run, also of those whose callers have given up.
     running_calls: Rc<Cell<usize>>,
 }
 
@@ -58,7 +59,7 @@
         self.limits
     }
 
-    /// Handles one encoded call and returns the encoded response.
+    /// Handles one encoded call and returns the encoded response. `name` is that of the call on the wire.
     pub(crate) async fn handle(&self, name: &str, body: &[u8], peer: Peer) -> Result<Vec<u8>, CallRejection> {
         let handler = self.handlers.get(name).ok_or(CallRejection::UnknownCall)?;
         if self.running_calls.get() >= self.limits.max_concurrent_calls {
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,9 +1,9 @@
-//! Calls between the processes of the fleet: a pair of message types, one handler.
+//! Calls between the processes of the fleet (RPC): a type for the call, one for its response, and one handler.
 //!
 //! A [`Call`] is `POST /NAME` with a minicbor body over HTTP/1.1. Its response is 200 with a minicbor body, a
 //! [`CallRejection`] another status with its number in the header [`RESULT_CODE_HEADER`]. Each call carries an id of its
-//! caller's in the header [`CALL_ID_HEADER`], which the response repeats. [`serve`] answers by [`Handlers`]; [`Caller`]
-//! calls over the network and [`LoopbackTransport`] without one, both as a [`Transport`]. Everything runs on one thread,
+//! caller's in the header [`CALL_ID_HEADER`], which the response repeats. [`serve`] is the server, whose [`Handlers`] return
+//! the responses. Calls are made through a [`Transport`]: [`Caller`] over the network, [`LoopbackTransport`] without one. Everything runs on one thread,
 //! in a `tokio::task::LocalSet`.
 
 mod call;
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -23,7 +23,7 @@
 use crate::handlers::Handlers;
 use crate::tcp::USER_TIMEOUT;
 
-/// The pause after a failed accept, which may be due to a lack of file descriptors.
+/// The pause after a failed accept: without a free file descriptor it would fail at once, again and again.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Answers calls until it is dropped, which closes its connections; running handlers continue. Needs a `LocalSet`.
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -11,7 +11,7 @@
 use crate::call::{Call, decode, encode};
 use crate::error::CallError;
 
-/// Replaces a timeout that ends later than the clock can represent.
+/// Used in place of a timeout whose end the clock can't represent.
 const MAX_TIMEOUT: Duration = Duration::from_secs(86_400);
 
 /// An encoded call with all that a transport has to know of it.
@@ -40,14 +40,15 @@
 
 /// Carries calls to other processes.
 pub trait Transport {
-    /// Sends an encoded call and returns the body of its response. It is dropped at the deadline of the call.
+    /// Sends an encoded call and returns the body of its response. [`Transport::call`] drops the future at the deadline of the
+    /// call.
     ///
     /// # Errors
     ///
     /// As for [`Transport::call`].
     fn exchange(&self, call: &OutgoingCall) -> impl Future<Output = Result<Bytes, CallError>>;
 
-    /// Calls, and waits for the response no longer than `timeout`.
+    /// Sends a call, and waits for the response no longer than `timeout`.
     ///
     /// # Errors
     ///
