--- a/crates/routes/src/policy_budget.rs
+++ b/crates/routes/src/policy_budget.rs
@@ -1,11 +1,12 @@
-//! What a policy's limits leave: a budget of retries, and a number of requests in flight.
+//! What the limits of a policy have left: retries, and requests in flight.
 
 use mosshead_site::Limits;
 use mosshead_units::Time;
 
-/// The time constant of the exponential decay of first attempts and retries.
+/// The time constant of the exponential decay of counted first attempts and retries: what is older by so much counts 1/e.
 const DECAY_TIME: Time = Time::from_millis(10_000);
-/// So many retries are granted in any case: at a low rate a share of the attempts would round to none.
+/// A retry is granted up to this many recent ones whatever the share: at a low rate, a share of the attempts would be below
+/// one retry.
 const MIN_RETRIES: f64 = 3.0;
 
 /// A request in flight under a policy; given back by [`PolicyBudget::release`].
@@ -13,19 +14,20 @@
 #[must_use = "a permit that is never released counts as a request in flight for good"]
 pub struct RequestPermit(());
 
-/// The account of one policy.
+/// The limits of one policy, with what was counted against them.
 #[derive(Clone, Debug)]
 pub struct PolicyBudget {
     limits: Limits,
     in_flight: u32,
-    /// Recent first attempts and retries, decayed until `updated_at`.
+    /// Recent first attempts, decayed until `updated_at`.
     first_attempts: f64,
+    /// Recent retries, decayed until `updated_at`.
     retries: f64,
     updated_at: Time,
 }
 
 impl PolicyBudget {
-    /// An account without requests.
+    /// The full budget, without requests.
     pub fn new(limits: Limits) -> Self {
         Self { limits, in_flight: 0, first_attempts: 0.0, retries: 0.0, updated_at: Time::ZERO }
     }
@@ -35,6 +37,7 @@
         self.limits = limits;
     }
 
+    /// Reduces what was counted by the time since the last update.
     fn decay(&mut self, now: Time) {
         let time_constants = (now - self.updated_at).as_seconds() / DECAY_TIME.as_seconds();
         let remaining = (-time_constants).exp();
--- a/crates/routes/src/pool_members.rs
+++ b/crates/routes/src/pool_members.rs
@@ -1,6 +1,6 @@
 //! Which servers are in which pool as the list changes, and which of them requests may go to.
 
-use mosshead_site::Site;
+use mosshead_site::{Pool, Site};
 
 /// A server on the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,20 +29,22 @@
     pub is_panic: bool,
 }
 
-/// The servers of a pool, by numbers in rising order.
+/// The servers of a pool on the list, by their numbers in rising order.
 #[derive(Clone, Debug, Default)]
-struct Pool {
+struct PoolServers {
+    /// All members, ready or not.
     members: Vec<u32>,
-    /// Members that are ready.
+    /// Members that are ready, ejected or not.
     ready: Vec<u32>,
     /// Ready members that are not ejected.
     healthy: Vec<u32>,
 }
 
-/// The pool that requests go to where a route names another.
+/// The pool that requests go to where a route names a pool: that one, or a fallback of it.
 #[derive(Clone, Copy, Debug)]
 struct EffectivePool {
     index: usize,
+    /// See [`Candidates::is_panic`].
     is_panic: bool,
 }
 
@@ -52,13 +54,14 @@
     list: Vec<ListedServer>,
     /// Numbers of the servers that the decision module has ejected.
     ejected: Vec<u32>,
-    pools: Vec<Pool>,
-    /// By the index of the pool that a route names.
+    /// By the index of the pool in the site.
+    pools: Vec<PoolServers>,
+    /// By the index of the pool that a route names, like `pools`.
     effective_pools: Vec<EffectivePool>,
 }
 
 impl PoolMembers {
-    /// Replaces the whole list.
+    /// Replaces the complete list.
     pub fn replace_list(&mut self, site: &Site, list: Vec<ListedServer>) {
         self.list = list;
         self.update_pools(site);
@@ -77,26 +80,28 @@
         self.update_pools(site);
     }
 
+    /// Computes all pools anew from the list and the ejected servers.
     fn update_pools(&mut self, site: &Site) {
         self.list.sort_by_key(|server| server.number);
-        self.pools = site.pools.iter().map(|pool| self.pool_of(pool)).collect();
+        self.pools = site.pools.iter().map(|pool| self.servers_of(pool)).collect();
         let indices = 0..self.pools.len();
         self.effective_pools = indices.map(|index| self.effective_pool(site, index)).collect();
     }
 
-    fn pool_of(&self, pool: &mosshead_site::Pool) -> Pool {
+    fn servers_of(&self, pool: &Pool) -> PoolServers {
         let numbers = |is_included: &dyn Fn(&ListedServer) -> bool| -> Vec<u32> {
             self.list.iter().filter(|server| is_included(server)).map(|server| server.number).collect()
         };
         let is_member = |server: &ListedServer| pool.has_member(&server.zone, &server.kind, &server.id);
         let is_ready = |server: &ListedServer| is_member(server) && server.is_ready;
         let is_healthy = |server: &ListedServer| is_ready(server) && !self.ejected.contains(&server.number);
-        Pool { members: numbers(&is_member), ready: numbers(&is_ready), healthy: numbers(&is_healthy) }
+        PoolServers { members: numbers(&is_member), ready: numbers(&is_ready), healthy: numbers(&is_healthy) }
     }
 
+    /// Follows the fallbacks of a pool that is too small, and decides whether the pool in use is in panic.
     fn effective_pool(&self, site: &Site, named: usize) -> EffectivePool {
         let mut index = named;
-        // As many steps as there are pools: a circle of fallbacks ends, too.
+        // Bounded by the number of pools: fallbacks may form a cycle.
         for _ in 0..self.pools.len() {
             match site.pools[index].fallback.filter(|_| !self.is_large_enough(site, index)) {
                 Some(fallback) => index = fallback,
@@ -108,6 +113,7 @@
         EffectivePool { index, is_panic: (pool.healthy.len() as f64) < min_healthy }
     }
 
+    /// Whether a pool has a ready member, and the share of the list's servers that the site requires.
     fn is_large_enough(&self, site: &Site, index: usize) -> bool {
         let pool = &self.pools[index];
         let min_members = site.pools[index].min_member_share * self.list.len() as f64;
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,4 +1,4 @@
-//! From a request to its pool: the first route that matches, and the request's part of a split.
+//! From a request to its pool: the first route that matches, and which pool of its split the request goes to.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
     pub path: &'a str,
     /// Returns the value of a header, by its name in lower case.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
-    /// Requests with the same key stay in the same part of a split.
+    /// Requests with the same key go to the same pool of a split.
     pub key: u64,
 }
 
@@ -46,9 +46,11 @@
     /// For each class and tenant the indices of the routes that can match, in their order; requests without a tenant come
     /// before the tenants of their class.
     candidate_routes: Vec<Vec<u32>>,
-    tenants: usize,
+    /// How many tenants the platform has.
+    tenant_count: usize,
     /// For each pool the hash of its name, by which it takes part in splits.
     pool_seeds: Vec<u64>,
+    /// See [`Router::version`].
     version: u64,
 }
 
@@ -62,7 +64,7 @@
             }
         }
         let pool_seeds = site.pools.iter().map(|pool| xxh3_64_with_seed(pool.name.as_bytes(), 0)).collect();
-        Arc::new(Self { site, candidate_routes, tenants: tenants.len(), pool_seeds, version })
+        Arc::new(Self { site, candidate_routes, tenant_count: tenants.len(), pool_seeds, version })
     }
 
     /// The site.
@@ -83,7 +85,7 @@
     /// Where a request is to go.
     pub fn route(&self, request: &Request) -> RouteDecision {
         let column = request.tenant.map_or(0, |tenant| tenant + 1);
-        let row = request.class * (self.tenants + 1) + column;
+        let row = request.class * (self.tenant_count + 1) + column;
         let Some(candidates) = self.candidate_routes.get(row) else { return RouteDecision::AllServers };
         let mut candidates = candidates.iter().map(|index| &self.site.routes[*index as usize]);
         match candidates.find(|route| matches_message(&route.matches, request)) {
@@ -97,8 +99,8 @@
         }
     }
 
-    /// The pool of a key, by weighted rendezvous hashing: each pool bids for the key by its own hash and its share, so that
-    /// only those keys move that have to when shares change.
+    /// The pool of a key, by weighted rendezvous hashing: each pool has a bid for the key by a hash of both and by its share,
+    /// and the lowest bid wins. When shares change, only those keys move that have to.
     fn select_pool(&self, split: &[WeightedPool], key: u64) -> usize {
         if let [only] = split {
             return only.pool;
