--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -54,11 +54,12 @@
         }
     }
 
-    /// A circle of fallbacks is reported once, for its first pool.
+    /// Reports a cycle of fallbacks, once: for the pool of the cycle with the lowest index.
     fn check_fallbacks(&mut self, index: usize, pool: &Pool) {
         let (mut visited, mut next) = (BTreeSet::from([index]), pool.fallback);
         while let Some(fallback) = next {
             if !visited.insert(fallback) {
+                // All visited pools are in the cycle if it leads back to the first one.
                 if fallback == index && visited.first() == Some(&index) {
                     let message = format!("the pool {:?} falls back on itself", pool.name);
                     self.report(&pool.location, message, "take one of the fallbacks of this circle out");
--- a/crates/site/src/explain.rs
+++ b/crates/site/src/explain.rs
@@ -97,13 +97,13 @@
 }
 
 impl Site {
-    /// The index of the pool that is used where a route names `pool`, and the ids of its members on this list.
-    fn effective_pool(&self, pool: usize, servers: &[PlatformServer]) -> (usize, Vec<String>) {
+    /// The index of the pool that is used where a route names `named`, and the ids of its members on this list.
+    fn effective_pool(&self, named: usize, servers: &[PlatformServer]) -> (usize, Vec<String>) {
         let members = |pool: &Pool| -> Vec<String> {
             let members = servers.iter().filter(|server| pool.has_server(server));
             members.map(|server| server.id.clone()).collect()
         };
-        let (mut index, mut visited) = (pool, BTreeSet::new());
+        let (mut index, mut visited) = (named, BTreeSet::new());
         loop {
             let pool = &self.pools[index];
             let members = members(pool);
@@ -166,7 +166,8 @@
     limits.into_iter().filter_map(located).collect()
 }
 
-/// A request for every pair of class and tenant that the platform has.
+/// A request for every pair of class and tenant that the platform has; without tenants, one for each class. Its method is one
+/// that clients use for such a class: `GET` only if requests may be executed twice.
 pub fn sample_requests(platform: &Platform) -> Vec<RequestDescription> {
     let mut requests = Vec::new();
     for class in &platform.classes {
--- a/crates/site/src/files.rs
+++ b/crates/site/src/files.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Reads files. Tests and tools put their own in place of the disk.
+/// Reads the files of a site: from disk, or from elsewhere in tests and tools.
 pub trait Files {
-    /// The content of a file. Only its first `limit` bytes and one more are needed.
+    /// The content of a file. Of a longer one, only its first `limit + 1` bytes are needed, which show that it is too long.
     ///
     /// # Errors
     ///
@@ -18,7 +18,7 @@
 pub struct MemoryFiles(pub BTreeMap<String, Vec<u8>>);
 
 impl MemoryFiles {
-    /// One file.
+    /// A single file with this path and text.
     pub fn single(path: &str, text: &str) -> Self {
         Self(BTreeMap::from([(path.to_owned(), text.as_bytes().to_vec())]))
     }
@@ -31,8 +31,8 @@
     }
 }
 
-/// The path that an include names, as seen from the file that includes it. A file has one path, however it is included:
-/// circles of includes are found by it.
+/// The path that an include names, as seen from the file that includes it. It is normalized, so that each
+/// file has one path, by which cycles of includes are found.
 pub(crate) fn resolve_include(including_file: &str, path: &str) -> String {
     let folder = including_file.rsplit_once('/').map_or("", |(folder, _)| folder);
     let full_path =
--- a/crates/site/src/model.rs
+++ b/crates/site/src/model.rs
@@ -13,9 +13,10 @@
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
+    /// The same file, among the sources of the site.
     #[serde(skip)]
-    pub(crate) source: FileId,
-    /// Offset and length in bytes.
+    pub(crate) file_id: FileId,
+    /// Offset and length in bytes within the file.
     #[serde(skip)]
     pub(crate) span: (usize, usize),
 }
@@ -33,7 +34,7 @@
     pub ids: Vec<String>,
     /// The pool is used only if at least this share of the list's servers are members, from 0 to 1.
     pub min_member_share: f64,
-    /// If a smaller share of its members is healthy, requests go to unhealthy members too, from 0 to 1.
+    /// If a smaller share of its ready members than this is healthy, requests go to ejected members, too. From 0 to 1.
     pub panic_threshold: f64,
     /// The index of the pool that is used where this one can't be.
     pub fallback: Option<usize>,
@@ -41,16 +42,17 @@
     pub location: SourceLocation,
 }
 
-/// Which requests a route is for. An empty list matches all.
+/// Which requests a route is for: those that match each list. An empty list matches all requests; a list of classes, tenants,
+/// paths or methods matches a request of any of its items.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// Classes.
+    /// Names of request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
     /// Prefixes of the path.
     pub paths: Vec<String>,
-    /// Methods.
+    /// HTTP methods.
     pub methods: Vec<String>,
     /// Headers with their values, all of which are required; names in lower case.
     pub headers: Vec<(String, String)>,
@@ -96,7 +98,7 @@
     pub time_limit: Option<Time>,
     /// How many attempts a request may have at most.
     pub attempts: Option<u32>,
-    /// Retries, as a share of first attempts.
+    /// How many retries may be made, as a share of first attempts.
     pub retry_budget: Option<Fraction>,
     /// Whether hedged attempts may be sent.
     pub can_hedge: Option<bool>,
@@ -145,10 +147,12 @@
 pub(crate) fn matches_pattern(pattern: &str, text: &str) -> bool {
     let mut parts = pattern.split('*');
     let Some(mut rest) = parts.next().and_then(|first| text.strip_prefix(first)) else { return false };
-    let Some(last) = pattern.contains('*').then(|| pattern.rsplit('*').next()).flatten() else {
+    // What follows the last `*`; a pattern without one has to equal the text.
+    let Some((_, last)) = pattern.rsplit_once('*') else {
         return rest.is_empty();
     };
     let parts_after_first: Vec<&str> = parts.collect();
+    // Each part between two `*` is taken at its first occurrence, which leaves the most for those after it.
     for part in parts_after_first.iter().take(parts_after_first.len().saturating_sub(1)) {
         match rest.find(part) {
             Some(offset) => rest = &rest[offset + part.len()..],
--- a/crates/site/src/reader/files.rs
+++ b/crates/site/src/reader/files.rs
@@ -9,11 +9,11 @@
 use crate::error::SiteError;
 use crate::files::resolve_include;
 
-/// Bytes of a file at most.
+/// The maximum length of a file, in bytes.
 const MAX_FILE_LEN: usize = 1 << 20;
-/// Files of a site at most.
+/// The maximum number of files of a site.
 const MAX_FILES: usize = 64;
-/// How many includes may lead to a file at most.
+/// The maximum number of includes that lead from the first file to another one.
 const MAX_INCLUDE_DEPTH: usize = 16;
 
 /// A value that other statements use by `$name`.
--- a/crates/site/src/reader/mod.rs
+++ b/crates/site/src/reader/mod.rs
@@ -86,7 +86,7 @@
         SourceLocation {
             file: source.name().to_owned(),
             line: source.line(span.offset()),
-            source: file,
+            file_id: file,
             span: (span.offset(), span.len()),
         }
     }
--- a/crates/site/src/reader/routes.rs
+++ b/crates/site/src/reader/routes.rs
@@ -20,15 +20,15 @@
     matches: RouteMatch,
     policy: Option<usize>,
     split: Vec<SplitPart>,
-    /// The delay after which a rejected request may come back.
+    /// The delay after which the client of a rejected request may retry.
     retry_after: Option<Time>,
     has_target: bool,
-    /// A `to` has an error: it is missing in `split`.
+    /// Whether a `to` has an error, so that `split` lacks it.
     has_invalid_part: bool,
 }
 
 impl Reader<'_> {
-    /// None if the route has no target that can be used; then there is an error.
+    /// Reads a route; none if it has no valid target, for which an error is reported.
     pub(super) fn read_route(
         &mut self,
         definition: &Definition,
@@ -128,7 +128,7 @@
         Some(SplitPart { pool: pool?, share })
     }
 
-    /// The shares of a split sum to 1; a pool alone has all of it.
+    /// Checks that every pool of a split has a share and that the shares sum to 1. A single pool needs no share.
     fn check_split(&mut self, definition: &Definition, split: &[SplitPart]) -> Option<Vec<WeightedPool>> {
         let Definition { file, ref node, ref name } = *definition;
         match split {
--- a/crates/site/src/reader/source.rs
+++ b/crates/site/src/reader/source.rs
@@ -15,9 +15,10 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Source {
     text: Arc<NamedSource<String>>,
-    /// Where each line after the first begins: a large site asks for thousands of locations.
+    /// Offsets at which the lines after the first begin. They are computed once, since a large site has thousands of
+    /// locations.
     line_starts: Arc<[usize]>,
-    /// The statement that includes it, except for the first file.
+    /// The `include` statement that leads to it, with the file that contains it; none for the first file.
     pub(super) included_at: Option<(FileId, SourceSpan)>,
 }
 
@@ -56,8 +57,8 @@
 impl Site {
     /// An error at the location of something in this site.
     pub(crate) fn error_at(&self, location: &SourceLocation, message: String, help: &str) -> SiteError {
-        let text = self.sources[location.source.0].text();
-        let chain = include_chain(&self.sources, location.source);
+        let text = self.sources[location.file_id.0].text();
+        let chain = include_chain(&self.sources, location.file_id);
         SiteError::new(text, location.span.into(), message, Some(help.to_owned()), chain)
     }
 }
--- a/crates/site/src/reader/suggestions.rs
+++ b/crates/site/src/reader/suggestions.rs
@@ -6,10 +6,14 @@
 /// The names that a mistyped one is nearest to, if it is near any.
 pub(super) fn nearest_names<'n>(known: impl Iterator<Item = &'n str>, mistyped: &str) -> Vec<&'n str> {
     let known: Vec<(usize, &str)> = known.map(|name| (edit_distance(name, mistyped), name)).collect();
-    let least = known.iter().map(|(distance, _)| *distance).min().unwrap_or(usize::MAX);
+    let min_distance = known.iter().map(|(distance, _)| *distance).min().unwrap_or(usize::MAX);
     // A name of which every letter would change is no near miss.
-    let is_near = least <= MAX_DISTANCE && least < mistyped.chars().count();
-    known.into_iter().filter(|(distance, _)| is_near && *distance == least).map(|(_, name)| name).collect()
+    let is_near = min_distance <= MAX_DISTANCE && min_distance < mistyped.chars().count();
+    known
+        .into_iter()
+        .filter(|(distance, _)| is_near && *distance == min_distance)
+        .map(|(_, name)| name)
+        .collect()
 }
 
 /// The Levenshtein distance: how many letters are replaced, inserted or removed.
