--- a/crates/capacity-bench/src/configuration.rs
+++ b/crates/capacity-bench/src/configuration.rs
@@ -10,12 +10,16 @@
 use crate::memory;
 use crate::table::Table;
 
-/// Changes that the fleet is to bear in a day.
+/// How many changes in a day the fleet is designed for.
 const CHANGES_PER_DAY: f64 = 11_000.0;
-/// The same per second, evenly spread.
+/// The same number per second, evenly spread.
 pub const CHANGES_PER_SECOND: f64 = CHANGES_PER_DAY / 86_400.0;
-/// Copies of a configuration whose memory is measured.
+/// How many copies of a configuration are made to measure the memory of one.
 const COPIES: usize = 32;
+/// How many hosts the routes of a configuration have; further routes are for other paths of the same hosts.
+const HOSTS: usize = 1_800;
+/// The step from one looked up route to the next: a large prime, so that consecutive lookups are far apart.
+const LOOKUP_STRIDE: usize = 7_919;
 
 /// A configuration of so many routes, as the operator writes it. The timeout of `changed_route` depends on the revision.
 pub fn configuration_text(revision: u64, routes: usize, changed_route: usize) -> String {
@@ -33,8 +37,8 @@
             ),
             comma,
             route,
-            route % 1800,
-            route / 1800,
+            route % HOSTS,
+            route / HOSTS,
             timeout,
             route % 6,
             route % 3
@@ -122,17 +126,17 @@
     let before = memory::resident_bytes();
     let copies: Vec<Config> = (0..COPIES).filter_map(|_| Config::parse(text.as_bytes()).ok()).collect();
     let kilobytes = memory::growth_per_process(before, memory::resident_bytes(), COPIES) / 1024.0;
-    // Freed memory would be taken by the next size, whose growth would then be measured too low.
-    std::mem::forget(copies);
+    memory::leak(copies);
     kilobytes
 }
 
 fn mean_find_micros(config: &Config, routes: usize, calls: u32) -> f64 {
     let mut route = 0;
     mean_micros(calls, || {
-        // A large prime, so that consecutive lookups are far apart.
-        route = (route + 7919) % routes.max(1);
-        config
-            .find_route(&format!("tenant-{}.example", route % 1800), &format!("/v1/part-{}/x", route / 1800))
+        route = (route + LOOKUP_STRIDE) % routes.max(1);
+        config.find_route(
+            &format!("tenant-{}.example", route % HOSTS),
+            &format!("/v1/part-{}/x", route / HOSTS),
+        )
     })
 }
--- a/crates/capacity-bench/src/consensus_group.rs
+++ b/crates/capacity-bench/src/consensus_group.rs
@@ -12,12 +12,12 @@
 use crate::event_queue::EventQueue;
 use crate::machines::address;
 
-/// As `programs` has it.
+/// The interval at which a node gets `Input::Tick`, as in `programs`.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// From one machine to another.
+/// How long a message takes from one machine to another.
 const NETWORK_DELAY: Duration = Duration::from_millis(1);
 const DISK_SYNC_DURATION: Duration = Duration::from_millis(2);
-/// After which a change counts as failed.
+/// After this a change counts as failed.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 const START: Instant = Instant::from_millis(1_000);
 
@@ -40,7 +40,7 @@
 }
 
 impl ConsensusGroup {
-    /// So many bootstrap voters with empty disks.
+    /// `members` bootstrap voters with empty disks.
     pub fn new(members: usize) -> ConsensusGroup {
         let seeds: Vec<_> = (0..members).map(address).collect();
         let mut group = ConsensusGroup {
@@ -81,7 +81,7 @@
         self.nodes.iter().position(Node::is_primary)
     }
 
-    /// Lets time pass.
+    /// Advances virtual time and handles all events that are due.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((now, (index, event))) = self.events.pop_due(end) {
@@ -118,6 +118,7 @@
         Some(self.now - start)
     }
 
+    /// Hands a node an input, sends its messages and schedules the ends of its writes.
     fn step(&mut self, index: usize, input: Input) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(index) else { return };
--- a/crates/capacity-bench/src/control_state.rs
+++ b/crates/capacity-bench/src/control_state.rs
@@ -8,9 +8,9 @@
 use crate::memory;
 use crate::table::Table;
 
-/// How many changes are measured.
+/// How many changes the cost of one is averaged over.
 const CHANGES: u32 = 20;
-/// After the last change; the messages that tell the other members of it belong to the change, too.
+/// How long is measured on after the last change: the messages that spread it to the other members are part of its cost.
 const TIME_AFTER_CHANGES: Duration = Duration::from_secs(1);
 
 /// Measures groups of these sizes: without changes for `span`, then changes of a configuration with so many routes.
@@ -77,7 +77,6 @@
         processor_seconds * 1e6,
         bytes / 1024.0 * configuration::CHANGES_PER_SECOND,
     ];
-    // Freed memory would be taken by the next size, whose growth would then be measured too low.
-    std::mem::forget(group);
+    memory::leak(group);
     Some(values)
 }
--- a/crates/capacity-bench/src/counter.rs
+++ b/crates/capacity-bench/src/counter.rs
@@ -43,7 +43,8 @@
         self.processor_time = self.processor_time.saturating_add(other.processor_time);
     }
 
-    /// The sums per second of virtual time, in whole milliseconds, and for each of `processes`.
+    /// The sums per second of virtual time for each of `processes` processes, over a span that is counted in whole
+    /// milliseconds.
     pub fn rates(&self, span: Duration, processes: usize) -> Rates {
         let scale = 1000.0 / (span.as_millis().max(1) as f64 * processes.max(1) as f64);
         Rates {
@@ -61,11 +62,12 @@
     pub messages: f64,
     /// Bytes per second.
     pub bytes: f64,
-    /// Seconds of one processor core per second.
+    /// Seconds of processor time per second: 1 is one core in full use.
     pub processor_share: f64,
 }
 
-/// What this thread has run. Unlike a wall clock it does not count what others on a busy machine take.
+/// The processor time that this thread has used. Unlike the time of a wall clock it does not grow while other threads have the
+/// processor.
 pub fn thread_processor_time() -> Duration {
     Duration::try_from(clock_gettime(ClockId::ThreadCPUTime)).unwrap_or_default()
 }
--- a/crates/capacity-bench/src/listing.rs
+++ b/crates/capacity-bench/src/listing.rs
@@ -29,8 +29,7 @@
         let micros = repeated.processor_time.as_secs_f64() * 1e6 / repetitions.max(1) as f64;
         let first_micros = first.processor_time.as_secs_f64() * 1e6;
         table.add_row(size, vec![first_micros, micros, micros * 1e-4, kilobytes]);
-        // Freed memory would be taken by the next size, whose growth would then be measured too low.
-        std::mem::forget((registry, router));
+        memory::leak((registry, router));
     }
     table.add_note(
         "crates/programs/src/proxy.rs does this every second and with each answer that brings entries",
--- a/crates/capacity-bench/src/machines.rs
+++ b/crates/capacity-bench/src/machines.rs
@@ -2,9 +2,9 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Regions that the fleet is to have.
+/// How many regions the fleet is designed for.
 pub(crate) const REGIONS: usize = 5;
-/// Zones that the fleet is to have.
+/// How many zones the fleet is designed for.
 pub(crate) const ZONES: usize = 14;
 
 /// The internal address of a machine, by its number.
--- a/crates/capacity-bench/src/main.rs
+++ b/crates/capacity-bench/src/main.rs
@@ -7,6 +7,7 @@
 use mosshead_capacity_bench::registry_fleet::FleetSize;
 use mosshead_capacity_bench::{configuration, control_state, listing, membership, memory, registry};
 
+/// What is measured: the words of the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
     Membership,
@@ -39,16 +40,17 @@
 fn main() {
     let (part, quick) = parser().run();
     let start = Instant::now();
-    let wants = |one| part == Part::All || part == one;
-    // What frees much memory comes last: the next part would take it, and its growth would be measured too low.
-    if wants(Part::ControlState) {
+    let is_selected = |candidate| part == Part::All || part == candidate;
+    // The parts that free much memory come last: a part after them would take it again, and its growth would be measured too
+    // low.
+    if is_selected(Part::ControlState) {
         let routes: &[usize] = if quick { &[200] } else { &[200, 1_400, 5_000] };
         let span = Duration::from_secs(if quick { 10 } else { 60 });
         for routes in routes {
             println!("{}", control_state::measure(&[3, 5], span, *routes));
         }
     }
-    if wants(Part::Registry) {
+    if is_selected(Part::Registry) {
         let span = Duration::from_secs(if quick { 3 } else { 10 });
         for (varied_part, sizes) in registry_sizes(quick) {
             for table in registry::measure(varied_part, &sizes, span) {
@@ -56,18 +58,18 @@
             }
         }
     }
-    if wants(Part::Listing) {
+    if is_selected(Part::Listing) {
         println!("{}", listing::measure(&[300, 1_000, 3_000, 10_000], if quick { 10 } else { 200 }));
     }
-    if wants(Part::Membership) {
+    if is_selected(Part::Membership) {
         let sizes: &[usize] = if quick { &[30, 100, 300] } else { &[30, 100, 300, 1_000, 2_000] };
         println!("{}", membership::measure_calm(sizes, Duration::from_secs(if quick { 5 } else { 20 })));
     }
-    if wants(Part::Faults) {
+    if is_selected(Part::Faults) {
         let sizes: &[usize] = if quick { &[30, 100] } else { &[30, 100, 300] };
         println!("{}", membership::measure_faults(sizes, Duration::from_secs(if quick { 30 } else { 120 })));
     }
-    if wants(Part::Configuration) {
+    if is_selected(Part::Configuration) {
         println!("{}", configuration::measure(&[200, 1_400, 5_000], if quick { 5 } else { 40 }));
     }
     let megabytes = memory::resident_bytes() >> 20;
--- a/crates/capacity-bench/src/membership.rs
+++ b/crates/capacity-bench/src/membership.rs
@@ -8,7 +8,7 @@
 use crate::memory;
 use crate::table::Table;
 
-/// Machines set aside for control.
+/// The number of control nodes of a large fleet.
 const CONTROL_NODES: usize = 33;
 /// Datagrams without updates are shorter than this on average.
 const CALM_DATAGRAM_LEN: u64 = 130;
@@ -16,13 +16,17 @@
 const MAX_CALM_FLEET: usize = 1_000;
 /// All members have started after this.
 const START_PERIOD: Duration = Duration::from_secs(3);
-/// How long the gossip after the start, or the fleet before and after a fault, is measured.
+/// How long the gossip after the start is measured, and over what time datagrams are counted to find out whether it is over.
 const GOSSIP_SPAN: Duration = Duration::from_secs(5);
+/// How long a fleet is measured before a fault, and on after it has recovered.
 const FAULT_SPAN: Duration = Duration::from_secs(10);
+/// After this a fleet counts as never calm.
 const MAX_CALMING_TIME: Duration = Duration::from_secs(600);
+/// After this members count as never converged.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
+/// The same after regions were disconnected, which takes longer.
 const RECONNECTION_TIMEOUT: Duration = Duration::from_secs(300);
-/// Between two looks at whether the members have converged.
+/// The interval at which the convergence of the members is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Measures fleets of these sizes, for `span` each once they are calm: when no member has updates to send. Those of more
@@ -74,8 +78,7 @@
         }
         None => ([f64::NAN; 3], f64::NAN),
     };
-    // Freed memory would be taken by the next size, whose growth would then be measured too low.
-    std::mem::forget(fleet);
+    memory::leak(fleet);
     let others = [kilobytes, listing_micros, forming_seconds, gossip_seconds];
     [&calm[..], &others, &[gossip.bytes, gossip.processor_share * 100.0]].concat()
 }
@@ -108,11 +111,11 @@
 /// What happens to a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// So many members end abruptly.
+    /// This many members end abruptly.
     MembersEnd(usize),
     /// One member ends abruptly and starts again after a second.
     MemberRestarts,
-    /// No datagram passes between regions for so long.
+    /// No datagram passes between regions for this long.
     RegionsDisconnected(Duration),
 }
 
@@ -236,7 +239,7 @@
     ]
 }
 
-/// In whole milliseconds.
+/// Seconds, with a precision of a millisecond.
 fn seconds(duration: Duration) -> f64 {
     duration.as_millis() as f64 / 1000.0
 }
--- a/crates/capacity-bench/src/membership_fleet.rs
+++ b/crates/capacity-bench/src/membership_fleet.rs
@@ -15,7 +15,7 @@
 /// Bounds of the time between two calls of a member, as `programs` has them.
 const MIN_WAKE_DELAY: Duration = Duration::from_millis(20);
 const MAX_WAKE_DELAY: Duration = Duration::from_millis(500);
-/// All members start within this.
+/// The members start at random instants within this time.
 const START_PERIOD_MS: u64 = 3_000;
 /// How many members the others know from their start.
 const SEEDS: usize = 3;
@@ -163,7 +163,7 @@
         Some(self.now - start)
     }
 
-    /// Lets time pass.
+    /// Advances virtual time and handles all events that are due.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((due_at, (index, event))) = self.events.pop_due(end) {
@@ -186,7 +186,7 @@
                 datagrams = membership.receive(now, *from, payload);
             }
             datagrams.extend(membership.tick(now));
-            // A host folds its views of them; kept here, they would only grow.
+            // A host takes the events to update its view; here nobody reads them, and the list would only grow.
             drop(membership.drain_events());
             membership.next_wake(now).clamp(now + MIN_WAKE_DELAY, now + MAX_WAKE_DELAY)
         });
--- a/crates/capacity-bench/src/registry.rs
+++ b/crates/capacity-bench/src/registry.rs
@@ -3,10 +3,11 @@
 use mosshead_time::Duration;
 
 use crate::counter::{Counter, Rates};
+use crate::memory;
 use crate::registry_fleet::{FleetSize, RegistryFleet};
 use crate::table::Table;
 
-/// After it the calls of the start are over.
+/// After this time from the start of a fleet, the calls of its start are over.
 const WARM_UP: Duration = Duration::from_secs(3);
 const SECOND: Duration = Duration::from_secs(1);
 const MEBIBYTE: f64 = 1_048_576.0;
@@ -16,7 +17,7 @@
 pub struct Measurement {
     /// Each proxy on average.
     pub proxy: Rates,
-    /// The control node that takes most processor time.
+    /// The control node that uses the most processor time.
     pub busiest_control_node: Rates,
     /// Each control node on average.
     pub control_node: Rates,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Counts for the whole seconds of a span, in each of which so many servers end.
+/// Counts for the whole seconds of a span, in each of which `ending_servers` servers end and are replaced later.
 pub fn measure_rates(fleet: &mut RegistryFleet, span: Duration, ending_servers: u64) -> Measurement {
     fleet.reset_counters();
     for _ in 0..span.as_secs() {
@@ -102,8 +103,7 @@
         proxies.add_row(row, proxy_values(&fleet, size, &calm));
         control_nodes.add_row(row, control_node_values(&fleet, &calm));
         changes.add_row(row, change_values(&calm, &changing));
-        // Freed memory would be taken by the next size, whose growth would then be measured too low.
-        std::mem::forget(fleet);
+        memory::leak(fleet);
     }
     if let Some(size) = sizes.first() {
         proxies.add_note(format!(
--- a/crates/capacity-bench/src/registry_fleet/mod.rs
+++ b/crates/capacity-bench/src/registry_fleet/mod.rs
@@ -27,7 +27,7 @@
 /// How long an open call waits for updates, as in `programs`.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_TIMEOUT_MS);
 const WATCH_TIMEOUT_MS: u64 = 1_000;
-/// The interval at which control nodes tell each other whose heartbeats they receive, as in `programs`.
+/// The interval at which control nodes report to each other whose heartbeats they receive, as in `programs`.
 const COMPARISON_INTERVAL_MS: u64 = 500;
 /// The most entries in one message, as in `programs`.
 const MAX_ENTRIES: usize = 400;
@@ -70,7 +70,7 @@
     },
 }
 
-/// A process of the core.
+/// A control node: a source of the registry.
 pub struct ControlNode {
     /// Messages in and out.
     pub counter: Counter,
@@ -94,7 +94,7 @@
     }
 }
 
-/// How large a fleet is.
+/// How many processes of each kind a fleet has.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Servers.
@@ -103,7 +103,7 @@
     pub control_nodes: usize,
     /// Proxies.
     pub proxies: usize,
-    /// Proxies with a registry of their own.
+    /// How many of the proxies have a registry of their own, which takes memory and processor time to simulate.
     pub proxies_with_registry: usize,
 }
 
@@ -197,7 +197,7 @@
         registries.all(|registry| registry.len() == known)
     }
 
-    /// Lets time pass.
+    /// Advances virtual time and handles all events that are due.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((now, event)) = self.events.pop_due(end) {
--- a/crates/capacity-bench/src/registry_fleet/replication.rs
+++ b/crates/capacity-bench/src/registry_fleet/replication.rs
@@ -7,8 +7,9 @@
 use super::RegistryFleet;
 use crate::counter::encoded;
 
-/// Entries that are replicated at once, and back to which version, as in `programs`.
+/// The maximum number of entries in one `ReplicateEntries` call after a shutdown, as in `programs`.
 const MAX_REPLICATED_ENTRIES: usize = 128;
+/// How many of a source's last versions such a call covers, as in `programs`.
 const REPLICATED_VERSIONS: u64 = 64;
 /// Heartbeats up to this age are compared, as in `programs`.
 const COMPARED_PERIOD: Duration = Duration::from_millis(1_200);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Tells the other control nodes whose heartbeats one receives, and then lets it do what is due.
+    /// Reports to the other control nodes whose heartbeats one receives, and then lets that one detect failures.
     pub(super) fn compare_heartbeats(&mut self, from: usize) {
         let now = self.now;
         let response = ReplicateAck { changed: false, vector: VersionVector::default() };
--- a/crates/capacity-bench/src/registry_fleet/servers.rs
+++ b/crates/capacity-bench/src/registry_fleet/servers.rs
@@ -11,14 +11,15 @@
 
 /// The bytes of the body of a response to a server.
 const RESPONSE_LEN: u64 = 2;
-/// One of so many servers ends abruptly.
+/// Of this many servers that end, one ends abruptly.
 const SERVERS_PER_ABRUPT_END: usize = 30;
 /// From the start of a shutdown to the deregistration.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 /// From the start of a shutdown, or an abrupt end, to the start of the server that replaces it.
 const REPLACEMENT_DELAY: Duration = Duration::from_secs(5);
 const ABRUPT_REPLACEMENT_DELAY: Duration = Duration::from_secs(30);
-/// Servers end in an order that jumps through their numbers.
+/// The step from the number of one server that ends to that of the next: a large prime, so that they do not end in the order of
+/// their numbers.
 const END_STRIDE: usize = 7919;
 /// The share of servers, in percent, that prefill; the others decode.
 const PREFILL_PERCENT: usize = 27;
@@ -26,9 +27,9 @@
 pub(super) struct Server {
     /// Counts the servers that had this place one after the other, from 1.
     generation: u64,
-    /// Of its last heartbeat.
+    /// The sequence number of its last heartbeat.
     sequence: u64,
-    /// As in its heartbeats.
+    /// Its state, as its heartbeats have it.
     oper_state: &'static str,
     sends_heartbeats: bool,
 }
@@ -40,7 +41,7 @@
 }
 
 impl RegistryFleet {
-    /// Ends one server, and starts another in its place later. Of thirty one ends abruptly; the others drain and deregister.
+    /// Ends one server, and starts another in its place later. One in thirty ends abruptly; the others drain and deregister.
     pub fn end_and_replace_server(&mut self) {
         let server = (self.replaced_servers * END_STRIDE) % self.servers.len().max(1);
         self.replaced_servers += 1;
@@ -56,6 +57,10 @@
 
     /// Ends a server without an announcement, for good.
     pub fn end_abruptly(&mut self, server: usize) {
+        self.stop_heartbeats(server);
+    }
+
+    fn stop_heartbeats(&mut self, server: usize) {
         self.servers[server].sends_heartbeats = false;
     }
 
@@ -95,7 +100,7 @@
     }
 
     pub(super) fn deregister(&mut self, server: usize) {
-        self.end_abruptly(server);
+        self.stop_heartbeats(server);
         let (id, home) = (self.server_id(server), self.home_node(server));
         let (now, node) = (self.now, &mut self.control_nodes[home]);
         node.counter.count_message(0);
--- a/crates/capacity-bench/src/registry_fleet/watches.rs
+++ b/crates/capacity-bench/src/registry_fleet/watches.rs
@@ -10,9 +10,9 @@
 use crate::counter::encoded;
 use crate::machines::{address, control_node_name, proxy_name};
 
-/// From a call to its response, to another machine and back.
+/// How long a call takes from one machine to another and back.
 const ROUND_TRIP_TIME: Duration = Duration::from_millis(2);
-/// How much later each further slot of a proxy asks for entries that its first slot may get meanwhile.
+/// How much later each further slot of a proxy requests entries that its first slot may get meanwhile.
 const RETRY_DELAY_PER_SLOT_MS: u64 = 100;
 /// The configuration's revision, at all processes.
 const REVISION: u64 = 9;
@@ -22,7 +22,7 @@
 pub(super) enum Watcher {
     /// A proxy, which watches the control node of the same number as the slot.
     Proxy { proxy: usize, slot: usize },
-    /// A proxy whose last response announced entries without containing them; it asks for them and does not wait.
+    /// A proxy whose last response announced entries without containing them. It requests them by a call that does not wait.
     ProxyAgain { proxy: usize, slot: usize },
     /// A control node, which watches all others.
     ControlNode { node: usize },
--- a/crates/capacity-bench/src/slope.rs
+++ b/crates/capacity-bench/src/slope.rs
@@ -1,15 +1,15 @@
-//! Least squares through all sizes: a straight line, and a power.
+//! Least squares through all sizes: a straight line, and a power law (a straight line through the logarithms).
 
 /// How a value grows with size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slope {
-    /// The value at size 0, by the line.
+    /// The value of the line at size 0.
     pub base: f64,
     /// The growth for each unit of size.
     pub per_unit: f64,
     /// R squared of the line: 1 where it goes through all points.
     pub line_r2: f64,
-    /// The exponent of the power; none if a size or value isn't above 0.
+    /// The exponent of the power law; none if a size or value isn't above 0.
     pub exponent: Option<f64>,
     /// How many different sizes there are; at least 2.
     pub sizes: usize,
--- a/crates/capacity-bench/src/table.rs
+++ b/crates/capacity-bench/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of one part, with a slope for each column.
+//! A table of values by size, as one part of the bench prints it, with a slope for each column.
 
 use std::fmt;
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Four significant digits.
+/// The value with about four significant digits; `-` if it is not finite.
 fn format_value(value: f64) -> String {
     let magnitude = value.abs();
     match magnitude {
