--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -17,7 +17,8 @@
 
 /// The window slides in this many steps, each of which is one slice.
 const SLICES_PER_WINDOW: u64 = 20;
-/// The share of the allowed retries that may be spent. Some are held back, since the rule's windows may begin at any instant, and proxies come and go.
+/// The share of the allowed retries that may be spent. It is below 1, since the rule's windows may begin at any instant, and
+/// proxies come and go.
 const SPENDABLE_SHARE: f64 = 0.8;
 
 /// What was counted in one step of the window.
