--- a/crates/config/src/chunked_sequence.rs
+++ b/crates/config/src/chunked_sequence.rs
@@ -120,6 +120,7 @@
 
     /// Merges a chunk that has become small with the next one, so that removals leave no long list of small chunks.
     fn merge_with_next(&mut self, chunk_index: usize) {
+        // A chunk that does not exist counts as full, so that nothing is merged with it.
         let length_of = |index: usize| self.chunks.get(index).map_or(MAX_CHUNK_LENGTH, |chunk| chunk.len());
         if length_of(chunk_index) + length_of(chunk_index + 1) > INITIAL_CHUNK_LENGTH {
             return;
@@ -141,7 +142,7 @@
     pub(crate) fn compare<'a>(
         &'a self,
         other: &'a ChunkedSequence<T>,
-        order: impl Fn(&T, &T) -> Ordering,
+        compare_elements: impl Fn(&T, &T) -> Ordering,
         mut on_difference: impl FnMut(Option<&'a T>, Option<&'a T>),
     ) {
         let mut own = Cursor::new(self);
@@ -157,7 +158,7 @@
                 (None, None) => return,
                 (Some(_), None) => Ordering::Less,
                 (None, Some(_)) => Ordering::Greater,
-                (Some(one), Some(other)) => order(one, other),
+                (Some(one), Some(other)) => compare_elements(one, other),
             };
             match order {
                 Ordering::Less => on_difference(pair.0, None),
@@ -178,7 +179,7 @@
 struct Cursor<'a, T> {
     chunks: &'a [Arc<Vec<T>>],
     chunk_index: usize,
-    /// Within the chunk.
+    /// Of the element within the chunk; 0 behind the last chunk.
     index: usize,
 }
 
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -73,12 +73,12 @@
     }
 
     /// The complete configuration as JSON without white space, to be shown and stored. It is built when it is first
-    /// used, and kept; [`Config::to_json`] keeps nothing.
+    /// used, and kept.
     pub fn json(&self) -> &Arc<str> {
         self.content.json.get_or_init(|| self.to_json().into())
     }
 
-    /// Builds the same text anew.
+    /// Builds the text of [`Config::json`], and keeps nothing.
     pub fn to_json(&self) -> String {
         self.content.document.to_json()
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The hash of the text.
+    /// The hash of the text. The first number tells a list from another value.
     fn hash(&self) -> u64 {
         match self {
             FieldValue::Items(list) => mix(1, list.hash()),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The list in a field, if it contains one.
+    /// The list in a field, to be changed.
     pub(crate) fn list_mut(&mut self, key: &str) -> Option<&mut ItemList> {
         let field = self.fields.iter_mut().find(|field| field.key.as_ref() == key)?;
         match &mut field.value {
--- a/crates/config/src/item_list.rs
+++ b/crates/config/src/item_list.rs
@@ -92,9 +92,9 @@
 
     /// Replaces the item that has the same name, in its position, else appends the item.
     pub(crate) fn upsert(&mut self, item: Arc<Item>) {
-        let kept = self.get_positioned(item.name()).map(|positioned| positioned.position);
-        let next = self.by_position.last().map_or(0, |last| last.position + 1);
-        let position = kept.unwrap_or(next);
+        let current_position = self.get_positioned(item.name()).map(|positioned| positioned.position);
+        let next_position = self.by_position.last().map_or(0, |last| last.position + 1);
+        let position = current_position.unwrap_or(next_position);
         let new = PositionedItem { position, item };
         let (hash, bytes) = (new.item.hash(), new.item.text().len());
         self.by_name.insert(new.clone(), compare_name(new.item.name()));
@@ -121,7 +121,8 @@
         (before.map(|positioned| positioned.item.hash()), after.map(|positioned| positioned.item.hash()))
     }
 
-    /// Subtracts the pairs between two neighbours, and the item that was between them if any, from the sums.
+    /// Subtracts from `hash` the pairs of neighbours that a change at one position has broken up, and from `item_bytes` the
+    /// item that was there, if any. `before` and `after` are the hashes of the items around the position.
     fn remove_from_sums(&mut self, before: Option<u64>, after: Option<u64>, old: Option<&PositionedItem>) {
         match old.map(|old| &old.item) {
             Some(old) => {
--- a/crates/config/src/json/cursor.rs
+++ b/crates/config/src/json/cursor.rs
@@ -53,7 +53,8 @@
         if self.consume(b',') { Some(true) } else { self.consume(close).then_some(false) }
     }
 
-    /// Cuts out the next value.
+    /// Cuts out the next value: a string or a bracketed text to its end, anything else up to white space, a separator or a
+    /// closing bracket. `None` if the text ends before the value does, or nothing is there.
     pub(crate) fn next_value(&mut self) -> Option<&'a str> {
         self.skip_space();
         let start = self.position;
--- a/crates/config/src/json/string.rs
+++ b/crates/config/src/json/string.rs
@@ -11,12 +11,13 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the string.
+/// The string does not end, or contains a control character or a malformed `\u` escape.
 pub(super) fn find_string_end(text: &str, start: usize) -> Result<usize, &'static str> {
     let bytes = text.as_bytes();
     let mut position = start + 1;
     while let Some(&byte) = bytes.get(position) {
         match byte {
+            // All but control characters, the quote and the backslash.
             b' '..=b'!' | b'#'..=b'[' | b']'.. => position += 1,
             b'"' => return Ok(position + 1),
             b'\\' if bytes.get(position + 1) == Some(&b'u') => {
@@ -53,6 +54,6 @@
 
 /// Encodes a string as JSON.
 pub(crate) fn quote(content: &str) -> String {
-    // To stringify a string does not fail; tinyjson has no infallible way.
+    // Only a number that is not finite can't be written as JSON; tinyjson has no infallible way for strings.
     JsonValue::from(content.to_owned()).stringify().unwrap_or_default()
 }
--- a/crates/config/src/json/value.rs
+++ b/crates/config/src/json/value.rs
@@ -13,7 +13,7 @@
 /// How many digits a whole number may have to be parsed without rounding.
 const EXACT_DIGITS: usize = 15;
 
-/// How the library begins to say that a key is not a string.
+/// The start of the library's error message for a key that is not a string.
 const WRONG_KEY: &str = "Key of object must be string";
 
 /// Parses JSON that somebody else wrote; `None` if it is not one well-formed value of UTF-8 within [`MAX_DEPTH`].
--- a/crates/config/src/operator_calls.rs
+++ b/crates/config/src/operator_calls.rs
@@ -72,6 +72,7 @@
                 REVISION => revision = Some(parse_whole_number(value, REVISION)?),
                 "upsert" if value != "null" => upsert = list_fields(value, "upsert")?,
                 "withdraw" if value != "null" => withdraw = object_fields(value, "withdraw")?,
+                // An unknown field has no effect, but must be well-formed.
                 unknown => drop(parse_value(value, unknown)?),
             }
         }
--- a/crates/config/src/patch/apply.rs
+++ b/crates/config/src/patch/apply.rs
@@ -16,8 +16,8 @@
 };
 use crate::validation::{validate, validate_changes};
 
-/// What a patch may have beside a complete configuration, in bytes.
-const HEAD_BYTES: usize = 100;
+/// The bytes of a patch beside the complete configuration that it contains, at most: `base`, `sum` and their keys.
+const MAX_HEAD_BYTES: usize = 100;
 /// A patch contains the newer configuration, or parts of it, one level down.
 const MAX_PATCH_DEPTH: usize = MAX_DEPTH + 1;
 
@@ -32,7 +32,7 @@
     /// The patch can't be read, was made for another configuration
     /// ([`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch)), or what results is not valid.
     pub fn apply_patch(&self, patch: &str) -> Result<Config, ConfigError> {
-        let text = decode_utf8(patch.as_bytes(), MAX_BYTES + HEAD_BYTES)?;
+        let text = decode_utf8(patch.as_bytes(), MAX_BYTES + MAX_HEAD_BYTES)?;
         check_structure(text, MAX_PATCH_DEPTH)?;
         let fields = object_fields(text, "patch")?;
         let mut fields: PatchFields<'_> =
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -2,6 +2,7 @@
 //!
 //! Each module is named after what it reads: [`full_text`] a configuration with every check, [`shared_items`] one that
 //! has most items in common with another, [`document`] top-level fields, [`items`] the items of a list.
+//! [`list_merge`] puts the lists of [`shared_items`] together.
 
 mod document;
 mod full_text;
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Chooses a service by weight; `random` is a uniform random number from 0 to 1.
+    /// Chooses a service by weight; `random` is a uniform random number from 0 to 1. `None` only if no weight is above 0,
+    /// which no valid configuration has.
     pub fn choose_service(&self, random: f64) -> Option<&str> {
         let total: f64 = self.backends.iter().map(|backend| backend.weight).sum();
         let mut remaining = random.clamp(0.0, 1.0) * total;
--- a/crates/config/src/stable_hash.rs
+++ b/crates/config/src/stable_hash.rs
@@ -1,4 +1,5 @@
-//! Hashes that find a patch which was applied to another text than the one it was made for.
+//! Hashes by which a patch is found to have been applied to another text than the one it was made for. They protect
+//! against mistakes, not against forged texts.
 //!
 //! They are sent between processes that may be of different builds, so they must not change, as the hashes of the
 //! standard library may.
