--- a/crates/programs/src/config_transfer.rs
+++ b/crates/programs/src/config_transfer.rs
@@ -6,10 +6,10 @@
 
 mod chunk;
 mod incoming;
+mod offer_message;
 mod outgoing;
-mod update;
 
 pub use self::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
 pub use self::incoming::{IncomingTransfer, TransferProgress};
+pub use self::offer_message::ConfigOfferMessage;
 pub use self::outgoing::OutgoingTransfers;
-pub use self::update::ConfigOfferMessage;
--- a/crates/programs/src/config_transfer/chunk.rs
+++ b/crates/programs/src/config_transfer/chunk.rs
@@ -3,10 +3,10 @@
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
 
-/// The length of a chunk in bytes: 52 ms on a link of 10 Mbit/s.
+/// The length of each chunk but the last of a transfer, in bytes: 52 ms on a link of 10 Mbit/s.
 pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// The request for a chunk of the path from one configuration to a newer one.
+/// The request for a chunk of the transfer that leads from one configuration to a newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ChunkRequest {
     /// The revision that the receiver has; 0: none.
@@ -32,7 +32,7 @@
     /// The offset of the chunk in the transfer, in bytes.
     #[n(2)]
     pub offset: u64,
-    /// The bytes of the chunk.
+    /// A part of the compressed offer; empty if the sender offers none, or `offset` is the end.
     #[n(3)]
     pub bytes: ByteVec,
 }
--- a/crates/programs/src/config_transfer/incoming.rs
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -1,16 +1,16 @@
 //! The receiver's side of a transfer.
 
 use super::chunk::{ChunkRequest, ConfigChunk};
-use super::update::{ConfigOfferMessage, max_packed_bytes};
+use super::offer_message::{ConfigOfferMessage, max_packed_bytes};
 
 /// The state of a transfer after a chunk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransferProgress {
     /// More chunks are needed.
     Incomplete,
-    /// The update is complete.
+    /// The offer was received completely; its revision is 0 if the sender offers none.
     Complete(ConfigOfferMessage),
-    /// The chunks don't continue each other, or don't decode to an update.
+    /// The chunks don't continue each other, or don't decode to an offer.
     Corrupt,
 }
 
@@ -56,9 +56,9 @@
         if self.bytes.len() < self.length {
             return TransferProgress::Incomplete;
         }
-        let update =
-            ConfigOfferMessage::unpack(&self.bytes).filter(|update| update.revision == self.target_revision);
-        update.map_or(TransferProgress::Corrupt, TransferProgress::Complete)
+        let offer =
+            ConfigOfferMessage::unpack(&self.bytes).filter(|offer| offer.revision == self.target_revision);
+        offer.map_or(TransferProgress::Corrupt, TransferProgress::Complete)
     }
 
     fn is_next(&self, chunk: &ConfigChunk) -> bool {
--- a/crates/programs/src/config_transfer/outgoing.rs
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -4,17 +4,20 @@
 use std::sync::Arc;
 
 use super::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
-use super::update::ConfigOfferMessage;
+use super::offer_message::ConfigOfferMessage;
 
 /// Transfers that a sender keeps in memory at most.
 const MAX_OUTGOING: usize = 16;
 /// Their length together at most, in bytes; the newest one is kept whatever its length.
 const MAX_OUTGOING_BYTES: usize = 8 * 1024 * 1024;
 
-/// A transfer in progress.
-struct Outgoing {
+/// A transfer in progress: an offer, which its receivers request chunk by chunk.
+struct OutgoingTransfer {
+    /// The revision that the receivers have; 0: none.
     base_revision: u64,
+    /// The revision that the offer leads to, never 0.
     target_revision: u64,
+    /// The compressed offer.
     packed: Arc<[u8]>,
 }
 
@@ -22,19 +25,19 @@
 #[derive(Default)]
 pub struct OutgoingTransfers {
     /// The oldest first.
-    transfers: VecDeque<Outgoing>,
+    transfers: VecDeque<OutgoingTransfer>,
 }
 
 impl OutgoingTransfers {
     /// Responds to a request while `newest_revision` is the newest configuration.
     ///
-    /// A transfer that is kept goes on to its own target; otherwise a new one to the newest begins. `make_update` makes
-    /// the update from the receiver's configuration to the newest.
+    /// A transfer that is kept goes on to its own target; otherwise a new one to the newest begins. `make_offer` makes
+    /// the offer that leads from the receiver's configuration to the newest.
     pub fn next_chunk(
         &mut self,
         request: ChunkRequest,
         newest_revision: u64,
-        make_update: impl FnOnce() -> ConfigOfferMessage,
+        make_offer: impl FnOnce() -> ConfigOfferMessage,
     ) -> ConfigChunk {
         if let Some(packed) = self.find(request.base_revision, request.target_revision) {
             return cut_chunk(request.target_revision, &packed, request.offset);
@@ -42,24 +45,28 @@
         if let Some(packed) = self.find(request.base_revision, newest_revision) {
             return cut_chunk(newest_revision, &packed, 0);
         }
-        let update = make_update();
-        let target_revision = update.revision;
-        let Some(packed) = update.pack().filter(|_| target_revision > 0) else {
+        let offer = make_offer();
+        let target_revision = offer.revision;
+        let Some(packed) = offer.pack().filter(|_| target_revision > 0) else {
             return ConfigChunk::withheld();
         };
         let packed: Arc<[u8]> = packed.into();
-        self.keep(Outgoing { base_revision: request.base_revision, target_revision, packed: packed.clone() });
+        self.keep(OutgoingTransfer {
+            base_revision: request.base_revision,
+            target_revision,
+            packed: packed.clone(),
+        });
         cut_chunk(target_revision, &packed, 0)
     }
 
     fn find(&self, base_revision: u64, target_revision: u64) -> Option<Arc<[u8]>> {
-        let is_wanted = |transfer: &&Outgoing| {
+        let is_wanted = |transfer: &&OutgoingTransfer| {
             transfer.base_revision == base_revision && transfer.target_revision == target_revision
         };
         self.transfers.iter().find(is_wanted).map(|transfer| transfer.packed.clone())
     }
 
-    fn keep(&mut self, transfer: Outgoing) {
+    fn keep(&mut self, transfer: OutgoingTransfer) {
         self.transfers.push_back(transfer);
         while self.transfers.len() > MAX_OUTGOING
             || self.total_bytes() > MAX_OUTGOING_BYTES && self.transfers.len() > 1
@@ -73,6 +80,7 @@
     }
 }
 
+/// The chunk at an offset; empty behind the end.
 fn cut_chunk(target_revision: u64, packed: &[u8], offset: u64) -> ConfigChunk {
     let start = usize::try_from(offset).unwrap_or(usize::MAX).min(packed.len());
     let end = start.saturating_add(CHUNK_BYTES).min(packed.len());
--- a/crates/programs/src/control_node/config_store.rs
+++ b/crates/programs/src/control_node/config_store.rs
@@ -17,7 +17,11 @@
 }
 
 impl ConfigStore {
-    /// Adds a committed state. Gives the configuration if it is newer than the one before.
+    /// Adds a committed state. Returns its configuration if that is newer than the one before.
+    ///
+    /// # Errors
+    ///
+    /// The body of the state is no valid configuration.
     pub(super) fn commit(&self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
         self.history.borrow_mut().commit(state)
     }
@@ -39,7 +43,7 @@
         if newest_revision == 0 {
             return ConfigChunk::withheld();
         }
-        let make_update = || ConfigOfferMessage::from(history.offer(request.base_revision, contact));
-        self.transfers.borrow_mut().next_chunk(request, newest_revision, make_update)
+        let make_offer = || ConfigOfferMessage::from(history.offer(request.base_revision, contact));
+        self.transfers.borrow_mut().next_chunk(request, newest_revision, make_offer)
     }
 }
--- a/crates/programs/src/update_watcher/config_fetcher.rs
+++ b/crates/programs/src/update_watcher/config_fetcher.rs
@@ -12,12 +12,12 @@
 use crate::calls::FetchConfig;
 use crate::config_transfer::{IncomingTransfer, TransferProgress};
 
-/// A chunk of the configuration arrives within this time.
+/// The timeout of the call for one chunk.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The revision from which the full text of a configuration is sent.
+/// The revision of a receiver that has no configuration: it is sent the full text.
 pub(super) const NO_REVISION: u64 = 0;
 
-/// Marks a configuration as being fetched, until it is dropped.
+/// Held for as long as a fetch is in progress.
 struct FetchGuard<'a> {
     is_fetching: &'a Cell<bool>,
 }
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Fetches the update from a revision to the newest. `None` if a call fails or the chunks are corrupt.
+    /// Fetches the offer that leads from a revision to the newest, and assembles the configuration. `None` if a
+    /// call fails or the chunks are corrupt.
     async fn fetch_from(
         &self,
         control_node: SocketAddrV4,
@@ -79,8 +80,8 @@
             let chunk = self.caller.call(control_node, &call, CHUNK_TIMEOUT).await.ok()?;
             match transfer.on_chunk(&chunk) {
                 TransferProgress::Incomplete => {}
-                TransferProgress::Complete(update) => {
-                    return Some(assemble_config(in_force, &update.into()));
+                TransferProgress::Complete(offer) => {
+                    return Some(assemble_config(in_force, &offer.into()));
                 }
                 TransferProgress::Corrupt => return None,
             }
