--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -29,13 +29,13 @@
     /// The revision of the configuration that the caller has; 0: none.
     #[n(3)]
     pub revision: u64,
-    /// The registry entries that the caller has.
+    /// Up to which version of each source the caller has the registry entries.
     #[n(4)]
     pub vector: VersionVector,
     /// Whether the response is to carry entries, and not only whether there are newer ones.
     #[n(5)]
     pub wants_entries: bool,
-    /// The longest time to wait for something new.
+    /// The longest time to wait for something new, in milliseconds on the wire. The responder may wait less.
     #[cbor(n(6), with = "mosshead_time::duration_millis")]
     pub wait: Duration,
 }
@@ -48,7 +48,8 @@
 /// What a control node has that the caller of [`WatchUpdates`] lacks.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Updates {
-    /// The newest configuration that the responder knows to be committed; 0 while it has no contact with a quorum.
+    /// The revision of the newest configuration that the responder knows to be committed; 0 while it has no contact with
+    /// a quorum.
     #[n(0)]
     pub revision: u64,
     /// Registry entries above the caller's vector; empty if the caller wants none.
@@ -69,7 +70,7 @@
     /// Whether the responder lacks registry entries that the caller has.
     #[n(6)]
     pub needs_entries: bool,
-    /// The registry source that the responder is.
+    /// The id under which the responder is a source of registry entries ([`SourceId`](mosshead_registry::SourceId)).
     #[n(7)]
     pub source: u64,
 }
@@ -80,7 +81,7 @@
     type Response = Updates;
 }
 
-/// Requests one chunk of the path from the caller's configuration to the newest.
+/// Requests one chunk of the transfer that leads from the caller's configuration to the newest.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FetchConfig(#[n(0)] pub ChunkRequest);
@@ -92,7 +93,7 @@
 }
 
 /// Sends registry entries that the receiver should have: those that must be replicated before a server gets its
-/// acknowledgement, or all of them after the receiver lost its memory.
+/// acknowledgement, or all of them to a control node that lacks entries after its restart.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateEntries {
     /// Complete above its base vector, so that the receiver can merge it into what it has.
@@ -106,7 +107,7 @@
     /// Whether an entry was new to the receiver.
     #[n(0)]
     pub changed: bool,
-    /// The entries that the receiver has now.
+    /// Up to which version of each source the receiver has the entries now.
     #[n(1)]
     pub vector: VersionVector,
 }
@@ -120,7 +121,7 @@
 /// Reports which servers still send heartbeats to a control node, so that other control nodes don't time them out.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct CompareHeartbeats {
-    /// The registry source that the caller is.
+    /// The id under which the caller is a source of registry entries ([`SourceId`](mosshead_registry::SourceId)).
     #[n(0)]
     pub source: u64,
     /// The last heartbeats that the caller has received.
--- a/crates/programs/src/clock.rs
+++ b/crates/programs/src/clock.rs
@@ -12,8 +12,8 @@
 }
 
 impl Clock {
-    /// The instant at which a clock starts.
-    const FIRST_INSTANT: Duration = Duration::from_millis(1);
+    /// How far the first instant of a clock lies after [`Instant::ORIGIN`].
+    const START_OFFSET: Duration = Duration::from_millis(1);
 
     /// Starts a clock. All parts of a process share one.
     pub(crate) fn start() -> Clock {
@@ -25,8 +25,8 @@
         self.at(tokio::time::Instant::now())
     }
 
-    /// The instant of this clock that is tokio's; the first one for all that lie before its start.
+    /// Converts an instant of tokio; one before the start of this clock becomes its first instant.
     pub(crate) fn at(&self, instant: tokio::time::Instant) -> Instant {
-        Instant::ORIGIN + Clock::FIRST_INSTANT + instant.saturating_duration_since(self.start)
+        Instant::ORIGIN + Clock::START_OFFSET + instant.saturating_duration_since(self.start)
     }
 }
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// The option that names the settings file.
 fn settings() -> impl Parser<Option<PathBuf>> {
     long("settings")
         .help("The settings file; without it MOSSHEAD_CONFIG names it")
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -23,9 +23,10 @@
     headers: &HeaderMap,
     body: Bytes,
 ) -> ApiResponse {
-    let base = headers.get(BASE_REVISION_HEADER).and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    let digest = request_digest(path, base.unwrap_or(0), &body);
-    let request = OperatorChange { kind, base_revision: base, body, digest };
+    let base_revision =
+        headers.get(BASE_REVISION_HEADER).and_then(|value| value.to_str().ok()?.trim().parse().ok());
+    let digest = request_digest(path, base_revision.unwrap_or(0), &body);
+    let request = OperatorChange { kind, base_revision, body, digest };
     change_response(control_node, control_node.change_config(request).await, path)
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// Redirects to the API of the primary.
+/// Redirects to the API of the primary, by its internal address.
 fn redirect(control_node: &ControlNode, primary: SocketAddrV4, path: &str) -> ApiResponse {
     let Some(address) = control_node.api_address_of(primary) else { return unavailable() };
     let mut response = code_only(StatusCode::TEMPORARY_REDIRECT, ResultCode::NotPrimary);
--- a/crates/programs/src/control_api/heartbeat.rs
+++ b/crates/programs/src/control_api/heartbeat.rs
@@ -1,9 +1,9 @@
 //! The heartbeat of a model server, from JSON. Unknown fields are ignored, so that servers may send more than is used.
 
-use mosshead_time::Duration;
 use std::collections::HashMap;
 
 use mosshead_registry::{Model, OperState, Server, Stage};
+use mosshead_time::Duration;
 use tinyjson::JsonValue;
 
 /// The longest id of a server, in bytes.
@@ -79,9 +79,10 @@
     fields.get(name)?.get::<String>().cloned()
 }
 
+/// A number from 0 to [`MAX_EXACT_INTEGER`] without its fraction; `None` for any other value.
 fn integer_field(fields: &JsonObject, name: &str) -> Option<u64> {
     let value = *fields.get(name)?.get::<f64>()?;
-    // A larger number may stand for one of its neighbours, and `u64::MAX` has a meaning of its own to the registry.
+    // A larger number may stand for one of its neighbours, and `u64::MAX` is the sequence number of a deregistered server.
     (0.0..=MAX_EXACT_INTEGER).contains(&value).then_some(value as u64)
 }
 
--- a/crates/programs/src/control_api/response.rs
+++ b/crates/programs/src/control_api/response.rs
@@ -11,7 +11,8 @@
 /// The value of `Retry-After`: how long the caller is to wait before it repeats the request, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// A code of docs/codes.md, for the body of a response.
+/// A code of docs/codes.md, for the body of a response. C07 is not among them: it is sent as the `fault` of a rejected
+/// change, like the codes of invalid configurations.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ResultCode {
     /// The outcome is not known here, or there is no quorum.
--- a/crates/programs/src/control_api/server.rs
+++ b/crates/programs/src/control_api/server.rs
@@ -61,6 +61,7 @@
     let _ = connection.await;
 }
 
+/// Calls the endpoint of a request. Those of model servers are found by their paths, whatever the method.
 async fn respond(control_node: Rc<ControlNode>, request: Request<Incoming>) -> ApiResponse {
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
--- a/crates/programs/src/control_node/change_notifier.rs
+++ b/crates/programs/src/control_node/change_notifier.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::watch;
 
-/// Counts changes of what the node serves; calls that wait subscribe to the count.
+/// Counts the changes of what the node serves; calls that wait subscribe to the count. Only that it grows is of use.
 #[derive(Debug)]
 pub(super) struct ChangeNotifier {
     changes: watch::Sender<u64>,
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -33,6 +33,7 @@
     sender: Rc<ConsensusSender>,
     /// Where committed states go.
     configs: Rc<ConfigStore>,
+    /// Notified when this node becomes the primary or steps down, and of newer configurations.
     changes: Rc<ChangeNotifier>,
 }
 
@@ -56,7 +57,7 @@
         })
     }
 
-    /// The log is open for writes.
+    /// Takes the log, once it is open for writes.
     pub(super) fn set_log(&self, log: LogWriter) {
         self.log.replace(Some(log));
     }
@@ -92,7 +93,8 @@
         reply.ok().and_then(Result::ok).unwrap_or(ClientReply::Unavailable)
     }
 
-    /// Steps the node, and carries out its outputs.
+    /// Steps the node, and carries out its outputs. Before the node is started, a change or a read is answered as
+    /// unavailable, and any other input is dropped.
     pub(super) fn step(self: &Rc<Self>, input: Input) {
         let request_id = match input {
             Input::Change { request_id, .. } | Input::Read { request_id } => Some(request_id),
@@ -115,12 +117,14 @@
                 }
             }
             Output::Write { token, record } => {
-                let is_queued = self.append(token, record);
-                self.on_write_queued(token, is_queued);
+                if !self.append(token, record) {
+                    self.fail_write_later(token);
+                }
             }
             Output::Rewrite { token, record } => {
-                let is_queued = self.rewrite(token, record);
-                self.on_write_queued(token, is_queued);
+                if !self.rewrite(token, record) {
+                    self.fail_write_later(token);
+                }
             }
             Output::Reply { request_id, reply } => self.requests.reply(request_id, reply),
             Output::StateCommitted { state } => self.on_committed(&state),
@@ -145,11 +149,8 @@
         self.log.borrow().as_ref().is_some_and(|log| log.rewrite(token, vec![record]).is_ok())
     }
 
-    /// A write that could not be queued fails after the outputs that are carried out now.
-    fn on_write_queued(self: &Rc<Self>, token: u64, is_queued: bool) {
-        if is_queued {
-            return;
-        }
+    /// Reports to the node that a write could not be queued, after the outputs that are carried out now.
+    fn fail_write_later(self: &Rc<Self>, token: u64) {
         let host = self.clone();
         tokio::task::spawn_local(async move { host.step(Input::WriteFailed { token }) });
     }
--- a/crates/programs/src/control_node/directory.rs
+++ b/crates/programs/src/control_node/directory.rs
@@ -9,7 +9,7 @@
 /// The control nodes that consensus, the membership or the settings name.
 pub(super) struct ControlNodeDirectory {
     local_address: SocketAddrV4,
-    /// The control nodes that the settings name at the start, for as long as no others are known.
+    /// The control nodes that the settings named at the start. They count only while no others are known.
     seeds: Vec<SocketAddrV4>,
     consensus: Rc<ConsensusHost>,
     gossip: Rc<Gossip>,
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -31,7 +31,7 @@
 use crate::gossip::Gossip;
 use crate::settings::Settings;
 
-/// A control node. Each part owns its state; none is borrowed across an `await`.
+/// A control node. Each part owns its state in cells; none of them stays borrowed across an `await`.
 pub(crate) struct ControlNode {
     settings: Settings,
     gossip: Rc<Gossip>,
@@ -153,12 +153,12 @@
         self.consensus.step(Input::Tick);
     }
 
-    /// Writes what is new in the registry to disk.
+    /// Queues what is new in the registry for the disk.
     pub(crate) fn persist_registry(&self) {
         self.registry.persist();
     }
 
-    /// The settings name other seeds.
+    /// Passes the seeds of reloaded settings to the consensus node.
     pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
         self.consensus.step(Input::Seeds(seeds));
     }
--- a/crates/programs/src/control_node/peer_exchange.rs
+++ b/crates/programs/src/control_node/peer_exchange.rs
@@ -13,9 +13,9 @@
 use crate::calls::{CompareHeartbeats, ReplicateEntries, Updates, WatchUpdates};
 use crate::send_queues::SendQueue;
 
-/// Entries that are sent to a control node that has lost its memory.
+/// Entries that are sent to a control node that lacks entries after its restart, at most.
 const MAX_RECOVERY_ENTRIES: usize = 5000;
-/// The pause after such a call, until the peer is watched again.
+/// The pause after a call with these entries, until the peer is watched again.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(300);
 /// How long a peer may wait for something new until it responds.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
@@ -23,7 +23,8 @@
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1400);
 /// The pause after a peer did not respond, or has no quorum contact.
 const WATCH_BACKOFF: Duration = Duration::from_millis(200);
-/// A peer that has failed this many times in a row is followed no longer, unless it is found again.
+/// A peer that has failed this many times in a row is followed no longer, until the followers of the peers
+/// ([`peer_followers`](super::peer_followers)) look for new ones again.
 const MAX_WATCH_FAILURES: usize = 40;
 /// How often control nodes report to each other which servers send heartbeats.
 const HEARTBEAT_EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/programs/src/control_node/peer_followers.rs
+++ b/crates/programs/src/control_node/peer_followers.rs
@@ -8,7 +8,7 @@
 
 use super::peer_exchange::PeerExchange;
 
-/// One task for each peer. They end with this.
+/// One task for each peer. The tasks are aborted when this is dropped.
 pub(crate) struct PeerFollowers {
     exchange: Rc<PeerExchange>,
     tasks: HashMap<SocketAddrV4, JoinHandle<()>>,
--- a/crates/programs/src/control_node/registration.rs
+++ b/crates/programs/src/control_node/registration.rs
@@ -16,15 +16,15 @@
 use super::registry_host::RegistryHost;
 use crate::calls::ReplicateEntries;
 
-/// An entry that a server waits for reaches another control node within this time, or that one does not count.
+/// The timeout of a call that replicates an entry; a control node that has not responded by then counts as without it.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(350);
-/// Entries that are sent with one call.
+/// Entries that are sent with one call, at most.
 const MAX_ENTRIES_PER_CALL: usize = 400;
 
 /// The outcome of sending an entry to a peer.
 struct ReplicationReply {
     peer: SocketAddrV4,
-    /// The peer's entries after that; `None` if it has not responded.
+    /// Up to which version of each source the peer then has the entries; `None` if it has not responded.
     vector: Option<VersionVector>,
 }
 
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -44,7 +44,7 @@
         })
     }
 
-    /// The log is open.
+    /// Takes the log, once it is open for writes.
     pub(super) fn set_log_writer(&self, writer: LogWriter) {
         self.log.set_writer(writer);
     }
@@ -100,12 +100,12 @@
         Ok(outcome)
     }
 
-    /// Another control node has the entries of this vector.
+    /// Records that another control node has the entries of this vector.
     pub(super) fn mark_replicated(&self, vector: &VersionVector) {
         self.registry.borrow_mut().mark_replicated(vector);
     }
 
-    /// Another control node has responded.
+    /// Records that another control node, the source of this id, has responded.
     pub(super) fn record_contact(&self, source: SourceId) {
         self.registry.borrow_mut().record_contact(self.now(), source);
     }
@@ -144,12 +144,12 @@
         self.acknowledgements.borrow().begin(&registry, id, outcome, contact, replica_set)
     }
 
-    /// A server has been acknowledged: its entry outlives the tolerated failures.
+    /// Remembers the entry of a shutdown that was acknowledged: it outlives the tolerated failures.
     pub(super) fn on_acknowledged(&self, entry: EntryVersion) {
         self.acknowledgements.borrow_mut().record_acknowledged(entry);
     }
 
-    /// The stage assignments that are due.
+    /// The stage assignments that the scheduler finds due by the registered servers.
     pub(super) fn due_assignments(&self, scheduler: &mut StageScheduler) -> Vec<StageAssignment> {
         scheduler.due_assignments(self.now(), self.registry.borrow().servers())
     }
--- a/crates/programs/src/control_node/registry_log.rs
+++ b/crates/programs/src/control_node/registry_log.rs
@@ -5,26 +5,26 @@
 use mosshead_record_log::LogWriter;
 use mosshead_registry::{Registry, VersionVector};
 
-/// A longer log is replaced by one record, in bytes.
+/// The length in bytes above which the log is replaced by one record.
 const MAX_LOG_BYTES: u64 = 8 * 1024 * 1024;
-/// Entries of a record that replaces the log: more than a registry contains.
+/// Entries of a record that replaces the log, at most: more than a registry contains.
 const MAX_SNAPSHOT_ENTRIES: usize = 100_000;
-/// Entries of a record that is appended.
+/// Entries of a record that is appended, at most.
 const MAX_APPENDED_ENTRIES: usize = 400;
-/// Nobody waits for the completion of a write, so they need no tokens of their own.
+/// The token of all writes: nobody waits for their completion.
 const WRITE_TOKEN: u64 = 0;
 
 /// The log of the registry.
 #[derive(Default)]
 pub(super) struct RegistryLog {
-    /// None until the log is open, and where it can't be.
+    /// `None` until the writer is started.
     writer: RefCell<Option<LogWriter>>,
-    /// The entries that were queued for the log.
-    persisted: RefCell<VersionVector>,
+    /// Up to which version of each source the entries were queued for the log; they may not be durable yet.
+    queued: RefCell<VersionVector>,
 }
 
 impl RegistryLog {
-    /// The log is open.
+    /// Takes the log, once it is open for writes.
     pub(super) fn set_writer(&self, writer: LogWriter) {
         self.writer.replace(Some(writer));
     }
@@ -45,19 +45,19 @@
         if let Ok(record) = minicbor::to_vec(&snapshot)
             && writer.rewrite(WRITE_TOKEN, vec![record]).is_ok()
         {
-            self.persisted.replace(snapshot.vector);
+            self.queued.replace(snapshot.vector);
         }
     }
 
     fn append(&self, writer: &LogWriter, registry: &Registry) {
-        let delta = registry.missing_entries(&self.persisted.borrow(), MAX_APPENDED_ENTRIES);
+        let delta = registry.missing_entries(&self.queued.borrow(), MAX_APPENDED_ENTRIES);
         if delta.is_empty() {
             return;
         }
         if let Ok(record) = minicbor::to_vec(&delta)
             && writer.append(WRITE_TOKEN, record).is_ok()
         {
-            self.persisted.replace(delta.vector);
+            self.queued.replace(delta.vector);
         }
     }
 }
--- a/crates/programs/src/control_node/update_service.rs
+++ b/crates/programs/src/control_node/update_service.rs
@@ -16,7 +16,7 @@
 use crate::config_transfer::{ChunkRequest, ConfigChunk};
 use crate::gossip::Gossip;
 
-/// Entries in one response.
+/// Entries in one response, at most.
 const MAX_ENTRIES_PER_RESPONSE: usize = 400;
 /// The longest wait of a call, whatever the caller requests.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
@@ -33,8 +33,9 @@
     pub(super) changes: Rc<ChangeNotifier>,
 }
 
-/// Answers the calls of those who keep up with this control node.
+/// Responds to the processes that watch this control node, and to proxies that fetch the configuration.
 pub(super) struct UpdateService {
+    /// The id under which this control node is a source of registry entries.
     source: SourceId,
     started_at: Instant,
     sources: UpdateSources,
@@ -42,7 +43,7 @@
 }
 
 impl UpdateService {
-    /// `source` is the source that this control node is to the registry.
+    /// `source` is the id under which this control node is a source of registry entries.
     pub(super) fn new(source: SourceId, sources: UpdateSources) -> Rc<UpdateService> {
         let proxies = ProxyPresence::default();
         Rc::new(UpdateService { source, started_at: Instant::now(), sources, proxies })
@@ -60,7 +61,7 @@
         loop {
             changes.mark_unchanged();
             let updates = self.updates_for(&call);
-            if has_changes(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
+            if is_due_at_once(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
                 return updates;
             }
         }
@@ -97,8 +98,9 @@
     }
 }
 
-/// Whether a response is to be sent before the wait is over.
-fn has_changes(updates: &Updates, call: &WatchUpdates) -> bool {
+/// Whether a response is to be sent before the wait is over: there is something new, the caller is to send entries, or
+/// this node has no quorum contact.
+fn is_due_at_once(updates: &Updates, call: &WatchUpdates) -> bool {
     updates.revision > call.revision
         || updates.has_newer_entries
         || !updates.has_quorum_contact
--- a/crates/programs/src/control_process.rs
+++ b/crates/programs/src/control_process.rs
@@ -23,7 +23,7 @@
 const TICKS_PER_PEER_CHECK: u64 = 10;
 /// The longest wait for the removal from the membership: as long as the consensus node wants to wait.
 const MAX_REMOVAL_WAIT: Duration = SHUTDOWN_TIMEOUT;
-/// The share of the platform's grace that this wait may take: one part in this many.
+/// The wait is not longer than the platform's grace (the time from SIGTERM to SIGKILL) divided by this.
 const REMOVAL_WAIT_DIVISOR: u32 = 3;
 /// The pause before the process exits, in which its last datagrams and responses leave.
 const EXIT_PAUSE: Duration = Duration::from_millis(150);
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -108,8 +108,8 @@
         Ok(FleetProcess { settings, settings_path, incarnation, clock, random, gossip, tasks })
     }
 
-    /// Reads the settings again. Gives the seeds, which alone may change while the process runs, unless the file is at
-    /// fault; that is logged.
+    /// Reads the settings again, and passes the seeds to the membership. They are returned for the other parts of the
+    /// process; all other settings stay as they were at the start. `None` if the file can't be used, which is logged.
     pub(crate) fn reload_seeds(&self) -> Option<Vec<SocketAddrV4>> {
         match Settings::load(&self.settings_path) {
             Ok(settings) => {
@@ -137,7 +137,8 @@
     Tick,
 }
 
-/// The source of [`ProcessEvent`]s.
+/// The source of [`ProcessEvent`]s: signals, and the ticks of the main loop, after every few of which the settings are
+/// due to be read again.
 pub(crate) struct ProcessEvents {
     hangup: Signal,
     terminate: Signal,
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -1,5 +1,7 @@
 //! How many messages of the consensus group may be in flight to one peer. Small and large messages are counted apart,
 //! so that a large state in flight never delays or displaces heartbeats, promises and records.
+//!
+//! Only counts are kept here: a message for which there is no capacity is dropped, it does not wait.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -14,10 +16,11 @@
 const MAX_LARGE_IN_FLIGHT: usize = 2;
 /// A small message that takes longer is obsolete.
 const SMALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// By length alone, the largest state needs 0.3 s on a link of 120 Mbit/s.
+/// A large message that takes longer is obsolete. By length alone, the largest state needs 0.3 s on a link of
+/// 120 Mbit/s.
 const LARGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Which of the bounds applies to a message.
+/// Which of the bounds applies to a message, by the bytes of state that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendQueue {
     /// Heartbeats, promises, records and short deltas.
@@ -40,7 +43,7 @@
         }
     }
 
-    /// How long a message may take.
+    /// The timeout of the call that carries a message.
     pub fn timeout(self) -> Duration {
         match self {
             SendQueue::Small => SMALL_TIMEOUT,
--- a/crates/programs/src/settings.rs
+++ b/crates/programs/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: read with a library for its format, unknown fields ignored.
+//! The settings file of a process, in the format of Java properties. Unknown fields are ignored.
 
 mod error;
 mod properties;
@@ -93,7 +93,6 @@
         let internal_ports = properties.required_port_range("internal_port_range")?;
         let seed_nodes = properties.addresses("seed_nodes")?;
         let bounds = properties.bounds()?;
-        let heartbeat_interval = properties.parsed("keepalive_ms", "whole milliseconds");
         Ok(Settings {
             node_name: properties.required_text("node_name")?.to_owned(),
             zone: properties.required_text("zone")?.to_owned(),
@@ -105,7 +104,9 @@
             seed_nodes,
             bootstrap: properties.parsed("bootstrap", "true or false")?.unwrap_or(false),
             data_directory: properties.text("data_directory").map(|path| PathBuf::from(path.trim())),
-            heartbeat_interval: heartbeat_interval?.map_or(DEFAULT_HEARTBEAT_INTERVAL, Duration::from_millis),
+            heartbeat_interval: properties
+                .parsed("keepalive_ms", "whole milliseconds")?
+                .map_or(DEFAULT_HEARTBEAT_INTERVAL, Duration::from_millis),
             node_failures: properties
                 .parsed("fault_tolerance.node_failures", "a whole number")?
                 .unwrap_or(DEFAULT_NODE_FAILURES),
@@ -135,12 +136,12 @@
         Duration::from_millis(self.bound("lease_ms", DEFAULT_LEASE_MILLIS) as u64)
     }
 
-    /// `bounds.retry_budget_ratio`: retries for each request, all proxies together.
+    /// `bounds.retry_budget_ratio`: how many retries are allowed for each request, all proxies together.
     pub fn retry_budget_ratio(&self) -> f64 {
         self.bound("retry_budget_ratio", DEFAULT_RETRY_BUDGET_RATIO)
     }
 
-    /// `bounds.retry_extra`: retries in each window beyond that ratio.
+    /// `bounds.retry_extra`: how many retries are allowed in each window beyond that ratio.
     pub fn extra_retries(&self) -> f64 {
         self.bound("retry_extra", DEFAULT_EXTRA_RETRIES)
     }
@@ -151,7 +152,7 @@
         Duration::from_millis((seconds * MILLIS_PER_SECOND) as u64)
     }
 
-    /// The address for traffic of other processes of the fleet, TCP and UDP.
+    /// The address for other processes of the fleet: membership by UDP, and calls to a control node by TCP.
     pub fn internal_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip_address, self.internal_ports.first)
     }
--- a/crates/programs/src/settings/properties.rs
+++ b/crates/programs/src/settings/properties.rs
@@ -9,11 +9,11 @@
 use super::PortRange;
 use super::error::SettingsError;
 
-/// What the value of an address field must be.
+/// What the value of an address field must be, as error messages say it.
 const ADDRESS: &str = "an IPv4 address and port";
-/// What the value of `internal_port_range` must be.
+/// What the value of `internal_port_range` must be, as error messages say it.
 const PORT_RANGE: &str = "two ports, joined by a comma";
-/// What the value of a bound must be.
+/// What the value of a bound must be, as error messages say it.
 const BOUND: &str = "a number of 0 or more, true or false";
 /// The keys of bounds begin with this.
 const BOUND_PREFIX: &str = "bounds.";
@@ -121,8 +121,8 @@
     }
 }
 
-/// The decoder of the library panics at the start of a byte order mark that is cut off, so bytes that are not UTF-8 are
-/// rejected before it sees them.
+/// Rejects bytes that are not UTF-8 before the library sees them: its decoder panics at a byte order mark that is cut
+/// off.
 fn check_utf8(text: &[u8]) -> Result<(), SettingsError> {
     let Err(error) = std::str::from_utf8(text) else { return Ok(()) };
     let valid = text.get(..error.valid_up_to()).unwrap_or_default();
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Orders by which the holder of the stage role assigns stages to model servers.
+//! Orders by which the owner of the stage role assigns stages to model servers.
 
 use std::net::SocketAddrV4;
 
@@ -12,16 +12,16 @@
 use mosshead_time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// An order is answered within this time, its connection included.
+/// The time for an order from the opening of its connection to the response.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
-/// A connection is open within this time.
+/// The longest time until the connection is open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Bytes that are not acknowledged for this time end the connection (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How a connection for an order is opened.
-const OPENING: ConnectOptions =
+const CONNECT_OPTIONS: ConnectOptions =
     ConnectOptions { timeout: CONNECT_TIMEOUT, user_timeout: Some(TCP_USER_TIMEOUT) };
-const SERVER: PeerKind = PeerKind::unlogged("server");
+/// The peer of these connections, a model server. What happens to them is not logged here.
+const PEER_KIND: PeerKind = PeerKind::unlogged("server");
 
 /// An order to a model server.
 #[derive(Clone, Copy, Debug)]
@@ -30,14 +30,14 @@
     pub address: SocketAddrV4,
     /// What the server is to do.
     pub assignment: &'a StageAssignment,
-    /// The node name of the holder of the role.
+    /// The node name of the owner of the role.
     pub owner: &'a str,
-    /// The fencing token of the holder: servers reject orders with a lower one than they have seen.
+    /// The fencing token of the owner: servers reject orders with a lower one than they have seen.
     pub fencing_token: u64,
 }
 
 impl OrderMessage<'_> {
-    /// `None` if the id of the server can't be a header.
+    /// The HTTP request; `None` if the id of the server is no valid header value.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let stage = match self.assignment.stage {
             Stage::Prefill => "prefill",
@@ -68,19 +68,20 @@
     }
 }
 
-/// The status of the response.
+/// Sends an order and returns the status of the response. `None` if the connection fails, the request can't be built, or
+/// the role was lost before the order was sent.
 async fn exchange(
     message: &OrderMessage<'_>,
     may_send: impl Fn() -> bool,
     deadline: Instant,
 ) -> Option<StatusCode> {
-    let mut link: OutboundConnection<Full<Bytes>> =
-        OutboundConnection::open(SERVER, message.address.into(), OPENING, ()).await?;
+    let mut connection: OutboundConnection<Full<Bytes>> =
+        OutboundConnection::open(PEER_KIND, message.address.into(), CONNECT_OPTIONS, ()).await?;
     let request = message.request()?;
     // The role may have been lost while the connection was opened.
-    if !link.ready().await || !may_send() {
+    if !connection.ready().await || !may_send() {
         return None;
     }
-    let response = link.send_with_deadline(request, deadline).await.ok()?;
+    let response = connection.send_with_deadline(request, deadline).await.ok()?;
     Some(response.status())
 }
--- a/crates/programs/src/update_watcher/pauses.rs
+++ b/crates/programs/src/update_watcher/pauses.rs
@@ -1,4 +1,4 @@
-//! The pauses of a slot. Each slot has its own, so that the slots do not all call at the same moment.
+//! The pauses of the watch slots. Each slot has its own, so that the slots do not all call at the same moment.
 
 use mosshead_time::Duration;
 
@@ -6,9 +6,9 @@
 /// others only learn that there are newer ones, and fetch them if the first slot does not receive them.
 pub const WATCH_SLOTS: usize = 3;
 
-/// After a newer configuration was announced, the slots call again after this time, one after the other: changes that
-/// follow each other closely are fetched together, and a slot whose control node is lost delays none by more than the
-/// pause of the next one.
+/// The pause of the first slot before it calls again after a newer configuration was announced; it is longer by the same
+/// time with each further slot. Changes that follow each other closely are fetched together, and where the control node
+/// of a slot is lost, the next slot calls only this much later.
 const REQUERY_PAUSE: Duration = Duration::from_millis(50);
 /// The pause of the first slot between two control nodes.
 const SWITCH_PAUSE: Duration = Duration::from_millis(60);
--- a/crates/programs/src/update_watcher/watcher.rs
+++ b/crates/programs/src/update_watcher/watcher.rs
@@ -16,17 +16,17 @@
 use crate::calls::{ReplicateEntries, Updates, WatchUpdates};
 use crate::clock::Clock;
 
-/// How long a control node may wait for something new until it responds.
+/// How long a control node may wait for something new until it responds, in all calls but the first to it.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The same for the first call to a control node, whose response is due at once.
+/// The same for the first call to a control node, which is to respond at once.
 const FIRST_WATCH_WAIT: Duration = Duration::from_millis(1);
 /// How much longer than the wait a response may take.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
 /// The pause of a slot before it looks for a control node again when there is none.
 const IDLE_PAUSE: Duration = Duration::from_millis(150);
-/// Entries that are sent with one call.
+/// Entries that are sent with one call, at most.
 const MAX_ENTRIES_PER_CALL: usize = 400;
-/// Calls with entries to a control node that has lost its memory.
+/// Calls by which all entries are sent to a control node that lacks entries after its restart, at most.
 const MAX_REPLICATION_CALLS: usize = 64;
 
 /// The process that watches, as control nodes count it.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// One call. `None` if it failed, else whether the control node has quorum contact.
+    /// Makes one call, and applies its response. `None` if it failed, else whether the control node has quorum contact.
     async fn watch_once(
         &self,
         control_node: SocketAddrV4,
@@ -190,7 +190,7 @@
         self.sink.config().map_or(NO_REVISION, |config| config.revision())
     }
 
-    /// Sends all entries of the registry to a control node that has lost its memory.
+    /// Sends all entries of the registry to a control node that lacks entries after its restart.
     async fn replicate_all_entries(&self, control_node: SocketAddrV4) {
         let mut base = VersionVector::default();
         for _ in 0..MAX_REPLICATION_CALLS {
