--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -16,9 +16,9 @@
 const MAX_REMEMBERED_ENTRIES: usize = 4_096;
 /// The first delta to another control node starts this many versions back, so that it overlaps with what that node
 /// has and no gap remains.
-const LATEST_VERSIONS: u64 = 64;
+const FIRST_DELTA_VERSIONS: u64 = 64;
 /// The most entries of that delta.
-const MAX_LATEST_ENTRIES: usize = 128;
+const MAX_FIRST_DELTA_ENTRIES: usize = 128;
 
 /// Identifies an entry of the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -190,8 +190,8 @@
 /// The latest entries that were published here: the first delta that another control node gets.
 pub fn latest_local_entries(registry: &Registry) -> Delta {
     let mut vector = registry.vector();
-    vector.set(registry.local_id(), registry.version().saturating_sub(LATEST_VERSIONS));
-    registry.missing_entries(&vector, MAX_LATEST_ENTRIES)
+    vector.set(registry.local_id(), registry.version().saturating_sub(FIRST_DELTA_VERSIONS));
+    registry.missing_entries(&vector, MAX_FIRST_DELTA_ENTRIES)
 }
 
 fn has_fault(injected: Option<InjectedFault>, fault: InjectedFault) -> bool {
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Applies the change to a configuration.
+    /// Applies the change to a configuration, which has to be of the revision that it builds on: proposes the result, or
+    /// rejects the change. `origin` says whether a quorum has confirmed `config`.
     fn evaluate(&self, config: Option<&Config>, origin: StateOrigin) -> AdmissionStep {
         let current_revision = config.map_or(0, |config| config.revision());
         if self.base_revision != current_revision {
@@ -213,6 +214,7 @@
         }
     }
 
+    /// Proposes the change with the complete new configuration `body`.
     fn submit(&self, body: Vec<u8>) -> AdmissionStep {
         AdmissionStep::Submit(ChangeProposal {
             base_revision: self.base_revision,
--- a/crates/control-plane/src/response.rs
+++ b/crates/control-plane/src/response.rs
@@ -36,7 +36,7 @@
 }
 
 quick_error! {
-    /// What is wrong with an operator's change. The texts bear the codes of the configuration.
+    /// What is wrong with an operator's change. The texts start with the number from `docs/codes.md`.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ChangeError {
         /// The call does not name the revision that the change builds on.
@@ -72,7 +72,7 @@
     Unavailable,
 }
 
-/// The response to a read-back, by the reply of consensus.
+/// The response to an operator's read-back, by the reply of consensus to an `Input::Read`.
 pub fn read_response(reply: ClientReply) -> ReadResponse {
     match reply {
         ClientReply::CurrentState { state } if state.revision > 0 => ReadResponse::Current(state),
