--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -23,10 +23,12 @@
 /// Set in an insertion, clear in a copy: the lowest bit of an instruction.
 const INSERT_BIT: u64 = 1;
 
-/// Makes one body of another.
+/// The instructions that make one body, the target, of another, the base.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct BodyDelta {
-    /// The length of the result, then the instructions; all numbers as in LEB128, seven bits to a byte.
+    /// The length of the target in bytes, then the instructions. An instruction starts with a number: its lowest bit is
+    /// [`INSERT_BIT`], the others are how many bytes it adds. After an insertion follow these bytes, after a copy the
+    /// position in the base. All numbers as in LEB128, seven bits to a byte.
     #[cbor(n(0), encode_with = "encode_body", decode_with = "decode_body")]
     instructions: Arc<[u8]>,
 }
@@ -99,6 +101,9 @@
 }
 
 /// Writes what makes `target` of `base`, which starts at `base_start` of the complete base; none if too much is new.
+///
+/// Moves a window of [`BLOCK_BYTES`] over the target. Where the base has a block like it, the match is extended to both
+/// sides and copied; what lies between two matches is inserted.
 fn write_difference(writer: &mut Writer, base: &[u8], target: &[u8], base_start: usize) -> Option<()> {
     let index = BlockIndex::new(base);
     let mut position = 0;
--- a/crates/consensus/src/control_state.rs
+++ b/crates/consensus/src/control_state.rs
@@ -20,7 +20,7 @@
     /// The term under which it was written here last.
     #[n(0)]
     pub write_term: Term,
-    /// The operator's number.
+    /// The number that the operator has given to the body; rises with each change.
     #[n(1)]
     pub revision: u64,
     /// The term under which it was written first.
@@ -29,6 +29,7 @@
 }
 
 impl StateVersion {
+    /// Whether both are versions of one change, maybe written under different terms.
     pub(crate) fn has_same_body(&self, other: &StateVersion) -> bool {
         self.revision == other.revision && self.first_write_term == other.first_write_term
     }
@@ -70,7 +71,7 @@
     Expired,
 }
 
-/// The control state. Cheap to clone.
+/// The control state. Cheap to clone: the long parts are shared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode)]
 pub struct ControlState {
     /// The term under which it was written.
@@ -79,7 +80,7 @@
     /// The term under which this revision was written first.
     #[n(1)]
     pub first_write_term: Term,
-    /// The operator's number; zero before the first change.
+    /// The number that the operator has given to the body; rises with each change, zero before the first one.
     #[n(2)]
     pub revision: u64,
     /// What the operator wrote, opaque here.
--- a/crates/consensus/src/disk_writes.rs
+++ b/crates/consensus/src/disk_writes.rs
@@ -18,15 +18,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum DurabilityEffect {
     Identity(DiskIdentity),
+    /// Nothing of a lower term is accepted.
     Promise(Term),
+    /// The configuration is accepted, and its term promised.
     Accept(EpochConfig),
+    /// A complete state, and its `write_term` promised.
     State(ControlState),
     /// A change of the state before it, and the state that it makes.
     Delta {
         delta: StateDelta,
         state: ControlState,
     },
+    /// The durable state has this version; its body stays.
     RewriteUnderNewTerm(StateVersion),
+    /// A configuration without a vote of this disk, kept for the addresses in it.
     Learned(EpochConfig),
     /// The log was replaced by a snapshot.
     LogRewrite,
@@ -92,7 +97,7 @@
     pub(crate) requester: Option<Member>,
 }
 
-/// The unconfirmed writes, and what has become of the last ones.
+/// The unconfirmed writes, and what the latest failures have left behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingDiskWrites {
     /// Oldest first; the host confirms them in this order.
--- a/crates/consensus/src/epoch_config.rs
+++ b/crates/consensus/src/epoch_config.rs
@@ -11,16 +11,16 @@
     /// The term that proposed it.
     #[n(0)]
     pub term: Term,
-    /// The members before; other than `members` only while membership changes. A majority of both decides.
+    /// The members before; other than `members` only while membership changes. Then a majority of each of the two decides.
     #[n(1)]
     pub outgoing_members: Vec<Member>,
     /// The members.
     #[n(2)]
     pub members: Vec<Member>,
-    /// The member that is primary.
+    /// The member that is primary; one of `members`.
     #[n(3)]
     pub primary: MemberId,
-    /// The members that hold the state beside the primary; the others are witnesses.
+    /// The members that hold the state beside the primary, which is none of them; the others are witnesses.
     #[n(4)]
     pub backups: Vec<MemberId>,
 }
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -15,17 +15,17 @@
     Message {
         /// Who sent it.
         from: Member,
-        /// The message.
+        /// What was sent, decoded by the host.
         message: Message,
     },
     /// A write is synced.
     Written {
-        /// The number of the write.
+        /// The token of the [`Output::Write`] or [`Output::Rewrite`].
         token: u64,
     },
     /// A write has failed. It may be on disk or not.
     WriteFailed {
-        /// The number of the write.
+        /// The token of the [`Output::Write`] or [`Output::Rewrite`].
         token: u64,
     },
     /// An operator's change, valid as far as the host knows.
@@ -38,7 +38,7 @@
         revision: u64,
         /// The complete new body.
         body: Vec<u8>,
-        /// The digest of the request.
+        /// Distinguishes a repeat of this request from another one.
         digest: RequestDigest,
     },
     /// Requests the newest committed state.
@@ -64,23 +64,23 @@
     },
     /// Append a record to the log and sync it. Writes and rewrites are carried out and confirmed in order.
     Write {
-        /// The number of the write.
+        /// To be returned with the confirmation; rises from write to write of an incarnation.
         token: u64,
-        /// The record.
+        /// Opaque to the host, which passes it to [`crate::Node::new`] at the next start.
         record: Vec<u8>,
     },
     /// Replace the log by this record, or leave it as it is and report a failure.
     Rewrite {
-        /// The number of the write.
+        /// As in [`Output::Write`].
         token: u64,
-        /// The record.
+        /// As in [`Output::Write`].
         record: Vec<u8>,
     },
     /// Answer a client's request; each is answered exactly once.
     Reply {
-        /// The number of the request.
+        /// As in [`Input::Change`] or [`Input::Read`].
         request_id: u64,
-        /// The reply.
+        /// What is known of the outcome.
         reply: ClientReply,
     },
     /// A newer state is committed; revisions rise from one output to the next.
@@ -90,7 +90,7 @@
     },
     /// This node is primary now.
     BecamePrimary {
-        /// Its term.
+        /// The term of the epoch; its number is the fencing token.
         term: Term,
         /// Whether it was primary just before and nobody was in between: its singleton roles need no pause.
         continued: bool,
@@ -104,7 +104,7 @@
 pub enum ClientReply {
     /// The change is committed.
     ChangeCommitted {
-        /// Its revision.
+        /// The revision that the change made.
         revision: u64,
     },
     /// The change builds on another revision than the current one, and will never be applied.
@@ -121,7 +121,7 @@
     },
     /// The body is longer than [`crate::MAX_BODY_BYTES`]; the change was not applied and never will be.
     TooLarge,
-    /// No confirmation in time: the change may be applied or not.
+    /// No confirmation in time, or too many requests wait already: a change may be applied or not.
     Unavailable,
     /// The newest committed state.
     CurrentState {
--- a/crates/consensus/src/known_primary.rs
+++ b/crates/consensus/src/known_primary.rs
@@ -1,11 +1,11 @@
-//! The primary as its heartbeats show it.
+//! What a node knows of its primary from heartbeats.
 
 use mosshead_time::{Duration, Instant};
 
 use crate::term::{Member, Term};
 use crate::timings::Timings;
 
-/// The primary as its heartbeats show it.
+/// The primary whose heartbeats this node receives, or this node itself while it is primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KnownPrimary {
     member: Member,
@@ -45,8 +45,8 @@
         self.confirmed_at.unwrap_or(Instant::ORIGIN).max(self.first_heartbeat_at)
     }
 
-    /// Until when this primary is not suspected. What proves that it is alive is older than its last heartbeat by one more
-    /// interval.
+    /// Until when this primary is not suspected. The stamp that a heartbeat returns was sent in response to the one before,
+    /// so that the proof is older than the heartbeat by one interval.
     pub(crate) fn trusted_until(&self, timings: &Timings) -> Instant {
         let proven = |at| at + timings.suspicion_timeout + timings.heartbeat_interval;
         let confirmed = self.confirmed_at.map_or(Instant::ORIGIN, proven);
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,4 +1,4 @@
-//! The committed state as this node knows it.
+//! The committed state as this node knows it. A learner in the sense of Paxos: every node has one, with or without a vote.
 
 use mosshead_time::Instant;
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -12,6 +12,11 @@
 //! a change is committed when the primary and all of its backups have written it. Where another configuration
 //! would be better, the primary takes over from itself, which is called a renewal.
 //!
+//! Words that mean something else in raft-rs: a [`MemberId`] stands for a disk, so that a machine whose disk was wiped is
+//! another member; a [`Term`] has a number and its proposer; a follower is any node that is neither primary nor taking over,
+//! also one without a vote; a learner (module `learner`) is the part of a node that learns what is committed. While members
+//! change, [`EpochConfig::outgoing_members`] and `members` decide together, as in joint consensus.
+//!
 //! A node consists of parts that own their state: the acceptor, the disk, the learner of committed states, the failure
 //! detector, the transfers of large states and others. What outlives a role is in the core; the roles (follower, take-over,
 //! primary) work on it, and return to the node a transition to another role.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -35,14 +35,14 @@
     /// Requests the promise to accept nothing of a lower term.
     #[n(2)]
     Prepare {
-        /// The term.
+        /// The term of the sender's take-over.
         #[n(0)]
         term: Term,
     },
-    /// The promise; it is durable.
+    /// The response to a [`Message::Prepare`]: the promise is durable.
     #[n(3)]
     Promise {
-        /// The term.
+        /// The promised term.
         #[n(0)]
         term: Term,
         /// Whether the sender is a bootstrap voter.
@@ -54,11 +54,11 @@
         /// The highest configuration that the sender has seen.
         #[n(3)]
         config: Option<EpochConfig>,
-        /// The state on the sender's disk.
+        /// The version of the state on the sender's disk; none if it has none.
         #[n(4)]
         version: Option<StateVersion>,
     },
-    /// A higher term was promised before.
+    /// The response to a request to promise, write or accept under a term below the promised one.
     #[n(4)]
     Reject {
         /// The term that is rejected.
@@ -95,24 +95,25 @@
         #[n(0)]
         state: ControlState,
     },
-    /// A state to be written whose body the backup has.
+    /// Requests to write a state again under the sender's term. Only its version is sent: the receiver is expected to have
+    /// the body, and responds by [`Message::MissingBody`] if it does not.
     #[n(8)]
     RewriteUnderNewTerm {
-        /// The state; its `write_term` is the sender's term.
+        /// The version to be written; its `write_term` is the sender's term.
         #[n(0)]
         version: StateVersion,
     },
-    /// The state is durable at the sender.
+    /// The response to a state or a change to be written: it is durable at the sender.
     #[n(9)]
     Replicated {
-        /// The state.
+        /// The version that was to be written.
         #[n(0)]
         version: StateVersion,
     },
     /// The sender lacks the body that the message refers to: it needs the complete state.
     #[n(10)]
     MissingBody {
-        /// The state.
+        /// The version that was to be written.
         #[n(0)]
         version: StateVersion,
     },
@@ -123,10 +124,10 @@
         #[n(0)]
         config: EpochConfig,
     },
-    /// The configuration is accepted; it is durable.
+    /// The response to a [`Message::Accept`]: the configuration is accepted, and durable.
     #[n(12)]
     Accepted {
-        /// Its term.
+        /// The term of the configuration.
         #[n(0)]
         term: Term,
         /// Whether the sender is a bootstrap voter.
@@ -142,7 +143,7 @@
         /// The sequence number of this heartbeat, within the term.
         #[n(1)]
         sequence: u64,
-        /// The committed state.
+        /// The version of the committed state.
         #[n(2)]
         committed: StateVersion,
         /// The configuration, for those that have not seen it.
@@ -239,17 +240,17 @@
     /// A large state can be fetched in chunks.
     #[n(27)]
     OfferSnapshot {
-        /// Which one, and what for.
+        /// Which state, and what the receiver is to do with it.
         #[n(0)]
         offer: SnapshotOffer,
     },
     /// Requests the next chunk of an offered state.
     #[n(28)]
     FetchChunk {
-        /// The state.
+        /// The version of the offered state.
         #[n(0)]
         version: StateVersion,
-        /// How many bytes of it the sender has.
+        /// The offset of the chunk in the encoded state: how many bytes of it the sender has.
         #[n(1)]
         offset: u64,
     },
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -62,7 +62,7 @@
         self.core.context.start_step(now);
         // A node that was suspended (a paused virtual machine) checks its lease, or its take-over, before anything that
         // arrived meanwhile.
-        self.renew_lease();
+        self.renew_lease_or_step_down();
         self.end_overdue_take_over();
         self.on_input(input);
         // Before the identity is durable, only the disk has timers: its first write is the identity.
@@ -121,8 +121,8 @@
         self.announce_shutdown();
     }
 
-    /// A primary whose lease has expired steps down.
-    fn renew_lease(&mut self) {
+    /// Extends the lease of a primary; one whose lease has expired steps down.
+    fn renew_lease_or_step_down(&mut self) {
         if let Role::Primary(primary) = &self.role
             && !primary.renew_lease(&mut self.core)
         {
--- a/crates/consensus/src/node/acceptance.rs
+++ b/crates/consensus/src/node/acceptance.rs
@@ -20,7 +20,7 @@
         if effect.is_none() && self.core.storage.promised() == term {
             return self.send_promise(from, term);
         }
-        self.accept(from, effect);
+        self.write_for(from, effect);
     }
 
     pub(super) fn on_accept(&mut self, from: Member, config: EpochConfig) {
@@ -32,9 +32,10 @@
             return self.send_accepted(from, config.term);
         }
         let effect = self.core.acceptor.on_accept(&self.core.storage, config);
-        self.accept(from, effect);
+        self.write_for(from, effect);
     }
 
+    /// Whether a message of this term may be accepted, see [`crate::acceptor::Acceptor::admits`].
     fn admits(&mut self, from: Member, term: Term) -> bool {
         let core = &mut self.core;
         core.epoch.observe_term(term);
@@ -45,14 +46,14 @@
         let core = &mut self.core;
         core.epoch.observe_term(state.write_term);
         let effect = core.acceptor.on_replicate_state(&mut core.context, &core.storage, from, state);
-        self.accept_state(from, effect);
+        self.write_state_for(from, effect);
     }
 
     pub(super) fn on_replicate_delta(&mut self, from: Member, delta: StateDelta) {
         let core = &mut self.core;
         core.epoch.observe_term(delta.term);
         let effect = core.acceptor.on_replicate_delta(&mut core.context, &core.storage, from, delta);
-        self.accept_state(from, effect);
+        self.write_state_for(from, effect);
     }
 
     pub(super) fn on_rewrite_under_new_term(&mut self, from: Member, version: StateVersion) {
@@ -60,20 +61,21 @@
         core.epoch.observe_term(version.write_term);
         let (context, storage, committed) = (&mut core.context, &core.storage, core.learner.committed());
         let effect = core.acceptor.on_rewrite_under_new_term(context, storage, committed, from, version);
-        self.accept(from, effect);
+        self.write_for(from, effect);
     }
 
-    fn accept_state(&mut self, from: Member, effect: Option<DurabilityEffect>) {
+    fn write_state_for(&mut self, from: Member, effect: Option<DurabilityEffect>) {
         if self.core.has_fault(InjectedFault::PublishUncommitted)
             && let Some(state) = effect.as_ref().and_then(DurabilityEffect::state)
         {
             self.core.publish(state.clone());
         }
-        self.accept(from, effect);
+        self.write_for(from, effect);
     }
 
-    /// Raises the promise, which ends a role under a lower term, and writes.
-    fn accept(&mut self, from: Member, effect: Option<DurabilityEffect>) {
+    /// Raises the promise, which ends a role under a lower term, and starts the write. `from` gets the response once it is
+    /// durable.
+    fn write_for(&mut self, from: Member, effect: Option<DurabilityEffect>) {
         let Some(effect) = effect else { return };
         if let Some(term) = effect.term() {
             self.core.acceptor.raise_promise(term);
--- a/crates/consensus/src/node/disk.rs
+++ b/crates/consensus/src/node/disk.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A write of a role is durable.
+    /// A write that the role of this node has requested is durable.
     fn on_local_write(&mut self, effect: &DurabilityEffect) {
         match (effect, &mut self.role) {
             (DurabilityEffect::Promise(term), _) => self.on_local_promise_written(*term),
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Writes what the disk needs. Where it needs nothing, a follower without a vote writes the newest configuration, so that
-    /// it finds the others after its next start.
+    /// Starts the writes that no member has requested, see [`crate::storage::Storage::run_timers`]. Where none is due, a
+    /// follower without a vote writes the newest configuration, so that it finds the others after its next start.
     pub(super) fn run_disk_timers(&mut self) {
         let core = &mut self.core;
         let is_idle = core.storage.run_timers(&mut core.context, core.acceptor.promised());
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! A node without a role: it follows a primary, and looks for a new one.
+//! The role of a follower: it trusts its primary while that is alive, and attempts to become primary when it is not.
 
 use mosshead_time::Instant;
 use rand_core::RngCore;
@@ -26,12 +26,12 @@
         self.core.failure_detector.trusts_primary(&self.core.context)
     }
 
-    /// Attempts nothing while the primary is trusted.
+    /// Schedules the next attempt for when the primary would be suspected.
     fn await_suspicion(&mut self) {
         self.schedule_attempt(self.core.failure_detector.trusted_until(&self.core.context));
     }
 
-    /// Attempts nothing while another node may become primary.
+    /// Schedules the next attempt so that another node has the suspicion timeout to become primary.
     pub(super) fn await_primary(&mut self) {
         self.schedule_attempt(self.core.now() + self.core.context.timings().suspicion_timeout);
     }
@@ -62,9 +62,9 @@
     pub(super) fn on_pre_vote(&mut self, from: Member) {
         let withholds = self.core.acceptor.withholds_pre_votes(self.core.now());
         let suspects_primary = !self.trusts_primary() && !withholds;
-        let always = self.core.has_fault(InjectedFault::AlwaysWilling);
+        let ignores_trust = self.core.has_fault(InjectedFault::AlwaysWilling);
         let response = Message::PreVoteResponse {
-            granted: self.role.is_follower() && (always || suspects_primary),
+            granted: self.role.is_follower() && (ignores_trust || suspects_primary),
             is_bootstrap_voter: self.core.is_bootstrap_voter(),
             config: self.core.epoch.config().cloned(),
         };
--- a/crates/consensus/src/node/queries.rs
+++ b/crates/consensus/src/node/queries.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The members, as far as known.
+    /// The members by the highest configuration that this node has seen, decided or not; empty before it has seen one.
     pub fn members(&self) -> &[Member] {
         self.core.epoch.config().map_or(&[], |config| &config.members)
     }
@@ -67,7 +67,8 @@
         self.core.learner.committed()
     }
 
-    /// The term of the epoch; its number is the fencing token.
+    /// The term of this node as primary, else of the primary that it follows, else of the highest configuration that it has
+    /// seen. The number of a primary's term is its fencing token.
     pub fn term(&self) -> Term {
         match (&self.role, self.core.failure_detector.primary()) {
             (Role::Primary(primary), _) => primary.term(),
@@ -86,7 +87,7 @@
         self.core.is_healthy()
     }
 
-    /// One record that replaces the log; none while writes are pending.
+    /// One record that replaces the log; none while writes are pending or before the identity of the disk is durable.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let storage = &self.core.storage;
         (storage.is_idle() && storage.is_open())
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -14,10 +14,12 @@
 use crate::transition::{DecidedEpoch, TakeOverPlan, Transition};
 use crate::votes::Votes;
 
-/// The role of a node. A follower has none.
+/// The role of a node. Each one starts as a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
+    /// Neither primary nor taking over.
     Follower,
+    /// Attempts to become primary, or to remain so under another configuration.
     TakingOver(Box<TakeOver>),
     Primary(Box<PrimaryState>),
 }
@@ -27,7 +29,7 @@
         matches!(self, Role::Follower)
     }
 
-    /// The term of a take-over or of a primary.
+    /// The term of a take-over or of a primary; none for a follower.
     pub(super) fn term(&self) -> Option<Term> {
         match self {
             Role::Follower => None,
@@ -57,21 +59,21 @@
         }
     }
 
-    /// Remembers a configuration that a node has proposed; a role under a lower term ends.
+    /// Remembers a configuration that a node has proposed; a primary or a take-over under a lower term becomes a follower.
     pub(super) fn observe_config(&mut self, config: &EpochConfig) {
         if self.core.epoch.observe_config(config) {
             self.step_down_below(config.term);
         }
     }
 
-    /// A role under a term lower than this one ends.
+    /// A primary or a take-over under a lower term becomes a follower.
     pub(super) fn step_down_below(&mut self, term: Term) {
         if self.role.term().is_some_and(|own| own < term) {
             self.step_down();
         }
     }
 
-    /// Ends the role, if there is one.
+    /// Becomes a follower, unless it is one, and answers the pending requests.
     pub(super) fn step_down(&mut self) {
         if self.role.is_follower() {
             return;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// The primary before, if it has no part in this take-over and is suspected.
+    /// The former primary, if it is suspected and did not accept the new configuration.
     fn silent_primary(&self, votes: &Votes) -> Option<MemberId> {
         let primary = self.core.failure_detector.primary()?;
         let is_suspected = primary.silence(self.core.now()) >= self.core.context.timings().suspicion_timeout;
--- a/crates/consensus/src/node_core.rs
+++ b/crates/consensus/src/node_core.rs
@@ -135,7 +135,8 @@
             || self.joins.include_bootstrap_voters(self.local(), voters)
     }
 
-    /// Those that promises are requested from.
+    /// Those that pre-votes and promises are requested from: the voters of the highest configuration seen; without one, the
+    /// bootstrap voters, or none if this disk is not one of theirs.
     pub(crate) fn electorate(&self) -> Vec<Member> {
         match (self.epoch.config(), self.bootstrap_voters()) {
             (Some(config), _) => config.voters(),
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -17,8 +17,8 @@
 
 /// More peers than this are ignored.
 const MAX_PEERS: usize = 64;
-/// A peer that is no member is forgotten after a silence of this length.
-const LEARNER_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// A peer without a vote is forgotten after a silence of this length.
+const NON_VOTER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// A new epoch, as far as it matters for the peers.
 pub(crate) struct NewEpoch<'a> {
@@ -33,7 +33,7 @@
     pub(crate) silent_primary: Option<MemberId>,
 }
 
-/// The values in a majority of those that are no peers.
+/// What [`Peers::majority_value`] counts for voters that have no entry among the peers.
 #[derive(Clone, Copy)]
 pub(crate) struct DefaultValues<T> {
     /// The value of this node.
@@ -74,9 +74,9 @@
         true
     }
 
-    /// Forgets silent nodes that don't vote.
-    pub(crate) fn drop_silent_learners(&mut self, config: &EpochConfig, now: Instant) {
-        self.by_member.retain(|id, peer| config.has_voter(*id) || peer.silence(now) <= LEARNER_TIMEOUT);
+    /// Forgets the peers without a vote that have been silent for [`NON_VOTER_TIMEOUT`].
+    pub(crate) fn drop_silent_non_voters(&mut self, config: &EpochConfig, now: Instant) {
+        self.by_member.retain(|id, peer| config.has_voter(*id) || peer.silence(now) <= NON_VOTER_TIMEOUT);
     }
 
     /// Starts over with the voters of a new epoch. A renewal retains what is known of the peers.
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The highest value that a majority of the members, and of the outgoing ones, has reached.
+    /// The highest value that a majority of the members, and also a majority of the outgoing members, has reached.
     pub(crate) fn majority_value<T: Copy + Ord>(
         &self,
         local_member: Member,
@@ -121,8 +121,8 @@
         let DefaultValues { local, unknown } = defaults;
         let value_of = |member: &Member| match member.id {
             id if id == local_member.id => local,
-            // A disk that came after the bootstrap voters has no vote for them.
             MemberId::UNKNOWN if member.address == local_member.address => local,
+            // Known by its address only: a disk that is no bootstrap voter, such as a wiped one, does not count for it.
             MemberId::UNKNOWN => {
                 let voters = self.by_member.values().filter(|p| p.is_bootstrap_voter());
                 let same_address = voters.filter(|p| p.member().address == member.address);
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -42,17 +42,17 @@
 struct UnconfirmedReply {
     request_id: u64,
     received_at: Instant,
-    /// The first heartbeat whose responses confirm the reply; none during a take-over. A heartbeat that was sent before the request arrived
-    /// proves nothing: another node may have become primary in between.
+    /// The first heartbeat whose responses confirm the reply; none during a take-over. A heartbeat that was sent before the
+    /// request arrived proves nothing: another node may have become primary in between.
     heartbeat: Option<u64>,
     claim: Claim,
 }
 
 /// The change that is being written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct WrittenChange {
+struct ChangeInProgress {
     change: ChangeRequest,
-    /// Whether the client has the reply already that the outcome is unknown.
+    /// Whether the client was answered already, by [`ClientReply::Unavailable`]; each request is answered once.
     is_answered: bool,
 }
 
@@ -61,7 +61,7 @@
 pub(crate) struct PendingRequests {
     /// Changes that wait for the one before them, oldest first.
     queue: VecDeque<ChangeRequest>,
-    pending_write: Option<WrittenChange>,
+    pending_write: Option<ChangeInProgress>,
     /// Oldest first.
     unconfirmed: VecDeque<UnconfirmedReply>,
 }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Queues a read until the heartbeat after the last sent one confirms the term; none during a take-over.
+    /// Queues a read until `heartbeat`, the next one to be sent, confirms the term; none during a take-over.
     pub(crate) fn add_read(&mut self, context: &mut Context, request_id: u64, heartbeat: Option<u64>) {
         let received_at = context.now();
         let claim = Claim::CurrentState;
@@ -122,7 +122,7 @@
             }
             RequestStatus::Acceptable => {
                 let body = change.body.clone();
-                self.pending_write = Some(WrittenChange { change, is_answered: false });
+                self.pending_write = Some(ChangeInProgress { change, is_answered: false });
                 return Some(current.with_request_applied(current.write_term, request, body));
             }
         }
@@ -159,18 +159,19 @@
 
     /// The pending write is committed.
     pub(crate) fn finish_write(&mut self, context: &mut Context) {
-        if let Some(WrittenChange { change, is_answered: false }) = self.pending_write.take() {
+        if let Some(ChangeInProgress { change, is_answered: false }) = self.pending_write.take() {
             let revision = change.request.revision;
             context.reply(change.request_id, ClientReply::ChangeCommitted { revision });
         }
     }
 
-    /// A renewal has ended: the pending write is part of the committed state, or never will be.
+    /// A renewal has ended: the pending write is part of the committed state, or never will be. In the latter case the change
+    /// is queued again as the next one, unless its client was answered.
     pub(crate) fn resolve_pending_write(&mut self, context: &mut Context, committed: &ControlState) {
         let Some(write) = &self.pending_write else { return };
         if committed.has_applied(write.change.request) {
             self.finish_write(context);
-        } else if let Some(WrittenChange { change, is_answered: false }) = self.pending_write.take() {
+        } else if let Some(ChangeInProgress { change, is_answered: false }) = self.pending_write.take() {
             self.queue.push_front(change);
         }
     }
@@ -188,7 +189,7 @@
         if context.has_fault(InjectedFault::DropClientRequests) {
             return;
         }
-        if let Some(WrittenChange { change, is_answered: false }) = pending_write {
+        if let Some(ChangeInProgress { change, is_answered: false }) = pending_write {
             context.reply(change.request_id, ClientReply::Unavailable);
         }
         let not_written = queue.iter().map(|change| change.request_id);
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/primary.rs
@@ -86,7 +86,7 @@
     pub(crate) fn run_timers(&mut self, core: &mut NodeCore) -> Transition {
         let is_resend_due = self.take_due_resend(core);
         if core.now() >= self.next_heartbeat_at {
-            core.peers.drop_silent_learners(&self.config, core.context.now());
+            core.peers.drop_silent_non_voters(&self.config, core.context.now());
             self.send_heartbeats_to_all(core);
         }
         if is_resend_due {
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -104,7 +104,7 @@
         self.admit_peer(core, from);
         let lease = core.context.timings().lease;
         let Some(peer) = core.peers.get(from.id) else { return };
-        let is_back = response.lease_stamp.is_first_after_silence(peer.lease_stamp(), lease);
+        let is_first_after_silence = response.lease_stamp.is_first_after_silence(peer.lease_stamp(), lease);
         self.update_peer(core, from.id, response);
         let is_voter = self.config.has_voter(from.id);
         let has_promised_higher = response.promised > self.term;
@@ -117,7 +117,7 @@
         if is_voter && response.accepted_term < self.term && !has_promised_higher {
             core.send(from.address, Message::Accept { config: self.config.clone() });
         }
-        if is_back {
+        if is_first_after_silence {
             // Its lease has expired: the next regular heartbeat would renew it later than need be.
             self.send_heartbeat_to(core, from.id);
         }
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -64,18 +64,20 @@
         }
         let mut members = self.primary.config.members.clone();
         let one_at_a_time = self.core.has_fault(InjectedFault::OneNewcomerAtATime);
-        let (mut has_changed, mut has_unassigned) = (false, false);
+        let (mut has_changed, mut has_unassigned_newcomer) = (false, false);
         for newcomer in self.newcomers() {
             match self.assign_slot(&mut members, newcomer) {
                 true => has_changed = true,
-                false => has_unassigned = true,
+                false => has_unassigned_newcomer = true,
             }
             if has_changed && one_at_a_time {
                 break;
             }
         }
-        let waits = has_unassigned && !one_at_a_time && members.iter().any(|m| self.is_nearly_replaceable(m));
-        (has_changed && !waits).then_some(members)
+        let is_deferred = has_unassigned_newcomer
+            && !one_at_a_time
+            && members.iter().any(|m| self.is_nearly_replaceable(m));
+        (has_changed && !is_deferred).then_some(members)
     }
 
     /// Those that may become members: first those at the address of a member, whose disk they replace. Of two disks at
@@ -118,12 +120,13 @@
         true
     }
 
-    /// For how long the member was not healthy or silent.
+    /// For how long the member has not reported that it is healthy; without bound if nothing is known of it.
     fn silence(&self, member: &Member) -> Duration {
         self.peer(member.id).map_or(Duration::MAX, |p| self.core.context.elapsed(p.last_healthy_at()))
     }
 
-    /// Whether the member was lost along with one that may be replaced now: it may be, too, a moment later.
+    /// Whether the silence of the member reaches the replacement timeout within one heartbeat interval. Members that failed
+    /// together are so replaced by one change.
     fn is_nearly_replaceable(&self, member: &Member) -> bool {
         let timings = self.core.context.timings();
         let silence = self.silence(member);
@@ -143,7 +146,7 @@
         (self.silence(silent) > replacement_timeout).then_some(silent.id)
     }
 
-    /// A member that shuts down, if enough others can hold the state in the epoch between.
+    /// A member that shuts down, if enough of those that stay can be backups.
     fn departing_to_replace(&self, members: &[Member]) -> Option<MemberId> {
         if self.core.has_fault(InjectedFault::KeepDepartingMembers) {
             return None;
@@ -157,7 +160,8 @@
         (staying >= self.core.context.settings().max_failures).then_some(departing.id)
     }
 
-    /// Whether the member may shut down without a copy or a vote less than there could be.
+    /// Whether the member may shut down: it has no vote; or it holds no state, the members are not changing, and no newcomer
+    /// waits for its slot.
     ///
     /// A member whose slot nobody waits for stays a member: the membership must not shrink, so that the return of the
     /// member compensates for the next loss at once.
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -15,7 +15,7 @@
 use crate::state_delta::StateDelta;
 use crate::term::{Member, MemberId};
 
-/// A change that is being written.
+/// A change that is being written; committed once it is on the disks of this node and of all backups.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingWrite {
     /// The state after the change.
@@ -30,11 +30,12 @@
     /// When it was started, or a backup requested a chunk of it last.
     last_progress_at: Instant,
     started_at: Instant,
+    /// When it was last sent to the backups that have not written it.
     sent_at: Instant,
 }
 
 impl PendingWrite {
-    /// Whether this node has written the change, and a backup has not.
+    /// Whether this node has written the change. A backup has not: the write would not be pending otherwise.
     pub(super) fn awaits_only_backups(&self) -> bool {
         self.is_on_local_disk
     }
@@ -72,8 +73,7 @@
     /// Sends the pending write to the backups that have not written it.
     pub(super) fn send_pending_write(&self, core: &mut NodeCore) {
         let Some(write) = &self.pending_write else { return };
-        let large_bytes = core.context.settings().chunk_sizes.large_state_bytes;
-        let delta = write.delta.as_ref().filter(|delta| delta.estimated_bytes() <= large_bytes);
+        let delta = write.delta.as_ref().filter(|delta| is_sent_as_delta(core, delta));
         let waiting = self.config.backups.iter().filter(|id| !write.written_by.contains(id));
         for backup in waiting.filter_map(|id| self.config.member(*id)) {
             match delta.filter(|_| !write.missing_body.contains(&backup.id)) {
@@ -141,8 +141,7 @@
     fn commit(&mut self, core: &mut NodeCore) {
         let Some(write) = self.pending_write.take() else { return };
         self.state = write.state.clone();
-        let large_bytes = core.context.settings().chunk_sizes.large_state_bytes;
-        let delta = write.delta.filter(|delta| delta.estimated_bytes() <= large_bytes);
+        let delta = write.delta.filter(|delta| is_sent_as_delta(core, delta));
         match delta.clone() {
             Some(delta) => core.delta_log.push(core.context.now(), delta),
             None => {
@@ -181,3 +180,8 @@
         }
     }
 }
+
+/// Whether other nodes get a change as its delta. A large delta is not sent: complete states can be fetched in chunks.
+fn is_sent_as_delta(core: &NodeCore, delta: &StateDelta) -> bool {
+    delta.estimated_bytes() <= core.context.settings().chunk_sizes.large_state_bytes
+}
--- a/crates/consensus/src/read_lease.rs
+++ b/crates/consensus/src/read_lease.rs
@@ -49,6 +49,7 @@
     }
 
     /// The primary had contact with a majority after `contact_at`, and its committed state was of this revision.
+    /// `published` is the revision that this node publishes; none before the first one.
     pub(crate) fn confirm_contact(&mut self, contact_at: Instant, revision: u64, published: Option<u64>) {
         if self.awaiting.len() >= MAX_AWAITING {
             self.awaiting.pop_front();
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Large states in chunks: what is offered, requested and sent.
+//! Large control states in chunks: what is offered, requested and sent. The snapshot that replaces the log of a disk
+//! ([`crate::Node::snapshot`]) is another: it has the promise and the configurations besides, and never leaves its node.
 
 use std::sync::Arc;
 
@@ -41,7 +42,7 @@
     /// The version of the state.
     #[n(1)]
     pub version: StateVersion,
-    /// The bytes of the encoded state.
+    /// The length of the encoded state, in bytes.
     #[n(2)]
     pub length: u64,
     /// The [`checksum`] of the encoded state.
@@ -55,10 +56,10 @@
     /// The version of the state.
     #[n(0)]
     pub version: StateVersion,
-    /// The offset of its first byte.
+    /// The offset of its first byte within the encoded state.
     #[n(1)]
     pub offset: u64,
-    /// The bytes.
+    /// Its bytes; at most [`ChunkSizes::chunk_bytes`] of the sender, never empty.
     #[cbor(n(2), encode_with = "encode_body", decode_with = "decode_body")]
     pub bytes: Arc<[u8]>,
 }
@@ -68,7 +69,7 @@
 pub struct ChunkSizes {
     /// Bodies and deltas of more bytes than this are large.
     pub large_state_bytes: usize,
-    /// The bytes of a chunk.
+    /// The most bytes in a chunk.
     pub chunk_bytes: usize,
 }
 
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -109,7 +109,7 @@
         context.send(to.address, Message::OfferSnapshot { offer });
     }
 
-    /// Whether the receiver has requested a chunk of the state after `since`.
+    /// Whether the state was offered to the receiver, or a chunk of it requested, after `since`.
     fn is_active(&self, to: Member, purpose: StatePurpose, version: StateVersion, since: Instant) -> bool {
         let is_same = |transfer: &OutgoingTransfer| {
             // A peer that receives a committed state learns the later changes without a transfer.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Also before it is durable.
+    /// The identity of the disk, also before it is durable.
     pub(crate) fn identity(&self) -> &DiskIdentity {
         &self.identity
     }
@@ -154,12 +154,14 @@
         let is_identity = matches!(write.effect, DurabilityEffect::Identity(_));
         if context.has_fault(InjectedFault::RespondUnsynced) && !is_identity {
             self.unsynced.push_back(write.clone());
+            // What stays in the queue takes the confirmation of the host, and has no effect.
             (write.effect, write.requester) = (DurabilityEffect::Promise(Term::default()), None);
         }
         self.writes.push(write);
         token
     }
 
+    /// With [`InjectedFault::RespondUnsynced`]: the next write that is answered before it is synced; none without the fault.
     pub(crate) fn take_unsynced(&mut self) -> Option<PendingDiskWrite> {
         self.unsynced.pop_front()
     }
@@ -221,7 +223,8 @@
             || self.writes.includes_version(version)
     }
 
-    /// Starts what the disk needs while no write is pending. Returns whether it is idle.
+    /// While no write is pending, starts one that the disk itself needs: its identity, a probe after a failed write, or a
+    /// rewrite of the log. Returns whether no write is pending now.
     pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) -> bool {
         let retry_interval = context.timings().disk_retry_interval;
         let is_backing_off = self.writes.failed_at().is_some_and(|at| context.elapsed(at) < retry_interval);
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -19,7 +19,7 @@
 use crate::transition::{TakeOverPlan, Transition};
 use crate::votes::Votes;
 
-/// More rejections than this end a renewal.
+/// A renewal is repeated under a higher term after each of this many rejections in a row; one more ends it.
 const MAX_REJECTIONS: u8 = 3;
 
 /// An attempt to become primary.
@@ -52,9 +52,10 @@
     pub(crate) version: Option<StateVersion>,
 }
 
-/// The members of a configuration, and those before.
+/// The members of the configuration that is to be proposed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct NextMembers {
+    /// The [`EpochConfig::outgoing_members`].
     outgoing: Vec<Member>,
     members: Vec<Member>,
 }
@@ -66,7 +67,7 @@
     LocalPromise,
     /// Promises are requested from the others.
     Prepare,
-    /// The newest state is fetched.
+    /// The newest state is fetched from one of those that hold it. The candidates are those of the next phase.
     FetchState { version: StateVersion, candidates: Vec<MemberId> },
     /// The newest state is written under this term, here and at the backups to be.
     RewriteState(RewritePhase),
@@ -77,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RewritePhase {
     state: ControlState,
-    /// Those that may be backups, best first.
+    /// The members that may be backups, best first; without this node.
     candidates: Vec<MemberId>,
     /// How many of the candidates were sent the state, from the first on.
     contacted: usize,
--- a/crates/consensus/src/take_over/accept_phase.rs
+++ b/crates/consensus/src/take_over/accept_phase.rs
@@ -73,7 +73,7 @@
             config: config.clone(),
             state: state.clone(),
             votes: votes.clone(),
-            proposed_at: self.last_progress_at,
+            proposed_at: self.phase_started_at,
             is_renewal: self.plan.decided_term.is_some(),
             is_continued: self.plan.decided_term == Some(self.base_term),
         }))
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -104,14 +104,13 @@
         }
     }
 
-    /// The highest version that was promised.
+    /// The highest of the versions that the promises report.
     fn newest_version(&self, core: &NodeCore) -> Option<StateVersion> {
-        let by_revision = core.has_fault(InjectedFault::NewestByRevision);
-        let key = |v: &StateVersion| match by_revision {
-            true => (Term::default(), v.revision, v.write_term, v.first_write_term),
-            false => (v.write_term, v.revision, v.first_write_term, v.first_write_term),
-        };
-        self.promises.values().filter_map(|promise| promise.version).max_by_key(key)
+        let versions = self.promises.values().filter_map(|promise| promise.version);
+        match core.has_fault(InjectedFault::NewestByRevision) {
+            true => versions.max_by_key(|v| (v.revision, v.write_term, v.first_write_term)),
+            false => versions.max(),
+        }
     }
 
     /// The members of the new configuration.
@@ -127,7 +126,8 @@
         NextMembers { outgoing: base.members.clone(), members }
     }
 
-    /// The bootstrap voters decide by their addresses on the first members. Those of them whose disks are known come first.
+    /// The first members: this node, then the bootstrap voters whose disks are known, then others. The outgoing members are
+    /// the bootstrap voters by their addresses, so that these decide on the first configuration.
     fn choose_first_members(&self, core: &NodeCore) -> NextMembers {
         let voters = core.bootstrap_voters().unwrap_or_default();
         let mut known: Vec<(bool, Member)> =
@@ -144,7 +144,8 @@
         NextMembers { outgoing: voters.iter().copied().map(Member::bootstrap_voter).collect(), members }
     }
 
-    /// Those that may be backups, best first; none while others are waited for.
+    /// Those that may be backups, best first: healthy ones, then those with the state of this node, then those that promised
+    /// first. `None` while there are too few, or healthy ones are waited for.
     fn choose_backups(&self, core: &NodeCore, members: &[Member]) -> Option<Vec<MemberId>> {
         let wanted = core.context.settings().max_failures;
         let local_version = core.storage.version();
--- a/crates/consensus/src/timings.rs
+++ b/crates/consensus/src/timings.rs
@@ -4,7 +4,7 @@
 
 /// Callers turn to another node after this long without a reply.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The part of [`CALLER_TIMEOUT`] that is left for the way there and back and for the time from one tick to the next.
+/// The part of [`CALLER_TIMEOUT`] that is left for the round trip of the call and for the time from one tick to the next.
 const CALLER_MARGIN: Duration = Duration::from_millis(150);
 /// A machine shuts down at most this long after the one that replaces it has started.
 const MAX_SHUTDOWN_DELAY: Duration = Duration::from_millis(1_000);
@@ -32,11 +32,11 @@
     pub disk_retry_interval: Duration,
     /// A request that waited this long is answered as unavailable, while its caller still expects a reply.
     pub request_timeout: Duration,
-    /// A phase of a take-over that takes this long without progress ends it.
+    /// A take-over ends when one of its phases makes no progress for this long.
     pub take_over_step_timeout: Duration,
     /// A message whose answer is missing is sent again after this time.
     pub resend_interval: Duration,
-    /// The same, for what may be as large as a state.
+    /// The resend interval of messages that may be as large as a state.
     pub state_resend_interval: Duration,
     /// Bootstrap voters wait at most this long until they all know each other.
     pub bootstrap_timeout: Duration,
--- a/crates/consensus/src/transition.rs
+++ b/crates/consensus/src/transition.rs
@@ -20,11 +20,11 @@
 /// A take-over that is to be started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct TakeOverPlan {
-    /// The epoch that this node is primary of until now, known to be decided; none if it is no primary.
+    /// For a renewal: the term of the epoch that this node is primary of, which is known to be decided. None for a follower.
     pub(crate) decided_term: Option<Term>,
     /// The members that the primary wants, if others than before.
     pub(crate) wanted_members: Option<Vec<Member>>,
-    /// How often it was rejected before.
+    /// How many take-overs in a row were rejected before this one; counted for renewals only.
     pub(crate) rejections: u8,
 }
 
