--- a/crates/world/src/world.rs
+++ b/crates/world/src/world.rs
@@ -335,6 +335,8 @@
     /// The version of the list that discovery told it last.
     version: u64,
     asked: Time,
+    /// Its last call to discovery was answered with a failure.
+    call_failed: bool,
     /// It stands still, and takes itself for running.
     paused: bool,
     /// The list that it finds at its next start, and how old that is.
@@ -730,6 +732,7 @@
                     }
                 }
                 self.sides[call.proxy].asked = self.now;
+                self.sides[call.proxy].call_failed = listed.is_none();
                 out.push(Output::Listed(call, listed));
             }
             Due::Change(shown) => {
@@ -806,6 +809,7 @@
                 self.sides[proxy].stopping = false;
                 self.sides[proxy].saved = (Saved::Kept, Time::ZERO);
                 self.sides[proxy].asked = self.now;
+                self.sides[proxy].call_failed = false;
                 self.sides[proxy].told.clear();
                 self.sides[proxy].version = 0;
                 self.fact(What::Up { proxy });
--- /dev/null
+++ b/crates/world/tests/notification.rs
@@ -0,0 +1,101 @@
+//! When a proxy that has not called discovery counts as told of a change of the list.
+
+use mosshead_world::discovery::Call;
+use mosshead_world::facts::What;
+use mosshead_world::scenario::Scenario;
+use mosshead_world::{Input, Output, ServerNo, State, Time, World};
+
+/// A server drains at 1 s. Discovery is down from 0.5 s to 2 s.
+const DAY: &str = r#"
+title = "notification"
+about = "one proxy"
+length = "20s"
+zones = ["a"]
+load = { proxies = 1, rate = "1/s" }
+rules = { ask_within = "2s" }
+discovery = { notice = "100ms..200ms" }
+
+[[kind]]
+name = "plain"
+count = 3
+cores = 1
+
+[[class]]
+name = "any"
+share = "100%"
+work = "10ms"
+target = "1s"
+deadline = "1s"
+worth = 1
+effect = "safe"
+
+[[trouble]]
+fault = "discovery-down"
+at = "500ms"
+length = "1500ms"
+
+[[trouble]]
+fault = "churn"
+at = "1s"
+length = "100ms"
+every = "200ms"
+size = "0%"
+delay = "60s"
+"#;
+
+/// The instant at which the only proxy counts as told that a server drains, if it calls discovery at these instants and
+/// gives each call up after a second; with the number of calls that failed.
+fn told_of_the_drain_at(calls: &[Time]) -> (Time, usize) {
+    let scenario = Scenario::read(DAY).expect("a scenario");
+    let mut world = World::new(&scenario, 1);
+    let (mut outputs, mut failed) = (Vec::new(), 0);
+    let mut told_at = None;
+    world.input(Time::ZERO, Input::Up { proxy: 0 });
+    for step in 0..2000 {
+        let now = Time::ms(10 * step);
+        world.advance(now, &mut outputs);
+        failed += outputs.drain(..).filter(|output| matches!(output, Output::Listed(_, None))).count();
+        if calls.contains(&now) {
+            let call = Call { proxy: 0, number: step, from: None, hold: Time::ZERO };
+            world.input(now, Input::Ask(call));
+        }
+        for fact in world.facts() {
+            if let What::Told { server: ServerNo(_), state: State::Draining, .. } = fact.what {
+                told_at = told_at.or(Some(fact.at));
+            }
+        }
+    }
+    (told_at.expect("it is told in the end"), failed)
+}
+
+#[test]
+fn a_proxy_that_does_not_call_counts_as_told_after_the_time_allowed() {
+    let (told_at, failed) = told_of_the_drain_at(&[]);
+    assert_eq!(failed, 0);
+    // It is up from the beginning, and the world looks once a second.
+    assert!((Time::ms(2000)..=Time::ms(3000)).contains(&told_at), "{told_at}");
+}
+
+#[test]
+fn an_answered_call_begins_the_time_allowed_anew() {
+    let (told_at, failed) = told_of_the_drain_at(&[Time::ms(300)]);
+    assert_eq!(failed, 0);
+    assert!((Time::ms(2300)..=Time::ms(3400)).contains(&told_at), "{told_at}");
+}
+
+/// WIRE-mosshead.md, `rules.ask_within_s`: four times the time allowed after a failed call. A referee that did not know of it
+/// blamed proxies that backed off from a discovery which was down.
+#[test]
+fn after_a_failed_call_a_proxy_has_four_times_the_time_allowed() {
+    let (told_at, failed) = told_of_the_drain_at(&[Time::ms(1500)]);
+    assert_eq!(failed, 1);
+    assert!((Time::ms(9500)..=Time::ms(10_600)).contains(&told_at), "{told_at}");
+}
+
+#[test]
+fn an_answered_call_ends_the_leave_that_a_failed_one_gave() {
+    let (told_at, failed) = told_of_the_drain_at(&[Time::ms(600), Time::ms(2100)]);
+    assert_eq!(failed, 1);
+    // The answer itself brings the news.
+    assert!((Time::ms(2100)..=Time::ms(2300)).contains(&told_at), "{told_at}");
+}
