--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use clap::{Args, Subcommand};
 use miette::{GraphicalReportHandler, GraphicalTheme};
-use mosshead_simulate::platform;
+use mosshead_simulate::proxy_settings;
 use mosshead_site::{ClassFacts, Fault, Files, Platform, Question, Site};
 use mosshead_world::{Time, World};
 use serde_json::{Value, json};
@@ -114,16 +114,16 @@
             }
             None => {
                 let world = World::new(&scenarios::read("calm")?, 1);
-                let server = |shown: &mosshead_world::Shown| {
-                    let (traits, scenario) = (world.traits(shown.server), world.scenario());
+                let server = |shown: &mosshead_world::ListEntry| {
+                    let (traits, scenario) = (world.server_traits(shown.server), world.scenario());
                     json!({
                         "id": format!("s-{}", shown.server.0),
                         "zone": scenario.zones[traits.zone],
-                        "kind": scenario.kind[traits.kind].name,
+                        "kind": scenario.kinds[traits.kind].name,
                     })
                 };
-                let servers: Vec<Value> = world.list().1.iter().map(server).collect();
-                json!({"settings": platform::settings(&world, 0), "known": {"servers": servers}})
+                let servers: Vec<Value> = world.current_list().entries.iter().map(server).collect();
+                json!({"settings": proxy_settings::to_json(&world, 0), "known": {"servers": servers}})
             }
         };
         let settings = &config["settings"];
@@ -131,7 +131,7 @@
         let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
         let class = |class: &Value| ClassFacts {
             name: text(&class["name"]),
-            deadline: Time::seconds(class["deadline_s"].as_f64().unwrap_or_default()),
+            deadline: Time::from_seconds(class["deadline_s"].as_f64().unwrap_or_default()),
             safe: class["effect"] == "free",
         };
         let classes: Vec<ClassFacts> = list(&settings["classes"]).iter().map(class).collect();
--- a/crates/ctl/src/days.rs
+++ b/crates/ctl/src/days.rs
@@ -1,7 +1,7 @@
 //! A day's result for a person: tables, and the timelines of broken rules.
 
 use mosshead_simulate::Day;
-use mosshead_world::ledger::{Counts, ENDINGS};
+use mosshead_world::scorecard::{OutcomeCounts, REQUEST_OUTCOMES};
 use tabled::builder::Builder;
 use tabled::settings::{Alignment, Style, object::Columns};
 
@@ -26,22 +26,22 @@
             .to_vec(),
     ];
     for day in days {
-        let all = &day.ledger.all;
-        let of = |ending: usize| percent(all.ended[ending], all.asked);
-        let rules = match day.kept {
+        let all = &day.scorecard.total;
+        let of = |ending: usize| percent(all.by_outcome[ending], all.operations);
+        let rules = match day.is_clean {
             true => "kept".to_owned(),
-            false => format!("{} BROKEN", day.broken.values().sum::<u64>()),
+            false => format!("{} BROKEN", day.violation_counts.values().sum::<u64>()),
         };
         rows.push(vec![
             day.policy.clone(),
             day.seed.to_string(),
-            format!("{:.4}", day.figure),
+            format!("{:.4}", day.score),
             of(0),
             of(1),
             of(2),
             of(3),
-            percent(all.ended[4] + all.ended[5], all.asked),
-            (day.ledger.jams + day.ledger.fell).to_string(),
+            percent(all.by_outcome[4] + all.by_outcome[5], all.operations),
+            (day.scorecard.congestions + day.scorecard.collapses).to_string(),
             rules,
         ]);
     }
@@ -77,20 +77,22 @@
         let count = own.len() as f64;
         let mean = |of: &dyn Fn(&Day) -> f64| own.iter().map(|day| of(day)).sum::<f64>() / count;
         let ended = |ending: usize| {
-            let part = |day: &Day| day.ledger.all.ended[ending] as f64 / day.ledger.all.asked.max(1) as f64;
+            let part = |day: &Day| {
+                day.scorecard.total.by_outcome[ending] as f64 / day.scorecard.total.operations.max(1) as f64
+            };
             format!("{:.2} %", 100.0 * mean(&part))
         };
         rows.push(vec![
             policy.to_owned(),
             own.len().to_string(),
-            format!("{:.4}", mean(&|day| day.figure)),
-            format!("{:.4}", own.iter().map(|day| day.figure).fold(f64::INFINITY, f64::min)),
+            format!("{:.4}", mean(&|day| day.score)),
+            format!("{:.4}", own.iter().map(|day| day.score).fold(f64::INFINITY, f64::min)),
             ended(0),
             ended(1),
             ended(2),
             ended(3),
-            format!("{:.1}", mean(&|day| (day.ledger.jams + day.ledger.fell) as f64)),
-            own.iter().filter(|day| !day.kept).count().to_string(),
+            format!("{:.1}", mean(&|day| (day.scorecard.congestions + day.scorecard.collapses) as f64)),
+            own.iter().filter(|day| !day.is_clean).count().to_string(),
         ]);
     }
     table(rows)
@@ -99,43 +101,48 @@
 /// One day in full.
 pub(crate) fn whole(day: &Day, scenario: &mosshead_world::scenario::Scenario) -> String {
     let mut rows = vec![vec!["".to_owned(), "asked".to_owned(), "worth kept".to_owned()]];
-    rows[0].extend(ENDINGS.iter().map(|ending| format!("{ending:?}").to_lowercase()));
-    let mut row = |name: &str, counts: &Counts| {
-        let mut row = vec![name.to_owned(), counts.asked.to_string(), format!("{:.4}", counts.share())];
-        row.extend(counts.ended.iter().map(u64::to_string));
+    rows[0].extend(REQUEST_OUTCOMES.iter().map(|outcome| outcome.label().to_owned()));
+    let mut row = |name: &str, counts: &OutcomeCounts| {
+        let mut row =
+            vec![name.to_owned(), counts.operations.to_string(), format!("{:.4}", counts.earned_share())];
+        row.extend(counts.by_outcome.iter().map(u64::to_string));
         rows.push(row);
     };
-    row("all", &day.ledger.all);
-    scenario.class.iter().zip(&day.ledger.classes).for_each(|(class, counts)| row(&class.name, counts));
-    scenario.tenant.iter().zip(&day.ledger.tenants).for_each(|(tenant, counts)| row(&tenant.name, counts));
-    let ledger = &day.ledger;
-    let per = |count: u64| count as f64 / ledger.all.asked.max(1) as f64;
+    row("all", &day.scorecard.total);
+    scenario.classes.iter().zip(&day.scorecard.by_class).for_each(|(class, counts)| row(&class.name, counts));
+    scenario
+        .tenants
+        .iter()
+        .zip(&day.scorecard.by_tenant)
+        .for_each(|(tenant, counts)| row(&tenant.name, counts));
+    let ledger = &day.scorecard;
+    let per = |count: u64| count as f64 / ledger.total.operations.max(1) as f64;
     format!(
         "{}\n\ntries {:.3} and attempts {:.3} a request; new connections {:.3}, probes {:.3}; {} calls to \
          discovery\nwork wasted {:.1} %; servers jammed {} times, {} fell over cold\nfigure {:.4}; {} facts, \
          digest {}",
         table(rows),
-        per(ledger.tries),
+        per(ledger.requests),
         per(ledger.attempts),
-        per(ledger.opened),
+        per(ledger.connections_opened),
         per(ledger.probes),
-        ledger.asked_discovery,
-        100.0 * ledger.wasted / ledger.work.max(1e-9),
-        ledger.jams,
-        ledger.fell,
-        day.figure,
-        day.facts,
+        ledger.discovery_calls,
+        100.0 * ledger.wasted_work / ledger.work.max(1e-9),
+        ledger.congestions,
+        ledger.collapses,
+        day.score,
+        day.recorded_events,
         day.digest,
     )
 }
 
 /// The broken rules of a day, the first ones with their timelines.
 pub(crate) fn broken(day: &Day) -> Option<String> {
-    if day.kept {
+    if day.is_clean {
         return None;
     }
     let mut text = String::new();
-    for (rule, count) in &day.broken {
+    for (rule, count) in &day.violation_counts {
         text += &format!("{count} times: {rule}\n");
     }
     for violation in day.violations.iter().take(SHOWN) {
--- a/crates/ctl/src/emulate.rs
+++ b/crates/ctl/src/emulate.rs
@@ -86,7 +86,7 @@
             print(&played, &scenario);
             days::broken(&played.day).into_iter().for_each(|broken| println!("\n{broken}"));
         }
-        Ok(match (played.void, played.day.kept) {
+        Ok(match (played.void, played.day.is_clean) {
             (true, _) => End::Void,
             (false, true) => End::Kept,
             (false, false) => End::Broken,
@@ -98,7 +98,7 @@
     let day = &played.day;
     println!(
         "\n{} with `{}`, seed {}: {:.1} s, {} proxies, {} requests\n",
-        day.scenario, day.policy, day.seed, day.length_s, day.proxies, day.ledger.all.asked
+        day.scenario, day.policy, day.seed, day.length_s, day.proxies, day.scorecard.total.operations
     );
     println!("{}", days::whole(day, scenario));
     let late = &played.lateness;
--- a/crates/ctl/src/fleet_day.rs
+++ b/crates/ctl/src/fleet_day.rs
@@ -6,7 +6,7 @@
 use mosshead_rig::checks::Peaks;
 use mosshead_rig::{FleetDay, grown, play, play_virtual};
 use mosshead_world::scenario::Scenario;
-use mosshead_world::units::Span;
+use mosshead_world::units::ValueRange;
 use tabled::builder::Builder;
 use tabled::settings::{Alignment, Style, object::Columns};
 
@@ -55,7 +55,7 @@
             if !(1..=most).contains(&processes) {
                 return Err(BadUse(format!("--processes {processes}: write 1 to {most}")).into());
             }
-            scenario.load.proxies = Span::one(processes);
+            scenario.load.proxies = ValueRange::single(processes);
         }
         if !(0.1..=1000.0).contains(&self.times) {
             return Err(BadUse(format!("--times {}: write 0.1 to 1000", self.times)).into());
@@ -103,7 +103,7 @@
             }
             days::broken(&day.day).into_iter().for_each(|broken| println!("\n{broken}"));
         }
-        Ok(if day.day.kept { End::Kept } else { End::Broken })
+        Ok(if day.day.is_clean { End::Kept } else { End::Broken })
     }
 }
 
--- a/crates/ctl/src/scenarios.rs
+++ b/crates/ctl/src/scenarios.rs
@@ -71,7 +71,7 @@
             Some(name) => print!("{}", text(name)?),
             None => {
                 for (name, text) in BUILT_IN {
-                    println!("{name:16} {}", Scenario::read(text)?.about);
+                    println!("{name:16} {}", Scenario::read(text)?.description);
                 }
             }
         }
--- a/crates/ctl/src/simulate.rs
+++ b/crates/ctl/src/simulate.rs
@@ -5,9 +5,9 @@
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use mosshead_simulate::brains::{self, Brains, Processes, Threads};
-use mosshead_simulate::policies::{KINDS, Kind};
-use mosshead_simulate::{Day, Listener, play};
+use mosshead_simulate::policies::{POLICY_KINDS, PolicyKind, UnknownPolicy};
+use mosshead_simulate::policy_host::{self, PolicyHost, ProcessPolicyHost, ThreadedPolicyHost};
+use mosshead_simulate::{Day, EventListener, play_day};
 use mosshead_world::Time;
 
 use crate::{BadUse, End, days, scenarios};
@@ -51,8 +51,9 @@
 
 impl Mind {
     pub(crate) fn run(&self) -> anyhow::Result<End> {
-        let kind: Kind = self.policy.parse().map_err(BadUse)?;
-        brains::serve(kind, std::io::stdin().lock(), std::io::stdout().lock())?;
+        let kind: PolicyKind =
+            self.policy.parse().map_err(|error: UnknownPolicy| BadUse(error.to_string()))?;
+        policy_host::serve(kind, std::io::stdin().lock(), std::io::stdout().lock())?;
         Ok(End::Kept)
     }
 }
@@ -60,14 +61,14 @@
 impl Simulate {
     pub(crate) fn run(&self) -> anyhow::Result<End> {
         let scenario = scenarios::read(&self.scenario)?;
-        let mut kinds: Vec<Kind> = Vec::new();
+        let mut kinds: Vec<PolicyKind> = Vec::new();
         for name in &self.policies {
             match name.as_str() {
-                "all" => kinds.extend(KINDS),
-                name => kinds.push(name.parse().map_err(BadUse)?),
+                "all" => kinds.extend(POLICY_KINDS),
+                name => kinds.push(name.parse().map_err(|error: UnknownPolicy| BadUse(error.to_string()))?),
             }
         }
-        if self.processes.is_some() && kinds.contains(&Kind::Oracle) {
+        if self.processes.is_some() && kinds.contains(&PolicyKind::Oracle) {
             return Err(BadUse(
                 "the oracle sees the world, so it runs in this process: use --threads".into(),
             )
@@ -82,30 +83,30 @@
                     bar.set_length(length.0 / 1_000_000);
                     bar.set_position((now.0 / 1_000_000).min(length.0 / 1_000_000));
                 };
-                let mut brains: Box<dyn Brains> = match self.processes {
+                let mut brains: Box<dyn PolicyHost> = match self.processes {
                     Some(count) => {
                         let program = std::env::current_exe()?;
-                        Box::new(Processes::start(count, || {
+                        Box::new(ProcessPolicyHost::start(count, || {
                             let mut command = Command::new(&program);
                             command.arg("mind").arg(kind.name());
                             command
                         })?)
                     }
-                    None => Box::new(Threads::new(kind, self.threads)),
+                    None => Box::new(ThreadedPolicyHost::new(kind, self.threads)),
                 };
                 let (job, events) = (self.job, self.events);
-                let listener = (job.is_some() || events).then(|| -> Listener {
+                let listener = (job.is_some() || events).then(|| -> EventListener {
                     Box::new(move |fact| {
-                        let about = fact.what.job().map(|job| job.0);
+                        let about = fact.kind.request().map(|job| job.0);
                         if about.map_or(events, |about| Some(about) == job) {
                             eprintln!("{fact}");
                         }
                     })
                 });
-                let day = play(&scenario, seed, kind.name(), brains.as_mut(), listener, &mut progress)?;
+                let day = play_day(&scenario, seed, kind.name(), brains.as_mut(), listener, &mut progress)?;
                 bar.finish_and_clear();
                 let took = began.elapsed().as_secs_f64();
-                if !day.kept {
+                if !day.is_clean {
                     end = End::Broken;
                 }
                 if !self.brief {
@@ -138,8 +139,8 @@
             day.seed,
             day.length_s,
             day.proxies,
-            day.ledger.all.asked,
-            day.events as f64 / took
+            day.scorecard.total.operations,
+            day.queue_events as f64 / took
         );
         println!("{}", days::whole(day, scenario));
         if let Some(broken) = days::broken(day) {
--- a/crates/ctl/src/study.rs
+++ b/crates/ctl/src/study.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, anyhow};
 use clap::Args;
 use mosshead_rig::{play, play_virtual, sized};
-use mosshead_world::scenario::{Folder, Scenario};
+use mosshead_world::scenario::{Scenario, StoredStateCondition};
 use plotters::prelude::*;
 use serde::Serialize;
 use tabled::builder::Builder;
@@ -73,8 +73,8 @@
     pub(crate) fn run(&self) -> anyhow::Result<End> {
         let folder = match self.folder.as_deref() {
             None => None,
-            Some("kept") => Some(Folder::Kept),
-            Some("lost") => Some(Folder::Lost),
+            Some("kept") => Some(StoredStateCondition::Kept),
+            Some("lost") => Some(StoredStateCondition::Empty),
             Some(other) => return Err(BadUse(format!("--folder {other:?}: write kept or lost")).into()),
         };
         let mut days = Vec::new();
@@ -86,8 +86,8 @@
                 }
                 let mut scenario = sized(&scenario, size);
                 if let Some(folder) = folder {
-                    scenario.proxy.folder = true;
-                    scenario.trouble.iter_mut().for_each(|trouble| trouble.folder = folder);
+                    scenario.proxy.has_state_folder = true;
+                    scenario.faults.iter_mut().for_each(|trouble| trouble.stored_state = folder);
                 }
                 days.extend((1..=self.seeds).map(|seed| (scenario.clone(), size, seed)));
             }
@@ -133,7 +133,7 @@
                 size: *size,
                 seed: *seed,
                 kept: day.kept(),
-                figure: day.played.day.figure,
+                figure: day.played.day.score,
                 full_s: last.and_then(|back| back.full_after_s),
                 node_load: peaks.node_load,
                 first_sends: peaks.first_sends_in_100ms,
@@ -167,8 +167,8 @@
                     scenario: scenario.title.clone(),
                     size: *size,
                     seed: *seed,
-                    kept: day.day.kept,
-                    figure: day.day.figure,
+                    kept: day.day.is_clean,
+                    figure: day.day.score,
                     full_s: last.and_then(|back| back.full_after_s),
                     node_load: last.map_or(0.0, |back| back.peaks.node_load),
                     first_sends: last.map_or(0, |back| back.peaks.first_sends_in_100ms),
--- a/crates/emulator/src/between.rs
+++ b/crates/emulator/src/between.rs
@@ -6,20 +6,20 @@
 use std::pin::Pin;
 use std::time::Instant;
 
-use mosshead_world::facts::Fact;
-use mosshead_world::scenario::Way;
-use mosshead_world::{ServerNo, Ways};
+use mosshead_world::events::Event;
+use mosshead_world::scenario::LinkKind;
+use mosshead_world::{LinkFault, ServerId};
 use tokio::net::TcpStream;
 
 /// The far end of a way: where a program connects to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Place {
     /// Which kind of way leads there.
-    pub way: Way,
+    pub way: LinkKind,
     /// Whose way it is.
     pub proxy: usize,
     /// The server there, if it is one,
-    pub server: Option<ServerNo>,
+    pub server: Option<ServerId>,
     /// and its zone.
     pub zone: Option<usize>,
     /// Where that listens for this program.
@@ -50,10 +50,10 @@
     fn through(&self, place: Place, near: TcpStream) -> Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
     /// Something is wrong with ways from now on, or no longer.
-    fn ways(&self, ways: &Ways, on: bool);
+    fn ways(&self, ways: &LinkFault, on: bool);
 
     /// Something has happened.
-    fn fact(&self, fact: &Fact);
+    fn fact(&self, fact: &Event);
 
     /// Something was done to a program's process.
     fn process(&self, proxy: usize, what: Process);
@@ -69,9 +69,9 @@
         Box::pin(async { Ok(near) })
     }
 
-    fn ways(&self, _: &Ways, _: bool) {}
+    fn ways(&self, _: &LinkFault, _: bool) {}
 
-    fn fact(&self, _: &Fact) {}
+    fn fact(&self, _: &Event) {}
 
     fn process(&self, _: usize, _: Process) {}
 }
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mosshead_world::scenario::Way;
+use mosshead_world::scenario::LinkKind;
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -33,7 +33,7 @@
 /// One call; whatever comes of it is on the record of the way that it took.
 async fn ask(stage: Rc<Stage>, proxy: usize, address: SocketAddr) {
     let Ok(near) = TcpStream::connect(address).await else { return };
-    let place = Place { way: Way::Door, proxy, server: None, zone: None, address };
+    let place = Place { way: LinkKind::Admin, proxy, server: None, zone: None, address };
     let Ok(far) = stage.between.through(place, near).await else { return };
     let mut wire = Wire::new(far);
     if wire.write(b"GET /ops/state HTTP/1.1\r\nHost: ops.svc\r\nConnection: close\r\n\r\n").await.is_ok() {
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mosshead_world::facts::Answer;
-use mosshead_world::scenario::Effect;
-use mosshead_world::{Input, Job, JobNo, Time};
+use mosshead_world::events::ClientResponse;
+use mosshead_world::scenario::RepeatEffect;
+use mosshead_world::{Input, Request, RequestId, Time};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::task::{AbortHandle, spawn_local};
@@ -24,12 +24,12 @@
 /// A connection to a proxy, and the last job on it.
 struct Idle {
     wire: Wire,
-    last: JobNo,
+    last: RequestId,
 }
 
 /// What a client sent, to be compared with what comes out on the other side.
 struct Sent {
-    job: JobNo,
+    job: RequestId,
     method: &'static str,
     target: String,
     body: String,
@@ -40,7 +40,7 @@
 pub(crate) struct Clients {
     idle: RefCell<Vec<Vec<Idle>>>,
     sent: RefCell<HashMap<String, (usize, Sent)>>,
-    waiting: RefCell<BTreeMap<JobNo, AbortHandle>>,
+    waiting: RefCell<BTreeMap<RequestId, AbortHandle>>,
 }
 
 impl Clients {
@@ -50,7 +50,7 @@
     }
 
     /// A client's time is up: it leaves.
-    pub(crate) fn leave(&self, job: JobNo) {
+    pub(crate) fn leave(&self, job: RequestId) {
         if let Some(task) = self.waiting.borrow_mut().remove(&job) {
             task.abort();
         }
@@ -62,7 +62,7 @@
     }
 
     /// Which request an id belongs to, and whether a message is the one that its client sent.
-    pub(crate) fn sent(&self, proxy: usize, id: &str, message: &Message) -> Option<(JobNo, bool)> {
+    pub(crate) fn sent(&self, proxy: usize, id: &str, message: &Message) -> Option<(RequestId, bool)> {
         let sent = self.sent.borrow();
         let (at, sent) = sent.get(id)?;
         let same = message.method == sent.method
@@ -73,7 +73,7 @@
     }
 }
 
-fn mixed(seed: u64, job: JobNo) -> u64 {
+fn mixed(seed: u64, job: RequestId) -> u64 {
     let mut mixed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(job.0);
     for shift in [30, 27, 31] {
         mixed = (mixed ^ (mixed >> shift)).wrapping_mul(0xbf58_476d_1ce4_e5b9 | 1);
@@ -82,56 +82,58 @@
 }
 
 /// The id that a request carries: it says nothing.
-fn id(seed: u64, job: JobNo) -> String {
+fn id(seed: u64, job: RequestId) -> String {
     format!("{:016x}", mixed(seed, job))
 }
 
 /// What a booking server answers to a request: nobody can make it up.
-pub(crate) fn answer_body(seed: u64, job: JobNo) -> Vec<u8> {
+pub(crate) fn answer_body(seed: u64, job: RequestId) -> Vec<u8> {
     format!("done {:016x} for {}", mixed(!seed, job), job.0).into_bytes()
 }
 
 /// A usual client sends a request.
-pub(crate) fn send(stage: &Rc<Stage>, job: Job) {
+pub(crate) fn send(stage: &Rc<Stage>, job: Request) {
     let (class, tenant, effect) = stage.world(|world| {
         let scenario = world.scenario();
-        let class = &scenario.class[job.class];
-        let tenant = job.tenant.map(|tenant| scenario.tenant[tenant].name.clone());
-        (class.name.clone(), tenant, class.effect)
+        let class = &scenario.classes[job.class];
+        let tenant = job.tenant.map(|tenant| scenario.tenants[tenant].name.clone());
+        (class.name.clone(), tenant, class.repeat_effect)
     });
-    let safe = effect == Effect::Safe;
-    let id = id(stage.seed, job.no);
+    let safe = effect == RepeatEffect::Safe;
+    let id = id(stage.seed, job.id);
     let (method, body) = match safe {
         true => ("GET", String::new()),
-        false => ("POST", format!("{{\"lesson\":{},\"child\":\"{}\"}}", job.no.0 % 97, &id[..6])),
+        false => ("POST", format!("{{\"lesson\":{},\"child\":\"{}\"}}", job.id.0 % 97, &id[..6])),
     };
-    let target = format!("/{class}/{}?slot={}", job.no.0, job.no.0 % 7);
-    let left = job.left.as_seconds();
+    let target = format!("/{class}/{}?slot={}", job.id.0, job.id.0 % 7);
+    let left = job.time_left.as_seconds();
     let account = tenant.map(|tenant| format!("X-Account: {tenant}\r\n")).unwrap_or_default();
     let length = if safe { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-    let key =
-        (effect == Effect::Keyed).then(|| format!("{:016X}-{}", mixed(stage.seed ^ 0xb, job.no), job.no.0));
+    let key = (effect == RepeatEffect::Keyed)
+        .then(|| format!("{:016X}-{}", mixed(stage.seed ^ 0xb, job.id), job.id.0));
     let keyed = key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
     let bytes = format!(
         "{method} {target} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
          {account}X-Time-Left: {left:.3}\r\n{keyed}{length}\r\n{body}"
     );
-    let sent = Sent { job: job.no, method, target, body, key };
+    let sent = Sent { job: job.id, method, target, body, key };
     stage.clients.sent.borrow_mut().insert(id, (job.proxy, sent));
     let task = spawn_local(ask(stage.clone(), job, bytes.into_bytes()));
-    stage.clients.waiting.borrow_mut().insert(job.no, task.abort_handle());
+    stage.clients.waiting.borrow_mut().insert(job.id, task.abort_handle());
 }
 
-async fn ask(stage: Rc<Stage>, job: Job, bytes: Vec<u8>) {
+async fn ask(stage: Rc<Stage>, job: Request, bytes: Vec<u8>) {
     let (answer, kept) = exchange(&stage, job, &bytes).await;
-    stage.clients.waiting.borrow_mut().remove(&job.no);
-    stage.input(Input::Answer { job: job.no, answer });
+    stage.clients.waiting.borrow_mut().remove(&job.id);
+    stage.input(Input::ResponseSent { request: job.id, response: answer });
     if let Some(mut wire) = kept {
         match wire.leftover() {
-            Leftover::Nothing if !job.one_shot && !wire.closes => {
-                stage.clients.idle.borrow_mut()[job.proxy].push(Idle { wire, last: job.no });
+            Leftover::Nothing if !job.uses_own_connection && !wire.closes => {
+                stage.clients.idle.borrow_mut()[job.proxy].push(Idle { wire, last: job.id });
+            }
+            Leftover::Bytes => {
+                stage.input(Input::ResponseSent { request: job.id, response: ClientResponse::Failed });
             }
-            Leftover::Bytes => stage.input(Input::Answer { job: job.no, answer: Answer::Failed }),
             Leftover::Nothing | Leftover::End => {}
         }
     }
@@ -143,54 +145,56 @@
         let Idle { mut wire, last } = stage.clients.idle.borrow_mut()[proxy].pop()?;
         match wire.leftover() {
             Leftover::Nothing => return Some(wire),
-            Leftover::Bytes => stage.input(Input::Answer { job: last, answer: Answer::Failed }),
+            Leftover::Bytes => {
+                stage.input(Input::ResponseSent { request: last, response: ClientResponse::Failed });
+            }
             Leftover::End => {}
         }
     }
 }
 
-async fn exchange(stage: &Rc<Stage>, job: Job, bytes: &[u8]) -> (Answer, Option<Wire>) {
-    let kept = if job.one_shot { None } else { idle(stage, job.proxy) };
+async fn exchange(stage: &Rc<Stage>, job: Request, bytes: &[u8]) -> (ClientResponse, Option<Wire>) {
+    let kept = if job.uses_own_connection { None } else { idle(stage, job.proxy) };
     if let Some(mut wire) = kept
         && wire.write(bytes).await.is_ok()
     {
         match wire.read(true).await {
             Came::Message(message) => return (judge(stage, job, &message), Some(wire)),
-            Came::Broken => return (Answer::Broken, None),
+            Came::Broken => return (ClientResponse::Aborted, None),
             // The close crossed the request: it is sent once more on a connection of its own.
             Came::Closed => {}
         }
     }
     let place = stage.programs.place(job.proxy);
     let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(place)).await else {
-        return (Answer::Broken, None);
+        return (ClientResponse::Aborted, None);
     };
     let mut wire = Wire::new(stream);
     if wire.write(bytes).await.is_err() {
-        return (Answer::Broken, None);
+        return (ClientResponse::Aborted, None);
     }
     match wire.read(true).await {
         Came::Message(message) => (judge(stage, job, &message), Some(wire)),
-        Came::Closed | Came::Broken => (Answer::Broken, None),
+        Came::Closed | Came::Broken => (ClientResponse::Aborted, None),
     }
 }
 
-fn judge(stage: &Stage, job: Job, message: &Message) -> Answer {
+fn judge(stage: &Stage, job: Request, message: &Message) -> ClientResponse {
     match message.status {
-        200 if message.body == answer_body(stage.seed, job.no) => Answer::Served,
-        200 => Answer::Forged,
+        200 if message.body == answer_body(stage.seed, job.id) => ClientResponse::Served,
+        200 => ClientResponse::Forged,
         429 | 503 => {
             let wait = message.header("retry-after").and_then(|wait| wait.trim().parse().ok());
-            Answer::Refused(Time::seconds(wait.unwrap_or(0.0)))
+            ClientResponse::Rejected(Time::from_seconds(wait.unwrap_or(0.0)))
         }
-        _ => Answer::Failed,
+        _ => ClientResponse::Failed,
     }
 }
 
 /// The ways of rude clients: what they send, and whether they then end their side.
 fn rudeness(stage: &Stage, how: u64) -> (String, bool) {
     let class = stage.world(|world| {
-        let class = world.scenario().class.first();
+        let class = world.scenario().classes.first();
         class.map(|class| class.name.clone()).unwrap_or_default()
     });
     let id = format!("{how:016x}");
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mosshead_world::discovery::Call;
-use mosshead_world::scenario::Way;
-use mosshead_world::{Input, Shown, State, Time};
+use mosshead_world::discovery::DiscoveryCall;
+use mosshead_world::scenario::LinkKind;
+use mosshead_world::{Input, ListEntry, ListResponse, ServerState, Time};
 use serde_json::{Value, json};
 use socket2::Socket;
 use tokio::net::{TcpListener, TcpStream};
@@ -26,15 +26,15 @@
 const LONGEST_HOLD: u64 = 60_000;
 
 /// The list in the platform's form, as one proxy sees it.
-pub(crate) fn listing(stage: &Stage, proxy: usize, version: u64, full: bool, lines: &[Shown]) -> Value {
+pub(crate) fn listing(stage: &Stage, proxy: usize, version: u64, full: bool, lines: &[ListEntry]) -> Value {
     let began = stage.programs.unix_ms(Time::ZERO);
-    let line = |shown: &Shown| {
+    let line = |shown: &ListEntry| {
         let (zone, kind) = stage.world(|world| {
-            let traits = world.traits(shown.server);
+            let traits = world.server_traits(shown.server);
             let scenario = world.scenario();
-            (scenario.zones[traits.zone].clone(), scenario.kind[traits.kind].name.clone())
+            (scenario.zones[traits.zone].clone(), scenario.kinds[traits.kind].name.clone())
         });
-        let started = if shown.started == Time::ZERO { 0 } else { began + shown.started.0 / 1000 };
+        let started = if shown.started_at == Time::ZERO { 0 } else { began + shown.started_at.0 / 1000 };
         json!({
             "id": format!("s-{}", shown.server.0),
             "addr": stage.servers.place(proxy, shown.address).to_string(),
@@ -42,9 +42,9 @@
             "kind": kind,
             "cell": 0,
             "state": match shown.state {
-                State::Serving => "SERVING",
-                State::Draining => "DRAINING",
-                State::Deleted => "DELETED",
+                ServerState::Serving => "SERVING",
+                ServerState::Draining => "DRAINING",
+                ServerState::Deleted => "DELETED",
             },
             "weight": 1.0,
             "started_ms": started,
@@ -67,7 +67,7 @@
     spawn_local(async move {
         let mut gone = old.clone();
         loop {
-            let up = stage.world(|world| world.comes_up(proxy, Way::List, None));
+            let up = stage.world(|world| world.link_connects(proxy, LinkKind::Discovery, None));
             door = door.turned(up, place);
             tokio::select! {
                 came = door.accept() => match came {
@@ -123,7 +123,7 @@
     stream: TcpStream,
     old: watch::Receiver<()>,
 ) {
-    let place = Place { way: Way::List, proxy, server: None, zone: None, address };
+    let place = Place { way: LinkKind::Discovery, proxy, server: None, zone: None, address };
     if let Ok(stream) = stage.between.through(place, stream).await {
         connection(stage, proxy, stream, old).await;
     }
@@ -161,22 +161,27 @@
             pairs.into_iter().find(|(known, _)| *known == name)?.1.parse().ok()
         };
         let (number, from) = (stage.number(), figure("from"));
-        let hold = Time::ms(figure("hold_ms").unwrap_or(0).min(LONGEST_HOLD));
+        let hold = Time::from_millis(figure("hold_ms").unwrap_or(0).min(LONGEST_HOLD));
         let (waits, listed) = oneshot::channel();
         stage.calls.borrow_mut().insert((proxy, number), waits);
-        stage.input(Input::Ask(Call { proxy, number, from, hold }));
+        stage.input(Input::DiscoveryCalled(DiscoveryCall {
+            proxy,
+            number,
+            known_version: from,
+            max_wait: hold,
+        }));
         let reply = tokio::select! {
             biased;
             listed = listed => match listed {
-                Ok(Some((version, full, lines))) => {
-                    let body = listing(stage, proxy, version, full, &lines).to_string();
+                Ok(Some(ListResponse { version, is_full, entries })) => {
+                    let body = listing(stage, proxy, version, is_full, &entries).to_string();
                     answer(200, "Content-Type: application/json\r\n", body.as_bytes())
                 }
                 Ok(None) | Err(_) => answer(503, "", b""),
             },
             stirs = wire.stirs() => {
                 stage.calls.borrow_mut().remove(&(proxy, number));
-                stage.input(Input::Forget { proxy, number });
+                stage.input(Input::DiscoveryCallAbandoned { proxy, number });
                 if stirs {
                     stage.fault(proxy, "a second call to discovery on a connection with one under way");
                 }
--- a/crates/emulator/src/folders.rs
+++ b/crates/emulator/src/folders.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mosshead_snapshot::snapshot;
-use mosshead_world::scenario::Folder;
+use mosshead_world::scenario::StoredStateCondition;
 
 /// The file that a program keeps there, and the one that it writes first.
 const FILE: &str = snapshot::SNAPSHOT_FILE;
@@ -36,34 +36,42 @@
 }
 
 /// Makes a program's folder what the scenario says it finds.
-pub(crate) fn prepare(folder: &Path, proxy: usize, proxies: usize, finds: Folder) -> io::Result<()> {
+pub(crate) fn prepare(
+    folder: &Path,
+    proxy: usize,
+    proxies: usize,
+    finds: StoredStateCondition,
+) -> io::Result<()> {
     let own = of(folder, proxy);
     fs::create_dir_all(&own)?;
     let file = own.join(FILE);
     let bytes = fs::read(&file).unwrap_or_default();
     match finds {
-        Folder::Kept => {}
-        Folder::Lost => {
+        StoredStateCondition::Kept => {}
+        StoredStateCondition::Empty => {
             fs::remove_dir_all(&own)?;
             fs::create_dir_all(&own)?;
         }
-        Folder::Cut => fs::write(&file, &bytes[..bytes.len() / 2])?,
-        Folder::Flipped => {
+        StoredStateCondition::Truncated => fs::write(&file, &bytes[..bytes.len() / 2])?,
+        StoredStateCondition::BitFlipped => {
             let mut bytes = bytes;
             let middle = bytes.len() / 2;
             bytes.get_mut(middle).into_iter().for_each(|byte| *byte ^= 1);
             fs::write(&file, bytes)?;
         }
-        Folder::Older => _ = fs::copy(early(folder, proxy), &file)?,
-        Folder::Foreign => _ = fs::copy(of(folder, (proxy + 1) % proxies).join(FILE), &file)?,
-        Folder::Future => {
+        StoredStateCondition::Outdated => _ = fs::copy(early(folder, proxy), &file)?,
+        StoredStateCondition::OfAnotherProxy => {
+            _ = fs::copy(of(folder, (proxy + 1) % proxies).join(FILE), &file)?;
+        }
+        StoredStateCondition::FromTheFuture => {
             let mut kept = snapshot::decode(&bytes).map_err(|fault| io::Error::other(fault.to_string()))?;
             kept.written_at = kept.written_at + CLOCK_STEP;
             fs::write(&file, snapshot::encode(&kept))?;
         }
-        Folder::Full | Folder::Stuck if own.join(FRESH).symlink_metadata().is_ok() => {}
-        Folder::Full => std::os::unix::fs::symlink("/dev/full", own.join(FRESH))?,
-        Folder::Stuck => fs::create_dir(own.join(FRESH))?,
+        StoredStateCondition::DiskFull | StoredStateCondition::Unwritable
+            if own.join(FRESH).symlink_metadata().is_ok() => {}
+        StoredStateCondition::DiskFull => std::os::unix::fs::symlink("/dev/full", own.join(FRESH))?,
+        StoredStateCondition::Unwritable => fs::create_dir(own.join(FRESH))?,
     }
     Ok(())
 }
--- a/crates/emulator/src/programs.rs
+++ b/crates/emulator/src/programs.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use mosshead_simulate::platform;
+use mosshead_simulate::proxy_settings;
 use mosshead_world::{Input, Time, World};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde::Serialize;
@@ -29,7 +29,7 @@
 /// Programs are ready within this, or the day cannot be played.
 const READY: Duration = Duration::from_secs(10);
 /// A stop is over this long after the longest deadline.
-const STOP_SLACK: Time = Time::ms(700);
+const STOP_SLACK: Time = Time::from_millis(700);
 
 /// Memory and descriptors of the programs in one quarter of the day: the most that any of them held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -74,7 +74,7 @@
 impl Programs {
     pub(crate) fn new(count: usize, lane: Lane, options: &Options, folder: PathBuf, world: &World) -> Self {
         let length = world.length();
-        let (behind, ahead) = (world.scenario().proxy.behind, world.scenario().proxy.ahead);
+        let (behind, ahead) = (world.scenario().proxy.clock_behind, world.scenario().proxy.clock_ahead);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let program = |proxy| Program {
             place: SocketAddr::new(lane.host(proxy, 253).into(), 0),
@@ -151,7 +151,7 @@
 
 /// Writes the configuration of a proxy, whole or not at all.
 fn configure(stage: &Stage, proxy: usize) -> std::io::Result<()> {
-    let (version, lines) = stage.world(|world| world.saved(proxy));
+    let saved = stage.world(|world| world.saved_list(proxy));
     let (place, door, discovery, life) = {
         let program = &stage.programs.all.borrow()[proxy];
         (program.place, program.door, program.discovery, program.life)
@@ -163,9 +163,9 @@
         "listen": place.to_string(),
         "discovery": discovery.map(|place| place.to_string()),
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": scenario.memory_mb, "sockets": scenario.sockets},
-        "known": listing(stage, proxy, version, true, &lines),
-        "settings": stage.world(|world| platform::settings(world, proxy)),
+        "limits": {"cores": 1.0, "memory_mb": scenario.memory_mb, "sockets": scenario.max_descriptors},
+        "known": listing(stage, proxy, saved.version, true, &saved.entries),
+        "settings": stage.world(|world| proxy_settings::to_json(world, proxy)),
     });
     if let Some(door) = door {
         config["ops"] = door.to_string().into();
@@ -178,10 +178,10 @@
 
 /// Grants a program its folder for stored state, where the scenario has one: the operators' file that says so.
 fn grant(stage: &Stage, proxy: usize) -> std::io::Result<Option<PathBuf>> {
-    let Some(finds) = stage.world(|world| world.folder(proxy)) else { return Ok(None) };
+    let Some(finds) = stage.world(|world| world.stored_state_condition(proxy)) else { return Ok(None) };
     let folder = &stage.programs.folder;
     folders::prepare(folder, proxy, stage.programs.count(), finds)?;
-    stage.between.process(proxy, Process::Finds(finds.name()));
+    stage.between.process(proxy, Process::Finds(finds.scenario_name()));
     let path = folder.join(format!("n{proxy}.operators.json"));
     let own = folders::of(folder, proxy);
     fs::write(&path, json!({"state": {"folder": own.to_string_lossy()}}).to_string())?;
@@ -196,7 +196,7 @@
             // Found free a moment ago, on an address that nobody else binds.
             program.place = std::net::TcpListener::bind(program.place)?.local_addr()?;
         }
-        if program.door.is_none() && stage.world(|world| world.scenario().proxy.door) {
+        if program.door.is_none() && stage.world(|world| world.scenario().proxy.has_admin_endpoint) {
             let free = SocketAddr::new(program.place.ip(), 0);
             program.door = Some(std::net::TcpListener::bind(free)?.local_addr()?);
         }
@@ -227,7 +227,7 @@
         .envs(operators.map(|file| ("MOSSHEAD_OPERATORS", file)));
     let child = command.spawn()?;
     let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
-    let sockets = stage.world(|world| world.scenario().proxy.sockets);
+    let sockets = stage.world(|world| world.scenario().proxy.max_descriptors);
     let limit = Rlimit { current: Some(sockets), maximum: Some(sockets) };
     if prlimit(pid, Resource::Nofile, limit).is_err() {
         stage.fault(proxy, "it ended as it started");
@@ -300,7 +300,7 @@
     if stage.programs.over.get() {
         return;
     }
-    stage.input(Input::Down { proxy });
+    stage.input(Input::ProxyStopped { proxy });
 }
 
 /// SIGSTOP: it stands still and does not know it.
@@ -326,7 +326,7 @@
 pub(crate) fn kill(stage: &Rc<Stage>, proxy: usize) {
     stage.programs.all.borrow_mut()[proxy].watched.ordered = true;
     // The world is told first: what clients see of it is the day's doing.
-    stage.input(Input::Down { proxy });
+    stage.input(Input::ProxyStopped { proxy });
     stage.programs.signal(proxy, Signal::KILL);
     stage.between.process(proxy, Process::Signalled("SIGKILL"));
 }
@@ -343,7 +343,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         match start(&stage, proxy).await {
-            Ok(()) => stage.input(Input::Up { proxy }),
+            Ok(()) => stage.input(Input::ProxyStarted { proxy }),
             Err(_) => stage.fault(proxy, "it did not get ready after a restart"),
         }
     });
@@ -361,7 +361,7 @@
     let limit = stage.world(|world| world.scenario().proxy.memory_mb as f64);
     let mut over: Vec<Pid> = Vec::new();
     loop {
-        if stage.world(|world| world.scenario().proxy.folder) {
+        if stage.world(|world| world.scenario().proxy.has_state_folder) {
             folders::remember(&stage.programs.folder, stage.programs.count());
         }
         let quarter = (4 * stage.now().0 / stage.programs.length.0.max(1)).min(3) as usize;
@@ -392,7 +392,7 @@
 pub(crate) async fn finish(stage: &Rc<Stage>) {
     let count = stage.programs.all.borrow().len();
     stage.programs.over.set(true);
-    let deadlines = stage.world(|world| world.scenario().class.iter().map(|class| class.deadline).max());
+    let deadlines = stage.world(|world| world.scenario().classes.iter().map(|class| class.deadline).max());
     let within = Duration::from_micros((deadlines.unwrap_or_default() + STOP_SLACK).0);
     for proxy in 0..count {
         // One that stands still would not hear of its end.
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-use mosshead_world::facts::Verdict;
-use mosshead_world::scenario::Way;
-use mosshead_world::server::Report;
-use mosshead_world::{Conn, Input, Opening};
+use mosshead_world::events::AttemptOutcome;
+use mosshead_world::scenario::LinkKind;
+use mosshead_world::server::LoadReport;
+use mosshead_world::{ConnectionId, Handshake, Input};
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -73,17 +73,18 @@
 
 /// Opens and shuts doors as the world has it now.
 pub(crate) fn follow(stage: &Rc<Stage>) {
-    let (topology, addresses) = stage.world(|world| (world.topology(), world.addresses()));
+    let (topology, addresses) = stage.world(|world| (world.topology_version(), world.address_count()));
     if stage.servers.seen.replace(topology) == topology {
         return;
     }
     stage.reach.send_modify(|changes| *changes += 1);
     for address in 0..addresses {
-        let who = stage.world(|world| world.at_address(address));
+        let who = stage.world(|world| world.listener_at(address));
         for proxy in 0..stage.servers.proxies {
             let who = who.map(|(server, cut)| {
-                let reached =
-                    stage.world(|world| world.comes_up(proxy, Way::Nodes, Some(world.traits(server).zone)));
+                let reached = stage.world(|world| {
+                    world.link_connects(proxy, LinkKind::Server, Some(world.server_traits(server).zone))
+                });
                 (server, cut || !reached)
             });
             let mut doors = stage.servers.doors.borrow_mut();
@@ -146,10 +147,10 @@
 }
 
 async fn accepted(stage: Rc<Stage>, proxy: usize, address: u32, stream: TcpStream) {
-    let server = stage.world(|world| world.at_address(address).map(|(server, _)| server));
-    let zone = server.map(|server| stage.world(|world| world.traits(server).zone));
+    let server = stage.world(|world| world.listener_at(address).map(|(server, _)| server));
+    let zone = server.map(|server| stage.world(|world| world.server_traits(server).zone));
     let address_there = stage.servers.place(proxy, address);
-    let place = Place { way: Way::Nodes, proxy, server, zone, address: address_there };
+    let place = Place { way: LinkKind::Server, proxy, server, zone, address: address_there };
     if let Ok(stream) = stage.between.through(place, stream).await {
         connection(stage, proxy, address, stream).await;
     }
@@ -181,10 +182,15 @@
 }
 
 async fn connection(stage: Rc<Stage>, proxy: usize, address: u32, stream: TcpStream) {
-    let conn = Conn(stage.number());
+    let conn = ConnectionId(stage.number());
     let (tell, mut told) = unbounded_channel();
     stage.conns.borrow_mut().insert(conn, tell);
-    stage.input(Input::Open { conn, proxy, address, how: Opening::Accepted });
+    stage.input(Input::ConnectionOpened {
+        connection: conn,
+        proxy,
+        address,
+        handshake: Handshake::DoneByKernel,
+    });
     let mut wire = Wire::new(stream);
     let by_us = speak(&stage, proxy, conn, &mut wire, &mut told).await;
     stage.conns.borrow_mut().remove(&conn);
@@ -192,7 +198,7 @@
         // A process that dies resets its connections.
         let _ = SockRef::from(&wire.stream).set_linger(Some(Duration::ZERO));
     } else {
-        stage.input(Input::Close { conn });
+        stage.input(Input::ConnectionClosed { connection: conn });
     }
 }
 
@@ -200,7 +206,7 @@
 async fn speak(
     stage: &Rc<Stage>,
     proxy: usize,
-    conn: Conn,
+    conn: ConnectionId,
     wire: &mut Wire,
     told: &mut UnboundedReceiver<Say>,
 ) -> bool {
@@ -217,7 +223,7 @@
             },
         };
         let reply = match take(stage, proxy, conn, &message) {
-            Taken::Probe | Taken::Job => tokio::select! {
+            Taken::Probe | Taken::Request => tokio::select! {
                 biased;
                 say = told.recv() => match say {
                     Some(Say::Reset) | None => return true,
@@ -249,16 +255,16 @@
 
 enum Taken {
     Probe,
-    Job,
+    Request,
     No(u16),
 }
 
-fn take(stage: &Rc<Stage>, proxy: usize, conn: Conn, message: &Message) -> Taken {
+fn take(stage: &Rc<Stage>, proxy: usize, conn: ConnectionId, message: &Message) -> Taken {
     if matches!(message.target.as_str(), "/ping" | "/_load") {
-        if !stage.world(|world| world.scenario().proxy.probes) {
+        if !stage.world(|world| world.scenario().proxy.allows_probes) {
             return Taken::No(404);
         }
-        stage.input(Input::Probe { conn, number: conn.0 });
+        stage.input(Input::ProbeSent { connection: conn, number: conn.0 });
         return Taken::Probe;
     }
     let Some(id) = message.header("x-correlation-id") else { return Taken::No(404) };
@@ -266,23 +272,23 @@
         stage.fault(proxy, "a request whose id no client sent");
         return Taken::No(400);
     };
-    stage.input(Input::Begin { conn, job });
-    stage.input(Input::Request { conn, job, intact });
-    Taken::Job
+    stage.input(Input::AttemptStarted { connection: conn, request: job });
+    stage.input(Input::AttemptWritten { connection: conn, request: job, is_intact: intact });
+    Taken::Request
 }
 
-fn load(report: &Report) -> String {
-    let Report { qps, in_flight, queue, util, .. } = report;
+fn load(report: &LoadReport) -> String {
+    let LoadReport { requests_per_second: qps, in_flight, queued: queue, utilization: util, .. } = report;
     format!("qps={qps:.1},inflight={in_flight:.0},queue={queue:.0},util={util:.3}")
 }
 
-fn encode(verdict: Verdict, report: &Report, body: &[u8], conn: Conn) -> Vec<u8> {
+fn encode(verdict: AttemptOutcome, report: &LoadReport, body: &[u8], conn: ConnectionId) -> Vec<u8> {
     let load = format!("X-Backend-Load: {}\r\n", load(report));
     match verdict {
-        Verdict::Served => answer(200, &load, body),
-        Verdict::Errored | Verdict::Reset => answer(500, &load, b""),
-        Verdict::TurnedAway => answer(503, &format!("{load}X-Unprocessed: 1\r\n"), b""),
-        Verdict::Spoilt => match conn.0 % 5 {
+        AttemptOutcome::Served => answer(200, &load, body),
+        AttemptOutcome::Errored | AttemptOutcome::Reset => answer(500, &load, b""),
+        AttemptOutcome::Rejected => answer(503, &format!("{load}X-Unprocessed: 1\r\n"), b""),
+        AttemptOutcome::Corrupted => match conn.0 % 5 {
             0 => b"\x16\x03\x01 this is no answer\r\n\r\n".to_vec(),
             1 => [b"HTTP/1.1 200 X\r\nContent-Length: 5\r\nContent-Length: 9\r\n\r\n", body].concat(),
             2 => b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nmuch".to_vec(),
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -8,12 +8,11 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use mosshead_simulate::Day;
-use mosshead_simulate::day::Judge;
-use mosshead_world::facts::{Fact, Verdict, What};
+use mosshead_simulate::{Day, DayRecorder};
+use mosshead_world::events::{AttemptOutcome, Event, EventKind};
 use mosshead_world::scenario::Scenario;
-use mosshead_world::server::Report;
-use mosshead_world::{Conn, Input, JobNo, Listed, Output, Time, World};
+use mosshead_world::server::LoadReport;
+use mosshead_world::{ConnectionId, Input, ListResponse, Output, RequestId, Time, World};
 use serde::Serialize;
 use thiserror::Error;
 use tokio::sync::mpsc::UnboundedSender;
@@ -30,7 +29,7 @@
 /// The day is void where one event in a hundred came later than this, unless the options say otherwise.
 const LATE_LIMIT: Duration = Duration::from_millis(10);
 /// So long after its last answer a day is over in any case.
-const LINGER: Time = Time::ms(30_000);
+const LINGER: Time = Time::from_millis(30_000);
 
 /// What is to be played, and how.
 #[derive(Clone, Debug)]
@@ -116,20 +115,23 @@
 /// What a server's connection is told to do.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Say {
-    Answer(JobNo, Verdict, Report),
-    Probed(Report),
+    Answer(RequestId, AttemptOutcome, LoadReport),
+    Probed(LoadReport),
     Reset,
 }
 
+/// Who waits for the response to a call to discovery, by proxy and number.
+type DiscoveryCalls = HashMap<(usize, u64), oneshot::Sender<Option<ListResponse>>>;
+
 /// Everything that the tasks share.
 pub(crate) struct Stage {
     world: RefCell<World>,
-    judge: RefCell<Judge>,
+    judge: RefCell<DayRecorder>,
     began: Cell<Option<Instant>>,
     pub(crate) clock: Clock,
     late: RefCell<Histogram<u64>>,
-    pub(crate) conns: RefCell<HashMap<Conn, UnboundedSender<Say>>>,
-    pub(crate) calls: RefCell<HashMap<(usize, u64), oneshot::Sender<Listed>>>,
+    pub(crate) conns: RefCell<HashMap<ConnectionId, UnboundedSender<Say>>>,
+    pub(crate) calls: RefCell<DiscoveryCalls>,
     pub(crate) clients: Clients,
     pub(crate) servers: Servers,
     pub(crate) programs: Programs,
@@ -159,15 +161,15 @@
 
     /// Something was missing that a proxy owes.
     pub(crate) fn fault(&self, proxy: usize, what: &'static str) {
-        let fact = Fact { at: self.now(), what: What::Fault { proxy, what } };
-        self.judge.borrow_mut().fact(&fact);
+        let fact = Event { at: self.now(), kind: EventKind::ProxyMisbehaved { proxy, description: what } };
+        self.judge.borrow_mut().record_event(&fact);
     }
 
     /// Tells the world what the proxies' side did just now.
     pub(crate) fn input(self: &Rc<Self>, input: Input) {
         self.step();
-        self.world.borrow_mut().input(self.now(), input);
-        self.judge.borrow_mut().facts(&mut self.world.borrow_mut());
+        self.world.borrow_mut().handle_input(self.now(), input);
+        self.judge.borrow_mut().record_new_events(&mut self.world.borrow_mut());
         self.clock.ring();
     }
 
@@ -176,7 +178,7 @@
         let now = self.now();
         let mut out = Vec::new();
         loop {
-            let due = self.world.borrow().next().filter(|due| *due <= now);
+            let due = self.world.borrow().next_event_at().filter(|due| *due <= now);
             let Some(due) = due else { break };
             let late = (self.now() - due).0.clamp(1, 60_000_000);
             // Once the day is over nobody keeps the clock; the bounds of the histogram hold every value.
@@ -185,7 +187,7 @@
             }
             let mut world = self.world.borrow_mut();
             world.advance(due, &mut out);
-            self.judge.borrow_mut().facts(&mut world);
+            self.judge.borrow_mut().record_new_events(&mut world);
         }
         for output in out {
             self.output(output);
@@ -195,33 +197,33 @@
 
     fn output(self: &Rc<Self>, output: Output) {
         match output {
-            Output::Job(job) => clients::send(self, job),
-            Output::Withdrawn { job, .. } => self.clients.leave(job),
-            Output::Reset(conn) => self.say(conn, Say::Reset),
-            Output::Answered { conn, job, verdict, report } => {
+            Output::RequestSent(job) => clients::send(self, job),
+            Output::RequestWithdrawn { request: job, .. } => self.clients.leave(job),
+            Output::ConnectionReset(conn) => self.say(conn, Say::Reset),
+            Output::AttemptAnswered { connection: conn, request: job, outcome: verdict, report } => {
                 self.say(conn, Say::Answer(job, verdict, report));
             }
-            Output::Probed { conn, report, .. } => self.say(conn, Say::Probed(report)),
-            Output::Listed(call, listed) => {
+            Output::ProbeAnswered { connection: conn, report, .. } => self.say(conn, Say::Probed(report)),
+            Output::DiscoveryResponded(call, listed) => {
                 if let Some(waits) = self.calls.borrow_mut().remove(&(call.proxy, call.number)) {
                     // A caller that has left is told nothing.
                     let _ = waits.send(listed);
                 }
             }
-            Output::Stop(proxy) => programs::stop(self, proxy),
-            Output::Kill(proxy) => programs::kill(self, proxy),
-            Output::Start(proxy) => programs::restart(self, proxy),
-            Output::Move(proxy) => discovery::move_on(self, proxy),
-            Output::Rude(proxy, how) => clients::rude(self, proxy, how),
-            Output::Pause(proxy) => programs::pause(self, proxy),
-            Output::Resume(proxy) => programs::resume(self, proxy),
-            Output::Ways(ways, on) => self.between.ways(&ways, on),
+            Output::StopProxy(proxy) => programs::stop(self, proxy),
+            Output::KillProxy(proxy) => programs::kill(self, proxy),
+            Output::StartProxy(proxy) => programs::restart(self, proxy),
+            Output::MoveDiscovery(proxy) => discovery::move_on(self, proxy),
+            Output::ClientMisbehaves { proxy, choice } => clients::rude(self, proxy, choice),
+            Output::PauseProxy(proxy) => programs::pause(self, proxy),
+            Output::ResumeProxy(proxy) => programs::resume(self, proxy),
+            Output::LinkFaultChanged { fault, is_active } => self.between.ways(&fault, is_active),
             // A kernel brings connections up and refuses them.
-            Output::Opened(_) | Output::Refused(_) => {}
+            Output::ConnectionEstablished(_) | Output::ConnectionRefused(_) => {}
         }
     }
 
-    fn say(&self, conn: Conn, say: Say) {
+    fn say(&self, conn: ConnectionId, say: Say) {
         if let Some(task) = self.conns.borrow().get(&conn) {
             let _ = task.send(say);
         }
@@ -233,7 +235,7 @@
             self.step();
             let (over, next, length) = {
                 let world = self.world.borrow();
-                (world.over(), world.next(), world.length())
+                (world.is_over(), world.next_event_at(), world.length())
             };
             if over || self.now() > length + LINGER {
                 return;
@@ -279,14 +281,14 @@
     let tasks = LocalSet::new();
     let played = tasks.block_on(&runtime, async {
         let world = World::new(scenario, options.seed);
-        let (count, length) = (world.proxies(), world.length());
+        let (count, length) = (world.proxy_count(), world.length());
         let folder = tempfile::tempdir().map_err(machine("a folder for configurations"))?;
         let lane = Lane::next();
         let programs = Programs::new(count, lane, options, folder.path().to_owned(), &world);
         let late = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other);
         let listener = between.clone();
         let stage = Rc::new(Stage {
-            judge: RefCell::new(Judge::new(scenario, Some(Box::new(move |fact| listener.fact(fact))))),
+            judge: RefCell::new(DayRecorder::new(scenario, Some(Box::new(move |fact| listener.fact(fact))))),
             world: RefCell::new(world),
             began: Cell::new(None),
             clock: Clock::start().map_err(machine("a thread for the clock"))?,
@@ -313,10 +315,10 @@
         stage.began.set(Some(began));
         between.begin(began);
         for proxy in 0..count {
-            stage.input(Input::Up { proxy });
+            stage.input(Input::ProxyStarted { proxy });
         }
         spawn_local(programs::measure(stage.clone()));
-        if scenario.proxy.door {
+        if scenario.proxy.has_admin_endpoint {
             spawn_local(callers::ask_all(stage.clone()));
         }
         let watched = stage.clone();
@@ -342,10 +344,10 @@
         p99_ms: ms(late.value_at_quantile(0.99)),
         most_ms: ms(late.max()),
     };
-    let judge = stage.judge.replace(Judge::new(scenario, None));
+    let judge = stage.judge.replace(DayRecorder::new(scenario, None));
     let world = stage.world.borrow();
     let name = options.command.join(" ");
-    let day = judge.close(&world, name, options.seed, world.events());
+    let day = judge.into_day(&world, name, options.seed, world.processed_event_count());
     let void = lateness.p99_ms > options.late_limit.as_secs_f64() * 1000.0;
     Played { day, lateness, void, usage: stage.programs.usage() }
 }
--- a/crates/routes/src/ledger.rs
+++ b/crates/routes/src/ledger.rs
@@ -4,7 +4,7 @@
 use mosshead_units::Time;
 
 /// First tries count for so long.
-const LIFE: Time = Time::ms(10_000);
+const LIFE: Time = Time::from_millis(10_000);
 /// So many retries are granted in any case: a budget of a trickle would round to none.
 const LEAST: f64 = 3.0;
 
--- a/crates/simulate/src/lib.rs
+++ b/crates/simulate/src/lib.rs
@@ -1,12 +1,12 @@
-//! The virtual-time host: any number of balancers over the [`mosshead_world::World`], their mail as the
-//! interface has it, and beside ours the policies that users know.
+//! Days in virtual time: any number of simulated proxies over the [`mosshead_world::World`], each with a policy that takes
+//! the events of `mosshead_decide` and returns its actions, and well-known policies to compare ours with.
 //!
 //! A day depends on its scenario, its seed and the policy alone: not on threads, processes, or the machine.
 
-pub mod brains;
-pub mod day;
+mod day;
 mod host;
-pub mod platform;
 pub mod policies;
+pub mod policy_host;
+pub mod proxy_settings;
 
-pub use day::{Day, DayError, Listener, play};
+pub use day::{Day, DayError, DayRecorder, EventListener, play_day};
--- a/crates/site/src/read.rs
+++ b/crates/site/src/read.rs
@@ -5,7 +5,7 @@
 
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use miette::{NamedSource, SourceSpan};
-use mosshead_units::{Part, Quantity};
+use mosshead_units::{Fraction, Quantity};
 
 use crate::fault::{Fault, Faults};
 use crate::files::{Files, beside};
@@ -253,11 +253,11 @@
             KdlValue::Integer(_) | KdlValue::Float(_) => shown(entry.value()),
             _ => self.text(file, entry)?,
         };
-        match T::read(&text) {
+        match T::parse(&text) {
             Ok(value) => Some(value),
-            Err(message) => {
+            Err(error) => {
                 let help = format!("write the figure with its unit, in quotes, in place of `{text}`");
-                self.fault(file, entry.span(), message, &help);
+                self.fault(file, entry.span(), error.to_string(), &help);
                 None
             }
         }
@@ -444,7 +444,7 @@
     }
 
     fn part(&mut self, file: usize, node: &KdlNode) -> Option<f64> {
-        let part: Part = self.quantity(file, node, "a share, as in `\"30%\"`")?;
+        let part: Fraction = self.quantity(file, node, "a share, as in `\"30%\"`")?;
         if part.0 > 1.0 {
             let message = format!("`{}` is above the whole", node.name().value());
             self.fault(file, node.span(), message, "write a share from `0%` to `100%`");
@@ -589,7 +589,7 @@
                     let name = self.text(file, entry)?;
                     pool = Some(self.named(file, entry.span(), "pool", &name, pools)?);
                 }
-                Some("share") if part.is_none() => part = Some(self.quantity_of::<Part>(file, entry)?.0),
+                Some("share") if part.is_none() => part = Some(self.quantity_of::<Fraction>(file, entry)?.0),
                 _ => {
                     let help = "write `to \"POOL\"` or `to \"POOL\" share=\"20%\"`";
                     self.fault(file, entry.span(), "`to` takes a pool and its share", help);
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -1,26 +1,27 @@
-//! Instants and spans of the model: whole microseconds, so that sums do not depend on their order.
+//! Instants and spans of the model, in whole microseconds, so that a sum does not depend on the order of its terms.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 
-/// An instant or a span, in microseconds. Spans never go below zero: subtraction stops there.
+/// An instant since the start of a day, or a span, in microseconds. Sums stop at [`Time::NEVER`] and differences at
+/// [`Time::ZERO`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The start of a day, or no time at all.
+    /// The start of a day, or an empty span.
     pub const ZERO: Time = Time(0);
-    /// Later than anything that happens.
+    /// Later than all that happens.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// So many milliseconds.
-    pub const fn ms(ms: u64) -> Self {
-        Time(ms * 1000)
+    /// A number of milliseconds.
+    pub const fn from_millis(millis: u64) -> Self {
+        Time(millis * 1000)
     }
 
-    /// So many seconds, to the nearest microsecond; what is negative or no number counts as none.
-    pub fn seconds(seconds: f64) -> Self {
-        // `as` saturates: an endless span becomes the longest.
+    /// A number of seconds, to the nearest microsecond. What is negative or not a number becomes zero.
+    pub fn from_seconds(seconds: f64) -> Self {
+        // `as` saturates: an infinite span becomes the longest.
         Time((seconds.max(0.0) * 1e6).round() as u64)
     }
 
@@ -29,14 +30,14 @@
         self.0 as f64 / 1e6
     }
 
-    /// Whole steps of `step` are kept: the first that is not before this instant.
-    pub fn up_to(self, step: Time) -> Self {
+    /// The first multiple of `step` that is not before this instant.
+    pub fn round_up_to(self, step: Time) -> Self {
         Time(self.0.div_ceil(step.0.max(1)) * step.0.max(1))
     }
 
-    /// This span, so many times.
-    pub fn times(self, factor: f64) -> Self {
-        Time::seconds(self.as_seconds() * factor)
+    /// This span times a factor, to the nearest microsecond.
+    pub fn scaled_by(self, factor: f64) -> Self {
+        Time::from_seconds(self.as_seconds() * factor)
     }
 }
 
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,26 +1,29 @@
-//! The platform as a pure model: booking servers, discovery, the network, clients, troubles, and the referee.
+//! The platform as a pure model: booking servers, discovery, the network, clients, injected faults, and the referee.
 //!
-//! No sockets, no clock, no threads. A host hands over instants and what the proxies do; it is told what
-//! reaches them. Every draw comes from the seed, so the same calls lead to the same day to the byte.
+//! It has no sockets, clock or threads. A host passes in instants and the actions of the proxies, and takes out what reaches
+//! them. Every random number comes from the seed, so the same calls lead to the same day, to the byte.
 //!
-//! - [`scenario`] reads a day's description; [`World`] plays it; [`server`] and [`discovery`] are its parts.
-//! - [`facts`] is the record of what crossed the wire; [`referee`] judges by it alone; [`ledger`] counts worth.
+//! - [`scenario`] and [`fault`] describe a day; [`World`] plays it; [`server`], [`discovery`] and [`arrivals`] are its parts.
+//! - [`events`] is the record of what crossed the wire; [`referee`] checks the rules by it alone; [`scorecard`] counts the value
+//!   of what was served.
+//! - [`random`] and [`event_queue`] make a day a function of its seed.
 
-pub mod clients;
+pub mod arrivals;
 pub mod discovery;
-pub mod draws;
-pub mod facts;
-pub mod ledger;
-pub mod queue;
+pub mod event_queue;
+pub mod events;
+pub mod fault;
+pub mod random;
 pub mod referee;
 pub mod scenario;
+pub mod scorecard;
 pub mod server;
-pub mod trouble;
 mod world;
 
-/// Figures with their units.
+/// Quantities with their units.
 pub use mosshead_units as units;
 pub use mosshead_units::Time;
 pub use world::{
-    Change, Conn, Input, Job, JobNo, Listed, Opening, Output, ServerNo, Shown, State, True, Ways, World,
+    ConnectionId, Handshake, Input, LinkChange, LinkFault, ListEntry, ListResponse, Output, Request,
+    RequestId, ServerId, ServerSnapshot, ServerState, World,
 };
