--- a/crates/simulate/src/lib.rs
+++ b/crates/simulate/src/lib.rs
@@ -4,9 +4,9 @@
 //! A day depends on its scenario, its seed and the policy alone: not on threads, processes, or the machine.
 
 mod day;
-mod host;
 pub mod policies;
 pub mod policy_host;
 pub mod proxy_settings;
+mod simulation;
 
 pub use day::{Day, DayError, DayRecorder, EventListener, play_day};
