--- a/crates/decide/src/interface/actions.rs
+++ b/crates/decide/src/interface/actions.rs
@@ -1,12 +1,12 @@
-//! What the balancer has its host do.
+//! Actions that the balancer asks its host to carry out.
 
 use super::ids::{AttemptNumber, EndpointId, RequestId, Seconds, TimerToken};
 
-/// Something that the host has to do.
+/// A request from the balancer to its host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Action {
-    /// Send an attempt: the first one, a retry or a hedged one.
+    /// Send an attempt: the first one, a retry or a hedge.
     Send {
         /// The request.
         request: RequestId,
@@ -15,14 +15,14 @@
         /// When the attempt times out.
         deadline: Seconds,
     },
-    /// Final answer: rejected, and a retry does no harm.
+    /// Final answer: the request is rejected, and the client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client ought to wait before it retries, in seconds.
+        /// How long the client should wait before it retries, in seconds.
         retry_after: Seconds,
     },
-    /// Final answer: failed, and it may have taken effect.
+    /// Final answer: the request has failed, and it may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
@@ -44,13 +44,13 @@
         /// The server.
         endpoint: EndpointId,
     },
-    /// Ask for a subscription to the list of servers.
+    /// Subscribe to the list of servers.
     WatchList,
-    /// Ask for one [`Event::TimerFired`](super::Event::TimerFired).
+    /// Deliver one [`Event::TimerFired`](super::Event::TimerFired) after a delay.
     SetTimer {
-        /// How far from now.
+        /// The time from now, in seconds.
         delay: Seconds,
-        /// Given back by the event.
+        /// Returned with the event.
         token: TimerToken,
     },
 }
--- a/crates/decide/src/interface/endpoint_list.rs
+++ b/crates/decide/src/interface/endpoint_list.rs
@@ -1,14 +1,14 @@
-//! The list of servers, as membership gives it to the balancer.
+//! The list of servers that the balancer receives from service discovery.
 
 use super::ids::{EndpointId, GroupId, MachineKindId, Seconds, ZoneId};
 
-/// The state of a server by the list.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Readiness {
-    /// Its process runs; this says nothing of its health.
+    /// Its process is running; it may still be unhealthy.
     Ready,
-    /// It finishes its work: nothing new may be sent.
+    /// It is finishing its current requests: no new ones may be sent to it.
     Draining,
     /// It has been removed.
     Removed,
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ListEntry {
-    /// Which server.
+    /// The server.
     pub endpoint: EndpointId,
     /// Its state.
     pub readiness: Readiness,
@@ -26,11 +26,11 @@
     pub zone: ZoneId,
     /// Its kind of machine.
     pub kind: MachineKindId,
-    /// The group whose members discard the repeats of keyed requests together.
+    /// Its deduplication group: members discard repeats of keyed requests that any of them has seen.
     pub group: GroupId,
     /// See [`Settings::weights`](super::Settings::weights).
     pub weight: f64,
-    /// When its process last started; `None` means long ago.
+    /// When its process last started; `None` if that was long ago.
     pub started_at: Option<Seconds>,
 }
 
@@ -38,12 +38,12 @@
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ListUpdate {
-    /// Only the entries that changed.
+    /// The entries that changed; all others stay as they are.
     Changes(Vec<ListEntry>),
-    /// The full list: a server that is not on it is removed.
+    /// The full list: servers that are missing from it are removed.
     Full(Vec<ListEntry>),
-    /// The full list as it was known before a restart; it may be old.
+    /// The full list saved before a restart of the proxy; it may be out of date.
     Saved(Vec<ListEntry>),
-    /// A call for the list failed, or the subscription ended; the old list still holds.
+    /// A call for the list failed, or the subscription ended; the last list stays in use.
     Failed,
 }
--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -1,13 +1,13 @@
-//! What the host reports to the balancer.
+//! Events that the host reports to the balancer.
 
 use super::endpoint_list::ListUpdate;
 use super::ids::{AttemptNumber, ClassId, EndpointId, RequestId, Seconds, TenantId, TimerToken};
 
-/// A server's own report of its load; `None` where a number was not reported.
+/// The load that a server reports of itself; `None` for a number that it did not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
-    /// Requests at the server, queued ones included.
+    /// Requests at the server, including queued ones.
     pub in_flight: Option<f64>,
     /// Queued requests.
     pub queued: Option<f64>,
@@ -17,13 +17,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Outcome {
-    /// It was served.
+    /// The server responded without an error.
     Served,
     /// The server responded with an error; it may have run.
     Errored,
-    /// The server rejected it; it never ran, unless [`Rules::may_reject_after_start`](super::Rules::may_reject_after_start) says that this proves nothing.
+    /// The server rejected it; it never ran, unless
+    /// [`Rules::may_reject_after_start`](super::Rules::may_reject_after_start) is set.
     Rejected,
-    /// No response came in time; it may have run.
+    /// No response arrived in time; it may have run.
     TimedOut,
     /// No connection could be made; it never ran.
     ConnectFailed,
@@ -41,32 +42,33 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// How long until the client gives up on this attempt of its own.
+    /// How long until the client gives up on this request, in seconds. A client's own retry is a new request.
     pub time_left: Seconds,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Its tenant; `None` if it has none.
     pub tenant: Option<TenantId>,
 }
 
-/// Something that has happened.
+/// Something that happened at the host.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
-    /// The list of servers has an update.
+    /// The list of servers was updated.
     ListUpdated(ListUpdate),
-    /// A client's request has arrived; the balancer owes it one final answer.
+    /// A client's request has arrived. The balancer gives it exactly one final answer, unless it is withdrawn.
     RequestReceived(Request),
-    /// A request whose body still arrives: it may be forwarded, and its time counts from [`Event::BodyReceived`].
+    /// A request's headers have arrived, but not yet all of its body. It may already be forwarded; its time limits
+    /// start at [`Event::BodyReceived`].
     HeadReceived(Request),
-    /// The last byte of such a request has arrived.
+    /// The last byte of such a request's body has arrived.
     BodyReceived {
         /// The request.
         request: RequestId,
-        /// How long until the client gives up on it.
+        /// How long until the client gives up on it, in seconds.
         time_left: Seconds,
     },
-    /// An attempt ended. There is exactly one of these for each send.
+    /// An attempt ended. Sent exactly once for each [`Action::Send`](super::Action::Send).
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -78,34 +80,34 @@
         outcome: Outcome,
         /// How long it was in flight, in seconds.
         rtt: Seconds,
-        /// The request has its final answer.
+        /// True if the request already has its final answer.
         settled: bool,
         /// The load report in the response.
         report: LoadReport,
     },
-    /// A streamed response has started: the attempt now belongs to the client.
+    /// A streamed response has started, so the request is committed to this attempt.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// A probe ended. There is exactly one of these for each probe.
+    /// A probe ended. Sent exactly once for each [`Action::Probe`](super::Action::Probe).
     ProbeEnded {
         /// The server.
         endpoint: EndpointId,
-        /// What the probe found.
+        /// How it ended.
         outcome: Outcome,
         /// How long it was in flight, in seconds.
         rtt: Seconds,
         /// The load report in the response.
         report: LoadReport,
     },
-    /// The client has gone; it is owed no answer any more.
+    /// The client has disconnected and needs no answer.
     RequestWithdrawn {
         /// The request.
         request: RequestId,
     },
-    /// A timer is due.
+    /// A timer has expired.
     TimerFired(TimerToken),
 }
--- a/crates/decide/src/interface/ids.rs
+++ b/crates/decide/src/interface/ids.rs
@@ -1,6 +1,6 @@
-//! Times, and the identifiers of everything that events and actions name.
+//! Time and identifier types used by events and actions.
 
-/// A span of time or an instant, in seconds.
+/// A duration or a point in time, in seconds.
 pub type Seconds = f64;
 
 macro_rules! ids {
@@ -12,21 +12,21 @@
 }
 
 ids! {
-    /// A client's request. Never reused: a client's own retry has a new one.
+    /// A client's request. Ids are never reused: a client's own retry has a new one.
     RequestId(u64),
-    /// A server, numbered from 0 by the host in the order in which it first appeared.
+    /// A server. The host numbers servers from 0 in the order in which they first appear.
     EndpointId(u32),
     /// A request class: its index in `Settings::classes`.
     ClassId(usize),
     /// A tenant: its index in `Settings::tenants`.
     TenantId(usize),
-    /// A zone: its number in the host's table of zones.
+    /// A zone: its index in the host's table of zones.
     ZoneId(usize),
-    /// A kind of machine: its number in the host's table, below `Settings::machine_kinds`.
+    /// A kind of machine: its index in the host's table, below `Settings::machine_kinds`.
     MachineKindId(usize),
-    /// A group of servers that discards repeats of a keyed request together.
+    /// A deduplication group: servers that discard repeats of a keyed request that any of them has seen.
     GroupId(u64),
-    /// The number of an attempt within its request: 0, 1, 2 and so on, in the order of the sends.
+    /// The index of an attempt within its request, from 0, in the order in which attempts are sent.
     AttemptNumber(u32),
     /// A timer that the balancer set.
     TimerToken(u64),
--- a/crates/decide/src/interface/mod.rs
+++ b/crates/decide/src/interface/mod.rs
@@ -1,7 +1,6 @@
-//! The interface between the balancer and its host: the settings it starts from, the events it receives and the actions it
-//! answers with.
+//! The interface between the balancer and its host: settings, events in and actions out.
 //!
-//! Nothing here decides anything. Instants are read on the host's own steady clock, which may start anywhere.
+//! These are plain data types. Times are read from the host's monotonic clock, whose zero is arbitrary.
 
 mod actions;
 mod endpoint_list;
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -1,48 +1,48 @@
-//! What a balancer starts with: the requests it decides about, and what its host allows.
+//! Settings of a balancer: request classes, costs, and what the host and the servers support.
 
 use super::endpoint_list::ListEntry;
 use super::events::Outcome;
 use super::ids::{ClassId, MachineKindId, Seconds, ZoneId};
 
-/// Which servers discard the repeats of a keyed request.
+/// The servers that discard repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those in the zone of the server that first may have run it.
+    /// The servers in the zone of the first server that may have run it.
     Zone,
-    /// Those in the group of the server that first may have run it.
+    /// The servers in the deduplication group of the first server that may have run it.
     Group,
 }
 
-/// What a second execution of a request would do.
+/// The effect of executing a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RepeatEffect {
-    /// None: the request may be repeated and rejected freely.
+    /// No further effect: the request may be repeated, and rejected after it may have run.
     Safe,
-    /// Discarded by the servers of `scope` for `window` after the first send that may have run.
+    /// Servers within `scope` discard repeats during `window`.
     Keyed {
-        /// Where repeats are discarded.
+        /// The servers that discard repeats.
         scope: DedupScope,
-        /// For how long, counted from the sending of the first attempt that may have run.
+        /// How long repeats are discarded, from the time at which the first attempt that may have run was sent.
         window: Seconds,
     },
-    /// A second effect, which is never allowed.
+    /// It would take effect again, so it must never be repeated.
     Unsafe,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The latency target: responses within it earn the full value.
+    /// Responses within this time earn the full value.
     pub latency_target: Seconds,
-    /// How long a client waits in total, over all of its attempts.
+    /// How long a client waits in total, over all of its own attempts.
     pub deadline: Seconds,
     /// The value of one request.
     pub value: f64,
-    /// The fraction of the value that a response after the latency target still earns.
+    /// The fraction of the value that a response after the latency target earns.
     pub late_value: f64,
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub repeat_effect: RepeatEffect,
     /// The only kinds of machine that may run this class; `None` for any.
     pub machine_kinds: Option<Vec<MachineKindId>>,
@@ -51,12 +51,12 @@
 }
 
 impl Class {
-    /// Whether only some servers may run it.
+    /// Returns true if only some servers may run this class.
     pub fn is_restricted(&self) -> bool {
         self.machine_kinds.is_some() || self.zones.is_some()
     }
 
-    /// Whether this server may run it.
+    /// Returns true if the server may run this class.
     pub fn permits(&self, entry: &ListEntry) -> bool {
         self.machine_kinds.as_ref().is_none_or(|kinds| kinds.contains(&entry.kind))
             && self.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
@@ -66,11 +66,11 @@
 /// A tenant's share of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its fraction of the service.
+    /// The fraction of all requests that it is entitled to.
     pub share: f64,
 }
 
-/// How load reports reach the balancer.
+/// How load reports arrive at the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
     /// In responses and probe results.
@@ -81,12 +81,12 @@
     None,
 }
 
-/// What the weights of list entries mean.
+/// The meaning of the weights in list entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// The registered size, exactly or roughly: loads are divided by it.
+    /// The registered size of the server, exact or approximate: its load is divided by it.
     Size,
-    /// Something else, or nothing: not used.
+    /// Not related to size; ignored.
     Unused,
 }
 
@@ -99,50 +99,52 @@
     Pull,
 }
 
-/// What the host allows.
+/// Features and limits of the host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Attempts can be cancelled.
     pub can_cancel: bool,
     /// Servers can be probed.
     pub can_probe: bool,
-    /// A request may be hedged: have two attempts in flight at once.
+    /// A request may be hedged, that is, have two attempts in flight at once.
     pub can_hedge: bool,
-    /// The most attempts that one request may have.
+    /// The maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Clients can be asked to retry after a time; on sockets they always can.
+    /// Clients can be asked to retry after a given time. Always true for a host that serves HTTP.
     pub can_advise_retry_after: bool,
-    /// The longest wait before a retry that a client can be asked for.
+    /// The longest time that a client can be asked to wait before it retries.
     pub max_retry_after: Seconds,
-    /// How many attempts one connection carries at once.
+    /// The number of attempts that one connection carries at once.
     pub streams_per_connection: u32,
-    /// The host closes connections that were idle for this long.
+    /// The host closes connections that have been idle for this long.
     pub idle_timeout: Seconds,
-    /// A connection that is not up after this long has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Seconds,
-    /// How many requests may be pending at once.
+    /// The maximum number of requests that may be pending at once.
     pub max_pending_requests: usize,
 }
 
-/// The numbers behind the rules for slow start and draining.
+/// How servers behave during slow start, draining and rejection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A server starts with at least this fraction of its capacity.
+    /// The fraction of its capacity that a server has at least when it starts.
     pub initial_capacity: f64,
-    /// Its slow start takes so long at most.
+    /// The maximum duration of a server's slow start.
     pub slow_start: Seconds,
-    /// Too much work within this time, from all proxies together, overloads a server in slow start.
+    /// A server in slow start is overloaded if it gets more than `overload_factor` times what it can do within this
+    /// time, summed over all proxies.
     pub overload_window: Seconds,
-    /// Too much is more than so many times what the server can do at the moment.
+    /// The multiple of a server's present capacity above which it is overloaded; see `overload_window`.
     pub overload_factor: f64,
-    /// A proxy without a subscription counts as informed of changes only if it asks for the list within this time.
+    /// A proxy without a subscription must ask for the list at least this often to count as up to date.
     pub refresh_within: Seconds,
-    /// Servers also reject work that they have begun: [`Outcome::Rejected`] proves nothing.
+    /// Servers may also reject requests that they have started to run, so [`Outcome::Rejected`] does not prove that a
+    /// request never ran.
     pub may_reject_after_start: bool,
 }
 
 impl Rules {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns true if the outcome proves that the attempt never ran.
     pub fn never_ran(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Rejected => !self.may_reject_after_start,
@@ -151,60 +153,60 @@
     }
 }
 
-/// The service level objective, as far as it is stated.
+/// The service level objective; `None` for parts that are not specified.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceObjective {
-    /// The weight of availability, counted in nines over short spans.
+    /// The weight of availability, measured in nines over short intervals.
     pub availability_weight: Option<f64>,
-    /// So many nines count in full.
+    /// The number of nines that earns the full weight.
     pub target_nines: Option<f64>,
-    /// The weight of tail latency: over short spans, few requests may miss their latency target.
+    /// The weight of tail latency: the fraction of requests that miss their latency target over short intervals.
     pub tail_weight: Option<f64>,
-    /// The fraction of requests that may miss it.
+    /// The fraction of requests that may miss their latency target.
     pub allowed_miss_fraction: Option<f64>,
 }
 
-/// A class that is defined anew: requests of the new definition inherit what was learned of the former one.
+/// A class whose definition has changed. The new definition starts with the statistics of the former one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassRedefinition {
-    /// The former definition, which requests in flight keep.
+    /// The former definition; pending requests keep it.
     pub former: ClassId,
     /// The new definition.
     pub new: ClassId,
 }
 
-/// What a balancer starts with.
+/// The settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The zone of this proxy.
     pub zone: ZoneId,
-    /// How many proxies there are, as far as that is known; 1 otherwise.
+    /// The number of proxies in the fleet; 1 if it is not known.
     pub proxy_count: f64,
-    /// How many kinds of machine there are.
+    /// The number of kinds of machine.
     pub machine_kinds: usize,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants; there may be none.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its value that a request beyond its tenant's share still has.
+    /// The fraction of its value that a request beyond its tenant's share keeps.
     pub over_share_value: f64,
-    /// The cost of one crossing between zones, in units of a mean request's value.
+    /// The cost of sending a request to another zone, in units of a mean request's value.
     pub cross_zone_cost: f64,
     /// The cost of one probe, in the same units.
     pub probe_cost: f64,
     /// The cost of one new connection, in the same units.
     pub connection_cost: f64,
-    /// The shortest gap between two calls with events.
+    /// The granularity of the host's timers: the shortest time between two calls that deliver events.
     pub timer_resolution: Seconds,
     /// How load reports arrive.
     pub reporting: Reporting,
-    /// What the weights of list entries mean.
+    /// The meaning of the weights in list entries.
     pub weights: Weights,
     /// How the list of servers arrives.
     pub membership: Membership,
-    /// What the host allows.
+    /// Features and limits of the host.
     pub limits: Limits,
-    /// The numbers behind the rules for slow start and draining.
+    /// How servers behave during slow start, draining and rejection.
     pub rules: Rules,
     /// The service level objective.
     pub objective: ServiceObjective,
--- a/crates/decide/src/interface/settings_check.rs
+++ b/crates/decide/src/interface/settings_check.rs
@@ -1,31 +1,31 @@
-//! Settings checked before a balancer starts from them.
+//! Validation of settings before a balancer uses them.
 
 use thiserror::Error;
 
 use super::settings::{Class, Limits, RepeatEffect, Rules, ServiceObjective, Settings};
 
-/// Why settings were rejected.
+/// A setting whose value is out of range.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("setting {name} is {value}: it must be {must}")]
+#[error("setting {name} is {value}: it must be {requirement}")]
 pub struct SettingsError {
-    /// The name of the setting in messages, which does not change when its field is renamed.
+    /// The setting's name in messages. It is part of the interface and independent of the field's name.
     pub name: &'static str,
-    /// The value found.
+    /// The invalid value.
     pub value: f64,
-    /// What it must be.
-    pub must: &'static str,
+    /// The valid range, in words.
+    pub requirement: &'static str,
 }
 
-/// The first violation.
+/// Keeps the first violation that is found.
 #[derive(Default)]
 struct Checker {
     error: Option<SettingsError>,
 }
 
 impl Checker {
-    fn require(&mut self, name: &'static str, value: f64, is_valid: bool, must: &'static str) {
+    fn require(&mut self, name: &'static str, value: f64, is_valid: bool, requirement: &'static str) {
         if !is_valid && self.error.is_none() {
-            self.error = Some(SettingsError { name, value, must });
+            self.error = Some(SettingsError { name, value, requirement });
         }
     }
 
@@ -41,7 +41,7 @@
         self.require(name, value, (0.0..=1.0).contains(&value), "from 0 to 1");
     }
 
-    /// A restriction to no server at all is a mistake.
+    /// An empty restriction would exclude every server.
     fn require_absent_or_not_empty(&mut self, name: &'static str, count: Option<usize>) {
         if let Some(count) = count {
             self.require(name, count as f64, count > 0, "absent or at least one");
@@ -50,11 +50,11 @@
 }
 
 impl Settings {
-    /// Checks every number that the decisions divide by, count with or compare.
+    /// Checks that all settings are in range.
     ///
     /// # Errors
     ///
-    /// The first value that is out of range.
+    /// Returns the first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let mut checker = Checker::default();
         let classes = self.classes.len() as f64;
--- a/crates/decide/src/learned_values.rs
+++ b/crates/decide/src/learned_values.rs
@@ -1,28 +1,28 @@
-//! What a process has learned and its next incarnation may start from. Nothing here decides anything.
+//! Export of learned statistics, and their import by the next incarnation of the process.
 
 use crate::Balancer;
 use crate::interface::{ClassId, EndpointId, MachineKindId, Readiness, Seconds, ZoneId};
-use crate::policy::OVERLOAD_DECAY;
+use crate::policy::OVERLOAD_DECAY_DEADLINES;
 use crate::state::{Ejection, EjectionCause, Mean};
 
 /// The time constant with which learned values decay.
 const LEARNED_DECAY: Seconds = 30.0;
 /// The time constant with which loads and prices decay, in mean deadlines.
-const LOAD_DECAY: f64 = 1.0;
-/// The most samples that a restored mean counts for, so that new responses soon weigh more.
+const LOAD_DECAY_DEADLINES: f64 = 1.0;
+/// The maximum number of samples that a restored mean counts for, so that new responses soon outweigh it.
 const MAX_RESTORED_SAMPLES: f64 = 32.0;
-/// No learned value is larger than this.
+/// Learned values with a larger magnitude are ignored.
 const MAX_LEARNED_VALUE: f64 = 1e6;
-/// No restored overload is larger than this.
+/// The maximum of a restored overload.
 const MAX_RESTORED_OVERLOAD: f64 = 2.0;
-/// The largest restored slowness of a server compared with its kind, either way; a natural logarithm.
+/// The maximum magnitude of a server's restored slowness relative to its kind, a natural logarithm.
 const MAX_RESTORED_LOG_SLOWNESS: f64 = 3.0;
-/// How long a restored ejection lasts at most, in mean deadlines.
-const MAX_RESTORED_EJECTION: f64 = 4.0;
-/// How many repetitions a restored ejection has at most.
+/// The maximum remaining time of a restored ejection, in mean deadlines.
+const MAX_RESTORED_EJECTION_DEADLINES: f64 = 4.0;
+/// The maximum number of repetitions of a restored ejection.
 const MAX_RESTORED_REPETITIONS: f64 = 2.0;
 
-/// The names of the values. They stand in snapshots on disk, and must not change.
+/// Names of learned values. Snapshots on disk contain them, so they must not change.
 mod names {
     pub(super) const SERVICE_TIME: &str = "service";
     pub(super) const LOG_SLOWNESS: &str = "pace";
@@ -36,22 +36,22 @@
     pub(super) const EJECTIONS: &str = "strikes";
     pub(super) const EJECTED_FOR_SILENCE: &str = "silent";
 
-    /// The name of the number of samples behind a mean.
+    /// The name of the number of samples of a mean.
     pub(super) fn samples_of(name: &str) -> String {
         format!("{name}-samples")
     }
 }
 
-/// What a learned value describes.
+/// The subject that a learned value describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// All servers and classes.
+    /// The whole fleet, over all classes.
     Fleet,
     /// A class.
     Class(ClassId),
     /// A kind of machine.
     MachineKind(MachineKindId),
-    /// A zone, without its servers that are reserved for some class.
+    /// The servers of a zone that are not reserved for some class.
     Zone(ZoneId),
     /// The servers of a zone that are reserved for some class.
     ReservedServers(ZoneId),
@@ -59,10 +59,10 @@
     Endpoint(EndpointId),
 }
 
-/// A value that was learned.
+/// A learned statistic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearnedValue {
-    /// What it describes.
+    /// The subject that it describes.
     pub subject: Subject,
     /// Its name in snapshots.
     pub name: String,
@@ -71,7 +71,7 @@
 }
 
 impl Balancer {
-    /// All that the next incarnation may start from.
+    /// Exports what the next incarnation of the process may start from.
     pub fn learned_values(&self, now: Seconds) -> Vec<LearnedValue> {
         let state = &self.state;
         let mut export = Export::default();
@@ -91,10 +91,10 @@
             export.add_mean(zone_subject(index), names::LOG_LOAD, &zone.log_load);
         }
         export.add(Subject::Fleet, names::REPORT_AGE, state.report_age);
-        let overload = state.overload.read(now, OVERLOAD_DECAY * state.mean_deadline);
+        let overload = state.overload.read(now, OVERLOAD_DECAY_DEADLINES * state.mean_deadline);
         export.add(Subject::Fleet, names::OVERLOAD, overload);
-        for (index, &market) in state.market_of_class.iter().enumerate() {
-            export.add(Subject::Class(ClassId(index)), names::LOG_PRICE, state.log_prices[market]);
+        for (index, &price_group) in state.price_group_of_class.iter().enumerate() {
+            export.add(Subject::Class(ClassId(index)), names::LOG_PRICE, state.log_prices[price_group]);
         }
         for endpoint in &state.endpoints {
             if endpoint.entry.readiness == Readiness::Removed {
@@ -114,11 +114,11 @@
         export.values
     }
 
-    /// Starts from what a former incarnation learned, `age` ago. Values that make no sense are left out, and none decides
-    /// for long: what this process sees weighs more within some dozens of responses.
+    /// Imports what a former incarnation learned `age` seconds ago. Invalid values are ignored. Imported values have
+    /// little weight: after some dozens of responses, what this process has seen itself outweighs them.
     pub fn restore_learned(&mut self, now: Seconds, values: &[LearnedValue], age: Seconds) {
         let age = age.max(0.0);
-        let load_weight = (-age / (LOAD_DECAY * self.state.mean_deadline)).exp();
+        let load_weight = (-age / (LOAD_DECAY_DEADLINES * self.state.mean_deadline)).exp();
         let import = Import { values, weight: (-age / LEARNED_DECAY).exp(), load_weight };
         self.restore_fleet(now, &import);
         self.restore_classes(&import);
@@ -164,15 +164,15 @@
                 import.restore(&mut class.service_time, value, samples);
             }
             if let Some(value) = import.find(subject, names::LOG_PRICE) {
-                let log_price = &mut self.state.log_prices[self.state.market_of_class[index]];
-                // No price is lower than that of a new process, at which nothing is rejected.
+                let log_price = &mut self.state.log_prices[self.state.price_group_of_class[index]];
+                // The price never falls below that of a new process, at which no request is rejected.
                 *log_price += (value.min(0.0) - *log_price).max(0.0) * import.load_weight;
             }
         }
     }
 
     fn restore_endpoints(&mut self, now: Seconds, import: &Import<'_>, age: Seconds) {
-        let longest = MAX_RESTORED_EJECTION * self.state.mean_deadline;
+        let longest = MAX_RESTORED_EJECTION_DEADLINES * self.state.mean_deadline;
         for endpoint in &mut self.state.endpoints {
             let subject = Subject::Endpoint(endpoint.entry.endpoint);
             let log_slowness = import.find(subject, names::LOG_SLOWNESS).unwrap_or(0.0);
@@ -192,7 +192,7 @@
     }
 }
 
-/// What the statistics at an index of the zones describe.
+/// The subject of the zone statistics at an index.
 fn zone_subject(index: usize) -> Subject {
     let zone = ZoneId(index / 2);
     if index.is_multiple_of(2) { Subject::Zone(zone) } else { Subject::ReservedServers(zone) }
@@ -220,9 +220,9 @@
 
 struct Import<'a> {
     values: &'a [LearnedValue],
-    /// What is left of a value at its age.
+    /// The remaining weight of values at their age, from 0 to 1.
     weight: f64,
-    /// What is left of a load or a price.
+    /// The remaining weight of loads, prices and the overload, from 0 to 1.
     load_weight: f64,
 }
 
@@ -241,7 +241,7 @@
         self.mean(subject, name).filter(|(value, _)| *value > 0.0)
     }
 
-    /// Restores a mean, unless it stands for less than one sample by now.
+    /// Restores a mean, unless its weight has decayed to less than one sample.
     fn restore(&self, mean: &mut Mean, value: f64, samples: f64) {
         let samples = samples.min(MAX_RESTORED_SAMPLES) * self.weight;
         if samples >= 1.0 {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,9 @@
-//! Every decision of the client proxy: which server a request goes to, whether it is sent again, and what is rejected.
+//! Load balancing for the client proxy: server selection, admission control, retries, hedging and outlier ejection.
 //!
-//! A host hands in events with their instants, and carries out the actions that come back ([`interface`]). Nothing here
-//! does I/O, reads a clock or draws from the system: instants and a seed are the host's. The decisions stand in `policy`,
-//! what they remember in `state`, and what outlives the process in `learned_values`.
+//! The crate is a deterministic state machine. Its host passes in events with their times and carries out the returned
+//! actions ([`interface`]). It does no I/O, reads no clock and uses no system randomness: the host supplies times and a
+//! seed. `policy` makes the decisions, `state` holds the data they use, and `learned_values` exports what the next
+//! process may start from.
 
 pub mod interface;
 mod learned_values;
--- a/crates/decide/src/name_table.rs
+++ b/crates/decide/src/name_table.rs
@@ -1,8 +1,8 @@
-//! Names numbered for the settings and the list, whose ids are numbers.
+//! Maps names to the numeric ids that settings and list entries use.
 
 use std::collections::HashMap;
 
-/// Interned names, numbered in the order of their first appearance.
+/// Interned names, numbered from 0 in the order in which they first appear.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     numbers: HashMap<String, usize>,
@@ -10,7 +10,7 @@
 }
 
 impl NameTable {
-    /// Numbers names in their order.
+    /// Creates a table with these names, numbered in their order.
     pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for name in names {
@@ -19,7 +19,7 @@
         table
     }
 
-    /// The number of a name; a name that is new gets the next one.
+    /// Returns the number of a name, and assigns the next one to a new name.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -29,21 +29,21 @@
         self.names.len() - 1
     }
 
-    /// The number of a name, if it is known.
+    /// Returns the number of a name, or `None` if the name is unknown.
     pub fn find_number(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
-    /// The name of a number, if it was assigned.
+    /// Returns the name with this number, or `None` if the number was never assigned.
     pub fn find_name(&self, number: usize) -> Option<&str> {
         self.names.get(number).map(String::as_str)
     }
 
-    /// The name of a number that was assigned.
+    /// Returns the name with this number.
     ///
     /// # Panics
     ///
-    /// The number was never assigned.
+    /// Panics if the number was never assigned.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -1,16 +1,17 @@
-//! Every decision of the balancer.
+//! The balancing policy: the power of two choices on delayed load reports.
 //!
-//! The rule: keep for each ready server its last reported load plus the requests that this proxy has there itself, draw
-//! two distinct servers at random, send to the one with the lower load, and break ties at random. Each departure from it
-//! changes which servers are candidates or what the load of one means; the choice stays the lower of a random pair.
+//! For each ready server the balancer keeps the last reported load plus its own requests in flight there. It draws two
+//! distinct servers at random, sends to the one with the lower load, and breaks ties at random. Extensions of this rule
+//! change only which servers are candidates or how a server's load is computed; the choice is always the lower of a
+//! random pair.
 //!
-//! [`balancer`] holds the state, [`events`] hands each event to the part that it concerns:
+//! [`balancer`] holds the state, and [`events`] dispatches each event to the module that handles it:
 //!
-//! - [`fleet_review`]: the list of servers, and what the fleet can do at present;
-//! - [`admission`] and [`price`]: whether a request is worth its work, and when it is rejected;
-//! - [`first_attempt`]: probes of old pairs, and the first sending of a request;
+//! - [`fleet_review`]: the list of servers, and the present capacity of the fleet;
+//! - [`admission`] and [`price`]: admission control by the value of a request and the price of work;
+//! - [`first_attempt`]: probes of pairs with stale reports, and the first attempt of a request;
 //! - [`server_selection`], [`ejection`] and [`load_estimation`]: which server gets an attempt;
-//! - [`sending`], [`retry`], [`outcome`] and [`completion`]: attempts, what follows from their outcomes, final answers.
+//! - [`sending`], [`retry`], [`outcome`] and [`completion`]: attempts, their outcomes, and final answers.
 
 mod admission;
 mod balancer;
@@ -28,4 +29,4 @@
 mod tuning;
 
 pub use balancer::Balancer;
-pub(crate) use tuning::OVERLOAD_DECAY;
+pub(crate) use tuning::OVERLOAD_DECAY_DEADLINES;
--- a/crates/decide/src/policy/balancer.rs
+++ b/crates/decide/src/policy/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer: its settings, its random numbers and its state.
+//! The balancer, which owns the settings, the random number generator and the state.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -7,10 +7,10 @@
 use crate::interface::{ClassId, ClassRedefinition, Seconds, Settings, SettingsError};
 use crate::state::PolicyState;
 
-/// The timer token of calls for the list; requests have the tokens above.
+/// The timer token of calls for the list. Requests have higher tokens.
 pub(super) const WATCH_LIST_TOKEN: u64 = 0;
 
-/// The decisions of one proxy.
+/// The load balancer of one proxy.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -19,11 +19,11 @@
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet; `seed` feeds its random draws.
+    /// Creates a balancer with an empty list of servers. `seed` initializes its random number generator.
     ///
     /// # Errors
     ///
-    /// The settings are not valid.
+    /// Returns an error if the settings are not valid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut state = PolicyState::new(&settings);
@@ -34,12 +34,12 @@
         Ok(Self { rng: Pcg32::seed_from_u64(seed), state, settings })
     }
 
-    /// Applies other settings. Pending requests keep their classes, so only such classes may change that no pending
-    /// request has. `active_classes` are those of new requests.
+    /// Replaces the settings. Pending requests keep their classes, so the definition of a class may change only if no
+    /// pending request belongs to it. `active_classes` are the classes that new requests may have.
     ///
     /// # Errors
     ///
-    /// The settings are not valid; then nothing has changed.
+    /// Returns an error if the settings are not valid; the balancer is then unchanged.
     pub fn apply_settings(
         &mut self,
         settings: Settings,
@@ -52,12 +52,12 @@
         Ok(())
     }
 
-    /// Whether less than the timer resolution is left until `instant`.
+    /// Returns true if at most the timer resolution is left until `instant`.
     pub(super) fn is_due(&self, now: Seconds, instant: Seconds) -> bool {
         now + self.settings.timer_resolution >= instant
     }
 
-    /// A random number from 0 to 1, without 1.
+    /// A random number in `[0, 1)`.
     pub(super) fn random_unit(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
--- a/crates/decide/src/policy/completion.rs
+++ b/crates/decide/src/policy/completion.rs
@@ -1,10 +1,10 @@
-//! The final answer to a request.
+//! Completes requests: final answers, and cancellation of attempts that are no longer needed.
 
 use super::balancer::Balancer;
 use crate::interface::{Action, AttemptNumber, Outcome, RequestId};
 
 impl Balancer {
-    /// A streamed response has started: its attempt belongs to the client, and the others are cancelled.
+    /// Commits a request to the attempt whose streamed response has started, and cancels the others.
     pub(super) fn on_response_started(
         &mut self,
         id: RequestId,
@@ -20,16 +20,17 @@
         }
     }
 
-    /// Answers a request that no server serves: it is rejected where a retry provably does no harm, else it has failed.
+    /// Ends a request that could not be served. It is rejected if no attempt may have run, so that a retry is safe, and
+    /// has failed otherwise.
     ///
-    /// The client is asked to wait for what is queued, spread at random: clients that were rejected together must not come
-    /// back together.
+    /// The suggested wait is random, up to the queueing time: clients that are rejected together must not retry
+    /// together.
     pub(super) fn give_up(&mut self, token: u64, queue_per_slot: f64, actions: &mut Vec<Action>) {
         let wait = queue_per_slot * self.state.mean_service.value * self.random_unit();
         let retry_after = wait.min(self.settings.limits.max_retry_after);
         let pending = &self.state.requests[&token];
         let request = pending.id;
-        let answer = if pending.may_have_run().is_some() {
+        let answer = if pending.first_possible_execution().is_some() {
             Action::Fail { request }
         } else {
             Action::Reject { request, retry_after }
@@ -37,7 +38,7 @@
         self.end_request(token, Some(answer), actions);
     }
 
-    /// Forgets a request, and cancels its attempts: work that nobody waits for any more keeps a server busy.
+    /// Removes a request and cancels its attempts in flight, which would only keep servers busy.
     pub(super) fn end_request(&mut self, token: u64, answer: Option<Action>, actions: &mut Vec<Action>) {
         let Some(request) = self.state.requests.remove(&token) else { return };
         self.state.tokens.remove(&request.id);
--- a/crates/decide/src/policy/ejection.rs
+++ b/crates/decide/src/policy/ejection.rs
@@ -1,34 +1,35 @@
-//! Outlier ejection: servers that fail are no candidates until trials have succeeded.
+//! Outlier ejection: servers that fail are excluded from the candidates until trial requests succeed.
 
 use super::balancer::Balancer;
 use super::tuning::MEAN_GAIN;
 use crate::interface::{ClassId, EndpointId, Seconds};
 use crate::state::{Ejection, EjectionCause, PendingRequest};
 
-/// How often the time of an ejection, at first a mean deadline, is doubled at most. Each failed trial doubles it.
+/// The maximum number of times that the duration of an ejection is doubled. It starts at a mean deadline, and each
+/// failed trial doubles it.
 const MAX_EJECTION_DOUBLINGS: u32 = 2;
 /// The assumed failure rate of an unhealthy server.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.5;
-/// The least failure rate that is assumed of a healthy server, which otherwise fails as often as all do.
+/// The minimum of the assumed failure rate of a healthy server, which is otherwise the fleet's failure rate.
 const MIN_FAILURE_RATE: f64 = 0.01;
-/// A server is ejected once the natural logarithm of the odds that it is unhealthy has reached this.
+/// A server is ejected once the natural logarithm of the odds that it is unhealthy reaches this value.
 const EJECTION_LOG_ODDS: f64 = 5.0;
-/// How many trials in a row must succeed before an ejected server is an ordinary candidate again.
+/// The number of trials in a row that must succeed to end an ejection.
 const TRIALS_TO_RECOVER: u32 = 3;
 
 impl Balancer {
-    /// Whether the server looks healthy, or is due a trial that this request can serve as.
+    /// Returns true if the server is not ejected, or if it is due a trial and this request can be the trial.
     pub(super) fn is_healthy(&self, now: Seconds, request: &PendingRequest, index: usize) -> bool {
         let endpoint = &self.state.endpoints[index];
         let Some(ejection) = endpoint.ejection else { return true };
-        // A trial may fail, and a request that must not be repeated would be lost; others go first.
+        // A trial may fail, so requests that must not be repeated are used only if no class may be repeated.
         let mut classes = (0..self.state.classes.len()).map(ClassId);
         let may_be_trial = self.may_repeat(request.class) || !classes.any(|class| self.may_repeat(class));
         now >= ejection.until && endpoint.in_flight == 0.0 && may_be_trial
     }
 
-    /// Counts a failure, and ejects the server once it is likely unhealthy. Attempts fail now and then at any server;
-    /// if each failure ejected one, most of a healthy fleet would be idle.
+    /// Records a failure, and ejects the server if it is probably unhealthy. Occasional failures happen at any server:
+    /// if each caused an ejection, most of a healthy fleet would be idle.
     pub(super) fn record_failure(&mut self, now: Seconds, id: EndpointId, cause: EjectionCause) {
         if self.update_failure_odds(id, true) >= EJECTION_LOG_ODDS
             || self.state.endpoint(id).ejection.is_some()
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Updates how much likelier it is that the server is unhealthy than that it fails as often as all do; returns the
-    /// natural logarithm of these odds.
+    /// Updates the odds that the server is unhealthy rather than failing as often as the fleet does, and returns their
+    /// natural logarithm.
     pub(super) fn update_failure_odds(&mut self, id: EndpointId, has_failed: bool) -> f64 {
         let common_rate = self.state.failure_rate.value.max(MIN_FAILURE_RATE);
         self.state.failure_rate.add(f64::from(has_failed), MEAN_GAIN);
@@ -63,7 +64,7 @@
         self.state.endpoint_mut(id).ejection = Some(ejection);
     }
 
-    /// Counts a successful trial, if the server is on trial.
+    /// Counts a successful trial if the server is ejected, and ends the ejection after enough of them.
     pub(super) fn record_success(&mut self, id: EndpointId) {
         self.state.endpoint_mut(id).ejection.take_if(|ejection| {
             ejection.successful_trials += 1;
--- a/crates/decide/src/policy/events.rs
+++ b/crates/decide/src/policy/events.rs
@@ -1,10 +1,10 @@
-//! Each event, handed to the parts of the policy that it concerns.
+//! Dispatches events to the modules of the policy that handle them.
 
 use super::balancer::{Balancer, WATCH_LIST_TOKEN};
 use crate::interface::{Action, Event, Seconds, TimerToken};
 
 impl Balancer {
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions.
     pub(crate) fn handle_event(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::ListUpdated(update) => self.on_list_update(now, update, actions),
--- a/crates/decide/src/policy/first_attempt.rs
+++ b/crates/decide/src/policy/first_attempt.rs
@@ -1,20 +1,20 @@
-//! The first attempt of a request: the pair is probed where its reports are stale, then the request is sent or rejected.
+//! The first attempt of a request: probes a pair with stale reports, then sends or rejects the request.
 
 use super::balancer::Balancer;
 use super::server_selection::Choice;
-use super::tuning::{PROBE_PAUSE, SLOW_PROBE};
+use super::tuning::{PROBE_PAUSE_DEADLINES, SLOW_PROBE_SERVICE_TIMES};
 use crate::interface::{Action, EndpointId, Outcome, Seconds, TimerToken};
 use crate::state::EjectionCause;
 
 impl Balancer {
-    /// Probes for, sends, delays or rejects a request that has not been sent yet.
+    /// Decides on a request that has not been sent yet: probes servers, sends the request, delays it or rejects it.
     pub(super) fn decide_first_attempt(&mut self, now: Seconds, token: u64, actions: &mut Vec<Action>) {
         let request = self.state.requests[&token].clone();
         let Choice { endpoint: chosen, to_probe } = self.choose_endpoint(now, &request);
         if !to_probe.is_empty() {
             return self.send_probes(now, token, chosen, to_probe, actions);
         }
-        // Requests that waited for a server that is not full would pile up, and all of them would be late.
+        // If all servers are full, waiting requests would pile up and all of them would be late.
         let mut started = self.state.local.iter().chain(&self.state.remote);
         if chosen.is_none() && started.any(|&index| self.is_allowed(now, &request, index)) {
             return self.give_up(token, 1.0, actions);
@@ -35,7 +35,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.state.requests.get_mut(&token) else { return };
-        // The more loaded one of a crowded pair has given way to another server.
+        // Keep only the less loaded server of a crowded pair; a newly probed one replaces the other.
         request.probed_pair.retain(|&index| chosen == Some(EndpointId(index as u32)));
         request.probed_pair.extend(&to_probe);
         request.probed.extend(&to_probe);
@@ -46,7 +46,7 @@
         actions.push(Action::SetTimer { delay, token: TimerToken(token) });
     }
 
-    /// Takes the outcome of a probe, and decides on the requests that have no other probe to wait for.
+    /// Handles the outcome of a probe, and decides on the requests that wait for no other probe.
     pub(super) fn on_probe_ended(
         &mut self,
         now: Seconds,
@@ -56,10 +56,10 @@
         actions: &mut Vec<Action>,
     ) {
         match outcome {
-            Outcome::Served if rtt <= SLOW_PROBE * self.state.mean_service.value => {}
-            // Where probes queue like requests, they displace the requests that they are sent for.
+            Outcome::Served if rtt <= SLOW_PROBE_SERVICE_TIMES * self.state.mean_service.value => {}
+            // Probes that queue like requests displace the requests that they are sent for.
             Outcome::Served | Outcome::Rejected => {
-                self.state.probes_paused_until = now + PROBE_PAUSE * self.state.mean_deadline;
+                self.state.probes_paused_until = now + PROBE_PAUSE_DEADLINES * self.state.mean_deadline;
             }
             _ => self.eject(now, id, EjectionCause::NoResponse),
         }
--- a/crates/decide/src/policy/fleet_review.rs
+++ b/crates/decide/src/policy/fleet_review.rs
@@ -1,7 +1,7 @@
-//! The list of servers, and what the fleet can do at present.
+//! Applies updates of the list of servers and recomputes the fleet's present capacity.
 
 use super::balancer::{Balancer, WATCH_LIST_TOKEN};
-use super::tuning::{REVIEW_SHARE, SLOW_START_OVERLOAD};
+use super::tuning::{MAX_ASSUMED_TRAFFIC, REVIEW_INTERVAL_SHARE};
 use crate::interface::{Action, ListEntry, ListUpdate, Membership, Readiness, Seconds, TimerToken};
 use crate::state::Endpoint;
 
@@ -29,14 +29,15 @@
         self.review_fleet(now);
     }
 
-    /// How long a proxy with a saved list waits before its first call, so that a fleet that starts at once spreads out.
+    /// The delay of the first call for the list by a proxy that has a saved one, in seconds. It is random, so that the
+    /// calls of proxies that start together are spread out.
     fn first_list_delay(&mut self) -> Seconds {
         let (within, proxies) = (self.settings.rules.refresh_within, self.settings.proxy_count);
         let spread = self.state.list_backoff.first_call_spread(within, proxies);
         if spread > 0.0 { spread * self.random_unit() } else { 0.0 }
     }
 
-    /// Computes which servers are ready, which of them are in slow start, and what all of them can do.
+    /// Recomputes which servers are ready, which of those are in slow start, and their total capacity.
     pub(super) fn review_fleet(&mut self, now: Seconds) {
         let endpoint = |index: &usize| &self.state.endpoints[*index];
         let is_ready = |index: &usize| endpoint(index).entry.readiness == Readiness::Ready;
@@ -50,14 +51,18 @@
         let reserved_size =
             sum(&|endpoint| if self.is_reserved(&endpoint.entry) { self.size(endpoint) } else { 0.0 });
         let rules = &self.settings.rules;
-        // Where most of the fleet is in slow start, a share of what it can do now is more than the server can.
-        let least_capacity = size * SLOW_START_OVERLOAD / rules.overload_factor;
+        // While most of the fleet is in slow start, its present capacity is so low that a server's share of the traffic
+        // would exceed what the server can do.
+        let least_capacity = size * MAX_ASSUMED_TRAFFIC / rules.overload_factor;
         let (slow_starting, started): (Vec<usize>, Vec<usize>) =
             ready.into_iter().partition(|index| self.slow_start_factor(endpoint(index), now) < 1.0);
         let own_zone = self.settings.zone;
         let (local, remote) = started.into_iter().partition(|index| endpoint(index).entry.zone == own_zone);
-        self.state.next_review_at =
-            if slow_starting.is_empty() { f64::INFINITY } else { now + REVIEW_SHARE * rules.slow_start };
+        self.state.next_review_at = if slow_starting.is_empty() {
+            f64::INFINITY
+        } else {
+            now + REVIEW_INTERVAL_SHARE * rules.slow_start
+        };
         self.state.overload.set_capacity(capacity);
         self.state.fleet_capacity = capacity.max(least_capacity).max(f64::MIN_POSITIVE);
         self.state.reserved_share = reserved_size / size.max(f64::MIN_POSITIVE);
@@ -66,7 +71,7 @@
         self.state.slow_starting = slow_starting;
     }
 
-    /// Whether some restricted class may use the server.
+    /// Returns true if some restricted class may use the server.
     pub(super) fn is_reserved(&self, entry: &ListEntry) -> bool {
         self.settings.classes.iter().any(|class| class.is_restricted() && class.permits(entry))
     }
--- a/crates/decide/src/policy/sending.rs
+++ b/crates/decide/src/policy/sending.rs
@@ -1,16 +1,16 @@
-//! Attempts sent to the servers that were chosen for them.
+//! Sends attempts to the selected servers and sets the timers of their requests.
 
 use super::balancer::Balancer;
 use crate::interface::{Action, EndpointId, Seconds, TimerToken};
 use crate::state::Attempt;
 
-/// A request is hedged at the earliest once this fraction of its latency target has passed.
+/// A request is hedged after this fraction of its latency target at the earliest.
 const HEDGE_AFTER: f64 = 0.5;
-/// After this multiple of the timer resolution a request without a candidate looks for one again.
-const NO_CANDIDATE_TICKS: f64 = 4.0;
+/// A request without a candidate looks for one again after this multiple of the timer resolution.
+const CANDIDATE_RECHECK_TICKS: f64 = 4.0;
 
 impl Balancer {
-    /// Sends a request to its server, or delays it for a moment if it has none.
+    /// Sends a request to the selected server. Without one, only sets the timer to try again soon.
     pub(super) fn send(
         &mut self,
         now: Seconds,
@@ -23,7 +23,7 @@
         let class = request.class;
         let mut wake_at = self.useful_until(request) - tick;
         let Some(id) = chosen else {
-            wake_at = wake_at.min(now + NO_CANDIDATE_TICKS * tick);
+            wake_at = wake_at.min(now + CANDIDATE_RECHECK_TICKS * tick);
             actions.push(Action::SetTimer { delay: (wake_at - now).max(tick), token: TimerToken(token) });
             return;
         };
@@ -51,14 +51,15 @@
         actions.push(Action::SetTimer { delay: (wake_at - now).max(tick), token: TimerToken(token) });
     }
 
-    /// Counts a new connection where no free one can be assumed to work, and has idle ones that are too old closed.
+    /// Counts a new connection if there is no free one that probably works, and closes idle ones that are too old.
     fn prepare_connection(&mut self, now: Seconds, id: EndpointId, actions: &mut Vec<Action>) {
         if self.has_free_connection(self.state.endpoint(id), now) {
             return;
         }
         let streams = f64::from(self.settings.limits.streams_per_connection);
         let endpoint = self.state.endpoint_mut(id);
-        // Only for their age: where none is free, closing would hit connections that were counted too low.
+        // Connections are closed only for their age. If none seems free, the count may be too low, and working
+        // connections would be closed.
         let is_aged = endpoint.connections * streams > endpoint.in_flight;
         actions.extend(is_aged.then_some(Action::CloseIdleConnections { endpoint: id }));
         endpoint.connections = (endpoint.in_flight / streams).ceil() + 1.0;
--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -1,46 +1,47 @@
-//! Which server gets an attempt: the candidates, and the one with the lower load of a random pair of them.
+//! Selects the server for an attempt: the less loaded of a random pair of candidates.
 
 use mosshead_load_board as load_board;
 
 use super::balancer::Balancer;
-use super::tuning::{CROWDED_QUEUE, STALE_REPORT};
+use super::tuning::{CROWDED_QUEUE_PER_SLOT, STALE_REPORT_WEIGHT};
 use crate::interface::{DedupScope, EndpointId, Readiness, RepeatEffect, Seconds};
 use crate::state::{EjectionCause, PendingRequest};
 
-/// All proxies together send a server in slow start at most this fraction of the stated multiple of its share.
+/// All proxies together send a server in slow start at most this fraction of what would overload it, that is, of
+/// `overload_factor` times its share of the traffic.
 const SLOW_START_SHARE: f64 = 0.4;
-/// The least number of servers of the own zone, and of the others, from which the pair is drawn.
+/// The minimum size of the subset of local servers, and of remote ones, from which the pair is drawn.
 const MIN_SUBSET: usize = 3;
-/// The pair is drawn from this number of servers for each own request in a mean deadline, if that is more. The reports
-/// of more servers would be too old without probes.
-const SUBSET_SHARE: f64 = 0.25;
-/// The pair is probed before a first attempt if two probes cost at most this fraction of a mean value.
+/// The size of these subsets per request that this proxy receives in a mean deadline, if that is more. With larger
+/// subsets the reports would be too old without probes.
+const SUBSET_SERVERS_PER_REQUEST: f64 = 0.25;
+/// The pair may be probed before a first attempt if two probes cost at most this fraction of a mean request's value.
 const MAX_PROBE_COST: f64 = 0.05;
-/// Reports are reliable if on arrival their weight is at least this fraction. The more loaded one of a crowded pair then
-/// gives way to another server.
-const RELIABLE_REPORT: f64 = 0.5;
-/// How many servers may be probed for a request.
-const MAX_PROBED: usize = 5;
+/// Reports are reliable if their weight on arrival is at least this fraction. In that case the more loaded server of a
+/// crowded pair is replaced by another one.
+const MIN_RELIABLE_REPORT_WEIGHT: f64 = 0.5;
+/// The maximum number of servers that are probed for one request.
+const MAX_PROBES_PER_REQUEST: usize = 5;
 
-/// The server for an attempt.
+/// The selected server for an attempt.
 #[derive(Default)]
 pub(super) struct Choice {
-    /// `None` where no server may get it.
+    /// `None` if no server may get the attempt.
     pub(super) endpoint: Option<EndpointId>,
-    /// The servers whose reports are too old and have to be probed first.
+    /// Servers that have to be probed before the attempt is sent.
     pub(super) to_probe: Vec<usize>,
 }
 
 impl Balancer {
-    /// Chooses the server for the next attempt of a request.
+    /// Selects the server for the next attempt of a request.
     pub(super) fn choose_endpoint(&mut self, now: Seconds, request: &PendingRequest) -> Choice {
         let candidates = self.candidates(now, request);
-        self.choose_of_pair(now, request, &candidates)
+        self.choose_from_pair(now, request, &candidates)
     }
 
-    /// The one with the lower load of two distinct candidates drawn at random: nothing else chooses a server.
-    fn choose_of_pair(&mut self, now: Seconds, request: &PendingRequest, candidates: &[usize]) -> Choice {
-        // The pair that was probed for this request stays its pair.
+    /// Selects the less loaded of two distinct random candidates. Every selection of a server goes through here.
+    fn choose_from_pair(&mut self, now: Seconds, request: &PendingRequest, candidates: &[usize]) -> Choice {
+        // A pair that was probed for this request is used again.
         let probed: Vec<usize> =
             candidates.iter().copied().filter(|index| request.probed_pair.contains(index)).collect();
         let from = if probed.is_empty() || !request.attempts.is_empty() { candidates } else { &probed };
@@ -71,37 +72,38 @@
         is_cheap && request.attempts.is_empty() && is_in_time
     }
 
-    /// The more of a report holds on arrival, the sooner a new one is worth its cost.
+    /// Returns true if the server's report is too old to use. The more reliable reports are on arrival, the sooner a
+    /// new one is worth its cost.
     fn is_stale(&self, now: Seconds, index: usize) -> bool {
-        let least_freshness = STALE_REPORT.powf(1.0 - self.report_reliability());
+        let least_freshness = STALE_REPORT_WEIGHT.powf(1.0 - self.report_reliability());
         self.report_freshness(&self.state.endpoints[index], now) < least_freshness
     }
 
-    /// Whether the better one of a pair is so crowded that the load of another server is worth a probe.
+    /// Returns true if even the less loaded server of a pair is so crowded that it is worth probing another one.
     fn may_probe_another(&self, now: Seconds, request: &PendingRequest, lower: usize) -> bool {
-        self.report_reliability() >= RELIABLE_REPORT
-            && request.probed.len() < MAX_PROBED
-            && self.queue_per_slot(&self.state.endpoints[lower], now) > CROWDED_QUEUE
+        self.report_reliability() >= MIN_RELIABLE_REPORT_WEIGHT
+            && request.probed.len() < MAX_PROBES_PER_REQUEST
+            && self.queue_per_slot(&self.state.endpoints[lower], now) > CROWDED_QUEUE_PER_SLOT
     }
 
-    /// Draws a candidate that was not probed for the request yet.
+    /// Draws a random candidate that has not been probed for the request.
     fn draw_unprobed(&mut self, request: &PendingRequest, candidates: &[usize]) -> Vec<usize> {
         let unprobed = || candidates.iter().copied().filter(|index| !request.probed.contains(index));
         let drawn = load_board::random_index(&mut self.rng, unprobed().count());
         unprobed().nth(drawn).into_iter().collect()
     }
 
-    /// The servers that a pair is drawn from, those of the own zone first.
+    /// The servers from which a pair is drawn, local ones first.
     fn candidates(&self, now: Seconds, request: &PendingRequest) -> Vec<usize> {
         let subset = self.subset_size(now, request);
         let mut usable = self.usable_candidates(now, request, subset);
-        // A server that is given more than it answers in time is overloaded until it is left alone.
+        // A server that gets more than it can answer in time stays overloaded until it gets less.
         usable.retain(|&index| !self.state.endpoints[index].is_full());
         let (mut local, mut remote): (Vec<usize>, Vec<usize>) =
             usable.into_iter().partition(|&index| self.is_local(index));
         local.truncate(subset);
         remote.truncate(subset);
-        // Each candidate is in the pair for two of so many draws.
+        // Each candidate is part of the pair in one of this many draws.
         let draws = ((local.len() + remote.len()) as f64 + 1.0) / 2.0;
         for (zone, is_local) in [(&mut local, true), (&mut remote, false)] {
             let slow_starting = self.state.slow_starting.iter().copied();
@@ -113,17 +115,20 @@
         local
     }
 
-    /// How many servers of the own zone, and of the others, a proxy with its traffic has recent reports of.
+    /// The size of the subset of local servers, and of remote ones, from which candidates are drawn: a proxy with
+    /// little traffic has recent reports of few servers only.
     fn subset_size(&self, now: Seconds, request: &PendingRequest) -> usize {
-        if request.may_have_run().is_some() || self.report_reliability() >= RELIABLE_REPORT {
+        if request.first_possible_execution().is_some()
+            || self.report_reliability() >= MIN_RELIABLE_REPORT_WEIGHT
+        {
             return self.state.endpoints.len();
         }
         let mean_deadline = self.state.mean_deadline;
         let requests = self.state.request_rate.read(now, mean_deadline) * mean_deadline;
-        MIN_SUBSET.max((SUBSET_SHARE * requests) as usize)
+        MIN_SUBSET.max((SUBSET_SERVERS_PER_REQUEST * requests) as usize)
     }
 
-    /// The servers past their slow start that may get the request and look healthy.
+    /// The servers past their slow start that may get the request and are healthy, where possible.
     fn usable_candidates(&self, now: Seconds, request: &PendingRequest, subset: usize) -> Vec<usize> {
         let allowed = self.allowed_candidates(now, request, subset);
         let filter = |from: &[usize], keep: &dyn Fn(usize) -> bool| -> Vec<usize> {
@@ -133,7 +138,7 @@
         let may_try_again = untried.is_empty() && request.in_flight().next().is_none();
         let allowed = if may_try_again { allowed } else { untried };
         let healthy = filter(&allowed, &|index| self.is_healthy(now, request, index));
-        // Where most servers look unhealthy the evidence contradicts itself, and ejections would overload the rest.
+        // If most servers look unhealthy, the cause is probably not the servers, and ejections would overload the rest.
         if healthy.len() * 2 >= allowed.len() && !healthy.is_empty() {
             return healthy;
         }
@@ -145,47 +150,47 @@
         if reachable.len() * 2 < allowed.len() { allowed } else { reachable }
     }
 
-    /// The servers past their slow start that may get the request; reserved ones only if it does not avoid them, or if
-    /// there are no others.
+    /// The servers past their slow start that may get the request. Reserved ones are left out if the request avoids
+    /// them, unless there are no others.
     fn allowed_candidates(&self, now: Seconds, request: &PendingRequest, subset: usize) -> Vec<usize> {
-        let of_zone = |zone: &[usize], avoids_reserved: bool| -> Vec<usize> {
+        let allowed_in = |zone: &[usize], avoids_reserved: bool| -> Vec<usize> {
             let allowed = zone.iter().copied().filter(|&index| self.is_allowed(now, request, index));
             let is_free =
                 |&index: &usize| !avoids_reserved || !self.is_reserved(&self.state.endpoints[index].entry);
             allowed.filter(is_free).take(2 * subset).collect()
         };
-        let of_both = |avoids_reserved: bool| {
-            let mut servers = of_zone(&self.state.local, avoids_reserved);
-            servers.append(&mut of_zone(&self.state.remote, avoids_reserved));
+        let allowed_in_both = |avoids_reserved: bool| {
+            let mut servers = allowed_in(&self.state.local, avoids_reserved);
+            servers.append(&mut allowed_in(&self.state.remote, avoids_reserved));
             servers
         };
-        let preferred = of_both(request.avoids_reserved && request.attempts.is_empty());
-        if preferred.is_empty() { of_both(false) } else { preferred }
+        let preferred = allowed_in_both(request.avoids_reserved && request.attempts.is_empty());
+        if preferred.is_empty() { allowed_in_both(false) } else { preferred }
     }
 
     fn is_local(&self, index: usize) -> bool {
         self.state.endpoints[index].entry.zone == self.settings.zone
     }
 
-    /// Whether the rules allow the request there at all.
+    /// Returns true if the server may run the request at all.
     pub(super) fn is_allowed(&self, now: Seconds, request: &PendingRequest, index: usize) -> bool {
         let endpoint = &self.state.endpoints[index];
-        // A drain or removal counts from the moment at which the list has it.
+        // A drain or removal takes effect as soon as the list shows it.
         if endpoint.entry.readiness != Readiness::Ready {
             return false;
         }
-        // Work that is restricted to some servers must not run elsewhere, however unhealthy or full those are.
+        // A restricted class must not run on other servers, even if all of its own are unhealthy or full.
         if !self.settings.classes[request.class.0].permits(&endpoint.entry) {
             return false;
         }
-        let Some(ran) = request.may_have_run() else { return true };
-        // What may have run is sent again only where a repeat has no second effect.
+        let Some(earlier) = request.first_possible_execution() else { return true };
+        // A request that may have run is sent again only where a repeat has no second effect.
         match self.settings.classes[request.class.0].repeat_effect {
             RepeatEffect::Safe => true,
             RepeatEffect::Unsafe => false,
             RepeatEffect::Keyed { scope, window } => {
-                let first = &self.state.endpoint(ran.endpoint).entry;
-                let is_remembered = now + self.settings.timer_resolution < ran.sent_at + window;
+                let first = &self.state.endpoint(earlier.endpoint).entry;
+                let is_remembered = now + self.settings.timer_resolution < earlier.sent_at + window;
                 is_remembered
                     && match scope {
                         DedupScope::All => true,
@@ -196,7 +201,8 @@
         }
     }
 
-    /// Whether a server in slow start is a candidate for a request that would be in one of `draws` pairs with it.
+    /// Returns true if a server in slow start is a candidate for the request. As a candidate it is part of the pair in
+    /// one of `draws` draws.
     fn is_slow_start_candidate(
         &self,
         now: Seconds,
@@ -208,14 +214,20 @@
             && self.is_healthy(now, request, index)
             && !has_tried(request, index)
             && !self.state.endpoints[index].is_full()
-            && self.has_slow_start_share(now, request, index, draws)
+            && self.is_within_slow_start_share(now, request, index, draws)
     }
 
-    /// Whether the request is among those that the server may get in its slow start.
+    /// Returns true if the request is within the share that the server may get during its slow start.
     ///
-    /// Proxies together would overload a server in slow start, also with what each of them has saved up for it. So each
-    /// request draws once, however often it looks for a server, and all draws together keep within the budget.
-    fn has_slow_start_share(&self, now: Seconds, request: &PendingRequest, index: usize, draws: f64) -> bool {
+    /// All proxies together must not overload a server in slow start, so the share is granted at random and no proxy
+    /// can save up an unused budget. Each request uses a single random number, however often it looks for a server.
+    fn is_within_slow_start_share(
+        &self,
+        now: Seconds,
+        request: &PendingRequest,
+        index: usize,
+        draws: f64,
+    ) -> bool {
         let endpoint = &self.state.endpoints[index];
         let budget = SLOW_START_SHARE * self.settings.rules.overload_factor;
         let share = budget * self.capacity(endpoint, now) / self.state.fleet_capacity;
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -1,4 +1,4 @@
-//! How far the proxy has recovered since its start, by its events.
+//! Tracks the recovery of the proxy after a start or a suspension, from the events that it handles.
 
 use mosshead_recovery::RecoveryStatus;
 
@@ -6,7 +6,7 @@
 use crate::interface::{Action, Event, ListUpdate, Outcome, Seconds};
 
 impl Balancer {
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles one event that happened at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         self.record_recovery(now, &event);
         let is_list_update = matches!(event, Event::ListUpdated(_));
@@ -22,7 +22,7 @@
         for _ in actions[first_new..].iter().filter(is_unserved) {
             self.state.recovery.on_response(false);
         }
-        // Full service, once reached, stays; so the stage is looked at after each event.
+        // Full service is kept once it has been reached, so the status is updated after each event.
         self.recovery_status(now);
     }
 
@@ -42,12 +42,12 @@
         }
     }
 
-    /// How far the proxy has recovered, and what it waits for.
+    /// The recovery stage of the proxy, and what blocks the next one.
     pub fn recovery_status(&mut self, now: Seconds) -> RecoveryStatus {
         self.state.recovery.status(now, self.settings.rules.refresh_within)
     }
 
-    /// The process was suspended and goes on: what the list said meanwhile is not known.
+    /// Records that the process was suspended and has resumed; it may have missed list updates.
     pub fn on_process_suspended(&mut self) {
         self.state.recovery.on_suspended();
     }
--- a/crates/decide/src/state/endpoint.rs
+++ b/crates/decide/src/state/endpoint.rs
@@ -1,36 +1,36 @@
-//! What is known of one server.
+//! The state of one server: its load, health, concurrency limit and connections.
 
 use crate::interface::{ListEntry, LoadReport, Seconds};
 
-/// A late response reduces the limit to this fraction of the attempts in flight.
+/// A late response reduces the limit to this fraction of the attempts in flight, or of the limit if that is lower.
 const LATE_RESPONSE_FACTOR: f64 = 0.7;
 
 /// One server.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) entry: ListEntry,
-    /// Own attempts in flight: known exactly, and a lower bound of every report.
+    /// This proxy's own attempts in flight: an exact count, and a lower bound for every load report.
     pub(crate) in_flight: f64,
-    /// What others had there by the last report.
-    pub(crate) load_of_others: f64,
+    /// The load of other clients by the last report, in requests.
+    pub(crate) external_load: f64,
     pub(crate) report: LoadReport,
     pub(crate) reported_at: Seconds,
-    /// The natural logarithm of how its response times compare with those of its kind.
+    /// The natural logarithm of the ratio of its response times to those of its kind of machine.
     pub(crate) log_slowness: f64,
-    /// The last response, or the send that ended an idle time.
+    /// When it last responded, or when an attempt was sent while none was in flight.
     pub(crate) last_contact_at: Seconds,
-    /// How long the next response is expected to take.
+    /// The expected time until the next response.
     pub(crate) expected_time: Seconds,
     /// Set while the server is ejected, or on trial.
     pub(crate) ejection: Option<Ejection>,
-    /// The natural logarithm of the odds that it is unhealthy, by its failures and successes; never negative.
+    /// The natural logarithm of the odds that it is unhealthy, judged by failures and successes; never negative.
     pub(crate) failure_log_odds: f64,
     pub(crate) concurrency: ConcurrencyLimit,
-    /// Own connections to it.
+    /// The estimated number of this proxy's connections to it.
     pub(crate) connections: f64,
-    /// When a connection last worked.
+    /// When a connection to it was last known to work.
     pub(crate) connection_used_at: Seconds,
-    /// A random number that gives its position in this proxy's own order of the servers.
+    /// A random number that sets its position in this proxy's own order of servers.
     pub(crate) preference: u32,
 }
 
@@ -39,7 +39,7 @@
         Self {
             entry,
             in_flight: 0.0,
-            load_of_others: 0.0,
+            external_load: 0.0,
             report: LoadReport::default(),
             reported_at: f64::NEG_INFINITY,
             log_slowness: 0.0,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether it has as many own attempts as it may have.
+    /// Returns true if the concurrency limit is reached.
     pub(crate) fn is_full(&self) -> bool {
         self.in_flight >= self.concurrency.limit.floor()
     }
@@ -65,32 +65,33 @@
 pub(crate) enum EjectionCause {
     /// It responds with errors.
     Errors,
-    /// It cannot be reached or does not respond.
+    /// It is unreachable or does not respond.
     NoResponse,
 }
 
-/// The ejection of a server that failed, and its trials.
+/// The ejection of a failing server, and its trial requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ejection {
     pub(crate) cause: EjectionCause,
-    /// When it is due a trial.
+    /// When the next trial is due.
     pub(crate) until: Seconds,
-    /// How many trials have failed; each doubles the time of the ejection.
+    /// How many trials have failed; each one doubles the duration of the ejection, up to a maximum.
     pub(crate) repetitions: u32,
     /// How many trials have succeeded in a row.
     pub(crate) successful_trials: u32,
 }
 
-/// How many own attempts a server may have at once: fewer after late responses, slowly more after others.
+/// Adaptive limit of this proxy's concurrent attempts at a server: reduced after late responses, raised slowly after
+/// timely ones.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
-    /// Until then late responses belong to the load that has been reduced already.
+    /// Late responses before this time are ignored: they belong to the load before the last reduction.
     reduced_until: Seconds,
 }
 
 impl ConcurrencyLimit {
-    /// Adapts the limit when an attempt has ended, of `in_flight` at that time.
+    /// Adapts the limit after an attempt has ended. `in_flight` counts the attempts including that one.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Seconds,
--- a/crates/decide/src/state/mod.rs
+++ b/crates/decide/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the balancer remembers of servers, requests and classes. Nothing here decides anything.
+//! State of the balancer: servers, pending requests and learned statistics. The policy makes all decisions.
 
 mod class_stats;
 mod endpoint;
--- a/crates/decide/src/state/overload.rs
+++ b/crates/decide/src/state/overload.rs
@@ -1,21 +1,22 @@
-//! How overloaded the fleet is, as far as its response times show.
+//! Estimates how overloaded the fleet is from its response times.
 
 use crate::interface::Seconds;
 
-/// The share of the latency target that recent responses took, and what the ready servers could do meanwhile.
+/// The mean fraction of the latency target that recent responses took, with the capacity of the ready servers over the
+/// same time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Overload {
-    /// The mean share at `updated_at`; it decays from there.
+    /// The mean fraction at `updated_at`; it decays from then on.
     value: f64,
     updated_at: Seconds,
-    /// What the ready servers can do now, by the list.
+    /// The present capacity of the ready servers.
     capacity: f64,
-    /// What they could do while the responses came; 0 before there was a list.
+    /// The mean capacity over these responses; 0 before the first list.
     mean_capacity: f64,
 }
 
 impl Overload {
-    /// Sets what the ready servers can do now, by the list.
+    /// Sets the present capacity of the ready servers.
     pub(crate) fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
         if self.mean_capacity == 0.0 {
@@ -23,24 +24,24 @@
         }
     }
 
-    /// The mean share, which decays with `time_constant` while there is no response.
+    /// The mean fraction, which decays with `time_constant` while there are no responses.
     pub(crate) fn read(&self, now: Seconds, time_constant: Seconds) -> f64 {
         self.value * ((self.updated_at - now) / time_constant).exp()
     }
 
-    /// Starts from what a former incarnation knew.
+    /// Sets the value that was exported by a former incarnation.
     pub(crate) fn restore(&mut self, now: Seconds, value: f64) {
         (self.value, self.updated_at) = (value, now);
     }
 
-    /// Adds the share that one response took, with the weight `gain`.
+    /// Adds one response with the weight `gain`; `share` is the fraction of the latency target that it took.
     pub(crate) fn add(&mut self, now: Seconds, time_constant: Seconds, share: f64, gain: f64) {
         let before = self.read(now, time_constant);
         (self.value, self.updated_at) = (before + gain * (share - before), now);
         self.mean_capacity += gain * (self.capacity - self.mean_capacity);
     }
 
-    /// How many times less the servers can do now than while the responses came; at least 1.
+    /// The ratio of the mean capacity over recent responses to the present capacity; at least 1.
     pub(crate) fn capacity_loss(&self) -> f64 {
         (self.mean_capacity / self.capacity.max(f64::MIN_POSITIVE)).max(1.0)
     }
--- a/crates/decide/src/state/pending_request.rs
+++ b/crates/decide/src/state/pending_request.rs
@@ -1,19 +1,19 @@
-//! A request without a final response, and its attempts.
+//! A request without a final answer, and its attempts.
 
 use crate::interface::{Action, AttemptNumber, ClassId, EndpointId, Outcome, Request, RequestId, Seconds};
 
-/// One sending of a request to a server.
+/// One attempt to run a request at a server.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) sent_at: Seconds,
-    /// How long its response was expected to take.
+    /// The response time that was expected when it was sent.
     pub(crate) expected_time: Seconds,
-    /// How many times its service time it was expected to take, queueing included; at least 1.
+    /// The expected response time including queueing, as a multiple of the service time; at least 1.
     pub(crate) queue_factor: f64,
-    /// How it ended; `None` while it is in flight.
+    /// `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
-    /// Its outcome proves that it never ran.
+    /// True if its outcome proves that it never ran.
     pub(crate) never_ran: bool,
 }
 
@@ -28,42 +28,42 @@
     }
 }
 
-/// A request to which a final response is owed.
+/// A request that still needs a final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) id: RequestId,
     pub(crate) class: ClassId,
-    /// When its latency target ends.
+    /// When its latency target expires.
     pub(crate) target_time: Seconds,
     /// When its client gives up.
     pub(crate) deadline: Seconds,
     pub(crate) attempts: Vec<Attempt>,
-    /// A streamed response has started: nothing more is sent.
+    /// True once a streamed response has started; no further attempts are sent.
     pub(crate) response_started: bool,
-    /// Its body still arrives; its target and deadline count from the last byte.
+    /// True until its body has arrived completely; then its target and deadline are set anew.
     pub(crate) body_pending: bool,
     arrived_at: Seconds,
-    /// When its client first tried, at this proxy or another one.
+    /// When its client made the first attempt, at this proxy or another one.
     pub(crate) first_attempt_at: Seconds,
     pub(crate) max_attempts: u32,
-    /// A random number from 0 to 1 that says which servers in slow start it may go to.
+    /// A random number from 0 to 1 that decides which servers in slow start may get it.
     pub(crate) slow_start_draw: f64,
-    /// It avoids servers that are reserved for other classes, while there are others.
+    /// True if it avoids servers that are reserved for other classes, as long as there are others.
     pub(crate) avoids_reserved: bool,
-    /// The fraction of its value that remains in view of its tenant's share.
+    /// The factor that reduces its value if its tenant exceeds its share; 1 otherwise.
     pub(crate) share_factor: f64,
-    /// The pair of servers that was probed for it, and stays its pair.
+    /// The pair of servers that was probed for it, from which its server is selected.
     pub(crate) probed_pair: Vec<usize>,
     /// All servers that were probed for it.
     pub(crate) probed: Vec<usize>,
-    /// How long it may wait for probes.
+    /// The time until which it may wait for probes.
     pub(crate) probes_until: Seconds,
     /// Probed servers that have not responded yet.
     pub(crate) probes_pending: Vec<usize>,
 }
 
 impl PendingRequest {
-    /// A request that arrives now, `elapsed` after its client first tried.
+    /// A request that arrives now, `elapsed` seconds after its client's first attempt.
     pub(crate) fn new(
         now: Seconds,
         request: &Request,
@@ -92,15 +92,15 @@
         }
     }
 
-    /// The last byte of its body has arrived: its times start now.
+    /// Restarts its latency target and deadline when the last byte of its body has arrived.
     pub(crate) fn on_body_received(&mut self, now: Seconds, time_left: Seconds) {
         self.target_time = now + (self.target_time - self.arrived_at);
         self.deadline = now + time_left;
         self.body_pending = false;
     }
 
-    /// The first attempt that may have run.
-    pub(crate) fn may_have_run(&self) -> Option<&Attempt> {
+    /// The first attempt that may have run, if any.
+    pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_ran)
     }
 
@@ -109,7 +109,7 @@
         self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none())
     }
 
-    /// Queued requests per slot before its last attempt; 1 if there was none.
+    /// The queued requests per slot that its last attempt was expected to find; 1 without an attempt.
     pub(crate) fn queue_per_slot(&self) -> f64 {
         self.attempts.last().map_or(1.0, |attempt| attempt.queue_factor - 1.0)
     }
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -1,11 +1,11 @@
-//! The state of one balancer.
+//! The state of one balancer, and how lists and settings change it.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use mosshead_recovery::{DiscoveryBackoff, InstanceLifecycle};
 use rand_core::RngCore;
 
-use super::class_stats::{ClassStats, MachineKindStats, TARGET_SERVICE_TIMES, ZoneStats};
+use super::class_stats::{ClassStats, MachineKindStats, SERVICE_TIMES_PER_TARGET, ZoneStats};
 use super::endpoint::Endpoint;
 use super::overload::Overload;
 use super::pending_request::PendingRequest;
@@ -14,74 +14,74 @@
     Class, ClassId, ClassRedefinition, EndpointId, ListEntry, Readiness, RequestId, Seconds, Settings,
 };
 
-/// How many attempts of the whole fleet of proxies a server of which nothing is known may have at once; one of each
-/// proxy at least. If each proxy began with the full number, a fleet that starts at once would overload every server.
+/// The initial concurrency limit of a server, summed over all proxies; each proxy may send at least one attempt. If
+/// each proxy started with the full limit, proxies that start together would overload every server.
 const INITIAL_FLEET_CONCURRENCY: f64 = 16.0;
-/// How many samples the first guess of the failure rate counts for.
+/// The number of samples that the initial estimate of the failure rate counts for.
 const INITIAL_FAILURE_SAMPLES: f64 = 64.0;
 
 /// The state of one balancer.
 #[derive(Clone, Debug)]
 pub(crate) struct PolicyState {
-    /// By [`EndpointId`]; servers that were removed keep their index.
+    /// Indexed by [`EndpointId`]; removed servers keep their index.
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Ready servers of the proxy's zone that are past their slow start, in this proxy's own random order.
+    /// Ready servers past their slow start in the proxy's own zone, in this proxy's own random order.
     pub(crate) local: Vec<usize>,
-    /// The same of other zones.
+    /// Ready servers past their slow start in other zones, in the same order.
     pub(crate) remote: Vec<usize>,
     /// Ready servers in slow start.
     pub(crate) slow_starting: Vec<usize>,
-    /// What the ready servers can do at present, in units of their sizes.
+    /// The present capacity of the ready servers, in units of size, with a lower bound during slow starts.
     pub(crate) fleet_capacity: f64,
-    /// When the three lists above and the capacity are computed again, if no list comes before.
+    /// When the three lists above and the capacity are recomputed, unless a list update does so earlier.
     pub(crate) next_review_at: Seconds,
-    /// Requests without a final response, by their timer tokens.
+    /// Requests without a final answer, by timer token.
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
-    /// The timer tokens of these requests.
+    /// The timer tokens of pending requests.
     pub(crate) tokens: HashMap<RequestId, u64>,
-    /// Requests that wait for probes, by their timer tokens.
+    /// The timer tokens of requests that wait for probes.
     pub(crate) awaiting_probes: Vec<u64>,
-    /// Until then no probes are sent.
+    /// No probes are sent before this time.
     pub(crate) probes_paused_until: Seconds,
     pub(crate) next_token: u64,
     pub(crate) classes: Vec<ClassStats>,
-    /// The rate of the requests to this proxy.
+    /// The rate of requests to this proxy.
     pub(crate) request_rate: Rate,
     pub(crate) tenant_rates: Vec<Rate>,
     pub(crate) kinds: Vec<MachineKindStats>,
-    /// Two for each zone: its servers that are reserved for some class come second.
+    /// Two entries for each zone: first its unreserved servers, then those that are reserved for some class.
     pub(crate) zones: Vec<ZoneStats>,
     pub(crate) fleet_log_slowness: Mean,
     pub(crate) fleet_log_load: Mean,
     pub(crate) mean_service: Mean,
-    /// How old a report is on arrival, in decay times of a report, as far as repeated ones show it.
+    /// The estimated age of reports on arrival, in decay times of a report, learned from repeated reports.
     pub(crate) report_age: f64,
-    /// The fraction of attempts that fail, at any server.
+    /// The fraction of attempts that fail, over all servers.
     pub(crate) failure_rate: Mean,
     pub(crate) mean_value: Mean,
     pub(crate) overload: Overload,
     pub(crate) mean_deadline: Seconds,
     pub(crate) shortest_target: Seconds,
-    /// How many retries and hedged requests may still be sent.
+    /// The number of retries and hedges that may be sent.
     pub(crate) retry_budget: f64,
-    /// How many own attempts a server of which nothing is known may have.
+    /// The initial concurrency limit of a server.
     pub(crate) initial_concurrency: f64,
-    /// The natural logarithm of the price of work, by market: a set of servers that classes may use.
+    /// The natural logarithm of the price of work, by price group: the classes that may use the same servers.
     pub(crate) log_prices: Vec<f64>,
-    /// The market of each class, named by the first class that has it.
-    pub(crate) market_of_class: Vec<usize>,
-    /// The ready servers that are reserved for some class, as a fraction of the fleet's size.
+    /// The price group of each class: the index of the first class in the group.
+    pub(crate) price_group_of_class: Vec<usize>,
+    /// The fraction of the fleet's size that is reserved for some class.
     pub(crate) reserved_share: f64,
     /// The fraction of the work that belongs to restricted classes.
     pub(crate) restricted_work: Mean,
     /// The backoff between calls for the list.
     pub(crate) list_backoff: DiscoveryBackoff,
-    /// How far this process has recovered since its start.
+    /// The recovery of this process since its start.
     pub(crate) recovery: InstanceLifecycle,
 }
 
 impl PolicyState {
-    /// Nothing seen yet; values that a decision rests on are filled in by the policy.
+    /// An empty state. The policy sets the initial values that depend on its tuning.
     pub(crate) fn new(settings: &Settings) -> Self {
         let classes = &settings.classes;
         let mean =
@@ -105,7 +105,7 @@
             zones: Vec::new(),
             fleet_log_slowness: Mean::default(),
             fleet_log_load: Mean::default(),
-            mean_service: Mean::new(mean(|class| class.latency_target / TARGET_SERVICE_TIMES), 0.0),
+            mean_service: Mean::new(mean(|class| class.latency_target / SERVICE_TIMES_PER_TARGET), 0.0),
             report_age: 0.0,
             failure_rate: Mean::new(0.0, INITIAL_FAILURE_SAMPLES),
             overload: Overload::default(),
@@ -115,7 +115,7 @@
             retry_budget: 0.0,
             initial_concurrency: initial_concurrency(settings),
             log_prices: vec![0.0; classes.len()],
-            market_of_class: markets(classes),
+            price_group_of_class: price_groups(classes),
             reserved_share: 1.0,
             restricted_work: Mean::default(),
             list_backoff: DiscoveryBackoff::default(),
@@ -131,17 +131,17 @@
         &mut self.endpoints[id.0 as usize]
     }
 
-    /// How many requests a server processes at once, as far as is known of its kind.
+    /// The estimated number of requests that a server processes at once, learned for its kind of machine.
     pub(crate) fn slots(&self, endpoint: &Endpoint) -> f64 {
         self.kinds[endpoint.entry.kind.0].slots.value
     }
 
-    /// A request without a final response.
+    /// A pending request.
     pub(crate) fn request_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(self.tokens.get(&id)?)
     }
 
-    /// Takes a full list: servers that are not on it are removed.
+    /// Applies a full list: servers that are missing from it are removed.
     pub(crate) fn replace_list(&mut self, now: Seconds, entries: Vec<ListEntry>, rng: &mut impl RngCore) {
         let listed: HashSet<usize> = entries.iter().map(|entry| entry.endpoint.0 as usize).collect();
         self.update_list(now, entries, rng);
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Takes the changed entries of the list.
+    /// Applies the changed entries of a list.
     pub(crate) fn update_list(&mut self, now: Seconds, entries: Vec<ListEntry>, rng: &mut impl RngCore) {
         for entry in entries {
             self.update_entry(now, entry, rng);
         }
     }
 
-    /// Takes one entry of the list; a server that is new draws its preference from `rng`.
+    /// Applies one entry of a list; the preference of a new server is drawn from `rng`.
     fn update_entry(&mut self, now: Seconds, entry: ListEntry, rng: &mut impl RngCore) {
         let index = entry.endpoint.0 as usize;
         let zone = ZoneStats { log_load: Mean::default(), last_contact_at: now };
@@ -176,7 +176,7 @@
         let is_new_process =
             endpoint.entry.started_at != entry.started_at || endpoint.entry.readiness == Readiness::Removed;
         if is_new_process {
-            // A new process must not be judged by what its predecessor did; attempts in flight stay counted.
+            // A new process starts without the history of its predecessor, but attempts in flight still count.
             let Endpoint { in_flight, preference, .. } = *endpoint;
             let fresh = Endpoint::new(now, entry, self.initial_concurrency);
             *endpoint = Endpoint { in_flight, preference, ..fresh };
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Takes other settings in place of `old`. `active_classes` are those of new requests.
+    /// Replaces the settings `old` by `new`. `active_classes` are the classes that new requests may have.
     pub(crate) fn apply_settings(
         &mut self,
         old: &Settings,
@@ -208,7 +208,7 @@
         }
         let lowest_price = self.log_prices.iter().copied().fold(f64::INFINITY, f64::min);
         self.log_prices.resize(new.classes.len(), lowest_price);
-        self.market_of_class = markets(&new.classes);
+        self.price_group_of_class = price_groups(&new.classes);
         self.tenant_rates.resize(new.tenants.len(), Rate::default());
         let active = || active_classes.iter().map(|class| &new.classes[class.0]);
         self.mean_deadline =
@@ -218,15 +218,15 @@
     }
 }
 
-/// This proxy's part of the attempts that its fleet may have at an unknown server.
+/// This proxy's share of the initial concurrency limit of a server.
 fn initial_concurrency(settings: &Settings) -> f64 {
     (INITIAL_FLEET_CONCURRENCY / settings.proxy_count).clamp(1.0, INITIAL_FLEET_CONCURRENCY)
 }
 
-/// For each class the first one that may use the same servers.
-fn markets(classes: &[Class]) -> Vec<usize> {
+/// For each class, the index of the first class that may use the same servers.
+fn price_groups(classes: &[Class]) -> Vec<usize> {
     let servers_of = |class: &Class| (class.machine_kinds.clone(), class.zones.clone());
-    let market_of =
+    let group_of =
         |class| classes.iter().position(|first| servers_of(first) == servers_of(class)).unwrap_or(0);
-    classes.iter().map(market_of).collect()
+    classes.iter().map(group_of).collect()
 }
--- a/crates/decide/src/state/statistics.rs
+++ b/crates/decide/src/state/statistics.rs
@@ -1,29 +1,29 @@
-//! Means and rates that forget.
+//! Exponentially weighted means and rates.
 
 use crate::interface::Seconds;
 
-/// A running mean: of all samples at first, then one that forgets.
+/// A running mean: the plain mean of the first samples, then an exponentially weighted one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     pub(crate) value: f64,
-    /// How many samples the value counts for.
+    /// The number of samples that the value counts for.
     pub(crate) samples: f64,
 }
 
 impl Mean {
-    /// Starts from `value`, which counts as so many samples.
+    /// Starts from `value`, which counts for this many samples.
     pub(crate) fn new(value: f64, samples: f64) -> Self {
         Self { value, samples }
     }
 
-    /// Adds a sample with at least the weight `gain`, and more while there are few.
+    /// Adds a sample with the weight `gain`, or a higher one while there are few samples.
     pub(crate) fn add(&mut self, sample: f64, gain: f64) {
         self.samples += 1.0;
         self.value += (sample - self.value) * gain.max(1.0 / self.samples);
     }
 }
 
-/// The rate of events, which forgets exponentially.
+/// An exponentially decaying rate of events.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rate {
     /// The decayed count at `updated_at`.
@@ -32,7 +32,7 @@
 }
 
 impl Rate {
-    /// Events per second, over about the last `time_constant`.
+    /// Events per second, averaged over about the last `time_constant` seconds.
     pub(crate) fn read(&self, now: Seconds, time_constant: Seconds) -> f64 {
         self.count * (-(now - self.updated_at).max(0.0) / time_constant).exp() / time_constant
     }
