--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,10 +1,10 @@
-//! Whether requests are admitted, by queue, price, value and tenant.
+//! Admission of requests by queue, price, value and tenant.
 
 mod common;
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a queue can outgrow the latency target before the first late response shows it.
+/// Regression: a queue can exceed the latency target before the first late response arrives.
 #[test]
 fn a_queue_longer_than_the_latency_target_rejects_at_once() {
     let mut host = Host::new(settings(), fleet(1));
@@ -17,7 +17,7 @@
     assert!(host.in_flight.len() < 35, "{} in flight", host.in_flight.len());
 }
 
-/// Regression: full servers reject whatever arrives next, whatever its value, and no response is ever late.
+/// Regression: full servers reject requests of any value, so no response is ever late that would raise the price.
 #[test]
 fn rejections_by_crowded_servers_raise_the_price() {
     let mut host = Host::new(settings(), fleet(1));
@@ -46,9 +46,10 @@
     assert!(rejections >= 40, "{rejections} of 240 rejected");
 }
 
-/// Regression: the limit of queueing rejects valuable and cheap alike, and no response comes late that would move the price.
+/// Regression: the limit on queueing rejects valuable and cheap requests alike, and prevents the late responses that
+/// would raise the price.
 #[test]
-fn value_decides_what_is_rejected_under_lasting_overload() {
+fn cheap_requests_are_rejected_first_under_lasting_overload() {
     let mut settings = settings();
     settings.classes[1].value = 4.0;
     settings.classes.iter_mut().for_each(|class| class.late_value = 0.0);
@@ -58,7 +59,7 @@
         let class = index % 2;
         let (request, actions) = host.request([SAFE, UNSAFE][class]);
         rejections[class] += i32::from(index >= 1000 && is_rejected(&actions, request));
-        // One at a time, 0.05 s each: half of the requests.
+        // Requests are served one at a time, 0.05 s each, which suffices for half of them.
         if index % 2 == 1
             && let Some(&sent) = host.in_flight.first()
         {
@@ -66,40 +67,40 @@
         }
         host.now += 0.025;
     }
-    let [cheap, dear] = rejections;
-    assert!((900..1100).contains(&(cheap + dear)), "{rejections:?} rejected of 1000 each");
-    let odds = |is_rejected: i32| f64::from(is_rejected) / f64::from(1000 - is_rejected);
-    assert!(odds(cheap) > 3.0 * odds(dear), "{rejections:?} rejected of 1000 each");
+    let [cheap, valuable] = rejections;
+    assert!((900..1100).contains(&(cheap + valuable)), "{rejections:?} rejected of 1000 each");
+    let odds = |rejected: i32| f64::from(rejected) / f64::from(1000 - rejected);
+    assert!(odds(cheap) > 3.0 * odds(valuable), "{rejections:?} rejected of 1000 each");
 }
 
-/// Regression: a price risen in a rush is kept up by the rejections that it causes, as few responses come to lower it.
+/// Regression: a price that rose in a burst stays high, since it rejects the requests whose responses would lower it.
 #[test]
 fn rejecting_at_short_queues_lowers_the_price() {
     let mut host = Host::new(settings(), fleet(1));
-    let flood = |host: &mut Host, count: usize| {
+    let count_rejections = |host: &mut Host, count: usize| {
         (0..count).filter(|_| matches!(host.request(UNSAFE).1[..], [Action::Reject { .. }])).count()
     };
-    let rush = flood(&mut host, 400);
-    assert!(rush > 350, "{rush} of 400 rejected in the rush");
+    let rejected_in_burst = count_rejections(&mut host, 400);
+    assert!(rejected_in_burst > 350, "{rejected_in_burst} of 400 rejected in the burst");
     while host.in_flight.len() > 1 {
         let sent = host.in_flight[0];
         host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
     }
     host.now += 0.3;
-    let mut late = 0;
+    let mut rejected_later = 0;
     for index in 0..200 {
         let kept = host.in_flight.len();
-        late += flood(&mut host, 1) * usize::from(index >= 100);
+        rejected_later += count_rejections(&mut host, 1) * usize::from(index >= 100);
         if host.in_flight.len() > kept {
             let sent = host.in_flight[kept];
             host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
         }
     }
-    assert!(late < 45, "{late} of 100 rejected at a short queue afterwards");
+    assert!(rejected_later < 45, "{rejected_later} of 100 rejected at a short queue afterwards");
 }
 
-/// Regression: the last attempt of a client may have more time left than the first one of another; first attempts that are
-/// taken for late ones are rejected, as their latency target seems to have passed.
+/// Regression: a client's last attempt may have more time left than another client's first one. A first attempt that is
+/// taken for a late retry is rejected, as its latency target seems to have expired.
 #[test]
 fn a_first_attempt_is_known_by_the_usual_time_left() {
     let mut host = Host::new(settings(), fleet(1));
@@ -107,7 +108,7 @@
     for index in 0..100 {
         host.request(SAFE);
         let others = host.in_flight.clone();
-        // A first attempt, and a last one 0.5 s after its own first one, which was not served.
+        // A first attempt, and a retry 0.5 s after its client's first attempt, which was not served.
         for (which, time_left) in [(0, 0.9), (1, 1.5 - f64::from(index % 3) / 200.0)] {
             let (request, actions) = host.request_as(UNSAFE, None, time_left);
             rejections[which] += usize::from(is_rejected(&actions, request));
@@ -127,12 +128,12 @@
     assert!(rejections[1] >= 90, "{rejections:?} of 100 first and last attempts rejected");
 }
 
-/// Regression: a client that waits less than others was taken for one that retries too late, and rejected at once.
+/// Regression: a client with a shorter timeout than others was taken for one that retries late, and rejected at once.
 #[test]
-fn a_client_that_waits_less_than_others_is_not_late() {
-    let mut all = settings();
-    all.classes[SAFE.0].late_value = 0.0;
-    let mut host = Host::new(all, fleet(6));
+fn a_client_with_a_short_timeout_is_not_taken_for_a_late_retry() {
+    let mut test_settings = settings();
+    test_settings.classes[SAFE.0].late_value = 0.0;
+    let mut host = Host::new(test_settings, fleet(6));
     let mut rejections = 0;
     for index in 0..200 {
         let time_left = if index < 100 || index % 2 == 0 { 1.9 } else { 0.2 + f64::from(index % 7) / 100.0 };
@@ -145,7 +146,7 @@
     assert!(rejections < 10, "{rejections} of 200 rejected");
 }
 
-/// Regression: requests also miss their time at slow servers; that is no sign of overload.
+/// Regression: requests also miss their latency target at slow servers, which does not indicate overload.
 #[test]
 fn misses_at_idle_servers_reject_nothing() {
     let mut host = Host::new(settings(), fleet(4));
@@ -155,10 +156,10 @@
         host.serve(sent);
     }
     let placed: Vec<SentAttempt> = (0..8).map(|_| host.place_request(UNSAFE)).collect();
-    assert_eq!(placed.len(), 8, "a short queue is no reason to reject");
+    assert_eq!(placed.len(), 8, "a short queue must not cause rejections");
 }
 
-/// Regression: one tenant's flood takes the capacity of all others.
+/// Regression: one tenant's excess of requests takes the capacity of all others.
 #[test]
 fn a_tenant_beyond_its_share_is_rejected_first() {
     let tenants = vec![Tenant { share: 0.5 }, Tenant { share: 0.5 }];
@@ -171,19 +172,22 @@
         requests[tenant] += 1.0;
         rejections[tenant] += f64::from(u8::from(is_rejected(&actions, request)));
         host.now += 0.01;
-        // The fleet is too slow for all of it: every third step one response.
+        // The fleet is overloaded: only every third step brings a response.
         if index % 3 == 0 && !host.in_flight.is_empty() {
             let sent = host.in_flight[0];
             host.serve(sent);
         }
     }
-    let (flood, quiet) = (rejections[0] / requests[0], rejections[1] / requests[1]);
-    assert!(flood > quiet + 0.1, "rejected: {flood:.2} of the flood, {quiet:.2} of the other");
+    let (flooding, other) = (rejections[0] / requests[0], rejections[1] / requests[1]);
+    assert!(
+        flooding > other + 0.1,
+        "rejected: {flooding:.2} of the flooding tenant, {other:.2} of the other"
+    );
 }
 
-/// Regression: a proxy that rejects on one old report of a busy server learns nothing new, and rejects for good.
+/// Regression: a proxy that rejects because of one old report of a busy server gets no new report and keeps rejecting.
 #[test]
-fn a_proxy_that_rejects_finds_out_when_the_queues_are_gone() {
+fn a_rejecting_proxy_learns_when_queues_have_cleared() {
     let mut host = Host::new(settings(), fleet(20));
     let sent = host.place_request(UNSAFE);
     host.end_attempt(sent, Outcome::Served, load_report(60.0, 59.0));
@@ -194,20 +198,20 @@
         sent.map(|sent| host.end_attempt(sent, Outcome::Served, load_report(1.0, 0.0)));
         is_rejected(&actions, request)
     };
-    assert!((0..10).all(|_| is_next_rejected(&mut host)), "crowded as far as it knows");
+    assert!((0..10).all(|_| is_next_rejected(&mut host)), "the last report shows a queue");
     host.now += 4.0;
-    assert!(!(0..200).all(|_| is_next_rejected(&mut host)), "some are admitted to find out");
+    assert!(!(0..200).all(|_| is_next_rejected(&mut host)), "some are admitted as trials");
     let last = (0..20).filter(|_| is_next_rejected(&mut host)).count();
-    assert!(last < 4, "and then nearly all are: {last} of 20 rejected");
+    assert!(last < 4, "then nearly all are admitted: {last} of 20 rejected");
 }
 
-/// Regression: clients that were rejected together and asked to wait for the same time retry together.
+/// Regression: clients that are rejected together and asked to wait for the same time retry together.
 #[test]
 fn a_rejection_says_when_to_retry_within_the_limit_and_spread() {
     for limit in [0.2, 0.05] {
-        let mut all = settings();
-        all.limits.max_retry_after = limit;
-        let mut host = Host::new(all, fleet(1));
+        let mut test_settings = settings();
+        test_settings.limits.max_retry_after = limit;
+        let mut host = Host::new(test_settings, fleet(1));
         for _ in 0..200 {
             host.request(UNSAFE);
         }
@@ -218,6 +222,6 @@
         let waits: Vec<f64> = advice.collect();
         assert!(waits.len() > 100 && waits.iter().all(|wait| (0.0..=limit).contains(wait)));
         let early = waits.iter().filter(|wait| **wait < limit).count();
-        assert!(early > 10, "{early} of {} early", waits.len());
+        assert!(early > 10, "{early} of {} waits are under the limit", waits.len());
     }
 }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host for one balancer, with the clock, the timers and the attempts in flight.
+//! A test host for one balancer: its clock, its timers and its attempts in flight.
 #![allow(dead_code)]
 
 use mosshead_decide::Balancer;
@@ -93,11 +93,11 @@
     pub(crate) balancer: Balancer,
     /// Every action so far.
     pub(crate) actions: Vec<Action>,
-    /// Attempts whose outcome the balancer does not know yet.
+    /// Attempts whose outcome has not been passed to the balancer.
     pub(crate) in_flight: Vec<SentAttempt>,
-    /// Timers with the time at which they are due.
+    /// Pending timers with their due times.
     pub(crate) timers: Vec<(Seconds, TimerToken)>,
-    /// How many attempts each request has had.
+    /// The number of attempts of each request.
     attempt_counts: std::collections::BTreeMap<RequestId, u32>,
     next_request: u64,
 }
@@ -122,7 +122,7 @@
         host
     }
 
-    /// Passes one event to the balancer, and returns its actions.
+    /// Passes one event to the balancer and returns its actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -163,7 +163,7 @@
         (request, actions)
     }
 
-    /// Sends a request and returns its first attempt; a request that is rejected by chance is followed by another one.
+    /// Makes a request and returns its first attempt. Since rejections are random, it tries up to ten requests.
     pub(crate) fn place_request(&mut self, class: ClassId) -> SentAttempt {
         for _ in 0..10 {
             let (request, actions) = self.request(class);
@@ -197,7 +197,7 @@
         self.end_attempt(sent, Outcome::Served, LoadReport::default())
     }
 
-    /// Lets time pass, and fires the timers that are due meanwhile.
+    /// Advances the clock and fires the timers that become due.
     pub(crate) fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let (end, mut actions) = (self.now + time, Vec::new());
         while let Some(index) = (0..self.timers.len())
@@ -222,11 +222,11 @@
 }
 
 pub(crate) fn sent_endpoints(actions: &[Action]) -> Vec<EndpointId> {
-    let of = |action: &Action| match action {
+    let endpoint_of = |action: &Action| match action {
         Action::Send { endpoint, .. } => Some(*endpoint),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(endpoint_of).collect()
 }
 
 pub(crate) fn is_rejected(actions: &[Action], id: RequestId) -> bool {
@@ -237,7 +237,7 @@
     actions.contains(&Action::Fail { request: id })
 }
 
-/// Sends requests one after the other, and counts those that each server gets.
+/// Sends requests one after the other and counts those that each server gets.
 pub(crate) fn count_requests(host: &mut Host, requests: usize, servers: usize) -> Vec<usize> {
     let mut counts = vec![0; servers];
     for _ in 0..requests {
@@ -249,7 +249,7 @@
     counts
 }
 
-/// Gives every server a first report, so that none has the mean load of the fleet.
+/// Delivers a report of every server, so that no server is assumed to have the mean load of the fleet.
 pub(crate) fn report_once(host: &mut Host, reports: &[LoadReport]) {
     let mut missing: Vec<usize> = (0..reports.len()).collect();
     while !missing.is_empty() {
@@ -261,7 +261,7 @@
     }
 }
 
-/// Sends until two attempts are in flight at one server, and fails both; the others are served.
+/// Sends requests until two attempts are in flight at one server, fails both, and serves all others.
 pub(crate) fn fail_twice(host: &mut Host, class: ClassId, server: EndpointId, outcome: Outcome) {
     let (mut at_server, mut at_others) = (Vec::new(), Vec::new());
     while at_server.len() < 2 && at_others.len() < 20 {
@@ -282,12 +282,12 @@
     host.in_flight.clear();
 }
 
-/// Makes a request, and ends its attempt as not sent, so that nothing is in flight for the next one.
-pub(crate) fn request_and_take_back(host: &mut Host) -> (RequestId, Vec<Action>) {
-    request_as_and_take_back(host, UNSAFE)
+/// Makes a request and ends its attempt as not sent, so that nothing stays in flight.
+pub(crate) fn request_and_discard(host: &mut Host) -> (RequestId, Vec<Action>) {
+    request_as_and_discard(host, UNSAFE)
 }
 
-pub(crate) fn request_as_and_take_back(host: &mut Host, class: ClassId) -> (RequestId, Vec<Action>) {
+pub(crate) fn request_as_and_discard(host: &mut Host, class: ClassId) -> (RequestId, Vec<Action>) {
     let requested = host.request(class);
     if let Some(sent) = host.in_flight.last().copied() {
         host.end_attempt(sent, Outcome::NotSent, LoadReport::default());
@@ -305,15 +305,15 @@
 }
 
 pub(crate) fn probed_endpoints(actions: &[Action]) -> Vec<EndpointId> {
-    let of = |action: &Action| match action {
+    let endpoint_of = |action: &Action| match action {
         Action::Probe { endpoint } => Some(*endpoint),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(endpoint_of).collect()
 }
 
 pub(crate) fn settings_with_probes(probe_cost: f64) -> Settings {
-    let mut all = Settings { reporting: Reporting::Probes, probe_cost, ..settings() };
-    all.limits.can_probe = true;
-    all
+    let mut test_settings = Settings { reporting: Reporting::Probes, probe_cost, ..settings() };
+    test_settings.limits.can_probe = true;
+    test_settings
 }
--- a/crates/decide/tests/connections.rs
+++ b/crates/decide/tests/connections.rs
@@ -1,13 +1,13 @@
-//! Connections that are reused or closed.
+//! Reuse and closing of connections.
 
 mod common;
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a proxy that seldom meets a server finds every connection to it idle. Where servers are silent for a while,
-/// that was taken for broken connections: each proxy closed working ones, and no server was counted as failing.
+/// Regression: a proxy that rarely uses a server has only idle connections to it. When servers did not respond for a
+/// while, the proxies took these connections for broken and closed working ones, and no server was counted as failing.
 #[test]
-fn silent_servers_close_no_idle_connections() {
+fn timeouts_at_silent_servers_close_no_idle_connections() {
     let mut host = Host::new(settings(), fleet(1));
     let mut closed = 0;
     for outcome in [Outcome::Served, Outcome::TimedOut, Outcome::TimedOut, Outcome::Served].repeat(3) {
@@ -20,28 +20,32 @@
         }
         host.now += 3.0;
     }
-    assert_eq!(closed, 0, "connections closed for want of an answer");
+    assert_eq!(closed, 0, "connections closed after timeouts");
 }
 
-/// Regression: where new connections are expensive, a proxy with few requests that spreads them opens one for each.
+/// Regression: if new connections are expensive, a proxy with few requests must not open one for each by spreading
+/// them.
 #[test]
 fn expensive_connections_are_reused() {
-    for (price, least, most) in [(0.5, 20, 20), (0.0, 4, 16)] {
-        let mut all = settings();
-        all.connection_cost = price;
-        let mut host = Host::new(all, fleet(2));
+    for (price, min_reused, max_reused) in [(0.5, 20, 20), (0.0, 4, 16)] {
+        let mut test_settings = settings();
+        test_settings.connection_cost = price;
+        let mut host = Host::new(test_settings, fleet(2));
         let first = host.place_request(SAFE);
         host.now += 0.05;
         host.serve(first);
-        let again = (0..20).filter(|_| {
+        let reused = (0..20).filter(|_| {
             host.now += 1.0;
             let sent = host.place_request(SAFE);
-            let known = sent.endpoint == first.endpoint;
+            let is_same_server = sent.endpoint == first.endpoint;
             host.now += 0.05;
             host.serve(sent);
-            known
+            is_same_server
         });
-        let again = again.count();
-        assert!((least..=most).contains(&again), "{again} of 20 to the one connected at {price}");
+        let reused = reused.count();
+        assert!(
+            (min_reused..=max_reused).contains(&reused),
+            "{reused} of 20 reuse the connection at a cost of {price}"
+        );
     }
 }
--- a/crates/decide/tests/ejection.rs
+++ b/crates/decide/tests/ejection.rs
@@ -1,11 +1,11 @@
-//! Servers that fail are ejected, and come back by trials.
+//! Failing servers are ejected, and become candidates again after successful trials.
 
 mod common;
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: attempts fail now and then at any server. If each failure ejected one, most of a healthy fleet would be idle and
-/// the others overloaded.
+/// Regression: occasional failures happen at any server. If each caused an ejection, most of a healthy fleet would be
+/// idle and the rest overloaded.
 #[test]
 fn a_single_failure_ejects_no_server() {
     let mut host = Host::new(settings(), fleet(4));
@@ -21,7 +21,8 @@
     assert!(placed.iter().all(|count| *count > 30), "{placed:?}");
 }
 
-/// Regression: with most of a fleet ejected for silence the few others would get everything, and be overloaded.
+/// Regression: if most of a fleet is ejected for not responding, the few others would get all requests and be
+/// overloaded.
 #[test]
 fn the_few_servers_not_ejected_do_not_get_everything() {
     let mut host = Host::new(settings(), fleet(4));
@@ -38,36 +39,36 @@
     assert!(placed > 10, "{placed} of 40");
 }
 
-/// Regression: a server that fails at once has a low load and keeps winning pairs.
+/// Regression: a server that fails fast has a low load, so it would be selected again and again.
 #[test]
 fn fast_errors_eject_a_server_until_a_trial_with_an_idempotent_request() {
     let mut host = Host::new(settings(), fleet(3));
     fail_twice(&mut host, SAFE, EndpointId(1), Outcome::Errored);
     for _ in 0..40 {
         let sent = host.place_request(UNSAFE);
-        assert_ne!(sent.endpoint.0, 1, "shunned");
+        assert_ne!(sent.endpoint.0, 1, "ejected");
         host.now += 0.01;
         host.serve(sent);
     }
     host.advance(3.0);
     for _ in 0..20 {
         let sent = host.place_request(UNSAFE);
-        assert_ne!(sent.endpoint.0, 1, "an unsafe request is no trial");
+        assert_ne!(sent.endpoint.0, 1, "an unsafe request must not be a trial");
         host.serve(sent);
     }
     let trials = count_requests(&mut host, 40, 3);
-    assert!(trials[1] > 3, "tried, proved and back: {trials:?}");
+    assert!(trials[1] > 3, "a candidate again after successful trials: {trials:?}");
 }
 
-/// Regression: with most servers looking bad the evidence is contradictory, and ejections overload the rest.
+/// Regression: if most servers look unhealthy, the cause is probably not the servers, and ejections overload the rest.
 #[test]
 fn when_most_servers_fail_all_stay_candidates() {
     let mut host = Host::new(settings(), fleet(3));
-    let mut erred = [false; 2];
-    while erred.contains(&false) {
+    let mut has_errored = [false; 2];
+    while has_errored.contains(&false) {
         let sent = host.place_request(UNSAFE);
         host.now += 0.001;
-        match erred.get_mut(sent.endpoint.0 as usize) {
+        match has_errored.get_mut(sent.endpoint.0 as usize) {
             Some(seen) => {
                 *seen = true;
                 host.end_attempt(sent, Outcome::Errored, LoadReport::default());
@@ -82,7 +83,7 @@
     assert!(placed.iter().all(|count| *count > 1), "{placed:?}");
 }
 
-/// Regression: a server that does not respond never shows a long response time.
+/// Regression: a server that never responds has no response times that would show it as slow.
 #[test]
 fn silence_counts_against_a_server() {
     let mut host = Host::new(settings(), fleet(3));
@@ -111,7 +112,7 @@
     }
 }
 
-/// Regression: a hung server's attempts are cancelled when a hedged attempt wins, and it looks idle.
+/// Regression: attempts at a hung server are cancelled when a hedge wins, and the server then looks idle.
 #[test]
 fn a_cancelled_attempt_at_a_silent_server_counts_against_it() {
     let mut host = Host::new(settings(), fleet(4));
--- a/crates/decide/tests/endpoint_list.rs
+++ b/crates/decide/tests/endpoint_list.rs
@@ -4,7 +4,7 @@
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a restarted process must not be judged by what its predecessor did.
+/// Regression: a restarted process must not inherit the history of its predecessor.
 #[test]
 fn a_restart_resets_a_server_but_not_its_attempts_in_flight() {
     let mut host = Host::new(settings(), fleet(2));
@@ -12,13 +12,13 @@
     host.end_attempt(sent, Outcome::ConnectFailed, LoadReport::default());
     host.in_flight.clear();
     let server = sent.endpoint.0;
-    // It started long ago by now, so that its slow start is over.
+    // It started 60 s ago, so that its slow start is over.
     host.update_entry(ListEntry { started_at: Some(host.now - 60.0), ..entry(server) });
     let placed: Vec<u32> = (0..6).map(|_| host.place_request(UNSAFE).endpoint.0).collect();
     assert!(placed.contains(&server), "{placed:?}");
 }
 
-/// Regression: the numbers of removed servers are reused; the new server is not to blame for the old one.
+/// Regression: the ids of removed servers are reused; the new server must not inherit the old one's history.
 #[test]
 fn a_reused_endpoint_id_starts_without_history() {
     let mut host = Host::new(settings(), fleet(3));
@@ -29,7 +29,7 @@
     assert!(placed > 3, "{placed} of 20");
 }
 
-/// Regression: a server without a response yet, measured against a mean that has moved, looks slow or fast.
+/// Regression: relative to a mean that has moved, a server without a response looks slow or fast.
 #[test]
 fn a_server_without_responses_looks_like_any_other() {
     let mut host = Host::new(settings(), fleet(2));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_list_is_watched_and_watched_again_with_backoff() {
+fn failed_list_watches_are_retried_with_backoff() {
     let mut host = Host::new(Settings { membership: Membership::Pull, ..settings() }, fleet(2));
     assert!(host.actions.contains(&Action::WatchList));
     let mut waits = Vec::new();
@@ -59,14 +59,14 @@
     let actions = host.handle(Event::ListUpdated(ListUpdate::Failed));
     assert!(
         matches!(actions[..], [Action::SetTimer { delay, .. }] if delay < 1.0),
-        "success resets the wait"
+        "a successful update resets the backoff"
     );
     let mut host = Host::new(settings(), fleet(2));
     assert!(host.handle(Event::ListUpdated(ListUpdate::Failed)).is_empty() && host.actions.is_empty());
 }
 
 #[test]
-fn a_draining_or_removed_server_gets_nothing_from_the_update_on() {
+fn a_draining_or_removed_server_gets_no_requests_after_the_update() {
     for readiness in [Readiness::Draining, Readiness::Removed] {
         let mut host = Host::new(settings(), fleet(3));
         host.update_entry(ListEntry { readiness, ..entry(1) });
@@ -78,7 +78,7 @@
         host.handle(Event::ListUpdated(ListUpdate::Full(vec![entry(2)])));
         for _ in 0..20 {
             let sent = host.place_request(SAFE);
-            assert_eq!(sent.endpoint, EndpointId(2), "what a full list leaves out is gone");
+            assert_eq!(sent.endpoint, EndpointId(2), "servers missing from a full list are removed");
             host.serve(sent);
         }
     }
--- a/crates/decide/tests/guarantees.rs
+++ b/crates/decide/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! What holds whatever the load: one final response in time, and no request that runs twice without permission.
+//! Guarantees under any load: one final answer in time, and no second execution unless the request's class allows it.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
         let actions = host.advance(0.005);
         answered = (is_rejected(&actions, request)).then_some(host.now);
     }
-    assert!(answered.is_some_and(|index| index <= start + 2.0), "answered at {answered:?}");
+    assert!(answered.is_some_and(|answered_at| answered_at <= start + 2.0), "answered at {answered:?}");
 }
 
 #[test]
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn the_time_left_counts_not_the_deadline_of_the_class() {
+fn the_deadline_follows_the_time_left_not_the_class() {
     let mut host = Host::new(settings(), fleet(2));
     host.request_as(UNSAFE, None, 0.3);
     assert!(host.in_flight[0].deadline <= host.now + 0.3);
 }
 
 #[test]
-fn nothing_follows_a_final_answer_or_a_withdrawal() {
+fn no_action_follows_a_final_answer_or_a_withdrawal() {
     let mut host = Host::new(settings(), fleet(4));
     let (first, second) = (host.place_request(SAFE), host.place_request(SAFE));
     host.serve(first);
@@ -53,7 +53,7 @@
     assert!(host.end_attempt(second, Outcome::Cancelled, LoadReport::default()).is_empty());
     assert!(
         host.handle(Event::RequestWithdrawn { request: first.request }).is_empty(),
-        "an id that is no longer pending"
+        "the request is no longer pending"
     );
     assert!(host.advance(5.0).is_empty());
 }
@@ -103,22 +103,22 @@
 
 #[test]
 fn a_keyed_request_is_retried_only_where_its_repeats_are_discarded() {
-    for (scope, same) in [(DedupScope::Group, true), (DedupScope::Zone, false)] {
-        let mut all = settings();
-        all.classes[KEYED.0].repeat_effect = RepeatEffect::Keyed { scope, window: 1.0 };
+    for (scope, is_group_scope) in [(DedupScope::Group, true), (DedupScope::Zone, false)] {
+        let mut test_settings = settings();
+        test_settings.classes[KEYED.0].repeat_effect = RepeatEffect::Keyed { scope, window: 1.0 };
         let servers = fleet(8)
             .into_iter()
             .map(|entry| ListEntry { zone: ZoneId(entry.endpoint.0 as usize % 2), ..entry });
-        let mut host = Host::new(all, servers.collect());
+        let mut host = Host::new(test_settings, servers.collect());
         for _ in 0..20 {
             let sent = host.place_request(KEYED);
             for again in sent_endpoints(&host.end_attempt(sent, Outcome::Reset, LoadReport::default())) {
-                let kin = if same {
+                let is_in_scope = if is_group_scope {
                     again.0 / 2 == sent.endpoint.0 / 2
                 } else {
                     again.0 % 2 == sent.endpoint.0 % 2
                 };
-                assert!(kin, "{scope:?}: {again:?} after {:?}", sent.endpoint);
+                assert!(is_in_scope, "{scope:?}: {again:?} after {:?}", sent.endpoint);
             }
             for sent in host.in_flight.clone() {
                 host.serve(sent);
@@ -130,10 +130,10 @@
 
 #[test]
 fn a_keyed_request_is_not_repeated_past_its_window() {
-    let mut all = settings();
-    all.limits.can_hedge = false;
+    let mut test_settings = settings();
+    test_settings.limits.can_hedge = false;
     for (wait, again) in [(0.9, 1), (1.0, 0)] {
-        let mut host = Host::new(all.clone(), fleet(2));
+        let mut host = Host::new(test_settings.clone(), fleet(2));
         let sent = host.place_request(KEYED);
         host.now += wait;
         let actions = host.end_attempt(sent, Outcome::Errored, LoadReport::default());
@@ -142,21 +142,21 @@
     }
 }
 
-/// Regression: a server that rejects begun work says `full` of what may have run; sent again it would run twice.
+/// Regression: some servers reject requests that they have already started. Sent again, such a request would run twice.
 #[test]
-fn a_rejection_proves_nothing_where_servers_reject_begun_work() {
+fn a_rejection_is_no_proof_where_servers_reject_started_requests() {
     for class in [UNSAFE, KEYED] {
-        let mut all = settings();
-        all.rules.may_reject_after_start = true;
-        all.limits.can_hedge = false;
-        let mut host = Host::new(all, fleet(8));
+        let mut test_settings = settings();
+        test_settings.rules.may_reject_after_start = true;
+        test_settings.limits.can_hedge = false;
+        let mut host = Host::new(test_settings, fleet(8));
         let sent = host.place_request(class);
         let mut actions = host.end_attempt(sent, Outcome::Rejected, LoadReport::default());
         if class == KEYED {
             assert_eq!(
                 sent_endpoints(&actions),
                 [EndpointId(sent.endpoint.0 ^ 1)],
-                "the other one of its group"
+                "the other server of its group"
             );
             let again = host.in_flight[0];
             host.now += 1.0;
@@ -169,15 +169,15 @@
     }
 }
 
-/// Regression: an answer that is withheld until the deadline leaves the client no time for a retry.
+/// Regression: an answer that is delayed until the deadline leaves the client no time for a retry.
 #[test]
 fn a_request_that_is_given_up_is_answered_at_once() {
     for (class, outcome) in
         [(UNSAFE, Outcome::Errored), (KEYED, Outcome::Reset), (SAFE, Outcome::ConnectFailed)]
     {
-        let mut all = settings();
-        all.limits.max_attempts = 1;
-        let mut host = Host::new(all, fleet(3));
+        let mut test_settings = settings();
+        test_settings.limits.max_attempts = 1;
+        let mut host = Host::new(test_settings, fleet(3));
         let sent = host.place_request(class);
         host.now += 0.01;
         let actions = host.end_attempt(sent, outcome, LoadReport::default());
@@ -186,7 +186,7 @@
             "{outcome:?}: {actions:?}"
         );
     }
-    // An early rejection comes with the request itself, not with a timer.
+    // A request that is rejected early is answered when it arrives, not by a timer.
     let mut host = Host::new(settings(), fleet(1));
     let at_once = (0..100).filter(|_| {
         let (request, actions) = host.request(UNSAFE);
--- a/crates/decide/tests/load_estimation.rs
+++ b/crates/decide/tests/load_estimation.rs
@@ -1,27 +1,27 @@
-//! What reports and responses say of the load of servers.
+//! Estimates of the load of servers from reports and responses.
 
 mod common;
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: an old report that is repeated in each response must not hide what has been sent since.
+/// Regression: an old report that is repeated in each response must not hide the requests that were sent since.
 #[test]
 fn a_repeated_report_is_not_fresh() {
     let mut host = Host::new(settings(), fleet(2));
     report_once(&mut host, &[load_report(1.6, 0.0), load_report(2.3, 0.0)]);
-    let out: Vec<SentAttempt> = (0..3).map(|_| host.place_request(UNSAFE)).collect();
-    let busy = out.iter().filter(|sent| sent.endpoint.0 == 0).copied().collect::<Vec<_>>();
+    let attempts: Vec<SentAttempt> = (0..3).map(|_| host.place_request(UNSAFE)).collect();
+    let busy = attempts.iter().filter(|sent| sent.endpoint.0 == 0).copied().collect::<Vec<_>>();
     host.now += 0.005;
     host.end_attempt(busy[0], Outcome::Served, load_report(1.6, 0.0));
     let next = host.place_request(UNSAFE);
     assert_eq!(next.endpoint.0, 0, "one response admits one request");
-    assert_eq!(host.place_request(UNSAFE).endpoint.0, 1, "and not for all that the report has not seen");
+    assert_eq!(host.place_request(UNSAFE).endpoint.0, 1, "the other requests in flight still count");
 }
 
-/// Regression: a kind of machine is assumed to have one slot until a queue shows; a fleet that never queues would look crowded
-/// for ever, and its requests would be rejected while it is idle.
+/// Regression: servers are assumed to have one slot until a queue shows more. A fleet that never queues would always
+/// look crowded, and requests would be rejected while it is idle.
 #[test]
-fn work_without_a_queue_shows_the_slots() {
+fn slots_are_learned_without_a_queue() {
     let mut host = Host::new(settings(), fleet(1));
     let mut rejections = 0;
     for index in 0..300 {
@@ -35,13 +35,13 @@
         }
         host.now += 0.001;
     }
-    assert_eq!(rejections, 0, "no request ever waited");
+    assert_eq!(rejections, 0, "no request was ever queued");
 }
 
-/// Regression: where all responses come too late, every attempt is given up before its report, and a proxy with
-/// little traffic keeps taking an overloaded zone for idle.
+/// Regression: if all responses are too late, every attempt is given up before its report arrives, and a proxy with
+/// little traffic considers an overloaded zone idle.
 #[test]
-fn attempts_without_a_response_show_a_crowded_zone() {
+fn unanswered_attempts_raise_the_load_estimate_of_a_zone() {
     let mut host = Host::new(settings(), fleet(20));
     for _ in 0..6 {
         let (request, _) = host.request(UNSAFE);
@@ -55,12 +55,12 @@
         let (request, actions) = host.request(UNSAFE);
         is_rejected(&actions, request)
     });
-    assert!(rejections.count() > 8, "servers without a response are assumed to be crowded as well");
+    assert!(rejections.count() > 8, "servers without a response are assumed to be crowded");
 }
 
-/// Regression: many proxies, each rejecting until a report shows an idle server, all end up at that one.
+/// Regression: many proxies that reject requests until a report shows an idle server all send to that server.
 #[test]
-fn one_report_of_an_idle_server_in_an_overloaded_zone_admits_little() {
+fn one_idle_report_in_an_overloaded_zone_admits_few_requests() {
     let mut host = Host::new(settings(), fleet(2));
     let sent: Vec<SentAttempt> = (0..4).map(|_| host.place_request(UNSAFE)).collect();
     for (index, sent) in sent.iter().enumerate() {
@@ -69,15 +69,16 @@
     }
     end_probe(&mut host, sent[3].endpoint, 0.001, load_report(0.0, 0.0));
     let rejections = (0..20).filter(|_| {
-        let (request, actions) = request_and_take_back(&mut host);
+        let (request, actions) = request_and_discard(&mut host);
         is_rejected(&actions, request)
     });
-    assert!(rejections.count() > 8, "the load of the rest of the zone counts for more than one report");
+    assert!(rejections.count() > 8, "the load of the rest of the zone outweighs one report");
 }
 
-/// Regression: an idle server reports the same again and again; if it counted as stale, the server would look as full as the others.
+/// Regression: an idle server's report never changes. If it then counted as stale, the server would look as crowded as
+/// the others.
 #[test]
-fn an_idle_server_that_stays_idle_is_known_as_idle() {
+fn a_repeated_report_of_an_idle_server_is_accepted() {
     let mut host = Host::new(settings(), fleet(2));
     report_once(&mut host, &[load_report(0.0, 0.0), load_report(3.0, 2.0)]);
     host.now += 30.0;
@@ -88,10 +89,10 @@
         host.end_attempt(sent, Outcome::Cancelled, LoadReport::default());
         sent.endpoint.0 == 0
     });
-    assert_eq!(idle.count(), 20, "a fresh report of none against the usual load of the other");
+    assert_eq!(idle.count(), 20, "a fresh report of an idle server against the typical load of the other");
 }
 
-/// Sends until an attempt goes to that server, and takes back the others.
+/// Makes requests until one is sent to `endpoint`; attempts at other servers end as not sent.
 fn place_request_at(host: &mut Host, endpoint: EndpointId) -> SentAttempt {
     loop {
         let sent = host.place_request(UNSAFE);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn absurd_reports_break_nothing() {
+fn out_of_range_reports_do_not_disturb_the_choice() {
     let mut host = Host::new(settings(), fleet(3));
     let absurd = [f64::NAN, f64::INFINITY, -5.0, 1e300, f64::MAX];
     for index in 0..400 {
@@ -124,32 +125,32 @@
         sent.endpoint.0 == 1
     });
     let lower = lower.count();
-    assert!((22..=32).contains(&lower), "{lower} of 40 to the lowest of three");
+    assert!((22..=32).contains(&lower), "{lower} of 40 requests to the least loaded of three");
 }
 
-/// Regression: the first requests at a slow-starting server are many for it, and all others would seem as crowded.
+/// Regression: few requests are already a high load for a slow-starting server; other servers must not look as crowded.
 #[test]
-fn the_load_of_slow_starting_servers_says_nothing_of_others() {
+fn load_of_slow_starting_servers_does_not_affect_others() {
     let mut host = Host::new(settings(), fleet(8));
     for endpoint in 4..8 {
         host.update_entry(ListEntry { started_at: Some(host.now), ..entry(endpoint) });
         end_probe(&mut host, EndpointId(endpoint), 0.001, load_report(3.0, 2.0));
     }
-    let taken = (0..20).filter(|_| {
-        let (request, actions) = request_and_take_back(&mut host);
+    let admitted = (0..20).filter(|_| {
+        let (request, actions) = request_and_discard(&mut host);
         !is_rejected(&actions, request)
     });
-    assert!(taken.count() >= 18);
+    assert!(admitted.count() >= 18);
 }
 
-/// Regression: if fresh reports counted no more than old ones, the choice would be left to chance; if old ones counted as much,
-/// all proxies would choose the same server.
+/// Regression: if fresh reports had the low weight of old ones, the choice would be random; if old ones had the weight
+/// of fresh ones, all proxies would choose the same server.
 #[test]
-fn reports_that_are_renewed_often_count_more() {
+fn frequently_renewed_reports_weigh_more() {
     for (renewed, expected) in [(true, 3), (false, 2)] {
-        let mut all = settings();
-        all.classes.iter_mut().for_each(|class| class.latency_target = 2.0);
-        let mut host = Host::new(all, fleet(2));
+        let mut test_settings = settings();
+        test_settings.classes.iter_mut().for_each(|class| class.latency_target = 2.0);
+        let mut host = Host::new(test_settings, fleet(2));
         let report_load = |host: &mut Host, endpoint: u32, in_flight: f64| {
             end_probe(host, EndpointId(endpoint), 0.001, load_report(in_flight, 0.0));
         };
--- a/crates/decide/tests/probing.rs
+++ b/crates/decide/tests/probing.rs
@@ -1,10 +1,10 @@
-//! Probes of pairs whose reports are stale.
+//! Probes of pairs with stale reports.
 
 mod common;
 use common::*;
 use mosshead_decide::interface::*;
 
-/// Regression: a proxy with little traffic has no recent report of most servers, and would choose by chance.
+/// Regression: a proxy with little traffic has no recent report of most servers, and would choose at random.
 #[test]
 fn a_stale_pair_is_probed_and_the_less_loaded_one_gets_the_request() {
     let mut host = Host::new(settings_with_probes(0.01), fleet(9));
@@ -13,19 +13,19 @@
     assert!(pair.len() == 2 && pair[0] != pair[1] && sent_endpoints(&actions).is_empty(), "{actions:?}");
     assert!(
         sent_endpoints(&end_probe(&mut host, pair[0], 0.001, load_report(3.0, 2.0))).is_empty(),
-        "both are waited for"
+        "the request waits for both probes"
     );
     assert_eq!(sent_endpoints(&end_probe(&mut host, pair[1], 0.001, load_report(1.0, 0.0))), [pair[1]]);
     assert!(!is_rejected(&host.actions, request));
     let (_, actions) = Host::new(settings_with_probes(0.1), fleet(9)).request(SAFE);
     assert!(
         probed_endpoints(&actions).is_empty() && sent_endpoints(&actions).len() == 1,
-        "too expensive: {actions:?}"
+        "probes are too expensive: {actions:?}"
     );
 }
 
-/// A host with servers in two zones whose reports are renewed within a fraction of a mean service time.
-fn with_fresh_reports(settings: Settings) -> Host {
+/// A host with servers in two zones whose reports are renewed several times in a mean service time.
+fn host_with_fresh_reports(settings: Settings) -> Host {
     let zoned = |index: u32| ListEntry { zone: ZoneId(index as usize % 2), ..entry(index) };
     let mut host = Host::new(settings, (0..10).map(zoned).collect());
     for index in 0..100 {
@@ -38,11 +38,12 @@
     host
 }
 
-/// Regression: at servers of one slot the lower of a pair often has a queue while another one is idle. Where
-/// reports are reliable, the more loaded one gives way to another until one is idle or enough have been probed.
+/// Regression: with servers of one slot, even the less loaded server of a pair often has a queue while another server
+/// is idle. With reliable reports the more loaded one is replaced until an idle one is found or enough have been
+/// probed.
 #[test]
-fn the_more_loaded_of_a_crowded_pair_gives_way_where_reports_are_reliable() {
-    let mut host = with_fresh_reports(settings_with_probes(0.001));
+fn the_more_loaded_of_a_crowded_pair_is_replaced_where_reports_are_reliable() {
+    let mut host = host_with_fresh_reports(settings_with_probes(0.001));
     let (_, actions) = host.request(SAFE);
     let pair = probed_endpoints(&actions);
     assert_eq!(pair.len(), 2, "{actions:?}");
@@ -53,11 +54,11 @@
     assert!(fourth.len() == 1 && !pair.contains(&fourth[0]) && fourth != third, "{fourth:?}");
     let fifth = probed_endpoints(&end_probe(&mut host, fourth[0], 0.001, load_report(5.0, 4.0)));
     let actions = end_probe(&mut host, fifth[0], 0.001, load_report(5.0, 4.0));
-    assert!(probed_endpoints(&actions).is_empty(), "five are enough");
-    assert_eq!(sent_endpoints(&actions), [pair[0]], "the lowest of all stayed in each pair");
+    assert!(probed_endpoints(&actions).is_empty(), "at most five servers are probed");
+    assert_eq!(sent_endpoints(&actions), [pair[0]], "the least loaded server stayed in each pair");
 
-    // One that is idle ends the search, and where reports are old only the pair is probed.
-    let mut host = with_fresh_reports(settings_with_probes(0.001));
+    // An idle server ends the search, and without reliable reports only the pair is probed.
+    let mut host = host_with_fresh_reports(settings_with_probes(0.001));
     let pair = probed_endpoints(&host.request(SAFE).1);
     end_probe(&mut host, pair[0], 0.001, load_report(3.0, 2.0));
     assert_eq!(sent_endpoints(&end_probe(&mut host, pair[1], 0.001, load_report(0.0, 0.0))), [pair[1]]);
@@ -76,7 +77,7 @@
     assert_eq!(sent_endpoints(&host.advance(0.05)).len(), 1);
 }
 
-/// Regression: a request with a few milliseconds left must not wait for probes past its own end.
+/// Regression: a request with a few milliseconds left must not wait for probes beyond its deadline.
 #[test]
 fn a_request_with_hardly_any_time_left_does_not_wait_for_probes() {
     for ticks in 1..8 {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Regression: where probes queue like requests, they displace the requests that they are sent for.
+/// Regression: probes that queue like requests displace the requests that they are sent for.
 #[test]
 fn probes_pause_when_one_is_slow() {
     let mut host = Host::new(settings_with_probes(0.01), fleet(9));
@@ -104,16 +105,16 @@
     probed_endpoints(&actions)
         .iter()
         .for_each(|&server| drop(end_probe(&mut host, server, 0.1, load_report(1.0, 0.0))));
-    assert!(probed_endpoints(&host.request(SAFE).1).is_empty(), "resting");
+    assert!(probed_endpoints(&host.request(SAFE).1).is_empty(), "probes are paused");
     host.now += 8.1;
-    assert_eq!(probed_endpoints(&host.request(SAFE).1).len(), 2, "and tried again");
+    assert_eq!(probed_endpoints(&host.request(SAFE).1).len(), 2, "probes are sent again after the pause");
 }
 
-/// Regression: a proxy with little traffic that keeps to a few servers finds all of them crowded while others are idle. Where
-/// reports are reliable, any server can be in the pair.
+/// Regression: a proxy with little traffic that uses only few servers may find all of them crowded while others are
+/// idle. With reliable reports any server can be in the pair.
 #[test]
 fn where_reports_are_reliable_a_proxy_with_little_traffic_probes_any_server() {
-    let mut host = with_fresh_reports(settings_with_probes(0.001));
+    let mut host = host_with_fresh_reports(settings_with_probes(0.001));
     let mut probed = std::collections::BTreeSet::new();
     for _ in 0..60 {
         host.now += 3.0;
--- a/crates/decide/tests/random_scenarios/checker.rs
+++ b/crates/decide/tests/random_scenarios/checker.rs
@@ -1,10 +1,10 @@
-//! The guarantees, checked for each action against the events before it.
+//! Checks each action of the balancer against the guarantees, given the events before it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use mosshead_decide::interface::*;
 
-/// An attempt whose outcome the balancer does not know yet.
+/// An attempt whose outcome has not been passed to the balancer.
 pub(crate) struct InFlight {
     pub(crate) request: RequestId,
     pub(crate) attempt: AttemptNumber,
@@ -12,7 +12,7 @@
     pub(crate) sent_at: Seconds,
 }
 
-/// A request without a final response.
+/// A request without a final answer.
 pub(crate) struct PendingRequest {
     class: ClassId,
     pub(crate) deadline: Seconds,
@@ -22,20 +22,20 @@
 struct Attempt {
     endpoint: EndpointId,
     sent_at: Seconds,
-    /// None while it is in flight.
+    /// `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
-/// The start of a server.
+/// A start of a server during the scenario.
 struct ServerStart {
     started_at: Seconds,
-    /// The attempts sent to it in its first two seconds, in the unscaled time.
+    /// The number of attempts sent to it in its first two seconds of unscaled time.
     attempts: u64,
 }
 
-/// Follows the events, and checks the actions.
+/// Tracks events and checks actions.
 pub(crate) struct Checker {
-    /// What all times are multiplied by.
+    /// The factor by which all times are multiplied.
     scale: f64,
     pub(crate) settings: Settings,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
@@ -43,7 +43,7 @@
     ready: BTreeMap<EndpointId, ListEntry>,
     pub(crate) listed: BTreeMap<EndpointId, ListEntry>,
     pub(crate) next_request: u64,
-    /// The servers that have started during the scenario.
+    /// The servers that have started during the scenario and were not updated since.
     starts: BTreeMap<EndpointId, ServerStart>,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Follows an event that the balancer gets.
+    /// Tracks an event that is passed to the balancer.
     pub(crate) fn on_event(&mut self, now: Seconds, event: &Event) {
         match event {
             Event::ListUpdated(ListUpdate::Saved(entries) | ListUpdate::Changes(entries)) => {
@@ -117,7 +117,7 @@
             }
             Action::Reject { request: id, retry_after } => {
                 assert!((0.0..=0.2 * self.scale).contains(&retry_after));
-                let request = self.pending.remove(&id).expect("one final response");
+                let request = self.pending.remove(&id).expect("one final answer");
                 let may_have_run = request.attempts.iter().any(|attempt| !self.never_ran(attempt.outcome));
                 let effect = self.settings.classes[request.class.0].repeat_effect;
                 let is_harmless =
@@ -126,7 +126,7 @@
                 self.ended.insert(id);
             }
             Action::Fail { request: id } => {
-                assert!(self.pending.remove(&id).is_some(), "one final response");
+                assert!(self.pending.remove(&id).is_some(), "one final answer");
                 self.ended.insert(id);
             }
             Action::Cancel { .. } => assert!(self.settings.limits.can_cancel),
@@ -138,7 +138,7 @@
     }
 
     fn check_send(&mut self, now: Seconds, id: RequestId, endpoint: EndpointId, deadline: Seconds) {
-        assert!(!self.ended.contains(&id), "sent after the final response");
+        assert!(!self.ended.contains(&id), "sent after the final answer");
         let request = self.pending.get(&id).expect("the request is pending");
         let class = &self.settings.classes[request.class.0];
         let target = self.ready.get(&endpoint).expect("the server is ready");
@@ -168,7 +168,7 @@
             && now < *started_at + 2.0 * self.scale
         {
             *attempts += 1;
-            // A hundred mean requests a second x 0.8 x a quarter x two seconds; cheap ones may be more.
+            // 100 mean requests per second x 0.8 x 1/4 x 2 s = 40; there may be more cheap ones.
             assert!(*attempts <= 60, "{attempts} attempts at a server in slow start since {started_at}");
         }
     }
--- a/crates/decide/tests/random_scenarios/main.rs
+++ b/crates/decide/tests/random_scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Random event sequences from fixed seeds under varied settings: the guarantees, the share of servers in slow start, and
-//! equal replays.
+//! Random event sequences from fixed seeds with random settings: checks the guarantees, the load of servers in slow
+//! start, and that replays are identical.
 
 mod checker;
 #[path = "../common/mod.rs"]
@@ -12,9 +12,9 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-struct RandomStream(Pcg32);
+struct ScenarioRng(Pcg32);
 
-impl RandomStream {
+impl ScenarioRng {
     fn below(&mut self, count: u32) -> u32 {
         self.0.next_u32() % count
     }
@@ -25,32 +25,33 @@
 }
 
 /// Random settings whose times are multiplied by `scale`.
-fn random_settings(random: &mut RandomStream, scale: f64) -> Settings {
-    let mut all = settings();
+fn random_settings(random: &mut ScenarioRng, scale: f64) -> Settings {
+    let mut test_settings = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Group];
-    all.classes[KEYED.0].repeat_effect =
+    test_settings.classes[KEYED.0].repeat_effect =
         RepeatEffect::Keyed { scope: scopes[random.below(3) as usize], window: 0.3 };
-    all.classes[SAFE.0].late_value = if random.one_in(2) { 0.0 } else { 0.5 };
-    all.classes[UNSAFE.0].late_value = if random.one_in(2) { 0.0 } else { 0.5 };
-    all.limits.can_hedge = random.one_in(2);
-    all.limits.can_cancel = random.one_in(2);
-    all.limits.can_probe = random.one_in(2);
-    all.limits.max_attempts = 1 + random.below(5);
-    all.limits.streams_per_connection = 1 + 9 * random.below(2);
-    all.reporting = [Reporting::Responses, Reporting::Probes, Reporting::None][random.below(3) as usize];
-    all.membership = if random.one_in(2) { Membership::Pull } else { Membership::Push };
-    all.weights = if random.one_in(2) { Weights::Size } else { Weights::Unused };
-    all.tenants = vec![Tenant { share: 0.5 }; random.below(3) as usize];
-    all.rules.may_reject_after_start = random.one_in(2);
-    all.timer_resolution *= scale;
-    let (limits, rules) = (&mut all.limits, &mut all.rules);
+    test_settings.classes[SAFE.0].late_value = if random.one_in(2) { 0.0 } else { 0.5 };
+    test_settings.classes[UNSAFE.0].late_value = if random.one_in(2) { 0.0 } else { 0.5 };
+    test_settings.limits.can_hedge = random.one_in(2);
+    test_settings.limits.can_cancel = random.one_in(2);
+    test_settings.limits.can_probe = random.one_in(2);
+    test_settings.limits.max_attempts = 1 + random.below(5);
+    test_settings.limits.streams_per_connection = 1 + 9 * random.below(2);
+    test_settings.reporting =
+        [Reporting::Responses, Reporting::Probes, Reporting::None][random.below(3) as usize];
+    test_settings.membership = if random.one_in(2) { Membership::Pull } else { Membership::Push };
+    test_settings.weights = if random.one_in(2) { Weights::Size } else { Weights::Unused };
+    test_settings.tenants = vec![Tenant { share: 0.5 }; random.below(3) as usize];
+    test_settings.rules.may_reject_after_start = random.one_in(2);
+    test_settings.timer_resolution *= scale;
+    let (limits, rules) = (&mut test_settings.limits, &mut test_settings.rules);
     for time in [&mut limits.max_retry_after, &mut limits.idle_timeout, &mut limits.connect_timeout] {
         *time *= scale;
     }
     for time in [&mut rules.slow_start, &mut rules.overload_window, &mut rules.refresh_within] {
         *time *= scale;
     }
-    for class in &mut all.classes {
+    for class in &mut test_settings.classes {
         class.latency_target *= scale;
         class.deadline *= scale;
         if let RepeatEffect::Keyed { window, .. } = &mut class.repeat_effect {
@@ -59,12 +60,12 @@
         class.machine_kinds = random.one_in(4).then(|| vec![MachineKindId(random.below(2) as usize)]);
         class.zones = random.one_in(4).then(|| vec![ZoneId(0), ZoneId(random.below(3) as usize)]);
     }
-    all
+    test_settings
 }
 
-/// A host that plays one random scenario, whose times are multiplied by `scale`.
+/// A host that runs one random scenario with all times multiplied by `scale`.
 struct Scenario {
-    random: RandomStream,
+    random: ScenarioRng,
     scale: f64,
     now: Seconds,
     servers: u32,
@@ -74,7 +75,7 @@
     timers: Vec<(Seconds, TimerToken)>,
     /// Servers with a probe in flight.
     probed: Vec<EndpointId>,
-    /// Events that the balancer gets at the end of the step.
+    /// Events that are passed to the balancer at the end of the step.
     events: Vec<Event>,
     /// All actions of the balancer, with times divided by `scale`.
     actions: Vec<Action>,
@@ -82,7 +83,7 @@
 
 impl Scenario {
     fn new(seed: u64, scale: f64) -> Self {
-        let mut random = RandomStream(Pcg32::seed_from_u64(seed));
+        let mut random = ScenarioRng(Pcg32::seed_from_u64(seed));
         let settings = random_settings(&mut random, scale);
         let balancer = Balancer::new(settings.clone(), seed).expect("the settings are valid");
         let now = 50.0 * scale;
@@ -154,7 +155,7 @@
         load_report(f64::from(self.random.below(9)), f64::from(self.random.below(5)))
     }
 
-    /// Ends attempts at random, and those that are past the deadline of their requests.
+    /// Ends random attempts, and all whose requests are past their deadlines.
     fn end_attempts(&mut self) {
         for attempt in std::mem::take(&mut self.in_flight) {
             let is_overdue = self
@@ -222,7 +223,7 @@
         self.events.push(Event::RequestReceived(Request { id, time_left, class, tenant }));
     }
 
-    /// Passes one event to the balancer, and checks its actions.
+    /// Passes one event to the balancer and checks its actions.
     fn handle(&mut self, event: Event) {
         self.checker.on_event(self.now, &event);
         let mut actions = Vec::new();
@@ -254,39 +255,44 @@
     }
 }
 
-/// Plays a scenario, and returns all actions of the balancer, with times divided by `scale`.
-fn play(seed: u64, scale: f64) -> Vec<Action> {
+/// Runs a scenario and returns all actions of the balancer, with times divided by `scale`.
+fn run_scenario(seed: u64, scale: f64) -> Vec<Action> {
     let mut scenario = Scenario::new(seed, scale);
     for step in 0..4000 {
         scenario.step(step < 3000);
     }
     let pending = &scenario.checker.pending;
-    assert!(pending.is_empty(), "seed {seed}: without a final response: {:?}", pending.keys());
+    assert!(pending.is_empty(), "seed {seed}: no final answer to {:?}", pending.keys());
     scenario.actions
 }
 
 #[test]
-fn random_scenarios_keep_the_guarantees_and_replay_equally() {
+fn random_scenarios_keep_the_guarantees_and_replay_identically() {
     let mut sends = 0;
     for seed in 0..60 {
-        let actions = play(seed, 1.0);
+        let actions = run_scenario(seed, 1.0);
         sends += actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
-        assert_eq!(actions, play(seed, 1.0), "seed {seed} replayed");
+        assert_eq!(actions, run_scenario(seed, 1.0), "seed {seed} replayed");
     }
     assert!(sends > 4_000, "{sends} sends");
 }
 
-/// Regression: a constant in seconds that fits one deployment fails another whose requests have a twentieth of the time. With
-/// every time multiplied by one factor the same is done; powers of two, so that values scale to the last bit.
+/// Regression: a constant in seconds that suits one deployment fails in another whose time limits are a twentieth of
+/// that. If all times are multiplied by one factor, the decisions must stay the same. The factors are powers of two, so
+/// that floating-point values scale exactly.
 #[test]
 fn decisions_do_not_depend_on_the_scale_of_times() {
     for seed in 0..24 {
-        let usual = play(seed, 1.0);
+        let reference = run_scenario(seed, 1.0);
         for power in [-5, -4, -2, -1, 1, 2, 4, 5] {
-            let scaled = play(seed, 2_f64.powi(power));
-            let differs = usual.iter().zip(&scaled).position(|(one, other)| one != other);
-            assert_eq!(differs.map(|index| (&usual[index], &scaled[index])), None, "seed {seed}, 2^{power}");
-            assert_eq!(usual.len(), scaled.len(), "seed {seed}, 2^{power}");
+            let scaled = run_scenario(seed, 2_f64.powi(power));
+            let differs = reference.iter().zip(&scaled).position(|(one, other)| one != other);
+            assert_eq!(
+                differs.map(|index| (&reference[index], &scaled[index])),
+                None,
+                "seed {seed}, 2^{power}"
+            );
+            assert_eq!(reference.len(), scaled.len(), "seed {seed}, 2^{power}");
         }
     }
 }
--- a/crates/decide/tests/request_bodies.rs
+++ b/crates/decide/tests/request_bodies.rs
@@ -1,12 +1,12 @@
-//! Requests that are forwarded while their bodies still arrive.
+//! Requests that are forwarded while their bodies are still arriving.
 
 mod common;
 use common::*;
 use mosshead_decide::interface::*;
 
-/// A request whose body arrives slowly: it is forwarded at once, and its time counts from the last byte.
+/// A request whose body arrives slowly is forwarded at once, and its time limits start at the last byte.
 #[test]
-fn a_body_that_still_arrives_uses_up_no_time() {
+fn time_limits_start_when_the_body_is_complete() {
     let mut host = Host::new(settings(), fleet(3));
     host.place_request(UNSAFE);
     let id = RequestId(1000);
@@ -21,11 +21,12 @@
     let actions = host.advance(0.1);
     assert!(!has_failed(&actions, id));
     let actions = host.advance(3.0);
-    assert!(has_failed(&actions, id), "from then on it has its time like any other: {actions:?}");
+    assert!(has_failed(&actions, id), "the time limits start at the last byte: {actions:?}");
     host.end_attempt(sent, Outcome::Cancelled, LoadReport::default());
 }
 
-/// Regression: a body whose start has been forwarded can't be sent again. An outcome of not sent ends the request, harmlessly.
+/// Regression: a body that has been partly forwarded can't be sent again. The outcome `NotSent` ends such a request
+/// with a rejection, since it never ran.
 #[test]
 fn a_request_with_an_incomplete_body_never_ran() {
     let mut host = Host::new(settings(), fleet(3));
--- a/crates/decide/tests/server_selection.rs
+++ b/crates/decide/tests/server_selection.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request.
+//! Selection of the server for a request.
 
 mod common;
 use common::*;
@@ -43,7 +43,10 @@
         let sent = host.place_request(UNSAFE);
         host.serve(sent);
     }
-    assert!((8..36).contains(&first), "the lowest of four wins {first} of 40 draws, not all of them");
+    assert!(
+        (8..36).contains(&first),
+        "the least loaded of four gets {first} of 40 requests, not all of them"
+    );
 }
 
 #[test]
@@ -52,7 +55,7 @@
     assert_eq!(host.place_request(UNSAFE).endpoint, EndpointId(0));
 }
 
-/// Regression: equal counts would overload the smaller server.
+/// Regression: equal numbers of requests would overload the smaller server.
 #[test]
 fn load_is_divided_by_the_registered_size() {
     let servers = vec![ListEntry { weight: 3.0, ..entry(0) }, entry(1)];
@@ -71,7 +74,8 @@
         .collect()
 }
 
-/// Regression: where the pair is drawn from the own zone first, the proxies of a crowded zone overload its servers while others idle.
+/// Regression: if the pair were drawn from the proxy's own zone first, the proxies of a crowded zone would overload its
+/// servers while others are idle.
 #[test]
 fn the_pair_is_drawn_from_all_zones() {
     let mut host = Host::new(settings(), two_zones());
@@ -80,13 +84,14 @@
 }
 
 #[test]
-fn without_a_local_server_the_other_zone_serves() {
+fn requests_go_to_the_other_zone_without_a_local_server() {
     let mut host = Host::new(settings(), two_zones());
     host.handle(Event::ListUpdated(ListUpdate::Full(two_zones().split_off(2))));
     assert!(host.place_request(UNSAFE).endpoint.0 >= 2);
 }
 
-/// Regression: a proxy with little traffic touches every server, keeps a connection to each and recent reports of none.
+/// Regression: a proxy with little traffic that used every server would keep a connection to each of them, and have
+/// recent reports of none.
 #[test]
 fn a_proxy_with_little_traffic_uses_few_servers_and_a_busy_one_all() {
     let used = |gap: Seconds| {
@@ -105,7 +110,7 @@
     assert_eq!(used(0.005), 40);
 }
 
-/// Regression: when a large part of the few servers fails, the rest of the fleet must still be found.
+/// Regression: if most servers of the proxy's subset fail, other servers of the fleet must replace them.
 #[test]
 fn other_servers_replace_failed_ones_of_the_subset() {
     let mut host = Host::new(settings(), fleet(40));
--- a/crates/decide/tests/slow_start.rs
+++ b/crates/decide/tests/slow_start.rs
@@ -1,46 +1,49 @@
-//! Servers in slow start get what they can do.
+//! Servers in slow start get no more requests than they can handle.
 
 mod common;
 use common::*;
 use mosshead_decide::Balancer;
 use mosshead_decide::interface::*;
 
-/// Regression: if every proxy sent a server in slow start its fair share, all of them together would overload it.
+/// Regression: if a server in slow start got its fair share of the requests, it would be overloaded.
 #[test]
 fn a_slow_starting_server_gets_at_most_its_capacity_of_a_fair_share() {
     let mut host = Host::new(settings(), fleet(4));
     let step = 0.01;
-    let mut window = Vec::new();
+    let mut sent_times = Vec::new();
     for index in 0..1500 {
         if index == 500 {
             host.update_entry(ListEntry { started_at: Some(host.now), ..entry(3) });
         }
         let sent = host.place_request(UNSAFE);
         if index >= 500 && sent.endpoint == EndpointId(3) {
-            window.push(host.now);
+            sent_times.push(host.now);
         }
         host.now += step;
-        // Each takes 0.06 s, so that the other servers are never idle.
+        // Each request takes 0.06 s, so that the other servers are never idle.
         while host.in_flight.first().is_some_and(|sent| host.now - sent.sent_at >= 0.06) {
             let sent = host.in_flight[0];
             host.serve(sent);
         }
     }
-    let fair = 2.0 / step / 4.0;
-    for &from in &window {
-        let within = window.iter().filter(|index| (from..from + 2.0).contains(*index)).count() as f64;
-        assert!(within <= 0.8 * fair, "{within} of {fair} in a window from {from}");
+    let fair_share = 2.0 / step / 4.0;
+    for &from in &sent_times {
+        let within = sent_times.iter().filter(|sent_at| (from..from + 2.0).contains(*sent_at)).count() as f64;
+        assert!(within <= 0.8 * fair_share, "{within} of {fair_share} in the two seconds from {from}");
     }
-    let early = window.iter().filter(|index| **index < window[0] + 2.0).count() as f64;
-    assert!(!window.is_empty() && early <= 0.35 * fair, "{early} of {fair} while it is coldest");
+    let early = sent_times.iter().filter(|sent_at| **sent_at < sent_times[0] + 2.0).count() as f64;
+    assert!(
+        !sent_times.is_empty() && early <= 0.35 * fair_share,
+        "{early} of {fair_share} at the start of the slow start"
+    );
 }
 
-/// Regression: where many proxies have few requests each, a budget that has to add up to a request for each server leaves a
-/// fleet that has just started idle, and a class that costs more than the budget never gets there.
+/// Regression: with many proxies that have few requests each, a budget that must accumulate to a whole request per
+/// server leaves a fleet idle that has just started, and never admits a class that costs more than the budget.
 #[test]
 fn slow_starting_servers_get_work_from_proxies_with_few_requests() {
     let mut host = Host::new(settings(), fleet(20));
-    let (mut early, mut costly, mut all) = (0, 0, 0);
+    let (mut early, mut costly, mut total) = (0, 0, 0);
     for index in 0..400 {
         if index == 300 {
             for server in 0..20 {
@@ -53,22 +56,22 @@
             if index >= 300 {
                 early += usize::from(index < 340);
                 costly += usize::from(class == UNSAFE);
-                all += 1;
+                total += 1;
             }
             host.now += time;
             host.serve(sent);
         }
         host.now += 0.1;
     }
-    assert!(early >= 3, "{early} within four seconds");
-    assert!(costly >= 8, "{costly} costly ones");
-    // Costly ones take 0.1, the others 0.005 seconds: 80 mean requests at most.
-    let work = (costly as f64 * 0.1 + (all - costly) as f64 * 0.005) / 0.02875;
-    assert!(work <= 80.0, "{work} mean requests in ten seconds, {costly} costly");
+    assert!(early >= 3, "{early} sent within four seconds");
+    assert!(costly >= 8, "{costly} costly requests sent");
+    // Costly requests take 0.1 s, the others 0.005 s: at most 80 mean requests.
+    let work = (costly as f64 * 0.1 + (total - costly) as f64 * 0.005) / 0.02875;
+    assert!(work <= 80.0, "work of {work} mean requests in ten seconds, {costly} costly requests");
 }
 
-/// Regression: when a fleet grows many times over, most of its servers are in slow start; the share of a fleet past its
-/// slow start would leave the few old servers with nearly everything.
+/// Regression: after a fleet has grown to a multiple of its size, most servers are in slow start. If their share were
+/// relative to the fleet's full capacity, the few old servers would get nearly all requests.
 #[test]
 fn a_fleet_mostly_in_slow_start_shares_work_by_present_capacity() {
     let mut host = Host::new(settings(), fleet(4));
@@ -76,7 +79,7 @@
         host.update_entry(ListEntry { started_at: Some(host.now), ..entry(server) });
     }
     let mut to_slow_starting = 0;
-    // Each takes 0.06 s, so that the old server is kept busy and loses to one that has nothing in flight.
+    // Each request takes 0.06 s, so that the old server stays busy and loses against one that has nothing in flight.
     for _ in 0..1500 {
         to_slow_starting +=
             sent_endpoints(&host.request(SAFE).1).iter().filter(|endpoint| endpoint.0 > 0).count();
@@ -86,14 +89,14 @@
             host.serve(sent);
         }
     }
-    // By then each can do three quarters, all of them 2.3 times what the old one can.
+    // At the end each has three quarters of its capacity, and together they have 2.3 times that of the old server.
     assert!(
         (150..=750).contains(&to_slow_starting),
         "{to_slow_starting} of 1500 to three slow-starting servers of four"
     );
 }
 
-/// Regression: with the whole fleet in slow start, a share of the present capacity is more than a server can do.
+/// Regression: with the whole fleet in slow start, its share of the present capacity is more than a server can handle.
 #[test]
 fn a_single_slow_starting_server_is_not_overloaded() {
     let mut host = Host::new(settings(), fleet(1));
@@ -110,16 +113,17 @@
             host.serve(sent);
         }
     }
-    assert!((1..90).contains(&sent), "{sent} of 200 within the first second");
+    assert!((1..90).contains(&sent), "{sent} of 200 sent within the first second");
 }
 
-/// The requests that 400 proxies send to the one server of 40 in slow start while all others fall silent: each first has so many requests
-/// in as many seconds, then none for `idle` seconds, then ten at once.
-fn rush(before: u64, idle: Seconds) -> usize {
+/// Returns how many requests 400 proxies send to the one server of 40 that is in slow start while no other server
+/// responds. Each proxy first gets `before` requests in as many seconds, then none for `idle` seconds, then ten at
+/// once.
+fn sends_in_burst(before: u64, idle: Seconds) -> usize {
     let mut sent = 0;
     for seed in 0..400 {
         let mut host = Host::new(settings(), fleet(40));
-        host.balancer = Balancer::new(settings(), seed).expect("legal settings");
+        host.balancer = Balancer::new(settings(), seed).expect("the settings are valid");
         host.handle(Event::ListUpdated(ListUpdate::Saved(fleet(40))));
         host.update_entry(ListEntry { started_at: Some(host.now), ..entry(0) });
         host.now += 8.0 - before as f64;
@@ -142,23 +146,24 @@
     sent
 }
 
-/// Regression: a budget that proxies save up for a server in slow start would be spent by all of them at once in a rush.
+/// Regression: a budget that proxies can save up for a server in slow start is spent by all of them at once in a burst.
 #[test]
-fn a_rush_finds_no_saved_up_budget() {
-    // The server's part of 4000 requests is 100, of which it can do 0.45 after 8 s, 0.87 after 18 s.
-    // The budget is three times that; 0.4 of it are granted, and chance adds to it.
-    for (before, idle, most) in [(0, 0.0, 81), (8, 0.0, 81), (8, 10.0, 156)] {
-        let sent = rush(before, idle);
-        assert!((5..=most).contains(&sent), "{sent} in the rush after {before} requests and {idle} s");
+fn a_burst_cannot_spend_a_saved_up_slow_start_budget() {
+    // The server's share of 4000 requests is 100, of which it can handle 0.45 after 8 s and 0.87 after 18 s.
+    // The budget is three times that, 0.4 of it is granted, and random variation adds to it.
+    for (before, idle, max_sends) in [(0, 0.0, 81), (8, 0.0, 81), (8, 10.0, 156)] {
+        let sent = sends_in_burst(before, idle);
+        assert!((5..=max_sends).contains(&sent), "{sent} in the burst after {before} requests and {idle} s");
     }
 }
 
-/// Regression: a request without a candidate looks again every few ticks; if it drew each time, it would win in the end.
+/// Regression: a request without a candidate looks for one again every few ticks. With a new random number each time,
+/// it would finally be granted the slow-starting server.
 #[test]
-fn looking_again_does_not_win_a_slow_starting_server() {
-    let mut all = settings();
-    all.rules.slow_start = 2000.0;
-    let mut host = Host::new(all, vec![ListEntry { started_at: Some(100.0), ..entry(0) }]);
+fn repeated_selection_does_not_raise_the_chance_of_a_slow_starting_server() {
+    let mut test_settings = settings();
+    test_settings.rules.slow_start = 2000.0;
+    let mut host = Host::new(test_settings, vec![ListEntry { started_at: Some(100.0), ..entry(0) }]);
     for _ in 0..100 {
         host.request(SAFE);
     }
