--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -56,7 +56,7 @@
 pub enum Event {
     /// The list of servers was updated.
     ListUpdated(ListUpdate),
-    /// A client's request has arrived. The balancer gives it exactly one final answer, unless it is withdrawn.
+    /// A client's request has arrived. It gets exactly one final answer, unless it is withdrawn.
     RequestReceived(Request),
     /// A request's headers have arrived, but not yet all of its body. It may already be forwarded; its time limits
     /// start at [`Event::BodyReceived`].
@@ -68,7 +68,7 @@
         /// How long until the client gives up on it, in seconds.
         time_left: Seconds,
     },
-    /// An attempt ended. Sent exactly once for each [`Action::Send`](super::Action::Send).
+    /// An attempt ended. Reported exactly once for each [`Action::Send`](super::Action::Send).
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -92,7 +92,7 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// A probe ended. Sent exactly once for each [`Action::Probe`](super::Action::Probe).
+    /// A probe ended. Reported exactly once for each [`Action::Probe`](super::Action::Probe).
     ProbeEnded {
         /// The server.
         endpoint: EndpointId,
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -131,10 +131,9 @@
     pub initial_capacity: f64,
     /// The maximum duration of a server's slow start.
     pub slow_start: Seconds,
-    /// A server in slow start is overloaded if it gets more than `overload_factor` times what it can do within this
-    /// time, summed over all proxies.
+    /// A server in slow start is overloaded if all proxies together send it too much work within this time.
     pub overload_window: Seconds,
-    /// The multiple of a server's present capacity above which it is overloaded; see `overload_window`.
+    /// Too much work for a server in slow start is more than this multiple of what it can do at the moment.
     pub overload_factor: f64,
     /// A proxy without a subscription must ask for the list at least this often to count as up to date.
     pub refresh_within: Seconds,
--- a/crates/decide/src/policy/admission.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -11,7 +11,7 @@
 const PROBE_WAIT: f64 = 1.0 / 16.0;
 /// A zone is silent if none of its servers has responded or reported for this many mean deadlines.
 const ZONE_SILENCE_DEADLINES: f64 = 2.0;
-/// The fraction of requests that would be rejected but are sent to a silent zone as trials.
+/// The fraction of the requests rejected for a silent zone that are sent there nevertheless, as trials.
 const SILENT_ZONE_TRIAL_SHARE: f64 = 0.125;
 /// How much a rejection lowers the price while the queueing time is under half of its limit, in units of a missed
 /// response.
--- a/crates/decide/src/policy/first_attempt.rs
+++ b/crates/decide/src/policy/first_attempt.rs
@@ -35,7 +35,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.state.requests.get_mut(&token) else { return };
-        // Keep only the less loaded server of a crowded pair; a newly probed one replaces the other.
+        // Of a crowded pair only the less loaded server is kept; the newly probed one replaces the other.
         request.probed_pair.retain(|&index| chosen == Some(EndpointId(index as u32)));
         request.probed_pair.extend(&to_probe);
         request.probed.extend(&to_probe);
--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -138,7 +138,7 @@
         let may_try_again = untried.is_empty() && request.in_flight().next().is_none();
         let allowed = if may_try_again { allowed } else { untried };
         let healthy = filter(&allowed, &|index| self.is_healthy(now, request, index));
-        // If most servers look unhealthy, the cause is probably not the servers, and ejections would overload the rest.
+        // If most servers look unhealthy, the evidence contradicts itself, and ejections would overload the rest.
         if healthy.len() * 2 >= allowed.len() && !healthy.is_empty() {
             return healthy;
         }
--- a/crates/decide/tests/ejection.rs
+++ b/crates/decide/tests/ejection.rs
@@ -60,7 +60,7 @@
     assert!(trials[1] > 3, "a candidate again after successful trials: {trials:?}");
 }
 
-/// Regression: if most servers look unhealthy, the cause is probably not the servers, and ejections overload the rest.
+/// Regression: if most servers look unhealthy, the evidence contradicts itself, and ejections would overload the rest.
 #[test]
 fn when_most_servers_fail_all_stay_candidates() {
     let mut host = Host::new(settings(), fleet(3));
