--- a/crates/decide/src/policy/admission.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -138,7 +138,7 @@
         let endpoint = self.state.endpoint(id);
         let estimate = self.estimate_admission(now, request, endpoint);
         // A proxy that sends nothing to a zone would never learn that its queues have cleared.
-        let last_contact_at = self.state.zones[self.load_pool(&endpoint.entry)].last_contact_at;
+        let last_contact_at = self.state.zones[self.zone_stats_index(&endpoint.entry)].last_contact_at;
         let is_silent = now - last_contact_at > ZONE_SILENCE_DEADLINES * self.state.mean_deadline;
         let is_admitted = self.random_unit() < estimate.acceptance_probability
             || (is_silent && self.random_unit() < SILENT_ZONE_TRIAL_SHARE);
--- a/crates/decide/src/policy/load_estimation.rs
+++ b/crates/decide/src/policy/load_estimation.rs
@@ -50,7 +50,7 @@
     /// The estimated number of requests at the server: this proxy's own, plus the load of others by the last report,
     /// which decays to the typical load of its zone.
     fn load(&self, endpoint: &Endpoint, now: Seconds) -> f64 {
-        let zone_load = &self.state.zones[self.load_pool(&endpoint.entry)].log_load;
+        let zone_load = &self.state.zones[self.zone_stats_index(&endpoint.entry)].log_load;
         // Without the fleet's mean a zone without any report would look idle to every proxy of a crowded zone.
         let log_load =
             if zone_load.samples > 0.0 { zone_load.value } else { self.state.fleet_log_load.value };
@@ -169,18 +169,18 @@
         let (Some(in_flight), Some(queued)) = (report.in_flight, report.queued) else { return };
         let kind = self.state.endpoint(id).entry.kind;
         let slots = &mut self.state.kinds[kind.0].slots;
-        let in_work = in_flight - queued;
-        if queued >= 1.0 || in_work > (1.0 + SLOWNESS_NOISE) * slots.value {
-            slots.add(in_work.clamp(1.0, SAMPLE_CAP * slots.value), REPORT_GAIN);
+        let running = in_flight - queued;
+        if queued >= 1.0 || running > (1.0 + SLOWNESS_NOISE) * slots.value {
+            slots.add(running.clamp(1.0, SAMPLE_CAP * slots.value), REPORT_GAIN);
         }
     }
 
     /// Adds a load per unit of capacity to the means of its zone and of the fleet. Its weight rises with the time since
     /// the last contact with the zone: otherwise a proxy with few reports would notice a burst only after its end.
     fn record_load(&mut self, now: Seconds, id: EndpointId, load: f64) {
-        let pool = self.load_pool(&self.state.endpoint(id).entry);
+        let zone_index = self.zone_stats_index(&self.state.endpoint(id).entry);
         let mean_deadline = self.state.mean_deadline;
-        let zone = &mut self.state.zones[pool];
+        let zone = &mut self.state.zones[zone_index];
         let gain = 1.0 - ((zone.last_contact_at - now) / mean_deadline).exp();
         zone.log_load.add(load.ln_1p(), gain.max(REPORT_GAIN));
         zone.last_contact_at = now;
@@ -189,7 +189,7 @@
 
     /// The index of the statistics of the server's zone. Reserved servers have separate statistics, as their load
     /// differs.
-    pub(super) fn load_pool(&self, entry: &ListEntry) -> usize {
+    pub(super) fn zone_stats_index(&self, entry: &ListEntry) -> usize {
         2 * entry.zone.0 + usize::from(self.is_reserved(entry))
     }
 
--- a/crates/decide/src/policy/outcome.rs
+++ b/crates/decide/src/policy/outcome.rs
@@ -104,8 +104,8 @@
     }
 
     fn record_contact(&mut self, now: Seconds, id: EndpointId, attempt: Option<&Attempt>) {
-        let pool = self.load_pool(&self.state.endpoint(id).entry);
-        self.state.zones[pool].last_contact_at = now;
+        let zone_index = self.zone_stats_index(&self.state.endpoint(id).entry);
+        self.state.zones[zone_index].last_contact_at = now;
         let endpoint = self.state.endpoint_mut(id);
         (endpoint.last_contact_at, endpoint.connection_used_at) = (now, now);
         if let Some(attempt) = attempt {
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -102,7 +102,7 @@
 /// Regression: a client's last attempt may have more time left than another client's first one. A first attempt that is
 /// taken for a late retry is rejected, as its latency target seems to have expired.
 #[test]
-fn a_first_attempt_is_known_by_the_usual_time_left() {
+fn a_first_attempt_is_recognized_by_the_usual_time_left() {
     let mut host = Host::new(settings(), fleet(1));
     let mut rejections = [0; 2];
     for index in 0..100 {
--- a/crates/decide/tests/random_scenarios/checker.rs
+++ b/crates/decide/tests/random_scenarios/checker.rs
@@ -148,8 +148,8 @@
         assert!(other_attempts == 0 || self.settings.limits.can_hedge);
         assert!(class.machine_kinds.as_ref().is_none_or(|kinds| kinds.contains(&target.kind)), "kind");
         assert!(class.zones.as_ref().is_none_or(|zones| zones.contains(&target.zone)), "zone");
-        let ran = request.attempts.iter().find(|attempt| !self.never_ran(attempt.outcome));
-        if let Some(Attempt { endpoint: first, sent_at, .. }) = ran {
+        let possible_execution = request.attempts.iter().find(|attempt| !self.never_ran(attempt.outcome));
+        if let Some(Attempt { endpoint: first, sent_at, .. }) = possible_execution {
             let first = &self.listed[first];
             match class.repeat_effect {
                 RepeatEffect::Safe => {}
