--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
     /// A change is acknowledged when it is on the primary's disk.
-    CommitAlone,
+    CommitWithoutBackups,
     /// Promises, states and configurations are answered before they are synced.
     RespondUnsynced,
     /// A backup takes writes of a term below its promise.
@@ -29,29 +29,29 @@
     /// The published revision may go back.
     PublishOlderState,
     /// A follower claims contact from the moment at which any heartbeat arrives.
-    ContactByArrival,
+    ConfirmReadLeaseOnArrival,
     /// A follower claims contact before it publishes what the primary has committed.
-    ContactWithoutState,
+    ConfirmReadLeaseBeforePublish,
     /// A follower that trusts its primary grants pre-votes.
-    AlwaysWilling,
+    AlwaysGrantPreVotes,
     /// A take-over that was suspended goes on with the responses that arrived meanwhile.
-    LateTakeOver,
+    ResumeSuspendedTakeOver,
     /// A follower takes stamps of other runs of its process for its own.
-    ContactOfOtherIncarnations,
+    AcceptStampsOfOtherIncarnations,
     /// A primary without contact to a majority goes on sending heartbeats.
-    NoLease,
+    IgnorePrimaryLease,
     /// Only the new members decide on a change of members.
     NewMembersOnly,
     /// A machine at a bootstrap voter's address votes as one, also with another disk.
     AnyBootstrapVoter,
     /// A term is used before it is on the own disk.
-    TermUnsynced,
+    UseUnsyncedTerm,
     /// A primary keeps its role when its disk stalls.
     KeepStalledPrimary,
     /// A backup keeps its role when its disk stalls.
     KeepStalledBackup,
     /// Members are never replaced.
-    KeepMembers,
+    NeverReplaceMembers,
     /// Client requests are forgotten when the primary steps down.
     DropClientRequests,
     /// A node with a full disk reports that it is healthy.
@@ -59,7 +59,7 @@
     /// The state is not rewritten under the new term before the configuration is proposed.
     SkipRewriteUnderNewTerm,
     /// Every change sends and writes the complete state, and every state goes in one message.
-    FullStates,
+    AlwaysSendFullStates,
     /// A phase of a take-over ends though a state that it waits for is being transferred.
     IgnoreTransferProgress,
     /// A delta is applied to any state.
@@ -67,11 +67,11 @@
     /// A delta is written though the log may have another state before it.
     WriteDeltaOnUncertainState,
     /// A member that shuts down does not wait for its removal.
-    ShutDownAtOnce,
+    ShutDownWithoutRemoval,
     /// A departing member keeps its slot until it was silent for long.
     KeepDepartingMembers,
     /// A silent member keeps its slot for the default replacement timeout, whatever the join deadline is.
-    SlowReplacement,
+    IgnoreJoinDeadline,
     /// The silence of a lost primary counts from the take-over.
     ForgetSilenceOfMembers,
     /// Newcomers get slots one after the other, each by a take-over.
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -97,11 +97,11 @@
 
     /// The instant after which a heartbeat with this stamp was sent, if the stamp proves any.
     pub(crate) fn proven_instant(&self, context: &Context, stamp: Option<LeaseStamp>) -> Option<Instant> {
-        if context.has_fault(InjectedFault::ContactByArrival) {
+        if context.has_fault(InjectedFault::ConfirmReadLeaseOnArrival) {
             return Some(context.now());
         }
         let stamp = stamp?;
-        if context.has_fault(InjectedFault::ContactOfOtherIncarnations) {
+        if context.has_fault(InjectedFault::AcceptStampsOfOtherIncarnations) {
             return Some(stamp.answered_at).filter(|at| *at <= context.now());
         }
         self.read_lease.instant_of(stamp, context.now())
@@ -109,8 +109,8 @@
 
     /// The primary had contact with a majority after `contact_at`, and has committed this revision.
     pub(crate) fn confirm_contact(&mut self, context: &Context, contact_at: Instant, revision: u64) {
-        let ignores_revision = context.has_fault(InjectedFault::ContactByArrival)
-            || context.has_fault(InjectedFault::ContactWithoutState);
+        let ignores_revision = context.has_fault(InjectedFault::ConfirmReadLeaseOnArrival)
+            || context.has_fault(InjectedFault::ConfirmReadLeaseBeforePublish);
         let published = if ignores_revision { Some(u64::MAX) } else { self.revision() };
         self.read_lease.confirm_contact(contact_at, revision, published);
     }
--- a/crates/consensus/src/member_removal.rs
+++ b/crates/consensus/src/member_removal.rs
@@ -48,7 +48,7 @@
     pub(crate) fn take_due_announcement(&mut self, context: &Context) -> bool {
         let interval = context.timings().resend_interval;
         let is_due = self.announced_at.is_none_or(|at| context.elapsed(at) >= interval);
-        if !self.is_shutting_down() || !is_due || context.has_fault(InjectedFault::ShutDownAtOnce) {
+        if !self.is_shutting_down() || !is_due || context.has_fault(InjectedFault::ShutDownWithoutRemoval) {
             return false;
         }
         self.announced_at = Some(context.now());
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -62,7 +62,7 @@
     pub(super) fn on_pre_vote(&mut self, from: Member) {
         let withholds = self.core.acceptor.withholds_pre_votes(self.core.now());
         let suspects_primary = !self.trusts_primary() && !withholds;
-        let ignores_trust = self.core.has_fault(InjectedFault::AlwaysWilling);
+        let ignores_trust = self.core.has_fault(InjectedFault::AlwaysGrantPreVotes);
         let response = Message::PreVoteResponse {
             granted: self.role.is_follower() && (ignores_trust || suspects_primary),
             is_bootstrap_voter: self.core.is_bootstrap_voter(),
--- a/crates/consensus/src/node/queries.rs
+++ b/crates/consensus/src/node/queries.rs
@@ -15,7 +15,7 @@
 use crate::member_removal::SHUTDOWN_TIMEOUT;
 use crate::term::{Member, Term};
 
-/// A node with [`InjectedFault::ShutDownAtOnce`] shuts down after this time.
+/// A node with [`InjectedFault::ShutDownWithoutRemoval`] shuts down after this time.
 const INJECTED_SHUTDOWN: Duration = Duration::from_millis(150);
 
 impl<R: RngCore> Node<R> {
@@ -128,7 +128,7 @@
         if !self.role.is_follower() {
             return false;
         }
-        if self.core.has_fault(InjectedFault::ShutDownAtOnce) {
+        if self.core.has_fault(InjectedFault::ShutDownWithoutRemoval) {
             return age >= INJECTED_SHUTDOWN;
         }
         self.core.epoch.config().is_none_or(|config| self.is_dispensable_to(config))
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -112,7 +112,7 @@
         self.role = Role::TakingOver(Box::new(TakeOver::new(term, plan, self.core.now())));
         self.core.requests.reset_heartbeats();
         self.core.write(DurabilityEffect::Promise(term), local);
-        if self.core.has_fault(InjectedFault::TermUnsynced) {
+        if self.core.has_fault(InjectedFault::UseUnsyncedTerm) {
             self.on_local_promise_written(term);
         }
     }
--- a/crates/consensus/src/node_core.rs
+++ b/crates/consensus/src/node_core.rs
@@ -174,7 +174,8 @@
 
     /// Whether this node, as primary, may send heartbeats: only while its lease is valid at the time of this step.
     pub(crate) fn may_send_heartbeats(&self) -> bool {
-        self.primary_lease.is_valid(&self.context, self.now()) || self.has_fault(InjectedFault::NoLease)
+        self.primary_lease.is_valid(&self.context, self.now())
+            || self.has_fault(InjectedFault::IgnorePrimaryLease)
     }
 
     /// The configuration that a node without a vote needs to find the others after its next start, if it is not durable.
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -59,7 +59,7 @@
     /// The members as they should be, if other than they are. Several may change at once: the outgoing and the new ones
     /// decide on the complete list.
     pub(super) fn wanted_members(&self) -> Option<Vec<Member>> {
-        if self.core.has_fault(InjectedFault::KeepMembers) {
+        if self.core.has_fault(InjectedFault::NeverReplaceMembers) {
             return None;
         }
         let mut members = self.primary.config.members.clone();
@@ -139,7 +139,7 @@
     fn most_silent(&self, members: &[Member]) -> Option<MemberId> {
         let others = members.iter().filter(|m| m.id != self.core.local().id);
         let silent = others.max_by_key(|m| self.silence(m))?;
-        let replacement_timeout = match self.core.has_fault(InjectedFault::SlowReplacement) {
+        let replacement_timeout = match self.core.has_fault(InjectedFault::IgnoreJoinDeadline) {
             true => Timings::default().replacement_timeout,
             false => self.core.context.timings().replacement_timeout,
         };
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -53,7 +53,7 @@
     /// Starts to write a change to the disks of the primary and of the backups.
     pub(super) fn start_write(&mut self, core: &mut NodeCore, state: ControlState) {
         let now = core.now();
-        let sends_full_states = core.has_fault(InjectedFault::FullStates);
+        let sends_full_states = core.has_fault(InjectedFault::AlwaysSendFullStates);
         let delta = if sends_full_states { None } else { StateDelta::between(&self.state, &state) };
         self.pending_write = Some(PendingWrite {
             state: state.clone(),
@@ -133,7 +133,7 @@
     fn is_written_everywhere(&self, core: &NodeCore) -> bool {
         self.pending_write.as_ref().is_some_and(|write| {
             let by_backups = || self.config.backups.iter().all(|id| write.written_by.contains(id));
-            write.is_on_local_disk && (core.has_fault(InjectedFault::CommitAlone) || by_backups())
+            write.is_on_local_disk && (core.has_fault(InjectedFault::CommitWithoutBackups) || by_backups())
         })
     }
 
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -89,7 +89,7 @@
         state: ControlState,
     ) {
         let is_large = state.body.len() > context.settings().chunk_sizes.large_state_bytes;
-        if !is_large || context.has_fault(InjectedFault::FullStates) {
+        if !is_large || context.has_fault(InjectedFault::AlwaysSendFullStates) {
             let message = match purpose {
                 StatePurpose::CommittedState => Message::CommittedState { state },
                 StatePurpose::ReplicateState => Message::ReplicateState { state },
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -138,7 +138,7 @@
     /// don't count.
     pub(crate) fn is_overdue(&self, core: &NodeCore) -> bool {
         core.context.elapsed(self.last_progress_at) > core.context.timings().take_over_step_timeout
-            && !core.has_fault(InjectedFault::LateTakeOver)
+            && !core.has_fault(InjectedFault::ResumeSuspendedTakeOver)
     }
 
     /// Another node has promised a higher term.
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -83,7 +83,7 @@
         let version = rewrite.state.version();
         // A node that has not written the state may know it as committed: a large one is sent only if it does not.
         let is_large = rewrite.state.body.len() > core.context.settings().chunk_sizes.large_state_bytes;
-        let sends_version_first = is_large && !core.has_fault(InjectedFault::FullStates);
+        let sends_version_first = is_large && !core.has_fault(InjectedFault::AlwaysSendFullStates);
         let recipients = rewrite.candidates.iter().take(rewrite.contacted).skip(first);
         for id in recipients.filter(|id| !rewrite.written.contains(id)) {
             let Some(promise) = self.promises.get(id) else { continue };
--- a/crates/consensus/tests/fleet/injected_faults.rs
+++ b/crates/consensus/tests/fleet/injected_faults.rs
@@ -27,7 +27,7 @@
 #[test]
 fn commits_by_the_primary_alone_are_found() {
     finds(
-        InjectedFault::CommitAlone,
+        InjectedFault::CommitWithoutBackups,
         &["lost change:", "convergence:", "conflict:", "rejected:", "quorum contact:"],
     );
 }
@@ -39,7 +39,7 @@
 
 #[test]
 fn terms_used_before_the_sync_are_found() {
-    finds(InjectedFault::TermUnsynced, &["disk:"]);
+    finds(InjectedFault::UseUnsyncedTerm, &["disk:"]);
 }
 
 #[test]
@@ -72,22 +72,22 @@
 
 #[test]
 fn quorum_contact_by_the_arrival_of_heartbeats_is_found() {
-    finds(InjectedFault::ContactByArrival, &["quorum contact:"]);
+    finds(InjectedFault::ConfirmReadLeaseOnArrival, &["quorum contact:"]);
 }
 
 #[test]
 fn quorum_contact_without_the_state_is_found() {
-    finds(InjectedFault::ContactWithoutState, &["quorum contact:"]);
+    finds(InjectedFault::ConfirmReadLeaseBeforePublish, &["quorum contact:"]);
 }
 
 #[test]
 fn heartbeats_without_a_lease_are_found() {
-    finds(InjectedFault::NoLease, &["heartbeat:", "quorum contact:"]);
+    finds(InjectedFault::IgnorePrimaryLease, &["heartbeat:", "quorum contact:"]);
 }
 
 #[test]
 fn members_that_are_never_replaced_are_found() {
-    finds(InjectedFault::KeepMembers, &["convergence:", "liveness:"]);
+    finds(InjectedFault::NeverReplaceMembers, &["convergence:", "liveness:"]);
 }
 
 #[test]
--- a/crates/consensus/tests/fleet/large_states.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_wiped_member_catches_up_while_changes_go_on() {
-    holds_and_finds(wiped_member, InjectedFault::FullStates);
+    holds_and_finds(wiped_member, InjectedFault::AlwaysSendFullStates);
 }
 
 /// A member is away for hundreds of changes.
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_restarted_member_catches_up_after_hundreds_of_changes() {
-    holds_and_finds(restarted_member, InjectedFault::FullStates);
+    holds_and_finds(restarted_member, InjectedFault::AlwaysSendFullStates);
 }
 
 #[test]
@@ -154,7 +154,7 @@
 
 #[test]
 fn the_largest_configuration_is_replicated_on_five_machines() {
-    holds_and_finds(largest_on_five_machines, InjectedFault::FullStates);
+    holds_and_finds(largest_on_five_machines, InjectedFault::AlwaysSendFullStates);
 }
 
 /// Random faults while changes go on, each healed; no rule is violated, and all nodes know all in the end.
@@ -227,7 +227,7 @@
     for (failures, real_bytes) in
         [(1, 100_000), (1, 1_000_000), (1, LARGEST_BYTES), (2, 1_000_000), (2, LARGEST_BYTES)]
     {
-        for injected_fault in [None, Some(InjectedFault::FullStates)] {
+        for injected_fault in [None, Some(InjectedFault::AlwaysSendFullStates)] {
             for seed in 0..5 {
                 let case = format!("f = {failures}, {real_bytes} bytes, {injected_fault:?}, seed {seed}");
                 match catch_up(seed, failures, real_bytes, injected_fault) {
@@ -284,7 +284,7 @@
 #[test]
 fn a_small_change_costs_a_twentieth_of_a_whole_state_at_most() {
     for real_bytes in [100_000, LARGE_BYTES] {
-        let [before, now] = [Some(InjectedFault::FullStates), None].map(|injected_fault| {
+        let [before, now] = [Some(InjectedFault::AlwaysSendFullStates), None].map(|injected_fault| {
             let cost = holds("cost of a change", || cost_of_changes(real_bytes, injected_fault));
             let ChangeCost { accepted, sent, written } = cost;
             println!(
--- a/crates/consensus/tests/fleet/member_turnover.rs
+++ b/crates/consensus/tests/fleet/member_turnover.rs
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_member_that_shuts_down_at_once_is_missed() {
-    finds(replaced_after_a_wait, InjectedFault::ShutDownAtOnce, &["no primary"]);
+    finds(replaced_after_a_wait, InjectedFault::ShutDownWithoutRemoval, &["no primary"]);
 }
 
 #[test]
@@ -238,7 +238,7 @@
 
 #[test]
 fn a_member_that_is_replaced_late_is_missed() {
-    finds(lost, InjectedFault::SlowReplacement, &["no primary"]);
+    finds(lost, InjectedFault::IgnoreJoinDeadline, &["no primary"]);
 }
 
 #[test]
--- a/crates/consensus/tests/fleet/membership_scenarios.rs
+++ b/crates/consensus/tests/fleet/membership_scenarios.rs
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_wiped_machine_is_another_member_at_once() {
-    holds_and_finds(wiped_member, InjectedFault::KeepMembers);
+    holds_and_finds(wiped_member, InjectedFault::NeverReplaceMembers);
 }
 
 #[test]
--- a/crates/consensus/tests/fleet/primary_scenarios.rs
+++ b/crates/consensus/tests/fleet/primary_scenarios.rs
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_primary_that_receives_nothing_steps_down() {
-    holds_and_finds(primary_without_input, InjectedFault::NoLease);
+    holds_and_finds(primary_without_input, InjectedFault::IgnorePrimaryLease);
 }
 
 #[test]
--- a/crates/consensus/tests/fleet/read_lease.rs
+++ b/crates/consensus/tests/fleet/read_lease.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_resumed_follower_has_no_quorum_contact_by_buffered_messages() {
-    holds_and_finds(paused_follower, InjectedFault::ContactByArrival);
+    holds_and_finds(paused_follower, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
 /// What becomes of some links.
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_follower_that_was_cut_off_has_no_quorum_contact_by_buffered_messages() {
-    holds_and_finds(cut_off_follower, InjectedFault::ContactByArrival);
+    holds_and_finds(cut_off_follower, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
 fn cut_off_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_primary_that_was_cut_off_has_no_quorum_contact_by_buffered_messages() {
-    holds_and_finds(cut_off_primary, InjectedFault::ContactByArrival);
+    holds_and_finds(cut_off_primary, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
 /// What is committed never reaches a witness, while heartbeats do.
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_follower_that_lacks_the_state_has_no_quorum_contact() {
-    holds_and_finds(lost_states, InjectedFault::ContactWithoutState);
+    holds_and_finds(lost_states, InjectedFault::ConfirmReadLeaseBeforePublish);
 }
 
 /// A heartbeat that was sent to an earlier incarnation of a process reaches the next one, whose clock shows the same.
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_lease_stamp_of_another_incarnation_proves_nothing() {
-    holds_and_finds(another_incarnation, InjectedFault::ContactOfOtherIncarnations);
+    holds_and_finds(another_incarnation, InjectedFault::AcceptStampsOfOtherIncarnations);
 }
 
 /// Runs until a node has proposed a configuration with itself as primary; returns its machine.
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_take_over_does_not_outlast_a_pause() {
-    holds_and_finds(paused_take_overs, InjectedFault::LateTakeOver);
+    holds_and_finds(paused_take_overs, InjectedFault::ResumeSuspendedTakeOver);
 }
 
 /// A resumed follower, with old heartbeats in its buffer, doesn't delay the election after a real loss.
@@ -239,7 +239,7 @@
 
 #[test]
 fn old_heartbeats_do_not_delay_an_election() {
-    holds_and_finds(voter_with_old_heartbeats, InjectedFault::ContactByArrival);
+    holds_and_finds(voter_with_old_heartbeats, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
 #[test]
@@ -318,5 +318,5 @@
 
 #[test]
 fn a_link_that_fails_one_way_moves_no_primary() {
-    holds_and_finds(one_way_links, InjectedFault::AlwaysWilling);
+    holds_and_finds(one_way_links, InjectedFault::AlwaysGrantPreVotes);
 }
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -215,7 +215,7 @@
 
 #[test]
 fn injected_faults_are_found() {
-    for injected_fault in [InjectedFault::ForgetPromise, InjectedFault::CommitAlone] {
+    for injected_fault in [InjectedFault::ForgetPromise, InjectedFault::CommitWithoutBackups] {
         let scope =
             Scope { injected_fault: Some(injected_fault), take_overs: 1, changes: 1, ..Scope::default() };
         let (states, found) = search(scope, usize::MAX);
--- a/crates/control-plane/tests/fleet/injected_faults.rs
+++ b/crates/control-plane/tests/fleet/injected_faults.rs
@@ -52,7 +52,7 @@
 fn changes_committed_by_the_primary_alone_are_found() {
     finds(
         0,
-        consensus(ConsensusFault::CommitAlone),
+        consensus(ConsensusFault::CommitWithoutBackups),
         &["lost change:", "conflict:", "rejected:", "outdated state:"],
     );
 }
