--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -142,7 +142,7 @@
         }
         let has_body = |state: &&ControlState| state.version().has_same_body(&version);
         let durable = storage.state().filter(has_body);
-        if durable.is_some() && storage.may_refer_to_durable_state() {
+        if durable.is_some() && storage.is_durable_state_last_in_log() {
             return Some(DurabilityEffect::RewriteUnderNewTerm(version));
         }
         let Some(state) = durable.or(committed.filter(has_body)) else {
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -19,7 +19,7 @@
             display("record {index} of the control state can't be read")
         }
         /// 722: a record does not continue those before it.
-        Disordered(index: usize) {
+        OutOfSequence(index: usize) {
             display("record {index} of the control state does not fit those before it")
         }
         /// 722: there are records, but none with the identity of the disk, which is written first: the log is incomplete.
@@ -35,7 +35,7 @@
     pub fn code(&self) -> u16 {
         match self {
             StoredStateError::Unreadable(_) => 721,
-            StoredStateError::Disordered(_) | StoredStateError::MissingIdentity => 722,
+            StoredStateError::OutOfSequence(_) | StoredStateError::MissingIdentity => 722,
         }
     }
 }
@@ -121,7 +121,7 @@
             let record = minicbor::decode(bytes).map_err(|_| StoredStateError::Unreadable(index))?;
             let is_delta = matches!(record, LogRecord::Delta(_));
             if !durable.apply(record) {
-                return Err(StoredStateError::Disordered(index));
+                return Err(StoredStateError::OutOfSequence(index));
             }
             let body_bytes = durable.state.as_ref().filter(|_| is_delta).map_or(0, |state| state.body.len());
             rebuilt_bytes = rebuilt_bytes.saturating_add(body_bytes);
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -146,7 +146,7 @@
         self.core.context.output(Output::BecamePrimary { term, continued: is_continued });
         if !is_continued {
             let primary = self.redirect_address();
-            self.core.requests.reject_stale_claims(&mut self.core.context, primary);
+            self.core.requests.redirect_stale_replies(&mut self.core.context, primary);
         }
         if let Role::Primary(primary) = &mut self.role {
             self.core.requests.resolve_pending_write(&mut self.core.context, primary.state());
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -199,7 +199,7 @@
     }
 
     /// Another node was primary in between: claims of a stale base may be outdated, so their changes are redirected.
-    pub(crate) fn reject_stale_claims(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
+    pub(crate) fn redirect_stale_replies(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
         let is_read = |waiting: &UnconfirmedReply| matches!(waiting.claim, Claim::CurrentState);
         for waiting in self.unconfirmed.iter().filter(|waiting| !is_read(waiting)) {
             context.reply(waiting.request_id, ClientReply::NotPrimary { primary });
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -203,7 +203,7 @@
 
     /// Whether a record may refer to the durable state: not while another state is being written, nor after a failed write
     /// of a state, whose record may be in the log all the same: either would come between the two.
-    pub(crate) fn may_refer_to_durable_state(&self) -> bool {
+    pub(crate) fn is_durable_state_last_in_log(&self) -> bool {
         !self.writes.is_last_state_uncertain() && !self.writes.includes_state()
     }
 
@@ -214,8 +214,8 @@
         delta: Option<StateDelta>,
         state: ControlState,
     ) -> DurabilityEffect {
-        let is_certain =
-            self.may_refer_to_durable_state() || context.has_fault(InjectedFault::WriteDeltaOnUncertainState);
+        let is_certain = self.is_durable_state_last_in_log()
+            || context.has_fault(InjectedFault::WriteDeltaOnUncertainState);
         let durable = self.durable.version();
         let is_next = |delta: &StateDelta| durable.is_some_and(|v| v.has_same_body(&delta.previous));
         match delta.filter(|delta| is_certain && is_next(delta)) {
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -67,7 +67,7 @@
         self.enter(Phase::RewriteState(rewrite), core.now());
         let durable = core.storage.version();
         let is_durable = durable.is_some_and(|durable| durable.has_same_body(&state.version()));
-        let effect = match is_durable && core.storage.may_refer_to_durable_state() {
+        let effect = match is_durable && core.storage.is_durable_state_last_in_log() {
             true => DurabilityEffect::RewriteUnderNewTerm(state.version()),
             false => DurabilityEffect::State(state),
         };
--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -334,5 +334,5 @@
 #[test]
 fn errors_of_a_stored_state_have_the_codes_of_the_pages() {
     assert_eq!(StoredStateError::Unreadable(3).code(), 721);
-    assert_eq!(StoredStateError::Disordered(3).code(), 722);
+    assert_eq!(StoredStateError::OutOfSequence(3).code(), 722);
 }
