--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -1,40 +1,43 @@
-//! The difference of two bodies as instructions: copy a range of the base, or insert bytes.
+//! Binary deltas between two bodies: instructions that copy a range of the base, or insert bytes.
 //!
-//! Ranges that both bodies have are found by the hashes of the base's blocks. Work is bounded: the search ends where too
-//! much is new. What a delta can make its reader allocate is bounded by [`MAX_BODY_BYTES`].
+//! Common ranges are found with a hash index of the base's blocks and a rolling hash over the target, as in rsync.
+//! The work is bounded: the search stops once too many bytes would have to be inserted. Applying a delta allocates at
+//! most [`MAX_BODY_BYTES`].
 
 use std::sync::Arc;
 
 use minicbor::{Decode, Encode};
 
-use crate::body_bytes::{decode_body, encode_body};
 use crate::limits::MAX_BODY_BYTES;
+use crate::shared_bytes::{decode_bytes, encode_bytes};
 
-/// The base is indexed by blocks of this many bytes; shorter common ranges inside of a change aren't found.
+/// The length of an indexed block of the base. Common ranges that contain no complete block of the base aren't found.
 const BLOCK_BYTES: usize = 64;
-/// A delta inserts at most this many bytes: beyond that, a complete body costs hardly more.
+/// The maximum number of bytes that a delta inserts. Beyond that, a complete body costs little more.
 const MAX_INSERTED_BYTES: usize = 256 << 10;
-/// A delta that is not this many times shorter than its target is not worth its computation.
+/// A delta is only used if its target is at least this many times as long; otherwise it is not worth the computation.
 const MIN_COMPRESSION_FACTOR: usize = 2;
-/// Slices of this length are compared at once where two bodies begin or end alike.
-const COMPARE_BYTES: usize = 256;
+/// The length of the slices that are compared at once when searching for a common prefix or suffix.
+const COMPARED_SLICE_BYTES: usize = 256;
 /// The multiplier of the rolling hash.
-const HASH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Set in an insertion, clear in a copy: the lowest bit of an instruction.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The lowest bit of an instruction: set for an insertion, clear for a copy.
 const INSERT_BIT: u64 = 1;
 
-/// The instructions that make one body, the target, of another, the base.
+/// Instructions that turn one body, the base, into another, the target.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct BodyDelta {
-    /// The length of the target in bytes, then the instructions. An instruction starts with a number: its lowest bit is
-    /// [`INSERT_BIT`], the others are how many bytes it adds. After an insertion follow these bytes, after a copy the
-    /// position in the base. All numbers as in LEB128, seven bits to a byte.
-    #[cbor(n(0), encode_with = "encode_body", decode_with = "decode_body")]
+    /// The length of the target in bytes, then the instructions. An instruction starts with a number: the lowest bit
+    /// is [`INSERT_BIT`], the remaining bits are the number of bytes that it appends to the target. In an insertion,
+    /// the number is followed by these bytes; in a copy, by the start of the range in the base. All numbers are
+    /// encoded as unsigned LEB128.
+    #[cbor(n(0), encode_with = "encode_bytes", decode_with = "decode_bytes")]
     instructions: Arc<[u8]>,
 }
 
 impl BodyDelta {
-    /// The difference of two bodies; none where the target itself is hardly longer.
+    /// The delta from `base` to `target`; none if it would be little shorter than the target, or if the target is
+    /// longer than [`MAX_BODY_BYTES`].
     pub fn between(base: &[u8], target: &[u8]) -> Option<BodyDelta> {
         if target.len() > MAX_BODY_BYTES {
             return None;
@@ -44,7 +47,7 @@
         let suffix = common_suffix(base_rest, target_rest);
         let base_middle = base_rest.get(..base_rest.len() - suffix)?;
         let target_middle = target_rest.get(..target_rest.len() - suffix)?;
-        let mut writer = Writer::new(target.len());
+        let mut writer = InstructionWriter::new(target.len());
         writer.copy(0, prefix);
         write_difference(&mut writer, base_middle, target_middle, prefix)?;
         writer.copy(base.len() - suffix, suffix);
@@ -52,9 +55,9 @@
             .then(|| BodyDelta { instructions: writer.instructions.into() })
     }
 
-    /// The target; none if the instructions are invalid or refer to ranges that the base does not have.
+    /// Returns the target; none if the instructions are invalid or refer to a range outside the base.
     pub fn apply(&self, base: &[u8]) -> Option<Vec<u8>> {
-        let mut reader = Reader { rest: &self.instructions };
+        let mut reader = InstructionReader { rest: &self.instructions };
         let length =
             usize::try_from(reader.read_number()?).ok().filter(|length| *length <= MAX_BODY_BYTES)?;
         let mut target = Vec::with_capacity(length);
@@ -80,40 +83,46 @@
         self.instructions.len()
     }
 
-    /// Whether there are no instructions; such a delta can't be applied.
+    /// Returns true if the delta is of length zero; such a delta can't be applied.
     pub fn is_empty(&self) -> bool {
         self.instructions.is_empty()
     }
 }
 
 fn common_prefix(left: &[u8], right: &[u8]) -> usize {
-    let chunks = left.chunks_exact(COMPARE_BYTES).zip(right.chunks_exact(COMPARE_BYTES));
-    let equal = COMPARE_BYTES * chunks.take_while(|(a, b)| a == b).count();
+    let chunks = left.chunks_exact(COMPARED_SLICE_BYTES).zip(right.chunks_exact(COMPARED_SLICE_BYTES));
+    let equal = COMPARED_SLICE_BYTES * chunks.take_while(|(a, b)| a == b).count();
     let rest = left.iter().zip(right).skip(equal);
     equal + rest.take_while(|(a, b)| a == b).count()
 }
 
 fn common_suffix(left: &[u8], right: &[u8]) -> usize {
-    let chunks = left.rchunks_exact(COMPARE_BYTES).zip(right.rchunks_exact(COMPARE_BYTES));
-    let equal = COMPARE_BYTES * chunks.take_while(|(a, b)| a == b).count();
+    let chunks = left.rchunks_exact(COMPARED_SLICE_BYTES).zip(right.rchunks_exact(COMPARED_SLICE_BYTES));
+    let equal = COMPARED_SLICE_BYTES * chunks.take_while(|(a, b)| a == b).count();
     let rest = left.iter().rev().zip(right.iter().rev()).skip(equal);
     equal + rest.take_while(|(a, b)| a == b).count()
 }
 
-/// Writes what makes `target` of `base`, which starts at `base_start` of the complete base; none if too much is new.
+/// Writes the instructions that turn `base`, a range that starts at `base_start` of the complete base, into `target`.
+/// Returns none if more than [`MAX_INSERTED_BYTES`] would have to be inserted.
 ///
-/// Moves a window of [`BLOCK_BYTES`] over the target. Where the base has a block like it, the match is extended to both
-/// sides and copied; what lies between two matches is inserted.
-fn write_difference(writer: &mut Writer, base: &[u8], target: &[u8], base_start: usize) -> Option<()> {
+/// Moves a window of [`BLOCK_BYTES`] over the target. If the base has an equal block, the match is extended in both
+/// directions and copied. The bytes between two matches are inserted.
+fn write_difference(
+    writer: &mut InstructionWriter,
+    base: &[u8],
+    target: &[u8],
+    base_start: usize,
+) -> Option<()> {
     let index = BlockIndex::new(base);
     let mut position = 0;
-    // The bytes from here to `position` were not found in the base.
-    let mut unmatched = 0;
+    // No match was found for the bytes of the target from here to `position`.
+    let mut unmatched_start = 0;
     let mut hash = target.get(..BLOCK_BYTES).map(RollingHash::of);
     while let Some(rolling) = hash {
         let rest = target.get(position..).unwrap_or_default();
         let Some(start) = index.find(base, rolling.value, rest) else {
-            if position - unmatched > writer.insertable_bytes() {
+            if position - unmatched_start > writer.insertable_bytes() {
                 return None;
             }
             let entering = rest.get(BLOCK_BYTES);
@@ -121,20 +130,20 @@
             position += 1;
             continue;
         };
-        let before = target.get(unmatched..position).unwrap_or_default();
+        let before = target.get(unmatched_start..position).unwrap_or_default();
         let backward = common_suffix(base.get(..start).unwrap_or_default(), before);
         let forward = common_prefix(base.get(start..).unwrap_or_default(), rest);
         writer.insert(before.get(..before.len() - backward).unwrap_or_default());
         writer.copy(base_start + start - backward, backward + forward);
         position += forward;
-        unmatched = position;
+        unmatched_start = position;
         hash = target.get(position..position + BLOCK_BYTES).map(RollingHash::of);
     }
-    let rest = target.get(unmatched..).unwrap_or_default();
+    let rest = target.get(unmatched_start..).unwrap_or_default();
     (rest.len() <= writer.insertable_bytes()).then(|| writer.insert(rest))
 }
 
-/// A hash of the last [`BLOCK_BYTES`] bytes.
+/// The polynomial rolling hash of a window of [`BLOCK_BYTES`].
 #[derive(Clone, Copy)]
 struct RollingHash {
     value: u64,
@@ -142,22 +151,23 @@
 
 impl RollingHash {
     fn of(block: &[u8]) -> RollingHash {
-        let add = |sum: u64, byte: &u8| sum.wrapping_mul(HASH_FACTOR).wrapping_add(u64::from(*byte) + 1);
+        let add = |sum: u64, byte: &u8| sum.wrapping_mul(HASH_MULTIPLIER).wrapping_add(u64::from(*byte) + 1);
         RollingHash { value: block.iter().fold(0, add) }
     }
 
     fn roll(self, leaving: u8, entering: u8) -> RollingHash {
-        let removed = (u64::from(leaving) + 1).wrapping_mul(HASH_FACTOR.wrapping_pow(BLOCK_BYTES as u32 - 1));
-        let value = self.value.wrapping_sub(removed).wrapping_mul(HASH_FACTOR);
+        let removed =
+            (u64::from(leaving) + 1).wrapping_mul(HASH_MULTIPLIER.wrapping_pow(BLOCK_BYTES as u32 - 1));
+        let value = self.value.wrapping_sub(removed).wrapping_mul(HASH_MULTIPLIER);
         RollingHash { value: value.wrapping_add(u64::from(entering) + 1) }
     }
 }
 
-/// The positions of the blocks of the base, by their hash. Of blocks that share a slot only the first is found.
+/// A hash index of the blocks of the base. If several blocks have the same slot, only the first of them is found.
 struct BlockIndex {
-    /// The number of the block plus one; zero if the slot is free. Their number is a power of two.
+    /// In each slot the number of a block plus one, or zero if the slot is free. The number of slots is a power of two.
     slots: Vec<u32>,
-    /// How far a hash is shifted so that it is the index of a slot.
+    /// By how many bits a hash is shifted right to get the index of a slot.
     shift: u32,
 }
 
@@ -176,11 +186,11 @@
     }
 
     fn slot(&self, hash: u64) -> usize {
-        // The highest bits depend on all bytes; multiplied once more, they are spread evenly.
-        (hash.wrapping_mul(HASH_FACTOR) >> self.shift) as usize
+        // The highest bits depend on all bytes of the block. Another multiplication distributes them evenly.
+        (hash.wrapping_mul(HASH_MULTIPLIER) >> self.shift) as usize
     }
 
-    /// Where a block of the base is that the rest begins with.
+    /// The start of a block of the base that `rest` begins with; `hash` is that of the first [`BLOCK_BYTES`] of `rest`.
     fn find(&self, base: &[u8], hash: u64, rest: &[u8]) -> Option<usize> {
         let number = self.slots.get(self.slot(hash)).copied()?.checked_sub(1)?;
         let start = number as usize * BLOCK_BYTES;
@@ -189,15 +199,15 @@
 }
 
 /// Writes the instructions of a delta.
-struct Writer {
+struct InstructionWriter {
     instructions: Vec<u8>,
-    /// The sum of all insertions, at most [`MAX_INSERTED_BYTES`].
+    /// The total number of inserted bytes; at most [`MAX_INSERTED_BYTES`].
     inserted: usize,
 }
 
-impl Writer {
-    fn new(target_length: usize) -> Writer {
-        let mut writer = Writer { instructions: Vec::new(), inserted: 0 };
+impl InstructionWriter {
+    fn new(target_length: usize) -> InstructionWriter {
+        let mut writer = InstructionWriter { instructions: Vec::new(), inserted: 0 };
         writer.write_number(target_length as u64);
         writer
     }
@@ -231,18 +241,18 @@
 }
 
 /// Reads the instructions of a delta.
-struct Reader<'a> {
+struct InstructionReader<'a> {
     rest: &'a [u8],
 }
 
-impl<'a> Reader<'a> {
+impl<'a> InstructionReader<'a> {
     fn read_number(&mut self) -> Option<u64> {
         let mut number = 0_u64;
         for shift in (0..u64::BITS).step_by(7) {
             let (first, rest) = self.rest.split_first()?;
             self.rest = rest;
             let group = u64::from(first & 0x7f);
-            // A number has at most 64 bits.
+            // Reject numbers of more than 64 bits.
             if (group << shift) >> shift != group {
                 return None;
             }
--- a/crates/consensus/src/control_state.rs
+++ b/crates/consensus/src/control_state.rs
@@ -1,4 +1,4 @@
-//! The replicated control state, its versions, and the requests that it remembers.
+//! The replicated control state, its versions, and the deduplication of operators' requests.
 
 use core::fmt;
 use std::sync::Arc;
@@ -6,36 +6,36 @@
 use minicbor::encode::{Error as EncodeError, Write};
 use minicbor::{Decode, Encode, Encoder};
 
-use crate::body_bytes::encode_body;
+use crate::shared_bytes::encode_bytes;
 use crate::term::Term;
 
-/// How many of the latest applied requests a state remembers.
+/// The number of most recently applied requests that a state remembers.
 pub const DEDUPLICATION_WINDOW: usize = 256;
 
-/// Identifies a state. Of two states, the one with the higher version is in force.
+/// Identifies a state. Of two states, the one with the higher version is the valid one.
 ///
-/// Exactly one body belongs to each pair of `revision` and `first_write_term`.
+/// States with equal `revision` and `first_write_term` have the same body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct StateVersion {
-    /// The term under which it was written here last.
+    /// The term under which the state was last written on this disk.
     #[n(0)]
     pub write_term: Term,
-    /// The number that the operator has given to the body; rises with each change.
+    /// The number that the operator has assigned to the body; increases with each change.
     #[n(1)]
     pub revision: u64,
-    /// The term under which it was written first.
+    /// The term under which this revision was written first.
     #[n(2)]
     pub first_write_term: Term,
 }
 
 impl StateVersion {
-    /// Whether both are versions of one change, maybe written under different terms.
+    /// Returns true if both versions have the same body; they may have been written under different terms.
     pub(crate) fn has_same_body(&self, other: &StateVersion) -> bool {
         self.revision == other.revision && self.first_write_term == other.first_write_term
     }
 }
 
-/// Distinguishes an operator's request from every other one: the SHA-256 of its complete content.
+/// The SHA-256 of the complete content of an operator's request, which identifies the request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct RequestDigest(#[cbor(n(0), with = "minicbor::bytes")] pub [u8; 32]);
@@ -46,10 +46,10 @@
     }
 }
 
-/// An operator's request that was applied.
+/// An operator's request that was applied, as remembered for deduplication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct AppliedRequest {
-    /// The revision that it made.
+    /// The revision of the resulting state.
     #[n(0)]
     pub revision: u64,
     /// The digest of the request.
@@ -57,39 +57,39 @@
     pub digest: RequestDigest,
 }
 
-/// The status of an operator's request by one state, before anything is written.
+/// The status of an operator's request with respect to one state, before anything is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Exactly this request was applied.
+    /// The same request has been applied.
     AlreadyApplied,
-    /// It builds on the current revision and its own revision is higher.
+    /// The request builds on the current revision, and its own revision is higher.
     Acceptable,
-    /// It was never applied, and never will be.
+    /// The request has not been applied and never will be.
     Stale,
-    /// It is so old that it can't be distinguished from an applied request that left the deduplication window: it may have
-    /// been applied or not.
+    /// The request is so old that it may have been applied and left the deduplication window since, so that it is
+    /// unknown whether it was applied.
     Expired,
 }
 
-/// The control state. Cheap to clone: the long parts are shared.
+/// The control state. Cheap to clone, since the body and the applied requests are shared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode)]
 pub struct ControlState {
-    /// The term under which it was written.
+    /// The term under which the state was last written.
     #[n(0)]
     pub write_term: Term,
     /// The term under which this revision was written first.
     #[n(1)]
     pub first_write_term: Term,
-    /// The number that the operator has given to the body; rises with each change, zero before the first one.
+    /// The number that the operator has assigned to the body; increases with each change, zero before the first one.
     #[n(2)]
     pub revision: u64,
-    /// What the operator wrote, opaque here.
-    #[cbor(n(3), encode_with = "encode_body")]
+    /// The operator's configuration, opaque to this crate.
+    #[cbor(n(3), encode_with = "encode_bytes")]
     pub body: Arc<[u8]>,
-    /// The latest applied requests, oldest first; at most [`DEDUPLICATION_WINDOW`].
+    /// The most recently applied requests, oldest first; at most [`DEDUPLICATION_WINDOW`].
     #[cbor(n(4), encode_with = "encode_applied_requests")]
     pub applied_requests: Arc<[AppliedRequest]>,
-    /// The highest revision whose request was applied and left the window; zero while all are remembered.
+    /// The highest revision of an applied request that has left the deduplication window; zero if none has.
     #[n(5)]
     pub highest_expired_revision: u64,
 }
@@ -113,27 +113,28 @@
         self.applied_requests.contains(&request)
     }
 
-    /// The status of a request that builds on `base_revision`, if this state is the newest one.
+    /// The status of a request that builds on `base_revision`, provided that this is the newest state.
     pub fn classify_request(&self, base_revision: u64, request: AppliedRequest) -> RequestStatus {
         if self.has_applied(request) {
             RequestStatus::AlreadyApplied
         } else if base_revision == self.revision {
-            // Had it been applied on this base, another revision would be current.
+            // Not applied: otherwise the current revision would be higher than the base.
             if request.revision > base_revision { RequestStatus::Acceptable } else { RequestStatus::Stale }
         } else if request.revision <= base_revision || request.revision > self.highest_expired_revision {
-            // The revision of an applied request is above its base, and all above the expired ones are remembered.
+            // Not applied: the revision of an applied request is higher than its base, and all applied requests above
+            // `highest_expired_revision` are remembered.
             RequestStatus::Stale
         } else {
             RequestStatus::Expired
         }
     }
 
-    /// The state after a request that replaces the body.
+    /// The state that results from a request that replaces the body.
     pub fn with_request_applied(&self, term: Term, request: AppliedRequest, body: Arc<[u8]>) -> ControlState {
-        let dropped = (self.applied_requests.len() + 1).saturating_sub(DEDUPLICATION_WINDOW);
-        let dropped_revisions = self.applied_requests.iter().take(dropped).map(|r| r.revision);
-        let highest_expired_revision = dropped_revisions.fold(self.highest_expired_revision, u64::max);
-        let remembered = self.applied_requests.iter().skip(dropped).copied();
+        let expired_count = (self.applied_requests.len() + 1).saturating_sub(DEDUPLICATION_WINDOW);
+        let expired_revisions = self.applied_requests.iter().take(expired_count).map(|r| r.revision);
+        let highest_expired_revision = expired_revisions.fold(self.highest_expired_revision, u64::max);
+        let remembered = self.applied_requests.iter().skip(expired_count).copied();
         ControlState {
             write_term: term,
             first_write_term: term,
@@ -151,12 +152,12 @@
 
 fn encode_applied_requests<C, W: Write>(
     requests: &Arc<[AppliedRequest]>,
-    e: &mut Encoder<W>,
+    encoder: &mut Encoder<W>,
     context: &mut C,
 ) -> Result<(), EncodeError<W::Error>> {
-    e.array(requests.len() as u64)?;
+    encoder.array(requests.len() as u64)?;
     for request in requests.iter() {
-        request.encode(e, context)?;
+        request.encode(encoder, context)?;
     }
     Ok(())
 }
--- a/crates/consensus/src/delta_log.rs
+++ b/crates/consensus/src/delta_log.rs
@@ -1,4 +1,4 @@
-//! Bounded queues of deltas: those that the primary has committed lately, and those that arrived too early.
+//! Bounded queues of deltas: the last ones that the primary has committed, and those that arrived out of order.
 
 use core::time::Duration;
 use std::collections::VecDeque;
@@ -8,9 +8,9 @@
 use crate::control_state::ControlState;
 use crate::state_delta::StateDelta;
 
-/// The most deltas in a queue, and in a message.
+/// The maximum number of deltas in a queue and in a message.
 pub(crate) const MAX_DELTAS: usize = 256;
-/// The most bytes of deltas in a queue.
+/// The maximum total size of the deltas in a queue, in bytes.
 const MAX_DELTA_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,12 +19,12 @@
     delta: StateDelta,
 }
 
-/// The latest deltas that this node has committed as primary, one after the other without a gap.
+/// The last deltas that this node has committed as primary. Each delta builds on the one before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct DeltaLog {
     /// Oldest first.
     deltas: VecDeque<CommittedDelta>,
-    /// The sum over `deltas`.
+    /// The estimated size of all `deltas`.
     bytes: usize,
 }
 
@@ -34,7 +34,7 @@
         self.bytes = 0;
     }
 
-    /// Adds a delta; those that it does not follow are dropped.
+    /// Adds a delta. If it does not build on the last one, the previous deltas are dropped.
     pub(crate) fn push(&mut self, now: Instant, delta: StateDelta) {
         let last = self.deltas.back().map(|last| last.delta.version());
         let is_next = last.is_none_or(|last| delta.previous.has_same_body(&last));
@@ -49,14 +49,14 @@
         }
     }
 
-    /// The deltas from a committed revision to the current state, oldest first; none if some were dropped.
+    /// The deltas from a committed revision to the current state, oldest first; none if they are not all in the log.
     pub(crate) fn since(&self, revision: u64, current: &ControlState) -> Option<Vec<StateDelta>> {
         self.deltas.back().filter(|last| last.delta.version().has_same_body(&current.version()))?;
         let first = self.deltas.iter().position(|known| known.delta.previous.revision == revision)?;
         Some(self.deltas.iter().skip(first).map(|known| known.delta.clone()).collect())
     }
 
-    /// The revision that was committed `age` ago, given the current one.
+    /// The revision that was the committed one `age` ago, where `current` is the present one.
     pub(crate) fn revision_before(&self, now: Instant, age: Duration, current: u64) -> u64 {
         let time = now - age;
         let later = self.deltas.iter().find(|known| known.committed_at > time);
@@ -64,16 +64,16 @@
     }
 }
 
-/// Committed deltas that arrived before the state that they build on.
+/// Committed deltas that arrived before the states that they build on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct OutOfOrderDeltas {
     deltas: VecDeque<StateDelta>,
-    /// The sum over `deltas`.
+    /// The estimated size of all `deltas`.
     bytes: usize,
 }
 
 impl OutOfOrderDeltas {
-    /// Stores a delta until its previous state arrives; the oldest ones are dropped when there are too many.
+    /// Stores a delta until its previous state arrives. Drops the oldest deltas if there are too many.
     pub(crate) fn push(&mut self, delta: StateDelta) {
         if self.deltas.iter().any(|known| known.version().has_same_body(&delta.version())) {
             return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The newest state that the stored deltas make of this one.
+    /// Applies all stored deltas that build on `state`, one after the other, and returns the result.
     pub(crate) fn advance(&self, mut state: ControlState) -> ControlState {
         while let Some(next) = self.deltas.iter().find_map(|delta| delta.apply(&state)) {
             state = next;
@@ -94,7 +94,7 @@
         state
     }
 
-    /// Drops what leads to a state that is known.
+    /// Drops the deltas that lead to this revision or a lower one.
     pub(crate) fn drop_up_to(&mut self, revision: u64) {
         self.deltas.retain(|delta| delta.request.revision > revision);
         self.bytes = self.deltas.iter().map(StateDelta::estimated_bytes).sum();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,28 +1,38 @@
-//! The control state, replicated with a majority: a primary has every change written by its backups before it acknowledges
-//! it, and witnesses that keep only the configurations of epochs decide who becomes primary.
+//! Replication of the control state by consensus.
 //!
-//! [`Node`] is a state machine without I/O, clock or randomness of its own, as in raft-rs: a host passes what happens as
-//! [`Input`]s, carries out the [`Output`]s in their order, and confirms every write in order. See
+//! A primary has its backups write every change before it acknowledges the change. Witnesses store only epoch
+//! configurations, and vote on who becomes primary.
+//!
+//! [`Node`] is a state machine without I/O, clock or randomness of its own, as in raft-rs. The host passes events to
+//! it as [`Input`]s, carries out its [`Output`]s in order, and confirms the writes in order. See
 //! `docs/design/0007-fleet.md`, "Control state".
 //!
-//! For readers of raft-rs: there is no log of entries. The replicated value is one state; a write carries all of it, or the
-//! delta from the state before. A [`Term`] belongs to one proposer (a ballot of Paxos), and a candidate is a node that takes
-//! over (module `take_over`). It collects promises, has the newest state written under its term by itself and its backups,
-//! and only then has an [`EpochConfig`] accepted by a majority: the primary with the nodes that hold the state. From then on
-//! a change is committed when the primary and all of its backups have written it. Where another configuration
-//! would be better, the primary takes over from itself, which is called a renewal.
+//! # Differences from Raft
+//!
+//! There is no log of entries. The replicated value is a single state; a write contains either the complete state or
+//! the delta from the previous one.
+//!
+//! A [`Term`] consists of a number and its proposer, like a ballot in Paxos. A node that takes over (module
+//! `take_over`) corresponds to a candidate: it collects promises, rewrites the newest state under its own term on its
+//! disk and those of its backups, and only then has an [`EpochConfig`] accepted by a majority. That configuration
+//! names the primary and the backups. From then on, a change is committed once the primary and all of its backups
+//! have written it. To move to a better configuration, the primary takes over from itself; this is called a renewal.
+//!
+//! Terms that mean something else in raft-rs:
+//!
+//! - A [`MemberId`] identifies a disk: a machine whose disk was wiped is another member.
+//! - A follower is any node that is neither primary nor taking over, even if it has no vote.
+//! - A learner (module `learner`) is the component of every node that learns which states are committed.
+//! - While the membership changes, a majority of [`EpochConfig::outgoing_members`] and a majority of
+//!   [`EpochConfig::members`] have to agree, as in joint consensus.
 //!
-//! Words that mean something else in raft-rs: a [`MemberId`] stands for a disk, so that a machine whose disk was wiped is
-//! another member; a [`Term`] has a number and its proposer; a follower is any node that is neither primary nor taking over,
-//! also one without a vote; a learner (module `learner`) is the part of a node that learns what is committed. While members
-//! change, [`EpochConfig::outgoing_members`] and `members` decide together, as in joint consensus.
+//! # Structure
 //!
-//! A node consists of parts that own their state: the acceptor, the disk, the learner of committed states, the failure
-//! detector, the transfers of large states and others. What outlives a role is in the core; the roles (follower, take-over,
-//! primary) work on it, and return to the node a transition to another role.
+//! A node consists of components that own their state: the acceptor, the disk, the learner, the failure detector, the
+//! transfers of large states and others. Components that outlive a role are in the core. The roles (follower,
+//! take-over, primary) operate on the core, and return to the node a transition to another role.
 
 mod acceptor;
-mod body_bytes;
 mod body_delta;
 mod context;
 mod control_state;
@@ -57,6 +67,7 @@
 mod random_delay;
 mod read_lease;
 mod settings;
+mod shared_bytes;
 mod snapshot;
 mod snapshot_transfer;
 mod state_delta;
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,24 +1,26 @@
-//! Large control states in chunks: what is offered, requested and sent. The snapshot that replaces the log of a disk
-//! ([`crate::Node::snapshot`]) is another: it has the promise and the configurations besides, and never leaves its node.
+//! The messages by which a large control state is transferred in chunks.
+//!
+//! Not to be confused with the snapshot that replaces the log of a disk ([`crate::Node::snapshot`]), which also
+//! contains the promise and the configurations, and is never sent to another node.
 
 use std::sync::Arc;
 
 use minicbor::{Decode, Encode};
 
-use crate::body_bytes::{decode_body, encode_body};
 use crate::control_state::StateVersion;
+use crate::shared_bytes::{decode_bytes, encode_bytes};
 use crate::term::Term;
 
-/// What the receiver of a state is to do with it; the later ones are more urgent.
+/// What a state is sent for, in increasing order of urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum StatePurpose {
-    /// It is committed: publish it.
+    /// The state is committed: the receiver publishes it.
     #[n(0)]
     CommittedState,
-    /// Write it and respond by [`crate::Message::Replicated`].
+    /// The receiver writes the state and responds with [`crate::Message::Replicated`].
     #[n(1)]
     ReplicateState,
-    /// It was fetched for a take-over.
+    /// The receiver has requested the state for its take-over.
     #[n(2)]
     FetchedState {
         /// The term of the take-over.
@@ -33,10 +35,10 @@
     }
 }
 
-/// A state that can be fetched in chunks.
+/// The offer of a state that the receiver can fetch in chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct SnapshotOffer {
-    /// What the receiver is to do with the state.
+    /// What the state is sent for.
     #[n(0)]
     pub purpose: StatePurpose,
     /// The version of the state.
@@ -56,20 +58,21 @@
     /// The version of the state.
     #[n(0)]
     pub version: StateVersion,
-    /// The offset of its first byte within the encoded state.
+    /// The offset of the chunk within the encoded state, in bytes.
     #[n(1)]
     pub offset: u64,
-    /// Its bytes; at most [`ChunkSizes::chunk_bytes`] of the sender, never empty.
-    #[cbor(n(2), encode_with = "encode_body", decode_with = "decode_body")]
+    /// The content; not empty, and at most [`ChunkSizes::chunk_bytes`] of the sender.
+    #[cbor(n(2), encode_with = "encode_bytes", decode_with = "decode_bytes")]
     pub bytes: Arc<[u8]>,
 }
 
-/// From which length on states are sent in chunks, and how long those are.
+/// The size above which states are sent in chunks, and the size of a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChunkSizes {
-    /// Bodies and deltas of more bytes than this are large.
+    /// Bodies and deltas of more bytes than this are large: a state with a large body is sent in chunks, and a large
+    /// delta is replaced by the complete state.
     pub large_state_bytes: usize,
-    /// The most bytes in a chunk.
+    /// The maximum length of a chunk, in bytes.
     pub chunk_bytes: usize,
 }
 
@@ -79,7 +82,8 @@
     }
 }
 
-/// FNV-1a with 64 bits (<http://www.isthe.com/chongo/tech/comp/fnv/>): detects a state that was assembled wrongly.
+/// The 64-bit FNV-1a hash (<http://www.isthe.com/chongo/tech/comp/fnv/>). Detects a state that was assembled
+/// incorrectly.
 pub fn checksum(bytes: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -1,7 +1,8 @@
-//! Large states in chunks: the receiver requests one chunk after the other, so that it sets the pace, a lost chunk is
-//! requested again, and other messages don't wait behind a complete state.
+//! Transfers of large control states in chunks.
 //!
-//! The sender offers a state. It retains the encoded state while the receiver requests chunks of it.
+//! The sender offers a state, and retains its encoding while the receiver requests chunks of it. The receiver
+//! requests one chunk at a time. So it controls the rate, requests a lost chunk again, and other messages don't queue
+//! behind a complete state.
 
 use core::time::Duration;
 use std::collections::BTreeSet;
@@ -16,63 +17,63 @@
 use crate::snapshot::{SnapshotChunk, SnapshotOffer, StatePurpose, checksum};
 use crate::term::Member;
 
-/// An outgoing transfer without a request for this long is dropped.
+/// An outgoing transfer is dropped after this long without a request.
 const OUTGOING_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The most different states that are retained in encoded form.
+/// The maximum number of different states whose encoding is retained.
 const MAX_OUTGOING_STATES: usize = 3;
-/// The most outgoing transfers at a time.
-const MAX_OUTGOING: usize = 32;
-/// An incoming transfer without progress for this long may be replaced by another.
-const INCOMING_STALL: Duration = Duration::from_millis(500);
-/// An incoming transfer without progress for this long is dropped.
+/// The maximum number of simultaneous outgoing transfers.
+const MAX_OUTGOING_TRANSFERS: usize = 32;
+/// An incoming transfer may be replaced by another after this long without progress.
+const INCOMING_STALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// An incoming transfer is dropped after this long without progress.
 const INCOMING_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// A state that is being sent.
+/// The transfer of a state to another node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OutgoingTransfer {
     to: Member,
     offer: SnapshotOffer,
     /// Shared by all transfers of the state.
     encoded: Arc<[u8]>,
-    /// When a chunk was requested last, or the offer was made.
+    /// The time of the last request for a chunk; initially that of the offer.
     last_active_at: Instant,
 }
 
-/// A state that is being received.
+/// The transfer of a state to this node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IncomingTransfer {
     from: Member,
     offer: SnapshotOffer,
-    /// The chunks so far; never longer than the offered length.
+    /// The chunks received so far; at most as long as the offered state.
     bytes: Vec<u8>,
-    /// When the last chunk arrived.
+    /// The time at which the last chunk arrived; initially that of the offer.
     last_progress_at: Instant,
-    /// When a chunk was requested last.
+    /// The time of the last request for a chunk.
     requested_at: Instant,
 }
 
-/// The receiver of a state has requested a chunk.
+/// Identifies an outgoing transfer whose receiver has requested a chunk.
 pub(crate) struct TransferProgress {
     pub(crate) purpose: StatePurpose,
     pub(crate) version: StateVersion,
 }
 
-/// A state that has arrived completely.
+/// A completely received state.
 pub(crate) struct ReceivedState {
     pub(crate) from: Member,
     pub(crate) purpose: StatePurpose,
     pub(crate) state: ControlState,
 }
 
-/// The outcome of a chunk.
+/// The result of receiving a chunk.
 pub(crate) struct ChunkOutcome {
-    /// The version that a take-over fetches, if the chunk is of one.
+    /// The version of the state, if it is transferred for a take-over.
     pub(crate) fetched_version: Option<StateVersion>,
-    /// The state, if this was its last chunk and the checksum matches.
+    /// The complete state, if this was its last chunk and the checksum matches.
     pub(crate) received: Option<ReceivedState>,
 }
 
-/// The transfers in progress.
+/// All transfers in progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct SnapshotTransfers {
     outgoing: Vec<OutgoingTransfer>,
@@ -80,7 +81,7 @@
 }
 
 impl SnapshotTransfers {
-    /// Sends a complete state: in one message, or by an offer where it is large.
+    /// Sends a complete state in one message; a large state is offered for a transfer in chunks instead.
     pub(crate) fn send_state(
         &mut self,
         context: &mut Context,
@@ -109,17 +110,17 @@
         context.send(to.address, Message::OfferSnapshot { offer });
     }
 
-    /// Whether the state was offered to the receiver, or a chunk of it requested, after `since`.
+    /// Returns true if the state was offered to the receiver, or a chunk of it was requested, after `since`.
     fn is_active(&self, to: Member, purpose: StatePurpose, version: StateVersion, since: Instant) -> bool {
         let is_same = |transfer: &OutgoingTransfer| {
-            // A peer that receives a committed state learns the later changes without a transfer.
+            // A peer that is receiving an older committed state learns the later changes from deltas.
             let is_same_state = purpose.is_committed() || transfer.offer.version == version;
             transfer.to.id == to.id && transfer.offer.purpose == purpose && is_same_state
         };
         self.outgoing.iter().any(|transfer| is_same(transfer) && transfer.last_active_at > since)
     }
 
-    /// The encoded state; shared by all transfers of it.
+    /// The encoded state, shared by all of its transfers.
     fn encode(&self, state: &ControlState) -> Arc<[u8]> {
         let known = self.outgoing.iter().find(|transfer| transfer.offer.version == state.version());
         // Writing to memory doesn't fail.
@@ -127,32 +128,36 @@
         known.map_or_else(encode, |transfer| transfer.encoded.clone())
     }
 
-    /// Drops transfers so that one more of the version can be added; the one that was idle for longest first. A peer has at
-    /// most one transfer of a committed state and one for another purpose, which the first must not end.
+    /// Drops transfers, least recently active first, until a transfer of `version` fits the limits. Also drops the
+    /// transfer to `to` that the new one replaces: a peer has at most one transfer of a committed state and one for
+    /// another purpose, and neither replaces the other.
     fn drop_idle_outgoing(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
         self.outgoing.retain(|transfer| {
             transfer.to.id != to.id || transfer.offer.purpose.is_committed() != purpose.is_committed()
         });
-        while self.outgoing.len() >= MAX_OUTGOING || self.states_beside(version) >= MAX_OUTGOING_STATES {
+        while self.outgoing.len() >= MAX_OUTGOING_TRANSFERS
+            || self.other_state_count(version) >= MAX_OUTGOING_STATES
+        {
             let by_activity = self.outgoing.iter().enumerate().min_by_key(|(_, t)| t.last_active_at);
-            let Some(idlest) = by_activity.map(|(index, _)| index) else { break };
-            self.outgoing.swap_remove(idlest);
+            let Some(least_recently_active) = by_activity.map(|(index, _)| index) else { break };
+            self.outgoing.swap_remove(least_recently_active);
         }
     }
 
-    fn states_beside(&self, version: StateVersion) -> usize {
+    fn other_state_count(&self, version: StateVersion) -> usize {
         let others = self.outgoing.iter().map(|t| t.offer.version).filter(|v| *v != version);
         others.collect::<BTreeSet<StateVersion>>().len()
     }
 
-    /// Starts to fetch an offered state that is of use, unless a transfer for a purpose as urgent is in progress.
+    /// Starts to fetch an offered state, unless a transfer for a purpose that is at least as urgent makes progress.
     pub(crate) fn on_offer(&mut self, context: &mut Context, from: Member, offer: SnapshotOffer) {
         let now = context.now();
         match &self.incoming {
-            // The offer was sent again: the request for a chunk may be lost.
+            // A repeated offer: the request for a chunk may be lost.
             Some(known) if known.from.id == from.id && known.offer == offer => {}
             Some(known)
-                if known.offer.purpose >= offer.purpose && now - known.last_progress_at < INCOMING_STALL =>
+                if known.offer.purpose >= offer.purpose
+                    && now - known.last_progress_at < INCOMING_STALL_TIMEOUT =>
             {
                 return;
             }
@@ -173,7 +178,7 @@
         context.send(incoming.from.address, Message::FetchChunk { version, offset });
     }
 
-    /// Sends a chunk; returns which transfer has made progress.
+    /// Sends the requested chunk. Returns the transfer that has made progress, if there is one.
     pub(crate) fn on_fetch_chunk(
         &mut self,
         context: &mut Context,
@@ -196,7 +201,7 @@
         Some(TransferProgress { purpose: transfer.offer.purpose, version })
     }
 
-    /// Adds the chunk that was requested, and requests the next one.
+    /// Stores a requested chunk, and requests the next one. Returns none if the chunk is not the expected one.
     pub(crate) fn on_chunk(
         &mut self,
         context: &mut Context,
@@ -212,16 +217,16 @@
         }
         incoming.bytes.extend_from_slice(&chunk.bytes);
         incoming.last_progress_at = context.now();
-        let is_fetched = matches!(incoming.offer.purpose, StatePurpose::FetchedState { .. });
+        let is_for_take_over = matches!(incoming.offer.purpose, StatePurpose::FetchedState { .. });
         let is_complete = incoming.bytes.len() as u64 >= incoming.offer.length;
         if !is_complete {
             self.request_chunk(context);
         }
         let received = if is_complete { self.finish_incoming() } else { None };
-        Some(ChunkOutcome { fetched_version: is_fetched.then_some(chunk.version), received })
+        Some(ChunkOutcome { fetched_version: is_for_take_over.then_some(chunk.version), received })
     }
 
-    /// The state that has arrived completely, if it is the one that was offered.
+    /// Ends the incoming transfer. Returns the state if it is the offered one.
     fn finish_incoming(&mut self) -> Option<ReceivedState> {
         let IncomingTransfer { from, offer, bytes, .. } = self.incoming.take()?;
         if checksum(&bytes) != offer.checksum {
@@ -232,11 +237,11 @@
         is_offered.then_some(ReceivedState { from, purpose: offer.purpose, state })
     }
 
-    /// Whether a state for a take-over is being received.
+    /// Returns true if a transfer for a take-over of this node is making progress.
     pub(crate) fn is_fetching(&self, now: Instant) -> bool {
         self.incoming.as_ref().is_some_and(|incoming| {
-            let is_fetched = matches!(incoming.offer.purpose, StatePurpose::FetchedState { .. });
-            is_fetched && now - incoming.last_progress_at < INCOMING_STALL
+            let is_for_take_over = matches!(incoming.offer.purpose, StatePurpose::FetchedState { .. });
+            is_for_take_over && now - incoming.last_progress_at < INCOMING_STALL_TIMEOUT
         })
     }
 
--- a/crates/consensus/src/stored_state.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! States as they are read from disks and messages, also those that older versions have written.
+//! Decoding of control states from disks and messages, including those written by older versions.
 
 use minicbor::bytes::ByteVec;
 use minicbor::data::Type;
@@ -8,7 +8,7 @@
 use crate::control_state::{AppliedRequest, ControlState, DEDUPLICATION_WINDOW, RequestDigest};
 use crate::term::Term;
 
-/// A state as it is encoded. Fields that older versions did not write are optional.
+/// The encoding of a state. Fields that older versions did not write are optional.
 #[derive(Decode)]
 struct StoredState {
     #[n(0)]
@@ -25,28 +25,29 @@
     highest_expired_revision: Option<u64>,
 }
 
-/// An applied request as it is encoded.
+/// The encoding of an applied request.
 #[derive(Decode)]
 struct StoredRequest {
     #[n(0)]
     revision: u64,
-    /// None where an older version wrote a digest of 64 bits, which can't be compared with those of requests today.
+    /// None if an older version wrote a digest of 64 bits, which can't be compared with the present digests.
     #[cbor(n(1), decode_with = "decode_digest")]
     digest: Option<RequestDigest>,
 }
 
-fn decode_digest<C>(d: &mut Decoder<'_>, context: &mut C) -> Result<Option<RequestDigest>, Error> {
-    if d.datatype()? == Type::Bytes {
-        return RequestDigest::decode(d, context).map(Some);
+fn decode_digest<C>(decoder: &mut Decoder<'_>, context: &mut C) -> Result<Option<RequestDigest>, Error> {
+    if decoder.datatype()? == Type::Bytes {
+        return RequestDigest::decode(decoder, context).map(Some);
     }
-    d.u64()?;
+    decoder.u64()?;
     Ok(None)
 }
 
 impl From<StoredState> for ControlState {
     fn from(stored: StoredState) -> ControlState {
         let requests = &stored.applied_requests;
-        let expired = stored.highest_expired_revision.unwrap_or_else(|| implied_expired_revision(requests));
+        let expired =
+            stored.highest_expired_revision.unwrap_or_else(|| infer_highest_expired_revision(requests));
         let without_digest = requests.iter().filter(|request| request.digest.is_none());
         let highest_expired_revision = without_digest.map(|request| request.revision).fold(expired, u64::max);
         let with_digest = |request: &StoredRequest| {
@@ -63,9 +64,9 @@
     }
 }
 
-/// What a state without the field may have dropped at most. Revisions rise, so every request that was dropped lies below
-/// the oldest one that is remembered, and none was dropped before the window was full.
-fn implied_expired_revision(requests: &[StoredRequest]) -> u64 {
+/// The upper bound of `highest_expired_revision` for a state without this field. Revisions increase, so every expired
+/// request has a lower revision than the oldest remembered one, and no request expires before the window is full.
+fn infer_highest_expired_revision(requests: &[StoredRequest]) -> u64 {
     match requests.first() {
         Some(oldest) if requests.len() >= DEDUPLICATION_WINDOW => oldest.revision.saturating_sub(1),
         _ => 0,
@@ -73,7 +74,7 @@
 }
 
 impl<'b, C> Decode<'b, C> for ControlState {
-    fn decode(d: &mut Decoder<'b>, context: &mut C) -> Result<ControlState, Error> {
-        StoredState::decode(d, context).map(ControlState::from)
+    fn decode(decoder: &mut Decoder<'b>, context: &mut C) -> Result<ControlState, Error> {
+        StoredState::decode(decoder, context).map(ControlState::from)
     }
 }
