--- a/crates/consensus/src/disk_writes.rs
+++ b/crates/consensus/src/disk_writes.rs
@@ -1,4 +1,4 @@
-//! The writes that the host has not confirmed yet.
+//! Disk writes that the host has not confirmed yet.
 
 use core::time::Duration;
 use std::collections::VecDeque;
@@ -11,34 +11,34 @@
 use crate::state_delta::StateDelta;
 use crate::term::{Member, Term};
 
-/// A node with this many unconfirmed writes takes no more from others.
+/// A node with this many unconfirmed writes accepts no more writes from other nodes.
 const MAX_PENDING_WRITES: usize = 32;
 
-/// What holds once a write is synced.
+/// The effect of a write once it is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum DurabilityEffect {
     Identity(DiskIdentity),
-    /// Nothing of a lower term is accepted.
+    /// Nothing under a lower term is accepted any more.
     Promise(Term),
-    /// The configuration is accepted, and its term promised.
+    /// The configuration is accepted, and its term is promised.
     Accept(EpochConfig),
-    /// A complete state, and its `write_term` promised.
+    /// The complete state is written, and its `write_term` is promised.
     State(ControlState),
-    /// A change of the state before it, and the state that it makes.
+    /// A delta is written; `state` is the result of applying it.
     Delta {
         delta: StateDelta,
         state: ControlState,
     },
-    /// The durable state has this version; its body stays.
+    /// The durable state gets this version; its body is unchanged.
     RewriteUnderNewTerm(StateVersion),
-    /// A configuration without a vote of this disk, kept for the addresses in it.
+    /// A configuration in which this disk has no vote is stored, for the addresses in it.
     Learned(EpochConfig),
-    /// The log was replaced by a snapshot.
+    /// The log is replaced with a snapshot.
     LogRewrite,
 }
 
 impl DurabilityEffect {
-    /// The record that is written for it; none for [`DurabilityEffect::LogRewrite`].
+    /// The log record that causes this effect; none for [`DurabilityEffect::LogRewrite`].
     pub(crate) fn to_record(&self) -> Option<LogRecord> {
         Some(match self {
             DurabilityEffect::Identity(identity) => LogRecord::Identity(identity.clone()),
@@ -52,7 +52,8 @@
         })
     }
 
-    /// What it changes in the durable state. The state of a delta was made when the write was queued.
+    /// The record to apply to the durable state. For a delta, this is the complete state, which was computed when the
+    /// write was queued.
     pub(crate) fn to_durable_record(&self) -> Option<LogRecord> {
         match self {
             DurabilityEffect::Delta { state, .. } => Some(LogRecord::State(state.clone())),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The state that it writes, if any.
+    /// The state that is written, if any.
     pub(crate) fn state(&self) -> Option<&ControlState> {
         match self {
             DurabilityEffect::State(state) | DurabilityEffect::Delta { state, .. } => Some(state),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The version that it makes durable, if any.
+    /// The state version that becomes durable, if any.
     pub(crate) fn version(&self) -> Option<StateVersion> {
         match self {
             DurabilityEffect::RewriteUnderNewTerm(version) => Some(*version),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The term that a disk promises by it, if any.
+    /// The term that becomes promised, if any.
     pub(crate) fn term(&self) -> Option<Term> {
         match self {
             DurabilityEffect::Promise(term) => Some(*term),
@@ -86,31 +87,32 @@
     }
 }
 
-/// A write that the host has not confirmed.
+/// A write that the host has not confirmed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingDiskWrite {
-    /// Numbers the writes of this node in the order of their records.
+    /// Identifies the write. Tokens increase in the order of the records.
     pub(crate) token: u64,
     pub(crate) started_at: Instant,
     pub(crate) effect: DurabilityEffect,
-    /// The member that has requested the write and gets a response; none for what the disk itself needs.
+    /// The member that gets a response once the write is synced; none for maintenance writes of the disk.
     pub(crate) requester: Option<Member>,
 }
 
-/// The unconfirmed writes, and what the latest failures have left behind.
+/// The unconfirmed writes, and the consequences of failed ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingDiskWrites {
     /// Oldest first; the host confirms them in this order.
     queue: VecDeque<PendingDiskWrite>,
     next_token: u64,
-    /// When a write failed last, if none was confirmed since.
+    /// The time of the last failure; none if a write was confirmed since.
     failed_at: Option<Instant>,
-    /// A failed write of a state may be in the log all the same, so no record may refer to the state before it.
+    /// True if the record of a failed write of a state may be in the log. No new record may refer to the durable
+    /// state then.
     is_last_state_uncertain: bool,
 }
 
 impl PendingDiskWrites {
-    /// The token of the next write.
+    /// Returns a new token.
     pub(crate) fn take_token(&mut self) -> u64 {
         let token = self.next_token;
         self.next_token += 1;
@@ -129,62 +131,62 @@
         self.queue.len() >= MAX_PENDING_WRITES
     }
 
-    /// The age of the oldest unconfirmed write; zero without one.
+    /// The age of the oldest unconfirmed write; zero if there is none.
     pub(crate) fn oldest_age(&self, now: Instant) -> Duration {
         self.queue.front().map_or(Duration::ZERO, |write| now - write.started_at)
     }
 
-    /// The write is synced: removes it.
+    /// Removes and returns a write that is synced.
     pub(crate) fn take_synced(&mut self, token: u64) -> Option<PendingDiskWrite> {
-        let write = self.take(token)?;
+        let write = self.remove(token)?;
         self.failed_at = None;
         Some(write)
     }
 
-    /// The write has failed: removes it. Its record is in the log or not.
+    /// Removes and returns a write that has failed. Its record may be in the log or not.
     pub(crate) fn take_failed(&mut self, now: Instant, token: u64) -> Option<PendingDiskWrite> {
-        let write = self.take(token)?;
+        let write = self.remove(token)?;
         self.failed_at = Some(now);
         self.is_last_state_uncertain |= write.effect.state().is_some();
         Some(write)
     }
 
-    fn take(&mut self, token: u64) -> Option<PendingDiskWrite> {
+    fn remove(&mut self, token: u64) -> Option<PendingDiskWrite> {
         let index = self.queue.iter().position(|write| write.token == token)?;
         self.queue.remove(index)
     }
 
-    /// When a write failed last, if none was confirmed since.
+    /// The time of the last failure; none if a write was confirmed since.
     pub(crate) fn failed_at(&self) -> Option<Instant> {
         self.failed_at
     }
 
-    /// Whether a failed write may have left a state in the log that is not the durable one.
+    /// Returns true if a failed write may have left a state in the log that differs from the durable one.
     pub(crate) fn is_last_state_uncertain(&self) -> bool {
         self.is_last_state_uncertain
     }
 
-    /// The durable state is the last one in the log: a complete state was synced, or the log was replaced.
+    /// Records that the durable state is the last one in the log, since a complete state or a snapshot was synced.
     pub(crate) fn clear_uncertainty(&mut self) {
         self.is_last_state_uncertain = false;
     }
 
-    /// The latest state that is being written.
+    /// The last state that is being written.
     pub(crate) fn latest_state(&self) -> Option<&ControlState> {
         self.queue.iter().rev().find_map(|write| write.effect.state())
     }
 
-    /// Whether a state, or a newer one, is being written.
+    /// Returns true if this version or a higher one is being written.
     pub(crate) fn includes_version(&self, version: &StateVersion) -> bool {
         self.queue.iter().filter_map(|write| write.effect.version()).any(|pending| pending >= *version)
     }
 
-    /// Whether the configuration of a term is being written.
+    /// Returns true if the acceptance of the configuration of `term` is being written.
     pub(crate) fn includes_accept(&self, term: Term) -> bool {
         self.queue.iter().any(|w| matches!(&w.effect, DurabilityEffect::Accept(c) if c.term == term))
     }
 
-    /// Whether a state is being written, or rewritten under a new term.
+    /// Returns true if a state is being written, or written again under a new term.
     pub(crate) fn includes_state(&self) -> bool {
         self.queue.iter().any(|write| write.effect.version().is_some())
     }
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -1,4 +1,4 @@
-//! The state of a disk, and the records of the log that it is replayed from.
+//! The durable state of a node, and the log records from which it is replayed.
 
 use core::net::SocketAddrV4;
 
@@ -11,19 +11,19 @@
 use crate::term::{MemberId, Term};
 
 quick_error! {
-    /// What can be wrong with a log, numbered.
+    /// Why a log can't be replayed. Each error has a number in `docs/codes.md`.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum StoredStateError {
-        /// 721: a record can't be read. A disk that has lost records is to be emptied: its promises are lost.
+        /// 721: a record can't be decoded. A disk that has lost records has lost promises, so it has to be wiped.
         Unreadable(index: usize) {
             display("record {index} of the control state can't be read")
         }
-        /// 722: a record does not continue those before it.
+        /// 722: a record does not follow from the previous ones.
         OutOfSequence(index: usize) {
             display("record {index} of the control state does not fit those before it")
         }
-        /// 722: there are records, but none with the identity of the disk, which is written first: the log is incomplete.
-        /// The text is that of the number's row in `docs/codes.md`.
+        /// 722: there are records, but none of them has the identity of the disk. It is always written first, so the
+        /// log is incomplete. The text is that of the row of 722 in `docs/codes.md`.
         MissingIdentity {
             display("record 0 of the control state does not fit those before it")
         }
@@ -31,7 +31,7 @@
 }
 
 impl StoredStateError {
-    /// The number of the error, for logs and the table in `docs/codes.md`.
+    /// The number of the error in logs and in `docs/codes.md`.
     pub fn code(&self) -> u16 {
         match self {
             StoredStateError::Unreadable(_) => 721,
@@ -40,17 +40,17 @@
     }
 }
 
-/// Which disk it is; never changes once it is durable.
+/// The identity of a disk. Never changes once it is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub(crate) struct DiskIdentity {
     #[n(0)]
     pub(crate) id: MemberId,
-    /// The addresses of the bootstrap voters, if this disk is one of theirs.
+    /// The addresses of all bootstrap voters; none if this disk does not belong to one of them.
     #[n(1)]
     pub(crate) bootstrap_voters: Option<Vec<SocketAddrV4>>,
 }
 
-/// One record of the log.
+/// A record of the log.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) enum LogRecord {
     #[n(0)]
@@ -61,16 +61,16 @@
     Accept(#[n(0)] EpochConfig),
     #[n(3)]
     State(#[n(0)] ControlState),
-    /// The state before this record, written under another term.
+    /// The last state before this record, written again under another term.
     #[n(4)]
     RewriteUnderNewTerm(#[n(0)] StateVersion),
-    /// Replaces everything before it.
+    /// Replaces all records before it.
     #[n(5)]
     Snapshot(#[n(0)] Box<DurableState>),
-    /// A configuration that this disk has no vote in; it has the addresses of the others.
+    /// A configuration in which this disk has no vote, stored for the addresses of the members.
     #[n(6)]
     Learned(#[n(0)] EpochConfig),
-    /// A change of the state before this record.
+    /// A change to the last state before this record.
     #[n(7)]
     Delta(#[n(0)] StateDelta),
 }
@@ -82,22 +82,22 @@
     }
 }
 
-/// What is synced to the disk.
+/// The durable state: everything that is synced to the disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub(crate) struct DurableState {
     /// None until the first write of an empty disk is synced.
     #[n(0)]
     identity: Option<DiskIdentity>,
-    /// The highest term that this disk has promised: not below those of `accepted` and `state`.
+    /// The highest term that this disk has promised; at least the terms of `accepted` and `state`.
     #[n(1)]
     promised: Term,
     /// The highest configuration that this disk has accepted.
     #[n(2)]
     accepted: Option<EpochConfig>,
-    /// The highest state that was written.
+    /// The state with the highest version that was written.
     #[n(3)]
     state: Option<ControlState>,
-    /// The latest configuration that was learned without a vote.
+    /// The last configuration that was learned without a vote in it.
     #[n(4)]
     learned: Option<EpochConfig>,
 }
@@ -105,16 +105,16 @@
 /// The result of a replay.
 pub(crate) struct Replay {
     pub(crate) durable: DurableState,
-    /// The bodies that were made out of deltas.
+    /// The total length of the bodies that were rebuilt from deltas.
     pub(crate) rebuilt_bytes: usize,
 }
 
 impl DurableState {
-    /// Replays a log from its start.
+    /// Replays the records of a log, oldest first.
     ///
     /// # Errors
     ///
-    /// A record can't be decoded or does not continue those before it.
+    /// If a record can't be decoded or does not follow from the previous ones.
     pub(crate) fn replay(records: &[Vec<u8>]) -> Result<Replay, StoredStateError> {
         let (mut durable, mut rebuilt_bytes) = (DurableState::default(), 0_usize);
         for (index, bytes) in records.iter().enumerate() {
@@ -139,17 +139,17 @@
         self.promised
     }
 
-    /// The same state with this promise.
+    /// A copy with another promise.
     pub(crate) fn with_promise(&self, promised: Term) -> DurableState {
         DurableState { promised, ..self.clone() }
     }
 
-    /// The highest state that was written.
+    /// The state with the highest version that was written.
     pub(crate) fn state(&self) -> Option<&ControlState> {
         self.state.as_ref()
     }
 
-    /// The configurations on this disk: the accepted one, then the learned one.
+    /// The accepted configuration, then the learned one.
     pub(crate) fn configs(&self) -> impl Iterator<Item = &EpochConfig> {
         [&self.accepted, &self.learned].into_iter().flatten()
     }
@@ -158,12 +158,12 @@
         self.state.as_ref().map(ControlState::version)
     }
 
-    /// The term of the accepted configuration; the lowest one without a configuration.
+    /// The term of the accepted configuration; the lowest term if there is none.
     pub(crate) fn accepted_term(&self) -> Term {
         self.accepted.as_ref().map(|config| config.term).unwrap_or_default()
     }
 
-    /// Applies a record; false if it does not continue those before it.
+    /// Applies a record. Returns false if it does not follow from the previous ones.
     pub(crate) fn apply(&mut self, record: LogRecord) -> bool {
         match record {
             LogRecord::Identity(identity) => return self.apply_identity(identity),
--- a/crates/consensus/src/epoch_config.rs
+++ b/crates/consensus/src/epoch_config.rs
@@ -1,17 +1,18 @@
-//! The configuration of an epoch: who is primary, who holds the state, who votes.
+//! The configuration of an epoch: its voters, its primary and its backups.
 
 use minicbor::{Decode, Encode};
 
 use crate::limits::MAX_MEMBERS;
 use crate::term::{Member, MemberId, Term};
 
-/// The configuration of an epoch, decided by a majority of its voters.
+/// The configuration of an epoch, chosen once a majority of its voters has accepted it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct EpochConfig {
-    /// The term that proposed it.
+    /// The term under which the configuration was proposed; identifies the epoch.
     #[n(0)]
     pub term: Term,
-    /// The members before; other than `members` only while membership changes. Then a majority of each of the two decides.
+    /// The previous members; differ from `members` only while the membership changes. A majority of each of the two
+    /// lists then has to agree.
     #[n(1)]
     pub outgoing_members: Vec<Member>,
     /// The members.
@@ -20,13 +21,13 @@
     /// The member that is primary; one of `members`.
     #[n(3)]
     pub primary: MemberId,
-    /// The members that hold the state beside the primary, which is none of them; the others are witnesses.
+    /// The members other than the primary that store the state. The remaining members are witnesses.
     #[n(4)]
     pub backups: Vec<MemberId>,
 }
 
 impl EpochConfig {
-    /// Whether the membership is changing: the outgoing members still vote.
+    /// Returns true if the membership is changing, so that the outgoing members still vote.
     pub fn is_joint(&self) -> bool {
         self.outgoing_members != self.members
     }
@@ -43,19 +44,19 @@
         self.members.iter().chain(&self.outgoing_members).any(|m| m.id == id)
     }
 
-    /// Whether the member is the primary or a backup.
+    /// Returns true if the member is the primary or a backup.
     pub(crate) fn holds_state(&self, id: MemberId) -> bool {
         self.primary == id || self.backups.contains(&id)
     }
 
-    /// All that vote, each pair of address and id once.
+    /// All voters, without duplicates.
     pub(crate) fn voters(&self) -> Vec<Member> {
         let mut voters = self.members.clone();
         voters.extend(self.outgoing_members.iter().filter(|m| !self.members.contains(m)));
         voters
     }
 
-    /// Whether its lists are no longer than any node makes them.
+    /// Returns true if no list is longer than [`MAX_MEMBERS`].
     pub(crate) fn is_within_bounds(&self) -> bool {
         self.members.len() <= MAX_MEMBERS
             && self.outgoing_members.len() <= MAX_MEMBERS
--- a/crates/consensus/src/epoch_view.rs
+++ b/crates/consensus/src/epoch_view.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the epochs and of the addresses where others may be.
+//! This node's knowledge of epochs and of the addresses of other nodes.
 
 use core::net::SocketAddrV4;
 use std::collections::BTreeSet;
@@ -7,17 +7,17 @@
 use crate::limits::MAX_MEMBERS;
 use crate::term::{Member, MemberId, Term};
 
-/// More addresses than this are not remembered.
+/// The maximum number of remembered addresses; further ones are ignored.
 const MAX_ADDRESSES: usize = 4 * MAX_MEMBERS;
 
-/// The highest epoch that this node has seen, decided or not.
+/// The highest term and configuration that this node has seen, and the known addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct EpochView {
-    /// The highest number of a term seen anywhere.
+    /// The highest term number seen in any message or record.
     highest_term_number: u64,
-    /// The highest configuration seen, decided or not.
+    /// The configuration with the highest term seen; a majority may not have accepted it.
     config: Option<EpochConfig>,
-    /// Where other nodes may be; at most [`MAX_ADDRESSES`].
+    /// The addresses of possible other nodes; at most [`MAX_ADDRESSES`].
     addresses: BTreeSet<SocketAddrV4>,
 }
 
@@ -30,7 +30,7 @@
         self.config.as_ref()
     }
 
-    /// The term of the configuration; the lowest one without a configuration.
+    /// The term of the configuration; the lowest term if there is none.
     pub(crate) fn term(&self) -> Term {
         self.config.as_ref().map(|config| config.term).unwrap_or_default()
     }
@@ -43,7 +43,7 @@
         self.config.as_ref().is_some_and(|config| config.holds_state(id))
     }
 
-    /// A number above all that were seen and the promised one.
+    /// A term number higher than all that were seen and the promised one.
     pub(crate) fn next_term_number(&self, promised: Term) -> u64 {
         self.highest_term_number.max(promised.number).saturating_add(1)
     }
@@ -52,7 +52,7 @@
         self.highest_term_number = self.highest_term_number.max(term.number);
     }
 
-    /// Remembers a configuration that a node has proposed; returns whether it is newer than the known one.
+    /// Records a proposed configuration. Returns true if it is newer than the known one.
     pub(crate) fn observe_config(&mut self, config: &EpochConfig) -> bool {
         self.observe_term(config.term);
         if self.config.as_ref().is_some_and(|known| known.term >= config.term) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Forgets all addresses but those of the seeds and of the members.
+    /// Replaces the addresses with those of the seeds and of the electorate.
     pub(crate) fn reset_addresses(&mut self, seeds: &[SocketAddrV4], electorate: &[Member]) {
         self.addresses.clear();
         let seeds = seeds.iter().copied().take(MAX_MEMBERS);
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -1,81 +1,81 @@
-//! Faults that tests build into a node, to see that their checkers find them.
+//! Faults that tests inject into a node, to verify that their checkers detect them.
 
-/// A fault that a node may have in tests.
+/// A fault that a test injects into a node.
 #[doc(hidden)]
 #[allow(missing_docs)]
 #[cfg_attr(not(feature = "fault-injection"), allow(dead_code, unreachable_pub))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
-    /// A change is acknowledged when it is on the primary's disk.
+    /// A change is acknowledged once it is durable on the primary alone.
     CommitWithoutBackups,
-    /// Promises, states and configurations are answered before they are synced.
+    /// A node responds to promises, states and configurations before they are synced.
     RespondUnsynced,
-    /// A backup takes writes of a term below its promise.
+    /// A backup accepts writes under a term lower than its promise.
     ForgetPromise,
-    /// A take-over takes the highest revision, whatever its write term.
+    /// A take-over chooses the state with the highest revision, regardless of its write term.
     NewestByRevision,
-    /// A primary answers reads without the confirmation of a majority.
+    /// A primary replies to reads without confirmation by a majority.
     ReadUnconfirmed,
-    /// A primary answers that a base is stale without the confirmation of a majority.
+    /// A primary replies that a base is stale without confirmation by a majority.
     StaleUnconfirmed,
-    /// A backup publishes what it has written.
+    /// A backup publishes a state once it is written, before it is committed.
     PublishUncommitted,
     /// Applied requests are not remembered.
     ForgetAppliedRequests,
-    /// Client requests are answered long after their callers have turned to another node.
+    /// Client requests get their replies after their callers have timed out and tried another node.
     ReplyLate,
-    /// A request that can't be distinguished from an expired one is rejected.
+    /// A request that may have been applied and expired since is rejected as stale.
     RejectExpired,
-    /// The published revision may go back.
+    /// The published revision may decrease.
     PublishOlderState,
-    /// A follower claims contact from the moment at which any heartbeat arrives.
+    /// A follower confirms its read lease from the arrival of any heartbeat.
     ConfirmReadLeaseOnArrival,
-    /// A follower claims contact before it publishes what the primary has committed.
+    /// A follower confirms its read lease before it has published the state that the primary has committed.
     ConfirmReadLeaseBeforePublish,
-    /// A follower that trusts its primary grants pre-votes.
+    /// A follower grants pre-votes although it trusts its primary.
     AlwaysGrantPreVotes,
-    /// A take-over that was suspended goes on with the responses that arrived meanwhile.
+    /// A take-over of a process that was suspended continues with the responses that arrived in the meantime.
     ResumeSuspendedTakeOver,
-    /// A follower takes stamps of other runs of its process for its own.
+    /// A follower accepts stamps of other incarnations of its process as its own.
     AcceptStampsOfOtherIncarnations,
-    /// A primary without contact to a majority goes on sending heartbeats.
+    /// A primary whose lease has expired continues to send heartbeats.
     IgnorePrimaryLease,
-    /// Only the new members decide on a change of members.
+    /// A membership change needs a majority of the new members only.
     NewMembersOnly,
-    /// A machine at a bootstrap voter's address votes as one, also with another disk.
+    /// A machine at the address of a bootstrap voter has its vote even with another disk.
     AnyBootstrapVoter,
-    /// A term is used before it is on the own disk.
+    /// A node uses a new term before its promise is durable on its own disk.
     UseUnsyncedTerm,
-    /// A primary keeps its role when its disk stalls.
+    /// A primary keeps its role while its disk stalls.
     KeepStalledPrimary,
-    /// A backup keeps its role when its disk stalls.
+    /// A backup keeps its role while its disk stalls.
     KeepStalledBackup,
     /// Members are never replaced.
     NeverReplaceMembers,
-    /// Client requests are forgotten when the primary steps down.
+    /// Client requests get no reply when the primary steps down.
     DropClientRequests,
     /// A node with a full disk reports that it is healthy.
     AlwaysHealthy,
     /// The state is not rewritten under the new term before the configuration is proposed.
     SkipRewriteUnderNewTerm,
-    /// Every change sends and writes the complete state, and every state goes in one message.
+    /// Each change sends and writes the complete state instead of a delta, and each state is sent in one message.
     AlwaysSendFullStates,
-    /// A phase of a take-over ends though a state that it waits for is being transferred.
+    /// A phase of a take-over times out while the state that it waits for is being transferred.
     IgnoreTransferProgress,
-    /// A delta is applied to any state.
+    /// A delta is applied to any state, even if it does not build on that state.
     ApplyDeltaToAnyState,
-    /// A delta is written though the log may have another state before it.
+    /// A delta is written although the last state in the log may not be the one that it builds on.
     WriteDeltaOnUncertainState,
     /// A member that shuts down does not wait for its removal.
     ShutDownWithoutRemoval,
-    /// A departing member keeps its slot until it was silent for long.
+    /// A departing member keeps its slot until the replacement timeout.
     KeepDepartingMembers,
-    /// A silent member keeps its slot for the default replacement timeout, whatever the join deadline is.
+    /// A silent member keeps its slot for the default replacement timeout, regardless of the join deadline.
     IgnoreJoinDeadline,
-    /// The silence of a lost primary counts from the take-over.
+    /// The silence of a lost primary is counted from the take-over, not from its last message.
     ForgetSilenceOfMembers,
-    /// Newcomers get slots one after the other, each by a take-over.
+    /// Newcomers get slots one at a time, each by a take-over of its own.
     OneNewcomerAtATime,
-    /// A disk that was wiped counts as a newcomer while its last message is recent.
+    /// The former identity of a wiped disk counts as a newcomer as long as its last message is recent.
     StaleNewcomer,
 }
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -1,15 +1,16 @@
-//! Bounds on what a node accepts, remembers and sends.
+//! Limits on sizes, counts and times that several modules share.
 
 use core::time::Duration;
 
-/// The longest body of a state, in bytes. A change that makes a longer one is refused before anything is written.
+/// The maximum length of the body of a state, in bytes. A change with a longer body is rejected before anything is
+/// written.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
-/// The longest encoded state with the requests that it remembers, in bytes. A message can carry a complete state.
+/// The maximum length of an encoded state with its applied requests, in bytes. A message can contain a complete state.
 pub const MAX_STATE_BYTES: usize = MAX_BODY_BYTES + (1 << 20);
-/// Configurations that name more members than this are ignored.
+/// The maximum number of members in a configuration; configurations with more are ignored.
 pub(crate) const MAX_MEMBERS: usize = 32;
-/// The most simultaneous failures that a fleet may be configured for.
+/// The maximum number of simultaneous failures that a fleet can be configured to tolerate.
 pub(crate) const MAX_FAILURES: usize = 8;
-/// A phase of a take-over, or a write, that waits for a large state is given more time with each chunk that is requested,
-/// until it has lasted this long.
+/// The maximum duration of a write or a take-over phase that waits for the transfer of a large state. Within this
+/// limit, each requested chunk extends its timeout.
 pub(crate) const MAX_TRANSFER_TIME: Duration = Duration::from_millis(5_000);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of nodes to each other.
+//! The messages that nodes send to each other.
 
 use minicbor::{Decode, Encode};
 
@@ -10,29 +10,30 @@
 use crate::state_delta::StateDelta;
 use crate::term::Term;
 
-/// A one-way message of one node to another. Any may be lost, delayed, duplicated or reordered.
+/// A one-way message from one node to another. Any message may be lost, delayed, duplicated or reordered.
 ///
-/// The indices of variants and fields are the encoding; old and new processes meet during an update.
+/// The indices of variants and fields are part of the encoding and must not change: during an update, processes of
+/// the old and the new version exchange messages.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// Requests a pre-vote: whether the receiver would promise a term. Sent before a term is raised, so that an isolated
-    /// node does not interrupt the others (Ongaro, "Consensus: Bridging Theory and Practice", 9.6).
+    /// Requests a pre-vote, which the receiver grants if it would promise a new term. Sent before the term is raised,
+    /// so that an isolated node does not disrupt the others (Ongaro, "Consensus: Bridging Theory and Practice", 9.6).
     #[n(0)]
     PreVote,
     /// The response to a [`Message::PreVote`].
     #[n(1)]
     PreVoteResponse {
-        /// Whether the sender suspects the primary, too, and would promise a term.
+        /// True if the sender also suspects the primary, and would promise a new term.
         #[n(0)]
         granted: bool,
-        /// Whether the sender is a bootstrap voter.
+        /// True if the sender is a bootstrap voter.
         #[n(1)]
         is_bootstrap_voter: bool,
         /// The highest configuration that the sender has seen.
         #[n(2)]
         config: Option<EpochConfig>,
     },
-    /// Requests the promise to accept nothing of a lower term.
+    /// Requests a promise to accept nothing under a lower term.
     #[n(2)]
     Prepare {
         /// The term of the sender's take-over.
@@ -45,36 +46,36 @@
         /// The promised term.
         #[n(0)]
         term: Term,
-        /// Whether the sender is a bootstrap voter.
+        /// True if the sender is a bootstrap voter.
         #[n(1)]
         is_bootstrap_voter: bool,
-        /// Whether the sender's disk takes writes.
+        /// True if the sender's disk accepts writes.
         #[n(2)]
         is_healthy: bool,
         /// The highest configuration that the sender has seen.
         #[n(3)]
         config: Option<EpochConfig>,
-        /// The version of the state on the sender's disk; none if it has none.
+        /// The version of the state on the sender's disk; none if there is no state.
         #[n(4)]
         version: Option<StateVersion>,
     },
-    /// The response to a request to promise, write or accept under a term below the promised one.
+    /// The negative response to a request whose term is lower than the promised one.
     #[n(4)]
     Reject {
-        /// The term that is rejected.
+        /// The term of the rejected request.
         #[n(0)]
         term: Term,
-        /// The term that was promised.
+        /// The term that the sender has promised.
         #[n(1)]
         promised: Term,
     },
-    /// Requests a complete state.
+    /// Requests the complete state that the receiver has reported in its [`Message::Promise`].
     #[n(5)]
     FetchState {
         /// The term of the take-over.
         #[n(0)]
         term: Term,
-        /// The version that the receiver has reported.
+        /// The version of the requested state.
         #[n(1)]
         version: StateVersion,
     },
@@ -88,68 +89,69 @@
         #[n(1)]
         state: ControlState,
     },
-    /// A state to be written; its `write_term` is the sender's term.
+    /// Requests the receiver to write a state, whose `write_term` is the sender's term.
     #[n(7)]
     ReplicateState {
         /// The state.
         #[n(0)]
         state: ControlState,
     },
-    /// Requests to write a state again under the sender's term. Only its version is sent: the receiver is expected to have
-    /// the body, and responds by [`Message::MissingBody`] if it does not.
+    /// Requests the receiver to write a state again, under the sender's term. Contains only the version, since the
+    /// receiver is expected to have the body; a receiver without it responds with [`Message::MissingBody`].
     #[n(8)]
     RewriteUnderNewTerm {
-        /// The version to be written; its `write_term` is the sender's term.
+        /// The version to write; its `write_term` is the sender's term.
         #[n(0)]
         version: StateVersion,
     },
-    /// The response to a state or a change to be written: it is durable at the sender.
+    /// The positive response to a request to write a state or a delta: it is durable at the sender.
     #[n(9)]
     Replicated {
-        /// The version that was to be written.
+        /// The version that was written.
         #[n(0)]
         version: StateVersion,
     },
-    /// The sender lacks the body that the message refers to: it needs the complete state.
+    /// The negative response to a request to write a state or a delta: the sender lacks the body that it builds on,
+    /// and needs the complete state.
     #[n(10)]
     MissingBody {
-        /// The version that was to be written.
+        /// The version that the sender was requested to write.
         #[n(0)]
         version: StateVersion,
     },
-    /// A configuration to be accepted.
+    /// Requests the receiver to accept a configuration.
     #[n(11)]
     Accept {
         /// The configuration.
         #[n(0)]
         config: EpochConfig,
     },
-    /// The response to a [`Message::Accept`]: the configuration is accepted, and durable.
+    /// The response to a [`Message::Accept`]: the configuration is accepted and durable.
     #[n(12)]
     Accepted {
         /// The term of the configuration.
         #[n(0)]
         term: Term,
-        /// Whether the sender is a bootstrap voter.
+        /// True if the sender is a bootstrap voter.
         #[n(1)]
         is_bootstrap_voter: bool,
     },
-    /// The primary is alive and holds its lease.
+    /// Sent by the primary at regular intervals while it holds its lease.
     #[n(13)]
     Heartbeat {
         /// The primary's term.
         #[n(0)]
         term: Term,
-        /// The sequence number of this heartbeat, within the term.
+        /// The sequence number of this heartbeat within the term.
         #[n(1)]
         sequence: u64,
         /// The version of the committed state.
         #[n(2)]
         committed: StateVersion,
-        /// The configuration, for those that have not seen it.
+        /// The current configuration, if the receiver may not have seen it yet.
         #[n(3)]
         config: Option<EpochConfig>,
-        /// The newest stamp that the receiver has sent to this primary.
+        /// The newest stamp from the receiver's heartbeat responses.
         #[n(4)]
         echoed_stamp: Option<LeaseStamp>,
     },
@@ -171,76 +173,77 @@
         /// The term of the highest configuration that the sender has seen.
         #[n(4)]
         known_term: Term,
-        /// The revision that the sender knows to be committed.
+        /// The highest revision that the sender knows to be committed.
         #[n(5)]
         committed_revision: Option<u64>,
-        /// Whether the sender's disk takes writes.
+        /// True if the sender's disk accepts writes.
         #[n(6)]
         is_healthy: bool,
-        /// When the sender responds, by its own clock; to be returned with the next heartbeat.
+        /// The time of the response by the sender's own clock; the primary returns it with the next heartbeat.
         #[n(7)]
         lease_stamp: LeaseStamp,
     },
-    /// This state is committed.
+    /// Announces a committed state.
     #[n(15)]
     CommittedState {
         /// The state.
         #[n(0)]
         state: ControlState,
     },
-    /// The sender looks for the others and wants to be a member.
+    /// Sent by a node that searches for the group, or that requests to become a member.
     #[n(16)]
     Join {
-        /// Whether the sender is a bootstrap voter.
+        /// True if the sender is a bootstrap voter.
         #[n(0)]
         is_bootstrap_voter: bool,
         /// The term of the highest configuration that the sender has seen.
         #[n(1)]
         known_term: Term,
     },
-    /// The response to a [`Message::Join`] of a node that has seen a lower configuration.
+    /// The response to a [`Message::Join`] from a node that has only seen a lower configuration.
     #[n(17)]
     KnownConfig {
         /// The highest configuration that the sender has seen.
         #[n(0)]
         config: EpochConfig,
     },
-    /// The primary requests the receiver to take over.
+    /// Sent by the primary to request the receiver to take over.
     #[n(18)]
     TransferLeadership {
         /// The primary's term.
         #[n(0)]
         term: Term,
     },
-    /// The sender shuts down, and stays acceptor and backup until its removal is granted.
+    /// Requests the removal of the sender, which shuts down. It remains an acceptor and a backup until the removal is
+    /// granted.
     #[n(19)]
     RequestRemoval,
-    /// The primary's response to a [`Message::RequestRemoval`]: the process may end.
+    /// The primary's response to a [`Message::RequestRemoval`]: the receiver's process may end.
     #[n(20)]
     RemovalGranted {
         /// The primary's term.
         #[n(0)]
         term: Term,
     },
-    /// A change to be written on top of the state before it. A receiver without that state responds by
+    /// Requests the receiver to write a delta. A receiver without the state that the delta builds on responds with
     /// [`Message::MissingBody`].
     #[n(25)]
     ReplicateDelta {
-        /// The change.
+        /// The delta.
         #[n(0)]
         delta: StateDelta,
     },
-    /// These changes are committed, one after the other.
+    /// Announces consecutive committed deltas.
     #[n(26)]
     CommittedDeltas {
-        /// The changes, oldest first.
+        /// The deltas, oldest first.
         #[n(0)]
         deltas: Vec<StateDelta>,
     },
-    /// A large state can be fetched in chunks.
+    /// Offers a large state, which the receiver can fetch in chunks.
     #[n(27)]
     OfferSnapshot {
-        /// Which state, and what the receiver is to do with it.
+        /// Identifies the state and what it is sent for.
         #[n(0)]
         offer: SnapshotOffer,
     },
@@ -250,7 +253,8 @@
         /// The version of the offered state.
         #[n(0)]
         version: StateVersion,
-        /// The offset of the chunk in the encoded state: how many bytes of it the sender has.
+        /// The offset of the chunk in the encoded state, in bytes; equal to the number of bytes that the sender
+        /// already has.
         #[n(1)]
         offset: u64,
     },
@@ -264,7 +268,7 @@
 }
 
 impl Message {
-    /// About how many bytes of states it carries; zero for messages that carry none.
+    /// The approximate number of bytes of control states in the message.
     pub fn state_bytes(&self) -> usize {
         match self {
             Message::FetchedState { state, .. }
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Whether its lists are no longer than any node makes them.
+    /// Returns true if no list in the message is longer than the limits that every sender observes.
     pub(crate) fn is_within_bounds(&self) -> bool {
         match self {
             Message::PreVoteResponse { config, .. }
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The clients' requests that have no reply yet.
+//! Client requests that have not been replied to yet.
 
 use core::net::SocketAddrV4;
 use std::collections::VecDeque;
@@ -11,55 +11,57 @@
 use crate::event::ClientReply;
 use crate::injected_fault::InjectedFault;
 
-/// The most changes that wait, and the most unconfirmed replies; a request beyond that is answered as unavailable at once.
-const MAX_WAITING: usize = 64;
-/// With [`InjectedFault::ReplyLate`], requests expire this much later.
-const INJECTED_DELAY: Duration = Duration::from_millis(350);
+/// The maximum number of queued changes, and of unconfirmed replies. Further requests are replied to as unavailable
+/// at once.
+const MAX_WAITING_REQUESTS: usize = 64;
+/// With [`InjectedFault::ReplyLate`], the timeout of requests is longer by this.
+const INJECTED_TIMEOUT_EXTENSION: Duration = Duration::from_millis(350);
 
-/// An operator's change of the state.
+/// An operator's request to change the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ChangeRequest {
-    /// The number that the host has given it.
+    /// The id that the host has assigned to the request.
     pub(crate) request_id: u64,
     pub(crate) received_at: Instant,
     /// The revision that it builds on.
     pub(crate) base_revision: u64,
-    /// What the state will remember of it.
+    /// The request's entry in [`ControlState::applied_requests`].
     pub(crate) request: AppliedRequest,
     /// The complete new body; at most [`crate::MAX_BODY_BYTES`].
     pub(crate) body: Arc<[u8]>,
 }
 
-/// What the reply states, if the term is still in force.
+/// The content of a reply, which is only correct if this node is still primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Claim {
+enum ReplyContent {
     CurrentState,
     Stale { current_revision: u64 },
 }
 
-/// A reply that waits until a majority has confirmed the term.
+/// A reply that waits for a majority to confirm that this node is still primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnconfirmedReply {
     request_id: u64,
     received_at: Instant,
-    /// The first heartbeat whose responses confirm the reply; none during a take-over. A heartbeat that was sent before the
-    /// request arrived proves nothing: another node may have become primary in between.
+    /// The sequence number of the first heartbeat whose responses confirm the reply; none during a take-over. A
+    /// heartbeat that was sent before the request arrived proves nothing, since another node may have become primary
+    /// in between.
     heartbeat: Option<u64>,
-    claim: Claim,
+    content: ReplyContent,
 }
 
 /// The change that is being written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ChangeInProgress {
     change: ChangeRequest,
-    /// Whether the client was answered already, by [`ClientReply::Unavailable`]; each request is answered once.
+    /// True if the client has already got [`ClientReply::Unavailable`]; each request gets exactly one reply.
     is_answered: bool,
 }
 
-/// The requests that have no reply yet.
+/// All requests that have not been replied to yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingRequests {
-    /// Changes that wait for the one before them, oldest first.
+    /// Changes that wait until the pending one is written, oldest first.
     queue: VecDeque<ChangeRequest>,
     pending_write: Option<ChangeInProgress>,
     /// Oldest first.
@@ -67,36 +69,38 @@
 }
 
 impl PendingRequests {
-    /// Queues a change.
+    /// Adds a change to the queue. If the queue is full, replies that the service is unavailable.
     pub(crate) fn add_change(&mut self, context: &mut Context, change: ChangeRequest) {
-        if self.queue.len() >= MAX_WAITING {
+        if self.queue.len() >= MAX_WAITING_REQUESTS {
             context.reply(change.request_id, ClientReply::Unavailable);
         } else {
             self.queue.push_back(change);
         }
     }
 
-    /// Queues a read until `heartbeat`, the next one to be sent, confirms the term; none during a take-over.
+    /// Adds a read. Its reply waits for the responses to `heartbeat`, the sequence number of the next heartbeat; none
+    /// during a take-over.
     pub(crate) fn add_read(&mut self, context: &mut Context, request_id: u64, heartbeat: Option<u64>) {
         let received_at = context.now();
-        let claim = Claim::CurrentState;
-        self.await_confirmation(context, UnconfirmedReply { request_id, received_at, heartbeat, claim });
+        let content = ReplyContent::CurrentState;
+        self.await_confirmation(context, UnconfirmedReply { request_id, received_at, heartbeat, content });
     }
 
     fn await_confirmation(&mut self, context: &mut Context, reply: UnconfirmedReply) {
-        if self.unconfirmed.len() >= MAX_WAITING {
+        if self.unconfirmed.len() >= MAX_WAITING_REQUESTS {
             context.reply(reply.request_id, ClientReply::Unavailable);
         } else {
             self.unconfirmed.push_back(reply);
         }
     }
 
-    /// The next change, if none is being written.
+    /// Removes and returns the oldest queued change, unless a change is being written.
     pub(crate) fn next_change(&mut self) -> Option<ChangeRequest> {
         if self.pending_write.is_some() { None } else { self.queue.pop_front() }
     }
 
-    /// Answers a change by the current state, or makes it the pending write and returns the state after it.
+    /// Applies a change to the current state. If it is acceptable, makes it the pending write and returns the
+    /// resulting state; otherwise replies, at once or after confirmation.
     pub(crate) fn apply_change(
         &mut self,
         context: &mut Context,
@@ -115,9 +119,9 @@
                 context.reply(request_id, ClientReply::Stale { current_revision });
             }
             RequestStatus::Stale => {
-                let claim = Claim::Stale { current_revision };
+                let content = ReplyContent::Stale { current_revision };
                 let heartbeat = Some(next_heartbeat);
-                let reply = UnconfirmedReply { request_id, received_at, heartbeat, claim };
+                let reply = UnconfirmedReply { request_id, received_at, heartbeat, content };
                 self.await_confirmation(context, reply);
             }
             RequestStatus::Acceptable => {
@@ -129,7 +133,8 @@
         None
     }
 
-    /// Sends the replies that a heartbeat answered by a majority confirms.
+    /// Sends the replies that are confirmed by `confirmed_heartbeat`, the last heartbeat that a majority has
+    /// responded to.
     pub(crate) fn reply_confirmed(
         &mut self,
         context: &mut Context,
@@ -143,21 +148,21 @@
         let is_confirmed =
             |waiting: &UnconfirmedReply| waiting.heartbeat.is_some_and(|at| at <= confirmed_heartbeat);
         while let Some(waiting) = self.unconfirmed.pop_front_if(|waiting| is_confirmed(waiting)) {
-            let reply = match waiting.claim {
-                Claim::CurrentState => ClientReply::CurrentState { state: current.clone() },
-                Claim::Stale { current_revision } => ClientReply::Stale { current_revision },
+            let reply = match waiting.content {
+                ReplyContent::CurrentState => ClientReply::CurrentState { state: current.clone() },
+                ReplyContent::Stale { current_revision } => ClientReply::Stale { current_revision },
             };
             context.reply(waiting.request_id, reply);
         }
     }
 
-    /// Whether the oldest unconfirmed reply waits for a heartbeat that was not sent yet.
+    /// Returns true if the oldest unconfirmed reply waits for a heartbeat that has not been sent yet.
     pub(crate) fn awaits_heartbeat_after(&self, last_heartbeat: u64) -> bool {
         let oldest = self.unconfirmed.front().and_then(|waiting| waiting.heartbeat);
         oldest.is_some_and(|heartbeat| heartbeat > last_heartbeat)
     }
 
-    /// The pending write is committed.
+    /// Replies to the pending write, which is committed.
     pub(crate) fn finish_write(&mut self, context: &mut Context) {
         if let Some(ChangeInProgress { change, is_answered: false }) = self.pending_write.take() {
             let revision = change.request.revision;
@@ -165,8 +170,9 @@
         }
     }
 
-    /// A renewal has ended: the pending write is part of the committed state, or never will be. In the latter case the change
-    /// is queued again as the next one, unless its client was answered.
+    /// Resolves the pending write at the end of a renewal, when it either is part of the committed state or never
+    /// will be. In the latter case, the change returns to the front of the queue, unless its client has already got a
+    /// reply.
     pub(crate) fn resolve_pending_write(&mut self, context: &mut Context, committed: &ControlState) {
         let Some(write) = &self.pending_write else { return };
         if committed.has_applied(write.change.request) {
@@ -176,14 +182,15 @@
         }
     }
 
-    /// A new epoch has heartbeats of its own.
+    /// Resets the awaited heartbeats, since a new epoch numbers its heartbeats anew.
     pub(crate) fn reset_heartbeats(&mut self) {
         for waiting in &mut self.unconfirmed {
             waiting.heartbeat = None;
         }
     }
 
-    /// This node is no primary any more: all requests are answered.
+    /// Replies to all requests and removes them, since this node is no longer primary. `primary` is the address to
+    /// which they are redirected, if known.
     pub(crate) fn drop_all(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
         let PendingRequests { queue, pending_write, unconfirmed } = std::mem::take(self);
         if context.has_fault(InjectedFault::DropClientRequests) {
@@ -192,26 +199,27 @@
         if let Some(ChangeInProgress { change, is_answered: false }) = pending_write {
             context.reply(change.request_id, ClientReply::Unavailable);
         }
-        let not_written = queue.iter().map(|change| change.request_id);
-        for request_id in not_written.chain(unconfirmed.iter().map(|waiting| waiting.request_id)) {
+        let queued = queue.iter().map(|change| change.request_id);
+        for request_id in queued.chain(unconfirmed.iter().map(|waiting| waiting.request_id)) {
             context.reply(request_id, ClientReply::NotPrimary { primary });
         }
     }
 
-    /// Another node was primary in between: claims of a stale base may be outdated, so their changes are redirected.
+    /// Redirects the changes whose base was found to be stale, since another node was primary in between and the
+    /// result may be outdated.
     pub(crate) fn redirect_stale_replies(&mut self, context: &mut Context, primary: Option<SocketAddrV4>) {
-        let is_read = |waiting: &UnconfirmedReply| matches!(waiting.claim, Claim::CurrentState);
+        let is_read = |waiting: &UnconfirmedReply| matches!(waiting.content, ReplyContent::CurrentState);
         for waiting in self.unconfirmed.iter().filter(|waiting| !is_read(waiting)) {
             context.reply(waiting.request_id, ClientReply::NotPrimary { primary });
         }
         self.unconfirmed.retain(is_read);
     }
 
-    /// Answers the requests that have waited for too long.
+    /// Replies to the requests that have timed out.
     pub(crate) fn expire(&mut self, context: &mut Context) {
-        let is_late = context.has_fault(InjectedFault::ReplyLate);
-        let delay = if is_late { INJECTED_DELAY } else { Duration::ZERO };
-        let (now, timeout) = (context.now(), context.timings().request_timeout + delay);
+        let replies_late = context.has_fault(InjectedFault::ReplyLate);
+        let extension = if replies_late { INJECTED_TIMEOUT_EXTENSION } else { Duration::ZERO };
+        let (now, timeout) = (context.now(), context.timings().request_timeout + extension);
         let is_expired = |received_at: Instant| now - received_at >= timeout;
         let mut unavailable = |request_id| context.reply(request_id, ClientReply::Unavailable);
         if let Some(write) = &mut self.pending_write
@@ -231,10 +239,10 @@
 }
 
 fn classify(context: &Context, current: &ControlState, change: &ChangeRequest) -> RequestStatus {
-    let forgets = context.has_fault(InjectedFault::ForgetAppliedRequests);
-    let rejects_expired = forgets || context.has_fault(InjectedFault::RejectExpired);
+    let forgets_applied = context.has_fault(InjectedFault::ForgetAppliedRequests);
+    let rejects_expired = forgets_applied || context.has_fault(InjectedFault::RejectExpired);
     match current.classify_request(change.base_revision, change.request) {
-        RequestStatus::AlreadyApplied if forgets => RequestStatus::Stale,
+        RequestStatus::AlreadyApplied if forgets_applied => RequestStatus::Stale,
         RequestStatus::Expired if rejects_expired => RequestStatus::Stale,
         status => status,
     }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -10,31 +10,31 @@
 /// The default of [`Settings::log_rewrite_bytes`].
 const DEFAULT_LOG_REWRITE_BYTES: usize = 4 << 20;
 
-/// What a node needs to know at its start.
+/// The configuration of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// The internal address of this machine.
     pub address: SocketAddrV4,
-    /// How many disks may be lost at a time; an epoch has as many backups.
+    /// The number of disks that may fail at the same time; also the number of backups in an epoch.
     pub max_failures: usize,
-    /// Whether this is the first start of the fleet.
+    /// True if the fleet starts for the first time.
     pub bootstrap: bool,
-    /// The internal addresses of the seeds. With `bootstrap` and an empty disk, these are the bootstrap voters.
+    /// The internal addresses of the seeds. With `bootstrap` and an empty disk, the seeds are the bootstrap voters.
     pub seeds: Vec<SocketAddrV4>,
     /// The intervals and timeouts.
     pub timings: Timings,
-    /// The log is not rewritten before it is longer than this, in bytes.
+    /// The length of the log, in bytes, above which it may be rewritten.
     pub log_rewrite_bytes: usize,
-    /// From which length on states are sent in chunks, and how long those are.
+    /// The size above which states are sent in chunks, and the size of a chunk.
     pub chunk_sizes: ChunkSizes,
-    /// A fault built in, to see that the checkers of the tests find it.
+    /// A fault injected by a test, to verify that its checkers detect it.
     #[cfg(feature = "fault-injection")]
     #[doc(hidden)]
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl Settings {
-    /// The default settings.
+    /// Settings with default timings and sizes.
     pub fn new(
         address: SocketAddrV4,
         max_failures: usize,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How many members an epoch has when all of them are known.
+    /// The number of members of an epoch once enough nodes are known.
     pub(crate) fn member_count(&self) -> usize {
         2 * self.max_failures + 1
     }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,4 +1,4 @@
-//! The disk of a node: what is synced, and what is being written.
+//! The log on the disk of a node: its durable state, and the writes that are in progress.
 
 use core::time::Duration;
 #[cfg(feature = "fault-injection")]
@@ -17,25 +17,25 @@
 use crate::state_delta::StateDelta;
 use crate::term::{Member, Term};
 
-/// The disk of a node.
+/// The durable state of a node and its pending writes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Storage {
-    /// Written first; nothing else is written before it is durable.
+    /// The first record of the log; nothing else is written before it is durable.
     identity: DiskIdentity,
     durable: DurableState,
     writes: PendingDiskWrites,
     log_size: LogSize,
-    /// With [`InjectedFault::RespondUnsynced`]: writes that are answered before they are synced.
+    /// With [`InjectedFault::RespondUnsynced`]: writes to respond to before they are synced.
     #[cfg(feature = "fault-injection")]
     unsynced: VecDeque<PendingDiskWrite>,
 }
 
 impl Storage {
-    /// The disk with a log of these records, oldest first. Without records, it gets a new identity.
+    /// Replays the records of a log, oldest first. An empty log gets a new identity.
     ///
     /// # Errors
     ///
-    /// A record can't be read or does not continue those before it, or the records lack the identity.
+    /// If a record can't be decoded or does not follow from the previous ones, or if the records lack the identity.
     pub(crate) fn open(
         records: &[Vec<u8>],
         new_identity: impl FnOnce() -> DiskIdentity,
@@ -50,18 +50,18 @@
             identity,
             durable,
             writes: PendingDiskWrites::default(),
-            log_size: LogSize::of_replayed(records, rebuilt_bytes),
+            log_size: LogSize::from_replayed_log(records, rebuilt_bytes),
             #[cfg(feature = "fault-injection")]
             unsynced: VecDeque::new(),
         })
     }
 
-    /// The identity of the disk, also before it is durable.
+    /// The identity of the disk, which may not be durable yet.
     pub(crate) fn identity(&self) -> &DiskIdentity {
         &self.identity
     }
 
-    /// The durable control state; none if none was written yet.
+    /// The durable control state; none before the first one is written.
     pub(crate) fn state(&self) -> Option<&ControlState> {
         self.durable.state()
     }
@@ -76,58 +76,58 @@
         self.durable.promised()
     }
 
-    /// The term of the durable configuration that this disk has accepted; the lowest one without it.
+    /// The term of the durable accepted configuration; the lowest term if there is none.
     pub(crate) fn accepted_term(&self) -> Term {
         self.durable.accepted_term()
     }
 
-    /// The durable configurations, accepted or learned.
+    /// The durable configurations: the accepted one, then the learned one.
     pub(crate) fn configs(&self) -> impl Iterator<Item = &EpochConfig> {
         self.durable.configs()
     }
 
-    /// Whether the identity is durable: nothing is promised or answered before.
+    /// Returns true if the identity is durable. Before that, the node promises nothing and responds to nothing.
     pub(crate) fn is_open(&self) -> bool {
         self.durable.identity().is_some()
     }
 
-    /// Whether the disk takes writes, and in time.
+    /// Returns true if the last write succeeded and no pending write has exceeded its timeout.
     pub(crate) fn is_healthy(&self, context: &Context) -> bool {
         !self.has_failed()
             && self.oldest_write_age(context.now()) <= context.timings().unhealthy_write_timeout
     }
 
-    /// Whether the last write failed.
+    /// Returns true if the last write failed.
     pub(crate) fn has_failed(&self) -> bool {
         self.writes.failed_at().is_some()
     }
 
-    /// Whether no write is pending.
+    /// Returns true if no write is pending.
     pub(crate) fn is_idle(&self) -> bool {
         self.writes.is_empty()
     }
 
-    /// Whether so many writes are pending that none is accepted from other nodes.
+    /// Returns true if there are too many pending writes to accept one from another node.
     pub(crate) fn is_full(&self) -> bool {
         self.writes.is_full()
     }
 
-    /// For how long the oldest pending write has been pending; zero without one.
+    /// The age of the oldest pending write; zero if there is none.
     pub(crate) fn oldest_write_age(&self, now: Instant) -> Duration {
         self.writes.oldest_age(now)
     }
 
-    /// Whether the configuration of a term is being written.
+    /// Returns true if the acceptance of the configuration of `term` is being written.
     pub(crate) fn is_writing_config(&self, term: Term) -> bool {
         self.writes.includes_accept(term)
     }
 
-    /// One record that replaces the log.
+    /// A record that replaces the whole log: the durable state, with the given promise.
     pub(crate) fn snapshot_record(&self, promised: Term) -> Vec<u8> {
         LogRecord::Snapshot(Box::new(self.durable.with_promise(promised))).encode()
     }
 
-    /// Appends the record of an effect to the log; `requester` gets a response when it is synced.
+    /// Appends the record of an effect to the log. Once it is synced, a response is sent to `requester`.
     pub(crate) fn append(
         &mut self,
         context: &mut Context,
@@ -143,7 +143,7 @@
         context.output(Output::Write { token, record });
     }
 
-    /// Replaces the log by a snapshot.
+    /// Replaces the log with a snapshot.
     fn rewrite_log(&mut self, context: &mut Context, promised: Term) {
         let record = self.snapshot_record(promised);
         self.log_size.start_rewrite(record.len());
@@ -160,8 +160,9 @@
         token
     }
 
-    /// With [`InjectedFault::RespondUnsynced`]: what is pushed in place of a write that is answered before it is synced. It
-    /// takes the confirmation of the host, and has no effect.
+    /// With [`InjectedFault::RespondUnsynced`]: moves the write to `unsynced`, to be responded to early, and returns
+    /// a write without effect that takes its place in the queue until the host confirms it. Without the fault,
+    /// returns the write.
     #[cfg(feature = "fault-injection")]
     fn respond_unsynced(&mut self, context: &Context, write: PendingDiskWrite) -> PendingDiskWrite {
         let is_identity = matches!(write.effect, DurabilityEffect::Identity(_));
@@ -172,23 +173,24 @@
         PendingDiskWrite { effect: DurabilityEffect::Promise(Term::default()), requester: None, ..write }
     }
 
-    /// With [`InjectedFault::RespondUnsynced`]: the next write that is answered before it is synced; none without the fault.
+    /// With [`InjectedFault::RespondUnsynced`]: the next write to respond to before it is synced. None without the
+    /// fault.
     #[cfg(feature = "fault-injection")]
     pub(crate) fn take_unsynced(&mut self) -> Option<PendingDiskWrite> {
         self.unsynced.pop_front()
     }
 
-    /// The host has confirmed a write; returns it. Its effect is not durable before [`Storage::complete`].
+    /// Removes and returns a write that the host has confirmed. [`Storage::complete`] then makes its effect durable.
     pub(crate) fn take_synced(&mut self, token: u64) -> Option<PendingDiskWrite> {
         self.writes.take_synced(token)
     }
 
-    /// The host has reported the failure of a write; returns it.
+    /// Removes and returns a write that the host has reported as failed.
     pub(crate) fn take_failed(&mut self, now: Instant, token: u64) -> Option<PendingDiskWrite> {
         self.writes.take_failed(now, token)
     }
 
-    /// Makes the effect of a synced write part of the durable state.
+    /// Applies the effect of a synced write to the durable state.
     pub(crate) fn complete(&mut self, write: &PendingDiskWrite) {
         match write.effect.to_durable_record() {
             Some(record) => {
@@ -201,13 +203,15 @@
         }
     }
 
-    /// Whether a record may refer to the durable state: not while another state is being written, nor after a failed write
-    /// of a state, whose record may be in the log all the same: either would come between the two.
+    /// Returns true if the durable state is certainly the last state in the log, so that a new record can refer to
+    /// it. False while another state is being written, and after a failed write of a state, whose record may
+    /// nevertheless be in the log.
     pub(crate) fn is_durable_state_last_in_log(&self) -> bool {
         !self.writes.is_last_state_uncertain() && !self.writes.includes_state()
     }
 
-    /// How a state is written: as a delta only where the state before it is certainly the last one in the log.
+    /// The effect that writes `state`: a delta if its previous state is certainly the last one in the log, otherwise
+    /// the complete state.
     pub(crate) fn state_effect(
         &self,
         context: &Context,
@@ -229,14 +233,14 @@
         self.writes.latest_state().or(self.state())
     }
 
-    /// Whether a state, or a newer one, is durable or being written.
+    /// Returns true if this version or a higher one is durable or being written.
     pub(crate) fn includes_version(&self, version: &StateVersion) -> bool {
         self.durable.version().is_some_and(|durable| durable >= *version)
             || self.writes.includes_version(version)
     }
 
-    /// While no write is pending, starts one that the disk itself needs: its identity, a probe after a failed write, or a
-    /// rewrite of the log. Returns whether no write is pending now.
+    /// If no write is pending, starts the next maintenance write: the identity, a probe after a failed write, or a
+    /// rewrite of the log. Returns true if no write is pending afterwards.
     pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) -> bool {
         let retry_interval = context.timings().disk_retry_interval;
         let is_backing_off = self.writes.failed_at().is_some_and(|at| context.elapsed(at) < retry_interval);
@@ -246,7 +250,7 @@
         if !self.is_open() {
             self.append(context, DurabilityEffect::Identity(self.identity.clone()), None);
         } else if self.has_failed() {
-            // Any write shows whether the disk works again; this one changes nothing.
+            // Probes the disk with a write that changes nothing.
             self.append(context, DurabilityEffect::Promise(promised), None);
         } else if self.log_size.is_rewrite_due(context.settings().log_rewrite_bytes) {
             self.rewrite_log(context, promised);
