--- a/crates/consensus/tests/body_delta.rs
+++ b/crates/consensus/tests/body_delta.rs
@@ -1,10 +1,10 @@
-//! Deltas restore the target, are smaller than it, and cause no panic when they are arbitrary.
+//! Body deltas restore the target and are smaller than it; arbitrary and corrupted deltas cause no panic.
 
 use minicbor::Encoder;
 use mosshead_consensus::{BodyDelta, MAX_BODY_BYTES};
 use quickcheck::{TestResult, quickcheck};
 
-/// Lines as in a configuration, each with its number.
+/// Lines like those of a configuration, numbered from `first`.
 fn lines(first: usize, count: usize) -> Vec<u8> {
     let line =
         |number: usize| format!("{{\"route\":\"r{number}\",\"service\":\"s{}\"}},\n", number * 7 % 311);
@@ -15,7 +15,7 @@
     BodyDelta::between(base, target).is_none_or(|delta| delta.apply(base).as_deref() == Some(target))
 }
 
-/// A delta of the given bytes, as a message may bring it.
+/// A delta with the given instructions, as decoded from a message.
 fn arbitrary_delta(instructions: &[u8]) -> Option<BodyDelta> {
     let mut bytes = Vec::new();
     Encoder::new(&mut bytes).array(1).ok()?.bytes(instructions).ok()?;
@@ -27,7 +27,7 @@
         restores(&base, &target)
     }
 
-    /// Parts replaced in a long text, anywhere and several at once.
+    /// Several replacements at arbitrary positions of a long text.
     fn a_delta_restores_several_edits(edits: Vec<(u16, u8, Vec<u8>)>) -> bool {
         let base = lines(0, 200);
         let mut target = base.clone();
@@ -39,7 +39,7 @@
         restores(&base, &target) && restores(&target, &base)
     }
 
-    /// Few different bytes: many blocks are alike.
+    /// Bodies of two different bytes, so that many blocks are equal.
     fn a_delta_restores_repetitive_bodies(base: Vec<bool>, target: Vec<bool>, times: u8) -> bool {
         let repeat_bits = |bits: &[bool]| -> Vec<u8> {
             bits.iter().flat_map(|bit| vec![u8::from(*bit); usize::from(times)]).collect()
@@ -52,7 +52,7 @@
         TestResult::from_bool(delta.apply(&base).is_none_or(|target| target.len() <= MAX_BODY_BYTES))
     }
 
-    /// A valid delta with a flipped bit, on its base and on another one.
+    /// A valid delta with a flipped bit, applied to its base and to another one.
     fn a_corrupted_delta_makes_no_body_over_the_limit(position: usize, bit: u8, other: Vec<u8>) -> bool {
         let (base, target) = (lines(0, 50), [lines(10, 30), lines(90, 3)].concat());
         let Some(delta) = BodyDelta::between(&base, &target) else { return false };
@@ -113,24 +113,24 @@
 }
 
 #[test]
-fn a_delta_with_wrong_lengths_is_rejected() {
-    // Two bytes by a copy of two.
+fn a_delta_with_invalid_instructions_is_rejected() {
+    // A valid delta: a target of two bytes by a copy of two bytes.
     assert_eq!(arbitrary_delta(&[2, 4, 0]).and_then(|delta| delta.apply(b"ab")), Some(b"ab".to_vec()));
-    let wrong: [&[u8]; 9] = [
-        // Nothing, more than the limit, more than fits into a number.
+    let invalid: [&[u8]; 9] = [
+        // Empty; a target over the limit; a number of more than 64 bits.
         &[],
         &[0xff, 0xff, 0xff, 0x7f, 4, 0],
         &[0xff; 20],
-        // Too few bytes, too many, a copy beyond the base, a truncated insertion, an empty insertion.
+        // Too few bytes; too many; a copy beyond the end of the base; a truncated insertion; an empty copy.
         &[3, 4, 0],
         &[1, 4, 0],
         &[2, 4, 1],
         &[2, 5, 9],
         &[2, 0, 0, 4, 0],
-        // A copy whose start and length don't fit together.
+        // A copy whose start plus length overflows.
         &[2, 4, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1],
     ];
-    for instructions in wrong {
+    for instructions in invalid {
         assert_eq!(
             arbitrary_delta(instructions).and_then(|delta| delta.apply(b"ab")),
             None,
--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -1,4 +1,4 @@
-//! What comes from outside: messages and logs, complete, truncated or arbitrary.
+//! Robustness against untrusted input: arbitrary, truncated and corrupted messages and logs.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -166,7 +166,7 @@
     }
 }
 
-/// A step of a node: a tick, a request or a message, some time after the one before.
+/// A tick, a request or a message, some time after the previous step.
 #[derive(Clone, Debug)]
 struct Step {
     after: Duration,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// What the revisions of a change, and whether writes fail, follow from.
+    /// The number that determines the revisions and the digest of a change, and whether the writes of the step fail.
     fn number(&self) -> u64 {
         whole_millis(self.after)
     }
@@ -210,9 +210,9 @@
 }
 
 fn node(records: &[Vec<u8>], failures: usize) -> Result<Node<Pcg64Mcg>, StoredStateError> {
-    let here = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7720);
+    let local = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7720);
     let other = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 7720);
-    let mut settings = Settings::new(here, failures, true, vec![here, other]);
+    let mut settings = Settings::new(local, failures, true, vec![local, other]);
     settings.log_rewrite_bytes = 500;
     settings.chunk_sizes = ChunkSizes { large_state_bytes: 30, chunk_bytes: 20 };
     Node::new(settings, records, Instant::ORIGIN, Pcg64Mcg::seed_from_u64(1))
@@ -220,13 +220,13 @@
 
 type Log = Vec<Vec<u8>>;
 
-/// What became of a node after its steps.
+/// The results of the steps of a node.
 #[derive(Default)]
-struct Run {
+struct TestRun {
     log: Log,
     request_ids: Vec<u64>,
     replies: Vec<(u64, ClientReply)>,
-    /// The writes in flight.
+    /// The writes that are neither confirmed nor failed yet, oldest first.
     writes: VecDeque<Write>,
 }
 
@@ -236,8 +236,8 @@
     record: Vec<u8>,
 }
 
-impl Run {
-    /// A step, and the writes that follow from it; each of them fails or is stored.
+impl TestRun {
+    /// Steps the node, then completes all writes one after the other; they all fail if `writes_fail`.
     fn step(&mut self, node: &mut Node<Pcg64Mcg>, now: Instant, input: Input, writes_fail: bool) {
         let mut next = Some(input);
         while let Some(input) = next {
@@ -270,9 +270,10 @@
     }
 }
 
-/// Plays arbitrary steps to a node, and a long time at the end in which each request gets its reply.
-fn run(steps: Vec<Step>, failures: usize) -> Run {
-    let mut run = Run::default();
+/// Runs arbitrary steps on a node, and finally a tick after a time that is long enough for every request to get its
+/// reply.
+fn run(steps: Vec<Step>, failures: usize) -> TestRun {
+    let mut run = TestRun::default();
     let Ok(mut node) = node(&[], failures) else { return run };
     let from = Member { id: MemberId(9), address: node.local_member().address };
     let last = Step { after: Duration::from_secs(2), kind: 0, message: AnyMessage(Message::PreVote), from };
@@ -299,40 +300,40 @@
         decode::<Message>(&bytes[..length % bytes.len()]).is_err()
     }
 
-    /// Each request gets one reply, and the log can be read.
-    fn arbitrary_messages_do_no_harm(steps: Vec<Step>, failures: usize) -> bool {
-        let Run { log, mut request_ids, replies, .. } = run(steps, failures);
+    /// Each request gets exactly one reply, and the log can be replayed.
+    fn arbitrary_steps_cause_no_panic_and_leave_a_readable_log(steps: Vec<Step>, failures: usize) -> bool {
+        let TestRun { log, mut request_ids, replies, .. } = run(steps, failures);
         let mut answered: Vec<u64> = replies.iter().map(|(request_id, _)| *request_id).collect();
         answered.sort_unstable();
         request_ids.sort_unstable();
         answered == request_ids && node(&log, 1).is_ok()
     }
 
-    fn an_arbitrary_log_is_read_or_rejected(records: Vec<Vec<u8>>) -> bool {
+    fn an_arbitrary_log_is_rejected(records: Vec<Vec<u8>>) -> bool {
         records.is_empty() || node(&records, 1).is_err()
     }
 
-    fn a_corrupted_log_is_read_or_rejected(steps: Vec<Step>, position: usize, bit: u8) -> bool {
-        let Run { mut log, .. } = run(steps, 1);
+    fn a_corrupted_log_causes_no_panic(steps: Vec<Step>, position: usize, bit: u8) -> bool {
+        let TestRun { mut log, .. } = run(steps, 1);
         let last = log.last_mut().map(|record| {
             let position = position % record.len();
             record[position] ^= 1 << (bit % 8);
         });
-        // Whatever it reads, it doesn't panic.
+        // Any result is allowed, but no panic.
         let _ = node(&log, 1).map(|mut node| node.step(Instant::from_millis(1), Input::Tick));
         last.is_some()
     }
 }
 
 #[test]
-fn a_log_without_an_identity_is_rejected() {
+fn an_empty_log_is_accepted_and_an_unreadable_record_is_rejected() {
     let member = node(&[], 1).map(|node| node.local_member());
     assert!(member.is_ok());
     assert_eq!(node(&[vec![0xff]], 1).err(), Some(StoredStateError::Unreadable(0)));
 }
 
 #[test]
-fn errors_of_a_stored_state_have_the_codes_of_the_pages() {
+fn stored_state_errors_have_their_documented_codes() {
     assert_eq!(StoredStateError::Unreadable(3).code(), 721);
     assert_eq!(StoredStateError::OutOfSequence(3).code(), 722);
 }
--- a/crates/consensus/tests/former_formats.rs
+++ b/crates/consensus/tests/former_formats.rs
@@ -1,5 +1,7 @@
-//! Bytes that earlier versions have written: messages, states and log records. Processes of two versions meet while a
-//! fleet is upgraded, and disks outlive programs, so these bytes must be read, and written again in the same way.
+//! Compatibility with the messages, states and log records of earlier versions.
+//!
+//! During an upgrade of a fleet, processes of two versions exchange messages, and a new version reads the disks of
+//! the old one. So the bytes that earlier versions wrote must be decoded, and encoded again to the same bytes.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -14,7 +16,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The messages that exist, by their number on the wire; 21 to 24 are not used.
+/// The numbers of all messages on the wire; 21 to 24 are unused.
 const MESSAGE_NUMBERS: [u32; 26] =
     [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 25, 26, 27, 28, 29];
 
@@ -48,7 +50,7 @@
     StateVersion { write_term: term(term_number, 2), revision, first_write_term: term(first_term_number, 2) }
 }
 
-/// While members change: the fourth takes the place of the third.
+/// A configuration during a membership change, in which the fourth node replaces the third.
 fn epoch_config() -> EpochConfig {
     EpochConfig {
         term: term(7, 2),
@@ -74,7 +76,7 @@
     }
 }
 
-/// A body that is long enough for a change of it to pay.
+/// A body that is long enough for a delta.
 fn long_body(ending: &str) -> Vec<u8> {
     let lines: String = (0..40).map(|number| format!("route /chat/{number} to chat\n")).collect();
     (lines + ending).into_bytes()
@@ -99,9 +101,9 @@
     LeaseStamp { incarnation: 0x0123_4567_89ab_cdef, answered_at: Instant::from_millis(123_456) }
 }
 
-/// Messages of the election of a primary and of the first accepted record.
+/// Messages of the election of a primary, of the acceptance of its configuration, and of joining and leaving.
 fn election_messages() -> Vec<(&'static str, Message)> {
-    let answer = |granted, is_bootstrap_voter, config| Message::PreVoteResponse {
+    let response = |granted, is_bootstrap_voter, config| Message::PreVoteResponse {
         granted,
         is_bootstrap_voter,
         config,
@@ -115,8 +117,8 @@
     };
     vec![
         ("00-pre-vote", Message::PreVote),
-        ("01-pre-vote-answer", answer(true, false, Some(epoch_config()))),
-        ("01-pre-vote-answer-without-record", answer(false, true, None)),
+        ("01-pre-vote-answer", response(true, false, Some(epoch_config()))),
+        ("01-pre-vote-answer-without-record", response(false, true, None)),
         ("02-prepare", Message::Prepare { term: term(8, 3) }),
         ("03-promise", promise(false, true, Some(epoch_config()), Some(state_version(7, 1_000, 5)))),
         ("03-promise-of-an-empty-disk", promise(true, false, None, None)),
@@ -133,7 +135,7 @@
     ]
 }
 
-/// Messages by which a state gets from one node to another.
+/// Messages that transfer states and deltas.
 fn state_messages() -> Vec<(&'static str, Message)> {
     let version = state_version(7, 1_000, 5);
     let chunk = SnapshotChunk { version, offset: 65_536, bytes: b"route"[..].into() };
@@ -169,7 +171,7 @@
         config,
         echoed_stamp,
     };
-    let answer = |committed_revision, is_healthy| Message::HeartbeatResponse {
+    let response = |committed_revision, is_healthy| Message::HeartbeatResponse {
         term: term(7, 2),
         sequence: 4_242,
         promised: term(7, 2),
@@ -182,13 +184,13 @@
     vec![
         ("13-heartbeat", heartbeat(Some(epoch_config()), Some(lease_stamp()))),
         ("13-heartbeat-without-record", heartbeat(None, None)),
-        ("14-heartbeat-answer", answer(Some(1_000), true)),
-        ("14-heartbeat-answer-of-an-empty-disk", answer(None, false)),
+        ("14-heartbeat-answer", response(Some(1_000), true)),
+        ("14-heartbeat-answer-of-an-empty-disk", response(None, false)),
     ]
 }
 
 #[test]
-fn messages_of_earlier_versions_are_read_and_written_alike() {
+fn messages_of_earlier_versions_are_decoded_and_encoded_identically() {
     let messages = [election_messages(), state_messages(), heartbeat_messages()].concat();
     for (name, message) in &messages {
         former("messages").assert_round_trip(name, message);
@@ -200,7 +202,7 @@
 }
 
 #[test]
-fn states_of_earlier_versions_are_read_and_written_alike() {
+fn states_of_earlier_versions_are_decoded_and_encoded_identically() {
     let states = former("states");
     states.assert_round_trip("state", &control_state());
     states.assert_round_trip("empty-state", &ControlState::default());
@@ -211,19 +213,19 @@
 }
 
 #[test]
-fn a_change_of_an_earlier_version_still_makes_the_same_body() {
-    let change: StateDelta = minicbor::decode(&file("states", "change")).unwrap();
-    assert_eq!(change.delta.apply(&long_body("old")), Some(long_body("a new ending")));
+fn a_delta_of_an_earlier_version_still_makes_the_same_body() {
+    let decoded: StateDelta = minicbor::decode(&file("states", "change")).unwrap();
+    assert_eq!(decoded.delta.apply(&long_body("old")), Some(long_body("a new ending")));
 }
 
 type TestNode = Node<Pcg64Mcg>;
 
-fn open(records: &[Vec<u8>], founder: bool) -> TestNode {
-    let settings = Settings::new(address(1), 1, founder, vec![address(1), address(2), address(3)]);
+fn open(records: &[Vec<u8>], bootstrap: bool) -> TestNode {
+    let settings = Settings::new(address(1), 1, bootstrap, vec![address(1), address(2), address(3)]);
     Node::new(settings, records, Instant::ORIGIN, Pcg64Mcg::seed_from_u64(1)).unwrap()
 }
 
-/// Steps a node, does its writes at once, and says what it wrote and sent.
+/// Steps a node and confirms its writes at once. Returns the written records and the sent messages.
 fn step(node: &mut TestNode, input: Input) -> (Vec<Vec<u8>>, Vec<Message>) {
     let (mut written, mut sent, mut inputs) = (Vec::new(), Vec::new(), vec![input]);
     while let Some(input) = inputs.pop() {
@@ -245,14 +247,14 @@
     step(node, Input::Message { from: member(2), message })
 }
 
-/// The state before the change, and the same after it and under a later ballot.
+/// The state before the delta, and the state after it, written again under a later term.
 fn logged_states() -> (ControlState, ControlState) {
     let before = ControlState { write_term: term(7, 2), body: long_body("old").into(), ..control_state() };
     let after = ControlState { write_term: term(9, 2), ..state_delta().apply(&before).unwrap() };
     (before, after)
 }
 
-/// A node that keeps the state for the primary, and what makes it write each kind of record.
+/// The inputs of a backup, each with the name of the record that it writes.
 fn backup_inputs() -> Vec<(&'static str, Input)> {
     let (before, after) = logged_states();
     let message = |message| Input::Message { from: member(2), message };
@@ -279,7 +281,7 @@
     assert_eq!(node.snapshot(), Some(file("snapshots", "backup")));
 }
 
-/// An encoded record is an array of two: the number of its kind, and what it says.
+/// An encoded record is an array of two elements: the number of its kind, and its content.
 #[test]
 fn each_kind_of_log_record_is_among_the_records_of_earlier_versions() {
     let records = [log("backup-log"), log("learner-log"), log("snapshots")].concat();
@@ -291,14 +293,14 @@
 fn a_learner_writes_the_records_that_earlier_versions_wrote() {
     let mut node = open(&[], false);
     assert_eq!(step(&mut node, Input::Tick).0, [file("learner-log", "0-identity")]);
-    let record =
+    let config =
         EpochConfig { outgoing_members: vec![member(2)], members: vec![member(2)], ..epoch_config() };
-    let seen = Message::KnownConfig { config: record.clone() };
-    assert_eq!(receive(&mut node, seen).0, [file("learner-log", "1-seen")]);
+    let known_config = Message::KnownConfig { config: config.clone() };
+    assert_eq!(receive(&mut node, known_config).0, [file("learner-log", "1-seen")]);
     assert_eq!(node.snapshot(), Some(file("snapshots", "learner")));
-    let opened = open(&log("learner-log"), false);
-    assert_eq!((opened.epoch_config(), opened.local_member()), (Some(&record), node.local_member()));
-    assert_eq!(opened.snapshot(), Some(file("snapshots", "learner")));
+    let reopened = open(&log("learner-log"), false);
+    assert_eq!((reopened.epoch_config(), reopened.local_member()), (Some(&config), node.local_member()));
+    assert_eq!(reopened.snapshot(), Some(file("snapshots", "learner")));
 }
 
 #[test]
@@ -315,7 +317,7 @@
         let fetch = Message::FetchState { term: term(9, 2), version };
         let fetched = Message::FetchedState { term: term(9, 2), state: after.clone() };
         assert!(receive(&mut node, fetch).1.contains(&fetched));
-        // What was promised before still holds.
+        // The promise is still in force.
         let lower = Message::Prepare { term: term(8, 2) };
         let reject = Message::Reject { term: term(8, 2), promised: term(9, 2) };
         assert_eq!(receive(&mut node, lower), (vec![], vec![reject]));
--- a/crates/consensus/tests/request_status.rs
+++ b/crates/consensus/tests/request_status.rs
@@ -1,4 +1,5 @@
-//! The status of repeated requests: over random histories, none that was applied is rejected, and what can be told is.
+//! The status of repeated requests over random histories: no applied request is rejected, and every other request
+//! gets the most definite reply that the deduplication window allows.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -12,7 +13,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A node that is the only member, on a disk without faults.
+/// A node that is the only member, with a disk that never fails.
 struct SingleNode {
     node: Node<Pcg64Mcg>,
     log: Vec<Vec<u8>>,
@@ -80,13 +81,13 @@
     }
 }
 
-/// A change of a history, with the revision that it builds on.
+/// An applied change and the revision that it builds on.
 struct AppliedChange {
     base: u64,
     request: AppliedRequest,
 }
 
-/// The status that a checker that forgets nothing expects of a request that was never applied.
+/// The expected status of a request that was never applied, computed from the complete history.
 fn expected_status(history: &[AppliedChange], base: u64, revision: u64) -> RequestStatus {
     let current = history.last().map_or(0, |change| change.request.revision);
     let expired = history.len().checked_sub(DEDUPLICATION_WINDOW + 1);
@@ -126,7 +127,7 @@
     Ok(history)
 }
 
-/// Every request of the history again: the latest are acknowledged, the others have expired.
+/// Sends every request of the history again: the last ones are acknowledged, the others have expired.
 fn check_repeats(single: &mut SingleNode, history: &[AppliedChange]) -> Result<(), String> {
     for (index, AppliedChange { base, request }) in history.iter().enumerate() {
         let is_remembered = index + DEDUPLICATION_WINDOW >= history.len();
@@ -143,7 +144,7 @@
     Ok(())
 }
 
-/// Requests that were never applied, on random bases.
+/// Sends requests that were never applied, on random bases.
 fn check_other_requests(
     rng: &mut Pcg64Mcg,
     single: &mut SingleNode,
@@ -157,7 +158,7 @@
         let expected = match expected_status(history, base, request.revision) {
             RequestStatus::Expired => ClientReply::Expired,
             RequestStatus::Stale => ClientReply::Stale { current_revision },
-            // It would be committed, and end the history.
+            // It would be committed, and change the history.
             _ => continue,
         };
         let reply = single.change(base, request);
@@ -168,8 +169,8 @@
     Ok(())
 }
 
-/// A random history, then every request of it again and many that were never sent.
-fn has_expected_replies(seed: u64, length: u16) -> TestResult {
+/// Runs a random history, then sends every request of it again and many that were never applied.
+fn check_random_history(seed: u64, length: u16) -> TestResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut single = SingleNode::new(Vec::new());
     let result = random_history(&mut rng, &mut single, length).and_then(|history| {
@@ -181,35 +182,35 @@
 
 #[test]
 fn no_applied_request_is_rejected_and_all_others_are_classified() {
-    let property = has_expected_replies as fn(u64, u16) -> TestResult;
+    let property = check_random_history as fn(u64, u16) -> TestResult;
     QuickCheck::new().tests(60).quickcheck(property);
 }
 
-/// How earlier versions wrote the digests of requests.
+/// The format of request digests in earlier versions.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DigestFormat {
     Bytes32,
     Bits64,
 }
 
-/// A state as versions wrote it that did not know which revisions have expired.
+/// A state as encoded by earlier versions, which had no field `highest_expired_revision`.
 fn old_state(requests: &[AppliedRequest], digest_format: DigestFormat) -> Vec<u8> {
-    let mut e = Encoder::new(Vec::new());
+    let mut encoder = Encoder::new(Vec::new());
     let mut write = || -> Result<(), minicbor::encode::Error<core::convert::Infallible>> {
-        e.array(5)?.array(2)?.u64(4)?.u64(9)?.array(2)?.u64(3)?.u64(9)?;
-        e.u64(requests.last().map_or(0, |request| request.revision))?.bytes(b"{}")?;
-        e.array(requests.len() as u64)?;
+        encoder.array(5)?.array(2)?.u64(4)?.u64(9)?.array(2)?.u64(3)?.u64(9)?;
+        encoder.u64(requests.last().map_or(0, |request| request.revision))?.bytes(b"{}")?;
+        encoder.array(requests.len() as u64)?;
         for request in requests {
-            e.array(2)?.u64(request.revision)?;
+            encoder.array(2)?.u64(request.revision)?;
             match digest_format {
-                DigestFormat::Bits64 => e.u64(u64::MAX - request.revision)?,
-                DigestFormat::Bytes32 => e.bytes(&request.digest.0)?,
+                DigestFormat::Bits64 => encoder.u64(u64::MAX - request.revision)?,
+                DigestFormat::Bytes32 => encoder.bytes(&request.digest.0)?,
             };
         }
         Ok(())
     };
     write().expect("a write to memory does not fail");
-    e.into_writer()
+    encoder.into_writer()
 }
 
 fn requests(count: u64) -> Vec<AppliedRequest> {
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn all_revisions_below_a_full_old_state_may_have_expired() {
+fn revisions_below_the_full_window_of_an_old_state_have_expired() {
     let requests = requests(DEDUPLICATION_WINDOW as u64);
     let state: ControlState =
         minicbor::decode(&old_state(&requests, DigestFormat::Bytes32)).expect("an old state can be read");
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn nothing_has_expired_in_an_old_state_that_is_not_full() {
+fn nothing_has_expired_in_an_old_state_whose_window_is_not_full() {
     let state: ControlState = minicbor::decode(&old_state(&requests(255), DigestFormat::Bytes32))
         .expect("an old state can be read");
     assert_eq!(state.highest_expired_revision, 0);
@@ -247,12 +248,12 @@
 }
 
 #[test]
-fn requests_with_a_short_digest_have_expired() {
+fn requests_with_a_64_bit_digest_have_expired() {
     let requests = requests(20);
     let state: ControlState =
         minicbor::decode(&old_state(&requests, DigestFormat::Bits64)).expect("an old state can be read");
     assert_eq!((state.revision, state.highest_expired_revision, state.applied_requests.len()), (200, 200, 0));
-    // It may be a repeat of the last one, or another change on the same base.
+    // The request may be a repeat of the last applied one, or another change on the same base.
     assert_eq!(state.classify_request(190, requests[19]), RequestStatus::Expired);
     assert_eq!(
         state.classify_request(190, AppliedRequest { revision: 201, ..requests[19] }),
@@ -262,8 +263,8 @@
         state.classify_request(200, AppliedRequest { revision: 201, ..requests[19] }),
         RequestStatus::Acceptable
     );
-    let again: ControlState =
+    let decoded: ControlState =
         minicbor::decode(&minicbor::to_vec(&state).expect("a write to memory does not fail"))
             .expect("what was written can be read");
-    assert_eq!(again, state);
+    assert_eq!(decoded, state);
 }
