--- a/crates/consensus/src/log_size.rs
+++ b/crates/consensus/src/log_size.rs
@@ -2,8 +2,8 @@
 
 /// The log is rewritten when its replay would rebuild more than this many bytes of bodies from deltas.
 const MAX_REBUILT_BYTES: usize = 128 << 20;
-/// The log is rewritten when it is more than this many times as long as after the last rewrite, and longer than the
-/// minimum of the settings.
+/// The log is rewritten when it is longer than this multiple of the last snapshot, and longer than
+/// [`crate::Settings::log_rewrite_bytes`].
 const REWRITE_FACTOR: usize = 4;
 
 /// The size of the log, including the records that the host has not confirmed yet.
@@ -44,8 +44,8 @@
         self.rebuilt_bytes = 0;
     }
 
-    /// Returns true if the log is long enough to be rewritten, which includes being longer than `min_log_bytes`, or
-    /// if its replay would take too long.
+    /// Returns true if the log is longer than both `min_log_bytes` and [`REWRITE_FACTOR`] times the last snapshot, or
+    /// if its replay would rebuild more than [`MAX_REBUILT_BYTES`].
     pub(crate) fn is_rewrite_due(&self, min_log_bytes: usize) -> bool {
         let max_log_bytes = min_log_bytes.max(REWRITE_FACTOR * self.snapshot_bytes);
         self.log_bytes > max_log_bytes || self.rebuilt_bytes > MAX_REBUILT_BYTES
--- a/crates/consensus/src/pending_requests.rs
+++ b/crates/consensus/src/pending_requests.rs
@@ -11,10 +11,10 @@
 use crate::event::ClientReply;
 use crate::injected_fault::InjectedFault;
 
-/// The maximum number of queued changes, and of unconfirmed replies. Further requests are replied to as unavailable
-/// at once.
+/// The maximum number of queued changes, and of unconfirmed replies. Further requests get
+/// [`ClientReply::Unavailable`] at once.
 const MAX_WAITING_REQUESTS: usize = 64;
-/// With [`InjectedFault::ReplyLate`], the timeout of requests is longer by this.
+/// By how much [`InjectedFault::ReplyLate`] extends the timeout of requests.
 const INJECTED_TIMEOUT_EXTENSION: Duration = Duration::from_millis(350);
 
 /// An operator's request to change the state.
@@ -50,7 +50,7 @@
     content: ReplyContent,
 }
 
-/// The change that is being written.
+/// A change that is being written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ChangeInProgress {
     change: ChangeRequest,
@@ -69,7 +69,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a change to the queue. If the queue is full, replies that the service is unavailable.
+    /// Adds a change to the queue; replies [`ClientReply::Unavailable`] if the queue is full.
     pub(crate) fn add_change(&mut self, context: &mut Context, change: ChangeRequest) {
         if self.queue.len() >= MAX_WAITING_REQUESTS {
             context.reply(change.request_id, ClientReply::Unavailable);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Adds a read. Its reply waits for the responses to `heartbeat`, the sequence number of the next heartbeat; none
+    /// Adds a read. `heartbeat` is the sequence number of the next heartbeat, whose responses confirm the reply; none
     /// during a take-over.
     pub(crate) fn add_read(&mut self, context: &mut Context, request_id: u64, heartbeat: Option<u64>) {
         let received_at = context.now();
