--- a/crates/consensus/src/control_state.rs
+++ b/crates/consensus/src/control_state.rs
@@ -66,8 +66,8 @@
     Acceptable,
     /// The request has not been applied and never will be.
     Stale,
-    /// The request is so old that it may have been applied and left the deduplication window since, so that it is
-    /// unknown whether it was applied.
+    /// The request may have been applied, and its entry may have left the deduplication window since: the outcome is
+    /// unknown.
     Expired,
 }
 
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -204,8 +204,8 @@
     }
 
     /// Returns true if the durable state is certainly the last state in the log, so that a new record can refer to
-    /// it. False while another state is being written, and after a failed write of a state, whose record may
-    /// nevertheless be in the log.
+    /// it. False while another state is being written, and after a failed write of a state, since its record may be
+    /// in the log.
     pub(crate) fn is_durable_state_last_in_log(&self) -> bool {
         !self.writes.is_last_state_uncertain() && !self.writes.includes_state()
     }
--- a/crates/consensus/tests/codec.rs
+++ b/crates/consensus/tests/codec.rs
@@ -101,7 +101,7 @@
     SnapshotChunk { version: any_version(g), offset, bytes: to_vec(any_state(g)).unwrap_or_default().into() }
 }
 
-fn maybe<T>(g: &mut Gen, make: impl Fn(&mut Gen) -> T) -> Option<T> {
+fn any_option<T>(g: &mut Gen, make: impl Fn(&mut Gen) -> T) -> Option<T> {
     bool::arbitrary(g).then(|| make(g))
 }
 
@@ -113,15 +113,15 @@
             1 => Message::PreVoteResponse {
                 granted: flag,
                 is_bootstrap_voter: bool::arbitrary(g),
-                config: maybe(g, any_config),
+                config: any_option(g, any_config),
             },
             2 => Message::Prepare { term: any_term(g) },
             3 => Message::Promise {
                 term: any_term(g),
                 is_bootstrap_voter: flag,
                 is_healthy: bool::arbitrary(g),
-                config: maybe(g, any_config),
-                version: maybe(g, any_version),
+                config: any_option(g, any_config),
+                version: any_option(g, any_version),
             },
             4 => Message::Reject { term: any_term(g), promised: any_term(g) },
             5 => Message::FetchState { term: any_term(g), version: any_version(g) },
@@ -136,8 +136,8 @@
                 term: any_term(g),
                 sequence: u64::arbitrary(g),
                 committed: any_version(g),
-                config: maybe(g, any_config),
-                echoed_stamp: maybe(g, any_lease_stamp),
+                config: any_option(g, any_config),
+                echoed_stamp: any_option(g, any_lease_stamp),
             },
             14 => Message::HeartbeatResponse {
                 term: any_term(g),
@@ -145,7 +145,7 @@
                 promised: any_term(g),
                 accepted_term: any_term(g),
                 known_term: any_term(g),
-                committed_revision: maybe(g, u64::arbitrary),
+                committed_revision: any_option(g, u64::arbitrary),
                 is_healthy: flag,
                 lease_stamp: any_lease_stamp(g),
             },
@@ -169,7 +169,8 @@
 /// A tick, a request or a message, some time after the previous step.
 #[derive(Clone, Debug)]
 struct Step {
-    after: Duration,
+    /// The time since the previous step.
+    delay: Duration,
     kind: u64,
     message: AnyMessage,
     from: Member,
@@ -177,8 +178,8 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let (after, kind) = (Duration::from_millis(u64::arbitrary(g) % 400), u64::arbitrary(g) % 10);
-        Step { after, kind, message: AnyMessage::arbitrary(g), from: any_member(g) }
+        let (delay, kind) = (Duration::from_millis(u64::arbitrary(g) % 400), u64::arbitrary(g) % 10);
+        Step { delay, kind, message: AnyMessage::arbitrary(g), from: any_member(g) }
     }
 }
 
@@ -199,9 +200,9 @@
         }
     }
 
-    /// The number that determines the revisions and the digest of a change, and whether the writes of the step fail.
+    /// The number from which the revisions and the digest of a change are derived, and the failure of writes.
     fn number(&self) -> u64 {
-        whole_millis(self.after)
+        whole_millis(self.delay)
     }
 
     fn is_request(&self) -> bool {
@@ -276,10 +277,10 @@
     let mut run = TestRun::default();
     let Ok(mut node) = node(&[], failures) else { return run };
     let from = Member { id: MemberId(9), address: node.local_member().address };
-    let last = Step { after: Duration::from_secs(2), kind: 0, message: AnyMessage(Message::PreVote), from };
+    let last = Step { delay: Duration::from_secs(2), kind: 0, message: AnyMessage(Message::PreVote), from };
     let mut now = Instant::ORIGIN;
     for (request_id, step) in (0..).zip(steps.into_iter().chain([last])) {
-        now += step.after;
+        now += step.delay;
         if step.is_request() {
             run.request_ids.push(request_id);
         }
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -1,8 +1,8 @@
 //! Model checking of the production code with three nodes: the interleavings of messages around take-overs.
 //!
 //! Nodes take over at any time, so the model has no timeouts. Messages may stay in flight for any time, which covers
-//! losses and duplicates. A disk may be wiped, whose machine then rejoins as another member, and an operator may send
-//! a change again to any primary. Small scopes are searched exhaustively, larger ones by random walks.
+//! losses and duplicates. A disk may be wiped; its machine then rejoins as another member. An operator may send a
+//! change again to any primary. Small scopes are searched exhaustively, larger ones by random walks.
 
 mod fleet;
 
