--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -161,7 +161,7 @@
     fn choose_service(&self, config: &Config, route: &Route) -> Option<Arc<Service>> {
         let fraction = match route.backends.len() {
             0 | 1 => 0.0,
-            _ => self.router.borrow_mut().even_fraction(&route.name),
+            _ => self.router.borrow_mut().low_discrepancy_fraction(&route.name),
         };
         config.service(route.choose_service(fraction)?).cloned()
     }
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -200,7 +200,7 @@
         if let (DecodeOutcome::Streaming(_), Some(prefill_server)) = (&outcome, &prefill_server) {
             // The server was not full: it was the KV cache that could not be fetched.
             let now = self.now();
-            self.router.borrow_mut().distrust_handles(now, prefill_server);
+            self.router.borrow_mut().suspend_handovers(now, prefill_server);
         }
         Ok(outcome)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,9 +14,9 @@
 mod affinity;
 mod endpoint;
 mod endpoint_table;
-mod even_draws;
 mod linear_fit;
 mod load_kind;
+mod low_discrepancy;
 mod outlier;
 mod p2c;
 mod pairing;
@@ -28,7 +28,7 @@
 
 pub use endpoint::Endpoint;
 pub use endpoint_table::EndpointTable;
-pub use even_draws::EvenDraws;
+pub use low_discrepancy::LowDiscrepancySequences;
 pub use outlier::{OutlierRecord, ServerFailure};
 pub use prompt::{Prompt, PromptPart, ServerPair};
 pub use retry_budget::{RetryBudget, RetryBudgetLimits};
--- a/crates/routing/src/even_draws.rs
+++ b/crates/routing/src/low_discrepancy.rs
@@ -14,11 +14,11 @@
 
 /// The next number of each route.
 #[derive(Clone, Debug, Default)]
-pub struct EvenDraws {
+pub struct LowDiscrepancySequences {
     next: HashMap<String, f64>,
 }
 
-impl EvenDraws {
+impl LowDiscrepancySequences {
     /// The next number of a route, from 0 to below 1; `start` gives the first one.
     pub fn next(&mut self, route: &str, start: impl FnOnce() -> f64) -> f64 {
         if let Some(next) = self.next.get_mut(route) {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -9,8 +9,8 @@
 
 use crate::endpoint::Endpoint;
 use crate::endpoint_table::EndpointTable;
-use crate::even_draws::EvenDraws;
 use crate::load_kind::{LoadKind, PerLoadKind};
+use crate::low_discrepancy::LowDiscrepancySequences;
 use crate::outlier::ServerFailure;
 use crate::prompt::Prompt;
 use crate::retry_budget::RetryBudget;
@@ -34,7 +34,7 @@
     pub(crate) weights: RoutingWeights,
     pub(crate) endpoints: EndpointTable,
     budgets: HashMap<String, RetryBudget>,
-    even_draws: EvenDraws,
+    low_discrepancy_sequences: LowDiscrepancySequences,
     /// How long it takes until streams start, by service.
     start_latencies: HashMap<String, StartLatency>,
     pub(crate) zone: String,
@@ -53,7 +53,7 @@
             weights,
             endpoints: EndpointTable::default(),
             budgets: HashMap::new(),
-            even_draws: EvenDraws::default(),
+            low_discrepancy_sequences: LowDiscrepancySequences::default(),
             start_latencies: HashMap::new(),
             zone: zone.to_owned(),
             proxy_count: 1,
@@ -108,9 +108,9 @@
 
     /// A number from 0 to below 1 to divide the requests of a route by: unlike random ones, the numbers of a route are
     /// spread evenly.
-    pub fn even_fraction(&mut self, route: &str) -> f64 {
-        let Self { even_draws, rng, .. } = self;
-        even_draws.next(route, || uniform_fraction(rng))
+    pub fn low_discrepancy_fraction(&mut self, route: &str) -> f64 {
+        let Self { low_discrepancy_sequences, rng, .. } = self;
+        low_discrepancy_sequences.next(route, || uniform_fraction(rng))
     }
 
     /// A random number from 0 to below 1.
@@ -273,7 +273,7 @@
     }
 
     /// A handle of this prefill server could not be fetched: it gets no handovers for a while.
-    pub fn distrust_handles(&mut self, now: Instant, id: &str) {
+    pub fn suspend_handovers(&mut self, now: Instant, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.handles_distrusted_until = now + HANDLE_DISTRUST;
         }
--- a/crates/routing/tests/even_draws.rs
+++ b/crates/routing/tests/low_discrepancy.rs
@@ -1,6 +1,6 @@
 //! Requests of a route are divided by the weights of its services (RULES.md, Duty and CONFIG: 300 requests, 200 requests).
 
-use mosshead_routing::EvenDraws;
+use mosshead_routing::LowDiscrepancySequences;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -15,7 +15,7 @@
 fn shares(proxies: usize, draws: usize, random: &mut Pcg64Mcg) -> [f64; 3] {
     let mut counts = [0.0; 3];
     for _ in 0..proxies {
-        let mut even = EvenDraws::default();
+        let mut even = LowDiscrepancySequences::default();
         for _ in 0..draws {
             let drawn = even.next("route", || fraction(random));
             counts[BOUNDS.iter().filter(|bound| drawn >= **bound).count()] += 1.0;
@@ -44,7 +44,7 @@
 
 #[test]
 fn routes_are_divided_each_by_itself() {
-    let mut even = EvenDraws::default();
+    let mut even = LowDiscrepancySequences::default();
     let first = even.next("a", || 0.25);
     let other = even.next("b", || 0.75);
     let second = even.next("a", || panic!("it has started"));
