--- a/crates/control-plane/tests/fleet/stage_role.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -1,7 +1,9 @@
 //! The stage role on a simulated control node, connected as the program does.
 
 use mosshead_consensus::Term;
-use mosshead_stage_scheduler::{AssignmentOutcome, RoleTenure, StagePolicy, StageScheduler, fencing_token};
+use mosshead_stage_scheduler::{
+    AssignmentOutcome, StagePolicy, StageScheduler, TakeoverDelay, fencing_token,
+};
 use mosshead_time::Duration;
 use mosshead_virtual_fleet::{ProcessId, millis};
 
@@ -20,7 +22,7 @@
 /// The role under a term.
 struct ActiveRole {
     term: Term,
-    tenure: RoleTenure,
+    tenure: TakeoverDelay,
     scheduler: StageScheduler,
 }
 
@@ -39,11 +41,11 @@
         };
         if process.stage_role.current.as_ref().is_none_or(|current| current.term != term) {
             let scheduler = StageScheduler::new(StagePolicy::default());
-            let tenure = RoleTenure::begin(now, LEASE);
+            let tenure = TakeoverDelay::begin(now, LEASE);
             process.stage_role.current = Some(ActiveRole { term, tenure, scheduler });
         }
         let Some(ActiveRole { tenure, scheduler, .. }) = &mut process.stage_role.current else { return };
-        if !tenure.may_send_orders(now) {
+        if !tenure.may_send_commands(now) {
             return;
         }
         let token = match self.faults.token_without_term {
--- a/crates/programs/src/control_node/stage_role.rs
+++ b/crates/programs/src/control_node/stage_role.rs
@@ -5,7 +5,7 @@
 
 use mosshead_consensus::Term;
 use mosshead_stage_scheduler::{
-    AssignmentOutcome, RoleTenure, ServerLoad, StageAssignment, StagePolicy, StageScheduler, fencing_token,
+    AssignmentOutcome, ServerLoad, StageAssignment, StagePolicy, StageScheduler, TakeoverDelay, fencing_token,
 };
 use mosshead_time::Duration;
 use tokio::task::JoinSet;
@@ -25,14 +25,14 @@
 /// The role under one term, from the moment at which this node became its owner.
 struct Tenure {
     term: Term,
-    role: RoleTenure,
+    role: TakeoverDelay,
     scheduler: StageScheduler,
     /// When servers were last asked for their reports.
     reports_collected_at: Option<Instant>,
 }
 
 impl Tenure {
-    fn new(term: Term, role: RoleTenure) -> Tenure {
+    fn new(term: Term, role: TakeoverDelay) -> Tenure {
         let scheduler = StageScheduler::new(StagePolicy::default());
         Tenure { term, role, scheduler, reports_collected_at: None }
     }
@@ -74,10 +74,10 @@
                 continue;
             };
             let former = self.tenure.take().filter(|tenure| tenure.term == term);
-            let begin = || Tenure::new(term, RoleTenure::begin(self.registry.now(), self.lease));
+            let begin = || Tenure::new(term, TakeoverDelay::begin(self.registry.now(), self.lease));
             let mut tenure = former.unwrap_or_else(begin);
             self.collect_reports(&mut tenure).await;
-            if tenure.role.may_send_orders(self.registry.now()) {
+            if tenure.role.may_send_commands(self.registry.now()) {
                 self.send_due_orders(&mut tenure).await;
             }
             self.targets.set(stage_targets(&tenure.scheduler));
--- a/crates/stage-scheduler/src/lib.rs
+++ b/crates/stage-scheduler/src/lib.rs
@@ -9,10 +9,10 @@
 mod fencing;
 mod policy;
 mod scheduler;
-mod tenure;
+mod takeover_delay;
 
 pub use demand::ServerLoad;
 pub use fencing::fencing_token;
 pub use policy::StagePolicy;
 pub use scheduler::{AssignmentOutcome, StageAssignment, StageScheduler};
-pub use tenure::RoleTenure;
+pub use takeover_delay::TakeoverDelay;
--- a/crates/stage-scheduler/tests/stages.rs
+++ b/crates/stage-scheduler/tests/stages.rs
@@ -2,7 +2,7 @@
 
 use mosshead_registry::{OperState, Server, Stage};
 use mosshead_stage_scheduler::{
-    AssignmentOutcome, RoleTenure, ServerLoad, StagePolicy, StageScheduler, fencing_token,
+    AssignmentOutcome, ServerLoad, StagePolicy, StageScheduler, TakeoverDelay, fencing_token,
 };
 use mosshead_time::{Duration, Instant};
 use quickcheck::quickcheck;
@@ -137,9 +137,9 @@
 #[test]
 fn a_new_owner_sends_no_order_until_the_lease_before_has_surely_expired() {
     let lease = Duration::from_millis(3_000);
-    let tenure = RoleTenure::begin(millis(1_000), lease);
-    assert!((0..1_000 + 3_500).all(|now| !tenure.may_send_orders(millis(now))));
-    assert!(tenure.may_send_orders(millis(1_000 + 3_500)));
+    let tenure = TakeoverDelay::begin(millis(1_000), lease);
+    assert!((0..1_000 + 3_500).all(|now| !tenure.may_send_commands(millis(now))));
+    assert!(tenure.may_send_commands(millis(1_000 + 3_500)));
 }
 
 #[test]
