--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use mosshead_recovery::{DiscoveryBackoff, InstanceLifecycle};
+use mosshead_recovery::{DiscoveryBackoff, InstanceRecovery};
 use rand_core::RngCore;
 
 use super::class_stats::{ClassStats, MachineKindStats, SERVICE_TIMES_PER_TARGET, ZoneStats};
@@ -77,7 +77,7 @@
     /// The backoff between calls for the list.
     pub(crate) list_backoff: DiscoveryBackoff,
     /// The recovery of this process since its start.
-    pub(crate) recovery: InstanceLifecycle,
+    pub(crate) recovery: InstanceRecovery,
 }
 
 impl PolicyState {
@@ -119,7 +119,7 @@
             reserved_share: 1.0,
             restricted_work: Mean::default(),
             list_backoff: DiscoveryBackoff::default(),
-            recovery: InstanceLifecycle::default(),
+            recovery: InstanceRecovery::default(),
         }
     }
 
--- a/crates/recovery/src/lifecycle.rs
+++ b/crates/recovery/src/instance_recovery.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// How many of the last responses are considered: the bits of [`InstanceLifecycle::responses_in_time`].
+/// How many of the last responses are considered: the bits of [`InstanceRecovery::responses_in_time`].
 const MAX_RESPONSES: u32 = 32;
 /// How many responses it takes to judge by.
 const MIN_RESPONSES: u32 = 16;
@@ -87,7 +87,7 @@
 
 /// The recovery of one instance, by its events. Instants are in seconds, on any clock that doesn't go back.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct InstanceLifecycle {
+pub struct InstanceRecovery {
     has_servers: bool,
     /// When discovery last sent an update; `None` before the first, and after a suspension.
     last_update_at: Option<f64>,
@@ -103,7 +103,7 @@
     is_in_full_service: bool,
 }
 
-impl InstanceLifecycle {
+impl InstanceRecovery {
     /// Sets whether there is a server that requests may be sent to.
     pub fn set_has_servers(&mut self, has_servers: bool) {
         self.has_servers = has_servers;
@@ -123,10 +123,10 @@
 
     /// The process was suspended and goes on: what discovery said meanwhile is not known.
     pub fn on_suspended(&mut self) {
-        *self = InstanceLifecycle {
+        *self = InstanceRecovery {
             has_servers: self.has_servers,
             has_call_failed: self.has_call_failed,
-            ..InstanceLifecycle::default()
+            ..InstanceRecovery::default()
         };
     }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -6,7 +6,7 @@
 //! bounds are stated as shares of the time allowed between calls, which the settings name.
 
 mod backoff;
-mod lifecycle;
+mod instance_recovery;
 
 pub use backoff::{DiscoveryBackoff, WatchReopening};
-pub use lifecycle::{InstanceLifecycle, RecoveryBlocker, RecoveryStage, RecoveryStatus};
+pub use instance_recovery::{InstanceRecovery, RecoveryBlocker, RecoveryStage, RecoveryStatus};
--- a/crates/recovery/tests/lifecycle.rs
+++ b/crates/recovery/tests/instance_recovery.rs
@@ -1,12 +1,12 @@
 //! The stages of recovery.
 
-use mosshead_recovery::{InstanceLifecycle, RecoveryBlocker, RecoveryStage, RecoveryStatus};
+use mosshead_recovery::{InstanceRecovery, RecoveryBlocker, RecoveryStage, RecoveryStatus};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const CALL_INTERVAL_S: f64 = 10.0;
 
-fn record_responses(lifecycle: &mut InstanceLifecycle, in_time: usize, late: usize) {
+fn record_responses(lifecycle: &mut InstanceRecovery, in_time: usize, late: usize) {
     (0..late).for_each(|_| lifecycle.on_response(false));
     (0..in_time).for_each(|_| lifecycle.on_response(true));
 }
@@ -14,7 +14,7 @@
 /// The recovery of a proxy that starts with a stored list, and what it says it waits for.
 #[test]
 fn each_stage_is_entered_for_its_reason() {
-    let mut lifecycle = InstanceLifecycle::default();
+    let mut lifecycle = InstanceRecovery::default();
     assert_eq!(
         lifecycle.status(0.0, CALL_INTERVAL_S),
         RecoveryStatus { stage: RecoveryStage::NoServers, blocker: RecoveryBlocker::Servers }
@@ -26,7 +26,7 @@
         RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker: RecoveryBlocker::DiscoveryUpdate },
         "service by an unconfirmed list is not full"
     );
-    lifecycle = InstanceLifecycle::default();
+    lifecycle = InstanceRecovery::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
     assert_eq!(
@@ -64,7 +64,7 @@
 /// A suspended process believes that no time has passed, so its list is unconfirmed until discovery sends an update.
 #[test]
 fn a_suspended_instance_starts_again_from_an_unconfirmed_list() {
-    let mut lifecycle = InstanceLifecycle::default();
+    let mut lifecycle = InstanceRecovery::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
     record_responses(&mut lifecycle, 32, 0);
@@ -84,7 +84,7 @@
 /// An instance without requests has no responses to wait for.
 #[test]
 fn an_instance_without_requests_is_in_full_service_after_a_while() {
-    let mut lifecycle = InstanceLifecycle::default();
+    let mut lifecycle = InstanceRecovery::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
     assert_eq!(lifecycle.status(5.9, CALL_INTERVAL_S).stage, RecoveryStage::WarmingUp);
@@ -94,7 +94,7 @@
 /// An instance with a request every few seconds would never have enough responses.
 #[test]
 fn an_instance_with_few_requests_is_in_full_service_once_its_last_responses_are_in_time() {
-    let mut lifecycle = InstanceLifecycle::default();
+    let mut lifecycle = InstanceRecovery::default();
     lifecycle.set_has_servers(true);
     lifecycle.on_discovery_update(1.0);
     record_responses(&mut lifecycle, 2, 1);
@@ -134,7 +134,7 @@
     /// once there are no faults.
     #[test]
     fn every_instance_reaches_full_service_once_there_are_no_faults(steps in prop::collection::vec(step(), 0..40)) {
-        let (mut lifecycle, mut now) = (InstanceLifecycle::default(), 0.0);
+        let (mut lifecycle, mut now) = (InstanceRecovery::default(), 0.0);
         let (mut has_servers, mut last_update_at, mut has_call_failed) = (false, None, false);
         for step in steps {
             match step {
