--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! One server as this proxy sees it: the registry's entry, the load that this proxy put there, and what its attempts
-//! showed.
+//! One server as this proxy sees it: the registry's entry, the load from this proxy, and the results of its
+//! attempts.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -11,40 +11,42 @@
 use crate::affinity::hash_id;
 use crate::outlier::OutlierRecord;
 
-/// How many shared prompt parts are remembered for a server.
+/// How many shared prompt parts are remembered per server; the least recently sent one is dropped first.
 const MAX_CACHED_PARTS: usize = 256;
 
 /// One server as this proxy sees it.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// The registry's newest entry.
+    /// The newest entry of the registry.
     pub server: Server,
-    /// The server's instance id, shared by all who name it.
+    /// The server's instance id, shared with the collections that refer to the server.
     pub(crate) id: Rc<str>,
-    /// Hash of the id, the same in every proxy.
+    /// Hash of the instance id; the same in every proxy.
     pub(crate) id_hash: u64,
-    /// Requests of this proxy in flight there to run: streams at a decode server. Prefills for another server do not count.
+    /// This proxy's requests that run on the server, such as streams on a decode server. Prefills for another
+    /// server do not count.
     pub(crate) in_flight: ServerLoad,
-    /// Prompt tokens of this proxy that the server still has to prefill.
+    /// Prompt tokens that this proxy has sent to the server and that are not yet prefilled.
     pub(crate) pending_prefill_tokens: f64,
-    /// Prompts that the server prefills for all proxies: its last load report and what this proxy sent since.
+    /// Prompts that the server prefills for all proxies: its last load report plus what this proxy has sent since.
     pub(crate) prefill_load: ServerLoad,
     /// Prompts that the server prefills for this proxy; never negative.
     pub(crate) own_prefills: f64,
-    /// When the last load report arrived; the origin of the clock where none ever did.
+    /// When the last load report arrived; [`Instant::ORIGIN`] if there was none.
     pub(crate) load_reported_at: Instant,
-    /// When the last byte of any response arrived; the origin of the clock where none ever did.
+    /// When the last byte of any response arrived; [`Instant::ORIGIN`] if there was none.
     pub(crate) last_received_at: Instant,
-    /// What this proxy's attempts showed.
+    /// The ejection state, which follows from the results of this proxy's attempts.
     pub(crate) outlier: OutlierRecord,
-    /// Until then no prompt is prefilled there for another server: a handle of this server could not be fetched.
-    pub(crate) handles_distrusted_until: Instant,
-    /// Ids of the shared prompt parts that this proxy had prefilled there most recently, the newest last.
+    /// Until this instant the server gets no handovers, because one of its handles could not be fetched.
+    pub(crate) handovers_suspended_until: Instant,
+    /// Ids of the shared prompt parts that this proxy has most recently sent to the server for prefill, the
+    /// newest last.
     cached_parts: VecDeque<u64>,
 }
 
 impl Endpoint {
-    /// A server of which this proxy knows only the registry's entry.
+    /// Creates an endpoint from the registry's entry, without any load or history.
     pub(crate) fn new(server: &Server) -> Self {
         Self {
             server: server.clone(),
@@ -57,28 +59,28 @@
             load_reported_at: Instant::ORIGIN,
             last_received_at: Instant::ORIGIN,
             outlier: OutlierRecord::default(),
-            handles_distrusted_until: Instant::ORIGIN,
+            handovers_suspended_until: Instant::ORIGIN,
             cached_parts: VecDeque::new(),
         }
     }
 
-    /// Whether the server is up and neither suspected nor ejected, and no trial request is in flight there.
+    /// True if the server is up, is neither suspected nor ejected, and has no trial request in flight.
     pub(crate) fn is_ready(&self, now: Instant) -> bool {
         self.server.state == OperState::Up && !self.server.is_suspected && self.outlier.is_selectable(now)
     }
 
-    /// Whether requests of this proxy are still in flight there.
+    /// True if requests of this proxy are still in flight on the server.
     pub(crate) fn has_own_work(&self) -> bool {
         self.in_flight.estimate() > 0.0 || self.pending_prefill_tokens > 0.0
     }
 
-    /// Whether the server has likely kept this prompt part in its prefix cache.
+    /// True if the server has probably kept this prompt part in its prefix cache.
     pub(crate) fn has_cached(&self, part_id: u64) -> bool {
         self.cached_parts.contains(&part_id)
     }
 
-    /// Remembers that the server was given a prompt with this shared part.
-    pub(crate) fn remember_part(&mut self, part_id: u64) {
+    /// Records that the server was sent a prompt with this shared part for prefill.
+    pub(crate) fn record_cached_part(&mut self, part_id: u64) {
         self.cached_parts.retain(|cached| *cached != part_id);
         self.cached_parts.push_back(part_id);
         if self.cached_parts.len() > MAX_CACHED_PARTS {
--- a/crates/routing/src/endpoint_table.rs
+++ b/crates/routing/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! All servers that the registry lists, by id and by service.
+//! The servers listed by the registry, indexed by instance id and by service.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -8,16 +8,16 @@
 use crate::endpoint::Endpoint;
 use crate::load_kind::{LoadKind, PerLoadKind};
 
-/// All endpoints that this proxy knows.
+/// All servers known to this proxy.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     by_id: HashMap<Rc<str>, Endpoint>,
-    /// Ids of the servers in state `up`, sorted, by service and by the load that they take.
+    /// Sorted ids of the servers in state `up`, by service and by the kind of load that they take.
     by_service: HashMap<String, PerLoadKind<Vec<Rc<str>>>>,
 }
 
 impl EndpointTable {
-    /// Takes the registry's present entries. What is known of servers that stay is kept.
+    /// Replaces the registry's entries. Servers that stay listed keep their recorded state.
     pub(crate) fn update<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
         let mut by_service: HashMap<String, PerLoadKind<Vec<Rc<str>>>> = HashMap::new();
         let mut missing: HashSet<Rc<str>> = self.by_id.keys().cloned().collect();
@@ -52,8 +52,8 @@
         id
     }
 
-    /// Takes a server that is no longer listed out of the selection. It is removed only once no request of this proxy
-    /// is in flight there: the load of those must still be taken off when they end.
+    /// Excludes a server that is no longer listed from selection. Its entry is removed only once no request of this
+    /// proxy is in flight there, because the end of each request still has to be subtracted from its load.
     fn retire(&mut self, id: &str) {
         let Some(endpoint) = self.by_id.get_mut(id) else { return };
         endpoint.server.state = OperState::Removed;
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Ids of the service's servers that take this kind of load, sorted.
+    /// Sorted ids of the service's servers in state `up` that take this kind of load.
     pub(crate) fn ids(&self, service: &str, kind: LoadKind) -> &[Rc<str>] {
         self.by_service.get(service).map_or(&[], |ids| ids.get(kind))
     }
 
-    /// The endpoint with this id.
+    /// The endpoint with this instance id.
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
         self.by_id.get(id)
     }
@@ -76,7 +76,7 @@
         self.by_id.get_mut(id)
     }
 
-    /// Whether any server can answer requests of the service.
+    /// True if the service has a server in state `up` that answers its requests.
     pub fn serves(&self, service: &str) -> bool {
         !self.ids(service, LoadKind::Decode).is_empty()
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,15 +1,17 @@
-//! Decisions of the data plane: which server prefills a prompt and which one decodes it, whether an attempt may be
-//! retried, and which servers are ejected as outliers.
+//! Routing decisions of the data plane: which server prefills a prompt and which one decodes it, whether an attempt may
+//! be retried, and which servers are ejected as outliers.
 //!
-//! A prefill server computes the KV cache of a prompt and gives out a *handle*, by which a decode server fetches that cache;
-//! the request is then *handed over*. A decode server may also prefill a prompt itself (*local* prefill, in contrast to
-//! *remote*). Two prefill servers are the *homes* of a prompt's shared prefix: prompts with the same prefix go to them from
-//! every proxy, so that they find it in the prefix cache.
+//! A prefill server computes the KV cache of a prompt and returns a *handle*, with which a decode server fetches that
+//! cache; this is a *handover*. A decode server can also prefill a prompt itself (*local* prefill, in contrast to
+//! *remote*). Each shared prompt prefix has two *home* servers, the same for every proxy: prompts with that prefix are
+//! sent to them, so that they hit the prefix cache.
 //!
-//! Costs are compared in two units, with a rate of exchange that depends on what is compared: prompt tokens (while a server
-//! for a prefill is selected) and streams in flight (for a decode server, or for a request without a prompt).
+//! When a server is selected for a prefill, costs are compared in prompt tokens. When a decode server is selected, or a
+//! server for a request without a prompt, they are compared in streams in flight. The conversion rate between the two
+//! units depends on the decision.
 //!
-//! No I/O and no clock: the host hands in each [`Instant`](mosshead_time::Instant) and reports what its attempts showed.
+//! The crate does no I/O and reads no clock: the caller passes in each [`Instant`](mosshead_time::Instant) and reports
+//! the results of its attempts.
 
 mod affinity;
 mod endpoint;
--- a/crates/routing/src/load_kind.rs
+++ b/crates/routing/src/load_kind.rs
@@ -1,18 +1,18 @@
-//! The two kinds of load that a request puts on servers.
+//! The two kinds of load that a request can put on a server.
 
 use mosshead_registry::Stage;
 
-/// What a request adds to a server's load.
+/// The kind of load that a request puts on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadKind {
-    /// The server prefills a prompt for another one.
+    /// The server prefills a prompt for a decode server.
     Prefill,
-    /// The server generates tokens, or works on a request of a service without an engine.
+    /// The server generates tokens, or handles a request of a service that has no prefill and decode stages.
     Decode,
 }
 
 impl LoadKind {
-    /// What a server of this stage takes.
+    /// The kind of load that a server of this stage takes.
     pub(crate) fn of_stage(stage: Option<Stage>) -> Self {
         if stage == Some(Stage::Prefill) { Self::Prefill } else { Self::Decode }
     }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,96 +1,97 @@
-//! Outlier ejection: what this proxy's own attempts show of a server, and when the server gets requests again.
+//! Outlier ejection: servers that fail this proxy's own attempts get no requests for a while.
 
 use mosshead_time::{Duration, Instant};
 
-/// A failure of an attempt that is evidence about its server.
+/// A failure of an attempt that counts against its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFailure {
-    /// No connection was established, or the machine acknowledged nothing.
+    /// No connection could be established, or the machine acknowledged nothing.
     Unreachable,
-    /// The server reset the connection, broke a response off or sent what is no valid response.
+    /// The server reset the connection, broke off a response, or sent an invalid one.
     BrokenResponse,
-    /// The server answered with an error of its own.
+    /// The server responded with an error of its own.
     ErrorResponse,
     /// The server rejected the request because it is full.
     Overloaded,
-    /// Another instance answers at the server's address.
+    /// Another instance responded at the server's address.
     WrongInstance,
 }
 
-/// The first ejection lasts this long; each further one twice as long.
+/// The duration of the first ejection. Each further ejection lasts twice as long as the one before.
 const BASE_EJECTION: Duration = Duration::from_millis(500);
-/// No ejection lasts longer.
+/// Upper bound on the duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_millis(4000);
-/// An ejection is doubled at most this often.
+/// Upper bound on how often the duration is doubled.
 const MAX_DOUBLINGS: u32 = 3;
-/// How long a full server gets no requests.
+/// How long an overloaded server gets no requests.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(60);
-/// Failures that may be chance eject a server once they outweigh its successes by this much.
-const SUSPICION_LIMIT: f64 = 3.0;
-/// What one success takes off the suspicion that one failure adds.
+/// The failure score at which a server is ejected.
+const FAILURE_SCORE_LIMIT: f64 = 3.0;
+/// How much a success reduces the failure score. A failure that may be random adds 1.
 const SUCCESS_CREDIT: f64 = 0.5;
 
-/// What is known of one server's failures.
+/// The failure history of one server.
 ///
-/// A server that was ejected is on trial once its ejection is over: it gets one request at a time, until one succeeds or a
-/// failure ejects it again. [`ServerFailure::Overloaded`] only pauses a server: no trial follows from that alone.
+/// A server whose ejection is over is on trial: it gets one request at a time, until one succeeds or a failure ejects
+/// the server again. [`ServerFailure::Overloaded`] only pauses a server; such a pause alone is not followed by a trial.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierRecord {
-    /// Failures that may be chance, less the credit of successes; never negative.
-    suspicion: f64,
+    /// The number of failures that may be random, minus the credit of successes; never negative.
+    failure_score: f64,
     /// Ejections since the last success.
     consecutive_ejections: u32,
-    /// The end of the last ejection or pause; the origin of the clock after a success.
+    /// The end of the last ejection or pause; [`Instant::ORIGIN`] after a success.
     ejected_until: Instant,
-    /// Whether the one request of a server on trial is in flight.
+    /// True while the one request of a server on trial is in flight.
     is_trial_in_flight: bool,
 }
 
 impl OutlierRecord {
-    /// Whether the server may be selected: it is not ejected, and no trial request is in flight.
+    /// True if the server may be selected: it is not ejected and has no trial request in flight.
     pub fn is_selectable(&self, now: Instant) -> bool {
         self.is_healthy(now) && !self.is_trial_in_flight
     }
 
-    /// Whether the server is not ejected; a trial in flight doesn't count against it.
+    /// True if the server is not ejected, even while a trial request is in flight.
     pub fn is_healthy(&self, now: Instant) -> bool {
         now >= self.ejected_until
     }
 
-    /// The server was selected: after an ejection this request is its trial.
+    /// Records that the server was selected. After an ejection, this request is its trial.
     pub fn record_selection(&mut self) {
         self.is_trial_in_flight = self.consecutive_ejections > 0;
     }
 
-    /// A request there was answered as it should be.
+    /// Records a successful attempt, which ends any ejection, pause or trial.
     pub fn record_success(&mut self) {
-        self.suspicion = (self.suspicion - SUCCESS_CREDIT).max(0.0);
+        self.failure_score = (self.failure_score - SUCCESS_CREDIT).max(0.0);
         self.consecutive_ejections = 0;
         self.is_trial_in_flight = false;
         self.ejected_until = Instant::ORIGIN;
     }
 
-    /// An attempt there failed.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, now: Instant, failure: ServerFailure) {
         self.is_trial_in_flight = false;
         match failure {
             ServerFailure::Overloaded => self.ejected_until = self.ejected_until.max(now + OVERLOAD_PAUSE),
             ServerFailure::Unreachable | ServerFailure::WrongInstance => self.eject(now),
             ServerFailure::BrokenResponse | ServerFailure::ErrorResponse => {
-                self.suspicion += 1.0;
-                if self.suspicion >= SUSPICION_LIMIT || self.consecutive_ejections > 0 {
+                self.failure_score += 1.0;
+                if self.failure_score >= FAILURE_SCORE_LIMIT || self.consecutive_ejections > 0 {
                     self.eject(now);
                 }
             }
         }
     }
 
-    /// An attempt ended without showing anything of the server.
+    /// Records the end of an attempt that says nothing about the server.
     pub fn record_inconclusive(&mut self) {
         self.is_trial_in_flight = false;
     }
 
-    /// Does nothing during an ejection: failures of requests that were already in flight don't prolong it.
+    /// Ejects the server. During an ejection or pause this does nothing, so that failures of requests that were already
+    /// in flight don't prolong it.
     fn eject(&mut self, now: Instant) {
         if now < self.ejected_until {
             return;
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -1,5 +1,5 @@
-//! Power of two choices: two servers are drawn and the one with the lower cost is selected. The two are random, or the
-//! homes of a prompt's prefix.
+//! Power of two choices: two servers are drawn, and the one with the lower cost is selected. The two are either random
+//! or the home servers of a prompt's prefix.
 
 use std::rc::Rc;
 
@@ -11,18 +11,18 @@
 use crate::load_kind::LoadKind;
 use crate::router::Router;
 
-/// Pending prompt tokens that weigh as much as one stream in flight where a decode server is selected.
+/// Pending prompt tokens that cost as much as one stream in flight when a decode server is selected.
 const PENDING_TOKENS_PER_STREAM: f64 = 500.0;
-/// What it costs to send a request without a prompt to another zone, in requests in flight: less than one, so that a server of
-/// this zone with one request more is not preferred.
+/// The cost of sending a request without a prompt to another zone, in requests in flight. It is less than one, so that
+/// a server in this zone with one more request in flight is not preferred.
 const CROSS_ZONE_REQUEST_COST: f64 = 0.6;
 
 impl<R: RngCore> Router<R> {
-    /// Selects a server for a request without a prompt; `None` where all are in `avoid` or none is up.
+    /// Selects a server for a request without a prompt. Returns `None` if no server outside `avoid` is up.
     pub fn select_server(&mut self, now: Instant, service: &str, avoid: &[Rc<str>]) -> Option<Rc<str>> {
         let selectable = self.selectable(now, service, LoadKind::Decode, avoid);
         let ids: Vec<Rc<str>> = selectable.iter().map(|endpoint| endpoint.id.clone()).collect();
-        let drawn = self.draw_two_near(&ids);
+        let drawn = self.draw_two_preferring_same_zone(&ids);
         let cost =
             |router: &Self, id: &Rc<str>, _| router.streams_at(id) + router.cross_zone_request_cost(id);
         let id = self.select_cheaper(&drawn, cost)?;
@@ -30,10 +30,11 @@
         Some(id)
     }
 
-    /// Two servers: with a key the prefix's homes, the likeliest one first; without one any two at random.
+    /// Draws two servers, or fewer if there are fewer: with a key the home servers of the prefix, the highest ranked
+    /// one first; without a key two at random.
     pub(crate) fn draw_two(&mut self, ids: &[Rc<str>], affinity_key: Option<u64>) -> Vec<Rc<str>> {
         match affinity_key {
-            Some(key) => self.prefix_homes(ids, key),
+            Some(key) => self.home_servers(ids, key),
             None => match two_distinct(&mut self.rng, ids.len()) {
                 Some((first, second)) => {
                     [first, second].iter().filter_map(|index| ids.get(*index).cloned()).collect()
@@ -43,9 +44,9 @@
         }
     }
 
-    /// The two servers that rank highest for the key. All proxies find the same two, and so do later prompts with the
-    /// same prefix, which is then still cached there.
-    fn prefix_homes(&self, ids: &[Rc<str>], affinity_key: u64) -> Vec<Rc<str>> {
+    /// The two servers that rank highest for the key. Every proxy computes the same two, so later prompts with the same
+    /// prefix go to them as well, and probably find it in their prefix cache.
+    fn home_servers(&self, ids: &[Rc<str>], affinity_key: u64) -> Vec<Rc<str>> {
         let rank = |id: &Rc<str>| {
             self.endpoints.get(id).map_or(0, |endpoint| rendezvous_rank(endpoint.id_hash, affinity_key))
         };
@@ -54,21 +55,22 @@
         ranked.into_iter().take(2).map(|(_, id)| id).collect()
     }
 
-    /// Two servers at random, one of them in this proxy's zone if there is one.
-    pub(crate) fn draw_two_near(&mut self, ids: &[Rc<str>]) -> Vec<Rc<str>> {
-        let in_zone =
+    /// Draws two servers at random, at least one of them in this proxy's zone if there is any.
+    pub(crate) fn draw_two_preferring_same_zone(&mut self, ids: &[Rc<str>]) -> Vec<Rc<str>> {
+        let is_in_same_zone =
             |id: &&Rc<str>| self.endpoints.get(id).is_some_and(|endpoint| endpoint.server.zone == self.zone);
-        let near: Vec<Rc<str>> = ids.iter().filter(in_zone).cloned().collect();
-        if near.is_empty() || near.len() == ids.len() {
+        let same_zone_ids: Vec<Rc<str>> = ids.iter().filter(is_in_same_zone).cloned().collect();
+        if same_zone_ids.is_empty() || same_zone_ids.len() == ids.len() {
             return self.draw_two(ids, None);
         }
-        let first = near[random_index(&mut self.rng, near.len())].clone();
+        let first = same_zone_ids[random_index(&mut self.rng, same_zone_ids.len())].clone();
         let others: Vec<Rc<str>> = ids.iter().filter(|id| **id != first).cloned().collect();
         let second = others[random_index(&mut self.rng, others.len())].clone();
         vec![first, second]
     }
 
-    /// The cheaper of the servers drawn; a tie is broken at random. `cost` gets whether the server was drawn first.
+    /// Selects the server with the lower cost of those drawn; a tie is broken at random. The last argument of `cost` is
+    /// true for the server that was drawn first.
     pub(crate) fn select_cheaper(
         &mut self,
         drawn: &[Rc<str>],
@@ -86,16 +88,16 @@
         drawn.get(index).cloned()
     }
 
-    /// This proxy's load at a server, in streams in flight.
+    /// This proxy's load on a server, in streams in flight; infinite if the server is unknown.
     pub(crate) fn streams_at(&self, id: &str) -> f64 {
         self.endpoints.get(id).map_or(f64::INFINITY, |endpoint| {
             endpoint.in_flight.estimate() + endpoint.pending_prefill_tokens / PENDING_TOKENS_PER_STREAM
         })
     }
 
-    /// What it costs to send a request without a prompt out of this proxy's zone, in requests in flight.
+    /// The cost of sending a request without a prompt to this server's zone, in requests in flight.
     fn cross_zone_request_cost(&self, id: &str) -> f64 {
-        let in_zone = self.endpoints.get(id).is_none_or(|endpoint| endpoint.server.zone == self.zone);
-        if in_zone { 0.0 } else { CROSS_ZONE_REQUEST_COST }
+        let is_in_same_zone = self.endpoints.get(id).is_none_or(|endpoint| endpoint.server.zone == self.zone);
+        if is_in_same_zone { 0.0 } else { CROSS_ZONE_REQUEST_COST }
     }
 }
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -1,4 +1,4 @@
-//! What a request states about its prompt, and the servers that were selected for it.
+//! The prompt of a request, as its headers describe it, and the servers selected for it.
 
 use std::rc::Rc;
 
@@ -6,58 +6,58 @@
 
 use crate::affinity::mix;
 
-/// The lower bound of [`Prompt::unshared_tokens`]: a prompt that is cached completely has a cost, too.
+/// Lower bound of [`Prompt::unshared_tokens`], because even a completely cached prompt has a cost.
 const MIN_UNSHARED_TOKENS: f64 = 16.0;
 
-/// One part of a prompt, as `X-Prompt-Prefix` names it (PROTOCOL.md, Requests).
+/// One part of a prompt, as listed in `X-Prompt-Prefix` (PROTOCOL.md, Requests).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PromptPart {
-    /// What the part is known by: the same in every request that shares it.
+    /// Identifies the part; the same in every request that shares it.
     pub id: u64,
     /// The part's length in tokens.
     pub tokens: f64,
 }
 
-/// A prompt that is to be prefilled and answered.
+/// A prompt to be prefilled and decoded.
 #[derive(Clone, Debug, Default)]
 pub struct Prompt {
-    /// Tokens of the complete prompt.
+    /// The length of the complete prompt in tokens.
     pub tokens: f64,
     /// The prompt's parts in order. The last one belongs to this request or its session; the others are shared.
     pub parts: Vec<PromptPart>,
-    /// The most tokens that are generated.
+    /// Upper bound on the number of tokens to generate.
     pub max_output_tokens: f64,
-    /// The longest gap between events that the route wants (`gap_aim_ms`).
+    /// The route's target for the longest gap between events (`gap_aim_ms`).
     pub max_event_gap: Duration,
 }
 
 impl Prompt {
-    /// The last part that other prompts share, too: the one before the last of all.
+    /// The last part that is shared with other prompts, which is the last but one.
     pub(crate) fn last_shared_part(&self) -> Option<PromptPart> {
         self.parts.get(self.parts.len().checked_sub(2)?).copied()
     }
 
-    /// The key by which the home servers of the prompt's shared prefix are ranked; `None` where it shares nothing.
+    /// The key that ranks servers for the prompt's shared prefix; `None` if the prompt shares nothing.
     pub(crate) fn affinity_key(&self) -> Option<u64> {
         self.last_shared_part().map(|part| mix(part.id))
     }
 
-    /// Tokens of the parts that other prompts share.
+    /// Tokens in the parts that are shared with other prompts.
     pub(crate) fn shared_tokens(&self) -> f64 {
         self.parts.iter().rev().skip(1).map(|part| part.tokens).sum()
     }
 
-    /// Tokens that no server is likely to have cached.
+    /// Tokens that probably no server has cached.
     pub fn unshared_tokens(&self) -> f64 {
         (self.tokens - self.shared_tokens()).max(MIN_UNSHARED_TOKENS)
     }
 }
 
-/// The servers of one prompt.
+/// The servers selected for one prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerPair {
-    /// Prefills the prompt; `None` where the decode server does so itself.
+    /// The server that prefills the prompt; `None` if the decode server does so itself.
     pub prefill: Option<Rc<str>>,
-    /// Generates the tokens.
+    /// The server that generates the tokens.
     pub decode: Rc<str>,
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,5 @@
-//! What one proxy decides with, and what it learns from its attempts. Servers are selected in `p2c` and `pairing`.
+//! The routing state of one proxy, updated from the registry and from the results of the proxy's attempts. Servers are
+//! selected in `p2c` and `pairing`.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,37 +18,38 @@
 use crate::start_latency::{LearnedLatencies, StartLatency};
 use crate::weights::RoutingWeights;
 
-/// The mean tokens of a prefill before the first one.
+/// The mean tokens per prefill that are assumed before the first one.
 const INITIAL_MEAN_PREFILL_TOKENS: f64 = 3000.0;
 /// The weight of the newest prefill in the moving average of prefill tokens.
 const MEAN_PREFILL_GAIN: f64 = 0.02;
 /// The weight of the newest observation in the moving average of pending tokens.
 const MEAN_PENDING_GAIN: f64 = 0.05;
 /// How long a prefill server gets no handovers after one of its handles could not be fetched.
-const HANDLE_DISTRUST: Duration = Duration::from_millis(1500);
-/// The time of a load report is never the clock's origin, which means that there is none.
+const HANDOVER_SUSPENSION: Duration = Duration::from_millis(1500);
+/// The earliest recorded time of a load report, because [`Instant::ORIGIN`] means that there was none.
 const EARLIEST_LOAD_REPORT: Instant = Instant::from_millis(1);
 
-/// All that one proxy decides with.
+/// The routing state of one proxy.
 #[derive(Debug)]
 pub struct Router<R> {
     pub(crate) weights: RoutingWeights,
     pub(crate) endpoints: EndpointTable,
     budgets: HashMap<String, RetryBudget>,
     low_discrepancy_sequences: LowDiscrepancySequences,
-    /// How long it takes until streams start, by service.
+    /// Latency estimates until the start of a stream, by service.
     start_latencies: HashMap<String, StartLatency>,
     pub(crate) zone: String,
     pub(crate) proxy_count: usize,
-    /// Prompt tokens that this proxy has pending at one server, on the average: a guess at what each other proxy has.
+    /// Moving average of the prompt tokens that this proxy has pending per server. It also serves as the estimate for
+    /// each of the other proxies.
     pub(crate) mean_pending_tokens: PerLoadKind<f64>,
-    /// Tokens of a prompt that is prefilled, on the average.
+    /// Moving average of the tokens per prefilled prompt.
     pub(crate) mean_prefill_tokens: f64,
     pub(crate) rng: R,
 }
 
 impl<R: RngCore> Router<R> {
-    /// A proxy in `zone` that knows no server yet.
+    /// Creates the router of a proxy in `zone`, without any servers.
     pub fn new(weights: RoutingWeights, zone: &str, rng: R) -> Self {
         Self {
             weights,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Takes the registry's present entries.
+    /// Replaces the registry's entries. Servers that stay listed keep their recorded state.
     pub fn update_servers<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
         self.endpoints.update(servers);
     }
@@ -73,12 +75,12 @@
         self.proxy_count = count.max(1);
     }
 
-    /// What is known of the servers.
+    /// The servers known to this proxy.
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// Counts a client's request for a service, with the priority of its route.
+    /// Counts a client's request for a service. `priority` is that of its route; 0 is the most urgent.
     pub fn record_request(&mut self, now: Instant, service: &str, priority: u8) {
         self.retry_budget(service).record_request(now, priority);
     }
@@ -88,26 +90,27 @@
         self.budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::new(limits))
     }
 
-    /// Takes one retry out of the service's budget; false if none is left for a request of this priority.
+    /// Takes one retry out of the service's budget. Returns false if none is left for a request of this priority.
     pub fn try_withdraw_retry(&mut self, now: Instant, service: &str, priority: u8) -> bool {
         let proxy_count = self.proxy_count;
         self.retry_budget(service).try_withdraw(now, proxy_count, priority)
     }
 
-    /// Whether the service has a server for requests that is neither in `avoid` nor ejected nor suspected.
+    /// True if the service has a server outside `avoid` that is up, neither ejected nor suspected, and has no trial
+    /// request in flight. Prefill servers don't count.
     pub fn has_ready_server(&self, now: Instant, service: &str, avoid: &[Rc<str>]) -> bool {
         let ids = self.endpoints.ids(service, LoadKind::Decode).iter().filter(|id| !avoid.contains(id));
         ids.filter_map(|id| self.endpoints.get(id)).any(|endpoint| endpoint.is_ready(now))
     }
 
-    /// Whether a retry is left in the service's budget for a request of this priority.
+    /// True if the service's budget has a retry left for a request of this priority.
     pub fn has_retry(&mut self, now: Instant, service: &str, priority: u8) -> bool {
         let proxy_count = self.proxy_count;
         self.retry_budget(service).has_retry(now, proxy_count, priority)
     }
 
-    /// A number from 0 to below 1 to divide the requests of a route by: unlike random ones, the numbers of a route are
-    /// spread evenly.
+    /// The next number from 0 to below 1 for splitting the requests of a route by weight. Unlike random numbers, those
+    /// of one route form a low-discrepancy sequence.
     pub fn low_discrepancy_fraction(&mut self, route: &str) -> f64 {
         let Self { low_discrepancy_sequences, rng, .. } = self;
         low_discrepancy_sequences.next(route, || uniform_fraction(rng))
@@ -118,8 +121,8 @@
         uniform_fraction(&mut self.rng)
     }
 
-    /// The service's servers in state `up` that may be selected, except those in `avoid`: those that are neither ejected
-    /// nor suspected by the registry; if there are none, those that are not suspected; if there are none, all.
+    /// The service's servers in state `up` and outside `avoid` that may be selected: those that are neither ejected nor
+    /// suspected by the registry; if there are none, those that are not suspected; if there are none either, all.
     pub(crate) fn selectable(
         &self,
         now: Instant,
@@ -140,14 +143,14 @@
         if unsuspected.is_empty() { up().collect() } else { unsuspected }
     }
 
-    /// A server was selected: after an ejection this request is its trial.
+    /// Records that a server was selected. After an ejection, this request is its trial.
     pub(crate) fn record_selection(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_selection();
         }
     }
 
-    /// Updates the average of what this proxy has pending at one server of the service.
+    /// Updates the moving average of the prompt tokens that this proxy has pending per server of the service.
     pub(crate) fn update_mean_pending(&mut self, service: &str, kind: LoadKind) {
         let ids = self.endpoints.ids(service, kind);
         let endpoints = ids.iter().filter_map(|id| self.endpoints.get(id));
@@ -157,7 +160,7 @@
         *mean += MEAN_PENDING_GAIN * (observed - *mean);
     }
 
-    /// A server reported how many requests it has, queued or running.
+    /// Records a server's report of how many requests it has, queued or running.
     pub fn record_load(&mut self, now: Instant, id: &str, load: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.prefill_load.record_report(load);
@@ -165,7 +168,7 @@
         }
     }
 
-    /// A prompt of this many tokens was sent there to be prefilled.
+    /// Records that a prompt of this many tokens was sent to the server for prefill.
     pub fn start_prefill(&mut self, id: &str, tokens: f64) {
         self.mean_prefill_tokens += MEAN_PREFILL_GAIN * (tokens - self.mean_prefill_tokens);
         if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// A prompt that [`Router::start_prefill`] has counted was prefilled, or its prefill was given up.
+    /// Records that a prompt counted by [`Router::start_prefill`] was prefilled, or that its prefill was given up.
     pub fn finish_prefill(&mut self, id: &str, tokens: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.pending_prefill_tokens = (endpoint.pending_prefill_tokens - tokens).max(0.0);
@@ -188,22 +191,22 @@
         self.start_latencies.entry(service.to_owned()).or_default()
     }
 
-    /// What is known of how long streams of the service take to start.
+    /// The latency estimates of a service; the initial ones if nothing was observed yet.
     pub(crate) fn start_latency(&self, service: &str) -> StartLatency {
         self.start_latencies.get(service).cloned().unwrap_or_default()
     }
 
-    /// What was learned of each service with prompts.
+    /// The latency estimates of each service with prompts.
     pub fn learned_latencies(&self, now: Instant) -> impl Iterator<Item = (&str, LearnedLatencies)> {
         self.start_latencies.iter().map(move |(service, latency)| (service.as_str(), latency.learned(now)))
     }
 
-    /// A prefill server of the service has returned the handle of the prompt.
+    /// Records the time until a prefill server of the service returned the handle of the prompt.
     pub fn record_prefill_latency(&mut self, service: &str, prompt: &Prompt, latency: Duration) {
         self.start_latency_mut(service).observe_prefill(prompt.unshared_tokens(), latency);
     }
 
-    /// The first event has arrived of a request with a prompt that was prefilled elsewhere.
+    /// Records the time until the first event of a request whose prompt a prefill server has prefilled.
     pub fn record_handover_latency(
         &mut self,
         now: Instant,
@@ -214,7 +217,7 @@
         self.start_latency_mut(service).observe_handover(now, prompt, latency);
     }
 
-    /// The first event has arrived of a request whose decode server has prefilled the prompt.
+    /// Records the time until the first event of a request whose decode server has prefilled the prompt.
     pub fn record_local_prefill_latency(
         &mut self,
         now: Instant,
@@ -225,57 +228,57 @@
         self.start_latency_mut(service).observe_local_prefill(now, prompt, latency);
     }
 
-    /// A request was sent to this server to run.
+    /// Records that a request was sent to the server to run.
     pub fn start_request(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.in_flight.record_send();
         }
     }
 
-    /// A request that [`Router::start_request`] has counted has ended.
+    /// Records the end of a request counted by [`Router::start_request`].
     pub fn finish_request(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.in_flight.record_end();
         }
     }
 
-    /// Any part of a response has arrived from the server.
+    /// Records that some part of a response has arrived from the server.
     pub fn record_received(&mut self, now: Instant, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.last_received_at = now;
         }
     }
 
-    /// Whether nothing has arrived from the server since that instant. A server that is not known counts as silent.
+    /// True if nothing has arrived from the server since that instant. An unknown server counts as silent.
     pub fn is_silent_since(&self, since: Instant, id: &str) -> bool {
         self.endpoints.get(id).is_none_or(|endpoint| endpoint.last_received_at < since)
     }
 
-    /// The server answered as it should.
+    /// Records a successful attempt.
     pub fn record_success(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_success();
         }
     }
 
-    /// An attempt failed in a way that is evidence about the server.
+    /// Records a failed attempt that counts against the server.
     pub fn record_failure(&mut self, now: Instant, id: &str, failure: ServerFailure) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_failure(now, failure);
         }
     }
 
-    /// An attempt ended without showing anything of the server, or was never made.
+    /// Records that an attempt said nothing about the server, or was never made.
     pub fn record_inconclusive(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_inconclusive();
         }
     }
 
-    /// A handle of this prefill server could not be fetched: it gets no handovers for a while.
+    /// Suspends handovers from a prefill server for a while, because one of its handles could not be fetched.
     pub fn suspend_handovers(&mut self, now: Instant, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.handles_distrusted_until = now + HANDLE_DISTRUST;
+            endpoint.handovers_suspended_until = now + HANDOVER_SUSPENSION;
         }
     }
 }
--- a/crates/routing/tests/outlier.rs
+++ b/crates/routing/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: when a server is ejected, and how it comes back.
+//! Outlier ejection: when a server is ejected, and when it may be selected again.
 
 use mosshead_routing::{OutlierRecord, ServerFailure};
 use mosshead_time::{Duration, Instant};
@@ -19,7 +19,7 @@
     record.record_success();
     assert!(record.is_selectable(at(1501)));
     record.record_selection();
-    assert!(record.is_selectable(at(1501)), "a proven server takes any number of requests");
+    assert!(record.is_selectable(at(1501)), "after a success the number of requests is not limited");
 }
 
 #[test]
@@ -27,7 +27,8 @@
     let (mut record, mut now, mut last) = (OutlierRecord::default(), 0, 0);
     for _ in 0..10 {
         record.record_failure(at(now), ServerFailure::Unreachable);
-        let ejection = (0..20_000).find(|wait| record.is_selectable(at(now + wait))).expect("it comes back");
+        let ejection =
+            (0..20_000).find(|wait| record.is_selectable(at(now + wait))).expect("the ejection ends");
         assert!(ejection >= last && ejection <= 4000);
         (now, last) = (now + ejection, ejection);
         record.record_selection();
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_full_server_is_left_out_for_a_moment_only() {
+fn an_overloaded_server_is_paused_briefly_and_needs_no_trial() {
     let mut record = OutlierRecord::default();
     record.record_failure(at(100), ServerFailure::Overloaded);
     assert!(!record.is_selectable(at(110)) && record.is_selectable(at(160)));
@@ -62,8 +63,9 @@
 }
 
 quickcheck! {
-    /// Whatever happened, a server is tried again within the longest ejection once its trials have ended.
-    fn no_server_stays_ejected_for_good(events: Vec<u8>) -> bool {
+    /// After any sequence of events, a server without a trial in flight is selectable again within the longest
+    /// ejection.
+    fn every_ejection_ends(events: Vec<u8>) -> bool {
         let (mut record, mut now) = (OutlierRecord::default(), Instant::ORIGIN);
         for event in events {
             now += Duration::from_millis(u64::from(event));
--- a/crates/routing/tests/retry_budget.rs
+++ b/crates/routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget never exceeds its rule, however the requests and retries fall on the proxies.
+//! The retry budget never exceeds its rule, however requests and retries are distributed over the proxies.
 
 use mosshead_routing::{RetryBudget, RetryBudgetLimits};
 use mosshead_time::{Duration, Instant};
@@ -11,14 +11,14 @@
     Instant::from_millis(millis)
 }
 
-/// How many of these instants lie in the window that ends at `end`.
+/// The number of these instants in the window that ends at `end`.
 fn count_in_window(instants: &[Instant], end: Instant) -> f64 {
     instants.iter().filter(|instant| **instant <= end && **instant + WINDOW > end).count() as f64
 }
 
 quickcheck! {
-    /// Any proxies, any steps of time: in every window the retries of all proxies stay within the rule, by the requests
-    /// of that window, of the one before it or of the one half a window before it.
+    /// For any distribution over proxies and any time steps: in every window the retries of all proxies stay within the
+    /// rule, by the requests of that window, of the window before it, or of the window that ends half a window earlier.
     fn all_proxies_together_stay_within_the_rule(steps: Vec<(u16, u8, bool, u8)>) -> bool {
         let proxies = 4;
         let mut budgets: Vec<RetryBudget> = (0..proxies).map(|_| RetryBudget::new(LIMITS)).collect();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_lone_burst_of_failures_spends_the_proxy_s_share_and_no_more() {
+fn a_burst_of_failures_at_one_proxy_spends_no_more_than_its_share() {
     let mut budget = RetryBudget::new(LIMITS);
     (0..10).for_each(|millis| budget.record_request(at(millis), 0));
     let spent = (0..1000).filter(|millis| budget.try_withdraw(at(10 + millis), 6, 0)).count();
@@ -50,37 +50,37 @@
 }
 
 #[test]
-fn spent_retries_come_back_with_the_window() {
+fn spent_retries_are_available_again_after_a_window() {
     let mut budget = RetryBudget::new(LIMITS);
     while budget.try_withdraw(at(0), 1, 0) {}
     assert!(!budget.try_withdraw(at(9_000), 1, 0));
     assert!(budget.try_withdraw(at(10_600), 1, 0));
 }
 
-/// How many retries are spent one after the other by requests of this priority.
-fn spent_by(budget: &mut RetryBudget, now: Instant, priority: u8) -> usize {
+/// The number of retries that requests of this priority can withdraw one after another.
+fn withdrawn_by(budget: &mut RetryBudget, now: Instant, priority: u8) -> usize {
     (0..1_000).filter(|_| budget.try_withdraw(now, 1, priority)).count()
 }
 
-/// Failures of less urgent requests leave a part of the budget to the most urgent ones, whatever their number.
+/// However many less urgent requests fail, a part of the budget is left to the most urgent ones.
 #[test]
 fn less_urgent_requests_leave_a_reserve_to_the_most_urgent_ones() {
     let mut budget = RetryBudget::new(LIMITS);
     (0..90).for_each(|_| budget.record_request(at(0), 5));
     (0..10).for_each(|_| budget.record_request(at(0), 1));
-    let less_urgent = spent_by(&mut budget, at(10), 5);
-    let most_urgent = spent_by(&mut budget, at(10), 1);
+    let less_urgent = withdrawn_by(&mut budget, at(10), 5);
+    let most_urgent = withdrawn_by(&mut budget, at(10), 1);
     let all = (0.8_f64 * (0.2 * 100.0 + 52.0)) as usize;
     assert_eq!(less_urgent + most_urgent, all);
     assert_eq!(less_urgent, (0.75 * 0.8 * (0.2 * 100.0 + 52.0)) as usize);
 }
 
-/// Without more urgent requests beside them nothing is held back: no kind of request starves.
+/// Without more urgent requests nothing is reserved, so that no priority starves.
 #[test]
 fn requests_of_one_priority_spend_the_whole_budget() {
     let mut budget = RetryBudget::new(LIMITS);
     (0..100).for_each(|_| budget.record_request(at(0), 5));
-    assert_eq!(spent_by(&mut budget, at(10), 5), (0.8_f64 * 72.0) as usize);
+    assert_eq!(withdrawn_by(&mut budget, at(10), 5), (0.8_f64 * 72.0) as usize);
     // The urgent requests have left the window.
     budget.record_request(at(20), 0);
     assert!(!budget.try_withdraw(at(30), 1, 5));
--- a/crates/routing/tests/server_selection.rs
+++ b/crates/routing/tests/server_selection.rs
@@ -1,4 +1,4 @@
-//! Which servers requests and prompts are sent to.
+//! Server selection for requests without a prompt, and the selection of a server pair for prompts.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
     Server {
         id: id.into(),
         service: service.into(),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("the address is valid"),
         zone: "here".into(),
         software_revision: "v1".into(),
         slots: 64,
@@ -54,32 +54,33 @@
     llm_servers_of(4, 5)
 }
 
-fn part(id: u64, tokens: f64) -> PromptPart {
+fn prompt_part(id: u64, tokens: f64) -> PromptPart {
     PromptPart { id, tokens }
 }
 
 /// A prompt whose last shared part has this id.
 fn prompt(tokens: f64, shared_part_id: u64) -> Prompt {
-    let parts = vec![part(1, 500.0), part(shared_part_id, 4000.0), part(999, tokens - 4500.0)];
+    let parts =
+        vec![prompt_part(1, 500.0), prompt_part(shared_part_id, 4000.0), prompt_part(999, tokens - 4500.0)];
     Prompt { tokens, parts, max_output_tokens: 40.0, max_event_gap: MAX_EVENT_GAP }
 }
 
-/// A short prompt that shares nothing.
+/// A prompt of 200 tokens without a shared part.
 fn short_prompt(max_output_tokens: f64) -> Prompt {
     unshared_prompt(200.0, max_output_tokens)
 }
 
-/// A prompt that shares nothing.
+/// A prompt without a shared part.
 fn unshared_prompt(tokens: f64, max_output_tokens: f64) -> Prompt {
-    Prompt { tokens, parts: vec![part(1, tokens)], max_output_tokens, max_event_gap: MAX_EVENT_GAP }
+    Prompt { tokens, parts: vec![prompt_part(1, tokens)], max_output_tokens, max_event_gap: MAX_EVENT_GAP }
 }
 
-/// Whether the prompt is handed over from a prefill server to a decode server.
+/// True if the prompt is handed over from a prefill server to a decode server.
 fn is_handed_over(router: &mut Router<Pcg64Mcg>, now: Instant, prompt: &Prompt) -> bool {
     router.select_pair(now, "llm", prompt, &[]).expect("a pair").prefill.is_some()
 }
 
-/// A service whose prefill servers read so many tokens in a millisecond, and whose handovers take so long.
+/// Records 500 requests of a service with this prefill speed and this handover latency.
 fn observe_handovers(router: &mut Router<Pcg64Mcg>, now: Instant, tokens_per_milli: f64, handover: Duration) {
     for index in (0..200).cycle().take(500) {
         let observed = unshared_prompt(100.0 + 40.0 * f64::from(index), 10.0);
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn the_lower_loaded_of_two_gets_the_request() {
+fn the_less_loaded_of_two_servers_gets_the_request() {
     let servers = [server("a", "s", None), server("b", "s", None)];
     let mut router = router(&servers);
     (0..3).for_each(|_| router.start_request("a"));
@@ -111,12 +112,12 @@
 }
 
 #[test]
-fn ties_fall_evenly_on_all_servers() {
+fn ties_are_broken_evenly_among_all_servers() {
     let servers: Vec<_> = (0..5).map(|index| server(&format!("s{index}"), "s", None)).collect();
     let mut router = router(&servers);
     let mut counts: HashMap<Rc<str>, u32> = HashMap::new();
     for _ in 0..5000 {
-        *counts.entry(router.select_server(START, "s", &[]).expect("one")).or_default() += 1;
+        *counts.entry(router.select_server(START, "s", &[]).expect("a server is selected")).or_default() += 1;
     }
     assert!(counts.len() == 5 && counts.values().all(|count| (850..1150).contains(count)), "{counts:?}");
 }
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_server_that_fails_fast_is_ejected_though_it_looks_idle() {
+fn a_server_that_fails_fast_is_ejected_although_it_has_the_lowest_load() {
     let servers = [server("a", "s", None), server("b", "s", None), server("c", "s", None)];
     let mut router = router(&servers);
     router.start_request("b");
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn suspected_servers_are_the_last_resort() {
+fn suspected_servers_are_selected_only_if_there_is_no_other() {
     let mut servers = [server("a", "s", None), server("b", "s", None)];
     servers[0].is_suspected = true;
     let mut router = router(&servers);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn prompts_that_share_a_prefix_meet_at_the_same_two_prefill_servers() {
+fn prompts_that_share_a_prefix_go_to_the_same_two_prefill_servers() {
     let mut router = router(&llm_servers());
     let mut selected = HashSet::new();
     for _ in 0..200 {
@@ -167,8 +168,8 @@
 }
 
 #[test]
-fn all_proxies_find_the_same_homes_of_a_prefix() {
-    let homes = |seed| {
+fn all_proxies_select_the_same_home_servers_for_a_prefix() {
+    let home_servers = |seed| {
         let mut router = seeded_router(&llm_servers(), seed);
         let mut selected: Vec<_> = (0..60)
             .filter_map(|_| {
@@ -182,7 +183,7 @@
         selected.dedup();
         selected
     };
-    assert_eq!(homes(1), homes(2));
+    assert_eq!(home_servers(1), home_servers(2));
 }
 
 #[test]
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn the_longest_prompt_that_is_prefilled_locally_follows_the_engine_and_the_handovers() {
+fn the_longest_locally_prefilled_prompt_depends_on_engine_speed_and_handover_latency() {
     let longest_local = |tokens_per_milli: f64, handover_millis: u64| {
         let mut router = router(&llm_servers_of(6, 3));
         observe_handovers(&mut router, at(100), tokens_per_milli, Duration::from_millis(handover_millis));
@@ -222,7 +223,8 @@
         let lengths: Vec<f64> = (1..200).map(|index| 50.0 * f64::from(index)).collect();
         lengths.iter().take_while(is_local).last().copied().unwrap_or(0.0)
     };
-    // A local prefill takes twice as long as a remote one, and waits for 12 ms as long as none was observed.
+    // A local prefill takes twice as long as a remote one, plus a fixed time that is assumed as 12 ms until one is
+    // observed.
     for (tokens_per_milli, handover_millis, expected) in
         [(60.0, 25, 780.0), (112.0, 45, 3_696.0), (6.0, 60, 288.0), (60.0, 12, 0.0), (600.0, 20, 4_800.0)]
     {
@@ -233,7 +235,7 @@
 }
 
 #[test]
-fn short_prompts_are_handed_over_while_local_prefills_wait_and_come_back_later() {
+fn short_prompts_are_handed_over_only_while_local_prefills_are_known_to_be_slow() {
     let mut router = router(&llm_servers_of(6, 3));
     let short = short_prompt(10.0);
     assert!(!is_handed_over(&mut router, at(0), &short));
@@ -241,7 +243,7 @@
         router.record_local_prefill_latency(at(1_000), "llm", &short, Duration::from_millis(300));
     });
     assert!(is_handed_over(&mut router, at(1_000), &short));
-    assert!(!is_handed_over(&mut router, at(60_000), &short), "what was learned is forgotten");
+    assert!(!is_handed_over(&mut router, at(60_000), &short), "the learned latency has decayed");
 }
 
 #[test]
@@ -256,7 +258,7 @@
 }
 
 #[test]
-fn a_local_prefill_takes_a_small_share_of_the_longest_gap_between_events() {
+fn a_local_prefill_is_limited_to_a_small_share_of_the_longest_event_gap() {
     let mut router = router(&llm_servers());
     observe_handovers(&mut router, at(0), 60.0, Duration::from_millis(400));
     let mut prompt = unshared_prompt(3_000.0, 10.0);
@@ -265,7 +267,7 @@
     assert!(is_handed_over(&mut router, at(0), &prompt));
 }
 
-/// A prefill took 2.7 s; the decode server that had been selected had meanwhile announced that it was draining.
+/// During a prefill of 2.7 s, the selected decode server announces that it is draining. It must not get the request.
 #[test]
 fn a_decode_server_that_begins_to_drain_during_the_prefill_gets_no_request() {
     let mut servers = llm_servers();
@@ -275,7 +277,8 @@
         let selected = servers.iter_mut().find(|server| server.id == *pair.decode).expect("it is listed");
         selected.state = OperState::Draining;
         router.update_servers(servers.iter());
-        let confirmed = router.confirm_decode_server(at(2700), "llm", &pair, &[]).expect("another");
+        let confirmed =
+            router.confirm_decode_server(at(2700), "llm", &pair, &[]).expect("another decode server is up");
         let confirmed = servers.iter().find(|server| server.id == *confirmed).expect("it is listed");
         assert_eq!((confirmed.state, confirmed.stage), (OperState::Up, Some(Stage::Decode)));
         servers.iter_mut().for_each(|server| server.state = OperState::Up);
