--- a/crates/stage-scheduler/src/demand.rs
+++ b/crates/stage-scheduler/src/demand.rs
@@ -1,37 +1,37 @@
-//! How much work each stage of a service gets, estimated from the reports of its servers.
+//! Estimates how much work each stage of a service has, from the load reports of its servers.
 
 use std::collections::BTreeMap;
 
 use mosshead_registry::Stage;
 use mosshead_time::{Duration, Instant};
 
-/// Reports that are older say nothing any more.
+/// Older reports are discarded.
 const REPORT_LIFETIME: Duration = Duration::from_secs(12);
-/// The time in which the estimate follows a change by about two thirds.
+/// Time constant of the exponential smoothing: after this time the estimate has followed about two thirds of a change.
 const SMOOTHING_TIME: Duration = Duration::from_secs(4);
-/// What a waiting prompt adds to the utilization of a prefill server. It is below 1, since prompts with the same prefix also
-/// wait for one another where other servers are idle.
+/// How much a queued prompt adds to the utilization of a prefill server. It is below 1, because prompts with the same
+/// prefix queue behind each other even while other servers are idle.
 const QUEUED_PREFILL_WEIGHT: f64 = 0.1;
-/// No server counts for more than this many busy ones, however long its queue.
+/// Upper bound on the utilization of a server, however long its queue.
 const MAX_UTILIZATION: f64 = 2.0;
-/// Below this utilization of all servers together there is too little work to judge by.
+/// Below this mean utilization of all servers there is too little work for an estimate.
 const MIN_UTILIZATION: f64 = 0.05;
 
-/// So many reports of a stage say enough of it, however many servers it has.
-const ENOUGH_REPORTS: usize = 12;
+/// An estimate needs reports from half of a stage's servers, but from no more servers than this.
+const MAX_REQUIRED_REPORTS: usize = 12;
 
-/// The requests that a model server reports.
+/// The requests on a model server, as it reports them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerLoad {
-    /// Requests that wait.
+    /// Waiting requests.
     pub queued: f64,
-    /// Requests that it works on.
+    /// Requests in progress.
     pub active: f64,
 }
 
 impl ServerLoad {
-    /// The share of the server that is in use, above 1 where requests wait. A prefill server works on one prompt at a
-    /// time, a decode server on as many streams as it has slots.
+    /// The share of the server that is in use; waiting requests can raise it above 1. A prefill server processes one
+    /// prompt at a time, a decode server as many streams as it has slots.
     fn utilization(&self, stage: Stage, slots: u32) -> f64 {
         let utilization = match stage {
             Stage::Prefill => self.active.min(1.0) + QUEUED_PREFILL_WEIGHT * self.queued,
@@ -41,7 +41,7 @@
     }
 }
 
-/// One server of the service whose demand is estimated.
+/// A server of the service whose demand is estimated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StageMember<'a> {
     pub(crate) id: &'a str,
@@ -49,7 +49,7 @@
     pub(crate) slots: u32,
 }
 
-/// The work of both stages, in servers that it keeps busy.
+/// The work of each stage, as the number of servers that it keeps busy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StageDemand {
     pub(crate) prefill: f64,
@@ -57,12 +57,12 @@
 }
 
 impl StageDemand {
-    /// The share of the servers that gives both stages the same utilization.
+    /// The share of prefill servers at which both stages have the same utilization.
     pub(crate) fn prefill_share(&self) -> f64 {
         self.prefill / (self.prefill + self.decode)
     }
 
-    /// The utilization of the busier stage while these servers run.
+    /// The utilization of the busier stage if these servers do the work.
     pub(crate) fn max_utilization(&self, members: &[StageMember<'_>]) -> f64 {
         let prefill_servers = members.iter().filter(|member| member.stage == Stage::Prefill).count();
         let decode_servers = members.len() - prefill_servers;
@@ -83,7 +83,7 @@
     demand: StageDemand,
 }
 
-/// The last reports, and the smoothed demand of each service.
+/// The last report of each server, and the smoothed demand of each service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DemandEstimator {
     reports: BTreeMap<String, Report>,
@@ -91,28 +91,29 @@
 }
 
 impl DemandEstimator {
-    /// How many reports are known.
+    /// The number of servers that have a stored report.
     pub(crate) fn report_count(&self) -> usize {
         self.reports.len()
     }
 
-    /// Takes the report of a server.
+    /// Stores the report of a server.
     pub(crate) fn record_report(&mut self, now: Instant, id: &str, load: ServerLoad) {
         self.reports.insert(id.to_owned(), Report { received_at: now, load });
     }
 
-    /// When the server's last report arrived; the origin of the clock where none did.
+    /// When the server's last report arrived; [`Instant::ORIGIN`] if there is none.
     pub(crate) fn reported_at(&self, id: &str) -> Instant {
         self.reports.get(id).map_or(Instant::ORIGIN, |report| report.received_at)
     }
 
-    /// Forgets reports that are too old.
+    /// Drops reports and estimates that are too old.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.reports.retain(|_, report| now < report.received_at + REPORT_LIFETIME);
         self.smoothed.retain(|_, smoothed| now < smoothed.updated_at + REPORT_LIFETIME);
     }
 
-    /// The smoothed demand of a service; `None` where too few servers have reported, or there is too little work.
+    /// Updates the smoothed demand of a service and returns it, or `None` if too few servers have reported or there is
+    /// too little work.
     pub(crate) fn update(
         &mut self,
         now: Instant,
@@ -137,14 +138,14 @@
         is_enough.then_some(demand)
     }
 
-    /// The number of servers that the stage's work keeps busy; `None` where too few have reported of late.
+    /// The number of servers that the stage's work keeps busy; `None` if too few servers have a recent report.
     fn busy_servers(&self, members: &[StageMember<'_>], stage: Stage) -> Option<f64> {
         let of_stage: Vec<_> = members.iter().filter(|member| member.stage == stage).collect();
         let utilizations: Vec<f64> = of_stage
             .iter()
             .filter_map(|member| Some(self.reports.get(member.id)?.load.utilization(stage, member.slots)))
             .collect();
-        if of_stage.is_empty() || utilizations.len() < of_stage.len().div_ceil(2).min(ENOUGH_REPORTS) {
+        if of_stage.is_empty() || utilizations.len() < of_stage.len().div_ceil(2).min(MAX_REQUIRED_REPORTS) {
             return None;
         }
         let mean = utilizations.iter().sum::<f64>() / utilizations.len() as f64;
--- a/crates/stage-scheduler/src/lib.rs
+++ b/crates/stage-scheduler/src/lib.rs
@@ -1,9 +1,10 @@
-//! The stage scheduler: which model servers run prefill and which run decode. Decisions only: no I/O, no clock.
+//! The stage scheduler: decides which model servers run prefill and which run decode. It does no I/O and reads no
+//! clock.
 //!
-//! It is a singleton role, carried out by the primary under a [fencing token](fencing_token) that only rises. When the
-//! number of a service's prefill servers has differed from its target for a while, servers get the other stage; at least
-//! [`StagePolicy::min_decode_servers`] are left to decode. The target follows the work that both stages get, which the
-//! servers' reports tell.
+//! It is a singleton role of the primary, under a [fencing token](fencing_token) that only increases. When the number
+//! of a service's prefill servers has differed from its target for a while, servers are reassigned to the other stage;
+//! at least [`StagePolicy::min_decode_servers`] keep decoding. The target follows the work of both stages, as the
+//! servers report it.
 
 mod demand;
 mod fencing;
--- a/crates/stage-scheduler/src/policy.rs
+++ b/crates/stage-scheduler/src/policy.rs
@@ -1,46 +1,47 @@
-//! The targets of the stage scheduler, and its delays.
+//! Targets and delays of the stage scheduler.
 
 use mosshead_time::Duration;
 
 /// Targets and delays of the stage scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StagePolicy {
-    /// The smallest share of a service's model servers that run prefill, from 0 to 1.
+    /// Lower bound on the share of a service's model servers that run prefill, from 0 to 1.
     pub min_prefill_share: f64,
-    /// The largest share. Decode servers also fetch KV caches, one at a time, which their reports don't show.
+    /// Upper bound on this share. Decode servers also fetch KV caches, one at a time, and their reports don't show that
+    /// work.
     pub max_prefill_share: f64,
-    /// Until there is work to judge by, one server runs prefill for this many slots of decode servers.
-    pub start_slots_per_prefill_server: f64,
-    /// The share is kept while both stages have a lower utilization: servers that change their stage are missing for a
-    /// while and lose what they have cached, which idle ones don't repay.
+    /// Until there is enough work for an estimate, one server runs prefill per this many slots of decode servers.
+    pub initial_slots_per_prefill_server: f64,
+    /// The share is kept while both stages have a lower utilization. A server that changes its stage is unavailable for
+    /// a while and loses its cache, which does not pay off while servers are idle.
     pub min_utilization_to_rebalance: f64,
     /// The share is kept while the demand asks for one that differs by no more than this.
     pub share_hysteresis: f64,
-    /// How long the demand has to ask for another share before the share changes.
+    /// How long the demand must have asked for another share before the share changes.
     pub demand_persistence: Duration,
-    /// The share changes by this much at once.
+    /// Upper bound on one change of the share.
     pub max_share_step: f64,
-    /// How long the share is then kept: what the changed servers do has to show in the reports first.
+    /// How long the share is kept after a change, until the reports show the effect of that change.
     pub share_settling_time: Duration,
-    /// The fewest servers of a service that run decode. A service with no more servers than this still runs one prefill
-    /// server, if it has two servers at least.
+    /// Lower bound on the number of decode servers of a service. A service with no more servers than this still runs
+    /// one prefill server if it has at least two servers.
     pub min_decode_servers: usize,
-    /// How long the number of prefill servers has to differ from its target by more than one before servers are
+    /// How long the number of prefill servers must have differed from its target by more than one before servers are
     /// reassigned.
     pub imbalance_delay: Duration,
-    /// The same for a difference of one server. It is longer, since such differences come and go while servers are
+    /// The same for a difference of one server. It is longer, because such differences come and go while servers are
     /// replaced, and each assignment costs requests in flight.
     pub single_server_imbalance_delay: Duration,
-    /// How long after an assignment the server gets no other.
+    /// Minimum time between two assignments to the same server.
     pub reassignment_cooldown: Duration,
-    /// The most assignments for one service by one call of
+    /// Upper bound on the assignments for one service in one call of
     /// [`StageScheduler::due_assignments`](crate::StageScheduler::due_assignments).
     pub max_assignments_at_once: usize,
 }
 
 impl StagePolicy {
-    /// How many servers of a service with `server_count` servers are to run prefill if this share of them is; none if there
-    /// is only one.
+    /// How many of a service's `server_count` servers should run prefill at this share. Zero if there are fewer than
+    /// two servers.
     pub fn target_prefill_servers(&self, server_count: usize, prefill_share: f64) -> usize {
         if server_count < 2 {
             return 0;
@@ -50,23 +51,24 @@
         target.clamp(1, max_prefill)
     }
 
-    /// The share of prefill servers at the start, for servers with this many slots.
-    pub fn start_share(&self, slots: u32) -> f64 {
+    /// The initial share of prefill servers, for servers with this many slots.
+    pub fn initial_prefill_share(&self, slots: u32) -> f64 {
         let slots = f64::from(slots.max(1));
-        self.bounded_share(slots / (slots + self.start_slots_per_prefill_server))
+        self.bounded_share(slots / (slots + self.initial_slots_per_prefill_server))
     }
 
-    /// The share within its bounds.
+    /// Clamps the share to its bounds.
     pub(crate) fn bounded_share(&self, prefill_share: f64) -> f64 {
         prefill_share.max(self.min_prefill_share).min(self.max_prefill_share)
     }
 
-    /// Whether servers are to change their stage while the busier stage has this utilization.
+    /// True if servers may change their stage while the busier stage has this utilization.
     pub(crate) fn is_worth_rebalancing(&self, max_utilization: f64) -> bool {
         max_utilization >= self.min_utilization_to_rebalance
     }
 
-    /// How long the number of prefill servers has to differ from its target by `imbalance` before servers are reassigned.
+    /// How long the number of prefill servers must have differed from its target by `imbalance` before servers are
+    /// reassigned.
     pub(crate) fn delay_for(&self, imbalance: usize) -> Duration {
         if imbalance > 1 { self.imbalance_delay } else { self.single_server_imbalance_delay }
     }
@@ -77,7 +79,7 @@
         Self {
             min_prefill_share: 0.2,
             max_prefill_share: 0.75,
-            start_slots_per_prefill_server: 16.0,
+            initial_slots_per_prefill_server: 16.0,
             min_utilization_to_rebalance: 0.6,
             share_hysteresis: 0.1,
             demand_persistence: Duration::from_secs(6),
--- a/crates/stage-scheduler/src/scheduler.rs
+++ b/crates/stage-scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Chooses the servers that get another stage, and records what became of their assignments.
+//! Selects the servers to reassign to another stage, and tracks their assignments.
 
 use std::collections::BTreeMap;
 
@@ -8,46 +8,45 @@
 use crate::demand::{DemandEstimator, ServerLoad, StageMember};
 use crate::policy::StagePolicy;
 
-/// A server is to run a stage from now on.
+/// Instructs a server to run a stage from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageAssignment {
     /// The instance id of the server.
     pub instance_id: String,
-    /// The stage that it is to run.
+    /// The stage that the server should run.
     pub stage: Stage,
 }
 
-/// What came of sending an assignment.
+/// The result of sending an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AssignmentOutcome {
-    /// The server runs the stage, or changes to it.
+    /// The server runs the stage, or is switching to it.
     Accepted,
-    /// The server has seen a higher fencing token: another process is the primary.
+    /// The server has seen a higher fencing token, so another process is the primary.
     StaleFence,
-    /// The server rejected it for now, or there was no response. The server may have accepted it.
+    /// The server rejected the assignment for now, or there was no response, in which case it may have been accepted.
     Unknown,
 }
 
-/// All servers are asked for a report in about this many rounds. Each call is priced as a health check.
+/// About this many rounds query each server once. Every query has the price of a health check.
 const QUERY_ROUNDS: usize = 8;
-/// The fewest and the most servers that are asked in one round.
-const MIN_QUERIES_AT_ONCE: usize = 2;
-const MAX_QUERIES_AT_ONCE: usize = 24;
+/// Bounds on the number of servers queried in one round.
+const MIN_QUERIES_PER_ROUND: usize = 2;
+const MAX_QUERIES_PER_ROUND: usize = 24;
 
-/// The stage scheduler of one primary.
+/// The stage scheduler of one primary, for one term.
 #[derive(Clone, Debug)]
 pub struct StageScheduler {
     policy: StagePolicy,
     demand: DemandEstimator,
-    /// The share of prefill servers that each service is to have. A service for which none was decided yet is not in the
-    /// map.
+    /// The target share of prefill servers, by service. A service is absent until its first target is set.
     target_shares: BTreeMap<String, TargetShare>,
-    /// Since when the number of prefill servers has differed from its target, by service. A service that is on target is
-    /// not in the map.
+    /// Since when the number of prefill servers has differed from its target, by service. A service that is on target
+    /// is absent.
     imbalanced_since: BTreeMap<String, Instant>,
-    /// The last assignments whose cooldown has not ended, by instance id.
+    /// The last assignment of each server whose cooldown has not ended, by instance id.
     last_assignments: BTreeMap<String, LastAssignment>,
-    /// Whether a server has rejected an assignment as that of a former primary.
+    /// True once a server has rejected an assignment as that of a former primary.
     is_fenced: bool,
 }
 
@@ -57,24 +56,25 @@
     stage: Stage,
 }
 
-/// The share of a service's servers that are to run prefill.
+/// The target share of a service's servers that run prefill.
 #[derive(Clone, Copy, Debug)]
 struct TargetShare {
     share: f64,
     changed_at: Instant,
-    /// Since when the demand has asked for another share.
-    rejected_since: Option<Instant>,
+    /// Since when the demand has asked for another share; `None` if it does not.
+    demand_differs_since: Option<Instant>,
 }
 
 impl TargetShare {
-    /// Changes by a step, once another share has been wanted for long enough and the last change has shown its effect.
-    fn follow(&mut self, now: Instant, wanted: f64, policy: &StagePolicy) {
+    /// Moves the share one step towards `wanted`, once another share has been wanted for long enough and the last
+    /// change has settled.
+    fn step_toward(&mut self, now: Instant, wanted: f64, policy: &StagePolicy) {
         let difference = wanted - self.share;
         if difference.abs() <= policy.share_hysteresis {
-            self.rejected_since = None;
+            self.demand_differs_since = None;
             return;
         }
-        let since = *self.rejected_since.get_or_insert(now);
+        let since = *self.demand_differs_since.get_or_insert(now);
         let is_settled = now >= self.changed_at + policy.share_settling_time;
         if is_settled && now >= since + policy.demand_persistence {
             self.share += difference.clamp(-policy.max_share_step, policy.max_share_step);
@@ -87,19 +87,18 @@
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     server: &'a Server,
-    /// The stage that it is counted for: the one that it was last assigned while that cools down, or else the one that it
-    /// reports.
-    counted_stage: Stage,
+    /// The assigned stage during the cooldown of the last assignment, or else the reported stage.
+    effective_stage: Stage,
 }
 
 impl<'a> Candidate<'a> {
     fn member(&self) -> StageMember<'a> {
-        StageMember { id: &self.server.id, stage: self.counted_stage, slots: self.server.slots }
+        StageMember { id: &self.server.id, stage: self.effective_stage, slots: self.server.slots }
     }
 }
 
-/// The share of the servers that run prefill.
-fn present_share(members: &[StageMember<'_>]) -> f64 {
+/// The current share of the servers that run prefill.
+fn current_prefill_share(members: &[StageMember<'_>]) -> f64 {
     let prefill = members.iter().filter(|member| member.stage == Stage::Prefill).count();
     prefill as f64 / members.len().max(1) as f64
 }
@@ -111,7 +110,7 @@
     slots.get(slots.len() / 2).copied().unwrap_or(1)
 }
 
-/// How many servers of a service are to change from one stage to the other.
+/// How many servers of a service should change from one stage to the other.
 #[derive(Clone, Copy)]
 struct StageChange {
     from: Stage,
@@ -120,7 +119,7 @@
 }
 
 impl StageScheduler {
-    /// The scheduler of a process that has just become primary. It knows no former assignments.
+    /// Creates the scheduler of a process that has just become primary. It does not know earlier assignments.
     pub fn new(policy: StagePolicy) -> Self {
         Self {
             policy,
@@ -132,44 +131,45 @@
         }
     }
 
-    /// Whether a server has rejected an assignment as that of a former primary: none is sent any more under this term.
+    /// True if a server has rejected an assignment as that of a former primary. No more assignments are sent under this
+    /// term.
     pub fn is_fenced(&self) -> bool {
         self.is_fenced
     }
 
-    /// Takes the report of a server about its work.
+    /// Stores a server's load report.
     pub fn record_report(&mut self, now: Instant, instance_id: &str, load: ServerLoad) {
         self.demand.record_report(now, instance_id, load);
     }
 
-    /// The servers that are to be asked for a report now, if this is called once a second: those whose last one is missing or
-    /// the oldest.
+    /// The servers to query for a load report now: those whose last report is missing or the oldest. To be called once
+    /// a second.
     pub fn servers_to_query<'a>(&self, servers: impl Iterator<Item = &'a Server>) -> Vec<&'a Server> {
         let mut queried: Vec<&Server> =
             servers.filter(|server| server.state == OperState::Up && server.stage.is_some()).collect();
         queried.sort_by_key(|server| self.demand.reported_at(&server.id));
-        queried.truncate((queried.len() / QUERY_ROUNDS).clamp(MIN_QUERIES_AT_ONCE, MAX_QUERIES_AT_ONCE));
+        queried.truncate((queried.len() / QUERY_ROUNDS).clamp(MIN_QUERIES_PER_ROUND, MAX_QUERIES_PER_ROUND));
         queried
     }
 
-    /// The share of prefill servers that each service is to have.
+    /// The target share of prefill servers of each service.
     pub fn target_shares(&self) -> impl Iterator<Item = (&str, f64)> {
         self.target_shares.iter().map(|(service, target)| (service.as_str(), target.share))
     }
 
-    /// How many servers' reports are known.
+    /// The number of servers that have a stored report.
     pub fn report_count(&self) -> usize {
         self.demand.report_count()
     }
 
-    /// The assignments that are due among these servers. Until its cooldown ends, a server counts as running the stage that
-    /// it was assigned.
+    /// Returns the assignments that are due for these servers. Until its cooldown ends, a server counts as running the
+    /// stage that it was assigned.
     pub fn due_assignments<'a>(
         &mut self,
         now: Instant,
         servers: impl Iterator<Item = &'a Server>,
     ) -> Vec<StageAssignment> {
-        // Another process has a higher fencing token, so this one is not the primary any more.
+        // Another process has a higher fencing token, so this one is no longer the primary.
         if self.is_fenced {
             return Vec::new();
         }
@@ -188,8 +188,8 @@
         assignments
     }
 
-    /// Records what came of an assignment. One of unknown outcome may have been accepted, so its cooldown goes on like that
-    /// of an accepted one.
+    /// Records the result of an assignment. An assignment with an unknown outcome may have been accepted, so its
+    /// cooldown continues like that of an accepted one.
     pub fn record_outcome(&mut self, outcome: AssignmentOutcome) {
         match outcome {
             AssignmentOutcome::StaleFence => self.is_fenced = true,
@@ -197,8 +197,8 @@
         }
     }
 
-    /// The servers that split prefill and decode and take requests, by service. During its cooldown a server is counted for
-    /// the stage that it was assigned, since its heartbeats may still report the former one.
+    /// The servers of services with prefill and decode stages that take requests, by service. During the cooldown a
+    /// server counts as running its assigned stage, because its heartbeats may still report the former one.
     fn candidates_by_service<'a>(
         &self,
         now: Instant,
@@ -211,35 +211,35 @@
                 && let Some(reported_stage) = server.stage
             {
                 let recent = self.recent_assignment(now, &server.id);
-                let counted_stage = recent.map_or(reported_stage, |assignment| assignment.stage);
-                services.entry(&server.service).or_default().push(Candidate { server, counted_stage });
+                let effective_stage = recent.map_or(reported_stage, |assignment| assignment.stage);
+                services.entry(&server.service).or_default().push(Candidate { server, effective_stage });
             }
         }
         services
     }
 
-    /// The share of the service's servers that are to run prefill.
+    /// Updates and returns the target share of the service's servers that run prefill.
     ///
-    /// It follows the demand, with hysteresis. A scheduler that finds a service at work begins with the stages that are; for
-    /// an idle one there is a start value.
+    /// It follows the demand, with hysteresis. For a service under load a new scheduler starts with the current share,
+    /// for an idle service with the policy's initial share.
     fn update_target_share(&mut self, now: Instant, service: &str, candidates: &[Candidate<'_>]) -> f64 {
         let members: Vec<StageMember<'_>> = candidates.iter().map(Candidate::member).collect();
         let demand = self.demand.update(now, service, &members);
         let target = self.target_shares.entry(service.to_owned()).or_insert_with(|| {
             let share = match demand {
-                Some(_) => self.policy.bounded_share(present_share(&members)),
-                None => self.policy.start_share(median_slots(&members)),
+                Some(_) => self.policy.bounded_share(current_prefill_share(&members)),
+                None => self.policy.initial_prefill_share(median_slots(&members)),
             };
-            TargetShare { share, changed_at: now, rejected_since: None }
+            TargetShare { share, changed_at: now, demand_differs_since: None }
         });
         let wanted =
             demand.filter(|demand| self.policy.is_worth_rebalancing(demand.max_utilization(&members)));
         let wanted = wanted.map_or(target.share, |demand| self.policy.bounded_share(demand.prefill_share()));
-        target.follow(now, wanted, &self.policy);
+        target.step_toward(now, wanted, &self.policy);
         target.share
     }
 
-    /// The change that a service needs, if it has needed one for long enough.
+    /// The stage change that a service needs, if it has been needed for long enough.
     fn due_change(
         &mut self,
         now: Instant,
@@ -248,7 +248,8 @@
     ) -> Option<StageChange> {
         let share = self.update_target_share(now, service, candidates);
         let target = self.policy.target_prefill_servers(candidates.len(), share);
-        let prefill = candidates.iter().filter(|candidate| candidate.counted_stage == Stage::Prefill).count();
+        let prefill =
+            candidates.iter().filter(|candidate| candidate.effective_stage == Stage::Prefill).count();
         if prefill == target {
             self.imbalanced_since.remove(service);
             return None;
@@ -265,8 +266,8 @@
         })
     }
 
-    /// Assigns the new stage to servers of the zones that have the fewest servers of that stage, which spreads both stages
-    /// over the zones.
+    /// Assigns the new stage to servers in the zones that have the fewest servers of that stage, which spreads both
+    /// stages over the zones.
     fn assign(
         &mut self,
         now: Instant,
@@ -275,11 +276,11 @@
         assignments: &mut Vec<StageAssignment>,
     ) {
         let mut count_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
-        for candidate in candidates.iter().filter(|candidate| candidate.counted_stage == change.to) {
+        for candidate in candidates.iter().filter(|candidate| candidate.effective_stage == change.to) {
             *count_by_zone.entry(&candidate.server.zone).or_default() += 1;
         }
         candidates.retain(|candidate| {
-            candidate.counted_stage == change.from
+            candidate.effective_stage == change.from
                 && self.recent_assignment(now, &candidate.server.id).is_none()
         });
         for _ in 0..change.server_count.min(self.policy.max_assignments_at_once) {
--- a/crates/stage-scheduler/src/takeover_delay.rs
+++ b/crates/stage-scheduler/src/takeover_delay.rs
@@ -1,27 +1,27 @@
-//! The tenure of the singleton role: from which instant on its owner may send orders.
+//! The delay after which a new owner of the singleton role may send commands.
 
 use mosshead_time::{Duration, Instant};
 
-/// How much longer than a lease a new owner waits, for clocks that differ and orders that are under way.
+/// How much longer than a lease a new owner waits, to allow for clock differences and for commands in flight.
 const TAKEOVER_MARGIN: Duration = Duration::from_millis(500);
 
-/// The time in which a node owns the role under one term.
+/// The delay after which a node that owns the role under one term may send commands.
 ///
-/// Invariant *owners take no turns*: a new owner sends no order before the lease of the one before it, which may have sent
-/// its last order just before it lost the role, has surely expired.
+/// Invariant: commands of two owners never interleave. The previous owner may have sent its last command just before it
+/// lost the role, so a new owner sends none until the previous owner's lease has certainly expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakeoverDelay {
-    orders_from: Instant,
+    commands_allowed_from: Instant,
 }
 
 impl TakeoverDelay {
-    /// The tenure that begins now. `lease` is how long the last order of a former owner may be in flight.
+    /// Starts the delay now. `lease` is how long the last command of a former owner may be in flight.
     pub fn begin(now: Instant, lease: Duration) -> TakeoverDelay {
-        TakeoverDelay { orders_from: now + lease + TAKEOVER_MARGIN }
+        TakeoverDelay { commands_allowed_from: now + lease + TAKEOVER_MARGIN }
     }
 
-    /// Whether the owner may send orders.
+    /// True if the owner may send commands.
     pub fn may_send_commands(&self, now: Instant) -> bool {
-        now >= self.orders_from
+        now >= self.commands_allowed_from
     }
 }
--- a/crates/stage-scheduler/tests/stages.rs
+++ b/crates/stage-scheduler/tests/stages.rs
@@ -1,4 +1,4 @@
-//! The stage scheduler: how many servers run prefill, which are reassigned, and that it converges.
+//! The stage scheduler: how many servers run prefill, which servers are reassigned, and that the stages converge.
 
 use mosshead_registry::{OperState, Server, Stage};
 use mosshead_stage_scheduler::{
@@ -32,7 +32,7 @@
         .collect()
 }
 
-/// Six of nine run prefill.
+/// Lets six of nine servers run prefill.
 fn two_thirds_prefill() -> StagePolicy {
     StagePolicy { max_prefill_share: 0.67, ..StagePolicy::default() }
 }
@@ -41,7 +41,7 @@
     servers.iter().filter(|server| server.stage == Some(Stage::Prefill)).count()
 }
 
-/// The number of assignments that are due.
+/// The number of assignments due at this instant.
 fn due_count(scheduler: &mut StageScheduler, now: Instant, servers: &[Server]) -> usize {
     scheduler.due_assignments(now, servers.iter()).len()
 }
@@ -50,7 +50,7 @@
     Instant::from_millis(millis)
 }
 
-/// Carries out all assignments at once that are due between two instants. Returns how many there were.
+/// Immediately carries out each assignment that becomes due between two instants. Returns the number of assignments.
 fn carry_out(scheduler: &mut StageScheduler, servers: &mut [Server], from: Instant, to: Instant) -> usize {
     let mut count = 0;
     let mut now = from;
@@ -60,7 +60,7 @@
                 .iter_mut()
                 .find(|server| server.id == assignment.instance_id)
                 .expect("assignments name listed servers");
-            assert_ne!(server.stage, Some(assignment.stage), "an assignment that changes nothing");
+            assert_ne!(server.stage, Some(assignment.stage), "the server already runs the assigned stage");
             server.stage = Some(assignment.stage);
             scheduler.record_outcome(AssignmentOutcome::Accepted);
             count += 1;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn nothing_is_assigned_before_the_share_has_been_off_for_the_delay() {
+fn nothing_is_assigned_before_the_imbalance_has_lasted_for_the_delay() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
     assert_eq!(due_count(&mut scheduler, millis(0), &servers), 0);
     assert_eq!(due_count(&mut scheduler, millis(299), &servers), 0);
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn three_quarters_run_prefill_at_the_start_where_servers_have_64_slots() {
+fn three_quarters_run_prefill_initially_if_servers_have_64_slots() {
     let policy = StagePolicy::default();
-    let share = policy.start_share(64);
+    let share = policy.initial_prefill_share(64);
     assert_eq!([2, 3, 9, 18, 90].map(|count| policy.target_prefill_servers(count, share)), [1, 1, 7, 14, 68]);
 }
 
@@ -116,30 +116,33 @@
     assert!((0..5000).step_by(100).all(|now| due_count(&mut scheduler, millis(now), &servers) == 0));
 }
 
-/// A tenure ends with its first 412, whatever the assignments that were due with it; the tenure of a later term begins anew.
+/// The first 412 response ends the assignments of this term, whatever the results of other assignments that were due at
+/// the same time. The scheduler of a later term is not fenced.
 #[test]
-fn a_412_fences_one_tenure_only() {
+fn a_412_response_fences_the_scheduler_of_one_term_only() {
     let (mut scheduler, servers) = (StageScheduler::new(two_thirds_prefill()), fleet(9, 4));
     assert!(!scheduler.is_fenced());
     scheduler.record_outcome(AssignmentOutcome::Unknown);
-    assert!(!scheduler.is_fenced(), "an order without a response says nothing of the fence");
+    assert!(!scheduler.is_fenced(), "an assignment without a response says nothing about fencing");
     for outcome in [AssignmentOutcome::StaleFence, AssignmentOutcome::Accepted, AssignmentOutcome::StaleFence]
     {
         scheduler.record_outcome(outcome);
         assert!(scheduler.is_fenced());
     }
     assert!((0..60_000).step_by(100).all(|now| due_count(&mut scheduler, millis(now), &servers) == 0));
-    let mut elected_again = StageScheduler::new(two_thirds_prefill());
-    assert!((0..60_000).step_by(100).any(|now| due_count(&mut elected_again, millis(now), &servers) > 0));
+    let mut next_term_scheduler = StageScheduler::new(two_thirds_prefill());
+    assert!(
+        (0..60_000).step_by(100).any(|now| due_count(&mut next_term_scheduler, millis(now), &servers) > 0)
+    );
 }
 
-/// The last order of the owner before may have left just before its lease ended, and clocks differ.
+/// The previous owner may have sent its last command just before its lease ended, and clocks differ.
 #[test]
-fn a_new_owner_sends_no_order_until_the_lease_before_has_surely_expired() {
+fn a_new_owner_sends_no_command_until_the_previous_lease_has_certainly_expired() {
     let lease = Duration::from_millis(3_000);
-    let tenure = TakeoverDelay::begin(millis(1_000), lease);
-    assert!((0..1_000 + 3_500).all(|now| !tenure.may_send_commands(millis(now))));
-    assert!(tenure.may_send_commands(millis(1_000 + 3_500)));
+    let takeover_delay = TakeoverDelay::begin(millis(1_000), lease);
+    assert!((0..1_000 + 3_500).all(|now| !takeover_delay.may_send_commands(millis(now))));
+    assert!(takeover_delay.may_send_commands(millis(1_000 + 3_500)));
 }
 
 #[test]
@@ -164,25 +167,25 @@
     assert!(fencing_token(u64::MAX, u64::MAX) < 1 << 53, "a JSON number holds it exactly");
 }
 
-/// A fleet whose load stays as it is however the stages are shared out, as long as it is watched.
-struct WorkedFleet {
+/// A fleet with a constant amount of work, independent of how many servers run each stage.
+struct LoadedFleet {
     scheduler: StageScheduler,
     servers: Vec<Server>,
-    /// The work of each stage, in servers that it keeps busy.
+    /// The work of each stage, as the number of servers that it keeps busy.
     prefill_work: f64,
     decode_work: f64,
     now: Instant,
     assignments: usize,
 }
 
-impl WorkedFleet {
+impl LoadedFleet {
     fn new(count: usize, prefill_servers: usize, prefill_work: f64, decode_work: f64) -> Self {
         let scheduler = StageScheduler::new(StagePolicy::default());
         let servers = fleet(count, prefill_servers);
         Self { scheduler, servers, prefill_work, decode_work, now: millis(1_000), assignments: 0 }
     }
 
-    /// What a server reports whose stage has this much work.
+    /// The load that a server of the fleet reports.
     fn load_of(&self, server: &Server) -> ServerLoad {
         let prefill_servers = prefill_servers(&self.servers);
         let decode_servers = self.servers.len() - prefill_servers;
@@ -195,7 +198,7 @@
         }
     }
 
-    /// All servers report each second, and carry out what is assigned to them at once.
+    /// Runs the scheduler for a time. All servers report each second, and carry out assignments immediately.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -210,30 +213,30 @@
 }
 
 #[test]
-fn a_busy_stage_gets_servers_of_the_other_one_and_then_the_stages_rest() {
+fn a_busy_stage_gets_servers_of_the_other_one_and_then_no_stage_changes() {
     for (prefill_work, decode_work, expected) in
         [(6.0, 18.0, 12..=17), (20.0, 20.0, 20..=29), (24.0, 8.0, 30..=36)]
     {
-        let mut fleet = WorkedFleet::new(48, 24, prefill_work, decode_work);
+        let mut fleet = LoadedFleet::new(48, 24, prefill_work, decode_work);
         fleet.run(Duration::from_secs(60));
         let prefill = prefill_servers(&fleet.servers);
         assert!(expected.contains(&prefill), "{prefill_work} {decode_work}: {prefill}");
         let before = fleet.assignments;
         fleet.run(Duration::from_secs(300));
-        assert_eq!(fleet.assignments, before, "{prefill_work} {decode_work}: the stages do not swing");
+        assert_eq!(fleet.assignments, before, "{prefill_work} {decode_work}: the stages must not oscillate");
     }
 }
 
 #[test]
 fn idle_servers_keep_their_stages() {
-    let mut fleet = WorkedFleet::new(48, 24, 10.0, 3.0);
+    let mut fleet = LoadedFleet::new(48, 24, 10.0, 3.0);
     fleet.run(Duration::from_secs(60));
     assert_eq!((prefill_servers(&fleet.servers), fleet.assignments), (24, 0));
 }
 
 #[test]
 fn a_short_burst_changes_no_stage() {
-    let mut fleet = WorkedFleet::new(48, 24, 8.0, 8.0);
+    let mut fleet = LoadedFleet::new(48, 24, 8.0, 8.0);
     fleet.run(Duration::from_secs(20));
     fleet.decode_work = 26.0;
     fleet.run(Duration::from_secs(4));
@@ -243,20 +246,24 @@
 }
 
 #[test]
-fn a_new_owner_begins_with_the_stages_that_are() {
-    let mut fleet = WorkedFleet::new(48, 15, 5.0, 10.0);
+fn a_new_owner_starts_with_the_current_stages() {
+    let mut fleet = LoadedFleet::new(48, 15, 5.0, 10.0);
     fleet.run(Duration::from_secs(30));
     assert_eq!((prefill_servers(&fleet.servers), fleet.assignments), (15, 0));
 }
 
 #[test]
-fn reports_that_are_no_numbers_move_no_server() {
-    let mut fleet = WorkedFleet::new(48, 24, 8.0, 8.0);
+fn invalid_reports_cause_no_assignment() {
+    let mut fleet = LoadedFleet::new(48, 24, 8.0, 8.0);
     fleet.run(Duration::from_secs(20));
-    for lie in [f64::NAN, f64::INFINITY, -1e300] {
+    for invalid_number in [f64::NAN, f64::INFINITY, -1e300] {
         for _ in 0..60 {
             let id = fleet.servers[40].id.clone();
-            fleet.scheduler.record_report(fleet.now, &id, ServerLoad { queued: lie, active: lie });
+            fleet.scheduler.record_report(
+                fleet.now,
+                &id,
+                ServerLoad { queued: invalid_number, active: invalid_number },
+            );
             fleet.assignments += due_count(&mut fleet.scheduler, fleet.now, &fleet.servers);
             fleet.now += Duration::from_millis(50);
         }
@@ -266,17 +273,17 @@
 }
 
 #[test]
-fn the_start_share_follows_the_slots_of_the_servers() {
+fn the_initial_share_depends_on_the_slots_of_the_servers() {
     let policy = StagePolicy::default();
     assert_eq!(
-        [4, 16, 64, 128].map(|slots| policy.target_prefill_servers(48, policy.start_share(slots))),
+        [4, 16, 64, 128].map(|slots| policy.target_prefill_servers(48, policy.initial_prefill_share(slots))),
         [10, 24, 36, 36]
     );
 }
 
 quickcheck! {
-    /// Any service reaches the share, keeps enough servers that decode, and no server is reassigned twice.
-    fn any_service_converges(count: u8, initial_prefill: u8) -> bool {
+    /// Any service reaches the target share with the fewest reassignments, and keeps enough decode servers.
+    fn every_service_converges_to_its_target_share(count: u8, initial_prefill: u8) -> bool {
         let count = usize::from(count % 40);
         let (mut scheduler, mut servers) = (StageScheduler::new(StagePolicy::default()), fleet(count, usize::from(initial_prefill) % (count + 1)));
         let before = prefill_servers(&servers);
