--- a/crates/load-board/tests/draw.rs
+++ b/crates/load-board/tests/draw.rs
@@ -1,4 +1,4 @@
-//! The draw of two and the lower of them.
+//! Drawing two candidates, and picking the one with the lower load.
 
 use mosshead_load_board::{
     Candidate, lower_load, lower_of_drawn, pick_lower_of_two, random_index, two_distinct,
@@ -9,7 +9,7 @@
 
 const DRAWS: u32 = 60_000;
 
-/// Whether each of `counts` is its even share of all, within a tenth: over ten standard deviations here.
+/// True if each count is within a tenth of the even share, which is over ten standard deviations here.
 fn is_even(counts: &[u32]) -> bool {
     let even_share = f64::from(counts.iter().sum::<u32>()) / counts.len() as f64;
     counts.iter().all(|&count| (f64::from(count) - even_share).abs() < even_share / 10.0)
@@ -40,7 +40,7 @@
     CountingRng { rng: Pcg32::seed_from_u64(seed), draws: 0 }
 }
 
-/// If some pairs were likelier than others, requests would herd to them.
+/// If some pairs were more likely than others, requests would concentrate on them.
 #[test]
 fn all_ordered_pairs_are_equally_likely() {
     for count in 2..6 {
@@ -56,14 +56,15 @@
     }
 }
 
-/// Simulated days with fixed seeds are compared: another number of draws, or another use of one, gives another day.
+/// Results of simulations with fixed seeds are compared with earlier ones. They would change if the number of draws or
+/// the use of a draw changed.
 #[test]
-fn the_random_numbers_are_used_as_before() {
-    let (mut rng, mut same) = (Pcg32::seed_from_u64(7), Pcg32::seed_from_u64(7));
-    let mut random_index = |count: u64| (u64::from(same.next_u32()) * count) >> 32;
+fn the_number_and_order_of_draws_are_unchanged() {
+    let (mut rng, mut reference_rng) = (Pcg32::seed_from_u64(7), Pcg32::seed_from_u64(7));
+    let mut expected_index = |count: u64| (u64::from(reference_rng.next_u32()) * count) >> 32;
     for count in (2..200_u64).chain([u64::from(u32::MAX)]) {
-        let first = random_index(count);
-        let second = (first + 1 + random_index(count - 1)) % count;
+        let first = expected_index(count);
+        let second = (first + 1 + expected_index(count - 1)) % count;
         assert_eq!(two_distinct(&mut rng, count as usize), Some((first as usize, second as usize)));
     }
 }
@@ -110,8 +111,8 @@
     assert_eq!((lower_drawn(1.0, 1.0), lower_drawn(2.0, 1.0)), (8, 9));
 }
 
-/// With distinct loads the highest of all is never the lower of two, and the lowest wins both orders of each of its
-/// pairs: 2 of n times.
+/// With distinct loads the highest load never wins. The lowest load wins in both orders of each pair that contains it,
+/// which is 2 of n draws.
 #[test]
 fn the_lowest_load_wins_each_of_its_pairs() {
     let (mut rng, mut wins) = (Pcg32::seed_from_u64(11), [0; 6]);
@@ -123,7 +124,7 @@
 }
 
 quickcheck! {
-    fn a_draw_is_within_its_bounds(seed: u64, count: usize) -> bool {
+    fn drawn_indices_are_within_bounds(seed: u64, count: usize) -> bool {
         let mut rng = Pcg32::seed_from_u64(seed);
         let within = random_index(&mut rng, count) < count.max(1);
         let pair = two_distinct(&mut rng, count);
--- a/crates/load-board/tests/server_load.rs
+++ b/crates/load-board/tests/server_load.rs
@@ -1,4 +1,4 @@
-//! The estimate of a server's load: reports, own sends since, and their ends.
+//! The estimate of a server's load from reports, own requests sent since, and the ends of requests.
 
 use mosshead_load_board::ServerLoad;
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -64,7 +64,8 @@
     assert_eq!(after(&[Step::End, Step::Send]).estimate(), 1.0);
 }
 
-/// The end of a request from before the report must not hide one that was sent after it: a burst would go unseen.
+/// The end of a request from before the report must not hide one that was sent after it; otherwise bursts stay
+/// unnoticed.
 #[test]
 fn the_end_of_an_earlier_request_does_not_hide_a_later_one() {
     let load = after(&[Step::Send, Step::Send, Step::Report(0.0), Step::Send, Step::End, Step::End]);
