--- a/crates/recovery/src/instance_recovery.rs
+++ b/crates/recovery/src/instance_recovery.rs
@@ -1,30 +1,31 @@
-//! How far an instance has recovered since its start, and what it still waits for.
+//! Tracks how far an instance has recovered since its start, and what it still waits for.
 
 use std::fmt;
 
-/// How many of the last responses are considered: the bits of [`InstanceRecovery::responses_in_time`].
+/// The number of last responses that are considered, which are the bits of [`InstanceRecovery::responses_in_time`].
 const MAX_RESPONSES: u32 = 32;
-/// How many responses it takes to judge by.
+/// Minimum number of responses to decide by.
 const MIN_RESPONSES: u32 = 16;
-/// Share of the responses that have to be in time.
+/// The share of the responses that must be in time.
 const REQUIRED_IN_TIME_SHARE: f64 = 0.9;
-/// So many seconds after the first update the last [`FEW_RESPONSES`] are enough to judge by.
-const QUIET_PERIOD_S: f64 = 5.0;
-/// How many of the last responses have to be in time after the [`QUIET_PERIOD_S`]; all, if there were fewer.
-const FEW_RESPONSES: u32 = 3;
-/// Once a call has failed, the list is outdated when the last update is so many times the time between calls ago.
+/// From this many seconds after the first update on, the last [`LOW_TRAFFIC_RESPONSES`] are enough to decide by.
+const LOW_TRAFFIC_DELAY_S: f64 = 5.0;
+/// How many of the last responses must be in time after [`LOW_TRAFFIC_DELAY_S`]; if there were fewer, all of them.
+const LOW_TRAFFIC_RESPONSES: u32 = 3;
+/// After a failed call, the list is outdated once the last update is older than this many times the time allowed
+/// between calls.
 const OUTDATED_AFTER_INTERVALS: f64 = 4.0;
 
-/// How far an instance has recovered, in this order.
+/// How far an instance has recovered. The stages are in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryStage {
-    /// No server is known that requests may be sent to; all are rejected.
+    /// No server is known that requests may be sent to, so all requests are rejected.
     #[default]
     NoServers,
-    /// Requests are sent by a stored or outdated list, which discovery hasn't confirmed to this instance. Servers that are
-    /// known to have left get none.
+    /// Requests are sent according to a stored or outdated list that discovery has not confirmed to this instance.
+    /// Servers that are known to have left get none.
     UnconfirmedList,
-    /// Discovery has sent its list to this instance, but too few responses were in time yet.
+    /// Discovery has sent its list to this instance, but too few responses were in time so far.
     WarmingUp,
     /// Enough responses were in time.
     FullService,
@@ -37,7 +38,7 @@
     Servers,
     /// An update of the list by discovery.
     DiscoveryUpdate,
-    /// Enough responses to judge by.
+    /// Enough responses to decide by.
     Responses,
     /// Responses that are in time.
     TimelyResponses,
@@ -48,14 +49,14 @@
 /// How far an instance has recovered, and what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryStatus {
-    /// The stage that it is in.
+    /// The current stage.
     pub stage: RecoveryStage,
-    /// What it needs for the next stage.
+    /// What is missing for the next stage.
     pub blocker: RecoveryBlocker,
 }
 
 impl RecoveryStatus {
-    /// The status of an instance without servers, as each one is at its start.
+    /// The status of an instance without servers, which is that of each instance at its start.
     pub const AT_START: RecoveryStatus =
         RecoveryStatus { stage: RecoveryStage::NoServers, blocker: RecoveryBlocker::Servers };
 }
@@ -85,43 +86,44 @@
     }
 }
 
-/// The recovery of one instance, by its events. Instants are in seconds, on any clock that doesn't go back.
+/// The recovery of one instance, updated by its events. Instants are in seconds on any monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InstanceRecovery {
     has_servers: bool,
-    /// When discovery last sent an update; `None` before the first, and after a suspension.
+    /// When discovery last sent an update; `None` before the first one since the start or a suspension.
     last_update_at: Option<f64>,
-    /// Whether a call has failed since the last update.
+    /// True if a call has failed since the last update.
     has_call_failed: bool,
-    /// Whether the last responses were in time: the latest in the lowest bit.
+    /// One bit per response, set if it was in time. The latest response is the lowest bit.
     responses_in_time: u32,
-    /// How many bits of `responses_in_time` count, at most [`MAX_RESPONSES`].
+    /// The number of valid bits in `responses_in_time`, up to [`MAX_RESPONSES`].
     response_count: u32,
-    /// When the first update came, since the start or a suspension.
+    /// When the first update since the start or a suspension arrived.
     first_update_at: Option<f64>,
-    /// Whether full service was reached since the start or a suspension.
+    /// True if full service was reached since the start or a suspension.
     is_in_full_service: bool,
 }
 
 impl InstanceRecovery {
-    /// Sets whether there is a server that requests may be sent to.
+    /// Records whether there is a server that requests may be sent to.
     pub fn set_has_servers(&mut self, has_servers: bool) {
         self.has_servers = has_servers;
     }
 
-    /// Discovery has sent its list, or that nothing has changed.
+    /// Records that discovery sent its list, or that the list has not changed.
     pub fn on_discovery_update(&mut self, now: f64) {
         self.last_update_at = Some(now);
         self.has_call_failed = false;
         self.first_update_at.get_or_insert(now);
     }
 
-    /// A call to discovery has failed. As long as none fails, silence means that nothing has changed.
+    /// Records a failed call to discovery. As long as no call fails, a missing update means that the list has not
+    /// changed.
     pub fn on_discovery_failure(&mut self) {
         self.has_call_failed = true;
     }
 
-    /// The process was suspended and goes on: what discovery said meanwhile is not known.
+    /// Records that the process resumed after a suspension, during which it may have missed updates.
     pub fn on_suspended(&mut self) {
         *self = InstanceRecovery {
             has_servers: self.has_servers,
@@ -130,25 +132,25 @@
         };
     }
 
-    /// A request has its final response, in time or not.
+    /// Records the final response to a request, and whether it was in time.
     pub fn on_response(&mut self, is_in_time: bool) {
         self.responses_in_time = self.responses_in_time << 1 | u32::from(is_in_time);
         self.response_count = (self.response_count + 1).min(MAX_RESPONSES);
     }
 
-    /// Whether discovery has sent its list to this instance, and that is not outdated. `call_interval` is the time allowed
-    /// between calls, in seconds.
+    /// True if discovery has sent its list to this instance and the list is not outdated. `call_interval` is the time
+    /// allowed between calls, in seconds.
     pub fn has_current_list(&self, now: f64, call_interval: f64) -> bool {
         self.last_update_at.is_some_and(|last_update_at| {
             !self.has_call_failed || now - last_update_at <= OUTDATED_AFTER_INTERVALS * call_interval
         })
     }
 
-    /// How far the instance has recovered, and what it waits for. `call_interval` is the time allowed between calls, in
-    /// seconds.
+    /// Returns how far the instance has recovered, and what it waits for. `call_interval` is the time allowed between
+    /// calls, in seconds.
     ///
-    /// Full service, once reached, is left only while there are no servers or the list is outdated: responses that become late
-    /// later on say nothing about the recovery.
+    /// Once reached, full service is left only while there are no servers or the list is outdated. Responses that are
+    /// late after that say nothing about the recovery.
     pub fn status(&mut self, now: f64, call_interval: f64) -> RecoveryStatus {
         if !self.has_servers {
             return RecoveryStatus::AT_START;
@@ -157,7 +159,7 @@
             let blocker = RecoveryBlocker::DiscoveryUpdate;
             return RecoveryStatus { stage: RecoveryStage::UnconfirmedList, blocker };
         }
-        self.is_in_full_service |= self.is_quiet_and_in_time(now) || self.has_enough_in_time();
+        self.is_in_full_service |= self.are_last_few_in_time_after_delay(now) || self.has_enough_in_time();
         if self.is_in_full_service {
             return RecoveryStatus { stage: RecoveryStage::FullService, blocker: RecoveryBlocker::Nothing };
         }
@@ -169,15 +171,15 @@
         RecoveryStatus { stage: RecoveryStage::WarmingUp, blocker }
     }
 
-    /// Whether the quiet period is over and the last few responses were in time. An instance with few requests would hardly
-    /// ever have [`MIN_RESPONSES`].
-    fn is_quiet_and_in_time(&self, now: f64) -> bool {
-        let last_bits = (1_u32 << self.response_count.min(FEW_RESPONSES)) - 1;
-        let is_quiet_period_over = self.first_update_at.is_some_and(|first| now - first >= QUIET_PERIOD_S);
-        is_quiet_period_over && self.responses_in_time & last_bits == last_bits
+    /// True if enough time has passed since the first update and the last few responses were in time. An instance with
+    /// few requests would hardly ever have [`MIN_RESPONSES`].
+    fn are_last_few_in_time_after_delay(&self, now: f64) -> bool {
+        let last_bits = (1_u32 << self.response_count.min(LOW_TRAFFIC_RESPONSES)) - 1;
+        let is_delay_over = self.first_update_at.is_some_and(|first| now - first >= LOW_TRAFFIC_DELAY_S);
+        is_delay_over && self.responses_in_time & last_bits == last_bits
     }
 
-    /// Whether there are enough responses to judge by, and enough of them were in time.
+    /// True if there are enough responses to decide by and enough of them were in time.
     fn has_enough_in_time(&self) -> bool {
         let in_time = f64::from(self.responses_in_time.count_ones());
         self.response_count >= MIN_RESPONSES
--- a/crates/recovery/tests/backoff.rs
+++ b/crates/recovery/tests/backoff.rs
@@ -1,4 +1,5 @@
-//! A fleet that starts at once, against a discovery server that answers calls in turn, including those given up.
+//! A fleet whose instances all start at the same time, with a discovery server that handles calls in order, including
+//! those whose callers have given up.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,21 +10,22 @@
 
 /// The time allowed between calls, in seconds.
 const CALL_INTERVAL_S: f64 = 10.0;
-/// A call that has waited so many seconds has failed.
+/// A call fails after it has waited this long, in seconds.
 const CALL_TIMEOUT_S: f64 = 2.0;
 
-/// Callers that aren't answered by then never are.
+/// The simulation ends at this time, in seconds. Callers without an answer count as never answered.
 const MAX_TIME_S: f64 = 300.0;
 
 struct Outcome {
-    /// When each caller had its first answer, in seconds; infinite if it had none.
+    /// When each caller got its first answer, in seconds; infinite if it got none.
     answered_at: Vec<f64>,
-    /// When calls were made, in seconds, in order.
+    /// When calls were made, in seconds and in order.
     called_at: Vec<f64>,
 }
 
-/// All call at zero and again after the delay that `backoff_delay` returns, until all are answered or [`MAX_TIME_S`] has
-/// passed. A call in the queue costs the discovery server its time, whether its caller still waits or not.
+/// Simulates callers that all call at time zero and again after the delay that `backoff_delay` returns, until all are
+/// answered or [`MAX_TIME_S`] has passed. Each call in the queue takes time of the discovery server, even if its caller
+/// no longer waits.
 fn start_fleet(
     callers: usize,
     calls_per_second: f64,
@@ -66,16 +68,16 @@
     outcome.answered_at.iter().copied().fold(0.0, f64::max)
 }
 
-/// An earlier backoff, half a second doubled three times, let 60 of 100 callers of a discovery server that answers 20 calls a second
-/// go without a list for good.
+/// An earlier backoff started at half a second and was doubled up to three times. With a discovery server that answers
+/// 20 calls per second, 60 of 100 callers never got a list.
 #[test]
 fn a_hundred_callers_are_answered_by_an_overloaded_discovery_server() {
     let outcome = start_fleet(100, 20.0, 1, with_backoff(100.0));
-    assert!(last_answer_at(&outcome) < 15.0, "the last after {} s", last_answer_at(&outcome));
+    assert!(last_answer_at(&outcome) < 15.0, "the last answer came after {} s", last_answer_at(&outcome));
     let without_backoff = start_fleet(100, 20.0, 1, |_, random| 0.5 + 0.5 * random);
     assert!(
         last_answer_at(&without_backoff) > 60.0,
-        "without backoff: the last after {} s",
+        "without backoff: the last answer came after {} s",
         last_answer_at(&without_backoff)
     );
 }
@@ -83,17 +85,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the fleet's size, also if the size that callers know is wrong by a factor of four, all are answered, and the calls in a tenth of a
-    /// second after the first instant stay below what the size allows.
+    /// For any fleet size, even if callers know it only within a factor of four, all callers are answered. After the
+    /// first instant, the number of calls in any tenth of a second stays below a bound that depends on the fleet size.
     #[test]
     fn every_caller_is_answered(callers in 1_usize..5000, size_error in prop::sample::select(vec![0.25, 1.0, 4.0]), seed: u64) {
-        // A discovery server that could not answer all of them within the time allowed between calls would be useless.
+        // A discovery server must be able to answer all callers within the time allowed between calls.
         let calls_per_second = (callers as f64 / CALL_INTERVAL_S).max(5.0);
         let fleet = callers as f64 * size_error;
         let outcome = start_fleet(callers, calls_per_second, seed, with_backoff(fleet));
         prop_assert!(last_answer_at(&outcome).is_finite());
         let first = CALL_INTERVAL_S * (0.02 * fleet).clamp(0.05, 0.4);
-        // The mean of the busiest span, and what randomness may add to it in any of hundreds of spans.
+        // The mean number of calls in the busiest tenth of a second, plus a margin for the random maximum over hundreds
+        // of them.
         let mean = callers as f64 * 0.1 / first;
         let max_calls = 6.0_f64.mul_add(mean.sqrt(), mean) + 4.0;
         let later: Vec<f64> = outcome.called_at.iter().copied().filter(|at| *at > 0.0).collect();
@@ -106,26 +109,27 @@
         }
     }
 
-    /// Nobody goes without a call for four times the time allowed, after which the list would be outdated.
+    /// No caller goes without a call for four times the time allowed between calls, because its list would then be
+    /// outdated.
     #[test]
-    fn no_delay_is_too_long(fleet in 0.0..1e9_f64, failures in 0..40_u32, random in 0.0..=1.0_f64) {
+    fn no_delay_lets_the_list_become_outdated(fleet in 0.0..1e9_f64, failures in 0..40_u32, random in 0.0..=1.0_f64) {
         let mut backoff = DiscoveryBackoff::default();
         (0..failures).for_each(|_| _ = backoff.on_failure(CALL_INTERVAL_S, fleet, random));
         prop_assert!(backoff.on_failure(CALL_INTERVAL_S, fleet, random) < 4.0 * CALL_INTERVAL_S - CALL_TIMEOUT_S);
     }
 }
 
-/// With a delay before the watch is opened again, requests are sent to servers that count as known to drain; without any bound a
-/// discovery server that is gone would be called without end.
+/// If reopening the watch were delayed, requests would be sent to servers that the instance should already know to be
+/// draining. If it were not limited, a discovery server that is gone would be called in an endless loop.
 #[test]
-fn a_watch_without_an_answer_is_reopened_at_once_and_once() {
+fn a_watch_without_an_answer_is_reopened_immediately_but_only_once() {
     let mut watch = WatchReopening::default();
     assert_eq!([watch.should_reopen(), watch.should_reopen(), watch.should_reopen()], [true, false, false]);
     watch.on_answer();
     assert_eq!([watch.should_reopen(), watch.should_reopen()], [true, false]);
 }
 
-/// A few may call at once; the more there are, the longer the span, up to a bound.
+/// A few instances may call at the same time. For more instances the span grows with their number, up to a bound.
 #[test]
 fn the_first_calls_of_many_instances_are_spread() {
     let span = |fleet| DiscoveryBackoff::default().first_call_spread(CALL_INTERVAL_S, fleet);
