--- a/crates/engine-model/src/lib.rs
+++ b/crates/engine-model/src/lib.rs
@@ -1,10 +1,13 @@
-//! Model servers in virtual time, for tests only: the real [`Router`](mosshead_routing::Router)s of many proxies and the real
-//! [`StageScheduler`](mosshead_stage_scheduler::StageScheduler) decide, engines of any proportions carry it out.
+//! A simulation of model servers in virtual time, for tests only. It runs the real
+//! [`Router`](mosshead_routing::Router)s of many proxies and the real
+//! [`StageScheduler`](mosshead_stage_scheduler::StageScheduler) against simulated engines with arbitrary speeds and
+//! capacities.
 //!
-//! The engines do what PROTOCOL.md says under "Prefill and decode": a prefill server works on one prompt at a time and keeps
-//! what it has read; a decode server fetches KV caches one at a time, prefills at half the pace, generates for as many streams
-//! as it has slots, more slowly the more there are, and rejects what its queue has no room for. Left out: networks, failures,
-//! memory of running requests, the delay that a local prefill causes to the streams beside it. No I/O, no clock.
+//! The engines follow PROTOCOL.md, "Prefill and decode". A prefill server processes one prompt at a time and caches
+//! shared prompt parts. A decode server fetches KV caches one at a time, prefills at half the speed, generates for as
+//! many streams as it has slots, and gets slower with each stream. Requests are rejected when the queue is full. Not
+//! simulated are networks, failures, the memory of running requests, and the delay that a local prefill causes to
+//! concurrent streams. The crate does no I/O and reads no clock.
 
 mod engine;
 mod event_queue;
--- a/crates/engine-model/src/scenario.rs
+++ b/crates/engine-model/src/scenario.rs
@@ -1,45 +1,46 @@
-//! What is played: engines, servers, proxies and traffic.
+//! The input of a simulation: engines, servers, proxies and traffic.
 
 use crate::engine::EngineSpec;
 
-/// Requests of one kind.
+/// Requests with the same properties.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
-    /// Requests a second, all proxies together.
+    /// Requests per second of all proxies together.
     pub per_second: f64,
-    /// Tokens of the part that requests share.
+    /// Length of a shared prompt part, in tokens.
     pub shared_tokens: f64,
-    /// How many such parts there are.
+    /// The number of different shared parts.
     pub shared_parts: u64,
-    /// Tokens of the request's own part, on the average.
+    /// Mean length of the part that only this request has, in tokens.
     pub own_tokens: f64,
-    /// Tokens that are generated.
+    /// The number of generated tokens.
     pub output_tokens: f64,
-    /// The first event has to come within this time, in milliseconds.
+    /// Latency target of the first event, in milliseconds.
     pub target_millis: f64,
 }
 
-/// One day of one service.
+/// One simulated run of one service.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The engine of all servers.
     pub engine: EngineSpec,
-    /// The servers of the service.
+    /// The number of servers of the service.
     pub servers: usize,
-    /// The proxies, each of which decides by itself.
+    /// The number of proxies, each of which decides independently.
     pub proxies: usize,
     /// The traffic at the start.
     pub classes: Vec<RequestClass>,
-    /// The traffic from the middle of the day on; the same where it is empty.
+    /// The traffic in the second half; if empty, that of the start continues.
     pub later_classes: Vec<RequestClass>,
-    /// How long requests arrive, in milliseconds.
+    /// The time during which requests arrive, in milliseconds.
     pub length_millis: f64,
-    /// Requests before this time don't count: caches are cold and estimates at their start values.
+    /// Requests before this time are not counted, because caches are cold and estimates have their initial values. In
+    /// milliseconds.
     pub warmup_millis: f64,
 }
 
 impl Scenario {
-    /// The traffic at a time.
+    /// The traffic at a time, in milliseconds since requests started to arrive.
     pub(crate) fn classes_at(&self, now: f64) -> &[RequestClass] {
         let is_later = now >= self.length_millis / 2.0 && !self.later_classes.is_empty();
         if is_later { &self.later_classes } else { &self.classes }
--- a/crates/engine-model/src/simulation.rs
+++ b/crates/engine-model/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario under a policy.
+//! The discrete event simulation of a scenario under a policy. All times are in milliseconds.
 
 use std::rc::Rc;
 
@@ -16,24 +16,24 @@
 
 const SERVICE: &str = "llm";
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// The platform lets traffic begin so long after the machines, in milliseconds.
-const LEAD_MILLIS: f64 = 10_000.0;
-/// How often the scheduler is asked for assignments, and servers for reports.
-const SCHEDULER_INTERVAL: f64 = 200.0;
-const REPORT_INTERVAL: f64 = 1_000.0;
-/// How often proxies learn the stages of servers.
-const HEARTBEAT_INTERVAL: f64 = 1_200.0;
-/// A request is sent to so many servers at most.
+/// The platform starts traffic this long after it starts the machines.
+const TRAFFIC_START_MILLIS: f64 = 10_000.0;
+/// How often the scheduler is called, and how often it queries servers for load reports.
+const SCHEDULER_INTERVAL_MILLIS: f64 = 200.0;
+const REPORT_INTERVAL_MILLIS: f64 = 1_000.0;
+/// How often proxies and the scheduler are told the stages of servers.
+const HEARTBEAT_INTERVAL_MILLIS: f64 = 1_200.0;
+/// Upper bound on the attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
-/// The longest gap between events that routes want.
+/// The route's target for the longest gap between events.
 const MAX_EVENT_GAP: Duration = Duration::from_millis(200);
 
-/// What came of a scenario.
+/// The result of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome {
-    /// The share of the requests whose first event came within the target.
+    /// The share of the requests whose first event arrived within the latency target.
     pub in_time: f64,
-    /// How often a server changed its stage while requests arrived.
+    /// The number of stage changes after requests started to arrive.
     pub stage_changes: usize,
     /// The share of prefill servers at the end.
     pub prefill_share: f64,
@@ -48,7 +48,7 @@
     own_tokens: f64,
     output_tokens: f64,
     attempts: u32,
-    /// The servers of the present attempt.
+    /// The servers of the current attempt.
     prefill: Option<usize>,
     decode: usize,
     sent_at: f64,
@@ -94,7 +94,7 @@
     stage_changes: usize,
 }
 
-/// Plays a scenario under a policy; the same seed gives the same outcome.
+/// Simulates a scenario under a policy. The same seed gives the same outcome.
 pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(scenario, policy, seed);
     simulation.run();
@@ -134,17 +134,18 @@
             Policy::Adaptive => 1.0 / 3.0,
             Policy::Fixed { prefill_share, .. } => prefill_share,
         };
-        let most = scenario.servers.saturating_sub(1);
-        let prefill_servers = ((scenario.servers as f64 * share).round() as usize).clamp(1.min(most), most);
+        let max_prefill_servers = scenario.servers.saturating_sub(1);
+        let prefill_servers = ((scenario.servers as f64 * share).round() as usize)
+            .clamp(1.min(max_prefill_servers), max_prefill_servers);
         let stage = |index| if index < prefill_servers { Stage::Prefill } else { Stage::Decode };
         let entries: Vec<Server> =
             (0..scenario.servers).map(|index| entry(index, stage(index), scenario.engine.slots)).collect();
         let routers =
             (0..scenario.proxies as u64).map(|index| new_router(seed + index, &entries, scenario.proxies));
         let mut events = EventQueue::default();
-        events.schedule(LEAD_MILLIS, Event::Arrival);
+        events.schedule(TRAFFIC_START_MILLIS, Event::Arrival);
         events.schedule(0.0, Event::Schedule);
-        events.schedule(HEARTBEAT_INTERVAL, Event::Heartbeats);
+        events.schedule(HEARTBEAT_INTERVAL_MILLIS, Event::Heartbeats);
         Self {
             scenario,
             policy,
@@ -180,7 +181,7 @@
         let counted = self
             .requests
             .iter()
-            .filter(|request| request.arrived_at >= LEAD_MILLIS + self.scenario.warmup_millis);
+            .filter(|request| request.arrived_at >= TRAFFIC_START_MILLIS + self.scenario.warmup_millis);
         let (mut count, mut in_time) = (0, 0);
         for request in counted {
             count += 1;
@@ -197,7 +198,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.now >= LEAD_MILLIS + self.scenario.length_millis
+        self.now >= TRAFFIC_START_MILLIS + self.scenario.length_millis
     }
 
     fn instant(&self) -> Instant {
@@ -216,7 +217,7 @@
         if self.is_over() {
             return;
         }
-        let classes = self.scenario.classes_at(self.now - LEAD_MILLIS);
+        let classes = self.scenario.classes_at(self.now - TRAFFIC_START_MILLIS);
         let rate: f64 = classes.iter().map(|class| class.per_second).sum();
         let mut drawn = self.fraction() * rate;
         let class = classes.iter().find(|class| {
@@ -242,11 +243,11 @@
             });
             self.send(self.requests.len() - 1);
         }
-        let pause = self.exponential(MILLIS_PER_SECOND / rate);
-        self.events.schedule(self.now + pause, Event::Arrival);
+        let interarrival_millis = self.exponential(MILLIS_PER_SECOND / rate);
+        self.events.schedule(self.now + interarrival_millis, Event::Arrival);
     }
 
-    /// Sends a request to the servers that the policy selects, unless it was sent too often.
+    /// Sends a request to the servers that the policy selects, until they accept it or [`MAX_ATTEMPTS`] is reached.
     fn send(&mut self, index: RequestIndex) {
         while self.requests[index].attempts < MAX_ATTEMPTS {
             self.requests[index].attempts += 1;
@@ -287,7 +288,7 @@
         }
     }
 
-    /// The server with the lower true load of two: the homes of a key, or any.
+    /// The server with the lower true load of two: the two that a key maps to, or two random ones without a key.
     fn less_loaded(&mut self, stage: Stage, key: Option<u64>) -> Option<usize> {
         let of_stage: Vec<usize> =
             (0..self.engines.len()).filter(|server| self.engines[*server].stage == stage).collect();
@@ -319,7 +320,7 @@
 
     fn continue_prefills(&mut self, server: usize) {
         let engine = &mut self.engines[server];
-        if let Some(index) = engine.prefills.take_next() {
+        if let Some(index) = engine.prefills.start_next() {
             let Request { shared, own_tokens, .. } = self.requests[index];
             let span = engine.prefill(&self.scenario.engine, shared, own_tokens);
             self.events.schedule(self.now + span, Event::PrefillDone(server));
@@ -333,7 +334,11 @@
         router.finish_prefill(&id_of(server), request.own_tokens);
         router.record_success(&id_of(server));
         if request.prefill == Some(server) {
-            router.record_prefill_latency(SERVICE, &request.prompt(), span(self.now - request.sent_at));
+            router.record_prefill_latency(
+                SERVICE,
+                &request.prompt(),
+                to_duration(self.now - request.sent_at),
+            );
             if !self.begin_transfer(index) {
                 self.send(index);
             }
@@ -343,7 +348,7 @@
         self.continue_prefills(server);
     }
 
-    /// Sends a request without a handle to its decode server.
+    /// Sends a request without a handle to its decode server. Returns false if the server rejects it.
     fn begin_decode(&mut self, index: RequestIndex) -> bool {
         let server = self.requests[index].decode;
         let accepted = self.begin_prefill(index, server, Stage::Decode);
@@ -353,7 +358,7 @@
         accepted
     }
 
-    /// Sends a request with its handle to its decode server.
+    /// Sends a request with its handle to its decode server. Returns false if the server rejects it.
     fn begin_transfer(&mut self, index: RequestIndex) -> bool {
         let mut server = self.requests[index].decode;
         let now = self.instant();
@@ -378,9 +383,9 @@
 
     fn continue_transfers(&mut self, server: usize) {
         let engine = &mut self.engines[server];
-        if let Some(index) = engine.transfers.take_next() {
+        if let Some(index) = engine.transfers.start_next() {
             let Request { shared, own_tokens, .. } = self.requests[index];
-            engine.touch(&self.scenario.engine, shared);
+            engine.insert_cached(&self.scenario.engine, shared);
             let spec = &self.scenario.engine;
             let span = spec.transfer_fixed_millis + spec.transfer_millis_per_token * (shared.1 + own_tokens);
             self.events.schedule(self.now + span, Event::TransferDone(server));
@@ -394,7 +399,7 @@
         self.continue_transfers(server);
     }
 
-    /// The KV cache of a request is there: it generates as soon as a slot is free.
+    /// Queues a request whose KV cache is available for the next free slot.
     fn begin_stream(&mut self, index: RequestIndex) {
         let server = self.requests[index].decode;
         self.engines[server].waiting.push_back(index);
@@ -406,9 +411,9 @@
         while self.engines[server].streams < spec.slots {
             let Some(index) = self.engines[server].waiting.pop_front() else { return };
             self.engines[server].streams += 1;
-            let step = self.engines[server].step(spec);
-            self.events.schedule(self.now + step, Event::StreamStart(index));
-            let end = self.now + step * self.requests[index].output_tokens.max(1.0);
+            let token_millis = self.engines[server].token_millis(spec);
+            self.events.schedule(self.now + token_millis, Event::StreamStart(index));
+            let end = self.now + token_millis * self.requests[index].output_tokens.max(1.0);
             self.events.schedule(end, Event::StreamEnd(index));
         }
     }
@@ -417,7 +422,7 @@
         self.requests[index].first_event_at = Some(self.now);
         let now = self.instant();
         let request = &self.requests[index];
-        let (prompt, latency) = (request.prompt(), span(self.now - request.sent_at));
+        let (prompt, latency) = (request.prompt(), to_duration(self.now - request.sent_at));
         let router = &mut self.routers[request.proxy];
         match request.prefill {
             Some(_) => router.record_handover_latency(now, SERVICE, &prompt, latency),
@@ -438,12 +443,12 @@
         if self.is_over() {
             return;
         }
-        self.events.schedule(self.now + SCHEDULER_INTERVAL, Event::Schedule);
+        self.events.schedule(self.now + SCHEDULER_INTERVAL_MILLIS, Event::Schedule);
         if self.policy != Policy::Adaptive {
             return;
         }
         let now = self.instant();
-        if self.now - self.reported_at >= REPORT_INTERVAL {
+        if self.now - self.reported_at >= REPORT_INTERVAL_MILLIS {
             self.reported_at = self.now;
             let queried: Vec<String> = self
                 .scheduler
@@ -461,16 +466,16 @@
             let engine = &mut self.engines[index_of(&assignment.instance_id)];
             engine.stage = assignment.stage;
             engine.switching_until = self.now + self.scenario.engine.switch_millis;
-            self.stage_changes += usize::from(self.now >= LEAD_MILLIS);
+            self.stage_changes += usize::from(self.now >= TRAFFIC_START_MILLIS);
         }
     }
 
-    /// Proxies and the scheduler learn the present stages.
+    /// Tells the proxies and the scheduler the current stages.
     fn on_heartbeats(&mut self) {
         if self.is_over() {
             return;
         }
-        self.events.schedule(self.now + HEARTBEAT_INTERVAL, Event::Heartbeats);
+        self.events.schedule(self.now + HEARTBEAT_INTERVAL_MILLIS, Event::Heartbeats);
         for (entry, engine) in self.entries.iter_mut().zip(&self.engines) {
             entry.stage = Some(engine.stage);
         }
@@ -488,6 +493,6 @@
     id.strip_prefix("i-").and_then(|number| number.parse().ok()).unwrap_or_default()
 }
 
-fn span(millis: f64) -> Duration {
+fn to_duration(millis: f64) -> Duration {
     Duration::from_secs_f64(millis.max(0.0) / MILLIS_PER_SECOND)
 }
--- a/crates/engine-model/tests/any_engine.rs
+++ b/crates/engine-model/tests/adaptive_policy.rs
@@ -1,11 +1,11 @@
-//! The routers and the stage scheduler on engines that nobody has tuned them to, beside the former fixed rule and the best of a
-//! grid of fixed rules that knows the engine and every true load.
+//! Compares the adaptive routers and the stage scheduler, with engines that they are not tuned for, with the earlier
+//! fixed rule and with the best rule of a grid of fixed ones, which knows the engine and every server's true load.
 
 use mosshead_engine_model::{EngineSpec, Policy, RequestClass, Scenario, simulate};
 
 const SEEDS: [u64; 3] = [11, 12, 13];
 
-/// An engine with 16 slots, as one operator runs it.
+/// An engine with 16 slots, as on one operator's servers.
 fn engine() -> EngineSpec {
     EngineSpec {
         slots: 16,
@@ -20,8 +20,8 @@
     }
 }
 
-/// An engine with 64 slots, as two others run it.
-fn wide_engine() -> EngineSpec {
+/// An engine with 64 slots, as on the servers of two other operators.
+fn engine_with_64_slots() -> EngineSpec {
     EngineSpec {
         slots: 64,
         prefill_tokens_per_milli: 66.0,
@@ -77,26 +77,31 @@
         .fold(0.0, f64::max)
 }
 
-/// The adaptive policy is not below the former rule by more than 0.03, and not below the best fixed rule by more than this.
-fn assert_holds_up(name: &str, scenario: &Scenario, max_gap: f64) {
-    let (adaptive, former) =
-        (mean_in_time(scenario, Policy::Adaptive), mean_in_time(scenario, Policy::FORMER));
+/// Asserts that the share of requests in time under the adaptive policy is no more than 0.03 below that of the
+/// all-remote policy, and no more than `max_gap` below that of the best fixed policy.
+fn assert_not_much_worse_than_fixed(name: &str, scenario: &Scenario, max_gap: f64) {
+    let (adaptive, all_remote) =
+        (mean_in_time(scenario, Policy::Adaptive), mean_in_time(scenario, Policy::ALL_REMOTE));
     let best = best_fixed(scenario);
-    println!("{name}: in time adaptive {adaptive:.3}, former rule {former:.3}, best fixed rule {best:.3}");
-    assert!(adaptive >= former - 0.03, "{name}: {adaptive:.3}, the former rule {former:.3}");
-    assert!(adaptive >= best - max_gap, "{name}: {adaptive:.3}, the best fixed rule {best:.3}");
+    println!("{name}: in time: adaptive {adaptive:.3}, all remote {all_remote:.3}, best fixed {best:.3}");
+    assert!(adaptive >= all_remote - 0.03, "{name}: adaptive {adaptive:.3}, all remote {all_remote:.3}");
+    assert!(adaptive >= best - max_gap, "{name}: adaptive {adaptive:.3}, best fixed {best:.3}");
 }
 
 #[test]
-fn short_answers_in_few_slots_are_served_as_by_the_best_fixed_rule() {
-    assert_holds_up("16 slots", &scenario(engine(), vec![long_prompts(50.0), short_prompts(420.0)]), 0.05);
+fn short_answers_with_few_slots_are_served_as_by_the_best_fixed_policy() {
+    assert_not_much_worse_than_fixed(
+        "16 slots",
+        &scenario(engine(), vec![long_prompts(50.0), short_prompts(420.0)]),
+        0.05,
+    );
 }
 
 #[test]
-fn long_prompts_in_many_slots_are_served_as_by_the_best_fixed_rule() {
-    assert_holds_up(
+fn long_prompts_with_many_slots_are_served_as_by_the_best_fixed_policy() {
+    assert_not_much_worse_than_fixed(
         "64 slots",
-        &scenario(wide_engine(), vec![long_prompts(60.0), short_prompts(60.0)]),
+        &scenario(engine_with_64_slots(), vec![long_prompts(60.0), short_prompts(60.0)]),
         0.05,
     );
 }
@@ -104,18 +109,22 @@
 #[test]
 fn engines_ten_times_as_fast_or_slow_are_served() {
     let fast = EngineSpec { prefill_tokens_per_milli: 1_120.0, prefill_fixed_millis: 3.0, ..engine() };
-    assert_holds_up("fast", &scenario(fast, vec![long_prompts(60.0), short_prompts(300.0)]), 0.08);
+    assert_not_much_worse_than_fixed(
+        "fast",
+        &scenario(fast, vec![long_prompts(60.0), short_prompts(300.0)]),
+        0.08,
+    );
     let slow = EngineSpec { prefill_tokens_per_milli: 11.2, prefill_fixed_millis: 31.0, ..engine() };
     let mut classes = vec![long_prompts(10.0), short_prompts(80.0)];
     classes.iter_mut().for_each(|class| class.target_millis = 2_000.0);
-    assert_holds_up("slow", &scenario(slow, classes), 0.08);
+    assert_not_much_worse_than_fixed("slow", &scenario(slow, classes), 0.08);
 }
 
 #[test]
 fn servers_with_4_to_128_slots_are_served() {
     for (slots, short) in [(4, 100.0), (8, 240.0), (32, 480.0), (128, 480.0)] {
         let engine = EngineSpec { slots, ..engine() };
-        assert_holds_up(
+        assert_not_much_worse_than_fixed(
             &format!("{slots} slots"),
             &scenario(engine, vec![long_prompts(20.0), short_prompts(short)]),
             0.08,
@@ -126,9 +135,13 @@
 #[test]
 fn slow_links_and_small_caches_are_served() {
     let links = EngineSpec { transfer_fixed_millis: 32.0, transfer_millis_per_token: 0.0032, ..engine() };
-    assert_holds_up("slow links", &scenario(links, vec![long_prompts(30.0), short_prompts(300.0)]), 0.08);
+    assert_not_much_worse_than_fixed(
+        "slow links",
+        &scenario(links, vec![long_prompts(30.0), short_prompts(300.0)]),
+        0.08,
+    );
     let caches = EngineSpec { cache_tokens: 13_000.0, ..engine() };
-    assert_holds_up(
+    assert_not_much_worse_than_fixed(
         "two prompts cached",
         &scenario(caches, vec![long_prompts(30.0), short_prompts(400.0)]),
         0.08,
@@ -136,11 +149,11 @@
 }
 
 #[test]
-fn a_mix_that_turns_over_is_followed() {
-    let mut turned = scenario(engine(), vec![long_prompts(50.0), short_prompts(60.0)]);
-    turned.later_classes = vec![long_prompts(10.0), short_prompts(500.0)];
-    turned.length_millis = 60_000.0;
-    assert_holds_up("turned over", &turned, 0.12);
+fn the_adaptive_policy_follows_a_change_of_traffic() {
+    let mut changing_traffic = scenario(engine(), vec![long_prompts(50.0), short_prompts(60.0)]);
+    changing_traffic.later_classes = vec![long_prompts(10.0), short_prompts(500.0)];
+    changing_traffic.length_millis = 60_000.0;
+    assert_not_much_worse_than_fixed("change of traffic", &changing_traffic, 0.12);
 }
 
 #[test]
@@ -149,12 +162,12 @@
         let mut few =
             scenario(engine(), vec![long_prompts(1.0 * servers as f64), short_prompts(6.0 * servers as f64)]);
         few.servers = servers;
-        assert_holds_up(&format!("{servers} servers"), &few, 0.12);
+        assert_not_much_worse_than_fixed(&format!("{servers} servers"), &few, 0.12);
     }
 }
 
 #[test]
-fn the_stages_of_a_steady_service_do_not_swing() {
+fn the_stages_of_a_steady_service_do_not_oscillate() {
     let mut steady = scenario(engine(), vec![long_prompts(40.0), short_prompts(270.0)]);
     steady.length_millis = 120_000.0;
     for seed in SEEDS {
@@ -165,6 +178,9 @@
 
 #[test]
 fn a_seed_gives_the_same_outcome_again() {
-    let played = scenario(engine(), vec![long_prompts(20.0), short_prompts(100.0)]);
-    assert_eq!(simulate(&played, Policy::Adaptive, 5), simulate(&played, Policy::Adaptive, 5));
+    let small_scenario = scenario(engine(), vec![long_prompts(20.0), short_prompts(100.0)]);
+    assert_eq!(
+        simulate(&small_scenario, Policy::Adaptive, 5),
+        simulate(&small_scenario, Policy::Adaptive, 5)
+    );
 }
