--- a/crates/engine-model/src/policy.rs
+++ b/crates/engine-model/src/policy.rs
@@ -16,11 +16,11 @@
 }
 
 impl Policy {
-    /// The rule of earlier routers, which did not adapt: three quarters of the servers run prefill, and every prompt is
-    /// handed over.
+    /// The policy of earlier routers, which did not adapt: three quarters of the servers run prefill, and every prompt
+    /// is handed over.
     pub const ALL_REMOTE: Policy = Policy::Fixed { prefill_share: 0.75, max_local_tokens: 0.0 };
 
-    /// Fixed rules for a range of shares and lengths, of which the best one for an engine serves as a reference.
+    /// Fixed policies for a range of shares and lengths, of which the best one for an engine serves as a reference.
     pub fn fixed_grid() -> Vec<Policy> {
         let shares = [0.2, 0.35, 0.5, 0.65, 0.75];
         let lengths = [0.0, 200.0, 800.0, 2_500.0];
--- a/crates/engine-model/tests/adaptive_policy.rs
+++ b/crates/engine-model/tests/adaptive_policy.rs
@@ -1,5 +1,5 @@
 //! Compares the adaptive routers and the stage scheduler, with engines that they are not tuned for, with the earlier
-//! fixed rule and with the best rule of a grid of fixed ones, which knows the engine and every server's true load.
+//! fixed policy and with the best one of a grid of fixed policies, which knows the engine and every server's true load.
 
 use mosshead_engine_model::{EngineSpec, Policy, RequestClass, Scenario, simulate};
 
--- a/crates/recovery/src/instance_recovery.rs
+++ b/crates/recovery/src/instance_recovery.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// The number of last responses that are considered, which are the bits of [`InstanceRecovery::responses_in_time`].
+/// How many of the last responses are considered, each as one bit of [`InstanceRecovery::responses_in_time`].
 const MAX_RESPONSES: u32 = 32;
 /// Minimum number of responses to decide by.
 const MIN_RESPONSES: u32 = 16;
@@ -16,7 +16,7 @@
 /// between calls.
 const OUTDATED_AFTER_INTERVALS: f64 = 4.0;
 
-/// How far an instance has recovered. The stages are in order.
+/// How far an instance has recovered. A later stage compares greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryStage {
     /// No server is known that requests may be sent to, so all requests are rejected.
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -5,7 +5,7 @@
 /// A failure of an attempt that counts against its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFailure {
-    /// No connection could be established, or the machine acknowledged nothing.
+    /// No connection could be established, or the machine did not acknowledge any data.
     Unreachable,
     /// The server reset the connection, broke off a response, or sent an invalid one.
     BrokenResponse,
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -11,7 +11,7 @@
 use crate::prompt::{Prompt, ServerPair};
 use crate::router::Router;
 
-/// Prompt tokens that cost as much as one stream in flight, for the cost of a prefill in another zone.
+/// Prompt tokens that cost as much as one stream in flight when the cost of a prefill in another zone is computed.
 const PREFILL_TOKENS_PER_STREAM: f64 = 400.0;
 /// The longest local prefill, as a share of the route's [`Prompt::max_event_gap`]. A decode server interleaves a local
 /// prefill with the tokens of its streams: each token waits for a part of the prefill, and an event waits for the parts
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -32,7 +32,7 @@
 }
 
 impl Prompt {
-    /// The last part that is shared with other prompts, which is the last but one.
+    /// The last part that is shared with other prompts, which is the second to last.
     pub(crate) fn last_shared_part(&self) -> Option<PromptPart> {
         self.parts.get(self.parts.len().checked_sub(2)?).copied()
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -96,8 +96,8 @@
         self.retry_budget(service).try_withdraw(now, proxy_count, priority)
     }
 
-    /// True if the service has a server outside `avoid` that is up, neither ejected nor suspected, and has no trial
-    /// request in flight. Prefill servers don't count.
+    /// True if the service has a server outside `avoid`, other than a prefill server, that is up, is neither suspected
+    /// nor ejected, and has no trial request in flight.
     pub fn has_ready_server(&self, now: Instant, service: &str, avoid: &[Rc<str>]) -> bool {
         let ids = self.endpoints.ids(service, LoadKind::Decode).iter().filter(|id| !avoid.contains(id));
         ids.filter_map(|id| self.endpoints.get(id)).any(|endpoint| endpoint.is_ready(now))
--- a/crates/routing/src/start_latency.rs
+++ b/crates/routing/src/start_latency.rs
@@ -14,7 +14,7 @@
 const INITIAL_PREFILL_MILLIS_PER_TOKEN: f64 = 1.0 / 60.0;
 /// Engines may be up to this many times faster or slower than the initial estimate.
 const PREFILL_SPEED_RANGE: f64 = 50.0;
-/// The prompt length around which the initial estimates count as observed.
+/// The prompt length in tokens at which the initial estimates are treated as observed.
 const INITIAL_TYPICAL_TOKENS: f64 = 2000.0;
 /// Initial estimate of the fixed time from a handover to the first event.
 const INITIAL_HANDOVER_MILLIS: f64 = 35.0;
@@ -140,9 +140,9 @@
     }
 
     fn handover_millis(&self, now: Instant, prompt: &Prompt) -> f64 {
-        let initial = INITIAL_HANDOVER_MILLIS + INITIAL_HANDOVER_MILLIS_PER_TOKEN * prompt.tokens;
+        let initial_millis = INITIAL_HANDOVER_MILLIS + INITIAL_HANDOVER_MILLIS_PER_TOKEN * prompt.tokens;
         let observed_weight = remaining_weight(now.duration_since(self.handover_observed_at));
-        initial + observed_weight * (self.handover.predict(prompt.tokens) - initial)
+        initial_millis + observed_weight * (self.handover.predict(prompt.tokens) - initial_millis)
     }
 }
 
--- a/crates/stage-scheduler/src/demand.rs
+++ b/crates/stage-scheduler/src/demand.rs
@@ -5,7 +5,7 @@
 use mosshead_registry::Stage;
 use mosshead_time::{Duration, Instant};
 
-/// Older reports are discarded.
+/// Reports older than this are discarded.
 const REPORT_LIFETIME: Duration = Duration::from_secs(12);
 /// Time constant of the exponential smoothing: after this time the estimate has followed about two thirds of a change.
 const SMOOTHING_TIME: Duration = Duration::from_secs(4);
