--- a/crates/engine-model/src/simulation.rs
+++ b/crates/engine-model/src/simulation.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome {
     /// The share of the requests whose first event arrived within the latency target.
-    pub in_time: f64,
+    pub in_time_share: f64,
     /// The number of stage changes after requests started to arrive.
     pub stage_changes: usize,
     /// The share of prefill servers at the end.
@@ -86,7 +86,7 @@
     now: f64,
     events: EventQueue<Event>,
     engines: Vec<Engine>,
-    entries: Vec<Server>,
+    registry_entries: Vec<Server>,
     routers: Vec<Router<Pcg64Mcg>>,
     scheduler: StageScheduler,
     reported_at: f64,
@@ -101,7 +101,7 @@
     simulation.outcome()
 }
 
-fn entry(index: usize, stage: Stage, slots: u32) -> Server {
+fn registry_entry(index: usize, stage: Stage, slots: u32) -> Server {
     Server {
         id: format!("i-{index}"),
         service: SERVICE.into(),
@@ -118,13 +118,13 @@
     }
 }
 
-fn new_router(seed: u64, entries: &[Server], proxies: usize) -> Router<Pcg64Mcg> {
+fn new_router(seed: u64, registry_entries: &[Server], proxies: usize) -> Router<Pcg64Mcg> {
     let window = Duration::from_secs(10);
     let limits = RetryBudgetLimits { retry_ratio: 0.2, extra_retries: 50.0, window };
     let mut router =
         Router::new(RoutingWeights::new(limits), "zone", Pcg64Mcg::new(u128::from(seed) * 2 + 1));
     router.set_proxy_count(proxies);
-    router.update_servers(entries.iter());
+    router.update_servers(registry_entries.iter());
     router
 }
 
@@ -138,10 +138,11 @@
         let prefill_servers = ((scenario.servers as f64 * share).round() as usize)
             .clamp(1.min(max_prefill_servers), max_prefill_servers);
         let stage = |index| if index < prefill_servers { Stage::Prefill } else { Stage::Decode };
-        let entries: Vec<Server> =
-            (0..scenario.servers).map(|index| entry(index, stage(index), scenario.engine.slots)).collect();
-        let routers =
-            (0..scenario.proxies as u64).map(|index| new_router(seed + index, &entries, scenario.proxies));
+        let registry_entries: Vec<Server> = (0..scenario.servers)
+            .map(|index| registry_entry(index, stage(index), scenario.engine.slots))
+            .collect();
+        let routers = (0..scenario.proxies as u64)
+            .map(|index| new_router(seed + index, &registry_entries, scenario.proxies));
         let mut events = EventQueue::default();
         events.schedule(TRAFFIC_START_MILLIS, Event::Arrival);
         events.schedule(0.0, Event::Schedule);
@@ -154,7 +155,7 @@
             events,
             engines: (0..scenario.servers).map(|index| Engine::new(stage(index))).collect(),
             routers: routers.collect(),
-            entries,
+            registry_entries,
             scheduler: StageScheduler::new(StagePolicy::default()),
             reported_at: f64::NEG_INFINITY,
             requests: Vec::new(),
@@ -182,16 +183,16 @@
             .requests
             .iter()
             .filter(|request| request.arrived_at >= TRAFFIC_START_MILLIS + self.scenario.warmup_millis);
-        let (mut count, mut in_time) = (0, 0);
+        let (mut count, mut in_time_count) = (0, 0);
         for request in counted {
             count += 1;
             let is_in_time =
                 request.first_event_at.is_some_and(|at| at - request.arrived_at <= request.target_millis);
-            in_time += usize::from(is_in_time);
+            in_time_count += usize::from(is_in_time);
         }
         let prefill = self.engines.iter().filter(|engine| engine.stage == Stage::Prefill).count();
         Outcome {
-            in_time: in_time as f64 / f64::from(count.max(1)),
+            in_time_share: in_time_count as f64 / f64::from(count.max(1)),
             stage_changes: self.stage_changes,
             prefill_share: prefill as f64 / self.engines.len() as f64,
         }
@@ -314,11 +315,11 @@
         let router = &mut self.routers[self.requests[index].proxy];
         router.start_prefill(&id_of(server), tokens);
         self.engines[server].prefills.waiting.push_back(index);
-        self.continue_prefills(server);
+        self.start_next_prefill(server);
         true
     }
 
-    fn continue_prefills(&mut self, server: usize) {
+    fn start_next_prefill(&mut self, server: usize) {
         let engine = &mut self.engines[server];
         if let Some(index) = engine.prefills.start_next() {
             let Request { shared, own_tokens, .. } = self.requests[index];
@@ -345,7 +346,7 @@
         } else {
             self.begin_stream(index);
         }
-        self.continue_prefills(server);
+        self.start_next_prefill(server);
     }
 
     /// Sends a request without a handle to its decode server. Returns false if the server rejects it.
@@ -377,11 +378,11 @@
         engine.transfers.waiting.push_back(index);
         self.requests[index].sent_at = self.now;
         self.routers[proxy].start_request(&id_of(server));
-        self.continue_transfers(server);
+        self.start_next_transfer(server);
         true
     }
 
-    fn continue_transfers(&mut self, server: usize) {
+    fn start_next_transfer(&mut self, server: usize) {
         let engine = &mut self.engines[server];
         if let Some(index) = engine.transfers.start_next() {
             let Request { shared, own_tokens, .. } = self.requests[index];
@@ -396,7 +397,7 @@
         if let Some(index) = self.engines[server].transfers.current.take() {
             self.begin_stream(index);
         }
-        self.continue_transfers(server);
+        self.start_next_transfer(server);
     }
 
     /// Queues a request whose KV cache is available for the next free slot.
@@ -452,9 +453,9 @@
             self.reported_at = self.now;
             let queried: Vec<String> = self
                 .scheduler
-                .servers_to_query(self.entries.iter())
+                .servers_to_query(self.registry_entries.iter())
                 .iter()
-                .map(|entry| entry.id.clone())
+                .map(|registry_entry| registry_entry.id.clone())
                 .collect();
             for id in queried {
                 let engine = &self.engines[index_of(&id)];
@@ -462,7 +463,7 @@
                 self.scheduler.record_report(now, &id, load);
             }
         }
-        for assignment in self.scheduler.due_assignments(now, self.entries.iter()) {
+        for assignment in self.scheduler.due_assignments(now, self.registry_entries.iter()) {
             let engine = &mut self.engines[index_of(&assignment.instance_id)];
             engine.stage = assignment.stage;
             engine.switching_until = self.now + self.scenario.engine.switch_millis;
@@ -476,11 +477,11 @@
             return;
         }
         self.events.schedule(self.now + HEARTBEAT_INTERVAL_MILLIS, Event::Heartbeats);
-        for (entry, engine) in self.entries.iter_mut().zip(&self.engines) {
-            entry.stage = Some(engine.stage);
+        for (registry_entry, engine) in self.registry_entries.iter_mut().zip(&self.engines) {
+            registry_entry.stage = Some(engine.stage);
         }
         for router in &mut self.routers {
-            router.update_servers(self.entries.iter());
+            router.update_servers(self.registry_entries.iter());
         }
     }
 }
--- a/crates/engine-model/tests/adaptive_policy.rs
+++ b/crates/engine-model/tests/adaptive_policy.rs
@@ -67,13 +67,13 @@
 }
 
 fn mean_in_time(scenario: &Scenario, policy: Policy) -> f64 {
-    SEEDS.iter().map(|seed| simulate(scenario, policy, *seed).in_time).sum::<f64>() / SEEDS.len() as f64
+    SEEDS.iter().map(|seed| simulate(scenario, policy, *seed).in_time_share).sum::<f64>() / SEEDS.len() as f64
 }
 
 fn best_fixed(scenario: &Scenario) -> f64 {
     Policy::fixed_grid()
         .into_iter()
-        .map(|policy| simulate(scenario, policy, SEEDS[0]).in_time)
+        .map(|policy| simulate(scenario, policy, SEEDS[0]).in_time_share)
         .fold(0.0, f64::max)
 }
 
