--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -1,9 +1,9 @@
-//! When the shutdown of a server is acknowledged to it. A server announces its shutdown by a heartbeat that reports
-//! `draining`, or by its deregistration.
+//! Decides when a server's shutdown is acknowledged to it. A server announces its shutdown by a heartbeat
+//! that reports `draining`, or by deregistering.
 //!
-//! Invariant *shutdowns survive failures*: a shutdown is acknowledged only by a control node with quorum contact, and
-//! only when so many members have the entry on their disks that it outlives as many failures as the deployment tolerates
-//! at once, and a loss of power at all others.
+//! Invariant *shutdowns survive failures*: only a control node with quorum contact acknowledges a shutdown,
+//! and only once enough members have the entry on disk that it survives the tolerated number of simultaneous
+//! failures and a power loss of all members.
 
 use core::net::SocketAddrV4;
 use std::collections::BTreeSet;
@@ -14,54 +14,55 @@
 use crate::injected_fault::{Faults, InjectedFault};
 use crate::quorum_contact::QuorumContact;
 
-/// A shutdown that is not acknowledged within this time is rejected: the server listens for a second, and the response has
-/// to reach it.
+/// A shutdown that is not acknowledged within this time is rejected: the server waits one second for the
+/// response, which still has to reach it.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(800);
-/// How many acknowledged entries are remembered. One that was dropped is replicated again if the server repeats its call.
+/// The maximum number of acknowledged entries that are remembered. If the server repeats its call after its
+/// entry was dropped, the entry is replicated again.
 const MAX_REMEMBERED_ENTRIES: usize = 4_096;
-/// The first delta to another control node starts this many versions back, so that it overlaps with what that node
-/// has and no gap remains.
+/// The first delta to another control node starts this many versions back: it overlaps with the entries that
+/// the node already has, so that no gap remains.
 const FIRST_DELTA_VERSIONS: u64 = 64;
-/// The most entries of that delta.
+/// The maximum number of entries in that delta.
 const MAX_FIRST_DELTA_ENTRIES: usize = 128;
 
 /// Identifies an entry of the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryVersion {
-    /// Who published the entry.
+    /// The source that published the entry.
     pub source: SourceId,
-    /// The version that its source gave it.
+    /// The version that the source assigned to it.
     pub version: u64,
 }
 
 impl EntryVersion {
-    /// The version of an entry that announces a shutdown; `None` for any other entry.
+    /// Returns the version of an entry that announces a shutdown; `None` for any other entry.
     pub fn of_shutdown(entry: &Entry) -> Option<EntryVersion> {
         let is_shutdown = entry.server.state >= OperState::Draining;
         is_shutdown.then_some(EntryVersion { source: entry.source, version: entry.version })
     }
 
-    /// Whether a process with this vector has the entry, or one that supersedes it.
+    /// Returns true if a process with this vector has the entry, or one that supersedes it.
     pub fn is_covered_by(&self, vector: &VersionVector) -> bool {
         vector.get(self.source) >= self.version
     }
 }
 
-/// The control nodes that may store an entry, and how many failures it has to survive.
+/// The control nodes that may store an entry, and how many failures the entry has to survive.
 #[derive(Clone, Debug)]
 pub struct ReplicaSet {
-    /// The members by the newest epoch configuration that this node knows.
+    /// The members in the newest epoch configuration that this node knows.
     pub members: Vec<SocketAddrV4>,
-    /// How many members may fail at once.
+    /// The maximum number of members that may fail at the same time.
     pub tolerated_failures: usize,
 }
 
 impl ReplicaSet {
-    /// How many members have to store an entry durably. There are always as many members, or the failures to survive
-    /// have happened already and nothing is acknowledged.
+    /// Returns how many members have to store an entry durably. If there are fewer members than that, the
+    /// tolerated failures have already happened and nothing is acknowledged.
     ///
-    /// Where no failure has to be survived, a second member stores it if there is one, so that proxies learn of it while
-    /// the first one restarts.
+    /// If no failures are tolerated, a second member stores the entry if there is one, so that proxies learn
+    /// of it while the first one restarts.
     fn needed_replicas(&self) -> usize {
         match self.tolerated_failures {
             0 => self.members.len().clamp(1, 2),
@@ -70,37 +71,39 @@
     }
 }
 
-/// Whether a shutdown is acknowledged.
+/// The decision on a server's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcknowledgementDecision {
     /// Enough members store the entry.
     Acknowledge,
-    /// More replicas are needed, and members have yet to respond.
+    /// More replicas are needed, and some members have not responded yet.
     Wait,
-    /// Too few members can store the entry in time, or there is no quorum contact; the server repeats its call.
+    /// Too few members can store the entry in time, or there is no quorum contact. The server has to repeat
+    /// its call.
     Reject,
 }
 
-/// The progress of the replication of one entry to the disks of the members.
+/// Progress of replicating one entry to the disks of the members.
 #[derive(Clone, Debug)]
 pub struct EntryReplication {
     entry: EntryVersion,
-    /// How many members have to store the entry.
+    /// The number of members that have to store the entry.
     needed: usize,
     /// Members that have not responded yet.
     pending: BTreeSet<SocketAddrV4>,
     /// Members that store the entry durably; disjoint from `pending`.
     replicas: BTreeSet<SocketAddrV4>,
-    /// An acknowledgement after this would not be heard.
+    /// The server does not receive an acknowledgement that is sent after this.
     deadline: Instant,
     faults: Faults,
 }
 
 impl EntryReplication {
-    /// No member is known to store the entry yet. The server has called at `now`.
+    /// Starts the replication of an entry that no member is known to store yet. The server's call arrived at
+    /// `now`.
     fn new(now: Instant, entry: EntryVersion, replica_set: &ReplicaSet, faults: Faults) -> EntryReplication {
         let pending: BTreeSet<SocketAddrV4> = replica_set.members.iter().copied().collect();
-        let needed = match faults.include(InjectedFault::AcknowledgeAfterOneReplica) {
+        let needed = match faults.is_injected(InjectedFault::AcknowledgeAfterOneReplica) {
             true => 2,
             false => replica_set.needed_replicas(),
         };
@@ -108,17 +111,18 @@
         EntryReplication { entry, needed, pending, replicas: BTreeSet::new(), deadline, faults }
     }
 
-    /// When the shutdown is rejected if it is not acknowledged before.
+    /// Returns when the shutdown is rejected unless it was acknowledged before.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// The entry that is replicated.
+    /// Returns the entry that is replicated.
     pub fn entry(&self) -> EntryVersion {
         self.entry
     }
 
-    /// Records up to where a control node, maybe this one, has the registry on its disk; `None` if that is not known.
+    /// Records up to which versions a control node, possibly this one, has the registry on disk; `None` if
+    /// that is not known.
     pub fn record_reply(&mut self, from: SocketAddrV4, durable: Option<&VersionVector>) {
         let has_entry = durable.is_some_and(|durable| self.entry.is_covered_by(durable));
         if self.pending.remove(&from) && has_entry {
@@ -126,13 +130,13 @@
         }
     }
 
-    /// Whether the shutdown is acknowledged now, by the replicas so far.
+    /// Decides on the shutdown from the replicas recorded so far.
     pub fn decision(&self, now: Instant, contact: QuorumContact) -> AcknowledgementDecision {
         if now >= self.deadline {
             return AcknowledgementDecision::Reject;
         }
         let may_acknowledge =
-            contact.is_confirmed() || self.faults.include(InjectedFault::AcknowledgeWithoutQuorum);
+            contact.is_confirmed() || self.faults.is_injected(InjectedFault::AcknowledgeWithoutQuorum);
         if self.replicas.len() + self.pending.len() < self.needed {
             AcknowledgementDecision::Reject
         } else if self.replicas.len() < self.needed {
@@ -145,18 +149,18 @@
     }
 }
 
-/// What the host does next after a heartbeat or a deregistration.
+/// What the host has to do next after a heartbeat or a deregistration.
 #[derive(Clone, Debug)]
 pub enum ShutdownStep {
-    /// Acknowledge at once: the server does not shut down, or its shutdown was acknowledged before.
+    /// Acknowledge at once: the server is not shutting down, or its shutdown was acknowledged before.
     Acknowledge,
-    /// Respond that the server has to repeat its call.
+    /// Tell the server to repeat its call.
     Reject,
     /// Replicate the entry to the members first.
     Replicate(EntryReplication),
 }
 
-/// The entries whose shutdown was acknowledged: a repeated call causes no further replication.
+/// The entries of acknowledged shutdowns. A repeated call for one of them is not replicated again.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownAcknowledgements {
     entries: BTreeSet<EntryVersion>,
@@ -164,7 +168,7 @@
 }
 
 impl ShutdownAcknowledgements {
-    /// Nothing is acknowledged yet; with a fault that a test injects.
+    /// Creates an empty set with a fault that a test injects.
     #[doc(hidden)]
     #[cfg(feature = "fault-injection")]
     pub fn with_injected_fault(injected_fault: Option<InjectedFault>) -> ShutdownAcknowledgements {
@@ -174,10 +178,10 @@
         }
     }
 
-    /// Decides on a call of a server that the registry has recorded.
+    /// Decides on a server's call that the registry has already recorded.
     ///
-    /// It decides by the entry in force, whichever control node has published it: a server that repeats its call at
-    /// another control node is not acknowledged there either before there are enough replicas.
+    /// The decision depends on the entry in force, whichever control node published it: a server that repeats
+    /// its call at another control node is not acknowledged there before there are enough replicas either.
     pub fn begin(
         &self,
         now: Instant,
@@ -190,8 +194,8 @@
         let Some(entry) = registry.entry(id).and_then(EntryVersion::of_shutdown) else {
             return ShutdownStep::Acknowledge;
         };
-        let is_unchecked = self.faults.include(InjectedFault::AcknowledgeRepeatsUnchecked);
-        if is_unchecked && !outcome.needs_replication {
+        let skips_checks = self.faults.is_injected(InjectedFault::AcknowledgeRepeatsUnchecked);
+        if skips_checks && !outcome.needs_replication {
             return ShutdownStep::Acknowledge;
         }
         if !self.entries.contains(&entry) {
@@ -209,7 +213,7 @@
     }
 }
 
-/// The latest entries that were published here: the first delta that another control node gets.
+/// Returns the latest entries that this node published: the first delta that is sent to another control node.
 pub fn latest_local_entries(registry: &Registry) -> Delta {
     let mut vector = registry.vector();
     vector.set(registry.local_id(), registry.version().saturating_sub(FIRST_DELTA_VERSIONS));
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of an operator's change: whether it is proposed to consensus, and what the response is.
+//! Admission of an operator's change: decides whether it is proposed to consensus, and how it is answered.
 //!
-//! Invariant *rejections are confirmed*: a change is rejected as stale or invalid only by a state that a quorum has
-//! confirmed after the change arrived. A change that is accepted costs no extra round trip, since the write itself needs
-//! the quorum; a rejection costs one. A change that was committed is never rejected.
+//! Invariant *rejections are confirmed*: a change is rejected as stale or invalid only on the basis of a
+//! state that a quorum has confirmed after the change arrived. An accepted change costs no extra round trip,
+//! since the write itself needs the quorum; a rejection costs one. A committed change is never rejected.
 
 use core::net::SocketAddrV4;
 use std::sync::Arc;
@@ -14,32 +14,32 @@
 use crate::injected_fault::{Faults, InjectedFault};
 use crate::response::{ChangeError, ChangeResponse};
 
-/// What the body of a change contains.
+/// The kind of a change: what its body contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// The body is the complete new configuration.
     Replace,
-    /// The body lists the items to remove and to put in.
+    /// The body lists the items to remove and those to insert or replace.
     Modify,
 }
 
-/// An operator's change as it arrived.
+/// An operator's change as it was received.
 #[derive(Clone, Debug)]
 pub struct OperatorChange<B> {
-    /// What the body contains.
+    /// The kind of the change.
     pub kind: ChangeKind,
-    /// The revision that it builds on, if the call names one.
+    /// The revision that the change is based on, if the request names one.
     pub base_revision: Option<u64>,
     /// The body, not parsed yet.
     pub body: B,
-    /// Distinguishes a repeat of this call from another call.
+    /// Identifies the request: a repeat of it has the same digest.
     pub digest: RequestDigest,
 }
 
-/// Who decides on changes, as far as this control node knows.
+/// Which control node decides on changes, as far as this one knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryHint {
-    /// This node, unless it has lost the role without knowing yet.
+    /// This node, unless it has lost the role without noticing yet.
     Local,
     /// Another control node, by its internal address.
     Remote(SocketAddrV4),
@@ -47,12 +47,12 @@
     Unknown,
 }
 
-/// What the host does next with a change.
+/// The next step of the host with a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionStep {
     /// Propose the change to consensus, then call [`ChangeAdmission::on_proposal_result`].
     Submit(ChangeProposal),
-    /// Read the state that a quorum confirms, then call [`ChangeAdmission::on_state_confirmed`].
+    /// Read the state with confirmation by a quorum, then call [`ChangeAdmission::on_state_confirmed`].
     ConfirmState,
     /// Respond to the operator.
     Respond(ChangeResponse),
@@ -61,13 +61,13 @@
 /// A change to propose to consensus.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeProposal {
-    /// The revision that it builds on.
+    /// The revision that the change is based on.
     pub base_revision: u64,
-    /// The revision that it makes.
+    /// The revision that the change creates.
     pub revision: u64,
-    /// The complete new configuration as JSON; empty if the change is known to be applied already.
+    /// The complete new configuration as JSON; empty if the change is known to be already applied.
     pub body: Vec<u8>,
-    /// Distinguishes a repeat of the call from another call.
+    /// Identifies the operator's request: a repeat of it has the same digest.
     pub digest: RequestDigest,
 }
 
@@ -81,33 +81,33 @@
     faults: Faults,
 }
 
-/// What a change says of its place among the others.
+/// The revisions that a change names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Revisions {
-    /// The revision that it builds on.
+    /// The revision that the change is based on.
     base: u64,
-    /// The revision that it makes.
+    /// The revision that the change creates.
     new: u64,
 }
 
-/// Whether the state that a change is evaluated against may be outdated.
+/// Origin of the state that a change is evaluated against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StateOrigin {
-    /// This node's newest committed state, which may be outdated.
+    /// The newest committed state that this node knows. It may be outdated.
     Local,
-    /// A quorum has confirmed it after the change arrived.
+    /// A state that a quorum confirmed after the change arrived.
     Confirmed,
 }
 
 impl<B: AsRef<[u8]>> ChangeAdmission<B> {
-    /// Starts the admission of a change. Returns it with its first step.
+    /// Starts the admission of a change. Returns the admission and its first step.
     ///
     /// `state` is the newest committed state that this node knows, `config` the configuration parsed from it.
     ///
     /// # Errors
     ///
-    /// The response to the operator, where it depends on no state: this node is not the primary, or no state could make the
-    /// change valid, so that no quorum needs to confirm the rejection.
+    /// The response to the operator, if it does not depend on the state: this node is not the primary, or the
+    /// change is invalid in every state, so that no quorum has to confirm the rejection.
     pub fn begin(
         request: OperatorChange<B>,
         primary: PrimaryHint,
@@ -117,11 +117,11 @@
         Self::begin_with(request, primary, state, config, Faults::default())
     }
 
-    /// As [`ChangeAdmission::begin`], with a fault that a test injects.
+    /// Like [`ChangeAdmission::begin`], with a fault that a test injects.
     ///
     /// # Errors
     ///
-    /// As for [`ChangeAdmission::begin`].
+    /// See [`ChangeAdmission::begin`].
     #[doc(hidden)]
     #[cfg(feature = "fault-injection")]
     pub fn begin_with_injected_fault(
@@ -160,7 +160,7 @@
         self.evaluate(self.local_config.clone().as_deref(), StateOrigin::Local)
     }
 
-    /// Takes in the reply to an [`AdmissionStep::ConfirmState`].
+    /// Handles the reply of consensus to an [`AdmissionStep::ConfirmState`].
     pub fn on_state_confirmed(&self, reply: ClientReply) -> AdmissionStep {
         let state = match reply {
             ClientReply::CurrentState { state } => state,
@@ -190,7 +190,7 @@
         self.evaluate(config.as_deref(), StateOrigin::Confirmed)
     }
 
-    /// Takes in the reply to an [`AdmissionStep::Submit`].
+    /// Handles the reply of consensus to an [`AdmissionStep::Submit`].
     pub fn on_proposal_result(&self, reply: ClientReply) -> ChangeResponse {
         match reply {
             ClientReply::ChangeCommitted { revision } => ChangeResponse::Accepted { revision },
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Applies the change to a configuration, which has to be of the revision that it builds on: proposes the result, or
-    /// rejects the change. `origin` says whether a quorum has confirmed `config`.
+    /// Applies the change to a configuration, which must have the revision that the change is based on.
+    /// Proposes the result, or rejects the change. `origin` tells whether a quorum has confirmed `config`.
     fn evaluate(&self, config: Option<&Config>, origin: StateOrigin) -> AdmissionStep {
         let current_revision = config.map_or(0, |config| config.revision());
         if self.revisions.base != current_revision {
@@ -225,10 +225,11 @@
         }
     }
 
-    /// A rejection by a state that no quorum has confirmed waits for the confirmation.
+    /// Rejects the change. If no quorum has confirmed the state that it was evaluated against, the state has
+    /// to be confirmed first.
     fn reject(&self, response: ChangeResponse, origin: StateOrigin) -> AdmissionStep {
-        let is_unchecked = self.faults.include(InjectedFault::RejectFromLocalState);
-        if origin == StateOrigin::Confirmed || is_unchecked {
+        let skips_confirmation = self.faults.is_injected(InjectedFault::RejectFromLocalState);
+        if origin == StateOrigin::Confirmed || skips_confirmation {
             respond(response)
         } else {
             AdmissionStep::ConfirmState
@@ -245,13 +246,13 @@
         })
     }
 
-    /// The change as consensus remembers it once it is applied.
+    /// Returns the change as consensus records it after applying it.
     fn applied_request(&self) -> AppliedRequest {
         AppliedRequest { revision: self.revisions.new, digest: self.request.digest }
     }
 }
 
-/// Reads which revision a change builds on, and which one it makes.
+/// Reads the revision that a change is based on, and the one that it creates.
 fn read_revisions<B: AsRef<[u8]>>(request: &OperatorChange<B>) -> Result<Revisions, ChangeError> {
     let base = request.base_revision.ok_or(ChangeError::MissingBaseRevision)?;
     let body = request.body.as_ref();
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -1,7 +1,7 @@
-//! Which configuration a control node offers.
+//! The configuration that a control node serves, with the patches from earlier revisions.
 //!
-//! Invariant *served with quorum contact*: a control node without quorum contact offers no configuration and
-//! advertises no revision, since what it knows may be outdated.
+//! Invariant *served with quorum contact*: a control node without quorum contact serves no configuration and
+//! advertises no revision, because its state may be outdated.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use crate::injected_fault::{Faults, InjectedFault};
 use crate::quorum_contact::QuorumContact;
 
-/// The most patches that are retained for processes with older revisions.
+/// The maximum number of patches that are retained for processes with older revisions.
 const MAX_PATCHES: usize = 1024;
-/// The most bytes of retained patches.
+/// The maximum total size of the retained patches.
 const MAX_PATCH_BYTES: usize = 4 * 1024 * 1024;
 
 /// The patch from one committed configuration to the next.
@@ -30,25 +30,26 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigHistory {
     current: Option<Arc<Config>>,
-    /// Oldest first; each one starts at the revision that the one before leads to.
+    /// Oldest first. Each patch starts at the revision that the previous one leads to.
     patches: VecDeque<Patch>,
     faults: Faults,
 }
 
 impl ConfigHistory {
-    /// Nothing is committed yet; with a fault that a test injects.
+    /// Creates an empty history with a fault that a test injects.
     #[doc(hidden)]
     #[cfg(feature = "fault-injection")]
     pub fn with_injected_fault(injected_fault: Option<InjectedFault>) -> ConfigHistory {
         ConfigHistory { faults: Faults::new(injected_fault), ..ConfigHistory::default() }
     }
 
-    /// Takes in a committed state. Returns its configuration, or `None` if this or a newer revision is known already.
+    /// Records a committed state. Returns its configuration, or `None` if this or a newer revision was
+    /// recorded before.
     ///
     /// # Errors
     ///
-    /// The committed text is no valid configuration: another version of the software has accepted it. The history
-    /// stays as it was.
+    /// The committed text is not a valid configuration, because another version of the software accepted it.
+    /// The history does not change.
     pub fn commit(&mut self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
         let known_revision = self.current.as_ref().map_or(0, |config| config.revision());
         if state.revision <= known_revision {
@@ -65,7 +66,7 @@
         Ok(Some(config))
     }
 
-    /// Drops the oldest patches beyond the bounds.
+    /// Drops the oldest patches until both limits hold.
     fn evict_patches(&mut self) {
         while self.patches.len() > MAX_PATCHES || self.patch_bytes() > MAX_PATCH_BYTES {
             self.patches.pop_front();
@@ -76,18 +77,18 @@
         self.patches.iter().map(|patch| patch.text.len()).sum()
     }
 
-    /// The newest committed configuration that is known here, with or without quorum contact.
+    /// Returns the newest committed configuration that this node knows, with or without quorum contact.
     pub fn current(&self) -> Option<&Arc<Config>> {
         self.current.as_ref()
     }
 
-    /// The revision that is reported to the processes that watch this node; 0 if there is none.
+    /// Returns the revision that is reported to the processes watching this node; 0 if there is none.
     pub fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         let served = self.current.as_ref().filter(|_| self.may_serve(contact));
         served.map_or(0, |config| config.revision())
     }
 
-    /// What is offered to a process with the revision `known_revision` (0 if it has none).
+    /// Returns the offer to a process that has the revision `known_revision` (0 if it has none).
     pub fn offer(&self, known_revision: u64, contact: QuorumContact) -> ConfigOffer {
         let Some(config) = self.current.as_ref().filter(|_| self.may_serve(contact)) else {
             return ConfigOffer::Withheld;
@@ -98,7 +99,8 @@
         }
     }
 
-    /// The patches from a revision to the newest one, if all are retained and shorter than the complete configuration.
+    /// Returns the patches from a revision to the newest one, if all of them are retained and they are
+    /// shorter than the complete configuration.
     fn patches_from(&self, revision: u64, config: &Config) -> Option<Vec<String>> {
         let first = self.patches.iter().position(|patch| patch.from_revision == revision)?;
         self.patches.back().filter(|last| last.to_revision == config.revision())?;
@@ -108,6 +110,6 @@
     }
 
     fn may_serve(&self, contact: QuorumContact) -> bool {
-        contact.is_confirmed() || self.faults.include(InjectedFault::ServeWithoutQuorum)
+        contact.is_confirmed() || self.faults.is_injected(InjectedFault::ServeWithoutQuorum)
     }
 }
--- a/crates/control-plane/src/config_offer.rs
+++ b/crates/control-plane/src/config_offer.rs
@@ -1,15 +1,15 @@
-//! The offer of a configuration by a control node, and its application by a proxy.
+//! The configuration as a control node offers it, and how a proxy applies the offer.
 
 use std::sync::Arc;
 
 use mosshead_config::{Config, ConfigError};
 
-/// The offer to a process that fetches the configuration.
+/// What a control node offers to a process that fetches the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigOffer {
-    /// Nothing: the control node has no quorum contact, or no configuration yet.
+    /// Nothing, because the control node has no quorum contact or no configuration yet.
     Withheld,
-    /// The patches that lead from the revision of the fetching process to the newest one, in order.
+    /// The patches from the revision of the fetching process to the newest one, in order.
     Patches {
         /// The revision that the last patch leads to.
         revision: u64,
@@ -18,9 +18,9 @@
     },
     /// The complete configuration.
     Full {
-        /// Its revision.
+        /// The revision of the configuration.
         revision: u64,
-        /// Its JSON.
+        /// The configuration as JSON.
         text: String,
     },
 }
@@ -28,11 +28,11 @@
 /// The result of applying an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AssembledConfig {
-    /// The configuration that the offer leads to.
+    /// The configuration that results from the offer.
     Config(Arc<Config>),
     /// Nothing was offered.
     Withheld,
-    /// The offer does not apply to the configuration in force: the complete one is needed.
+    /// The offer does not apply to the configuration in force. The complete configuration has to be fetched.
     Mismatch,
 }
 
@@ -48,7 +48,7 @@
     config.map_or(AssembledConfig::Mismatch, |config| AssembledConfig::Config(Arc::new(config)))
 }
 
-/// The configuration after all patches; `None` if there are none, or one does not apply.
+/// Applies all patches. Returns `None` if there are none, or if one does not apply.
 fn apply_patches(in_force: Option<&Config>, patches: &[String]) -> Option<Config> {
     let mut config: Option<Config> = None;
     for patch in patches {
@@ -58,11 +58,11 @@
     config
 }
 
-/// Parses a configuration; only the items that differ from the known one, if there is one.
+/// Parses a configuration. If another one is known, only the items that differ from it are parsed.
 ///
 /// # Errors
 ///
-/// The text is no valid configuration.
+/// The text is not a valid configuration.
 pub(crate) fn parse_config(known: Option<&Config>, text: &[u8]) -> Result<Config, ConfigError> {
     match known {
         Some(known) => known.parse_sharing(text),
--- a/crates/control-plane/src/control_node_pool.rs
+++ b/crates/control-plane/src/control_node_pool.rs
@@ -1,7 +1,7 @@
-//! Which control nodes a proxy watches, and whose configuration it fetches.
+//! The control nodes that a proxy watches, and from which of them it fetches the configuration.
 //!
-//! Invariant *fetched with quorum contact*: a proxy fetches the configuration only from a control node that reports
-//! quorum contact, and the revision in force at a proxy never goes back.
+//! Invariant *fetched with quorum contact*: a proxy fetches the configuration only from a control node that
+//! reports quorum contact. The revision in force at a proxy never decreases.
 
 use core::net::SocketAddrV4;
 
@@ -10,24 +10,24 @@
 use crate::injected_fault::{Faults, InjectedFault};
 use crate::quorum_contact::QuorumContact;
 
-/// The most control nodes that a proxy knows.
+/// The maximum number of control nodes that a proxy keeps in its pool.
 const MAX_CONTROL_NODES: usize = 64;
-/// How long a released control node is not acquired again.
+/// How long after its release a control node can't be acquired again.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// A control node without quorum contact for this long is released.
+/// A watched control node is released after it has had no quorum contact for this long.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A control node as a proxy knows it.
 #[derive(Clone, Debug)]
 struct PooledNode {
     address: SocketAddrV4,
-    /// When it was last released, after a failure or without quorum contact; `None` if it never was.
+    /// When it was last released, because of a failure or missing quorum contact; `None` if it never was.
     released_at: Option<Instant>,
-    /// Whether the proxy watches it.
+    /// True if the proxy is watching it.
     is_acquired: bool,
 }
 
-/// The control nodes that a proxy knows, and which of them it is watching.
+/// The control nodes that a proxy knows, and which of them it watches.
 #[derive(Clone, Debug, Default)]
 pub struct ControlNodePool {
     nodes: Vec<PooledNode>,
@@ -35,21 +35,21 @@
 }
 
 impl ControlNodePool {
-    /// The pool of the seeds.
+    /// Creates a pool of the seed addresses.
     pub fn new(seeds: &[SocketAddrV4]) -> ControlNodePool {
         let mut pool = ControlNodePool::default();
         pool.add(seeds);
         pool
     }
 
-    /// The same pool with a fault that a test injects.
+    /// Returns the same pool with a fault that a test injects.
     #[doc(hidden)]
     #[cfg(feature = "fault-injection")]
     pub fn with_injected_fault(self, injected_fault: Option<InjectedFault>) -> ControlNodePool {
         ControlNodePool { faults: Faults::new(injected_fault), ..self }
     }
 
-    /// Adds control nodes that are not known yet.
+    /// Adds control nodes that the pool does not contain yet.
     pub fn add(&mut self, addresses: &[SocketAddrV4]) {
         for &address in addresses {
             let is_known = self.nodes.iter().any(|node| node.address == address);
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Takes in the control nodes that a response lists. A node with quorum contact lists all that there are: others
-    /// that have been released are dropped.
+    /// Updates the pool from the control nodes that a response lists. The list of a node with quorum contact
+    /// is complete: nodes that have been released and are not on it are dropped.
     pub fn update_members(&mut self, addresses: &[SocketAddrV4], contact: QuorumContact) {
         self.add(addresses);
         if contact.is_confirmed() && !addresses.is_empty() {
@@ -70,13 +70,14 @@
         }
     }
 
-    /// The control nodes that are known.
+    /// Returns the addresses of all control nodes in the pool.
     pub fn addresses(&self) -> Vec<SocketAddrV4> {
         self.nodes.iter().map(|node| node.address).collect()
     }
 
-    /// Acquires a control node to watch: one that is not acquired, and was released longest ago or never. `None` if
-    /// there is none, or it was released within the retry delay: nodes that fail at once are not called in a busy loop.
+    /// Acquires a control node to watch: one that is not acquired and that was never released, or released
+    /// longest ago. Returns `None` if there is none, or if it was released less than the retry delay ago, so
+    /// that failing nodes are not called in a busy loop.
     pub fn acquire(&mut self, now: Instant) -> Option<SocketAddrV4> {
         let free = self.nodes.iter_mut().filter(|node| !node.is_acquired);
         let node = free.min_by_key(|node| node.released_at)?;
@@ -87,7 +88,7 @@
         Some(node.address)
     }
 
-    /// Returns an acquired control node to the pool, after a failure or without quorum contact.
+    /// Returns an acquired control node to the pool, after a failure or if it has no quorum contact.
     pub fn release(&mut self, now: Instant, address: SocketAddrV4) {
         for node in self.nodes.iter_mut().filter(|node| node.address == address) {
             node.is_acquired = false;
@@ -95,14 +96,15 @@
         }
     }
 
-    /// Whether the configuration is fetched from a control node that advertises a revision.
+    /// Returns true if the configuration should be fetched from a control node that advertises
+    /// `advertised_revision`.
     pub fn should_fetch_config(
         &self,
         revision_in_force: u64,
         advertised_revision: u64,
         contact: QuorumContact,
     ) -> bool {
-        let may_fetch = contact.is_confirmed() || self.faults.include(InjectedFault::FetchWithoutQuorum);
+        let may_fetch = contact.is_confirmed() || self.faults.is_injected(InjectedFault::FetchWithoutQuorum);
         may_fetch && advertised_revision > revision_in_force
     }
 }
@@ -110,12 +112,12 @@
 /// Decides how long a proxy watches one control node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchSession {
-    /// Since when the control node has reported no quorum contact.
+    /// Since when the control node has been reporting no quorum contact; `None` while it has it.
     unconfirmed_since: Option<Instant>,
 }
 
 impl WatchSession {
-    /// Whether the proxy goes on watching the control node after this response.
+    /// Returns true if the proxy should continue to watch the control node after this response.
     pub fn should_continue(&mut self, now: Instant, contact: QuorumContact) -> bool {
         match contact {
             QuorumContact::Confirmed => {
--- a/crates/control-plane/src/injected_fault.rs
+++ b/crates/control-plane/src/injected_fault.rs
@@ -1,29 +1,30 @@
-//! Faults that tests inject into the decisions. Without the feature `fault-injection` there are none, and the compiler leaves
-//! out what depends on one.
+//! Faults that tests inject into the decisions. Without the feature `fault-injection` there are none, and the
+//! compiler removes the code that depends on them.
 
-/// A fault that a test injects into a decision, to show that its checks find it.
+/// A fault that a test injects into a decision, to show that the test's checks detect it.
 #[allow(missing_docs)]
 #[cfg_attr(not(feature = "fault-injection"), allow(dead_code, unreachable_pub))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A change is rejected by the local state, which no quorum has confirmed.
+    /// A change is rejected on the basis of the local state, which no quorum has confirmed.
     RejectFromLocalState,
-    /// A control node without quorum contact offers its configuration.
+    /// A control node without quorum contact serves its configuration.
     ServeWithoutQuorum,
     /// A proxy fetches the configuration from a control node that reports no quorum contact.
     FetchWithoutQuorum,
     /// A control node without quorum contact acknowledges a server's shutdown.
     AcknowledgeWithoutQuorum,
-    /// A server's shutdown is acknowledged with one replica, however many members may fail.
+    /// A server's shutdown is acknowledged once two members have stored it, however many may fail.
     AcknowledgeAfterOneReplica,
-    /// Quorum contact and replicas of a shutdown are not checked again once one other control node has the entry.
+    /// A repeated shutdown call is acknowledged without checking quorum contact and replicas once one other
+    /// control node has the entry.
     AcknowledgeRepeatsUnchecked,
-    /// All three faults of acknowledgements at once.
+    /// All three faults of acknowledgements together.
     AcknowledgeUnchecked,
 }
 
 impl InjectedFault {
-    /// Whether this fault is, or includes, another one.
+    /// Returns true if this fault is the other one or includes it.
     #[cfg(feature = "fault-injection")]
     pub(crate) fn includes(self, other: InjectedFault) -> bool {
         let acknowledgement_faults = [
@@ -36,7 +37,7 @@
     }
 }
 
-/// The fault that a test has injected, if any.
+/// The injected fault, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Faults {
     #[cfg(feature = "fault-injection")]
@@ -49,15 +50,14 @@
         Faults { injected }
     }
 
-    /// Whether a test has injected this fault.
+    /// Returns true if a test has injected this fault.
     #[cfg(feature = "fault-injection")]
-    pub(crate) fn include(self, fault: InjectedFault) -> bool {
+    pub(crate) fn is_injected(self, fault: InjectedFault) -> bool {
         self.injected.is_some_and(|injected| injected.includes(fault))
     }
 
-    /// No fault is ever injected.
     #[cfg(not(feature = "fault-injection"))]
-    pub(crate) const fn include(self, _: InjectedFault) -> bool {
+    pub(crate) const fn is_injected(self, _: InjectedFault) -> bool {
         false
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,9 +1,11 @@
-//! Decisions of the control nodes and of the proxies that follow them, without I/O and without a clock.
+//! Decision logic of the control nodes and of the proxies that follow them. It does no I/O and reads no
+//! clock.
 //!
-//! The programs carry these decisions out: [`ChangeAdmission`] decides on the response to an operator's change,
-//! [`ConfigHistory`] which configuration a control node offers, [`ControlNodePool`] which control nodes a proxy watches
-//! and whose configuration it fetches, [`ShutdownAcknowledgements`] when a server that shuts down is acknowledged, and
-//! [`DurableEntries`] which registry entries a node has on its disk.
+//! The programs call it and carry out its decisions: [`ChangeAdmission`] decides how an operator's change is
+//! answered, [`ConfigHistory`] which configuration a control node serves, [`ControlNodePool`] which control
+//! nodes a proxy watches and from which one it fetches the configuration, [`ShutdownAcknowledgements`] when a
+//! server's shutdown is acknowledged, and [`DurableEntries`] tracks which registry entries are durable in a
+//! node's own log.
 
 mod acknowledgement;
 mod admission;
--- a/crates/control-plane/src/response.rs
+++ b/crates/control-plane/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses to an operator's change or read-back.
+//! Responses to an operator's change or read of the configuration.
 
 use core::net::SocketAddrV4;
 
@@ -9,45 +9,45 @@
 /// The response to an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeResponse {
-    /// The change is committed.
+    /// The change was committed.
     Accepted {
-        /// The revision that it has made.
+        /// The revision that the change created.
         revision: u64,
     },
-    /// The change builds on another revision than the current one, and will never be committed.
+    /// The change is based on another revision than the current one, and will never be committed.
     Stale {
         /// The revision that a quorum has confirmed.
         current_revision: u64,
     },
-    /// The change does not lead to a valid configuration.
+    /// The change, or the configuration that results from it, is not valid.
     Invalid(ChangeError),
-    /// The configuration that the change leads to is too large, on whatever revision it builds.
+    /// The configuration that results from the change is too large, whatever revision it is based on.
     TooLarge,
     /// Another control node decides.
     Redirect {
         /// The internal address of the primary.
         primary: SocketAddrV4,
     },
-    /// Unknown result: the change is so old that it cannot be distinguished from one that was committed and is not
-    /// remembered any more.
+    /// The result is unknown: the change is so old that it can't be distinguished from a committed change
+    /// that is no longer remembered.
     Expired,
-    /// Unknown result: the change may be committed or not.
+    /// The result is unknown: the change may or may not be committed.
     Unavailable,
 }
 
 quick_error! {
-    /// What is wrong with an operator's change. The texts start with the number from `docs/codes.md`.
+    /// Reason why an operator's change is invalid. The texts start with the number from `docs/codes.md`.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ChangeError {
-        /// The call does not name the revision that the change builds on.
+        /// The request does not name the revision that the change is based on.
         MissingBaseRevision {
             display("C07 X-Base-Revision is missing")
         }
-        /// The body lacks the revision that the change makes.
+        /// The body does not name the revision that the change creates.
         MissingRevision {
             display("M08 at revision: is missing")
         }
-        /// The body, or the configuration that it leads to, is invalid.
+        /// The body, or the configuration that results from it, is invalid.
         Config(error: ConfigError) {
             display("{}", error)
             source(error)
@@ -56,7 +56,7 @@
     }
 }
 
-/// The response to a read-back.
+/// The response to an operator's read of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResponse {
     /// The state that a quorum has confirmed.
@@ -68,11 +68,11 @@
         /// The internal address of the primary.
         primary: SocketAddrV4,
     },
-    /// Unknown: no quorum has responded in time.
+    /// Unknown, because no quorum responded in time.
     Unavailable,
 }
 
-/// The response to an operator's read-back, by the reply of consensus to an `Input::Read`.
+/// Returns the response to an operator's read, given the reply of consensus to an `Input::Read`.
 pub fn read_response(reply: ClientReply) -> ReadResponse {
     match reply {
         ClientReply::CurrentState { state } if state.revision > 0 => ReadResponse::Current(state),
--- a/crates/control-plane/tests/acknowledgement.rs
+++ b/crates/control-plane/tests/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! When the shutdown of a server is acknowledged.
+//! Acknowledgement of a server's shutdown: replicas, quorum contact and timeout.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -11,7 +11,7 @@
 use quickcheck::quickcheck;
 
 const ID: &str = "i-1";
-/// When the server calls.
+/// The time of the server's call.
 const NOW: Instant = Instant::from_millis(10);
 
 fn address(last: u8) -> SocketAddrV4 {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A registry that has recorded the server as draining, with the outcome.
+/// Creates a registry that has recorded the server as draining. Returns it with the outcome of the heartbeat.
 fn draining() -> (Registry, HeartbeatOutcome) {
     let mut registry = Registry::new(SourceId(1), Duration::from_millis(500));
     registry.record_heartbeat(Instant::from_millis(0), server(OperState::Up, 1)).unwrap();
@@ -58,7 +58,7 @@
     acknowledgements.begin(NOW, registry, ID, outcome, contact, replica_set)
 }
 
-/// The replication of a server's shutdown that no member has on its disk yet.
+/// Starts the replication of a server's shutdown that no member has on disk yet.
 fn start_replication(replica_set: &ReplicaSet, injected: Option<InjectedFault>) -> EntryReplication {
     let (registry, outcome) = draining();
     let acknowledgements = ShutdownAcknowledgements::with_injected_fault(injected);
@@ -87,7 +87,8 @@
     assert!(matches!(step, ShutdownStep::Acknowledge), "{step:?}");
 }
 
-/// The same, with the entry on the disk of the node at the first address, which received the call.
+/// Like [`start_replication`], with the entry on the disk of the node at the first address, which received
+/// the call.
 fn replication_after_local_write(
     replica_set: &ReplicaSet,
     injected: Option<InjectedFault>,
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn as_many_other_members_as_may_fail_must_have_the_entry() {
+fn an_acknowledgement_needs_more_replicas_than_tolerated_failures() {
     let mut replication = replication_after_local_write(&replica_set(5, 2), None);
     assert_eq!(replication.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Wait);
     replication.record_reply(address(2), Some(&vector_with_entry()));
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn the_entry_must_be_on_the_local_disk_too() {
+fn the_local_member_counts_only_once_the_entry_is_on_its_disk() {
     let mut replication = start_replication(&replica_set(3, 1), None);
     replication.record_reply(address(2), Some(&vector_with_entry()));
     assert_eq!(replication.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Wait);
@@ -122,9 +123,9 @@
     assert_eq!(replication.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Reject);
 }
 
-/// A server listens for a second: after that it has called another control node, or has ended.
+/// A server waits one second for the response. After that it has called another control node, or has ended.
 #[test]
-fn a_shutdown_is_acknowledged_in_time_or_not_at_all() {
+fn a_shutdown_is_rejected_after_the_acknowledgement_timeout() {
     let mut replication = start_replication(&replica_set(3, 1), None);
     for member in 1..=3 {
         replication.record_reply(address(member), Some(&vector_with_entry()));
@@ -136,9 +137,9 @@
     assert!(ACKNOWLEDGEMENT_TIMEOUT < Duration::from_millis(1_000));
 }
 
-/// A node whose own disk fails may acknowledge what enough others have written.
+/// A node whose own disk fails may acknowledge a shutdown that enough other members have on disk.
 #[test]
-fn the_disks_of_others_suffice() {
+fn enough_replicas_on_other_members_suffice() {
     let mut replication = start_replication(&replica_set(3, 1), None);
     replication.record_reply(address(1), Some(&VersionVector::default()));
     replication.record_reply(address(2), Some(&vector_with_entry()));
@@ -165,9 +166,10 @@
     assert_eq!(replication.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Wait);
 }
 
-/// With fewer members than replicas the failures to survive have happened already: the next one could lose the entry.
+/// With fewer members than needed replicas, the tolerated failures have already happened: the next one could
+/// lose the entry.
 #[test]
-fn fewer_members_than_replicas_acknowledge_nothing() {
+fn fewer_members_than_needed_replicas_acknowledge_nothing() {
     for members in 0..=2 {
         let mut replication = start_replication(&replica_set(members, 2), None);
         for member in 1..=members {
@@ -188,7 +190,7 @@
     assert_eq!(two.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Acknowledge);
 }
 
-/// A node that is no member may fail beside the tolerated members.
+/// A node that is not a member may fail in addition to the tolerated failures of members.
 #[test]
 fn the_replica_of_a_node_that_is_no_member_does_not_count() {
     let mut replication = start_replication(&replica_set(3, 1), None);
@@ -199,8 +201,8 @@
     assert_eq!(replication.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Acknowledge);
 }
 
-/// A server that was not acknowledged repeats its call: to the same control node, when one other has the entry, and to
-/// that other one.
+/// A server that was not acknowledged repeats its call, to the same control node after another one has the
+/// entry, and to that other one.
 #[test]
 fn a_repeated_call_needs_the_same_replicas() {
     let (mut registry, _) = draining();
@@ -244,7 +246,7 @@
     assert!(matches!(step, ShutdownStep::Replicate(_)), "{step:?}");
 }
 
-/// An earlier implementation, in a partitioned minority of two out of five.
+/// An earlier implementation acknowledged shutdowns in a partitioned minority of two out of five members.
 #[test]
 fn injected_faults_acknowledge_in_a_minority() {
     let minority = |injected| {
@@ -271,9 +273,9 @@
 }
 
 quickcheck! {
-    /// Whoever responds, with or without the entry: of the nodes that store an acknowledged entry so many are members that
-    /// one is left after the tolerated failures.
-    fn an_acknowledged_shutdown_outlives_the_tolerated_failures(failures: u8, members: u8, responses: Vec<(u8, bool)>) -> bool {
+    /// Whichever members respond, with or without the entry: an acknowledged entry is stored by more members
+    /// than the tolerated number of failures.
+    fn an_acknowledged_shutdown_survives_the_tolerated_failures(failures: u8, members: u8, responses: Vec<(u8, bool)>) -> bool {
         let failures = usize::from(failures % 3);
         let replica_set = replica_set(members % 6, failures);
         let mut replication = start_replication(&replica_set, None);
--- a/crates/control-plane/tests/admission.rs
+++ b/crates/control-plane/tests/admission.rs
@@ -1,4 +1,4 @@
-//! How an operator's change is answered: rejections only by a state that a quorum has confirmed.
+//! Responses to an operator's change: a rejection is based only on a state that a quorum has confirmed.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 };
 use quickcheck::quickcheck;
 
-/// The number that stands for the request under test.
+/// The number from which the digest of the tested request is made.
 const REQUEST: u64 = 77;
 const DIGEST: RequestDigest = digest(REQUEST);
 
@@ -31,7 +31,7 @@
     format!(r#"{{"revision":{revision},"route_entries":[],"backend_services":[]}}"#)
 }
 
-/// The state that the request of this number has made under this revision.
+/// The state of this revision, which the request with this number created.
 fn state(revision: u64, request: u64) -> ControlState {
     let applied_requests: Arc<[AppliedRequest]> =
         Arc::from([AppliedRequest { revision, digest: digest(request) }]);
@@ -47,7 +47,7 @@
     request(ChangeKind::Replace, Some(base), &text(revision))
 }
 
-/// Begins at a control node that believes to be primary and knows this state.
+/// Begins the admission at a control node that considers itself primary and knows this state.
 fn begin(
     request: OperatorChange<Vec<u8>>,
     known: Option<&ControlState>,
@@ -56,10 +56,10 @@
     let config = known.map(|state| Arc::new(Config::parse(&state.body).expect("a configuration")));
     let begun =
         ChangeAdmission::begin_with_injected_fault(request, PrimaryHint::Local, known, config, injected);
-    begun.expect("it depends on a state")
+    begun.expect("the response depends on the state")
 }
 
-/// The response to a change that depends on no state.
+/// Returns the response to a change, if it does not depend on the state.
 fn first_response(request: OperatorChange<Vec<u8>>, primary: PrimaryHint) -> Option<ChangeResponse> {
     let known = state(5, 1);
     let config = Arc::new(Config::parse(&known.body).expect("a configuration"));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_node_that_is_not_primary_decides_nothing() {
+fn a_node_that_is_not_primary_redirects_or_reports_unavailable() {
     let other = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7);
     for (primary, response) in [
         (PrimaryHint::Unknown, ChangeResponse::Unavailable),
@@ -198,9 +198,9 @@
     }
 }
 
-/// An earlier implementation.
+/// An earlier implementation had this fault.
 #[test]
-fn the_injected_fault_rejects_by_local_state() {
+fn the_injected_fault_rejects_changes_by_the_local_state() {
     let injected = Some(InjectedFault::RejectFromLocalState);
     assert_eq!(begin(replace(7, 8), Some(&state(5, 1)), injected).1, stale(5));
     let bad = request(ChangeKind::Replace, Some(5), r#"{"revision":6,"route_entries":4}"#);
@@ -215,8 +215,8 @@
 }
 
 quickcheck! {
-    /// Whatever the node knows and the quorum confirms: a change that was applied is never rejected, and a rejection
-    /// reports the confirmed state.
+    /// Whatever state the node knows and the quorum confirms: an applied change is never rejected, and a
+    /// rejection reports the confirmed state.
     fn rejections_report_the_confirmed_state(base: u8, known: u8, confirmed: u8, is_applied: bool) -> bool {
         let (base, known, confirmed) = (u64::from(base), u64::from(known), u64::from(confirmed).max(1));
         let confirmed = state(confirmed, if is_applied { REQUEST } else { 1 });
--- a/crates/control-plane/tests/configuration.rs
+++ b/crates/control-plane/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Which configuration is offered, and what a proxy fetches.
+//! The configuration that a control node offers, and the control nodes that a proxy watches and fetches it
+//! from.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -32,8 +33,8 @@
 #[test]
 fn nothing_is_offered_without_quorum_contact() {
     let history = history(1..=3, None);
-    for have in 0..=3 {
-        assert_eq!(history.offer(have, QuorumContact::Unconfirmed), ConfigOffer::Withheld);
+    for known_revision in 0..=3 {
+        assert_eq!(history.offer(known_revision, QuorumContact::Unconfirmed), ConfigOffer::Withheld);
     }
     assert_eq!(history.advertised_revision(QuorumContact::Unconfirmed), 0);
     assert_eq!(history.advertised_revision(QuorumContact::Confirmed), 3);
@@ -43,20 +44,24 @@
 fn offers_lead_from_any_revision_to_the_newest() {
     let history = history(1..=5, None);
     let newest = history.current().expect("committed").clone();
-    for have in 0..=5 {
-        let offer = history.offer(have, QuorumContact::Confirmed);
+    for known_revision in 0..=5 {
+        let offer = history.offer(known_revision, QuorumContact::Confirmed);
         let mut own = ConfigHistory::default();
-        if have > 0 {
-            own.commit(&state(have)).expect("a configuration");
+        if known_revision > 0 {
+            own.commit(&state(known_revision)).expect("a configuration");
         }
         let config = assemble_config(own.current().map(|config| &**config), &offer);
-        assert_eq!(config, AssembledConfig::Config(newest.clone()), "from {have}");
-        assert_eq!(matches!(offer, ConfigOffer::Patches { .. }), (1..5).contains(&have), "from {have}");
+        assert_eq!(config, AssembledConfig::Config(newest.clone()), "from {known_revision}");
+        assert_eq!(
+            matches!(offer, ConfigOffer::Patches { .. }),
+            (1..5).contains(&known_revision),
+            "from {known_revision}"
+        );
     }
 }
 
 #[test]
-fn a_committed_revision_never_goes_back() {
+fn the_committed_revision_never_decreases() {
     let mut history = history(1..=5, None);
     assert_eq!(history.commit(&state(4)).map(|config| config.is_some()), Ok(false));
     assert_eq!(history.commit(&state(5)).map(|config| config.is_some()), Ok(false));
@@ -72,9 +77,9 @@
     assert_eq!(assemble_config(None, &ConfigOffer::Withheld), AssembledConfig::Withheld);
 }
 
-/// An earlier implementation, on both sides.
+/// An earlier implementation had these faults, on the control node and on the proxy.
 #[test]
-fn injected_faults_serve_and_fetch_without_quorum_contact() {
+fn injected_faults_allow_serving_and_fetching_without_quorum_contact() {
     let served = history(1..=3, Some(InjectedFault::ServeWithoutQuorum));
     assert_eq!(served.advertised_revision(QuorumContact::Unconfirmed), 3);
     assert!(matches!(served.offer(0, QuorumContact::Unconfirmed), ConfigOffer::Full { .. }));
--- a/crates/control-plane/tests/durable_entries.rs
+++ b/crates/control-plane/tests/durable_entries.rs
@@ -1,4 +1,4 @@
-//! Which registry entries a node counts as durable in its log.
+//! Tracks which registry entries are durable in a node's log, under failed writes, gaps and snapshots.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Records a server as draining. Its entry.
+/// Records a heartbeat of a draining server. Returns its entry.
 fn drain(registry: &mut Registry, number: u16) -> EntryVersion {
     registry.record_heartbeat(NOW, server(number, OperState::Draining, 2)).unwrap();
     registry.entry(&format!("i-{number}")).and_then(EntryVersion::of_shutdown).expect("a shutdown")
@@ -47,14 +47,14 @@
     let record = next_record(&mut entries, &registry);
     assert!(!entry.is_covered_by(entries.durable()));
     assert!(entries.is_writing());
-    assert_eq!(entries.next_record(&registry), None, "it is queued once");
+    assert_eq!(entries.next_record(&registry), None, "an entry is queued only once");
     entries.complete(record.token, true);
     assert!(entry.is_covered_by(entries.durable()));
     assert!(!entries.is_writing());
 }
 
 #[test]
-fn what_was_not_written_is_queued_again() {
+fn entries_of_a_failed_write_are_queued_again() {
     let (mut registry, mut entries) = (registry(1), DurableEntries::default());
     let entry = drain(&mut registry, 1);
     let failed = next_record(&mut entries, &registry);
@@ -66,16 +66,16 @@
     assert!(entry.is_covered_by(entries.durable()));
 }
 
-/// The log writer reports a record that it could not append, and the next one of the same sync as durable.
+/// The log writer may report one record as failed to append, and the next one of the same sync as durable.
 #[test]
-fn a_record_behind_a_failed_one_does_not_count() {
+fn a_record_queued_after_a_failed_one_is_not_durable() {
     let (mut registry, mut entries) = (registry(1), DurableEntries::default());
     let first = drain(&mut registry, 1);
     let failed = next_record(&mut entries, &registry);
     let second = drain(&mut registry, 2);
-    let behind = next_record(&mut entries, &registry);
+    let following = next_record(&mut entries, &registry);
     entries.complete(failed.token, false);
-    entries.complete(behind.token, true);
+    entries.complete(following.token, true);
     assert!(!first.is_covered_by(entries.durable()));
     assert!(!second.is_covered_by(entries.durable()));
     let both = next_record(&mut entries, &registry);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_registry_of_several_records_is_durable_with_the_last_one() {
+fn entries_of_several_records_are_durable_with_the_last_record() {
     let (mut registry, mut entries) = (registry(1), DurableEntries::default());
     for number in 0..1_000 {
         registry.record_heartbeat(NOW, server(number, OperState::Up, 1)).unwrap();
@@ -101,22 +101,26 @@
     assert!(entry.is_covered_by(entries.durable()));
 }
 
-/// An entry above a gap is sent to nobody and written nowhere, and what it has superseded is not written any more.
+/// An entry above a gap is in no delta and in no record, and the entry that it superseded is no longer
+/// written.
 #[test]
-fn an_entry_that_was_superseded_above_a_gap_is_not_durable() {
+fn an_entry_superseded_above_a_gap_is_not_durable() {
     let (mut local, mut entries) = (registry(1), DurableEntries::default());
     let mut other = registry(2);
     other.record_heartbeat(NOW, server(5, OperState::Up, 1)).unwrap();
     let first_of_other = other.missing_entries(&VersionVector::default(), 10);
     let entry = drain(&mut local, 1);
     other.record_heartbeat(NOW, server(1, OperState::Draining, 3)).unwrap();
-    // The base of this delta is above what the local node has of the other one.
+    // The base of this delta is above the local node's version of the other node, which leaves a gap.
     let gap = other.missing_entries(&VersionVector::from_iter([(SourceId(2), 1)]), 10);
     local.merge(NOW, gap);
     drain(&mut local, 2);
     let record = next_record(&mut entries, &local);
     entries.complete(record.token, true);
-    assert!(!entry.is_covered_by(entries.durable()), "neither it nor what superseded it is in the log");
+    assert!(
+        !entry.is_covered_by(entries.durable()),
+        "neither the entry nor the one that superseded it is in the log"
+    );
     local.merge(NOW, first_of_other);
     local.merge(NOW, other.missing_entries(&local.vector(), 10));
     while let Some(record) = entries.next_record(&local) {
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn a_snapshot_replaces_the_log_once_at_a_time() {
+fn only_one_snapshot_is_written_at_a_time() {
     let (mut registry, mut entries) = (registry(1), DurableEntries::default());
     let entry = drain(&mut registry, 1);
     let snapshot = entries.snapshot_record(&registry).expect("a snapshot");
@@ -137,7 +141,8 @@
     assert!(entries.snapshot_record(&registry).is_some());
 }
 
-/// What is durable in the log may be superseded in memory by an entry above a gap, which a snapshot would not contain.
+/// An entry in the log may be superseded in memory by an entry above a gap, which a snapshot would not
+/// contain.
 #[test]
 fn the_log_is_not_replaced_while_there_is_an_entry_above_a_gap() {
     let (mut local, mut entries) = (registry(1), DurableEntries::default());
@@ -158,7 +163,7 @@
     assert_eq!(restarted.get("i-1").map(|server| server.state), Some(OperState::Draining));
 }
 
-/// What happens to a registry and its log.
+/// A random step of the model.
 #[derive(Clone, Debug)]
 enum Step {
     Heartbeat {
@@ -168,7 +173,7 @@
     Deregister {
         number: u16,
     },
-    /// The other node publishes an entry; with a gap, only its latest entry arrives.
+    /// The other node publishes an entry. With a gap, only the latest entry arrives.
     Receive {
         number: u16,
         has_gap: bool,
@@ -195,7 +200,7 @@
     }
 }
 
-/// A node, the node that it hears from, and what is on the disk of the first.
+/// A node, another node that sends it entries, and the content of the first node's disk.
 struct Model {
     local: Registry,
     other: Registry,
@@ -211,7 +216,7 @@
         self.sequence += 1;
         match step {
             Step::Heartbeat { number, state } => {
-                // A server that shuts down is never up again.
+                // A server that is shutting down never reports that it is up again.
                 let known = self.local.get(&format!("i-{number}")).map_or(OperState::Up, |known| known.state);
                 let reported = server(*number, known.max(*state), self.sequence);
                 let _ = self.local.record_heartbeat(NOW, reported);
@@ -255,7 +260,7 @@
         self.entries.complete(record.token, is_durable);
     }
 
-    /// Everything that counts as durable is remembered: it must never be lost.
+    /// Remembers each shutdown that counts as durable: it must never be lost.
     fn acknowledge(&mut self) {
         for entry in self.local.entries() {
             if let Some(version) = EntryVersion::of_shutdown(entry)
@@ -266,7 +271,7 @@
         }
     }
 
-    /// Whether a process that starts with this disk knows every acknowledged shutdown.
+    /// Returns true if a process that starts with this disk knows every acknowledged shutdown.
     fn survives_a_restart(&self) -> bool {
         let mut restarted = registry(3);
         self.disk.iter().for_each(|delta| {
@@ -279,7 +284,8 @@
 }
 
 quickcheck! {
-    /// Whatever fails in whatever order: a shutdown that once counted as durable is known after a restart.
+    /// Whichever writes fail, in whatever order: a shutdown that once counted as durable is known after a
+    /// restart.
     fn durable_shutdowns_are_known_after_a_restart(steps: Vec<Step>) -> bool {
         let mut model = Model {
             local: registry(1),
--- a/crates/control-plane/tests/fleet/checker.rs
+++ b/crates/control-plane/tests/fleet/checker.rs
@@ -1,4 +1,4 @@
-//! What operators, proxies and servers observed, and whether it violates an invariant.
+//! Records what operators, proxies and servers observe, and reports violated invariants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::AddAssign;
@@ -11,7 +11,8 @@
 
 use crate::stage_role::LEASE;
 
-/// A control node that was isolated from a quorum for longer must serve no configuration and acknowledge no shutdown.
+/// A control node that has been isolated from a quorum for longer than this must not serve a configuration or
+/// acknowledge a shutdown.
 pub(crate) const MAX_ISOLATION: Duration = millis(2_000);
 
 /// A distinct digest for each change.
@@ -21,33 +22,33 @@
     RequestDigest(bytes)
 }
 
-/// A configuration that an operator knows, and builds its next change on.
+/// A configuration that an operator knows and bases its next change on.
 #[derive(Clone, Default)]
 pub(crate) struct KnownConfig {
     pub(crate) revision: u64,
-    /// The changes that it consists of.
+    /// The changes that the configuration contains.
     pub(crate) applied_changes: BTreeSet<usize>,
 }
 
-/// The highest fencing token, and who has assigned stages under it.
+/// The highest fencing token, and the process that assigned stages with it.
 #[derive(Clone, Copy)]
 struct HighestToken {
     token: u64,
     holder: ProcessId,
 }
 
-/// How often what is checked has happened.
+/// How often each checked event has occurred.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Counts {
     pub(crate) accepted: u64,
-    /// Changes that were accepted again.
+    /// Repeated changes that were accepted again.
     pub(crate) repeats: u64,
     /// Changes that were rejected as stale.
     pub(crate) rejections: u64,
     pub(crate) read_backs: u64,
     pub(crate) configs_in_force: u64,
     pub(crate) assignments: u64,
-    /// Shutdowns that were checked at a proxy.
+    /// Checks whether a proxy knows an acknowledged shutdown.
     pub(crate) shutdown_checks: u64,
 }
 
@@ -70,7 +71,7 @@
     pub(crate) digest: RequestDigest,
     pub(crate) body: Vec<u8>,
     pub(crate) is_valid: bool,
-    /// The changes that the configuration consists of while this one is in force.
+    /// The changes that the configuration contains once this one is applied.
     pub(crate) applied_changes: BTreeSet<usize>,
     is_accepted: bool,
     is_rejected: bool,
@@ -86,13 +87,13 @@
 #[derive(Default)]
 pub(crate) struct Checker {
     pub(crate) changes: Vec<ChangeRecord>,
-    accepted_on: BTreeMap<u64, usize>,
+    accepted_by_base: BTreeMap<u64, usize>,
     texts: BTreeMap<u64, String>,
     /// When each revision was acknowledged to an operator.
     acknowledged: BTreeMap<u64, Instant>,
     pub(crate) shutdowns: Vec<AcknowledgedServer>,
     highest_token: Option<HighestToken>,
-    /// Who has assigned a stage last, and when.
+    /// The process that last assigned a stage, and when.
     last_assignment: Option<(ProcessId, Instant)>,
     pub(crate) counts: Counts,
     pub(crate) violation: Option<String>,
@@ -144,12 +145,12 @@
         change
     }
 
-    /// The highest revision that was acknowledged to an operator.
+    /// Returns the highest revision that was acknowledged to an operator.
     pub(crate) fn highest_acknowledged(&self) -> u64 {
         self.acknowledged.last_key_value().map_or(0, |(revision, _)| *revision)
     }
 
-    /// The highest revision that was acknowledged by then.
+    /// Returns the highest revision that was acknowledged at this instant or before.
     pub(crate) fn acknowledged_by(&self, instant: Instant) -> u64 {
         let before = self.acknowledged.iter().filter(|(_, at)| **at <= instant);
         before.map(|(revision, _)| *revision).max().unwrap_or(0)
@@ -164,40 +165,43 @@
         if is_rejected || !is_valid {
             self.report_violation(
                 "rejected",
-                format!("change {change} was rejected or invalid, and is accepted"),
+                format!("change {change} was rejected or is invalid, but was accepted"),
             );
         }
-        let winner = *self.accepted_on.entry(base).or_insert(change);
-        if winner != change {
+        let first_accepted = *self.accepted_by_base.entry(base).or_insert(change);
+        if first_accepted != change {
             self.report_violation(
                 "conflict",
-                format!("changes {winner} and {change} are both accepted on {base}"),
+                format!("changes {first_accepted} and {change} were both accepted on base revision {base}"),
             );
         }
         self.acknowledged.entry(revision).or_insert(now);
         self.counts.accepted = self.acknowledged.len() as u64;
         let without = self.texts.range(revision..).find(|(_, text)| !applied_changes(text).contains(&change));
         if let Some((at, _)) = without {
-            let description = format!("change {change} is accepted as {revision}, and {at} is without it");
+            let description =
+                format!("change {change} was accepted as revision {revision}, but revision {at} lacks it");
             self.report_violation("lost change", description);
         }
     }
 
-    /// A change is rejected as stale. `acknowledged` is the highest revision acknowledged when the call was sent.
+    /// Checks the rejection of a change as stale. `acknowledged` is the highest revision that was
+    /// acknowledged when the call was sent.
     pub(crate) fn on_stale(&mut self, change: usize, current: u64, acknowledged: u64) {
         self.counts.rejections += 1;
         if current < acknowledged {
-            let description =
-                format!("change {change} is rejected by {current}, when {acknowledged} was acknowledged");
+            let description = format!(
+                "change {change} was rejected at revision {current} after {acknowledged} was acknowledged"
+            );
             self.report_violation("outdated state", description);
         }
         self.on_rejected(change);
     }
 
-    /// A change is rejected as invalid.
+    /// Checks the rejection of a change as invalid.
     pub(crate) fn on_invalid(&mut self, change: usize) {
         if self.changes[change].is_valid {
-            self.report_violation("rejected", format!("change {change} is valid, and rejected as invalid"));
+            self.report_violation("rejected", format!("valid change {change} was rejected as invalid"));
         }
         self.on_rejected(change);
     }
@@ -206,7 +210,7 @@
         let record = &mut self.changes[change];
         record.is_rejected = true;
         if record.is_accepted || record.was_in_force {
-            self.report_violation("rejected", format!("change {change} was applied, and is rejected"));
+            self.report_violation("rejected", format!("applied change {change} was rejected"));
         }
     }
 
@@ -215,7 +219,7 @@
         if revision < acknowledged {
             self.report_violation(
                 "lost change",
-                format!("read back {revision}, when {acknowledged} was acknowledged"),
+                format!("revision {revision} was read after {acknowledged} was acknowledged"),
             );
         }
         if revision > 0 {
@@ -223,7 +227,7 @@
         }
     }
 
-    /// A proxy has put a configuration in force.
+    /// Checks a configuration that a proxy has put in force.
     pub(crate) fn on_config_in_force(
         &mut self,
         now: Instant,
@@ -234,7 +238,7 @@
         self.counts.configs_in_force += 1;
         if isolated_for > MAX_ISOLATION {
             let description = format!(
-                "proxy {proxy} takes {} at {now} from a control node isolated for {isolated_for:?}",
+                "at {now} proxy {proxy} put revision {} in force, from a control node isolated for {isolated_for:?}",
                 config.revision()
             );
             self.report_violation("quorum contact", description);
@@ -245,10 +249,10 @@
     fn on_config(&mut self, revision: u64, text: &str) {
         let known = self.texts.entry(revision).or_insert_with(|| text.to_owned());
         if known != text {
-            return self.report_violation("conflict", format!("two configurations are number {revision}"));
+            return self.report_violation("conflict", format!("two configurations have revision {revision}"));
         }
         let Some(author) = author(text).filter(|author| *author < self.changes.len()) else {
-            return self.report_violation("invalid", format!("number {revision} has no known author"));
+            return self.report_violation("invalid", format!("revision {revision} has no known author"));
         };
         let record = &mut self.changes[author];
         record.was_in_force = true;
@@ -256,12 +260,12 @@
         let applied_changes = applied_changes(text);
         let is_complete = applied_changes == record.applied_changes;
         if !may_be_in_force {
-            self.report_violation("rejected", format!("change {author} is in force as {revision}"));
+            self.report_violation("rejected", format!("change {author} is in force as revision {revision}"));
         }
         if !is_complete {
             self.report_violation(
                 "lost change",
-                format!("number {revision} consists of {applied_changes:?}"),
+                format!("revision {revision} contains the changes {applied_changes:?}"),
             );
         }
         let is_missing = |(change, record): &(usize, &ChangeRecord)| {
@@ -270,7 +274,7 @@
         if let Some((change, _)) = self.changes.iter().enumerate().find(is_missing) {
             self.report_violation(
                 "lost change",
-                format!("change {change} was accepted, and {revision} is without it"),
+                format!("change {change} was accepted, but revision {revision} lacks it"),
             );
         }
     }
@@ -281,15 +285,15 @@
             && other != holder
             && now - at < LEASE
         {
-            let description = format!("{holder:?} assigns {:?} after {other:?}", now - at);
-            self.report_violation("turns of owners", description);
+            let description = format!("{holder:?} assigns a stage {:?} after {other:?}", now - at);
+            self.report_violation("overlapping holders", description);
         }
         let highest = self.highest_token;
         if let Some(HighestToken { token: highest, holder: other }) = highest
             && (token < highest || token == highest && holder != other)
         {
             let description =
-                format!("{holder:?} assigns under {token:#x} after {other:?} under {highest:#x}");
+                format!("{holder:?} assigns a stage with token {token:#x} after {other:?} with {highest:#x}");
             self.report_violation("fencing token", description);
         }
         if highest.is_none_or(|highest| token > highest.token) {
@@ -303,7 +307,7 @@
     behind.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
-/// The changes that a configuration consists of.
+/// Returns the changes that a configuration contains.
 pub(crate) fn applied_changes(text: &str) -> BTreeSet<usize> {
     let parts = text.split("{\"name\":\"m").skip(1);
     parts.filter_map(|part| part.split('"').next()?.parse().ok()).collect()
--- a/crates/control-plane/tests/fleet/control_node.rs
+++ b/crates/control-plane/tests/fleet/control_node.rs
@@ -1,4 +1,5 @@
-//! A simulated control node: the state machines of one process, connected as the program does, and its disk.
+//! A simulated control node: the state machines of one process, connected as in the real program, and its
+//! disk.
 
 mod calls;
 mod client_requests;
@@ -27,11 +28,11 @@
 use crate::stage_role::StageRole;
 
 pub(crate) const HEARTBEAT_INTERVAL: Duration = millis(500);
-/// The most registry entries in one response.
+/// The maximum number of registry entries in one response.
 const MAX_ENTRIES: usize = 400;
-/// How long after its start a node asks for the entries that it is missing.
+/// How long after its start a node requests the entries that it is missing.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(6);
-/// How long a report of heartbeats may take to another node.
+/// The timeout of a heartbeat report to another node.
 const HEARTBEAT_REPORT_TIMEOUT: Duration = millis(350);
 const CALL_TIMEOUT: Duration = millis(900);
 
@@ -41,17 +42,17 @@
     pub(crate) process: Option<Process>,
     pub(crate) incarnation: u64,
     pub(crate) disk: Disk,
-    /// The disk of the registry's log.
+    /// The disk that holds the registry's log.
     pub(crate) registry_disk: Disk,
-    /// It is replaced, and never starts again.
+    /// True if it was replaced. It never starts again.
     pub(crate) is_removed: bool,
-    /// Since when no quorum reaches it, by the links of the network.
+    /// Since when it has been isolated from a quorum, judged by the links of the network.
     pub(crate) isolated_since: Option<Instant>,
     /// When a fault last affected it.
-    pub(crate) last_disturbed_at: Instant,
+    pub(crate) last_fault_at: Instant,
 }
 
-/// The memory of a process.
+/// A running process, lost when it stops.
 pub(crate) struct Process {
     pub(crate) node: Node<Pcg64Mcg>,
     pub(crate) registry: Registry,
@@ -88,13 +89,13 @@
 }
 
 impl Simulation {
-    /// A control node of the first start of the fleet, not started.
+    /// Adds a bootstrap voter of a new fleet, without starting it.
     pub(crate) fn add_bootstrap_voter(&mut self) -> usize {
         self.add_control_node(true)
     }
 
-    /// A control node with an empty disk that joins a running fleet, not started.
-    pub(crate) fn add_newcomer(&mut self) -> usize {
+    /// Adds a control node with an empty disk that will join a running fleet, without starting it.
+    pub(crate) fn add_joining_node(&mut self) -> usize {
         self.add_control_node(false)
     }
 
@@ -114,7 +115,7 @@
             registry_disk: Disk::default(),
             is_removed: false,
             isolated_since: Some(now),
-            last_disturbed_at: now,
+            last_fault_at: now,
         });
         control_node
     }
@@ -154,13 +155,13 @@
             tick_count: 0,
         });
         let incarnation = simulated.incarnation;
-        self.note_disturbed(Party::Control(control_node));
-        self.note_isolation();
+        self.record_fault(Party::Control(control_node));
+        self.update_isolation();
         let offset = self.random_duration_below(TICK_INTERVAL);
         self.after(offset, Event::ControlTick { control_node, incarnation });
     }
 
-    /// Stops a process. Of the writes in flight a random number, the first ones, are on disk.
+    /// Stops a process. A random number of the writes in flight, counted from the first, reach the disk.
     pub(crate) fn stop_control_node(&mut self, control_node: usize) {
         let stored = self.random_below(4) as usize;
         let stored_entries = self.random_below(2) as usize;
@@ -170,11 +171,11 @@
         simulated.disk.lose_unsynced(stored);
         simulated.registry_disk.lose_unsynced(stored_entries);
         self.network.paused.remove(&Party::Control(control_node));
-        self.note_disturbed(Party::Control(control_node));
-        self.note_isolation();
+        self.record_fault(Party::Control(control_node));
+        self.update_isolation();
     }
 
-    /// Stops a process, and its disk is lost; it is no bootstrap voter any more.
+    /// Stops a process and wipes its disk. It is no longer a bootstrap voter.
     pub(crate) fn wipe_control_node(&mut self, control_node: usize) {
         self.stop_control_node(control_node);
         self.control_nodes[control_node].disk.wipe();
--- a/crates/control-plane/tests/fleet/control_node/calls.rs
+++ b/crates/control-plane/tests/fleet/control_node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that a control node receives and sends, but for those of operators and for the replication of shutdowns.
+//! Calls that a control node receives and sends, except operators' calls and the replication of shutdowns.
 
 use std::net::SocketAddrV4;
 
@@ -10,10 +10,10 @@
 use crate::messages::{Call, FetchedConfig, Party, PendingCall, Purpose, ReplyTo, Response, Updates};
 use crate::simulation::Simulation;
 
-/// The heartbeats of this time are compared with those of other control nodes.
-const HEARTBEATS_COMPARED: Duration = millis(1_500);
-/// The most registry entries that a node hands to one that is missing some.
-const MAX_ENTRIES_HANDED: usize = 5_000;
+/// The period whose heartbeats are compared with those of other control nodes.
+const HEARTBEAT_COMPARISON_WINDOW: Duration = millis(1_500);
+/// The maximum number of registry entries that a node sends to one that is recovering.
+const MAX_RECOVERY_ENTRIES: usize = 5_000;
 
 impl Simulation {
     pub(super) fn others(&self, control_node: usize) -> Vec<usize> {
@@ -33,7 +33,7 @@
     pub(super) fn compare_heartbeats(&mut self, control_node: usize, now: Instant) {
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         process.registry.tick(now);
-        let digest = process.registry.heartbeats_since(now - HEARTBEATS_COMPARED);
+        let digest = process.registry.heartbeats_since(now - HEARTBEAT_COMPARISON_WINDOW);
         let source = process.registry.local_id().0;
         for other in self.others(control_node) {
             let call = Call::CompareHeartbeats { source, digest: digest.clone() };
@@ -140,7 +140,7 @@
                 {
                     let Some(process) = &self.control_nodes[control_node].process else { return };
                     let delta =
-                        process.registry.missing_entries(&VersionVector::default(), MAX_ENTRIES_HANDED);
+                        process.registry.missing_entries(&VersionVector::default(), MAX_RECOVERY_ENTRIES);
                     let call = Call::ReplicateEntries { delta };
                     self.request(
                         Party::Control(control_node),
--- a/crates/control-plane/tests/fleet/control_node/client_requests.rs
+++ b/crates/control-plane/tests/fleet/control_node/client_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' changes and read-backs at a control node.
+//! Operators' changes and reads at a control node.
 
 use mosshead_consensus::{ClientReply, Input};
 use mosshead_control_plane::{
@@ -10,7 +10,7 @@
 use crate::messages::{ReplyTo, Response};
 use crate::simulation::{Event, Simulation};
 
-/// What is done with the reply of consensus.
+/// A request to consensus that waits for its reply.
 pub(super) enum ClientRequest {
     Read(ReplyTo),
     Confirm(ReplyTo, Box<ChangeAdmission<Vec<u8>>>),
--- a/crates/control-plane/tests/fleet/control_node/consensus.rs
+++ b/crates/control-plane/tests/fleet/control_node/consensus.rs
@@ -1,4 +1,4 @@
-//! The consensus node of a control node, and the writes to its disk.
+//! The consensus state machine of a control node, and the writes to its disk.
 
 use mosshead_consensus::{Input, Member, Message, Output};
 use mosshead_time::Duration;
@@ -7,10 +7,10 @@
 use crate::messages::{Packet, Party};
 use crate::simulation::{Event, Simulation};
 
-/// The shortest time of a write, and what less than may be added.
+/// The minimum duration of a write, and the upper bound of the random time that is added.
 const MIN_WRITE_TIME: Duration = millis(2);
 const WRITE_TIME_VARIATION: Duration = millis(4);
-/// Whether a paused process goes on is looked at in such intervals.
+/// How often a write of a paused process is tried again.
 const PAUSE_CHECK_INTERVAL: Duration = millis(20);
 
 impl Simulation {
--- a/crates/control-plane/tests/fleet/control_node/registry_log.rs
+++ b/crates/control-plane/tests/fleet/control_node/registry_log.rs
@@ -1,4 +1,4 @@
-//! The registry's log on a simulated control node, and the calls that wait for it.
+//! The registry's log of a simulated control node, and the calls that wait for its writes.
 
 use mosshead_control_plane::{DurableEntries, RegistryRecord};
 use mosshead_registry::{Delta, Registry, VersionVector};
@@ -8,26 +8,26 @@
 use crate::messages::{Party, PersistedEntries, ReplyTo, Response};
 use crate::simulation::{Event, Simulation};
 
-/// The shortest time of a write, and what less than may be added.
+/// The minimum duration of a write, and the upper bound of the random time that is added.
 const MIN_WRITE_TIME: Duration = millis(2);
 const WRITE_TIME_VARIATION: Duration = millis(4);
-/// Whether a paused process goes on is looked at in such intervals.
+/// How often a write of a paused process is tried again.
 const PAUSE_CHECK_INTERVAL: Duration = millis(20);
 
-/// Which entries are on the disk, and who waits for them.
+/// Tracks which entries are on disk, and the calls that wait for them.
 #[derive(Default)]
 pub(super) struct RegistryLog {
     entries: DurableEntries,
     waiting: Vec<WaitingCall>,
 }
 
-/// A call that is responded to once the entries that were there when it came are on the disk.
+/// A call that is answered once the entries that were present when it arrived are on disk.
 struct WaitingCall {
     reply_to: ReplyTo,
-    wanted: VersionVector,
+    required: VersionVector,
 }
 
-/// Merges what a process finds on its disk.
+/// Merges the entries that a process finds on its disk at its start.
 pub(super) fn restore(now: Instant, registry: &mut Registry, disk: &Disk) {
     for record in disk.records() {
         let delta: Delta = minicbor::decode(record).expect("a record of the registry");
@@ -36,7 +36,7 @@
 }
 
 impl Simulation {
-    /// Queues what is new in the registry for the disk.
+    /// Queues new entries of the registry for the disk.
     pub(crate) fn persist_registry(&mut self, control_node: usize) {
         loop {
             let Some(process) = &mut self.control_nodes[control_node].process else { return };
@@ -82,7 +82,8 @@
         self.record_local_replicas(control_node);
     }
 
-    /// Up to where the registry of a control node is on its disk; in memory, with the fault.
+    /// Returns the versions up to which a control node has the registry on disk, or in memory if the fault
+    /// `acknowledge_unsynced` is injected.
     pub(super) fn durable_entries(&self, control_node: usize) -> VersionVector {
         let Some(process) = &self.control_nodes[control_node].process else {
             return VersionVector::default();
@@ -93,13 +94,13 @@
         }
     }
 
-    /// Merges entries, and responds once they are on the disk.
+    /// Merges entries, and responds once they are on disk.
     pub(super) fn persist_entries(&mut self, control_node: usize, reply_to: ReplyTo, delta: Delta) {
         let now = self.now();
         let Some(process) = &mut self.control_nodes[control_node].process else { return };
         process.registry.merge(now, delta);
-        let wanted = process.registry.vector();
-        process.registry_log.waiting.push(WaitingCall { reply_to, wanted });
+        let required = process.registry.vector();
+        process.registry_log.waiting.push(WaitingCall { reply_to, required });
         self.persist_registry(control_node);
         self.respond_to_waiting_calls(control_node);
     }
@@ -111,7 +112,7 @@
         let is_writing = log.entries.is_writing();
         let waiting = std::mem::take(&mut log.waiting);
         let (ready, waiting): (Vec<_>, Vec<_>) =
-            waiting.into_iter().partition(|call| !is_writing || call.wanted.is_covered_by(&durable));
+            waiting.into_iter().partition(|call| !is_writing || call.required.is_covered_by(&durable));
         log.waiting = waiting;
         let vector = process.registry.vector();
         for call in ready {
--- a/crates/control-plane/tests/fleet/control_node/shutdowns.rs
+++ b/crates/control-plane/tests/fleet/control_node/shutdowns.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and deregistrations at a control node, with the replication of shutdowns.
+//! Heartbeats and deregistrations at a control node, and the replication of shutdowns.
 
 use std::net::SocketAddrV4;
 
@@ -13,7 +13,7 @@
 use crate::messages::{Call, Party, Purpose, ReplyTo, Response, ServerResponse};
 use crate::simulation::Simulation;
 
-/// A server's call that waits for the replication of its shutdown.
+/// A server's call that waits until its shutdown is replicated.
 pub(super) struct PendingAcknowledgement {
     replication: EntryReplication,
     reply_to: ReplyTo,
@@ -21,7 +21,7 @@
     received_at: Instant,
 }
 
-/// How long a server listens for the response to its call.
+/// How long a server waits for the response to its call.
 const SERVER_TIMEOUT: Duration = millis(1_000);
 
 impl Simulation {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends a member the latest entries, or those that it is missing by its vector.
+    /// Sends a member the latest entries, or those that it is missing according to its vector.
     pub(super) fn replicate_to(
         &mut self,
         control_node: usize,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Counts the node itself where it has an entry on its disk that is waited for.
+    /// Counts the local node as a replica for each awaited entry that is on its disk.
     pub(super) fn record_local_replicas(&mut self, control_node: usize) {
         let durable = self.durable_entries(control_node);
         let address = self.control_nodes[control_node].address;
--- a/crates/control-plane/tests/fleet/fault_actions.rs
+++ b/crates/control-plane/tests/fleet/fault_actions.rs
@@ -1,4 +1,4 @@
-//! Faults: partitions, pauses, restarts, losses of disks and of power, and what they do to the fleet.
+//! Faults and their effect on the fleet: partitions, pauses, restarts, disk loss and power loss.
 
 use mosshead_registry::OperState;
 use mosshead_time::Duration;
@@ -7,10 +7,10 @@
 use crate::messages::Party;
 use crate::simulation::{Event, Simulation};
 
-/// How long after a fault a control node is synchronized again.
+/// How long after a fault a control node needs to synchronize.
 const SYNC_TIME: Duration = millis(5_000);
-/// How long the control nodes stay down that have acknowledged a shutdown.
-const REPLICAS_LOST_FOR: Duration = millis(6_000);
+/// How long control nodes that have acknowledged a shutdown stay down.
+const REPLICA_DOWNTIME: Duration = millis(6_000);
 
 /// What is lost when a control node stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,25 +26,26 @@
     Heal,
     Start(usize),
     StartAll,
-    /// The primary and `count - 1` other control nodes stop, and start again later.
+    /// The primary and `count - 1` other control nodes stop, and restart later.
     LosePrimary {
         count: usize,
         loss: Loss,
         restart_after: Duration,
     },
-    /// As many control nodes that have a server's shutdown as may fail are stopped, and the server ends. Only if it was
-    /// acknowledged by the node `only`, if one is named.
+    /// Stops control nodes that have the entry of a server's shutdown, up to the tolerated number of
+    /// failures, and ends the server. If `only_node` is set, it applies only to a shutdown that this node
+    /// acknowledged.
     LoseReplicas {
-        only: Option<usize>,
+        only_node: Option<usize>,
         shutdown: Option<AcknowledgedShutdown>,
     },
-    /// All control nodes and proxies lose their power when a server's shutdown is acknowledged, and the server ends.
+    /// Stops all control nodes and proxies when a server's shutdown is acknowledged, and ends the server.
     LoseAllPower {
         shutdown: Option<AcknowledgedShutdown>,
     },
 }
 
-/// A server's shutdown at the moment of its acknowledgement.
+/// A server's shutdown that a control node is acknowledging.
 #[derive(Clone, Debug)]
 pub(crate) struct AcknowledgedShutdown {
     control_node: usize,
@@ -53,16 +54,16 @@
 }
 
 impl FaultAction {
-    /// Whether the action applies to an acknowledgement by this control node.
+    /// Returns true if the action applies to an acknowledgement by this control node.
     pub(crate) fn is_for(&self, control_node: usize) -> bool {
-        !matches!(self, FaultAction::LoseReplicas { only: Some(only), .. } if *only != control_node)
+        !matches!(self, FaultAction::LoseReplicas { only_node: Some(only_node), .. } if *only_node != control_node)
     }
 
-    /// The same action for the shutdown that has been acknowledged.
+    /// Returns the same action, applied to this acknowledged shutdown.
     pub(crate) fn after_shutdown(self, control_node: usize, server: usize, id: &str) -> FaultAction {
         match self {
-            FaultAction::LoseReplicas { only, .. } => FaultAction::LoseReplicas {
-                only,
+            FaultAction::LoseReplicas { only_node, .. } => FaultAction::LoseReplicas {
+                only_node,
                 shutdown: Some(AcknowledgedShutdown { control_node, server, id: id.to_owned() }),
             },
             FaultAction::LoseAllPower { .. } => FaultAction::LoseAllPower {
@@ -74,19 +75,19 @@
 }
 
 impl Simulation {
-    /// Whether a fault affects a control node, or it is not synchronized again after one.
-    fn is_disturbed(&self, control_node: usize) -> bool {
-        self.is_disturbed_since(Party::Control(control_node), self.now() - SYNC_TIME)
+    /// Returns true if a fault affects a control node, or it has not synchronized yet after one.
+    fn is_affected_by_fault(&self, control_node: usize) -> bool {
+        self.had_fault_since(Party::Control(control_node), self.now() - SYNC_TIME)
     }
 
-    /// Control nodes that may fail now; in half of the cases the primary is the first.
-    fn pick_to_disturb(&mut self, max_count: usize) -> Vec<usize> {
+    /// Picks control nodes that may fail now; in half of the cases the primary comes first.
+    fn pick_fault_targets(&mut self, max_count: usize) -> Vec<usize> {
         let members = self.members();
-        let capacity = self
-            .tolerated_failures
-            .saturating_sub(members.iter().filter(|control_node| self.is_disturbed(**control_node)).count());
+        let capacity = self.tolerated_failures.saturating_sub(
+            members.iter().filter(|control_node| self.is_affected_by_fault(**control_node)).count(),
+        );
         let mut healthy: Vec<usize> =
-            members.into_iter().filter(|control_node| !self.is_disturbed(*control_node)).collect();
+            members.into_iter().filter(|control_node| !self.is_affected_by_fault(*control_node)).collect();
         let mut chosen: Vec<usize> = Vec::new();
         if self.random.is_one_in(2) {
             chosen.extend(self.primary().filter(|control_node| healthy.contains(control_node)));
@@ -102,7 +103,7 @@
         chosen
     }
 
-    /// How long a fault lasts: a moment, some seconds, or long.
+    /// Draws the duration of a fault: short, a few seconds, or long.
     fn draw_fault_duration(&mut self) -> Duration {
         match self.random_below(3) {
             0 => millis(200) + self.random_duration_below(millis(1_500)),
@@ -114,15 +115,15 @@
     /// Partitions some control nodes and proxies from the others, in one direction or in both.
     pub(crate) fn partition_some(&mut self) {
         let max_count = 1 + self.random_below(2) as usize;
-        let control_nodes = self.pick_to_disturb(max_count);
+        let control_nodes = self.pick_fault_targets(max_count);
         if control_nodes.is_empty() {
             return;
         }
         let proxies: Vec<usize> = (0..self.proxies.len()).filter(|_| self.random.is_one_in(3)).collect();
-        let restart = self.random.is_one_in(2);
+        let restarts = self.random.is_one_in(2);
         for &proxy in &proxies {
-            // Often with seeds in its own partition only.
-            if restart {
+            // In half of the cases the proxies restart with seeds in their own partition only.
+            if restarts {
                 let seeds: Vec<_> =
                     control_nodes.iter().map(|control_node| control_node_address(*control_node)).collect();
                 self.start_proxy(proxy, &seeds);
@@ -134,7 +135,7 @@
             .chain(proxies.iter().map(|proxy| Party::Proxy(*proxy)))
             .collect();
         let others: Vec<Party> =
-            self.inner_parties().into_iter().filter(|party| !side.contains(party)).collect();
+            self.control_nodes_and_proxies().into_iter().filter(|party| !side.contains(party)).collect();
         match self.random_below(4) {
             0 => self.partition_one_way(&side, &others),
             1 => self.partition_one_way(&others, &side),
@@ -146,15 +147,15 @@
         self.after(span, Event::Fault(FaultAction::Heal));
     }
 
-    fn inner_parties(&self) -> Vec<Party> {
+    fn control_nodes_and_proxies(&self) -> Vec<Party> {
         let control_nodes = self.members().into_iter().map(Party::Control);
         control_nodes.chain((0..self.proxies.len()).map(Party::Proxy)).collect()
     }
 
-    /// Pauses control nodes, each for a time of its own.
+    /// Pauses control nodes, each for a random duration.
     pub(crate) fn pause_some(&mut self) {
         let max_count = 1 + self.random_below(2) as usize;
-        for control_node in self.pick_to_disturb(max_count) {
+        for control_node in self.pick_fault_targets(max_count) {
             self.trace(|| format!("pause control node {control_node}"));
             self.pause(Party::Control(control_node));
             let span = self.draw_fault_duration();
@@ -162,10 +163,10 @@
         }
     }
 
-    /// Stops control nodes; they start again later.
+    /// Stops control nodes, which restart later.
     pub(crate) fn restart_some(&mut self, loss: Loss) {
         let max_count = 1 + self.random_below(2) as usize;
-        let control_nodes = self.pick_to_disturb(max_count);
+        let control_nodes = self.pick_fault_targets(max_count);
         let restart_after = millis(100) + self.random_duration_below(millis(3_000));
         self.stop_and_restart(&control_nodes, loss, restart_after);
     }
@@ -181,18 +182,18 @@
         }
     }
 
-    /// Removes a control node; another one starts soon at a new address.
+    /// Removes a control node. Another one starts soon after it at a new address.
     pub(crate) fn replace_control_node(&mut self) {
-        let Some(control_node) = self.pick_to_disturb(1).first().copied() else { return };
+        let Some(control_node) = self.pick_fault_targets(1).first().copied() else { return };
         self.trace(|| format!("replace {control_node}"));
         self.stop_control_node(control_node);
         self.control_nodes[control_node].is_removed = true;
-        let newcomer = self.add_newcomer();
+        let replacement = self.add_joining_node();
         let start_after = self.random_duration_below(millis(2_000));
-        self.after(start_after, Event::Fault(FaultAction::Start(newcomer)));
+        self.after(start_after, Event::Fault(FaultAction::Start(replacement)));
     }
 
-    /// Stops all control nodes; they start together later.
+    /// Stops all control nodes, which restart together later.
     pub(crate) fn lose_power(&mut self) {
         self.trace(|| "power loss".to_owned());
         for control_node in self.running() {
@@ -202,8 +203,8 @@
         self.after(restart_after, Event::Fault(FaultAction::StartAll));
     }
 
-    /// Restarts a proxy, or pauses it.
-    pub(crate) fn disturb_proxy(&mut self) {
+    /// Restarts or pauses a random proxy.
+    pub(crate) fn restart_or_pause_proxy(&mut self) {
         let proxy = self.random.index(self.proxies.len());
         self.trace(|| format!("fault at proxy {proxy}"));
         if self.random.is_one_in(2) {
@@ -230,13 +231,13 @@
         self.trace(|| format!("{action:?}"));
         match action {
             FaultAction::Resume(party) => {
-                self.note_disturbed(party);
+                self.record_fault(party);
                 self.resume(party);
             }
             FaultAction::Heal => {
                 self.heal();
                 let partitioned = std::mem::take(&mut self.partitioned);
-                partitioned.into_iter().for_each(|party| self.note_disturbed(party));
+                partitioned.into_iter().for_each(|party| self.record_fault(party));
             }
             FaultAction::Start(control_node) => self.start_control_node(control_node),
             FaultAction::StartAll => {
@@ -244,10 +245,10 @@
             }
             FaultAction::LosePrimary { count, loss, restart_after } => {
                 let Some(primary) = self.primary() else { return };
-                let mut control_nodes = self.pick_to_disturb(count);
+                let mut control_nodes = self.pick_fault_targets(count);
                 if !control_nodes.is_empty()
                     && !control_nodes.contains(&primary)
-                    && self.control_nodes[primary].last_disturbed_at < self.now()
+                    && self.control_nodes[primary].last_fault_at < self.now()
                 {
                     control_nodes[0] = primary;
                 }
@@ -279,9 +280,9 @@
         control_nodes
             .extend(self.running().into_iter().filter(|other| *other != control_node).filter(has_entry));
         let others = self.members().into_iter().filter(|other| *other != control_node);
-        let disturbed = others.filter(|other| self.is_disturbed(*other)).count();
-        control_nodes.truncate(self.tolerated_failures.saturating_sub(disturbed));
+        let affected = others.filter(|other| self.is_affected_by_fault(*other)).count();
+        control_nodes.truncate(self.tolerated_failures.saturating_sub(affected));
         self.end_server(server, &id);
-        self.stop_and_restart(&control_nodes, Loss::Process, REPLICAS_LOST_FOR);
+        self.stop_and_restart(&control_nodes, Loss::Process, REPLICA_DOWNTIME);
     }
 }
--- a/crates/control-plane/tests/fleet/injected_faults.rs
+++ b/crates/control-plane/tests/fleet/injected_faults.rs
@@ -1,5 +1,5 @@
-//! Each injected fault, most of them an earlier implementation, is found by the checker. Those that only a scenario
-//! finds are in `scenarios`.
+//! The checker detects each injected fault; most of them are faults of an earlier implementation. Faults that
+//! only a scenario reveals are in `scenarios`.
 
 use mosshead_consensus::InjectedFault as ConsensusFault;
 use mosshead_control_plane::InjectedFault;
@@ -9,15 +9,15 @@
 
 const MAX_RUNS: u64 = 400;
 
-/// Random runs from some seed on find the fault, and report one of these violations.
-fn finds(first: u64, faults: InjectedFaults, rules: &[&str]) {
-    for seed in first..first + MAX_RUNS {
-        if let Err(description) = random_run::play(seed, faults) {
+/// Asserts that random runs, starting at `first_seed`, detect the fault as a violation of one of these rules.
+fn assert_found(first_seed: u64, faults: InjectedFaults, rules: &[&str]) {
+    for seed in first_seed..first_seed + MAX_RUNS {
+        if let Err(description) = random_run::run(seed, faults) {
             assert!(rules.iter().any(|rule| description.contains(rule)), "{faults:?}: {description:.300}");
             return println!("{faults:?}: {description:.200}");
         }
     }
-    panic!("{faults:?} was not found");
+    panic!("{faults:?} was not detected");
 }
 
 fn control(fault: InjectedFault) -> InjectedFaults {
@@ -28,7 +28,7 @@
     InjectedFaults { consensus: Some(injected_fault), ..InjectedFaults::default() }
 }
 
-/// Both sides must be faulty: each one alone is made harmless by the other.
+/// Both sides must be faulty, since each one masks the fault of the other.
 #[test]
 fn configurations_served_without_quorum_contact_are_found() {
     let faults = InjectedFaults {
@@ -36,12 +36,12 @@
         proxy: Some(InjectedFault::FetchWithoutQuorum),
         ..InjectedFaults::default()
     };
-    finds(100, faults, &["quorum contact:"]);
+    assert_found(100, faults, &["quorum contact:"]);
 }
 
 #[test]
 fn unreplicated_acknowledgements_of_repeated_shutdowns_are_found() {
-    finds(
+    assert_found(
         40,
         control(InjectedFault::AcknowledgeRepeatsUnchecked),
         &["unknown shutdown:", "acknowledged without quorum:"],
@@ -50,7 +50,7 @@
 
 #[test]
 fn changes_committed_by_the_primary_alone_are_found() {
-    finds(
+    assert_found(
         0,
         consensus(ConsensusFault::CommitWithoutBackups),
         &["lost change:", "conflict:", "rejected:", "outdated state:"],
@@ -59,16 +59,20 @@
 
 #[test]
 fn uncommitted_states_that_are_published_are_found() {
-    finds(1310, consensus(ConsensusFault::PublishUncommitted), &["lost change:", "conflict:", "rejected:"]);
+    assert_found(
+        1310,
+        consensus(ConsensusFault::PublishUncommitted),
+        &["lost change:", "conflict:", "rejected:"],
+    );
 }
 
 #[test]
 fn fencing_tokens_without_the_term_are_found() {
     let faults = InjectedFaults { token_without_term: true, ..InjectedFaults::default() };
-    finds(0, faults, &["fencing token:"]);
+    assert_found(0, faults, &["fencing token:"]);
 }
 
 #[test]
 fn applied_requests_that_are_forgotten_are_found() {
-    finds(0, consensus(ConsensusFault::ForgetAppliedRequests), &["rejected:"]);
+    assert_found(0, consensus(ConsensusFault::ForgetAppliedRequests), &["rejected:"]);
 }
--- a/crates/control-plane/tests/fleet/main.rs
+++ b/crates/control-plane/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the state machines of control nodes and proxies together, with models of operators, servers,
-//! the stage role, the network and the disks. The checker reads only what callers observe.
+//! A simulated fleet in virtual time: the state machines of control nodes and proxies, with models of
+//! operators, servers, the stage role, the network and the disks. The checker uses only what callers observe.
 
 mod checker;
 mod control_node;
--- a/crates/control-plane/tests/fleet/messages.rs
+++ b/crates/control-plane/tests/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! What the network carries: typed calls and responses.
+//! The messages of the simulated network: typed calls and responses.
 
 use std::net::SocketAddrV4;
 
@@ -8,7 +8,7 @@
 use mosshead_stage_scheduler::AssignmentOutcome;
 use mosshead_time::Duration;
 
-/// Who sends and receives.
+/// A process that sends and receives messages, by its index among those of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Party {
     Control(usize),
@@ -24,7 +24,7 @@
     Response { request: u64, response: Response },
 }
 
-/// Whom to respond to, and for which call.
+/// The sender of a call and the number of the call, for the response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplyTo {
     pub(crate) request: u64,
@@ -43,7 +43,7 @@
     ReplicateEntries {
         delta: Delta,
     },
-    /// Entries that the receiver responds to once they are on its disk.
+    /// Entries to merge. The receiver responds once they are on its disk.
     PersistEntries {
         delta: Delta,
     },
@@ -87,7 +87,7 @@
     pub(crate) wants_entries: bool,
 }
 
-/// Up to which version of each source a control node has the entries, and has them on its disk.
+/// The versions up to which a control node has the entries, and up to which they are on its disk.
 #[derive(Clone, Debug)]
 pub(crate) struct PersistedEntries {
     pub(crate) vector: VersionVector,
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct FetchedConfig {
     pub(crate) offer: ConfigOffer,
-    /// How long no quorum had reached the node when it responded, by the links of the network: for the checker only.
+    /// How long the node had been isolated from a quorum when it responded. Only the checker uses it.
     pub(crate) isolated_for: Duration,
 }
 
@@ -105,11 +105,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerResponse {
     pub(crate) is_acknowledged: bool,
-    /// As with [`FetchedConfig`].
+    /// See [`FetchedConfig::isolated_for`].
     pub(crate) isolated_for: Duration,
 }
 
-/// What a call was sent for.
+/// The purpose of a call, by which its response is handled.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     ProxyWatch {
@@ -128,7 +128,7 @@
     WatchPeer {
         other: SocketAddrV4,
     },
-    /// With the highest revision that was acknowledged when it was sent.
+    /// `acknowledged` is the highest revision that was acknowledged when the call was sent.
     OperatorChange {
         change: usize,
         acknowledged: u64,
@@ -136,7 +136,7 @@
     OperatorRead {
         acknowledged: u64,
     },
-    /// A heartbeat or a deregistration; whether it announces the server's shutdown.
+    /// A heartbeat or a deregistration. `is_shutdown` is true if it announces the server's shutdown.
     ServerCall {
         is_shutdown: bool,
     },
@@ -144,7 +144,7 @@
     Ignore,
 }
 
-/// A call without a response yet.
+/// A call that waits for its response.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCall {
     pub(crate) from: Party,
--- a/crates/control-plane/tests/fleet/network.rs
+++ b/crates/control-plane/tests/fleet/network.rs
@@ -1,4 +1,5 @@
-//! Links between the parties: delay, loss, partitions, pauses, and which control nodes no quorum reaches.
+//! Network links between the processes: delay, loss, partitions and pauses, and which control nodes are
+//! isolated from a quorum.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,17 +9,17 @@
 use crate::messages::{Call, Packet, Party, PendingCall, Purpose, ReplyTo, Response};
 use crate::simulation::{Event, Simulation};
 
-/// A paused process notices in such intervals that a call has timed out.
+/// How often a timed-out call of a paused process is checked again.
 const TIMEOUT_CHECK_INTERVAL: Duration = millis(50);
 
 #[derive(Default)]
 pub(crate) struct Network {
     pub(crate) links: Links<Party>,
-    /// The packets that wait for each paused process.
+    /// The packets received for each paused process, with their senders.
     pub(crate) paused: BTreeMap<Party, Vec<(Party, Packet)>>,
-    /// Only packets of consensus are duplicated.
+    /// Delay, loss and duplication. Only consensus packets are duplicated.
     pub(crate) noise: Noise,
-    /// How many responses of a thousand to operators are lost.
+    /// Probability that a response to an operator is lost, in thousandths.
     pub(crate) response_loss_per_mille: u64,
     pub(crate) pending: BTreeMap<u64, PendingCall>,
     pub(crate) next_request: u64,
@@ -38,7 +39,7 @@
         if self.network.links.is_cut(from, to) || noise.draw_loss(random) {
             return;
         }
-        // The order of these draws is part of what a seed means.
+        // The order of these draws determines the run of a seed.
         let is_late = noise.draw_is_late(random);
         let lateness = if is_late { noise.draw_lateness(random) } else { Duration::ZERO };
         let delay = noise.draw_delay(random) + lateness;
@@ -50,7 +51,7 @@
         self.after(delay, Event::Deliver { from, to, packet: Box::new(packet) });
     }
 
-    /// Sends a call. Its sender gets the response, or notice of the timeout.
+    /// Sends a call. The sender receives the response or a timeout.
     pub(crate) fn request(
         &mut self,
         from: Party,
@@ -77,7 +78,7 @@
     }
 
     pub(crate) fn deliver(&mut self, from: Party, to: Party, packet: Packet) {
-        // A partition drops packets in flight, too.
+        // A partition also drops packets in flight.
         if self.is_partitioned(from, to) {
             return;
         }
@@ -130,19 +131,21 @@
 
     pub(crate) fn pause(&mut self, party: Party) {
         self.network.paused.entry(party).or_default();
-        self.note_isolation();
+        self.update_isolation();
     }
 
-    /// Resumes a process with the packets that have arrived meanwhile; its timer runs before or after them.
+    /// Resumes a process, which then receives the packets that arrived meanwhile. Its timer runs before or
+    /// after them.
     pub(crate) fn resume(&mut self, party: Party) {
         let Some(buffer) = self.network.paused.remove(&party) else { return };
-        self.note_isolation();
+        self.update_isolation();
         if self.random.is_one_in(2)
             && let Party::Control(control_node) = party
         {
             self.tick_control_node(control_node);
         }
-        // Each sender has its own connection: these are read in any order, the packets of one in the order sent.
+        // Each sender has its own connection. Connections are read in any order, the packets of each in the
+        // order sent.
         let mut connections: BTreeMap<Party, VecDeque<Packet>> = BTreeMap::new();
         for (from, packet) in buffer {
             connections.entry(from).or_default().push_back(packet);
@@ -155,25 +158,26 @@
         }
     }
 
-    /// Takes down all links between two groups, in both directions.
-    pub(crate) fn partition(&mut self, one: &[Party], other: &[Party]) {
-        self.network.links.partition(one, other);
-        self.note_isolation();
+    /// Cuts all links between two groups, in both directions.
+    pub(crate) fn partition(&mut self, first: &[Party], second: &[Party]) {
+        self.network.links.partition(first, second);
+        self.update_isolation();
     }
 
-    /// Takes down all links from one group to another.
+    /// Cuts all links from one group to another.
     pub(crate) fn partition_one_way(&mut self, from: &[Party], to: &[Party]) {
         self.network.links.cut_one_way(from, to);
-        self.note_isolation();
+        self.update_isolation();
     }
 
     pub(crate) fn heal(&mut self) {
         self.network.links.heal();
-        self.note_isolation();
+        self.update_isolation();
     }
 
-    /// Updates which control nodes no quorum reaches, directly or through others.
-    pub(crate) fn note_isolation(&mut self) {
+    /// Updates which control nodes are isolated from a quorum, counting nodes that reach them directly or
+    /// through others.
+    pub(crate) fn update_isolation(&mut self) {
         let running = self.running();
         let total = self.members().len();
         for control_node in self.members() {
@@ -188,7 +192,7 @@
         }
     }
 
-    /// How many control nodes reach one, itself included.
+    /// Returns how many control nodes reach this one, including itself.
     fn count_reaching(&self, control_node: usize, running: &[usize]) -> usize {
         let mut reaching = BTreeSet::from([control_node]);
         loop {
@@ -209,7 +213,7 @@
         }
     }
 
-    /// For how long no quorum has reached a control node.
+    /// Returns how long a control node has been isolated from a quorum.
     pub(crate) fn isolated_for(&self, control_node: usize) -> Duration {
         let since = self.control_nodes[control_node].isolated_since;
         since.map_or(Duration::ZERO, |since| self.now() - since)
--- a/crates/control-plane/tests/fleet/operator.rs
+++ b/crates/control-plane/tests/fleet/operator.rs
@@ -1,4 +1,5 @@
-//! Operators that race for one revision: each repeats a call unchanged, to any control node, until its result is known.
+//! Simulated operators that concurrently change the configuration. Each repeats a call unchanged, to any
+//! control node, until its result is known.
 
 use std::net::SocketAddrV4;
 
@@ -10,31 +11,31 @@
 use crate::messages::{Call, Party, PendingCall, Purpose, Response};
 use crate::simulation::{Event, Simulation};
 
-/// An operator sends its first call after this.
+/// The delay before an operator's first call.
 const FIRST_CALL_DELAY: Duration = millis(800);
 const TICK_INTERVAL: Duration = millis(40);
 /// How long an operator waits for a response.
 const RESPONSE_TIMEOUT: Duration = millis(1_000);
-/// How many accepted changes an operator remembers, to repeat them.
+/// The maximum number of accepted changes that an operator remembers in order to repeat them.
 const MAX_REMEMBERED_CHANGES: usize = 40;
 const MAX_REDIRECTS: usize = 2;
 
 #[derive(Default)]
 pub(crate) struct Operator {
-    /// The change whose result it does not know yet.
+    /// The change whose result is not known yet.
     change: Option<usize>,
-    /// What its next change builds on.
+    /// The configuration that its next change is based on.
     base: Option<KnownConfig>,
     accepted: Vec<usize>,
     redirects: usize,
     is_waiting: bool,
     idle_until: Instant,
-    /// Reads the configuration back before its next new change.
+    /// True if it reads the configuration before its next new change.
     reads_next: bool,
 }
 
 impl Operator {
-    /// Reads the configuration back before its next change.
+    /// Makes the operator read the configuration before its next change.
     pub(crate) fn read_back_next(&mut self) {
         self.base = None;
         self.reads_next = true;
@@ -63,7 +64,7 @@
         if let Some(control_node) = self.random.pick(&members) {
             self.call(index, control_node);
         }
-        // The same call twice at once, to two control nodes.
+        // Sometimes the same call is sent twice at once, to two control nodes.
         if self.random.is_one_in(10)
             && self.operators[index].change.is_some()
             && let Some(other) = self.random.pick(&members)
@@ -129,7 +130,10 @@
         match response {
             ChangeResponse::Accepted { revision } => {
                 if revision != self.checker.changes[change].revision {
-                    self.checker.report_violation("accepted", format!("change {change} as {revision}"));
+                    self.checker.report_violation(
+                        "accepted",
+                        format!("change {change} was accepted as revision {revision}"),
+                    );
                 }
                 self.checker.on_accepted(self.now(), change);
                 if is_current {
@@ -145,10 +149,8 @@
                 self.forget_change(index, is_current);
             }
             ChangeResponse::TooLarge => {
-                self.checker.report_violation(
-                    "rejected",
-                    format!("change {change} is small, and rejected as too large"),
-                );
+                self.checker
+                    .report_violation("rejected", format!("small change {change} was rejected as too large"));
             }
             ChangeResponse::Redirect { primary } if is_current => self.redirect(index, primary),
             ChangeResponse::Redirect { .. } | ChangeResponse::Expired | ChangeResponse::Unavailable => {}
--- a/crates/control-plane/tests/fleet/proxy.rs
+++ b/crates/control-plane/tests/fleet/proxy.rs
@@ -1,4 +1,4 @@
-//! A simulated proxy: its pool of control nodes, its replica of the registry and the configuration in force.
+//! A simulated proxy: its pool of control nodes, its replica of the registry, and the configuration in force.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 const WATCH_INTERVAL: Duration = millis(100);
 const WATCH_TIMEOUT: Duration = millis(1_400);
 const FETCH_TIMEOUT: Duration = millis(1_500);
-/// Without a control node to watch, the next attempt follows after this.
+/// The delay before the next attempt to acquire a control node if there was none.
 const ACQUIRE_INTERVAL: Duration = millis(150);
 const MAX_REPLICATED_ENTRIES: usize = 5_000;
 
@@ -29,7 +29,7 @@
     watch_slots: [WatchSlot; WATCH_SLOTS],
     is_fetching: bool,
     /// When a fault last affected it or its links.
-    pub(crate) last_disturbed_at: Instant,
+    pub(crate) last_fault_at: Instant,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -48,13 +48,13 @@
             pool: ControlNodePool::default(),
             watch_slots: Default::default(),
             is_fetching: false,
-            last_disturbed_at: self.now(),
+            last_fault_at: self.now(),
         });
         let seeds = (0..3).map(control_node_address).collect::<Vec<_>>();
         self.start_proxy(self.proxies.len() - 1, &seeds);
     }
 
-    /// Restarts the process: it knows its seeds only.
+    /// Restarts the process, which then knows only its seeds.
     pub(crate) fn start_proxy(&mut self, index: usize, seeds: &[SocketAddrV4]) {
         let source = SourceId(self.random.next_u64());
         let (now, injected) = (self.now(), self.faults.proxy);
@@ -66,7 +66,7 @@
         proxy.pool = ControlNodePool::new(seeds).with_injected_fault(injected);
         proxy.watch_slots = Default::default();
         proxy.is_fetching = false;
-        proxy.last_disturbed_at = now;
+        proxy.last_fault_at = now;
         let incarnation = proxy.incarnation;
         for watch_slot in 0..WATCH_SLOTS {
             self.after(
@@ -112,7 +112,7 @@
     ) {
         match self.control_node_at(control_node) {
             Some(to) => self.request(Party::Proxy(index), Party::Control(to), call, purpose, timeout),
-            // No control node has the address: the connection fails.
+            // No control node has this address: the connection fails.
             None => {
                 let incarnation = self.proxies[index].incarnation;
                 let pending = PendingCall { from: Party::Proxy(index), incarnation, purpose };
@@ -206,11 +206,11 @@
     ) {
         let proxy = &mut self.proxies[index];
         proxy.is_fetching = false;
-        let have = proxy.config.clone().filter(|_| !is_full);
-        match assemble_config(have.as_deref(), &fetched.offer) {
+        let current = proxy.config.clone().filter(|_| !is_full);
+        match assemble_config(current.as_deref(), &fetched.offer) {
             AssembledConfig::Config(config) => {
-                // As in the data plane, the revision in force never goes back.
-                if proxy.config.as_ref().is_none_or(|own| own.revision() < config.revision()) {
+                // As in the data plane, the revision in force never decreases.
+                if proxy.config.as_ref().is_none_or(|in_force| in_force.revision() < config.revision()) {
                     proxy.config = Some(config.clone());
                     let now = self.now();
                     self.checker.on_config_in_force(now, index, &config, fetched.isolated_for);
--- a/crates/control-plane/tests/fleet/random_run.rs
+++ b/crates/control-plane/tests/fleet/random_run.rs
@@ -1,4 +1,4 @@
-//! A random run: one fault after another, then a recovery in which everything must work again.
+//! A random run: a sequence of faults, then a recovery after which everything must work again.
 
 use mosshead_time::Duration;
 use mosshead_virtual_fleet::millis;
@@ -8,19 +8,19 @@
 use crate::operator::Operator;
 use crate::simulation::{InjectedFaults, Simulation};
 
-/// Within this a new fleet works.
+/// The time that a new fleet needs to start.
 const BOOTSTRAP_TIME: Duration = millis(5_000);
-/// How many faults strike in a run.
+/// The number of faults in a run.
 const FAULTS_PER_RUN: usize = 6;
-/// How long the fleet has to recover.
+/// The time that the fleet has to recover.
 const RECOVERY_TIME: Duration = millis(10_000);
-/// Within this a proxy without faults has an acknowledged configuration in force.
-const CONFIG_BOUND: Duration = millis(4_000);
-/// Within this each operator reads the configuration back.
+/// The time after which a proxy without faults must have an acknowledged configuration in force.
+const MAX_CONFIG_DELAY: Duration = millis(4_000);
+/// The time in which each operator reads the configuration back.
 const READ_BACK_TIME: Duration = millis(3_000);
 
-/// The random run of a seed.
-pub(crate) fn play(seed: u64, faults: InjectedFaults) -> Result<Simulation, String> {
+/// Runs the random run of a seed.
+pub(crate) fn run(seed: u64, faults: InjectedFaults) -> Result<Simulation, String> {
     let mut simulation = Simulation::new(seed, 1 + (seed % 2) as usize, faults);
     let result = simulation.run_random_faults();
     result.map_err(|description| format!("seed {seed}: {description}"))?;
@@ -38,7 +38,7 @@
         self.recover()
     }
 
-    /// Ends all faults. Everything that was acknowledged must be there, and changes must be accepted again.
+    /// Ends all faults. Everything that was acknowledged must be present, and changes must be accepted again.
     pub(crate) fn recover(&mut self) -> Result<(), String> {
         self.after_change = None;
         self.after_shutdown = None;
@@ -47,20 +47,22 @@
         self.run(RECOVERY_TIME)?;
         let (now, read_backs) = (self.now(), self.checker.counts.read_backs);
         if self.checker.counts.accepted == accepted {
-            return Err(format!("at {now}: no change was accepted in the recovery"));
+            return Err(format!("at {now}: no change was accepted during the recovery"));
         }
         self.check_acknowledged_shutdowns()?;
-        let wanted = self.checker.acknowledged_by(now - CONFIG_BOUND);
+        let expected_revision = self.checker.acknowledged_by(now - MAX_CONFIG_DELAY);
         for (index, proxy) in self.proxies.iter().enumerate() {
             let revision = proxy.config.as_ref().map_or(0, |config| config.revision());
-            if revision < wanted {
-                return Err(format!("at {now}: proxy {index} has {revision}, and {wanted} was acknowledged"));
+            if revision < expected_revision {
+                return Err(format!(
+                    "at {now}: proxy {index} has revision {revision}, but {expected_revision} was acknowledged"
+                ));
             }
         }
         self.operators.iter_mut().for_each(Operator::read_back_next);
         self.run(READ_BACK_TIME)?;
         if self.checker.counts.read_backs == read_backs {
-            return Err("nothing was read back in the recovery".into());
+            return Err("no configuration was read back during the recovery".into());
         }
         Ok(())
     }
@@ -80,7 +82,7 @@
             4 => self.restart_some(Loss::ProcessAndDisk),
             5 => self.replace_control_node(),
             6 => self.lose_power(),
-            7 => self.disturb_proxy(),
+            7 => self.restart_or_pause_proxy(),
             8 => self.isolate_all(),
             9 | 10 => {
                 let count = 1 + self.random_below(2) as usize;
@@ -88,7 +90,7 @@
                 let restart_after = self.random_duration_below(millis(2_500));
                 self.after_change = Some(FaultAction::LosePrimary { count, loss, restart_after });
             }
-            11 => self.after_shutdown = Some(FaultAction::LoseReplicas { only: None, shutdown: None }),
+            11 => self.after_shutdown = Some(FaultAction::LoseReplicas { only_node: None, shutdown: None }),
             _ => self.after_shutdown = Some(FaultAction::LoseAllPower { shutdown: None }),
         }
     }
--- a/crates/control-plane/tests/fleet/random_runs.rs
+++ b/crates/control-plane/tests/fleet/random_runs.rs
@@ -1,4 +1,5 @@
-//! Random runs of many seeds violate no invariant. `FLEET_DAYS` adds that many, `FLEET_SEED` runs one alone.
+//! Random runs of many seeds violate no invariant. `FLEET_DAYS` sets the number of additional runs;
+//! `FLEET_SEED` selects the seed of the single run.
 
 use crate::checker::Counts;
 use crate::random_run;
@@ -10,7 +11,7 @@
     let mut totals = Counts::default();
     let mut violations = Vec::new();
     for seed in seeds.clone() {
-        match random_run::play(seed, InjectedFaults::default()) {
+        match random_run::run(seed, InjectedFaults::default()) {
             Ok(simulation) => totals += simulation.checker.counts,
             Err(description) => violations.push(description),
         }
@@ -36,7 +37,7 @@
 #[test]
 fn the_run_of_one_seed_violates_no_invariant() {
     if let Err(description) =
-        random_run::play(number_from_env("FLEET_SEED").unwrap_or(1), InjectedFaults::default())
+        random_run::run(number_from_env("FLEET_SEED").unwrap_or(1), InjectedFaults::default())
     {
         panic!("{description}");
     }
@@ -64,11 +65,13 @@
 
 #[test]
 fn additional_random_runs_violate_no_invariant() {
-    let wanted = number_from_env("FLEET_DAYS").unwrap_or(0);
+    let additional_runs = number_from_env("FLEET_DAYS").unwrap_or(0);
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get().min(4)) as u64;
     let first = 4 * RUNS_PER_TEST;
     let shares: Vec<_> = (0..threads)
-        .map(|share| first + wanted * share / threads..first + wanted * (share + 1) / threads)
+        .map(|share| {
+            first + additional_runs * share / threads..first + additional_runs * (share + 1) / threads
+        })
         .filter(|share| share.end - share.start >= 100)
         .map(|share| std::thread::spawn(move || run_all(share)))
         .collect();
--- a/crates/control-plane/tests/fleet/scenarios.rs
+++ b/crates/control-plane/tests/fleet/scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios built on purpose: a primary that was paused, a proxy that starts in a minority partition,
-//! servers that shut down through a minority or through control nodes that fail.
+//! Directed scenarios: a primary that is paused, a proxy that starts in a minority partition, and servers
+//! that shut down through a minority or through control nodes that fail.
 
 use mosshead_control_plane::InjectedFault;
 use mosshead_virtual_fleet::{control_node_address, millis};
@@ -9,12 +9,12 @@
 use crate::simulation::{InjectedFaults, Simulation};
 
 const SEEDS: u64 = 40;
-/// An injected fault is looked for on so many seeds: the rarest shows on 14 of 400.
+/// The number of seeds on which an injected fault is searched for: the rarest is detected on 14 of 400.
 const FAULT_SEEDS: u64 = 400;
 
 type Scenario = fn(u64, InjectedFaults) -> Result<(), String>;
 
-fn holds(scenario: Scenario) {
+fn assert_no_violation(scenario: Scenario) {
     for seed in 0..SEEDS {
         if let Err(description) = scenario(seed, InjectedFaults::default()) {
             panic!("seed {seed}: {description}");
@@ -22,13 +22,13 @@
     }
 }
 
-fn finds(scenario: Scenario, faults: InjectedFaults, rules: &[&str]) {
+fn assert_found(scenario: Scenario, faults: InjectedFaults, rules: &[&str]) {
     let mut found = (0..FAULT_SEEDS).filter_map(|seed| scenario(seed, faults).err());
     match found.next() {
         Some(description) => {
             assert!(rules.iter().any(|rule| description.contains(rule)), "{description}");
         }
-        None => panic!("{faults:?} was not found"),
+        None => panic!("{faults:?} was not detected"),
     }
 }
 
@@ -36,12 +36,12 @@
     InjectedFaults { control: Some(fault), ..InjectedFaults::default() }
 }
 
-/// A primary is paused until another one has committed changes, and resumed with calls waiting for it.
+/// A primary is paused until another one has committed changes, and then resumed with calls waiting for it.
 fn paused_primary(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 1, faults);
     simulation.run(millis(5_000))?;
     for _ in 0..6 {
-        let Some(primary) = simulation.primary() else { return Err("nobody is primary".into()) };
+        let Some(primary) = simulation.primary() else { return Err("no control node is primary".into()) };
         simulation.pause(Party::Control(primary));
         let span = millis(2_000) + simulation.random_duration_below(millis(2_000));
         simulation.run(span)?;
@@ -52,22 +52,22 @@
 }
 
 #[test]
-fn a_resumed_primary_rejects_nothing_by_its_old_state() {
-    holds(paused_primary);
+fn a_resumed_primary_rejects_no_change_by_its_outdated_state() {
+    assert_no_violation(paused_primary);
 }
 
 #[test]
 fn injected_rejections_by_a_resumed_primary_are_found() {
     let faults = InjectedFaults { primary_by_role: true, ..control(InjectedFault::RejectFromLocalState) };
-    finds(paused_primary, faults, &["outdated state:"]);
+    assert_found(paused_primary, faults, &["outdated state:"]);
 }
 
-/// As many control nodes as may fail, the primary among them, are partitioned for twenty seconds, and a proxy starts on
-/// their side that knows only these.
+/// The tolerated number of control nodes, including the primary, is partitioned from the others for twenty
+/// seconds. A proxy starts on their side that knows only these nodes.
 fn proxy_in_minority(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 1 + (seed % 2) as usize, faults);
     simulation.run(millis(6_000))?;
-    let Some(primary) = simulation.primary() else { return Err("nobody is primary".into()) };
+    let Some(primary) = simulation.primary() else { return Err("no control node is primary".into()) };
     let others = simulation.members().into_iter().filter(|control_node| *control_node != primary);
     let minority: Vec<usize> =
         [primary].into_iter().chain(others).take(simulation.tolerated_failures).collect();
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn a_proxy_in_a_minority_partition_takes_no_old_configuration() {
-    holds(proxy_in_minority);
+fn a_proxy_in_a_minority_partition_fetches_no_configuration() {
+    assert_no_violation(proxy_in_minority);
 }
 
 #[test]
@@ -99,11 +99,12 @@
         proxy: Some(InjectedFault::FetchWithoutQuorum),
         ..InjectedFaults::default()
     };
-    finds(proxy_in_minority, faults, &["quorum contact:"]);
+    assert_found(proxy_in_minority, faults, &["quorum contact:"]);
 }
 
-/// A control node loses its links to all but one other, for less than any timeout; servers shut down meanwhile.
-/// When it acknowledges one of them, it fails with the other node that has the entry, and the server ends.
+/// A control node loses its links to all but one other, for less than any timeout, while servers shut down.
+/// When it acknowledges one of them, it fails together with the other node that has the entry, and the server
+/// ends.
 fn lost_replicas(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 2, faults);
     simulation.run(millis(6_000))?;
@@ -116,7 +117,7 @@
             .chain((0..3).map(Party::Proxy))
             .collect();
         simulation.after_shutdown =
-            Some(FaultAction::LoseReplicas { only: Some(control_node), shutdown: None });
+            Some(FaultAction::LoseReplicas { only_node: Some(control_node), shutdown: None });
         simulation.partition(&[Party::Control(control_node)], &others);
         simulation.partitioned.insert(Party::Control(control_node));
         simulation.drain_all();
@@ -129,17 +130,17 @@
 }
 
 #[test]
-fn an_acknowledged_shutdown_outlives_lost_replicas() {
-    holds(lost_replicas);
+fn an_acknowledged_shutdown_survives_lost_replicas() {
+    assert_no_violation(lost_replicas);
 }
 
 #[test]
 fn the_injected_single_replica_is_found() {
-    finds(lost_replicas, control(InjectedFault::AcknowledgeAfterOneReplica), &["unknown shutdown:"]);
+    assert_found(lost_replicas, control(InjectedFault::AcknowledgeAfterOneReplica), &["unknown shutdown:"]);
 }
 
-/// All control nodes and proxies lose their power when a shutdown is acknowledged, again and again; the server ends and
-/// does not repeat its call.
+/// All control nodes and proxies lose power whenever a shutdown is acknowledged. The server ends and does not
+/// repeat its call.
 fn lost_power(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 1 + (seed % 2) as usize, faults);
     simulation.run(millis(6_000))?;
@@ -153,18 +154,18 @@
 }
 
 #[test]
-fn an_acknowledged_shutdown_outlives_a_loss_of_all_power() {
-    holds(lost_power);
+fn an_acknowledged_shutdown_survives_a_loss_of_all_power() {
+    assert_no_violation(lost_power);
 }
 
 #[test]
-fn acknowledgements_that_are_on_no_disk_are_found() {
+fn acknowledgements_of_unsynced_entries_are_found() {
     let faults = InjectedFaults { acknowledge_unsynced: true, ..InjectedFaults::default() };
-    finds(lost_power, faults, &["lost shutdown:"]);
+    assert_found(lost_power, faults, &["lost shutdown:"]);
 }
 
-/// Disks that are thirty times slower than usual, and servers that all drain at the same moment: those that are
-/// acknowledged are so within the second in which they listen, and are known everywhere.
+/// Disks are thirty times slower than usual and all servers drain at the same time: they must still be
+/// acknowledged within the second for which they wait, and be known everywhere.
 fn slow_disks(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 1 + (seed % 2) as usize, faults);
     simulation.run(millis(6_000))?;
@@ -173,17 +174,17 @@
     simulation.drain_all();
     simulation.run(millis(6_000))?;
     if simulation.checker.shutdowns.len() < acknowledged + simulation.servers.len() {
-        return Err("servers are not acknowledged".into());
+        return Err("not all shutdowns were acknowledged".into());
     }
     simulation.recover()
 }
 
 #[test]
 fn shutdowns_are_acknowledged_on_slow_disks() {
-    holds(slow_disks);
+    assert_no_violation(slow_disks);
 }
 
-/// Two of five control nodes are partitioned together; servers that shut down reach them as well as the others.
+/// Two of five control nodes are partitioned from the others. Servers that shut down reach both sides.
 fn minority_of_two(seed: u64, faults: InjectedFaults) -> Result<(), String> {
     let mut simulation = Simulation::new(seed, 2, faults);
     simulation.run(millis(5_000))?;
@@ -198,12 +199,12 @@
 
 #[test]
 fn a_minority_acknowledges_no_shutdown() {
-    holds(minority_of_two);
+    assert_no_violation(minority_of_two);
 }
 
 #[test]
 fn injected_acknowledgements_of_a_minority_are_found() {
-    finds(
+    assert_found(
         minority_of_two,
         control(InjectedFault::AcknowledgeUnchecked),
         &["acknowledged without quorum:", "unknown shutdown:"],
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -1,5 +1,5 @@
-//! Simulated model servers: heartbeats, draining, deregistrations, new incarnations at the same address, and stage
-//! assignments with fencing tokens.
+//! Simulated model servers: heartbeats, draining, deregistration, new incarnations at the same address, and
+//! stage assignments with fencing tokens.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -17,22 +17,22 @@
 const TICK_INTERVAL: Duration = millis(100);
 /// How long a server waits for a response.
 const RESPONSE_TIMEOUT: Duration = millis(1_000);
-/// Within this every proxy without faults knows an acknowledged shutdown.
-const SHUTDOWN_BOUND: Duration = millis(5_000);
+/// The time after which every proxy without faults must know an acknowledged shutdown.
+const MAX_SHUTDOWN_DELAY: Duration = millis(5_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     Up {
         until: Instant,
     },
-    /// Reports that it is draining, and is not acknowledged yet.
+    /// Reports that it is draining; not acknowledged yet.
     Draining,
-    /// Draining is acknowledged: it goes on sending heartbeats, and deregisters then.
+    /// Draining was acknowledged. It continues to send heartbeats, and deregisters at `until`.
     Acknowledged {
         until: Instant,
     },
     Deregistering,
-    /// Has ended; a new incarnation starts at the address.
+    /// Has ended. A new incarnation starts at the address at `until`.
     Ended {
         until: Instant,
     },
@@ -81,7 +81,7 @@
         self.after(delay, Event::Server { server });
     }
 
-    /// When a server that starts now is to shut down.
+    /// Draws when a server that starts now will shut down.
     fn draw_shutdown_time(&mut self) -> Instant {
         self.now() + millis(4_000) + self.random_duration_below(millis(20_000))
     }
@@ -144,7 +144,7 @@
         server.token = 0;
     }
 
-    /// All servers that are up start to drain.
+    /// Makes all servers that are up start to drain.
     pub(crate) fn drain_all(&mut self) {
         for server in &mut self.servers {
             if matches!(server.lifecycle, Lifecycle::Up { .. }) {
@@ -160,11 +160,12 @@
         }
     }
 
-    /// A control node is about to acknowledge a shutdown.
+    /// Applies the fault that is scheduled for the next acknowledged shutdown, when a control node is about
+    /// to acknowledge one.
     pub(crate) fn before_shutdown_acknowledgement(&mut self, control_node: usize, from: Party, id: &str) {
         let Party::Server(server) = from else { return };
         if let Some(action) = self.after_shutdown.take_if(|action| action.is_for(control_node)) {
-            // The server ends too, so that it does not repeat its call.
+            // The server ends as well, so that it does not repeat its call.
             self.servers[server].lifecycle = Lifecycle::Acknowledged { until: self.now() };
             self.after(Duration::ZERO, Event::Fault(action.after_shutdown(control_node, server, id)));
         }
@@ -193,7 +194,7 @@
         let server = &mut self.servers[index];
         server.next_call_at = now + HEARTBEAT_INTERVAL;
         match server.lifecycle {
-            // This responds to a heartbeat that was sent before the draining.
+            // This is the response to a heartbeat that was sent before draining began.
             Lifecycle::Draining if !is_shutdown => server.next_call_at = now,
             Lifecycle::Draining => {
                 server.lifecycle = match ends_at_once {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Ends a server that has just been acknowledged.
+    /// Ends a server whose shutdown has just been acknowledged.
     pub(crate) fn end_server(&mut self, index: usize, id: &str) {
         if self.servers[index].reported.id == id {
             self.servers[index].lifecycle = Lifecycle::Ended { until: self.now() + millis(20_000) };
@@ -224,20 +225,21 @@
         self.trace(|| format!("{server} is acknowledged"));
         let acknowledged = self.checker.shutdowns.len();
         self.checker.shutdowns.push(AcknowledgedServer { server, acknowledged_at: self.now() });
-        self.after(SHUTDOWN_BOUND, Event::CheckShutdown { acknowledged });
+        self.after(MAX_SHUTDOWN_DELAY, Event::CheckShutdown { acknowledged });
     }
 
-    /// Checks every proxy without faults meanwhile, unless more control nodes than tolerated were disturbed.
+    /// Checks every proxy that had no fault since the acknowledgement, unless more control nodes than
+    /// tolerated were affected by faults.
     pub(crate) fn check_shutdown(&mut self, acknowledged: usize) {
         let acknowledged = &self.checker.shutdowns[acknowledged];
         let (since, id) = (acknowledged.acknowledged_at, acknowledged.server.clone());
         let members = self.members().into_iter().map(Party::Control);
-        let disturbed = members.filter(|control_node| self.is_disturbed_since(*control_node, since)).count();
-        if disturbed > self.tolerated_failures {
+        let affected = members.filter(|control_node| self.had_fault_since(*control_node, since)).count();
+        if affected > self.tolerated_failures {
             return;
         }
         for index in 0..self.proxies.len() {
-            if self.is_disturbed_since(Party::Proxy(index), since) {
+            if self.had_fault_since(Party::Proxy(index), since) {
                 continue;
             }
             let proxy = &self.proxies[index];
@@ -245,16 +247,17 @@
             if proxy.registry.get(&id).is_some_and(|server| server.state < OperState::Draining) {
                 self.trace(|| self.describe_entries(&id));
                 let description =
-                    format!("{id} was acknowledged at {since}, and proxy {index} does not know it");
+                    format!("{id} was acknowledged at {since}, but proxy {index} does not know it");
                 self.checker.report_violation("unknown shutdown", description);
             }
         }
     }
 
-    /// Checks that no proxy takes a server for ready whose shutdown was acknowledged a while ago, whatever has failed since.
+    /// Checks that no proxy considers a server ready whose shutdown was acknowledged more than
+    /// [`MAX_SHUTDOWN_DELAY`] ago, whatever has failed since.
     pub(crate) fn check_acknowledged_shutdowns(&self) -> Result<(), String> {
-        let known_since = self.now() - SHUTDOWN_BOUND;
-        let is_due = |shutdown: &&AcknowledgedServer| shutdown.acknowledged_at <= known_since;
+        let due_before = self.now() - MAX_SHUTDOWN_DELAY;
+        let is_due = |shutdown: &&AcknowledgedServer| shutdown.acknowledged_at <= due_before;
         for AcknowledgedServer { server, acknowledged_at } in self.checker.shutdowns.iter().filter(is_due) {
             let is_ready = |proxy: &Proxy| {
                 proxy.registry.get(server).is_some_and(|server| server.state < OperState::Draining)
@@ -262,14 +265,14 @@
             if let Some(index) = self.proxies.iter().position(is_ready) {
                 self.trace(|| self.describe_entries(server));
                 return Err(format!(
-                    "lost shutdown: {server} was acknowledged at {acknowledged_at}, and is ready for proxy {index}"
+                    "lost shutdown: {server} was acknowledged at {acknowledged_at}, but proxy {index} considers it ready"
                 ));
             }
         }
         Ok(())
     }
 
-    /// What each process knows about a server.
+    /// Describes what each process knows about a server.
     fn describe_entries(&self, id: &str) -> String {
         let entry = |registry: &Registry| {
             let entry = registry.entry(id);
--- a/crates/control-plane/tests/fleet/simulation.rs
+++ b/crates/control-plane/tests/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: virtual time, its events, and all parties.
+//! The simulation: the virtual clock, the event queue and all processes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -17,7 +17,7 @@
 use crate::proxy::Proxy;
 use crate::server::SimulatedServer;
 
-/// What the clock of a simulation shows at its start.
+/// The time at the start of a simulation.
 const START: Instant = Instant::from_millis(1_000);
 pub(crate) const TICK_INTERVAL: Duration = millis(50);
 const PROXIES: usize = 3;
@@ -56,24 +56,24 @@
     Server {
         server: usize,
     },
-    /// Checks that every proxy without faults knows an acknowledged shutdown.
+    /// Checks that every proxy that had no fault meanwhile knows an acknowledged shutdown.
     CheckShutdown {
         acknowledged: usize,
     },
     Fault(FaultAction),
 }
 
-/// The faults that are injected into the decisions.
+/// The faults that are injected into the decision logic.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InjectedFaults {
     pub(crate) control: Option<InjectedFault>,
     pub(crate) proxy: Option<InjectedFault>,
     pub(crate) consensus: Option<ConsensusFault>,
-    /// The primary is taken from the role alone, whatever its lease.
+    /// A control node takes the primary from the consensus role alone, without regard to its lease.
     pub(crate) primary_by_role: bool,
-    /// A control node counts an entry as durable that is in its memory only.
+    /// A control node counts an entry as durable although it is only in memory.
     pub(crate) acknowledge_unsynced: bool,
-    /// Stage assignments bear the same fencing token under each term.
+    /// Stage assignments carry the same fencing token in every term.
     pub(crate) token_without_term: bool,
 }
 
@@ -88,18 +88,19 @@
     pub(crate) checker: Checker,
     pub(crate) tolerated_failures: usize,
     pub(crate) faults: InjectedFaults,
-    /// What happens right after the next acknowledgement of a change, or of a shutdown.
+    /// The fault that happens right after the next change is accepted.
     pub(crate) after_change: Option<FaultAction>,
+    /// The fault that happens right after the next shutdown is acknowledged.
     pub(crate) after_shutdown: Option<FaultAction>,
-    /// How many times longer than usual the writes of the registry's log take.
+    /// The factor by which writes to the registry's log take longer than usual.
     pub(crate) registry_write_factor: u32,
-    /// The parties on the smaller side of a partition.
+    /// The processes on the smaller side of a partition.
     pub(crate) partitioned: BTreeSet<Party>,
     is_traced: bool,
 }
 
 impl Simulation {
-    /// A fleet that starts for the first time, with as many control nodes as the tolerated failures need.
+    /// Creates a fleet that starts for the first time, with `2 * tolerated_failures + 1` control nodes.
     pub(crate) fn new(seed: u64, tolerated_failures: usize, faults: InjectedFaults) -> Simulation {
         let noise = Noise::per_mille(3);
         let network = Network { noise, response_loss_per_mille: 30, ..Network::default() };
@@ -134,7 +135,7 @@
         self.events.now()
     }
 
-    /// Prints what happens if `FLEET_TRACE` is set.
+    /// Prints a description of an event if `FLEET_TRACE` is set.
     pub(crate) fn trace(&self, description: impl FnOnce() -> String) {
         if self.is_traced {
             println!("{} {}", self.now().as_millis(), description());
@@ -153,7 +154,7 @@
         self.events.schedule_after(span, event);
     }
 
-    /// Lets time pass. Returns the violation, if there is one.
+    /// Handles all events of the next `span`. Returns an error as soon as the checker reports a violation.
     pub(crate) fn run(&mut self, span: Duration) -> Result<(), String> {
         let end = self.now() + span;
         while let Some(event) = self.events.next_until(end) {
@@ -196,35 +197,35 @@
         }
     }
 
-    /// Whether a fault has affected a process or its links at any time from then on.
-    pub(crate) fn is_disturbed_since(&self, party: Party, since: Instant) -> bool {
-        let last_disturbed_at = match party {
-            Party::Control(control_node) => self.control_nodes[control_node].last_disturbed_at,
-            Party::Proxy(proxy) => self.proxies[proxy].last_disturbed_at,
+    /// Returns true if a fault has affected a process or its links at any time since then.
+    pub(crate) fn had_fault_since(&self, party: Party, since: Instant) -> bool {
+        let last_fault_at = match party {
+            Party::Control(control_node) => self.control_nodes[control_node].last_fault_at,
+            Party::Proxy(proxy) => self.proxies[proxy].last_fault_at,
             Party::Operator(_) | Party::Server(_) => Instant::ORIGIN,
         };
         let is_down = matches!(party, Party::Control(control_node) if self.control_nodes[control_node].process.is_none());
-        is_down || last_disturbed_at >= since || self.is_paused(party) || self.partitioned.contains(&party)
+        is_down || last_fault_at >= since || self.is_paused(party) || self.partitioned.contains(&party)
     }
 
-    /// Notes that a fault has affected a process until now.
-    pub(crate) fn note_disturbed(&mut self, party: Party) {
+    /// Records that a fault has affected a process until now.
+    pub(crate) fn record_fault(&mut self, party: Party) {
         let now = self.now();
         match party {
-            Party::Control(control_node) => self.control_nodes[control_node].last_disturbed_at = now,
-            Party::Proxy(proxy) => self.proxies[proxy].last_disturbed_at = now,
+            Party::Control(control_node) => self.control_nodes[control_node].last_fault_at = now,
+            Party::Proxy(proxy) => self.proxies[proxy].last_fault_at = now,
             Party::Operator(_) | Party::Server(_) => {}
         }
     }
 
-    /// The control node that has the address now.
+    /// Returns the control node that has this address now.
     pub(crate) fn control_node_at(&self, address: SocketAddrV4) -> Option<usize> {
         self.control_nodes
             .iter()
             .position(|control_node| control_node.address == address && !control_node.is_removed)
     }
 
-    /// The control nodes that have not been replaced.
+    /// Returns the control nodes that have not been replaced.
     pub(crate) fn members(&self) -> Vec<usize> {
         (0..self.control_nodes.len())
             .filter(|control_node| !self.control_nodes[*control_node].is_removed)
@@ -237,7 +238,7 @@
             .collect()
     }
 
-    /// The control node that believes to be primary, under the highest term.
+    /// Returns the control node that considers itself primary; with several, the one with the highest term.
     pub(crate) fn primary(&self) -> Option<usize> {
         let term = |control_node: &usize| {
             self.control_nodes[*control_node].process.as_ref().map(|process| process.node.term())
--- a/crates/control-plane/tests/fleet/stage_role.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -1,4 +1,4 @@
-//! The stage role on a simulated control node, connected as the program does.
+//! The stage role of a simulated control node, connected as in the real program.
 
 use mosshead_consensus::Term;
 use mosshead_stage_scheduler::{
@@ -10,7 +10,7 @@
 use crate::messages::{Call, Party, Purpose, Response};
 use crate::simulation::Simulation;
 
-/// Orders of two owners must lie further apart than this.
+/// The minimum time between assignments by two different holders of the role.
 pub(crate) const LEASE: Duration = millis(3_000);
 const ASSIGNMENT_TIMEOUT: Duration = millis(600);
 
@@ -19,7 +19,7 @@
     current: Option<ActiveRole>,
 }
 
-/// The role under a term.
+/// The stage role in one term.
 struct ActiveRole {
     term: Term,
     tenure: TakeoverDelay,
