--- a/crates/registry/src/divergence.rs
+++ b/crates/registry/src/divergence.rs
@@ -1,12 +1,12 @@
-//! Suspected divergence: another registry has the same version vector and other entries, so that all entries have to be
-//! received anew (a full synchronization).
+//! Suspected divergence: another registry has the same version vector but different entries, so all entries
+//! have to be received again (a full synchronization).
 
 use mosshead_time::{Duration, Instant};
 
-/// How long after one suspected divergence no other is suspected: each one costs the transfer of all entries.
+/// The minimum time between two suspected divergences: each one costs a transfer of all entries.
 const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The last suspected divergence and the full synchronization that follows it.
+/// The last suspected divergence, and the full synchronization that it requires.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Divergence {
     suspected_at: Option<Instant>,
@@ -14,7 +14,7 @@
 }
 
 impl Divergence {
-    /// Whether the last one was suspected so long ago that another one may be.
+    /// Returns true if the last divergence was suspected so long ago that another one may be.
     pub(crate) fn may_be_suspected(&self, now: Instant) -> bool {
         self.suspected_at.is_none_or(|last| now.duration_since(last) >= FULL_SYNC_INTERVAL)
     }
@@ -25,7 +25,7 @@
         self.is_full_sync_requested = true;
     }
 
-    /// Whether a full synchronization was requested; the request is cleared.
+    /// Returns true if a full synchronization was requested, and clears the request.
     pub(crate) fn take_full_sync_request(&mut self) -> bool {
         std::mem::take(&mut self.is_full_sync_requested)
     }
--- a/crates/registry/src/entry.rs
+++ b/crates/registry/src/entry.rs
@@ -6,37 +6,39 @@
 
 use crate::{Server, SourceId};
 
-/// A server as one source has published it.
+/// The state of a server as one source published it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// What is known about the server.
+    /// The known state of the server.
     #[n(0)]
     pub server: Server,
-    /// Who published the entry.
+    /// The source that published the entry.
     #[n(1)]
     pub source: SourceId,
-    /// Counts the entries that the source has published, from 1. No two entries of a source have the same version.
+    /// The number of the entry among those that the source has published, from 1. No two entries of a source
+    /// have the same version.
     #[n(2)]
     pub version: u64,
 }
 
 impl Entry {
-    /// Whether this entry replaces another of the same instance: by sequence number, then removed before draining
-    /// before up, then suspected before not suspected. The remaining fields only make the order total.
+    /// Returns true if this entry replaces another one of the same instance. The higher sequence number takes
+    /// precedence, then removed over draining over up, then suspected over not suspected. The remaining
+    /// fields only make the order total.
     pub fn supersedes(&self, other: &Entry) -> bool {
         self.precedence(other) == Ordering::Greater
     }
 
-    /// Drops the models of a tombstone. Entries are normalized before they are compared: with its models an entry
-    /// would supersede the normalized form that is stored, and replace it each time.
+    /// Drops the models of a tombstone. Entries are normalized before they are compared: an entry that still
+    /// has its models would supersede its stored, normalized form and replace it each time.
     pub(crate) fn normalize(&mut self) {
         if self.server.is_removed() {
             self.server.models = Vec::new();
         }
     }
 
-    /// Compares all fields but the warm-up. Any other field that is left out would let processes that receive the same
-    /// entries in a different order store different ones for good.
+    /// Compares all fields except the warm-up. If any other field were left out, processes that receive the
+    /// same entries in a different order could permanently store different ones.
     fn precedence(&self, other: &Entry) -> Ordering {
         let (server, other_server) = (&self.server, &other.server);
         (server.sequence.cmp(&other_server.sequence))
@@ -53,8 +55,9 @@
             .then_with(|| self.version.cmp(&other.version))
     }
 
-    /// What the entry contributes to the fingerprint of a registry, which is the XOR over its entries: FNV-1a over id,
-    /// sequence, source and version, then the first steps of the splitmix64 finalizer.
+    /// Returns the contribution of the entry to the fingerprint of a registry, which is the XOR over its
+    /// entries: FNV-1a over id, sequence, source and version, followed by the first steps of the splitmix64
+    /// finalizer.
     pub(crate) fn fingerprint(&self) -> u64 {
         const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
         const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,13 +1,13 @@
-//! The registry of model servers: a replicated set of entries, one for each server instance.
+//! The registry of model servers: a replicated set of entries, one per server instance.
 //!
-//! Each control node that receives heartbeats is a *source* with a random [`SourceId`] for its incarnation. It publishes
-//! each change that it observes as an [`Entry`] under its next *version*; a heartbeat that changes nothing gets no version.
-//! A process that wants to catch up shows its [`VersionVector`] and receives the entries above it as a [`Delta`]. Of two
-//! entries for one server the one that [supersedes](Entry::supersedes) the other is stored, the entry *in force*; that is a
-//! total order, so all processes converge to the same registry in whatever order the deltas arrive.
+//! Each control node that receives heartbeats is a *source*, identified by a [`SourceId`] that it draws at
+//! random for each of its incarnations. It publishes each change that it observes as an [`Entry`] under its
+//! next *version*; a heartbeat that changes nothing gets no version. A process catches up by sending its
+//! [`VersionVector`] and receiving the entries above it as a [`Delta`]. Of two entries for one server, the
+//! one that [supersedes](Entry::supersedes) the other is stored: it is the entry *in force*. This is a total
+//! order, so all processes converge to the same registry in whatever order the deltas arrive.
 //!
-//! Nothing here does I/O or reads a clock. The host hands in the present instant of its steady clock, which must never
-//! go backwards.
+//! Nothing here does I/O or reads a clock. The host passes the current instant of its monotonic clock.
 
 mod delta;
 mod divergence;
--- a/crates/registry/src/received_heartbeat.rs
+++ b/crates/registry/src/received_heartbeat.rs
@@ -1,8 +1,9 @@
-//! What control nodes report to each other about heartbeats that change nothing.
+//! The heartbeats that control nodes report to each other, because a heartbeat that changes nothing is not
+//! published as an entry.
 
 use minicbor::{Decode, Decoder, Encode, Encoder, decode, encode};
 
-/// The last heartbeat of a server that a control node has received.
+/// The last heartbeat that a control node has received from a server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReceivedHeartbeat {
     /// Id of the server.
@@ -11,7 +12,7 @@
     pub sequence: u64,
 }
 
-// Encoded as a pair, like in earlier releases: a derived decoder would accept longer arrays, too.
+// Encoded as a pair, as in earlier releases. A derived decoder would also accept longer arrays.
 
 impl<C> Encode<C> for ReceivedHeartbeat {
     fn encode<W: encode::Write>(
--- a/crates/registry/src/registration_error.rs
+++ b/crates/registry/src/registration_error.rs
@@ -1,11 +1,12 @@
-//! Why a server is not registered.
+//! Errors of registering and deregistering servers.
 
 use quick_error::quick_error;
 
 use crate::limits::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
 
 quick_error! {
-    /// Why a heartbeat or a deregistration is rejected. Operators know the numbers and texts from the logs.
+    /// Reason why a heartbeat or a deregistration was rejected. Operators know the numbers and texts from the
+    /// logs.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum RegistrationError {
         /// The instance has no id.
@@ -16,11 +17,11 @@
         NameTooLong {
             display("registry 2: id, service, zone or revision over {} bytes", MAX_NAME_BYTES)
         }
-        /// The models and their adapters are too long.
+        /// The models and their adapters are too large.
         ModelsTooLong {
             display("registry 3: models and adapters over {} bytes", MAX_MODEL_BYTES)
         }
-        /// There are [`MAX_SERVERS`](crate::MAX_SERVERS) servers already.
+        /// There are already [`MAX_SERVERS`](crate::MAX_SERVERS) servers.
         RegistryFull {
             display("registry 4: the register is full")
         }
@@ -28,7 +29,7 @@
 }
 
 impl RegistrationError {
-    /// The number of this error, as in its text.
+    /// Returns the number of the error, as it appears in its text.
     pub fn code(self) -> u16 {
         match self {
             RegistrationError::MissingId => 1,
--- a/crates/registry/src/registry/anti_entropy.rs
+++ b/crates/registry/src/registry/anti_entropy.rs
@@ -1,36 +1,38 @@
-//! Anti-entropy: processes exchange version vectors and the entries that are missing above them.
+//! Anti-entropy: processes exchange version vectors, and the entries that are missing above them.
 
 use mosshead_time::Instant;
 
 use crate::{Delta, Entry, Registry, VersionVector};
 
 impl Registry {
-    /// The versions up to which this process has all entries in force.
+    /// Returns the versions up to which this process has all entries in force.
     pub fn vector(&self) -> VersionVector {
         self.sources.vector()
     }
 
-    /// Whether another process has entries of a source of which none are known here, and should send them.
+    /// Returns true if another process has entries of a source of which none are known here. It should send
+    /// them.
     pub fn has_unknown_source(&self, theirs: &VersionVector) -> bool {
         theirs
             .iter()
             .any(|(id, version)| version > 0 && id != self.local_id && self.sources.known_version(id) == 0)
     }
 
-    /// Whether another process has a higher version of any source than this one.
+    /// Returns true if another process has a higher version of any source than this one.
     pub fn is_behind(&self, theirs: &VersionVector) -> bool {
         theirs.iter().any(|(id, version)| id != self.local_id && version > self.sources.known_version(id))
     }
 
-    /// Whether an entry in force lies above the known version of its source: it is in no delta yet.
+    /// Returns true if an entry in force lies above the known version of its source, so that it is in no
+    /// delta yet.
     pub fn has_entries_above_known_versions(&self) -> bool {
         self.sources.has_entries_above_known_versions()
     }
 
-    /// The entries above a vector, at most `max_entries`, which counts as 1 if it is 0.
+    /// Returns the entries above a vector, up to `max_entries` of them (0 counts as 1).
     ///
-    /// The vector of the delta covers just these: a truncated delta ends within a source and does not name the sources
-    /// after it, so that the receiver requests them again.
+    /// The vector of the delta covers only these entries: a truncated delta ends within a source and does not
+    /// list the sources after it, so that the receiver requests them again.
     pub fn missing_entries(&self, theirs: &VersionVector, max_entries: usize) -> Delta {
         let max_entries = max_entries.max(1);
         let mut delta = Delta { fingerprint: self.fingerprint, ..Delta::default() };
@@ -63,18 +65,18 @@
         delta
     }
 
-    /// Merges the entries of another process. Returns whether any entry in force has changed.
+    /// Merges the entries of another process. Returns true if any entry in force has changed.
     ///
-    /// If both have the same vector and yet different entries, the next [`Registry::tick`] resets the vector, so that
-    /// all entries are received anew.
+    /// If both processes have the same vector but different entries, the next [`Registry::tick`] resets the
+    /// vector, so that all entries are received again.
     pub fn merge(&mut self, now: Instant, delta: Delta) -> bool {
         let mut changed = false;
         for entry in delta.entries {
             changed |= self.merge_entry(now, entry);
         }
         for (source, version) in delta.vector.iter() {
-            // Entries between the known version and the base of the delta may be missing: were the vector raised over
-            // that gap, they would never be requested again.
+            // Entries between the known version and the base of the delta may be missing. If the vector were
+            // raised over that gap, they would never be requested again.
             if source != self.local_id && self.sources.known_version(source) >= delta.base.get(source) {
                 self.sources.raise_known_version(source, version);
             }
@@ -107,8 +109,8 @@
         }
         let sequence = entry.server.sequence;
         let has_later_heartbeat = record.last_receiver == self.local_id && record.last_sequence > sequence;
-        // Heartbeats without a change have come here since: the entry is outdated, and what this process knows is
-        // published above it.
+        // This process has received unchanged heartbeats since then, so the entry is outdated. The state
+        // known here is published above it.
         if has_later_heartbeat
             && !self.is_read_replica
             && !record.entry.server.has_same_properties(&entry.server)
@@ -128,8 +130,8 @@
         true
     }
 
-    /// Whether a process without errors may have sent this entry: a valid server, no version of this process that it
-    /// has not published, and no version that belongs to another server.
+    /// Returns true if a correct process may have sent this entry: the server is valid, the entry has no
+    /// version of this process that it has not published, and its version does not belong to another server.
     fn is_plausible(&self, entry: &Entry) -> bool {
         let owner = self.sources.server_id(entry.source, entry.version);
         entry.server.validate().is_ok()
@@ -137,16 +139,18 @@
             && owner.is_none_or(|id| **id == *entry.server.id)
     }
 
-    /// Another control node has shown its vector: what that covers needs no further replication.
+    /// Records the vector of another control node: the entries that it covers need no further replication.
     ///
-    /// To replicate an entry, send the other node the entries that it is missing, merge its response (the entries
-    /// missing above the vector shown to it) and call this with the vector of the response. If the other node has an
-    /// entry that supersedes the one sent, it never stores that one, and only its response ends the need to replicate.
+    /// To replicate an entry, send the other node the entries that it is missing, merge its response (the
+    /// entries above the vector that it was sent) and call this with the vector of the response. If the other
+    /// node has an entry that supersedes the one sent, it never stores the latter, and only its response ends
+    /// the need for replication.
     pub fn mark_replicated(&mut self, theirs: &VersionVector) {
         self.published.raise_replicated(theirs.get(self.local_id));
     }
 
-    /// Whether another control node is known to have every entry in force that was published here.
+    /// Returns true if another control node is known to have every entry in force that this process
+    /// published.
     pub fn is_fully_replicated(&self) -> bool {
         self.published.replicated() >= self.sources.last_version(self.local_id)
     }
--- a/crates/registry/src/registry/entries.rs
+++ b/crates/registry/src/registry/entries.rs
@@ -1,4 +1,4 @@
-//! The entries in force: publishes them under new versions, replaces them, and updates the indexes of them.
+//! Publishes and replaces the entries in force, and keeps their indexes up to date.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 use crate::{Entry, Registry, Server};
 
 impl Registry {
-    /// Publishes a server under a new version. The caller makes sure that it supersedes the entry in force: other
-    /// processes would not merge it otherwise.
+    /// Publishes a server under a new version. The caller must ensure that it supersedes the entry in force,
+    /// since other processes would not merge it otherwise.
     pub(super) fn publish(&mut self, now: Instant, server: Server) {
         let version = self.published.next();
         self.store(now, Entry { server, source: self.local_id, version });
         self.sources.raise_known_version(self.local_id, version);
     }
 
-    /// Publishes what is known about a server, with `change` applied to it.
+    /// Publishes the known state of a server with `change` applied to it.
     pub(super) fn publish_change(&mut self, now: Instant, id: &str, change: impl FnOnce(&mut Server)) {
         let Some(record) = self.records.get(id) else { return };
         let mut server = record.entry.server.clone();
-        // A sequence number that another node has only reported may belong to a state that is not known here, such as
-        // draining. An entry with that number would undo it.
+        // If only another node has reported the sequence number, it may belong to a state that is not known
+        // here, such as draining. An entry with that number would revert that state.
         if record.last_receiver == self.local_id {
             server.sequence = record.last_sequence;
         }
@@ -48,7 +48,8 @@
         let state_since = match self.records.get_mut(id) {
             Some(record) => {
                 let before = &record.entry.server;
-                // If the replaced entry needs no replication, another node is known to have its state; `Up` never needs any.
+                // If the replaced entry needs no replication, another node is known to have its state. `Up`
+                // never needs any.
                 if !record.needs_replication(self.local_id, self.published.replicated()) {
                     record.replicated_state = before.state;
                 }
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -1,8 +1,9 @@
-//! Failure detection: which servers are suspected, by whom, and when a suspected server is removed.
+//! Failure detection: suspects servers whose heartbeats have stopped, and removes suspected servers.
 //!
-//! The node that last received a heartbeat of a server suspects it once the heartbeats stop. If that node is itself
-//! without contact, any other suspects the server instead, and publishes that as a source of its own. Heartbeats that
-//! change nothing get no version, so control nodes notify each other in digests which servers still send them some.
+//! The node that last received a heartbeat from a server suspects it once the heartbeats stop. If that node
+//! itself has no contact, any other node suspects the server instead and publishes that as a source of its
+//! own. Heartbeats that change nothing get no version, so control nodes send each other digests of the
+//! servers that still send them heartbeats.
 
 use std::sync::Arc;
 
@@ -11,27 +12,27 @@
 use crate::server::DEREGISTERED_SEQUENCE;
 use crate::{OperState, ReceivedHeartbeat, Registry, SOURCE_TIMEOUT, SourceId};
 
-/// A server that has been suspected for longer is removed.
+/// A server that has been suspected for longer than this is removed.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A server is suspected after more than 3.2 heartbeat intervals without a heartbeat. Counted in fifths of an interval,
-/// so that the deadline is computed in whole numbers.
+/// A server is suspected after more than 3.2 heartbeat intervals without a heartbeat. The factor is in
+/// fifths, so that the deadline is computed with integers.
 const SUSPECTED_AFTER_FIFTHS: u32 = 16;
 
-/// When another source has to decide about a server, it is checked again after this.
+/// How often a server is checked again while another source has to decide about it.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Registry {
-    /// Another control node was in contact with this one.
+    /// Records a contact with another control node.
     pub fn record_contact(&mut self, now: Instant, source: SourceId) {
         if source != self.local_id {
             self.sources.record_contact(now, source);
         }
     }
 
-    /// The last heartbeats of the servers whose heartbeats came to this very process at `since` or later.
-    /// The host sends them to the other control nodes every few hundred milliseconds; `since` should lie well before
-    /// the last digest that arrived there.
+    /// Returns the last heartbeats of the servers from which this process itself has received one at `since`
+    /// or later. The host sends them to the other control nodes every few hundred milliseconds; `since`
+    /// should lie well before the last digest that arrived there.
     pub fn heartbeats_since(&self, since: Instant) -> Vec<ReceivedHeartbeat> {
         self.records
             .values()
@@ -44,7 +45,7 @@
             .collect()
     }
 
-    /// Records the heartbeats that another control node has received.
+    /// Records heartbeats that another control node has received.
     pub fn record_remote_heartbeats(
         &mut self,
         now: Instant,
@@ -62,14 +63,17 @@
         }
     }
 
-    /// Suspects servers without heartbeats, removes those suspected for too long, and drops expired tombstones. To be
-    /// called at least once in each heartbeat interval: after a longer pause of this process all servers get their
-    /// full timeout again. Returns whether an entry has changed.
+    /// Suspects servers without heartbeats, removes those that have been suspected for too long, and drops
+    /// expired tombstones. Returns true if an entry has changed.
+    ///
+    /// Must be called at least once in each heartbeat interval: after a longer pause of this process, all
+    /// servers get their full timeout again.
     pub fn tick(&mut self, now: Instant) -> bool {
         self.uptime.tick(now, self.heartbeat_interval);
         self.expire_tombstones(now);
         self.sources.drop_empty_sources();
-        // This waits for the tick: the vector that is shown right after the merge tells the sender what was received.
+        // The vector is reset here rather than by the merge, because the vector sent right after the merge
+        // tells the sender which entries were received.
         if self.divergence.take_full_sync_request() {
             self.sources.reset_known_versions(self.local_id);
         }
@@ -80,8 +84,8 @@
         changed
     }
 
-    /// Suspects or removes a server whose timer has expired, if that is due and not for another node to decide. Returns
-    /// whether its entry has changed.
+    /// Suspects or removes a server whose timer has expired, if that is due and no other node has to decide
+    /// it. Returns true if its entry has changed.
     fn check_server(&mut self, now: Instant, id: &Arc<str>) -> bool {
         let Some(record) = self.records.get_mut(id) else { return false };
         record.timer = None;
@@ -92,7 +96,8 @@
         }
         let Some(record) = self.records.get(id) else { return false };
         let is_suspected = record.entry.server.is_suspected;
-        // Who received the last heartbeat suspects the server; who published the suspicion removes it.
+        // The node that received the last heartbeat suspects the server. The node that published the
+        // suspicion removes it.
         let responsible = if is_suspected { record.entry.source } else { record.last_receiver };
         if responsible != self.local_id && !self.is_source_lost(now, responsible) {
             self.schedule_check_at(id, now + RECHECK_INTERVAL);
@@ -108,7 +113,8 @@
         true
     }
 
-    /// When a server is to be suspected, or removed if it is suspected already, as far as is known now.
+    /// Returns when the server is to be suspected, or removed if it is already suspected, as far as known
+    /// now.
     fn deadline(&self, id: &str) -> Option<Instant> {
         let record = self.records.get(id)?;
         let server = &record.entry.server;
@@ -123,12 +129,12 @@
         } else {
             heartbeat_deadline
         };
-        // The timeout has to be exceeded, not only reached.
+        // The timeout must be exceeded, not only reached.
         Some(tolerated_until + Duration::from_millis(1))
     }
 
-    /// Sets the timer of a record whose entry has changed. Heartbeats that change nothing leave the timer as it is: the
-    /// deadline is computed again when it expires.
+    /// Sets the timer of a record whose entry has changed. Heartbeats that change nothing do not reset the
+    /// timer: the deadline is computed again when it expires.
     pub(super) fn schedule_check(&mut self, id: &Arc<str>) {
         match self.deadline(id) {
             Some(deadline) => self.schedule_check_at(id, deadline),
@@ -152,7 +158,7 @@
         }
     }
 
-    /// Whether a source has been without contact for so long that others decide in its place.
+    /// Returns true if a source has been without contact for so long that other nodes decide in its place.
     fn is_source_lost(&self, now: Instant, source: SourceId) -> bool {
         let last_seen_at = self.sources.last_seen_at(source);
         source != self.local_id
--- a/crates/registry/src/registry/heartbeats.rs
+++ b/crates/registry/src/registry/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and deregistrations that servers send to this process.
+//! Handles the heartbeats and deregistrations that servers send to this process.
 
 use std::sync::Arc;
 
@@ -7,29 +7,29 @@
 use crate::server::DEREGISTERED_SEQUENCE;
 use crate::{OperState, RegistrationError, Registry, Server, SourceId};
 
-/// With entries of more sources than this, those of sources without recent contact are published anew here when their
-/// server sends a heartbeat. It bounds the version vector.
+/// With entries of more sources than this, the entries of sources without recent contact are published again
+/// by this process when their server sends a heartbeat. This bounds the version vector.
 const REPUBLISHING_THRESHOLD: usize = 16;
 
-/// What an accepted heartbeat or deregistration has done.
+/// The effect of an accepted heartbeat or deregistration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// The entry of the server has changed, and was published under a new version.
+    /// True if the entry of the server has changed and was published under a new version.
     pub changed: bool,
-    /// The server is draining or removed, and only this process is known to have stored that. The entry must be replicated
-    /// to another control node before the heartbeat is acknowledged (see [`Registry::mark_replicated`]). Until that is
-    /// done, repeats of the heartbeat report this again.
+    /// True if the server is draining or removed, and no other process is known to have stored that. The
+    /// entry must be replicated to another control node before the heartbeat is acknowledged (see
+    /// [`Registry::mark_replicated`]). Until then, repeats of the heartbeat report this again.
     pub needs_replication: bool,
-    /// Its sequence number is below one that is known: it changed nothing.
+    /// True if its sequence number is below a known one, so that it changed nothing.
     pub is_outdated: bool,
 }
 
 impl Registry {
-    /// Records a heartbeat that came to this process.
+    /// Records a heartbeat that this process received.
     ///
     /// # Errors
     ///
-    /// The heartbeat was rejected and has changed nothing.
+    /// The heartbeat was rejected. The registry is unchanged.
     pub fn record_heartbeat(
         &mut self,
         now: Instant,
@@ -46,7 +46,7 @@
             return Ok(HeartbeatOutcome { is_outdated: true, needs_replication, changed: false });
         }
         let known = &record.entry.server;
-        // A repeated sequence number counts only if it reports a state closer to `Removed`.
+        // A repeated sequence number counts only if the heartbeat reports a state closer to `Removed`.
         if server.sequence == record.last_sequence && server.state <= known.state {
             return Ok(self.unchanged_outcome(&server.id));
         }
@@ -55,8 +55,8 @@
         record.raise_sequence(now, server.sequence, self.local_id);
         record.last_local_heartbeat_at = Some(now);
         let (source, version) = (record.entry.source, record.entry.version);
-        // An entry above the known version of its source is not sent to other processes: it is published anew here,
-        // even if the heartbeat changes nothing.
+        // An entry above the known version of its source is not sent to other processes, so this process
+        // publishes it again, even if the heartbeat changes nothing.
         if has_same_properties
             && version <= self.sources.known_version(source)
             && !self.needs_republishing(now, source)
@@ -88,11 +88,11 @@
         Ok(self.changed_outcome(&id))
     }
 
-    /// Removes a server. Later heartbeats of this instance are outdated.
+    /// Removes a server. Later heartbeats of this instance are treated as outdated.
     ///
     /// # Errors
     ///
-    /// The id is empty or too long; nothing has changed.
+    /// The id is empty or too long. The registry is unchanged.
     pub fn deregister(&mut self, now: Instant, id: &str) -> Result<HeartbeatOutcome, RegistrationError> {
         let mut server = match self.get(id) {
             Some(server) if server.sequence == DEREGISTERED_SEQUENCE && server.is_removed() => {
@@ -118,14 +118,16 @@
         HeartbeatOutcome { changed: true, ..self.unchanged_outcome(id) }
     }
 
-    /// Whether there are so many sources that entries of this one are published anew here.
+    /// Returns true if there are so many sources that entries of this one are published again by this
+    /// process.
     fn needs_republishing(&self, now: Instant, source: SourceId) -> bool {
         self.sources.len() > REPUBLISHING_THRESHOLD
             && !self.sources.has_recent_contact(now, source)
             && source != self.local_id
     }
 
-    /// A server has started at an address or moved to it: earlier instances there have ended.
+    /// Suspects the other servers at the address of a server that has started there or moved to it: they have
+    /// ended.
     fn suspect_others_at_address(&mut self, now: Instant, id: &str) {
         let Some(server) = self.get(id).filter(|server| !server.is_removed()) else { return };
         let others: Vec<Arc<str>> =
--- a/crates/registry/src/registry/tombstones.rs
+++ b/crates/registry/src/registry/tombstones.rs
@@ -1,4 +1,5 @@
-//! How long the entries of removed servers are retained, so that older entries do not revive them.
+//! Tombstones: the entries of removed servers are retained for a while, so that older entries do not revive
+//! them.
 
 use std::sync::Arc;
 
@@ -6,7 +7,7 @@
 
 use crate::Registry;
 
-/// The maximum number of tombstones; the oldest are dropped first.
+/// The maximum number of tombstones. The oldest are dropped first.
 pub const MAX_TOMBSTONES: usize = 16_384;
 /// How long a tombstone is retained.
 pub const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(120);
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -1,4 +1,4 @@
-//! What a model server reports about itself.
+//! The state of a model server as it reports it.
 
 use core::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,30 +8,31 @@
 use crate::RegistrationError;
 use crate::limits::{MAX_MODEL_BYTES, MAX_NAME_BYTES};
 
-/// What a model adds to the counted size of a server's models beside its name, in bytes.
+/// The counted size of a model in addition to its name, in bytes.
 const MODEL_OVERHEAD_BYTES: usize = 16;
-/// What an adapter adds to it beside its name, in bytes.
+/// The counted size of an adapter in addition to its name, in bytes.
 const ADAPTER_OVERHEAD_BYTES: usize = 8;
 
-/// The sequence number of a deregistered server. It is above that of each heartbeat.
+/// The sequence number of a deregistered server, above that of every heartbeat.
 pub(crate) const DEREGISTERED_SEQUENCE: u64 = u64::MAX;
 
-/// The operational state of a server. Of two entries with one sequence number the greater state takes precedence.
+/// The operational state of a server. Of two entries with the same sequence number, the one with the greater
+/// state takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum OperState {
-    /// Takes requests.
+    /// Accepts requests.
     #[n(0)]
     Up,
-    /// Shuts down gracefully: finishes its requests and must not get new ones.
+    /// Shutting down gracefully: it finishes its requests and must not receive new ones.
     #[n(1)]
     Draining,
-    /// Deregistered, or suspected for so long that it counts as dead. The entry is a tombstone.
+    /// Deregistered, or suspected for so long that it is considered dead. The entry is a tombstone.
     #[n(2)]
     Removed,
 }
 
-/// The stage of inference that a server works on.
+/// The stage of inference that a server performs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Stage {
@@ -60,32 +61,33 @@
 /// One instance of a model server: a process from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Server {
-    /// `instance_id` of the wire: new at every start.
+    /// `instance_id` on the wire; new at each start of the process.
     #[n(0)]
     pub id: String,
-    /// `backend_service` of the wire. Empty in the tombstone of a server that sent no heartbeat.
+    /// `backend_service` on the wire. Empty in the tombstone of a server that never sent a heartbeat.
     #[n(1)]
     pub service: String,
-    /// Where it serves requests. A later instance may get the same address.
+    /// The address where it serves requests. A later instance may get the same address.
     #[n(2)]
     pub address: SocketAddrV4,
     /// Name of the zone that it runs in.
     #[n(3)]
     pub zone: String,
-    /// Revision of its software, `revision` on the wire.
+    /// Revision of its software; `revision` on the wire.
     #[n(4)]
     pub software_revision: String,
-    /// How many requests it processes concurrently.
+    /// The number of requests that it processes concurrently.
     #[n(5)]
     pub slots: u32,
-    /// `oper_state` of the wire.
+    /// `oper_state` on the wire.
     #[n(6)]
     pub state: OperState,
-    /// Its heartbeats have stopped, or another instance has taken its address. It may still serve requests: proxies also
-    /// consider what their own attempts show.
+    /// True if its heartbeats have stopped, or another instance has taken its address. It may still serve
+    /// requests: proxies also consider the results of their own attempts.
     #[n(7)]
     pub is_suspected: bool,
-    /// How long it was still warming up when the entry was made. A difference in this alone is no change.
+    /// The remaining warm-up time when the entry was created. A difference in this field alone is not a
+    /// change.
     #[cbor(n(8), with = "mosshead_time::duration_millis")]
     pub warmup_remaining: Duration,
     /// Its stage, if its service splits prefill and decode.
@@ -94,13 +96,13 @@
     /// The models that it has loaded. Empty in a tombstone.
     #[n(10)]
     pub models: Vec<Model>,
-    /// Sequence number of the heartbeat that the entry was made from; `u64::MAX` once deregistered.
+    /// Sequence number of the heartbeat that the entry was created from; `u64::MAX` once deregistered.
     #[n(11)]
     pub sequence: u64,
 }
 
 impl Server {
-    /// The deregistered instance of this id, of which nothing else is known.
+    /// Returns the deregistered instance with this id, of which nothing else is known.
     pub(crate) fn deregistered(id: &str) -> Server {
         Server {
             id: id.to_owned(),
@@ -118,11 +120,12 @@
         }
     }
 
-    /// Checks that the server may be registered: it has an id, and its texts are of a bounded length.
+    /// Checks that the server may be registered: that it has an id, and that its texts are within their
+    /// limits.
     ///
     /// # Errors
     ///
-    /// The first bound that is broken, never [`RegistrationError::RegistryFull`].
+    /// The first limit that is exceeded; never [`RegistrationError::RegistryFull`].
     pub fn validate(&self) -> Result<(), RegistrationError> {
         if self.id.is_empty() {
             return Err(RegistrationError::MissingId);
@@ -137,7 +140,8 @@
         Ok(())
     }
 
-    /// The counted size of the models with their adapters, in bytes: names, and a constant for each model and adapter.
+    /// Returns the counted size of the models with their adapters, in bytes: the names, plus a constant for
+    /// each model and each adapter.
     fn model_bytes(&self) -> usize {
         let mut bytes = 0_usize;
         for model in &self.models {
@@ -149,8 +153,8 @@
         bytes
     }
 
-    /// Whether two reports of one instance differ at most in the sequence number and the warm-up. The later one is then no
-    /// change, and is not published.
+    /// Returns true if two reports of one instance differ in nothing but the sequence number and the warm-up
+    /// time. The later one is then not a change, and is not published.
     pub(crate) fn has_same_properties(&self, other: &Server) -> bool {
         self.state == other.state
             && self.is_suspected == other.is_suspected
--- a/crates/registry/src/server_index.rs
+++ b/crates/registry/src/server_index.rs
@@ -1,4 +1,4 @@
-//! Finds the ids of servers by service and by address.
+//! An index of server ids by service and by address.
 
 use core::net::SocketAddrV4;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Removes a server, given as it was when it was inserted.
+    /// Removes a server. It must have the same service and address as when it was inserted.
     pub(crate) fn remove(&mut self, id: &Arc<str>, server: &Server) {
         if let Some(ids) = self.by_service.get_mut(&server.service) {
             ids.remove(id);
@@ -40,17 +40,17 @@
         }
     }
 
-    /// All ids, by service and id.
+    /// Iterates over all ids, ordered by service and id.
     pub(crate) fn ids(&self) -> impl Iterator<Item = &Arc<str>> + '_ {
         self.by_service.values().flatten()
     }
 
-    /// The ids of a service, in order.
+    /// Iterates over the ids of a service, in order.
     pub(crate) fn ids_of_service(&self, service: &str) -> impl Iterator<Item = &Arc<str>> + '_ {
         self.by_service.get(service).into_iter().flatten()
     }
 
-    /// The ids of the servers at an address that are not suspected, in order.
+    /// Iterates over the ids of the servers at an address that are not suspected, in order.
     pub(crate) fn ids_at_address(&self, address: SocketAddrV4) -> impl Iterator<Item = &Arc<str>> + '_ {
         self.by_address.get(&address).into_iter().flatten()
     }
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -1,4 +1,4 @@
-//! The index of entries by source and version, with the versions up to which each source is known.
+//! An index of the entries by source and version, with the known version of each source.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -8,17 +8,18 @@
 
 use crate::{SourceId, VersionVector};
 
-/// A source without contact for longer counts as lost: others suspect the servers whose heartbeats it received.
+/// A source that has had no contact for longer than this is considered lost: other nodes then suspect the
+/// servers whose heartbeats it received.
 pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The maximum number of other control nodes whose last contact is remembered; the oldest are dropped first.
+/// The maximum number of other control nodes whose last contact is remembered. The oldest are dropped first.
 const MAX_CONTACTS: usize = 64;
 
 #[derive(Clone, Debug, Default)]
 struct Source {
-    /// No entry in force of this source up to this version is missing here.
+    /// The version up to which no entry in force of this source is missing here.
     known_version: u64,
-    /// The ids of the servers whose entries in force are this source's, by version.
+    /// The ids of the servers whose entries in force come from this source, by version.
     entries: BTreeMap<u64, Arc<str>>,
     /// When the first entry of the source was stored.
     first_seen_at: Instant,
@@ -26,12 +27,12 @@
 
 /// The sources of the stored entries.
 ///
-/// A source without entries is dropped: all that it has published is superseded, so it does no harm to receive it
-/// again, and incarnations that have ended leave nothing behind.
+/// A source without entries is dropped: all entries that it has published are superseded, so receiving them
+/// again does no harm, and ended incarnations leave no state behind.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SourceIndex {
     sources: BTreeMap<SourceId, Source>,
-    /// How many of `sources` have no entries, until [`SourceIndex::drop_empty_sources`].
+    /// The number of `sources` without entries. They are removed by [`SourceIndex::drop_empty_sources`].
     empty_sources: usize,
     /// When each other control node was last in contact with this one.
     contacts: BTreeMap<SourceId, Instant>,
@@ -50,7 +51,7 @@
         source.entries.insert(version, server_id);
     }
 
-    /// Removes an entry that is superseded. The source itself stays until [`SourceIndex::drop_empty_sources`], so that
+    /// Removes a superseded entry. The source itself stays until [`SourceIndex::drop_empty_sources`], so that
     /// its known version can still be raised.
     pub(crate) fn remove(&mut self, id: SourceId, version: u64) {
         let Some(source) = self.sources.get_mut(&id) else { return };
@@ -59,12 +60,12 @@
         }
     }
 
-    /// The server whose entry in force has this version.
+    /// Returns the server whose entry in force has this source and version.
     pub(crate) fn server_id(&self, id: SourceId, version: u64) -> Option<&Arc<str>> {
         self.sources.get(&id)?.entries.get(&version)
     }
 
-    /// Up to which version no entry of the source is missing; 0 if nothing is known.
+    /// Returns the version up to which no entry of the source is missing; 0 if nothing is known.
     pub(crate) fn known_version(&self, id: SourceId) -> u64 {
         self.sources.get(&id).map_or(0, |source| source.known_version)
     }
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Records that the source itself was in contact.
+    /// Records a contact with the source itself.
     pub(crate) fn record_contact(&mut self, now: Instant, id: SourceId) {
         let last = self.contacts.entry(id).or_insert(now);
         *last = now.max(*last);
@@ -87,35 +88,36 @@
         }
     }
 
-    /// When the source was last in contact or first seen, whichever is later.
+    /// Returns when the source was last in contact or first seen, whichever is later.
     pub(crate) fn last_seen_at(&self, id: SourceId) -> Option<Instant> {
         let first_seen_at = self.sources.get(&id).map(|source| source.first_seen_at);
         // `None` is less than any instant.
         first_seen_at.max(self.contacts.get(&id).copied())
     }
 
-    /// Whether the source itself was in contact within [`SOURCE_TIMEOUT`]; what others say about it does not count.
+    /// Returns true if the source itself was in contact within [`SOURCE_TIMEOUT`]. What other nodes report
+    /// about it does not count.
     pub(crate) fn has_recent_contact(&self, now: Instant, id: SourceId) -> bool {
         self.contacts.get(&id).is_some_and(|last| now.duration_since(*last) <= SOURCE_TIMEOUT)
     }
 
-    /// The highest version of the source that is in force; 0 if there is none.
+    /// Returns the highest version of the source that is in force; 0 if there is none.
     pub(crate) fn last_version(&self, id: SourceId) -> u64 {
         let source = self.sources.get(&id);
         source.and_then(|source| source.entries.last_key_value()).map_or(0, |(&version, _)| version)
     }
 
-    /// How many sources have entries.
+    /// Returns the number of sources that have entries.
     pub(crate) fn len(&self) -> usize {
         self.sources.len().saturating_sub(self.empty_sources)
     }
 
-    /// The known versions of all sources.
+    /// Returns the known versions of all sources.
     pub(crate) fn vector(&self) -> VersionVector {
         self.known_versions().collect()
     }
 
-    /// The sources that have entries, with their known versions above 0.
+    /// Iterates over the sources that have entries and a known version above 0, with that version.
     pub(crate) fn known_versions(&self) -> impl Iterator<Item = (SourceId, u64)> + '_ {
         self.sources
             .iter()
@@ -123,7 +125,7 @@
             .map(|(&id, source)| (id, source.known_version))
     }
 
-    /// Versions and server ids of a source above `base`, up to the known version.
+    /// Iterates over the versions and server ids of a source above `base`, up to the known version.
     pub(crate) fn entries_above(
         &self,
         id: SourceId,
@@ -139,19 +141,19 @@
             .map(|(&version, server_id)| (version, server_id))
     }
 
-    /// Whether any source has an entry above its known version.
+    /// Returns true if any source has an entry above its known version.
     pub(crate) fn has_entries_above_known_versions(&self) -> bool {
         let last_version =
             |source: &Source| source.entries.last_key_value().map_or(0, |(version, _)| *version);
         self.sources.values().any(|source| last_version(source) > source.known_version)
     }
 
-    /// All server ids, by source and version.
+    /// Iterates over all server ids, ordered by source and version.
     pub(crate) fn server_ids(&self) -> impl Iterator<Item = &Arc<str>> + '_ {
         self.sources.values().flat_map(|source| source.entries.values())
     }
 
-    /// Sets the known versions of all sources but `local_id` to 0.
+    /// Sets the known versions of all sources except `local_id` to 0.
     pub(crate) fn reset_known_versions(&mut self, local_id: SourceId) {
         for (&id, source) in &mut self.sources {
             if id != local_id {
--- a/crates/registry/src/uptime.rs
+++ b/crates/registry/src/uptime.rs
@@ -1,9 +1,9 @@
-//! Since when this process has run without a pause.
+//! Detection of pauses of this process.
 
 use mosshead_time::{Duration, Instant};
 
-/// Detects pauses of this process by the time between its ticks. While the process is paused, it receives no heartbeats,
-/// and servers must not be suspected for that.
+/// Detects pauses of this process by the time between its ticks. A paused process receives no heartbeats, and
+/// must not suspect servers for that.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Uptime {
     last_tick: Option<Instant>,
@@ -11,12 +11,13 @@
 }
 
 impl Uptime {
-    /// A process that has not ticked yet.
+    /// Creates the uptime of a process that has not ticked yet.
     pub(crate) fn new() -> Uptime {
         Uptime { last_tick: None, running_since: Instant::ORIGIN }
     }
 
-    /// Records that the process runs now. If the last tick is more than `max_gap` ago, the process was paused since.
+    /// Records that the process is running now. If the last tick was more than `max_gap` ago, the process was
+    /// paused in between.
     pub(crate) fn tick(&mut self, now: Instant, max_gap: Duration) {
         if self.last_tick.is_none_or(|last| now.duration_since(last) > max_gap) {
             self.running_since = now;
@@ -24,7 +25,7 @@
         self.last_tick = Some(now);
     }
 
-    /// Since when the process has run without a pause.
+    /// Returns since when the process has been running without a pause.
     pub(crate) fn running_since(&self) -> Instant {
         self.running_since
     }
--- a/crates/registry/src/version_vector.rs
+++ b/crates/registry/src/version_vector.rs
@@ -1,4 +1,4 @@
-//! Version vectors: for each source, up to which version a process has received everything.
+//! Version vectors: for each source, the version up to which a process has received everything.
 
 use std::collections::BTreeMap;
 
@@ -7,45 +7,46 @@
 /// The maximum number of sources in a decoded vector.
 pub const MAX_VECTOR_SOURCES: usize = 4096;
 
-/// A source of entries: the number that a control node draws at random for its incarnation.
+/// A source of entries, identified by the number that a control node draws at random for its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct SourceId(#[n(0)] pub u64);
 
-/// For each source the *known version*: the highest one up to which no entry in force is missing. A source that is not
-/// named counts as 0.
+/// For each source the *known version*: the highest version up to which no entry in force is missing. A
+/// source that is not listed has version 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionVector {
     versions: BTreeMap<SourceId, u64>,
 }
 
 impl VersionVector {
-    /// The version for this source; 0 if it is not named.
+    /// Returns the version for this source; 0 if it is not listed.
     pub fn get(&self, source: SourceId) -> u64 {
         self.versions.get(&source).copied().unwrap_or(0)
     }
 
-    /// Replaces the version for this source, also by a lower one. Version 0 names the source, too.
+    /// Sets the version for this source, which may be lower than before. Setting version 0 lists the source
+    /// too.
     pub fn set(&mut self, source: SourceId, version: u64) {
         self.versions.insert(source, version);
     }
 
-    /// Whether `other` has at least the version of every source.
+    /// Returns true if `other` has at least the version of every listed source.
     pub fn is_covered_by(&self, other: &VersionVector) -> bool {
         self.iter().all(|(source, version)| version <= other.get(source))
     }
 
-    /// The named sources with their versions, by source.
+    /// Iterates over the listed sources with their versions, ordered by source.
     pub fn iter(&self) -> impl Iterator<Item = (SourceId, u64)> + '_ {
         self.versions.iter().map(|(&source, &version)| (source, version))
     }
 
-    /// How many sources are named.
+    /// Returns the number of listed sources.
     pub fn len(&self) -> usize {
         self.versions.len()
     }
 
-    /// Whether no source is named.
+    /// Returns true if no source is listed.
     pub fn is_empty(&self) -> bool {
         self.versions.is_empty()
     }
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests.
+//! Helpers shared by the tests.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,12 +10,12 @@
 /// The heartbeat interval of all servers.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 
-/// The instant so many milliseconds after the origin of the clock.
+/// Returns the instant this many milliseconds after the origin of the clock.
 pub(crate) fn millis(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-/// The instants from the origin of the clock to `end`, that one not included, one a `step`.
+/// Iterates over the instants from the origin of the clock to `end` (exclusive) in steps of `step`.
 pub(crate) fn instants_until(end: Instant, step: Duration) -> impl Iterator<Item = Instant> {
     std::iter::successors(Some(Instant::ORIGIN), move |now| Some(*now + step))
         .take_while(move |now| *now < end)
@@ -54,12 +54,12 @@
     Server { state, ..server(number, sequence) }
 }
 
-/// Records a heartbeat that the registry accepts, and returns what it has done.
+/// Records a heartbeat that the registry accepts. Returns its outcome.
 pub(crate) fn heartbeat_outcome(registry: &mut Registry, now: Instant, server: Server) -> HeartbeatOutcome {
     registry.record_heartbeat(now, server).expect("the server is valid and the registry is not full")
 }
 
-/// Sends `to` all entries that it is missing, at most `max_entries` in one delta.
+/// Sends `to` all entries that it is missing, with a maximum of `max_entries` in each delta.
 pub(crate) fn synchronize(now: Instant, from: &Registry, to: &mut Registry, max_entries: usize) {
     for _ in 0..100_000 {
         let delta = from.missing_entries(&to.vector(), max_entries);
@@ -72,7 +72,7 @@
     panic!("truncated deltas follow each other without end");
 }
 
-/// Sends one registry of a group all entries that it is missing from another.
+/// Sends one registry of a group all entries that it is missing from another one of the group.
 pub(crate) fn synchronize_pair(
     now: Instant,
     all: &mut [Registry],
@@ -93,7 +93,7 @@
     synchronize(now, from, to, max_entries);
 }
 
-/// All entries of a registry, tombstones too, by id.
+/// Returns all entries of a registry, including tombstones, ordered by id.
 pub(crate) fn all_entries(registry: &Registry) -> Vec<Entry> {
     let mut entries: Vec<Entry> = registry.entries().cloned().collect();
     entries.sort_by(|a, b| a.server.id.cmp(&b.server.id));
@@ -120,7 +120,7 @@
     panic!("the registries do not converge");
 }
 
-/// Asserts that the indexes agree with the entries.
+/// Asserts that the indexes are consistent with the entries.
 pub(crate) fn assert_consistent(registry: &Registry) {
     let entries = all_entries(registry);
     let live = entries.iter().filter(|entry| entry.server.state != OperState::Removed).count();
--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! Convergence: all registries come to hold the same entries, those of the servers' last heartbeats.
+//! Convergence: all registries end up with the same entries, those of the servers' last heartbeats.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// An entry that a process may send, also one that no process without errors publishes.
+/// An arbitrary entry, including ones that no correct process publishes.
 #[derive(Clone, Debug)]
 struct ArbitraryEntry(Entry);
 
@@ -23,7 +23,7 @@
         let state = *g.choose(&[OperState::Up, OperState::Draining, OperState::Removed]).unwrap();
         let source = SourceId(u64::arbitrary(g) % 4);
         let sequence = u64::arbitrary(g) % 6;
-        // A source gives one version to one entry only.
+        // A source assigns each version to only one entry.
         let version = 1 + sequence * 64 + u64::from(number) * 8 + state as u64 * 2;
         let is_suspected = bool::arbitrary(g);
         let version = version + u64::from(is_suspected);
@@ -49,8 +49,8 @@
         let mut rest = entries.clone();
         rest.extend(entries.iter().filter(|_| rng.next_u32().is_multiple_of(2)).cloned());
         while !rest.is_empty() {
-            let take = rest.swap_remove(random_below(&mut rng, rest.len() as u64) as usize);
-            second.merge(millis(0), delta([take.0]));
+            let next = rest.swap_remove(random_below(&mut rng, rest.len() as u64) as usize);
+            second.merge(millis(0), delta([next.0]));
         }
         assert_consistent(&first);
         assert_consistent(&second);
@@ -65,12 +65,12 @@
         for ArbitraryEntry(entry) in entries {
             let id = entry.server.id.clone();
             registry.merge(millis(0), delta([entry]));
-            let now = registry.get(&id).unwrap();
-            let before = known.entry(id).or_insert((now.sequence, now.state));
-            if now.sequence < before.0 || (now.sequence == before.0 && now.state < before.1) {
+            let current = registry.get(&id).unwrap();
+            let previous = known.entry(id).or_insert((current.sequence, current.state));
+            if current.sequence < previous.0 || (current.sequence == previous.0 && current.state < previous.1) {
                 return false;
             }
-            *before = (now.sequence, now.state);
+            *previous = (current.sequence, current.state);
         }
         true
     }
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_delta_for_a_higher_base_does_not_advance_the_vector() {
-    // The delta was meant for an earlier incarnation.
+    // The delta was computed for an earlier incarnation.
     let (mut node, mut old, mut new) = (control_node(1), control_node(2), control_node(3));
     for number in 0..10 {
         node.record_heartbeat(millis(0), server(number, 1)).unwrap();
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_registry_with_a_gap_detects_it_and_synchronizes_fully() {
-    // A vector raised over a gap shows in the fingerprint.
+    // If a vector was raised over a gap, the fingerprints differ.
     let (mut node, mut proxy) = (control_node(1), read_replica(9));
     for number in 0..10 {
         node.record_heartbeat(millis(0), server(number, 1)).unwrap();
@@ -134,13 +134,13 @@
     assert!(proxy.vector().is_empty());
     synchronize(millis(1), &node, &mut proxy, 4);
     assert_eq!(all_entries(&proxy), all_entries(&node));
-    // A difference that remains leads to a full synchronization at intervals only.
-    let mut odd = node.missing_entries(&proxy.vector(), 100);
-    odd.fingerprint ^= 1;
-    proxy.merge(millis(2), odd.clone());
+    // If the difference remains, full synchronizations are limited to one per interval.
+    let mut diverged = node.missing_entries(&proxy.vector(), 100);
+    diverged.fingerprint ^= 1;
+    proxy.merge(millis(2), diverged.clone());
     proxy.tick(millis(2));
     assert_eq!(proxy.vector(), node.vector());
-    proxy.merge(millis(20_000), odd);
+    proxy.merge(millis(20_000), diverged);
     proxy.tick(millis(20_000));
     assert!(proxy.vector().is_empty());
     synchronize(millis(20_001), &node, &mut proxy, 100);
--- a/crates/registry/tests/encoding.rs
+++ b/crates/registry/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Encodings: what processes send each other, and bytes that no process has sent.
+//! Encoding of the messages between processes, and decoding of arbitrary bytes.
 
 mod common;
 
@@ -69,7 +69,7 @@
     assert_eq!(&minicbor::decode::<T>(&bytes).unwrap(), value);
 }
 
-fn read_all(bytes: &[u8]) {
+fn decode_all(bytes: &[u8]) {
     let _ = minicbor::decode::<VersionVector>(bytes);
     let _ = minicbor::decode::<Server>(bytes);
     let _ = minicbor::decode::<ReceivedHeartbeat>(bytes);
@@ -101,22 +101,22 @@
     }
 
     fn arbitrary_bytes_are_decoded_without_panic(bytes: Vec<u8>) -> bool {
-        read_all(&bytes);
+        decode_all(&bytes);
         true
     }
 
-    fn corrupted_bytes_are_decoded_without_panic(delta: AnyDelta, harm: Vec<(usize, u8)>) -> bool {
+    fn corrupted_bytes_are_decoded_without_panic(delta: AnyDelta, corruptions: Vec<(usize, u8)>) -> bool {
         let mut bytes = minicbor::to_vec(&delta.0).unwrap();
-        read_all(&bytes[..harm.len() % bytes.len()]);
+        decode_all(&bytes[..corruptions.len() % bytes.len()]);
         let len = bytes.len();
-        for (at, byte) in harm {
+        for (at, byte) in corruptions {
             bytes[at % len] = byte;
         }
-        read_all(&bytes);
+        decode_all(&bytes);
         true
     }
 
-    /// Deltas that no process without errors sends leave the registry consistent.
+    /// Deltas that no correct process sends leave the registry consistent.
     fn implausible_deltas_keep_the_registry_consistent(deltas: Vec<AnyDelta>, times: Vec<u64>) -> bool {
         let (mut node, mut proxy) = (control_node(1), read_replica(2));
         node.record_heartbeat(millis(0), server(1, 1)).unwrap();
@@ -146,7 +146,7 @@
     let max_entries = MAX_VECTOR_SOURCES as u64;
     assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(max_entries)).unwrap()).is_ok());
     assert!(minicbor::decode::<VersionVector>(&minicbor::to_vec(sources(max_entries + 1)).unwrap()).is_err());
-    // An announced length without data allocates no memory.
+    // A length prefix without the data must not allocate memory.
     assert!(
         minicbor::decode::<VersionVector>(&[0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err()
     );
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -12,10 +12,10 @@
 use mosshead_time::{Duration, Instant, whole_millis};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How far back a digest goes.
+/// The period that a digest covers.
 const DIGEST_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Ticks once a [`TICK_INTERVAL`] from one instant to another. Returns when an entry first changed.
+/// Ticks once per [`TICK_INTERVAL`] from one instant to another. Returns when an entry first changed.
 fn run(registry: &mut Registry, from: Instant, to: Instant) -> Option<Instant> {
     let mut first = None;
     let mut now = from;
@@ -28,7 +28,7 @@
     first
 }
 
-/// One control node reports to another which servers have sent it heartbeats since an instant.
+/// Sends another control node a digest of the heartbeats that one has received since an instant.
 fn send_digest(now: Instant, from: &Registry, since: Instant, to: &mut Registry) {
     let digest = from.heartbeats_since(since);
     to.record_remote_heartbeats(now, from.local_id(), &digest);
@@ -79,7 +79,7 @@
     registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     run(&mut registry, millis(0), millis(8_000));
     assert!(is_suspected(&registry));
-    // A repeat of the last heartbeat is no sign of life.
+    // A repeat of the last heartbeat does not clear the suspicion.
     assert!(!heartbeat_outcome(&mut registry, millis(8_000), server(1, 1)).changed);
     assert!(heartbeat_outcome(&mut registry, millis(8_000), server(1, 2)).changed);
     assert!(!is_suspected(&registry));
@@ -88,7 +88,7 @@
     assert!(!heartbeat_outcome(&mut registry, millis(60_100), server(1, 2)).changed);
     assert!(heartbeat_outcome(&mut registry, millis(60_100), server(1, 3)).changed);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Up);
-    // It is suspected again after the usual time.
+    // The server is suspected again after the usual time.
     run(&mut registry, millis(60_100), millis(70_000));
     assert!(is_suspected(&registry));
     assert_consistent(&registry);
@@ -110,7 +110,8 @@
         }
         assert!(!first.tick(millis(now)) && !second.tick(millis(now)), "{now}");
     }
-    // The heartbeats stop: the second node received the last one and suspects the server, the first leaves that to it.
+    // The heartbeats stop. The second node received the last one and suspects the server; the first node
+    // leaves that to it.
     let mut suspecting = Vec::new();
     for now in (30_000..40_000_u64).step_by(100) {
         if now % 300 == 0 {
@@ -136,12 +137,13 @@
     for number in 1..10 {
         second.record_heartbeat(millis(number * 1200), server(1, 1 + number)).unwrap();
     }
-    // No digest reaches a.
+    // No digest reaches the first node.
     run(&mut first, millis(0), millis(10 * 1200));
     assert!(is_suspected(&first));
     synchronize(millis(12_000), &first, &mut proxy, 10);
     assert!(is_suspected(&proxy));
-    // The proxy has a higher version of the first node than the second has, which requests it and refutes it.
+    // The proxy has a higher version of the first node than the second node has. The second node requests the
+    // entry and refutes the suspicion.
     assert!(second.is_behind(&proxy.vector()));
     synchronize(millis(12_000), &proxy, &mut second, 10);
     assert!(!is_suspected(&second));
@@ -156,7 +158,7 @@
     first.record_heartbeat(millis(0), server(1, 1)).unwrap();
     synchronize(millis(0), &first, &mut second, 10);
     synchronize(millis(0), &first, &mut third, 10);
-    // The second and third node stay in contact, the first is in contact for a while.
+    // The second and third node stay in contact; the first one loses contact after ten seconds.
     for now in (0..60_000).step_by(100) {
         if now <= 10_000 {
             second.record_contact(millis(now), SourceId(1));
@@ -184,9 +186,10 @@
 }
 
 #[test]
-fn suspicion_never_undoes_an_unknown_draining_state() {
-    // The first node has the server as up with sequence 1; the second has it as draining with 2, and unchanged heartbeats
-    // up to 9 that the first knows by digest alone. The suspicion of the first must not supersede the draining state.
+fn suspicion_never_reverts_an_unknown_draining_state() {
+    // The first node knows the server as up with sequence 1. The second knows it as draining with sequence 2,
+    // and has received unchanged heartbeats up to 9, which the first knows only from a digest. The suspicion
+    // published by the first must not supersede the draining state.
     let (mut first, mut second, mut proxy) = (control_node(1), control_node(2), read_replica(9));
     first.record_heartbeat(millis(0), server(1, 1)).unwrap();
     synchronize(millis(0), &first, &mut second, 10);
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn a_paused_process_suspects_nobody_at_once() {
+fn a_paused_process_suspects_no_server_at_once() {
     let mut registry = control_node(1);
     registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     run(&mut registry, millis(0), millis(1000));
@@ -218,7 +221,7 @@
 }
 
 #[test]
-fn read_replicas_suspect_nobody_but_expire_tombstones() {
+fn read_replicas_suspect_no_server_but_expire_tombstones() {
     let (mut node, mut proxy) = (control_node(1), read_replica(9));
     node.record_heartbeat(millis(0), server(1, 1)).unwrap();
     node.record_heartbeat(millis(0), server(2, 1)).unwrap();
@@ -243,7 +246,7 @@
     let mut all = first.heartbeats_since(millis(0));
     all.sort();
     assert_eq!(all, [received("i-1", 1), received("i-2", 2)]);
-    // Servers whose later heartbeats came to another node are left to that node.
+    // Servers whose later heartbeats another node received are left to that node.
     first.record_remote_heartbeats(millis(1200), SourceId(2), &[received("i-2", 3), received("nobody", 5)]);
     assert_eq!(first.heartbeats_since(millis(500)), []);
     // Older sequence numbers change nothing.
@@ -257,7 +260,8 @@
 
 #[test]
 fn a_refuted_suspicion_does_not_require_replicating_draining_again() {
-    // The first node has the server as draining, with unchanged heartbeats up to 8; the second suspects it.
+    // The first node knows the server as draining, with unchanged heartbeats up to 8. The second node
+    // suspects it.
     let (mut first, mut second) = (control_node(1), control_node(2));
     first.record_heartbeat(millis(0), with_state(1, 2, OperState::Draining)).unwrap();
     synchronize(millis(0), &first, &mut second, 10);
@@ -268,21 +272,21 @@
     assert!(is_suspected(&second));
     let vector = first.vector();
     synchronize(millis(10_000), &first, &mut second, 10);
-    let answer = second.missing_entries(&vector, 10);
-    first.mark_replicated(&answer.vector);
-    first.merge(millis(10_000), answer);
+    let response = second.missing_entries(&vector, 10);
+    first.mark_replicated(&response.vector);
+    first.merge(millis(10_000), response);
     assert!(!is_suspected(&first));
     assert!(
         !heartbeat_outcome(&mut first, millis(10_100), with_state(1, 9, OperState::Draining))
             .needs_replication
     );
-    // A server that comes up and drains again must be replicated again.
+    // If the server comes up and drains again, that must be replicated again.
     assert!(!heartbeat_outcome(&mut first, millis(10_200), server(1, 10)).needs_replication);
     assert!(
         heartbeat_outcome(&mut first, millis(10_300), with_state(1, 11, OperState::Draining))
             .needs_replication
     );
-    // The removal must be replicated though the draining state was.
+    // The removal must be replicated although the draining state was.
     synchronize(millis(10_300), &first, &mut second, 10);
     first.mark_replicated(&second.vector());
     assert!(
--- a/crates/registry/tests/fleet/fleet.rs
+++ b/crates/registry/tests/fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! The registries of the fleet, the faults, and what the processes exchange.
+//! The registries of the fleet, the injected faults, and the exchanges between processes.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 use crate::common::{control_node, random_below, read_replica};
 use crate::servers::SimulatedServer;
 
-/// The virtual clock advances by this.
+/// The time by which the virtual clock advances in one step.
 pub(crate) const STEP: Duration = Duration::from_millis(100);
-/// Faults are injected until then.
+/// The end of fault injection.
 pub(crate) const FAULTS_END: Instant = Instant::from_millis(60_000);
 /// The end of a run.
 pub(crate) const RUN_END: Instant = Instant::from_millis(120_000);
@@ -20,7 +20,7 @@
 const NODE_SYNC_INTERVAL: Duration = Duration::from_millis(300);
 /// How often proxies synchronize with the control nodes.
 const PROXY_SYNC_INTERVAL: Duration = Duration::from_millis(500);
-/// How far back a digest goes.
+/// The period that a digest covers.
 const DIGEST_WINDOW: Duration = Duration::from_millis(1500);
 pub(crate) const CONTROL_NODES: usize = 3;
 pub(crate) const PROXIES: usize = 4;
@@ -30,26 +30,26 @@
     pub(crate) rng: Pcg64Mcg,
     pub(crate) control_nodes: Vec<Registry>,
     pub(crate) proxies: Vec<Registry>,
-    /// The servers that each proxy has had as draining since its start.
+    /// The servers that each proxy has known as draining since its start.
     pub(crate) drained_servers: Vec<BTreeSet<String>>,
     pub(crate) servers: Vec<SimulatedServer>,
-    /// Pairs of control nodes, the lower number first.
+    /// Partitioned pairs of control nodes, the lower index first.
     pub(crate) node_partitions: BTreeSet<(usize, usize)>,
-    /// Pairs of a proxy and a control node.
+    /// Partitioned pairs of a proxy and a control node.
     pub(crate) proxy_partitions: BTreeSet<(usize, usize)>,
-    /// Control nodes that no server reaches.
-    pub(crate) nodes_without_servers: BTreeSet<usize>,
+    /// Control nodes that no server can reach.
+    pub(crate) nodes_unreachable_by_servers: BTreeSet<usize>,
     pub(crate) last_source: u64,
     pub(crate) next_server_id: u32,
 }
 
-/// The time since the last multiple of an interval.
-pub(crate) fn time_into(now: Instant, interval: Duration) -> Duration {
+/// Returns the time since the last multiple of an interval.
+pub(crate) fn offset_in_interval(now: Instant, interval: Duration) -> Duration {
     Duration::from_millis(now.as_millis() % whole_millis(interval))
 }
 
 impl Fleet {
-    /// A fleet of new control nodes, proxies and ten servers.
+    /// Creates a fleet of new control nodes, proxies and ten servers.
     pub(crate) fn new(seed: u64) -> Fleet {
         let mut fleet = Fleet {
             seed,
@@ -60,7 +60,7 @@
             servers: Vec::new(),
             node_partitions: BTreeSet::new(),
             proxy_partitions: BTreeSet::new(),
-            nodes_without_servers: BTreeSet::new(),
+            nodes_unreachable_by_servers: BTreeSet::new(),
             last_source: 1,
             next_server_id: 0,
         };
@@ -79,7 +79,7 @@
         control_node(self.last_source)
     }
 
-    pub(crate) fn one_in(&mut self, count: u64) -> bool {
+    pub(crate) fn is_one_in(&mut self, count: u64) -> bool {
         random_below(&mut self.rng, count) == 0
     }
 
@@ -93,32 +93,32 @@
         self.change_partitions();
     }
 
-    /// All partitions end.
+    /// Ends all partitions.
     pub(crate) fn heal_partitions(&mut self) {
         self.node_partitions.clear();
         self.proxy_partitions.clear();
-        self.nodes_without_servers.clear();
+        self.nodes_unreachable_by_servers.clear();
     }
 
     fn restart_processes(&mut self, now: Instant) {
-        if self.one_in(40) {
-            let at = random_below(&mut self.rng, CONTROL_NODES as u64) as usize;
-            self.control_nodes[at] = self.new_control_node();
+        if self.is_one_in(40) {
+            let node_index = random_below(&mut self.rng, CONTROL_NODES as u64) as usize;
+            self.control_nodes[node_index] = self.new_control_node();
         }
-        if self.one_in(300) {
-            for at in 0..CONTROL_NODES {
-                self.control_nodes[at] = self.new_control_node();
+        if self.is_one_in(300) {
+            for node_index in 0..CONTROL_NODES {
+                self.control_nodes[node_index] = self.new_control_node();
             }
         }
-        if self.one_in(60) {
-            let at = random_below(&mut self.rng, PROXIES as u64) as usize;
-            self.proxies[at] = read_replica(1_000_100 + now.as_millis());
-            self.drained_servers[at].clear();
+        if self.is_one_in(60) {
+            let proxy_index = random_below(&mut self.rng, PROXIES as u64) as usize;
+            self.proxies[proxy_index] = read_replica(1_000_100 + now.as_millis());
+            self.drained_servers[proxy_index].clear();
         }
     }
 
     fn change_partitions(&mut self) {
-        if self.one_in(20) {
+        if self.is_one_in(20) {
             let a = random_below(&mut self.rng, CONTROL_NODES as u64) as usize;
             let b = (a + 1) % CONTROL_NODES;
             let pair = (a.min(b), a.max(b));
@@ -126,7 +126,7 @@
                 self.node_partitions.insert(pair);
             }
         }
-        if self.one_in(20) {
+        if self.is_one_in(20) {
             let pair = (
                 random_below(&mut self.rng, PROXIES as u64) as usize,
                 random_below(&mut self.rng, CONTROL_NODES as u64) as usize,
@@ -135,10 +135,10 @@
                 self.proxy_partitions.insert(pair);
             }
         }
-        if self.one_in(40) {
-            let at = random_below(&mut self.rng, CONTROL_NODES as u64) as usize;
-            if !self.nodes_without_servers.remove(&at) {
-                self.nodes_without_servers.insert(at);
+        if self.is_one_in(40) {
+            let node_index = random_below(&mut self.rng, CONTROL_NODES as u64) as usize;
+            if !self.nodes_unreachable_by_servers.remove(&node_index) {
+                self.nodes_unreachable_by_servers.insert(node_index);
             }
         }
     }
@@ -153,14 +153,14 @@
         self.control_nodes[from].merge(now, response);
     }
 
-    /// Runs what is due at this instant.
+    /// Runs all activities that are due at this instant.
     pub(crate) fn step(&mut self, now: Instant) {
         self.send_due_heartbeats(now);
         self.replace_ended_servers(now);
-        if time_into(now, NODE_SYNC_INTERVAL).is_zero() {
+        if offset_in_interval(now, NODE_SYNC_INTERVAL).is_zero() {
             self.synchronize_control_nodes(now);
         }
-        if time_into(now, PROXY_SYNC_INTERVAL).is_zero() {
+        if offset_in_interval(now, PROXY_SYNC_INTERVAL).is_zero() {
             self.synchronize_proxies(now);
         }
         for registry in self.control_nodes.iter_mut().chain(&mut self.proxies) {
@@ -171,7 +171,7 @@
     fn synchronize_control_nodes(&mut self, now: Instant) {
         for from in 0..CONTROL_NODES {
             for to in 0..CONTROL_NODES {
-                if from != to && !self.is_partitioned(from, to) && !(now < FAULTS_END && self.one_in(5)) {
+                if from != to && !self.is_partitioned(from, to) && !(now < FAULTS_END && self.is_one_in(5)) {
                     self.send_digest(now, from, to);
                     self.replicate(now, from, to);
                 }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// One control node reports to another which servers have sent it heartbeats lately.
+    /// Sends another control node a digest of the heartbeats that one has received recently.
     fn send_digest(&mut self, now: Instant, from: usize, to: usize) {
         let digest = self.control_nodes[from].heartbeats_since(now - DIGEST_WINDOW);
         let source = self.control_nodes[from].local_id();
@@ -187,19 +187,20 @@
     }
 
     fn synchronize_proxies(&mut self, now: Instant) {
-        for at in 0..PROXIES {
-            for from in 0..CONTROL_NODES {
-                if !self.proxy_partitions.contains(&(at, from)) {
-                    self.synchronize_proxy(now, at, from);
+        for proxy_index in 0..PROXIES {
+            for node_index in 0..CONTROL_NODES {
+                if !self.proxy_partitions.contains(&(proxy_index, node_index)) {
+                    self.synchronize_proxy(now, proxy_index, node_index);
                 }
             }
         }
     }
 
-    /// A proxy sends the entries that a control node is missing and merges its response, at times late or twice.
-    fn synchronize_proxy(&mut self, now: Instant, at: usize, from: usize) {
+    /// A proxy sends a control node the entries that it is missing, and merges its response, which is
+    /// sometimes lost or duplicated.
+    fn synchronize_proxy(&mut self, now: Instant, proxy_index: usize, node_index: usize) {
         let max_entries = 1 + random_below(&mut self.rng, 40) as usize;
-        let (proxy, node) = (&mut self.proxies[at], &mut self.control_nodes[from]);
+        let (proxy, node) = (&mut self.proxies[proxy_index], &mut self.control_nodes[node_index]);
         let vector = proxy.vector();
         if node.has_unknown_source(&vector) || node.is_behind(&vector) {
             node.merge(now, proxy.missing_entries(&node.vector(), max_entries));
@@ -212,6 +213,6 @@
         if random_below(&mut self.rng, 8) == 0 {
             proxy.merge(now, delta);
         }
-        self.assert_draining_is_final(now, at);
+        self.assert_draining_is_never_reverted(now, proxy_index);
     }
 }
--- a/crates/registry/tests/fleet/invariants.rs
+++ b/crates/registry/tests/fleet/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in each run.
+//! The invariants that are checked in each run.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use crate::fleet::{FAULTS_END, Fleet};
 use crate::servers::Lifecycle;
 
-/// So long after its acknowledgement a draining state may be unknown to a proxy.
-const DRAINING_KNOWN_WITHIN: Duration = Duration::from_secs(2);
+/// The time after the acknowledgement within which every proxy must know a draining state.
+const MAX_DRAINING_DELAY: Duration = Duration::from_secs(2);
 
 impl Fleet {
-    /// A server that a proxy has had as draining is never up there again.
-    pub(crate) fn assert_draining_is_final(&mut self, now: Instant, at: usize) {
-        let drained_servers = &mut self.drained_servers[at];
-        for Entry { server, .. } in self.proxies[at].entries() {
+    /// Asserts that a server which a proxy has known as draining is never up there again.
+    pub(crate) fn assert_draining_is_never_reverted(&mut self, now: Instant, proxy_index: usize) {
+        let drained_servers = &mut self.drained_servers[proxy_index];
+        for Entry { server, .. } in self.proxies[proxy_index].entries() {
             if server.state == OperState::Draining {
                 drained_servers.insert(server.id.clone());
             }
@@ -29,11 +29,12 @@
         }
     }
 
-    /// Once the faults have ended, every proxy knows an acknowledged draining state within [`DRAINING_KNOWN_WITHIN`].
+    /// Asserts that, once the faults have ended, every proxy knows an acknowledged draining state within
+    /// [`MAX_DRAINING_DELAY`].
     pub(crate) fn assert_draining_is_known(&self, now: Instant) {
         for server in &self.servers {
-            if let Lifecycle::Draining { acknowledged: Some(at) } = server.lifecycle
-                && now > at.max(FAULTS_END) + DRAINING_KNOWN_WITHIN
+            if let Lifecycle::Draining { acknowledged: Some(acknowledged_at) } = server.lifecycle
+                && now > acknowledged_at.max(FAULTS_END) + MAX_DRAINING_DELAY
             {
                 for proxy in &self.proxies {
                     assert!(
@@ -47,7 +48,7 @@
         }
     }
 
-    /// All registries agree with each other and with the servers.
+    /// Asserts that all registries agree with each other and with the servers.
     pub(crate) fn assert_converged(&self) {
         let live = |registry: &Registry| -> BTreeMap<String, Server> {
             registry.servers().map(|server| (server.id.clone(), server.clone())).collect()
--- a/crates/registry/tests/fleet/main.rs
+++ b/crates/registry/tests/fleet/main.rs
@@ -1,6 +1,6 @@
-//! A small fleet in virtual time: control nodes that restart and are partitioned, proxies that synchronize with them,
-//! and servers that start, drain, deregister and crash. After the faults all registries agree with the servers, and
-//! draining is never undone.
+//! A small simulated fleet in virtual time: control nodes that restart and are partitioned, proxies that
+//! synchronize with them, and servers that start, drain, deregister and crash. After the faults all
+//! registries match the servers, and draining is never reverted.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -10,14 +10,14 @@
 mod servers;
 
 use common::{HEARTBEAT_INTERVAL, instants_until, millis};
-use fleet::{CONTROL_NODES, FAULTS_END, Fleet, RUN_END, STEP, time_into};
+use fleet::{CONTROL_NODES, FAULTS_END, Fleet, RUN_END, STEP, offset_in_interval};
 use mosshead_registry::Registry;
 use servers::Lifecycle;
 
-/// A few seeds; `FLEET_SEEDS=from..to` runs more.
+/// The seeds to run; `FLEET_SEEDS=from..to` overrides them.
 fn seeds() -> std::ops::Range<u64> {
-    let given = std::env::var("FLEET_SEEDS").ok();
-    let range = given.as_deref().and_then(|text| text.split_once(".."));
+    let variable = std::env::var("FLEET_SEEDS").ok();
+    let range = variable.as_deref().and_then(|text| text.split_once(".."));
     range.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?)).unwrap_or(0..60)
 }
 
@@ -41,7 +41,7 @@
         ended +=
             fleet.servers.iter().filter(|server| matches!(server.lifecycle, Lifecycle::Ended(_))).count();
     }
-    // The faults were there: control nodes restarted and servers ended.
+    // Enough faults happened: control nodes restarted and servers ended.
     assert!(
         incarnations > 10 * seeds().count() as u64 && ended > 5 * seeds().count(),
         "{incarnations} {ended}"
@@ -54,7 +54,7 @@
     let mut versions = 0;
     for now in instants_until(millis(40_000), STEP) {
         for number in 0..fleet.servers.len() {
-            if time_into(now, HEARTBEAT_INTERVAL) == fleet.servers[number].heartbeat_offset {
+            if offset_in_interval(now, HEARTBEAT_INTERVAL) == fleet.servers[number].heartbeat_offset {
                 let server = &mut fleet.servers[number];
                 server.reported.sequence += 1;
                 let at = (server.reported.sequence / 5) as usize % CONTROL_NODES;
--- a/crates/registry/tests/former_formats.rs
+++ b/crates/registry/tests/former_formats.rs
@@ -1,5 +1,6 @@
-//! Bytes that earlier versions have written: they go between processes of two versions while a fleet is upgraded, and
-//! the registry's log holds encoded deltas, so they must be read, and written again in the same way.
+//! Compatibility with data of earlier versions. Such data is exchanged between processes of two versions
+//! during a fleet upgrade, and the registry's log contains encoded deltas, so it must be decoded, and encoded
+//! to the same bytes.
 
 mod common;
 
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn values_of_earlier_versions_are_read_and_written_alike() {
+fn values_of_earlier_versions_are_decoded_and_encoded_to_the_same_bytes() {
     former().assert_round_trip("source-id", &SourceId(0x0123_4567_89ab_cdef));
     former().assert_round_trip("vector", &vector());
     former().assert_round_trip("empty-vector", &VersionVector::default());
@@ -107,9 +108,9 @@
     assert_eq!(former().cbor_names(), NAMES.iter().map(|name| (*name).to_owned()).collect());
 }
 
-/// As after a start: the log of an earlier version holds deltas.
+/// Restores the registry as after a start, from deltas in the log of an earlier version.
 #[test]
-fn a_registry_takes_in_the_deltas_of_an_earlier_version() {
+fn a_registry_merges_the_deltas_of_an_earlier_version() {
     let mut registry = control_node(1);
     assert!(registry.merge(millis(0), minicbor::decode(&former().cbor("delta")).unwrap()));
     assert_eq!(registry.get("i-1"), Some(&up().server));
--- a/crates/registry/tests/heartbeats.rs
+++ b/crates/registry/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What heartbeats and deregistrations do to the registry of one control node.
+//! The effect of heartbeats and deregistrations on the registry of one control node.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn remaining_warm_up_alone_is_no_change() {
+fn a_difference_in_warm_up_time_alone_is_not_a_change() {
     let mut registry = control_node(1);
     registry
         .record_heartbeat(millis(0), Server { warmup_remaining: Duration::from_millis(9000), ..server(1, 1) })
@@ -68,7 +68,7 @@
     let late = registry.record_heartbeat(millis(1), server(1, 9)).unwrap();
     assert!(late.is_outdated && !late.changed);
     assert_eq!(registry.get("i-1").unwrap().state, OperState::Draining);
-    // Not even one that is outdated by heartbeats without a version.
+    // This also holds for a heartbeat that is outdated by unchanged heartbeats, which got no version.
     let mut steady = control_node(2);
     steady.record_heartbeat(millis(0), server(1, 1)).unwrap();
     steady.record_heartbeat(millis(1), server(1, 5)).unwrap();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_repeated_sequence_only_moves_towards_removal() {
+fn a_repeated_sequence_number_only_moves_the_state_towards_removed() {
     let mut registry = control_node(1);
     registry.record_heartbeat(millis(0), server(1, 3)).unwrap();
     assert!(!heartbeat_outcome(&mut registry, millis(1), Server { slots: 5, ..server(1, 3) }).changed);
@@ -93,14 +93,14 @@
     assert!(
         heartbeat_outcome(&mut registry, millis(1), with_state(1, 2, OperState::Draining)).needs_replication
     );
-    // Replication failed and the server repeats its heartbeat: it must not be acknowledged yet.
+    // Replication failed, and the server repeats its heartbeat: it must not be acknowledged yet.
     assert!(
         heartbeat_outcome(&mut registry, millis(2), with_state(1, 3, OperState::Draining)).needs_replication
     );
     assert!(
         heartbeat_outcome(&mut registry, millis(2), with_state(1, 2, OperState::Draining)).needs_replication
     );
-    // Heartbeats of other servers make no difference.
+    // Heartbeats of other servers do not change that.
     registry.record_heartbeat(millis(2), server(2, 1)).unwrap();
     assert!(
         heartbeat_outcome(&mut registry, millis(2), with_state(1, 4, OperState::Draining)).needs_replication
@@ -113,7 +113,7 @@
     assert!(
         !heartbeat_outcome(&mut registry, millis(4), with_state(1, 5, OperState::Draining)).needs_replication
     );
-    // The other node has the state from this one.
+    // The other node received the state from this one.
     assert!(
         !heartbeat_outcome(&mut other, millis(5), with_state(1, 6, OperState::Draining)).needs_replication
     );
@@ -140,16 +140,16 @@
 
 #[test]
 fn a_superseding_entry_of_another_node_ends_the_need_for_replication() {
-    // Both receive the deregistration, and the other's entry supersedes.
+    // Both nodes receive the deregistration, and the entry of the other node supersedes.
     let (mut registry, mut other) = (control_node(1), control_node(2));
     assert!(other.deregister(millis(0), "i-1").unwrap().needs_replication);
     assert!(registry.deregister(millis(0), "i-1").unwrap().needs_replication);
     let vector = registry.vector();
     synchronize(millis(1), &registry, &mut other, 10);
-    let answer = other.missing_entries(&vector, 10);
-    registry.mark_replicated(&answer.vector);
+    let response = other.missing_entries(&vector, 10);
+    registry.mark_replicated(&response.vector);
     assert!(registry.deregister(millis(2), "i-1").unwrap().needs_replication);
-    registry.merge(millis(2), answer);
+    registry.merge(millis(2), response);
     assert!(!registry.deregister(millis(2), "i-1").unwrap().needs_replication);
     assert!(registry.is_fully_replicated());
 }
@@ -183,8 +183,8 @@
 fn a_new_server_at_an_address_makes_its_predecessor_suspected() {
     let mut registry = control_node(1);
     registry.record_heartbeat(millis(0), server(1, 7)).unwrap();
-    let newcomer = Server { address: address(1), ..server(2, 1) };
-    registry.record_heartbeat(millis(1), newcomer.clone()).unwrap();
+    let new_server = Server { address: address(1), ..server(2, 1) };
+    registry.record_heartbeat(millis(1), new_server.clone()).unwrap();
     assert!(registry.get("i-1").unwrap().is_suspected);
     assert!(!registry.get("i-2").unwrap().is_suspected);
     assert_eq!(
@@ -193,9 +193,10 @@
     );
     // Unchanged heartbeats of either publish nothing.
     let version = registry.version();
-    assert!(!heartbeat_outcome(&mut registry, millis(2), Server { sequence: 2, ..newcomer }).changed);
+    assert!(!heartbeat_outcome(&mut registry, millis(2), Server { sequence: 2, ..new_server }).changed);
     assert_eq!(registry.version(), version);
-    // A suspected server that sends a heartbeat is not suspected any more, and the new one is not either.
+    // A suspected server that sends a heartbeat is no longer suspected, and the new server is not suspected
+    // either.
     assert!(heartbeat_outcome(&mut registry, millis(3), server(1, 8)).changed);
     assert!(!registry.get("i-1").unwrap().is_suspected && !registry.get("i-2").unwrap().is_suspected);
     assert_consistent(&registry);
@@ -240,10 +241,10 @@
 }
 
 quickcheck! {
-    /// In whatever order heartbeats arrive, the highest sequence number stays.
+    /// In whatever order heartbeats arrive, the one with the highest sequence number is stored.
     fn the_highest_sequence_takes_precedence(heartbeats: Vec<(u64, u32)>) -> bool {
         let mut registry = control_node(1);
-        // A sequence number belongs to one heartbeat.
+        // Each sequence number belongs to one heartbeat.
         let heartbeats: std::collections::BTreeMap<u64, u32> = heartbeats.into_iter().map(|(sequence, slots)| (sequence % 50, slots)).collect();
         let mut order: Vec<_> = heartbeats.iter().collect();
         order.sort_by_key(|(sequence, slots)| (**sequence * 7919) ^ u64::from(**slots));
--- a/crates/registry/tests/random_exchanges.rs
+++ b/crates/registry/tests/random_exchanges.rs
@@ -1,5 +1,6 @@
-//! Random exchanges: heartbeats arrive late and twice, deltas get lost, truncated, repeated and misdirected. Once all have
-//! synchronized, all registries hold, for every server, the arrived heartbeat with the highest sequence number.
+//! Random exchanges: heartbeats are delayed and duplicated; deltas are lost, truncated, duplicated and
+//! misdirected. After a final synchronization all registries have, for every server, the received heartbeat
+//! with the highest sequence number.
 
 mod common;
 
@@ -14,10 +15,10 @@
 const STEPS: usize = 1500;
 const SERVERS: u8 = 12;
 const READ_REPLICAS: u64 = 4;
-/// How many deltas may be in flight before one arrives.
+/// The number of deltas that may be in flight before one arrives.
 const MAX_DELTAS_IN_FLIGHT: usize = 6;
 
-/// A server's last heartbeat, and the newest one that has arrived at a control node.
+/// A server's last heartbeat, and the newest one that a control node has received.
 struct ExpectedServer {
     last: Server,
     arrived: Option<Server>,
@@ -25,7 +26,7 @@
 }
 
 struct DeltaInFlight {
-    /// The registry that it is meant for.
+    /// The index of the registry that the delta was computed for.
     to: usize,
     delta: Delta,
 }
@@ -33,7 +34,7 @@
 struct Exchange {
     seed: u64,
     rng: Pcg64Mcg,
-    /// How many of the registries, the first ones, are control nodes.
+    /// The number of control nodes, which are the first ones of `registries`.
     control_nodes: usize,
     registries: Vec<Registry>,
     servers: Vec<ExpectedServer>,
@@ -70,7 +71,7 @@
         self.random_index(self.control_nodes)
     }
 
-    fn one_in(&mut self, count: u32) -> bool {
+    fn is_one_in(&mut self, count: u32) -> bool {
         self.rng.next_u32().is_multiple_of(count)
     }
 
@@ -78,7 +79,7 @@
         match random_below(&mut self.rng, 10) {
             0..=3 => self.send_heartbeat(),
             4..=6 if !self.heartbeats_in_flight.is_empty() => self.receive_heartbeat(),
-            7 if self.one_in(20) => self.deregister(),
+            7 if self.is_one_in(20) => self.deregister(),
             8 => self.send_digest(),
             _ => self.send_delta(),
         }
@@ -87,7 +88,7 @@
         }
     }
 
-    /// At times a heartbeat reports a change, and at times it is sent twice.
+    /// Sends a heartbeat, which sometimes reports a change and is sometimes duplicated.
     fn send_heartbeat(&mut self) {
         let number = self.random_index(usize::from(SERVERS));
         if self.servers[number].is_deregistered {
@@ -96,20 +97,20 @@
         self.servers[number].last.sequence += 1;
         match random_below(&mut self.rng, 12) {
             0 => self.servers[number].last.slots = random_below(&mut self.rng, 3) as u32,
-            1 if self.one_in(4) => self.servers[number].last.state = OperState::Draining,
+            1 if self.is_one_in(4) => self.servers[number].last.state = OperState::Draining,
             _ => {}
         }
         let heartbeat = self.servers[number].last.clone();
         self.heartbeats_in_flight.push(heartbeat.clone());
-        if self.one_in(8) {
+        if self.is_one_in(8) {
             self.heartbeats_in_flight.push(heartbeat);
         }
     }
 
-    /// Mostly the oldest heartbeat arrives, sometimes any.
+    /// Delivers the oldest heartbeat, or sometimes a random one.
     fn receive_heartbeat(&mut self) {
         let any = self.random_index(self.heartbeats_in_flight.len());
-        let index = if self.one_in(4) { any } else { 0 };
+        let index = if self.is_one_in(4) { any } else { 0 };
         let heartbeat = self.heartbeats_in_flight.remove(index);
         let to = self.random_control_node();
         for server in self.servers.iter_mut().filter(|server| server.last.id == heartbeat.id) {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// A delta arrives in any order, twice, at the wrong process, or never.
+    /// Delivers a random delta to its registry, twice, to another registry, or not at all.
     fn receive_delta(&mut self) {
         let index = self.random_index(MAX_DELTAS_IN_FLIGHT + 1);
         let DeltaInFlight { to, delta } = self.deltas_in_flight.swap_remove(index);
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! Restarts: control nodes recover the registry from proxies and peers, and state stays bounded over many incarnations.
+//! Restarts: control nodes recover the registry from proxies and peers, and state stays bounded over many
+//! incarnations.
 
 mod common;
 
@@ -13,7 +14,7 @@
 
 /// Sends a new control node all entries of a proxy, in truncated deltas.
 fn restore(node: &mut Registry, proxy: &Registry) {
-    // All deltas are computed from the vector that the control node has shown at its start.
+    // All deltas are computed from the vector that the control node sent at its start.
     let vector = node.vector();
     let mut max_entries = 7;
     loop {
@@ -27,14 +28,14 @@
     }
 }
 
-/// One control node reports to another which servers have sent it heartbeats since an instant.
+/// Sends another control node a digest of the heartbeats that one has received since an instant.
 fn send_digest(now: Instant, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
     let digest = nodes[from].heartbeats_since(since);
     let source = nodes[from].local_id();
     nodes[to].record_remote_heartbeats(now, source, &digest);
 }
 
-/// For seven seconds the servers 2 to 19 send heartbeats to the first of three new control nodes.
+/// Runs seven seconds in which the servers 2 to 19 send heartbeats to the first of three new control nodes.
 fn run_with_heartbeats(nodes: &mut [Registry]) {
     for now in (1000..8000).step_by(100) {
         for number in 0..3 {
@@ -70,8 +71,9 @@
     for proxy in &mut proxies {
         synchronize(millis(1), &nodes[2], proxy, 100);
     }
-    let before = all_entries(&proxies[0]);
-    // All control nodes restart. The new incarnations know nothing, as the vectors of the proxies show them.
+    let before_restart = all_entries(&proxies[0]);
+    // All control nodes restart. The new incarnations have no entries, as the vectors of the proxies reveal
+    // to them.
     let mut nodes = vec![control_node(4), control_node(5), control_node(6)];
     for (number, node) in nodes.iter_mut().enumerate() {
         let proxy = &mut proxies[number % 2];
@@ -79,9 +81,9 @@
         assert!(node.missing_entries(&proxy.vector(), 100).is_empty());
         restore(node, proxy);
         assert!(!node.has_unknown_source(&proxy.vector()));
-        assert_eq!(all_entries(node), before);
+        assert_eq!(all_entries(node), before_restart);
     }
-    // Sources and versions are the original ones: nothing is sent back.
+    // The restored entries keep their sources and versions, so nothing is sent back.
     for from in &nodes {
         for proxy in &proxies {
             assert!(from.missing_entries(&proxy.vector(), 100).is_empty());
@@ -90,7 +92,7 @@
     // Outdated heartbeats from before the restart revive no server.
     assert!(heartbeat_outcome(&mut nodes[0], millis(1000), server(0, 1)).is_outdated);
     assert!(heartbeat_outcome(&mut nodes[1], millis(1000), server(1, 3)).is_outdated);
-    // Servers with heartbeats stay without a new version; the others are suspected by the new incarnations in time.
+    // Servers that send heartbeats get no new version; the new incarnations suspect the others in time.
     run_with_heartbeats(&mut nodes);
     synchronize_all(millis(8000), &mut nodes);
     for node in &nodes {
@@ -123,16 +125,16 @@
         first.record_heartbeat(millis(0), server(number, 1)).unwrap();
     }
     synchronize(millis(0), &first, &mut second, 3);
-    let mut again = control_node(3);
-    synchronize(millis(0), &second, &mut again, 3);
-    assert_eq!(all_entries(&again), all_entries(&first));
-    again.record_heartbeat(millis(1), Server { slots: 1, ..server(1, 2) }).unwrap();
-    synchronize(millis(1), &again, &mut second, 3);
-    assert_eq!(all_entries(&again), all_entries(&second));
+    let mut restarted = control_node(3);
+    synchronize(millis(0), &second, &mut restarted, 3);
+    assert_eq!(all_entries(&restarted), all_entries(&first));
+    restarted.record_heartbeat(millis(1), Server { slots: 1, ..server(1, 2) }).unwrap();
+    synchronize(millis(1), &restarted, &mut second, 3);
+    assert_eq!(all_entries(&restarted), all_entries(&second));
     assert_eq!(second.vector().get(SourceId(3)), 1);
 }
 
-/// The control nodes exchange entries, each with each.
+/// Exchanges entries between each pair of control nodes.
 fn exchange(now: Instant, nodes: &mut [Registry], before_each: impl Fn(&mut [Registry], usize, usize)) {
     for from in 0..nodes.len() {
         for to in 0..nodes.len() {
@@ -144,7 +146,8 @@
     }
 }
 
-/// One second in which a control node restarts, one server changes and the others send unchanged heartbeats.
+/// Runs one second in which a control node restarts, one server changes and the others send unchanged
+/// heartbeats.
 fn run_incarnation(incarnation: u64, nodes: &mut [Registry], proxy: &mut Registry) {
     let now = millis(incarnation * 1000);
     let at = (incarnation % 3) as usize;
@@ -165,7 +168,8 @@
     }
 }
 
-/// Thousands of incarnations of three control nodes, one ending each second, each with a change or two.
+/// Three control nodes go through thousands of incarnations. One ends each second, and each publishes a
+/// change or two.
 #[test]
 fn the_vector_stays_small_over_thousands_of_incarnations() {
     let mut nodes: Vec<Registry> = (1..=3).map(control_node).collect();
@@ -230,7 +234,7 @@
         registry.record_contact(millis(source), SourceId(source));
     }
     assert!(registry.vector().is_empty());
-    // The local source is no exception, and its versions go on counting.
+    // This also holds for the local source, whose versions continue to increase.
     registry.record_heartbeat(millis(0), server(1, 1)).unwrap();
     let mut other = control_node(2);
     synchronize(millis(0), &registry, &mut other, 10);
