--- a/crates/lease/src/lease_state.rs
+++ b/crates/lease/src/lease_state.rs
@@ -1,32 +1,33 @@
-//! A member's part in a role, for its host to show and to act by.
+//! The state of a member's lease, as its host sees it.
 
-/// Why a member takes no part in a role.
+/// Reason why a member does not take part in a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InactiveReason {
-    /// The host has not let it join, or has had it leave.
+    /// The host has not made it join, or has made it leave.
     NotJoined,
-    /// Operators have given the store no epoch: it is new, or has lost its state.
+    /// Operators have not assigned an epoch to the store: it is new, or has lost its state.
     MissingEpoch,
-    /// The epoch was given to another store: this one was restored from a copy of that one, or took its place by mistake.
-    /// Operators have to give it a higher epoch.
+    /// The epoch was assigned to another store: this one was restored from a copy of that store, or replaced
+    /// it by mistake. Operators have to assign a higher epoch.
     ForeignStore,
-    /// The store is at an older state than one that was seen before. Operators have to give it a higher epoch.
+    /// The store has an older state than one that was seen before. Operators have to assign a higher epoch.
     StoreRolledBack,
 }
 
-/// A member's part in a role, as its host sees it.
+/// The state of a member's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// It takes no part.
+    /// The member does not take part in the role.
     Inactive(InactiveReason),
-    /// It does not know who holds the role.
+    /// The member does not know who holds the role.
     Unknown,
     /// Another member holds the role, or may still act under a lease that the store no longer knows.
     Standby,
-    /// It has asked the store for the role.
+    /// The member has asked the store for the role.
     Acquiring,
-    /// It holds the role, and may act.
+    /// The member holds the role and may act.
     Holder,
-    /// It acquired the role and its permit has ended: the lease may have run out, and it must not act.
+    /// The member acquired the role, but its permit has ended. The lease may have expired, so it must not
+    /// act.
     PermitExpired,
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,8 +1,10 @@
-//! A role that one member of a fleet has at a time, by a lease in a store that all members reach. No I/O, no clock: a host
-//! reports what happens and when ([`Event`]), and carries out what follows ([`Command`]).
+//! A singleton role: at most one member of a fleet holds it at a time, by a lease in a store that all members
+//! can reach. The package does no I/O and reads no clock: a host reports what happens and when ([`Event`]),
+//! and carries out the resulting [`Command`]s.
 //!
-//! The holder may act only under a [`LeasePermit`], which ends before the store could give the role to another member, and
-//! each of its acts carries a [`FencingToken`] that only grows: whatever is acted upon rejects an older one.
+//! The holder may act only under a [`LeasePermit`], which ends before the store could give the role to
+//! another member. Each of its acts carries a [`FencingToken`] that only increases, and the receiver of an
+//! act rejects an older token.
 
 mod fencing;
 mod instant;
--- a/crates/lease/src/role/acquisition.rs
+++ b/crates/lease/src/role/acquisition.rs
@@ -1,4 +1,4 @@
-//! Acquires the role: the call to the store, and what its response leads to.
+//! Acquisition of the role: the call to the store, and the handling of its response.
 
 use super::{Phase, Renewal, SingletonRole, Tenure};
 use crate::fencing::FencingToken;
@@ -13,8 +13,8 @@
         commands.push(Command::Acquire { call_id, epoch: self.highest_seen.epoch });
     }
 
-    /// Whether this call, which is to acquire the role, is in flight.
-    pub(super) fn is_acquiring_by(&self, call_id: CallId) -> bool {
+    /// Returns true if this call is the acquisition in flight.
+    pub(super) fn is_acquisition_in_flight(&self, call_id: CallId) -> bool {
         matches!(self.phase, Phase::Acquiring { call_id: in_flight, .. } if in_flight == call_id)
     }
 
@@ -29,11 +29,11 @@
     ) {
         let sent_at = match self.phase {
             Phase::Acquiring { call_id: in_flight, sent_at } if in_flight == call_id => sent_at,
-            // The response to an earlier call, which is no longer awaited. If its lease were not released, no member could act
-            // until it expired.
+            // This is the response to an earlier call that is no longer awaited. If its lease were not
+            // released, no member could act until it expired.
             _ => return commands.push(Command::Release(lease_id)),
         };
-        if let Some(reason) = self.rejection_of(store_id, token) {
+        if let Some(reason) = self.rejection_reason(store_id, token) {
             self.phase = Phase::Inactive(reason);
             return commands.extend([Command::Release(lease_id), Command::ReadAndWatch]);
         }
@@ -45,14 +45,15 @@
             renewal: Renewal::Due(sent_at + self.timing.renewal_interval),
             is_watching: true,
         });
-        // From here on the watch shows whether the role is taken away, as by an operator who deletes its key in the store.
+        // From now on the watch reports if the role is taken away, for example by an operator who deletes its
+        // key in the store.
         commands.push(Command::ReadAndWatch);
         self.run_due_work(now, commands);
     }
 
-    /// Why an acquisition must not count; none if it does. A store that was restored between the last update and the
-    /// acquisition may have given a token under which another member still acts.
-    fn rejection_of(&self, store_id: StoreId, token: FencingToken) -> Option<InactiveReason> {
+    /// Returns why an acquisition must be rejected; `None` if it is valid. A store that was restored between
+    /// the last update and the acquisition may have issued a token under which another member still acts.
+    fn rejection_reason(&self, store_id: StoreId, token: FencingToken) -> Option<InactiveReason> {
         if store_id != self.store_id {
             Some(InactiveReason::ForeignStore)
         } else if token < self.highest_seen {
--- a/crates/lease/src/role/mod.rs
+++ b/crates/lease/src/role/mod.rs
@@ -1,5 +1,5 @@
-//! One member's part in a role: the phases, and which events lead from one to another. What the store reports is in
-//! `store_updates`, acquiring in `acquisition`, renewing in `renewal`.
+//! The state machine of one member: its phases, and the events that lead from one to another. Submodules
+//! handle reports of the store (`store_updates`), acquisition and renewal.
 
 mod acquisition;
 mod renewal;
@@ -11,48 +11,50 @@
 use crate::messages::{CallId, Command, Event, LeaseId, StoreId};
 use crate::timing::LeaseTiming;
 
-/// One member's part in a role that one member of a fleet has at a time: a state machine that its host drives.
+/// The state machine by which one member takes part in a singleton role. Its host drives it with events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SingletonRole {
     timing: LeaseTiming,
     phase: Phase,
-    /// The highest token, or position of the store, that the member has seen. A store below it has lost changes.
+    /// The highest token, or position of the store, that the member has seen. A store with a lower position
+    /// has lost changes.
     highest_seen: FencingToken,
     /// The store of the last update that was applied.
     store_id: StoreId,
     last_call_id: CallId,
 }
 
-/// What the member knows of the role, and what it waits for.
+/// What the member knows about the role, and what it is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It takes no part, until the reason is gone.
+    /// It does not take part until the reason no longer applies.
     Inactive(InactiveReason),
-    /// A call has failed or the watch was lost, so that nothing is known of the holder; the store is read again at `read_at`.
+    /// A call has failed or the watch was lost, so the holder is not known. The store is read again at
+    /// `read_at`.
     BackingOff { read_at: Instant },
-    /// A read is in flight; if it has not returned by `give_up_at`, it is repeated.
-    Reading { give_up_at: Instant },
-    /// The store has a holder that this member does not know to be itself. It may be: by an acquisition of its own whose
+    /// A read is in flight. It is repeated if it has not returned by `timeout_at`.
+    Reading { timeout_at: Instant },
+    /// The store has a holder, not known to be this member. It may be this member, by an acquisition whose
     /// response was lost.
     HeldByAnother,
-    /// The role has no holder; a former one may act until `acquire_at`.
+    /// The role has no holder. A former holder may act until `acquire_at`.
     Unheld { acquire_at: Instant },
-    /// The store was asked for the role by a call that was sent at `sent_at`.
+    /// The store was asked for the role by a call sent at `sent_at`.
     Acquiring { call_id: CallId, sent_at: Instant },
-    /// The member has acquired the role; its permit may have ended since.
+    /// The member has acquired the role. Its permit may have ended since.
     Holding(Tenure),
 }
 
-/// The member's time as holder.
+/// The period in which the member holds the role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Tenure {
     token: FencingToken,
     lease_id: LeaseId,
-    /// The end of the permit. It is counted from when the last successful call was sent, which is before the store began to
-    /// count the lease.
+    /// The end of the permit. It is counted from when the last successful call was sent, which is before the
+    /// store started the lease.
     permit_until: Instant,
     renewal: Renewal,
-    /// Whether the watch has had no gap since the last read.
+    /// True if the watch has had no gap since the last read.
     is_watching: bool,
 }
 
@@ -64,7 +66,7 @@
 }
 
 impl SingletonRole {
-    /// A member that has not joined.
+    /// Creates a member that has not joined.
     pub fn new(timing: LeaseTiming) -> Self {
         Self {
             timing,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The right to act, if the member has it now.
+    /// Returns the permit, if the member may act now.
     pub fn permit(&self, now: Instant) -> Option<LeasePermit> {
         match self.phase {
             Phase::Holding(Tenure { token, permit_until, .. }) if now < permit_until => {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The member's part in the role now.
+    /// Returns the state of the member's lease now.
     pub fn lease_state(&self, now: Instant) -> LeaseState {
         match self.phase {
             Phase::Inactive(reason) => LeaseState::Inactive(reason),
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Handles one event and appends what the host has to do, in the order of `commands`. `jitter_millionths`, a draw from 0 to 999,999,
-    /// keeps a fleet's retries apart.
+    /// Handles one event, and appends to `commands` what the host has to do, in this order.
+    /// `jitter_millionths`, a random number from 0 to 999,999, spreads the retries of a fleet.
     pub fn handle_event(
         &mut self,
         now: Instant,
@@ -119,14 +121,14 @@
                 self.on_acquired(now, call_id, store_id, token, lease_id, commands);
             }
             Event::NotAcquired { call_id } => {
-                // Updates that arrived during the call were not applied: the store is read anew.
-                if self.is_acquiring_by(call_id) {
+                // Updates that arrived during the call were not applied, so the store is read again.
+                if self.is_acquisition_in_flight(call_id) {
                     self.start_read(now, commands);
                 }
             }
             Event::Renewed { call_id } => self.on_renewed(now, call_id, commands),
             Event::LeaseNotFound { call_id } => {
-                if self.is_renewing_by(call_id) {
+                if self.is_renewal_in_flight(call_id) {
                     self.start_read(now, commands);
                 }
             }
@@ -142,7 +144,7 @@
             && token < highest_seen
         {
             self.deactivate(InactiveReason::StoreRolledBack, commands);
-            // The watch will report the higher epoch that operators have to give the store.
+            // The watch will report the higher epoch that operators have to assign to the store.
             commands.push(Command::ReadAndWatch);
         }
     }
@@ -155,8 +157,9 @@
         commands: &mut Vec<Command>,
     ) {
         let retry_at = now + self.timing.retry_delay_with_jitter(jitter_millionths);
-        if self.is_acquiring_by(call_id) {
-            // The call may have succeeded, in which case the role depends on a lease that no member renews: it will expire.
+        if self.is_acquisition_in_flight(call_id) {
+            // The call may have succeeded. The role then depends on a lease that no member renews, and that
+            // will expire.
             self.phase = Phase::BackingOff { read_at: retry_at };
             commands.push(Command::SetTimer(retry_at));
         } else if let Phase::Holding(tenure) = &mut self.phase
@@ -167,17 +170,17 @@
         }
     }
 
-    /// Does what is due by now, or sets the timer for what is due next.
+    /// Does the work that is due now, or sets the timer for the next.
     fn run_due_work(&mut self, now: Instant, commands: &mut Vec<Command>) {
         match self.phase {
-            Phase::BackingOff { read_at: due_at } | Phase::Reading { give_up_at: due_at }
+            Phase::BackingOff { read_at: due_at } | Phase::Reading { timeout_at: due_at }
                 if now >= due_at =>
             {
                 self.start_read(now, commands);
             }
             Phase::Unheld { acquire_at } if now >= acquire_at => self.start_acquisition(now, commands),
             Phase::BackingOff { read_at: due_at }
-            | Phase::Reading { give_up_at: due_at }
+            | Phase::Reading { timeout_at: due_at }
             | Phase::Unheld { acquire_at: due_at } => commands.push(Command::SetTimer(due_at)),
             Phase::Holding(Tenure { renewal: Renewal::Due(due_at), .. }) if now >= due_at => {
                 self.start_renewal(now, commands);
@@ -194,7 +197,7 @@
         self.last_call_id
     }
 
-    /// Takes no part any more, and releases the lease if the member holds the role.
+    /// Stops taking part, and releases the lease if the member holds the role.
     fn deactivate(&mut self, reason: InactiveReason, commands: &mut Vec<Command>) {
         if let Phase::Holding(Tenure { lease_id, .. }) = self.phase {
             commands.push(Command::Release(lease_id));
--- a/crates/lease/src/role/renewal.rs
+++ b/crates/lease/src/role/renewal.rs
@@ -1,11 +1,11 @@
-//! Renews the lease of the holder, which extends its permit.
+//! Renewal of the holder's lease, which extends its permit.
 
 use super::{Phase, Renewal, SingletonRole};
 use crate::instant::Instant;
 use crate::messages::{CallId, Command};
 
 impl Renewal {
-    /// Whether it is in flight by this call.
+    /// Returns true if this call is the renewal in flight.
     pub(super) fn is_in_flight(&self, call_id: CallId) -> bool {
         matches!(self, Renewal::InFlight { call_id: in_flight, .. } if *in_flight == call_id)
     }
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Whether this call, which is to renew the lease, is in flight.
-    pub(super) fn is_renewing_by(&self, call_id: CallId) -> bool {
+    /// Returns true if this call is the renewal in flight.
+    pub(super) fn is_renewal_in_flight(&self, call_id: CallId) -> bool {
         matches!(&self.phase, Phase::Holding(tenure) if tenure.renewal.is_in_flight(call_id))
     }
 
@@ -32,7 +32,7 @@
         {
             tenure.permit_until = tenure.permit_until.max(sent_at + self.timing.permit_duration());
             tenure.renewal = Renewal::Due(sent_at + self.timing.renewal_interval);
-            // After a gap in the watch: the store answers again, so it can be read.
+            // If the watch had a gap: the store responds again, so it can be read.
             if !std::mem::replace(&mut tenure.is_watching, true) {
                 commands.push(Command::ReadAndWatch);
             }
--- a/crates/lease/src/role/store_updates.rs
+++ b/crates/lease/src/role/store_updates.rs
@@ -1,4 +1,4 @@
-//! Reads of the store, the watch that continues each of them, and gaps in the watch.
+//! Reads of the store, the watches that continue them, and gaps in the watches.
 
 use super::{Phase, SingletonRole, Tenure};
 use crate::instant::Instant;
@@ -7,9 +7,9 @@
 
 impl SingletonRole {
     pub(super) fn start_read(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let give_up_at = now + self.timing.lease_duration;
-        self.phase = Phase::Reading { give_up_at };
-        commands.extend([Command::ReadAndWatch, Command::SetTimer(give_up_at)]);
+        let timeout_at = now + self.timing.lease_duration;
+        self.phase = Phase::Reading { timeout_at };
+        commands.extend([Command::ReadAndWatch, Command::SetTimer(timeout_at)]);
     }
 
     pub(super) fn on_store_update(&mut self, now: Instant, update: StoreUpdate, commands: &mut Vec<Command>) {
@@ -31,7 +31,7 @@
                 self.highest_seen = self.highest_seen.max(update.position);
                 return;
             }
-            // The awaited response decides: it may say that this member has acquired the role.
+            // The awaited response decides, since it may report that this member has acquired the role.
             Phase::Acquiring { .. } => return,
             _ => {}
         }
@@ -42,18 +42,19 @@
         self.run_due_work(now, commands);
     }
 
-    /// Moves on to what the update says. A holder that learns of another one, or of none, is the holder no longer. Its lease
-    /// has ended: there is nothing to release.
+    /// Moves to the phase that the update implies. A holder that learns of another holder, or of none, is no
+    /// longer the holder. Its lease has ended, so there is nothing to release.
     fn apply_update(&mut self, now: Instant, update: StoreUpdate) {
         let is_same_epoch = update.position.epoch == self.highest_seen.epoch;
         (self.highest_seen, self.store_id) = (update.position, update.store_id);
         self.phase = match (update.holder, self.phase) {
             (Some(_), _) => Phase::HeldByAnother,
-            // The watch, without a gap, reported a holder and then the end of its lease: no member may act any more.
+            // The watch reported, without a gap, a holder and then the end of its lease: no member may act
+            // any more.
             (None, Phase::HeldByAnother) if is_same_epoch => Phase::Unheld { acquire_at: now },
             (None, Phase::Unheld { acquire_at }) if is_same_epoch => Phase::Unheld { acquire_at },
-            // After a gap it is unknown whether the holder has ended its lease or the store has lost it: a former holder may
-            // still act until its lease has run out.
+            // After a gap it is unknown whether the holder has ended its lease or the store has lost it. A
+            // former holder may still act until its lease has expired.
             (None, _) => Phase::Unheld { acquire_at: now + self.timing.expiry_wait() },
         };
     }
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -1,4 +1,4 @@
-//! How long leases and permits last, and when calls to the store are due.
+//! Durations of leases and permits, and the timing of calls to the store.
 
 use core::time::Duration;
 
@@ -6,38 +6,41 @@
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// The durations by which a member acquires a role, holds it and retries.
+/// The durations that a member uses to acquire, hold and retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
     /// How long the store keeps a lease that is not renewed.
     pub lease_duration: Duration,
-    /// By how many parts in a million this machine's clock and the store's may differ in speed; at most 1,000,000.
+    /// The maximum difference in speed between this machine's clock and the store's, in parts per million;
+    /// not above 1,000,000.
     pub clock_drift_ppm: u64,
-    /// How long after a renewal was sent the next one is due.
+    /// The time from sending a renewal to the next one.
     pub renewal_interval: Duration,
-    /// The least delay after a failed call; jitter adds up to as much again.
+    /// The minimum delay after a failed call. Jitter adds up to as much again.
     pub retry_delay: Duration,
 }
 
 impl LeaseTiming {
-    /// How long a holder may act, by its own clock, from when it sent the call that acquired or renewed the lease.
+    /// Returns how long a holder may act, by its own clock, counted from when it sent the call that acquired
+    /// or renewed the lease.
     pub fn permit_duration(&self) -> Duration {
         self.lease_duration - self.drift_over(self.lease_duration)
     }
 
-    /// How long to wait, by this clock, until a lease of which nothing more is known has ended for certain.
+    /// Returns how long to wait, by this clock, until a lease of unknown age has certainly expired.
     pub fn expiry_wait(&self) -> Duration {
         self.lease_duration + self.drift_over(self.lease_duration)
     }
 
-    /// The delay after a failed call. `jitter_millionths`, a draw from 0 to 999,999, keeps a fleet's retries apart.
+    /// Returns the delay after a failed call. `jitter_millionths`, a random number from 0 to 999,999, spreads
+    /// the retries of a fleet.
     pub(crate) fn retry_delay_with_jitter(&self, jitter_millionths: u64) -> Duration {
         let delay = whole_micros(self.retry_delay);
         let jitter = delay * jitter_millionths.min(PARTS_PER_MILLION - 1) / PARTS_PER_MILLION;
         Duration::from_micros(delay + jitter)
     }
 
-    /// By how much this clock may fall behind the store's in a span, in whole microseconds.
+    /// Returns by how much this clock may fall behind the store's within a duration, in whole microseconds.
     fn drift_over(&self, span: Duration) -> Duration {
         let micros = whole_micros(span);
         let of_whole_seconds = (micros / PARTS_PER_MILLION).saturating_mul(self.clock_drift_ppm);
--- a/crates/lease/tests/model/main.rs
+++ b/crates/lease/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Model checking: all states of a few members, a store and a resource that the members act upon. The members run the code of
-//! the package itself.
+//! Model checking: explores all states of a few members, a store, and a resource that the members act on. The
+//! members run the code of the package itself.
 
 mod random_schedule;
 mod scenario;
@@ -29,7 +29,7 @@
 /// The seeds of the random schedules.
 const SEEDS: std::ops::Range<u64> = 0..2000;
 
-/// The names of the properties that some state violates.
+/// Returns the names of the properties that some state violates.
 fn violated_properties(scenario: Scenario) -> Vec<&'static str> {
     let checker = scenario.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let violated = checker.discoveries().into_keys().filter(|name| *name != ACTS).collect();
@@ -38,7 +38,7 @@
     violated
 }
 
-/// `MOSSHEAD_MODEL=long` plays one step of time more, and three members.
+/// With `MOSSHEAD_MODEL=long` each model runs one time step longer, with three members.
 fn is_long_form() -> bool {
     std::env::var("MOSSHEAD_MODEL").is_ok_and(|form| form == "long")
 }
@@ -72,12 +72,13 @@
     assert!(violated.contains(&property), "{mutant:?}: {violated:?}");
 }
 
-/// Members that are safe because none ever holds the role are of no use. Once the faults have ended, one acts within three
-/// leases: one for a lease of which nothing is known, one for the wait after a gap, one for both at once.
+/// Members that are safe only because none ever holds the role would be useless. After the faults have ended,
+/// one acts within three lease durations: one for a lease of which nothing is known, one for the wait after a
+/// gap, and one for both combined.
 #[test]
 fn three_members_are_safe_under_all_faults_and_one_acts_once_they_have_ended() {
     for seed in SEEDS {
-        let mut schedule = RandomSchedule::play(seed, Mutant::None);
+        let mut schedule = RandomSchedule::run(seed, Mutant::None);
         assert!(schedule.is_safe, "seed {seed}: two members may act");
         assert!(
             schedule.recovers_within(3 * LEASE_DURATION),
@@ -87,9 +88,9 @@
     }
 }
 
-/// This mutant violates a property only after more time than the model of all states has, so it is played on the random
-/// schedules.
+/// This mutant violates a property only after more time than the exhaustive model covers, so it is run on the
+/// random schedules.
 #[test]
 fn a_release_that_ends_any_lease_is_found_on_a_random_schedule() {
-    assert!(SEEDS.into_iter().any(|seed| !RandomSchedule::play(seed, Mutant::ReleaseEndsAnyLease).is_safe));
+    assert!(SEEDS.into_iter().any(|seed| !RandomSchedule::run(seed, Mutant::ReleaseEndsAnyLease).is_safe));
 }
--- a/crates/lease/tests/model/random_schedule.rs
+++ b/crates/lease/tests/model/random_schedule.rs
@@ -1,4 +1,5 @@
-//! Three members under every fault, by a schedule of random steps, over a longer time than all states can be visited for.
+//! Random schedules of steps: three members under all faults, over a longer time than can be explored
+//! exhaustively.
 
 use stateright::Model;
 
@@ -11,15 +12,15 @@
 pub(crate) struct RandomSchedule {
     scenario: Scenario,
     pub(crate) world: World,
-    /// Whether at most one member could act in each state so far.
+    /// True if at most one member was permitted to act in each state so far.
     pub(crate) is_safe: bool,
     /// The steps that are possible next.
     steps: Vec<Step>,
 }
 
 impl RandomSchedule {
-    /// Plays steps and faults that the seed draws.
-    pub(crate) fn play(seed: u64, mutant: Mutant) -> RandomSchedule {
+    /// Runs random steps and faults drawn from the seed.
+    pub(crate) fn run(seed: u64, mutant: Mutant) -> RandomSchedule {
         let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         let mut draw_below = move |count: usize| {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -33,20 +34,20 @@
         for _ in 0..STEPS_WITH_FAULTS {
             schedule.scenario.actions(&schedule.world, &mut schedule.steps);
             let step = schedule.steps.swap_remove(draw_below(schedule.steps.len()));
-            schedule.take(step);
+            schedule.apply(step);
             schedule.is_safe &= schedule.world.members_with_permit() <= 1;
         }
         schedule
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         self.steps.clear();
         self.world =
             self.scenario.next_state(&self.world, step).expect("actions() returns possible steps only");
     }
 
-    /// Ends all faults and plays on, with whatever is possible before time advances. Returns whether a member may act within
-    /// `duration` steps of time.
+    /// Ends all faults and continues, taking all possible steps before time advances. Returns true if a
+    /// member is permitted to act within `duration` time steps.
     pub(crate) fn recovers_within(&mut self, duration: u64) -> bool {
         self.world.faults = FaultBudget::NONE;
         let end_time = self.world.now + duration;
@@ -58,7 +59,7 @@
             if next.is_none() && (may_act || self.world.now >= end_time) {
                 return may_act;
             }
-            self.take(next.unwrap_or(Step::AdvanceTime));
+            self.apply(next.unwrap_or(Step::AdvanceTime));
         }
     }
 }
--- a/crates/lease/tests/model/scenario.rs
+++ b/crates/lease/tests/model/scenario.rs
@@ -1,13 +1,13 @@
-//! The parameters of a model: its size, the faults that may happen, and a mutant.
+//! The parameters of a model: its size, its faults and its mutant.
 
-/// How often each fault may still happen.
+/// How often each kind of fault may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FaultBudget {
     /// Suspensions of a member's process.
     pub(crate) suspensions: u8,
-    /// Responses that are lost, whether or not the call was executed.
+    /// Lost responses of calls, executed or not.
     pub(crate) lost_responses: u8,
-    /// Restores of the store to its state at the beginning.
+    /// Restores of the store to its initial state.
     pub(crate) restores: u8,
     /// Gaps in a member's watch.
     pub(crate) watch_gaps: u8,
@@ -20,26 +20,26 @@
         FaultBudget { suspensions: 0, lost_responses: 0, restores: 0, watch_gaps: 0, leaves: 0 };
 }
 
-/// What the world does wrong on purpose: each mutant has to violate a property.
+/// A fault in the environment of the members. Each mutant must violate a property.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
     None,
-    /// The resource that the members act upon accepts any token.
+    /// The resource that the members act on accepts any token.
     AnyTokenIsAccepted,
-    /// The members' clocks stand still while they are suspended.
+    /// The members' clocks stop while they are suspended.
     ClockStopsInSuspension,
-    /// A release takes the role from whoever has it.
+    /// A release ends the role of any holder.
     ReleaseEndsAnyLease,
     /// A gap in a watch is not reported.
     WatchGapsAreHidden,
-    /// A renewed permit is counted from the response, not from the call.
+    /// A renewed permit is counted from the response instead of the call.
     PermitCountsFromResponse,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scenario {
     pub(crate) members: usize,
-    /// The time, in steps, at which it ends.
+    /// The time step at which the model ends.
     pub(crate) end_time: u64,
     pub(crate) faults: FaultBudget,
     pub(crate) mutant: Mutant,
--- a/crates/lease/tests/model/steps.rs
+++ b/crates/lease/tests/model/steps.rs
@@ -1,4 +1,4 @@
-//! The steps from one state of the world to the next, and what holds in all of them.
+//! The steps from one state of the world to the next, and the checked properties.
 
 use mosshead_lease::{Event, InactiveReason, LeaseState};
 use stateright::{Model, Property};
@@ -10,7 +10,7 @@
 pub(crate) const NO_OLDER_TOKEN: &str = "no act under an older token follows one under a newer token";
 pub(crate) const ACTS: &str = "a member acts";
 
-/// One step; numbers are indices of members.
+/// A step. Numbers are member indices.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
     AdvanceTime,
--- a/crates/lease/tests/model/store.rs
+++ b/crates/lease/tests/model/store.rs
@@ -1,4 +1,4 @@
-//! A model of the store: its calls, its leases, and what its watch reports.
+//! A model of the store: its calls, its leases, and the updates that its watch reports.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::scenario::Mutant;
 
-/// How many steps of time a lease lasts.
+/// The duration of a lease, in time steps.
 pub(crate) const LEASE_DURATION: u64 = 2;
 
 /// A call of a member to the store.
@@ -27,11 +27,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Store {
     id: u64,
-    /// The store that operators gave the epoch to.
+    /// The store to which operators assigned the epoch.
     epoch_store_id: u64,
     pub(crate) position: FencingToken,
     pub(crate) holder: Option<Holder>,
-    /// The step of time at which each lease ends.
+    /// The time step at which each lease ends.
     lease_ends: BTreeMap<LeaseId, u64>,
     last_lease_id: u64,
 }
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Whether its epoch was given to another store.
+    /// Returns true if its epoch was assigned to another store.
     pub(crate) fn is_foreign(&self) -> bool {
         self.id != self.epoch_store_id
     }
 
-    /// Restores the store from a copy of its initial state: it counts as another store.
+    /// Restores the store from a copy of its initial state. It then counts as another store.
     pub(crate) fn restore(&mut self) {
         self.id += 1;
         self.position = FencingToken { epoch: 1, revision: 1 };
@@ -70,7 +70,7 @@
         self.lease_ends.clear();
     }
 
-    /// Operators give it a higher epoch.
+    /// Assigns a higher epoch to the store, as operators do.
     pub(crate) fn raise_epoch(&mut self) {
         self.epoch_store_id = self.id;
         self.position.epoch += 1;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Ends the leases that were not renewed in time. Returns whether the role has lost its holder by that.
+    /// Ends the leases that were not renewed in time. Returns true if the role lost its holder by that.
     pub(crate) fn expire_leases(&mut self, now: u64) -> bool {
         self.lease_ends.retain(|_, ends_at| *ends_at > now);
         let has_expired = self.holder.is_some_and(|holder| !self.lease_ends.contains_key(&holder.lease_id));
--- a/crates/lease/tests/model/world.rs
+++ b/crates/lease/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The members, the store, and the resource that the members act upon.
+//! The state of a model: the members, the store, and the resource that the members act on.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use crate::scenario::{FaultBudget, Mutant, Scenario};
 use crate::store::{LEASE_DURATION, Store, StoreCall};
 
-/// A report of a watch, with the number of the read that the watch continues: reports of earlier reads are ignored.
+/// A report of a watch, with the number of the read that the watch continues. Reports of earlier reads are
+/// ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct WatchReport {
     read_number: u8,
@@ -24,18 +25,18 @@
 pub(crate) struct Member {
     pub(crate) role: SingletonRole,
     pub(crate) is_suspended: bool,
-    /// By how many steps of time its clock is behind, since it stood still while the member was suspended.
+    /// By how many time steps its clock is behind, because it stopped while the member was suspended.
     pub(crate) clock_lag: u64,
     timer: Option<Instant>,
-    /// Number of its last read.
+    /// The number of its last read.
     read_number: u8,
-    /// Whether the store still reports changes to it.
+    /// True if the store still reports changes to it.
     pub(crate) is_watching: bool,
     pub(crate) calls: Vec<StoreCall>,
-    /// Responses of the store. They and the reports of the watch are delivered independently of each other.
+    /// Responses of the store. They are delivered independently of the watch reports.
     pub(crate) responses: Vec<Event>,
     pub(crate) watch_reports: Vec<WatchReport>,
-    /// It has checked that it may act under this token, and has not acted yet.
+    /// The token of an act whose permit it has checked, and which it has not performed yet.
     pub(crate) planned_act: Option<FencingToken>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The time by its own clock; a step of time is a microsecond.
+    /// Returns the time of its own clock; a time step is a microsecond.
     pub(crate) fn clock(&self, now: u64) -> Instant {
         Instant::from_micros(now - self.clock_lag)
     }
@@ -94,7 +95,7 @@
         let is_hidden = mutant == Mutant::WatchGapsAreHidden;
         if std::mem::replace(&mut self.is_watching, is_hidden) {
             if is_hidden {
-                // Pending reports are lost, and the member does not learn that.
+                // Pending reports are lost, and the member does not learn of that.
                 self.watch_reports.clear();
             } else {
                 self.report(self.read_number, WatchContent::Gap);
@@ -105,21 +106,21 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct World {
-    /// Steps of time since the beginning.
+    /// Time steps since the beginning.
     pub(crate) now: u64,
     pub(crate) members: Vec<Member>,
     pub(crate) store: Store,
-    /// The highest token under which a member has acted: the resource rejects lower ones.
+    /// The highest token under which a member has acted. The resource rejects lower ones.
     highest_acted: FencingToken,
     last_actor: Option<usize>,
-    /// A member has acted under a lower token than one before it.
+    /// True if a member has acted under a lower token than an earlier act.
     pub(crate) has_regressed: bool,
-    /// Faults that may still happen.
+    /// The faults that may still happen.
     pub(crate) faults: FaultBudget,
 }
 
 impl World {
-    /// All members have joined.
+    /// Creates a world in which all members have joined.
     pub(crate) fn new(scenario: &Scenario) -> World {
         let mut world = World {
             now: 0,
@@ -150,7 +151,7 @@
         commands.into_iter().for_each(|command| member.execute(command));
     }
 
-    /// The member's timer expires if it is due, unless the member is suspended.
+    /// Expires the member's timer if it is due, unless the member is suspended.
     pub(crate) fn expire_timer(&mut self, index: usize) {
         let member = &mut self.members[index];
         let is_due = member.timer.is_some_and(|instant| instant <= member.clock(self.now));
@@ -171,7 +172,7 @@
         (0..self.members.len()).for_each(|index| self.expire_timer(index));
     }
 
-    /// The store executes a call. Its response arrives only if `is_answered`.
+    /// Executes a call in the store. Its response arrives only if `is_answered`.
     pub(crate) fn serve(&mut self, index: usize, call: StoreCall, is_answered: bool, mutant: Mutant) {
         let store = &mut self.store;
         let before = (store.holder, store.position.epoch);
@@ -200,7 +201,7 @@
         }
     }
 
-    /// The response to a call is lost: its member sees a failed call, or a gap.
+    /// Loses the response to a call: its member sees a failed call, or a gap in the watch.
     pub(crate) fn lose_response(&mut self, index: usize, call: StoreCall) {
         let member = &mut self.members[index];
         match call {
@@ -231,8 +232,8 @@
     pub(crate) fn deliver_response(&mut self, index: usize, mutant: Mutant) {
         match self.members[index].responses.remove(0) {
             Event::Renewed { call_id } if mutant == Mutant::PermitCountsFromResponse => {
-                // The permit would count from now if the call were sent now: so the call fails, is sent again, and its response
-                // arrives at once.
+                // The permit would be counted from now if the call were sent now. So the call fails, is sent
+                // again, and its response arrives at once.
                 self.handle_event(index, Event::CallFailed { call_id });
                 let member = &mut self.members[index];
                 member.timer = None;
@@ -268,7 +269,7 @@
         member.planned_act = member.role.permit(member.clock(self.now)).map(|permit| permit.token);
     }
 
-    /// The member acts under a token that it has checked before, perhaps long before.
+    /// The member acts under a token that it checked before, possibly a long time ago.
     pub(crate) fn act(&mut self, index: usize, token: FencingToken, mutant: Mutant) {
         let is_outdated = token < self.highest_acted;
         if is_outdated && mutant != Mutant::AnyTokenIsAccepted {
