--- a/crates/record-log/src/directory.rs
+++ b/crates/record-log/src/directory.rs
@@ -1,4 +1,4 @@
-//! The disk of a running program: a directory of the machine's file system.
+//! A [`Disk`] in a directory of the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -6,7 +6,7 @@
 
 use crate::disk::{Disk, DiskFile};
 
-/// A directory of the machine's file system.
+/// A directory of the file system.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
@@ -16,17 +16,17 @@
 #[derive(Debug)]
 pub struct DirectoryFile {
     file: File,
-    /// The offset of the file's cursor in bytes, if it is known: an append then needs no seek. `None` after an operation that
-    /// may have left it anywhere.
+    /// The offset of the file's cursor in bytes, if known, so that an append needs no seek. `None` after an
+    /// operation that may have left it anywhere.
     cursor: Option<u64>,
 }
 
 impl Directory {
-    /// The directory at a path, created with its parents if it does not exist.
+    /// Opens the directory at a path, and creates it with its parents if it does not exist.
     ///
     /// # Errors
     ///
-    /// It can't be created.
+    /// The directory can't be created.
     pub fn new(path: &Path) -> io::Result<Directory> {
         if !path.is_dir() {
             fs::create_dir_all(path)?;
@@ -73,7 +73,7 @@
 }
 
 impl DirectoryFile {
-    /// Moves the cursor to an offset. Afterwards it counts as unknown until an operation has succeeded.
+    /// Moves the cursor to an offset. The offset counts as unknown until the next operation has succeeded.
     fn seek(&mut self, offset: u64) -> io::Result<()> {
         if self.cursor.take() != Some(offset) {
             self.file.seek(SeekFrom::Start(offset))?;
@@ -102,7 +102,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        // fsync, not fdatasync: the length and, for a new file, its name must be durable too.
+        // fsync instead of fdatasync: the length, and the name of a new file, must be durable too.
         self.file.sync_all()
     }
 }
--- a/crates/record-log/src/error.rs
+++ b/crates/record-log/src/error.rs
@@ -1,11 +1,11 @@
-//! Why operations of a log fail.
+//! Errors of the log.
 
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why an operation of the log failed. The numbers are explained in `docs/codes.md`.
+    /// Reason why an operation of the log failed. The numbers are explained in `docs/codes.md`.
     #[derive(Debug)]
     pub enum LogError {
         /// 701: a file or the directory can't be read.
@@ -18,7 +18,7 @@
             display("can't write to the store: {cause}")
             source(cause)
         }
-        /// 703: a sync failed, so nothing that was written since the last successful one is durable.
+        /// 703: a sync failed, so nothing written since the last successful one is durable.
         Sync(cause: io::Error) {
             display("can't sync the store: {cause}")
             source(cause)
@@ -28,7 +28,8 @@
             display("can't change the store's folder: {cause}")
             source(cause)
         }
-        /// 705: the record, or the file with it, would exceed its maximum length; the length is in bytes.
+        /// 705: the record, or the file with it, would exceed its maximum length. The value is the length in
+        /// bytes.
         TooLong(length: u64) {
             display("{length} bytes are too many for the store")
         }
@@ -40,7 +41,7 @@
         Closed {
             display("the store is closed")
         }
-        /// 708: the writer's thread can't be started.
+        /// 708: the writer's thread could not be started.
         StartThread(cause: io::Error) {
             display("can't start the store's thread: {cause}")
             source(cause)
@@ -49,7 +50,7 @@
 }
 
 impl LogError {
-    /// The number of the error, for logs and the table in `docs/codes.md`.
+    /// Returns the number of the error, which is used in logs and explained in `docs/codes.md`.
     pub fn code(&self) -> u16 {
         match self {
             LogError::Read(_) => 701,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Whether the operation failed because the disk is full.
+    /// Returns true if the operation failed because the disk is full.
     pub fn is_disk_full(&self) -> bool {
         match self {
             LogError::Write(cause) | LogError::Sync(cause) | LogError::Directory(cause) => {
--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -1,22 +1,25 @@
-//! The format of a log file: a header, then records. All numbers are little-endian.
+//! The format of a log file: a header, followed by records. All numbers are little-endian.
 //!
-//! Header: magic (8 bytes), generation (8), number of records that the file was written with (4), checksum (4).
+//! Header: magic (8 bytes), generation (8), number of records that the file was created with (4), checksum
+//! (4).
 //! Record: length (4), sequence (8), incarnation of the writer (8), checksum (4), content.
 //!
-//! The checksum of a record also covers the checksum of its predecessor, and incarnations never decrease. So bytes that
-//! were truncated and came back after a crash, or that follow a hole, are not valid successors of the records before them.
+//! The checksum of a record also covers the checksum of its predecessor, and incarnations never decrease. So
+//! bytes that were truncated but reappear after a crash, or that follow a hole, are not valid successors of
+//! the records before them.
 
 use crc32fast::Hasher;
 
 use crate::error::LogError;
 
-/// The longest record, in bytes.
+/// The maximum length of a record, in bytes.
 pub const MAX_RECORD_LENGTH: usize = 16 << 20;
-/// The longest file, in bytes. During a rewrite two generations need space on the disk.
+/// The maximum length of a file, in bytes. During a rewrite two generations need space on the disk.
 pub const MAX_FILE_LENGTH: u64 = 56 << 20;
 /// The length of the header, in bytes.
 pub const HEADER_LENGTH: usize = 24;
-/// The bytes in front of the content of each record: length, sequence, incarnation and checksum.
+/// The length of the frame in front of the content of each record, in bytes: length, sequence, incarnation
+/// and checksum.
 pub const FRAME_LENGTH: usize = 24;
 
 const MAGIC: [u8; 8] = *b"cistern1";
@@ -26,7 +29,7 @@
 pub(crate) struct LogEnd {
     /// The offset after the last record, in bytes.
     pub offset: u64,
-    /// The number of records so far, which is the sequence of the next one.
+    /// The number of records so far, which is the sequence number of the next one.
     pub sequence: u64,
     /// The checksum of the last record, or of the header if there is none.
     pub checksum: u32,
@@ -34,17 +37,18 @@
     pub incarnation: u64,
 }
 
-/// What was found in a file.
+/// The result of reading a file.
 pub(crate) struct Scan {
-    /// The records in front of the first one that is not valid.
+    /// The records before the first invalid one.
     pub records: Vec<Vec<u8>>,
     /// The end of these records.
     pub end: LogEnd,
-    /// Whether all records that the file was first written with are there. If not, its generation was not written completely.
+    /// True if all records that the file was created with are present. If not, its generation was not written
+    /// completely.
     pub is_complete: bool,
 }
 
-/// A valid record at the start of some bytes.
+/// A valid record that was decoded from the start of a byte slice.
 struct DecodedRecord<'a> {
     content: &'a [u8],
     /// The end of the log after this record.
@@ -53,7 +57,7 @@
     rest: &'a [u8],
 }
 
-/// Appends a header to `output`. Returns the end of a log that has no record yet.
+/// Appends a header to `output`. Returns the end of a log without records.
 pub(crate) fn encode_header(generation: u64, initial_records: u32, output: &mut Vec<u8>) -> LogEnd {
     let checksum = header_checksum(generation, initial_records);
     output.extend_from_slice(&MAGIC);
@@ -63,7 +67,8 @@
     end_of_header(checksum)
 }
 
-/// Appends a framed record to `output`; `length` is that of `record`. Returns the end of the log after it.
+/// Appends a framed record to `output`. `length` is the length of `record`. Returns the end of the log after
+/// it.
 pub(crate) fn encode_record(
     previous: &LogEnd,
     incarnation: u64,
@@ -80,7 +85,8 @@
     end_after(previous, incarnation, length, checksum)
 }
 
-/// Reads the records up to the first that is not valid; `None` if the header is not that of this generation.
+/// Reads the records up to the first invalid one. Returns `None` if the header is not valid for this
+/// generation.
 pub(crate) fn scan(bytes: &[u8], generation: u64) -> Option<Scan> {
     let (magic, rest) = bytes.split_first_chunk::<8>()?;
     let (number, rest) = rest.split_first_chunk::<8>()?;
@@ -102,11 +108,11 @@
     Some(Scan { is_complete: end.sequence >= u64::from(initial_records), records, end })
 }
 
-/// The length of a record as it is written in its frame.
+/// Returns the length of a record as it is written in its frame.
 ///
 /// # Errors
 ///
-/// [`LogError::TooLong`] beyond [`MAX_RECORD_LENGTH`].
+/// [`LogError::TooLong`] if the record is longer than [`MAX_RECORD_LENGTH`].
 pub(crate) fn record_length(record: &[u8]) -> Result<u32, LogError> {
     let length = record.len();
     u32::try_from(length)
@@ -115,7 +121,8 @@
         .ok_or_else(|| LogError::TooLong(u64::try_from(length).unwrap_or(u64::MAX)))
 }
 
-/// Reads the record at the start of `bytes`; `None` if it is not a valid successor of the `previous` ones.
+/// Decodes the record at the start of `bytes`. Returns `None` if it is not a valid successor of the
+/// `previous` records.
 fn decode_record<'a>(previous: &LogEnd, bytes: &'a [u8]) -> Option<DecodedRecord<'a>> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sequence, rest) = rest.split_first_chunk::<8>()?;
@@ -127,7 +134,7 @@
     if u64::from_le_bytes(*sequence) != previous.sequence {
         return None;
     }
-    // Incarnation 0 is never written, so a hole of zeros is not a record.
+    // Incarnation 0 is never written, so a hole of zeros is not a valid record.
     if incarnation == 0 || incarnation < previous.incarnation {
         return None;
     }
@@ -143,7 +150,7 @@
     LogEnd { offset: HEADER_LENGTH as u64, sequence: 0, checksum, incarnation: 0 }
 }
 
-/// The end of the log after a record.
+/// Returns the end of the log after a record.
 fn end_after(previous: &LogEnd, incarnation: u64, length: u32, checksum: u32) -> LogEnd {
     LogEnd {
         offset: previous.offset.saturating_add(FRAME_LENGTH as u64).saturating_add(u64::from(length)),
--- a/crates/record-log/src/generation.rs
+++ b/crates/record-log/src/generation.rs
@@ -1,7 +1,7 @@
-//! The generations of a log: each rewrite writes a new file, `state.N`, and the newest complete one is valid.
+//! The generations of a log: each rewrite creates a new file `state.N`, and the newest complete one is valid.
 //!
-//! A new generation is written and synced as `state.N.new`, then renamed to `state.N`, then the directory is synced. So
-//! under its final name a file has all records that it was written with.
+//! A new generation is written and synced as `state.N.new` and renamed to `state.N`; then the directory is
+//! synced. So a file with its final name contains all records that it was created with.
 
 use std::io;
 
@@ -9,35 +9,37 @@
 use crate::error::LogError;
 use crate::format::{self, FRAME_LENGTH, HEADER_LENGTH, LogEnd, MAX_FILE_LENGTH, Scan};
 
-/// All generations are smaller. It is never reached by counting, so a greater number in a file name is not a generation.
+/// The exclusive upper bound of generations. It is never reached by counting, so a greater number in a file
+/// name is not a generation.
 const GENERATION_LIMIT: u64 = 1 << 63;
-/// Records are collected up to this length, in bytes, before they are written.
+/// Encoded records are buffered up to this length, in bytes, before they are written.
 pub(crate) const WRITE_BUFFER_LENGTH: usize = 256 << 10;
 
-/// A generation with a valid header that was found on the disk.
+/// A generation found on the disk, with a valid header.
 pub(crate) struct FoundGeneration<D: Disk> {
     pub generation: u64,
     pub file: D::File,
     pub scan: Scan,
-    /// In bytes, with what follows the last valid record; at most one byte more than [`MAX_FILE_LENGTH`].
+    /// The length of the file in bytes, including what follows the last valid record. The file is read up to
+    /// one byte more than [`MAX_FILE_LENGTH`].
     pub file_length: u64,
 }
 
-/// A generation that was written and is durable under its final name.
+/// A new generation that is durable under its final name.
 pub(crate) struct NewGeneration<D: Disk> {
     pub generation: u64,
     pub file: D::File,
     pub end: LogEnd,
 }
 
-/// A new generation could not be made durable.
+/// The error of a new generation that could not be made durable.
 pub(crate) struct PublishError {
     pub cause: LogError,
-    /// Whether the file may exist under its final name, now or after a crash.
+    /// True if the file may exist under its final name, now or after a crash.
     pub may_exist: bool,
 }
 
-/// The first generation that is higher than all among these names.
+/// Returns the first generation that is higher than all generations among these file names.
 ///
 /// # Errors
 ///
@@ -51,12 +53,13 @@
     Ok(next)
 }
 
-/// The newest complete generation among these names, or the newest with a valid header if none is complete.
+/// Finds the newest complete generation among these file names, or the newest one with a valid header if none
+/// is complete.
 ///
 /// # Errors
 ///
-/// [`LogError::Read`] if a newer file than the one found can't be read: it may be the newest complete one, so an older one
-/// must not be used in its place.
+/// [`LogError::Read`] if a file newer than the one found can't be read. It may be the newest complete
+/// generation, so an older one must not be used instead.
 pub(crate) fn find_newest<D: Disk>(
     disk: &mut D,
     names: &[String],
@@ -136,30 +139,30 @@
     Ok(NewGeneration { generation, file, end })
 }
 
-/// The length of a file with these records, in bytes.
+/// Returns the length of a file with these records, in bytes.
 fn encoded_length(records: &[Vec<u8>]) -> u64 {
     records.iter().fold(HEADER_LENGTH as u64, |total, record| {
         total.saturating_add(FRAME_LENGTH as u64).saturating_add(record.len() as u64)
     })
 }
 
-/// The final name of a generation's file.
+/// Returns the final name of a generation's file.
 pub(crate) fn file_name(generation: u64) -> String {
     format!("state.{generation}")
 }
 
-/// The name of a generation's file while it is written.
+/// Returns the name of a generation's file while it is written.
 pub(crate) fn temporary_file_name(generation: u64) -> String {
     format!("state.{generation}.new")
 }
 
-/// The generation whose final file name this is.
+/// Returns the generation whose final file name this is.
 fn parse_file_name(name: &str) -> Option<u64> {
     let number = name.strip_prefix("state.")?.parse::<u64>().ok()?;
     (number < GENERATION_LIMIT && name == file_name(number)).then_some(number)
 }
 
-/// The generation whose final or temporary file name this is.
+/// Returns the generation whose final or temporary file name this is.
 pub(crate) fn parse_any_file_name(name: &str) -> Option<u64> {
     parse_file_name(name.strip_suffix(".new").unwrap_or(name))
 }
--- a/crates/record-log/src/generation_files.rs
+++ b/crates/record-log/src/generation_files.rs
@@ -1,4 +1,5 @@
-//! The generations of one log on its disk: which one is current, and what failed rewrites may have left.
+//! The files of a log's generations on its disk: the current one, and those that failed rewrites may have
+//! left.
 
 use std::io;
 
@@ -12,28 +13,30 @@
     disk: D,
     /// The generation that records are appended to.
     current: u64,
-    /// The generation of the next rewrite; greater than all that were published or attempted.
+    /// The generation of the next rewrite; higher than all that were published or attempted.
     next: u64,
     /// Generations that a failed rewrite may have left under their final names.
     failed: Vec<u64>,
 }
 
 impl<D: Disk> GenerationFiles<D> {
-    /// The files on a disk where generation `current` is valid and none has the number `next` or a higher one.
+    /// Creates the files of a disk where generation `current` is valid, and no generation is `next` or
+    /// higher.
     pub(crate) fn new(disk: D, current: u64, next: u64) -> GenerationFiles<D> {
         GenerationFiles { disk, current, next, failed: Vec::new() }
     }
 
-    /// The number of the current generation.
+    /// Returns the current generation.
     pub(crate) fn current(&self) -> u64 {
         self.current
     }
 
-    /// Makes a new generation durable. It is not the current one before [`GenerationFiles::adopt`].
+    /// Makes a new generation durable. It becomes the current one only with [`GenerationFiles::adopt`].
     ///
     /// # Errors
     ///
-    /// The new file is removed, now or by a later [`GenerationFiles::remove_failed`].
+    /// The new generation could not be written. Its file is removed, now or by a later
+    /// [`GenerationFiles::remove_failed`].
     pub(crate) fn publish(
         &mut self,
         incarnation: u64,
@@ -51,8 +54,8 @@
         })
     }
 
-    /// Makes a published generation the current one, and removes the older ones. One that can't be removed does no harm, since
-    /// the newest complete generation is valid.
+    /// Makes a published generation the current one, and removes the older ones. A file that can't be removed
+    /// does no harm, since the newest complete generation is valid.
     pub(crate) fn adopt(&mut self, generation: u64) {
         let previous = std::mem::replace(&mut self.current, generation);
         for older in self.failed.drain(..).chain([previous]) {
@@ -60,7 +63,8 @@
         }
     }
 
-    /// Removes what failed rewrites left, and syncs the directory so that it does not come back after a crash.
+    /// Removes the files that failed rewrites left, and syncs the directory so that they do not reappear
+    /// after a crash.
     pub(crate) fn remove_failed(&mut self) -> Result<(), LogError> {
         if self.failed.is_empty() {
             return Ok(());
@@ -80,8 +84,8 @@
         Ok(())
     }
 
-    /// Removes the files of all generations among these names, which must be older than the current one. One that can't be
-    /// removed does no harm, since the newest complete generation is valid.
+    /// Removes the files of all generations among these names, which must be older than the current one. A
+    /// file that can't be removed does no harm, since the newest complete generation is valid.
     pub(crate) fn remove_named(&mut self, names: &[String]) {
         for name in names.iter().filter(|name| generation::parse_any_file_name(name).is_some()) {
             let _ = self.disk.remove(name);
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -1,11 +1,12 @@
-//! An append-only log of checksummed records in one file, rewritten when it gets long.
+//! An append-only log of checksummed records in one file, which is rewritten when it gets too long.
 //!
-//! [`RecordLog`] stores its records in a file of a [`Disk`]: a [`Directory`] of the machine, or in tests a disk in
-//! memory that loses power, fills up, fails and hangs. [`LogWriter`] runs a [`DurableLog`] on a thread of its own and
-//! syncs several records together (group commit).
+//! [`RecordLog`] stores its records in a file of a [`Disk`], which is a [`Directory`] of the file system, or
+//! in tests a disk in memory with injected faults. [`LogWriter`] runs a [`DurableLog`] on a thread of its
+//! own, and syncs several records together (group commit).
 //!
-//! Durability: [`DurableLog::append`] syncs nothing; [`DurableLog::sync`] syncs the file and so covers every record that
-//! was appended before; [`DurableLog::rewrite`] syncs the new file before its rename and the directory after it.
+//! Durability: [`DurableLog::append`] does not sync. [`DurableLog::sync`] syncs the file, and so makes every
+//! record durable that was appended before. [`DurableLog::rewrite`] syncs the new file before renaming it,
+//! and the directory after that.
 
 mod directory;
 mod disk;
--- a/crates/record-log/src/log_file.rs
+++ b/crates/record-log/src/log_file.rs
@@ -1,4 +1,4 @@
-//! The file of the current generation, and how far its records are valid and durable.
+//! The file of the current generation, with the ends of its valid and of its durable records.
 
 use std::io;
 
@@ -13,21 +13,22 @@
     file: F,
     /// The end of the records that are in the file.
     end: LogEnd,
-    /// The end of the records that a successful sync has covered; its offset is at most that of `end`.
+    /// The end of the records that a successful sync has covered. Its offset is never above that of `end`.
     synced_end: LogEnd,
-    /// Written into each record. Grows with each opening and whenever records are rolled back, so that what is left of
-    /// those is not taken for a successor of newer records.
+    /// Written into each record. It increases with each opening and whenever records are rolled back, so that
+    /// remains of those are not mistaken for successors of newer records.
     incarnation: u64,
-    /// Whether the file may have bytes after `end`.
+    /// True if the file may have bytes after `end`.
     has_torn_tail: bool,
-    /// Whether the file was changed since the last successful sync.
+    /// True if the file was changed since the last successful sync.
     has_unsynced_changes: bool,
-    /// The encoded record of an append; the allocation is reused, unless the record was a long one.
+    /// The encoded record of an append. Its allocation is reused, unless the record was a long one.
     buffer: Vec<u8>,
 }
 
 impl<F: DiskFile> LogFile<F> {
-    /// A file whose records up to `end` are synced, with nothing after them. `incarnation` is written into further ones.
+    /// Creates a log file whose records up to `end` are synced, with nothing after them. `incarnation` is
+    /// written into the records that follow.
     pub(crate) fn new(file: F, end: LogEnd, incarnation: u64) -> LogFile<F> {
         LogFile {
             file,
@@ -40,17 +41,17 @@
         }
     }
 
-    /// The length of the valid records with the header, in bytes.
+    /// Returns the length of the header and the valid records, in bytes.
     pub(crate) fn length(&self) -> u64 {
         self.end.offset
     }
 
-    /// The incarnation that is written into further records.
+    /// Returns the incarnation that is written into new records.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Goes on with the file of a new generation, which holds synced records up to `end`.
+    /// Switches to the file of a new generation, which contains synced records up to `end`.
     pub(crate) fn replace(&mut self, file: F, end: LogEnd) {
         self.file = file;
         self.end = end;
@@ -59,11 +60,11 @@
         self.has_unsynced_changes = false;
     }
 
-    /// Reads the valid records of the file, which is that of `generation`.
+    /// Reads the valid records of the file, which belongs to `generation`.
     ///
     /// # Errors
     ///
-    /// [`LogError::Read`], also if the file no longer holds these records.
+    /// [`LogError::Read`] if the file can't be read, or no longer contains these records.
     pub(crate) fn read_records(&mut self, generation: u64) -> Result<Vec<Vec<u8>>, LogError> {
         let bytes = self.file.read(self.end.offset).map_err(LogError::Read)?;
         match format::scan(&bytes, generation) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The length of a record that is to be appended, as it is written in its frame.
+    /// Returns the length of a record to append, as it is written in its frame.
     ///
     /// # Errors
     ///
@@ -86,7 +87,7 @@
         Ok(length)
     }
 
-    /// Appends a record of the given [`LogFile::record_length`].
+    /// Appends a record with the given [`LogFile::record_length`].
     ///
     /// # Errors
     ///
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Makes all records durable, if the file was changed.
+    /// Makes all records durable, if the file was changed since the last sync.
     ///
     /// # Errors
     ///
@@ -131,7 +132,8 @@
         self.roll_back_to(self.synced_end);
     }
 
-    /// Truncates the file to `end` if there may be bytes after it; tried again at each append and sync until it succeeds.
+    /// Truncates the file to `end` if there may be bytes after it. If it fails, each append and sync tries
+    /// again.
     pub(crate) fn truncate_torn_tail(&mut self) -> Result<(), LogError> {
         if self.has_torn_tail {
             self.has_unsynced_changes = true;
@@ -141,12 +143,13 @@
         Ok(())
     }
 
-    /// Drops the records after `end`; those may remain in the file, so later ones get a higher incarnation.
+    /// Drops the records after `end`. They may remain in the file, so later records get a higher incarnation.
     fn roll_back_to(&mut self, end: LogEnd) {
         self.end = end;
         self.incarnation = self.incarnation.saturating_add(1);
         self.has_torn_tail = true;
-        // Truncated at once, so that a process that starts after this one was killed does not find them either.
+        // Truncates at once, so that a process that starts after this one was killed does not find the
+        // dropped records either.
         let _ = self.truncate_torn_tail();
     }
 }
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -1,4 +1,4 @@
-//! The log on a disk: generations, of which one is current.
+//! A log on a disk, which is rewritten as a new generation of its file.
 
 mod opening;
 
@@ -12,28 +12,30 @@
 
 pub use opening::OpenedLog;
 
-/// A [`DurableLog`] in a file `state.N` of a [`Disk`]; the newest complete generation N is valid.
+/// A [`DurableLog`] in a file `state.N` of a [`Disk`], where the newest complete generation N is valid.
 ///
-/// What an earlier process left may be only in the caches of the operating system, and if a sync has failed there, no
-/// later one covers it. So opening a log writes all its records again, and a process never appends to a file that it
-/// has not created.
+/// Data of an earlier process may be only in the page cache of the operating system, and if a sync has failed
+/// there, no later sync covers it. Therefore opening a log writes all its records again, and a process never
+/// appends to a file that it has not created.
 #[derive(Debug)]
 pub struct RecordLog<D: Disk = Directory> {
     generations: GenerationFiles<D>,
     /// The file of the current generation.
     file: LogFile<D::File>,
-    /// Whether the records that were found at the opening are durable.
+    /// True if the records that were found on opening are durable.
     is_durable: bool,
 }
 
 impl<D: Disk> RecordLog<D> {
-    /// Whether the records that were found at the opening are durable. If not, because the disk refused writes, they
-    /// are after the next successful [`DurableLog::sync`], which may be called at any time.
+    /// Returns true if the records that were found on opening are durable. If not, because the disk refused
+    /// writes, they become durable with the next successful [`DurableLog::sync`], which may be called at any
+    /// time.
     pub fn is_durable(&self) -> bool {
         self.is_durable
     }
 
-    /// Writes the records that were found at the opening into a file of this process, if that has not been done.
+    /// Writes the records that were found on opening into a file of this process, if that has not been done
+    /// yet.
     fn ensure_durable(&mut self) -> Result<(), LogError> {
         if self.is_durable {
             return Ok(());
@@ -42,7 +44,7 @@
         self.replace_file(&records)
     }
 
-    /// Writes a new generation with these records and goes on with it.
+    /// Writes a new generation with these records and switches to it.
     fn replace_file(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
         let published = self.generations.publish(self.file.incarnation(), records)?;
         let NewGeneration { generation, file, end } = published;
@@ -63,13 +65,14 @@
     fn sync(&mut self) -> Result<(), LogError> {
         self.ensure_durable()?;
         let truncated = self.file.truncate_torn_tail();
-        // While a failed generation may come back after a crash, what is written to this older one may be lost.
+        // While the file of a failed rewrite may reappear after a crash, records that are written to this
+        // older generation may be lost.
         let synced = self.generations.remove_failed().and_then(|()| self.file.sync());
         if synced.is_err() {
             self.file.roll_back_to_synced();
         }
-        // Where the truncation has failed, records that were rolled back may be found again after a restart: the log does not
-        // hold exactly what its caller knows, though what it knows is durable.
+        // If the truncation has failed, records that were rolled back may be found again after a restart: the
+        // log may contain more than its caller knows, although everything that the caller knows is durable.
         synced.and(truncated)
     }
 
--- a/crates/record-log/src/record_log/opening.rs
+++ b/crates/record-log/src/record_log/opening.rs
@@ -1,4 +1,4 @@
-//! Opening a log: finding the valid generation, and writing its records again.
+//! Opens a log: finds the valid generation, and writes its records again.
 
 use std::path::Path;
 
@@ -14,14 +14,14 @@
 /// The incarnation that writes the first records of a new log.
 const FIRST_INCARNATION: u64 = 1;
 
-/// A log that was opened, with what was found in it.
+/// An opened log, with the records that were found in it.
 #[derive(Debug)]
 pub struct OpenedLog<D: Disk = Directory> {
     /// The log.
     pub log: RecordLog<D>,
     /// The records found, in order; see [`RecordLog::is_durable`].
     pub records: Vec<Vec<u8>>,
-    /// The number of bytes after the last valid record, which were discarded.
+    /// The number of bytes that were discarded after the last valid record.
     pub discarded_bytes: u64,
 }
 
@@ -41,7 +41,8 @@
     ///
     /// # Errors
     ///
-    /// The disk can't be read, or a new log can't be created. A disk that can be read but refuses writes is no error.
+    /// The disk can't be read, or a new log can't be created. It is not an error if a disk can be read but
+    /// refuses writes.
     pub fn open_on_disk(mut disk: D) -> Result<OpenedLog<D>, LogError> {
         let names = disk.file_names().map_err(LogError::Read)?;
         let next_generation = generation::first_unused(&names)?;
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -1,4 +1,4 @@
-//! A log on a thread of its own, with group commit.
+//! A writer that runs a log on a thread of its own, with group commit.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU16, AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 
 /// The maximum number of records that share one sync (group commit).
 pub const MAX_GROUP_COMMIT: usize = 256;
-/// The maximum content of the requests that wait for the disk, in bytes.
+/// The maximum total content of the requests that wait for the disk, in bytes.
 pub const MAX_QUEUED_BYTES: u64 = 48 << 20;
 
 /// No [`LogError`] has this code.
@@ -19,15 +19,16 @@
 /// The result of a write that was submitted to a [`LogWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteCompletion {
-    /// The number that the caller submitted the write with, to know it again.
+    /// The token that the caller passed with the write, to identify it.
     pub token: u64,
-    /// Whether the write is durable. If not, it may be found on the disk all the same.
+    /// True if the write is durable. If not, it may still be found on the disk.
     pub is_durable: bool,
 }
 
-/// Runs a [`DurableLog`] on a thread of its own, so that a disk that hangs blocks nobody else.
+/// Runs a [`DurableLog`] on a thread of its own, so that a hanging disk blocks no other thread.
 ///
-/// Dropping the writer does not wait for the thread, which still executes what is queued; see [`LogWriter::close`].
+/// Dropping the writer does not wait for the thread, which still executes the queued requests; see
+/// [`LogWriter::close`].
 #[derive(Debug)]
 pub struct LogWriter {
     queue: SyncSender<WriteRequest>,
@@ -53,10 +54,10 @@
     is_appended: bool,
 }
 
-/// What the thread and the handle share.
+/// The state that the thread and the handle share.
 #[derive(Debug, Default)]
 struct Shared {
-    /// The content of all requests that are queued or executed, in bytes.
+    /// The total content of all requests that are queued or being executed, in bytes.
     queued_bytes: AtomicU64,
     /// The length of the log when the last completion was reported, in bytes.
     length: AtomicU64,
@@ -65,12 +66,13 @@
 }
 
 impl LogWriter {
-    /// Starts the thread. At most `queue_capacity` requests wait, and at least one may. The thread calls `on_completion` once
-    /// for each accepted request, in their order; it must not block, since the log waits for it.
+    /// Starts the thread. The queue holds up to `queue_capacity` requests, and at least one. The thread calls
+    /// `on_completion` once for each accepted request, in their order. It must not block, since the log waits
+    /// for it.
     ///
     /// # Errors
     ///
-    /// [`LogError::StartThread`] if the system has no thread left.
+    /// [`LogError::StartThread`] if the system can't start a thread.
     pub fn start<L, F>(log: L, queue_capacity: usize, on_completion: F) -> Result<LogWriter, LogError>
     where
         L: DurableLog + Send + 'static,
@@ -101,31 +103,31 @@
     ///
     /// # Errors
     ///
-    /// As for [`LogWriter::append`].
+    /// See [`LogWriter::append`].
     pub fn rewrite(&self, token: u64, records: Vec<Vec<u8>>) -> Result<(), LogError> {
         let bytes = total_length(&records);
         self.send(bytes, WriteRequest::Rewrite(Rewrite { token, records }))
     }
 
-    /// The length of the log when the last completion was reported, in bytes.
+    /// Returns the length of the log when the last completion was reported, in bytes.
     pub fn length(&self) -> u64 {
         self.shared.length.load(Ordering::Relaxed)
     }
 
-    /// The [code](LogError::code) of the last error of the log; `None` if there was none.
+    /// Returns the [code](LogError::code) of the last error of the log; `None` if there was none.
     pub fn last_error_code(&self) -> Option<u16> {
         let code = self.shared.last_error_code.load(Ordering::Relaxed);
         (code != NO_ERROR).then_some(code)
     }
 
-    /// Waits until all queued requests are executed. Blocks for as long as the disk hangs, so it must not be called
-    /// on a thread that serves others.
+    /// Waits until all queued requests are executed. This blocks for as long as the disk hangs, so it must
+    /// not be called on a thread that serves other tasks.
     pub fn close(self) {
         drop(self.queue);
         let _ = self.thread.join();
     }
 
-    /// Queues a request with `bytes` of content, or rejects it if there is too much in the queue.
+    /// Queues a request with `bytes` of content, or rejects it if the queue is full.
     fn send(&self, bytes: u64, request: WriteRequest) -> Result<(), LogError> {
         let queued_before = self.shared.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         let sent = if queued_before.saturating_add(bytes) > MAX_QUEUED_BYTES {
@@ -149,7 +151,7 @@
         self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Stores the code of the error, if any. Returns whether the operation succeeded.
+    /// Stores the code of the error, if any. Returns true if the operation succeeded.
     fn record_result(&self, result: Result<(), LogError>) -> bool {
         match result {
             Ok(()) => true,
@@ -161,7 +163,7 @@
     }
 }
 
-/// The thread: it executes the requests in their order.
+/// The state of the thread, which executes the requests in their order.
 struct Worker<L, F> {
     log: L,
     requests: Receiver<WriteRequest>,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Appends the records that wait, up to the next rewrite, which is returned unexecuted.
+    /// Appends the waiting records up to the next rewrite, which is returned unexecuted.
     fn append_group(&mut self, first: WriteRequest) -> (Vec<Appended>, Option<Rewrite>) {
         let mut group = Vec::new();
         let mut next = Some(first);
@@ -200,7 +202,8 @@
         (group, None)
     }
 
-    /// Syncs the appended records, then reports each: none is durable before the sync, and none if it failed.
+    /// Syncs the appended records, then reports each of them. None is durable before the sync, or if it
+    /// failed.
     fn commit_group(&mut self, group: Vec<Appended>) {
         let has_records = group.iter().any(|appended| appended.is_appended);
         let is_synced = has_records && self.shared.record_result(self.log.sync());
@@ -220,13 +223,13 @@
         (self.on_completion)(WriteCompletion { token, is_durable });
     }
 
-    /// Lets [`LogWriter::length`] return the present length of the log.
+    /// Updates the length that [`LogWriter::length`] returns.
     fn publish_length(&self) {
         self.shared.length.store(self.log.length(), Ordering::Relaxed);
     }
 }
 
-/// The content of these records, in bytes.
+/// Returns the total content of these records, in bytes.
 fn total_length(records: &[Vec<u8>]) -> u64 {
     records.iter().fold(0, |sum: u64, record| sum.saturating_add(record.len() as u64))
 }
--- a/crates/record-log/tests/contract.rs
+++ b/crates/record-log/tests/contract.rs
@@ -1,4 +1,4 @@
-//! What every log does, on a disk in memory and in a directory of the machine.
+//! The contract of every log, tested on a disk in memory and in a directory of the file system.
 
 mod memory_disk;
 
@@ -8,7 +8,7 @@
     OpenedLog, RecordLog,
 };
 
-/// Where a log is opened again and again.
+/// A place where a log can be opened repeatedly.
 trait Location {
     type Disk: Disk;
     fn disk(&self) -> Self::Disk;
@@ -131,7 +131,7 @@
     log.sync().unwrap();
 }
 
-fn files_of_other_names_are_left_alone(location: &impl Location) {
+fn files_with_other_names_are_not_changed(location: &impl Location) {
     let mut disk = location.disk();
     for name in ["state.x", "state.01", "state.", "other", "state.7.new.new"] {
         disk.create(name).unwrap();
@@ -164,7 +164,7 @@
 
 contract! {
     a_new_log_is_empty records_are_kept_in_order reopening_continues_after_the_last_record a_rewrite_replaces_all_records a_rewrite_may_exceed_the_write_buffer
-    records_and_files_that_are_too_long_are_rejected files_of_other_names_are_left_alone
+    records_and_files_that_are_too_long_are_rejected files_with_other_names_are_not_changed
 }
 
 #[test]
--- a/crates/record-log/tests/disk_failures.rs
+++ b/crates/record-log/tests/disk_failures.rs
@@ -1,4 +1,4 @@
-//! Disks that fail, fill up and lose power.
+//! Logs on disks that fail, fill up and lose power.
 
 mod memory_disk;
 
@@ -65,7 +65,7 @@
             let is_new = found == to_records(&NEW);
             assert!(is_new || (!succeeded && found == to_records(&OLD)), "{found:?}");
             seen[usize::from(is_new)] += 1;
-            // What is found is durable, and so is what is appended to it.
+            // The records that were found are durable, and so are those appended to them.
             log.append(b"next").unwrap();
             log.sync().unwrap();
             disk.lose_power(&mut random);
@@ -90,7 +90,7 @@
         let found = open(&disk).records;
         assert!(found == to_records(&NEW) || (!succeeded && found == to_records(&OLD)));
         disk.lose_power(&mut Pcg32::new(steps, 3));
-        assert_eq!(open(&disk).records, found, "what was found once is durable");
+        assert_eq!(open(&disk).records, found, "records that were found once are durable");
     }
 }
 
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn records_after_a_hole_are_never_appended_to() {
+fn new_records_are_never_appended_after_a_hole() {
     for seed in 0..300 {
         let mut random = Pcg32::new(seed, 6);
         let (disk, mut log) = log_with_old_records();
@@ -206,7 +206,7 @@
     disk.fail_next_sync(&mut Pcg32::new(1, 1));
     log.sync().unwrap_err();
     log.append(b"again").unwrap();
-    // As if the truncation had not reached the disk.
+    // Simulates a truncation that did not reach the disk.
     let mut bytes = disk.contents("state.1").unwrap();
     assert_eq!(bytes.len(), end);
     bytes.extend_from_slice(&stale[end..]);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn after_a_failed_sync_at_the_opening_the_next_one_does_not_trust_the_caches() {
+fn an_opening_after_a_failed_sync_does_not_rely_on_the_page_cache() {
     for seed in 0..200 {
         let mut random = Pcg32::new(seed, 11);
         let (disk, mut log) = log_with_old_records();
@@ -245,7 +245,7 @@
         assert!(matches!(log.sync(), Err(LogError::Sync(_))));
         assert_eq!(log.length(), length);
         if seed % 3 == 0 {
-            // A process that starts now does not take what is only in the caches for durable.
+            // A process that starts now must not consider data durable that is only in the page cache.
             drop(log);
             assert_eq!(open(&disk).records, to_records(&OLD));
             continue;
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_sync_without_changes_does_no_operation() {
+fn a_sync_without_changes_performs_no_disk_operation() {
     let (disk, mut log) = log_with_old_records();
     let before = disk.operation_count();
     log.sync().unwrap();
@@ -281,7 +281,7 @@
             log.append(&[number; 30]).unwrap();
         }
         disk.lose_power(&mut Pcg32::new(seed, 8));
-        assert!(log.append(b"late").is_err(), "an open file ends with the power");
+        assert!(log.append(b"late").is_err(), "a power loss closes open files");
         let found = open(&disk).records;
         let all = [to_records(&OLD), (0..4u8).map(|number| vec![number; 30]).collect()].concat();
         assert!(found.len() >= 3 && all.starts_with(&found), "{found:?}");
--- a/crates/record-log/tests/memory_disk/mod.rs
+++ b/crates/record-log/tests/memory_disk/mod.rs
@@ -11,15 +11,16 @@
 use rand_core::RngCore;
 use unsynced::{ContentChange, Inode, NameChange, Names, Survival};
 
-/// A disk in memory that loses power, fills up, fails and hangs when a test demands it. Clones are the same disk.
+/// A disk in memory that loses power, fills up, fails or hangs when a test requests it. Clones share the same
+/// disk.
 ///
-/// After a loss of power each change since the last sync that covered it is there, torn or missing, each for itself.
+/// After a power loss each unsynced change is independently present, torn or missing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemoryDisk {
     shared: Arc<Shared>,
 }
 
-/// An open file of a [`MemoryDisk`]; a loss of power closes it.
+/// An open file of a [`MemoryDisk`]. A power loss closes it.
 #[derive(Debug)]
 pub(crate) struct MemoryFile {
     disk: MemoryDisk,
@@ -38,33 +39,33 @@
 struct DiskState {
     names: Names,
     durable_names: Names,
-    /// What leads from `durable_names` to `names`.
+    /// The changes that lead from `durable_names` to `names`.
     unsynced_names: Vec<NameChange>,
     inodes: BTreeMap<u64, Inode>,
     last_inode: u64,
     /// The number of power losses so far.
     power_cycle: u64,
-    /// `None`: unlimited.
+    /// The bytes that can still be written; `None` if unlimited.
     free_bytes: Option<u64>,
-    /// Operations so far, see [`MemoryDisk::operation_count`].
+    /// The number of operations so far, see [`MemoryDisk::operation_count`].
     operations: u64,
-    /// `None`: operations succeed.
+    /// The number of operations that still succeed; `None` if all do.
     operations_until_failure: Option<u64>,
     file_syncs: u64,
-    /// One element for each sync that is to fail: which changes it loses.
+    /// One element for each sync that will fail; its bits determine which changes are lost.
     failing_syncs: Vec<u64>,
     is_suspended: bool,
-    /// Changes of a file's length fail.
+    /// True if changes of a file's length fail.
     rejects_truncation: bool,
 }
 
 impl MemoryDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub(crate) fn new() -> MemoryDisk {
         MemoryDisk::default()
     }
 
-    /// Loses power and gets it back: injected faults end, open files are closed.
+    /// Simulates a power loss and the return of power. Injected faults end, and open files are closed.
     pub(crate) fn lose_power(&self, random: &mut dyn RngCore) {
         let mut state = self.lock();
         let survival = Survival::draw(random);
@@ -82,34 +83,35 @@
         self.shared.resumed.notify_all();
     }
 
-    /// Limits the bytes that can still be written; `None`: no limit. With 0 left no file can be created either.
+    /// Limits the bytes that can still be written; `None` removes the limit. With 0 left no file can be
+    /// created either.
     pub(crate) fn set_free_space(&self, bytes: Option<u64>) {
         self.lock().free_bytes = bytes;
     }
 
-    /// After this many more operations each one fails, until the power is lost or [`MemoryDisk::clear_failure`] is
+    /// Makes each operation after this many fail, until power is lost or [`MemoryDisk::clear_failure`] is
     /// called.
     pub(crate) fn fail_after_operations(&self, operations: u64) {
         self.lock().operations_until_failure = Some(operations);
     }
 
-    /// Operations succeed again.
+    /// Makes operations succeed again.
     pub(crate) fn clear_failure(&self) {
         self.lock().operations_until_failure = None;
     }
 
-    /// Makes the next sync of a file fail; a part of what it should have covered is lost and no later sync brings it
-    /// back. Several calls add up.
+    /// Makes the next sync of a file fail. Some of the changes that it should cover are lost, and no later
+    /// sync makes them durable. Several calls add up.
     pub(crate) fn fail_next_sync(&self, random: &mut dyn RngCore) {
         self.lock().failing_syncs.push(random.next_u64());
     }
 
-    /// Whether changes of a file's length fail from now on.
+    /// Sets whether changes of a file's length fail from now on.
     pub(crate) fn reject_truncation(&self, rejects: bool) {
         self.lock().rejects_truncation = rejects;
     }
 
-    /// Makes the disk hang: operations block until [`MemoryDisk::resume`] or a loss of power.
+    /// Makes the disk hang: operations block until [`MemoryDisk::resume`] or a power loss.
     pub(crate) fn suspend(&self) {
         self.lock().is_suspended = true;
     }
@@ -120,29 +122,30 @@
         self.shared.resumed.notify_all();
     }
 
-    /// The number of operations so far: creating, writing, setting a length, renaming, removing, syncing.
+    /// Returns the number of operations so far: creating, writing, setting a length, renaming, removing and
+    /// syncing.
     pub(crate) fn operation_count(&self) -> u64 {
         self.lock().operations
     }
 
-    /// The number of file syncs so far.
+    /// Returns the number of file syncs so far.
     pub(crate) fn file_sync_count(&self) -> u64 {
         self.lock().file_syncs
     }
 
-    /// The names of all files, in order.
+    /// Returns the names of all files, in order.
     pub(crate) fn list(&self) -> Vec<String> {
         self.lock().names.keys().cloned().collect()
     }
 
-    /// The content of a file.
+    /// Returns the content of a file.
     pub(crate) fn contents(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.lock();
         let inode = state.inodes.get(state.names.get(name)?)?;
         Some(inode.content().to_vec())
     }
 
-    /// Puts a durable file on the disk.
+    /// Adds a durable file to the disk.
     pub(crate) fn put_durable_file(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.lock();
         let number = state.add_inode(Inode::new_durable(bytes));
@@ -154,7 +157,7 @@
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The state as soon as the disk does not hang.
+    /// Waits until the disk does not hang. Returns its state.
     fn wait_until_resumed(&self) -> MutexGuard<'_, DiskState> {
         let state = self.lock();
         self.shared
@@ -163,7 +166,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The state for one operation that changes something.
+    /// Returns the state for one operation that changes something.
     fn begin_operation(&self) -> io::Result<MutexGuard<'_, DiskState>> {
         let mut state = self.wait_until_resumed();
         state.count_operation()?;
@@ -189,7 +192,7 @@
         Ok(())
     }
 
-    /// Takes up to this many bytes of the free space; how many there were.
+    /// Allocates up to this many bytes of free space. Returns how many were allocated.
     fn allocate(&mut self, bytes: usize) -> usize {
         let Some(free_bytes) = &mut self.free_bytes else { return bytes };
         let fitting = usize::try_from(*free_bytes).unwrap_or(usize::MAX).min(bytes);
@@ -204,7 +207,7 @@
         self.is_suspended = false;
     }
 
-    /// Makes the creation of a file durable. Renames and removals of it need a sync of the directory.
+    /// Makes the creation of a file durable. Renaming or removing it requires a sync of the directory.
     fn sync_creation(&mut self, number: u64) {
         let DiskState { unsynced_names, durable_names, .. } = self;
         unsynced_names.retain(|change| match change {
--- a/crates/record-log/tests/memory_disk/unsynced.rs
+++ b/crates/record-log/tests/memory_disk/unsynced.rs
@@ -1,17 +1,17 @@
-//! Changes that a [`MemoryDisk`](super::MemoryDisk) has made and not synced, and what a loss of power leaves of them.
+//! Unsynced changes of a [`MemoryDisk`](super::MemoryDisk), and how they survive a power loss.
 
 use std::collections::BTreeMap;
 
 use rand_core::RngCore;
 
-/// How much of the unsynced changes is found after a loss of power.
+/// How many of the unsynced changes survive a power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Survival {
     /// All of them.
     All,
     /// None of them.
     Nothing,
-    /// Each for itself: all of it, a part of it or nothing.
+    /// Each change independently survives completely, partly or not at all.
     Mixed,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Files by name, as inode numbers.
+/// The inode numbers of files by name.
 pub(super) type Names = BTreeMap<String, u64>;
 
 /// A change of the directory.
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Applies all of the change, its first or last bytes, or nothing.
+    /// Applies all of the change, only its first or last bytes, or nothing.
     fn apply_torn(self, content: &mut Vec<u8>, random: &mut dyn RngCore) {
         let kind = random.next_u32() % 4;
         match (kind, self) {
@@ -114,11 +114,11 @@
 /// The content of a file.
 #[derive(Debug, Default)]
 pub(super) struct Inode {
-    /// What is read.
+    /// The content that is read.
     current: Vec<u8>,
-    /// What is on the disk for certain.
+    /// The content that is certainly on the disk.
     durable: Vec<u8>,
-    /// What leads from `durable` to `current`, unless a sync has failed.
+    /// The changes that lead from `durable` to `current`, unless a sync has failed.
     unsynced: Vec<ContentChange>,
 }
 
@@ -136,7 +136,7 @@
         self.unsynced.push(change);
     }
 
-    /// Makes all changes durable; of a sync that fails the bits say which change is lost for good.
+    /// Makes all changes durable. If the sync fails, the bits determine which changes are permanently lost.
     pub(super) fn sync(&mut self, failure_bits: Option<u64>) {
         for (position, change) in std::mem::take(&mut self.unsynced).into_iter().enumerate() {
             match failure_bits {
--- a/crates/record-log/tests/model.rs
+++ b/crates/record-log/tests/model.rs
@@ -1,4 +1,5 @@
-//! Arbitrary sequences of operations and faults of the disk: synced records are there, in order, and no others appear.
+//! Model test with arbitrary sequences of operations and disk faults: synced records are found in order, and
+//! no others appear.
 
 mod memory_disk;
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// Records that may be found: a prefix of them with at least the first `durable_count`.
+/// The records that may be found: any prefix of `records` with at least the first `durable_count`.
 #[derive(Clone, Debug, Default)]
 struct PossibleRecords {
     records: Vec<Vec<u8>>,
@@ -53,7 +54,7 @@
     disk: MemoryDisk,
     log: Option<RecordLog<MemoryDisk>>,
     expected: PossibleRecords,
-    /// What failed operations may have left since the last successful sync.
+    /// The records that failed operations may have left since the last successful sync.
     alternatives: Vec<PossibleRecords>,
     number: u32,
 }
@@ -64,7 +65,7 @@
         Model { disk, log: None, expected: PossibleRecords::default(), alternatives: Vec::new(), number: 0 }
     }
 
-    /// No two records are equal.
+    /// Returns a new record, different from all earlier ones.
     fn record(&mut self, size: u8) -> Vec<u8> {
         self.number += 1;
         let mut record = self.number.to_le_bytes().to_vec();
@@ -85,7 +86,7 @@
             &mut self.expected,
             PossibleRecords { durable_count: found.len(), records: found },
         );
-        // What is found on a disk that refuses writes may not be found again.
+        // Records that are found on a disk that refuses writes may not be found again.
         if log.is_durable() {
             self.alternatives.clear();
         } else {
@@ -130,15 +131,15 @@
     fn append(&mut self, log: &mut RecordLog<MemoryDisk>, size: u8) {
         let was_durable = log.is_durable();
         let record = self.record(size);
-        let mut longer = self.expected.clone();
-        longer.records.push(record.clone());
+        let mut with_record = self.expected.clone();
+        with_record.records.push(record.clone());
         let appended = log.append(&record);
         if !was_durable && log.is_durable() {
             self.alternatives.clear();
         }
         match appended {
-            Ok(()) => self.expected = longer,
-            Err(_) => self.alternatives.push(longer),
+            Ok(()) => self.expected = with_record,
+            Err(_) => self.alternatives.push(with_record),
         }
     }
 
@@ -177,7 +178,7 @@
     for step in &steps {
         model.step(step)?;
     }
-    // Finally the power is lost and the disk works again.
+    // Finally power is lost, and the disk works again.
     model.step(&Step::PowerLoss(steps.len() as u64))?;
     model.disk.clear_failure();
     model.open()?;
--- a/crates/record-log/tests/recovery.rs
+++ b/crates/record-log/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What is found in a damaged file.
+//! Recovery of records from damaged files.
 
 mod memory_disk;
 
@@ -12,7 +12,7 @@
     SIZES.iter().enumerate().map(|(number, size)| vec![number as u8 + 1; *size]).collect()
 }
 
-/// The bytes of a file with the sample in it, a part of it from a rewrite.
+/// Returns the bytes of a file with the sample records, the first two of which come from a rewrite.
 fn file() -> Vec<u8> {
     let disk = MemoryDisk::new();
     let OpenedLog { mut log, .. } = RecordLog::open_on_disk(disk.clone()).unwrap();
@@ -25,7 +25,7 @@
     disk.contents("state.2").unwrap()
 }
 
-/// The records found in a file of these bytes, after one more was appended and the log was opened again.
+/// Returns the records found in a file of these bytes. Also appends one more and opens the log again.
 fn recovered(bytes: Vec<u8>) -> Vec<Vec<u8>> {
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.2", bytes);
@@ -40,7 +40,7 @@
     found
 }
 
-/// How many records end at or before an offset.
+/// Returns how many records end at or before an offset.
 fn complete_records_before(offset: usize) -> usize {
     let mut end = HEADER_LENGTH;
     SIZES
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn records_end_before_one_out_of_sequence() {
+fn records_end_before_a_record_out_of_sequence() {
     let file = file();
     let ends: Vec<usize> = SIZES
         .iter()
@@ -103,7 +103,7 @@
             Some(*end)
         })
         .collect();
-    // One is missing; one is there twice; two are exchanged.
+    // One record is missing; one is duplicated; two are swapped.
     let part = |from: usize, to: usize| file[ends[from]..ends[to]].to_vec();
     let head = file[..ends[1]].to_vec();
     for tail in [part(2, 5), [part(1, 2), part(1, 2)].concat(), [part(2, 3), part(1, 2), part(3, 5)].concat()]
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_newest_complete_generation_wins() {
+fn the_newest_complete_generation_is_used() {
     let old = file();
     let disk = MemoryDisk::new();
     disk.put_durable_file("state.2", old.clone());
--- a/crates/record-log/tests/writer.rs
+++ b/crates/record-log/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The writer thread: order, group commit, bounds, a disk that hangs.
+//! The writer thread: order of completions, group commit, queue limits, and a hanging disk.
 
 mod memory_disk;
 
@@ -67,7 +67,7 @@
     let (writer, completions) = start(&disk, 4);
     disk.suspend();
     let accepted = (0..100).filter(|token| writer.append(*token, vec![1]).is_ok()).count();
-    // The thread may have taken one out of the queue.
+    // The thread may have taken one request out of the queue.
     assert!(accepted == 4 || accepted == 5, "{accepted}");
     assert!(matches!(writer.append(1, vec![1]), Err(LogError::QueueFull)));
     assert!(matches!(writer.rewrite(1, vec![]), Err(LogError::QueueFull)));
