--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariant *shutdowns survive failures*: only a control node with quorum contact acknowledges a shutdown,
 //! and only once enough members have the entry on disk that it survives the tolerated number of simultaneous
-//! failures and a power loss of all members.
+//! failures together with a power loss of all other members.
 
 use core::net::SocketAddrV4;
 use std::collections::BTreeSet;
@@ -59,7 +59,7 @@
 
 impl ReplicaSet {
     /// Returns how many members have to store an entry durably. If there are fewer members than that, the
-    /// tolerated failures have already happened and nothing is acknowledged.
+    /// tolerated failures have already happened, and nothing is acknowledged.
     ///
     /// If no failures are tolerated, a second member stores the entry if there is one, so that proxies learn
     /// of it while the first one restarts.
@@ -93,7 +93,7 @@
     pending: BTreeSet<SocketAddrV4>,
     /// Members that store the entry durably; disjoint from `pending`.
     replicas: BTreeSet<SocketAddrV4>,
-    /// The server does not receive an acknowledgement that is sent after this.
+    /// The end of the time in which an acknowledgement still reaches the server.
     deadline: Instant,
     faults: Faults,
 }
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Decides on a server's call that the registry has already recorded.
+    /// Decides on a server's call, which the registry has already recorded.
     ///
     /// The decision depends on the entry in force, whichever control node published it: a server that repeats
     /// its call at another control node is not acknowledged there before there are enough replicas either.
--- a/crates/control-plane/src/durable_entries.rs
+++ b/crates/control-plane/src/durable_entries.rs
@@ -87,8 +87,7 @@
         Some(RegistryRecord { token, delta })
     }
 
-    /// Records the completion of a write. The completion of a record that was queued after a failed one has
-    /// no effect.
+    /// Records the completion of a write. It has no effect if the record was queued after one that failed.
     pub fn complete(&mut self, token: u64, is_durable: bool) {
         let Some(position) = self.pending.iter().position(|record| record.token == token) else { return };
         if !is_durable {
--- a/crates/control-plane/tests/acknowledgement.rs
+++ b/crates/control-plane/tests/acknowledgement.rs
@@ -192,7 +192,7 @@
 
 /// A node that is not a member may fail in addition to the tolerated failures of members.
 #[test]
-fn the_replica_of_a_node_that_is_no_member_does_not_count() {
+fn the_replica_of_a_node_that_is_not_a_member_does_not_count() {
     let mut replication = start_replication(&replica_set(3, 1), None);
     replication.record_reply(address(9), Some(&vector_with_entry()));
     replication.record_reply(address(1), Some(&vector_with_entry()));
--- a/crates/control-plane/tests/fleet/fault_actions.rs
+++ b/crates/control-plane/tests/fleet/fault_actions.rs
@@ -55,12 +55,12 @@
 
 impl FaultAction {
     /// Returns true if the action applies to an acknowledgement by this control node.
-    pub(crate) fn is_for(&self, control_node: usize) -> bool {
+    pub(crate) fn applies_to(&self, control_node: usize) -> bool {
         !matches!(self, FaultAction::LoseReplicas { only_node: Some(only_node), .. } if *only_node != control_node)
     }
 
     /// Returns the same action, applied to this acknowledged shutdown.
-    pub(crate) fn after_shutdown(self, control_node: usize, server: usize, id: &str) -> FaultAction {
+    pub(crate) fn for_shutdown(self, control_node: usize, server: usize, id: &str) -> FaultAction {
         match self {
             FaultAction::LoseReplicas { only_node, .. } => FaultAction::LoseReplicas {
                 only_node,
--- a/crates/control-plane/tests/fleet/server.rs
+++ b/crates/control-plane/tests/fleet/server.rs
@@ -164,10 +164,10 @@
     /// to acknowledge one.
     pub(crate) fn before_shutdown_acknowledgement(&mut self, control_node: usize, from: Party, id: &str) {
         let Party::Server(server) = from else { return };
-        if let Some(action) = self.after_shutdown.take_if(|action| action.is_for(control_node)) {
+        if let Some(action) = self.after_shutdown.take_if(|action| action.applies_to(control_node)) {
             // The server ends as well, so that it does not repeat its call.
             self.servers[server].lifecycle = Lifecycle::Acknowledged { until: self.now() };
-            self.after(Duration::ZERO, Event::Fault(action.after_shutdown(control_node, server, id)));
+            self.after(Duration::ZERO, Event::Fault(action.for_shutdown(control_node, server, id)));
         }
     }
 
--- a/crates/lease/src/role/mod.rs
+++ b/crates/lease/src/role/mod.rs
@@ -27,7 +27,7 @@
 /// What the member knows about the role, and what it is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It does not take part until the reason no longer applies.
+    /// The member does not take part until the reason no longer applies.
     Inactive(InactiveReason),
     /// A call has failed or the watch was lost, so the holder is not known. The store is read again at
     /// `read_at`.
--- a/crates/lease/src/role/renewal.rs
+++ b/crates/lease/src/role/renewal.rs
@@ -32,7 +32,7 @@
         {
             tenure.permit_until = tenure.permit_until.max(sent_at + self.timing.permit_duration());
             tenure.renewal = Renewal::Due(sent_at + self.timing.renewal_interval);
-            // If the watch had a gap: the store responds again, so it can be read.
+            // If the watch had a gap, the store is read again now that it responds.
             if !std::mem::replace(&mut tenure.is_watching, true) {
                 commands.push(Command::ReadAndWatch);
             }
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -27,7 +27,8 @@
         self.lease_duration - self.drift_over(self.lease_duration)
     }
 
-    /// Returns how long to wait, by this clock, until a lease of unknown age has certainly expired.
+    /// Returns how long to wait, by this clock, until a lease about which nothing more is known has certainly
+    /// expired.
     pub fn expiry_wait(&self) -> Duration {
         self.lease_duration + self.drift_over(self.lease_duration)
     }
--- a/crates/lease/tests/model/main.rs
+++ b/crates/lease/tests/model/main.rs
@@ -76,7 +76,7 @@
 /// one acts within three lease durations: one for a lease of which nothing is known, one for the wait after a
 /// gap, and one for both combined.
 #[test]
-fn three_members_are_safe_under_all_faults_and_one_acts_once_they_have_ended() {
+fn three_members_are_safe_under_all_faults_and_one_acts_after_they_end() {
     for seed in SEEDS {
         let mut schedule = RandomSchedule::run(seed, Mutant::None);
         assert!(schedule.is_safe, "seed {seed}: two members may act");
--- a/crates/registry/tests/failure_detection.rs
+++ b/crates/registry/tests/failure_detection.rs
@@ -28,7 +28,7 @@
     first
 }
 
-/// Sends another control node a digest of the heartbeats that one has received since an instant.
+/// Sends the control node `to` a digest of the heartbeats that `from` has received since `since`.
 fn send_digest(now: Instant, from: &Registry, since: Instant, to: &mut Registry) {
     let digest = from.heartbeats_since(since);
     to.record_remote_heartbeats(now, from.local_id(), &digest);
--- a/crates/registry/tests/fleet/fleet.rs
+++ b/crates/registry/tests/fleet/fleet.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Sends another control node a digest of the heartbeats that one has received recently.
+    /// Sends the control node `to` a digest of the heartbeats that `from` has received recently.
     fn send_digest(&mut self, now: Instant, from: usize, to: usize) {
         let digest = self.control_nodes[from].heartbeats_since(now - DIGEST_WINDOW);
         let source = self.control_nodes[from].local_id();
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Sends another control node a digest of the heartbeats that one has received since an instant.
+/// Sends the control node `to` a digest of the heartbeats that `from` has received since `since`.
 fn send_digest(now: Instant, nodes: &mut [Registry], from: usize, to: usize, since: Instant) {
     let digest = nodes[from].heartbeats_since(since);
     let source = nodes[from].local_id();
