--- a/crates/control-plane/tests/fleet/stage_role.rs
+++ b/crates/control-plane/tests/fleet/stage_role.rs
@@ -22,7 +22,7 @@
 /// The stage role in one term.
 struct ActiveRole {
     term: Term,
-    tenure: TakeoverDelay,
+    takeover_delay: TakeoverDelay,
     scheduler: StageScheduler,
 }
 
@@ -41,11 +41,13 @@
         };
         if process.stage_role.current.as_ref().is_none_or(|current| current.term != term) {
             let scheduler = StageScheduler::new(StagePolicy::default());
-            let tenure = TakeoverDelay::begin(now, LEASE);
-            process.stage_role.current = Some(ActiveRole { term, tenure, scheduler });
+            let takeover_delay = TakeoverDelay::begin(now, LEASE);
+            process.stage_role.current = Some(ActiveRole { term, takeover_delay, scheduler });
         }
-        let Some(ActiveRole { tenure, scheduler, .. }) = &mut process.stage_role.current else { return };
-        if !tenure.may_send_commands(now) {
+        let Some(ActiveRole { takeover_delay, scheduler, .. }) = &mut process.stage_role.current else {
+            return;
+        };
+        if !takeover_delay.may_send_commands(now) {
             return;
         }
         let token = match self.faults.token_without_term {
