--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one server, and its outcome is derived from what has been proven.
+//! One attempt: sends a request to one server and determines from the exchange if the server may have run it.
 
 use std::rc::Rc;
 
@@ -17,13 +17,13 @@
 use crate::server_request::{ServerRequest, Target};
 use crate::server_response::ServerResponse;
 
-/// How many connections one attempt may use: a pooled one may turn out to have been closed by the server.
+/// The maximum number of connections that one attempt tries: the server may already have closed a pooled one.
 const MAX_CONNECTIONS_PER_ATTEMPT: usize = 4;
 
 /// A connection for one request.
 struct RequestConnection {
     connection: PooledConnection,
-    /// Whether it has carried requests before.
+    /// True if it has carried requests before.
     is_reused: bool,
 }
 
@@ -31,7 +31,7 @@
 pub(crate) enum AttemptOutcome {
     /// The head of the response to this very request has arrived.
     Responded(ServerResponse),
-    /// The request was not sent completely, so no server can have run it.
+    /// The request was not sent completely, so the server can't have run it.
     NotDelivered(ServerFailure),
     /// The server states that it did not run the request and never will.
     Rejected(StatusCode),
@@ -59,10 +59,11 @@
     }
 }
 
-/// What a failed exchange proves; `None` where the attempt may be continued on another connection.
+/// The outcome of a failed exchange; `None` if the attempt may continue on another connection.
 fn failed_exchange(request: &ServerRequest, error: SendError, is_reused: bool) -> Option<AttemptOutcome> {
     let timed_out = error.kind == SendErrorKind::DeadlinePassed;
-    // A server may begin with the last byte: only a request that was not sent completely cannot have run.
+    // A server may run a request as soon as it has the last byte. Only a request that was not sent completely is known
+    // not to have run.
     if !RetryPolicy::OnlyIfNeverSent.allows(error.progress) {
         return Some(if timed_out { AttemptOutcome::TimedOut } else { AttemptOutcome::Broken });
     }
@@ -75,7 +76,7 @@
 }
 
 impl DataPlane {
-    /// The server with this id as the target of an attempt; `None` where it is no longer known.
+    /// The server with this id as the target of an attempt; `None` if it is no longer registered.
     pub(crate) fn target(&self, service: &Service, id: &Rc<str>) -> Option<Target> {
         let router = self.router.borrow();
         let address = router.endpoints().get(id)?.server.address;
@@ -121,7 +122,7 @@
         AttemptOutcome::NotDelivered(ServerFailure::BrokenResponse)
     }
 
-    /// An idle connection for the request, or else a new one.
+    /// Takes an idle connection for the request, or opens a new one.
     async fn connect(
         &self,
         target: &Target,
@@ -147,7 +148,7 @@
     ) -> AttemptOutcome {
         let (head, body) = response.into_parts();
         self.record_received(&target.id);
-        // A surplus response to an earlier request may arrive where this one's is due (PROTOCOL.md, Servers).
+        // A surplus response to an earlier request may arrive in place of the response to this one (PROTOCOL.md, Servers).
         if !request.is_answered_by(&head) {
             return AttemptOutcome::Broken;
         }
--- a/crates/data-plane/src/buffered_request.rs
+++ b/crates/data-plane/src/buffered_request.rs
@@ -1,4 +1,5 @@
-//! Requests without a prompt: the response is buffered before it is forwarded, so that a broken one can be replaced.
+//! Requests without a prompt. Their responses are buffered before they are forwarded, so that the request can be retried
+//! after a broken response.
 
 use std::rc::Rc;
 
@@ -17,21 +18,21 @@
 use crate::server_request::Target;
 use crate::server_response::{ServerResponse, is_sealed, promises_not_executed};
 
-/// A server is not taken for unresponsive sooner.
+/// A server counts as unresponsive only after at least this time without a byte from it.
 const MIN_SILENCE: Duration = Duration::from_millis(40);
 
-/// A server's response once its body has been read.
+/// A server's response after its body has been read.
 enum BufferedResponse {
-    /// A success that bears the server's seal.
+    /// A successful response with the server's seal.
     Success(Response<ResponseBody>),
-    /// An error of the server's own.
+    /// An error response that the server itself made.
     Error(Response<ResponseBody>),
-    /// No complete response, or a success without a seal.
+    /// An incomplete response, or a successful one without a seal.
     Invalid,
 }
 
 impl DataPlane {
-    /// Makes attempts until one succeeds or none may follow.
+    /// Makes attempts until one succeeds or no further attempt is allowed.
     pub(crate) async fn forward_buffered(self: &Rc<Self>, request: &ClientRequest) -> Response<ResponseBody> {
         let mut history = AttemptHistory::default();
         let mut last_error: Option<Response<ResponseBody>> = None;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The server of the next attempt; `None` where none may follow.
+    /// Selects the server of the next attempt; `None` if no further attempt is allowed or no server is available.
     fn select_target(&self, request: &ClientRequest, history: &AttemptHistory) -> Option<Target> {
         if self.is_exhausted(request, history) {
             return None;
@@ -91,8 +92,8 @@
         Some(target)
     }
 
-    /// One attempt. If the request may run twice, it is given up once the server has proven unresponsive while the
-    /// service has another one.
+    /// Makes one attempt. If the request may run twice, the attempt is abandoned when the server is found unresponsive
+    /// while the service has another server.
     async fn attempt_while_responsive(
         self: &Rc<Self>,
         target: &Target,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Reads a response to its end, and records the result for the server.
+    /// Reads the complete response and records the result for the server.
     async fn buffer_response(
         &self,
         target: &Target,
--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -1,4 +1,4 @@
-//! A client's request, looked up in the configuration and ready to be sent to servers.
+//! A client's request with its route and service from the configuration, ready to be sent to servers.
 
 use std::sync::Arc;
 
@@ -18,14 +18,14 @@
 use crate::prompt_headers::parse_prompt;
 use crate::server_request::ServerRequest;
 
-/// With less time left nothing is sent any more.
+/// No attempt is made with less time than this left before the deadline.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(2);
-/// The least urgent priority.
+/// The least urgent priority that servers accept.
 const MAX_PRIORITY: u8 = 9;
-/// The `Retry-After` of a client whose service is not known here, in seconds.
-const UNKNOWN_SERVICE_RETRY_AFTER: f64 = 0.3;
+/// The `Retry-After` of a request without a configuration or a known service.
+const UNKNOWN_SERVICE_RETRY_AFTER_SECONDS: f64 = 0.3;
 
-/// What stays the same over all attempts of one client request.
+/// The parts of a client's request that all its attempts share.
 pub(crate) struct ClientRequest {
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
@@ -37,22 +37,22 @@
 }
 
 impl ClientRequest {
-    /// Whether it may be sent again though it may have run (RULES.md, TWICE).
+    /// True if the request may be sent again although a server may have run it (RULES.md, TWICE).
     pub(crate) fn is_repeatable(&self) -> bool {
         self.retry_policy == RetryPolicy::Always
     }
 
-    /// Whether too little time is left for another attempt.
+    /// True if too little time is left for another attempt.
     pub(crate) fn is_expired(&self, now: Instant) -> bool {
         now + MIN_TIME_LEFT >= self.deadline.instant
     }
 }
 
-/// A client's request that is ready to be sent, by how it is forwarded.
+/// A client's request that is ready to be sent. The variant says how its response is forwarded.
 pub(crate) enum PreparedRequest {
-    /// Its response is buffered.
+    /// The response is buffered.
     Buffered(ClientRequest),
-    /// Its prompt is prefilled and decoded, and the response is streamed.
+    /// The prompt is prefilled and decoded, and the response is streamed.
     Prompt(ClientRequest, Prompt),
 }
 
@@ -66,13 +66,13 @@
         }
         /// No route matches host and path.
         NoRoute {
-            display("no route fits the host and path of the request")
+            display("no route matches the host and path of the request")
         }
         /// The route has no service.
         NoService {
             display("the route of the request has no service")
         }
-        /// The path can't be forwarded.
+        /// The path is not a valid URI.
         InvalidPath {
             display("the path of the request is invalid")
         }
@@ -88,9 +88,9 @@
         }
     }
 
-    /// The `Retry-After` of the response in seconds; `None` where a repeat would not help.
+    /// The `Retry-After` of the response in seconds; `None` if a retry would fail as well.
     pub(crate) fn retry_after(self) -> Option<f64> {
-        (self.status() == StatusCode::SERVICE_UNAVAILABLE).then_some(UNKNOWN_SERVICE_RETRY_AFTER)
+        (self.status() == StatusCode::SERVICE_UNAVAILABLE).then_some(UNKNOWN_SERVICE_RETRY_AFTER_SECONDS)
     }
 }
 
@@ -99,7 +99,7 @@
     header.or_else(|| head.uri.authority().map(|authority| authority.as_str())).unwrap_or_default()
 }
 
-/// How long the client waits; the longest possible time where it doesn't say.
+/// How long the client waits for the response; the maximum if `X-Deadline-Ms` is missing or invalid.
 fn client_timeout(headers: &HeaderMap) -> Duration {
     let millis = headers
         .get(DEADLINE_MS)
@@ -116,7 +116,7 @@
     forwarded
 }
 
-/// The request's prompt; an empty one for a stream that names none, since it is forwarded as it arrives all the same.
+/// The request's prompt; an empty prompt for a streaming route without one, as its response is streamed nevertheless.
 fn prompt_of(headers: &HeaderMap, route: &Route, service: &Service) -> Option<Prompt> {
     let wanted_gap = Some(route.event_gap_target).filter(|gap| !gap.is_zero());
     let max_event_gap = wanted_gap.unwrap_or(route.target_latency);
@@ -125,8 +125,8 @@
 }
 
 impl DataPlane {
-    /// Looks a request up in the newest configuration, which may have changed while its body arrived, and counts it in
-    /// the retry budget.
+    /// Finds the route and service of a request in the current configuration, which may have changed while the body
+    /// arrived, and counts the request for the retry budget.
     ///
     /// # Errors
     ///
@@ -144,7 +144,7 @@
             if route.is_idempotent() { RetryPolicy::Always } else { RetryPolicy::OnlyIfNeverSent };
         self.router.borrow_mut().record_request(self.now(), &service.name, route.priority);
         let request = ClientRequest {
-            server_request: ServerRequest::of_client(head.method.clone(), uri, headers, body),
+            server_request: ServerRequest::from_client(head.method.clone(), uri, headers, body),
             deadline: self.deadline_at(deadline),
             priority: HeaderValue::from(u16::from(route.priority.min(MAX_PRIORITY))),
             retry_policy,
@@ -157,7 +157,7 @@
         })
     }
 
-    /// The service of a request: by weight, where the route has several.
+    /// Chooses the service of a request, by weight if the route has several.
     fn choose_service(&self, config: &Config, route: &Route) -> Option<Arc<Service>> {
         let fraction = match route.backends.len() {
             0 | 1 => 0.0,
--- a/crates/data-plane/src/client_stream.rs
+++ b/crates/data-plane/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's connection, which can be closed with a TCP reset.
+//! The TCP stream of a client's connection, which can be closed with a reset.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,10 +8,10 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// A stream that is closed with a reset if `reset_on_drop` is set when it is dropped.
+/// A stream that is closed with a TCP reset if the flag of its [`ResetOnDrop`] is set when it is dropped.
 pub(crate) type ClientStream = HookedStream<ResetOnDrop>;
 
-/// Resets the connection when the stream is dropped, if the flag is set then.
+/// Resets the connection if the flag is set when the stream is dropped.
 pub(crate) struct ResetOnDrop(pub(crate) Rc<Cell<bool>>);
 
 impl StreamHook for ResetOnDrop {
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, and those of them that wait for their next request.
+//! The pool of idle connections to servers, and the limit on open ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,27 +13,26 @@
 
 use crate::server_request::{RequestOrigin, Target};
 
-/// A connection to a server. It carries requests of one origin only: a late response to the one kind can't arrive where
-/// a response to the other is due.
+/// A connection to a server. It carries requests of one origin only, so that a late response to a proxy call can't be
+/// taken for the response to a client's request, or the other way round.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     pub(crate) outbound: OutboundConnection<Full<Bytes>>,
     origin: RequestOrigin,
 }
 
-/// An idle connection is kept for at most this long.
-const MAX_IDLE: Duration = Duration::from_secs(12);
-/// An idle connection is closed this long before the server would close it.
+/// The maximum time that an idle connection is kept.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(12);
+/// Idle connections are closed this long before the server would close them.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// How many idle connections to one server are kept for clients' requests.
+/// The maximum number of idle connections per server that are kept for clients' requests.
 const MAX_IDLE_FOR_CLIENTS: usize = 24;
-/// How many idle connections to one server are kept for the proxy's own calls.
+/// The maximum number of idle connections per server that are kept for the proxy's own calls.
 const MAX_IDLE_FOR_PROXY: usize = 2;
-/// Within this time after a response a connection must show that it can carry the next request.
+/// After a response, a connection that is not ready for the next request within this time is closed.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
-/// A connection must be established within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The kernel breaks a connection whose bytes have gone unacknowledged for this long.
+/// The kernel closes a connection if sent data goes unacknowledged for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
 
 const SERVER: PeerKind = PeerKind::unlogged("server");
@@ -42,13 +41,13 @@
     /// Why no connection could be opened.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum OpenError {
-        /// This proxy already has as many connections to the server as it may.
+        /// This proxy has reached its limit of connections to the server.
         LimitReached {
-            display("as many connections to the server are open as this proxy may have")
+            display("the limit of connections from this proxy to the server is reached")
         }
-        /// The connection was not established in time, or was refused.
+        /// The connection was refused or not established in time.
         Unreachable {
-            display("no connection to the server came up")
+            display("no connection to the server could be established")
         }
     }
 }
@@ -62,7 +61,7 @@
 struct ServerConnections {
     idle_for_clients: Vec<IdleConnection>,
     idle_for_proxy: Vec<IdleConnection>,
-    /// Connections that are open, idle or not.
+    /// The number of open connections, idle or in use.
     open: Rc<Cell<usize>>,
 }
 
@@ -75,14 +74,14 @@
     }
 }
 
-/// Connections by the server's instance id: an address may pass on to another instance.
+/// Connections by the server's instance id, not by its address, since an address may be reused by another instance.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     servers: RefCell<HashMap<Rc<str>, ServerConnections>>,
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection, if there is one. The newest is taken first: the server may have closed older ones.
+    /// Takes the most recently used idle connection, if there is one: the server may have closed older ones.
     pub(crate) fn take_idle(&self, server_id: &str, origin: RequestOrigin) -> Option<PooledConnection> {
         let now = Instant::now();
         let mut servers = self.servers.borrow_mut();
@@ -95,11 +94,11 @@
         None
     }
 
-    /// Opens a connection within `time_left`.
+    /// Opens a connection within `time_left`, or within the connect timeout if that is shorter.
     ///
     /// # Errors
     ///
-    /// The target's `max_connections` are open already, or the connection was not established.
+    /// `max_connections` of the target are already open, or the connection was not established.
     pub(crate) async fn open(
         &self,
         target: &Target,
@@ -119,9 +118,9 @@
         }
     }
 
-    /// Puts a connection back whose response was read to its end. It is closed instead if `until` has passed: after
-    /// a suspension of this process it is unknown how long the response has waited, and what the server has sent since.
-    /// It is closed, too, if further bytes follow the response.
+    /// Returns a connection to the pool after its response was read completely. The connection is closed instead if
+    /// further bytes follow the response, or if `until` has passed: the process may have been suspended, and then it is
+    /// unknown how long ago the response arrived and what the server has sent since.
     pub(crate) async fn put(
         &self,
         server_id: &Rc<str>,
@@ -129,8 +128,9 @@
         keep_alive: Option<Duration>,
         until: Instant,
     ) {
-        let idle_time =
-            keep_alive.map_or(MAX_IDLE, |timeout| timeout.saturating_sub(IDLE_MARGIN)).min(MAX_IDLE);
+        let idle_time = keep_alive
+            .map_or(MAX_IDLE_TIME, |timeout| timeout.saturating_sub(IDLE_MARGIN))
+            .min(MAX_IDLE_TIME);
         if idle_time.is_zero()
             || Instant::now() >= until
             || !connection.outbound.is_reusable(REUSE_CHECK_TIMEOUT).await
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Drops idle connections that have expired, and the entries of servers that are no longer known.
+    /// Drops expired idle connections, and the entries of servers that are neither known nor connected.
     pub(crate) fn remove_expired(&self, is_known: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.servers.borrow_mut().retain(|server_id, server| {
--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -1,13 +1,13 @@
-//! Counters of what a proxy has done since its start.
+//! Counters of a proxy's requests since the start of the process.
 
 use std::cell::Cell;
 
-/// A number that only rises.
+/// A monotonic counter.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// How often it was incremented since the start of the process.
+    /// The count since the start of the process.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -17,21 +17,21 @@
     }
 }
 
-/// Counters of what a proxy has done since its start.
+/// Counters of a proxy's requests since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Clients' requests that were read to their end.
+    /// Clients' requests that were read completely.
     pub requests: Counter,
-    /// Responses of servers that were forwarded to their end.
+    /// Successful responses of servers that were forwarded completely.
     pub completed: Counter,
-    /// Requests that were rejected: no server ran them.
+    /// Requests that were rejected without having run at any server.
     pub rejected: Counter,
-    /// Requests that failed: a server may have run them.
+    /// Requests that failed after a server may have run them.
     pub failed: Counter,
     /// Streams that were resumed at another server.
     pub resumed: Counter,
-    /// Prompts that were prefilled for another server.
+    /// Prompts that a prefill server prefilled for a decode server.
     pub handed_over: Counter,
-    /// Handles that no server fetched and that were freed.
+    /// KV cache handles that were freed because no server fetched them.
     pub freed_handles: Counter,
 }
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! What one proxy works with: the configuration in force, the router, its connections.
+//! The state of one proxy: the configuration in force, the router, the connections to servers and the counters.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,12 +17,12 @@
 use crate::counters::Counters;
 use crate::deadline::Deadline;
 
-/// How many bytes of request bodies are buffered at once.
+/// The maximum total size of the request bodies that are buffered at any time.
 const MAX_BUFFERED_BYTES: usize = 96 * 1024 * 1024;
-/// Clients are spread unevenly over the proxies: each may have this many times its even share of a server's
-/// connections.
+/// Each proxy may open this many times its even share of a server's connections, because clients are distributed unevenly
+/// over the proxies.
 const CONNECTION_SHARE_FACTOR: f64 = 2.0;
-/// Each proxy may have at least this many connections to a server.
+/// The minimum of a proxy's limit of connections to a server.
 const MIN_CONNECTIONS: usize = 6;
 
 /// One proxy's data plane.
@@ -30,21 +30,21 @@
     config: ArcSwapOption<Config>,
     pub(crate) router: RefCell<Router<Pcg64Mcg>>,
     pub(crate) connections: ConnectionPool,
-    /// The origin of the proxy's clock.
+    /// The zero point of the proxy's clock.
     started_at: tokio::time::Instant,
     is_draining: Cell<bool>,
-    /// Clients' requests that have no complete response yet.
+    /// The number of clients' requests without a complete response.
     in_flight: Rc<Cell<usize>>,
-    /// Bytes of clients' request bodies that are buffered.
+    /// The total size of the buffered bodies of clients' requests.
     buffered_bytes: Rc<Cell<usize>>,
-    /// How many proxies share the servers' connections; at least one.
+    /// The number of proxies that share the servers' connections; at least one.
     proxy_count: Cell<usize>,
-    /// What has been done since the start.
+    /// Counts of requests since the start of the process.
     pub counters: Counters,
 }
 
 impl DataPlane {
-    /// A proxy in `zone` without a configuration and without servers.
+    /// Creates a proxy in `zone` without a configuration and without servers. `seed` seeds the router's random numbers.
     pub fn new(weights: RoutingWeights, zone: &str, seed: u64) -> Rc<Self> {
         Rc::new(Self {
             config: ArcSwapOption::empty(),
@@ -63,15 +63,15 @@
         Instant::from_millis(self.started_at.elapsed().as_millis() as u64)
     }
 
-    /// A deadline at this instant of the proxy's clock.
+    /// The deadline at this instant of the proxy's clock.
     pub(crate) fn deadline_at(&self, instant: Instant) -> Deadline {
         let timer = self.started_at + Duration::from_millis(instant.as_millis());
         Deadline { instant, timer }
     }
 
-    /// A deadline so long from now.
-    pub(crate) fn deadline_in(&self, span: Duration) -> Deadline {
-        Deadline { instant: self.now() + span, timer: tokio::time::Instant::now() + span }
+    /// The deadline after this time from now.
+    pub(crate) fn deadline_in(&self, timeout: Duration) -> Deadline {
+        Deadline { instant: self.now() + timeout, timer: tokio::time::Instant::now() + timeout }
     }
 
     /// The configuration in force.
@@ -79,8 +79,8 @@
         self.config.load_full()
     }
 
-    /// Puts a configuration into force, and returns whether it did: one that is not newer changes nothing. A proxy
-    /// never goes back to an older configuration within one incarnation (RULES.md, CONFIG).
+    /// Puts a configuration into force if its revision is newer than the current one; returns false if it is not. A proxy
+    /// never goes back to an older configuration while its process runs (RULES.md, CONFIG).
     pub fn configure(&self, config: Arc<Config>) -> bool {
         let is_newer = self.config().is_none_or(|current| current.revision() < config.revision());
         if is_newer {
@@ -89,30 +89,30 @@
         is_newer
     }
 
-    /// Takes the registry's present entries.
+    /// Replaces the known servers with the registry's current entries, and drops expired idle connections.
     pub fn update_servers<'a>(&self, servers: impl Iterator<Item = &'a Server>) {
         self.router.borrow_mut().update_servers(servers);
         let router = self.router.borrow();
         self.connections.remove_expired(|server_id| router.endpoints().get(server_id).is_some());
     }
 
-    /// Sets how many proxies share the retry budget and the servers' connections; at least one.
+    /// Sets the number of proxies that share the retry budget and the servers' connections; 0 counts as 1.
     pub fn set_proxy_count(&self, count: usize) {
         self.proxy_count.set(count.max(1));
         self.router.borrow_mut().set_proxy_count(count);
     }
 
-    /// The process shuts down soon: responses ask clients to close their connections.
+    /// Starts to drain before the process shuts down: from now on responses ask clients to close their connections.
     pub fn start_draining(&self) {
         self.is_draining.set(true);
     }
 
-    /// Whether the process shuts down soon.
+    /// True after [`DataPlane::start_draining`].
     pub fn is_draining(&self) -> bool {
         self.is_draining.get()
     }
 
-    /// Clients' requests that have no complete response yet.
+    /// The number of clients' requests without a complete response.
     pub fn in_flight_requests(&self) -> usize {
         self.in_flight.get()
     }
@@ -122,7 +122,7 @@
         CountGuard::new(&self.in_flight, 1)
     }
 
-    /// Whether a request body of this length may be buffered beside those that are.
+    /// True if a request body of this length fits into the buffer limit beside those already buffered.
     pub(crate) fn has_memory_for(&self, body_bytes: usize) -> bool {
         self.buffered_bytes.get() + body_bytes <= MAX_BUFFERED_BYTES
     }
@@ -132,21 +132,21 @@
         CountGuard::new(&self.buffered_bytes, body_bytes)
     }
 
-    /// How many connections this proxy may have to a server of a service that allows `max_connections` to all proxies.
+    /// This proxy's limit of connections to a server that accepts `max_connections` from all proxies together.
     pub(crate) fn connection_share(&self, max_connections: u32) -> usize {
         let proxies = self.proxy_count.get().max(2) as f64;
         let share = CONNECTION_SHARE_FACTOR * f64::from(max_connections) / proxies;
         (share as usize).max(MIN_CONNECTIONS)
     }
 
-    /// What was learned of each service with prompts, by its name.
+    /// The learned latencies of each service with prompts, with the service's name.
     pub fn learned_latencies(&self) -> Vec<(String, LearnedLatencies)> {
         let router = self.router.borrow();
         router.learned_latencies(self.now()).map(|(service, learned)| (service.to_owned(), learned)).collect()
     }
 
-    /// Whether the proxy may get new clients: it is not draining, a configuration is in force, and at least one of its
-    /// services has a server.
+    /// True if the proxy can accept new clients: it is not draining, a configuration is in force, and at least one service
+    /// of the configuration has a server.
     pub fn is_ready(&self) -> bool {
         if self.is_draining() {
             return false;
--- a/crates/data-plane/src/deadline.rs
+++ b/crates/data-plane/src/deadline.rs
@@ -1,12 +1,12 @@
-//! Until when an exchange with a server may take.
+//! Deadlines of exchanges with servers.
 
 use mosshead_time::Instant;
 
-/// Until when an exchange with a server may take, by both clocks.
+/// The deadline of an exchange with a server, on the proxy's clock and on that of the runtime.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadline {
-    /// By the proxy's clock.
+    /// On the proxy's clock.
     pub(crate) instant: Instant,
-    /// By the runtime's clock, for its timers.
+    /// On the runtime's clock, for its timers.
     pub(crate) timer: tokio::time::Instant,
 }
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -1,4 +1,4 @@
-//! The start of a stream at a decode server.
+//! Starts the stream of a request at a decode server.
 
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
 use crate::server_request::Target;
 use crate::server_response::{ServerResponse, is_sealed, promises_not_executed};
 
-/// A decode server prefills at half the speed of a prefill server: each token weighs twice.
+/// The weight of a token that a decode server prefills itself: it takes twice as long as at a prefill server.
 const LOCAL_PREFILL_WEIGHT: f64 = 2.0;
 
 /// A stream whose head has arrived.
@@ -31,7 +31,7 @@
     pub(crate) connection: PooledConnection,
     pub(crate) target: Target,
     pub(crate) request_guard: ServerRequestGuard,
-    /// Kept until the first event, where the decode server prefills the prompt itself.
+    /// Present until the first event if the decode server prefills the prompt itself.
     pub(crate) prefill_guard: Option<PrefillGuard>,
     /// When the request was sent; `None` once its first event has arrived.
     pub(crate) sent_at: Option<Instant>,
@@ -41,13 +41,13 @@
 pub(crate) enum DecodeOutcome {
     /// The stream begins.
     Streaming(DecodeStream),
-    /// There is no stream.
+    /// The stream did not begin.
     Failed(DecodeFailure),
 }
 
-/// Why no stream begins.
+/// Why a stream did not begin.
 pub(crate) enum DecodeFailure {
-    /// An error of the server's own; the request ran.
+    /// The server itself made an error response; the request ran.
     ErrorResponse(Response<ResponseBody>),
     /// The KV cache could not be fetched, or the server is full; the request did not run.
     HandleUnavailable,
@@ -66,8 +66,8 @@
 }
 
 impl DataPlane {
-    /// Sends the request to a decode server: with a handle, or without one for the server to prefill the prompt itself;
-    /// behind `last_event_id`, where a stream is resumed.
+    /// Sends the request to a decode server. Without a handle, the server prefills the prompt itself. `last_event_id` is
+    /// given to resume a stream after that event.
     pub(crate) async fn start_decode(
         self: &Rc<Self>,
         request: &ClientRequest,
@@ -96,7 +96,7 @@
                 }
                 outcome
             }
-            // One status for both: the KV cache can't be fetched, and the server is full.
+            // Servers use this status both if the KV cache can't be fetched and if they are full.
             AttemptOutcome::Rejected(StatusCode::SERVICE_UNAVAILABLE) if handle.is_some() => {
                 DecodeFailure::HandleUnavailable.into()
             }
--- a/crates/data-plane/src/event_splitter.rs
+++ b/crates/data-plane/src/event_splitter.rs
@@ -1,22 +1,22 @@
-//! Splits a stream of server-sent events, which arrives in chunks of any size, into complete events.
+//! Splits a stream of server-sent events that arrives in chunks of any size into complete events.
 
 use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 
-/// An event is at most this long.
+/// The maximum length of an event.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The number of its `id:` line, if it has one.
+    /// The number in its `id:` line, if it has one.
     pub id: Option<u64>,
-    /// The event as it arrived, with the empty line that ends it.
+    /// The unchanged bytes of the event, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// An event is longer than a proxy buffers.
+/// The error for an event that is longer than the maximum of 256 KiB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
@@ -31,17 +31,17 @@
 /// Splits a stream into complete events, and remembers the id of the last one that was forwarded.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// The beginning of an event that is not complete yet.
+    /// The received part of an incomplete event.
     partial: BytesMut,
     last_forwarded_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes a chunk, and returns the events that it completes.
+    /// Adds a chunk and returns the events that it completes.
     ///
     /// # Errors
     ///
-    /// The event that is not complete yet is already longer than 256 KiB.
+    /// The incomplete event is already longer than 256 KiB.
     pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<StreamEvent>, EventTooLong> {
         self.partial.extend_from_slice(chunk);
         let mut events = Vec::new();
@@ -52,7 +52,7 @@
         if self.partial.len() > MAX_EVENT_BYTES { Err(EventTooLong) } else { Ok(events) }
     }
 
-    /// An event with this id was forwarded.
+    /// Records that an event with this id was forwarded.
     pub fn mark_forwarded(&mut self, id: Option<u64>) {
         self.last_forwarded_id = id.or(self.last_forwarded_id);
     }
@@ -62,18 +62,19 @@
         self.last_forwarded_id
     }
 
-    /// Drops an event that never became complete: the server that resumes the stream begins with it anew.
+    /// Drops an incomplete event. The server that resumes the stream sends this event again from its beginning.
     pub fn discard_partial_event(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes what follows the last complete event.
+    /// Takes the bytes after the last complete event.
     pub fn take_remainder(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 }
 
-/// Where the first event ends: behind its empty line, with or without carriage returns.
+/// The length of the first event with its terminating empty line, with or without carriage returns; `None` if it is
+/// incomplete.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(line_end) = bytes.get(start..)?.iter().position(|byte| *byte == b'\n') {
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Where clients connect.
+//! Accepts and serves clients' connections.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -17,16 +17,16 @@
 use crate::client_stream::{ClientStream, ResetOnDrop};
 use crate::data_plane::DataPlane;
 
-/// How many connections clients may have at once.
+/// The maximum number of open client connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 2600;
-/// The longest head of a request.
+/// The maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// For how long a connection may be idle before a configuration is in force.
+/// The idle timeout of connections while no configuration is in force.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A connection may be idle for at least this long.
+/// The lower bound of the configured idle timeout.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The listener for clients.
+/// Serves the connections of clients.
 pub struct Frontend {
     data_plane: Rc<DataPlane>,
     open_connections: Rc<Cell<usize>>,
@@ -34,22 +34,22 @@
 }
 
 impl Frontend {
-    /// A listener for the clients of this data plane.
+    /// Creates a frontend for the clients of this data plane.
     pub fn new(data_plane: Rc<DataPlane>) -> Rc<Self> {
         Rc::new(Self { data_plane, open_connections: Rc::default(), shutdown: watch::Sender::new(false) })
     }
 
-    /// How many connections clients have.
+    /// The number of open client connections.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Closes idle connections, and the others once their response is complete.
+    /// Closes idle connections at once, and the others when their response is complete.
     pub fn shut_down(&self) {
         self.shutdown.send_replace(true);
     }
 
-    /// Accepts connections for as long as it is polled. Has to be polled within a `LocalSet`.
+    /// Accepts connections until the future is dropped. It must be polled within a `LocalSet`.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = accept(&listener).await;
@@ -73,11 +73,11 @@
     async fn serve_connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let data_plane = self.data_plane.clone();
-        let lacks_chunks = Rc::new(Cell::new(false));
+        let lacks_chunked_encoding = Rc::new(Cell::new(false));
         let service = service_fn({
-            let lacks_chunks = lacks_chunks.clone();
+            let lacks_chunked_encoding = lacks_chunked_encoding.clone();
             move |request: Request<Incoming>| {
-                lacks_chunks.set(request.version() < Version::HTTP_11);
+                lacks_chunked_encoding.set(request.version() < Version::HTTP_11);
                 data_plane.clone().handle_request(request)
             }
         });
@@ -97,9 +97,9 @@
                 connection.as_mut().await
             }
         };
-        // To a client that knows no chunks the end of the connection is the end of the body: an aborted response would
-        // look complete (RULES.md, MIXED), so the connection is reset instead.
+        // A client without chunked encoding takes the end of the connection for the end of the body, so an aborted
+        // response would look complete to it (RULES.md, MIXED). The connection is reset instead.
         let is_aborted = result.is_err_and(|error| error.is_user());
-        reset_on_drop.set(lacks_chunks.get() && is_aborted);
+        reset_on_drop.set(lacks_chunked_encoding.get() && is_aborted);
     }
 }
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names of headers (PROTOCOL.md, Requests and Answers), and which of them are forwarded.
+//! Header names (PROTOCOL.md, Requests and Answers), and the selection of headers that are forwarded.
 
 use hyper::header::{
     CONNECTION, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -6,36 +6,36 @@
 };
 use mosshead_time::Duration;
 
-/// What a client calls its attempt; servers echo it.
+/// The client's id of its attempt; servers echo it.
 pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// How many milliseconds the sender waits for the response.
+/// The time that the sender waits for the response, in milliseconds.
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The only instance that may run the request; every other one answers 421.
+/// The id of the only instance that may run the request; every other instance responds with 421.
 pub(crate) const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-/// A server's proof that it made the response.
+/// A server's mark that it made the response itself.
 pub(crate) const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
 /// A server's statement that it did not run the request and never will.
 pub(crate) const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// From 0, the most urgent, to 9.
+/// The priority of a request, from 0, the most urgent, to 9.
 pub(crate) const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// `prefill`: the server prefills the prompt and does not run the request.
+/// With the value `prefill`, the server prefills the prompt and does not run the request.
 pub(crate) const SERVING_STAGE: HeaderName = HeaderName::from_static("x-serving-stage");
-/// Where a decode server fetches the KV cache: IP:PORT/HANDLE.
+/// The location from which a decode server fetches the KV cache, as `IP:PORT/HANDLE`.
 pub(crate) const KV_FROM: HeaderName = HeaderName::from_static("kv-from");
-/// The last event that a client has of a stream; the stream continues behind it.
+/// The id of the last event of a stream that the client has received; the stream continues after it.
 pub(crate) const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Headers that only the system may set: a client's own stages, handles or instances are dropped.
+/// Headers that only the proxies set; they are removed from clients' requests.
 pub(crate) const RESERVED_REQUEST_HEADERS: [&str; 6] =
     ["x-serving-stage", "kv-from", "x-target-instance", "priority", "expect-version", "expect"];
 
 const HOP_BY_HOP: [HeaderName; 7] =
     [CONNECTION, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
-/// The capacity for headers that are added to those forwarded.
-const ADDED_HEADERS: usize = 6;
+/// The capacity that is reserved for headers that the proxy adds.
+const ADDED_HEADER_CAPACITY: usize = 6;
 
-/// The headers without those that concern one connection only.
+/// The headers without the hop-by-hop ones, including those that `Connection` names.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<String> = headers
         .get_all(CONNECTION)
@@ -43,7 +43,7 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let mut forwarded = HeaderMap::with_capacity(headers.len() + ADDED_HEADERS);
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + ADDED_HEADER_CAPACITY);
     for (name, value) in headers {
         let is_hop_by_hop = HOP_BY_HOP.contains(name)
             || name == "keep-alive"
@@ -56,7 +56,7 @@
     forwarded
 }
 
-/// For how long a server keeps an idle connection, if `Keep-Alive` states it.
+/// The time for which a server keeps an idle connection, if its `Keep-Alive` header has a `timeout`.
 pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -1,4 +1,4 @@
-//! A client's request, from its first byte to its final response.
+//! Reads clients' requests and dispatches them to the code that forwards them.
 
 use std::rc::Rc;
 
@@ -15,40 +15,44 @@
 use crate::data_plane::DataPlane;
 use crate::response::{ResponseAborted, ResponseBody, proxy_response};
 
-/// The `Retry-After` of a client in seconds, if no configuration is in force.
-const NOT_CONFIGURED_RETRY_AFTER: f64 = 0.3;
-/// The `Retry-After` of a client in seconds, if the memory for requests is used up.
-const NO_MEMORY_RETRY_AFTER: f64 = 0.5;
+/// The `Retry-After` of a request while no configuration is in force.
+const NOT_CONFIGURED_RETRY_AFTER_SECONDS: f64 = 0.3;
+/// The `Retry-After` of a request if the memory for request bodies is used up.
+const NO_MEMORY_RETRY_AFTER_SECONDS: f64 = 0.5;
 
 quick_error! {
-    /// Why a request's body was not read.
+    /// Why a request's body could not be read.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     enum BodyError {
         /// It is longer than the configuration allows.
         TooLong {
             display("the body is longer than the configuration allows")
         }
-        /// The bodies of other requests take up the memory.
+        /// The memory for request bodies is used up.
         NoMemory {
-            display("the bodies of other requests take up the memory")
+            display("the memory for request bodies is used up")
         }
         /// It did not arrive in time.
         TimedOut {
-            display("the body did not come in time")
+            display("the body did not arrive in time")
         }
-        /// The client broke off.
+        /// The client closed the connection, or its body is malformed.
         ClientGone {
-            display("the client broke off")
+            display("the client ended the request within its body")
         }
     }
 }
 
 impl BodyError {
-    /// The response to such a request.
+    /// The response to a request whose body could not be read.
+    ///
+    /// # Errors
+    ///
+    /// The client is gone, so there is nobody to respond to.
     fn into_response(self) -> Result<Response<ResponseBody>, ResponseAborted> {
         let (status, retry_after) = match self {
             Self::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, None),
-            Self::NoMemory => (StatusCode::SERVICE_UNAVAILABLE, Some(NO_MEMORY_RETRY_AFTER)),
+            Self::NoMemory => (StatusCode::SERVICE_UNAVAILABLE, Some(NO_MEMORY_RETRY_AFTER_SECONDS)),
             Self::TimedOut => (StatusCode::REQUEST_TIMEOUT, None),
             Self::ClientGone => return Err(ResponseAborted),
         };
@@ -57,11 +61,11 @@
 }
 
 impl DataPlane {
-    /// The final response to a client's request.
+    /// Responds to a client's request; asks the client to close the connection if the proxy is draining.
     ///
     /// # Errors
     ///
-    /// The client broke off: its connection ends without a response.
+    /// The client ended its request within the body; the connection is closed without a response.
     pub(crate) async fn handle_request(
         self: Rc<Self>,
         request: Request<Incoming>,
@@ -80,7 +84,10 @@
         let in_flight = self.begin_request();
         let (head, body) = request.into_parts();
         let Some(config) = self.config() else {
-            return Ok(proxy_response(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_CONFIGURED_RETRY_AFTER)));
+            return Ok(proxy_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                Some(NOT_CONFIGURED_RETRY_AFTER_SECONDS),
+            ));
         };
         let body = match self.read_request_body(body, config.limits()).await {
             Ok(body) => body,
@@ -99,11 +106,11 @@
     }
 
     async fn read_request_body(&self, body: Incoming, limits: &Limits) -> Result<Bytes, BodyError> {
-        let least_length = body.size_hint().lower() as usize;
-        if least_length > limits.max_body_bytes {
+        let min_length = body.size_hint().lower() as usize;
+        if min_length > limits.max_body_bytes {
             return Err(BodyError::TooLong);
         }
-        if !self.has_memory_for(least_length) {
+        if !self.has_memory_for(min_length) {
             return Err(BodyError::NoMemory);
         }
         let time_allowed = limits.idle_timeout.max(limits.header_timeout);
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,9 +1,10 @@
-//! The data plane on sockets: clients' connections, their requests and streams, and the handover of prompts from prefill
-//! to decode servers.
+//! The data plane of a proxy: it accepts clients' connections, forwards requests and streams to model servers, and hands
+//! prompts over from prefill to decode servers.
 //!
-//! Everything here runs on one thread. `mosshead-routing` decides; this host sends, waits and forwards. A request's way:
-//! `frontend` takes the connection, `ingress` reads the request, `buffered_request` or `prompt_request` makes attempts
-//! (`attempt`, `prefill`, `decode`) until one succeeds, and `stream` forwards events.
+//! Everything here runs on one thread. `mosshead-routing` selects servers without any I/O; this crate does the I/O.
+//! A request passes through `frontend`, which accepts the connection, `ingress`, which reads the request, and
+//! `buffered_request` or `prompt_request`, which make attempts (`attempt`, `prefill`, `decode`) until one succeeds.
+//! `stream` then forwards the events of a streamed response.
 
 mod attempt;
 mod buffered_request;
--- a/crates/data-plane/src/load_guards.rs
+++ b/crates/data-plane/src/load_guards.rs
@@ -1,5 +1,5 @@
-//! Guards of what an attempt does to a server's entry in the router: its load, and the trial that it may be after an
-//! ejection. Both are undone however the attempt ends, also where its client leaves.
+//! Guards for the state that an attempt adds to a server's entry in the router: its share of the load and, after an
+//! ejection, the server's trial request. The guards undo both however the attempt ends, also if the client disconnects.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use crate::data_plane::DataPlane;
 
-/// A prompt that a server prefills: its tokens weigh in the server's load until the guard is dropped.
+/// Adds the tokens of a prompt to the load of the server that prefills it until the guard is dropped.
 pub(crate) struct PrefillGuard {
     data_plane: Rc<DataPlane>,
     server_id: Rc<str>,
@@ -28,8 +28,8 @@
     }
 }
 
-/// A request in flight at a server: it weighs in the server's load until the guard is dropped. Dropped without a
-/// result, it counts as inconclusive for outlier ejection.
+/// Adds a request in flight to the load of its server until the guard is dropped. If the guard is dropped without a
+/// recorded result, the request counts as inconclusive for outlier ejection.
 pub(crate) struct ServerRequestGuard {
     data_plane: Rc<DataPlane>,
     server_id: Rc<str>,
@@ -63,9 +63,9 @@
     }
 }
 
-/// A server that was selected for a request. Dropped before the selection has had a result, it counts as inconclusive:
-/// after an ejection the request would have been the server's trial, and the server gets no other one while its trial
-/// goes on.
+/// Guards the selection of a server until its request is sent. If the guard is dropped before that, the selection counts
+/// as inconclusive: after an ejection the request may be the server's trial, and the server gets no other trial until
+/// this one has ended.
 pub(crate) struct SelectionGuard<'a> {
     data_plane: &'a DataPlane,
     server_id: &'a str,
@@ -77,7 +77,7 @@
         Self { data_plane, server_id, is_armed: true }
     }
 
-    /// The request is sent now: from here on a `ServerRequestGuard` records its result.
+    /// Ends the guard when the request is sent: from then on a `ServerRequestGuard` records its result.
     pub(crate) fn disarm(mut self) {
         self.is_armed = false;
     }
--- a/crates/data-plane/src/load_report.rs
+++ b/crates/data-plane/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports of servers, and the detection of servers that are unresponsive: they don't even answer those.
+//! Queries servers for load reports, and detects unresponsive servers: those that do not even answer such a query.
 
 use std::rc::Rc;
 
@@ -15,21 +15,23 @@
 use crate::server_request::{ServerRequest, Target};
 use crate::server_response::{ServerResponse, read_body};
 
-/// A server that works answers a request for its load within this time: it needs no slot for that.
+/// The timeout of a load query. A working server answers within this time even if it is full, since a report takes no
+/// slot.
 pub(crate) const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A server from which nothing has arrived for this long gets a load query, which shows whether it responds at all.
+/// A server from which nothing has arrived for this long gets a load query, to find out if it responds at all.
 pub(crate) const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(250);
-/// For how long a client's request waits for load reports: a fresh one is not worth more.
+/// The maximum delay of a client's request for load reports; a fresh report does not justify a longer one.
 const LOAD_REPORT_WAIT: Duration = Duration::from_millis(12);
+
 impl DataPlane {
-    /// Queries the load of the prefill servers that the prompt may be sent to, where no report is fresh.
+    /// Queries the load of the prefill servers that the prompt may be sent to and that have no fresh report.
     pub(crate) async fn refresh_prefill_loads(self: &Rc<Self>, service: &Service, prompt: &Prompt) {
         let now = self.now();
         let ids = self.router.borrow_mut().prefill_servers_to_query(now, &service.name, prompt);
         let targets: Vec<Target> = ids.iter().filter_map(|id| self.target(service, id)).collect();
         let mut queries = Vec::new();
         for target in targets {
-            // A task of its own continues when the wait is over, and its report serves the next request.
+            // A separate task: the query continues after the wait ends, and later requests use its report.
             let data_plane = self.clone();
             queries.push(tokio::task::spawn_local(async move {
                 data_plane.query_load(&target, LOAD_REPORT_TIMEOUT).await;
@@ -43,7 +45,7 @@
 
     /// Queries the load of a server and records its report.
     async fn query_load(self: &Rc<Self>, target: &Target, timeout: Duration) {
-        let request = ServerRequest::of_proxy(Method::GET, Uri::from_static("/report"));
+        let request = ServerRequest::from_proxy(Method::GET, Uri::from_static("/report"));
         let deadline = self.deadline_in(timeout);
         match self.send_attempt(target, &request, deadline, &[]).await {
             AttemptOutcome::Responded(response) if response.head.status.is_success() => {
@@ -57,8 +59,8 @@
         }
     }
 
-    /// The connection is closed where the body is no report: it then belongs to another call, and the report may still
-    /// arrive where the next response is due.
+    /// Records a load report and returns its connection to the pool. If the body is not a report, the connection is
+    /// closed: the body may belong to another call, and the report may still arrive in place of the next response.
     async fn record_load_report(&self, target: &Target, response: ServerResponse, until: Instant) {
         let ServerResponse { head, body, connection } = response;
         let body = read_body(&head, body, until).await;
@@ -68,9 +70,9 @@
         self.connections.put(&target.id, connection, keep_alive_timeout(&head.headers), until).await;
     }
 
-    /// Completes once the server has shown that it is unresponsive: nothing has arrived from it for `max_silence`, and
-    /// then it does not even report its load within `report_timeout`. No response alone proves nothing: a request in a
-    /// long queue is silent, too, and must not be sent elsewhere for that.
+    /// Completes when the server is found unresponsive: nothing has arrived from it for `max_silence`, and it then fails
+    /// to answer a load query within `report_timeout`. Silence alone is not enough: a request that waits in a long queue
+    /// gets no response either, and must not be sent to another server for that.
     pub(crate) async fn wait_until_unresponsive(
         self: &Rc<Self>,
         target: &Target,
--- a/crates/data-plane/src/prefill.rs
+++ b/crates/data-plane/src/prefill.rs
@@ -1,5 +1,5 @@
-//! The prefill of a prompt by one server for another: the handle of its KV cache, which is freed if no server fetches
-//! it.
+//! Prefills a prompt at a prefill server for a decode server, and frees the handle of the resulting KV cache if no server
+//! fetches it.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -22,14 +22,14 @@
 use crate::server_request::{ServerRequest, Target};
 use crate::server_response::ServerResponse;
 
-/// How long the call may take that frees a handle.
+/// The timeout of the call that frees a handle.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A longer response to a prefill is not read.
+/// A longer response to a prefill is not parsed.
 const MAX_HANDLE_RESPONSE_BYTES: usize = 4096;
 const MAX_HANDLE_LENGTH: usize = 128;
 
-/// The KV cache of a prompt, which its prefill server keeps until a decode server fetches it, once. Dropped before
-/// that, it is freed: what is never fetched is priced (PROTOCOL.md, Prefill and decode).
+/// The KV cache of a prompt, which the prefill server keeps until a decode server fetches it once. If the handle is
+/// dropped before that, the KV cache is freed: one that is never fetched is charged for (PROTOCOL.md, Prefill and decode).
 pub(crate) struct KvHandle {
     data_plane: Rc<DataPlane>,
     prefill_server: Target,
@@ -38,7 +38,7 @@
 }
 
 impl KvHandle {
-    /// Where the decode server fetches the KV cache, as `Kv-From` has it.
+    /// The location of the KV cache, as the value of `Kv-From`.
     pub(crate) fn location(&self) -> Option<HeaderValue> {
         HeaderValue::from_str(&format!("{}/{}", self.prefill_server.address, self.handle)).ok()
     }
@@ -47,7 +47,7 @@
         &self.prefill_server.id
     }
 
-    /// The KV cache was fetched, or may have been: there is nothing to free.
+    /// Records that the KV cache was or may have been fetched, so that it is not freed.
     pub(crate) fn mark_consumed(&self) {
         self.is_consumed.set(true);
     }
@@ -62,7 +62,7 @@
         self.data_plane.counters.freed_handles.increment();
         let (data_plane, target) = (self.data_plane.clone(), self.prefill_server.clone());
         tokio::task::spawn_local(async move {
-            let request = ServerRequest::of_proxy(Method::DELETE, uri);
+            let request = ServerRequest::from_proxy(Method::DELETE, uri);
             let deadline = data_plane.deadline_in(FREE_TIMEOUT);
             let outcome = data_plane.send_attempt(&target, &request, deadline, &[]).await;
             if let AttemptOutcome::Responded(response) = outcome {
@@ -84,7 +84,7 @@
         NotDelivered {
             display("the prompt did not reach the prefill server")
         }
-        /// No response arrived, or none that names a handle.
+        /// No response with a handle arrived.
         NoHandle {
             display("the prefill server returned no handle")
         }
@@ -98,17 +98,17 @@
     let value = mosshead_config::parse_json(body)?;
     let fields: &HashMap<String, JsonValue> = value.get()?;
     let handle: &String = fields.get("prefill_handle")?.get()?;
-    // The handle becomes part of a path and of a header: nothing in it may have a meaning there.
+    // The handle becomes part of a path and of a header, so it must not contain characters with a meaning there.
     let is_plain = handle.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
     (is_plain && !handle.is_empty() && handle.len() <= MAX_HANDLE_LENGTH).then(|| handle.clone())
 }
 
 impl DataPlane {
-    /// Has the prompt prefilled. The request does not run by that, and may be sent again.
+    /// Sends the prompt to a prefill server. A prefill does not run the request, so it may be sent again.
     ///
     /// # Errors
     ///
-    /// There is no handle. The failure of the server has been recorded.
+    /// The server returned no handle. Its failure has been recorded.
     pub(crate) async fn prefill_prompt(
         self: &Rc<Self>,
         target: &Target,
--- a/crates/data-plane/src/prompt_headers.rs
+++ b/crates/data-plane/src/prompt_headers.rs
@@ -1,14 +1,14 @@
-//! A request's prompt, as its headers describe it (PROTOCOL.md, Requests).
+//! Parses the headers that describe a request's prompt (PROTOCOL.md, Requests).
 
 use hyper::header::HeaderMap;
 use mosshead_routing::{Prompt, PromptPart};
 use mosshead_time::Duration;
 
-/// Further parts of a prompt are ignored.
+/// The maximum number of prompt parts; further ones are ignored.
 const MAX_PROMPT_PARTS: usize = 64;
 
-/// The prompt that the headers describe, for a route that wants no longer gap between events; `None` where they describe
-/// none, or make no sense.
+/// Parses the prompt from the headers; `None` if they describe none or are invalid. `max_event_gap` is the longest gap
+/// between events that the route accepts.
 pub(crate) fn parse_prompt(headers: &HeaderMap, max_event_gap: Duration) -> Option<Prompt> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let mut counts = text("x-token-count")?.split(',').map(|count| count.trim().parse::<f64>());
@@ -26,7 +26,7 @@
     })
 }
 
-/// One part, written ID:TOKENS with the id in hex.
+/// Parses one part, written `ID:TOKENS` with the id in hexadecimal.
 fn parse_part(text: &str) -> Option<PromptPart> {
     let (id, tokens) = text.trim().split_once(':')?;
     let id = u64::from_str_radix(id, 16).ok()?;
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -1,4 +1,4 @@
-//! Requests with a prompt: servers are selected, the prompt is prefilled and handed over, and a decode server streams.
+//! Requests with a prompt: selects a pair of servers, has the prompt prefilled by one, and starts the stream at the other.
 
 use std::rc::Rc;
 
@@ -17,19 +17,19 @@
 use crate::retry::AttemptHistory;
 use crate::server_request::Target;
 
-/// The retry budget of the service is spent.
+/// The error if the retry budget of the service has no retry left.
 struct RetryBudgetExhausted;
 
 /// The next step of a request after the prefill of its prompt.
 enum PrefillStep {
-    /// The decode server fetches the handle's KV cache, or prefills the prompt itself.
+    /// The decode server fetches the handle's KV cache or, without a handle, prefills the prompt itself.
     Decode(Option<KvHandle>),
-    /// Another pair of servers is selected.
+    /// The prefill failed: another pair of servers is selected.
     SelectAgain,
 }
 
 impl DataPlane {
-    /// Makes attempts until a stream begins or none may follow. `in_flight` is kept until the stream has ended.
+    /// Makes attempts until a stream begins or no further attempt is allowed. `in_flight` is held until the stream ends.
     pub(crate) async fn forward_prompt(
         self: &Rc<Self>,
         request: ClientRequest,
@@ -60,8 +60,8 @@
             };
             let failure = match self.decode_or_prefill_locally(&request, &prompt, &target, handle).await {
                 Ok(DecodeOutcome::Streaming(stream)) => {
-                    let take_over = history.take_over(&request);
-                    return self.clone().forward_stream(request, prompt, stream, take_over, in_flight);
+                    let failover = history.failover_state(&request);
+                    return self.clone().forward_stream(request, prompt, stream, failover, in_flight);
                 }
                 Ok(DecodeOutcome::Failed(failure)) => failure,
                 Err(RetryBudgetExhausted) => return self.reject(&request),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The response to a request whose attempt at a decode server failed; `None` where another attempt may follow.
+    /// The response to a request whose attempt at a decode server failed; `None` if another attempt may follow.
     fn final_response(
         &self,
         request: &ClientRequest,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The servers of the next attempt; `None` where none may follow.
+    /// Selects the servers of the next attempt; `None` if no further attempt is allowed or no server is available.
     fn select_pair(
         &self,
         now: Instant,
@@ -121,9 +121,13 @@
         Some(pair)
     }
 
-    /// Has the prompt prefilled, if the pair has a prefill server. The first prefill that a server takes up is free;
-    /// further ones, and those that are rejected, take a retry out of the budget (RULES.md, BUDGET). Once as many further ones have
-    /// reached a server as the route allows, the decode server prefills the prompt itself.
+    /// Has the prompt prefilled if the pair has a prefill server. The first prefill that a server accepts is free; further
+    /// prefills and rejected ones each take a retry out of the budget (RULES.md, BUDGET). After `retry_count` further
+    /// prefills have reached a server, the decode server prefills the prompt itself.
+    ///
+    /// # Errors
+    ///
+    /// The prefill was rejected, and the retry budget is exhausted.
     async fn prefill_for_pair(
         self: &Rc<Self>,
         now: Instant,
@@ -160,7 +164,7 @@
         Ok(PrefillStep::SelectAgain)
     }
 
-    /// The decode server, as it is to be chosen now that the prompt has been prefilled.
+    /// Confirms or replaces the decode server of the pair after the prefill, during which the servers may have changed.
     fn confirm_decode_target(
         &self,
         request: &ClientRequest,
@@ -177,8 +181,12 @@
         self.target(service, &id)
     }
 
-    /// Sends the request to the decode server. If that cannot fetch the KV cache, the request is sent once more for it
-    /// to prefill the prompt itself, which takes a retry out of the budget.
+    /// Sends the request to the decode server. If the server cannot fetch the KV cache, the request is sent to it once more
+    /// without a handle, so that it prefills the prompt itself. This takes a retry out of the budget.
+    ///
+    /// # Errors
+    ///
+    /// The retry budget is exhausted.
     async fn decode_or_prefill_locally(
         self: &Rc<Self>,
         request: &ClientRequest,
@@ -198,14 +206,14 @@
         }
         let outcome = self.start_decode(request, prompt, target, None, None).await;
         if let (DecodeOutcome::Streaming(_), Some(prefill_server)) = (&outcome, &prefill_server) {
-            // The server was not full: it was the KV cache that could not be fetched.
+            // The server had capacity, so the first attempt failed because the KV cache could not be fetched.
             let now = self.now();
             self.router.borrow_mut().suspend_handovers(now, prefill_server);
         }
         Ok(outcome)
     }
 
-    /// Whether the server has not begun to drain: a draining one must get no new request (RULES.md, DRAIN).
+    /// True if the server is up: a draining server must get no new requests (RULES.md, DRAIN).
     fn accepts_requests(&self, server_id: &str) -> bool {
         let router = self.router.borrow();
         router.endpoints().get(server_id).is_some_and(|endpoint| endpoint.server.state == OperState::Up)
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The health check of the platform, and the status for operators.
+//! The readiness endpoint for the platform's health check, and the status endpoint for operators.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -14,11 +14,10 @@
 use mosshead_time::Duration;
 use tokio::net::TcpListener;
 
-/// For how long a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers `GET /readiness` with 200 or 503 (PROTOCOL.md, Ingress), and `GET /status` with what `status` returns, for as
-/// long as it is polled. Has to be polled within a `LocalSet`.
+/// Answers `GET /readiness` with 200 or 503 (PROTOCOL.md, Ingress), and `GET /status` with the result of `status`, until
+/// the future is dropped. It must be polled within a `LocalSet`.
 pub async fn serve_readiness<S>(listener: TcpListener, is_ready: impl Fn() -> bool + 'static, status: S)
 where
     S: Fn() -> String + 'static,
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: their bodies, and those that are the proxy's own.
+//! Responses to clients: forwarded ones, and those that the proxy itself makes.
 
 use std::fmt;
 use std::pin::Pin;
@@ -13,7 +13,7 @@
 
 use crate::headers::end_to_end;
 
-/// The response ends here, incomplete: the connection to the client is closed.
+/// The error that aborts an incomplete response, so that the connection to the client is closed.
 #[derive(Debug)]
 pub(crate) struct ResponseAborted;
 
@@ -28,9 +28,9 @@
 /// The body of a response to a client.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
-    /// All bytes are there; `None` once they have been taken.
+    /// The complete body; `None` after it has been taken.
     Buffered(Option<Bytes>),
-    /// Bytes arrive as the server sends them; the body is complete when the sender is dropped.
+    /// Bytes in the order in which the server sends them; the body is complete when the sender is dropped.
     Streaming(mpsc::Receiver<Result<Bytes, ResponseAborted>>),
 }
 
@@ -65,8 +65,8 @@
     }
 }
 
-/// A response of the proxy's own, without a body. `retry_after`, in seconds, only where no server ran the request and
-/// none will: clients take it for that promise.
+/// Creates a response of the proxy itself, without a body. `retry_after`, in seconds, may be given only if no server has
+/// run the request or will: clients rely on that and retry.
 pub(crate) fn proxy_response(status: StatusCode, retry_after: Option<f64>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Buffered(None));
     *response.status_mut() = status;
@@ -77,7 +77,7 @@
     response
 }
 
-/// A server's response with this body.
+/// Creates the response to a client from the head of a server's response and this body.
 pub(crate) fn forwarded_response(head: &Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
--- a/crates/data-plane/src/retry.rs
+++ b/crates/data-plane/src/retry.rs
@@ -1,4 +1,4 @@
-//! When a request is sent once more, and the response to its client if it is not.
+//! Decides if a request may be retried, and makes the response to the client if it may not.
 
 use std::rc::Rc;
 
@@ -11,50 +11,50 @@
 use crate::response::{ResponseBody, proxy_response};
 use crate::server_request::Target;
 
-/// After more attempts that reached no server a request is given up.
+/// The maximum number of attempts that reached no server; after one more the request fails.
 const MAX_UNDELIVERED_ATTEMPTS: u32 = 4;
-/// The shortest `Retry-After` of a rejected client, in seconds.
-const MIN_RETRY_AFTER: f64 = 0.05;
+/// The minimum `Retry-After` of a rejected request.
+const MIN_RETRY_AFTER_SECONDS: f64 = 0.05;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Rejected clients are spread over this part of the route's target latency.
-const RETRY_AFTER_PARTS: f64 = 4.0;
+/// The jitter of `Retry-After` is up to the route's target latency divided by this number.
+const RETRY_AFTER_JITTER_DIVISOR: f64 = 4.0;
 
 /// The outcomes of the attempts of one client request so far.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
-    /// Servers that are not selected again.
+    /// The servers that are not selected again.
     avoid: Vec<Rc<str>>,
-    /// Attempts that reached a server. The route's `retry_count` bounds them, and from the second on each takes a retry
-    /// out of the budget.
+    /// The number of attempts that reached a server, at most the route's `retry_count`. Each one after the first takes a
+    /// retry out of the budget.
     delivered: u32,
-    /// Prefills that reached a server. The first one is free, further ones take a retry out of the budget.
+    /// The number of prefills that reached a server. Each one after the first takes a retry out of the budget.
     delivered_prefills: u32,
-    /// Attempts that reached no server.
+    /// The number of attempts that reached no server.
     undelivered: u32,
-    /// Whether a server may have run the request.
+    /// True if a server may have run the request.
     may_have_run: bool,
 }
 
 impl AttemptHistory {
-    /// The server may have run the request.
+    /// Records that the server may have run the request.
     pub(crate) fn record_run(&mut self, server_id: &Rc<str>) {
         self.may_have_run = true;
         self.record_rejection(server_id);
     }
 
-    /// The request reached the server, which did not run it.
+    /// Records that the request reached the server, which did not run it.
     pub(crate) fn record_rejection(&mut self, server_id: &Rc<str>) {
         self.delivered += 1;
         self.avoid.push(server_id.clone());
     }
 
-    /// The request did not reach the server.
+    /// Records that the request did not reach the server.
     pub(crate) fn record_undelivered(&mut self, server_id: &Rc<str>) {
         self.undelivered += 1;
         self.avoid.push(server_id.clone());
     }
 
-    /// The prefill reached a server.
+    /// Records that a prefill reached a server.
     pub(crate) fn record_delivered_prefill(&mut self) {
         self.delivered_prefills += 1;
     }
@@ -64,46 +64,46 @@
         &self.avoid
     }
 
-    /// Whether the next attempt takes a retry out of the budget.
+    /// True if the next attempt takes a retry out of the budget.
     pub(crate) fn is_next_attempt_a_retry(&self) -> bool {
         self.delivered > 0
     }
 
-    /// Whether the next prefill takes a retry out of the budget.
+    /// True if the next prefill takes a retry out of the budget.
     pub(crate) fn is_next_prefill_a_retry(&self) -> bool {
         self.delivered_prefills > 0
     }
 
-    /// Whether no further prefill may be made: after the first one as many have reached a server as the route allows.
+    /// True if no further prefill is allowed: `retry_count` prefills after the first one have reached a server.
     pub(crate) fn has_reached_prefill_limit(&self, request: &ClientRequest) -> bool {
         self.delivered_prefills > request.route.retry_count
     }
 
-    /// Who may take the request over once it runs at one more server.
-    pub(crate) fn take_over(&self, request: &ClientRequest) -> TakeOver {
+    /// The state for failovers of a stream that begins with the next delivered attempt.
+    pub(crate) fn failover_state(&self, request: &ClientRequest) -> FailoverState {
         let remaining_attempts = request.route.retry_count.saturating_sub(self.delivered + 1);
-        TakeOver { avoid: Vec::new(), remaining_attempts }
+        FailoverState { avoid: Vec::new(), remaining_attempts }
     }
 
-    /// Whether the request has been sent to as many servers as its route allows.
+    /// True if the request has reached as many servers as its route allows.
     pub(crate) fn has_reached_retry_count(&self, request: &ClientRequest) -> bool {
         self.delivered >= request.route.retry_count
     }
 }
 
-/// Who may take over a stream from the server that it is at.
+/// Which servers a stream may still be resumed at.
 #[derive(Clone, Debug)]
-pub(crate) struct TakeOver {
-    /// The servers that the stream has been at: they are not selected again.
+pub(crate) struct FailoverState {
+    /// The servers that the stream has already used; they are not selected again.
     pub(crate) avoid: Vec<Rc<str>>,
-    /// To how many more servers the request may be sent.
+    /// The number of further servers that the request may be sent to.
     pub(crate) remaining_attempts: u32,
 }
 
 impl DataPlane {
-    /// Completes once the server has proven unresponsive before its response has begun, while the service has another one.
-    /// That one gets the request next: from this proxy or, if it may make no further attempt, from the client, who learns at
-    /// once that this one has failed. Without another server a late response is the only one that there can be.
+    /// Completes when the server is found unresponsive before its response has begun while the service has another server.
+    /// The other server then gets the request from this proxy or, if no further attempt is allowed, from the client, which
+    /// learns at once that its attempt has failed. Without another server only a late response can help.
     pub(crate) async fn wait_until_abandonable(
         self: &Rc<Self>,
         request: &ClientRequest,
@@ -120,20 +120,20 @@
         }
     }
 
-    /// Completes once the server of a stream that has begun has proven unresponsive while this proxy may resume the stream
-    /// at another one. A client never sees a stream end for a server's silence alone.
+    /// Completes when the server of a running stream is found unresponsive while this proxy may resume the stream at
+    /// another server. Otherwise the wait continues: a stream is never aborted only because its server is silent.
     pub(crate) async fn wait_until_resumable(
         self: &Rc<Self>,
         request: &ClientRequest,
         target: &Target,
-        take_over: &TakeOver,
+        failover: &FailoverState,
     ) {
         loop {
             self.wait_until_unresponsive(target, SILENT_SERVER_TIMEOUT, LOAD_REPORT_TIMEOUT).await;
             let (now, service) = (self.now(), &request.service.name);
             let mut router = self.router.borrow_mut();
-            if take_over.remaining_attempts > 0
-                && router.has_ready_server(now, service, &take_over.avoid)
+            if failover.remaining_attempts > 0
+                && router.has_ready_server(now, service, &failover.avoid)
                 && router.has_retry(now, service, request.route.priority)
             {
                 return;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Whether no further attempt may be made.
+    /// True if no further attempt is allowed.
     pub(crate) fn is_exhausted(&self, request: &ClientRequest, history: &AttemptHistory) -> bool {
         request.is_expired(self.now())
             || history.undelivered > MAX_UNDELIVERED_ATTEMPTS
@@ -154,7 +154,7 @@
         self.router.borrow_mut().try_withdraw_retry(now, &request.service.name, request.route.priority)
     }
 
-    /// The response to a request for which no further attempt is made.
+    /// The response to a request after its last attempt.
     pub(crate) fn give_up(
         &self,
         request: &ClientRequest,
@@ -163,16 +163,16 @@
         if history.may_have_run { self.fail() } else { self.reject(request) }
     }
 
-    /// The response to a request that no server has run: 503, with the time after which the client may retry.
+    /// The response to a request that no server has run: 503 with a `Retry-After`.
     pub(crate) fn reject(&self, request: &ClientRequest) -> Response<ResponseBody> {
         self.counters.rejected.increment();
         let target_latency = request.route.target_latency.as_millis() as f64;
         let fraction = self.router.borrow_mut().random_fraction();
-        let spread = fraction * target_latency / (MILLIS_PER_SECOND * RETRY_AFTER_PARTS);
-        proxy_response(StatusCode::SERVICE_UNAVAILABLE, Some(MIN_RETRY_AFTER + spread))
+        let jitter = fraction * target_latency / (MILLIS_PER_SECOND * RETRY_AFTER_JITTER_DIVISOR);
+        proxy_response(StatusCode::SERVICE_UNAVAILABLE, Some(MIN_RETRY_AFTER_SECONDS + jitter))
     }
 
-    /// The response to a request that a server may have run: 502, which promises nothing.
+    /// The response to a request that a server may have run: 502, which does not say that it did not run.
     pub(crate) fn fail(&self) -> Response<ResponseBody> {
         self.counters.failed.increment();
         proxy_response(StatusCode::BAD_GATEWAY, None)
--- a/crates/data-plane/src/server_request.rs
+++ b/crates/data-plane/src/server_request.rs
@@ -1,4 +1,4 @@
-//! A request as it is sent to servers.
+//! Requests as they are sent to servers.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -13,22 +13,22 @@
 
 use crate::headers::{ATTEMPT_ID, DEADLINE_MS, TARGET_INSTANCE};
 
-/// On whose account a request goes to a server.
+/// Who originated a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOrigin {
-    /// A client sent it. It bears the client's attempt id, which the response echoes.
+    /// A client. The request has the client's attempt id, if any, and the response echoes it.
     Client,
-    /// The proxy sends it on its own account. Neither the request nor its response bears an id.
+    /// The proxy itself. Neither the request nor its response has an attempt id.
     Proxy,
 }
 
-/// The server that an attempt is made at.
+/// The server of an attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     /// The server's instance id.
     pub(crate) id: Rc<str>,
     pub(crate) address: SocketAddrV4,
-    /// How many connections this proxy may have to it.
+    /// This proxy's limit of connections to the server.
     pub(crate) max_connections: usize,
 }
 
@@ -40,22 +40,22 @@
     headers: HeaderMap,
     body: Bytes,
     pub(crate) origin: RequestOrigin,
-    /// What the client calls this attempt of its own.
+    /// The client's id of its attempt.
     attempt_id: Option<HeaderValue>,
     /// Ids of the servers that the request may have reached.
     may_have_reached: RefCell<Vec<Rc<str>>>,
 }
 
 impl ServerRequest {
-    /// A client's request; of its headers only those that are forwarded.
-    pub(crate) fn of_client(method: Method, uri: Uri, headers: HeaderMap, body: Bytes) -> Self {
+    /// Creates a client's request from its method, URI and body and the headers to forward.
+    pub(crate) fn from_client(method: Method, uri: Uri, headers: HeaderMap, body: Bytes) -> Self {
         let attempt_id = headers.get(ATTEMPT_ID).filter(|id| !id.is_empty()).cloned();
         let may_have_reached = RefCell::default();
         Self { method, uri, headers, body, origin: RequestOrigin::Client, attempt_id, may_have_reached }
     }
 
-    /// A call of the proxy's own.
-    pub(crate) fn of_proxy(method: Method, uri: Uri) -> Self {
+    /// Creates a call of the proxy itself.
+    pub(crate) fn from_proxy(method: Method, uri: Uri) -> Self {
         Self {
             method,
             uri,
@@ -67,32 +67,32 @@
         }
     }
 
-    /// Whether it needs a connection that has carried nothing yet: where it has no id, or was sent to this server
-    /// before, no id would tell its response from a late one to what the connection carried before.
+    /// True if the request needs a connection that has carried no request yet. This is so if it has no attempt id or may
+    /// have reached this server before: the id could not tell its response from a late response to an earlier request.
     pub(crate) fn needs_new_connection(&self, target: &Target) -> bool {
         let has_no_id = self.origin == RequestOrigin::Client && self.attempt_id.is_none();
         has_no_id || self.may_have_reached.borrow().contains(&target.id)
     }
 
-    /// Whether this can be the head of its response. A response echoes the id, and has none where the request had none
-    /// (PROTOCOL.md, Servers). Calls of the proxy's own are matched by their connections, which carry nothing else.
+    /// True if this can be the head of the response to this request. A response echoes the attempt id, and has none if the
+    /// request has none (PROTOCOL.md, Servers). Proxy calls have no id; their connections carry no other requests.
     pub(crate) fn is_answered_by(&self, head: &Parts) -> bool {
         let echo = head.headers.get(ATTEMPT_ID).filter(|id| !id.is_empty());
         self.origin == RequestOrigin::Proxy || echo == self.attempt_id.as_ref()
     }
 
-    /// Records that the request may reach the server. This must happen before the send: the future that sends may be
-    /// dropped at any moment, and the request may have arrived all the same.
+    /// Records that the request may reach the server. Must be called before the send: the sending future may be dropped at
+    /// any time, and the request may have arrived nevertheless.
     pub(crate) fn record_send(&self, target: &Target) {
         self.may_have_reached.borrow_mut().push(target.id.clone());
     }
 
-    /// Takes the last `record_send` back: it is proven that the request was not sent completely.
+    /// Undoes the last `record_send` after it is certain that the request was not sent completely.
     pub(crate) fn revoke_send(&self) {
         self.may_have_reached.borrow_mut().pop();
     }
 
-    /// The request for this server, which may take `time_left`.
+    /// Builds the HTTP request for this server, with `time_left` until the deadline.
     pub(crate) fn to_http(
         &self,
         target: &Target,
--- a/crates/data-plane/src/server_response.rs
+++ b/crates/data-plane/src/server_response.rs
@@ -1,4 +1,4 @@
-//! A server's response: whether it proves what it claims, and how its body is read.
+//! Checks of servers' responses, and reading of their bodies.
 
 use std::rc::Rc;
 
@@ -15,30 +15,30 @@
 use crate::data_plane::DataPlane;
 use crate::headers::{SERVER_SEAL, keep_alive_timeout};
 
-/// A response that is buffered is at most this long.
+/// The maximum length of a buffered response body.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
-/// For how long the rest of an unwanted response is read, to keep its connection.
+/// The maximum time for reading the rest of an unwanted response in order to reuse its connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The head of a response to the very request that was sent, and the source of its body.
+/// A response that was matched to its request, with its body not read yet.
 pub(crate) struct ServerResponse {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
     pub(crate) connection: PooledConnection,
 }
 
-/// Whether a success bears the server's seal; without it a response is not the server's (RULES.md, MIXED).
+/// True if a successful response has the server's seal; without it the server did not make the response (RULES.md, MIXED).
 pub(crate) fn is_sealed(head: &Parts) -> bool {
     head.headers.contains_key(SERVER_SEAL)
 }
 
-/// Whether the end of the body is distinguishable from a broken connection.
+/// True if the end of the body can be told from a broken connection.
 pub(crate) fn is_framed(head: &Parts) -> bool {
     head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Whether a client takes this status for a promise that the request has not run (PROTOCOL.md, Answers). Without the
-/// server's `X-Not-Executed` the promise would be false (RULES.md, REFUSED).
+/// True if this status tells the client that the request has not run (PROTOCOL.md, Answers). Without the server's
+/// `X-Not-Executed` that may be false (RULES.md, REFUSED).
 pub(crate) fn promises_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
@@ -49,8 +49,8 @@
     )
 }
 
-/// The complete body of a response; `None` where it broke off, was too late or too long, or has an encoding, which no
-/// client requests.
+/// Reads the complete body of a response; `None` if it is incomplete, too late or too long, or has a content encoding,
+/// which no client requests.
 pub(crate) async fn read_body(head: &Parts, body: Incoming, until: Instant) -> Option<Bytes> {
     let has_end = is_framed(head) || head.status == StatusCode::NO_CONTENT;
     if !has_end || head.headers.contains_key(CONTENT_ENCODING) {
@@ -70,7 +70,7 @@
 }
 
 impl DataPlane {
-    /// The complete body of a response, as `read_body`; its connection goes back to the pool.
+    /// Reads the complete body as [`read_body`] does, and returns the connection to the pool.
     pub(crate) async fn buffer_body(
         &self,
         server_id: &Rc<str>,
@@ -84,7 +84,7 @@
         Some(body)
     }
 
-    /// Reads the rest of an unwanted response in a task of its own, and puts its connection back into the pool.
+    /// Reads the rest of an unwanted response in a separate task, and returns its connection to the pool.
     pub(crate) fn discard_response(self: &Rc<Self>, server_id: &Rc<str>, response: ServerResponse) {
         let (data_plane, server_id) = (self.clone(), server_id.clone());
         let ServerResponse { head, body, connection } = response;
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -1,5 +1,5 @@
-//! Streams: events are forwarded as they arrive. Where the route allows it, a broken stream is resumed at another
-//! server.
+//! Forwards the events of streams to clients as they arrive, and resumes a broken stream at another server if the route
+//! allows it.
 
 use std::rc::Rc;
 
@@ -19,32 +19,32 @@
 use crate::event_splitter::EventSplitter;
 use crate::headers::keep_alive_timeout;
 use crate::response::{ResponseAborted, ResponseBody, forwarded_response};
-use crate::retry::TakeOver;
+use crate::retry::FailoverState;
 use crate::server_request::Target;
 use crate::server_response::is_framed;
 
-/// How many events wait for a client that does not read.
+/// The maximum number of events that are queued for a slow client.
 const MAX_QUEUED_EVENTS: usize = 16;
-/// For how long the abort of a response waits for a client that does not read.
+/// The maximum time for which the abort of a response waits for room in a slow client's queue.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where a client's response body takes its bytes from.
+/// The sending end of a client's response body.
 type EventSender = mpsc::Sender<Result<Bytes, ResponseAborted>>;
 
 /// How the relay of one server's stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RelayEnd {
     Complete,
-    /// The server broke off or became unresponsive: the stream may be resumed at another one.
+    /// The connection broke or the server became unresponsive: the stream may be resumed at another server.
     Broken,
     ClientGone,
     DeadlinePassed,
 }
 
-/// The next part of a server's stream.
+/// The result of waiting for the next frame of a server's stream.
 enum Received {
     Data(Bytes),
-    /// A frame that carries no data.
+    /// A frame without data.
     Trailers,
     End,
     ConnectionBroken,
@@ -54,20 +54,20 @@
 }
 
 impl DataPlane {
-    /// The response that carries the stream. A task of its own forwards the events, and resumes the stream
-    /// where `take_over` allows it.
+    /// Returns the response with the stream. A separate task forwards the events, and resumes the stream if `failover`
+    /// allows it.
     pub(crate) fn forward_stream(
         self: Rc<Self>,
         request: ClientRequest,
         prompt: Prompt,
         stream: DecodeStream,
-        take_over: TakeOver,
+        failover: FailoverState,
         in_flight: CountGuard,
     ) -> Response<ResponseBody> {
         let (client, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
         let response = forwarded_response(&stream.head, ResponseBody::Streaming(receiver));
         tokio::task::spawn_local(async move {
-            self.relay_with_resumes(request, prompt, stream, take_over, client).await;
+            self.relay_with_resumes(request, prompt, stream, failover, client).await;
             drop(in_flight);
         });
         response
@@ -78,26 +78,26 @@
         request: ClientRequest,
         prompt: Prompt,
         stream: DecodeStream,
-        mut take_over: TakeOver,
+        mut failover: FailoverState,
         client: EventSender,
     ) {
         let mut splitter = EventSplitter::default();
-        take_over.avoid.push(stream.target.id.clone());
-        let mut end = self.relay(&request, &prompt, stream, &mut splitter, &client, &take_over).await;
-        while end == RelayEnd::Broken && take_over.remaining_attempts > 0 {
+        failover.avoid.push(stream.target.id.clone());
+        let mut end = self.relay(&request, &prompt, stream, &mut splitter, &client, &failover).await;
+        while end == RelayEnd::Broken && failover.remaining_attempts > 0 {
             if !request.route.resume || request.is_expired(self.now()) {
                 break;
             }
             splitter.discard_partial_event();
-            take_over.remaining_attempts -= 1;
-            let Some(target) = self.select_resume_target(&request, &prompt, &mut take_over.avoid) else {
+            failover.remaining_attempts -= 1;
+            let Some(target) = self.select_resume_target(&request, &prompt, &mut failover.avoid) else {
                 break;
             };
             let last_event_id = splitter.last_forwarded_id();
             let outcome = self.start_decode(&request, &prompt, &target, None, last_event_id).await;
             if let DecodeOutcome::Streaming(stream) = outcome {
                 self.counters.resumed.increment();
-                end = self.relay(&request, &prompt, stream, &mut splitter, &client, &take_over).await;
+                end = self.relay(&request, &prompt, stream, &mut splitter, &client, &failover).await;
             }
         }
         match end {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Another decode server that prefills the prompt itself, for one retry out of the budget.
+    /// Selects another decode server, which prefills the prompt itself. This takes a retry out of the budget.
     fn select_resume_target(
         &self,
         request: &ClientRequest,
@@ -131,7 +131,7 @@
         Some(target)
     }
 
-    /// Forwards the events of one server's stream.
+    /// Forwards the events of one server's stream until it ends or fails.
     async fn relay(
         self: &Rc<Self>,
         request: &ClientRequest,
@@ -139,7 +139,7 @@
         stream: DecodeStream,
         splitter: &mut EventSplitter,
         client: &EventSender,
-        take_over: &TakeOver,
+        failover: &FailoverState,
     ) -> RelayEnd {
         let DecodeStream {
             head,
@@ -151,7 +151,7 @@
             mut sent_at,
         } = stream;
         loop {
-            match self.receive(request, &target, &mut body, client, take_over).await {
+            match self.receive(request, &target, &mut body, client, failover).await {
                 Received::Data(data) => {
                     let is_local = prefill_guard.take().is_some();
                     if let Some(sent_at) = sent_at.take() {
@@ -174,7 +174,7 @@
                     self.connections.put(&target.id, connection, keep_alive, request.deadline.timer).await;
                     return RelayEnd::Complete;
                 }
-                // Without a length or chunks, a stream that broke off looks complete.
+                // Without a length or chunked encoding, the end of a broken stream looks like a regular one.
                 Received::End | Received::ConnectionBroken => break,
                 Received::Unresponsive => {
                     request_guard.record_failure(ServerFailure::Unreachable);
@@ -188,7 +188,7 @@
         RelayEnd::Broken
     }
 
-    /// The first event of a stream has arrived, whose prompt was prefilled at its decode server if `is_local`.
+    /// Records the latency of a stream's first event. `is_local` is true if the decode server prefilled the prompt itself.
     fn record_start_latency(
         &self,
         request: &ClientRequest,
@@ -212,13 +212,13 @@
         target: &Target,
         body: &mut Incoming,
         client: &EventSender,
-        take_over: &TakeOver,
+        failover: &FailoverState,
     ) -> Received {
         let frame = tokio::select! {
             biased;
             () = client.closed() => return Received::ClientGone,
             frame = timeout_at(request.deadline.timer, body.frame()) => frame,
-            () = self.wait_until_resumable(request, target, take_over), if request.route.resume => return Received::Unresponsive,
+            () = self.wait_until_resumable(request, target, failover), if request.route.resume => return Received::Unresponsive,
         };
         self.record_received(&target.id);
         match frame {
@@ -230,7 +230,7 @@
     }
 }
 
-/// Forwards the events that these bytes complete, except those that the client already has from another server.
+/// Forwards the events that these bytes complete, except those that the client has already received.
 async fn forward_events(
     data: &[u8],
     splitter: &mut EventSplitter,
