--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -148,7 +148,8 @@
     ) -> AttemptOutcome {
         let (head, body) = response.into_parts();
         self.record_received(&target.id);
-        // A surplus response to an earlier request may arrive in place of the response to this one (PROTOCOL.md, Servers).
+        // A surplus response to an earlier request may arrive in place of the response to this one (PROTOCOL.md,
+        // Servers).
         if !request.is_answered_by(&head) {
             return AttemptOutcome::Broken;
         }
--- a/crates/data-plane/src/buffered_request.rs
+++ b/crates/data-plane/src/buffered_request.rs
@@ -1,5 +1,5 @@
-//! Requests without a prompt. Their responses are buffered before they are forwarded, so that the request can be retried
-//! after a broken response.
+//! Requests without a prompt. Their responses are buffered before they are forwarded, so that the request can be
+//! retried after a broken response.
 
 use std::rc::Rc;
 
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -19,8 +19,8 @@
 
 /// The maximum total size of the request bodies that are buffered at any time.
 const MAX_BUFFERED_BYTES: usize = 96 * 1024 * 1024;
-/// Each proxy may open this many times its even share of a server's connections, because clients are distributed unevenly
-/// over the proxies.
+/// Each proxy may open this many times its even share of a server's connections, because clients are distributed
+/// unevenly over the proxies.
 const CONNECTION_SHARE_FACTOR: f64 = 2.0;
 /// The minimum of a proxy's limit of connections to a server.
 const MIN_CONNECTIONS: usize = 6;
@@ -79,8 +79,8 @@
         self.config.load_full()
     }
 
-    /// Puts a configuration into force if its revision is newer than the current one; returns false if it is not. A proxy
-    /// never goes back to an older configuration while its process runs (RULES.md, CONFIG).
+    /// Puts a configuration into force if its revision is newer than the current one; returns false if it is not. A
+    /// proxy never goes back to an older configuration while its process runs (RULES.md, CONFIG).
     pub fn configure(&self, config: Arc<Config>) -> bool {
         let is_newer = self.config().is_none_or(|current| current.revision() < config.revision());
         if is_newer {
@@ -145,8 +145,8 @@
         router.learned_latencies(self.now()).map(|(service, learned)| (service.to_owned(), learned)).collect()
     }
 
-    /// True if the proxy can accept new clients: it is not draining, a configuration is in force, and at least one service
-    /// of the configuration has a server.
+    /// True if the proxy can accept new clients: it is not draining, a configuration is in force, and at least one
+    /// service of the configuration has a server.
     pub fn is_ready(&self) -> bool {
         if self.is_draining() {
             return false;
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -66,8 +66,8 @@
 }
 
 impl DataPlane {
-    /// Sends the request to a decode server. Without a handle, the server prefills the prompt itself. `last_event_id` is
-    /// given to resume a stream after that event.
+    /// Sends the request to a decode server. Without a handle, the server prefills the prompt itself. `last_event_id`
+    /// is given to resume a stream after that event.
     pub(crate) async fn start_decode(
         self: &Rc<Self>,
         request: &ClientRequest,
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,5 +1,5 @@
-//! The data plane of a proxy: it accepts clients' connections, forwards requests and streams to model servers, and hands
-//! prompts over from prefill to decode servers.
+//! The data plane of a proxy: it accepts clients' connections, forwards requests and streams to model servers, and
+//! hands prompts over from prefill to decode servers.
 //!
 //! Everything here runs on one thread. `mosshead-routing` selects servers without any I/O; this crate does the I/O.
 //! A request passes through `frontend`, which accepts the connection, `ingress`, which reads the request, and
--- a/crates/data-plane/src/load_guards.rs
+++ b/crates/data-plane/src/load_guards.rs
@@ -63,9 +63,9 @@
     }
 }
 
-/// Guards the selection of a server until its request is sent. If the guard is dropped before that, the selection counts
-/// as inconclusive: after an ejection the request may be the server's trial, and the server gets no other trial until
-/// this one has ended.
+/// Guards the selection of a server until its request is sent. If the guard is dropped before that, the selection
+/// counts as inconclusive: after an ejection the request may be the server's trial, and the server gets no other trial
+/// until this one has ended.
 pub(crate) struct SelectionGuard<'a> {
     data_plane: &'a DataPlane,
     server_id: &'a str,
--- a/crates/data-plane/src/load_report.rs
+++ b/crates/data-plane/src/load_report.rs
@@ -70,9 +70,9 @@
         self.connections.put(&target.id, connection, keep_alive_timeout(&head.headers), until).await;
     }
 
-    /// Completes when the server is found unresponsive: nothing has arrived from it for `max_silence`, and it then fails
-    /// to answer a load query within `report_timeout`. Silence alone is not enough: a request that waits in a long queue
-    /// gets no response either, and must not be sent to another server for that.
+    /// Completes when the server is found unresponsive: nothing has arrived from it for `max_silence`, and it then
+    /// fails to answer a load query within `report_timeout`. Silence alone is not enough: a request that waits in a
+    /// long queue gets no response either, and must not be sent to another server for that.
     pub(crate) async fn wait_until_unresponsive(
         self: &Rc<Self>,
         target: &Target,
--- a/crates/data-plane/src/prefill.rs
+++ b/crates/data-plane/src/prefill.rs
@@ -1,5 +1,5 @@
-//! Prefills a prompt at a prefill server for a decode server, and frees the handle of the resulting KV cache if no server
-//! fetches it.
+//! Prefills a prompt at a prefill server for a decode server, and frees the handle of the resulting KV cache if no
+//! server fetches it.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -29,7 +29,8 @@
 const MAX_HANDLE_LENGTH: usize = 128;
 
 /// The KV cache of a prompt, which the prefill server keeps until a decode server fetches it once. If the handle is
-/// dropped before that, the KV cache is freed: one that is never fetched is charged for (PROTOCOL.md, Prefill and decode).
+/// dropped before that, the KV cache is freed: one that is never fetched is charged for (PROTOCOL.md, Prefill and
+/// decode).
 pub(crate) struct KvHandle {
     data_plane: Rc<DataPlane>,
     prefill_server: Target,
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -1,4 +1,5 @@
-//! Requests with a prompt: selects a pair of servers, has the prompt prefilled by one, and starts the stream at the other.
+//! Requests with a prompt: selects a pair of servers, has the prompt prefilled by one, and starts the stream at the
+//! other.
 
 use std::rc::Rc;
 
@@ -29,7 +30,8 @@
 }
 
 impl DataPlane {
-    /// Makes attempts until a stream begins or no further attempt is allowed. `in_flight` is held until the stream ends.
+    /// Makes attempts until a stream begins or no further attempt is allowed. `in_flight` is held until the stream
+    /// ends.
     pub(crate) async fn forward_prompt(
         self: &Rc<Self>,
         request: ClientRequest,
@@ -121,9 +123,9 @@
         Some(pair)
     }
 
-    /// Has the prompt prefilled if the pair has a prefill server. The first prefill that a server accepts is free; further
-    /// prefills and rejected ones each take a retry out of the budget (RULES.md, BUDGET). After `retry_count` further
-    /// prefills have reached a server, the decode server prefills the prompt itself.
+    /// Has the prompt prefilled if the pair has a prefill server. The first prefill that a server accepts is free;
+    /// further prefills and rejected ones each take a retry out of the budget (RULES.md, BUDGET). After `retry_count`
+    /// further prefills have reached a server, the decode server prefills the prompt itself.
     ///
     /// # Errors
     ///
@@ -181,8 +183,8 @@
         self.target(service, &id)
     }
 
-    /// Sends the request to the decode server. If the server cannot fetch the KV cache, the request is sent to it once more
-    /// without a handle, so that it prefills the prompt itself. This takes a retry out of the budget.
+    /// Sends the request to the decode server. If the server cannot fetch the KV cache, the request is sent to it once
+    /// more without a handle, so that it prefills the prompt itself. This takes a retry out of the budget.
     ///
     /// # Errors
     ///
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -16,8 +16,8 @@
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers `GET /readiness` with 200 or 503 (PROTOCOL.md, Ingress), and `GET /status` with the result of `status`, until
-/// the future is dropped. It must be polled within a `LocalSet`.
+/// Answers `GET /readiness` with 200 or 503 (PROTOCOL.md, Ingress), and `GET /status` with the result of `status`,
+/// until the future is dropped. It must be polled within a `LocalSet`.
 pub async fn serve_readiness<S>(listener: TcpListener, is_ready: impl Fn() -> bool + 'static, status: S)
 where
     S: Fn() -> String + 'static,
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// Creates a response of the proxy itself, without a body. `retry_after`, in seconds, may be given only if no server has
-/// run the request or will: clients rely on that and retry.
+/// Creates a response of the proxy itself, without a body. `retry_after`, in seconds, may be given only if no server
+/// has run the request or will: clients rely on that and retry.
 pub(crate) fn proxy_response(status: StatusCode, retry_after: Option<f64>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Buffered(None));
     *response.status_mut() = status;
--- a/crates/data-plane/src/retry.rs
+++ b/crates/data-plane/src/retry.rs
@@ -24,8 +24,8 @@
 pub(crate) struct AttemptHistory {
     /// The servers that are not selected again.
     avoid: Vec<Rc<str>>,
-    /// The number of attempts that reached a server, at most the route's `retry_count`. Each one after the first takes a
-    /// retry out of the budget.
+    /// The number of attempts that reached a server, at most the route's `retry_count`. Each one after the first takes
+    /// a retry out of the budget.
     delivered: u32,
     /// The number of prefills that reached a server. Each one after the first takes a retry out of the budget.
     delivered_prefills: u32,
@@ -101,9 +101,9 @@
 }
 
 impl DataPlane {
-    /// Completes when the server is found unresponsive before its response has begun while the service has another server.
-    /// The other server then gets the request from this proxy or, if no further attempt is allowed, from the client, which
-    /// learns at once that its attempt has failed. Without another server only a late response can help.
+    /// Completes when the server is found unresponsive before its response has begun while the service has another
+    /// server. The other server then gets the request from this proxy or, if no further attempt is allowed, from the
+    /// client, which learns at once that its attempt has failed. Without another server only a late response can help.
     pub(crate) async fn wait_until_abandonable(
         self: &Rc<Self>,
         request: &ClientRequest,
--- a/crates/data-plane/src/server_request.rs
+++ b/crates/data-plane/src/server_request.rs
@@ -67,22 +67,23 @@
         }
     }
 
-    /// True if the request needs a connection that has carried no request yet. This is so if it has no attempt id or may
-    /// have reached this server before: the id could not tell its response from a late response to an earlier request.
+    /// True if the request needs a connection that has carried no request yet. This is so if it has no attempt id or
+    /// may have reached this server before: the id could not tell its response from a late response to an earlier
+    /// request.
     pub(crate) fn needs_new_connection(&self, target: &Target) -> bool {
         let has_no_id = self.origin == RequestOrigin::Client && self.attempt_id.is_none();
         has_no_id || self.may_have_reached.borrow().contains(&target.id)
     }
 
-    /// True if this can be the head of the response to this request. A response echoes the attempt id, and has none if the
-    /// request has none (PROTOCOL.md, Servers). Proxy calls have no id; their connections carry no other requests.
+    /// True if this can be the head of the response to this request. A response echoes the attempt id, and has none if
+    /// the request has none (PROTOCOL.md, Servers). Proxy calls have no id; their connections carry no other requests.
     pub(crate) fn is_answered_by(&self, head: &Parts) -> bool {
         let echo = head.headers.get(ATTEMPT_ID).filter(|id| !id.is_empty());
         self.origin == RequestOrigin::Proxy || echo == self.attempt_id.as_ref()
     }
 
-    /// Records that the request may reach the server. Must be called before the send: the sending future may be dropped at
-    /// any time, and the request may have arrived nevertheless.
+    /// Records that the request may reach the server. Must be called before the send: the sending future may be dropped
+    /// at any time, and the request may have arrived nevertheless.
     pub(crate) fn record_send(&self, target: &Target) {
         self.may_have_reached.borrow_mut().push(target.id.clone());
     }
--- a/crates/data-plane/src/server_response.rs
+++ b/crates/data-plane/src/server_response.rs
@@ -27,7 +27,8 @@
     pub(crate) connection: PooledConnection,
 }
 
-/// True if a successful response has the server's seal; without it the server did not make the response (RULES.md, MIXED).
+/// True if a successful response has the server's seal; without it the server did not make the response (RULES.md,
+/// MIXED).
 pub(crate) fn is_sealed(head: &Parts) -> bool {
     head.headers.contains_key(SERVER_SEAL)
 }
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -188,7 +188,8 @@
         RelayEnd::Broken
     }
 
-    /// Records the latency of a stream's first event. `is_local` is true if the decode server prefilled the prompt itself.
+    /// Records the latency of a stream's first event. `is_local` is true if the decode server prefilled the prompt
+    /// itself.
     fn record_start_latency(
         &self,
         request: &ClientRequest,
--- a/crates/data-plane/tests/buffered_requests.rs
+++ b/crates/data-plane/tests/buffered_requests.rs
@@ -1,4 +1,4 @@
-//! Requests without a prompt: what is retried at another server, and what is never sent twice.
+//! Requests without a prompt: which ones are retried at another server, and which ones are never sent twice.
 
 mod common;
 
@@ -19,7 +19,7 @@
     response.header("retry-after").and_then(|seconds| seconds.parse().ok())
 }
 
-/// Headers of a sealed response to another request.
+/// The headers of a sealed response to another request.
 fn foreign_headers() -> Vec<(&'static str, String)> {
     vec![("x-server-seal", SEAL.to_owned()), ("x-attempt-id", FOREIGN_ATTEMPT_ID.to_owned())]
 }
@@ -77,7 +77,7 @@
     });
 }
 
-/// Two servers: the first request of all meets `first`, later ones succeed.
+/// Starts two servers. The first request that reaches either of them meets `first`, later ones succeed.
 async fn stubs_failing_first(first: Behavior) -> [Rc<StubServer>; 2] {
     let has_failed = Rc::new(Cell::new(false));
     let script = move || {
@@ -90,7 +90,7 @@
     ]
 }
 
-/// The response to one request whose first attempt meets `first`, and how many requests both servers got.
+/// Sends a request whose first attempt meets `first`. Returns the response and the number of requests at both servers.
 async fn post_failing_first(seed: u64, path: &str, first: Behavior) -> (ClientResponse, usize) {
     let stubs = stubs_failing_first(first).await;
     let proxy = Proxy::with_servers(seed, &[&stubs[0].server, &stubs[1].server]).await;
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_client_whose_request_all_servers_reject_gets_a_time_to_retry_after() {
+fn a_request_that_all_servers_reject_gets_a_retry_after() {
     run(async {
         for path in [NON_IDEMPOTENT, IDEMPOTENT] {
             let stub = StubServer::start("s-1", "plain", None, |_| not_executed(503)).await;
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn without_a_route_it_is_404_and_without_a_configuration_503() {
+fn a_request_gets_404_without_a_route_and_503_without_a_configuration() {
     run(async {
         let stub = StubServer::start("s-1", "plain", None, |_| ok_response("")).await;
         let proxy = Proxy::with_servers(1, &[&stub.server]).await;
--- a/crates/data-plane/tests/common/client.rs
+++ b/crates/data-plane/tests/common/client.rs
@@ -14,20 +14,20 @@
 
 use super::HOST;
 
-/// The id of a client's attempt.
+/// The default attempt id of clients.
 pub(crate) const ATTEMPT_ID: &str = "9c41d07be2a35f68";
-/// How long a client waits.
+/// The default deadline of clients.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_millis(5000);
-/// What a client sends.
+/// The body of clients' requests.
 pub(crate) const REQUEST_BODY: &str = "a body";
 
-/// A response as the client got it.
+/// A response as the client received it.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientResponse {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: String,
-    /// The body ended as it should.
+    /// True if the body ended regularly.
     pub(crate) is_complete: bool,
 }
 
@@ -57,7 +57,8 @@
     ClientResponse { status: head.status.as_u16(), headers: head.headers, body, is_complete }
 }
 
-/// The usual headers and those given, which come last and hold; an empty value leaves a usual header out.
+/// Builds a request with default headers. A given header replaces the default one of the same name, or removes it if
+/// its value is empty.
 fn build_request(
     method: &str,
     path: &str,
@@ -67,8 +68,8 @@
     let request = Request::builder().method(method).uri(path);
     let mut request = request.body(Full::new(Bytes::from(body))).expect("a request");
     let timeout = CLIENT_TIMEOUT.as_millis().to_string();
-    let usual = [("host", HOST), ("x-attempt-id", ATTEMPT_ID), ("x-deadline-ms", timeout.as_str())];
-    for (name, value) in usual.iter().chain(headers) {
+    let default_headers = [("host", HOST), ("x-attempt-id", ATTEMPT_ID), ("x-deadline-ms", timeout.as_str())];
+    for (name, value) in default_headers.iter().chain(headers) {
         let name: HeaderName = name.parse().expect("a name");
         if value.is_empty() {
             request.headers_mut().remove(name);
@@ -79,7 +80,7 @@
     request
 }
 
-/// What came of a body, and whether it ended as it should.
+/// Reads a body; returns the text that arrived, and true if the body ended regularly.
 async fn read_body(mut incoming: Incoming) -> (String, bool) {
     let (mut received, mut is_complete) = (Vec::new(), true);
     while let Some(frame) = incoming.frame().await {
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: a proxy on loopback, stubs of model servers, and a client.
-#![allow(dead_code, unused_imports, reason = "each test binary uses a part")]
+//! Shared test fixtures: a proxy on loopback, stubs of model servers, and a client.
+#![allow(dead_code, unused_imports, reason = "each test binary uses only some of the fixtures")]
 
 mod client;
 mod proxy;
@@ -21,22 +21,22 @@
     Behavior, ReceivedRequest, StubServer, event, events, handle_response, not_executed, ok_response,
 };
 
-/// What a server's success bears.
+/// The seal in servers' successful responses.
 pub(crate) const SEAL: &str = "3e1b.07.5a2.600.0.c9f2a4d1";
-/// The id of no request.
+/// An attempt id that no request has.
 pub(crate) const FOREIGN_ATTEMPT_ID: &str = "0000000000000000";
 
-/// No test takes longer.
+/// The timeout of each test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test's body on one thread, within a bound.
+/// Runs a test's body on a single-threaded runtime, with a timeout.
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async { timeout(TEST_TIMEOUT, test).await.expect("ends in time") });
 }
 
-/// The registry's entry of a server.
+/// The registry entry of a server.
 pub(crate) fn server(id: &str, service: &str, stage: Option<Stage>, address: SocketAddrV4) -> Server {
     Server {
         id: id.into(),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A listener on a free port of loopback.
+/// Opens a listener on a free loopback port.
 pub(crate) async fn listen() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     match listener.local_addr().expect("bound") {
@@ -63,7 +63,7 @@
     }
 }
 
-/// An address at which nobody listens.
+/// A loopback address on which nothing listens.
 pub(crate) async fn unused_address() -> SocketAddrV4 {
     listen().await.1
 }
--- a/crates/data-plane/tests/common/proxy.rs
+++ b/crates/data-plane/tests/common/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy on loopback.
+//! A proxy on loopback.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -16,20 +16,20 @@
 pub(crate) const HOST: &str = "ficu95.example";
 /// The prefix of a route whose requests may run more than once.
 pub(crate) const IDEMPOTENT: &str = "/idempotent/";
-/// The prefix of a route whose requests may run once at most.
+/// The prefix of a route whose requests may run at most once.
 pub(crate) const NON_IDEMPOTENT: &str = "/non_idempotent/";
 /// The prefix of a route whose streams may be resumed.
 pub(crate) const RESUMABLE: &str = "/resumable/";
 /// The prefix of a route whose streams may not be resumed.
 pub(crate) const NOT_RESUMABLE: &str = "/not_resumable/";
 
-/// One proxy on loopback.
+/// A proxy on loopback.
 pub(crate) struct Proxy {
     pub(crate) data_plane: Rc<DataPlane>,
     pub(crate) frontend: Rc<Frontend>,
-    /// Where clients connect.
+    /// The address for clients.
     pub(crate) address: SocketAddrV4,
-    /// Where the platform checks whether the proxy is ready.
+    /// The address of the readiness endpoint.
     pub(crate) readiness_address: SocketAddrV4,
 }
 
@@ -42,7 +42,7 @@
     )
 }
 
-/// The configuration of all tests.
+/// The test configuration.
 pub(crate) fn config() -> Config {
     let stream = |resume: bool| format!(",\"persistence\":true,\"resume\":{resume},\"gap_aim_ms\":200");
     let routes = [
@@ -65,12 +65,12 @@
 }
 
 impl Proxy {
-    /// A proxy without a configuration and without servers.
+    /// Starts a proxy without a configuration and without servers.
     pub(crate) async fn unconfigured(seed: u64) -> Self {
         Self::with_retry_budget(seed, 0.2, 52.0).await
     }
 
-    /// The same with this retry budget.
+    /// Starts a proxy as [`Proxy::unconfigured`] does, with this retry budget.
     pub(crate) async fn with_retry_budget(seed: u64, retry_ratio: f64, extra_retries: f64) -> Self {
         let limits = RetryBudgetLimits { retry_ratio, extra_retries, window: Duration::from_secs(10) };
         let data_plane = DataPlane::new(RoutingWeights::new(limits), "here", seed);
@@ -87,12 +87,12 @@
         Self { data_plane, frontend, address, readiness_address }
     }
 
-    /// A proxy with the configuration and these servers.
+    /// Starts a proxy with the test configuration and these servers.
     pub(crate) async fn with_servers(seed: u64, servers: &[&Server]) -> Self {
         Self::unconfigured(seed).await.configured(servers)
     }
 
-    /// Gives it the configuration and these servers.
+    /// Puts the test configuration into force and sets these servers.
     pub(crate) fn configured(self, servers: &[&Server]) -> Self {
         assert!(self.data_plane.configure(Arc::new(config())));
         self.data_plane.update_servers(servers.iter().copied());
--- a/crates/data-plane/tests/common/raw_server.rs
+++ b/crates/data-plane/tests/common/raw_server.rs
@@ -1,4 +1,4 @@
-//! A server that sends given bytes, whatever they are.
+//! A server that sends given bytes, valid HTTP or not.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,8 +9,9 @@
 
 use super::{REQUEST_BODY, listen, server};
 
-/// A server that sends just these bytes for each request in turn, repeating the last one, and then closes the
-/// connection if `closes`. Returned with the count of its requests.
+/// Starts a server that sends the next of these responses for each request, and repeats the last one when none are
+/// left. It closes the connection after a response if `closes` is set. Returns the server and the count of its
+/// requests.
 pub(crate) async fn raw_server(
     id: &str,
     service: &str,
@@ -30,7 +31,7 @@
 
 async fn serve(mut stream: TcpStream, count: Rc<Cell<usize>>, responses: Rc<Vec<String>>, closes: bool) {
     let mut received = Vec::new();
-    // Each request of these tests ends with its body.
+    // All requests of these tests end with the same body.
     while let Ok(1..) = stream.read_buf(&mut received).await {
         if !received.ends_with(REQUEST_BODY.as_bytes()) {
             continue;
--- a/crates/data-plane/tests/common/stub_server.rs
+++ b/crates/data-plane/tests/common/stub_server.rs
@@ -1,4 +1,4 @@
-//! A stub of a model server that does with each request what its script says.
+//! A stub of a model server whose behavior for each request is scripted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -24,7 +24,7 @@
 
 const IDLE_LOAD_REPORT: &str = "{\"queued\":0,\"active\":0}";
 
-/// A request as a server got it.
+/// A request as a server received it.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedRequest {
     pub(crate) method: Method,
@@ -38,35 +38,35 @@
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The id of the last event that the client has, or 0.
+    /// The id of the last event that the client has received, or 0.
     pub(crate) fn last_event_id(&self) -> u64 {
         self.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether the server is to prefill a prompt, not to run the request.
+    /// True if the server is asked to prefill the prompt, not to run the request.
     pub(crate) fn is_prefill(&self) -> bool {
         self.header("x-serving-stage") == Some("prefill")
     }
 }
 
-/// What a server does with a request.
+/// How a server responds to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Behavior {
-    /// Responds with this status and body, and these headers beside the echo of the id.
+    /// Responds with this status, these headers and this body, and echoes the attempt id.
     Respond(u16, Vec<(&'static str, String)>, &'static str),
-    /// Streams events of these ids. `breaks_off`: the connection ends after them, and half of another one.
+    /// Streams events with these ids. With `breaks_off`, the connection ends after them and a part of the next event.
     Stream { ids: RangeInclusive<u64>, seal: &'static str, breaks_off: bool },
-    /// Closes the connection without a response, once the request has been read to its end.
+    /// Closes the connection without a response after the request has been read completely.
     Close,
     /// Never responds.
     Hang,
-    /// Streams these events, and then nothing more.
+    /// Streams events with these ids, and then sends nothing more.
     StreamAndStall(RangeInclusive<u64>),
-    /// Does the other thing once the proxy has left so many requests that never ended, such as those for its load.
+    /// Behaves as the second field says after the proxy has abandoned this many requests, such as load queries.
     OnceAbandoned(usize, Box<Behavior>),
 }
 
-/// A success that bears a seal.
+/// A successful response with a seal.
 pub(crate) fn ok_response(body: &'static str) -> Behavior {
     Behavior::Respond(200, vec![("x-server-seal", SEAL.into())], body)
 }
@@ -91,7 +91,7 @@
     ids.map(event).collect()
 }
 
-/// The server breaks the connection off.
+/// The error by which the server breaks the connection off.
 #[derive(Debug)]
 pub(crate) struct BrokenOff;
 
@@ -103,15 +103,16 @@
 
 impl std::error::Error for BrokenOff {}
 
-/// A body whose chunks are each sent by itself.
+/// A body that sends each chunk separately.
 struct ChunkedBody {
     chunks: VecDeque<Result<Bytes, BrokenOff>>,
     was_pending: bool,
-    /// With a guard, the body never ends.
+    /// If set, the body never ends.
     stall: Option<AbandonedGuard>,
 }
 
-/// Dropped when the proxy has left a request that the server neither completed nor broke off.
+/// Counts a request as abandoned when it is dropped: the proxy has closed the connection of a request that the server
+/// neither completed nor broke off.
 struct AbandonedGuard(Rc<StubServer>);
 
 impl Drop for AbandonedGuard {
@@ -132,7 +133,7 @@
         let this = self.get_mut();
         this.was_pending = !this.was_pending;
         if this.was_pending {
-            // The chunk before is flushed meanwhile.
+            // Gives hyper the chance to flush the previous chunk.
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -143,7 +144,7 @@
     }
 }
 
-/// What the head of a response says, and the chunks of its body.
+/// The head of a response and the chunks of its body.
 struct ScriptedResponse {
     status: u16,
     headers: Vec<(&'static str, String)>,
@@ -151,7 +152,7 @@
     stalls: bool,
 }
 
-/// The response of a behavior; `None` for one that has none.
+/// The response of a behavior; `None` if it has none.
 fn scripted_response(behavior: Behavior) -> Option<ScriptedResponse> {
     let seal_header = |seal: &str| ("x-server-seal", seal.to_owned());
     let event_chunk = |id| Ok(Bytes::from(event(id)));
@@ -186,9 +187,9 @@
     script: Script,
     received: RefCell<Vec<ReceivedRequest>>,
     changed: Notify,
-    /// The server does not even report its load.
+    /// While set, the server does not answer load queries either.
     pub(crate) is_unresponsive: Cell<bool>,
-    /// Requests that the proxy left before they ended.
+    /// The number of requests that the proxy abandoned before they ended.
     abandoned: Cell<usize>,
 }
 
@@ -258,7 +259,7 @@
     }
 
     fn behavior(&self, request: &ReceivedRequest) -> Behavior {
-        // As PROTOCOL.md has it: every other server answers 421.
+        // PROTOCOL.md requires every other instance to respond with 421.
         let target = request.header("x-target-instance");
         if target.is_some_and(|target| target != self.server.id) {
             return not_executed(421);
@@ -271,21 +272,21 @@
         }
     }
 
-    /// What the server has got so far, without requests for its load.
+    /// The requests that the server has received so far, without load queries.
     pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
         self.received.borrow().clone()
     }
 
-    /// Waits until the proxy has left a request that the server had not completed.
+    /// Waits until the proxy has abandoned a request.
     pub(crate) async fn wait_until_abandoned(&self) {
         while self.abandoned.get() == 0 {
             self.changed.notified().await;
         }
     }
 
-    /// Waits until the server has got such a request.
-    pub(crate) async fn wait_until_received(&self, is_such: impl Fn(&ReceivedRequest) -> bool) {
-        while !self.received.borrow().iter().any(&is_such) {
+    /// Waits until the server has received a request that matches.
+    pub(crate) async fn wait_until_received(&self, matches: impl Fn(&ReceivedRequest) -> bool) {
+        while !self.received.borrow().iter().any(&matches) {
             self.changed.notified().await;
         }
     }
--- a/crates/data-plane/tests/ejection_trials.rs
+++ b/crates/data-plane/tests/ejection_trials.rs
@@ -1,5 +1,5 @@
-//! A server that was ejected gets one trial request. The trial must end however that request ends, or the server would
-//! never get another one.
+//! An ejected server is readmitted by a single trial request. The trial must end however its request ends: a trial that
+//! stays open when its client disconnects would keep the server out forever.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use mosshead_time::Duration;
 use tokio::time::sleep;
 
-/// A first ejection is over after this time.
+/// After this time the first ejection of a server is over.
 const EJECTION: Duration = Duration::from_millis(520);
 
 /// A proxy with two prefill and two decode servers.
@@ -22,12 +22,13 @@
     proxy: Proxy,
     prefill: [Rc<StubServer>; 2],
     decode: [Rc<StubServer>; 2],
-    /// Prefill servers never respond.
+    /// While set, prefill servers never respond.
     prefill_hangs: Rc<Cell<bool>>,
 }
 
 impl Fleet {
-    /// The server of the stage that gets the stage's first request rejects it as another instance, which ejects it.
+    /// Starts a fleet in which one server of the stage is ejected and due for a trial. It was ejected because it
+    /// rejected the stage's first request with 421.
     async fn with_ejected(stage: Stage) -> Self {
         let prefill_hangs = Rc::new(Cell::new(false));
         let (is_first, ejected_stage) = (Rc::new(Cell::new(true)), stage);
@@ -60,8 +61,8 @@
         assert_eq!((response.status, response.body.as_str()), (200, events(1..=2).as_str()));
     }
 
-    /// Sends a prompt whose client leaves while a prefill server works on it.
-    async fn leave_during_prefill(&self) {
+    /// Sends a prompt whose client disconnects during the prefill.
+    async fn disconnect_during_prefill(&self) {
         self.prefill_hangs.set(true);
         let received = self.prefill_requests();
         tokio::select! {
@@ -83,12 +84,12 @@
     }
 }
 
-/// How many requests of clients the server got; calls that free handles don't count.
+/// The number of clients' requests that the server received; calls that free handles don't count.
 fn count_requests(stub: &StubServer) -> usize {
     stub.received().iter().filter(|request| request.method != "DELETE").count()
 }
 
-/// Whether each of the servers gets at least one of the prompts that follow.
+/// Sends prompts; true if each of the servers gets a request for at least one of them.
 async fn all_get_requests(fleet: &Fleet, servers: &[Rc<StubServer>; 2]) -> bool {
     let before = [count_requests(&servers[0]), count_requests(&servers[1])];
     for _ in 0..40 {
@@ -98,29 +99,29 @@
 }
 
 #[test]
-fn an_ejected_prefill_server_comes_back_though_the_client_of_its_trial_left() {
+fn an_ejected_prefill_server_is_readmitted_after_the_client_of_its_trial_disconnected() {
     run(async {
         let fleet = Fleet::with_ejected(Stage::Prefill).await;
         for _ in 0..10 {
-            fleet.leave_during_prefill().await;
+            fleet.disconnect_during_prefill().await;
         }
         assert!(all_get_requests(&fleet, &fleet.prefill).await);
     });
 }
 
 #[test]
-fn an_ejected_decode_server_comes_back_though_the_client_of_its_trial_left_during_the_prefill() {
+fn an_ejected_decode_server_is_readmitted_after_the_client_of_its_trial_disconnected_during_the_prefill() {
     run(async {
         let fleet = Fleet::with_ejected(Stage::Decode).await;
         for _ in 0..10 {
-            fleet.leave_during_prefill().await;
+            fleet.disconnect_during_prefill().await;
         }
         assert!(all_get_requests(&fleet, &fleet.decode).await);
     });
 }
 
 #[test]
-fn an_ejected_server_comes_back_after_a_completed_trial() {
+fn an_ejected_server_is_readmitted_after_a_completed_trial() {
     run(async {
         for stage in [Stage::Prefill, Stage::Decode] {
             let fleet = Fleet::with_ejected(stage).await;
--- a/crates/data-plane/tests/event_splitter.rs
+++ b/crates/data-plane/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! A stream is split into complete events, however it comes in chunks.
+//! A stream is split into the same complete events for any chunk sizes.
 
 use mosshead_data_plane::EventSplitter;
 use quickcheck::quickcheck;
@@ -8,7 +8,7 @@
 }
 
 quickcheck! {
-    /// However the bytes are cut into chunks, the same events come out, in order, and nothing is left over.
+    /// All events are returned in order, and no bytes remain.
     fn chunks_of_any_size_give_the_same_events(chunk_sizes: Vec<u8>, count: u8) -> bool {
         let bytes = stream(u64::from(count));
         let (mut splitter, mut events) = (EventSplitter::default(), Vec::new());
@@ -24,7 +24,7 @@
         ids_match && joined == bytes && splitter.take_remainder().is_empty()
     }
 
-    fn any_bytes_come_out_as_they_went_in(chunks: Vec<Vec<u8>>) -> bool {
+    fn arbitrary_bytes_are_returned_unchanged(chunks: Vec<Vec<u8>>) -> bool {
         let (mut splitter, mut forwarded) = (EventSplitter::default(), Vec::new());
         for chunk in &chunks {
             let events = splitter.push(chunk).expect("short events");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_event_that_never_becomes_complete_is_discarded() {
+fn an_incomplete_event_is_discarded() {
     let mut splitter = EventSplitter::default();
     let events = splitter.push(b"id: 4\r\ndata: a\r\n\r\nid: 5\r\ndata: half").expect("short events");
     assert_eq!(events.iter().map(|event| event.id).collect::<Vec<_>>(), [Some(4)]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_not_buffered_for_ever() {
+fn an_event_above_the_maximum_length_is_rejected() {
     let mut splitter = EventSplitter::default();
     assert!((0..100).any(|_| splitter.push(&[b'x'; 8192]).is_err()));
 }
--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! What the operators' pages require of a forwarded request: the client's headers, the time that is left, and that no
-//! server goes on working for a client that has left.
+//! Guarantees that are documented for operators: a forwarded request keeps the client's headers, has the remaining time
+//! as its deadline, and is cancelled at its server when the client disconnects.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use mosshead_config::Config;
 use mosshead_registry::{Server, Stage};
 
-/// An unresponsive server is given up no sooner than after this time without a response.
+/// The minimum time without a response after which an unresponsive server is abandoned.
 const MIN_SILENCE: Duration = Duration::from_millis(250);
 
 async fn prefill_server(behavior: Behavior) -> Rc<StubServer> {
@@ -27,7 +27,7 @@
     StubServer::start("i-decode", "llm", Some(Stage::Decode), move |_| behavior.clone()).await
 }
 
-/// Two unresponsive servers: the first request of all meets `first`, later ones meet `later`.
+/// Starts two unresponsive servers. The first request that reaches either of them meets `first`, others meet `later`.
 async fn unresponsive_servers(
     service: &str,
     stage: Option<Stage>,
@@ -49,13 +49,13 @@
     Behavior::Stream { ids: 1..=3, seal: SEAL, breaks_off: false }
 }
 
-/// The time that a server is given for a request.
+/// The time that a request leaves the server, from its `X-Deadline-Ms`.
 fn time_left(request: &ReceivedRequest) -> Duration {
     let millis = request.header("x-deadline-ms").and_then(|millis| millis.parse().ok());
     Duration::from_millis(millis.expect("a deadline"))
 }
 
-/// The times that both servers were given, the shorter one first.
+/// The times that the requests left both servers, the shorter one first.
 fn times_left(servers: &[Rc<StubServer>; 2]) -> [Duration; 2] {
     let mut times = [time_left(&servers[0].received()[0]), time_left(&servers[1].received()[0])];
     times.sort_unstable();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_retry_gives_the_server_the_time_that_is_left() {
+fn a_retry_has_the_remaining_time_as_its_deadline() {
     run(async {
         let servers = unresponsive_servers("plain", None, Behavior::Hang, ok_response("elsewhere")).await;
         let proxy = Proxy::with_servers(1, &[&servers[0].server, &servers[1].server]).await;
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_resumed_stream_gives_the_server_the_time_that_is_left() {
+fn a_resumed_stream_has_the_remaining_time_as_its_deadline() {
     run(async {
         let stage = Some(Stage::Decode);
         let servers = unresponsive_servers("llm", stage, Behavior::StreamAndStall(1..=2), stream()).await;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_route_s_timeout_bounds_the_time_that_a_server_is_given() {
+fn the_timeout_of_the_route_bounds_the_deadline_of_a_request() {
     run(async {
         let stub = StubServer::start("s-1", "plain", None, |_| ok_response("complete")).await;
         let proxy = Proxy::with_servers(1, &[&stub.server]).await;
@@ -147,10 +147,10 @@
 }
 
 const SHORT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How much later than its route's timeout a response may come on a busy machine.
+/// How long after the timeout of its route a response may arrive on a busy machine.
 const TOLERANCE: Duration = Duration::from_millis(500);
 
-/// A proxy all of whose routes have a short timeout.
+/// Starts a proxy with a short timeout on all routes.
 async fn proxy_with_short_timeouts(servers: &[&Server]) -> Proxy {
     let proxy = Proxy::unconfigured(1).await;
     let short = format!("\"timeout_ms\":{}", SHORT_TIMEOUT.as_millis());
@@ -194,9 +194,9 @@
     });
 }
 
-/// Drops the client's connection once the server has got the request, and waits until the connection to the server is
-/// closed, too.
-async fn leave(proxy: &Proxy, path: &str, server: &StubServer) {
+/// Sends a request, drops the client's connection after the server has received it, and waits until the connection to
+/// the server is closed as well.
+async fn disconnect_client(proxy: &Proxy, path: &str, server: &StubServer) {
     let prompt = [("x-model-name", "m"), ("x-token-count", "1460,80"), ("x-prompt-prefix", "5c1e07a2:800")];
     tokio::select! {
         _ = send_request(proxy.address, "POST", path, &prompt, REQUEST_BODY) => {
@@ -208,34 +208,34 @@
 }
 
 #[test]
-fn a_stream_whose_client_leaves_is_cancelled_at_its_server() {
+fn a_stream_whose_client_disconnects_is_cancelled_at_its_server() {
     run(async {
         for behavior in [Behavior::StreamAndStall(1..=4), Behavior::Hang] {
             let decode = decode_server(behavior).await;
             let proxy = Proxy::with_servers(1, &[&decode.server]).await;
-            leave(&proxy, RESUMABLE, &decode).await;
+            disconnect_client(&proxy, RESUMABLE, &decode).await;
             assert_eq!(decode.received().len(), 1);
         }
     });
 }
 
 #[test]
-fn a_prefill_whose_client_leaves_is_cancelled_at_its_server() {
+fn a_prefill_whose_client_disconnects_is_cancelled_at_its_server() {
     run(async {
         let prefill = prefill_server(Behavior::Hang).await;
         let decode = decode_server(stream()).await;
         let proxy = Proxy::with_servers(1, &[&prefill.server, &decode.server]).await;
-        leave(&proxy, RESUMABLE, &prefill).await;
+        disconnect_client(&proxy, RESUMABLE, &prefill).await;
         assert_eq!((prefill.received().len(), decode.received().len()), (1, 0));
     });
 }
 
 #[test]
-fn a_change_of_the_configuration_ends_no_request_that_has_begun() {
+fn a_configuration_change_does_not_end_requests_in_flight() {
     run(async {
         let proxy = Proxy::unconfigured(1).await;
         let data_plane = proxy.data_plane.clone();
-        // While the prompt is prefilled, a configuration without its route comes into force.
+        // A configuration without the route comes into force during the prefill.
         let withdraw_route = move |_: &ReceivedRequest| {
             let text = config().to_json().replace("\"revision\":7", "\"revision\":8");
             let text = text.replace(NOT_RESUMABLE, "/moved/");
--- a/crates/data-plane/tests/hostile_server/mod.rs
+++ b/crates/data-plane/tests/hostile_server/mod.rs
@@ -1,4 +1,4 @@
-//! A model server that responds too often, too late or not at all, and counts what reached it completely.
+//! A model server that repeats, delays or omits responses, and records the requests that it received completely.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,12 +12,12 @@
 
 use crate::common::{SEAL, listen, server};
 
-/// A request that arrived with its last byte.
+/// A request that the server received completely.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     /// The connection's number, from 0.
     pub(crate) connection: usize,
-    /// The request's number among all requests of clients at this server, from 0; the proxy's own calls don't count.
+    /// The request's number among the clients' requests at this server, from 0; proxy calls don't count.
     pub(crate) number: usize,
     pub(crate) method: String,
     pub(crate) path: String,
@@ -40,34 +40,34 @@
         self.path == "/report"
     }
 
-    /// Whether the proxy sent it on its own account, not for a client.
+    /// True if the proxy itself made the call, not for a client.
     pub(crate) fn is_proxy_call(&self) -> bool {
         self.is_load_query() || self.path.starts_with("/kv-handle/")
     }
 }
 
-/// What follows a response.
+/// What the server does after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Aftermath {
-    /// Nothing.
-    Quiet,
-    /// The same response again, at once.
+pub(crate) enum AfterResponse {
+    /// Waits for the next request.
+    Nothing,
+    /// Sends the same response again at once.
     Repeat,
-    /// The same response again, as soon as the first byte of the next request is there.
+    /// Sends the same response again when the first byte of the next request has arrived.
     RepeatLate,
-    /// The connection is closed.
+    /// Closes the connection.
     Close,
-    /// The connection is reset.
+    /// Resets the connection.
     Reset,
 }
 
 /// What the server does with a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
-    /// Sends these bytes; then comes what follows.
-    Bytes(Vec<u8>, Aftermath),
-    /// Sends all of these bytes but the last ones, and then the rest, and lets nothing run on this thread for this long,
-    /// as if the process had been suspended.
+    /// Sends these bytes and then does what the second field says.
+    Bytes(Vec<u8>, AfterResponse),
+    /// Sends these bytes in two parts, and then blocks the thread for this time, as if the process, and the proxy with
+    /// it, were suspended.
     Suspended(Vec<u8>, Duration),
     /// Closes the connection without a response.
     Close,
@@ -84,7 +84,7 @@
     format!("HTTP/1.1 {status} X\r\n{echo}{more_headers}Content-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// The success that belongs to this request and no other.
+/// A successful response whose body names the request's id.
 pub(crate) fn own_response(arrival: &Arrival) -> Vec<u8> {
     let body = format!("for {}", arrival.attempt_id().unwrap_or("none"));
     response(200, arrival.attempt_id(), &format!("X-Server-Seal: {SEAL}\r\n"), &body)
@@ -137,14 +137,14 @@
             received.drain(..end);
             let arrival = self.record_arrival(connection, head);
             match (self.script)(&arrival) {
-                Reply::Bytes(bytes, aftermath) => {
+                Reply::Bytes(bytes, after_response) => {
                     let _ = stream.write_all(&bytes).await;
-                    match aftermath {
-                        Aftermath::Quiet => {}
-                        Aftermath::Repeat => drop(stream.write_all(&bytes).await),
-                        Aftermath::RepeatLate => late_bytes = Some(bytes),
-                        Aftermath::Close => return,
-                        Aftermath::Reset => return reset(stream),
+                    match after_response {
+                        AfterResponse::Nothing => {}
+                        AfterResponse::Repeat => drop(stream.write_all(&bytes).await),
+                        AfterResponse::RepeatLate => late_bytes = Some(bytes),
+                        AfterResponse::Close => return,
+                        AfterResponse::Reset => return reset(stream),
                     }
                 }
                 Reply::Suspended(bytes, duration) => send_and_suspend(&mut stream, &bytes, duration).await,
@@ -164,29 +164,28 @@
         arrival
     }
 
-    /// All that arrived completely.
+    /// All requests that the server received completely.
     pub(crate) fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.borrow().clone()
     }
 
-    /// The requests of clients that arrived completely.
+    /// The clients' requests that the server received completely.
     pub(crate) fn client_requests(&self) -> Vec<Arrival> {
         self.arrivals().into_iter().filter(|arrival| !arrival.is_proxy_call()).collect()
     }
 
-    /// How often a request with this id arrived completely.
+    /// The number of requests with this id that the server received completely.
     pub(crate) fn count(&self, attempt_id: &str) -> usize {
         self.client_requests().iter().filter(|arrival| arrival.attempt_id() == Some(attempt_id)).count()
     }
 
-    /// How many connections the server has accepted.
+    /// The number of connections that the server has accepted.
     pub(crate) fn connections(&self) -> usize {
         self.connections.get()
     }
 }
 
-/// Reads one request; `late_bytes` are sent as soon as its first byte is there. Returns the head, and where the request
-/// ends.
+/// Reads one request, and sends `late_bytes` when its first bytes have arrived. Returns the request's head and length.
 async fn read_request(
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
@@ -219,7 +218,7 @@
 async fn send_and_suspend(stream: &mut TcpStream, bytes: &[u8], duration: Duration) {
     let (first, rest) = bytes.split_at(bytes.len() - 2);
     let _ = stream.write_all(first).await;
-    wait_turns(5).await;
+    poll_sockets(5).await;
     let _ = stream.write_all(rest).await;
     let resumed_at = std::time::Instant::now() + duration;
     while std::time::Instant::now() < resumed_at {
@@ -227,23 +226,22 @@
     }
 }
 
-/// Resets the connection.
 fn reset(stream: TcpStream) {
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Lets all other tasks run until `is_done`, or for a bounded time.
+/// Lets other tasks run until `is_done` returns true, for at most 2,000 milliseconds of sleep.
 pub(crate) async fn wait_until(is_done: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if is_done() {
             return;
         }
-        wait_turns(1).await;
+        poll_sockets(1).await;
     }
 }
 
-/// Lets the runtime poll its sockets this many times.
-pub(crate) async fn wait_turns(count: u32) {
+/// Sleeps for one millisecond this many times, so that the runtime polls its sockets each time.
+pub(crate) async fn poll_sockets(count: u32) {
     for _ in 0..count {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
--- a/crates/data-plane/tests/limits.rs
+++ b/crates/data-plane/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How often a request is sent, for how long it may take, and what is too long.
+//! Limits: how often a request is sent, how long it may take, and how large bodies may be.
 
 mod common;
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_repeatable_request_leaves_an_unresponsive_server() {
+fn a_repeatable_request_is_retried_if_its_server_is_unresponsive() {
     run(async {
         let is_first = Rc::new(Cell::new(true));
         let script = || {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn bytes_after_a_complete_response_belong_to_no_request() {
+fn surplus_bytes_are_not_taken_for_the_next_response() {
     run(async {
         let response = |body: &str| format!("{}{body}", head("Content-Length: 4\r\n"));
         let surpluses =
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_request_whose_client_leaves_is_cancelled_at_its_server() {
+fn a_request_whose_client_disconnects_is_cancelled_at_its_server() {
     run(async {
         let stubs = stubs(1, &Behavior::Hang).await;
         let proxy = Proxy::with_servers(1, &[&stubs[0].server]).await;
--- a/crates/data-plane/tests/prefill_and_decode.rs
+++ b/crates/data-plane/tests/prefill_and_decode.rs
@@ -1,4 +1,5 @@
-//! Requests with a prompt: the prefill, the handover of its KV cache, and the handles that nobody fetches.
+//! Requests with a prompt: the prefill, the transfer of its KV cache to a decode server, and the freeing of handles
+//! that are not fetched.
 
 mod common;
 
@@ -26,7 +27,7 @@
     StubServer::start(id, "llm", Some(Stage::Decode), script).await
 }
 
-/// A prefill server that does as it should.
+/// Starts a prefill server that succeeds.
 async fn healthy_prefill_stub() -> Rc<StubServer> {
     prefill_stub("i-prefill", |_| handle_response()).await
 }
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn where_no_prefill_server_prefills_the_decode_server_does() {
+fn the_decode_server_prefills_the_prompt_itself_if_all_prefill_servers_reject_it() {
     run(async {
         let prefill = prefill_stub("r-1", |_| not_executed(503)).await;
         let decode = decode_stub("i-decode", |_| stream(3)).await;
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn a_deeply_nested_response_to_a_prefill_does_no_harm() {
+fn a_deeply_nested_response_to_a_prefill_is_rejected_safely() {
     run(async {
         let deep: &'static str = Box::leak("[".repeat(4_090).into_boxed_str());
         let prefill = prefill_stub("r", move |_| Behavior::Respond(200, Vec::new(), deep)).await;
--- a/crates/data-plane/tests/response_matching.rs
+++ b/crates/data-plane/tests/response_matching.rs
@@ -1,4 +1,5 @@
-//! Each client gets the response to its own request or none, and nothing that may not be repeated arrives twice.
+//! Each client gets the response to its own request or none, and a request that must not be repeated reaches servers
+//! only once.
 
 mod common;
 mod hostile_server;
@@ -11,19 +12,25 @@
     ClientResponse, HOST, IDEMPOTENT, NON_IDEMPOTENT, NOT_RESUMABLE, Proxy, SEAL, event, events, run,
 };
 use hostile_server::{
-    Aftermath, Arrival, HostileServer, Reply, not_executed, own_response, response, wait_turns, wait_until,
+    AfterResponse, Arrival, HostileServer, Reply, not_executed, own_response, poll_sockets, response,
+    wait_until,
 };
 use mosshead_data_plane::DataPlane;
 use mosshead_registry::{Server, Stage};
 use mosshead_time::Duration;
 
-const AFTERMATHS: [Aftermath; 5] =
-    [Aftermath::Quiet, Aftermath::Repeat, Aftermath::RepeatLate, Aftermath::Close, Aftermath::Reset];
+const ALL_AFTER_RESPONSES: [AfterResponse; 5] = [
+    AfterResponse::Nothing,
+    AfterResponse::Repeat,
+    AfterResponse::RepeatLate,
+    AfterResponse::Close,
+    AfterResponse::Reset,
+];
 
 const LOAD_REPORT: &str = "{\"queued\":0,\"active\":3}";
 const HANDLE: &str = "{\"prefill_handle\":\"3fa09c41b7d5\",\"token_count\":1460,\"revision\":1}";
 
-/// The response to a call of the proxy's own.
+/// The response to a call that the proxy itself makes.
 fn proxy_call_response(arrival: &Arrival) -> Vec<u8> {
     response(200, None, "", if arrival.is_load_query() { LOAD_REPORT } else { "" })
 }
@@ -38,24 +45,24 @@
     response(200, arrival.attempt_id(), &headers, &(event(1) + &event(2)))
 }
 
-/// One server of a service without an engine, and a proxy.
+/// Starts a server of a service without an engine, and a proxy.
 async fn plain_server(script: impl Fn(&Arrival) -> Reply + 'static) -> (Rc<HostileServer>, Proxy) {
     let hostile = HostileServer::start("s-1", "plain", None, script).await;
     let proxy = Proxy::with_servers(1, &[&hostile.server]).await;
     (hostile, proxy)
 }
 
-async fn prefill_server(aftermath: Aftermath) -> Rc<HostileServer> {
+async fn prefill_server(after_response: AfterResponse) -> Rc<HostileServer> {
     let script = move |arrival: &Arrival| {
         let is_proxy_call = arrival.is_proxy_call();
         let bytes = if is_proxy_call { proxy_call_response(arrival) } else { handle_response(arrival) };
-        Reply::Bytes(bytes, aftermath)
+        Reply::Bytes(bytes, after_response)
     };
     HostileServer::start("i-prefill", "llm", Some(Stage::Prefill), script).await
 }
 
-/// A client's response is that to its own request, or the proxy's own without a body, and nothing is promised of a
-/// request that ran.
+/// Asserts that a client got the response to its own request or an empty one from the proxy, and that 503 was sent only
+/// if the request did not run.
 fn assert_own_or_none(response: &ClientResponse, attempt_id: &str, arrived: usize) {
     match response.status {
         200 => assert_eq!(response.body, format!("for {attempt_id}"), "another's response"),
@@ -68,15 +75,15 @@
 #[test]
 fn each_client_gets_its_own_response_or_none_whatever_follows_a_response() {
     run(async {
-        for aftermath in AFTERMATHS {
-            let script = move |arrival: &Arrival| Reply::Bytes(own_response(arrival), aftermath);
+        for after_response in ALL_AFTER_RESPONSES {
+            let script = move |arrival: &Arrival| Reply::Bytes(own_response(arrival), after_response);
             let (hostile, proxy) = plain_server(script).await;
             for number in 0..6 {
                 let id = format!("{number:016x}");
                 let response = proxy.post(NON_IDEMPOTENT, &[("x-attempt-id", &id)]).await;
                 assert_own_or_none(&response, &id, hostile.count(&id));
-                assert!(hostile.count(&id) <= 1, "{aftermath:?}: sent twice");
-                if matches!(aftermath, Aftermath::Quiet) {
+                assert!(hostile.count(&id) <= 1, "{after_response:?}: sent twice");
+                if matches!(after_response, AfterResponse::Nothing) {
                     assert_eq!((response.status, hostile.connections()), (200, 1));
                 }
             }
@@ -91,7 +98,9 @@
             for is_reused in [true, false] {
                 let (good_replies, bad_reply) = (usize::from(is_reused), reply.clone());
                 let script = move |arrival: &Arrival| match arrival.number {
-                    number if number < good_replies => Reply::Bytes(own_response(arrival), Aftermath::Quiet),
+                    number if number < good_replies => {
+                        Reply::Bytes(own_response(arrival), AfterResponse::Nothing)
+                    }
                     _ => bad_reply.clone(),
                 };
                 let one = HostileServer::start("s-1", "plain", None, script.clone()).await;
@@ -112,35 +121,35 @@
     });
 }
 
-/// A server that has closed or reset an idle connection loses no request and gets none twice.
+/// A request for a server that has closed or reset its idle connection is neither lost nor sent twice.
 #[test]
-fn a_connection_that_ended_while_idle_costs_no_request() {
+fn a_connection_closed_while_idle_loses_no_request() {
     run(async {
-        for aftermath in [Aftermath::Close, Aftermath::Reset] {
-            let script = move |arrival: &Arrival| Reply::Bytes(own_response(arrival), aftermath);
+        for after_response in [AfterResponse::Close, AfterResponse::Reset] {
+            let script = move |arrival: &Arrival| Reply::Bytes(own_response(arrival), after_response);
             let (hostile, proxy) = plain_server(script).await;
             for number in 0..5 {
                 let id = format!("{number:016x}");
                 let response = proxy.post(NON_IDEMPOTENT, &[("x-attempt-id", &id)]).await;
-                assert_eq!((response.status, hostile.count(&id)), (200, 1), "{aftermath:?}");
-                wait_turns(3).await;
+                assert_eq!((response.status, hostile.count(&id)), (200, 1), "{after_response:?}");
+                poll_sockets(3).await;
             }
         }
     });
 }
 
 #[test]
-fn a_request_without_an_id_never_gets_another_s_response() {
+fn a_request_without_an_id_never_gets_the_response_to_another() {
     run(async {
-        for aftermath in AFTERMATHS {
+        for after_response in ALL_AFTER_RESPONSES {
             for path in [NON_IDEMPOTENT, IDEMPOTENT] {
-                let script = move |arrival: &Arrival| Reply::Bytes(own_response(arrival), aftermath);
+                let script = move |arrival: &Arrival| Reply::Bytes(own_response(arrival), after_response);
                 let (hostile, proxy) = plain_server(script).await;
                 assert_eq!(proxy.post(path, &[("x-attempt-id", "1")]).await.body, "for 1");
                 for _ in 0..3 {
                     let response = proxy.post(path, &[("x-attempt-id", "")]).await;
                     let got = (response.status, response.body.as_str());
-                    assert_eq!(got, (200, "for none"), "{aftermath:?}");
+                    assert_eq!(got, (200, "for none"), "{after_response:?}");
                 }
                 assert_eq!(hostile.client_requests().len(), 4);
             }
@@ -148,14 +157,14 @@
     });
 }
 
-/// With the id of no request, to one that has none, and without one, to one that has.
+/// Each case has the id of the request, where the empty one stands for none, and the id of the response.
 #[test]
 fn a_response_with_another_id_or_none_reaches_no_client() {
     run(async {
         for (id, echo) in [("1", Some("2")), ("1", None), ("", Some("2"))] {
             let seal = format!("X-Server-Seal: {SEAL}\r\n");
             let bytes = response(200, echo, &seal, "another's");
-            let script = move |_: &Arrival| Reply::Bytes(bytes.clone(), Aftermath::Quiet);
+            let script = move |_: &Arrival| Reply::Bytes(bytes.clone(), AfterResponse::Nothing);
             let (hostile, proxy) = plain_server(script).await;
             let got = proxy.post(NON_IDEMPOTENT, &[("x-attempt-id", id)]).await;
             let sent = hostile.client_requests().len();
@@ -164,52 +173,55 @@
     });
 }
 
-/// One attempt of a client is sent twice to one server if that cannot fetch the KV cache: the echo of the id does not
-/// tell the two apart.
+/// A client's attempt is sent to a decode server twice if the server cannot fetch the KV cache. The echoed id is then
+/// the same for both.
 #[test]
 fn a_repeated_rejection_is_not_taken_for_the_response_to_the_second_send() {
     run(async {
-        for aftermath in AFTERMATHS {
-            let prefill = prefill_server(Aftermath::Quiet).await;
+        for after_response in ALL_AFTER_RESPONSES {
+            let prefill = prefill_server(AfterResponse::Nothing).await;
             let script = move |arrival: &Arrival| {
                 if arrival.header("kv-from").is_some() {
-                    return Reply::Bytes(not_executed(arrival), aftermath);
+                    return Reply::Bytes(not_executed(arrival), after_response);
                 }
                 let is_proxy_call = arrival.is_proxy_call();
                 let bytes = if is_proxy_call { proxy_call_response(arrival) } else { stream(arrival) };
-                Reply::Bytes(bytes, Aftermath::Quiet)
+                Reply::Bytes(bytes, AfterResponse::Nothing)
             };
             let decode = HostileServer::start("i-decode", "llm", Some(Stage::Decode), script).await;
             let proxy = Proxy::with_servers(1, &[&prefill.server, &decode.server]).await;
             let response = proxy.post_prompt(NOT_RESUMABLE, &[]).await;
             let requests = decode.client_requests();
             let ran = requests.iter().filter(|arrival| arrival.header("kv-from").is_none()).count();
-            assert_eq!((response.status, ran), (200, 1), "{aftermath:?}: {response:?}");
+            assert_eq!((response.status, ran), (200, 1), "{after_response:?}: {response:?}");
             assert_eq!((response.body, response.is_complete), (events(1..=2), true));
         }
     });
 }
 
-/// A response without an id can't be matched by it: a late response to the one would be taken for one to the other.
+/// The responses to proxy calls have no id. On a shared connection a late one could be taken for the response to a
+/// client's request, or the other way round.
 #[test]
 fn proxy_calls_and_requests_of_clients_share_no_connection() {
     run(async {
-        for aftermath in [Aftermath::Quiet, Aftermath::RepeatLate] {
-            let (prefill, other) = (prefill_server(aftermath).await, prefill_server(aftermath).await);
+        for after_response in [AfterResponse::Nothing, AfterResponse::RepeatLate] {
+            let (prefill, other) =
+                (prefill_server(after_response).await, prefill_server(after_response).await);
             let rejects = |arrival: &Arrival| {
                 let is_proxy_call = arrival.is_proxy_call();
                 let bytes = if is_proxy_call { proxy_call_response(arrival) } else { not_executed(arrival) };
-                Reply::Bytes(bytes, Aftermath::Quiet)
+                Reply::Bytes(bytes, AfterResponse::Nothing)
             };
             let decode = HostileServer::start("i-decode", "llm", Some(Stage::Decode), rejects).await;
             let second = Server { id: "i-other".into(), ..other.server.clone() };
             let proxy = Proxy::with_servers(1, &[&prefill.server, &second, &decode.server]).await;
             for number in 0..4 {
                 let id = format!("{number:016x}");
-                // The prefill servers' load is queried before, and the handle is freed, as nobody fetches it.
+                // The proxy first queries the load of the prefill servers, and later frees the handle, which is not
+                // fetched.
                 let response = proxy.post_prompt(NOT_RESUMABLE, &[("x-attempt-id", &id)]).await;
                 assert_eq!(response.status, 503);
-                wait_turns(80).await;
+                poll_sockets(80).await;
             }
             let arrivals = [prefill.arrivals(), other.arrivals(), decode.arrivals()];
             assert!(arrivals.iter().flatten().any(Arrival::is_load_query), "the load is queried");
@@ -219,23 +231,23 @@
                     let of_client = arrivals
                         .iter()
                         .find(|arrival| arrival.connection == call.connection && !arrival.is_proxy_call());
-                    assert!(of_client.is_none(), "{aftermath:?}: {} shares a connection", call.path);
+                    assert!(of_client.is_none(), "{after_response:?}: {} shares a connection", call.path);
                 }
             }
         }
     });
 }
 
-/// A process that was suspended finds requests in its buffers whose clients have left long ago.
+/// After a suspension, a process finds buffered requests whose clients have disconnected in the meantime.
 #[test]
-fn a_request_that_its_client_left_while_the_proxy_was_suspended_is_not_sent() {
+fn a_request_whose_client_disconnected_while_the_proxy_was_suspended_is_not_sent() {
     run(async {
         for resets in [false, true] {
-            let script = |arrival: &Arrival| Reply::Bytes(own_response(arrival), Aftermath::Quiet);
+            let script = |arrival: &Arrival| Reply::Bytes(own_response(arrival), AfterResponse::Nothing);
             let (hostile, proxy) = plain_server(script).await;
             let mut client = std::net::TcpStream::connect(proxy.address).expect("a connection");
-            wait_turns(3).await;
-            // From here on the proxy does not run until the client has left.
+            poll_sockets(3).await;
+            // The proxy does not run between here and the disconnect, as nothing is awaited.
             let head = format!("POST {NON_IDEMPOTENT} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: 1\r\n");
             let request = format!("{head}X-Deadline-Ms: 500\r\nContent-Length: 6\r\n\r\na body");
             client.write_all(request.as_bytes()).expect("the peer reads");
@@ -245,20 +257,20 @@
             }
             drop(client);
             wait_until(|| hostile.count("1") > 0 || proxy.frontend.open_connections() == 0).await;
-            wait_turns(20).await;
+            poll_sockets(20).await;
             assert_eq!(hostile.count("1"), 0, "resets: {resets}");
         }
     });
 }
 
-/// The response waited in the kernel while the proxy was suspended, past its deadline: it is the client's own, and what
-/// else arrived on its connection is unknown.
+/// The response waits in the kernel while the proxy is suspended past the deadline. It belongs to the request, but it
+/// is unknown what else has arrived on the connection.
 #[test]
 fn a_connection_whose_response_was_overdue_is_not_reused() {
     run(async {
         let script = |arrival: &Arrival| match arrival.number {
             0 => Reply::Suspended(own_response(arrival), Duration::from_millis(350)),
-            _ => Reply::Bytes(own_response(arrival), Aftermath::Quiet),
+            _ => Reply::Bytes(own_response(arrival), AfterResponse::Nothing),
         };
         let (hostile, proxy) = plain_server(script).await;
         for id in ["1", "2", "3"] {
@@ -272,25 +284,25 @@
     });
 }
 
-/// What is no report belongs to another call; the report itself may come yet, where the next one is due.
+/// A body that is not a load report may belong to another call. The report may still arrive, in place of the next one.
 #[test]
-fn a_connection_that_brought_no_load_report_is_not_reused() {
+fn a_connection_that_returned_an_invalid_load_report_is_not_reused() {
     run(async {
         let script = |arrival: &Arrival| {
             let bytes = match arrival.is_proxy_call() {
                 true => response(200, None, "", "{\"queued\":1}"),
                 false => handle_response(arrival),
             };
-            Reply::Bytes(bytes, Aftermath::Quiet)
+            Reply::Bytes(bytes, AfterResponse::Nothing)
         };
         let one = HostileServer::start("r-1", "llm", Some(Stage::Prefill), script).await;
         let two = HostileServer::start("r-2", "llm", Some(Stage::Prefill), script).await;
-        let streams = |arrival: &Arrival| Reply::Bytes(stream(arrival), Aftermath::Quiet);
+        let streams = |arrival: &Arrival| Reply::Bytes(stream(arrival), AfterResponse::Nothing);
         let decode = HostileServer::start("i-decode", "llm", Some(Stage::Decode), streams).await;
         let proxy = Proxy::with_servers(1, &[&one.server, &two.server, &decode.server]).await;
         for _ in 0..3 {
             assert_eq!(proxy.post_prompt(NOT_RESUMABLE, &[]).await.status, 200);
-            wait_turns(80).await;
+            poll_sockets(80).await;
         }
         let mut reports = 0;
         for server in [one, two] {
@@ -305,15 +317,17 @@
     });
 }
 
-/// A server prefills a prompt, changes its stage, and is then to run the very same request: the id of a late second
-/// response to the prefill is that of the run.
+/// A server prefills a prompt, changes its stage to decode, and is then sent the same request to run. A late duplicate
+/// of the response to the prefill has the same id as the response to the run.
 #[test]
-fn a_late_response_to_a_prefill_is_not_taken_for_that_to_the_same_request_s_run() {
+fn a_late_response_to_a_prefill_is_not_taken_for_the_response_to_the_run() {
     run(async {
         let prefills = |arrival: &Arrival| match arrival.header("x-serving-stage") {
-            Some(_) => Reply::Bytes(handle_response(arrival), Aftermath::RepeatLate),
-            None if arrival.is_proxy_call() => Reply::Bytes(proxy_call_response(arrival), Aftermath::Quiet),
-            None => Reply::Bytes(stream(arrival), Aftermath::Quiet),
+            Some(_) => Reply::Bytes(handle_response(arrival), AfterResponse::RepeatLate),
+            None if arrival.is_proxy_call() => {
+                Reply::Bytes(proxy_call_response(arrival), AfterResponse::Nothing)
+            }
+            None => Reply::Bytes(stream(arrival), AfterResponse::Nothing),
         };
         let prefill = HostileServer::start("i-prefill", "llm", Some(Stage::Prefill), prefills).await;
         let changed = Server { stage: Some(Stage::Decode), ..prefill.server.clone() };
@@ -323,7 +337,7 @@
             if let Some(data_plane) = updated.borrow().as_ref() {
                 data_plane.update_servers([&changed].into_iter());
             }
-            Reply::Bytes(response(421, arrival.attempt_id(), "", ""), Aftermath::Quiet)
+            Reply::Bytes(response(421, arrival.attempt_id(), "", ""), AfterResponse::Nothing)
         };
         let decode = HostileServer::start("i-decode", "llm", Some(Stage::Decode), rejects).await;
         let proxy = Proxy::with_servers(1, &[&prefill.server, &decode.server]).await;
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: how they are resumed at another server, and how they end if they can't be.
+//! Streams: how they are resumed at another server, and how they end if that is not possible.
 
 mod common;
 
@@ -28,8 +28,7 @@
     StubServer::start(id, "llm", Some(Stage::Decode), script).await
 }
 
-/// A proxy with one prefill server and two decode servers, of which the first that gets a request does `first` and
-/// later ones what `later` says.
+/// A proxy with one prefill server and two decode servers.
 struct TwoDecodeServers {
     proxy: Proxy,
     _prefill: Rc<StubServer>,
@@ -37,6 +36,7 @@
 }
 
 impl TwoDecodeServers {
+    /// The first request that reaches either decode server meets `first`, the others meet `later`.
     async fn start(
         seed: u64,
         first: Behavior,
@@ -56,12 +56,12 @@
         Self { proxy, _prefill: prefill, decode }
     }
 
-    /// Both decode servers do the same.
-    async fn alike(behavior: Behavior) -> Self {
+    /// Both decode servers always behave the same.
+    async fn with_behavior(behavior: Behavior) -> Self {
         Self::start(1, behavior.clone(), move |_| behavior.clone()).await
     }
 
-    /// How many requests each decode server got.
+    /// The number of requests that each decode server received.
     fn counts(&self) -> (usize, usize) {
         (self.decode[0].received().len(), self.decode[1].received().len())
     }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn events_that_a_resumed_stream_repeats_are_left_out() {
+fn events_that_a_resumed_stream_repeats_are_not_forwarded() {
     run(async {
         let servers = TwoDecodeServers::start(1, broken_stream(1..=4), |_| stream(3..=9)).await;
         let response = servers.proxy.post_prompt(RESUMABLE, &[]).await;
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_everywhere_is_aborted_after_a_complete_event() {
+fn a_stream_that_breaks_at_every_server_is_aborted_after_a_complete_event() {
     run(async {
-        let servers = TwoDecodeServers::alike(broken_stream(1..=4)).await;
+        let servers = TwoDecodeServers::with_behavior(broken_stream(1..=4)).await;
         let response = servers.proxy.post_prompt(RESUMABLE, &[]).await;
         let got = (response.status, response.is_complete, response.body);
         assert_eq!(got, (200, false, events(1..=4)));
@@ -129,7 +129,7 @@
 #[test]
 fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
     run(async {
-        let servers = TwoDecodeServers::alike(broken_stream(1..=4)).await;
+        let servers = TwoDecodeServers::with_behavior(broken_stream(1..=4)).await;
         let response = servers.proxy.post_prompt(NOT_RESUMABLE, &[]).await;
         assert_eq!((response.status, response.is_complete), (200, false));
         assert!(response.body.starts_with(&events(1..=4)) || events(1..=4).starts_with(&response.body));
@@ -149,7 +149,7 @@
             Behavior::Respond(200, foreign, "another's"),
         ];
         for failure in failures {
-            let servers = TwoDecodeServers::alike(failure.clone()).await;
+            let servers = TwoDecodeServers::with_behavior(failure.clone()).await;
             let response = servers.proxy.post_prompt(NOT_RESUMABLE, &[]).await;
             assert_eq!((response.status, response.body.as_str()), (502, ""), "{failure:?}");
             assert_eq!(response.header("retry-after"), None);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_last_event_that_a_client_has_is_forwarded_to_the_server() {
+fn the_last_event_id_of_a_client_is_forwarded_to_the_server() {
     run(async {
         let (prefill, decode) = (prefill_stub().await, decode_stub("i-decode", continue_stream).await);
         let proxy = Proxy::with_servers(1, &[&prefill.server, &decode.server]).await;
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_stream_that_falls_silent_at_an_unresponsive_server_is_resumed_elsewhere() {
+fn a_stream_that_stalls_at_an_unresponsive_server_is_resumed_elsewhere() {
     run(async {
         let servers = TwoDecodeServers::start(1, Behavior::StreamAndStall(1..=4), continue_stream).await;
         servers.decode.iter().for_each(|decode| decode.is_unresponsive.set(true));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_stream_that_outlasts_its_deadline_is_aborted() {
+fn a_stream_that_exceeds_its_deadline_is_aborted() {
     run(async {
         let decode = decode_stub("i-decode", |_| Behavior::StreamAndStall(1..=4)).await;
         let prefill = prefill_stub().await;
@@ -216,9 +216,10 @@
     });
 }
 
-/// To such a client the end of the connection is the end of the body: only a reset tells an aborted response from a complete one.
+/// An HTTP/1.0 client takes the end of the connection for the end of the body, so only a reset tells an aborted
+/// response from a complete one.
 #[test]
-fn to_a_client_without_chunks_a_broken_stream_does_not_look_complete() {
+fn a_broken_stream_does_not_look_complete_to_an_http_1_0_client() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     run(async {
         let (prefill, decode) =
@@ -256,7 +257,7 @@
 }
 
 #[test]
-fn a_stream_at_an_unresponsive_server_is_waited_for_if_no_other_server_can_take_over() {
+fn a_stream_at_an_unresponsive_server_is_kept_if_no_other_server_can_resume_it() {
     run(async {
         let late = |_: &ReceivedRequest| Behavior::OnceAbandoned(2, Box::new(stream(1..=5)));
         let (prefill, decode) = (prefill_stub().await, decode_stub("i-decode", late).await);
