--- a/crates/http-links/src/body.rs
+++ b/crates/http-links/src/body.rs
@@ -1,16 +1,16 @@
-//! Bodies that are buffered in memory.
+//! Reads bodies into memory, up to a limit.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use quick_error::quick_error;
 
-/// The maximum of a body that is buffered where no other limit is given, and of an outbound connection's buffer, in bytes.
+/// The default limit of a buffered body, and the limit of an outbound connection's buffer, in bytes.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 quick_error! {
-    /// Why a body could not be read. [`read_body`] returns the first two; the others are for callers that limit the time or
-    /// check the headers.
+    /// Why a body could not be read. [`read_body`] returns the first two; the others are for callers that limit the
+    /// time or check the headers.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum BodyError {
         /// It is longer than the limit.
@@ -32,8 +32,8 @@
     }
 }
 
-/// Reads a complete body of at most `max_bytes`, without a time limit. A body that states a greater length is not read at
-/// all.
+/// Reads a complete body of at most `max_bytes`, without a time limit. A body with a greater `Content-Length` is
+/// rejected before any of it is read.
 ///
 /// # Errors
 ///
--- a/crates/http-links/src/close_reason.rs
+++ b/crates/http-links/src/close_reason.rs
@@ -1,33 +1,33 @@
-//! Why connections end.
+//! The reasons for which connections end, and their codes in the log.
 
 /// Why a connection ended. In the log it appears as its [code](CloseReason::code), which `docs/on-call.md` explains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The other side closed it between two messages.
+    /// The peer closed it between two messages.
     ClosedByPeer,
-    /// The other side broke it off, or what it sent is not HTTP.
+    /// The peer broke the connection off, or sent data that is not HTTP.
     ConnectionBroken,
-    /// The client left while its request was pending.
+    /// The client disconnected while its request was pending.
     ClientGone,
-    /// Nobody listened, or the system reported an error.
+    /// The peer refused the connection, or the system reported another error.
     ConnectionRefused,
     /// It was not established within the connect timeout.
     ConnectTimeout,
-    /// An attempt, a health check or a call on it was given up.
+    /// This process abandoned an attempt, a health check or a call on it.
     Abandoned,
-    /// Idle for nearly as long as the other side allows.
+    /// It was idle for nearly as long as the peer keeps idle connections.
     IdleTimeout,
-    /// It ended, or sent more than its last response, before the next message was written.
+    /// It was closed, or had received bytes after its last response, before the next message was written.
     Stale,
-    /// The peer connected and sent no request.
+    /// The peer connected but sent no request.
     NoRequest,
-    /// The request was not complete in time.
+    /// The request was not received completely in time.
     RequestTimeout,
     /// The balancing policy closed idle connections.
     ClosedByPolicy,
-    /// The server is no longer on the endpoint list, or with another address or instance.
+    /// The server was removed from the endpoint list, or its address or instance changed.
     EndpointChanged,
-    /// The configuration names another address for the endpoint list.
+    /// The configured address of the endpoint list changed.
     ConfigReloaded,
     /// It was idle, and its file descriptor was needed for another connection.
     DescriptorNeeded,
@@ -37,18 +37,18 @@
     BadRequest,
     /// The process is draining.
     Draining,
-    /// The client read no more of its response.
+    /// The client stopped reading its response.
     ResponseUnread,
-    /// A request to the admin endpoint has its response.
+    /// The response to a request to the admin endpoint was sent.
     AdminRequestAnswered,
-    /// The process shuts down.
+    /// The process is shutting down.
     ShuttingDown,
-    /// A reason that only one program knows, by its code.
+    /// A reason that only one program has, given by its code.
     Other(&'static str),
 }
 
 impl CloseReason {
-    /// The code in the log. Operators search for it, so it stays as it is when a variant gets another name.
+    /// The code in the log. Operators search for it, so it must not change, even if a variant is renamed.
     pub fn code(self) -> &'static str {
         match self {
             CloseReason::ClosedByPeer => "closed-by-peer",
--- a/crates/http-links/src/connection_log.rs
+++ b/crates/http-links/src/connection_log.rs
@@ -1,4 +1,4 @@
-//! The record of a connection, which is handed to the program's log once, when the connection closes.
+//! Records of connections, each passed to the program's log once when the connection closes.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::close_reason::CloseReason;
 
-/// What kind of peer a connection leads to, and where its end is logged.
+/// The kind of a connection's peer, and the callback that logs its end.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerKind {
     /// The name in the log.
@@ -23,14 +23,14 @@
     }
 }
 
-/// What is known of a connection: its peer, its age, how many messages it has carried and why it ends.
+/// The peer, age, message count and close reason of a connection, for the log.
 #[derive(Debug)]
 pub struct ConnectionRecord {
     peer_kind: PeerKind,
     peer: SocketAddr,
     opened_at: Instant,
     close_reason: Cell<CloseReason>,
-    /// Whether `close_reason` is final.
+    /// True if `close_reason` is final.
     has_close_reason: Cell<bool>,
     message_count: Cell<u64>,
 }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sets the reason why the connection ends. Only the first call counts: later reasons are its consequences.
+    /// Sets the reason why the connection ends. Only the first call has an effect: later reasons follow from the first.
     pub fn set_close_reason(&self, reason: CloseReason) {
         if !self.has_close_reason.replace(true) {
             self.close_reason.set(reason);
@@ -66,7 +66,7 @@
         self.message_count.set(self.message_count.get() + 1);
     }
 
-    /// The reason why the connection ended or, while it is open, the one that would be logged if it ended now.
+    /// The reason why the connection ended or, while it is open, the reason that would be logged if it ended now.
     pub fn close_reason(&self) -> CloseReason {
         self.close_reason.get()
     }
@@ -92,12 +92,12 @@
     }
 }
 
-/// Logs a connection when it is dropped, which the owner of the connection does when it closes.
+/// Logs a connection when the guard is dropped. The owner of the connection drops it when the connection closes.
 #[derive(Debug)]
 pub struct ConnectionLogGuard(Rc<ConnectionRecord>);
 
 impl ConnectionLogGuard {
-    /// For a connection that was accepted, or is about to be opened.
+    /// Creates the record of a connection that was accepted or is about to be opened.
     pub fn open(peer_kind: PeerKind, peer: SocketAddr) -> Self {
         Self(Rc::new(ConnectionRecord::new(peer_kind, peer)))
     }
--- a/crates/http-links/src/count_guard.rs
+++ b/crates/http-links/src/count_guard.rs
@@ -1,9 +1,9 @@
-//! A guard that counts what is open or in flight.
+//! A guard that counts a resource while it is in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// An amount that is added to a count until the guard is dropped.
+/// Adds an amount to a count until the guard is dropped.
 #[derive(Debug)]
 pub struct CountGuard {
     count: Rc<Cell<usize>>,
--- a/crates/http-links/src/hooked_stream.rs
+++ b/crates/http-links/src/hooked_stream.rs
@@ -1,4 +1,4 @@
-//! TCP streams that run code of their owner at each write and when they are dropped.
+//! TCP streams with hooks that run at each write and on drop.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -7,24 +7,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What a [`HookedStream`] runs.
+/// The hooks of a [`HookedStream`]. By default they do nothing.
 pub trait StreamHook: Unpin {
-    /// Before each write.
+    /// Called before each write.
     ///
     /// # Errors
     ///
-    /// The write fails with this error, and no byte is written.
+    /// Any error makes the write fail with it, before a byte is written.
     fn before_write(&self, stream: &TcpStream) -> io::Result<()> {
         let _ = stream;
         Ok(())
     }
 
-    /// The system has taken the first `count` bytes of these buffers, in their order.
+    /// Called after a write of which the kernel has accepted the first `count` bytes of these buffers.
     fn after_write(&self, buffers: &[IoSlice<'_>], count: usize) {
         let _ = (buffers, count);
     }
 
-    /// Before the stream is closed.
+    /// Called before the stream is closed.
     fn on_drop(&self, stream: &TcpStream) {
         let _ = stream;
     }
--- a/crates/http-links/src/lib.rs
+++ b/crates/http-links/src/lib.rs
@@ -1,5 +1,6 @@
-//! What all parts that speak HTTP share: outbound connections, how much of a message was written and so whether it may be
-//! sent again, buffered bodies, accepted connections, counts of what is open, and why connections end.
+//! Building blocks for HTTP/1 clients and servers, shared by all programs of the workspace: outbound connections that
+//! track how much of a message was written, the retry policies that depend on it, buffered bodies, accepting
+//! connections, counts of resources in use, and close reasons for the log.
 
 mod accept;
 mod body;
--- a/crates/http-links/src/outbound_connection.rs
+++ b/crates/http-links/src/outbound_connection.rs
@@ -1,4 +1,4 @@
-//! Connections that this process opens.
+//! HTTP/1 connections that this process opens.
 
 use std::error::Error;
 use std::io::{self, IoSlice};
@@ -25,19 +25,20 @@
 use crate::tcp_options::ConnectOptions;
 use crate::write_progress::WriteProgress;
 
-/// Counts the bytes of a message that the system has taken: hyper does not report them, and only they prove that a request
-/// was not executed. Prevents a first byte that would be late, or that a connection in an unknown state would carry.
+/// Counts the bytes of a message that the kernel has accepted, which hyper does not report. Only this count proves that
+/// a request was not executed. Also prevents the first byte of a message from being written after its deadline, or to a
+/// connection that was closed or has received unexpected bytes.
 struct WriteCounter(Rc<WriteProgress>);
 
 impl StreamHook for WriteCounter {
     fn before_write(&self, stream: &TcpStream) -> io::Result<()> {
-        // A process that was suspended finds messages in its queues that nobody waits for any more.
+        // After a suspension, queues may contain messages whose callers have timed out.
         if self.0.is_overdue() {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        // Bytes that follow the last response would be taken for the response to this message, and what is written to
-        // a connection that has ended is lost. The runtime may not have noticed either yet, so the system is
-        // queried before the first byte.
+        // Bytes after the last response would be taken for the response to this message, and a message on a closed
+        // connection would be lost. The runtime may not have noticed either yet, so the socket is checked before the
+        // first byte.
         let is_first_write = !self.0.has_started();
         if is_first_write && SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok() {
             return Err(io::ErrorKind::ConnectionAborted.into());
@@ -54,7 +55,7 @@
     /// Why a connection was not established.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ConnectError {
-        /// Nobody listens there, which does not change within milliseconds.
+        /// Nothing listens at the address. An immediate retry is unlikely to succeed.
         Refused {
             display("connection refused")
         }
@@ -62,21 +63,22 @@
         Unreachable {
             display("the host can't be reached")
         }
-        /// It was not established within the timeout.
+        /// The connection was not established within the timeout.
         TimedOut {
             display("the connection was not established in time")
         }
     }
 }
 
-/// An open connection to a server, for requests with bodies `B`. Dropping it closes it at once, with any exchange on it.
+/// An open connection to a server, for requests with bodies `B`. Dropping it closes the connection at once and aborts
+/// any exchange on it.
 #[derive(Debug)]
 pub struct OutboundConnection<B> {
     sender: SendRequest<B>,
     driver: JoinHandle<()>,
     /// How much of the current request was written.
     pub write_progress: Rc<WriteProgress>,
-    /// Takes the reason why the connection ends.
+    /// The record of the connection, in which the owner sets the close reason.
     pub record: Rc<ConnectionRecord>,
 }
 
@@ -92,8 +94,8 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Opens a connection; `None` if it was not established. `guard` is dropped when the connection closes. Has to be called
-    /// within a `LocalSet`.
+    /// Opens a connection; `None` if it was not established. `guard` is dropped when the connection closes. Must be
+    /// called within a `LocalSet`.
     pub async fn open(
         peer_kind: PeerKind,
         to: SocketAddr,
@@ -103,7 +105,7 @@
         Self::connect(peer_kind, to, options, guard).await.ok()
     }
 
-    /// As [`OutboundConnection::open`], with the reason of a failure.
+    /// Opens a connection as [`OutboundConnection::open`] does, and returns the reason of a failure.
     ///
     /// # Errors
     ///
@@ -133,30 +135,30 @@
         Ok(Self { sender, driver, write_progress, record })
     }
 
-    /// Whether the connection has ended.
+    /// True if the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until the last response was read to its end and the connection can carry the next message; false if it has
-    /// ended.
+    /// Waits until the last response was read completely and the connection can carry the next message; false if the
+    /// connection has ended.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Whether the connection may carry another message: the last one was written completely, and within `max_wait`
-    /// its response turns out to have been read to its end with nothing behind it.
+    /// True if the connection may carry another message: the last one was written completely, and within `max_wait` the
+    /// connection is ready, with its response read completely and no bytes after it.
     pub async fn is_reusable(&mut self, max_wait: Duration) -> bool {
-        // A response may arrive before the last byte of its request was written; the rest of that request would be the
-        // start of the next one.
+        // A response may arrive before the last byte of its request was written. The peer would then take the rest of
+        // that request for the beginning of the next one.
         self.write_progress.is_complete() && timeout(max_wait, self.ready()).await == Ok(true)
     }
 
-    /// Sends a request, once, and reads the head of its response, all before `deadline`.
+    /// Sends a request once and reads the head of its response before `deadline`.
     ///
     /// # Errors
     ///
-    /// There is no response. The connection must be dropped, since the response may still arrive.
+    /// No response arrived in time. The connection must be dropped, since the response may still arrive.
     pub async fn send_with_deadline(
         &mut self,
         request: Request<B>,
@@ -169,8 +171,8 @@
         self.record.count_message();
         let sent = timeout_at(deadline, self.sender.send_request(request)).await;
         let kind = match sent {
-            // If the process was suspended, the response and the deadline are noticed together. The response may be
-            // out of date then.
+            // After a suspension, the response and the passed deadline may be noticed together. The response may then
+            // be out of date.
             Ok(Ok(response)) if Instant::now() < deadline => return Ok(response),
             Ok(Ok(_)) | Err(_) => SendErrorKind::DeadlinePassed,
             Ok(Err(error)) => self.send_error_kind(&error),
@@ -188,12 +190,12 @@
         SendErrorKind::ConnectionLost
     }
 
-    /// Sends a request, once, with a body of this length in bytes, and reads the head of its response. There is no deadline:
-    /// the caller limits the time.
+    /// Sends a request once, with a body of this length in bytes, and reads the head of its response. There is no
+    /// deadline: the caller limits the time.
     ///
     /// # Errors
     ///
-    /// There is no response.
+    /// The exchange failed without a response.
     pub async fn send(
         &mut self,
         request: Request<B>,
@@ -205,7 +207,7 @@
     }
 }
 
-/// Establishes a TCP connection, and sets the close reason if that fails.
+/// Establishes a TCP connection. Sets the close reason if that fails.
 async fn connect_stream(
     to: SocketAddr,
     connect_timeout: Duration,
--- a/crates/http-links/src/retry.rs
+++ b/crates/http-links/src/retry.rs
@@ -1,24 +1,25 @@
-//! Whether a message may be sent again. This is decided here alone, for requests of clients and for calls between processes
-//! of the fleet alike. `docs/design/calls.md` lists the policy of each message.
+//! Retry policies: if a message may be sent again after a failed exchange. They apply to clients' requests and to calls
+//! between the processes of the fleet, and nothing else decides about retries of sent messages. `docs/design/calls.md`
+//! lists the policy of each message.
 
 use std::error::Error;
 use std::fmt;
 
 use quick_error::quick_error;
 
-/// How much of a message the system had taken when its exchange failed.
+/// How much of a message the kernel had accepted when its exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// No byte: the other side can't know of the message.
+    /// No byte was sent: the peer has not received the message.
     NotStarted,
-    /// Some bytes, but not the last: the other side may know of the message and can't execute it.
+    /// Some bytes were sent, but not the last one: the peer can't have executed the message.
     Partial,
-    /// The last byte: the message may be executed, or has been.
+    /// The last byte was sent: the peer may have executed the message.
     Complete,
 }
 
 impl SendProgress {
-    /// Whether the other side may have acted on the message.
+    /// True if the peer may have executed the message.
     pub fn may_have_run(self) -> bool {
         self == SendProgress::Complete
     }
@@ -27,14 +28,14 @@
 /// When a message may be sent again after its exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Always: handling it twice, or late, has the same effect as once.
+    /// Always. For messages that are idempotent, even if they arrive late.
     Always,
-    /// Only if its last byte was certainly not sent.
+    /// Only if it is certain that the last byte was not sent.
     OnlyIfNeverSent,
 }
 
 impl RetryPolicy {
-    /// Whether a message of which so much was sent may be sent again.
+    /// True if a message with this progress may be sent again.
     pub fn allows(self, progress: SendProgress) -> bool {
         match self {
             RetryPolicy::Always => true,
@@ -47,7 +48,7 @@
     /// Why an exchange failed.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum SendErrorKind {
-        /// No response before the deadline, or the deadline passed before the first byte was sent.
+        /// No response arrived before the deadline, or the deadline passed before the first byte was sent.
         DeadlinePassed {
             display("no response before the deadline")
         }
@@ -62,7 +63,7 @@
     }
 }
 
-/// An exchange without a response.
+/// The failure of an exchange, with the progress of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendError {
     /// Why it failed.
--- a/crates/http-links/src/tcp_options.rs
+++ b/crates/http-links/src/tcp_options.rs
@@ -1,16 +1,16 @@
-//! Options of TCP connections.
+//! Socket options of TCP connections.
 
 use std::time::Duration;
 
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// How a connection is opened. A bare `Duration` is the timeout.
+/// Options for opening a connection. A `Duration` converts to options with this timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectOptions {
-    /// The connection has to be established within this time.
+    /// The time within which the connection must be established.
     pub timeout: Duration,
-    /// `TCP_USER_TIMEOUT`: the system closes the connection if sent data goes unacknowledged for so long.
+    /// `TCP_USER_TIMEOUT`: the kernel closes the connection if sent data goes unacknowledged for this long.
     pub user_timeout: Option<Duration>,
 }
 
@@ -27,11 +27,10 @@
     }
 }
 
-/// Sets the options of an inbound or outbound connection: `TCP_NODELAY`, and `TCP_USER_TIMEOUT` if one is given. An
-/// option that the system does not support is left out: without it the connection works, but is slower, or is found broken
-/// later.
+/// Sets the options of an inbound or outbound connection: `TCP_NODELAY`, and `TCP_USER_TIMEOUT` if one is given. Errors
+/// are ignored: without the options the connection works, but is slower, or a broken one is detected later.
 pub fn set_tcp_options(stream: &TcpStream, user_timeout: Option<Duration>) {
-    // Without it the second part of a small message waits for the acknowledgement of the first.
+    // Without `TCP_NODELAY`, the second part of a small message waits until the first one is acknowledged.
     let _ = stream.set_nodelay(true);
     if user_timeout.is_some() {
         let _ = SockRef::from(stream).set_tcp_user_timeout(user_timeout);
--- a/crates/http-links/src/write_progress.rs
+++ b/crates/http-links/src/write_progress.rs
@@ -1,4 +1,4 @@
-//! How much of a message was written to its connection.
+//! Tracks how much of an HTTP/1 message was written to its connection.
 
 use std::cell::Cell;
 use std::io::IoSlice;
@@ -7,28 +7,29 @@
 
 use crate::retry::SendProgress;
 
-/// What ends the head of a message.
+/// The bytes that end the head of a message.
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// How much of the current message on a connection the system has taken.
+/// How much of the current message on a connection the kernel has accepted.
 ///
-/// A message counts as complete as soon as its last byte was taken, or earlier, but never later. So a message that does not
-/// count as complete can't have been executed.
+/// A message counts as complete at the latest when its last byte is accepted; it may count as complete too early. So a
+/// message that does not count as complete can't have been executed.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
     has_started: Cell<bool>,
-    /// How many bytes of [`END_OF_HEAD`] the part of the head that was written ends with; its length once the head is
-    /// complete.
+    /// The number of bytes of [`END_OF_HEAD`] that the written part of the head ends with. It equals the length of
+    /// [`END_OF_HEAD`] when the head is complete.
     matched_end_bytes: Cell<usize>,
-    /// Bytes of the body that the system has not taken yet; `usize::MAX` less those taken if the length is not known.
+    /// The number of bytes of the body that the kernel has not accepted yet. It starts at `usize::MAX` if the length is
+    /// not known.
     remaining_body_bytes: Cell<usize>,
     is_complete: Cell<bool>,
-    /// The first byte must be written before; `None`: at any time.
+    /// The deadline for the first byte; `None` if there is no deadline.
     start_deadline: Cell<Option<Instant>>,
 }
 
 impl WriteProgress {
-    /// A new message follows, with a body of this length in bytes; `usize::MAX` if it is not known.
+    /// Starts a new message with a body of this length in bytes; `usize::MAX` if the length is not known.
     pub fn start_message(&self, body_length: usize) {
         self.has_started.set(false);
         self.matched_end_bytes.set(0);
@@ -37,12 +38,12 @@
         self.start_deadline.set(None);
     }
 
-    /// The first byte of the message must not be written after this.
+    /// Sets the deadline after which the first byte of the message must not be written.
     pub fn set_start_deadline(&self, deadline: Instant) {
         self.start_deadline.set(Some(deadline));
     }
 
-    /// Whether it is too late to write the first byte.
+    /// True if no byte was written and the deadline for the first one has passed.
     pub fn is_overdue(&self) -> bool {
         !self.has_started() && self.start_deadline.get().is_some_and(|deadline| Instant::now() >= deadline)
     }
@@ -56,22 +57,23 @@
         }
     }
 
-    /// Whether the system has taken any byte of the message.
+    /// True if the kernel has accepted any byte of the message.
     pub fn has_started(&self) -> bool {
         self.has_started.get()
     }
 
-    /// Whether the system has taken the last byte: from then on the request may be executed.
+    /// True if the kernel may have accepted the last byte, so that the peer may execute the message.
     pub fn is_complete(&self) -> bool {
         self.is_complete.get()
     }
 
-    /// To be called before the end of a body is written whose length was not known: it can't be counted.
+    /// Marks a message whose body has an unknown length as complete. Must be called before the end of the body is
+    /// written, which can't be recognized here.
     pub fn mark_complete(&self) {
         self.is_complete.set(true);
     }
 
-    /// The system has taken the first `count` bytes of these buffers, in their order.
+    /// Records that the kernel has accepted the first `count` bytes of these buffers.
     pub fn record_vectored_write(&self, buffers: &[IoSlice], mut count: usize) {
         for buffer in buffers {
             let bytes = buffer.get(..count).unwrap_or(buffer);
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The system has taken these bytes.
+    /// Records that the kernel has accepted these bytes.
     pub fn record_write(&self, bytes: &[u8]) {
         self.has_started.set(self.has_started.get() || !bytes.is_empty());
         let head_bytes = self.match_end_of_head(bytes);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Follows the head through these bytes. Returns how many of them belong to it.
+    /// Searches these bytes for the end of the head. Returns the number of them that belong to the head.
     fn match_end_of_head(&self, bytes: &[u8]) -> usize {
         let mut position = 0;
         while position < bytes.len() && self.matched_end_bytes.get() < END_OF_HEAD.len() {
--- a/crates/http-links/tests/connection_log.rs
+++ b/crates/http-links/tests/connection_log.rs
@@ -1,4 +1,4 @@
-//! The log line of a connection.
+//! Connections are logged once, with their first close reason.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
     static LOGGED: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-const SIDE: PeerKind = PeerKind { name: "model-server", on_close: log };
+const MODEL_SERVER: PeerKind = PeerKind { name: "model-server", on_close: log };
 
 fn log(record: &ConnectionRecord) {
     let line = format!(
@@ -23,7 +23,7 @@
 }
 
 fn logged(of: impl FnOnce(&ConnectionRecord)) -> Vec<String> {
-    let line = ConnectionLogGuard::open(SIDE, SocketAddr::from(([10, 0, 0, 1], 80)));
+    let line = ConnectionLogGuard::open(MODEL_SERVER, SocketAddr::from(([10, 0, 0, 1], 80)));
     of(&line.record());
     assert!(LOGGED.with_borrow(Vec::is_empty));
     drop(line);
@@ -39,7 +39,7 @@
     assert_eq!(lines, ["model-server 10.0.0.1:80 closed-by-peer 2"]);
 }
 
-/// Later reasons are consequences of the first.
+/// Later close reasons are consequences of the first one.
 #[test]
 fn only_the_first_close_reason_counts() {
     let lines = logged(|record| {
--- a/crates/http-links/tests/outbound_connection.rs
+++ b/crates/http-links/tests/outbound_connection.rs
@@ -1,4 +1,4 @@
-//! Outbound connections on loopback.
+//! Outbound connections, against servers on loopback.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -74,7 +74,7 @@
         let (mut connection, response) = exchange(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nabcde").await;
         let body = read_body(response.expect("a response").into_body(), 5).await;
         assert_eq!(body.expect("a body"), "abcde");
-        // The server closes it between two messages; the runtime notices that later.
+        // The server closes the connection between two messages, and the runtime notices that later.
         while !connection.is_closed() {
             tokio::task::yield_now().await;
         }
@@ -94,7 +94,7 @@
     });
 }
 
-/// What was written completely may have been executed although no response arrived.
+/// A request that was written completely may have been executed although no response arrived.
 #[rstest]
 #[case::nothing(b"")]
 #[case::not_http(b"SSH-2.0-x\r\n")]
@@ -117,7 +117,7 @@
 #[test]
 fn a_failed_connection_logs_the_reason_and_drops_its_guard() {
     run(async {
-        // With its backlog full the listener answers nobody.
+        // A listener with a full backlog accepts no connection.
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
         listener.listen(0).expect("a listener");
@@ -132,7 +132,7 @@
     });
 }
 
-/// The guard counts file descriptors: if it outlived the connection, they would run out.
+/// Callers count open file descriptors with the guard, so it must not outlive the connection or leak.
 #[test]
 fn dropping_a_connection_closes_it_with_any_exchange_on_it() {
     run(async {
@@ -152,7 +152,7 @@
             tokio::task::yield_now().await;
         }
         assert_eq!(REASON.take(), Some(CloseReason::Abandoned));
-        // The end of the stream follows directly what had been written.
+        // The end of the stream follows the bytes that had been written.
         let mut received = Vec::new();
         let _ = server.read_to_end(&mut received);
     });
@@ -193,8 +193,8 @@
     });
 }
 
-/// Bytes that follow a response, not noticed by the runtime yet, would be taken for the response to the next message; and
-/// what is written to a connection that has just ended is lost.
+/// Bytes after a response that the runtime has not noticed yet would be taken for the response to the next message. A
+/// message that is written to a connection that was just closed is lost.
 #[rstest]
 #[case::leftovers(b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nbad")]
 #[case::end_of_stream(b"")]
@@ -219,7 +219,7 @@
     });
 }
 
-/// After a suspension, say, nobody waits for the message any more.
+/// The caller no longer waits for the response, for example after the process was suspended.
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     run(async {
@@ -249,7 +249,7 @@
         {
             let mut sending = pin!(connection.send_with_deadline(get(), deadline));
             assert!(matches!(sending.as_mut().poll(&mut Context::from_waker(Waker::noop())), Poll::Pending));
-            // The thread is blocked: neither the timer nor the connection is polled.
+            // Blocks the thread, so that neither the timer nor the connection is polled.
             while tokio::time::Instant::now() < deadline {
                 std::thread::yield_now();
             }
@@ -266,7 +266,8 @@
     });
 }
 
-/// A response that waited in the kernel while the process was suspended is late; its connection must be dropped.
+/// A response that waited in the kernel while the process was suspended is too late, and its connection must be
+/// dropped.
 #[test]
 fn a_response_read_after_the_deadline_is_rejected() {
     run(async {
@@ -287,9 +288,9 @@
     });
 }
 
-/// As before, and the connection has read the response before the deadline is noticed.
+/// The connection has already read the response when the passed deadline is noticed.
 #[test]
-fn a_response_that_is_found_with_a_deadline_that_has_passed_is_rejected() {
+fn a_response_that_is_noticed_together_with_the_passed_deadline_is_rejected() {
     run(async {
         let (mut connection, mut server) = connected().await;
         assert!(connection.ready().await);
@@ -302,7 +303,7 @@
         while tokio::time::Instant::now() < deadline {
             std::thread::yield_now();
         }
-        // The runtime looks at its sockets once in so many turns.
+        // The runtime polls its sockets only once per a number of task polls.
         for _ in 0..500 {
             tokio::task::yield_now().await;
         }
@@ -312,7 +313,7 @@
     });
 }
 
-/// After a response that arrives before its request was written completely, the rest of the request is still to come.
+/// If a response arrives before its request was written completely, the rest of the request still follows.
 #[test]
 fn a_connection_is_reusable_only_after_its_request_was_written_completely() {
     run(async {
@@ -327,9 +328,9 @@
         });
         let deadline = tokio::time::Instant::now() + LONG_TIMEOUT;
         assert_eq!(connection.send_with_deadline(request, deadline).await.expect("a response").status(), 503);
-        let asked_at = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         assert!(!connection.write_progress.is_complete() && !connection.is_reusable(LONG_TIMEOUT).await);
-        assert!(asked_at.elapsed() < LONG_TIMEOUT, "that is known without waiting for the response to end");
+        assert!(started_at.elapsed() < LONG_TIMEOUT, "returns without waiting for the end of the response");
         drop(server.join().expect("the thread does not panic"));
     });
 }
@@ -371,7 +372,8 @@
     });
 }
 
-/// A request that the server received to its last byte never counts as not executed, against a server that resets the connection after any number of bytes.
+/// A request that the server received completely must never count as not executed. The server resets the connection
+/// after different numbers of bytes.
 #[test]
 fn a_request_received_to_the_last_byte_counts_as_complete() {
     const BODY: usize = 8 << 20;
--- a/crates/http-links/tests/write_progress.rs
+++ b/crates/http-links/tests/write_progress.rs
@@ -1,13 +1,13 @@
-//! What counts as written, and what follows for a retry.
+//! Which messages count as written completely, and which may therefore be retried.
 
 use std::io::IoSlice;
 
 use mosshead_http_links::{RetryPolicy, SendProgress, WriteProgress};
 use quickcheck::quickcheck;
 
-/// A request counts as not executed until its very last byte is written, however the writes are split.
+/// A request counts as not executed until its last byte is written, for any split into writes.
 #[test]
-fn a_message_is_complete_with_its_last_byte_only() {
+fn a_message_is_complete_only_after_its_last_byte() {
     for length in 1..30 {
         let write_progress = WriteProgress::default();
         write_progress.start_message(5);
@@ -25,10 +25,10 @@
 }
 
 quickcheck! {
-    fn a_message_written_in_pieces_is_complete_with_its_last_byte_only(head: String, body: Vec<u8>, lengths: Vec<u8>) -> bool {
+    fn a_message_written_in_parts_is_complete_only_after_its_last_byte(head: String, body: Vec<u8>, lengths: Vec<u8>) -> bool {
         let head = head.replace("\r\n", "");
         let message = [head.as_bytes(), b"\r\n\r\n", &body].concat();
-        // The last bytes of the head may be the first ones of its end marker.
+        // The head may end with bytes that already belong to the end marker.
         let head_length = message.windows(4).position(|part| part == b"\r\n\r\n").map_or(0, |position| position + 4);
         let write_progress = WriteProgress::default();
         write_progress.start_message(message.len() - head_length);
@@ -45,9 +45,9 @@
     }
 }
 
-/// Only the sender knows the end of a body without a stated length.
+/// Only the sender knows where a body of unknown length ends.
 #[test]
-fn a_message_without_a_length_is_complete_when_its_sender_says_so() {
+fn a_message_of_unknown_length_is_complete_when_its_sender_marks_it() {
     let write_progress = WriteProgress::default();
     write_progress.start_message(usize::MAX);
     assert!(!write_progress.has_started());
@@ -57,8 +57,8 @@
     assert!(write_progress.is_complete());
 }
 
-/// Writes these parts as the kernel takes them, so many bytes at a time; false if the message counts as complete at the
-/// wrong byte.
+/// Records writes of these parts, of which the kernel accepts the next of `lengths` bytes each time. Returns false if
+/// the message counts as complete at the wrong byte.
 fn is_counted_correctly(parts: &[&[u8]], body: usize, lengths: &[u8]) -> bool {
     let write_progress = WriteProgress::default();
     write_progress.start_message(body);
@@ -68,24 +68,24 @@
         if write_progress.progress().may_have_run() {
             return false;
         }
-        // The remaining parts, as a vectored write passes them.
+        // The rest of the parts, as the buffers of a vectored write.
         let mut skipped = position;
-        let mut left = Vec::new();
+        let mut remaining_buffers = Vec::new();
         for part in parts {
             let skip = skipped.min(part.len());
             skipped -= skip;
-            left.push(IoSlice::new(&part[skip..]));
+            remaining_buffers.push(IoSlice::new(&part[skip..]));
         }
         let count =
             lengths.next().map_or(1, |&length| usize::from(length).clamp(1, message.len() - position));
-        write_progress.record_vectored_write(&left, count);
+        write_progress.record_vectored_write(&remaining_buffers, count);
         position += count;
     }
     write_progress.progress() == SendProgress::Complete
 }
 
 quickcheck! {
-    fn a_vectored_message_is_complete_with_its_last_byte_only(head: String, body: Vec<u8>, lengths: Vec<u8>) -> bool {
+    fn a_message_from_vectored_writes_is_complete_only_after_its_last_byte(head: String, body: Vec<u8>, lengths: Vec<u8>) -> bool {
         let head = format!("POST / HTTP/1.1\r\nx: {}\r\n\r\n", head.replace(['\r', '\n'], ""));
         let (first, second) = body.split_at(body.len() / 2);
         is_counted_correctly(&[head.as_bytes(), b"", first, second], body.len(), &lengths)
@@ -93,8 +93,9 @@
 }
 
 quickcheck! {
-    /// A message with more bytes than announced, as with chunked framing, may count as complete too early, never too late.
-    fn a_message_longer_than_announced_is_complete_at_the_latest_with_its_last_byte(body: Vec<u8>, announced: usize) -> bool {
+    /// A message with more bytes than announced, as with chunked encoding, may count as complete too early but not too
+    /// late.
+    fn a_message_longer_than_announced_is_complete_after_its_last_byte(body: Vec<u8>, announced: usize) -> bool {
         let announced = announced % (body.len() + 1);
         let write_progress = WriteProgress::default();
         write_progress.start_message(announced);
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn progress_and_policy_decide_about_a_retry() {
+fn progress_and_policy_determine_if_a_message_may_be_retried() {
     let write_progress = WriteProgress::default();
     write_progress.start_message(1);
     let mut observed = vec![write_progress.progress()];
