--- a/crates/config/examples/change_cost.rs
+++ b/crates/config/examples/change_cost.rs
@@ -1,5 +1,5 @@
-//! Prints the cost, in microseconds, of one changed, added or removed route and of a thousand added ones, by the number
-//! of routes.
+//! Prints the time, in microseconds, for changing, adding or removing one route and for adding a thousand routes, by
+//! the number of routes in the configuration.
 //!
 //! `cargo run --release -p mosshead-config --example change_cost`
 
@@ -26,7 +26,7 @@
     )
 }
 
-/// The time of the fastest of several runs, in microseconds.
+/// The time of the fastest run, in microseconds.
 fn fastest_micros<T>(mut run: impl FnMut() -> T) -> f64 {
     let mut best = f64::MAX;
     for _ in 0..25 {
@@ -38,24 +38,24 @@
     best
 }
 
-/// The resident memory of this process in KiB, 0 where the system does not report it.
+/// The resident memory of this process in KiB; 0 if the system does not report it.
 fn resident_kib() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// How many routes are added at once.
+/// The number of routes that are added at once.
 const ADDED_ROUTES: usize = 1_000;
 
-/// How many configurations are parsed to measure the memory of one.
+/// The number of configurations that are parsed to measure the memory of one.
 const COPIES: usize = 20;
 
 fn print_row(routes: usize, change: &str, step: &str, micros: f64) {
     println!("{routes:>6} {change:>8} {step:>13} {micros:>10.1}");
 }
 
-/// Prints the memory of one configuration.
+/// Prints the memory use of one configuration.
 fn print_memory(routes: usize, text: &str) -> Result<(), ConfigError> {
     let before = resident_kib();
     let configs: Vec<Config> =
@@ -76,7 +76,7 @@
     print_row(routes, "-", "find_route", fastest_micros(find));
 }
 
-/// Prints the cost of adding many routes at once.
+/// Prints the time for adding many routes at once.
 fn print_many(routes: usize, old: &Config) -> Result<(), ConfigError> {
     let added: Vec<String> = (routes..routes + ADDED_ROUTES).map(|number| route(number, 2500)).collect();
     let change = format!("{{\"revision\":2,\"upsert\":{{\"route_entries\":[{}]}}}}", added.join(","));
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// Prints the cost of one change in every step that it goes through.
+/// Prints the time of each step that a change goes through.
 fn print_change(routes: usize, old: &Config, name: &str, change: &str) -> Result<(), ConfigError> {
     let change = format!("{{\"revision\":2,{change}}}");
     let new = old.modify(change.as_bytes())?;
--- a/crates/config/src/chunked_sequence.rs
+++ b/crates/config/src/chunked_sequence.rs
@@ -1,16 +1,16 @@
-//! A sorted sequence with structural sharing: it is stored in chunks that clones share, and a change copies only the chunk
-//! that it touches.
+//! A sorted sequence with structural sharing: clones share the chunks of elements, and a change copies only the chunk
+//! that it affects.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
 
 /// A chunk that grows longer than this is split.
 const MAX_CHUNK_LENGTH: usize = 64;
-/// The length of the chunks of a sequence that is built at once.
+/// The length of the chunks when a sequence is built from sorted elements.
 const INITIAL_CHUNK_LENGTH: usize = 48;
 
-/// A sorted sequence without equal elements. The order is the caller's: each call is given how an element compares
-/// with what is sought, and all calls on one sequence must agree. No chunk is empty.
+/// A sorted sequence without equal elements. The caller defines the order: each call takes a function that compares an
+/// element with the sought one, and all calls on a sequence must use the same order. No chunk is empty.
 #[derive(Debug)]
 pub(crate) struct ChunkedSequence<T> {
     chunks: Vec<Arc<Vec<T>>>,
@@ -64,7 +64,7 @@
         chunk.get(chunk.partition_point(|element| compare(element).is_le()).checked_sub(1)?)
     }
 
-    /// Finds the last element that compares as less and the first one that compares as greater.
+    /// Finds the last element that compares as less and the first element that compares as greater.
     pub(crate) fn neighbours(&self, compare: impl Fn(&T) -> Ordering) -> (Option<&T>, Option<&T>) {
         let before = self.last_not_greater(|element| match compare(element) {
             Ordering::Equal => Ordering::Greater,
@@ -77,7 +77,7 @@
         (before, after.or_else(first_of_next))
     }
 
-    /// Inserts an element. The one that compares as equal is replaced and returned.
+    /// Inserts an element. An element that compares as equal is replaced and returned.
     pub(crate) fn insert(&mut self, element: T, compare: impl Fn(&T) -> Ordering) -> Option<T> {
         let chunk_index = self.chunk_index_for(&compare).unwrap_or(0);
         let Some(chunk) = self.chunks.get_mut(chunk_index) else {
@@ -93,7 +93,7 @@
         }
         self.length += 1;
         if chunk.len() > MAX_CHUNK_LENGTH {
-            // A sequence that only grows at its end keeps full chunks.
+            // If elements are only appended, the chunks stay nearly full.
             let is_at_end = index + 1 == chunk.len();
             let split_index = if is_at_end { INITIAL_CHUNK_LENGTH } else { chunk.len() / 2 };
             let rest = chunk.split_off(split_index);
@@ -118,7 +118,7 @@
         Some(removed)
     }
 
-    /// Merges a chunk that has become small with the next one, so that removals leave no long list of small chunks.
+    /// Merges a chunk with the next one if both are small, so that removals don't leave many small chunks.
     fn merge_with_next(&mut self, chunk_index: usize) {
         // A chunk that does not exist counts as full, so that nothing is merged with it.
         let length_of = |index: usize| self.chunks.get(index).map_or(MAX_CHUNK_LENGTH, |chunk| chunk.len());
@@ -131,14 +131,15 @@
         }
     }
 
-    /// The index of the chunk that contains what is sought, if any does: the last one whose first element isn't greater.
+    /// The index of the only chunk that can contain the sought element: the last one whose first element isn't greater.
     fn chunk_index_for(&self, compare: impl Fn(&T) -> Ordering) -> Option<usize> {
         let first_is_le = |chunk: &Arc<Vec<T>>| chunk.first().is_some_and(|first| compare(first).is_le());
         self.chunks.partition_point(first_is_le).checked_sub(1)
     }
 
-    /// Calls `on_difference` with each element of only the one or only the other sequence, and with both of a pair that
-    /// compares as equal but may differ otherwise. Chunks that both share are skipped without a look at their elements.
+    /// Compares two sequences. Calls `on_difference` with each element that only one of them contains, and with both
+    /// elements of each pair that compares as equal but may differ otherwise. Shared chunks are skipped without
+    /// comparing their elements.
     pub(crate) fn compare<'a>(
         &'a self,
         other: &'a ChunkedSequence<T>,
@@ -179,7 +180,7 @@
 struct Cursor<'a, T> {
     chunks: &'a [Arc<Vec<T>>],
     chunk_index: usize,
-    /// Of the element within the chunk; 0 behind the last chunk.
+    /// The index of the element within the chunk; 0 after the last chunk.
     index: usize,
 }
 
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,4 +1,4 @@
-//! A valid configuration.
+//! The validated configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,8 +17,8 @@
 
 /// A configuration that passed every check.
 ///
-/// Clones share all of it. One that was made from another by a change or a patch shares with it all that has not
-/// changed.
+/// Clones share all data. A configuration that was made from another one by a change or a patch shares the unchanged
+/// data with it.
 #[derive(Clone)]
 pub struct Config {
     revision: u64,
@@ -28,7 +28,7 @@
     content: Arc<Content>,
 }
 
-/// What is read from a document when it is validated.
+/// The data that validation reads from a document.
 pub(crate) struct ValidatedParts {
     pub(crate) revision: u64,
     pub(crate) limits: Limits,
@@ -40,62 +40,62 @@
 struct Content {
     document: Document,
     route_table: RouteTable,
-    /// The document as text, once it was built.
+    /// The document as text, built on first use.
     json: OnceLock<Arc<str>>,
 }
 
 impl Config {
-    /// Puts together what a validation has found; nothing is checked here.
+    /// Creates a configuration from the result of a validation, without further checks.
     pub(crate) fn new(parts: ValidatedParts, document: Document) -> Config {
         let ValidatedParts { revision, limits, services, routes, route_table } = parts;
         let content = Arc::new(Content { document, route_table, json: OnceLock::new() });
         Config { revision, routes, services, limits, content }
     }
 
-    /// Its revision; a configuration replaces only one with a lower revision.
+    /// The revision. A configuration replaces only one with a lower revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Its routes, in the operator's order.
+    /// The routes, in the operator's order.
     pub fn routes(&self) -> &Routes {
         &self.routes
     }
 
-    /// Its services by name; contains every service that a route names.
+    /// The services by name, including every service that a route names.
     pub fn services(&self) -> &Arc<BTreeMap<String, Arc<Service>>> {
         &self.services
     }
 
-    /// The bounds for clients.
+    /// The limits for clients.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The complete configuration as JSON without white space, to be shown and stored. It is built when it is first
-    /// used, and kept.
+    /// The complete configuration as JSON without white space, for display and storage. It is built on first use and
+    /// cached.
     pub fn json(&self) -> &Arc<str> {
         self.content.json.get_or_init(|| self.to_json().into())
     }
 
-    /// Builds the text of [`Config::json`], and keeps nothing.
+    /// Builds the text of [`Config::json`] without caching it.
     pub fn to_json(&self) -> String {
         self.content.document.to_json()
     }
 
-    /// The length of the text in bytes, without building it.
+    /// The length of [`Config::json`] in bytes, without building the text.
     pub fn json_length(&self) -> usize {
         self.content.document.json_length()
     }
 
-    /// Finds the route of a request: of the routes of its host, the one with the longest prefix that begins the path
-    /// (PROTOCOL.md, "Requests"). The host may have a port, the path a query.
+    /// Finds the route of a request: among the routes of its host, the one with the longest matching path prefix
+    /// (PROTOCOL.md, "Requests"). The host may include a port, and the path a query.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         self.content.route_table.find(&normalize_host(host), path)
     }
 
-    /// The service of that name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Two configurations are equal when their texts are.
+/// Two configurations are equal if their texts are equal.
 impl PartialEq for Config {
     fn eq(&self, other: &Self) -> bool {
         self.content.document.has_same_text(&other.content.document)
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! A configuration as a JSON document whose lists are changed item by item.
+//! A configuration as a JSON document whose lists can be changed item by item.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use crate::json::string::quote;
 use crate::stable_hash::{hash_text, mix};
 
-/// The top-level fields with a meaning here (PROTOCOL.md, "The operator's API").
+/// The top-level fields that this crate interprets (PROTOCOL.md, "The operator's API").
 pub(crate) const ROUTES: &str = "route_entries";
 pub(crate) const SERVICES: &str = "backend_services";
 pub(crate) const REVISION: &str = "revision";
 pub(crate) const LIMITS: &str = "limits";
 
-/// The value of a top-level field. Which variant it is depends on the text alone, so that equal texts have equal hashes
-/// whichever way they were parsed.
+/// The value of a top-level field. The variant depends only on the text, so that equal texts have equal hashes however
+/// they were parsed.
 #[derive(Debug, Clone)]
 pub(crate) enum FieldValue {
-    /// A list of items, each with a name of its own; the empty list too.
+    /// A list of items with distinct names, possibly empty.
     Items(ItemList),
     /// Any other value, as minified JSON.
     Json(Arc<str>),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The hash of the text. The first number tells a list from another value.
+    /// The hash of the text. The first number distinguishes a list from other values.
     fn hash(&self) -> u64 {
         match self {
             FieldValue::Items(list) => mix(1, list.hash()),
@@ -49,7 +49,6 @@
         }
     }
 
-    /// Whether both have the same text.
     pub(crate) fn has_same_text(&self, other: &FieldValue) -> bool {
         match (self, other) {
             (FieldValue::Json(one), FieldValue::Json(other)) => one == other,
@@ -69,7 +68,7 @@
     pub(crate) value: FieldValue,
 }
 
-/// The top-level fields of a configuration in the operator's order. A clone shares all items.
+/// The top-level fields of a configuration in the operator's order. Clones share all items.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Document {
     fields: Vec<Field>,
@@ -96,7 +95,7 @@
         }
     }
 
-    /// The list in a field, to be changed.
+    /// The list in a field, for changes.
     pub(crate) fn list_mut(&mut self, key: &str) -> Option<&mut ItemList> {
         let field = self.fields.iter_mut().find(|field| field.key.as_ref() == key)?;
         match &mut field.value {
@@ -129,24 +128,23 @@
         json
     }
 
-    /// The hash of the complete text, computed without a look at items that haven't changed.
+    /// The hash of the complete text, computed without hashing unchanged items again.
     pub(crate) fn hash(&self) -> u64 {
         self.fields.iter().fold(0, |hash, field| mix(hash, mix(hash_text(&field.key), field.value.hash())))
     }
 
-    /// Whether both have the same text.
     pub(crate) fn has_same_text(&self, other: &Document) -> bool {
         let is_same =
             |(one, other): (&Field, &Field)| one.key == other.key && one.value.has_same_text(&other.value);
         self.fields.len() == other.fields.len() && self.fields.iter().zip(&other.fields).all(is_same)
     }
 
-    /// Appends a field whose key is not there yet.
+    /// Appends a field. The document must not have its key yet.
     pub(crate) fn push(&mut self, key: &str, value: FieldValue) {
         self.fields.push(Field { key: key.into(), value });
     }
 
-    /// Replaces the value of a field, or appends the field.
+    /// Replaces the value of a field, or appends the field if it is missing.
     pub(crate) fn set(&mut self, key: &str, value: FieldValue) {
         match self.fields.iter_mut().find(|field| field.key.as_ref() == key) {
             Some(field) => field.value = value,
@@ -160,8 +158,8 @@
         self.fields.retain(|field| !removed.contains(field.key.as_ref()));
     }
 
-    /// Brings the fields into the order of `keys`; returns false, and changes nothing, unless these are exactly the
-    /// keys.
+    /// Sorts the fields into the order of `keys`. Returns false without a change if `keys` are not exactly the keys of
+    /// the document.
     #[must_use]
     pub(crate) fn reorder_fields(&mut self, keys: &[impl AsRef<str>]) -> bool {
         let indices: HashMap<&str, usize> =
@@ -181,7 +179,7 @@
         }
     }
 
-    /// Replaces the items of a list that have the same names; appends the others.
+    /// Replaces the items of a list that have the same names as the given ones, and appends the other given ones.
     ///
     /// # Errors
     ///
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with a configuration, with numbered codes. The codes and their texts are in docs/codes.md.
+//! Errors of configurations, with numbered codes. The codes and their texts are listed in docs/codes.md.
 
 use std::fmt;
 
 use quick_error::quick_error;
 
-/// The error codes with their meaning.
+/// The error codes with their meanings.
 pub const ERROR_CODES: [(u16, &str); 14] = [
     (1, "the text is too long"),
     (2, "the text is not UTF-8"),
@@ -45,7 +45,7 @@
         }
         /// An object has the same key twice.
         DuplicateKey(key: String) {
-            display("the key {:?} is there twice", key)
+            display("duplicate key {:?}", key)
         }
         /// A value is not of the type that its field has.
         WrongType(expected: &'static str) {
@@ -53,13 +53,13 @@
         }
         /// A field is missing, or is an empty string.
         Missing {
-            display("must be there and not empty")
+            display("must be present and not empty")
         }
         /// A value is outside the range of its field.
         OutOfRange(expected: &'static str) {
             display("must {}", expected)
         }
-        /// A route names a service that the configuration lacks.
+        /// A route names a service that the configuration does not contain.
         UnknownService(route: String, service: String) {
             display("route {:?} names the unknown service {:?}", route, service)
         }
@@ -77,11 +77,11 @@
         }
         /// Two items of one list share a name.
         DuplicateName(name: String) {
-            display("the name {:?} is there twice", name)
+            display("duplicate name {:?}", name)
         }
         /// A patch was made for another configuration.
         PatchMismatch(reason: &'static str) {
-            display("patch does not fit: {}", reason)
+            display("patch does not match the configuration: {}", reason)
         }
     }
 }
@@ -112,7 +112,7 @@
         ConfigError { kind: self, location: truncate(location.into()) }
     }
 
-    /// A malformed text. The reason may quote the text, of which only the beginning is kept.
+    /// A malformed text. The reason may quote the text and is therefore truncated.
     pub(crate) fn malformed_json(reason: impl Into<String>) -> ConfigErrorKind {
         ConfigErrorKind::MalformedJson(truncate(reason.into()))
     }
@@ -123,7 +123,7 @@
 pub struct ConfigError {
     /// What is wrong.
     pub kind: ConfigErrorKind,
-    /// Where: `route_entries[3].timeout_ms`, or `byte 812` where the text itself is broken.
+    /// The location: a field such as `route_entries[3].timeout_ms`, or `byte 812` if the text itself is malformed.
     pub location: String,
 }
 
@@ -138,7 +138,7 @@
         400
     }
 
-    /// What is wrong, without code and location.
+    /// The error message without code and location.
     pub fn message(&self) -> String {
         self.kind.to_string()
     }
@@ -156,10 +156,10 @@
     }
 }
 
-/// How many bytes of a text of the operator an error repeats.
+/// The maximum number of bytes of an operator's text that an error quotes.
 const MAX_QUOTED_BYTES: usize = 160;
 
-/// Cuts a text to [`MAX_QUOTED_BYTES`].
+/// Truncates a text to [`MAX_QUOTED_BYTES`].
 pub(crate) fn truncate(mut text: String) -> String {
     if text.len() > MAX_QUOTED_BYTES {
         let end = (0..=MAX_QUOTED_BYTES).rev().find(|&index| text.is_char_boundary(index)).unwrap_or(0);
--- a/crates/config/src/item.rs
+++ b/crates/config/src/item.rs
@@ -1,4 +1,4 @@
-//! An item of a list: its text, and what it was parsed to.
+//! An item of a list: its text and its parsed content.
 
 use std::sync::Arc;
 
@@ -14,12 +14,12 @@
     hash: u64,
 }
 
-/// What an item was parsed to.
+/// The parsed content of an item.
 #[derive(Debug)]
 pub(crate) enum ItemContent {
     Route(Arc<Route>),
     Service(Arc<Service>),
-    /// An item of a list that this crate does not know, by its name.
+    /// The name of an item of a list that this crate does not interpret.
     Unknown(Box<str>),
 }
 
@@ -59,7 +59,6 @@
         }
     }
 
-    /// Whether two items have the same text.
     pub(crate) fn has_same_text(one: &Arc<Item>, other: &Arc<Item>) -> bool {
         Arc::ptr_eq(one, other) || (one.hash == other.hash && one.text == other.text)
     }
--- a/crates/config/src/item_list.rs
+++ b/crates/config/src/item_list.rs
@@ -1,4 +1,4 @@
-//! A list of named items that is changed item by item: in the operator's order, and by name.
+//! A list of named items, in the operator's order and indexed by name, that is changed item by item.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -8,14 +8,14 @@
 use crate::item::Item;
 use crate::stable_hash::hash_pair;
 
-/// An item with its position, which it keeps for as long as it stays in the list. Positions ascend, with gaps.
+/// An item with its position, which does not change while the item is in the list. Positions ascend, with gaps.
 #[derive(Debug, Clone)]
 pub(crate) struct PositionedItem {
     pub(crate) position: u64,
     pub(crate) item: Arc<Item>,
 }
 
-/// The items of a list, no two with the same name. Clones share what isn't changed.
+/// The items of a list with distinct names. Clones share unchanged parts.
 #[derive(Debug, Clone)]
 pub(crate) struct ItemList {
     by_position: ChunkedSequence<PositionedItem>,
@@ -28,7 +28,7 @@
 }
 
 impl ItemList {
-    /// Builds a list of items that are given in order, no two with the same name.
+    /// Builds a list from items in order. Their names must be distinct.
     pub(crate) fn new(items: Vec<Arc<Item>>) -> Self {
         let item_bytes = items.iter().map(|item| item.text().len()).sum();
         let hash = hash_neighbours(&items);
@@ -85,12 +85,12 @@
         output.push(']');
     }
 
-    /// The hash of the texts of all items in their order. It does not depend on how the list was made.
+    /// The hash of the texts of all items in their order. It does not depend on the changes that led to the list.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Replaces the item that has the same name, in its position, else appends the item.
+    /// Replaces the item with the same name in its position, or appends the item if there is none.
     pub(crate) fn upsert(&mut self, item: Arc<Item>) {
         let current_position = self.get_positioned(item.name()).map(|positioned| positioned.position);
         let next_position = self.by_position.last().map_or(0, |last| last.position + 1);
@@ -121,8 +121,9 @@
         (before.map(|positioned| positioned.item.hash()), after.map(|positioned| positioned.item.hash()))
     }
 
-    /// Subtracts from `hash` the pairs of neighbours that a change at one position has broken up, and from `item_bytes` the
-    /// item that was there, if any. `before` and `after` are the hashes of the items around the position.
+    /// Subtracts the pairs of neighbours that a change at one position has separated from `hash`, and the length of the
+    /// item that was in the position, if any, from `item_bytes`. `before` and `after` are the hashes of the adjacent
+    /// items.
     fn remove_from_sums(&mut self, before: Option<u64>, after: Option<u64>, old: Option<&PositionedItem>) {
         match old.map(|old| &old.item) {
             Some(old) => {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The same items in the order of their names in `names`; `None` unless these are exactly the names.
+    /// The same items in the order of `names`; `None` if `names` are not exactly the names of the items.
     pub(crate) fn reordered(&self, names: &[impl AsRef<str>]) -> Option<ItemList> {
         let indices: HashMap<&str, usize> =
             names.iter().enumerate().map(|(index, name)| (name.as_ref(), index)).collect();
@@ -145,8 +146,8 @@
         items.filter(|items| items.len() == self.len()).map(ItemList::new)
     }
 
-    /// Calls `on_difference` with the older and the newer item of each name at which a newer list differs, `None` where
-    /// one of them does not have the name.
+    /// Compares this list with a newer one. Calls `on_difference` with the older and the newer item of each name whose
+    /// items differ; an item that is missing in one of the lists is `None`.
     pub(crate) fn compare<'a>(
         &'a self,
         newer: &'a ItemList,
@@ -167,15 +168,15 @@
         });
     }
 
-    /// Sorts items of this list into its order.
+    /// Sorts items of this list into the order of the list.
     pub(crate) fn sort_by_position(&self, items: &mut [&Arc<Item>]) {
         items.sort_by_cached_key(|item| {
             self.get_positioned(item.name()).map(|positioned| positioned.position)
         });
     }
 
-    /// Whether upserts into the older list result in the order of this list: the older items in their order, then the
-    /// new ones.
+    /// True if upserts into the older list result in the order of this list, that is, if the older items keep their
+    /// order and the new ones follow them.
     pub(crate) fn has_upsert_order(&self, older: &ItemList) -> bool {
         let mut own = self.iter().peekable();
         for old in older.iter() {
--- a/crates/config/src/json/containers.rs
+++ b/crates/config/src/json/containers.rs
@@ -1,29 +1,30 @@
-//! Objects and arrays cut into the texts of their values.
+//! Splits JSON objects and arrays into the texts of their values.
 
 use std::borrow::Cow;
 
 use super::cursor::Cursor;
 use super::string::unquote;
 
-/// A field of an object, its value not parsed.
+/// A field of an object with its unparsed value.
 pub(crate) struct RawField<'a> {
     pub(crate) key: Cow<'a, str>,
     pub(crate) value: &'a str,
 }
 
-/// A field of an object whose value is cut into elements if it is an array.
+/// A field of an object with its unparsed value, which is also split into elements if it is an array.
 pub(crate) struct RawListField<'a> {
     pub(crate) key: Cow<'a, str>,
     pub(crate) value: &'a str,
     pub(crate) elements: Option<Vec<&'a str>>,
 }
 
-/// Cuts an object into its fields; `None` when the text isn't one.
+/// Splits an object into its fields; `None` if the text is not an object.
 pub(crate) fn split_object(text: &str) -> Option<Vec<RawField<'_>>> {
     split_fields(text, |cursor, key| Some(RawField { key, value: cursor.next_value()? }))
 }
 
-/// Cuts an object into its fields and these into their elements, in one pass; `None` when the text isn't an object.
+/// Splits an object into its fields, and arrays in them into their elements, in one pass; `None` if the text is not an
+/// object.
 pub(crate) fn split_object_of_lists(text: &str) -> Option<Vec<RawListField<'_>>> {
     split_fields(text, |cursor, key| {
         if cursor.is_next(b'[') {
@@ -35,7 +36,7 @@
     })
 }
 
-/// Cuts an array into its elements; `None` when the text isn't one.
+/// Splits an array into its elements; `None` if the text is not an array.
 pub(crate) fn split_array(text: &str) -> Option<Vec<&str>> {
     let mut cursor = Cursor::new(text);
     let (_, elements) = cursor.next_array()?;
--- a/crates/config/src/json/cursor.rs
+++ b/crates/config/src/json/cursor.rs
@@ -1,4 +1,4 @@
-//! A cursor over JSON text that cuts out values without looking into them.
+//! A cursor over JSON text that extracts the texts of values without parsing them.
 
 use super::string::find_string_end;
 
@@ -8,7 +8,7 @@
 
 /// A position in a text.
 ///
-/// Values are cut out by their brackets and strings alone, so the text must have passed
+/// Only brackets and strings are examined to find the end of a value. The text must therefore have passed
 /// [`check_structure`](super::structure::check_structure), or each value must pass it before it is parsed.
 pub(crate) struct Cursor<'a> {
     text: &'a str,
@@ -20,7 +20,7 @@
         Cursor { text, position: 0 }
     }
 
-    /// Consumes `expected` if the text continues with it; returns whether it did.
+    /// Consumes `expected` and returns true if the text continues with it.
     pub(crate) fn consume_text(&mut self, expected: &str) -> bool {
         let rest = self.text.as_bytes().get(self.position..).unwrap_or_default();
         let is_next = rest.starts_with(expected.as_bytes());
@@ -28,33 +28,33 @@
         is_next
     }
 
-    /// Consumes `expected` if it is the next byte that isn't white space; returns whether it was.
+    /// Consumes `expected` and returns true if it is the next byte that isn't white space.
     pub(crate) fn consume(&mut self, expected: u8) -> bool {
         let is_next = self.is_next(expected);
         self.position += usize::from(is_next);
         is_next
     }
 
-    /// Whether `expected` is the next byte that isn't white space.
+    /// True if `expected` is the next byte that isn't white space.
     pub(super) fn is_next(&mut self, expected: u8) -> bool {
         self.skip_space();
         self.peek() == Some(expected)
     }
 
-    /// Whether nothing but white space is left.
+    /// True if only white space is left.
     pub(crate) fn is_at_end(&mut self) -> bool {
         self.skip_space();
         self.position == self.text.len()
     }
 
-    /// After an element or a field: consumes a comma or `close`. `Some(true)` when another element follows, `None`
-    /// when neither comes next.
+    /// Consumes the comma or the closing bracket after an element or a field. Returns `Some(true)` after a comma,
+    /// `Some(false)` after `close`, and `None` if neither comes next.
     pub(crate) fn continues_until(&mut self, close: u8) -> Option<bool> {
         if self.consume(b',') { Some(true) } else { self.consume(close).then_some(false) }
     }
 
-    /// Cuts out the next value: a string or a bracketed text to its end, anything else up to white space, a separator or a
-    /// closing bracket. `None` if the text ends before the value does, or nothing is there.
+    /// Extracts the next value: a complete string, object or array, or anything else up to white space, a separator or
+    /// a closing bracket. `None` if the value is empty or incomplete.
     pub(crate) fn next_value(&mut self) -> Option<&'a str> {
         self.skip_space();
         let start = self.position;
@@ -87,7 +87,7 @@
         self.text.get(start..self.position).filter(|value| !value.is_empty())
     }
 
-    /// Cuts the array that comes next into its elements; returns its text with them.
+    /// Splits the next value, an array, into its elements. Returns the array's text and the elements.
     pub(super) fn next_array(&mut self) -> Option<(&'a str, Vec<&'a str>)> {
         self.skip_space();
         let start = self.position;
--- a/crates/config/src/json/minify.rs
+++ b/crates/config/src/json/minify.rs
@@ -1,14 +1,14 @@
-//! JSON text without white space.
+//! Removes white space from JSON text.
 
 use std::borrow::Cow;
 
 use super::cursor::is_space;
 use super::string::find_string_end;
 
-/// Removes the white space between values; strings and the spelling of numbers stay as they are.
+/// Removes the white space between values. Strings and the spelling of numbers are not changed.
 pub(crate) fn minify(text: &str) -> Cow<'_, str> {
     let bytes = text.as_bytes();
-    // Most texts have none at all; a fold without an early end compiles to vector instructions.
+    // Most texts contain no white space. A fold without an early exit compiles to vector instructions.
     if !bytes.iter().fold(false, |found, byte| found | is_space(*byte)) {
         return Cow::Borrowed(text);
     }
--- a/crates/config/src/json/mod.rs
+++ b/crates/config/src/json/mod.rs
@@ -1,9 +1,8 @@
-//! JSON of the configuration API, in two levels.
+//! The JSON of the configuration API, read in two steps.
 //!
-//! The upper levels of a text are only scanned: [`structure`] checks brackets, strings and keys, [`cursor`] and
-//! [`containers`] cut the text into the texts of its values. A value is parsed into memory only when it is small, one
-//! item of a list at a time, by [`value`] and [`object`]; a configuration of thousands of routes is never kept as
-//! JSON values in its entirety.
+//! The upper levels of a text are only scanned: [`structure`] checks brackets, strings and keys, and [`cursor`] and
+//! [`containers`] split the text into the texts of its values. [`value`] and [`object`] then parse small values, one
+//! item of a list at a time, so that a configuration with thousands of routes is never held in memory as JSON values.
 
 pub(crate) mod containers;
 pub(crate) mod cursor;
--- a/crates/config/src/json/object.rs
+++ b/crates/config/src/json/object.rs
@@ -9,7 +9,7 @@
 use super::value::{MAX_WHOLE_NUMBER, parse_value, type_error};
 use crate::error::{ConfigError, ConfigErrorKind};
 
-/// The parsed fields of an object in their order. For many small objects this is quicker than a map for each.
+/// The parsed fields of an object in their order. For many small objects a vector is faster than a map.
 pub(crate) type ParsedFields<'a> = Vec<(Cow<'a, str>, JsonValue)>;
 
 /// Parses the fields of an object.
@@ -22,9 +22,9 @@
     fields.into_iter().map(|RawField { key, value }| Ok((key, parse_value(value, location)?))).collect()
 }
 
-/// An object with its location. A field that is null counts as absent.
+/// An object with its location. A null field counts as absent.
 ///
-/// All accessors fail with [`ConfigErrorKind::WrongType`] where a field has another type.
+/// All accessors fail with [`ConfigErrorKind::WrongType`] if a field has another type.
 pub(crate) struct Object<'a> {
     fields: Vec<(&'a str, &'a JsonValue)>,
     location: &'a str,
@@ -36,7 +36,7 @@
         Object { fields, location }
     }
 
-    /// Takes a value as an object.
+    /// Creates an object from a value.
     ///
     /// # Errors
     ///
@@ -77,7 +77,7 @@
         given.ok_or_else(|| self.error_at(key, ConfigErrorKind::Missing))
     }
 
-    /// A flag, false when absent.
+    /// A flag; false if absent.
     pub(crate) fn boolean(&self, key: &str) -> Result<bool, ConfigError> {
         match self.get(key) {
             None => Ok(false),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A finite number that isn't below 0.
+    /// A finite number of at least 0.
     pub(crate) fn number(&self, key: &str) -> Result<Option<f64>, ConfigError> {
         match self.get(key) {
             None => Ok(None),
@@ -106,22 +106,22 @@
         }
     }
 
-    /// A number that isn't below 0, rounded up to an integer, at most 2^53.
+    /// A number of at least 0, rounded up to an integer and limited to 2^53.
     pub(crate) fn count(&self, key: &str) -> Result<Option<u64>, ConfigError> {
         Ok(self.number(key)?.map(|number| number.min(MAX_WHOLE_NUMBER).ceil() as u64))
     }
 
-    /// The same, at most `u32::MAX`.
+    /// A number as [`Object::count`] returns it, limited to `u32::MAX`.
     pub(crate) fn small_count(&self, key: &str) -> Result<Option<u32>, ConfigError> {
         Ok(self.count(key)?.map(|count| u32::try_from(count).unwrap_or(u32::MAX)))
     }
 
-    /// A span in milliseconds, rounded up to an integer.
+    /// A duration given in milliseconds, rounded up to whole milliseconds.
     pub(crate) fn millis(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
         Ok(self.count(key)?.map(Duration::from_millis))
     }
 
-    /// A span in seconds, rounded to whole milliseconds.
+    /// A duration given in seconds, rounded to whole milliseconds.
     pub(crate) fn seconds(&self, key: &str) -> Result<Option<Duration>, ConfigError> {
         let to_millis = |seconds: f64| (seconds * 1000.0).min(MAX_WHOLE_NUMBER).round() as u64;
         Ok(self.number(key)?.map(to_millis).map(Duration::from_millis))
--- a/crates/config/src/json/string.rs
+++ b/crates/config/src/json/string.rs
@@ -1,11 +1,11 @@
-//! JSON strings: where they end, and what they stand for.
+//! JSON strings: finding their ends, decoding and encoding.
 
 use std::borrow::Cow;
 
 use tinyjson::JsonValue;
 
-/// The reason for a text that ends within a value.
-pub(super) const CUT_SHORT: &str = "cut short";
+/// The error reason for a text that ends within a value.
+pub(super) const TRUNCATED_TEXT: &str = "cut short";
 
 /// Finds the position after the string that begins at `start`.
 ///
@@ -17,12 +17,12 @@
     let mut position = start + 1;
     while let Some(&byte) = bytes.get(position) {
         match byte {
-            // All but control characters, the quote and the backslash.
+            // All bytes except control characters, the quote and the backslash.
             b' '..=b'!' | b'#'..=b'[' | b']'.. => position += 1,
             b'"' => return Ok(position + 1),
             b'\\' if bytes.get(position + 1) == Some(&b'u') => {
-                let digits = bytes.get(position + 2..position + 6).ok_or(CUT_SHORT)?;
-                // tinyjson skips white space between these digits; a text that is shown again must not contain it.
+                let digits = bytes.get(position + 2..position + 6).ok_or(TRUNCATED_TEXT)?;
+                // tinyjson accepts white space between these digits, but the stored text must be valid JSON.
                 if !digits.iter().all(u8::is_ascii_hexdigit) {
                     return Err("\\u without four hexadecimal digits");
                 }
@@ -32,10 +32,10 @@
             _ => return Err("a string with a control character"),
         }
     }
-    Err(CUT_SHORT)
+    Err(TRUNCATED_TEXT)
 }
 
-/// Whether the text is exactly one JSON string without escapes.
+/// True if the text is exactly one JSON string without escapes.
 pub(super) fn is_unescaped_string(text: &str) -> bool {
     !text.contains('\\') && find_string_end(text, 0) == Ok(text.len())
 }
@@ -54,6 +54,6 @@
 
 /// Encodes a string as JSON.
 pub(crate) fn quote(content: &str) -> String {
-    // Only a number that is not finite can't be written as JSON; tinyjson has no infallible way for strings.
+    // Encoding fails only for numbers that are not finite, but tinyjson has no infallible function for strings.
     JsonValue::from(content.to_owned()).stringify().unwrap_or_default()
 }
--- a/crates/config/src/json/structure.rs
+++ b/crates/config/src/json/structure.rs
@@ -1,16 +1,16 @@
-//! The structure of a text, checked in one pass before anything of it is parsed.
+//! Checks the structure of a JSON text in one pass before any of it is parsed.
 
 use std::borrow::Cow;
 
-use super::string::{CUT_SHORT, find_string_end, unquote};
+use super::string::{TRUNCATED_TEXT, find_string_end, unquote};
 use crate::error::{ConfigError, ConfigErrorKind, truncate};
 
-/// The longest text that is read, in bytes.
+/// The maximum length of a configuration's text, in bytes.
 pub const MAX_BYTES: usize = 4 << 20;
-/// How deep a configuration may be nested, in objects and arrays.
+/// The maximum nesting depth of objects and arrays in a configuration.
 pub const MAX_DEPTH: usize = 48;
 
-/// Decodes a text that comes from outside.
+/// Decodes an untrusted text.
 ///
 /// # Errors
 ///
@@ -23,11 +23,11 @@
         .map_err(|error| ConfigErrorKind::NotUtf8.at(byte_location(error.valid_up_to())))
 }
 
-/// Checks that brackets match, that none is nested below `max_depth`, that strings are complete, and that no object
-/// has the same key twice.
+/// Checks that brackets match and are not nested deeper than `max_depth`, that strings are complete, and that no object
+/// has duplicate keys.
 ///
-/// `tinyjson` and the parsers of this crate descend by recursion, so that a text of brackets alone would overflow the
-/// stack, and `tinyjson` silently keeps the last of two equal keys. No text may be parsed before it passed this check.
+/// No text may be parsed before it has passed this check: `tinyjson` and the parsers of this crate are recursive, so a
+/// text of nested brackets could overflow the stack, and `tinyjson` silently keeps only the last of several equal keys.
 ///
 /// # Errors
 ///
@@ -41,7 +41,7 @@
 /// A bracket that has not been closed yet.
 enum OpenBracket {
     Array,
-    /// With the number of keys of the objects around this one.
+    /// `keys_before` is the number of keys of the objects around this one.
     Object {
         keys_before: usize,
     },
@@ -51,9 +51,9 @@
     text: &'a str,
     max_depth: usize,
     open_brackets: Vec<OpenBracket>,
-    /// The keys so far of all open objects, those of the innermost last, each with its position.
+    /// The keys read so far of all open objects, those of the innermost object last, with their positions.
     keys: Vec<(Cow<'a, str>, usize)>,
-    /// Whether the next string is a key.
+    /// True if the next string is a key.
     expects_key: bool,
 }
 
@@ -64,7 +64,7 @@
         while let Some(&byte) = bytes.get(position) {
             match byte {
                 b'"' => {
-                    position = self.pass_string(position)?;
+                    position = self.skip_string(position)?;
                     continue;
                 }
                 b'{' | b'[' => self.open_bracket(byte, position)?,
@@ -76,11 +76,11 @@
             }
             position += 1;
         }
-        if self.open_brackets.is_empty() { Ok(()) } else { Err(malformed(CUT_SHORT, position)) }
+        if self.open_brackets.is_empty() { Ok(()) } else { Err(malformed(TRUNCATED_TEXT, position)) }
     }
 
-    /// Passes a string and records it if it is a key; returns the position after it.
-    fn pass_string(&mut self, start: usize) -> Result<usize, ConfigError> {
+    /// Skips a string, recording it if it is a key. Returns the position after it.
+    fn skip_string(&mut self, start: usize) -> Result<usize, ConfigError> {
         let end = find_string_end(self.text, start).map_err(|reason| malformed(reason, start))?;
         if std::mem::take(&mut self.expects_key) {
             let quoted = self.text.get(start..end).unwrap_or_default();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Checks the keys of the innermost object.
+    /// Checks the keys of the innermost object for duplicates.
     fn check_keys_differ(&mut self, keys_before: usize) -> Result<(), ConfigError> {
         let keys = self.keys.get_mut(keys_before..).unwrap_or_default();
         keys.sort_unstable();
--- a/crates/config/src/json/value.rs
+++ b/crates/config/src/json/value.rs
@@ -1,4 +1,4 @@
-//! Texts read as JSON values.
+//! Parses texts as JSON values.
 
 use tinyjson::{JsonParseError, JsonValue};
 
@@ -7,19 +7,19 @@
 use super::structure::{MAX_DEPTH, check_structure};
 use crate::error::{ConfigError, ConfigErrorKind};
 
-/// 2^53, the greatest whole number that every reader of JSON keeps exact.
+/// 2^53: all whole numbers up to this one are exact as `f64`, which many JSON parsers use for numbers.
 pub(crate) const MAX_WHOLE_NUMBER: f64 = 9_007_199_254_740_992.0;
 
-/// How many digits a whole number may have to be parsed without rounding.
+/// The maximum number of digits of a whole number that is parsed as an integer, so that no rounding occurs.
 const EXACT_DIGITS: usize = 15;
 
 /// The start of the library's error message for a key that is not a string.
 const WRONG_KEY: &str = "Key of object must be string";
 
-/// Parses JSON that somebody else wrote; `None` if it is not one well-formed value of UTF-8 within [`MAX_DEPTH`].
+/// Parses untrusted JSON; `None` if it is not one well-formed UTF-8 value nested at most [`MAX_DEPTH`] deep.
 ///
-/// The library's parser descends by recursion, so that a text of brackets alone would overflow the stack; the depth is
-/// checked before.
+/// The depth is checked first because the library's parser is recursive, so a text of nested brackets could overflow
+/// the stack.
 pub fn parse_json(text: &[u8]) -> Option<JsonValue> {
     let text = std::str::from_utf8(text).ok()?;
     check_structure(text, MAX_DEPTH).ok()?;
@@ -30,17 +30,17 @@
 ///
 /// # Errors
 ///
-/// The text is not one JSON value, with the reason that the library gives.
+/// The text is not one JSON value. The error has the reason that the library gives.
 pub(crate) fn parse_value(text: &str, location: &str) -> Result<JsonValue, ConfigError> {
     if let Some(value) = parse_fast(text) {
         return Ok(value);
     }
-    // The library gives the reason.
+    // Parse the text again with the library to get the reason of the error.
     text.parse().map_err(|error: JsonParseError| ConfigErrorKind::malformed_json(reason(&error)).at(location))
 }
 
-/// The library's reason. Where a key is not a string it quotes the value, the fields of an object in random order; without
-/// that, two readings of one text have the same error.
+/// The reason that the library gives. If a key is not a string, the library quotes the value, with the fields of an
+/// object in random order. The quote is removed so that a text always has the same error.
 fn reason(error: &JsonParseError) -> String {
     let mut reason = error.to_string();
     if let Some(start) = reason.find(WRONG_KEY) {
@@ -49,10 +49,10 @@
     reason
 }
 
-/// Parses a value whose structure has been checked; `None` when something is wrong.
+/// Parses a value whose structure has been checked; `None` if it is malformed.
 ///
-/// Only numbers and strings that need it go through the library's parser, which takes several times as long. It
-/// descends by recursion; the check of the structure bounds how deep.
+/// Only less common numbers and strings with escapes go through the library's parser, which is several times slower.
+/// This function is recursive; the structure check limits the depth.
 fn parse_fast(text: &str) -> Option<JsonValue> {
     match text.as_bytes() {
         b"true" => Some(JsonValue::Boolean(true)),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Parses a whole number from 0 to 2^53, as a revision is one.
+/// Parses a whole number from 0 to 2^53, such as a revision.
 ///
 /// # Errors
 ///
@@ -95,7 +95,7 @@
     }
 }
 
-/// Why a text isn't the object or array that was expected: it is malformed or of another type.
+/// The error for a text that is not the expected object or array: it is malformed or has another type.
 pub(crate) fn type_error(text: &str, location: &str, expected: &'static str) -> ConfigError {
     match parse_value(text, location) {
         Err(error) => error,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,16 +1,16 @@
 //! The operator's configuration: parsed and validated, changed by item, and sent between processes as patches.
 //!
-//! A [`Config`] keeps the text as the operator sent it, item by item, without the white space between values, so that
-//! what is shown later differs in nothing from what was sent: unknown fields, the order of fields and the spelling of
-//! numbers are kept. What the data plane needs of it is read into [`Route`], [`Service`] and [`Limits`].
+//! A [`Config`] keeps the operator's text item by item, with only the white space between values removed, so that it
+//! can be shown as it was sent: unknown fields, the order of fields and the spelling of numbers are preserved. The
+//! parts that the data plane needs are parsed into [`Route`], [`Service`] and [`Limits`].
 //!
-//! A text goes through [`Config::parse`] (or [`Config::parse_sharing`], which reuses the items of another
-//! configuration): its structure is checked (`json`), it is cut into fields and items (`reader`), and how these
-//! relate to each other is validated (`validation`). The operator's changes (`operator_calls`) and the patches of other
-//! processes (`patch`) edit the `document` of a configuration and validate only what they touch.
+//! [`Config::parse`], or [`Config::parse_sharing`], which reuses the items of another configuration, checks the
+//! structure of a text (`json`), splits it into fields and items (`reader`), and validates the references between them
+//! (`validation`). The operator's changes (`operator_calls`) and the patches of other processes (`patch`) edit the
+//! `document` of a configuration and validate only the changed parts.
 //!
-//! `PROTOCOL.md`, which comments cite by section, specifies the operator's API, the requests and the model servers. It is
-//! not part of this repository.
+//! Comments cite sections of `PROTOCOL.md`, which specifies the operator's API, the requests and the model servers. It
+//! is not part of this repository.
 
 mod chunked_sequence;
 mod config;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,4 +1,4 @@
-//! The bounds for what clients send and how long they take.
+//! Limits on the size and duration of clients' requests.
 
 use core::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::error::ConfigError;
 use crate::json::object::Object;
 
-/// The bounds for clients (PROTOCOL.md, "The operator's API", `limits`). No value is below [`Limits::MINIMUM`]: a limit
-/// of zero would reject every client.
+/// The limits for clients (PROTOCOL.md, "The operator's API", `limits`). No value is below [`Limits::MINIMUM`], since a
+/// limit of zero would reject every client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest head of a request, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a client may take for the head of a request.
+    /// The maximum time that a client may take to send the head of a request.
     pub header_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// The maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Limits {
-    /// The lowest value of each limit; what the operator sets below is raised to it.
+    /// The minimum of each limit. Lower values in a configuration are raised to it.
     pub const MINIMUM: Limits = Limits {
         max_header_bytes: 1 << 10,
         max_body_bytes: 1 << 10,
--- a/crates/config/src/operator_calls.rs
+++ b/crates/config/src/operator_calls.rs
@@ -1,4 +1,4 @@
-//! The operator's calls that change the configuration (PROTOCOL.md, "The operator's API").
+//! The operator's API calls that change the configuration (PROTOCOL.md, "The operator's API").
 
 use crate::config::Config;
 use crate::document::{FieldValue, REVISION};
@@ -14,7 +14,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Config::parse`], or the revision is not above the current one.
+    /// The errors of [`Config::parse`], or the revision is not above the current one.
     pub fn parse_replacement(current: Option<&Config>, text: &[u8]) -> Result<Config, ConfigError> {
         let config = match current {
             Some(current) => current.parse_sharing(text)?,
@@ -24,12 +24,12 @@
         Ok(config)
     }
 
-    /// Applies the body of `Configuration.Modify`: removes the items that it withdraws, then replaces or adds those that
-    /// it upserts.
+    /// Applies the body of `Configuration.Modify`: removes the withdrawn items, then replaces or adds the upserted
+    /// ones.
     ///
     /// # Errors
     ///
-    /// The text can't be read, its revision is not above the current one, or what results is not valid.
+    /// The text is malformed, its revision is not above the current one, or the resulting configuration is invalid.
     pub fn modify(&self, text: &[u8]) -> Result<Config, ConfigError> {
         let change = Change::parse(check_text(text)?)?;
         check_revision(change.revision, self.revision())?;
@@ -72,7 +72,7 @@
                 REVISION => revision = Some(parse_whole_number(value, REVISION)?),
                 "upsert" if value != "null" => upsert = list_fields(value, "upsert")?,
                 "withdraw" if value != "null" => withdraw = object_fields(value, "withdraw")?,
-                // An unknown field has no effect, but must be well-formed.
+                // Unknown fields are ignored, but must be well-formed.
                 unknown => drop(parse_value(value, unknown)?),
             }
         }
--- a/crates/config/src/patch/apply.rs
+++ b/crates/config/src/patch/apply.rs
@@ -1,4 +1,4 @@
-//! Patches applied to the configuration that they were made for.
+//! Applies a patch to the configuration that it was made for.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -16,23 +16,24 @@
 };
 use crate::validation::{validate, validate_changes};
 
-/// The bytes of a patch beside the complete configuration that it contains, at most: `base`, `sum` and their keys.
-const MAX_HEAD_BYTES: usize = 100;
-/// A patch contains the newer configuration, or parts of it, one level down.
+/// The maximum size of a patch in addition to the complete configuration that it may contain: `base`, `sum` and the
+/// keys.
+const MAX_PATCH_OVERHEAD_BYTES: usize = 100;
+/// A patch contains the newer configuration, or parts of it, nested one level deeper.
 const MAX_PATCH_DEPTH: usize = MAX_DEPTH + 1;
 
 /// The fields of a patch by key.
 type PatchFields<'a> = HashMap<Cow<'a, str>, &'a str>;
 
 impl Config {
-    /// Applies a patch that [`Config::patch_to`] made for this configuration.
+    /// Applies a patch that [`Config::patch_to`] has built from this configuration.
     ///
     /// # Errors
     ///
-    /// The patch can't be read, was made for another configuration
-    /// ([`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch)), or what results is not valid.
+    /// The patch is malformed, was made for another configuration
+    /// ([`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch)), or results in an invalid configuration.
     pub fn apply_patch(&self, patch: &str) -> Result<Config, ConfigError> {
-        let text = decode_utf8(patch.as_bytes(), MAX_BYTES + MAX_HEAD_BYTES)?;
+        let text = decode_utf8(patch.as_bytes(), MAX_BYTES + MAX_PATCH_OVERHEAD_BYTES)?;
         check_structure(text, MAX_PATCH_DEPTH)?;
         let fields = object_fields(text, "patch")?;
         let mut fields: PatchFields<'_> =
@@ -43,13 +44,13 @@
             None => validate_changes(self, patch_document(self, &mut fields)?)?,
         };
         if expected_hash.as_deref() != Some(&format!("{:016x}", config.document().hash())) {
-            return Err(ConfigErrorKind::PatchMismatch("another text came out").at(SUM));
+            return Err(ConfigErrorKind::PatchMismatch("the resulting text has another hash").at(SUM));
         }
         Ok(config)
     }
 }
 
-/// The document of a configuration after a patch that has only parts of the newer one.
+/// The document that results from a patch that contains only parts of the newer configuration.
 fn patch_document(config: &Config, fields: &mut PatchFields<'_>) -> Result<Document, ConfigError> {
     let base = fields.remove(BASE).unwrap_or("null");
     if parse_whole_number(base, BASE)? != config.revision() {
@@ -114,5 +115,5 @@
 }
 
 fn order_mismatch() -> ConfigError {
-    ConfigErrorKind::PatchMismatch("orders other things").at(ORDER)
+    ConfigErrorKind::PatchMismatch("the order names other items or fields").at(ORDER)
 }
--- a/crates/config/src/patch/diff.rs
+++ b/crates/config/src/patch/diff.rs
@@ -1,4 +1,4 @@
-//! The difference of two configurations, written as a patch.
+//! Computes the difference of two configurations and writes it as a patch.
 
 use super::keys::{BASE, DROP, FIELDS, ORDER, SET, SUM, UPSERT, WHOLE, WITHDRAW};
 use crate::config::Config;
@@ -22,26 +22,26 @@
     }
 }
 
-/// What differs between two documents.
+/// The differences between two documents.
 #[derive(Default)]
 struct DocumentDiff<'a> {
     lists: Vec<ListDiff<'a>>,
-    /// The keys of the fields that the newer one lacks.
+    /// The keys of the fields that the newer document does not contain.
     dropped: Vec<&'a str>,
-    /// The other fields that are new or changed.
+    /// Other fields that are new or changed.
     set: Vec<(&'a str, &'a FieldValue)>,
-    /// The keys of all fields in order; empty where the order follows from the rest.
+    /// The keys of all fields in order; empty if the order follows from the other parts of the patch.
     fields: Vec<&'a str>,
 }
 
-/// What differs between two lists of items.
+/// The differences between two lists of items.
 struct ListDiff<'a> {
     key: &'a str,
-    /// The names of the items that the newer list lacks.
+    /// The names of the items that the newer list does not contain.
     withdraw: Vec<&'a str>,
     /// The texts of the items that are new or changed.
     upsert: Vec<&'a str>,
-    /// The names of all items in order; empty where the order follows from the rest.
+    /// The names of all items in order; empty if the order follows from the other parts of the patch.
     order: Vec<&'a str>,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Appends an object with the elements of each list that has any.
+    /// Appends a field with an object that has the elements by list, for the lists that have any.
     fn write_by_list(
         &self,
         output: &mut String,
@@ -126,7 +126,7 @@
         } else {
             after.iter().map(|item| item.name()).collect()
         };
-        // New items are added at the end, in the order in which the patch has them.
+        // New items are appended in the order in which the patch contains them.
         after.sort_by_position(&mut upserted);
         let upsert = upserted.into_iter().map(|item| item.text()).collect();
         ListDiff { key, withdraw, upsert, order }
--- a/crates/config/src/patch/keys.rs
+++ b/crates/config/src/patch/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of a patch and of its parts. Processes of other builds read them.
+//! The keys of a patch and of its parts. They must not change, since processes of other versions read them.
 
 pub(super) const BASE: &str = "base";
 pub(super) const SUM: &str = "sum";
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,8 +1,8 @@
-//! From the text of a configuration or of a part of it to what is kept in memory.
+//! Reads the text of a configuration, or a part of it, into memory.
 //!
-//! Each module is named after what it reads: [`full_text`] a configuration with every check, [`shared_items`] one that
-//! has most items in common with another, [`document`] top-level fields, [`items`] the items of a list.
-//! [`list_merge`] puts the lists of [`shared_items`] together.
+//! [`full_text`] reads a complete configuration, [`shared_items`] one that has most items in common with another one,
+//! [`document`] top-level fields, and [`items`] the items of a list. [`list_merge`] builds the lists of
+//! [`shared_items`].
 
 mod document;
 mod full_text;
--- a/crates/config/src/reader/document.rs
+++ b/crates/config/src/reader/document.rs
@@ -1,4 +1,4 @@
-//! A document and its top-level fields, read from JSON text whose structure has been checked.
+//! Reads a document and its top-level fields from JSON text whose structure has been checked.
 
 use super::items::parse_items;
 use crate::document::{Document, FieldValue, LIMITS, REVISION, ROUTES, SERVICES};
@@ -8,7 +8,7 @@
 use crate::json::minify::minify;
 use crate::json::value::{parse_value, type_error};
 
-/// Parses a complete configuration; how its fields relate to each other is not checked.
+/// Parses a complete configuration. References between its fields are not validated.
 pub(crate) fn parse_document(text: &str) -> Result<Document, ConfigError> {
     let mut document = Document::default();
     for field in list_fields(text, "body")? {
@@ -18,20 +18,20 @@
     Ok(document)
 }
 
-/// The fields of an object.
+/// Splits an object into its fields.
 pub(crate) fn object_fields<'a>(text: &'a str, location: &str) -> Result<Vec<RawField<'a>>, ConfigError> {
     split_object(text).ok_or_else(|| type_error(text, location, "an object"))
 }
 
-/// The fields of an object whose values are or may be lists.
+/// Splits an object into its fields, and values that are lists into their elements.
 pub(crate) fn list_fields<'a>(text: &'a str, location: &str) -> Result<Vec<RawListField<'a>>, ConfigError> {
     split_object_of_lists(text).ok_or_else(|| type_error(text, location, "an object"))
 }
 
 /// Parses a top-level field, given as text and, if it is an array, as its elements.
 ///
-/// A list that this crate does not know is taken as a list of items if each has a name of its own, and can then be
-/// changed by item.
+/// An array in a field that this crate does not interpret becomes a list of items, which can be changed item by item,
+/// if its elements are objects with distinct names.
 pub(crate) fn parse_field_value(
     key: &str,
     text: &str,
--- a/crates/config/src/reader/full_text.rs
+++ b/crates/config/src/reader/full_text.rs
@@ -1,4 +1,4 @@
-//! A complete text, read with every check.
+//! Reads a complete configuration with all checks.
 
 use super::document::parse_document;
 use crate::config::Config;
@@ -14,26 +14,26 @@
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong with it, of any kind but [`StaleRevision`](crate::ConfigErrorKind::StaleRevision)
-    /// and [`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch).
+    /// The first error in the text, of any kind except [`StaleRevision`](crate::ConfigErrorKind::StaleRevision) and
+    /// [`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch).
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         validate(parse_document(check_text(text)?)?)
     }
 }
 
-/// Decodes a text of the operator and checks its structure.
+/// Decodes an operator's text and checks its structure.
 ///
 /// # Errors
 ///
-/// The text is too long, not UTF-8, nested too deep, malformed, or has an object with the same key twice.
+/// The text is too long, not UTF-8, nested too deep or malformed, or an object in it has duplicate keys.
 pub(crate) fn check_text(text: &[u8]) -> Result<&str, ConfigError> {
     let text = decode_utf8(text, MAX_BYTES)?;
     check_structure(text, MAX_DEPTH)?;
     Ok(text)
 }
 
-/// Reads the revision that the text of a configuration or a change has, before the rest is parsed; `None` if it has
-/// none or can't be read.
+/// Reads only the revision from the text of a configuration or a change; `None` if the text has no valid revision or
+/// its structure is invalid.
 pub fn peek_revision(text: &[u8]) -> Option<u64> {
     let fields = split_object(check_text(text).ok()?)?;
     let revision = fields.into_iter().find(|field| field.key == REVISION)?;
--- a/crates/config/src/reader/items.rs
+++ b/crates/config/src/reader/items.rs
@@ -1,4 +1,4 @@
-//! The items of a list, and lists of their names, read from JSON text whose structure has been checked.
+//! Reads items of lists, and lists of names, from JSON text whose structure has been checked.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::route::Route;
 use crate::service::Service;
 
-/// Parses the items of the list `key`, each with a name of its own.
+/// Parses the items of the list in the field `key`. Their names must be distinct.
 pub(crate) fn parse_items(
     key: &str,
     elements: Vec<&str>,
--- a/crates/config/src/reader/list_merge.rs
+++ b/crates/config/src/reader/list_merge.rs
@@ -1,4 +1,4 @@
-//! A new list, put together from the items of an older one and those that were parsed.
+//! Builds a new list from unchanged items of an older list and newly parsed items.
 
 use std::collections::HashSet;
 use std::iter::Peekable;
@@ -7,14 +7,14 @@
 use crate::item::Item;
 use crate::item_list::{ItemList, PositionedItem};
 
-/// Walks along the items of an older list while those of a new one are read.
+/// Iterates over the items of an older list while the items of a new list are read.
 pub(super) struct ListMerge<'a, I: Iterator<Item = &'a PositionedItem>> {
     base: &'a ItemList,
-    /// The older items that are still to come.
+    /// The older items that have not been reached yet.
     older: Peekable<I>,
-    /// Older items that were not found where they had been.
+    /// Older items that the new list does not have in their place.
     skipped: Vec<&'a Arc<Item>>,
-    /// New items that were parsed, as they were not the next older ones.
+    /// New items that were parsed because they differ from the next older item.
     parsed: Vec<Arc<Item>>,
     /// All items of the new list.
     all: Vec<Arc<Item>>,
@@ -30,12 +30,13 @@
         self.older.peek().map(|positioned| &positioned.item)
     }
 
-    /// Takes the next older item as the next new one.
+    /// Appends the next older item to the new list.
     pub(super) fn keep_next_older(&mut self) {
         self.all.extend(self.older.next().map(|positioned| positioned.item.clone()));
     }
 
-    /// Takes another item as the next new one. If it is one of the older list, the walk goes on after it.
+    /// Appends a parsed item to the new list. If the older list has an item with its name, the iteration continues
+    /// after that item.
     pub(super) fn push_parsed(&mut self, item: Arc<Item>) {
         let replaced = self.base.get_positioned(item.name());
         let unchanged = replaced.filter(|older| Item::has_same_text(&older.item, &item));
@@ -49,7 +50,7 @@
         self.all.push(item);
     }
 
-    /// The new list; `None` when two items have the same name.
+    /// The new list; `None` if two items have the same name.
     pub(super) fn finish(mut self) -> Option<ItemList> {
         self.skipped.extend(self.older.by_ref().map(|positioned| &positioned.item));
         let list = self.apply_as_changes();
@@ -58,13 +59,13 @@
         if has_expected_order {
             return Some(list);
         }
-        // New items elsewhere than at the end, or older ones in another order: only the items themselves are shared.
+        // New items were inserted before the end, or older ones reordered. Build a new list that shares only the items.
         let mut names = HashSet::with_capacity(self.all.len());
         let all_names_differ = self.all.iter().all(|item| names.insert(item.name()));
         all_names_differ.then(|| ItemList::new(self.all.clone()))
     }
 
-    /// The older list with the skipped items removed and the parsed ones put in.
+    /// The older list without the skipped items and with the parsed ones upserted.
     fn apply_as_changes(&self) -> ItemList {
         let parsed_names: HashSet<&str> = self.parsed.iter().map(|item| item.name()).collect();
         let mut list = self.base.clone();
--- a/crates/config/src/reader/shared_items.rs
+++ b/crates/config/src/reader/shared_items.rs
@@ -1,5 +1,5 @@
-//! A complete text, read beside a configuration with which it has most items in common: these are compared as bytes and
-//! shared instead of parsed again.
+//! Reads a complete text that has most items in common with an existing configuration. Equal items are found by
+//! comparing bytes, and are shared instead of parsed again.
 
 use super::document::parse_field_value;
 use super::items::parse_items;
@@ -14,18 +14,18 @@
 use crate::json::structure::{MAX_BYTES, MAX_DEPTH, check_structure, decode_utf8};
 use crate::validation::validate_changes;
 
-/// How deep the value of a top-level field may be nested.
+/// The maximum nesting depth of the value of a top-level field.
 const MAX_FIELD_DEPTH: usize = MAX_DEPTH - 1;
-/// How deep an item of a list may be nested.
+/// The maximum nesting depth of an item of a list.
 const MAX_ITEM_DEPTH: usize = MAX_DEPTH - 2;
 
 impl Config {
-    /// Parses a complete configuration as [`Config::parse`] does, with the same result. It costs little where the text
-    /// has most of its items in common with this configuration, and the new configuration shares them.
+    /// Parses a complete configuration with the same result as [`Config::parse`]. This is cheap if the text has most of
+    /// its items in common with this configuration; the new configuration shares them.
     ///
     /// # Errors
     ///
-    /// As [`Config::parse`].
+    /// The errors of [`Config::parse`].
     pub fn parse_sharing(&self, text: &[u8]) -> Result<Config, ConfigError> {
         match parse_document_sharing(self.document(), decode_utf8(text, MAX_BYTES)?) {
             Some(document) => validate_changes(self, document),
@@ -34,7 +34,8 @@
     }
 }
 
-/// `None` when something is wrong, or not as expected; the complete text must then be parsed to say what it is.
+/// Parses a document that shares items with `base`; `None` if anything is invalid or unexpected. A full parse of the
+/// text then finds the error.
 fn parse_document_sharing(base: &Document, text: &str) -> Option<Document> {
     let mut cursor = Cursor::new(text);
     let mut document = Document::default();
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,4 +1,4 @@
-//! A route: which requests it matches, which services run them, and on what terms.
+//! A route: the requests that it matches, the services that run them, and their timeouts and retries.
 
 use core::time::Duration;
 use std::borrow::Cow;
@@ -26,30 +26,29 @@
 /// One of `route_entries`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, not empty, unique among the routes.
+    /// The name; not empty and unique among the routes.
     pub name: String,
-    /// The host of its requests, in lower case and without a port; not empty.
+    /// The host of matching requests, in lower case and without a port; not empty.
     pub host: String,
-    /// What the paths of its requests begin with; it begins with a slash itself.
+    /// The prefix of the paths of matching requests; begins with a slash.
     pub path_prefix: String,
     /// How often a request may run.
     pub route_type: RouteType,
-    /// The longest that a request may take, unless its client asks for less; above 0, in whole milliseconds.
+    /// The maximum duration of a request, unless its client asks for less; above 0, in whole milliseconds.
     pub timeout: Duration,
-    /// The latency target of a response, to the first event of a stream; the timeout when it is not given.
+    /// The latency target of a response, for a stream until its first event; the timeout if it is not given.
     pub target_latency: Duration,
-    /// Its rank, 0 is highest; 5 when it is not given.
+    /// The priority of requests, where 0 is the highest; 5 if it is not given.
     pub priority: u8,
     /// The services of the route in the operator's order; the weights add up to more than 0.
     pub backends: Vec<WeightedBackend>,
-    /// The most servers that one request may be delivered to, at least 1; 1 when it is not given.
+    /// The maximum number of servers that a request may be delivered to, at least 1; 1 if it is not given.
     pub retry_count: u32,
-    /// Whether its requests name the parts of their prompt (`X-Prompt-Prefix`).
+    /// True if requests name the parts of their prompt (`X-Prompt-Prefix`).
     pub persistence: bool,
-    /// Whether a stream may be resumed at another server.
+    /// True if a stream may be resumed at another server.
     pub resume: bool,
-    /// The longest pause between events of a stream that still keeps the response in time (`gap_aim_ms`); zero when it
-    /// is not given.
+    /// The target for the longest gap between events of a stream (`gap_aim_ms`); zero if it is not given.
     pub event_gap_target: Duration,
 }
 
@@ -58,12 +57,12 @@
 pub struct WeightedBackend {
     /// The service's name.
     pub service: String,
-    /// The share of requests, relative to the sum over the route; a service with weight 0 gets none.
+    /// The share of requests relative to the sum of the route's weights. A service with weight 0 gets no requests.
     pub weight: f64,
 }
 
 impl Route {
-    /// Whether a request may run more than once: those of an idempotent route, and streams that may be resumed.
+    /// True if a request may run more than once: on an idempotent route, and on a route whose streams may be resumed.
     pub fn is_idempotent(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent => true,
@@ -72,8 +71,8 @@
         }
     }
 
-    /// Chooses a service by weight; `random` is a uniform random number from 0 to 1. `None` only if no weight is above 0,
-    /// which no valid configuration has.
+    /// Chooses a service by weight; `random` is a uniform random number from 0 to 1. `None` only if no weight is above
+    /// 0, which can't occur in a valid configuration.
     pub fn choose_service(&self, random: f64) -> Option<&str> {
         let total: f64 = self.backends.iter().map(|backend| backend.weight).sum();
         let mut remaining = random.clamp(0.0, 1.0) * total;
@@ -160,7 +159,7 @@
             return Err(object.error_at("backend_service", ConfigErrorKind::Missing));
         }
         _ if total <= 0.0 => return Err(object.error_at("weighted_backends", ConfigErrorKind::ZeroWeight)),
-        // A single service beside weighted ones must exist as they must, but gets no request.
+        // A single service in addition to weighted ones must exist, but gets no requests.
         Some(name) => backends.push(backend(name, 0.0)),
         None => {}
     }
@@ -175,10 +174,9 @@
     Ok(WeightedBackend { service: object.required_string("backend_service")?.to_owned(), weight })
 }
 
-/// A host in lower case, without its port.
+/// Converts a host to lower case and removes its port.
 ///
-/// A normalized host stays as it is when it is normalized again; otherwise a route would not be found by the host that
-/// it shows.
+/// Normalizing a normalized host must not change it. Otherwise a route would not be found by its own `host`.
 pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
     let is_ipv6 = host.trim_ascii_start().starts_with('[');
     let without_port = match (is_ipv6, host.find(']')) {
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The route of a request: by its host and the longest path prefix.
+//! Looks up the route of a request by its host and the longest path prefix.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 use crate::chunked_sequence::ChunkedSequence;
 use crate::route::Route;
 
-/// Routes sorted by host and path prefix, of which no two are equal. Clones share what isn't changed.
+/// Routes sorted by host and path prefix; no two routes have both in common. Clones share unchanged parts.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RouteTable {
     sorted: ChunkedSequence<Arc<Route>>,
 }
 
-/// Two routes that share host and path prefix, by their indices in the operator's order.
+/// The indices, in the operator's order, of two routes that share host and path prefix.
 #[derive(Debug)]
 pub(crate) struct DuplicateRoutes {
     pub(crate) first: usize,
@@ -20,14 +20,14 @@
 }
 
 impl RouteTable {
-    /// Sorts routes that are given in the operator's order.
+    /// Builds the table from routes in the operator's order.
     ///
     /// # Errors
     ///
     /// Two routes share host and path prefix.
     pub(crate) fn new(routes: &[Arc<Route>]) -> Result<RouteTable, DuplicateRoutes> {
         let mut sorted: Vec<(usize, &Arc<Route>)> = routes.iter().enumerate().collect();
-        // The sort is stable: of equal routes the one that the operator named first comes first.
+        // The sort is stable, so equal routes stay in the operator's order.
         sorted.sort_by(|(_, one), (_, other)| compare_match(one, &other.host, &other.path_prefix));
         for ((first, one), (second, other)) in sorted.iter().zip(sorted.iter().skip(1)) {
             if compare_match(one, &other.host, &other.path_prefix).is_eq() {
@@ -38,7 +38,7 @@
         Ok(RouteTable { sorted: ChunkedSequence::from_sorted(sorted) })
     }
 
-    /// Inserts a route, replacing the one with its host and path prefix; returns whether there was none.
+    /// Inserts a route. Returns false if it replaced another route with the same host and path prefix.
     pub(crate) fn insert(&mut self, route: &Arc<Route>) -> bool {
         let compare = |own: &Arc<Route>| compare_match(own, &route.host, &route.path_prefix);
         self.sorted.insert(route.clone(), compare).is_none()
@@ -48,12 +48,13 @@
         self.sorted.remove(|own| compare_match(own, &route.host, &route.path_prefix));
     }
 
-    /// Finds the route of a normalized host with the longest prefix that begins the path.
+    /// Finds the route of a normalized host with the longest prefix of the path.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let mut path = path;
         loop {
-            // A prefix of the path is also a prefix of all that lies between itself and the path in this order. So the
-            // last route that isn't after the path has the longest prefix, or has it in common with the path.
+            // In this order, a prefix of the path is also a prefix of all texts between itself and the path. So the
+            // last route that is not after the path has the longest matching prefix itself, or its prefix begins with
+            // it.
             let candidate = self.sorted.last_not_greater(|own| compare_match(own, host, path))?;
             if candidate.host != host {
                 return None;
@@ -66,7 +67,7 @@
     }
 }
 
-/// The longest text that both begin with.
+/// The longest common prefix of two texts.
 fn common_prefix<'a>(one: &'a str, other: &str) -> &'a str {
     let mut pairs = one.char_indices().zip(other.chars());
     let end = pairs.find(|((_, own), other)| own != other).map(|((index, _), _)| index);
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -7,8 +7,8 @@
 use crate::item_list::ItemList;
 use crate::route::Route;
 
-/// The routes in the operator's order. The slice is built when it is first used; [`Routes::len`] and
-/// [`Routes::iter`] do without.
+/// The routes in the operator's order. The slice is built on first use; [`Routes::len`] and [`Routes::iter`] don't need
+/// it.
 #[derive(Clone)]
 pub struct Routes {
     shared: Arc<SharedRoutes>,
@@ -29,7 +29,7 @@
         self.shared.list.len()
     }
 
-    /// Whether there are no routes.
+    /// True if there are no routes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -13,33 +13,34 @@
 /// One of `backend_services`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name, not empty, unique among the services.
+    /// The name; not empty and unique among the services.
     pub name: String,
-    /// The path of the health check; `/health` when it is not given.
+    /// The path of the health check; `/health` if it is not given.
     pub health_path: String,
-    /// How many connections a server accepts from all callers together, at least 1; 64 when it is not given.
+    /// The maximum number of connections that a server accepts from all clients together, at least 1; 64 if it is not
+    /// given.
     pub max_connections: u32,
-    /// How its servers generate, when they are model servers.
+    /// The engine of the servers, if they are model servers.
     pub engine: Option<Engine>,
 }
 
-/// How the model servers of a service work. The data plane uses only whether a service has an engine: it reads the prompts
-/// of requests for these services alone. The fields are checked, and interpreted nowhere in this workspace.
+/// The engine of a service's model servers. The data plane only checks if a service has an engine, and reads the
+/// prompts of requests for such services. The fields are validated, but not otherwise used in this workspace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The requests that a server runs in one batch, at least 1.
+    /// The number of requests that a server runs in one batch, at least 1.
     pub slots: u32,
-    /// The KV cache of a server for running requests and kept prefixes, in tokens; 0 when it is not given.
+    /// The capacity of a server's KV cache for running requests and cached prefixes, in tokens; 0 if it is not given.
     pub cache_tokens: u64,
-    /// The KV cache of one token, in bytes; 0 when it is not given.
+    /// The size of one token in the KV cache, in bytes; 0 if it is not given.
     pub token_size_bytes: u64,
-    /// The rate at which a server fetches KV cache, in Mbit/s; 0 when it is not given.
+    /// The rate at which a server fetches a KV cache, in Mbit/s; 0 if it is not given.
     pub link_mbps: f64,
-    /// The field `stride`, at least 1; 1 when it is not given.
+    /// The field `stride`, at least 1; 1 if it is not given.
     pub stride: u32,
-    /// How long a server keeps a prefill handle that is not taken; zero when it is not given.
+    /// The time for which a server keeps a prefill handle that is not fetched; zero if it is not given.
     pub handle_ttl: Duration,
-    /// How long a server takes to change its stage; zero when it is not given.
+    /// The time that a server takes to change its stage; zero if it is not given.
     pub stage_switch_time: Duration,
     /// The names in `model_list`.
     pub models: Vec<String>,
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,4 +1,4 @@
-//! From a document to a configuration: what must be true across all fields (PROTOCOL.md, "The operator's API").
+//! Validates a document as a whole and turns it into a configuration (PROTOCOL.md, "The operator's API").
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// The first violation: a field that is missing or of another type, a route with an unknown service, two routes with
+/// The first violation: a field that is missing or has the wrong type, a route with an unknown service, two routes with
 /// the same host and path prefix, or a text that is too long.
 pub(crate) fn validate(document: Document) -> Result<Config, ConfigError> {
     let revision = parse_revision(&document)?;
@@ -33,11 +33,11 @@
     Ok(Config::new(ValidatedParts { revision, limits, services, routes, route_table }, document))
 }
 
-/// Validates a document of which `base` has most items in common; only what differs is looked at.
+/// Validates a document that has most items in common with `base`; only the differences are checked.
 ///
 /// # Errors
 ///
-/// As [`validate`], which finds the error, so that the error does not depend on the way in which it was found.
+/// The errors of [`validate`], which is run if anything is invalid, so that both functions report the same error.
 pub(crate) fn validate_changes(base: &Config, document: Document) -> Result<Config, ConfigError> {
     match check_changes(base, &document) {
         Some(parts) => Ok(Config::new(parts, document)),
@@ -45,7 +45,7 @@
     }
 }
 
-/// `None` when something is wrong, or not as expected.
+/// Validates the differences; `None` if anything is invalid or unexpected.
 fn check_changes(base: &Config, document: &Document) -> Option<ValidatedParts> {
     let routes = document.list(ROUTES)?;
     let services = update_services(base, document.list(SERVICES)?)?;
@@ -76,11 +76,12 @@
     Some(services)
 }
 
-/// The route table after a change; `None` where host and path prefix are taken or a service is unknown.
+/// The route table after a change; `None` if two routes share host and path prefix or a service is unknown.
 fn update_route_table(base: &Config, newer: &ItemList, services: &Services) -> Option<RouteTable> {
     let mut added: Vec<&Arc<Route>> = Vec::new();
     let mut route_table = base.route_table().clone();
-    // All older routes are removed before the new ones are inserted: routes may exchange their prefixes.
+    // The older versions of all changed routes are removed before new ones are inserted, because routes may exchange
+    // their prefixes.
     base.list(ROUTES)?.compare(newer, |old, new| {
         if let Some(old) = old.and_then(|item| item.as_route()) {
             route_table.remove(old);
@@ -88,15 +89,15 @@
         added.extend(new.and_then(|item| item.as_route()));
     });
     let has_known_services = |route: &Route| unknown_service(route, services).is_none();
-    // A route that has not changed can name an unknown service only if a service was removed.
-    let all_services_stay = base.services().keys().all(|service| services.contains_key(service));
-    let all_services_known = if all_services_stay {
+    // An unchanged route can name an unknown service only if a service was removed.
+    let no_service_removed = base.services().keys().all(|service| services.contains_key(service));
+    let all_services_known = if no_service_removed {
         added.iter().all(|route| has_known_services(route))
     } else {
         Routes::new(newer.clone()).iter().all(|route| has_known_services(route))
     };
-    let all_differ = added.into_iter().all(|route| route_table.insert(route));
-    (all_services_known && all_differ).then_some(route_table)
+    let has_no_duplicates = added.into_iter().all(|route| route_table.insert(route));
+    (all_services_known && has_no_duplicates).then_some(route_table)
 }
 
 fn parse_revision(document: &Document) -> Result<u64, ConfigError> {
--- a/crates/config/tests/arbitrary_bytes.rs
+++ b/crates/config/tests/arbitrary_bytes.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bytes: no panic, and nothing is accepted that isn't valid JSON.
+//! Arbitrary and mutated texts cause no panic, and are accepted only if they are valid JSON.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck, quickcheck};
 use tinyjson::JsonValue;
 
-/// A text with a few bytes inserted, removed, replaced or doubled.
+/// A configuration with a few bytes inserted, removed, replaced or repeated.
 #[derive(Debug, Clone)]
 struct MutatedText(Vec<u8>);
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// A change or a patch, mutated.
+/// A mutated change or patch.
 #[derive(Debug, Clone)]
 struct MutatedChange(Vec<u8>);
 
--- a/crates/config/tests/change_sequences/edits.rs
+++ b/crates/config/tests/change_sequences/edits.rs
@@ -1,14 +1,14 @@
-//! Edits of a configuration, and the bodies of `Configuration.Modify` that make them.
+//! Random edits of a configuration, and the bodies of `Configuration.Modify` for them.
 
 use quickcheck::{Arbitrary, Gen};
 
 use crate::common::{Items, choose, join_texts};
 use crate::model::{ROUTES, SERVICES, forwards_to, route, service, service_name};
 
-/// How many routes [`Edit::RemoveManyRoutes`] removes: more than a chunk holds.
+/// The number of routes that [`Edit::RemoveManyRoutes`] removes: more than a chunk holds.
 const MANY_ROUTES: usize = 90;
 
-/// One thing that a change does.
+/// One edit within a change.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Edit {
     UpsertRoute { route: usize, timeout_ms: u64, service: usize },
@@ -24,8 +24,8 @@
 }
 
 impl Edit {
-    /// Whether the edit makes a single item invalid. A full parse finds this at another location of its text, so that
-    /// only the codes can be equal.
+    /// True if the edit makes a single item invalid. A full parse reports that at another location, so that only the
+    /// codes of the errors can be compared.
     pub(crate) fn is_invalid_item(self) -> bool {
         matches!(self, Edit::ZeroTimeout { .. } | Edit::ZeroWeight { .. })
     }
@@ -62,7 +62,8 @@
         let change = |g: &mut Gen| {
             let mut edits: Vec<Edit> =
                 (0..choose(g, &[1, 1, 1, 2, 3, 8, 60])).map(|_| Edit::arbitrary(g)).collect();
-            // Of two invalid items the first one parsed is reported, and the two ways parse in different orders.
+            // If two items are invalid, the one parsed first is reported, and changes and full texts are parsed in
+            // different orders.
             let mut has_invalid_item = false;
             edits.retain(|edit| !edit.is_invalid_item() || !std::mem::replace(&mut has_invalid_item, true));
             edits
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Adds a route unless there is one of its name already.
+    /// Adds a route unless the change already has one with its name.
     fn upsert_route(&mut self, route: (String, String)) {
         if self.routes.iter().all(|(name, _)| *name != route.0) {
             self.routes.push(route);
--- a/crates/config/tests/change_sequences/main.rs
+++ b/crates/config/tests/change_sequences/main.rs
@@ -1,4 +1,4 @@
-//! Changes and patches applied one after the other, compared with a full parse of the resulting text.
+//! Sequences of changes and patches give the same configuration as a full parse of the resulting text.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,14 +13,15 @@
 use mosshead_config::{Config, MAX_DEPTH, peek_revision};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// The outcome of the changes of a scenario.
+/// The numbers of accepted and rejected changes of a scenario.
 #[derive(Default)]
 struct Outcomes {
     accepted: usize,
     rejected: usize,
 }
 
-/// Applies the changes of a scenario in each way, and checks that all give the same.
+/// Applies the changes of a scenario as changes, patches, incremental parses and full parses, and checks that all
+/// results are the same.
 fn run(scenario: &Scenario) -> Outcomes {
     let mut model = Model::with_routes(scenario.initial_routes);
     let mut current = parse(&model.text()).expect("valid");
@@ -39,7 +40,7 @@
             (Ok(modified), Ok(full)) => {
                 assert_same(&incremental.expect("valid, as the full parse was"), &full);
                 assert_equals_full_parse(&current, &modified, &full);
-                // A patch does not depend on the way in which the configurations came about.
+                // A patch must not depend on how the configurations were made.
                 let patch = current.patch_to(&modified);
                 assert_eq!(patch, current.patch_to(&full));
                 replica = replica.apply_patch(&patch).expect("the patch applies");
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn single_changes_result_in_what_a_full_parse_gives() {
+fn changes_give_the_same_configuration_as_a_full_parse() {
     fn property(scenario: Scenario) -> bool {
         run(&scenario);
         true
@@ -92,7 +93,7 @@
     assert!(accepted > 40 && rejected > 40, "{accepted} accepted, {rejected} rejected");
 }
 
-/// Configurations of the same revision that differ from the model in one respect each.
+/// Configurations with the revision of the model that each differ from it in one respect.
 fn variants(model: &Model) -> Vec<(&'static str, String)> {
     let with = |edit: &dyn Fn(&mut Model)| {
         let mut other = model.clone();
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn incremental_parsing_beside_any_configuration_equals_full_parsing() {
+fn incremental_parsing_from_any_configuration_equals_full_parsing() {
     let model = Model::with_routes(200);
     let mut texts: Vec<String> = variants(&model).into_iter().map(|(_, text)| text).collect();
     texts.push(model.text());
@@ -196,7 +197,7 @@
     }
 }
 
-/// An error within a field or an item must be found also where everything around it is unchanged.
+/// An error within a field or an item must be found even if everything around it is unchanged.
 #[test]
 fn incremental_parsing_reports_the_errors_of_full_parsing() {
     let base = example();
--- a/crates/config/tests/change_sequences/model.rs
+++ b/crates/config/tests/change_sequences/model.rs
@@ -1,4 +1,4 @@
-//! A configuration modelled as plain lists, to which changes are applied in the simplest way.
+//! The reference model of a configuration: plain lists of items.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::edits::Change;
 
 pub(crate) const SERVICES: usize = 6;
-/// More routes than several chunks hold, each with host and path prefix of its own.
+/// More routes than several chunks hold, each with a unique host and path prefix.
 pub(crate) const ROUTES: usize = 260;
 
 pub(crate) fn service_name(service: usize) -> String {
@@ -21,7 +21,7 @@
     (name, text)
 }
 
-/// The base-3 digits of a number as a path, so that some prefixes begin others.
+/// The base-3 digits of a number as a path, so that some prefixes are prefixes of others.
 fn path_prefix(number: usize) -> String {
     let mut path = String::from("/");
     let mut remaining = number / 2;
@@ -36,8 +36,7 @@
     if number.is_multiple_of(2) { "a.example" } else { "b.example" }
 }
 
-/// A route that matches the host and path prefix of a number. Names are scattered, so that their order differs from that
-/// of the list.
+/// A route with the host and path prefix of `match_number`. The order of the names differs from that of the numbers.
 pub(crate) fn route(number: usize, match_number: usize, timeout_ms: u64, backend: &str) -> (String, String) {
     let name = format!("r{}", number * 7919 % 1000);
     let text = format!(
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Configurations and generators of configurations for the tests.
-#![allow(dead_code)] // each test file uses a part of these
+//! Shared test fixtures: configurations and generators of configurations.
+#![allow(dead_code)] // each test binary uses only some of the fixtures
 
 use mosshead_config::{Config, ConfigError};
 use quickcheck::{Arbitrary, Gen};
@@ -33,7 +33,7 @@
     Config::parse(text.as_bytes())
 }
 
-/// Asserts that two configurations are equal as text and in everything that was parsed from it.
+/// Asserts that two configurations have the same text and the same parsed content.
 pub(crate) fn assert_same(one: &Config, other: &Config) {
     assert_eq!(one.json(), other.json());
     assert_eq!(one, other);
@@ -42,7 +42,7 @@
     assert_eq!(one.services(), other.services());
     assert_eq!(one.limits(), other.limits());
     for route in one.routes().iter() {
-        // A path ends where its query begins, so a prefix with a question mark begins none.
+        // The query is not part of the path, so a prefix with a question mark matches no path.
         let (path, query) = route
             .path_prefix
             .split_once('?')
@@ -60,7 +60,7 @@
 /// Names and texts of items.
 pub(crate) type Items = Vec<(String, String)>;
 
-/// Applies a change in the simplest way: withdraws, then replaces in place or appends.
+/// Applies a change as the reference model does: removes items, then replaces others in place or appends them.
 pub(crate) fn apply_change(list: &mut Items, upsert: &Items, withdraw: &[String]) {
     list.retain(|(name, _)| !withdraw.contains(name));
     for (name, text) in upsert {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The texts of items as the elements of an array.
+/// Joins the texts of items as the elements of an array.
 pub(crate) fn join_texts(items: &Items) -> String {
     items.iter().map(|(_, text)| text.as_str()).collect::<Vec<_>>().join(",")
 }
@@ -88,7 +88,7 @@
     format!("n{}", ROUTES[index])
 }
 
-/// A route with host and path prefix of its own.
+/// Generates a route with a unique host and path prefix.
 fn arbitrary_route(g: &mut Gen, index: usize, services: &[&str]) -> (String, String) {
     let space = if u8::arbitrary(g) % 4 == 0 { " " } else { "" };
     let host = HOSTS[index % HOSTS.len()];
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,11 +1,11 @@
-//! Every error, with its location.
+//! Each kind of error is reported with its code and location.
 
 mod common;
 
 use common::{EXAMPLE, example, parse};
 use mosshead_config::{Config, ConfigError, ConfigErrorKind, ERROR_CODES, MAX_BYTES, MAX_DEPTH};
 
-/// The error of the example with one part of its text replaced.
+/// The error of the example after a part of its text is replaced.
 fn error_with(old: &str, new: &str) -> ConfigError {
     assert!(EXAMPLE.contains(old), "{old} is in the example");
     parse(&EXAMPLE.replacen(old, new, 1)).expect_err("must be rejected")
@@ -63,7 +63,7 @@
     for (open, close) in [("[", "]"), ("{\"a\":", "}")] {
         let deep = |levels: usize| format!("{}0{}", open.repeat(levels), close.repeat(levels));
         let text = |levels: usize| EXAMPLE.replace("\"blue\"", &deep(levels));
-        // The value of the field is three levels down.
+        // The value of the field is at nesting level three.
         assert!(parse(&text(MAX_DEPTH - 3)).is_ok());
         assert_eq!(parse(&text(MAX_DEPTH - 2)).expect_err("deep").code(), 4);
         assert_eq!(parse(&text(100_000)).expect_err("deep").code(), 4);
@@ -241,7 +241,7 @@
         13,
         "backend_services[1].name",
     );
-    // In lists that are not known here names may be equal.
+    // In lists that this crate does not interpret, names may be equal.
     assert!(
         parse(&EXAMPLE.replace("\"later\":", "\"more\":[{\"name\":\"a\"},{\"name\":\"a\"}],\"later\":"))
             .is_ok()
@@ -262,8 +262,8 @@
     }
 }
 
-/// The library quotes a key that is no string, and the fields of an object in random order: 20 readings of one text had up
-/// to 20 messages.
+/// The library quotes a key that is not a string, with the fields of an object in random order. Parsing one text 20
+/// times gave up to 20 different messages.
 #[test]
 fn one_text_has_one_error_message() {
     let keys: String = (0..20).map(|number| format!("\"k{number}\":1,")).collect();
--- a/crates/config/tests/modify.rs
+++ b/crates/config/tests/modify.rs
@@ -1,4 +1,4 @@
-//! `Configuration.Modify`.
+//! Changes by `Configuration.Modify`.
 
 mod common;
 
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -1,4 +1,4 @@
-//! What is parsed from a valid configuration.
+//! Valid configurations are parsed with their defaults and minimums, and keep their text.
 
 mod common;
 
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_single_service_beside_weights_gets_no_request() {
+fn a_single_service_in_addition_to_weighted_ones_gets_no_request() {
     let text =
         EXAMPLE.replace("\"weighted_backends\":[", "\"backend_service\":\"wuno96b\",\"weighted_backends\":[");
     let text = text.replace(",{\"backend_service\":\"wuno96b\",\"weight\":10}", "");
@@ -108,7 +108,7 @@
 const ONE_ROUTE: &str = r#"{"revision":1,"route_entries":[{"name":NAME,"host_header":"h","path_prefix":"/",
     "timeout_ms":TIMEOUT,"backend_service":"s"}],"backend_services":[{"name":"s"}]}"#;
 
-/// Most values are parsed without the library, which is slower; the results must be the same.
+/// Most values are parsed without the library, which is slower. The results must be the same as those of the library.
 #[test]
 fn numbers_are_parsed_as_the_library_parses_them() {
     let numbers = [
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -1,4 +1,4 @@
-//! Patches from one configuration to another.
+//! Patches from one configuration to another one.
 
 mod common;
 
@@ -92,7 +92,7 @@
         true
     }
 
-    /// Most items stay the same along the chain.
+    /// Successive configurations have most items in common.
     fn patches_follow_a_chain_of_changes(sample: Sample, changes: Vec<common::SampleChange>) -> TestResult {
         let mut current = parse(&sample.text()).expect("valid");
         let mut applied = 0;
--- a/crates/config/tests/route_lookup.rs
+++ b/crates/config/tests/route_lookup.rs
@@ -1,4 +1,4 @@
-//! The route that a request finds.
+//! Route lookup by host and path.
 
 mod common;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn requests_find_the_routes_of_the_example() {
+fn requests_match_the_routes_of_the_example() {
     let config = example();
     assert_eq!(route_name(&config, "ficu95.example", "/pufi791/2f"), Some("r-1"));
     assert_eq!(route_name(&config, "FICU95.Example:8080", "/pufi791/"), Some("r-1"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_host_is_found_with_any_spelling_of_its_port() {
+fn a_host_with_an_unusual_port_is_found() {
     for host in [
         "C.example::80",
         "c.example:80:81",
@@ -147,7 +147,7 @@
 }
 
 quickcheck! {
-    fn the_route_table_finds_what_a_scan_finds(matches: RouteMatches) -> bool {
+    fn the_route_table_finds_the_same_route_as_a_linear_scan(matches: RouteMatches) -> bool {
         let config = config_with_routes(&matches.matches);
         matches.requests.iter().all(|(host, path)| {
             let found = config.find_route(&format!("{}:80", host.to_ascii_uppercase()), path);
