--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -29,7 +29,7 @@
 
 /// The outcome of one attempt.
 pub(crate) enum AttemptOutcome {
-    /// The head of the response to this very request has arrived.
+    /// The head of the response to this request has arrived.
     Responded(ServerResponse),
     /// The request was not sent completely, so the server can't have run it.
     NotDelivered(ServerFailure),
--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -29,7 +29,7 @@
 pub(crate) struct ClientRequest {
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
-    /// What is sent to servers.
+    /// The request as it is sent to servers.
     pub(crate) server_request: ServerRequest,
     pub(crate) deadline: Deadline,
     pub(crate) priority: HeaderValue,
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -12,7 +12,7 @@
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 /// The id of the only instance that may run the request; every other instance responds with 421.
 pub(crate) const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-/// A server's mark that it made the response itself.
+/// A header that shows that the server itself made a successful response.
 pub(crate) const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
 /// A server's statement that it did not run the request and never will.
 pub(crate) const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -5,6 +5,9 @@
 //! A request passes through `frontend`, which accepts the connection, `ingress`, which reads the request, and
 //! `buffered_request` or `prompt_request`, which make attempts (`attempt`, `prefill`, `decode`) until one succeeds.
 //! `stream` then forwards the events of a streamed response.
+//!
+//! Comments cite sections of `PROTOCOL.md`, which specifies the requests and the model servers, and rules of
+//! `RULES.md`, which proxies must follow. Neither is part of this repository.
 
 mod attempt;
 mod buffered_request;
--- a/crates/data-plane/src/retry.rs
+++ b/crates/data-plane/src/retry.rs
@@ -11,7 +11,7 @@
 use crate::response::{ResponseBody, proxy_response};
 use crate::server_request::Target;
 
-/// The maximum number of attempts that reached no server; after one more the request fails.
+/// The maximum number of attempts that reach no server. After one more, the request is given up.
 const MAX_UNDELIVERED_ATTEMPTS: u32 = 4;
 /// The minimum `Retry-After` of a rejected request.
 const MIN_RETRY_AFTER_SECONDS: f64 = 0.05;
@@ -91,7 +91,7 @@
     }
 }
 
-/// Which servers a stream may still be resumed at.
+/// The servers that a stream must not be resumed at, and the number of attempts that are left for it.
 #[derive(Clone, Debug)]
 pub(crate) struct FailoverState {
     /// The servers that the stream has already used; they are not selected again.
--- a/crates/data-plane/src/server_report.rs
+++ b/crates/data-plane/src/server_report.rs
@@ -4,7 +4,7 @@
 
 use tinyjson::JsonValue;
 
-/// The maximum length of a load report.
+/// The maximum length of a load report, in bytes. A longer one is rejected.
 pub const MAX_REPORT_BYTES: usize = 64 * 1024;
 
 /// The number of requests at a model server when it made the report.
--- a/crates/data-plane/src/server_request.rs
+++ b/crates/data-plane/src/server_request.rs
@@ -67,9 +67,9 @@
         }
     }
 
-    /// True if the request needs a connection that has carried no request yet. This is so if it has no attempt id or
-    /// may have reached this server before: the id could not tell its response from a late response to an earlier
-    /// request.
+    /// True if the request needs a connection that has carried no request yet. A client's request needs one if it has
+    /// no attempt id, and any request needs one if it may have reached this server before: its id could then not tell
+    /// its response from a late response to an earlier request.
     pub(crate) fn needs_new_connection(&self, target: &Target) -> bool {
         let has_no_id = self.origin == RequestOrigin::Client && self.attempt_id.is_none();
         has_no_id || self.may_have_reached.borrow().contains(&target.id)
--- a/crates/data-plane/tests/common/client.rs
+++ b/crates/data-plane/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends one request over a connection of its own.
+//! A client that opens a new connection for each request.
 
 use std::net::SocketAddrV4;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Sends a request over a connection of its own.
+/// Sends a request over a new connection.
 pub(crate) async fn send_request(
     proxy: SocketAddrV4,
     method: &str,
--- a/crates/data-plane/tests/ejection_trials.rs
+++ b/crates/data-plane/tests/ejection_trials.rs
@@ -66,7 +66,7 @@
         self.prefill_hangs.set(true);
         let received = self.prefill_requests();
         tokio::select! {
-            _ = self.proxy.post_prompt(NOT_RESUMABLE, &[]) => panic!("no response comes"),
+            _ = self.proxy.post_prompt(NOT_RESUMABLE, &[]) => panic!("unexpected response"),
             () = self.wait_for_prefill_after(received) => {}
         }
         self.prefill_hangs.set(false);
--- a/crates/data-plane/tests/forwarding.rs
+++ b/crates/data-plane/tests/forwarding.rs
@@ -200,7 +200,7 @@
     let prompt = [("x-model-name", "m"), ("x-token-count", "1460,80"), ("x-prompt-prefix", "5c1e07a2:800")];
     tokio::select! {
         _ = send_request(proxy.address, "POST", path, &prompt, REQUEST_BODY) => {
-            panic!("no response comes from {HOST}")
+            panic!("unexpected response from {HOST}")
         }
         () = server.wait_until_received(|_| true) => {}
     }
--- a/crates/data-plane/tests/limits.rs
+++ b/crates/data-plane/tests/limits.rs
@@ -164,7 +164,7 @@
         let proxy = Proxy::with_servers(1, &[&stubs[0].server]).await;
         let response = proxy.post(NON_IDEMPOTENT, &[]);
         tokio::select! {
-            _ = response => panic!("no response comes"),
+            _ = response => panic!("unexpected response"),
             () = stubs[0].wait_until_received(|_| true) => {}
         }
         stubs[0].wait_until_abandoned().await;
--- a/crates/data-plane/tests/response_matching.rs
+++ b/crates/data-plane/tests/response_matching.rs
@@ -65,9 +65,9 @@
 /// if the request did not run.
 fn assert_own_or_none(response: &ClientResponse, attempt_id: &str, arrived: usize) {
     match response.status {
-        200 => assert_eq!(response.body, format!("for {attempt_id}"), "another's response"),
+        200 => assert_eq!(response.body, format!("for {attempt_id}"), "the response to another request"),
         502 => assert_eq!(response.body, ""),
-        503 => assert_eq!((response.body.as_str(), arrived), ("", 0), "it ran all the same"),
+        503 => assert_eq!((response.body.as_str(), arrived), ("", 0), "rejected although it ran"),
         status => panic!("{status} for {attempt_id}"),
     }
 }
@@ -157,7 +157,7 @@
     });
 }
 
-/// Each case has the id of the request, where the empty one stands for none, and the id of the response.
+/// The cases: both have different ids, only the request has an id, and only the response has one.
 #[test]
 fn a_response_with_another_id_or_none_reaches_no_client() {
     run(async {
@@ -311,7 +311,7 @@
             let count = queries.len();
             reports += count;
             queries.dedup_by_key(|arrival| arrival.connection);
-            assert_eq!(queries.len(), count, "each on a connection of its own");
+            assert_eq!(queries.len(), count, "each on a separate connection");
         }
         assert!(reports > 2);
     });
