--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -45,7 +45,7 @@
         }
         /// An object has the same key twice.
         DuplicateKey(key: String) {
-            display("duplicate key {:?}", key)
+            display("the key {:?} is there twice", key)
         }
         /// A value is not of the type that its field has.
         WrongType(expected: &'static str) {
@@ -53,7 +53,7 @@
         }
         /// A field is missing, or is an empty string.
         Missing {
-            display("must be present and not empty")
+            display("must be there and not empty")
         }
         /// A value is outside the range of its field.
         OutOfRange(expected: &'static str) {
@@ -77,11 +77,11 @@
         }
         /// Two items of one list share a name.
         DuplicateName(name: String) {
-            display("duplicate name {:?}", name)
+            display("the name {:?} is there twice", name)
         }
         /// A patch was made for another configuration.
         PatchMismatch(reason: &'static str) {
-            display("patch does not match the configuration: {}", reason)
+            display("patch does not fit: {}", reason)
         }
     }
 }
--- a/crates/config/src/patch/apply.rs
+++ b/crates/config/src/patch/apply.rs
@@ -44,7 +44,7 @@
             None => validate_changes(self, patch_document(self, &mut fields)?)?,
         };
         if expected_hash.as_deref() != Some(&format!("{:016x}", config.document().hash())) {
-            return Err(ConfigErrorKind::PatchMismatch("the resulting text has another hash").at(SUM));
+            return Err(ConfigErrorKind::PatchMismatch("another text came out").at(SUM));
         }
         Ok(config)
     }
@@ -115,5 +115,5 @@
 }
 
 fn order_mismatch() -> ConfigError {
-    ConfigErrorKind::PatchMismatch("the order names other items or fields").at(ORDER)
+    ConfigErrorKind::PatchMismatch("orders other things").at(ORDER)
 }
--- a/crates/data-plane/src/client_request.rs
+++ b/crates/data-plane/src/client_request.rs
@@ -66,7 +66,7 @@
         }
         /// No route matches host and path.
         NoRoute {
-            display("no route matches the host and path of the request")
+            display("no route fits the host and path of the request")
         }
         /// The route has no service.
         NoService {
--- a/crates/data-plane/src/connection_pool.rs
+++ b/crates/data-plane/src/connection_pool.rs
@@ -43,11 +43,11 @@
     pub enum OpenError {
         /// This proxy has reached its limit of connections to the server.
         LimitReached {
-            display("the limit of connections from this proxy to the server is reached")
+            display("as many connections to the server are open as this proxy may have")
         }
         /// The connection was refused or not established in time.
         Unreachable {
-            display("no connection to the server could be established")
+            display("no connection to the server came up")
         }
     }
 }
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -30,15 +30,15 @@
         }
         /// The memory for request bodies is used up.
         NoMemory {
-            display("the memory for request bodies is used up")
+            display("the bodies of other requests take up the memory")
         }
         /// It did not arrive in time.
         TimedOut {
-            display("the body did not arrive in time")
+            display("the body did not come in time")
         }
         /// The client closed the connection, or its body is malformed.
         ClientGone {
-            display("the client ended the request within its body")
+            display("the client broke off")
         }
     }
 }
