--- a/crates/config/src/chunked_sequence.rs
+++ b/crates/config/src/chunked_sequence.rs
@@ -6,7 +6,8 @@
 
 /// A chunk that grows longer than this is split.
 const MAX_CHUNK_LENGTH: usize = 64;
-/// The length of the chunks when a sequence is built from sorted elements.
+/// The length of the chunks when a sequence is built from sorted elements, of a chunk that is split after an append,
+/// and the maximum length of a merged chunk.
 const INITIAL_CHUNK_LENGTH: usize = 48;
 
 /// A sorted sequence without equal elements. The caller defines the order: each call takes a function that compares an
@@ -88,12 +89,13 @@
         let chunk = Arc::make_mut(chunk);
         let index = chunk.partition_point(|element| compare(element).is_lt());
         match chunk.get_mut(index) {
-            Some(own) if compare(own).is_eq() => return Some(std::mem::replace(own, element)),
+            Some(existing) if compare(existing).is_eq() => return Some(std::mem::replace(existing, element)),
             _ => chunk.insert(index, element),
         }
         self.length += 1;
         if chunk.len() > MAX_CHUNK_LENGTH {
-            // If elements are only appended, the chunks stay nearly full.
+            // A chunk that grows at its end keeps most of its elements, so that chunks stay long if elements are only
+            // appended.
             let is_at_end = index + 1 == chunk.len();
             let split_index = if is_at_end { INITIAL_CHUNK_LENGTH } else { chunk.len() / 2 };
             let rest = chunk.split_off(split_index);
@@ -118,7 +120,8 @@
         Some(removed)
     }
 
-    /// Merges a chunk with the next one if both are small, so that removals don't leave many small chunks.
+    /// Merges a chunk with the next one if both together have at most [`INITIAL_CHUNK_LENGTH`] elements, so that
+    /// removals don't leave many small chunks.
     fn merge_with_next(&mut self, chunk_index: usize) {
         // A chunk that does not exist counts as full, so that nothing is merged with it.
         let length_of = |index: usize| self.chunks.get(index).map_or(MAX_CHUNK_LENGTH, |chunk| chunk.len());
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The hash of the text. The first number distinguishes a list from other values.
+    /// The hash of the text. Mixing in 1 or 0 first distinguishes a list from other values.
     fn hash(&self) -> u64 {
         match self {
             FieldValue::Items(list) => mix(1, list.hash()),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The list in a field, for changes.
+    /// The list in a field, if it contains one, in order to change it.
     pub(crate) fn list_mut(&mut self, key: &str) -> Option<&mut ItemList> {
         let field = self.fields.iter_mut().find(|field| field.key.as_ref() == key)?;
         match &mut field.value {
@@ -158,8 +158,8 @@
         self.fields.retain(|field| !removed.contains(field.key.as_ref()));
     }
 
-    /// Sorts the fields into the order of `keys`. Returns false without a change if `keys` are not exactly the keys of
-    /// the document.
+    /// Sorts the fields into the order of `keys`, where a repeated key counts at its last position. Returns false
+    /// without a change if `keys` do not contain all keys of the document and no others.
     #[must_use]
     pub(crate) fn reorder_fields(&mut self, keys: &[impl AsRef<str>]) -> bool {
         let indices: HashMap<&str, usize> =
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -47,7 +47,7 @@
         DuplicateKey(key: String) {
             display("the key {:?} is there twice", key)
         }
-        /// A value is not of the type that its field has.
+        /// A value is not of the type that its field has; `expected` names that type after "must be".
         WrongType(expected: &'static str) {
             display("must be {}", expected)
         }
@@ -55,7 +55,7 @@
         Missing {
             display("must be there and not empty")
         }
-        /// A value is outside the range of its field.
+        /// A value is outside the range of its field; `expected` states the range after "must".
         OutOfRange(expected: &'static str) {
             display("must {}", expected)
         }
@@ -159,7 +159,7 @@
 /// The maximum number of bytes of an operator's text that an error quotes.
 const MAX_QUOTED_BYTES: usize = 160;
 
-/// Truncates a text to [`MAX_QUOTED_BYTES`].
+/// Truncates a text to at most [`MAX_QUOTED_BYTES`], and then appends three dots if anything was cut off.
 pub(crate) fn truncate(mut text: String) -> String {
     if text.len() > MAX_QUOTED_BYTES {
         let end = (0..=MAX_QUOTED_BYTES).rev().find(|&index| text.is_char_boundary(index)).unwrap_or(0);
--- a/crates/config/src/item_list.rs
+++ b/crates/config/src/item_list.rs
@@ -23,7 +23,7 @@
     by_name: ChunkedSequence<PositionedItem>,
     /// The sum of the lengths of the items' texts.
     item_bytes: usize,
-    /// The sum over all pairs of neighbours, see [`hash_pair`].
+    /// The wrapping sum of [`hash_pair`] over all pairs of neighbours, the ends of the list included.
     hash: u64,
 }
 
@@ -121,9 +121,9 @@
         (before.map(|positioned| positioned.item.hash()), after.map(|positioned| positioned.item.hash()))
     }
 
-    /// Subtracts the pairs of neighbours that a change at one position has separated from `hash`, and the length of the
-    /// item that was in the position, if any, from `item_bytes`. `before` and `after` are the hashes of the adjacent
-    /// items.
+    /// Updates both sums for a change at one position. Subtracts from `hash` the pairs that are no longer neighbours,
+    /// and from `item_bytes` the length of the item that was in the position, if any. `before` and `after` are the
+    /// hashes of the adjacent items.
     fn remove_from_sums(&mut self, before: Option<u64>, after: Option<u64>, old: Option<&PositionedItem>) {
         match old.map(|old| &old.item) {
             Some(old) => {
@@ -175,8 +175,8 @@
         });
     }
 
-    /// True if upserts into the older list result in the order of this list, that is, if the older items keep their
-    /// order and the new ones follow them.
+    /// True if removals from the older list and upserts into it result in the order of this list, that is, if the
+    /// remaining older items keep their order and the new ones follow them.
     pub(crate) fn has_upsert_order(&self, older: &ItemList) -> bool {
         let mut own = self.iter().peekable();
         for old in older.iter() {
--- a/crates/config/src/json/object.rs
+++ b/crates/config/src/json/object.rs
@@ -24,7 +24,8 @@
 
 /// An object with its location. A null field counts as absent.
 ///
-/// All accessors fail with [`ConfigErrorKind::WrongType`] if a field has another type.
+/// All accessors except [`Object::get`], which returns a value of any type, fail with [`ConfigErrorKind::WrongType`] if
+/// a field has another type.
 pub(crate) struct Object<'a> {
     fields: Vec<(&'a str, &'a JsonValue)>,
     location: &'a str,
--- a/crates/config/src/json/value.rs
+++ b/crates/config/src/json/value.rs
@@ -16,7 +16,8 @@
 /// The start of the library's error message for a key that is not a string.
 const WRONG_KEY: &str = "Key of object must be string";
 
-/// Parses untrusted JSON; `None` if it is not one well-formed UTF-8 value nested at most [`MAX_DEPTH`] deep.
+/// Parses untrusted JSON; `None` if the text is not UTF-8, is not exactly one well-formed value, is nested deeper than
+/// [`MAX_DEPTH`] levels, or has an object with duplicate keys.
 ///
 /// The depth is checked first because the library's parser is recursive, so a text of nested brackets could overflow
 /// the stack.
--- a/crates/config/src/patch/diff.rs
+++ b/crates/config/src/patch/diff.rs
@@ -7,7 +7,8 @@
 use crate::json::string::quote;
 
 impl Config {
-    /// Builds the patch, as JSON, that turns this configuration into the newer one.
+    /// Builds the patch, as JSON, that turns this configuration into the newer one. It contains the differences or, if
+    /// that is shorter, the complete newer configuration.
     pub fn patch_to(&self, newer: &Config) -> String {
         let head = format!("{{\"{BASE}\":{},\"{SUM}\":\"{:016x}\"", self.revision(), newer.document().hash());
         let mut patch = head.clone();
@@ -28,7 +29,7 @@
     lists: Vec<ListDiff<'a>>,
     /// The keys of the fields that the newer document does not contain.
     dropped: Vec<&'a str>,
-    /// Other fields that are new or changed.
+    /// The fields that are new or changed, except lists of items that both documents contain.
     set: Vec<(&'a str, &'a FieldValue)>,
     /// The keys of all fields in order; empty if the order follows from the other parts of the patch.
     fields: Vec<&'a str>,
--- a/crates/config/src/reader/full_text.rs
+++ b/crates/config/src/reader/full_text.rs
@@ -14,7 +14,7 @@
     ///
     /// # Errors
     ///
-    /// The first error in the text, of any kind except [`StaleRevision`](crate::ConfigErrorKind::StaleRevision) and
+    /// The first error that is found, of any kind except [`StaleRevision`](crate::ConfigErrorKind::StaleRevision) and
     /// [`PatchMismatch`](crate::ConfigErrorKind::PatchMismatch).
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         validate(parse_document(check_text(text)?)?)
--- a/crates/config/src/reader/list_merge.rs
+++ b/crates/config/src/reader/list_merge.rs
@@ -12,7 +12,7 @@
     base: &'a ItemList,
     /// The older items that have not been reached yet.
     older: Peekable<I>,
-    /// Older items that the new list does not have in their place.
+    /// Older items that the iteration has passed without keeping them.
     skipped: Vec<&'a Arc<Item>>,
     /// New items that were parsed because they differ from the next older item.
     parsed: Vec<Arc<Item>>,
--- a/crates/config/src/reader/shared_items.rs
+++ b/crates/config/src/reader/shared_items.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Parses a document that shares items with `base`; `None` if anything is invalid or unexpected. A full parse of the
-/// text then finds the error.
+/// Parses a document that shares items with `base`; `None` if anything is invalid or not handled here, such as an empty
+/// object. A full parse then accepts the text or finds the error.
 fn parse_document_sharing(base: &Document, text: &str) -> Option<Document> {
     let mut cursor = Cursor::new(text);
     let mut document = Document::default();
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -17,7 +17,7 @@
 pub enum RouteType {
     /// A request may run more than once.
     Idempotent,
-    /// A request runs at most once. This is also taken where the type is absent or unknown.
+    /// A request runs at most once. Also used if the type is absent or unknown.
     NonIdempotent,
     /// The response is a stream of events; a request runs at most once unless its route has `resume`.
     Streaming,
@@ -36,7 +36,7 @@
     pub route_type: RouteType,
     /// The maximum duration of a request, unless its client asks for less; above 0, in whole milliseconds.
     pub timeout: Duration,
-    /// The latency target of a response, for a stream until its first event; the timeout if it is not given.
+    /// The latency target of a response, for a stream until its first event; the timeout if it is not given or zero.
     pub target_latency: Duration,
     /// The priority of requests, where 0 is the highest; 5 if it is not given.
     pub priority: u8,
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -52,9 +52,10 @@
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let mut path = path;
         loop {
-            // In this order, a prefix of the path is also a prefix of all texts between itself and the path. So the
-            // last route that is not after the path has the longest matching prefix itself, or its prefix begins with
-            // it.
+            // Let P be the longest matching prefix. It sorts before the path or equals it, and all texts between the
+            // two begin with P. So the candidate, the last route that is not after the path, has P itself or a prefix
+            // that begins with P. In the second case the search continues with what path and candidate have in common,
+            // which still begins with P.
             let candidate = self.sorted.last_not_greater(|own| compare_match(own, host, path))?;
             if candidate.host != host {
                 return None;
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -15,7 +15,7 @@
 pub struct Service {
     /// The name; not empty and unique among the services.
     pub name: String,
-    /// The path of the health check; `/health` if it is not given.
+    /// The path of the health check; `/health` if it is not given or empty.
     pub health_path: String,
     /// The maximum number of connections that a server accepts from all clients together, at least 1; 64 if it is not
     /// given.
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -87,7 +87,8 @@
         })
     }
 
-    /// Sends a request once and waits for the head of its response.
+    /// Makes one attempt: tries connections to the server until one has carried the complete request, and waits for the
+    /// head of the response.
     pub(crate) async fn send_attempt(
         self: &Rc<Self>,
         target: &Target,
--- a/crates/data-plane/src/buffered_request.rs
+++ b/crates/data-plane/src/buffered_request.rs
@@ -25,7 +25,7 @@
 enum BufferedResponse {
     /// A successful response with the server's seal.
     Success(Response<ResponseBody>),
-    /// An error response that the server itself made.
+    /// A complete response with an error status.
     Error(Response<ResponseBody>),
     /// An incomplete response, or a successful one without a seal.
     Invalid,
@@ -47,6 +47,8 @@
                     match self.buffer_response(&target, request, response, &guard).await {
                         BufferedResponse::Success(response) => return response,
                         BufferedResponse::Error(response) => {
+                            // A request that may run only once may have run now, so its client must not get a status
+                            // that says it has not.
                             let is_forwardable =
                                 request.is_repeatable() || !promises_not_executed(response.status());
                             last_error = is_forwardable.then_some(response);
--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -22,9 +22,9 @@
 pub struct Counters {
     /// Clients' requests that were read completely.
     pub requests: Counter,
-    /// Successful responses of servers that were forwarded completely.
+    /// Successful responses of servers that were buffered completely or, for streams, forwarded completely.
     pub completed: Counter,
-    /// Requests that were rejected without having run at any server.
+    /// Requests with a route and a service that were rejected without having run at any server.
     pub rejected: Counter,
     /// Requests that failed after a server may have run them.
     pub failed: Counter,
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -132,7 +132,8 @@
         CountGuard::new(&self.buffered_bytes, body_bytes)
     }
 
-    /// This proxy's limit of connections to a server that accepts `max_connections` from all proxies together.
+    /// This proxy's limit of connections to a server that accepts `max_connections` from all proxies together. A single
+    /// proxy is counted as two, so that its share is `max_connections` and not a multiple of it.
     pub(crate) fn connection_share(&self, max_connections: u32) -> usize {
         let proxies = self.proxy_count.get().max(2) as f64;
         let share = CONNECTION_SHARE_FACTOR * f64::from(max_connections) / proxies;
@@ -161,6 +162,7 @@
         self.router.borrow_mut().record_failure(now, server_id, failure);
     }
 
+    /// Records that data has arrived from the server, so that it is not taken for unresponsive.
     pub(crate) fn record_received(&self, server_id: &str) {
         let now = self.now();
         self.router.borrow_mut().record_received(now, server_id);
--- a/crates/data-plane/src/decode.rs
+++ b/crates/data-plane/src/decode.rs
@@ -33,7 +33,8 @@
     pub(crate) request_guard: ServerRequestGuard,
     /// Present until the first event if the decode server prefills the prompt itself.
     pub(crate) prefill_guard: Option<PrefillGuard>,
-    /// When the request was sent; `None` once its first event has arrived.
+    /// When the request was sent; `None` once its first event has arrived, and for a resumed stream, whose latency is
+    /// not recorded.
     pub(crate) sent_at: Option<Instant>,
 }
 
@@ -47,7 +48,7 @@
 
 /// Why a stream did not begin.
 pub(crate) enum DecodeFailure {
-    /// The server itself made an error response; the request ran.
+    /// The server sent a complete error response; the request may have run.
     ErrorResponse(Response<ResponseBody>),
     /// The KV cache could not be fetched, or the server is full; the request did not run.
     HandleUnavailable,
--- a/crates/data-plane/src/event_splitter.rs
+++ b/crates/data-plane/src/event_splitter.rs
@@ -4,7 +4,8 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// The maximum length of an event.
+/// The maximum length of the incomplete event that is buffered. A longer event is accepted only if the chunk that ends
+/// it arrives before the limit is exceeded.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// One complete event.
--- a/crates/data-plane/src/ingress.rs
+++ b/crates/data-plane/src/ingress.rs
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// The client ended its request within the body; the connection is closed without a response.
+    /// The body of the request is incomplete or malformed; the connection is closed without a response.
     pub(crate) async fn handle_request(
         self: Rc<Self>,
         request: Request<Incoming>,
--- a/crates/data-plane/src/prompt_headers.rs
+++ b/crates/data-plane/src/prompt_headers.rs
@@ -7,8 +7,8 @@
 /// The maximum number of prompt parts; further ones are ignored.
 const MAX_PROMPT_PARTS: usize = 64;
 
-/// Parses the prompt from the headers; `None` if they describe none or are invalid. `max_event_gap` is the longest gap
-/// between events that the route accepts.
+/// Parses the prompt from the headers; `None` if they describe none or its token count is invalid. Invalid parts are
+/// ignored. `max_event_gap` is the longest gap between events that the route accepts.
 pub(crate) fn parse_prompt(headers: &HeaderMap, max_event_gap: Duration) -> Option<Prompt> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let mut counts = text("x-token-count")?.split(',').map(|count| count.trim().parse::<f64>());
--- a/crates/data-plane/src/prompt_request.rs
+++ b/crates/data-plane/src/prompt_request.rs
@@ -123,9 +123,10 @@
         Some(pair)
     }
 
-    /// Has the prompt prefilled if the pair has a prefill server. The first prefill that a server accepts is free;
-    /// further prefills and rejected ones each take a retry out of the budget (RULES.md, BUDGET). After `retry_count`
-    /// further prefills have reached a server, the decode server prefills the prompt itself.
+    /// Has the prompt prefilled if the pair has a prefill server. A prefill takes a retry out of the budget if an
+    /// earlier one has reached a server, and one more if it is rejected (RULES.md, BUDGET). If no retry is left
+    /// for a further prefill, or `retry_count` prefills after the first one have reached a server, the decode server
+    /// prefills the prompt itself.
     ///
     /// # Errors
     ///
--- a/crates/data-plane/src/retry.rs
+++ b/crates/data-plane/src/retry.rs
@@ -11,7 +11,7 @@
 use crate::response::{ResponseBody, proxy_response};
 use crate::server_request::Target;
 
-/// The maximum number of attempts that reach no server. After one more, the request is given up.
+/// A request is given up after more than this number of undelivered attempts.
 const MAX_UNDELIVERED_ATTEMPTS: u32 = 4;
 /// The minimum `Retry-After` of a rejected request.
 const MIN_RETRY_AFTER_SECONDS: f64 = 0.05;
@@ -29,7 +29,8 @@
     delivered: u32,
     /// The number of prefills that reached a server. Each one after the first takes a retry out of the budget.
     delivered_prefills: u32,
-    /// The number of attempts that reached no server.
+    /// The number of attempts whose request reached no server to be run, including those that ended with a failed
+    /// prefill.
     undelivered: u32,
     /// True if a server may have run the request.
     may_have_run: bool,
@@ -48,7 +49,7 @@
         self.avoid.push(server_id.clone());
     }
 
-    /// Records that the request did not reach the server.
+    /// Records that the request did not reach a server to be run: it was not delivered, or its prefill failed.
     pub(crate) fn record_undelivered(&mut self, server_id: &Rc<str>) {
         self.undelivered += 1;
         self.avoid.push(server_id.clone());
@@ -79,7 +80,7 @@
         self.delivered_prefills > request.route.retry_count
     }
 
-    /// The state for failovers of a stream that begins with the next delivered attempt.
+    /// The state for failovers of a stream that has just begun. Its attempt is not recorded in this history.
     pub(crate) fn failover_state(&self, request: &ClientRequest) -> FailoverState {
         let remaining_attempts = request.route.retry_count.saturating_sub(self.delivered + 1);
         FailoverState { avoid: Vec::new(), remaining_attempts }
--- a/crates/data-plane/src/server_response.rs
+++ b/crates/data-plane/src/server_response.rs
@@ -38,8 +38,8 @@
     head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// True if this status tells the client that the request has not run (PROTOCOL.md, Answers). Without the server's
-/// `X-Not-Executed` that may be false (RULES.md, REFUSED).
+/// True if this status tells the client that the request has not run (PROTOCOL.md, Answers). If the response has
+/// no `X-Not-Executed`, the request may have run nevertheless (RULES.md, REFUSED).
 pub(crate) fn promises_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -124,6 +124,7 @@
             return None;
         }
         let pair = router.select_pair(now, &service.name, prompt, avoid)?;
+        // The prefill server of the pair gets no request.
         pair.prefill.iter().for_each(|id| router.record_inconclusive(id));
         drop(router);
         let target = self.target(service, &pair.decode)?;
--- a/crates/http-links/src/outbound_connection.rs
+++ b/crates/http-links/src/outbound_connection.rs
@@ -158,7 +158,8 @@
     ///
     /// # Errors
     ///
-    /// No response arrived in time. The connection must be dropped, since the response may still arrive.
+    /// The exchange failed, or no response arrived in time. The connection must be dropped, since the response may
+    /// still arrive.
     pub async fn send_with_deadline(
         &mut self,
         request: Request<B>,
--- a/crates/http-links/src/write_progress.rs
+++ b/crates/http-links/src/write_progress.rs
@@ -13,7 +13,8 @@
 /// How much of the current message on a connection the kernel has accepted.
 ///
 /// A message counts as complete at the latest when its last byte is accepted; it may count as complete too early. So a
-/// message that does not count as complete can't have been executed.
+/// message that does not count as complete can't have been executed. If the length of the body is unknown, this holds
+/// only if the sender calls [`WriteProgress::mark_complete`] in time.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
     has_started: Cell<bool>,
