--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -19,20 +19,20 @@
 pub enum Outcome {
     /// The server responded without an error.
     Served,
-    /// The server responded with an error; it may have run.
+    /// The server responded with an error; the attempt may have run.
     Errored,
-    /// The server rejected it; it never ran, unless
+    /// The server rejected the attempt, which never ran, unless
     /// [`Rules::may_reject_after_start`](super::Rules::may_reject_after_start) is set.
     Rejected,
-    /// No response arrived in time; it may have run.
+    /// No response arrived in time; the attempt may have run.
     TimedOut,
-    /// No connection could be made; it never ran.
+    /// No connection could be made; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// It was cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
--- a/crates/decide/src/learned_values.rs
+++ b/crates/decide/src/learned_values.rs
@@ -75,7 +75,7 @@
     pub fn learned_values(&self, now: Seconds) -> Vec<LearnedValue> {
         let state = &self.state;
         let mut export = Export::default();
-        export.add_mean(Subject::Fleet, names::SERVICE_TIME, &state.mean_service);
+        export.add_mean(Subject::Fleet, names::SERVICE_TIME, &state.mean_service_time);
         export.add_mean(Subject::Fleet, names::LOG_SLOWNESS, &state.fleet_log_slowness);
         export.add_mean(Subject::Fleet, names::LOG_LOAD, &state.fleet_log_load);
         export.add_mean(Subject::Fleet, names::FAILURE_RATE, &state.failure_rate);
@@ -140,7 +140,7 @@
     fn restore_fleet(&mut self, now: Seconds, import: &Import<'_>) {
         let state = &mut self.state;
         if let Some((value, samples)) = import.positive_mean(Subject::Fleet, names::SERVICE_TIME) {
-            import.restore(&mut state.mean_service, value, samples);
+            import.restore(&mut state.mean_service_time, value, samples);
         }
         if let Some((value, samples)) = import.mean(Subject::Fleet, names::LOG_SLOWNESS) {
             import.restore(&mut state.fleet_log_slowness, value, samples);
@@ -165,7 +165,7 @@
             }
             if let Some(value) = import.find(subject, names::LOG_PRICE) {
                 let log_price = &mut self.state.log_prices[self.state.price_group_of_class[index]];
-                // The price never falls below that of a new process, at which no request is rejected.
+                // The price never falls below that of a new process, which counts as 0.
                 *log_price += (value.min(0.0) - *log_price).max(0.0) * import.load_weight;
             }
         }
--- a/crates/decide/src/policy/admission.rs
+++ b/crates/decide/src/policy/admission.rs
@@ -25,8 +25,8 @@
 const QUEUEING_EXPONENT: i32 = 6;
 /// The learned price is multiplied by the queue per slot, up to this length.
 const MAX_PRICED_QUEUE: f64 = 4.0;
-/// The usual time left of a first attempt is replaced after at most this number of requests in a row that differ from
-/// it.
+/// The maximum of `usual_votes`: after this many requests in a row that differ from the usual time left, the next one
+/// that differs replaces it.
 const MAX_USUAL_VOTES: f64 = 64.0;
 /// The tolerance when a retry is matched to its client's first attempt, in units of the timer resolution.
 const FIRST_ATTEMPT_TOLERANCE_TICKS: f64 = 3.0;
@@ -34,7 +34,8 @@
 const OVERLOAD_PRICE_THRESHOLD: f64 = 0.23;
 /// The price per unit of overload beyond [`OVERLOAD_PRICE_THRESHOLD`], scaled down where reports are reliable.
 const OVERLOAD_PRICE_SLOPE: f64 = 20.0;
-/// The overload is multiplied by the loss of capacity since the responses that it was learned from, at most by this.
+/// The overload is multiplied by the ratio of the mean capacity over the responses that it was learned from to the
+/// present capacity, at most by this.
 const MAX_CAPACITY_LOSS: f64 = 3.0;
 
 /// The chance of a request to be admitted at a server, and the price of work there.
@@ -55,7 +56,7 @@
         let max_attempts = self.settings.limits.max_attempts;
         let mut pending = PendingRequest::new(now, &request, elapsed, target_time, max_attempts);
         self.state.mean_value.add(class.value, MEAN_GAIN);
-        self.state.mean_service.add(self.state.classes[request.class.0].service_time.value, MEAN_GAIN);
+        self.state.mean_service_time.add(self.state.classes[request.class.0].service_time.value, MEAN_GAIN);
         self.state.request_rate.add(now, self.state.mean_deadline);
         pending.share_factor = self.share_factor(now, request.tenant);
         pending.slow_start_draw = self.random_unit();
@@ -103,9 +104,9 @@
         let restricted_work = if is_restricted { self.relative_work(class) } else { 0.0 };
         self.state.restricted_work.add(restricted_work, MEAN_GAIN);
         let restricted_work = self.state.restricted_work.value;
-        let share_left = (1.0 - restricted_work / self.state.reserved_share)
+        let reserved_use_probability = (1.0 - restricted_work / self.state.reserved_share)
             / (1.0 - restricted_work).max(f64::MIN_POSITIVE);
-        !is_restricted && self.state.reserved_share > 0.0 && self.random_unit() >= share_left
+        !is_restricted && self.state.reserved_share > 0.0 && self.random_unit() >= reserved_use_probability
     }
 
     /// The time until which a request may wait for probes. A request with hardly any time left does not wait.
@@ -192,7 +193,7 @@
         // A queue can exceed the latency target before the first late response arrives.
         let max_wait = (MAX_WAIT_SHARE * (request.target_time - now)).max(self.settings.timer_resolution);
         let queueing_price =
-            (queue_per_slot * self.state.mean_service.value / max_wait).powi(QUEUEING_EXPONENT);
+            (queue_per_slot * self.state.mean_service_time.value / max_wait).powi(QUEUEING_EXPONENT);
         let price =
             learned_price * queue_per_slot.min(MAX_PRICED_QUEUE) + queueing_price + self.overload_price(now);
         AdmissionEstimate {
@@ -230,6 +231,6 @@
 
     /// The work of a request of the class, in units of a mean request.
     fn relative_work(&self, class: ClassId) -> f64 {
-        self.state.classes[class.0].service_time.value / self.state.mean_service.value
+        self.state.classes[class.0].service_time.value / self.state.mean_service_time.value
     }
 }
--- a/crates/decide/src/policy/completion.rs
+++ b/crates/decide/src/policy/completion.rs
@@ -26,7 +26,7 @@
     /// The suggested wait is random, up to the queueing time: clients that are rejected together must not retry
     /// together.
     pub(super) fn give_up(&mut self, token: u64, queue_per_slot: f64, actions: &mut Vec<Action>) {
-        let wait = queue_per_slot * self.state.mean_service.value * self.random_unit();
+        let wait = queue_per_slot * self.state.mean_service_time.value * self.random_unit();
         let retry_after = wait.min(self.settings.limits.max_retry_after);
         let pending = &self.state.requests[&token];
         let request = pending.id;
--- a/crates/decide/src/policy/ejection.rs
+++ b/crates/decide/src/policy/ejection.rs
@@ -5,8 +5,8 @@
 use crate::interface::{ClassId, EndpointId, Seconds};
 use crate::state::{Ejection, EjectionCause, PendingRequest};
 
-/// The maximum number of times that the duration of an ejection is doubled. It starts at a mean deadline, and each
-/// failed trial doubles it.
+/// The maximum number of times that the duration of an ejection is doubled. The first duration is one mean deadline;
+/// each failed trial doubles it.
 const MAX_EJECTION_DOUBLINGS: u32 = 2;
 /// The assumed failure rate of an unhealthy server.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.5;
--- a/crates/decide/src/policy/first_attempt.rs
+++ b/crates/decide/src/policy/first_attempt.rs
@@ -15,8 +15,8 @@
             return self.send_probes(now, token, chosen, to_probe, actions);
         }
         // If all servers are full, waiting requests would pile up and all of them would be late.
-        let mut started = self.state.local.iter().chain(&self.state.remote);
-        if chosen.is_none() && started.any(|&index| self.is_allowed(now, &request, index)) {
+        let mut past_slow_start = self.state.local.iter().chain(&self.state.remote);
+        if chosen.is_none() && past_slow_start.any(|&index| self.is_allowed(now, &request, index)) {
             return self.give_up(token, 1.0, actions);
         }
         if !self.admits(now, &request, chosen) {
@@ -56,7 +56,7 @@
         actions: &mut Vec<Action>,
     ) {
         match outcome {
-            Outcome::Served if rtt <= SLOW_PROBE_SERVICE_TIMES * self.state.mean_service.value => {}
+            Outcome::Served if rtt <= SLOW_PROBE_SERVICE_TIMES * self.state.mean_service_time.value => {}
             // Probes that queue like requests displace the requests that they are sent for.
             Outcome::Served | Outcome::Rejected => {
                 self.state.probes_paused_until = now + PROBE_PAUSE_DEADLINES * self.state.mean_deadline;
--- a/crates/decide/src/policy/fleet_review.rs
+++ b/crates/decide/src/policy/fleet_review.rs
@@ -54,10 +54,11 @@
         // While most of the fleet is in slow start, its present capacity is so low that a server's share of the traffic
         // would exceed what the server can do.
         let least_capacity = size * MAX_ASSUMED_TRAFFIC / rules.overload_factor;
-        let (slow_starting, started): (Vec<usize>, Vec<usize>) =
+        let (slow_starting, past_slow_start): (Vec<usize>, Vec<usize>) =
             ready.into_iter().partition(|index| self.slow_start_factor(endpoint(index), now) < 1.0);
         let own_zone = self.settings.zone;
-        let (local, remote) = started.into_iter().partition(|index| endpoint(index).entry.zone == own_zone);
+        let (local, remote) =
+            past_slow_start.into_iter().partition(|index| endpoint(index).entry.zone == own_zone);
         self.state.next_review_at = if slow_starting.is_empty() {
             f64::INFINITY
         } else {
--- a/crates/decide/src/policy/load_estimation.rs
+++ b/crates/decide/src/policy/load_estimation.rs
@@ -68,7 +68,8 @@
 
     /// The remaining weight of a server's last report, from 0 to 1.
     pub(super) fn report_freshness(&self, endpoint: &Endpoint, now: Seconds) -> f64 {
-        (-(now - endpoint.reported_at) / (REPORT_DECAY_SERVICE_TIMES * self.state.mean_service.value)).exp()
+        (-(now - endpoint.reported_at) / (REPORT_DECAY_SERVICE_TIMES * self.state.mean_service_time.value))
+            .exp()
     }
 
     /// The factor by which the server is slower than its kind of machine, judged by its response times and by how long
@@ -113,7 +114,7 @@
     /// The expected response time of the server for a class.
     pub(super) fn expected_time(&self, endpoint: &Endpoint, class: ClassId, now: Seconds) -> Seconds {
         let time = self.state.classes[class.0].service_time.value
-            + self.state.mean_service.value * self.queue_per_slot(endpoint, now);
+            + self.state.mean_service_time.value * self.queue_per_slot(endpoint, now);
         let log_slowness = self.state.kinds[endpoint.entry.kind.0].log_slowness.value;
         let kind_factor = (log_slowness - self.state.fleet_log_slowness.value).exp();
         time * kind_factor * self.slowdown(endpoint, now) / self.slow_start_factor(endpoint, now)
@@ -147,18 +148,18 @@
     /// Updates the estimated age of reports on arrival.
     fn update_report_age(&mut self, now: Seconds, id: EndpointId, report: LoadReport, load: f64) {
         let endpoint = self.state.endpoint(id);
-        let decay_times_since =
-            (now - endpoint.reported_at) / (REPORT_DECAY_SERVICE_TIMES * self.state.mean_service.value);
-        if !decay_times_since.is_finite() || load <= 0.0 || load.is_nan() {
+        let decay_times_since_report =
+            (now - endpoint.reported_at) / (REPORT_DECAY_SERVICE_TIMES * self.state.mean_service_time.value);
+        if !decay_times_since_report.is_finite() || load <= 0.0 || load.is_nan() {
             return;
         }
         // An equal report has not been renewed since the last one, so reports are at least that old. Reports of idle
         // servers are ignored above, since they never change.
         let age = self.state.report_age;
         let sample = if report == endpoint.report {
-            age + decay_times_since
+            age + decay_times_since_report
         } else {
-            age.min(decay_times_since / 2.0)
+            age.min(decay_times_since_report / 2.0)
         };
         self.state.report_age += REPORT_GAIN * (sample.min(SAMPLE_CAP * INITIAL_REPORT_AGE) - age);
     }
@@ -201,7 +202,7 @@
     pub(super) fn record_unanswered(&mut self, now: Seconds, id: EndpointId, waited: Seconds) {
         let endpoint = self.state.endpoint(id);
         // The cap keeps one hung server from making its whole zone look overloaded.
-        let service_times = (waited / self.state.mean_service.value).min(SAMPLE_CAP);
+        let service_times = (waited / self.state.mean_service_time.value).min(SAMPLE_CAP);
         let load = self.load(endpoint, now).max(self.state.slots(endpoint) * service_times);
         let capacity = self.capacity(endpoint, now);
         self.record_load(now, id, load / capacity);
@@ -227,8 +228,8 @@
         let kind_mean = &mut self.state.kinds[kind.0].log_slowness;
         kind_mean.add(log_slowness, KIND_SLOWNESS_GAIN);
         let kind_slowness = kind_mean.value;
-        // Relative to its kind of machine: relative to a mean that has since moved, a server without recent responses
-        // would look slow or fast.
+        // The slowness is relative to the kind of machine. If it were relative to a mean that has since moved, a server
+        // without recent responses would look slow or fast.
         let endpoint = self.state.endpoint_mut(id);
         endpoint.log_slowness += SLOWNESS_GAIN * (log_slowness - kind_slowness - endpoint.log_slowness);
         self.state.fleet_log_slowness.add(log_slowness, KIND_SLOWNESS_GAIN);
--- a/crates/decide/src/policy/outcome.rs
+++ b/crates/decide/src/policy/outcome.rs
@@ -64,7 +64,7 @@
         rtt: Seconds,
     ) -> EndedAttempt {
         let tick = self.settings.timer_resolution;
-        let service_time = self.state.mean_service.value;
+        let service_time = self.state.mean_service_time.value;
         let is_late = rtt + tick >= self.state.shortest_target;
         let is_given_up = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
         let has_lost_connection = outcome == Outcome::ConnectFailed
--- a/crates/decide/src/policy/price.rs
+++ b/crates/decide/src/policy/price.rs
@@ -12,8 +12,8 @@
 const PRICE_GAIN: f64 = 0.1;
 
 impl Balancer {
-    /// Adjusts the price after a response. `missed` says how much the response counts as a miss of its target, 0 if it
-    /// was in time.
+    /// Adjusts the price after a response, a rejection or a request that was given up. `missed` says how much it counts
+    /// as a miss of the latency target: 0 for a response in time, 1 at most, and less than 0 to lower the price faster.
     ///
     /// Requests also miss their target at unhealthy servers. Callers count only misses behind queues, as only these
     /// indicate overload.
--- a/crates/decide/src/policy/retry.rs
+++ b/crates/decide/src/policy/retry.rs
@@ -6,7 +6,7 @@
 use crate::state::PendingRequest;
 
 impl Balancer {
-    /// Handles the timer of a request: gives it up, sends it again or hedges it.
+    /// Handles the timer of a request: gives it up, sends its first attempt or a retry, or hedges it.
     pub(super) fn on_timer(&mut self, now: Seconds, token: u64, actions: &mut Vec<Action>) {
         let Some(request) = self.state.requests.get(&token) else { return };
         if request.response_started || (request.body_pending && !request.attempts.is_empty()) {
--- a/crates/decide/src/policy/server_selection.rs
+++ b/crates/decide/src/policy/server_selection.rs
@@ -155,9 +155,9 @@
     fn allowed_candidates(&self, now: Seconds, request: &PendingRequest, subset: usize) -> Vec<usize> {
         let allowed_in = |zone: &[usize], avoids_reserved: bool| -> Vec<usize> {
             let allowed = zone.iter().copied().filter(|&index| self.is_allowed(now, request, index));
-            let is_free =
+            let is_not_avoided =
                 |&index: &usize| !avoids_reserved || !self.is_reserved(&self.state.endpoints[index].entry);
-            allowed.filter(is_free).take(2 * subset).collect()
+            allowed.filter(is_not_avoided).take(2 * subset).collect()
         };
         let allowed_in_both = |avoids_reserved: bool| {
             let mut servers = allowed_in(&self.state.local, avoids_reserved);
--- a/crates/decide/src/policy/tuning.rs
+++ b/crates/decide/src/policy/tuning.rs
@@ -13,9 +13,9 @@
 
 /// The maximum retry budget, in retries and hedges.
 pub(super) const MAX_RETRY_BUDGET: f64 = 20.0;
-/// The minimum price of work, in units of its mean value. At this price no request is rejected.
+/// The minimum of the learned price of work, in units of its mean value. At this minimum it counts as 0.
 pub(super) const MIN_PRICE: f64 = 0.02;
-/// The maximum price of work, in units of its mean value.
+/// The maximum of the learned price of work, in units of its mean value.
 pub(super) const MAX_PRICE: f64 = 4.0;
 /// The time constant of the decay of the overload, in mean deadlines.
 pub(crate) const OVERLOAD_DECAY_DEADLINES: f64 = 10.0;
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -22,7 +22,7 @@
         for _ in actions[first_new..].iter().filter(is_unserved) {
             self.state.recovery.on_response(false);
         }
-        // Full service is kept once it has been reached, so the status is updated after each event.
+        // Full service is kept once `status` has seen its conditions met, so that is called after each event.
         self.recovery_status(now);
     }
 
--- a/crates/decide/src/state/endpoint.rs
+++ b/crates/decide/src/state/endpoint.rs
@@ -47,7 +47,7 @@
             expected_time: f64::INFINITY,
             ejection: None,
             failure_log_odds: 0.0,
-            concurrency: ConcurrencyLimit { limit: initial_concurrency, reduced_until: now },
+            concurrency: ConcurrencyLimit { limit: initial_concurrency, late_ignored_until: now },
             connections: 0.0,
             connection_used_at: now,
             preference: 0,
@@ -87,7 +87,7 @@
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     /// Late responses before this time are ignored: they belong to the load before the last reduction.
-    reduced_until: Seconds,
+    late_ignored_until: Seconds,
 }
 
 impl ConcurrencyLimit {
@@ -100,9 +100,9 @@
         is_served: bool,
         service_time: Seconds,
     ) {
-        if is_late && now >= self.reduced_until {
+        if is_late && now >= self.late_ignored_until {
             self.limit = (self.limit.min(in_flight) * LATE_RESPONSE_FACTOR).max(1.0);
-            self.reduced_until = now + service_time;
+            self.late_ignored_until = now + service_time;
         } else if is_served && !is_late && in_flight >= self.limit / 2.0 {
             self.limit += 1.0 / self.limit;
         }
--- a/crates/decide/src/state/policy_state.rs
+++ b/crates/decide/src/state/policy_state.rs
@@ -53,7 +53,8 @@
     pub(crate) zones: Vec<ZoneStats>,
     pub(crate) fleet_log_slowness: Mean,
     pub(crate) fleet_log_load: Mean,
-    pub(crate) mean_service: Mean,
+    /// The mean service time without queueing, over recent requests of all classes.
+    pub(crate) mean_service_time: Mean,
     /// The estimated age of reports on arrival, in decay times of a report, learned from repeated reports.
     pub(crate) report_age: f64,
     /// The fraction of attempts that fail, over all servers.
@@ -105,7 +106,7 @@
             zones: Vec::new(),
             fleet_log_slowness: Mean::default(),
             fleet_log_load: Mean::default(),
-            mean_service: Mean::new(mean(|class| class.latency_target / SERVICE_TIMES_PER_TARGET), 0.0),
+            mean_service_time: Mean::new(mean(|class| class.latency_target / SERVICE_TIMES_PER_TARGET), 0.0),
             report_age: 0.0,
             failure_rate: Mean::new(0.0, INITIAL_FAILURE_SAMPLES),
             overload: Overload::default(),
--- a/crates/decide/tests/ejection.rs
+++ b/crates/decide/tests/ejection.rs
@@ -41,7 +41,7 @@
 
 /// Regression: a server that fails fast has a low load, so it would be selected again and again.
 #[test]
-fn fast_errors_eject_a_server_until_a_trial_with_an_idempotent_request() {
+fn fast_errors_eject_a_server_until_trials_with_safe_requests_succeed() {
     let mut host = Host::new(settings(), fleet(3));
     fail_twice(&mut host, SAFE, EndpointId(1), Outcome::Errored);
     for _ in 0..40 {
--- a/crates/engine-model/src/simulation.rs
+++ b/crates/engine-model/src/simulation.rs
@@ -16,10 +16,11 @@
 
 const SERVICE: &str = "llm";
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// The platform starts traffic this long after it starts the machines.
+/// Requests start to arrive this long after the servers have started, as on the platform that runs them.
 const TRAFFIC_START_MILLIS: f64 = 10_000.0;
-/// How often the scheduler is called, and how often it queries servers for load reports.
+/// How often the scheduler is called.
 const SCHEDULER_INTERVAL_MILLIS: f64 = 200.0;
+/// How often the scheduler queries servers for load reports.
 const REPORT_INTERVAL_MILLIS: f64 = 1_000.0;
 /// How often proxies and the scheduler are told the stages of servers.
 const HEARTBEAT_INTERVAL_MILLIS: f64 = 1_200.0;
@@ -89,7 +90,7 @@
     registry_entries: Vec<Server>,
     routers: Vec<Router<Pcg64Mcg>>,
     scheduler: StageScheduler,
-    reported_at: f64,
+    last_queried_at: f64,
     requests: Vec<Request>,
     stage_changes: usize,
 }
@@ -157,7 +158,7 @@
             routers: routers.collect(),
             registry_entries,
             scheduler: StageScheduler::new(StagePolicy::default()),
-            reported_at: f64::NEG_INFINITY,
+            last_queried_at: f64::NEG_INFINITY,
             requests: Vec::new(),
             stage_changes: 0,
         }
@@ -305,6 +306,7 @@
         servers.into_iter().min_by_key(|server| load(*server))
     }
 
+    /// Queues a prompt on a server that has to run `stage`. Returns false if the server rejects it.
     fn begin_prefill(&mut self, index: RequestIndex, server: usize, stage: Stage) -> bool {
         let accepts = self.engines[server].accepts(self.now, &self.scenario.engine);
         if !accepts || self.engines[server].stage != stage {
@@ -449,8 +451,8 @@
             return;
         }
         let now = self.instant();
-        if self.now - self.reported_at >= REPORT_INTERVAL_MILLIS {
-            self.reported_at = self.now;
+        if self.now - self.last_queried_at >= REPORT_INTERVAL_MILLIS {
+            self.last_queried_at = self.now;
             let queried: Vec<String> = self
                 .scheduler
                 .servers_to_query(self.registry_entries.iter())
--- a/crates/routing/src/pairing.rs
+++ b/crates/routing/src/pairing.rs
@@ -60,8 +60,8 @@
             .collect()
     }
 
-    /// The available decode servers, ordered by the hashes of their ids. The order is the same in every proxy, so that
-    /// proxies that may send to the same servers split them into the same pools.
+    /// The available decode servers, ordered by the hashes of their ids. Proxies that may send to the same servers have
+    /// them in the same order.
     fn decode_ids(&self, now: Instant, service: &str, avoid: &[Rc<str>]) -> Vec<Rc<str>> {
         let mut ranked: Vec<(u64, Rc<str>)> = self
             .selectable(now, service, LoadKind::Decode, avoid)
@@ -88,8 +88,8 @@
     }
 
     /// The cost of prefilling the prompt on a server, in tokens: all that the server has to prefill until this prompt
-    /// is done, plus the costs of recomputing shared tokens and of crossing zones. The first home server of a prefix is
-    /// assumed to have it cached.
+    /// is done, plus the costs of a decode server's streams in flight, of recomputing shared tokens and of crossing
+    /// zones. The first home server of a prefix is assumed to have it cached.
     fn prefill_cost(
         &self,
         now: Instant,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -70,7 +70,8 @@
         self.endpoints.update(servers);
     }
 
-    /// Sets how many proxies share the retry budget; at least one.
+    /// Sets the number of proxies; at least one. They share the retry budgets, and the load of the other proxies is
+    /// estimated by their number.
     pub fn set_proxy_count(&mut self, count: usize) {
         self.proxy_count = count.max(1);
     }
--- a/crates/routing/tests/retry_budget.rs
+++ b/crates/routing/tests/retry_budget.rs
@@ -18,7 +18,8 @@
 
 quickcheck! {
     /// For any distribution over proxies and any time steps: in every window the retries of all proxies stay within the
-    /// rule, by the requests of that window, of the window before it, or of the window that ends half a window earlier.
+    /// rule. The requests that count are those of that window, or of the one that ends half a window or a whole window
+    /// earlier, whichever are most.
     fn all_proxies_together_stay_within_the_rule(steps: Vec<(u16, u8, bool, u8)>) -> bool {
         let proxies = 4;
         let mut budgets: Vec<RetryBudget> = (0..proxies).map(|_| RetryBudget::new(LIMITS)).collect();
--- a/crates/stage-scheduler/src/demand.rs
+++ b/crates/stage-scheduler/src/demand.rs
@@ -17,7 +17,7 @@
 /// Below this mean utilization of all servers there is too little work for an estimate.
 const MIN_UTILIZATION: f64 = 0.05;
 
-/// An estimate needs reports from half of a stage's servers, but from no more servers than this.
+/// An estimate needs reports from half of a stage's servers, or from this many if that is fewer.
 const MAX_REQUIRED_REPORTS: usize = 12;
 
 /// The requests on a model server, as it reports them.
--- a/crates/stage-scheduler/src/policy.rs
+++ b/crates/stage-scheduler/src/policy.rs
@@ -12,8 +12,8 @@
     pub max_prefill_share: f64,
     /// Until there is enough work for an estimate, one server runs prefill per this many slots of decode servers.
     pub initial_slots_per_prefill_server: f64,
-    /// The share is kept while both stages have a lower utilization. A server that changes its stage is unavailable for
-    /// a while and loses its cache, which does not pay off while servers are idle.
+    /// The share is kept while the utilization of both stages is below this. A server that changes its stage is
+    /// unavailable for a while and loses its cache, which does not pay off while servers are idle.
     pub min_utilization_to_rebalance: f64,
     /// The share is kept while the demand asks for one that differs by no more than this.
     pub share_hysteresis: f64,
--- a/crates/stage-scheduler/src/scheduler.rs
+++ b/crates/stage-scheduler/src/scheduler.rs
@@ -28,7 +28,7 @@
     Unknown,
 }
 
-/// About this many rounds query each server once. Each query costs as much as a health check.
+/// It takes about this many rounds to query each server once. Each query costs as much as a health check.
 const QUERY_ROUNDS: usize = 8;
 /// Bounds on the number of servers queried in one round.
 const MIN_QUERIES_PER_ROUND: usize = 2;
