--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,7 +1,7 @@
-//! What this disk promises and accepts.
+//! The acceptor (as in Paxos): what this disk promises and accepts.
 //!
-//! A handler returns what is to be written for a message, if anything. The node carries it out: first it raises the promise,
-//! which ends a role under a lower term, then it writes. No response is sent before the write is synced.
+//! A handler returns the write that a message requires, if any. The node first raises the promise, which ends a role
+//! under a lower term, and then starts the write. No response is sent before the write is synced.
 
 use mosshead_time::Instant;
 
@@ -18,9 +18,9 @@
 /// The promises of this disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
-    /// Nothing of a lower term is accepted. Never decreases; durable before the response to its proposer.
+    /// Messages of lower terms are rejected. Never decreases; durable before the response to its proposer.
     promised: Term,
-    /// Until then no pre-vote is granted, so that the proposer of the promised term can finish.
+    /// No pre-vote is granted until then, so that the proposer of the promised term can finish.
     withholds_pre_votes_until: Instant,
 }
 
@@ -33,7 +33,7 @@
         self.promised
     }
 
-    /// From here on nothing of a lower term is accepted, also before the promise is durable.
+    /// Rejects lower terms from now on, even before the promise is durable.
     pub(crate) fn raise_promise(&mut self, term: Term) {
         self.promised = self.promised.max(term);
     }
@@ -42,21 +42,22 @@
         now < self.withholds_pre_votes_until
     }
 
-    /// Gives the proposer of the promised term time to finish.
+    /// Grants no pre-votes for a while, so that the proposer of the promised term can finish.
     pub(crate) fn withhold_pre_votes(&mut self, context: &Context) {
         self.withholds_pre_votes_until = context.now() + context.timings().suspicion_timeout / 2;
     }
 
-    /// Whether a message of a term may be accepted. The sender of a lower term gets a rejection with the promised one.
+    /// Returns true if a message of this term may be accepted. The sender of a lower term gets a rejection with the
+    /// promised one.
     pub(crate) fn admits(&self, context: &mut Context, storage: &Storage, from: Member, term: Term) -> bool {
         if term < self.promised {
             context.send(from.address, Message::Reject { term, promised: self.promised });
         }
-        // A term belongs to one disk: a write of another one under it would be taken for that disk's.
+        // A term belongs to one disk: a write of another disk under it could not be told apart from that disk's writes.
         term >= self.promised && term.proposer == from.id && !storage.is_full()
     }
 
-    /// What to write for a promise; none if the term is not above the promised one.
+    /// The write for a promise; `None` if the term is not above the promised one.
     pub(crate) fn on_prepare(&mut self, context: &Context, term: Term) -> Option<DurabilityEffect> {
         if term <= self.promised {
             return None;
@@ -65,7 +66,7 @@
         Some(DurabilityEffect::Promise(term))
     }
 
-    /// Whether a state of the sender is to be written. For a durable one, the response is sent.
+    /// Returns true if a state of the sender has to be written. If it is durable already, the response is sent.
     pub(crate) fn wants_state(
         &self,
         context: &mut Context,
@@ -77,7 +78,7 @@
             && !respond_if_durable(context, storage, from, version)
     }
 
-    /// As [`Acceptor::wants_state`], also below the promised term with [`InjectedFault::ForgetPromise`].
+    /// Like [`Acceptor::wants_state`], but with [`InjectedFault::ForgetPromise`] also below the promised term.
     fn accepts_write(
         &self,
         context: &mut Context,
@@ -91,7 +92,7 @@
         self.wants_state(context, storage, from, version)
     }
 
-    /// What to write for a complete state.
+    /// The write for a complete state.
     pub(crate) fn on_replicate_state(
         &self,
         context: &mut Context,
@@ -103,7 +104,7 @@
             .then(|| storage.state_effect(context, None, state))
     }
 
-    /// What to write for a change of the state before it. Where that state is missing here, the sender gets a
+    /// The write for a delta to the previous state. If that state is missing here, the sender gets a
     /// [`Message::MissingBody`].
     pub(crate) fn on_replicate_delta(
         &self,
@@ -128,7 +129,8 @@
         Some(storage.state_effect(context, Some(delta), state))
     }
 
-    /// What to write for a state whose body is here, under a new term. `committed` is the newest committed state.
+    /// The write for a state whose body this node should have, under a new term. If the body is missing here, the sender
+    /// gets a [`Message::MissingBody`]. `committed` is the newest committed state.
     pub(crate) fn on_rewrite_under_new_term(
         &self,
         context: &mut Context,
@@ -152,13 +154,13 @@
         Some(DurabilityEffect::State(state.rewritten_under(version.write_term)))
     }
 
-    /// What to write for a configuration that is neither durable nor being written.
+    /// The write for a configuration that is not durable; `None` if it is being written already.
     pub(crate) fn on_accept(&self, storage: &Storage, config: EpochConfig) -> Option<DurabilityEffect> {
         (!storage.is_writing_config(config.term)).then_some(DurabilityEffect::Accept(config))
     }
 }
 
-/// Responds to a state that is durable. Returns whether it, or a newer one, is durable or being written.
+/// Sends the response if the state is durable. Returns true if this state, or a newer one, is durable or being written.
 fn respond_if_durable(
     context: &mut Context,
     storage: &Storage,
--- a/crates/consensus/src/context.rs
+++ b/crates/consensus/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part needs: settings, the local member, the time of this step, and the outputs of this step.
+//! The context that all parts of a node need: settings, the local member, the time of the current step, and its outputs.
 
 use core::net::SocketAddrV4;
 use core::time::Duration;
@@ -12,7 +12,7 @@
 use crate::term::Member;
 use crate::timings::Timings;
 
-/// Lent to the parts of a node in each step.
+/// Passed to the parts of a node in each step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Context {
     settings: Settings,
@@ -51,7 +51,7 @@
         self.now
     }
 
-    /// Starts a step. An instant before that of the last step counts as that one.
+    /// Starts a step. A `now` before that of the previous step counts as the previous one.
     pub(crate) fn start_step(&mut self, now: Instant) {
         self.now = self.now.max(now);
     }
@@ -60,19 +60,19 @@
         &self.settings.timings
     }
 
-    /// Whether a test has built this fault in.
+    /// Returns true if a test has injected this fault.
     #[cfg(feature = "fault-injection")]
     pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
         self.settings.injected_fault == Some(fault)
     }
 
-    /// Without the feature of tests there is no fault, and the compiler leaves out what depends on one.
+    /// Without the `fault-injection` feature there is no fault, and the compiler removes the code that depends on one.
     #[cfg(not(feature = "fault-injection"))]
     pub(crate) const fn has_fault(&self, _: InjectedFault) -> bool {
         false
     }
 
-    /// How long ago an instant was.
+    /// The time since an instant.
     pub(crate) fn elapsed(&self, since: Instant) -> Duration {
         self.now - since
     }
@@ -92,12 +92,12 @@
         self.outputs.push(output);
     }
 
-    /// Ends a step: all outputs since its start.
+    /// Ends a step and returns its outputs.
     pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Whether a lease that was confirmed at an instant holds at `now`.
+    /// Returns true if a lease that was confirmed at `confirmed_at` is valid at `now`.
     pub(crate) fn is_within_lease(&self, confirmed_at: Option<Instant>, now: Instant) -> bool {
         confirmed_at.is_some_and(|at| now - at <= self.settings.timings.lease)
     }
--- a/crates/consensus/src/election_timer.rs
+++ b/crates/consensus/src/election_timer.rs
@@ -1,4 +1,4 @@
-//! When a follower attempts to become primary.
+//! Schedules the attempts of a follower to become primary.
 
 use core::time::Duration;
 
@@ -7,18 +7,18 @@
 
 use crate::random_delay::random_delay;
 
-/// Followers that suspect their primary at the same time are spread over this time.
+/// The attempts of followers that suspect their primary at the same time are spread over this time.
 const ATTEMPT_SPREAD: Duration = Duration::from_millis(150);
-/// Witnesses wait this much longer than those that hold the state.
+/// The additional delay of witnesses, so that nodes that hold the state attempt first.
 const WITNESS_DELAY: Duration = Duration::from_millis(150);
-/// The first attempt after a start.
-const FIRST_ATTEMPT: RandomizedDelay = RandomizedDelay::from_millis(150, 200);
-/// The next pre-vote.
-const PRE_VOTE_RETRY: RandomizedDelay = RandomizedDelay::from_millis(100, 80);
-/// The next attempt after a failed take-over.
-const TAKE_OVER_RETRY: RandomizedDelay = RandomizedDelay::from_millis(100, 250);
+/// The delay of the first attempt after a start.
+const FIRST_ATTEMPT_DELAY: RandomizedDelay = RandomizedDelay::from_millis(150, 200);
+/// The delay until pre-votes are requested again.
+const PRE_VOTE_RETRY_DELAY: RandomizedDelay = RandomizedDelay::from_millis(100, 80);
+/// The delay of the next attempt after a failed take-over.
+const TAKE_OVER_RETRY_DELAY: RandomizedDelay = RandomizedDelay::from_millis(100, 250);
 
-/// A delay, and the bound of the random one that is added to it.
+/// A fixed delay, and the bound of the random delay that is added to it.
 struct RandomizedDelay {
     fixed: Duration,
     spread: Duration,
@@ -30,7 +30,7 @@
     }
 }
 
-/// The next attempt to become primary. Each node adds random delays, so that not all of them attempt at the same time.
+/// Schedules the next attempt to become primary. Random delays keep the nodes from attempting at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ElectionTimer {
     next_attempt_at: Instant,
@@ -41,7 +41,7 @@
         now >= self.next_attempt_at
     }
 
-    /// Schedules the attempt that follows the suspicion of a primary. Those that hold the state attempt before the others.
+    /// Schedules the attempt that follows the suspicion of a primary. Nodes that hold the state attempt before the witnesses.
     pub(crate) fn schedule_after_suspicion(
         &mut self,
         suspected_at: Instant,
@@ -54,17 +54,17 @@
 
     /// Schedules the first attempt after the start of the node.
     pub(crate) fn schedule_first_attempt(&mut self, now: Instant, rng: &mut impl RngCore) {
-        self.schedule(now, &FIRST_ATTEMPT, rng);
+        self.schedule(now, &FIRST_ATTEMPT_DELAY, rng);
     }
 
-    /// Schedules the next request for pre-votes, for the case that these aren't granted.
+    /// Schedules the next request for pre-votes, in case the current one is not granted.
     pub(crate) fn schedule_pre_vote_retry(&mut self, now: Instant, rng: &mut impl RngCore) {
-        self.schedule(now, &PRE_VOTE_RETRY, rng);
+        self.schedule(now, &PRE_VOTE_RETRY_DELAY, rng);
     }
 
     /// Schedules the attempt that follows a failed take-over.
     pub(crate) fn schedule_take_over_retry(&mut self, now: Instant, rng: &mut impl RngCore) {
-        self.schedule(now, &TAKE_OVER_RETRY, rng);
+        self.schedule(now, &TAKE_OVER_RETRY_DELAY, rng);
     }
 
     fn schedule(&mut self, now: Instant, delay: &RandomizedDelay, rng: &mut impl RngCore) {
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -6,7 +6,7 @@
 use crate::message::Message;
 use crate::term::{Member, Term};
 
-/// What happens to a node.
+/// An event that the host passes to [`crate::Node::step`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// Time has passed; expected about every 50 ms.
@@ -28,17 +28,17 @@
         /// The token of the [`Output::Write`] or [`Output::Rewrite`].
         token: u64,
     },
-    /// An operator's change, valid as far as the host knows.
+    /// A change that an operator requests; the host considers it valid.
     Change {
         /// The number of the request, unique within the incarnation of the node.
         request_id: u64,
-        /// The revision that it builds on.
+        /// The revision that the change is based on.
         base_revision: u64,
-        /// The revision that it makes.
+        /// The revision after the change.
         revision: u64,
         /// The complete new body.
         body: Vec<u8>,
-        /// Distinguishes a repeat of this request from another one.
+        /// Distinguishes a retry of this request from another request.
         digest: RequestDigest,
     },
     /// Requests the newest committed state.
@@ -46,16 +46,15 @@
         /// The number of the request, unique within the incarnation of the node.
         request_id: u64,
     },
-    /// The process is to shut down, once [`crate::Node::may_shut_down`].
+    /// Requests a graceful shutdown. The process may end once [`crate::Node::may_shut_down`] returns true.
     ShutDown,
-    /// An operator has decided to found the fleet anew, as [`crate::Node::founding`] says. Without effect where that is an
-    /// error.
+    /// An operator requests the forced recovery that [`crate::Node::founding`] plans. Has no effect if that returns an error.
     FoundAnew,
     /// The seeds have changed.
     Seeds(Vec<SocketAddrV4>),
 }
 
-/// What the host is to do; the outputs of a step are carried out in their order.
+/// An action that the host carries out. It carries out the outputs of a step in their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Send a message; it may be lost.
@@ -67,12 +66,12 @@
     },
     /// Append a record to the log and sync it. Writes and rewrites are carried out and confirmed in order.
     Write {
-        /// To be returned with the confirmation; rises from write to write of an incarnation.
+        /// Returned by the host with the confirmation. Increases with each write of an incarnation.
         token: u64,
         /// Opaque to the host, which passes it to [`crate::Node::new`] at the next start.
         record: Vec<u8>,
     },
-    /// Replace the log by this record, or leave it as it is and report a failure.
+    /// Replace the log by this record, or leave the log as it is and report a failure.
     Rewrite {
         /// As in [`Output::Write`].
         token: u64,
@@ -83,10 +82,10 @@
     Reply {
         /// As in [`Input::Change`] or [`Input::Read`].
         request_id: u64,
-        /// What is known of the outcome.
+        /// The outcome, as far as it is known.
         reply: ClientReply,
     },
-    /// A newer state is committed; revisions rise from one output to the next.
+    /// A newer state is committed. Revisions increase from one output to the next.
     StateCommitted {
         /// The state.
         state: ControlState,
@@ -95,10 +94,10 @@
     BecamePrimary {
         /// The term of the epoch; its number is the fencing token.
         term: Term,
-        /// Whether it was primary just before and nobody was in between: its singleton roles need no pause.
+        /// True if this node was primary just before and no other node was in between: its singleton tasks need no pause.
         continued: bool,
     },
-    /// This node is no primary any more.
+    /// This node is no longer primary.
     SteppedDown,
 }
 
@@ -107,10 +106,10 @@
 pub enum ClientReply {
     /// The change is committed.
     ChangeCommitted {
-        /// The revision that the change made.
+        /// The revision after the change.
         revision: u64,
     },
-    /// The change builds on another revision than the current one, and will never be applied.
+    /// The change is based on another revision than the current one, and will never be applied.
     Stale {
         /// The current revision.
         current_revision: u64,
@@ -124,7 +123,7 @@
     },
     /// The body is longer than [`crate::MAX_BODY_BYTES`]; the change was not applied and never will be.
     TooLarge,
-    /// No confirmation in time, or too many requests wait already: a change may be applied or not.
+    /// There was no confirmation in time, or too many requests are waiting. The change may or may not be applied.
     Unavailable,
     /// The newest committed state.
     CurrentState {
--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -1,24 +1,26 @@
-//! Founding anew: a first epoch of the nodes that are left, after a majority of the members was lost for good.
+//! Forced recovery, called founding anew in the operator's commands: a first epoch of the remaining nodes after a
+//! majority of the members was lost for good.
 //!
-//! No majority can decide on it, so an operator does. It is refused while the nodes that can be reached could elect a primary
-//! by themselves. The new term lies so far above all that is known that no lost disk can have used one as high: a node
-//! raises its term only with the pre-votes of a majority. The newest state that the remaining nodes have is kept; what was
-//! committed by the lost ones alone is lost.
+//! No majority can decide on it, so an operator does. It is refused while the reachable nodes could elect a primary by
+//! themselves. The new term is so far above all known ones that no lost disk can have used one as high: a node raises its
+//! term only with the pre-votes of a majority. The newest state of the remaining nodes is kept; changes that were
+//! committed only on the lost nodes are lost.
 
 use quick_error::quick_error;
 
 use crate::epoch_config::EpochConfig;
 use crate::node_core::NodeCore;
 use crate::term::Member;
-use crate::votes::{Deciders, Votes};
+use crate::votes::{QuorumRule, Votes};
 
-/// How far the term of a founding lies above the highest known one.
+/// How far the term of a forced recovery is above the highest known one.
 pub const FOUNDING_TERM_STEP: u64 = 1 << 16;
 
-/// What founding anew would do.
+/// The plan of a forced recovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Founding {
-    /// The members of the new epoch: this node, members of the last epoch, and others that look for a fleet.
+    /// The members of the new epoch: this node, reachable members of the last epoch, and other nodes that have sent join
+    /// requests.
     pub members: Vec<Member>,
     /// The members of the last known epoch that can't be reached.
     pub lost: Vec<Member>,
@@ -28,33 +30,33 @@
 }
 
 quick_error! {
-    /// Why a fleet can't be founded anew.
+    /// The reason why a forced recovery is refused.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum FoundingError {
         /// A primary is alive, or a take-over is under way.
         HasPrimary {
             display("a primary is alive or is being elected")
         }
-        /// Enough members can be reached to elect a primary.
+        /// Enough members can be reached to elect a primary. Holds their number, and that of all members.
         MajorityReachable(reachable: usize, members: usize) {
-            display("{reachable} of {members} members can be reached, which can elect a primary")
+            display("{reachable} of {members} members can be reached, enough to elect a primary")
         }
-        /// A state could not be stored on enough disks.
+        /// A state could not be stored on enough disks. Holds the number of nodes that can be reached, and the number needed.
         TooFewNodes(reachable: usize, needed: usize) {
-            display("{reachable} nodes can be reached, and {needed} are needed to store the state")
+            display("{reachable} nodes can be reached, but {needed} are needed to store the state")
         }
-        /// The disk of this node takes no writes, or the node shuts down.
+        /// The disk of this node accepts no writes, or the node is shutting down.
         Unhealthy {
-            display("the disk of this node takes no writes, or the node shuts down")
+            display("the disk of this node accepts no writes, or the node is shutting down")
         }
     }
 }
 
-/// What founding anew by this node would do, by the nodes that have lately looked for others.
+/// Plans a forced recovery of this node and the nodes that have recently sent join requests.
 ///
 /// # Errors
 ///
-/// Founding anew is not possible, or not needed.
+/// The recovery is not possible, or not needed.
 pub(crate) fn plan_founding(core: &NodeCore) -> Result<Founding, FoundingError> {
     if core.failure_detector.trusts_primary(&core.context) {
         return Err(FoundingError::HasPrimary);
@@ -80,7 +82,7 @@
     Ok(Founding { members, lost, known_revision: known_revision(core) })
 }
 
-/// This node, then members of the last known epoch, then others; one of each address.
+/// This node, then members of the last known epoch, then others; one node for each address.
 fn reachable_nodes(core: &NodeCore) -> Vec<Member> {
     let local = core.local();
     let mut others: Vec<Member> = core.joins.recent(core.now()).map(|join| join.member).collect();
@@ -94,13 +96,13 @@
     nodes
 }
 
-/// Whether these nodes could take over without an operator: a majority, with a holder of the state.
+/// Returns true if these nodes could elect a primary without an operator: a majority that includes a holder of the state.
 fn can_elect_primary(config: &EpochConfig, nodes: &[Member]) -> bool {
     let mut votes = Votes::default();
     for node in nodes {
         votes.add(*node, false);
     }
-    votes.decide(config, Deciders::OutgoingAndNew) && votes.include_state_holder(config)
+    votes.are_quorum_of(config, QuorumRule::Joint) && votes.include_state_holder(config)
 }
 
 fn known_revision(core: &NodeCore) -> Option<u64> {
--- a/crates/consensus/src/group_health.rs
+++ b/crates/consensus/src/group_health.rs
@@ -1,4 +1,4 @@
-//! The health of the consensus group as its primary knows it: who the members are, who holds the state, and whether one more
+//! The health of the consensus group as its primary knows it: the members, the holders of the state, and whether one more
 //! machine may be lost.
 
 use core::time::Duration;
@@ -7,19 +7,19 @@
 
 use crate::term::Member;
 
-/// What a member does in the present epoch.
+/// The role of a member in the current epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberRole {
-    /// It decides on changes, and holds the state.
+    /// Decides on changes, and holds the state.
     Primary,
-    /// It holds the state.
+    /// Holds the state.
     Backup,
-    /// It votes, and holds no state.
+    /// Votes, and holds no state.
     Witness,
 }
 
 impl MemberRole {
-    /// Whether every committed state is on the member's disk.
+    /// Returns true if every committed state is on the member's disk.
     pub fn holds_state(self) -> bool {
         self != MemberRole::Witness
     }
@@ -30,48 +30,49 @@
 pub struct MemberHealth {
     /// The member.
     pub member: Member,
-    /// What it does.
+    /// The role of the member.
     pub role: MemberRole,
-    /// How long it has sent nothing; none for the primary itself, and for a member that nothing is known of.
+    /// The time since its last message; `None` for the primary itself, and for a member about which nothing is known.
     pub silence: Option<Duration>,
-    /// Whether it answers in time, its disk takes writes and it does not shut down.
+    /// True if it answers in time, its disk accepts writes, and it is not shutting down.
     pub is_healthy: bool,
 }
 
 quick_error! {
-    /// Why no further machine may be lost now.
+    /// The reason why no further machine may be lost now.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum LossRisk {
         /// The members are changing.
         MembersChanging {
             display("the members are changing")
         }
-        /// Without one more, the healthy members are no majority.
+        /// Without one more member, the healthy ones would be no majority. Holds the number of healthy members, and that
+        /// of all members.
         NoSpareVote(healthy: usize, members: usize) {
-            display("{healthy} of {members} members are healthy: without one more there is no majority")
+            display("{healthy} of {members} members are healthy: without one of them there is no majority")
         }
-        /// Without one more, nobody has the state.
+        /// Without one more member, the state could be lost. Holds the number of healthy members that hold it.
         NoSpareReplica(healthy: usize) {
-            display("{healthy} healthy members hold the state")
+            display("only {healthy} healthy members hold the state")
         }
     }
 }
 
-/// The members, and whether their number suffices.
+/// The members and their health.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupHealth {
     /// All members, the primary first.
     pub members: Vec<MemberHealth>,
-    /// Whether the outgoing members still vote beside the new ones.
+    /// True while the outgoing members vote in addition to the new ones.
     pub is_changing: bool,
 }
 
 impl GroupHealth {
-    /// Whether any one machine may be lost now without a loss of acknowledged changes or of the service.
+    /// Checks that any one machine may be lost now without losing acknowledged changes or the service.
     ///
     /// # Errors
     ///
-    /// The reason why not.
+    /// The reason why the loss is not tolerated.
     pub fn tolerates_a_loss(&self) -> Result<(), LossRisk> {
         if self.is_changing {
             return Err(LossRisk::MembersChanging);
--- a/crates/consensus/src/heartbeat_response.rs
+++ b/crates/consensus/src/heartbeat_response.rs
@@ -6,7 +6,7 @@
 
 /// The content of a [`Message::HeartbeatResponse`]; its fields are described there.
 ///
-/// The message can't carry it: the fields would be one array deeper on the wire.
+/// The message does not contain this struct because its fields would be one array deeper on the wire.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeartbeatResponse {
     pub(crate) term: Term,
--- a/crates/consensus/src/join_requests.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -1,4 +1,4 @@
-//! Nodes that look for the others, and when this one does.
+//! Join requests: the latest ones of other nodes, and the schedule of this node's own.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -10,18 +10,18 @@
 
 /// More join requests than this are ignored.
 const MAX_JOIN_REQUESTS: usize = 64;
-/// A join request counts for this long.
+/// A join request is valid for this long.
 const JOIN_REQUEST_LIFETIME: Duration = Duration::from_millis(1_000);
-/// A newcomer that knows a primary sends join requests at this interval, as it waits for a slot.
-const WAITING_INTERVAL: Duration = Duration::from_millis(400);
-/// A newcomer that knows no primary sends join requests at this interval.
+/// The interval of the join requests of a newcomer that knows a primary and waits for a slot.
+const WAITING_NEWCOMER_INTERVAL: Duration = Duration::from_millis(400);
+/// The interval of the join requests of a newcomer that knows no primary.
 const NEWCOMER_INTERVAL: Duration = Duration::from_millis(100);
-/// A member whose primary is silent sends join requests at this interval.
+/// The interval of the join requests of a member whose primary is silent.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(300);
-/// A member whose primary was silent for this long looks for the others.
-const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A newcomer whose primary was silent for this long looks for the others.
-const NEWCOMER_TIMEOUT: Duration = Duration::from_millis(300);
+/// A member sends join requests after its primary has been silent for this long.
+const MEMBER_PRIMARY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// A newcomer counts its primary as lost after it has been silent for this long.
+const NEWCOMER_PRIMARY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The latest join request of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -31,7 +31,7 @@
     pub(crate) received_at: Instant,
 }
 
-/// The latest join requests of others, and when the next own one is due.
+/// The latest join requests of other nodes, and the time of this node's next one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct JoinRequests {
     by_member: BTreeMap<MemberId, JoinRequest>,
@@ -57,7 +57,7 @@
         self.by_member.values().filter(move |request| now - request.received_at <= JOIN_REQUEST_LIFETIME)
     }
 
-    /// Whether all these bootstrap voters are known, apart from the local one.
+    /// Returns true if all these bootstrap voters, apart from the local one, are known from join requests.
     pub(crate) fn include_bootstrap_voters(
         &self,
         local: Member,
@@ -68,10 +68,11 @@
         addresses.iter().all(|address| *address == local.address || is_known(*address))
     }
 
-    /// Whether a follower is to look for the others now: it knows no primary, or is no member. If so, the next time is set.
+    /// Returns true if a follower has to send join requests now: it knows no primary, or is no member. If so, schedules
+    /// the next ones.
     ///
-    /// A newcomer sends join requests also while it knows a primary: the next primary has to know of the nodes that wait
-    /// for a slot before it grants a removal.
+    /// A newcomer sends join requests even while it knows a primary: the next primary has to know which nodes wait for a
+    /// slot before it grants a removal.
     pub(crate) fn take_due(
         &mut self,
         context: &Context,
@@ -82,7 +83,7 @@
         if now < self.next_at {
             return false;
         }
-        let timeout = if is_member { MEMBER_TIMEOUT } else { NEWCOMER_TIMEOUT };
+        let timeout = if is_member { MEMBER_PRIMARY_TIMEOUT } else { NEWCOMER_PRIMARY_TIMEOUT };
         let is_without_primary = match primary_alive_at {
             Some(alive_at) => now - alive_at >= timeout,
             None => !is_member || now - context.started_at() >= timeout,
@@ -93,7 +94,7 @@
         let interval = match (is_member, is_without_primary) {
             (true, _) => MEMBER_INTERVAL,
             (false, true) => NEWCOMER_INTERVAL,
-            (false, false) => WAITING_INTERVAL,
+            (false, false) => WAITING_NEWCOMER_INTERVAL,
         };
         self.next_at = now + interval;
         true
--- a/crates/consensus/src/known_primary.rs
+++ b/crates/consensus/src/known_primary.rs
@@ -1,4 +1,4 @@
-//! What a node knows of its primary from heartbeats.
+//! What a node knows about its primary from heartbeats.
 
 use mosshead_time::{Duration, Instant};
 
@@ -12,9 +12,9 @@
     term: Term,
     /// When the first heartbeat of this term arrived.
     first_heartbeat_at: Instant,
-    /// When the newest heartbeat arrived. It may have been delayed for any time, so this is good for hints only.
+    /// When the newest heartbeat arrived. It may have been delayed for any time, so this is only a hint.
     last_heartbeat_at: Instant,
-    /// The newest of the own stamps that came back: the primary was alive at that instant or later.
+    /// The newest of this node's stamps that the primary has returned: the primary was alive at that instant or later.
     confirmed_at: Option<Instant>,
 }
 
@@ -35,25 +35,26 @@
         self.last_heartbeat_at = now;
     }
 
-    /// The primary has returned a stamp of this instant.
+    /// Records that the primary has returned a stamp of this instant.
     pub(crate) fn confirm_alive(&mut self, at: Instant) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// When this primary is known to have been alive. A new one is trusted from its first heartbeat on.
+    /// The last instant at which this primary is known to have been alive. A new primary is trusted from its first
+    /// heartbeat on.
     pub(crate) fn alive_at(&self) -> Instant {
         self.confirmed_at.unwrap_or(Instant::ORIGIN).max(self.first_heartbeat_at)
     }
 
-    /// Until when this primary is not suspected. The stamp that a heartbeat returns was sent in response to the one before,
-    /// so that the proof is older than the heartbeat by one interval.
+    /// The instant until which this primary is not suspected. The stamp that a heartbeat returns was sent in response to
+    /// the previous one, so the proof is older than the heartbeat by one interval.
     pub(crate) fn trusted_until(&self, timings: &Timings) -> Instant {
         let proven = |at| at + timings.suspicion_timeout + timings.heartbeat_interval;
         let confirmed = self.confirmed_at.map_or(Instant::ORIGIN, proven);
         confirmed.max(self.first_heartbeat_at + timings.suspicion_timeout)
     }
 
-    /// How long no heartbeat has arrived.
+    /// The time since the last heartbeat arrived.
     pub(crate) fn silence(&self, now: Instant) -> Duration {
         now - self.last_heartbeat_at
     }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! A primary gives its role to another node.
+//! Leadership transfer: a primary that steps down asks another node to take over.
 
 use core::net::SocketAddrV4;
 use core::time::Duration;
@@ -9,10 +9,10 @@
 use crate::message::Message;
 use crate::term::Term;
 
-/// The transfer is sent again for this long, as it may be lost.
+/// The request is sent again for this long, since it may be lost.
 const RESEND_PERIOD: Duration = Duration::from_millis(300);
 
-/// The transfer of the role of primary from this node to another one.
+/// The transfer of leadership from this node to another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeadershipTransfer {
     in_progress: Option<Transfer>,
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Transfer {
     to: SocketAddrV4,
-    /// The term of the primary that gives up its role.
+    /// The term of the primary that steps down.
     term: Term,
     started_at: Instant,
     sent_at: Instant,
@@ -35,7 +35,7 @@
         self.in_progress = Some(Transfer { to, term, started_at: now, sent_at: now });
     }
 
-    /// This node is primary again.
+    /// Ends the transfer, because this node is primary again.
     pub(crate) fn cancel(&mut self) {
         self.in_progress = None;
     }
@@ -46,8 +46,8 @@
         Some(transfer.to)
     }
 
-    /// Sends the transfer again where it may be lost, and ends one that is over. `promised` is the highest promise of this
-    /// node.
+    /// Sends the request again when it may have been lost, and ends a transfer that is over. `promised` is the highest
+    /// promise of this node.
     pub(crate) fn run_timers(&mut self, context: &mut Context, promised: Term) {
         let Some(transfer) = &mut self.in_progress else { return };
         if transfer.is_over(context) {
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,4 +1,4 @@
-//! The committed state as this node knows it. A learner in the sense of Paxos: every node has one, with or without a vote.
+//! The committed state as this node knows it (a learner in the sense of Paxos). Every node has one, with or without a vote.
 
 use mosshead_time::Instant;
 
@@ -39,7 +39,8 @@
         self.committed.as_ref().map(|state| state.revision)
     }
 
-    /// Publishes a committed state with the committed deltas that follow it; never an older one than before.
+    /// Publishes a committed state, advanced by the committed deltas that follow it. An older state than before is never
+    /// published.
     pub(crate) fn publish(&mut self, context: &mut Context, state: ControlState) {
         let state = self.out_of_order_deltas.advance(state);
         self.out_of_order_deltas.drop_up_to(state.revision);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Publishes what committed deltas make of the durable state or of the committed one.
+    /// Applies committed deltas to the durable state or to the committed one, and publishes the newest result.
     pub(crate) fn on_committed_deltas(
         &mut self,
         context: &mut Context,
@@ -67,7 +68,7 @@
         for delta in deltas {
             self.out_of_order_deltas.push(delta);
         }
-        // The state before a committed one was committed, too.
+        // A durable state that a committed delta follows was committed, too.
         let bases = [durable, self.committed.as_ref()].into_iter().flatten();
         let advanced = bases.map(|base| (base.revision, self.out_of_order_deltas.advance(base.clone())));
         let newer = advanced.filter(|(base, state)| state.revision > *base).map(|(_, state)| state);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// [`InjectedFault::ApplyDeltaToAnyState`].
+    /// Implements [`InjectedFault::ApplyDeltaToAnyState`].
     fn apply_last_unchecked(&mut self, context: &mut Context, deltas: &[StateDelta]) {
         let Some(committed) = &self.committed else { return };
         let last = deltas.last().filter(|delta| committed.revision < delta.request.revision);
@@ -85,17 +86,17 @@
         }
     }
 
-    /// The stamp of a heartbeat response that is sent now.
+    /// The stamp for a heartbeat response that is sent now.
     pub(crate) fn lease_stamp(&self, context: &Context) -> LeaseStamp {
         self.read_lease.stamp(context.now())
     }
 
-    /// When this node last had proven contact with a majority, as far as it publishes what was committed then.
+    /// When this node last had proven contact with a majority; only contact whose committed state it has published counts.
     pub(crate) fn contact_confirmed_at(&self) -> Option<Instant> {
         self.read_lease.confirmed_at()
     }
 
-    /// The instant after which a heartbeat with this stamp was sent, if the stamp proves any.
+    /// The instant after which a heartbeat with this stamp was sent; `None` if the stamp proves nothing.
     pub(crate) fn proven_instant(&self, context: &Context, stamp: Option<LeaseStamp>) -> Option<Instant> {
         if context.has_fault(InjectedFault::ConfirmReadLeaseOnArrival) {
             return Some(context.now());
@@ -107,7 +108,7 @@
         self.read_lease.instant_of(stamp, context.now())
     }
 
-    /// The primary had contact with a majority after `contact_at`, and has committed this revision.
+    /// Records that the primary had contact with a majority after `contact_at`, and has committed this revision.
     pub(crate) fn confirm_contact(&mut self, context: &Context, contact_at: Instant, revision: u64) {
         let ignores_revision = context.has_fault(InjectedFault::ConfirmReadLeaseOnArrival)
             || context.has_fault(InjectedFault::ConfirmReadLeaseBeforePublish);
--- a/crates/consensus/src/lease_stamp.rs
+++ b/crates/consensus/src/lease_stamp.rs
@@ -5,10 +5,10 @@
 use minicbor::{Decode, Encode};
 use mosshead_time::Instant;
 
-/// The steady time of a node when it answered a heartbeat. Only that node interprets it; the primary returns it.
+/// The monotonic time of a node when it answered a heartbeat. Only that node interprets it; the primary returns it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct LeaseStamp {
-    /// The random number of this incarnation of the process: steady clocks start anew with each one.
+    /// The random number of this incarnation of the process: monotonic clocks restart with each one.
     #[n(0)]
     pub incarnation: u64,
     /// When the node answered, by its own clock.
@@ -17,7 +17,7 @@
 }
 
 impl LeaseStamp {
-    /// Whether the peer that sent this stamp was out of contact for longer than a lease since its last stamp.
+    /// Returns true if the peer that sent this stamp was out of contact for longer than a lease since its last stamp.
     pub(crate) fn is_first_after_silence(&self, last: Option<LeaseStamp>, lease: Duration) -> bool {
         last.is_none_or(|last| {
             last.incarnation != self.incarnation || self.answered_at.duration_since(last.answered_at) > lease
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: it takes what happens, lets its parts and its role act on it, and returns what is to be done.
+//! One node of the group: [`Node::step`] passes an input to the node's parts and its current role, and returns the outputs.
 
 mod acceptance;
 mod disk;
@@ -37,7 +37,8 @@
 }
 
 impl<R: RngCore> Node<R> {
-    /// A node from the records of its log, oldest first.
+    /// Restores a node from the records of its log, oldest first. Without records, the disk is new and gets a random
+    /// identity.
     ///
     /// # Errors
     ///
@@ -56,21 +57,22 @@
         Ok(Node { core, role: Role::Follower, rng })
     }
 
-    /// Takes what happened; returns what is to be done, in this order. An instant before that of the last step counts as that
-    /// one.
+    /// Processes one input and returns the outputs, which the host carries out in this order. A `now` before that of the
+    /// previous step counts as the previous one.
     pub fn step(&mut self, now: Instant, input: Input) -> Vec<Output> {
         self.core.context.start_step(now);
-        // A node that was suspended (a paused virtual machine) checks its lease, or its take-over, before anything that
-        // arrived meanwhile.
+        // After a suspension (of a paused virtual machine, for example), the lease or the take-over is checked before any
+        // input that arrived meanwhile.
         self.renew_lease_or_step_down();
         self.end_overdue_take_over();
         self.on_input(input);
-        // Before the identity is durable, only the disk has timers: its first write is the identity.
+        // Until the identity is durable, only the timers of the disk run: its first write is the identity.
         self.run_disk_timers();
         if self.core.storage.is_open() {
             self.run_timers();
         }
-        // Before requests are served: one that was answered as unavailable is not started afterwards.
+        // Expired requests are answered before any is served, so that a request that was answered as unavailable is not
+        // started afterwards.
         self.core.requests.expire(&mut self.core.context);
         self.serve_requests();
         #[cfg(feature = "fault-injection")]
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Nothing is promised or answered before the identity is durable.
+    /// Returns true if the message may be handled. Nothing is promised or answered before the identity of the disk is
+    /// durable.
     fn may_receive(&self, from: Member, message: &Message) -> bool {
         let is_own = from.id == self.core.local().id;
         self.core.storage.is_open() && message.is_within_bounds() && !is_own
@@ -123,7 +126,7 @@
         self.announce_shutdown();
     }
 
-    /// Extends the lease of a primary; one whose lease has expired steps down.
+    /// Extends the lease of a primary, which steps down if the lease has expired.
     fn renew_lease_or_step_down(&mut self) {
         if let Role::Primary(primary) = &self.role
             && !primary.renew_lease(&mut self.core)
@@ -146,12 +149,12 @@
     }
 }
 
-/// The identity of an empty disk.
+/// Creates the identity of an empty disk.
 fn new_identity(settings: &Settings, rng: &mut impl RngCore) -> DiskIdentity {
     let is_bootstrap_voter = settings.bootstrap && settings.seeds.contains(&settings.address);
     let voters: BTreeSet<_> = settings.seeds.iter().take(MAX_MEMBERS).copied().collect();
     DiskIdentity {
-        // Zero stands for an unknown disk.
+        // Zero is reserved for members whose disk is unknown.
         id: MemberId(rng.next_u64().max(1)),
         bootstrap_voters: is_bootstrap_voter.then(|| voters.into_iter().collect()),
     }
--- a/crates/consensus/src/node/acceptance.rs
+++ b/crates/consensus/src/node/acceptance.rs
@@ -1,4 +1,4 @@
-//! What this disk promises, writes and accepts for other nodes.
+//! Handlers of the messages that request a promise, a write or an acceptance from this node (as an acceptor of Paxos).
 
 use rand_core::RngCore;
 
@@ -35,7 +35,7 @@
         self.write_for(from, effect);
     }
 
-    /// Whether a message of this term may be accepted, see [`crate::acceptor::Acceptor::admits`].
+    /// Returns true if a message of this term may be accepted, see [`crate::acceptor::Acceptor::admits`].
     fn admits(&mut self, from: Member, term: Term) -> bool {
         let core = &mut self.core;
         core.epoch.observe_term(term);
@@ -73,8 +73,8 @@
         self.write_for(from, effect);
     }
 
-    /// Raises the promise, which ends a role under a lower term, and starts the write. `from` gets the response once it is
-    /// durable.
+    /// Raises the promise, which ends a role under a lower term, and starts the write. `from` gets the response once the
+    /// write is durable.
     fn write_for(&mut self, from: Member, effect: Option<DurabilityEffect>) {
         let Some(effect) = effect else { return };
         if let Some(term) = effect.term() {
@@ -84,10 +84,10 @@
         self.core.write(effect, from);
     }
 
-    /// A write for another node is durable: sends the response.
+    /// Sends the response to a node whose write is durable.
     pub(super) fn respond_to_write(&mut self, requester: Member, effect: &DurabilityEffect) {
         match effect {
-            // After a higher promise, the response would be of no use.
+            // After a higher promise, the proposer can't use this one any more.
             DurabilityEffect::Promise(term) if self.core.acceptor.promised() == *term => {
                 self.send_promise(requester, *term);
             }
--- a/crates/consensus/src/node/disk.rs
+++ b/crates/consensus/src/node/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a node: confirmed and failed writes, and what is written without a request.
+//! Handles confirmed and failed disk writes, and starts the writes that no member has requested.
 
 use rand_core::RngCore;
 
@@ -13,7 +13,7 @@
         }
     }
 
-    /// A failed write is on disk or not: the role that has requested it ends.
+    /// A failed write may or may not be on disk, so the role that requested it ends.
     pub(super) fn on_write_failed(&mut self, token: u64) {
         let Some(write) = self.core.storage.take_failed(self.core.context.now(), token) else { return };
         if write.requester.is_none_or(|requester| requester.id != self.core.local().id) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A write is durable: its requester is notified.
+    /// Completes a durable write and notifies its requester.
     fn complete(&mut self, write: PendingDiskWrite) {
         self.core.storage.complete(&write);
         let Some(requester) = write.requester else { return };
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A write that the role of this node has requested is durable.
+    /// Handles a durable write that the role of this node has requested.
     fn on_local_write(&mut self, effect: &DurabilityEffect) {
         match (effect, &mut self.role) {
             (DurabilityEffect::Promise(term), _) => self.on_local_promise_written(*term),
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Starts the writes that no member has requested, see [`crate::storage::Storage::run_timers`]. Where none is due, a
-    /// follower without a vote writes the newest configuration, so that it finds the others after its next start.
+    /// Starts the writes that no member has requested, see [`crate::storage::Storage::run_timers`]. If none is due, a
+    /// follower without a vote writes the newest configuration, so that it finds the others after a restart.
     pub(super) fn run_disk_timers(&mut self) {
         let core = &mut self.core;
         let is_idle = core.storage.run_timers(&mut core.context, core.acceptor.promised());
@@ -74,8 +74,8 @@
         }
     }
 
-    /// With [`crate::InjectedFault::RespondUnsynced`], the response to a write is sent in the step that starts it; without it
-    /// there are none here.
+    /// With [`crate::InjectedFault::RespondUnsynced`], responds to a write in the step that starts it. Without that fault
+    /// there is nothing to complete here.
     #[cfg(feature = "fault-injection")]
     pub(super) fn complete_unsynced_writes(&mut self) {
         while let Some(write) = self.core.storage.take_unsynced() {
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! The role of a follower: it trusts its primary while that is alive, and attempts to become primary when it is not.
+//! The follower role: follows the primary while it is alive, and attempts to become primary when it is suspected.
 
 use mosshead_time::Instant;
 use rand_core::RngCore;
@@ -10,10 +10,10 @@
 use crate::message::Message;
 use crate::term::{Member, Term};
 use crate::transition::TakeOverPlan;
-use crate::votes::Deciders;
+use crate::votes::QuorumRule;
 
 impl<R: RngCore> Node<R> {
-    /// Whether this node may become primary.
+    /// Returns true if this node may attempt to become primary.
     fn may_take_over(&self) -> bool {
         let is_eligible = match self.core.epoch.config() {
             Some(config) => config.has_member(self.core.local().id),
@@ -26,12 +26,12 @@
         self.core.failure_detector.trusts_primary(&self.core.context)
     }
 
-    /// Schedules the next attempt for when the primary would be suspected.
+    /// Schedules the next attempt for the time at which the primary would be suspected.
     fn await_suspicion(&mut self) {
         self.schedule_attempt(self.core.failure_detector.trusted_until(&self.core.context));
     }
 
-    /// Schedules the next attempt so that another node has the suspicion timeout to become primary.
+    /// Schedules the next attempt after the suspicion timeout, so that another node can become primary first.
     pub(super) fn await_primary(&mut self) {
         self.schedule_attempt(self.core.now() + self.core.context.timings().suspicion_timeout);
     }
@@ -53,7 +53,7 @@
             return self.await_suspicion();
         }
         self.core.election_timer.schedule_pre_vote_retry(now, &mut self.rng);
-        for member in self.core.electorate() {
+        for member in self.core.known_voters() {
             self.core.send(member.address, Message::PreVote);
         }
         self.on_pre_vote_granted(self.core.local(), self.core.is_bootstrap_voter());
@@ -71,17 +71,17 @@
         self.core.send(from.address, response);
     }
 
-    /// A node, maybe this one, would promise a term. With enough of them, the take-over starts.
+    /// Records a pre-vote that a node, possibly this one, has granted. With enough of them the take-over starts.
     pub(super) fn on_pre_vote_granted(&mut self, from: Member, is_bootstrap_voter: bool) {
         if !self.may_take_over() || self.trusts_primary() {
             return;
         }
         let votes = self.core.pre_votes.add(self.core.context.now(), from, is_bootstrap_voter);
-        let is_enough = match self.core.epoch.config() {
-            Some(config) => votes.decide(config, Deciders::OutgoingAndNew),
-            None => votes.are_majority_of(&self.core.electorate()),
+        let has_quorum = match self.core.epoch.config() {
+            Some(config) => votes.are_quorum_of(config, QuorumRule::Joint),
+            None => votes.are_majority_of(&self.core.known_voters()),
         };
-        if is_enough {
+        if has_quorum {
             self.start_take_over(TakeOverPlan::default());
         }
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The primary has returned this stamp, and its committed state was of this revision.
+    /// Handles the stamp that a heartbeat returned. The committed state of the primary was of this revision.
     fn confirm_contact(&mut self, echoed_stamp: Option<LeaseStamp>, revision: u64) {
         let core = &mut self.core;
         if let Some(contact_at) = core.learner.proven_instant(&core.context, echoed_stamp) {
--- a/crates/consensus/src/node/membership.rs
+++ b/crates/consensus/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Nodes that look for the others, and members that shut down.
+//! Sends and handles join requests, and requests for the removal of members that shut down.
 
 use rand_core::RngCore;
 
@@ -9,7 +9,7 @@
 use crate::term::{Member, Term};
 
 impl<R: RngCore> Node<R> {
-    /// Looks for the others where no primary is known, or this node is no member.
+    /// Sends join requests if no primary is known or this node is no member.
     pub(super) fn run_join_timers(&mut self) {
         if !self.role.is_follower() {
             return;
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Requests the removal of this node from the membership, if it shuts down.
+    /// Requests the removal of this node from the membership if it is shutting down.
     pub(super) fn announce_shutdown(&mut self) {
         if self.core.removal.take_due_announcement(&self.core.context) {
-            for member in self.core.electorate() {
+            for member in self.core.known_voters() {
                 self.core.send(member.address, Message::RequestRemoval);
             }
         }
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Which handler takes a message of another node.
+//! Dispatches the messages of other nodes to their handlers.
 
 use rand_core::RngCore;
 
@@ -9,7 +9,7 @@
 use crate::term::Member;
 
 impl<R: RngCore> Node<R> {
-    /// In the order of the numbers of messages on the wire.
+    /// Dispatches a message. The arms are in the order of the message numbers on the wire.
     pub(super) fn on_message(&mut self, from: Member, message: Message) {
         match message {
             Message::PreVote => self.on_pre_vote(from),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Remembers the configuration in a message that has other content besides.
+    /// Records the configuration attached to a message.
     fn observe_attached_config(&mut self, config: Option<EpochConfig>) {
         if let Some(config) = config {
             self.observe_config(&config);
--- a/crates/consensus/src/node/queries.rs
+++ b/crates/consensus/src/node/queries.rs
@@ -1,4 +1,4 @@
-//! What a host can query from its node.
+//! The read-only API that a node offers to its host.
 
 use core::net::SocketAddrV4;
 use core::time::Duration;
@@ -24,12 +24,12 @@
         self.core.local()
     }
 
-    /// The primary, as far as known at the last step.
+    /// The primary as known at the last step.
     pub fn primary(&self) -> Option<Member> {
         self.primary_at(self.core.now())
     }
 
-    /// The primary, as far as known at this moment, also if this node was not stepped for a while.
+    /// The primary as known at `now`, which may be later than the last step.
     pub fn primary_at(&self, now: Instant) -> Option<Member> {
         if self.role.is_primary_or_renewal() {
             return self.has_quorum_contact(now).then_some(self.core.local());
@@ -38,18 +38,19 @@
         self.core.failure_detector.primary_within(max_silence, now)
     }
 
-    /// Whether this node was primary after its last step. Before acting as primary, check [`Node::holds_primary_lease`].
+    /// Returns true if this node was primary after its last step. Before acting as primary, check
+    /// [`Node::holds_primary_lease`].
     pub fn is_primary(&self) -> bool {
         matches!(self.role, Role::Primary(_))
     }
 
-    /// Whether this node is primary and its lease holds at this moment, also if it was not stepped for a while.
+    /// Returns true if this node is primary and its lease is valid at `now`, which may be later than the last step.
     pub fn holds_primary_lease(&self, now: Instant) -> bool {
         self.is_primary() && self.core.primary_lease.is_valid(&self.core.context, now)
     }
 
-    /// Whether this node lately had contact with a majority, as primary or through the primary. If so, what it publishes
-    /// is not older than [`crate::Timings::max_staleness`].
+    /// Returns true if this node recently had contact with a majority, as primary or through the primary. If so, the
+    /// state that it publishes is not older than [`crate::Timings::max_staleness`].
     pub fn has_quorum_contact(&self, now: Instant) -> bool {
         let core = &self.core;
         if self.role.is_primary_or_renewal() {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The members by the highest configuration that this node has seen, decided or not; empty before it has seen one.
+    /// The members of the highest configuration that this node has seen, decided or not; empty before it has seen one.
     pub fn members(&self) -> &[Member] {
         self.core.epoch.config().map_or(&[], |config| &config.members)
     }
@@ -69,8 +70,8 @@
         self.core.learner.committed()
     }
 
-    /// The term of this node as primary, else of the primary that it follows, else of the highest configuration that it has
-    /// seen. The number of a primary's term is its fencing token.
+    /// The term of this node if it is primary, else of the primary that it follows, else of the highest configuration
+    /// that it has seen. The number of a primary's term is its fencing token.
     pub fn term(&self) -> Term {
         match (&self.role, self.core.failure_detector.primary()) {
             (Role::Primary(primary), _) => primary.term(),
@@ -84,11 +85,11 @@
         self.core.epoch.config()
     }
 
-    /// What founding the fleet anew by this node would do, if an operator decided so now.
+    /// The plan of a forced recovery ([`crate::Input::FoundAnew`]) by this node, if an operator requested it now.
     ///
     /// # Errors
     ///
-    /// It is not possible, or not needed.
+    /// The recovery is not possible, or not needed.
     pub fn founding(&self) -> Result<Founding, FoundingError> {
         if !self.role.is_follower() {
             return Err(FoundingError::HasPrimary);
@@ -96,7 +97,7 @@
         plan_founding(&self.core)
     }
 
-    /// The health of the group; `None` unless this node is primary and its lease holds at this moment.
+    /// The health of the group; `None` unless this node is primary and its lease is valid at `now`.
     pub fn group_health(&self, now: Instant) -> Option<GroupHealth> {
         match &self.role {
             Role::Primary(primary) if self.holds_primary_lease(now) => {
@@ -106,20 +107,21 @@
         }
     }
 
-    /// Whether the disk takes writes and this node does not shut down.
+    /// Returns true if the disk accepts writes and this node is not shutting down.
     pub fn is_healthy(&self) -> bool {
         self.core.is_healthy()
     }
 
-    /// One record that replaces the log; none while writes are pending or before the identity of the disk is durable.
+    /// One record that can replace the whole log; `None` while writes are pending or before the identity of the disk is
+    /// durable.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let storage = &self.core.storage;
         (storage.is_idle() && storage.is_open())
             .then(|| storage.snapshot_record(self.core.acceptor.promised()))
     }
 
-    /// After [`crate::Input::ShutDown`]: whether the process may end. The others need nothing more of this node, or it has
-    /// waited for its removal for [`SHUTDOWN_TIMEOUT`]. To be checked after each step.
+    /// Returns true if the process may end after [`crate::Input::ShutDown`]: the other members need nothing more of this
+    /// node, or it has waited for its removal for [`SHUTDOWN_TIMEOUT`]. To be checked after each step.
     pub fn may_shut_down(&self) -> bool {
         let Some(age) = self.core.removal.shutdown_age(self.core.now()) else { return false };
         if age >= SHUTDOWN_TIMEOUT {
@@ -134,16 +136,16 @@
         self.core.epoch.config().is_none_or(|config| self.is_dispensable_to(config))
     }
 
-    /// Whether a configuration needs neither the vote nor the state of this node.
+    /// Returns true if the configuration needs neither the vote nor the state of this node.
     fn is_dispensable_to(&self, config: &EpochConfig) -> bool {
         let local = self.core.local();
         let is_granted = self.core.removal.is_granted(self.core.acceptor.promised(), config.term);
-        // Only decided configurations have heartbeats.
+        // Only the primary of a decided configuration sends heartbeats.
         let known_primary = self.core.failure_detector.primary();
         let is_decided = known_primary.is_some_and(|primary| primary.term() == config.term);
-        let is_outside = is_decided && !config.has_voter(local.id);
-        let is_alone = config.voters().iter().all(|member| member.address == local.address);
-        is_granted || is_outside || is_alone
+        let has_no_vote = is_decided && !config.has_voter(local.id);
+        let is_only_voter = config.voters().iter().all(|member| member.address == local.address);
+        is_granted || has_no_vote || is_only_voter
     }
 
     /// The address that clients are redirected to.
--- a/crates/consensus/src/node/requests.rs
+++ b/crates/consensus/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients.
+//! Handles the requests of clients: changes and reads.
 
 use rand_core::RngCore;
 
@@ -10,8 +10,8 @@
 use crate::pending_requests::ChangeRequest;
 
 impl<R: RngCore> Node<R> {
-    /// Whether this node is primary, or may be so soon, and takes requests.
-    fn takes_requests(&self) -> bool {
+    /// Returns true if this node accepts requests: it is primary or taking over, and is not shutting down.
+    fn accepts_requests(&self) -> bool {
         !self.role.is_follower() && !self.core.removal.is_shutting_down()
     }
 
@@ -25,7 +25,7 @@
         if body.len() > MAX_BODY_BYTES {
             return self.core.context.reply(request_id, ClientReply::TooLarge);
         }
-        if !self.takes_requests() {
+        if !self.accepts_requests() {
             return self.redirect(request_id);
         }
         let received_at = self.core.now();
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn on_read(&mut self, request_id: u64) {
-        if !self.takes_requests() {
+        if !self.accepts_requests() {
             return self.redirect(request_id);
         }
         let core = &mut self.core;
--- a/crates/consensus/src/node/responses.rs
+++ b/crates/consensus/src/node/responses.rs
@@ -1,4 +1,5 @@
-//! Responses of other nodes to the role of this one. A response that arrives after the end of the role is ignored.
+//! Handles the responses of other nodes to the role of this one. A response that arrives after the end of the role is
+//! ignored.
 
 use rand_core::RngCore;
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A state is durable at a node, maybe at this one.
+    /// Handles a state that is durable on a node, possibly this one.
     pub(super) fn on_state_written(&mut self, id: MemberId, version: StateVersion) {
         match &mut self.role {
             Role::Primary(primary) => primary.on_state_written(&mut self.core, id, version),
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -1,4 +1,4 @@
-//! The role of a node, and how it changes.
+//! The role of a node and its transitions.
 
 use rand_core::RngCore;
 
@@ -15,7 +15,7 @@
 use crate::transition::{DecidedEpoch, TakeOverPlan, Transition};
 use crate::votes::Votes;
 
-/// The role of a node. Each one starts as a follower.
+/// The role of a node. Each node starts as a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
     /// Neither primary nor taking over.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether this is a primary, also one that takes over from itself.
+    /// Returns true for a primary, including one that is renewing its epoch.
     pub(super) fn is_primary_or_renewal(&self) -> bool {
         match self {
             Role::Follower => false,
@@ -50,7 +50,7 @@
 }
 
 impl<R: RngCore> Node<R> {
-    /// Carries out what the role has requested.
+    /// Carries out a transition that the role has requested.
     pub(super) fn apply(&mut self, transition: Transition) {
         match transition {
             Transition::Stay => {}
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Remembers a configuration that a node has proposed; a primary or a take-over under a lower term becomes a follower.
+    /// Records a configuration that a node has proposed. A primary or a take-over under a lower term becomes a follower.
     pub(super) fn observe_config(&mut self, config: &EpochConfig) {
         if self.core.epoch.observe_config(config) {
             self.step_down_below(config.term);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Becomes a follower, unless it is one, and answers the pending requests.
+    /// Becomes a follower and answers the pending requests. Does nothing if this node already is a follower.
     pub(super) fn step_down(&mut self) {
         if self.role.is_follower() {
             return;
@@ -92,8 +92,8 @@
         self.core.requests.drop_all(&mut self.core.context, primary);
     }
 
-    /// Starts a take-over under a term above all that were seen. The role stays as it is where there is no higher term, or
-    /// too many writes are pending.
+    /// Starts a take-over under a term higher than any seen. The role stays unchanged if there is no higher term or too
+    /// many writes are pending.
     pub(super) fn start_take_over(&mut self, plan: TakeOverPlan) {
         let promised = self.core.acceptor.promised();
         let local = self.core.local();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes over with the members that are left, if they could not by themselves.
+    /// Starts a forced recovery with the remaining nodes, if [`plan_founding`] allows it.
     pub(super) fn found_anew(&mut self) {
         if !self.role.is_follower() {
             return;
--- a/crates/consensus/src/node/state_transfers.rs
+++ b/crates/consensus/src/node/state_transfers.rs
@@ -1,4 +1,5 @@
-//! States on their way between nodes: committed ones, and large ones in chunks.
+//! Handles states that other nodes send or request: committed deltas, and complete states, which are sent in chunks if
+//! they are large.
 
 use rand_core::RngCore;
 
@@ -34,7 +35,7 @@
         self.core.transfers.on_offer(&mut self.core.context, from, offer);
     }
 
-    /// Whether the offered state is of use.
+    /// Returns true if this node needs the offered state.
     fn wants_offered_state(&mut self, from: Member, offer: &SnapshotOffer) -> bool {
         match offer.purpose {
             StatePurpose::CommittedState => {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The receiver of a state has requested a chunk: what waits for it is given more time.
+    /// The receiver of a state has requested a chunk: extends the timeout of the write or the take-over that waits for it.
     fn on_transfer_progress(&mut self, to: Member, progress: &TransferProgress) {
         let core = &mut self.core;
         match (progress.purpose, &mut self.role) {
@@ -70,7 +71,7 @@
             (StatePurpose::ReplicateState, Role::TakingOver(take_over)) => {
                 take_over.record_transfer_progress(core, progress.version);
             }
-            // The node that fetches the newest state is about to be primary: no pre-votes for others meanwhile.
+            // The node that fetches the newest state will soon be primary: no pre-votes for others meanwhile.
             (StatePurpose::FetchedState { term }, _)
                 if term.proposer == to.id && term == core.acceptor.promised() =>
             {
--- a/crates/consensus/src/node_core.rs
+++ b/crates/consensus/src/node_core.rs
@@ -1,7 +1,8 @@
-//! What a node keeps in every role. The roles work on it and return a [`crate::transition::Transition`].
+//! The state of a node that does not depend on its role. The roles work on it and return a
+//! [`crate::transition::Transition`].
 //!
-//! Each part owns its state, behind methods. The parts are separate fields, as most of their methods borrow the context, or
-//! another part, at the same time.
+//! Each part owns its state behind methods. The parts are separate fields because most of their methods borrow the
+//! context, or another part, at the same time.
 
 use core::net::SocketAddrV4;
 
@@ -30,7 +31,7 @@
 use crate::snapshot_transfer::SnapshotTransfers;
 use crate::storage::Storage;
 use crate::term::Member;
-use crate::votes::Deciders;
+use crate::votes::QuorumRule;
 
 /// The parts of a node that outlive its role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -47,10 +48,10 @@
     pub(crate) removal: MemberRemoval,
     pub(crate) transfers: SnapshotTransfers,
     pub(crate) requests: PendingRequests,
-    /// Survives a renewal; a new primary starts without peers.
+    /// Kept through a renewal; otherwise rebuilt when this node becomes primary.
     pub(crate) peers: Peers,
     pub(crate) primary_lease: PrimaryLease,
-    /// Survives a renewal, as the peers do.
+    /// Kept through a renewal, like the peers.
     pub(crate) delta_log: DeltaLog,
     pub(crate) leadership_transfer: LeadershipTransfer,
 }
@@ -84,7 +85,7 @@
         core
     }
 
-    /// As [`Context::has_fault`].
+    /// See [`Context::has_fault`].
     pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
         self.context.has_fault(fault)
     }
@@ -109,7 +110,7 @@
         self.learner.publish(&mut self.context, state);
     }
 
-    /// Writes for a member, or for the role of this node.
+    /// Appends a write for `requester`: another member, or this node for its own role.
     pub(crate) fn write(&mut self, effect: DurabilityEffect, requester: Member) {
         self.storage.append(&mut self.context, effect, Some(requester));
     }
@@ -127,8 +128,8 @@
         self.bootstrap_voters().is_some()
     }
 
-    /// Before there is a configuration: whether this node is a bootstrap voter, and knows the others or has waited for long
-    /// enough.
+    /// Returns true if this node may take over without having seen a configuration: it is a bootstrap voter, and knows
+    /// the other bootstrap voters or has waited for `bootstrap_timeout`.
     pub(crate) fn may_bootstrap(&self) -> bool {
         let Some(voters) = self.bootstrap_voters() else { return false };
         let waited = self.context.elapsed(self.context.started_at());
@@ -136,9 +137,9 @@
             || self.joins.include_bootstrap_voters(self.local(), voters)
     }
 
-    /// Those that pre-votes and promises are requested from: the voters of the highest configuration seen; without one, the
-    /// bootstrap voters, or none if this disk is not one of theirs.
-    pub(crate) fn electorate(&self) -> Vec<Member> {
+    /// The members that pre-votes and promises are requested from: the voters of the highest configuration seen. Without
+    /// a configuration, the bootstrap voters, or nobody if this disk is not one of theirs.
+    pub(crate) fn known_voters(&self) -> Vec<Member> {
         match (self.epoch.config(), self.bootstrap_voters()) {
             (Some(config), _) => config.voters(),
             (None, Some(voters)) => voters.iter().copied().map(Member::bootstrap_voter).collect(),
@@ -146,39 +147,40 @@
         }
     }
 
-    /// Whose majorities decide on a configuration in a take-over.
-    pub(crate) fn deciders(&self) -> Deciders {
+    /// The majorities that a configuration needs in a take-over.
+    pub(crate) fn quorum_rule(&self) -> QuorumRule {
         match self.has_fault(InjectedFault::NewMembersOnly) {
-            true => Deciders::NewOnly,
-            false => Deciders::OutgoingAndNew,
+            true => QuorumRule::NewOnly,
+            false => QuorumRule::Joint,
         }
     }
 
     /// Forgets all addresses but those of the seeds and of the members.
     pub(crate) fn reset_addresses(&mut self) {
-        let electorate = self.electorate();
-        self.epoch.reset_addresses(&self.context.settings().seeds, &electorate);
+        let known_voters = self.known_voters();
+        self.epoch.reset_addresses(&self.context.settings().seeds, &known_voters);
     }
 
-    /// Whether the disk takes writes and this node does not shut down.
+    /// Returns true if the disk accepts writes and this node is not shutting down.
     pub(crate) fn is_healthy(&self) -> bool {
         let is_disk_healthy = self.storage.is_healthy(&self.context);
         !self.removal.is_shutting_down() && (is_disk_healthy || self.has_fault(InjectedFault::AlwaysHealthy))
     }
 
-    /// A state with this body, if it is durable or committed here.
+    /// The state with this body, if it is durable here or known to be committed.
     pub(crate) fn find_state(&self, version: &StateVersion) -> Option<&ControlState> {
         let states = [self.storage.state(), self.learner.committed()];
         states.into_iter().flatten().find(|state| state.version().has_same_body(version))
     }
 
-    /// Whether this node, as primary, may send heartbeats: only while its lease is valid at the time of this step.
+    /// Returns true if this node, as primary, may send heartbeats: only while its lease is valid at the time of this step.
     pub(crate) fn may_send_heartbeats(&self) -> bool {
         self.primary_lease.is_valid(&self.context, self.now())
             || self.has_fault(InjectedFault::IgnorePrimaryLease)
     }
 
-    /// The configuration that a node without a vote needs to find the others after its next start, if it is not durable.
+    /// The newest configuration, if this node has no vote in it and it is not durable yet. The node needs it to find the
+    /// others after a restart.
     pub(crate) fn unwritten_config(&self) -> Option<EpochConfig> {
         let known = self.storage.configs().map(|config| config.term).max();
         let config = self.epoch.config().filter(|config| known.is_none_or(|known| known < config.term))?;
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the primary knows of the other nodes.
+//! What the primary knows about the other nodes.
 
 mod peer;
 
@@ -17,19 +17,19 @@
 
 /// More peers than this are ignored.
 const MAX_PEERS: usize = 64;
-/// A peer without a vote is forgotten after a silence of this length.
+/// A peer without a vote is dropped after it has been silent for this long.
 const NON_VOTER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// A new epoch, as far as it matters for the peers.
+/// The properties of a new epoch that matter to the peers.
 pub(crate) struct NewEpoch<'a> {
     pub(crate) config: &'a EpochConfig,
-    /// Who has accepted the configuration.
+    /// The members that have accepted the configuration.
     pub(crate) votes: &'a Votes,
     /// When the configuration was proposed.
     pub(crate) proposed_at: Instant,
-    /// Whether this node was primary just before.
+    /// True if this node was primary just before.
     pub(crate) is_renewal: bool,
-    /// The primary before, if it is suspected.
+    /// The previous primary, if it is suspected.
     pub(crate) silent_primary: Option<MemberId>,
 }
 
@@ -38,7 +38,7 @@
 pub(crate) struct DefaultValues<T> {
     /// The value of this node.
     pub(crate) local: T,
-    /// The value of members that nothing is known of.
+    /// The value of members about which nothing is known.
     pub(crate) unknown: T,
 }
 
@@ -65,7 +65,7 @@
         self.by_member.values_mut()
     }
 
-    /// Adds a node that is no member; returns whether it is new.
+    /// Adds a node that is no member. Returns true if it is new.
     pub(crate) fn add(&mut self, member: Member, now: Instant) -> bool {
         if self.by_member.contains_key(&member.id) || self.by_member.len() >= MAX_PEERS {
             return false;
@@ -74,12 +74,13 @@
         true
     }
 
-    /// Forgets the peers without a vote that have been silent for [`NON_VOTER_TIMEOUT`].
+    /// Drops the peers without a vote that have been silent for longer than [`NON_VOTER_TIMEOUT`].
     pub(crate) fn drop_silent_non_voters(&mut self, config: &EpochConfig, now: Instant) {
         self.by_member.retain(|id, peer| config.has_voter(*id) || peer.silence(now) <= NON_VOTER_TIMEOUT);
     }
 
-    /// Starts over with the voters of a new epoch. A renewal retains what is known of the peers.
+    /// Adds the voters of a new epoch. Unless the epoch is a renewal, all other knowledge of the peers is dropped first,
+    /// and `newcomers` are added.
     pub(crate) fn start_epoch(&mut self, context: &Context, epoch: &NewEpoch<'_>, newcomers: &[Member]) {
         if !epoch.is_renewal {
             self.by_member.clear();
@@ -122,7 +123,8 @@
         let value_of = |member: &Member| match member.id {
             id if id == local_member.id => local,
             MemberId::UNKNOWN if member.address == local_member.address => local,
-            // Known by its address only: a disk that is no bootstrap voter, such as a wiped one, does not count for it.
+            // Known by its address only. Only a bootstrap voter at that address counts for it, and not, for example, a
+            // wiped disk.
             MemberId::UNKNOWN => {
                 let voters = self.by_member.values().filter(|p| p.is_bootstrap_voter());
                 let same_address = voters.filter(|p| p.member().address == member.address);
@@ -139,8 +141,8 @@
     }
 }
 
-/// How long a voter counts as silent at the start of an epoch. One that took no part in the take-over has probably been
-/// silent for as long as its primary: it is suspected after two heartbeats without a response.
+/// The assumed silence of a voter at the start of an epoch. One that took no part in the take-over has probably been
+/// silent for as long as the former primary: it is suspected after two heartbeats without a response.
 fn assumed_silence(context: &Context, epoch: &NewEpoch<'_>, id: MemberId) -> Duration {
     let timings = context.timings();
     if epoch.silent_primary == Some(id) {
--- a/crates/consensus/src/peers/peer.rs
+++ b/crates/consensus/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! What the primary knows of one other node.
+//! What the primary knows about one other node.
 
 use core::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::lease_stamp::LeaseStamp;
 use crate::term::{Member, Term};
 
-/// A message of a peer is recent for this long.
-const RECENT: Duration = Duration::from_millis(350);
+/// The last message of a peer counts as recent for this long.
+const RECENT_MESSAGE_AGE: Duration = Duration::from_millis(350);
 
-/// What the primary knows of another node.
+/// What the primary knows about another node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     member: Member,
@@ -22,7 +22,7 @@
     last_acknowledged_heartbeat_sent_at: Instant,
     /// The sequence number of that heartbeat; zero at the start of an epoch.
     acknowledged_heartbeat: u64,
-    /// Whether its disk takes writes and it does not shut down, by its last message.
+    /// True if its last message reported that its disk accepts writes and that it is not shutting down.
     is_healthy: bool,
     /// When it was last known to be healthy.
     last_healthy_at: Instant,
@@ -31,7 +31,7 @@
     known_term: Term,
     /// The term of the latest heartbeat that it has answered.
     answered_term: Term,
-    /// When a state was sent to it last.
+    /// When a state was last sent to it.
     state_sent_at: Option<Instant>,
     /// The newest stamp of its responses.
     lease_stamp: Option<LeaseStamp>,
@@ -68,17 +68,17 @@
         self.last_received_at
     }
 
-    /// How long it has sent nothing.
+    /// The time since its last message.
     pub(crate) fn silence(&self, now: Instant) -> Duration {
         now - self.last_received_at
     }
 
-    /// Whether its last message is recent.
+    /// Returns true if its last message is recent.
     pub(crate) fn is_recent(&self, now: Instant) -> bool {
-        self.silence(now) <= RECENT
+        self.silence(now) <= RECENT_MESSAGE_AGE
     }
 
-    /// Whether its disk takes writes and it does not shut down, by its last message.
+    /// True if its last message reported that its disk accepts writes and that it is not shutting down.
     pub(crate) fn is_healthy(&self) -> bool {
         self.is_healthy
     }
@@ -93,7 +93,7 @@
         self.acknowledged_heartbeat
     }
 
-    /// When that heartbeat, or one of the epoch before, was sent; the origin of the clock if there is none.
+    /// When that heartbeat, or one of the previous epoch, was sent; the origin of the clock if there is none.
     pub(crate) fn last_acknowledged_heartbeat_sent_at(&self) -> Instant {
         self.last_acknowledged_heartbeat_sent_at
     }
@@ -113,8 +113,8 @@
         self.lease_stamp
     }
 
-    /// Records a heartbeat response. It acknowledges the heartbeat that was sent at `acknowledged_sent_at`; none if it
-    /// acknowledges nothing.
+    /// Records a heartbeat response, which acknowledges the heartbeat that was sent at `acknowledged_sent_at`, or nothing
+    /// if that is `None`.
     pub(crate) fn record_response(
         &mut self,
         now: Instant,
@@ -139,12 +139,12 @@
         self.last_acknowledged_heartbeat_sent_at = self.last_acknowledged_heartbeat_sent_at.max(sent_at);
     }
 
-    /// It has announced that it shuts down.
+    /// Records that it has announced its shutdown.
     pub(crate) fn record_shutdown(&mut self) {
         self.is_healthy = false;
     }
 
-    /// Whether no state was sent to it for this long.
+    /// Returns true if no state was sent to it within the interval.
     pub(crate) fn is_state_due(&self, now: Instant, interval: Duration) -> bool {
         self.state_sent_at.is_none_or(|sent_at| now - sent_at >= interval)
     }
@@ -153,7 +153,7 @@
         self.state_sent_at = Some(now);
     }
 
-    /// A new epoch has heartbeats of its own.
+    /// Forgets the acknowledged heartbeat: the sequence numbers restart in each epoch.
     pub(super) fn reset_heartbeats(&mut self) {
         self.acknowledged_heartbeat = 0;
     }
@@ -162,13 +162,13 @@
         self.member = member;
     }
 
-    /// Counts as healthy until it reports otherwise; was last known to be so at this instant.
+    /// Assumes that it is healthy until it reports otherwise, and was last known to be so at this instant.
     pub(super) fn assume_healthy(&mut self, last_healthy_at: Instant) {
         self.is_healthy = true;
         self.last_healthy_at = last_healthy_at;
     }
 
-    /// It has accepted the configuration of a new epoch, which was proposed at `proposed_at`.
+    /// Records that it has accepted the configuration of a new epoch, which was proposed at `proposed_at`.
     pub(super) fn record_vote(
         &mut self,
         now: Instant,
--- a/crates/consensus/src/pre_votes.rs
+++ b/crates/consensus/src/pre_votes.rs
@@ -1,4 +1,4 @@
-//! Who would promise this node a term.
+//! The pre-votes that other nodes have granted to this one: they would promise it a term.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 /// More granted pre-votes than this are ignored.
 const MAX_PRE_VOTES: usize = 64;
 
-/// The pre-votes that were granted to this node lately.
+/// The pre-votes that were recently granted to this node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PreVotes {
     by_member: BTreeMap<MemberId, GrantedPreVote>,
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/primary.rs
@@ -1,5 +1,5 @@
-//! The role of the primary: it sends heartbeats, has changes written by its backups before they are acknowledged, and renews
-//! its epoch when another configuration would be better.
+//! The primary role: sends heartbeats, has each change written by its backups before it is acknowledged, and renews its
+//! epoch when another configuration would be better.
 
 mod health;
 mod heartbeats;
@@ -28,10 +28,10 @@
     state: ControlState,
     /// The sequence number of the last heartbeat.
     last_heartbeat: u64,
-    /// The first heartbeat that reports the last state that was not sent as a delta. A response to an earlier heartbeat may
-    /// have been sent before that state arrived, so a lower revision in it doesn't prove that the peer lacks the state.
+    /// The first heartbeat sent after the last state that was not sent as a delta. A response to an earlier heartbeat may
+    /// have been sent before that state arrived, so a lower revision in it does not prove that the peer lacks the state.
     first_heartbeat_of_full_state: u64,
-    /// The latest heartbeats, oldest first.
+    /// The most recently sent heartbeats, oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
     next_heartbeat_at: Instant,
     pending_write: Option<PendingWrite>,
@@ -77,7 +77,7 @@
         self.last_heartbeat + 1
     }
 
-    /// A voter has promised a higher term.
+    /// Handles the rejection by a voter that has promised a higher term.
     pub(crate) fn on_reject(&mut self, now: Instant, term: Term, promised: Term) {
         if self.term == term && promised > term {
             self.higher_term_seen_since.get_or_insert(now);
--- a/crates/consensus/src/primary/health.rs
+++ b/crates/consensus/src/primary/health.rs
@@ -1,4 +1,4 @@
-//! What the primary says of the health of the group.
+//! The health of the group as the primary reports it.
 
 use mosshead_time::Instant;
 
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and the handling of their responses.
+//! Sends heartbeats and handles their responses.
 
 use mosshead_time::Instant;
 
@@ -11,7 +11,7 @@
 use crate::state_delta::StateDelta;
 use crate::term::{Member, MemberId};
 
-/// How many sent heartbeats are remembered.
+/// The number of sent heartbeats that are kept to match responses with their send times.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
 /// The recipients of a heartbeat.
@@ -30,7 +30,8 @@
         reached.min(self.last_heartbeat)
     }
 
-    /// Extends the lease by the heartbeats that a majority has answered; returns whether it is valid.
+    /// Extends the lease from the send time of the newest heartbeat that a majority has answered. Returns true if the
+    /// lease is valid.
     pub(crate) fn renew_lease(&self, core: &mut NodeCore) -> bool {
         let defaults = DefaultValues { local: Instant::FAR_FUTURE, unknown: Instant::ORIGIN };
         let sent_at = Peer::last_acknowledged_heartbeat_sent_at;
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends heartbeats between the regular ones, for requests that wait for a confirmation.
+    /// Sends heartbeats in addition to the regular ones, for requests that wait for a confirmation.
     pub(super) fn send_heartbeats_to_voters(&mut self, core: &mut NodeCore) {
         if core.may_send_heartbeats() {
             self.send_heartbeats(core, Recipients::Voters);
@@ -118,12 +119,12 @@
             core.send(from.address, Message::Accept { config: self.config.clone() });
         }
         if is_first_after_silence {
-            // Its lease has expired: the next regular heartbeat would renew it later than need be.
+            // Its read lease has expired: an immediate heartbeat renews it sooner than the next regular one.
             self.send_heartbeat_to(core, from.id);
         }
     }
 
-    /// Records what a peer has answered. A peer that has promised a higher term acknowledges nothing.
+    /// Records a heartbeat response. A peer that has promised a higher term acknowledges nothing.
     fn update_peer(&self, core: &mut NodeCore, id: MemberId, response: &HeartbeatResponse) {
         let now = core.now();
         let heartbeat = self.sent_heartbeats.iter().find(|sent| sent.sequence == response.sequence);
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Whether a peer lacks the committed state and is to get it now. If so, the time is noted.
+    /// Returns true if a peer lacks the committed state and it is due to be sent. If so, records the time.
     fn take_due_state(&self, core: &mut NodeCore, id: MemberId, response: &HeartbeatResponse) -> bool {
         let (now, timings) = (core.now(), core.context.timings());
         // The response may have been sent before the last state arrived.
@@ -151,7 +152,7 @@
         is_due
     }
 
-    /// Sends the committed state to a node that knows an older one: the deltas since then, or the complete state.
+    /// Sends the committed state to a node that has an older one: the deltas since then, or the complete state.
     fn send_catch_up(&self, core: &mut NodeCore, to: Member, known_revision: Option<u64>) {
         let state = &self.state;
         let max_bytes = core.context.settings().chunk_sizes.large_state_bytes.min(state.body.len());
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -1,4 +1,4 @@
-//! Which members and backups the next epoch should have.
+//! Plans the members of the next epoch, and detects when it should have other backups.
 
 use core::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::term::{Member, MemberId, Term};
 use crate::timings::Timings;
 
-/// The members and backups that the primary wants, by what it knows of its peers.
+/// Plans the next epoch from what the primary knows about its peers.
 pub(super) struct MembershipPlan<'a> {
     pub(super) core: &'a NodeCore,
     pub(super) primary: &'a PrimaryState,
@@ -28,7 +28,7 @@
         self.core.removal.is_departing(id, self.core.now())
     }
 
-    /// Whether the peer could take part in the next epoch.
+    /// Returns true if the peer could take part in the next epoch.
     fn is_available(&self, peer: &Peer) -> bool {
         peer.is_healthy() && self.is_recent(peer) && !self.is_departing(peer.member().id)
     }
@@ -43,21 +43,21 @@
         self.primary.config.backups.iter().any(|id| !self.peer(*id).is_some_and(is_present))
     }
 
-    /// Whether a backup is lost and a witness is available in its place.
+    /// Returns true if a backup is lost and a witness is available to replace it.
     pub(super) fn wants_other_backups(&self) -> bool {
         let config = &self.primary.config;
-        let is_spare = |member: &Member| {
+        let is_available_witness = |member: &Member| {
             member.id != self.core.local().id
                 && !config.backups.contains(&member.id)
                 && self.peer(member.id).is_some_and(|peer| self.is_available(peer))
         };
         !self.core.has_fault(InjectedFault::KeepStalledBackup)
             && self.has_lost_backup()
-            && config.members.iter().any(is_spare)
+            && config.members.iter().any(is_available_witness)
     }
 
-    /// The members as they should be, if other than they are. Several may change at once: the outgoing and the new ones
-    /// decide on the complete list.
+    /// The members that the next epoch should have; `None` if no change is needed. Several may change at once, because
+    /// both the outgoing and the new members decide on the complete list.
     pub(super) fn wanted_members(&self) -> Option<Vec<Member>> {
         if self.core.has_fault(InjectedFault::NeverReplaceMembers) {
             return None;
@@ -80,11 +80,12 @@
         (has_changed && !is_deferred).then_some(members)
     }
 
-    /// Those that may become members: first those at the address of a member, whose disk they replace. Of two disks at
-    /// one address, the one that has sent the last message comes last, and so gets the slot in the end.
+    /// The nodes that may become members. Those at the address of a member come first, since they replace its disk. Of two
+    /// disks at one address, the one that has sent the most recent message comes last, and so gets the slot in the end.
     fn newcomers(&self) -> Vec<Member> {
         let config = &self.primary.config;
-        // The last message of a disk that was wiped is recent, too. Only a response in this epoch shows that the disk exists.
+        // The last message of a disk that was wiped may be recent, too. Only a response in this epoch shows that the disk
+        // exists.
         let exists = |peer: &Peer| {
             peer.answered_term() == self.primary.term || self.core.has_fault(InjectedFault::StaleNewcomer)
         };
@@ -101,8 +102,8 @@
         newcomers.into_iter().map(Peer::member).collect()
     }
 
-    /// Gives a newcomer the slot of the former disk at its address, a free one, or that of a member that was silent for
-    /// long or departs. Returns whether there was one.
+    /// Assigns a slot to a newcomer: that of the former disk at its address, a free one, or that of a member that has
+    /// been silent for too long or is shutting down. Returns true if there was one.
     fn assign_slot(&self, members: &mut Vec<Member>, newcomer: Member) -> bool {
         if let Some(slot) = members.iter_mut().find(|m| m.address == newcomer.address) {
             *slot = newcomer;
@@ -112,7 +113,8 @@
             members.push(newcomer);
             return true;
         }
-        let Some(replaced) = self.most_silent(members).or_else(|| self.departing_to_replace(members)) else {
+        let Some(replaced) = self.most_silent(members).or_else(|| self.departing_member_to_replace(members))
+        else {
             return false;
         };
         let Some(slot) = members.iter_mut().find(|m| m.id == replaced) else { return false };
@@ -120,13 +122,13 @@
         true
     }
 
-    /// For how long the member has not reported that it is healthy; without bound if nothing is known of it.
+    /// The time since the member last reported that it is healthy; [`Duration::MAX`] if nothing is known about it.
     fn silence(&self, member: &Member) -> Duration {
         self.peer(member.id).map_or(Duration::MAX, |p| self.core.context.elapsed(p.last_healthy_at()))
     }
 
-    /// Whether the silence of the member reaches the replacement timeout within one heartbeat interval. Members that failed
-    /// together are so replaced by one change.
+    /// Returns true if the silence of the member reaches the replacement timeout within one heartbeat interval. Members
+    /// that failed together are then replaced by one change.
     fn is_nearly_replaceable(&self, member: &Member) -> bool {
         let timings = self.core.context.timings();
         let silence = self.silence(member);
@@ -135,7 +137,7 @@
             && silence + timings.heartbeat_interval > timings.replacement_timeout
     }
 
-    /// The member that was silent for longest, and for long enough to lose its slot.
+    /// The member that has been silent for the longest time, if that exceeds the replacement timeout.
     fn most_silent(&self, members: &[Member]) -> Option<MemberId> {
         let others = members.iter().filter(|m| m.id != self.core.local().id);
         let silent = others.max_by_key(|m| self.silence(m))?;
@@ -146,25 +148,25 @@
         (self.silence(silent) > replacement_timeout).then_some(silent.id)
     }
 
-    /// A member that shuts down, if enough of those that stay can be backups.
-    fn departing_to_replace(&self, members: &[Member]) -> Option<MemberId> {
+    /// A member that is shutting down, if enough of the remaining members can be backups.
+    fn departing_member_to_replace(&self, members: &[Member]) -> Option<MemberId> {
         if self.core.has_fault(InjectedFault::KeepDepartingMembers) {
             return None;
         }
         let others = || members.iter().filter(|m| m.id != self.core.local().id);
         let departing = others().find(|m| self.is_departing(m.id))?;
         let is_recent = |m: &Member| self.peer(m.id).is_some_and(|peer| self.is_recent(peer));
-        let stays =
+        let remains =
             |m: &&Member| m.id != departing.id && self.primary.config.has_member(m.id) && is_recent(m);
-        let staying = others().filter(stays).count();
-        (staying >= self.core.context.settings().max_failures).then_some(departing.id)
+        let remaining_count = others().filter(remains).count();
+        (remaining_count >= self.core.context.settings().max_failures).then_some(departing.id)
     }
 
-    /// Whether the member may shut down: it has no vote; or it holds no state, the members are not changing, and no newcomer
-    /// waits for its slot.
+    /// Returns true if the member may shut down: it has no vote; or it holds no state, the members are not changing, and
+    /// no newcomer waits for its slot.
     ///
-    /// A member whose slot nobody waits for stays a member: the membership must not shrink, so that the return of the
-    /// member compensates for the next loss at once.
+    /// A member whose slot no newcomer waits for remains a member: the membership must not shrink, so that the return of
+    /// the member compensates for the next loss at once.
     pub(super) fn may_be_removed(&self, id: MemberId) -> bool {
         let config = &self.primary.config;
         if !config.has_voter(id) {
@@ -173,7 +175,8 @@
         !config.is_joint() && !config.holds_state(id) && !self.has_newcomer_waiting()
     }
 
-    /// Whether the last message of a node is recent that could be a member, or has not reported yet whether it can.
+    /// Returns true if a node that is no member has sent a recent message, and could become a member or has not reported
+    /// yet whether it could.
     fn has_newcomer_waiting(&self) -> bool {
         self.core.peers.iter().any(|peer| {
             let is_unknown = peer.answered_term() == Term::default();
--- a/crates/consensus/src/primary/renewal.rs
+++ b/crates/consensus/src/primary/renewal.rs
@@ -1,5 +1,4 @@
-//! A primary takes over from itself when another configuration would be better, and gives its role away when it isn't
-//! healthy.
+//! Renews the epoch when another configuration would be better, and transfers leadership when this node is not healthy.
 
 use core::time::Duration;
 
@@ -12,13 +11,13 @@
 use crate::term::Member;
 use crate::transition::{TakeOverPlan, Transition};
 
-/// A primary that shuts down waits this long at most for its pending write.
-const MAX_SHUTDOWN_WRITE: Duration = Duration::from_millis(300);
+/// The longest time that a primary waits for its pending write when it shuts down.
+const MAX_SHUTDOWN_WRITE_WAIT: Duration = Duration::from_millis(300);
 
 impl PrimaryState {
-    /// Gives the role away, renews the epoch, or stays.
+    /// Resigns, renews the epoch, or stays primary.
     pub(super) fn renew_if_needed(&self, core: &mut NodeCore) -> Transition {
-        if self.has_to_resign(core) {
+        if self.must_resign(core) {
             return self.resign(core);
         }
         let has_other_writes = !core.storage.is_idle() && !self.is_writing();
@@ -29,8 +28,8 @@
         if self.config.is_joint() || self.is_backup_slow(&plan) || self.is_superseded(core) {
             return self.renewal(None);
         }
-        let is_young = core.context.elapsed(self.started_at) < core.context.timings().heartbeat_interval;
-        if is_young || self.is_writing() {
+        let is_new_epoch = core.context.elapsed(self.started_at) < core.context.timings().heartbeat_interval;
+        if is_new_epoch || self.is_writing() {
             return Transition::Stay;
         }
         match plan.wanted_members() {
@@ -48,19 +47,20 @@
         })
     }
 
-    /// Whether the disk is stalled or full, or the node shuts down.
-    fn has_to_resign(&self, core: &NodeCore) -> bool {
+    /// Returns true if the disk is stalled or full, or the node is shutting down.
+    fn must_resign(&self, core: &NodeCore) -> bool {
         let write_age = core.storage.oldest_write_age(core.now());
         let is_stalled = write_age > core.context.timings().local_write_timeout
             && !core.has_fault(InjectedFault::KeepStalledPrimary);
         let is_shutdown_due = core
             .removal
             .shutdown_age(core.now())
-            .is_some_and(|age| !self.is_writing() || age >= MAX_SHUTDOWN_WRITE);
+            .is_some_and(|age| !self.is_writing() || age >= MAX_SHUTDOWN_WRITE_WAIT);
         is_stalled || is_shutdown_due || core.storage.has_failed() && self.successor(core).is_some()
     }
 
-    /// Whether a backup has not written a change in time, or is lost while others are available.
+    /// Returns true if the pending write waits only for backups, and these make no progress in time or other backups are
+    /// wanted.
     fn is_backup_slow(&self, plan: &MembershipPlan<'_>) -> bool {
         let core = plan.core;
         let timeout = core.context.timings().backup_write_timeout;
@@ -70,13 +70,13 @@
         }) && !core.has_fault(InjectedFault::KeepStalledBackup)
     }
 
-    /// Whether a voter has promised a higher term for so long that its proposer must have failed.
+    /// Returns true if a voter promised a higher term so long ago that its proposer must have failed.
     fn is_superseded(&self, core: &NodeCore) -> bool {
         let timeout = core.context.timings().suspicion_timeout / 2;
         self.higher_term_seen_since.is_some_and(|since| core.now() >= since + timeout)
     }
 
-    /// The member that should be primary next: a backup that is healthy, or another voter that is.
+    /// The member that should be primary next: a healthy backup, or else another healthy member.
     fn successor(&self, core: &NodeCore) -> Option<Member> {
         let (now, lease) = (core.now(), core.context.timings().lease);
         let is_able = |member: &&Member| {
@@ -91,7 +91,7 @@
         self.config.members.iter().filter(is_able).max_by_key(rank).copied()
     }
 
-    /// Gives the role away.
+    /// Steps down, and asks a successor to take over if there is one.
     pub(crate) fn resign(&self, core: &mut NodeCore) -> Transition {
         if let Some(successor) = self.successor(core) {
             core.leadership_transfer.start(&mut core.context, successor.address, self.term);
@@ -99,7 +99,7 @@
         Transition::StepDown
     }
 
-    /// A member shuts down: its removal is granted where nothing more is needed of it.
+    /// Handles the shutdown of a member: grants its removal if nothing more is needed of it.
     pub(crate) fn on_removal_requested(&self, core: &mut NodeCore, from: Member) {
         let may_be_removed = MembershipPlan { core, primary: self }.may_be_removed(from.id);
         if let Some(peer) = core.peers.get_mut(from.id) {
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -1,4 +1,4 @@
-//! A change on its way to the disks of the primary and of the backups.
+//! Replicates a change to the disks of the primary and of the backups, and commits it.
 
 use core::time::Duration;
 use std::collections::BTreeSet;
@@ -20,14 +20,14 @@
 pub(crate) struct PendingWrite {
     /// The state after the change.
     state: ControlState,
-    /// The same as a difference to the state before; none where that isn't shorter.
+    /// The difference from the previous state; `None` if that is not shorter.
     delta: Option<StateDelta>,
-    /// Backups that lack the state before: they get the complete state.
+    /// Backups that lack the previous state and get the complete state.
     missing_body: BTreeSet<MemberId>,
     is_on_local_disk: bool,
     /// The other nodes that have written it.
     written_by: BTreeSet<MemberId>,
-    /// When it was started, or a backup requested a chunk of it last.
+    /// When the write was started, or a backup last requested a chunk of its state.
     last_progress_at: Instant,
     started_at: Instant,
     /// When it was last sent to the backups that have not written it.
@@ -35,7 +35,7 @@
 }
 
 impl PendingWrite {
-    /// Whether this node has written the change. A backup has not: the write would not be pending otherwise.
+    /// Returns true if this node has written the change, so that only backups are missing.
     pub(super) fn awaits_only_backups(&self) -> bool {
         self.is_on_local_disk
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the pending write is to be sent again. If so, the next time is set.
+    /// Returns true if the pending write is due to be sent again. If so, restarts the interval.
     pub(super) fn take_due_resend(&mut self, core: &NodeCore) -> bool {
         let Some(write) = &mut self.pending_write else { return false };
         let is_due = core.context.elapsed(write.sent_at) >= core.context.timings().state_resend_interval;
@@ -99,7 +99,7 @@
         self.pending_write.as_mut().filter(|write| write.state.version() == version)
     }
 
-    /// A backup is receiving the state: it is not slow.
+    /// A backup is receiving the state, so it does not count as slow.
     pub(crate) fn record_transfer_progress(&mut self, core: &NodeCore, version: StateVersion) {
         let Some(write) = self.pending_write_of(version) else { return };
         if core.context.elapsed(write.started_at) < MAX_TRANSFER_TIME {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A state is durable at a node, maybe at this one.
+    /// Handles a state that is durable on a node, possibly this one.
     pub(crate) fn on_state_written(&mut self, core: &mut NodeCore, id: MemberId, version: StateVersion) {
         let Some(write) = self.pending_write_of(version) else { return };
         if id == core.local().id {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A node lacks the state before: a backup gets the complete state, once.
+    /// A node lacks the previous state: a backup gets the complete state, once.
     pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
         let is_backup = self.config.backups.contains(&from.id);
         let Some(write) = self.pending_write_of(version) else { return };
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether the pending write is on the disks of the primary and of all backups.
+    /// Returns true if the pending write is on the disks of the primary and of all backups.
     fn is_written_everywhere(&self, core: &NodeCore) -> bool {
         self.pending_write.as_ref().is_some_and(|write| {
             let by_backups = || self.config.backups.iter().all(|id| write.written_by.contains(id));
@@ -137,7 +137,7 @@
         })
     }
 
-    /// The pending write is committed.
+    /// Commits the pending write and publishes its state.
     fn commit(&mut self, core: &mut NodeCore) {
         let Some(write) = self.pending_write.take() else { return };
         self.state = write.state.clone();
@@ -156,7 +156,7 @@
         core.requests.finish_write(&mut core.context);
     }
 
-    /// Sends a committed state to all but the backups. Those that are silent get it when they answer again.
+    /// Sends a committed state to all peers but the backups. Silent peers get it when they answer again.
     fn send_committed(&self, core: &mut NodeCore, state: ControlState, delta: Option<StateDelta>) {
         let (now, suspicion_timeout) = (core.now(), core.context.timings().suspicion_timeout);
         let mut recipients = Vec::new();
@@ -181,7 +181,8 @@
     }
 }
 
-/// Whether other nodes get a change as its delta. A large delta is not sent: complete states can be fetched in chunks.
+/// Returns true if the change is sent as its delta. A large delta is not sent, because a complete state can be fetched in
+/// chunks.
 fn is_sent_as_delta(core: &NodeCore, delta: &StateDelta) -> bool {
     delta.estimated_bytes() <= core.context.settings().chunk_sizes.large_state_bytes
 }
--- a/crates/consensus/src/primary/requests.rs
+++ b/crates/consensus/src/primary/requests.rs
@@ -1,10 +1,10 @@
-//! Clients' requests at the primary.
+//! Serves the requests of clients on the primary.
 
 use super::PrimaryState;
 use crate::node_core::NodeCore;
 
 impl PrimaryState {
-    /// Applies changes in turn, one being written at a time, and sends the replies that are confirmed.
+    /// Applies changes, one being written at a time, and sends the replies that are confirmed.
     pub(crate) fn serve_requests(&mut self, core: &mut NodeCore) {
         while !core.removal.is_shutting_down() {
             let Some(change) = core.requests.next_change() else { break };
@@ -17,7 +17,7 @@
         self.confirm_requests(core);
     }
 
-    /// Sends the replies that a majority has confirmed, and has the rest confirmed: one round of heartbeats at a time,
+    /// Sends the replies that a majority has confirmed, and sends heartbeats to confirm the others: one round at a time,
     /// whatever the number of requests.
     fn confirm_requests(&mut self, core: &mut NodeCore) {
         loop {
@@ -27,7 +27,7 @@
                 return;
             }
             self.send_heartbeats_to_voters(core);
-            // A primary without other voters confirms at once.
+            // A primary that is the only voter confirms at once.
             if self.confirmed_heartbeat(core) <= last {
                 return;
             }
--- a/crates/consensus/src/read_lease.rs
+++ b/crates/consensus/src/read_lease.rs
@@ -1,8 +1,9 @@
 //! The read lease of a follower: its contact with a majority, proven by round trips.
 //!
-//! Each heartbeat response carries a [`LeaseStamp`]: the sender's own steady time. The primary returns the newest stamp of
-//! each peer in its next heartbeat to it. That a heartbeat arrives proves nothing: it may have waited in the queue of a
-//! network or of a suspended process. That it carries a stamp proves that the primary sent it after the time in the stamp.
+//! Each heartbeat response carries a [`LeaseStamp`]: the sender's own monotonic time. The primary returns the newest
+//! stamp of each peer in its next heartbeat to it. The arrival of a heartbeat alone proves nothing: it may have waited in
+//! the queue of a network or of a suspended process. A returned stamp proves that the primary sent the heartbeat after
+//! the time in the stamp.
 
 use std::collections::VecDeque;
 
@@ -10,10 +11,11 @@
 
 use crate::lease_stamp::LeaseStamp;
 
-/// At most this many instants of contact wait for their committed state; older ones are dropped.
+/// The highest number of instants of contact that wait for their committed state; older ones are dropped.
 const MAX_AWAITING: usize = 64;
 
-/// When this node last answered a heartbeat that was followed by another one with the stamp of the response.
+/// When this node last had proven contact with its primary: it answered a heartbeat, and a later one returned the stamp
+/// of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReadLease {
     /// The random number of this incarnation of the process.
@@ -43,13 +45,13 @@
         LeaseStamp { incarnation: self.incarnation, answered_at: now }
     }
 
-    /// The instant in a returned stamp, if it is one of this incarnation of the process.
+    /// The instant in a returned stamp, if the stamp is of this incarnation of the process.
     pub(crate) fn instant_of(&self, stamp: LeaseStamp, now: Instant) -> Option<Instant> {
         (stamp.incarnation == self.incarnation && stamp.answered_at <= now).then_some(stamp.answered_at)
     }
 
-    /// The primary had contact with a majority after `contact_at`, and its committed state was of this revision.
-    /// `published` is the revision that this node publishes; none before the first one.
+    /// Records that the primary had contact with a majority after `contact_at`, and that its committed state was of this
+    /// revision. `published` is the revision that this node publishes; none before the first one.
     pub(crate) fn confirm_contact(&mut self, contact_at: Instant, revision: u64, published: Option<u64>) {
         if self.awaiting.len() >= MAX_AWAITING {
             self.awaiting.pop_front();
@@ -60,7 +62,7 @@
         }
     }
 
-    /// This revision is published now.
+    /// Records that this revision is published now.
     pub(crate) fn record_published(&mut self, revision: u64) {
         let confirmed = self.awaiting.iter().filter(|a| a.revision <= revision).map(|a| a.contact_at).max();
         self.confirmed_at = self.confirmed_at.max(confirmed);
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -1,5 +1,5 @@
-//! The role of a node that attempts to become primary: it collects promises, fetches the newest state, has it written under
-//! its term, and proposes a configuration.
+//! The role of a candidate: collects promises, fetches the newest state, has it written under its term, and proposes a
+//! configuration.
 
 mod accept_phase;
 mod promise_phase;
@@ -19,7 +19,7 @@
 use crate::transition::{TakeOverPlan, Transition};
 use crate::votes::Votes;
 
-/// A renewal is repeated under a higher term after each of this many rejections in a row; one more ends it.
+/// A renewal is retried under a higher term after each of this many rejections in a row; the next one ends it.
 const MAX_REJECTIONS: u8 = 3;
 
 /// An attempt to become primary.
@@ -28,15 +28,15 @@
     term: Term,
     plan: TakeOverPlan,
     phase: Phase,
-    /// Since when the phase has made no progress.
+    /// When the phase last made progress.
     last_progress_at: Instant,
     phase_started_at: Instant,
-    /// When the messages of the phase were sent last.
+    /// When the messages of the phase were last sent.
     sent_at: Instant,
     promises: BTreeMap<MemberId, ReceivedPromise>,
-    /// Those that have promised, earliest first.
+    /// The members that have promised, earliest first.
     promise_order: Vec<MemberId>,
-    /// The term of the configuration that the new one follows; the lowest one before the promises were evaluated.
+    /// The term of the configuration that the new one follows; the lowest term until the promises are evaluated.
     base_term: Term,
     /// The members of the new configuration.
     next_members: NextMembers,
@@ -52,7 +52,7 @@
     pub(crate) version: Option<StateVersion>,
 }
 
-/// The members of the configuration that is to be proposed.
+/// The members of the configuration to propose.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct NextMembers {
     /// The [`EpochConfig::outgoing_members`].
@@ -62,29 +62,29 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// The own promise is being written. The term is sent to others only when it is durable here, so that it isn't used
-    /// twice after a loss of power.
+    /// This node's own promise is being written. The term is sent to others only once it is durable here, so that it is
+    /// not used again after a power loss.
     LocalPromise,
     /// Promises are requested from the others.
     Prepare,
-    /// The newest state is fetched from one of those that hold it. The candidates are those of the next phase.
+    /// The newest state is being fetched from a node that holds it. The candidates are those of the next phase.
     FetchState { version: StateVersion, candidates: Vec<MemberId> },
-    /// The newest state is written under this term, here and at the backups to be.
+    /// The newest state is being written under this term, on this node and on the future backups.
     RewriteState(RewritePhase),
-    /// The configuration is proposed.
+    /// The configuration has been proposed to the voters.
     Accept { config: EpochConfig, state: ControlState, votes: Votes, is_on_local_disk: bool },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RewritePhase {
     state: ControlState,
-    /// The members that may be backups, best first; without this node.
+    /// The members that may become backups, best first; without this node.
     candidates: Vec<MemberId>,
-    /// How many of the candidates were sent the state, from the first on.
+    /// How many of the candidates, counted from the first one, were sent the state.
     contacted: usize,
-    /// Those that have written the state, earliest first.
+    /// The candidates that have written the state, earliest first.
     written: Vec<MemberId>,
-    /// Those that have reported the body as missing.
+    /// The candidates that have reported the body as missing.
     missing_body: Vec<MemberId>,
     is_on_local_disk: bool,
 }
@@ -109,7 +109,7 @@
         self.term
     }
 
-    /// Whether a primary takes over from itself.
+    /// Returns true if a primary takes over from itself.
     pub(crate) fn is_renewal(&self) -> bool {
         self.plan.decided_term.is_some()
     }
@@ -118,7 +118,7 @@
         self.plan.rejections = rejections;
     }
 
-    /// Those that have promised.
+    /// The promises as votes.
     fn votes(&self) -> Votes {
         let mut votes = Votes::default();
         for promise in self.promises.values() {
@@ -134,14 +134,14 @@
         self.sent_at = now;
     }
 
-    /// Whether the phase was overdue before this step, as after a suspension of the process: responses that arrived meanwhile
-    /// don't count.
+    /// Returns true if the phase had timed out before this step, for example during a suspension of the process:
+    /// responses that arrived meanwhile don't count.
     pub(crate) fn is_overdue(&self, core: &NodeCore) -> bool {
         core.context.elapsed(self.last_progress_at) > core.context.timings().take_over_step_timeout
             && !core.has_fault(InjectedFault::ResumeSuspendedTakeOver)
     }
 
-    /// Another node has promised a higher term.
+    /// Handles the rejection by a node that has promised a higher term.
     pub(crate) fn on_reject(&self, term: Term, promised: Term) -> Transition {
         if self.term != term || promised <= term {
             return Transition::Stay;
@@ -150,7 +150,7 @@
         if !self.is_renewal() || rejections > MAX_REJECTIONS {
             return Transition::StepDown;
         }
-        // The others still trust this primary: nobody else will take over for a while.
+        // The others still trust this primary, so nobody else will take over for a while.
         Transition::TakeOver(TakeOverPlan { rejections, ..self.plan.clone() })
     }
 
@@ -169,7 +169,7 @@
     }
 
     pub(crate) fn run_timers(&mut self, core: &mut NodeCore) -> Transition {
-        // A renewal finishes, so that the primary can name its successor.
+        // A renewal is not aborted, so that the primary can name its successor.
         let is_aborted = core.removal.is_shutting_down() && !self.is_renewal();
         let without_progress = core.context.elapsed(self.last_progress_at);
         if without_progress >= core.context.timings().take_over_step_timeout || is_aborted {
@@ -191,7 +191,7 @@
         Transition::Stay
     }
 
-    /// Whether the messages of the phase are to be sent again. If so, the next time is set.
+    /// Returns true if the messages of the phase are due to be sent again. If so, restarts the interval.
     fn take_due_resend(&mut self, core: &NodeCore) -> bool {
         let timings = core.context.timings();
         let interval = match self.phase {
--- a/crates/consensus/src/take_over/accept_phase.rs
+++ b/crates/consensus/src/take_over/accept_phase.rs
@@ -1,4 +1,4 @@
-//! Proposes the configuration of the new epoch.
+//! The last phase of a take-over: proposes the configuration of the new epoch.
 
 use super::{Phase, TakeOver};
 use crate::control_state::ControlState;
@@ -51,7 +51,7 @@
         self.on_accepted(core, core.local(), term, core.is_bootstrap_voter())
     }
 
-    /// A member has accepted the configuration. With a majority of them, this node is primary.
+    /// A member has accepted the configuration. Once a majority has, this node becomes primary.
     pub(crate) fn on_accepted(
         &mut self,
         core: &NodeCore,
@@ -66,7 +66,7 @@
             return Transition::Stay;
         };
         votes.add(from, is_bootstrap_voter);
-        if !*is_on_local_disk || !votes.decide(config, core.deciders()) {
+        if !*is_on_local_disk || !votes.are_quorum_of(config, core.quorum_rule()) {
             return Transition::Stay;
         }
         Transition::BecomePrimary(Box::new(DecidedEpoch {
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -1,4 +1,4 @@
-//! Collects promises until a majority has promised, and chooses the members and the newest state.
+//! The first phase of a take-over: collects the promises of a majority, and chooses the members and the newest state.
 
 use core::time::Duration;
 
@@ -13,11 +13,11 @@
 
 /// More promises than this are ignored.
 const MAX_PROMISES: usize = 64;
-/// The take-over waits this long for healthy backups.
+/// How long a take-over waits for enough healthy backups before it chooses others.
 const HEALTHY_BACKUP_WAIT: Duration = Duration::from_millis(200);
 
 impl TakeOver {
-    /// The own promise is durable: requests those of the others.
+    /// This node's own promise is durable: requests those of the others.
     pub(crate) fn on_local_promise_written(&mut self, core: &mut NodeCore, term: Term) -> Transition {
         if self.term != term || self.phase != Phase::LocalPromise {
             return Transition::Stay;
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn request_promises(&self, core: &mut NodeCore) {
-        let members = self.plan.founding_members.clone().unwrap_or_else(|| promising_members(core));
+        let members = self.plan.founding_members.clone().unwrap_or_else(|| prepare_recipients(core));
         let promised = self.votes();
         for member in members.iter().filter(|member| !promised.includes(member)) {
             core.send(member.address, Message::Prepare { term: self.term });
@@ -56,12 +56,13 @@
         self.evaluate_promises(core)
     }
 
-    /// With enough promises, chooses members and backups, and takes the newest state.
+    /// Once there are enough promises, chooses members and backup candidates, and rewrites or fetches the newest state.
     pub(super) fn evaluate_promises(&mut self, core: &mut NodeCore) -> Transition {
         if self.phase != Phase::Prepare {
             return Transition::Stay;
         }
-        // A configuration that was only seen counts like an accepted one: a node has proposed it, so it may be decided.
+        // A configuration that was only seen counts like an accepted one: a node has proposed it, so it may have been
+        // decided.
         let base = core.epoch.config().filter(|config| config.term < self.term).cloned();
         let is_founding = self.plan.founding_members.is_some();
         if !is_founding && base.as_ref().is_some_and(|config| !config.has_member(core.local().id)) {
@@ -76,7 +77,7 @@
         };
         let newest = self.newest_version(core);
         let state = match newest {
-            // Only bootstrap voters start from nothing, and an epoch that is founded anew of nodes that have none.
+            // Only bootstrap voters start with an empty state, and a forced recovery of nodes that have no state.
             None => (base.is_none() || is_founding).then(ControlState::default),
             Some(newest) => core.find_state(&newest).cloned(),
         };
@@ -99,14 +100,14 @@
             return members.iter().all(|member| votes.includes(member));
         }
         match base {
-            Some(base) => votes.decide(base, core.deciders()) && votes.include_state_holder(base),
-            None => votes.are_majority_of(&core.electorate()),
+            Some(base) => votes.are_quorum_of(base, core.quorum_rule()) && votes.include_state_holder(base),
+            None => votes.are_majority_of(&core.known_voters()),
         }
     }
 
-    /// The highest of the versions that the promises report.
+    /// The highest of the state versions that the promises report.
     fn newest_version(&self, core: &NodeCore) -> Option<StateVersion> {
-        // What a founder knows to be committed may be on none of the disks that are left.
+        // In a forced recovery, the state that this node knows to be committed may be on none of the remaining disks.
         let is_founding = self.plan.founding_members.is_some();
         let committed = core.learner.committed().filter(|_| is_founding).map(ControlState::version);
         let versions = self.promises.values().filter_map(|promise| promise.version).chain(committed);
@@ -116,13 +117,13 @@
         }
     }
 
-    /// The members of the new configuration.
+    /// Chooses the members of the new configuration.
     fn choose_members(&self, core: &NodeCore, base: Option<&EpochConfig>) -> NextMembers {
         if let Some(members) = self.plan.founding_members.clone() {
             return NextMembers { outgoing: members.clone(), members };
         }
         let Some(base) = base else { return self.choose_first_members(core) };
-        // Members change only from a configuration that is known to be decided; any other one may have to be completed.
+        // Members change only from a configuration that is known to be decided. Any other one may have to be completed first.
         if self.plan.decided_term != Some(base.term) {
             let (outgoing, members) = (base.outgoing_members.clone(), base.members.clone());
             return NextMembers { outgoing, members };
@@ -132,8 +133,8 @@
         NextMembers { outgoing: base.members.clone(), members }
     }
 
-    /// The first members: this node, then the bootstrap voters whose disks are known, then others. The outgoing members are
-    /// the bootstrap voters by their addresses, so that these decide on the first configuration.
+    /// Chooses the first members: this node, then the bootstrap voters whose disks are known, then others. The outgoing
+    /// members are the bootstrap voters by their addresses, so that these decide on the first configuration.
     fn choose_first_members(&self, core: &NodeCore) -> NextMembers {
         let voters = core.bootstrap_voters().unwrap_or_default();
         let mut known: Vec<(bool, Member)> =
@@ -150,28 +151,28 @@
         NextMembers { outgoing: voters.iter().copied().map(Member::bootstrap_voter).collect(), members }
     }
 
-    /// Those that may be backups, best first: healthy ones, then those with the state of this node, then those that promised
-    /// first. `None` while there are too few, or healthy ones are waited for.
+    /// The members that may become backups, best first: healthy ones, then those with the state of this node, then those
+    /// that promised first. `None` while there are too few, or while waiting for healthy ones.
     fn choose_backups(&self, core: &NodeCore, members: &[Member]) -> Option<Vec<MemberId>> {
         let wanted = core.context.settings().max_failures;
         let local_version = core.storage.version();
-        let mut able: Vec<(&MemberId, &ReceivedPromise)> = self.promises.iter().collect();
-        able.retain(|(id, _)| **id != core.local().id && members.iter().any(|m| m.id == **id));
+        let mut eligible: Vec<(&MemberId, &ReceivedPromise)> = self.promises.iter().collect();
+        eligible.retain(|(id, _)| **id != core.local().id && members.iter().any(|m| m.id == **id));
         let rank = |id: &MemberId| self.promise_order.iter().position(|promised| promised == id);
-        able.sort_by_key(|(id, p)| {
+        eligible.sort_by_key(|(id, p)| {
             (!p.is_healthy, p.version.is_none() || p.version != local_version, rank(id))
         });
-        let healthy = able.iter().filter(|(_, promise)| promise.is_healthy).count();
+        let healthy = eligible.iter().filter(|(_, promise)| promise.is_healthy).count();
         let has_waited = core.context.elapsed(self.last_progress_at) >= HEALTHY_BACKUP_WAIT;
-        let is_enough = healthy >= wanted || able.len() >= wanted && has_waited;
-        is_enough.then(|| able.into_iter().map(|(id, _)| *id).collect())
+        let is_enough = healthy >= wanted || eligible.len() >= wanted && has_waited;
+        is_enough.then(|| eligible.into_iter().map(|(id, _)| *id).collect())
     }
 }
 
-/// Those that promises are requested from: the voters; before there is a configuration, also other nodes that look for the
-/// others.
-fn promising_members(core: &NodeCore) -> Vec<Member> {
-    let mut members = core.electorate();
+/// The nodes that promises are requested from: the voters. Before there is a configuration, also other nodes that have
+/// sent join requests.
+fn prepare_recipients(core: &NodeCore) -> Vec<Member> {
+    let mut members = core.known_voters();
     if core.epoch.config().is_none() {
         let joining = core.joins.recent(core.now()).filter(|join| !join.is_bootstrap_voter);
         members.extend(joining.map(|join| join.member));
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -1,4 +1,4 @@
-//! Fetches the newest state and has it written under the term of the take-over.
+//! The middle phases of a take-over: fetch the newest state and have it written under the term of the take-over.
 
 use core::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::snapshot::StatePurpose;
 use crate::term::{Member, MemberId, Term};
 
-/// One more candidate is sent the state after each such span in which not enough of them have written it.
+/// The state is sent to one more candidate after each such interval in which not enough of them have written it.
 const SLOW_BACKUP_WAIT: Duration = Duration::from_millis(150);
 
 impl TakeOver {
-    /// Requests the newest state from its holders in turn, one at a time, as it may be large.
+    /// Requests the newest state from its holders in turn, one at a time, since it may be large.
     pub(super) fn fetch_state(&self, core: &mut NodeCore) {
         if core.transfers.is_fetching(core.now()) {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether a state is the one that this take-over fetches.
+    /// Returns true if the take-over is fetching this state.
     pub(crate) fn is_fetching(&self, term: Term, wanted: &StateVersion) -> bool {
         let Phase::FetchState { version, .. } = &self.phase else { return false };
         self.term == term && version.has_same_body(wanted)
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Writes the state under this term, here and at the backups to be.
+    /// Writes the state under this term, on this node and on the future backups.
     pub(super) fn rewrite_state(
         &mut self,
         core: &mut NodeCore,
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Sends the state to those that have not written it, from the given candidate on.
+    /// Sends the state to the contacted candidates that have not written it, from the given candidate on.
     fn send_rewrites(&self, core: &mut NodeCore, first: usize) {
         let Phase::RewriteState(rewrite) = &self.phase else { return };
         let version = rewrite.state.version();
-        // A node that has not written the state may know it as committed: a large one is sent only if it does not.
+        // A node that has not written the state may know it as committed, so a large state is sent only if the node lacks it.
         let is_large = rewrite.state.body.len() > core.context.settings().chunk_sizes.large_state_bytes;
         let sends_version_first = is_large && !core.has_fault(InjectedFault::AlwaysSendFullStates);
         let recipients = rewrite.candidates.iter().take(rewrite.contacted).skip(first);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends the state to more candidates where the first ones are slow, or to all of them again.
+    /// Sends the state to more candidates if the first ones are slow, or again to all contacted ones.
     pub(super) fn resend_rewrites(&mut self, core: &mut NodeCore, waited: Duration, is_due: bool) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         let slow = (waited.as_millis() / SLOW_BACKUP_WAIT.as_millis()) as usize;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A candidate lacks the body of the state: it gets the complete state, once.
+    /// A candidate lacks the body of the state: sends it the complete state, once.
     pub(crate) fn on_missing_body(&mut self, core: &mut NodeCore, from: Member, version: StateVersion) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         let is_known = rewrite.missing_body.contains(&from.id) || !self.promises.contains_key(&from.id);
@@ -121,7 +121,7 @@
         core.send_state(from, StatePurpose::ReplicateState, rewrite.state.clone());
     }
 
-    /// A state under this term is durable at a member. With enough of them, the configuration is proposed.
+    /// A state under this term is durable on a member. Once enough members have it, the configuration is proposed.
     pub(crate) fn on_state_written(&mut self, core: &mut NodeCore, id: MemberId, version: StateVersion) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         if rewrite.state.version() != version {
--- a/crates/consensus/src/term.rs
+++ b/crates/consensus/src/term.rs
@@ -37,7 +37,7 @@
 /// A term belongs to one disk: no two members ever propose the same one. Its number is the fencing token of the primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Term {
-    /// Rises with every attempt.
+    /// Increases with every attempt.
     #[n(0)]
     pub number: u64,
     /// The member that attempts to become primary.
--- a/crates/consensus/src/timings.rs
+++ b/crates/consensus/src/timings.rs
@@ -6,46 +6,47 @@
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The part of [`CALLER_TIMEOUT`] that is left for the round trip of the call and for the time from one tick to the next.
 const CALLER_MARGIN: Duration = Duration::from_millis(150);
-/// A machine shuts down at most this long after the one that replaces it has started.
+/// The longest time from the start of a replacement machine until the replaced one shuts down.
 const MAX_SHUTDOWN_DELAY: Duration = Duration::from_millis(1_000);
-/// A membership change by two take-overs, and the copy of the state to the new backups, take at most this long.
+/// The longest time for a membership change (two take-overs) and the copy of the state to the new backups.
 const MAX_MEMBERSHIP_CHANGE: Duration = Duration::from_millis(1_000);
 
 /// Intervals and timeouts of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Timings {
-    /// From one heartbeat of the primary to the next.
+    /// The time between regular heartbeats of the primary.
     pub heartbeat_interval: Duration,
-    /// A primary or a backup that was silent for this long may be replaced in its role.
+    /// A primary or a backup that has been silent for this long may be replaced in its role.
     pub suspicion_timeout: Duration,
-    /// A primary whose last heartbeat that a majority has answered is older than this steps down. Equal at all nodes.
+    /// A primary steps down if the last heartbeat that a majority has answered is older than this. Must be equal on all
+    /// nodes.
     pub lease: Duration,
-    /// A member that was silent for this long gives its slot to a newcomer.
+    /// A member that has been silent for this long may lose its slot to a newcomer.
     pub replacement_timeout: Duration,
     /// A backup that has not written a change for this long is replaced.
     pub backup_write_timeout: Duration,
-    /// A primary whose own write takes this long gives up its role.
+    /// A primary whose own write takes this long resigns.
     pub local_write_timeout: Duration,
     /// A node whose write takes longer than this is not healthy.
     pub unhealthy_write_timeout: Duration,
-    /// A node whose write failed tries its disk again after this time.
+    /// A node retries its disk this long after a failed write.
     pub disk_retry_interval: Duration,
-    /// A request that waited this long is answered as unavailable, while its caller still expects a reply.
+    /// A request that has waited for this long is answered as unavailable, while its caller still expects a reply.
     pub request_timeout: Duration,
     /// A take-over ends when one of its phases makes no progress for this long.
     pub take_over_step_timeout: Duration,
-    /// A message whose answer is missing is sent again after this time.
+    /// An unanswered message is sent again after this time.
     pub resend_interval: Duration,
     /// The resend interval of messages that may be as large as a state.
     pub state_resend_interval: Duration,
-    /// Bootstrap voters wait at most this long until they all know each other.
+    /// The longest time that bootstrap voters wait until they all know each other.
     pub bootstrap_timeout: Duration,
 }
 
 impl Timings {
-    /// The default timings, for a platform where newcomers have to be members, with a copy of the state, `deadline` after
-    /// their start. The replacement timeout is what remains of it: not less than the suspicion timeout, not more than by
-    /// default.
+    /// The default timings for a platform on which a newcomer has to be a member with a copy of the state within
+    /// `deadline` of its start. The replacement timeout is the rest of the deadline, but not less than the suspicion
+    /// timeout and not more than the default.
     pub fn for_join_deadline(deadline: Duration) -> Timings {
         let defaults = Timings::default();
         let remaining = deadline.saturating_sub(MAX_SHUTDOWN_DELAY + MAX_MEMBERSHIP_CHANGE);
@@ -53,12 +54,13 @@
         Timings { replacement_timeout, ..defaults }
     }
 
-    /// How old a state may be that a node publishes while it reports contact with a quorum.
+    /// The highest age of the state that a node publishes while it reports contact with a quorum.
     ///
-    /// Every change that any node acknowledged longer ago than this is part of that state. A follower has contact for `lease`
-    /// after it has answered a heartbeat, if a later heartbeat of the primary proves that, and only once it publishes what
-    /// that later one reported as committed. A primary sends heartbeats for `lease` after it has sent one that a majority
-    /// has answered without having promised a higher term; until then nobody else has acknowledged anything.
+    /// Every change that any node acknowledged longer ago than this is part of that state. A follower has contact for
+    /// `lease` after it has answered a heartbeat, if a later heartbeat of the primary proves that, and only once it
+    /// publishes the state that the later one reported as committed. A primary sends heartbeats for `lease` after it has
+    /// sent one that a majority has answered without having promised a higher term; until then nobody else has
+    /// acknowledged anything.
     pub fn max_staleness(&self) -> Duration {
         self.lease + self.lease
     }
--- a/crates/consensus/src/transition.rs
+++ b/crates/consensus/src/transition.rs
@@ -1,4 +1,4 @@
-//! What a role returns to the node after an event: to stay in the role or to change it.
+//! The transitions that a role can request from its node in response to an event.
 
 use mosshead_time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::term::{Member, Term};
 use crate::votes::Votes;
 
-/// What is to become of the role.
+/// A transition of the role.
 #[derive(Debug)]
 pub(crate) enum Transition {
     Stay,
@@ -17,14 +17,14 @@
     BecomePrimary(Box<DecidedEpoch>),
 }
 
-/// A take-over that is to be started.
+/// The parameters of a take-over that is to be started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct TakeOverPlan {
-    /// For a renewal: the term of the epoch that this node is primary of, which is known to be decided. None for a follower.
+    /// In a renewal, the term of this primary's epoch, which is known to be decided; `None` for a follower.
     pub(crate) decided_term: Option<Term>,
-    /// The members that the primary wants, if others than before.
+    /// The members that the primary wants, if they should change.
     pub(crate) wanted_members: Option<Vec<Member>>,
-    /// The members of an epoch that an operator founds anew; none for any other take-over.
+    /// The members of a forced recovery that an operator requested; `None` for any other take-over.
     pub(crate) founding_members: Option<Vec<Member>>,
     /// How many take-overs in a row were rejected before this one; counted for renewals only.
     pub(crate) rejections: u8,
@@ -39,8 +39,8 @@
     pub(crate) votes: Votes,
     /// When the configuration was proposed.
     pub(crate) proposed_at: Instant,
-    /// Whether this node was primary just before.
+    /// True if this node was primary just before.
     pub(crate) is_renewal: bool,
-    /// Whether nobody else can have been primary since this node was.
+    /// True if nobody else can have been primary since this node was.
     pub(crate) is_continued: bool,
 }
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -1,4 +1,4 @@
-//! Votes and the majorities that they make.
+//! Votes, and the majorities that they make up.
 
 use core::net::SocketAddrV4;
 use std::collections::BTreeMap;
@@ -7,15 +7,15 @@
 use crate::limits::MAX_MEMBERS;
 use crate::term::{Member, MemberId};
 
-/// Nodes that are no members may vote, too; votes beyond this number are ignored.
+/// Nodes that are no members may vote, too. Votes beyond this number are ignored.
 const MAX_VOTES: usize = 4 * MAX_MEMBERS;
 
-/// Whose majorities decide on a configuration.
+/// The majorities that a configuration needs. While members change, both are needed, as in joint consensus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Deciders {
-    /// The outgoing members and the members, each by a majority.
-    OutgoingAndNew,
-    /// The members only: an injected fault.
+pub(crate) enum QuorumRule {
+    /// A majority of the outgoing members and a majority of the members.
+    Joint,
+    /// A majority of the members only; used by an injected fault.
     NewOnly,
 }
 
@@ -42,8 +42,8 @@
         self.by_member.get(&id).is_some_and(|vote| vote.is_bootstrap_voter)
     }
 
-    /// Whether the member has agreed. A member that is known by its address only is a bootstrap voter: only the vote of a
-    /// bootstrap voter counts for it, so that a wiped disk at that address has no vote.
+    /// Returns true if the member has agreed. A member that is known only by its address is a bootstrap voter: only the
+    /// vote of a bootstrap voter at that address counts for it, so that a wiped disk has no vote.
     pub(crate) fn includes(&self, member: &Member) -> bool {
         if member.id == MemberId::UNKNOWN {
             self.by_member.values().any(|v| v.is_bootstrap_voter && v.address == member.address)
@@ -52,18 +52,18 @@
         }
     }
 
-    /// Whether these are more than half of the members.
+    /// Returns true if more than half of the members have agreed.
     pub(crate) fn are_majority_of(&self, members: &[Member]) -> bool {
         2 * members.iter().filter(|m| self.includes(m)).count() > members.len()
     }
 
-    /// Whether these decide on a configuration.
-    pub(crate) fn decide(&self, config: &EpochConfig, deciders: Deciders) -> bool {
-        (deciders == Deciders::NewOnly || self.are_majority_of(&config.outgoing_members))
+    /// Returns true if these votes decide on the configuration.
+    pub(crate) fn are_quorum_of(&self, config: &EpochConfig, rule: QuorumRule) -> bool {
+        (rule == QuorumRule::NewOnly || self.are_majority_of(&config.outgoing_members))
             && self.are_majority_of(&config.members)
     }
 
-    /// Whether one of these holds the state of a configuration.
+    /// Returns true if a node that holds the state of the configuration has agreed.
     pub(crate) fn include_state_holder(&self, config: &EpochConfig) -> bool {
         self.by_member.keys().any(|id| config.holds_state(*id))
     }
