--- a/crates/consensus/tests/fleet/checker.rs
+++ b/crates/consensus/tests/fleet/checker.rs
@@ -1,4 +1,4 @@
-//! What was requested, replied and published, and whether that violates a rule.
+//! Records what was requested, replied and published, and checks it against the rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use mosshead_time::{Duration, Instant};
 use mosshead_virtual_fleet::{ProcessId, millis};
 
-/// A digest that no other number has.
+/// A digest that is unique to the number.
 pub(crate) fn digest(number: u64) -> RequestDigest {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
@@ -51,7 +51,7 @@
     open: BTreeSet<u64>,
     replies: BTreeMap<u64, ClientReply>,
     changes: BTreeMap<RequestDigest, Change>,
-    /// The changes that were rejected as stale, each by the revision that was current.
+    /// The changes that were rejected as stale, each with the revision that was current.
     stale: BTreeMap<RequestDigest, u64>,
     /// The change that was accepted on each base, and the one that was committed on it.
     accepted_on: BTreeMap<u64, RequestDigest>,
@@ -64,7 +64,7 @@
     pub(crate) acknowledged: u64,
     /// When each revision became the highest that was acknowledged.
     acknowledgements: Vec<(Instant, u64)>,
-    /// The instant of what is being recorded.
+    /// The time of the event that is being recorded.
     pub(crate) now: Instant,
     newest: Option<Change>,
     /// How often a change was acknowledged, repeats included.
@@ -96,7 +96,7 @@
         self.open.iter().filter_map(|id| self.requests.get_key_value(id))
     }
 
-    /// Whether a request to the process that a machine runs has no reply yet.
+    /// Returns true if a request to the process that runs on the machine has no reply yet.
     pub(crate) fn is_open_at(&self, id: u64, machine: usize) -> bool {
         self.open.contains(&id)
             && self.requests.get(&id).is_some_and(|request| request.process.machine == machine)
@@ -106,7 +106,7 @@
         self.replies.get(&id)
     }
 
-    /// The requests to a process that has ended get no reply.
+    /// Closes the requests to a process that has ended; they get no reply.
     pub(crate) fn record_process_end(&mut self, process: ProcessId) {
         let requests = &self.requests;
         self.open.retain(|id| requests.get(id).is_some_and(|request| request.process != process));
@@ -149,7 +149,7 @@
                 self.stale.insert(change.digest, *current_revision);
             }
             ClientReply::Expired => {
-                // Only a change that so many others came after is expired.
+                // A change may expire only after a full deduplication window of later ones.
                 let later_count = self.committed.range(change.revision..).count();
                 if later_count < DEDUPLICATION_WINDOW {
                     self.report_violation("expired", format!("{change:?} has {later_count} after it"));
@@ -261,8 +261,8 @@
         count.checked_sub(1).map_or(0, |last| self.acknowledgements[last].1)
     }
 
-    /// A process says that it has contact with a quorum: what it shows has all that was acknowledged longer ago than the
-    /// bound.
+    /// Checks a process that reports contact with a quorum: the state that it shows must include all changes that were
+    /// acknowledged longer ago than the bound.
     pub(crate) fn check_claimed_contact(&mut self, process: ProcessId, shown: u64, bound: Duration) {
         let wanted = self.acknowledged_by(self.now - (bound + millis(1)));
         if shown < wanted {
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Whether somebody has been primary under a term.
+    /// Returns true if a node has been primary under the term.
     pub(crate) fn had_primary(&self, term: Term) -> bool {
         self.primaries.contains_key(&term)
     }
--- a/crates/consensus/tests/fleet/fault_actions.rs
+++ b/crates/consensus/tests/fleet/fault_actions.rs
@@ -1,4 +1,4 @@
-//! Faults of machines, disks and links, what they do to the fleet, and random ones.
+//! Faults of machines, disks and links: their effect on the fleet, and random choices of them.
 
 use std::net::SocketAddrV4;
 
@@ -8,14 +8,14 @@
 
 use crate::simulation::{AfterShutdown, Event, Kill, Shutdown, Simulation};
 
-/// A machine that replaces another one starts within less than this.
+/// A replacement machine starts within less than this.
 const REPLACEMENT_START_SPREAD: Duration = millis(2_000);
 /// When faults end, machines that are down start within less than this.
 const RESTART_SPREAD: Duration = millis(600);
-/// How long a process that is terminated has: the shortest time, and what may be added.
+/// The time from the termination signal to the kill: the shortest one, and the bound of the random time that is added.
 const MIN_TERMINATION_TIME: Duration = millis(200);
 const TERMINATION_TIME_VARIATION: Duration = millis(1_500);
-/// A terminated process starts again within less than this after its end.
+/// A terminated process restarts within less than this after its end.
 const TERMINATION_PAUSE: Duration = millis(500);
 /// A disk stalls for less than this.
 const MAX_STALL: Duration = millis(6_000);
@@ -30,18 +30,18 @@
     Wipe(Vec<usize>),
     /// Some disks are lost, all other machines lose power.
     WipeAndLosePower(Vec<usize>),
-    /// The primary and so many others lose their disks.
+    /// The primary and this number of other machines lose their disks.
     WipePrimary(usize),
     /// The machines are removed; others start at new addresses.
     Replace(Vec<usize>),
     Pause(Vec<usize>),
     /// Messages over these links are lost.
     CutLinks(Vec<Link<usize>>),
-    /// Messages over these links are buffered; a few of them arrive when the links work again.
+    /// Messages over these links are buffered. The first few of them arrive when the links work again.
     BufferLinks(Vec<Link<usize>>),
     StallDisks(Vec<usize>, Duration),
     FillDisks(Vec<usize>),
-    /// The process is asked to shut down, is killed soon, and starts again.
+    /// The process is asked to shut down, is killed soon after, and starts again.
     Terminate(usize),
     /// The process is asked to shut down, and ends when it may, or at the end of its grace period.
     ShutDown(usize, AfterShutdown),
@@ -50,7 +50,7 @@
 }
 
 impl FaultAction {
-    /// Whether disks are lost, so that the fleet needs time before the next loss.
+    /// Returns true if disks are lost, so that the fleet needs time before the next loss.
     pub(crate) fn loses_disks(&self) -> bool {
         matches!(
             self,
@@ -175,7 +175,7 @@
         picked
     }
 
-    /// Links between two sides, from one to the other, around one machine, or any.
+    /// Random links: between two sides, from one side to the other, around one machine, or any.
     pub(crate) fn pick_links(&mut self) -> Vec<Link<usize>> {
         let all = self.remaining();
         let pattern = self.random_below(5);
@@ -199,7 +199,7 @@
         links
     }
 
-    /// Some fault. Disks are lost only after the fleet had time to make up for the last loss.
+    /// A random fault. Disks are lost only after the fleet had time to recover from the last loss.
     pub(crate) fn draw_fault(&mut self, may_lose_disks: bool) -> FaultAction {
         let all = self.remaining();
         let tolerated = self.tolerated_failures;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Draws what happens right after the next acknowledgement of a change.
+    /// Draws the fault that is applied right after the next acknowledgement of a change.
     pub(crate) fn draw_fault_after_commit(&mut self) {
         let all = self.remaining();
         let tolerated = self.tolerated_failures;
--- a/crates/consensus/tests/fleet/founding.rs
+++ b/crates/consensus/tests/fleet/founding.rs
@@ -1,4 +1,4 @@
-//! Founding anew after a majority of the members was lost with its disks.
+//! Forced recovery (founding anew) after a majority of the members was lost with its disks.
 
 use mosshead_consensus::{ClientReply, FOUNDING_TERM_STEP, FoundingError, Input, Node, Term};
 use mosshead_time::Duration;
@@ -8,15 +8,15 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::{Kill, Simulation};
 use crate::support::{
-    COMMIT_TIME, Roles, calm, commit_change, current_primary, ensure, holds, reply_at, roles,
+    COMMIT_TIME, Roles, commit_change, current_primary, ensure, passes, reply_at, roles, stable_fleet,
 };
 
-/// Within this nodes that look for others know of each other.
+/// The time in which nodes that send join requests learn of each other.
 const DISCOVERY_TIME: Duration = millis(3_000);
-/// Within this a founder is primary.
+/// The time in which a founder becomes primary.
 const FOUNDING_TIME: Duration = millis(1_000);
 
-/// Machines lose their disks, and start again with empty ones.
+/// Machines lose their disks, and restart with empty ones.
 fn wipe(simulation: &mut Simulation, machines: &[usize]) -> Result<(), String> {
     simulation.apply(FaultAction::Wipe(machines.to_vec()));
     simulation.run(millis(100))?;
@@ -32,7 +32,7 @@
     simulation.node(machine)?.founding().err()
 }
 
-/// The founder is primary under a term far above the former one, and knows the revision.
+/// Founds the fleet anew. The founder has to be primary under a term far above the former one, and to know the revision.
 fn found_anew(simulation: &mut Simulation, founder: usize, revision: u64) -> Result<(), String> {
     let former = term_of(simulation, founder)?;
     simulation.step(founder, Input::FoundAnew);
@@ -48,12 +48,12 @@
     commit_change(simulation, COMMIT_TIME).map(|_| ())
 }
 
-/// Of three members the primary and the witness are lost: the backup has the state.
+/// The primary and the witness are lost, of three members. The backup has the state.
 #[test]
 fn a_holder_of_the_state_founds_the_fleet_anew() {
     for seed in 100..130 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let last = commit_change(&mut simulation, COMMIT_TIME)?;
             let Roles { primary, backups, witnesses } = roles(&simulation)?;
             wipe(&mut simulation, &[primary, witnesses[0]])?;
@@ -72,12 +72,12 @@
     }
 }
 
-/// Both holders are lost: the witness has the state in memory, since it is told what is committed.
+/// Both holders of the state are lost. The witness has the state only in memory, as a learner of what is committed.
 #[test]
 fn a_witness_founds_the_fleet_anew_with_what_it_knows_to_be_committed() {
     for seed in 130..150 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let last = commit_change(&mut simulation, COMMIT_TIME)?;
             let Roles { primary, backups, witnesses } = roles(&simulation)?;
             wipe(&mut simulation, &[primary, backups[0]])?;
@@ -86,11 +86,12 @@
     }
 }
 
-/// A majority of five is left, none of which holds the state: it can elect nobody, and an operator may found anew.
+/// A majority of five members is left, but none of them holds the state: it can't elect a primary, and an operator may
+/// found anew.
 #[test]
 fn a_majority_without_the_state_is_founded_anew() {
-    holds("all holders are lost", || {
-        let mut simulation = calm(150, 5, 2, None)?;
+    passes("all holders are lost", || {
+        let mut simulation = stable_fleet(150, 5, 2, None)?;
         let last = commit_change(&mut simulation, COMMIT_TIME)?;
         let Roles { primary, backups, witnesses } = roles(&simulation)?;
         wipe(&mut simulation, &[primary, backups[0], backups[1]])?;
@@ -101,14 +102,14 @@
 
 #[test]
 fn a_fleet_that_can_elect_a_primary_is_not_founded_anew() {
-    holds("refusals", || {
-        let mut simulation = calm(151, 3, 1, None)?;
+    passes("refusals", || {
+        let mut simulation = stable_fleet(151, 3, 1, None)?;
         let Roles { primary, backups, .. } = roles(&simulation)?;
         for machine in simulation.remaining() {
             let found = refusal(&simulation, machine);
             ensure(found == Some(FoundingError::HasPrimary), &format!("{found:?}"))?;
         }
-        // Without effect where it is refused.
+        // A refused request has no effect.
         let before = term_of(&simulation, primary)?;
         simulation.step(backups[0], Input::FoundAnew);
         simulation.step(primary, Input::FoundAnew);
@@ -124,9 +125,9 @@
 }
 
 #[test]
-fn a_node_alone_founds_nothing() {
-    holds("too few nodes", || {
-        let mut simulation = calm(152, 3, 1, None)?;
+fn a_single_node_can_not_found_anew() {
+    passes("too few nodes", || {
+        let mut simulation = stable_fleet(152, 3, 1, None)?;
         let Roles { primary, backups, witnesses } = roles(&simulation)?;
         simulation.kill(primary, Kill::Process);
         simulation.kill(witnesses[0], Kill::Process);
@@ -139,22 +140,22 @@
     });
 }
 
-/// The members that were taken for lost come back with their disks: there is one fleet, that of the founder, and its fence is
-/// above all others.
+/// The members that were assumed lost come back with their disks. There is one fleet, that of the founder, and its
+/// fencing token is above all others.
 #[test]
 fn members_that_come_back_follow_the_founder() {
     for seed in 153..173 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let Roles { primary, backups, witnesses } = roles(&simulation)?;
-            let (founder, taken_for_lost) = (backups[0], [primary, witnesses[0]]);
-            taken_for_lost.into_iter().for_each(|machine| simulation.kill(machine, Kill::Process));
+            let (founder, assumed_lost) = (backups[0], [primary, witnesses[0]]);
+            assumed_lost.into_iter().for_each(|machine| simulation.kill(machine, Kill::Process));
             simulation.start_newcomer();
             simulation.run(DISCOVERY_TIME)?;
             let last = simulation.node(founder).and_then(Node::committed_state).map(|state| state.revision);
             found_anew(&mut simulation, founder, last.ok_or("no state")?)?;
             let term = term_of(&simulation, founder)?;
-            taken_for_lost.into_iter().for_each(|machine| simulation.start(machine));
+            assumed_lost.into_iter().for_each(|machine| simulation.start(machine));
             simulation.run(DISCOVERY_TIME)?;
             let is_primary = |machine: &usize| simulation.node(*machine).is_some_and(Node::is_primary);
             let primaries: Vec<usize> = simulation.running().into_iter().filter(is_primary).collect();
--- a/crates/consensus/tests/fleet/group_health.rs
+++ b/crates/consensus/tests/fleet/group_health.rs
@@ -1,11 +1,11 @@
-//! Whether one more machine may be lost, as the primary says.
+//! The health of the group as the primary reports it, and whether one more machine may be lost.
 
 use mosshead_consensus::{GroupHealth, LossRisk, MemberRole};
 use mosshead_virtual_fleet::millis;
 
 use crate::fault_actions::FaultAction;
 use crate::simulation::{Kill, Simulation};
-use crate::support::{Roles, calm, commit_change, current_primary, ensure, holds, roles};
+use crate::support::{Roles, commit_change, current_primary, ensure, passes, roles, stable_fleet};
 
 fn health(simulation: &Simulation) -> Result<GroupHealth, String> {
     let primary = current_primary(simulation)?;
@@ -15,8 +15,8 @@
 
 #[test]
 fn the_primary_names_the_members_and_who_holds_the_state() {
-    holds("five members", || {
-        let simulation = calm(170, 5, 2, None)?;
+    passes("five members", || {
+        let simulation = stable_fleet(170, 5, 2, None)?;
         let health = health(&simulation)?;
         let with_role = |role| health.members.iter().filter(|member| member.role == role).count();
         ensure(with_role(MemberRole::Primary) == 1, "primaries")?;
@@ -35,14 +35,17 @@
     });
 }
 
-/// What it says is so: after a loss that it calls too much, the next one leaves no primary; after one that it tolerates, there
-/// is a primary.
+/// The report of the primary is correct: after a loss that it does not tolerate, there is no primary; after one that it
+/// tolerates, there is one.
 #[test]
 fn a_loss_that_is_not_tolerated_stops_the_group() {
     for seed in 171..191 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
-            ensure(health(&simulation)?.tolerates_a_loss() == Ok(()), "no loss is tolerated in calm")?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
+            ensure(
+                health(&simulation)?.tolerates_a_loss() == Ok(()),
+                "no loss is tolerated without a fault",
+            )?;
             let Roles { backups, witnesses, .. } = roles(&simulation)?;
             let lost = if seed % 2 == 0 { witnesses[0] } else { backups[0] };
             simulation.kill(lost, Kill::Process);
@@ -62,11 +65,11 @@
     }
 }
 
-/// A backup whose disk takes no writes holds no further state until a witness has taken its place.
+/// A backup whose disk accepts no writes is not a replica of later states until a witness has replaced it.
 #[test]
 fn a_full_disk_counts_as_no_replica() {
-    holds("a full disk", || {
-        let mut simulation = calm(192, 3, 1, None)?;
+    passes("a full disk", || {
+        let mut simulation = stable_fleet(192, 3, 1, None)?;
         let Roles { backups, witnesses, .. } = roles(&simulation)?;
         simulation.kill(witnesses[0], Kill::Process);
         simulation.apply(FaultAction::FillDisks(backups));
--- a/crates/consensus/tests/fleet/large_states.rs
+++ b/crates/consensus/tests/fleet/large_states.rs
@@ -1,4 +1,4 @@
-//! Large states on slow links while changes go on: whoever was away catches up, and each primary has the newest state.
+//! Large states on slow links while changes go on: nodes that were down catch up, and each primary has the newest state.
 
 use std::fmt;
 
@@ -13,14 +13,14 @@
 };
 use crate::simulation::{Bandwidth, Kill, Simulation};
 use crate::support::{
-    Roles, current_primary, ensure, holds, holds_and_finds, links_of, primary_other_than, reply_at, roles,
+    Roles, current_primary, ensure, links_of, passes, passes_and_detects, primary_other_than, reply_at, roles,
 };
 
-/// The real size of a large configuration, and of the largest one.
+/// The sizes of a large configuration and of the largest one, before scaling.
 const LARGE_BYTES: usize = 3_000_000;
 const LARGEST_BYTES: usize = 4_000_000;
 
-/// A machine is absent until then at most.
+/// The latest end of a machine's absence.
 const END_OF_ABSENCE: Instant = Instant::from_millis(30_000);
 
 fn wiped_member(injected_fault: Option<InjectedFault>) -> Result<(), String> {
@@ -40,36 +40,36 @@
 
 #[test]
 fn a_wiped_member_catches_up_while_changes_go_on() {
-    holds_and_finds(wiped_member, InjectedFault::AlwaysSendFullStates);
+    passes_and_detects(wiped_member, InjectedFault::AlwaysSendFullStates);
 }
 
-/// A member is away for hundreds of changes.
+/// A member is down for hundreds of changes.
 fn restarted_member(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 3..6 {
         let mut simulation = fleet(seed, 3, 1, LARGE_BYTES, injected_fault)?;
         let Roles { backups, witnesses, .. } = roles(&simulation)?;
-        let away = if seed == 3 { backups[0] } else { witnesses[0] };
-        simulation.apply(FaultAction::Kill(vec![away]));
+        let stopped = if seed == 3 { backups[0] } else { witnesses[0] };
+        simulation.apply(FaultAction::Kill(vec![stopped]));
         let mut accepted = 0;
         while accepted < 300 && simulation.now() < END_OF_ABSENCE {
             accepted += stream_changes(&mut simulation, millis(1_000))?;
         }
         ensure(accepted >= 300, &format!("{accepted} changes in 25 s"))?;
-        simulation.start(away);
-        stream_until_caught_up(&mut simulation, away, millis(2_500))?;
+        simulation.start(stopped);
+        stream_until_caught_up(&mut simulation, stopped, millis(2_500))?;
     }
     Ok(())
 }
 
 #[test]
 fn a_restarted_member_catches_up_after_hundreds_of_changes() {
-    holds_and_finds(restarted_member, InjectedFault::AlwaysSendFullStates);
+    passes_and_detects(restarted_member, InjectedFault::AlwaysSendFullStates);
 }
 
 #[test]
 fn a_primary_elected_after_hundreds_of_changes_has_the_newest_state() {
     for seed in 6..9 {
-        holds(&format!("seed {seed}"), || {
+        passes(&format!("seed {seed}"), || {
             let mut simulation = fleet(seed, 4, 1, LARGE_BYTES, None)?;
             for _ in 0..2 {
                 stream_at_least(&mut simulation, millis(6_000), 100)?;
@@ -84,7 +84,7 @@
                 )?;
                 simulation.start(old);
                 stream_until_caught_up(&mut simulation, old, millis(3_000))?;
-                // The fleet makes up for the lost disk.
+                // Time for the fleet to replace the lost disk.
                 stream_changes(&mut simulation, millis(3_000))?;
             }
             simulation.check_convergence()
@@ -92,16 +92,16 @@
     }
 }
 
-/// Whoever takes over lacks the state, and fetches it from the only one that still has it.
+/// The node that takes over lacks the state, and fetches it from the only node that still has it.
 fn fetched_state(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut simulation = fleet(9, 3, 1, LARGEST_BYTES, injected_fault)?;
     stream_changes(&mut simulation, millis(1_000))?;
-    // A third of the usual link: the state needs 0.8 s.
+    // A third of the default link: the state needs 0.8 s.
     simulation.bandwidth = Some(Bandwidth { link_bytes_per_ms: 500, ..SLOW });
     let Roles { primary, backups, witnesses } = roles(&simulation)?;
     let node = simulation.node(primary).ok_or("the primary is down")?;
     let (from, term) = (node.local_member(), node.term());
-    // The witness knows what is committed in memory only.
+    // The witness has the committed state only in memory, and loses it by the restart.
     simulation.kill(witnesses[0], Kill::Process);
     simulation.start(witnesses[0]);
     simulation.apply(FaultAction::Kill(vec![primary]));
@@ -115,12 +115,12 @@
 
 #[test]
 fn a_take_over_waits_for_a_large_state_that_is_in_transfer() {
-    holds_and_finds(fetched_state, InjectedFault::IgnoreTransferProgress);
+    passes_and_detects(fetched_state, InjectedFault::IgnoreTransferProgress);
 }
 
 #[test]
 fn the_largest_configuration_is_accepted_and_one_byte_more_is_rejected() {
-    holds("without a fault", || {
+    passes("without a fault", || {
         let mut simulation = Simulation::new(10, 3, 1, None);
         simulation
             .machines
@@ -154,10 +154,10 @@
 
 #[test]
 fn the_largest_configuration_is_replicated_on_five_machines() {
-    holds_and_finds(largest_on_five_machines, InjectedFault::AlwaysSendFullStates);
+    passes_and_detects(largest_on_five_machines, InjectedFault::AlwaysSendFullStates);
 }
 
-/// Random faults while changes go on, each healed; no rule is violated, and all nodes know all in the end.
+/// Random faults while changes go on, each of them healed. No rule is violated, and all nodes converge in the end.
 fn random_faults(seed: u64) -> Result<(), String> {
     let (machines, failures) = if seed.is_multiple_of(3) { (5, 2) } else { (3, 1) };
     let mut simulation = fleet(seed, machines, failures, LARGE_BYTES, None)?;
@@ -193,7 +193,8 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// How long a wiped witness needs to catch up while changes go on, and how many were accepted in the two seconds before.
+/// How long a wiped witness needs to catch up while changes go on, and how many were accepted in the two seconds before
+/// the wipe.
 struct CatchUp {
     took: Duration,
     accepted_before: u64,
@@ -221,7 +222,7 @@
     Ok(CatchUp { took, accepted_before })
 }
 
-/// Prints how long a wiped member needs by the size of the configuration, as it is and with full states as it was.
+/// Prints how long a wiped member needs by the size of the configuration, with deltas and with full states.
 #[test]
 fn a_wiped_member_catches_up_whatever_the_size_of_the_configuration() {
     for (failures, real_bytes) in
@@ -242,7 +243,7 @@
     }
 }
 
-/// What a small change costs, in bytes.
+/// The cost of a small change, in bytes.
 #[derive(Clone, Copy)]
 struct ChangeCost {
     accepted: u64,
@@ -264,7 +265,7 @@
     for machine in &mut simulation.machines {
         machine.settings.log_rewrite_bytes = 4 << 20;
     }
-    // New settings take effect with a start.
+    // New settings take effect at a restart.
     for machine in 0..3 {
         simulation.kill(machine, Kill::Process);
         simulation.start(machine);
@@ -280,12 +281,12 @@
     })
 }
 
-/// Prints what a small change costs, with full states as it was and as it is.
+/// Prints the cost of a small change with full states and with deltas.
 #[test]
-fn a_small_change_costs_a_twentieth_of_a_whole_state_at_most() {
+fn a_small_change_costs_at_most_a_twentieth_of_a_full_state() {
     for real_bytes in [100_000, LARGE_BYTES] {
-        let [before, now] = [Some(InjectedFault::AlwaysSendFullStates), None].map(|injected_fault| {
-            let cost = holds("cost of a change", || cost_of_changes(real_bytes, injected_fault));
+        let [with_full_states, with_deltas] = [Some(InjectedFault::AlwaysSendFullStates), None].map(|injected_fault| {
+            let cost = passes("cost of a change", || cost_of_changes(real_bytes, injected_fault));
             let ChangeCost { accepted, sent, written } = cost;
             println!(
                 "{real_bytes} bytes, {injected_fault:?}: {accepted} changes, {sent} bytes sent and {written} written each"
@@ -293,7 +294,17 @@
             assert!(accepted >= 10, "{accepted} changes");
             cost
         });
-        assert!(now.sent * 20 < before.sent, "{} of {} bytes sent", now.sent, before.sent);
-        assert!(now.written * 20 < before.written, "{} of {} bytes written", now.written, before.written);
+        assert!(
+            with_deltas.sent * 20 < with_full_states.sent,
+            "{} of {} bytes sent",
+            with_deltas.sent,
+            with_full_states.sent
+        );
+        assert!(
+            with_deltas.written * 20 < with_full_states.written,
+            "{} of {} bytes written",
+            with_deltas.written,
+            with_full_states.written
+        );
     }
 }
--- a/crates/consensus/tests/fleet/large_states_fleet.rs
+++ b/crates/consensus/tests/fleet/large_states_fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets with large states on slow links, while changes go on.
 //!
-//! Sizes, links and disks are a tenth of the real ones, so that all times are real: a body of 300 KB stands for 3 MB, a link
-//! of 1,500 bytes a millisecond for one of 120 Mbit/s.
+//! The sizes, and the speeds of links and disks, are a tenth of the real ones, so that all times are real: a body of 300
+//! KB stands for 3 MB, a link of 1,500 bytes per millisecond for one of 120 Mbit/s.
 
 use mosshead_consensus::{ChunkSizes, ClientReply, ControlState, InjectedFault, Node};
 use mosshead_time::{Duration, Instant};
@@ -9,7 +9,7 @@
 
 use crate::checker::{Change, RequestKind, digest};
 use crate::simulation::{Bandwidth, Simulation};
-use crate::support::{calm_with, current_primary, ensure, reply_at};
+use crate::support::{current_primary, ensure, reply_at, start_without_noise};
 
 const SCALE: usize = 10;
 pub(crate) const SLOW: Bandwidth = Bandwidth {
@@ -18,16 +18,16 @@
     max_message_bytes: (8 << 20) / 10,
     large_message_bytes: (64 << 10) / 10,
 };
-/// From one change to the next.
+/// The time between changes.
 const CHANGE_INTERVAL: Duration = millis(30);
-/// A change without a reply for so long is given up.
+/// A change is abandoned after this long without a reply.
 const CHANGE_TIMEOUT: Duration = millis(1_400);
-/// Within this a change that replaces the whole body is committed.
+/// The time in which a change that replaces the whole body is committed.
 const LARGE_COMMIT_TIME: Duration = millis(1_200);
-/// A machine that is so many revisions behind keeps up with the changes.
+/// A machine has caught up if it is at most this many revisions behind.
 pub(crate) const MAX_LAG: u64 = 3;
 
-/// A fleet whose configuration has so many bytes of the real size.
+/// Starts a fleet whose configuration has `real_bytes` before scaling.
 pub(crate) fn fleet(
     seed: u64,
     machines: usize,
@@ -44,13 +44,13 @@
             chunk_bytes: sizes.chunk_bytes / SCALE,
         };
     }
-    let mut simulation = calm_with(simulation)?;
+    let mut simulation = start_without_noise(simulation)?;
     simulation.bandwidth = Some(SLOW);
     replace_body(&mut simulation, real_bytes / SCALE)?;
     Ok(simulation)
 }
 
-/// Another configuration of so many bytes, with nothing in common with the one before.
+/// Commits a random configuration of this length, which has nothing in common with the previous one.
 pub(crate) fn replace_body(simulation: &mut Simulation, bytes: usize) -> Result<(), String> {
     let body = (0..bytes).map(|_| simulation.random.next_u64() as u8).collect();
     let primary = current_primary(simulation)?;
@@ -62,7 +62,7 @@
     )
 }
 
-/// A change of a few bytes somewhere in the present configuration.
+/// A change of a few bytes somewhere in the current configuration.
 fn small_change(simulation: &mut Simulation, machine: usize) -> Option<Change> {
     let state = simulation.node(machine)?.committed_state()?.clone();
     let number = simulation.random.next_u64();
@@ -73,7 +73,7 @@
     Some(Change { base: state.revision, revision: state.revision + 1, digest: digest(number), body })
 }
 
-/// Changes follow each other for a while; returns how many were accepted.
+/// Sends changes one after another for a span. Returns how many were accepted.
 pub(crate) fn stream_changes(simulation: &mut Simulation, span: Duration) -> Result<u64, String> {
     let (before, end) = (simulation.checker.accepted_count, simulation.now() + span);
     let mut open: Option<(u64, Instant)> = None;
@@ -94,7 +94,7 @@
     Ok(simulation.checker.accepted_count - before)
 }
 
-/// Changes follow each other for a while, and at least so many are accepted.
+/// Sends changes one after another for a span, of which at least `min_accepted` have to be accepted.
 pub(crate) fn stream_at_least(
     simulation: &mut Simulation,
     span: Duration,
@@ -104,7 +104,7 @@
     ensure(accepted >= min_accepted, &format!("{accepted} changes in {span:?}"))
 }
 
-/// How far a machine is behind the newest committed state, in revisions.
+/// The number of revisions that a machine is behind the newest committed state.
 pub(crate) fn lag(simulation: &Simulation, machine: usize) -> Result<u64, String> {
     let revision = |machine| committed_state(simulation, machine).map_or(0, |state| state.revision);
     let newest = revision(current_primary(simulation)?);
@@ -115,7 +115,7 @@
     simulation.node(machine).and_then(Node::committed_state)
 }
 
-/// Changes follow each other until the machine has caught up; returns after how long.
+/// Sends changes one after another until the machine has caught up. Returns how long that took.
 pub(crate) fn stream_until_caught_up(
     simulation: &mut Simulation,
     machine: usize,
--- a/crates/consensus/tests/fleet/liveness.rs
+++ b/crates/consensus/tests/fleet/liveness.rs
@@ -1,4 +1,5 @@
-//! Whether the fleet works: it answers in calm and under lasting faults, and after a long calm all nodes know all.
+//! Liveness checks: the fleet replies without faults and under lasting ones, and all nodes converge after a long time
+//! without faults.
 
 use mosshead_consensus::ClientReply;
 use mosshead_time::Duration;
@@ -8,25 +9,25 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::Simulation;
 
-/// Within this a fleet in calm, or with as many lasting faults as it tolerates, has a primary.
+/// The time in which a fleet without faults, or with as many lasting ones as it tolerates, elects a primary.
 const TIME_TO_PRIMARY: Duration = millis(2_500);
-/// Within this the primary replies.
+/// The time in which the primary replies.
 const TIME_TO_REPLY: Duration = millis(700);
-/// Within this after a fault is healed, the fleet is back.
+/// The time in which the fleet recovers after a fault is healed.
 const TIME_TO_RETURN: Duration = millis(700);
-/// Within this a fleet in calm has replaced lost members, and all nodes know all.
+/// The time in which a fleet without faults replaces lost members, and all nodes converge.
 const TIME_TO_CONVERGE: Duration = millis(5_000);
 
 impl Simulation {
-    /// Checks that a change that is sent to the primary gets a reply, that somebody's change is accepted, and that a read
-    /// returns a state. Messages are neither lost nor late meanwhile.
+    /// Checks that a change that is sent to the primary gets a reply, that some operator's change is accepted, and that a
+    /// read returns a state. Messages are neither lost nor late meanwhile.
     pub(crate) fn check_liveness(&mut self) -> Result<(), String> {
         let noise = std::mem::replace(&mut self.noise, Noise::NONE);
         self.run(TIME_TO_PRIMARY)?;
         let Some(primary) = self.primary() else {
             return Err(format!("at {}: liveness: no primary", self.now()));
         };
-        // Operators race: somebody's change gets through.
+        // Operators race, so any accepted change counts.
         let accepted = self.checker.accepted_count;
         let change = self.new_change(primary);
         let change_id = self.send_request(primary, RequestKind::Change(change));
@@ -43,7 +44,7 @@
         Ok(())
     }
 
-    /// As many machines as may be lost have a fault that lasts: the others go on.
+    /// Checks that the other machines go on while as many as may be lost have a lasting fault.
     pub(crate) fn check_liveness_under_fault(&mut self) -> Result<(), String> {
         let faulty = self.pick_some(self.tolerated_failures);
         let others: Vec<usize> =
@@ -71,8 +72,8 @@
         self.run(TIME_TO_RETURN)
     }
 
-    /// After a long calm every machine runs, knows the newest state, all members and the primary, and has contact with a
-    /// quorum; the primary answers a read.
+    /// Checks that after a long time without faults every machine runs, knows the newest state, all members and the
+    /// primary, and has contact with a quorum, and that the primary replies to a read.
     pub(crate) fn check_convergence(&mut self) -> Result<(), String> {
         self.remove_operators();
         self.after_commit = None;
--- a/crates/consensus/tests/fleet/main.rs
+++ b/crates/consensus/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: simulated network, disks and operators, random faults by seed, and checks of every rule.
+//! Tests of a fleet in virtual time: simulated network, disks and operators, random faults by seed, and checks of every rule.
 
 mod checker;
 mod fault_actions;
@@ -11,14 +11,14 @@
 mod member_turnover;
 mod membership_scenarios;
 mod operator;
+mod overlapping_faults;
 mod primary_scenarios;
 mod racing_operators;
-mod random_day;
-mod random_days;
-mod random_storm;
+mod random_faults;
 mod read_lease;
 mod recovery_times;
 mod repeated_requests;
+mod sequential_faults;
 mod simulation;
 mod support;
 mod turnover;
--- a/crates/consensus/tests/fleet/membership_scenarios.rs
+++ b/crates/consensus/tests/fleet/membership_scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios about members, bootstrap voters and newcomers, each with nodes as they are and with nodes that have the fault
-//! that the scenario is about.
+//! Scenarios about members, bootstrap voters and newcomers. Most run without a fault, and with the injected fault that
+//! they have to detect.
 
 use mosshead_consensus::{ControlState, InjectedFault, Input, Message, Node, Timings};
 use mosshead_time::Instant;
@@ -9,21 +9,22 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::{Kill, Simulation};
 use crate::support::{
-    LONG_LEASE, Roles, calm, calm_with, commit_change, current_primary, ensure, holds, holds_and_finds,
-    links_of, primary_other_than, roles,
+    LONG_LEASE, Roles, commit_change, current_primary, ensure, links_of, passes, passes_and_detects,
+    primary_other_than, roles, stable_fleet, start_without_noise,
 };
 
-/// A change of members has begun by then.
-const JOINT_BY: Instant = Instant::from_millis(10_000);
+/// The latest start of a change of members.
+const JOINT_CONFIG_DEADLINE: Instant = Instant::from_millis(10_000);
 
-/// The old side of a partition must not give its places to newcomers while the rest goes on.
-fn two_sides(injected_fault: Option<InjectedFault>) -> Result<(), String> {
+/// A primary that is cut off from the other old members must not give their slots to newcomers while those members elect
+/// another primary.
+fn membership_change_in_partition(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut simulation = Simulation::new(11, 5, 1, injected_fault);
     for machine in &mut simulation.machines {
         machine.settings.timings =
             Timings { replacement_timeout: millis(200), lease: LONG_LEASE, ..Timings::default() };
     }
-    let mut simulation = calm_with(simulation)?;
+    let mut simulation = start_without_noise(simulation)?;
     let Roles { primary, backups, witnesses } = roles(&simulation)?;
     let (backup, silent) = (backups[0], witnesses[0]);
     let links = links_of(&simulation, silent);
@@ -31,15 +32,15 @@
     let is_joint = |simulation: &Simulation| {
         simulation.node(primary).and_then(Node::epoch_config).is_some_and(|config| config.is_joint())
     };
-    while !is_joint(&simulation) && simulation.now() < JOINT_BY {
+    while !is_joint(&simulation) && simulation.now() < JOINT_CONFIG_DEADLINE {
         simulation.run(millis(1))?;
     }
     // The joint configuration is in flight to a newcomer and to none of the old members.
     simulation.links.heal();
-    let rest = [backup, silent];
-    let old_side: Vec<usize> =
-        simulation.remaining().into_iter().filter(|machine| !rest.contains(machine)).collect();
-    simulation.links.partition(&old_side, &rest);
+    let other_side = [backup, silent];
+    let primary_side: Vec<usize> =
+        simulation.remaining().into_iter().filter(|machine| !other_side.contains(machine)).collect();
+    simulation.links.partition(&primary_side, &other_side);
     simulation.run(millis(2_500))?;
     for machine in [primary, backup, silent] {
         let change = simulation.new_change(machine);
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn members_change_by_the_old_and_the_new() {
-    holds_and_finds(two_sides, InjectedFault::NewMembersOnly);
+fn a_change_of_members_needs_majorities_of_the_old_and_the_new_ones() {
+    passes_and_detects(membership_change_in_partition, InjectedFault::NewMembersOnly);
 }
 
 /// Two bootstrap voters start a fleet; one loses its disk while the other is down and the third comes late.
@@ -62,7 +63,7 @@
     simulation.kill(2, Kill::Process);
     simulation.run(millis(4_000))?;
     commit_change(&mut simulation, millis(300))?;
-    // The third one knows nothing of it.
+    // The third bootstrap voter does not know of the fleet.
     let other = 1 - current_primary(&simulation)?;
     simulation.machines[2].disk.wipe_after_identity();
     simulation.apply(FaultAction::Wipe(vec![other]));
@@ -78,11 +79,11 @@
 
 #[test]
 fn only_bootstrap_voters_start_a_fleet() {
-    holds_and_finds(late_bootstrap_voter, InjectedFault::AnyBootstrapVoter);
+    passes_and_detects(late_bootstrap_voter, InjectedFault::AnyBootstrapVoter);
 }
 
 fn wiped_member(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(13, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(13, 3, 1, injected_fault)?;
     let Roles { backups, .. } = roles(&simulation)?;
     let old = simulation.node(backups[0]).map(Node::local_member).ok_or("the backup is down")?;
     simulation.apply(FaultAction::Wipe(backups.clone()));
@@ -95,14 +96,14 @@
 }
 
 #[test]
-fn a_wiped_machine_is_another_member_at_once() {
-    holds_and_finds(wiped_member, InjectedFault::NeverReplaceMembers);
+fn a_wiped_machine_becomes_a_new_member_at_once() {
+    passes_and_detects(wiped_member, InjectedFault::NeverReplaceMembers);
 }
 
 #[test]
-fn a_member_that_comes_back_after_it_was_replaced_learns_and_serves() {
-    holds("without a fault", || {
-        let mut simulation = calm(14, 4, 1, None)?;
+fn a_replaced_member_that_comes_back_learns_and_joins_again() {
+    passes("without a fault", || {
+        let mut simulation = stable_fleet(14, 4, 1, None)?;
         let Roles { backups, .. } = roles(&simulation)?;
         let returning = simulation.node(backups[0]).map(Node::local_member).ok_or("the backup is down")?;
         let links = links_of(&simulation, backups[0]);
@@ -120,7 +121,7 @@
         let learned = node.committed_state().is_some_and(|state| state.revision == change.revision);
         ensure(learned, "it does not learn the change")?;
         ensure(simulation.has_quorum_contact(backups[0]), "it has no quorum contact")?;
-        // Another member is lost: there is room for it again.
+        // Another member is lost, so that a slot is free for it.
         let Roles { backups, .. } = roles(&simulation)?;
         simulation.remove_machine(backups[0]);
         simulation.run(millis(4_500))?;
@@ -131,22 +132,22 @@
 #[test]
 fn one_seed_starts_a_fleet_with_newcomers() {
     for seed in 300..310 {
-        holds(&format!("seed {seed}"), || {
+        passes(&format!("seed {seed}"), || {
             let mut simulation = Simulation::new(seed, 3, 1, None);
             for machine in &mut simulation.machines {
                 machine.settings.seeds = vec![control_node_address(0)];
             }
-            calm_with(simulation)?.check_convergence()
+            start_without_noise(simulation)?.check_convergence()
         });
     }
 }
 
 #[test]
 fn one_machine_is_enough_where_no_failures_are_tolerated() {
-    holds("without a fault", || {
+    passes("without a fault", || {
         let mut simulation = Simulation::new(1, 1, 0, None);
         simulation.machines[0].settings.seeds = vec![control_node_address(0)];
-        let mut simulation = calm_with(simulation)?;
+        let mut simulation = start_without_noise(simulation)?;
         simulation.kill(0, Kill::PowerLoss);
         simulation.start(0);
         simulation.run(millis(1_000))?;
@@ -155,13 +156,13 @@
     });
 }
 
-/// A witness shuts down, and the primary that grants its removal is lost. Before the grant arrives, the witness has become
-/// backup of the next primary: were it to end, the next loss would take the last copy of the state.
+/// A witness shuts down, and the primary that grants its removal is lost. Before the grant arrives, the witness has
+/// become backup of the next primary: if it ended now, the next loss would take the last copy of the state.
 #[test]
-fn a_grant_of_an_older_primary_ends_no_member() {
+fn a_removal_granted_by_an_older_primary_is_ignored() {
     for seed in 40..60 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let Roles { primary: old, backups, witnesses } = roles(&simulation)?;
             let (next, leaver) = (backups[0], witnesses[0]);
             let node = simulation.node(old).ok_or("the primary is down")?;
@@ -182,7 +183,7 @@
                 |simulation: &Simulation| simulation.node(leaver).is_some_and(Node::may_shut_down);
             simulation.step(leaver, Input::Message { from, message: Message::RemovalGranted { term } });
             ensure(!may_shut_down(&simulation), "it ends by the grant of an older primary")?;
-            // With another member in its place the new primary grants its removal.
+            // Once another member can replace it, the new primary grants its removal.
             simulation.start(old);
             simulation.run(millis(800))?;
             ensure(may_shut_down(&simulation), "it is not granted its removal")
@@ -190,12 +191,12 @@
     }
 }
 
-/// A term belongs to one disk. What another member writes or proposes under it is neither written nor accepted, as of a
-/// machine whose disk was copied from an older one.
+/// A term belongs to one disk. What another member sends under it, for example a machine whose disk was copied from an
+/// older one, is neither written nor accepted.
 #[test]
 fn a_write_under_the_term_of_another_disk_is_not_accepted() {
-    holds("a write by another member", || {
-        let mut simulation = calm(61, 3, 1, None)?;
+    passes("a write by another member", || {
+        let mut simulation = stable_fleet(61, 3, 1, None)?;
         let Roles { primary, backups, witnesses } = roles(&simulation)?;
         let (backup, witness) = (backups[0], witnesses[0]);
         let node = simulation.node(primary).ok_or("the primary is down")?;
--- a/crates/consensus/tests/fleet/operator.rs
+++ b/crates/consensus/tests/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! Operators that race: each request is repeated unchanged until its result is known.
+//! Simulated operators whose requests race. Each request is retried unchanged until its result is known.
 
 use mosshead_consensus::ClientReply;
 use mosshead_time::{Duration, Instant};
@@ -10,11 +10,11 @@
 const TICK_INTERVAL: Duration = millis(20);
 /// How long an operator waits for a reply.
 const REPLY_TIMEOUT: Duration = millis(1_000);
-/// From a reply to the next request: the shortest pause, and what may be added.
+/// The pause from a reply to the next request: the shortest one, and the bound of the random time that is added.
 const MIN_PAUSE: Duration = millis(100);
 const PAUSE_VARIATION: Duration = millis(200);
 const MAX_REDIRECTS: usize = 2;
-/// How many accepted changes an operator remembers, to repeat them.
+/// The number of accepted changes that an operator remembers, to repeat them.
 const MAX_REMEMBERED_CHANGES: usize = 1_000;
 
 struct OpenRequest {
@@ -30,9 +30,9 @@
     open_request: Option<OpenRequest>,
     redirects: usize,
     idle_until: Instant,
-    /// Changes that were accepted, to be repeated now and then.
+    /// Changes that were accepted, to be repeated occasionally.
     accepted: Vec<Change>,
-    /// The revision that its next change builds on.
+    /// The revision that its next change is based on.
     base: Option<u64>,
 }
 
@@ -71,7 +71,7 @@
         }
         let target = running[self.random.index(running.len())];
         self.call(index, target);
-        // The same change twice at once, to two machines.
+        // Sometimes sends the same change to two machines at once.
         if self.random.is_one_in(10)
             && let Some(kind @ RequestKind::Change(_)) = self.operators[index].request.clone()
         {
@@ -101,13 +101,13 @@
 
     fn call(&mut self, index: usize, target: usize) {
         let Some(kind) = self.operators[index].request.clone() else { return };
-        // The reply may come while the request is sent.
+        // Set before the request is sent, because the reply may come in the same call.
         let id = self.next_request_id();
         self.operators[index].open_request = Some(OpenRequest { id, sent_at: self.now() });
         self.send_request(target, kind);
     }
 
-    /// A request has its reply: if an operator waits for it, it goes on with that.
+    /// Passes a reply to the operator that waits for it, if there is one.
     pub(crate) fn on_operator_reply(&mut self, request_id: u64) {
         let waits =
             |operator: &Operator| operator.open_request.as_ref().is_some_and(|open| open.id == request_id);
@@ -131,7 +131,7 @@
                     operator.accepted.remove(0);
                 }
                 operator.accepted.push(change.clone());
-                // Most go on from what they wrote, so that others are behind at times.
+                // Most operators base their next change on their own one, so that others are sometimes stale.
                 operator.base = (revision % 3 != 0).then_some(revision);
                 operator.request = None;
                 operator.idle_until = idle_until;
@@ -140,7 +140,7 @@
                 operator.base = Some(current_revision);
                 operator.request = None;
             }
-            // Neither accepted nor rejected, however often it is sent.
+            // It is neither accepted nor rejected, however often it is sent.
             (ClientReply::Expired, _) => operator.request = None,
             (ClientReply::NotPrimary { .. }, _)
                 if operator.redirects < MAX_REDIRECTS && redirect.is_some() =>
--- a/crates/consensus/tests/fleet/random_storm.rs
+++ b/crates/consensus/tests/fleet/overlapping_faults.rs
@@ -1,23 +1,24 @@
-//! Storms: small faults begin and end at any moment, and the timings of the nodes are random. Only safety is checked in them.
+//! Overlapping random faults, by seed: small faults begin and end at any time, and the timings of the nodes are random.
+//! Only safety is checked while faults go on.
 
 use mosshead_consensus::{InjectedFault, Input, Member, Timings};
 use mosshead_time::Duration;
 use mosshead_virtual_fleet::{Noise, millis};
 
 use crate::fault_actions::FaultAction;
-use crate::simulation::{Kill, Simulation, USUAL_WRITE_TIME_VARIATION};
+use crate::simulation::{DEFAULT_WRITE_TIME_VARIATION, Kill, Simulation};
 
-/// How often a storm is interrupted by a calm.
-const CALMS: usize = 4;
-/// How many small faults strike between two calms.
-const FAULTS_PER_CALM: usize = 40;
-/// From one small fault to the next it is less than this.
+/// The number of rounds of faults, each followed by a time without faults.
+const ROUNDS: usize = 4;
+/// The number of small faults in a round.
+const FAULTS_PER_ROUND: usize = 40;
+/// The time between small faults is less than this.
 const FAULT_INTERVAL: Duration = millis(200);
-/// Storms draw other numbers than the days of the same seeds.
+/// Gives these runs other random numbers than the runs with sequential faults of the same seeds.
 const SEED_MASK: u64 = 0x5707;
 
-/// The storm of a seed.
-pub(crate) fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Simulation, String> {
+/// Runs the faults of a seed.
+pub(crate) fn run_seed(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Simulation, String> {
     let (machines, tolerated_failures) = match seed % 4 {
         0 => (5, 2),
         1 | 2 => (4, 1),
@@ -25,20 +26,20 @@
     };
     let mut simulation = Simulation::new(seed ^ SEED_MASK, machines, tolerated_failures, injected_fault);
     simulation
-        .run_storm(2 + (seed % 3) as usize)
-        .map_err(|violation| format!("storm {seed}: {violation}"))?;
+        .run_overlapping_faults(2 + (seed % 3) as usize)
+        .map_err(|violation| format!("overlapping faults, seed {seed}: {violation}"))?;
     Ok(simulation)
 }
 
 impl Simulation {
-    fn run_storm(&mut self, operator_count: usize) -> Result<(), String> {
+    fn run_overlapping_faults(&mut self, operator_count: usize) -> Result<(), String> {
         let timings = self.draw_timings();
         self.machines.iter_mut().for_each(|machine| machine.settings.timings = timings.clone());
         self.noise = Noise::per_mille([5, 50, 150][self.random.index(3)]);
         self.write_time_variation = millis([4, 30, 150][self.random.index(3)]);
         let has_few_operators = self.random.is_one_in(3);
         let mut may_lose_disks = false;
-        for _ in 0..CALMS {
+        for _ in 0..ROUNDS {
             if !has_few_operators || self.random.is_one_in(3) {
                 self.add_operators(operator_count);
             }
@@ -46,13 +47,13 @@
             if has_few_operators {
                 self.remove_operators();
             }
-            may_lose_disks = self.recover_in_calm()?;
+            may_lose_disks = self.recover_without_faults()?;
             if may_lose_disks && self.random.is_one_in(2) {
                 may_lose_disks = false;
                 self.draw_fault_after_commit();
             }
         }
-        self.end_storm()
+        self.end_overlapping_faults()
     }
 
     fn draw_timings(&mut self) -> Timings {
@@ -74,10 +75,10 @@
         }
     }
 
-    /// Small faults, and a loss of disks among them at most.
+    /// Applies small faults, with at most one loss of disks among them.
     fn run_small_faults(&mut self, may_lose_disks: &mut bool) -> Result<(), String> {
         let tolerated = self.tolerated_failures;
-        for _ in 0..FAULTS_PER_CALM {
+        for _ in 0..FAULTS_PER_ROUND {
             self.apply_small_fault();
             let span = self.random_duration_below(FAULT_INTERVAL);
             self.run(span)?;
@@ -95,7 +96,7 @@
         Ok(())
     }
 
-    /// A small fault begins, or one ends.
+    /// Begins a small fault, or ends one.
     fn apply_small_fault(&mut self) {
         let all = self.remaining();
         let machine = all[self.random.index(all.len())];
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A time without faults. Returns whether all members are there after it, so that disks may be lost.
-    fn recover_in_calm(&mut self) -> Result<bool, String> {
+    /// Lets the fleet recover without faults. Returns true if all members are live then, so that disks may be lost.
+    fn recover_without_faults(&mut self) -> Result<bool, String> {
         let noise = std::mem::replace(&mut self.noise, Noise::NONE);
         self.after_commit = None;
         self.loss_by_kind.fill(0);
@@ -152,13 +153,13 @@
         Ok(!config.is_joint() && live_count == wanted && config.members.len() == wanted)
     }
 
-    /// Whoever comes back with the usual timings has lost nothing.
-    fn end_storm(&mut self) -> Result<(), String> {
+    /// Restarts all processes with the default timings, and checks that nothing was lost.
+    fn end_overlapping_faults(&mut self) -> Result<(), String> {
         self.remove_operators();
         self.kill_all(&self.remaining(), Kill::Process);
         self.machines.iter_mut().for_each(|machine| machine.settings.timings = Timings::default());
         self.after_commit = None;
-        self.write_time_variation = USUAL_WRITE_TIME_VARIATION;
+        self.write_time_variation = DEFAULT_WRITE_TIME_VARIATION;
         self.noise = Noise::NONE;
         self.heal();
         self.run(millis(3_500))?;
--- a/crates/consensus/tests/fleet/primary_scenarios.rs
+++ b/crates/consensus/tests/fleet/primary_scenarios.rs
@@ -1,5 +1,4 @@
-//! Scenarios about primaries and backups, each with nodes as they are and with nodes that have the fault that the scenario
-//! is about.
+//! Scenarios about primaries and backups. Most run without a fault, and with the injected fault that they have to detect.
 
 use mosshead_consensus::{ClientReply, InjectedFault, Input, Message, Node, Timings};
 use mosshead_time::Duration;
@@ -9,19 +8,19 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::{Kill, Simulation};
 use crate::support::{
-    LONG_LEASE, Roles, calm, calm_with, commit_change, commit_change_at, current_primary, ensure, holds,
-    holds_and_finds, links_of, primary_other_than, reply_at, roles,
+    LONG_LEASE, Roles, commit_change, commit_change_at, current_primary, ensure, links_of, passes,
+    passes_and_detects, primary_other_than, reply_at, roles, stable_fleet, start_without_noise,
 };
 
-/// Within this a fleet is back after a kill.
+/// The longest outage after a kill.
 const MAX_OUTAGE: Duration = millis(1_500);
 
-/// A fleet of which the old primary was cut off, while the new one has committed a change.
+/// A fleet whose old primary was cut off, while the new one has committed a change.
 struct TwoPrimaries {
     simulation: Simulation,
     old: usize,
     new: usize,
-    /// What the new primary has committed.
+    /// The change that the new primary has committed.
     change: Change,
 }
 
@@ -31,7 +30,7 @@
     for machine in &mut simulation.machines {
         machine.settings.timings = Timings { lease: LONG_LEASE, ..Timings::default() };
     }
-    let mut simulation = calm_with(simulation)?;
+    let mut simulation = start_without_noise(simulation)?;
     let old = current_primary(&simulation)?;
     let links = links_of(&simulation, old);
     simulation.apply(FaultAction::CutLinks(links));
@@ -59,21 +58,21 @@
 
 #[test]
 fn a_read_is_confirmed_by_a_quorum() {
-    holds_and_finds(read_at_old_primary, InjectedFault::ReadUnconfirmed);
+    passes_and_detects(read_at_old_primary, InjectedFault::ReadUnconfirmed);
 }
 
 #[test]
 fn a_rejection_as_stale_is_confirmed_by_a_quorum() {
-    holds_and_finds(change_at_old_primary, InjectedFault::StaleUnconfirmed);
+    passes_and_detects(change_at_old_primary, InjectedFault::StaleUnconfirmed);
 }
 
-/// A backup has promised a term to another member, and its old primary goes on.
+/// A backup has promised a term to another member, while its old primary goes on.
 fn write_after_promise(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut simulation = Simulation::new(4, 3, 1, injected_fault);
     for machine in &mut simulation.machines {
         machine.settings.timings = Timings { lease: LONG_LEASE, ..Timings::default() };
     }
-    let mut simulation = calm_with(simulation)?;
+    let mut simulation = start_without_noise(simulation)?;
     let Roles { primary: old, backups, witnesses } = roles(&simulation)?;
     let (backup, witness) = (backups[0], witnesses[0]);
     simulation.apply(FaultAction::CutLinks(vec![(old, witness), (witness, old)]));
@@ -95,12 +94,12 @@
 
 #[test]
 fn a_backup_accepts_no_write_below_the_term_that_it_has_promised() {
-    holds_and_finds(write_after_promise, InjectedFault::ForgetPromise);
+    passes_and_detects(write_after_promise, InjectedFault::ForgetPromise);
 }
 
-/// What a lone primary wrote has a high revision, and was never committed.
+/// A primary that was cut off has written a change with a high revision, which was never committed.
 fn high_revision(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(4, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(4, 3, 1, injected_fault)?;
     let old = current_primary(&simulation)?;
     let links = links_of(&simulation, old);
     simulation.apply(FaultAction::CutLinks(links));
@@ -121,11 +120,11 @@
 
 #[test]
 fn the_newest_state_has_the_highest_write_term() {
-    holds_and_finds(high_revision, InjectedFault::NewestByRevision);
+    passes_and_detects(high_revision, InjectedFault::NewestByRevision);
 }
 
 fn primary_without_input(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(5, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(5, 3, 1, injected_fault)?;
     let old = current_primary(&simulation)?;
     let links = simulation.remaining().into_iter().map(|other| (other, old)).collect();
     simulation.apply(FaultAction::CutLinks(links));
@@ -138,13 +137,13 @@
 
 #[test]
 fn a_primary_that_receives_nothing_steps_down() {
-    holds_and_finds(primary_without_input, InjectedFault::IgnorePrimaryLease);
+    passes_and_detects(primary_without_input, InjectedFault::IgnorePrimaryLease);
 }
 
 #[test]
 fn a_primary_whose_messages_are_lost_is_replaced() {
-    holds("without a fault", || {
-        let mut simulation = calm(6, 3, 1, None)?;
+    passes("without a fault", || {
+        let mut simulation = stable_fleet(6, 3, 1, None)?;
         let old = current_primary(&simulation)?;
         let links = simulation.remaining().into_iter().map(|other| (old, other)).collect();
         simulation.apply(FaultAction::CutLinks(links));
@@ -155,7 +154,7 @@
 }
 
 fn stalled_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(7, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(7, 3, 1, injected_fault)?;
     let old = current_primary(&simulation)?;
     simulation.apply(FaultAction::StallDisks(vec![old], millis(6_000)));
     let change = simulation.new_change(old);
@@ -170,11 +169,11 @@
 
 #[test]
 fn a_primary_with_a_stalled_disk_steps_down() {
-    holds_and_finds(stalled_primary, InjectedFault::KeepStalledPrimary);
+    passes_and_detects(stalled_primary, InjectedFault::KeepStalledPrimary);
 }
 
 fn stalled_backup(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(8, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(8, 3, 1, injected_fault)?;
     let Roles { primary, backups, .. } = roles(&simulation)?;
     simulation.apply(FaultAction::StallDisks(backups, millis(6_000)));
     commit_change_at(&mut simulation, primary, millis(700))?;
@@ -183,11 +182,11 @@
 
 #[test]
 fn a_backup_with_a_stalled_disk_is_replaced() {
-    holds_and_finds(stalled_backup, InjectedFault::KeepStalledBackup);
+    passes_and_detects(stalled_backup, InjectedFault::KeepStalledBackup);
 }
 
 fn full_backup(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(9, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(9, 3, 1, injected_fault)?;
     let Roles { primary, backups, .. } = roles(&simulation)?;
     simulation.apply(FaultAction::FillDisks(backups));
     commit_change_at(&mut simulation, primary, millis(250)).map(|_| ())
@@ -195,13 +194,13 @@
 
 #[test]
 fn a_backup_reports_its_full_disk() {
-    holds_and_finds(full_backup, InjectedFault::AlwaysHealthy);
+    passes_and_detects(full_backup, InjectedFault::AlwaysHealthy);
 }
 
 #[test]
 fn a_primary_with_a_full_disk_steps_down() {
-    holds("without a fault", || {
-        let mut simulation = calm(10, 3, 1, None)?;
+    passes("without a fault", || {
+        let mut simulation = stable_fleet(10, 3, 1, None)?;
         let old = current_primary(&simulation)?;
         simulation.apply(FaultAction::FillDisks(vec![old]));
         let change = simulation.new_change(old);
@@ -218,8 +217,8 @@
 #[test]
 fn a_planned_shutdown_names_the_successor() {
     for seed in 20..40 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let old = current_primary(&simulation)?;
             let change = simulation.new_change(old);
             let request_id = simulation.send_request(old, RequestKind::Change(change));
@@ -243,8 +242,8 @@
 
 #[test]
 fn a_state_is_sent_only_where_it_is_needed() {
-    holds("without a fault", || {
-        let mut simulation = calm(15, 3, 1, None)?;
+    passes("without a fault", || {
+        let mut simulation = stable_fleet(15, 3, 1, None)?;
         let before = simulation.sent_state_count;
         commit_change(&mut simulation, millis(1_000))?;
         // To the backup, and to the witness once it is committed.
@@ -261,16 +260,16 @@
     });
 }
 
-/// A backup's write of a change is on disk but reported as failed, and comes again.
+/// A backup's write of a change is on disk but reported as failed, and is repeated.
 fn change_written_twice(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut simulation = Simulation::new(16, 3, 1, injected_fault);
     simulation.machines.iter_mut().for_each(|machine| machine.settings.log_rewrite_bytes = 1 << 20);
-    let mut simulation = calm_with(simulation)?;
+    let mut simulation = start_without_noise(simulation)?;
     let Roles { primary, backups, witnesses } = roles(&simulation)?;
-    // Nobody is there to replace the backup.
+    // No witness can replace the backup.
     simulation.apply(FaultAction::Kill(witnesses));
     simulation.run(millis(500))?;
-    simulation.machines[backups[0]].disk.failed_yet_written = 1;
+    simulation.machines[backups[0]].disk.false_failure_count = 1;
     commit_change_at(&mut simulation, primary, millis(1_000))?;
     commit_change(&mut simulation, millis(300))?;
     simulation.apply(FaultAction::Kill(backups.clone()));
@@ -281,10 +280,10 @@
 
 #[test]
 fn a_change_is_written_only_after_the_state_before_it() {
-    holds_and_finds(change_written_twice, InjectedFault::WriteDeltaOnUncertainState);
+    passes_and_detects(change_written_twice, InjectedFault::WriteDeltaOnUncertainState);
 }
 
-/// The longest time, over the seeds, from a loss until `is_back` holds; changes are committed again right after it.
+/// The longest time over the seeds from a loss until `is_back` returns true. A change has to be committed right after that.
 fn longest_outage(
     seeds: std::ops::Range<u64>,
     lose: impl Fn(&mut Simulation, u64) -> Result<(), String>,
@@ -292,7 +291,7 @@
 ) -> Duration {
     let outage = |seed: u64| {
         let failures = 1 + seed as usize % 2;
-        let mut simulation = calm(seed, 2 * failures + 1, failures, None)?;
+        let mut simulation = stable_fleet(seed, 2 * failures + 1, failures, None)?;
         let old = current_primary(&simulation)?;
         lose(&mut simulation, seed)?;
         let since = simulation.now();
@@ -303,7 +302,7 @@
         commit_change(&mut simulation, millis(200))?;
         Ok(took)
     };
-    let outages = seeds.map(|seed| holds(&format!("seed {seed}"), || outage(seed)));
+    let outages = seeds.map(|seed| passes(&format!("seed {seed}"), || outage(seed)));
     outages.max().unwrap_or_default()
 }
 
@@ -320,7 +319,7 @@
 }
 
 #[test]
-fn all_killed_are_back_within_1500_ms() {
+fn a_fleet_that_was_killed_is_back_within_1500_ms() {
     let kill = |simulation: &mut Simulation, _| {
         simulation.kill_all(&simulation.remaining(), Kill::PowerLoss);
         simulation.remaining().into_iter().for_each(|machine| simulation.start(machine));
@@ -331,13 +330,13 @@
     assert!(worst <= MAX_OUTAGE, "{worst:?}");
 }
 
-/// Responses to heartbeats overtake each other, and none follows them. The lease counts from the newest heartbeat that was
+/// Responses to heartbeats arrive out of order, and no others follow. The lease counts from the newest heartbeat that was
 /// answered, not from the one whose response arrived last.
 #[test]
 fn a_late_response_does_not_shorten_the_lease() {
     for seed in 70..90 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let primary = current_primary(&simulation)?;
             let others = simulation.remaining().into_iter().filter(|machine| *machine != primary);
             simulation.buffering_links = others.map(|other| (other, primary)).collect();
@@ -354,12 +353,12 @@
     }
 }
 
-/// The fleet was started again with a lower tolerance: of five members two hold the state. The other three are a majority,
-/// and know nothing of the last change.
+/// The fleet was restarted with a lower `max_failures`: of five members two hold the state. The other three are a
+/// majority, but lack the last change.
 #[test]
 fn a_majority_without_a_holder_of_the_state_elects_no_primary() {
-    holds("both holders are lost", || {
-        let mut simulation = calm(91, 5, 2, None)?;
+    passes("both holders are lost", || {
+        let mut simulation = stable_fleet(91, 5, 2, None)?;
         let all = simulation.remaining();
         for machine in all {
             simulation.kill(machine, Kill::Process);
@@ -369,7 +368,7 @@
         simulation.run(millis(2_000))?;
         let Roles { primary, backups, .. } = roles(&simulation)?;
         ensure(backups.len() == 1, "the tolerance is as before")?;
-        // The witnesses do not learn that it is committed.
+        // The witnesses do not learn that the change is committed.
         let holders = [primary, backups[0]];
         let witnesses: Vec<usize> =
             simulation.remaining().into_iter().filter(|machine| !holders.contains(machine)).collect();
@@ -388,13 +387,13 @@
     });
 }
 
-/// Each machine has a quota of processor time: it runs for the first part of each tenth of a second, and stalls for the rest,
-/// again and again. Leases, timers and heartbeats bear that: the primary stays, and changes are committed.
+/// Each machine has a quota of processor time: in every 100 ms it runs for the first part and stalls for the rest.
+/// Leases, timers and heartbeats tolerate that: the primary stays, and changes are committed.
 #[test]
-fn stalls_of_90_ms_in_every_tenth_of_a_second_cost_no_primary() {
+fn stalls_of_90_ms_in_every_100_ms_do_not_replace_the_primary() {
     for seed in 200..220 {
-        holds(&format!("seed {seed}"), || {
-            let mut simulation = calm(seed, 3, 1, None)?;
+        passes(&format!("seed {seed}"), || {
+            let mut simulation = stable_fleet(seed, 3, 1, None)?;
             let old = current_primary(&simulation)?;
             let machines = simulation.remaining();
             let offsets: Vec<u64> = machines.iter().map(|_| simulation.random_below(100)).collect();
--- a/crates/consensus/tests/fleet/racing_operators.rs
+++ b/crates/consensus/tests/fleet/racing_operators.rs
@@ -1,5 +1,5 @@
-//! Hundreds of racing changes: eight operators at once that all choose the next number, repeats of all that was accepted, and
-//! cuts around the primary amid them, so that the old primary and the new one get different changes under one number.
+//! Hundreds of racing changes: eight concurrent operators that all choose the next revision, repeats of accepted changes, and
+//! cuts of links around the primary, so that the old primary and the new one get different changes with the same revision.
 
 use mosshead_consensus::{InjectedFault, Node};
 use mosshead_virtual_fleet::millis;
@@ -11,19 +11,19 @@
 const OPERATORS: usize = 8;
 const CUTS: usize = 12;
 const SEEDS: u64 = 16;
-/// These runs draw other numbers than the days of the same seeds.
+/// Gives these runs other random numbers than the runs with sequential faults of the same seeds.
 const SEED_MASK: u64 = 0x0de5;
 
-fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Simulation, String> {
+fn run_seed(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Simulation, String> {
     let failures = 1 + (seed % 2) as usize;
     let mut simulation = Simulation::new(seed ^ SEED_MASK, 2 * failures + 1, failures, injected_fault);
     simulation.revision_steps = 1;
     simulation.add_operators(OPERATORS);
-    race_amid_cuts(&mut simulation).map_err(|violation| format!("race {seed}: {violation}"))?;
+    race_during_cuts(&mut simulation).map_err(|violation| format!("race {seed}: {violation}"))?;
     Ok(simulation)
 }
 
-fn race_amid_cuts(simulation: &mut Simulation) -> Result<(), String> {
+fn race_during_cuts(simulation: &mut Simulation) -> Result<(), String> {
     simulation.run(millis(3_000))?;
     for _ in 0..CUTS {
         if let Some(primary) = simulation.primary() {
@@ -46,31 +46,31 @@
 }
 
 #[test]
-fn one_of_two_changes_under_one_number_is_accepted_among_hundreds() {
+fn one_of_two_changes_with_the_same_revision_is_accepted() {
     for seed in 0..SEEDS {
-        let simulation = play(seed, None).unwrap_or_else(|violation| panic!("{violation}"));
+        let simulation = run_seed(seed, None).unwrap_or_else(|violation| panic!("{violation}"));
         let primary = simulation.primary().and_then(|primary| simulation.node(primary));
         let expired =
             primary.and_then(Node::committed_state).map_or(0, |state| state.highest_expired_revision);
         let accepted = simulation.checker.accepted_count;
-        assert!(expired > 0, "seed {seed}: of {accepted} changes none is forgotten");
+        assert!(expired > 0, "seed {seed}: none of the requests of {accepted} changes has expired");
     }
 }
 
-/// Some seed finds the fault, by a rule that it violates.
-fn finds(injected_fault: InjectedFault, rules: &[&str]) {
-    let violation = (0..SEEDS).find_map(|seed| play(seed, Some(injected_fault)).err());
-    let violation = violation.unwrap_or_else(|| panic!("{injected_fault:?} was not found"));
+/// Asserts that some seed detects the fault, as a violation of one of these rules.
+fn detects(injected_fault: InjectedFault, rules: &[&str]) {
+    let violation = (0..SEEDS).find_map(|seed| run_seed(seed, Some(injected_fault)).err());
+    let violation = violation.unwrap_or_else(|| panic!("{injected_fault:?} was not detected"));
     assert!(rules.iter().any(|rule| violation.contains(rule)), "{injected_fault:?}: {violation:.300}");
     println!("{injected_fault:?}: {violation:.200}");
 }
 
 #[test]
-fn rejections_of_expired_requests_are_found() {
-    finds(InjectedFault::RejectExpired, &["rejected:"]);
+fn rejections_of_expired_requests_are_detected() {
+    detects(InjectedFault::RejectExpired, &["rejected:"]);
 }
 
 #[test]
-fn rejections_of_forgotten_requests_are_found() {
-    finds(InjectedFault::ForgetAppliedRequests, &["rejected:"]);
+fn rejections_of_forgotten_requests_are_detected() {
+    detects(InjectedFault::ForgetAppliedRequests, &["rejected:"]);
 }
--- a/crates/consensus/tests/fleet/read_lease.rs
+++ b/crates/consensus/tests/fleet/read_lease.rs
@@ -1,4 +1,4 @@
-//! Whoever says that it has quorum contact shows no old state, whatever was buffered by a network or for a paused process.
+//! A node that reports quorum contact shows no old state, whatever was buffered by a network or for a paused process.
 
 use mosshead_consensus::{InjectedFault, Node};
 use mosshead_time::{Duration, Instant};
@@ -7,17 +7,17 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::{Kill, MESSAGE_KINDS, Simulation};
 use crate::support::{
-    Roles, calm, commit_change_at, current_primary, ensure, holds, holds_and_finds, links_of,
-    primary_other_than, roles,
+    Roles, commit_change_at, current_primary, ensure, links_of, passes, passes_and_detects,
+    primary_other_than, roles, stable_fleet,
 };
 
 /// How long machines are cut off or paused.
 const FAULT_DURATION: Duration = millis(20_000);
-/// So many messages wait for a process that resumes.
+/// The number of messages that are kept for a paused process.
 const PAUSED_BACKLOG: usize = 8;
 
-/// A take-over has begun by then.
-const TAKE_OVER_BY: Instant = Instant::from_millis(10_000);
+/// The latest start of a take-over.
+const TAKE_OVER_DEADLINE: Instant = Instant::from_millis(10_000);
 
 /// Which links of a machine are affected.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     links_of(simulation, machine).into_iter().filter(|(from, to)| from != to).filter(is_wanted).collect()
 }
 
-/// A fault that lasts while operators go on; then what was buffered arrives at once.
+/// Runs a lasting fault while operators go on; then the buffered messages arrive at once.
 fn run_lasting_fault(simulation: &mut Simulation, action: FaultAction) -> Result<(), String> {
     let before = simulation.checker.accepted_count;
     simulation.add_operators(2);
@@ -58,7 +58,7 @@
 
 fn paused_follower(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 400..410 {
-        let mut simulation = calm(seed, 3, 1, injected_fault)?;
+        let mut simulation = stable_fleet(seed, 3, 1, injected_fault)?;
         simulation.paused_backlog = PAUSED_BACKLOG;
         let machine = follower(&simulation, seed)?;
         run_lasting_fault(&mut simulation, FaultAction::Pause(vec![machine]))?;
@@ -68,10 +68,10 @@
 
 #[test]
 fn a_resumed_follower_has_no_quorum_contact_by_buffered_messages() {
-    holds_and_finds(paused_follower, InjectedFault::ConfirmReadLeaseOnArrival);
+    passes_and_detects(paused_follower, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
-/// What becomes of some links.
+/// A fault of some links.
 type LinkFault = fn(Vec<Link<usize>>) -> FaultAction;
 
 /// Links that lose everything, and links that buffer the first messages.
@@ -81,7 +81,7 @@
     for seed in 410..414 {
         for direction in DIRECTIONS {
             for link_fault in LINK_FAULTS {
-                let mut simulation = calm(seed, 3, 1, injected_fault)?;
+                let mut simulation = stable_fleet(seed, 3, 1, injected_fault)?;
                 let machine = follower(&simulation, seed)?;
                 let links = links(&simulation, machine, direction);
                 run_lasting_fault(&mut simulation, link_fault(links))?;
@@ -93,20 +93,20 @@
 
 #[test]
 fn a_follower_that_was_cut_off_has_no_quorum_contact_by_buffered_messages() {
-    holds_and_finds(cut_off_follower, InjectedFault::ConfirmReadLeaseOnArrival);
+    passes_and_detects(cut_off_follower, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
 fn cut_off_primary(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for (machines, failures) in [(3, 1), (5, 2)] {
         for direction in DIRECTIONS {
             for link_fault in LINK_FAULTS {
-                let mut simulation = calm(420 + machines as u64, machines, failures, injected_fault)?;
+                let mut simulation = stable_fleet(420 + machines as u64, machines, failures, injected_fault)?;
                 let primary = current_primary(&simulation)?;
                 let links = links(&simulation, primary, direction);
                 run_lasting_fault(&mut simulation, link_fault(links))?;
             }
         }
-        let mut simulation = calm(430 + machines as u64, machines, failures, injected_fault)?;
+        let mut simulation = stable_fleet(430 + machines as u64, machines, failures, injected_fault)?;
         simulation.paused_backlog = PAUSED_BACKLOG;
         let primary = current_primary(&simulation)?;
         run_lasting_fault(&mut simulation, FaultAction::Pause(vec![primary]))?;
@@ -116,13 +116,13 @@
 
 #[test]
 fn a_primary_that_was_cut_off_has_no_quorum_contact_by_buffered_messages() {
-    holds_and_finds(cut_off_primary, InjectedFault::ConfirmReadLeaseOnArrival);
+    passes_and_detects(cut_off_primary, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
-/// What is committed never reaches a witness, while heartbeats do.
+/// Committed states never reach a witness, while heartbeats do.
 fn lost_states(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     // The machines of this seed send no state in chunks: all updates of committed states are of this kind.
-    let mut simulation = calm(431, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(431, 3, 1, injected_fault)?;
     let Roles { witnesses, .. } = roles(&simulation)?;
     let committed = MESSAGE_KINDS.iter().position(|kind| *kind == "Committed").ok_or("no such kind")?;
     simulation.loss_by_kind[committed] = 1_000;
@@ -139,12 +139,12 @@
 
 #[test]
 fn a_follower_that_lacks_the_state_has_no_quorum_contact() {
-    holds_and_finds(lost_states, InjectedFault::ConfirmReadLeaseBeforePublish);
+    passes_and_detects(lost_states, InjectedFault::ConfirmReadLeaseBeforePublish);
 }
 
-/// A heartbeat that was sent to an earlier incarnation of a process reaches the next one, whose clock shows the same.
+/// A heartbeat that was sent to an earlier incarnation of a process reaches the next one, whose clock shows the same time.
 fn another_incarnation(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(440, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(440, 3, 1, injected_fault)?;
     let Roles { primary, backups, .. } = roles(&simulation)?;
     let machine = backups[0];
     simulation.kill(machine, Kill::Process);
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_lease_stamp_of_another_incarnation_proves_nothing() {
-    holds_and_finds(another_incarnation, InjectedFault::AcceptStampsOfOtherIncarnations);
+    passes_and_detects(another_incarnation, InjectedFault::AcceptStampsOfOtherIncarnations);
 }
 
 /// Runs until a node has proposed a configuration with itself as primary; returns its machine.
@@ -184,13 +184,13 @@
         if let Some(candidate) = simulation.running().into_iter().find(proposes_itself) {
             return Ok(candidate);
         }
-        ensure(simulation.now() < TAKE_OVER_BY, "nobody takes over")?;
+        ensure(simulation.now() < TAKE_OVER_DEADLINE, "nobody takes over")?;
     }
 }
 
-/// A node is paused so long after it has proposed its configuration; others become primary meanwhile.
+/// A node is paused `delay` after it has proposed its configuration; another one becomes primary meanwhile.
 fn paused_take_over(delay: Duration, injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(450, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(450, 3, 1, injected_fault)?;
     let old = current_primary(&simulation)?;
     simulation.kill(old, Kill::Process);
     let candidate = run_until_take_over(&mut simulation)?;
@@ -216,13 +216,13 @@
 
 #[test]
 fn a_take_over_does_not_outlast_a_pause() {
-    holds_and_finds(paused_take_overs, InjectedFault::ResumeSuspendedTakeOver);
+    passes_and_detects(paused_take_overs, InjectedFault::ResumeSuspendedTakeOver);
 }
 
 /// A resumed follower, with old heartbeats in its buffer, doesn't delay the election after a real loss.
 fn voter_with_old_heartbeats(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     for seed in 460..470 {
-        let mut simulation = calm(seed, 3, 1, injected_fault)?;
+        let mut simulation = stable_fleet(seed, 3, 1, injected_fault)?;
         simulation.paused_backlog = PAUSED_BACKLOG;
         let primary = current_primary(&simulation)?;
         let machine = follower(&simulation, seed)?;
@@ -239,13 +239,13 @@
 
 #[test]
 fn old_heartbeats_do_not_delay_an_election() {
-    holds_and_finds(voter_with_old_heartbeats, InjectedFault::ConfirmReadLeaseOnArrival);
+    passes_and_detects(voter_with_old_heartbeats, InjectedFault::ConfirmReadLeaseOnArrival);
 }
 
 #[test]
 fn a_resumed_primary_does_not_claim_its_role_before_its_first_step() {
-    holds("without a fault", || {
-        let mut simulation = calm(470, 3, 1, None)?;
+    passes("without a fault", || {
+        let mut simulation = stable_fleet(470, 3, 1, None)?;
         let old = current_primary(&simulation)?;
         let clock = simulation.clock(old);
         let has_lease = simulation.node(old).is_some_and(|node| node.holds_primary_lease(clock));
@@ -265,9 +265,9 @@
     });
 }
 
-/// How long a member needs from its restart until it has quorum contact.
+/// The time that a member needs from its restart until it has quorum contact.
 fn time_to_quorum_contact(seed: u64) -> Result<Duration, String> {
-    let mut simulation = calm(seed, 3, 1, None)?;
+    let mut simulation = stable_fleet(seed, 3, 1, None)?;
     let machine = follower(&simulation, seed)?;
     simulation.kill(machine, Kill::Process);
     simulation.run(millis(50))?;
@@ -281,10 +281,10 @@
 
 #[test]
 fn a_restarted_member_has_quorum_contact_a_round_trip_after_the_next_heartbeat() {
-    let times = (480..500).map(|seed| holds(&format!("seed {seed}"), || time_to_quorum_contact(seed)));
+    let times = (480..500).map(|seed| passes(&format!("seed {seed}"), || time_to_quorum_contact(seed)));
     let worst = times.max().unwrap_or_default();
     println!("worst time until quorum contact: {worst:?}");
-    // The next heartbeat, its response, and the next heartbeat at once.
+    // The wait for the next heartbeat, its response, and the heartbeat that follows at once.
     assert!(worst <= millis(100 + 50 + 15), "{worst:?}");
 }
 
@@ -293,7 +293,7 @@
     for from in 0..machines {
         for to in (0..machines).filter(|to| *to != from) {
             let seed = 500 + (machines * from + to) as u64;
-            let mut simulation = calm(seed, machines, failures, injected_fault)?;
+            let mut simulation = stable_fleet(seed, machines, failures, injected_fault)?;
             let primary = current_primary(&simulation)?;
             simulation.apply(FaultAction::CutLinks(vec![(from, to)]));
             for _ in 0..10 {
@@ -301,7 +301,7 @@
                 commit_change_at(&mut simulation, primary, millis(1_000))?;
             }
             for machine in simulation.running() {
-                // Proof of contact takes both directions.
+                // A proof of contact needs both directions.
                 let has_both = ![(from, to), (to, from)].contains(&(primary, machine));
                 let has_contact = simulation.has_quorum_contact(machine);
                 ensure(!has_both || has_contact, &format!("m{machine} has no quorum contact"))?;
@@ -317,6 +317,6 @@
 }
 
 #[test]
-fn a_link_that_fails_one_way_moves_no_primary() {
-    holds_and_finds(one_way_links, InjectedFault::AlwaysGrantPreVotes);
+fn a_link_that_fails_one_way_does_not_replace_the_primary() {
+    passes_and_detects(one_way_links, InjectedFault::AlwaysGrantPreVotes);
 }
--- a/crates/consensus/tests/fleet/recovery_times.rs
+++ b/crates/consensus/tests/fleet/recovery_times.rs
@@ -1,7 +1,7 @@
-//! How long until full service after a loss, in virtual time: a change is acknowledged again, and all live members have quorum
-//! contact.
+//! The time from a loss to full service, in virtual time: until a change is acknowledged again, and all live members have
+//! quorum contact.
 //!
-//! A few seeds run always. `CONSENSUS_RECOVERY=1000` runs as many and prints the table of
+//! By default, a few seeds run. `CONSENSUS_RECOVERY=1000` runs that many, and prints the table of
 //! `docs/measurements/control-recovery.md`.
 
 use mosshead_consensus::{ClientReply, Node};
@@ -11,18 +11,18 @@
 use crate::checker::RequestKind;
 use crate::fault_actions::FaultAction;
 use crate::simulation::{Event, Kill, Simulation};
-use crate::support::{calm, current_primary, ensure, holds, links_of};
+use crate::support::{current_primary, ensure, links_of, passes, stable_fleet};
 
-/// Seeds of each loss when no number is given.
+/// The default number of seeds for each loss.
 const SEEDS: u64 = 60;
-/// The median of the times until full service is at most this.
+/// The highest accepted median of the times until full service.
 const MAX_MEDIAN: Duration = millis(1_500);
-/// If it takes longer, the fleet doesn't come back.
-const LIMIT: Duration = millis(30_000);
+/// A fleet that takes longer counts as not recovered.
+const RECOVERY_TIMEOUT: Duration = millis(30_000);
 /// How long a primary is cut off.
 const CUT_DURATION: Duration = millis(20_000);
 
-/// What happens to a fleet in calm.
+/// The loss that a fleet without other faults suffers.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     PrimaryKilled,
@@ -31,7 +31,7 @@
     /// What is sent to the primary is lost.
     PrimaryCutTo,
     PrimaryCutBoth,
-    /// The cut of twenty seconds ends: until the old primary has quorum contact, too.
+    /// A cut of 20 s ends. Measured until the old primary has quorum contact, too.
     CutPrimaryBack,
     PrimaryPaused,
     /// The primary's disk is lost; its machine starts again within 0.6 s.
@@ -54,18 +54,18 @@
     Loss::AllPower,
 ];
 
-/// Since the loss; zero where it has not come yet.
+/// The times since the loss; zero until reached.
 #[derive(Clone, Copy, Debug, Default)]
 struct Times {
     /// Until a change was acknowledged.
     acknowledged: Duration,
-    /// Until, besides, all live members had quorum contact.
+    /// Until, in addition, all live members had quorum contact.
     full_service: Duration,
-    /// Until, besides, the configuration had as many live members as it should.
+    /// Until, in addition, the configuration had its full number of live members.
     all_members: Duration,
 }
 
-/// Requests changes like an operator that knows at each moment who is primary.
+/// Requests changes like an operator that always knows who is primary.
 #[derive(Default)]
 struct Prober {
     request_ids: Vec<u64>,
@@ -92,11 +92,11 @@
     }
 }
 
-/// Members by the configuration of the highest term.
+/// The live members in the configuration of the highest term.
 struct LiveMembers {
-    /// The machines of those that run and can be reached.
+    /// The machines of the members that run and can be reached.
     machines: Vec<usize>,
-    /// How many members the configuration names.
+    /// The number of members in the configuration.
     named: usize,
 }
 
@@ -114,7 +114,7 @@
         LiveMembers { machines, named: config.members.len() }
     }
 
-    /// Whether the live members are a majority, and all of them have quorum contact.
+    /// Returns true if the live members are a majority, and all of them have quorum contact.
     fn have_quorum_contact(&self, simulation: &Simulation) -> bool {
         2 * self.machines.len() > self.named
             && self.machines.iter().all(|machine| simulation.has_quorum_contact(*machine))
@@ -129,8 +129,8 @@
 ) -> Result<Times, String> {
     let (mut times, mut prober) = (Times::default(), Prober::default());
     let wanted = 2 * simulation.tolerated_failures + 1;
-    let may_miss = if out_of_reach.is_empty() { 0 } else { 1 };
-    while simulation.now() < since + LIMIT {
+    let max_missing = if out_of_reach.is_empty() { 0 } else { 1 };
+    while simulation.now() < since + RECOVERY_TIMEOUT {
         simulation.run(millis(5))?;
         let running = simulation.running();
         let reachable: Vec<usize> =
@@ -149,7 +149,7 @@
         {
             times.full_service = took;
         }
-        if !times.full_service.is_zero() && live.machines.len() + may_miss >= wanted {
+        if !times.full_service.is_zero() && live.machines.len() + max_missing >= wanted {
             times.all_members = took;
             return Ok(times);
         }
@@ -157,9 +157,9 @@
     Err(format!("at {}: no full service: {times:?}", simulation.now()))
 }
 
-fn play(seed: u64, loss: Loss) -> Result<Times, String> {
+fn run_loss(seed: u64, loss: Loss) -> Result<Times, String> {
     let (machines, failures) = if seed.is_multiple_of(2) { (3, 1) } else { (5, 2) };
-    let mut simulation = calm(seed, machines, failures, None)?;
+    let mut simulation = stable_fleet(seed, machines, failures, None)?;
     simulation.noise = Noise::per_mille(5);
     let phase = simulation.random_duration_below(millis(1_000));
     simulation.run(phase)?;
@@ -211,9 +211,9 @@
     simulation.after(pause, Event::Fault(FaultAction::Start(machine)));
 }
 
-/// The value that so many in a hundred don't exceed.
-fn percentile(sorted: &[Duration], hundredths: usize) -> Duration {
-    let index = (sorted.len() * hundredths).div_ceil(100).saturating_sub(1);
+/// The value at a percentile, in percent.
+fn percentile(sorted: &[Duration], percent: usize) -> Duration {
+    let index = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
     sorted.get(index).copied().unwrap_or_default()
 }
 
@@ -228,7 +228,7 @@
 fn measure(loss: Loss, seeds: u64) -> SortedTimes {
     let mut sorted = SortedTimes::default();
     for seed in 0..seeds {
-        let times = holds(&format!("{loss:?}, seed {seed}"), || play(seed, loss));
+        let times = passes(&format!("{loss:?}, seed {seed}"), || run_loss(seed, loss));
         sorted.acknowledged.push(times.acknowledged);
         sorted.full_service.push(times.full_service);
         sorted.all_members.push(times.all_members);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn recovery_to_full_service_takes_1500_ms_at_most_in_the_median() {
+fn the_median_recovery_to_full_service_takes_at_most_1500_ms() {
     let wanted = std::env::var("CONSENSUS_RECOVERY").ok().and_then(|count| count.parse().ok());
     let seeds: u64 = wanted.unwrap_or(SEEDS);
     println!(
--- a/crates/consensus/tests/fleet/repeated_requests.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -1,4 +1,5 @@
-//! Requests that are sent again, also hundreds of changes later: acknowledged or left without a clear reply, never rejected.
+//! Requests that are repeated, even hundreds of changes later, are acknowledged or get no definite reply, but are never
+//! rejected.
 
 use mosshead_consensus::{ClientReply, DEDUPLICATION_WINDOW, InjectedFault, Node, Timings};
 use mosshead_time::Duration;
@@ -8,19 +9,20 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::{CALLER_TIMEOUT, Simulation};
 use crate::support::{
-    Roles, calm, calm_with, commit_change, current_primary, ensure, holds, holds_and_finds, reply_at, roles,
+    Roles, commit_change, current_primary, ensure, passes, passes_and_detects, reply_at, roles, stable_fleet,
+    start_without_noise,
 };
 
-/// More changes than a state remembers requests.
-const HUNDREDS: usize = 300;
+/// More changes than the number of requests that a state remembers.
+const CHANGE_COUNT: usize = 300;
 /// Longer than the disk of the scenario stalls.
 const LONG_WRITE_TIMEOUT: Duration = millis(10_000);
 
-/// A change that was accepted is sent again after each one of some hundreds.
+/// Repeats each of some hundred accepted changes after the last one.
 fn repeated_after_hundreds(injected_fault: Option<InjectedFault>) -> Result<(), String> {
-    let mut simulation = calm(11, 3, 1, injected_fault)?;
+    let mut simulation = stable_fleet(11, 3, 1, injected_fault)?;
     let mut changes = Vec::new();
-    for _ in 0..HUNDREDS {
+    for _ in 0..CHANGE_COUNT {
         changes.push(commit_change(&mut simulation, millis(60))?);
     }
     let primary = current_primary(&simulation)?;
@@ -37,10 +39,10 @@
 
 #[test]
 fn a_change_accepted_hundreds_of_changes_ago_is_never_rejected() {
-    holds_and_finds(repeated_after_hundreds, InjectedFault::RejectExpired);
+    passes_and_detects(repeated_after_hundreds, InjectedFault::RejectExpired);
 }
 
-/// The backup's disk stalls for longer than the caller waits: no clear reply in time, but the write goes on.
+/// The backup's disk stalls for longer than the caller waits: there is no definite reply in time, but the write goes on.
 fn write_outlasts_its_caller() -> Result<(), String> {
     let mut simulation = Simulation::new(12, 3, 1, None);
     for machine in &mut simulation.machines {
@@ -51,7 +53,7 @@
             ..Timings::default()
         };
     }
-    let mut simulation = calm_with(simulation)?;
+    let mut simulation = start_without_noise(simulation)?;
     let Roles { primary, backups, .. } = roles(&simulation)?;
     simulation.apply(FaultAction::StallDisks(backups, millis(1_500)));
     let change = simulation.new_change(primary);
@@ -62,18 +64,18 @@
     let committed = simulation.node(primary).and_then(Node::committed_state).map(|state| state.revision);
     ensure(committed == Some(change.revision), "the write in flight is not finished")?;
     for machine in simulation.running() {
-        let again = reply_at(&mut simulation, machine, kind.clone(), millis(500))?;
-        let is_expected = match again {
+        let second = reply_at(&mut simulation, machine, kind.clone(), millis(500))?;
+        let is_expected = match second {
             Some(ClientReply::ChangeCommitted { .. }) => machine == primary,
             Some(ClientReply::NotPrimary { .. }) => machine != primary,
             _ => false,
         };
-        ensure(is_expected, &format!("m{machine} replies {again:?} to the repeat"))?;
+        ensure(is_expected, &format!("m{machine} replies {second:?} to the repeat"))?;
     }
     Ok(())
 }
 
 #[test]
 fn a_write_whose_caller_has_left_is_finished_and_its_repeat_acknowledged() {
-    holds("without a fault", write_outlasts_its_caller);
+    passes("without a fault", write_outlasts_its_caller);
 }
--- a/crates/consensus/tests/fleet/random_day.rs
+++ b/crates/consensus/tests/fleet/sequential_faults.rs
@@ -1,4 +1,4 @@
-//! A random day by its seed: one fault after another, each healed, and the fleet comes back each time.
+//! Sequential random faults, by seed: each fault is healed before the next one, and the fleet recovers each time.
 
 use mosshead_consensus::{InjectedFault, Node};
 use mosshead_time::{Duration, Instant};
@@ -7,17 +7,17 @@
 use crate::fault_actions::FaultAction;
 use crate::simulation::Simulation;
 
-/// How many faults strike in a day.
-const FAULTS_PER_DAY: usize = 6;
-/// Within this all machines of a new fleet have started, with some time for the first take-over.
+/// The number of faults in a run.
+const FAULT_COUNT: usize = 6;
+/// The time in which all machines of a new fleet start, with some time for the first take-over.
 const START_TIME: Duration = millis(600);
-/// After so long without a fault, disks may be lost.
+/// Disks may be lost after this long without a fault.
 const TIME_TO_REPLACE_DISKS: Duration = millis(4_000);
-/// After so long without a fault, as many machines may be lost as the fleet tolerates.
+/// After this long without a fault, as many machines may be lost as the fleet tolerates.
 const TIME_TO_REDUNDANCY: Duration = millis(4_500);
 
-/// The day of a seed.
-pub(crate) fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Simulation, String> {
+/// Runs the faults of a seed.
+pub(crate) fn run_seed(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Simulation, String> {
     let (machines, tolerated_failures) = match seed % 4 {
         0 => (5, 2),
         1 => (4, 1),
@@ -25,25 +25,26 @@
     };
     let mut simulation = Simulation::new(seed, machines, tolerated_failures, injected_fault);
     simulation.add_operators(2);
-    simulation.run_day(seed).map_err(|violation| format!("seed {seed}: {violation}"))?;
+    simulation.run_sequential_faults(seed).map_err(|violation| format!("seed {seed}: {violation}"))?;
     Ok(simulation)
 }
 
 impl Simulation {
-    fn run_day(&mut self, seed: u64) -> Result<(), String> {
+    fn run_sequential_faults(&mut self, seed: u64) -> Result<(), String> {
         if seed.is_multiple_of(3) {
             self.disturb_bootstrap()?;
         }
         self.run(START_TIME)?;
         self.check_liveness()?;
-        let mut calm_since = self.now();
-        for _ in 0..FAULTS_PER_DAY {
-            calm_since = self.run_fault(calm_since)?;
+        let mut healthy_since = self.now();
+        for _ in 0..FAULT_COUNT {
+            healthy_since = self.run_fault(healthy_since)?;
         }
-        self.end_day()
+        self.end_sequential_faults()
     }
 
-    /// A fault while the bootstrap voters look for each other; disks that have an identity may be those of a restart.
+    /// A fault while the bootstrap voters look for each other. If all disks have an identity, the next start may be a
+    /// normal restart.
     fn disturb_bootstrap(&mut self) -> Result<(), String> {
         let machine_count = self.machines.len();
         let span = self.random_duration_below(millis(900));
@@ -65,17 +66,17 @@
         Ok(())
     }
 
-    /// Whether all machines have their identities on disk.
+    /// Returns true if all machines have their identities on disk.
     fn all_have_identities(&self) -> bool {
         self.machines.iter().all(|machine| !machine.disk.log.records().is_empty())
             && self.running().iter().all(|machine| self.node(*machine).map(Node::local_member).is_some())
     }
 
-    /// One fault and what follows it; returns since when there was no fault then.
-    fn run_fault(&mut self, calm_since: Instant) -> Result<Instant, String> {
-        let calm = self.random_duration_below(millis(1_500));
-        self.run(calm)?;
-        let may_lose_disks = self.now() - calm_since >= TIME_TO_REPLACE_DISKS;
+    /// Applies a fault, heals it and checks the recovery. Returns the time since which there was no fault.
+    fn run_fault(&mut self, healthy_since: Instant) -> Result<Instant, String> {
+        let pause = self.random_duration_below(millis(1_500));
+        self.run(pause)?;
+        let may_lose_disks = self.now() - healthy_since >= TIME_TO_REPLACE_DISKS;
         if self.random.is_one_in(3) && may_lose_disks {
             self.draw_fault_after_commit();
             self.run(millis(1_000))?;
@@ -87,22 +88,22 @@
         self.run(span)?;
         self.heal();
         self.run(millis(700))?;
-        let calm_since = self.now();
+        let healthy_since = self.now();
         match self.random_below(4) {
             0 => self.check_liveness()?,
             1 => self.run(TIME_TO_REDUNDANCY)?,
             2 => {
-                // The fleet makes up for lost disks first.
+                // First lets the fleet replace lost disks.
                 self.run(TIME_TO_REDUNDANCY + millis(100))?;
                 self.check_liveness_under_fault()?;
                 return Ok(self.now());
             }
             _ => {}
         }
-        Ok(calm_since)
+        Ok(healthy_since)
     }
 
-    /// One fault, or two at once.
+    /// Applies one fault, or two at once.
     fn inject_faults(&mut self, may_lose_disks: bool) {
         for _ in 0..1 + self.random_below(2) {
             let is_any_down = self.remaining().into_iter().any(|machine| self.node(machine).is_none());
@@ -115,8 +116,8 @@
         }
     }
 
-    /// The last fault of the day, perhaps, and a calm in which the fleet converges.
-    fn end_day(&mut self) -> Result<(), String> {
+    /// Applies a last fault in some runs, and then checks that the fleet converges without faults.
+    fn end_sequential_faults(&mut self) -> Result<(), String> {
         self.run(TIME_TO_REDUNDANCY)?;
         if self.random.is_one_in(2) {
             self.draw_fault_after_commit();
--- a/crates/consensus/tests/fleet/simulation.rs
+++ b/crates/consensus/tests/fleet/simulation.rs
@@ -18,7 +18,7 @@
 };
 use rand_pcg::Pcg64Mcg;
 
-pub(crate) use self::disk::{FaultyDisk, USUAL_WRITE_TIME_VARIATION};
+pub(crate) use self::disk::{DEFAULT_WRITE_TIME_VARIATION, FaultyDisk};
 use self::network::BufferedMessage;
 pub(crate) use self::network::{Bandwidth, MESSAGE_KINDS};
 pub(crate) use self::process::{AfterShutdown, Kill, Shutdown};
@@ -27,17 +27,17 @@
 use crate::fault_actions::FaultAction;
 use crate::operator::Operator;
 
-/// What the clock of a simulation shows at its start.
+/// The time at which a simulation starts.
 const START: Instant = Instant::from_millis(1_000);
-/// From one tick of a node to the next.
+/// The time between the ticks of a node.
 const TICK_INTERVAL: Duration = millis(50);
 /// The machines of a new fleet start within less than this.
 const FIRST_START_SPREAD: Duration = millis(300);
-/// Messages that are lost, late or duplicated, in a thousand each, unless a test says otherwise.
-const USUAL_NOISE: Noise = Noise::per_mille(5);
+/// The default noise: messages that are lost, late or duplicated, in a thousand each.
+const DEFAULT_NOISE: Noise = Noise::per_mille(5);
 
-/// Some fleets send every state in chunks, some the longer ones, some none. A remembered request has 38 bytes, so a full
-/// list of them goes in 5 chunks or 33.
+/// The chunk sizes, by seed. Some fleets send every state in chunks, some only longer states, some none. A remembered
+/// request has 38 bytes, so a full list of them needs 5 chunks or 33.
 const CHUNK_SIZES: [ChunkSizes; 3] = [
     ChunkSizes { large_state_bytes: 10, chunk_bytes: 2_100 },
     ChunkSizes { large_state_bytes: 180, chunk_bytes: 300 },
@@ -59,14 +59,14 @@
     pub(crate) incarnation: u64,
     pub(crate) disk: FaultyDisk,
     pub(crate) is_paused: bool,
-    /// What has arrived while the process is paused.
+    /// Inputs that have arrived while the process is paused.
     buffered_inputs: Vec<Input>,
     resumed_at: Instant,
-    /// When this incarnation of the process began: its steady clock starts there.
+    /// When this incarnation of the process started; its monotonic clock starts there.
     started_at: Instant,
-    /// It is removed with its disk, and never starts again.
+    /// True once the machine is removed with its disk; it never starts again.
     pub(crate) is_removed: bool,
-    /// The planned shutdown that has begun.
+    /// The planned shutdown in progress.
     pub(crate) shutdown: Option<Shutdown>,
 }
 
@@ -78,32 +78,32 @@
     pub(crate) links: Links<usize>,
     /// Links that buffer what is sent over them, as a network queue does.
     pub(crate) buffering_links: BTreeSet<Link<usize>>,
-    /// What such links buffer, oldest first.
+    /// The messages that these links buffer, oldest first.
     buffered_messages: Vec<BufferedMessage>,
-    /// A paused machine finds so many of the messages that have arrived meanwhile, the first ones.
+    /// The number of messages that are kept for a paused machine; later ones are lost.
     pub(crate) paused_backlog: usize,
     pub(crate) noise: Noise,
     pub(crate) checker: Checker,
     pub(crate) operators: Vec<Operator>,
-    /// What happens right after the next acknowledgement of a change.
+    /// The fault that is applied right after the next acknowledgement of a change.
     pub(crate) after_commit: Option<FaultAction>,
-    /// The longest that a planned shutdown took.
+    /// The duration of the longest planned shutdown.
     pub(crate) longest_shutdown: Duration,
-    /// Whether the disks of a proposed configuration's backups are checked for the state.
+    /// True if the disks of a proposed configuration's backups are checked for the state.
     pub(crate) checks_backup_disks: bool,
-    /// The terms whose configurations were checked before they were proposed.
+    /// The terms whose proposed configurations were checked.
     proposed: BTreeSet<Term>,
-    /// Messages that are lost, in a thousand, by their position in `MESSAGE_KINDS`.
+    /// The messages that are lost, in a thousand of each kind, by position in `MESSAGE_KINDS`.
     pub(crate) loss_by_kind: [u64; MESSAGE_KINDS.len()],
-    /// A disk write takes less than this longer than the shortest one.
+    /// The bound of the random time that is added to the shortest write time.
     pub(crate) write_time_variation: Duration,
     pub(crate) tolerated_failures: usize,
     injected_fault: Option<InjectedFault>,
     chunk_sizes: ChunkSizes,
     next_request_id: u64,
-    /// Operators number their changes above the base by at most this.
+    /// An operator's change has the revision `base + 1 + n`, with a random `n` below this.
     pub(crate) revision_steps: u64,
-    /// Counted only where a bandwidth is given.
+    /// Counted only if a bandwidth is given.
     pub(crate) sent_bytes: u64,
     pub(crate) written_bytes: u64,
     pub(crate) bandwidth: Option<Bandwidth>,
@@ -116,7 +116,7 @@
 }
 
 impl Simulation {
-    /// A fleet that starts for the first time.
+    /// Creates a fleet that starts for the first time.
     pub(crate) fn new(
         seed: u64,
         machine_count: usize,
@@ -131,16 +131,16 @@
             buffering_links: BTreeSet::new(),
             buffered_messages: Vec::new(),
             paused_backlog: usize::MAX,
-            noise: USUAL_NOISE,
+            noise: DEFAULT_NOISE,
             checker: Checker::default(),
             operators: Vec::new(),
             after_commit: None,
             longest_shutdown: Duration::ZERO,
-            // This fault is to be found by what callers observe, too.
+            // This fault has to be detected by what callers observe, too.
             checks_backup_disks: injected_fault != Some(InjectedFault::SkipRewriteUnderNewTerm),
             proposed: BTreeSet::new(),
             loss_by_kind: [0; MESSAGE_KINDS.len()],
-            write_time_variation: USUAL_WRITE_TIME_VARIATION,
+            write_time_variation: DEFAULT_WRITE_TIME_VARIATION,
             tolerated_failures,
             injected_fault,
             chunk_sizes: CHUNK_SIZES[(seed % 3) as usize],
@@ -162,12 +162,12 @@
         simulation
     }
 
-    /// A machine of the first start of the fleet, not started.
+    /// Adds a bootstrap voter without starting it.
     fn add_bootstrap_voter(&mut self) -> usize {
         self.add_machine(true)
     }
 
-    /// A machine with an empty disk that joins a running fleet, not started.
+    /// Adds a machine with an empty disk that joins a running fleet, without starting it.
     pub(crate) fn add_newcomer(&mut self) -> usize {
         self.add_machine(false)
     }
@@ -212,14 +212,14 @@
         self.events.schedule_after(span, event);
     }
 
-    /// Prints what happens if `CONSENSUS_TRACE` is set.
+    /// Prints an event if `CONSENSUS_TRACE` is set.
     pub(crate) fn trace(&self, description: impl FnOnce() -> String) {
         if self.is_traced {
             println!("{} {}", self.now().as_millis(), description());
         }
     }
 
-    /// Lets time pass. Returns the first violation, if there is one.
+    /// Runs the simulation for a span. Returns the first violation, if there is one.
     pub(crate) fn run(&mut self, span: Duration) -> Result<(), String> {
         let end = self.now() + span;
         while let Some(event) = self.events.next_until(end) {
@@ -234,7 +234,7 @@
         self.check_violations()
     }
 
-    /// Lets time pass until then, if it has not passed.
+    /// Runs the simulation until this instant, unless it has passed already.
     pub(crate) fn run_until(&mut self, at: Instant) -> Result<(), String> {
         self.run(at - self.now())
     }
@@ -269,22 +269,22 @@
         self.after(TICK_INTERVAL, Event::Tick { machine, incarnation });
     }
 
-    /// The steady clock of the process on a machine: it starts anew with each incarnation.
+    /// The monotonic clock of the process on a machine, which restarts with each incarnation.
     pub(crate) fn clock(&self, machine: usize) -> Instant {
         process::CLOCK_AT_START + (self.now() - self.machines[machine].started_at)
     }
 
-    /// The process that runs on a machine, or that ran there last.
+    /// The process that runs on a machine, or the last one that did.
     pub(crate) fn process_id(&self, machine: usize) -> ProcessId {
         ProcessId { machine, incarnation: self.machines[machine].incarnation }
     }
 
-    /// Whether the process on a machine says at this moment that it has contact with a quorum.
+    /// Returns true if the process on a machine reports contact with a quorum now.
     pub(crate) fn has_quorum_contact(&self, machine: usize) -> bool {
         self.node(machine).is_some_and(|node| node.has_quorum_contact(self.clock(machine)))
     }
 
-    /// The machine that has the address now.
+    /// The machine that has this address now.
     pub(crate) fn machine_at(&self, address: SocketAddrV4) -> Option<usize> {
         self.machines.iter().position(|machine| machine.address == address && !machine.is_removed)
     }
@@ -303,7 +303,7 @@
         self.machines[machine].node.as_ref()
     }
 
-    /// The machine whose node believes to be primary, under the highest term; it may be taking over from itself.
+    /// The machine whose node believes that it is primary, under the highest term. It may be renewing its epoch.
     pub(crate) fn primary(&self) -> Option<usize> {
         let believes_to_be_primary = |machine: &usize| {
             self.node(*machine).is_some_and(|node| node.primary() == Some(node.local_member()))
@@ -313,7 +313,7 @@
         candidates.max_by_key(|machine| self.node(*machine).map(Node::term))
     }
 
-    /// Hands an input to a node and carries out what it asks for; a paused machine gets it when it resumes.
+    /// Passes an input to a node and carries out its outputs. A paused machine gets the input when it resumes.
     pub(crate) fn step(&mut self, machine: usize, input: Input) {
         let clock = self.clock(machine);
         let stepped = &mut self.machines[machine];
--- a/crates/consensus/tests/fleet/simulation/checks.rs
+++ b/crates/consensus/tests/fleet/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! What the simulation checks at every step, whatever happens in it.
+//! The checks that the simulation makes at every step.
 
 use std::collections::VecDeque;
 
@@ -10,11 +10,11 @@
 use super::{CALLER_TIMEOUT, Simulation};
 use crate::checker::SentRequest;
 
-/// A machine that no simulation has.
+/// The number of a machine that is in no simulation.
 const OUTSIDE_MACHINE: usize = 9_999;
 
 impl Simulation {
-    /// A request has its reply while its caller still waits for it.
+    /// Checks that each request gets its reply while its caller still waits for it.
     pub(super) fn check_overdue_replies(&mut self, machine: usize) {
         let process = self.process_id(machine);
         let (now, resumed_at) = (self.now(), self.machines[machine].resumed_at);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whoever says that it has contact with a quorum shows no state older than the documented bound.
+    /// Checks that no node that reports contact with a quorum shows a state older than the documented bound.
     pub(super) fn check_staleness(&mut self) {
         for index in 0..self.machines.len() {
             let machine = &self.machines[index];
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What a node says of its disk is on it, synced.
+    /// Checks that what a node reports about its disk is synced.
     pub(super) fn check_durable_before_sent(&mut self, machine: usize, message: &Message) {
         let term = match message {
             Message::Prepare { term } | Message::Promise { term, .. } | Message::Accepted { term, .. } => {
@@ -60,8 +60,8 @@
         }
     }
 
-    /// A configuration that is proposed names a primary and backups that have the state of its epoch, or a newer one, on
-    /// their disks. A disk that was lost meanwhile is no evidence against it.
+    /// Checks that the primary and the backups of a proposed configuration have the state of its epoch, or a newer one,
+    /// on their disks. A disk that was lost meanwhile is no evidence against it.
     pub(super) fn check_proposed_config(&mut self, message: &Message) {
         let Message::Accept { config } = message else { return };
         if self.proposed.insert(config.term) {
--- a/crates/consensus/tests/fleet/simulation/disk.rs
+++ b/crates/consensus/tests/fleet/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! The disks of machines: stalls, lack of space, and writes that fail though they reach the disk.
+//! The disks of machines: stalls, lack of space, and writes that are reported as failed although they reach the disk.
 
 use mosshead_consensus::Input;
 use mosshead_time::{Duration, Instant};
@@ -8,36 +8,36 @@
 
 /// The shortest time of a write.
 const MIN_WRITE_TIME: Duration = millis(2);
-/// A write takes less than this longer than the shortest one, unless a test says otherwise.
-pub(crate) const USUAL_WRITE_TIME_VARIATION: Duration = millis(4);
-/// Whether a stalled disk works again is looked at in such intervals.
+/// The default bound of the random time that is added to the shortest write time.
+pub(crate) const DEFAULT_WRITE_TIME_VARIATION: Duration = millis(4);
+/// The interval at which a stalled disk is checked.
 const STALL_CHECK_INTERVAL: Duration = millis(20);
 
-/// A disk that may stall, be full, or report writes as failed that have reached it.
+/// A disk that may stall, be full, or report writes as failed although they have reached it.
 #[derive(Default)]
 pub(crate) struct FaultyDisk {
     pub(crate) log: Disk,
     pub(crate) stalled_until: Instant,
     pub(crate) is_full: bool,
-    /// So many writes reach the disk and are reported as failed.
-    pub(crate) failed_yet_written: usize,
+    /// The number of next writes that reach the disk and are reported as failed.
+    pub(crate) false_failure_count: usize,
     is_busy: bool,
 }
 
 impl FaultyDisk {
-    /// Drops all but the first record, which says which disk it is.
+    /// Drops all records but the first one, which identifies the disk.
     pub(crate) fn wipe_after_identity(&mut self) {
         self.log.truncate(1);
     }
 
-    /// The disk is lost; an empty one without faults takes its place.
+    /// Replaces the disk by an empty one without faults.
     pub(crate) fn wipe(&mut self) {
         self.log.wipe();
         self.stalled_until = Instant::ORIGIN;
         self.is_full = false;
     }
 
-    /// The process ends: of the writes in flight the first `stored` have reached the disk, none if it is full.
+    /// Ends the process: only the first `stored` of the writes in flight have reached the disk, or none if it is full.
     pub(super) fn lose_unsynced(&mut self, stored: usize) {
         self.log.lose_unsynced(if self.is_full { 0 } else { stored });
     }
@@ -81,9 +81,9 @@
             return self.start_disk_write(machine);
         }
         let Some(DiskWrite { token, replaces_log, record }) = disk.log.take_first() else { return };
-        let is_written_despite_failure = is_written_despite_failure || disk.failed_yet_written > 0;
-        let fails = disk.is_full || disk.failed_yet_written > 0;
-        disk.failed_yet_written = disk.failed_yet_written.saturating_sub(1);
+        let is_written_despite_failure = is_written_despite_failure || disk.false_failure_count > 0;
+        let fails = disk.is_full || disk.false_failure_count > 0;
+        disk.false_failure_count = disk.false_failure_count.saturating_sub(1);
         if !fails || is_written_despite_failure && !replaces_log {
             disk.log.store(replaces_log, record);
         }
--- a/crates/consensus/tests/fleet/simulation/network.rs
+++ b/crates/consensus/tests/fleet/simulation/network.rs
@@ -8,7 +8,7 @@
 
 use super::{Event, Simulation};
 
-/// What a machine's link and disk carry; without it, the size of a message or a record does not matter.
+/// The throughput of a machine's link and disk. Without it, the size of a message or a record does not matter.
 #[derive(Clone, Copy)]
 pub(crate) struct Bandwidth {
     pub(crate) link_bytes_per_ms: u64,
@@ -19,11 +19,11 @@
     pub(crate) large_message_bytes: u64,
 }
 
-/// So many large messages are in flight to one machine.
+/// The highest number of large messages in flight to one machine.
 const MAX_LARGE_IN_FLIGHT: usize = 2;
 /// A large message that takes longer is lost.
 const LARGE_MESSAGE_TIMEOUT: Duration = millis(4_000);
-/// What is sent with the state of a message.
+/// The bytes of a message in addition to its state.
 const MESSAGE_OVERHEAD_BYTES: u64 = 200;
 
 /// A message that a link buffers.
@@ -34,10 +34,10 @@
     message: Message,
 }
 
-/// A buffering link keeps so many messages, the first ones; the rest is lost.
+/// The number of messages that a buffering link keeps; later ones are lost.
 const LINK_BACKLOG: usize = 8;
 
-/// Kinds of messages, by the beginnings of their debug output.
+/// The kinds of messages, by the beginnings of their debug output.
 pub(crate) const MESSAGE_KINDS: [&str; 16] = [
     "Heartbeat ",
     "HeartbeatResponse",
@@ -79,7 +79,7 @@
             return;
         }
         let Some(transmission_time) = self.transmission_time(link, &message) else { return };
-        // The order of these draws is part of what a seed means.
+        // The order of these draws must not change: it determines the run of a seed.
         let is_late = self.noise.draw_is_late(&mut self.random);
         let mut delay = transmission_time + self.noise.draw_delay(&mut self.random);
         if is_late {
@@ -91,7 +91,7 @@
         self.after(delay, Event::Deliver { to, from: member, message });
     }
 
-    /// A cut takes what is in flight, too.
+    /// Delivers a message, unless its link was cut while it was in flight.
     pub(super) fn deliver(&mut self, to: SocketAddrV4, from: Member, message: Message) {
         let Some(machine) = self.machine_at(to) else { return };
         let sender = self.machine_at(from.address);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// All buffering links deliver what they have buffered, at once and in order, and work again.
+    /// Delivers all buffered messages at once and in order, and ends the buffering.
     pub(crate) fn flush_links(&mut self) {
         self.buffering_links.clear();
         for BufferedMessage { to, from, message, .. } in std::mem::take(&mut self.buffered_messages) {
@@ -124,13 +124,13 @@
         }
     }
 
-    /// As [`Simulation::flush_links`], in the reverse order.
+    /// Like [`Simulation::flush_links`], but in the reverse order.
     pub(crate) fn flush_links_in_reverse(&mut self) {
         self.buffered_messages.reverse();
         self.flush_links();
     }
 
-    /// How long a link needs for a message by its size; none if the message is lost for its size.
+    /// The time that a link needs for a message of this size; `None` if the message is lost because of its size.
     fn transmission_time(&mut self, link: Link<usize>, message: &Message) -> Option<Duration> {
         let Some(bandwidth) = self.bandwidth else { return Some(Duration::ZERO) };
         let size = message.state_bytes() as u64 + MESSAGE_OVERHEAD_BYTES;
--- a/crates/consensus/tests/fleet/simulation/process.rs
+++ b/crates/consensus/tests/fleet/simulation/process.rs
@@ -1,4 +1,4 @@
-//! The processes on machines: they start, shut down, are killed, pause and resume.
+//! The processes on machines: start, shutdown, kill, pause and resume.
 
 use mosshead_consensus::{Input, Node};
 use mosshead_time::{Duration, Instant};
@@ -16,7 +16,7 @@
     pub(crate) then: AfterShutdown,
 }
 
-/// What comes after a planned shutdown.
+/// What follows a planned shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AfterShutdown {
     /// The machine is removed with its disk.
@@ -28,22 +28,22 @@
 /// How a process ends without notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kill {
-    /// The process ends, and its machine goes on.
+    /// The process ends, but its machine keeps running.
     Process,
     /// The machine loses power.
     PowerLoss,
 }
 
-/// What the steady clock of a process shows when it starts.
+/// The time that the monotonic clock of a process shows at its start.
 pub(super) const CLOCK_AT_START: Instant = Instant::from_millis(1);
-/// The platform waits so long for a planned shutdown.
+/// How long the platform waits for a planned shutdown.
 const SHUTDOWN_GRACE_PERIOD: Duration = millis(8_000);
-/// A process that restarts as planned starts after this, and after a random part of the next one.
+/// The pause before a planned restart: the shortest one, and the bound of the random time that is added.
 const MIN_RESTART_PAUSE: Duration = millis(50);
 const RESTART_PAUSE_VARIATION: Duration = millis(450);
 
 impl Simulation {
-    /// Ends a process. What it had written without a sync is on the disk up to some write.
+    /// Ends a process. Of its unsynced writes, only a random number of the first ones reach the disk.
     pub(crate) fn kill(&mut self, machine: usize, kill: Kill) {
         let all_lost = kill == Kill::PowerLoss && self.random.is_one_in(2);
         let stored = if all_lost { 0 } else { self.random_below(4) as usize };
@@ -104,14 +104,14 @@
         self.machines[machine].is_removed = true;
     }
 
-    /// Lets a paused process go on; it gets what has arrived meanwhile.
+    /// Resumes a paused process and passes it the inputs that have arrived meanwhile.
     pub(crate) fn resume(&mut self, machine: usize) {
         let now = self.now();
         let resumed = &mut self.machines[machine];
         if std::mem::take(&mut resumed.is_paused) {
             resumed.resumed_at = now;
         }
-        // A caller may come before anything else does.
+        // A caller may query the process before any input arrives.
         self.check_staleness();
         for input in std::mem::take(&mut self.machines[machine].buffered_inputs) {
             self.step(machine, input);
--- a/crates/consensus/tests/fleet/simulation/requests.rs
+++ b/crates/consensus/tests/fleet/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to nodes, with their bookkeeping in the checker.
+//! Sends requests to nodes and records them in the checker.
 
 use mosshead_consensus::{Input, Node};
 use mosshead_time::Duration;
@@ -7,10 +7,10 @@
 use super::Simulation;
 use crate::checker::{Change, RequestKind, digest};
 
-/// Callers go elsewhere after a second without a reply, and the reply needs some of it on the network.
+/// Callers try another node after a second without a reply, and the network takes some of that.
 pub(crate) const CALLER_TIMEOUT: Duration = millis(1_000 - 50);
 
-/// A body that has most in common with all others, as one configuration has with the next.
+/// A body that has most bytes in common with all others, like successive configurations.
 pub(crate) fn body(number: u64, length: usize) -> Vec<u8> {
     let mut body = b"what most changes leave as it is: ".repeat(4);
     body.extend(number.to_le_bytes().repeat(1 + length));
--- a/crates/consensus/tests/fleet/support.rs
+++ b/crates/consensus/tests/fleet/support.rs
@@ -1,4 +1,4 @@
-//! What the scenarios share: fleets in calm, changes that have to be committed, the roles of machines.
+//! Helpers that the scenarios share: fleets without faults, changes that must be committed, the roles of machines.
 
 use mosshead_consensus::{ClientReply, InjectedFault, Node};
 use mosshead_time::Duration;
@@ -9,33 +9,33 @@
 
 /// A lease that outlasts each scenario.
 pub(crate) const LONG_LEASE: Duration = millis(60_000);
-/// Within this a new fleet has a primary.
+/// The time in which a new fleet elects a primary.
 pub(crate) const BOOTSTRAP_TIME: Duration = millis(3_000);
-/// Within this a change is committed in calm.
+/// The time in which a change is committed without faults.
 pub(crate) const COMMIT_TIME: Duration = millis(400);
 
-/// A scenario with nodes that have this fault. Its error says what was violated.
+/// A scenario, run without a fault or with nodes that have this one. Its error describes the violation.
 pub(crate) type Scenario = fn(Option<InjectedFault>) -> Result<(), String>;
 
-/// What the machines do by the configuration of the primary.
+/// The roles of the machines in the configuration of the primary.
 pub(crate) struct Roles {
     pub(crate) primary: usize,
     pub(crate) backups: Vec<usize>,
     pub(crate) witnesses: Vec<usize>,
 }
 
-/// A fleet in calm, without noise, with some state.
-pub(crate) fn calm(
+/// Starts a fleet on machines and links without faults and noise, and commits a few changes.
+pub(crate) fn stable_fleet(
     seed: u64,
     machines: usize,
     tolerated_failures: usize,
     injected_fault: Option<InjectedFault>,
 ) -> Result<Simulation, String> {
-    calm_with(Simulation::new(seed, machines, tolerated_failures, injected_fault))
+    start_without_noise(Simulation::new(seed, machines, tolerated_failures, injected_fault))
 }
 
-/// The fleet without noise, with some state.
-pub(crate) fn calm_with(mut simulation: Simulation) -> Result<Simulation, String> {
+/// Turns off noise, waits for a primary, and commits a few changes.
+pub(crate) fn start_without_noise(mut simulation: Simulation) -> Result<Simulation, String> {
     simulation.noise = Noise::NONE;
     simulation.run(BOOTSTRAP_TIME)?;
     for _ in 0..3 {
@@ -52,7 +52,7 @@
     simulation.primary().ok_or_else(|| format!("at {}: no primary", simulation.now()))
 }
 
-/// A primary other than that machine, which may still believe to be primary.
+/// A primary other than `old`, which may still believe that it is primary.
 pub(crate) fn primary_other_than(simulation: &Simulation, old: usize) -> Result<usize, String> {
     let is_other_primary =
         |machine: &usize| *machine != old && simulation.node(*machine).is_some_and(Node::is_primary);
@@ -60,7 +60,7 @@
     found.ok_or_else(|| format!("at {}: no other primary", simulation.now()))
 }
 
-/// A new change at the primary is committed within the span.
+/// Sends a new change to the primary, which has to commit it within the span.
 pub(crate) fn commit_change(simulation: &mut Simulation, span: Duration) -> Result<Change, String> {
     let primary = current_primary(simulation)?;
     commit_change_at(simulation, primary, span)
@@ -78,7 +78,7 @@
     }
 }
 
-/// Sends a request and lets the span pass. Returns the reply, if there is one.
+/// Sends a request and runs the simulation for the span. Returns the reply, if there is one.
 pub(crate) fn reply_at(
     simulation: &mut Simulation,
     machine: usize,
@@ -109,18 +109,18 @@
     simulation.remaining().into_iter().flat_map(|other| [(other, machine), (machine, other)]).collect()
 }
 
-/// The scenario holds with nodes as they are, and finds the fault in nodes that have it.
-pub(crate) fn holds_and_finds(scenario: Scenario, injected_fault: InjectedFault) {
+/// Asserts that the scenario passes without a fault, and fails with the injected one.
+pub(crate) fn passes_and_detects(scenario: Scenario, injected_fault: InjectedFault) {
     if let Err(violation) = scenario(None) {
         panic!("without an injected fault: {violation}");
     }
     match scenario(Some(injected_fault)) {
-        Ok(()) => panic!("{injected_fault:?} was not found"),
+        Ok(()) => panic!("{injected_fault:?} was not detected"),
         Err(violation) => println!("{injected_fault:?}: {violation:.200}"),
     }
 }
 
-/// The scenario holds; a violation is reported with the name of the case, a seed for instance.
-pub(crate) fn holds<T>(case: &str, scenario: impl FnOnce() -> Result<T, String>) -> T {
+/// Asserts that the scenario passes. A violation is reported with the name of the case, for example a seed.
+pub(crate) fn passes<T>(case: &str, scenario: impl FnOnce() -> Result<T, String>) -> T {
     scenario().unwrap_or_else(|violation| panic!("{case}: {violation}"))
 }
--- a/crates/consensus/tests/fleet/turnover.rs
+++ b/crates/consensus/tests/fleet/turnover.rs
@@ -1,16 +1,16 @@
-//! Planned and unplanned changes of machines, and whether the fleet may lose machines again after them.
+//! Helpers for planned and unplanned replacements of machines: they wait until the fleet may lose machines again.
 
 use mosshead_consensus::{EpochConfig, InjectedFault, Node, Timings};
 use mosshead_time::{Duration, Instant};
 use mosshead_virtual_fleet::millis;
 
 use crate::simulation::Simulation;
-use crate::support::{Roles, calm_with, ensure, roles};
+use crate::support::{Roles, ensure, roles, start_without_noise};
 
-/// A fleet that has not replaced its lost members within this never does.
+/// A fleet that takes longer than this to replace lost members counts as not recovered.
 const MAX_TIME_TO_REDUNDANCY: Duration = millis(10_000);
 
-/// A fleet in calm whose timings follow from the platform's: within the join deadline a new machine counts.
+/// Starts a fleet without faults, with the timings for the join deadline of a platform.
 pub(crate) fn fleet(
     seed: u64,
     join_deadline: Duration,
@@ -22,11 +22,11 @@
     for machine in &mut simulation.machines {
         machine.settings.timings = Timings::for_join_deadline(join_deadline);
     }
-    calm_with(simulation)
+    start_without_noise(simulation)
 }
 
 impl Simulation {
-    /// A new machine that starts now, with the timings of the others.
+    /// Adds a machine with the timings of the others and starts it.
     pub(crate) fn start_newcomer(&mut self) -> usize {
         let timings = self.machines[0].settings.timings.clone();
         let seeds = self.pick_seeds();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The primary and as many other members as the fleet tolerates, backups first, are removed without notice.
+    /// Removes as many members as the fleet tolerates without notice: the primary first, then backups, then witnesses.
     pub(crate) fn lose_replicas(&mut self) -> Result<(), String> {
         let Roles { primary, backups, witnesses } = roles(self)?;
         let lost: Vec<usize> = [primary].into_iter().chain(backups).chain(witnesses).collect();
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// The configuration of a primary, so a decided one.
+    /// The configuration of a primary, which is decided.
     pub(crate) fn decided_config(&self) -> Option<EpochConfig> {
         let is_primary = |machine: &usize| self.node(*machine).is_some_and(Node::is_primary);
         let primary = self.running().into_iter().find(is_primary)?;
@@ -81,8 +81,8 @@
         self.decided_config().map(|config| config.term.number).ok_or("no configuration".to_string())
     }
 
-    /// Whether as many machines may be lost as the fleet should tolerate: all members run, and no change of members is
-    /// under way.
+    /// Returns true if as many machines may be lost as the fleet should tolerate: all members run, and no change of
+    /// members is in progress.
     fn is_redundant(&self) -> bool {
         let Some(config) = self.decided_config() else { return false };
         let runs = |id| {
@@ -95,7 +95,7 @@
         !config.is_joint() && backups_run && config.members.iter().all(|member| runs(member.id))
     }
 
-    /// Waits until the fleet is redundant; returns how long that took since an instant.
+    /// Runs until the fleet is redundant. Returns the time since `since`.
     pub(crate) fn time_until_redundant(&mut self, since: Instant) -> Result<Duration, String> {
         while !self.is_redundant() {
             ensure(self.now() < since + MAX_TIME_TO_REDUNDANCY, "the fleet doesn't become redundant")?;
--- a/crates/consensus/tests/fleet/turnover_times.rs
+++ b/crates/consensus/tests/fleet/turnover_times.rs
@@ -1,4 +1,4 @@
-//! How long a fleet takes until it is redundant again after losses and planned changes, and in how many epochs.
+//! The time, and the number of epochs, until a fleet is redundant again after losses and planned replacements.
 
 use mosshead_consensus::InjectedFault;
 use mosshead_time::Duration;
@@ -9,25 +9,25 @@
 use crate::support::{Roles, roles};
 use crate::turnover::fleet;
 
-/// How soon a new machine counts with platforms that replace machines quickly, and with usual ones.
+/// The join deadlines of platforms that replace machines quickly, and of usual ones.
 const SHORT_JOIN_DEADLINE: Duration = millis(1_500);
 const USUAL_JOIN_DEADLINE: Duration = millis(4_000);
-/// In this time the newcomers start to join, before it is looked whether the fleet is redundant.
+/// Newcomers start to join in this time, before the redundancy of the fleet is checked.
 const JOIN_START: Duration = millis(300);
 const SEEDS: u64 = 300;
 
-/// How long the fleet of a seed is not redundant.
+/// Measures how long the fleet of a seed is not redundant.
 type Measure = fn(u64, Option<InjectedFault>) -> Result<Duration, String>;
 
-/// Over all seeds.
+/// The times over all seeds.
 #[derive(Clone, Copy, Debug)]
 struct Percentiles {
     median: Duration,
-    /// What 99 in 100 don't exceed.
-    high: Duration,
+    /// The 99th percentile.
+    p99: Duration,
 }
 
-/// How many epochs the loss of a witness's disk makes; the machine is back soon.
+/// The number of epochs that follow the loss of a witness's disk, if the machine is back soon.
 fn epochs_after_a_wipe(seed: u64, injected_fault: Option<InjectedFault>) -> Result<u64, String> {
     let mut simulation = fleet(seed, USUAL_JOIN_DEADLINE, 1 + seed as usize % 2, injected_fault)?;
     let Roles { witnesses, .. } = roles(&simulation)?;
@@ -40,7 +40,8 @@
     Ok(simulation.term_number()? - before)
 }
 
-/// The joint configuration, and the one after it: the disk that was lost does not come back in between.
+/// Two epochs follow, that of the joint configuration and the one after it: the lost disk does not become a member again
+/// in between.
 #[test]
 fn a_disk_that_was_lost_never_becomes_a_member_again() {
     for seed in 0..200 {
@@ -48,11 +49,11 @@
     }
     let comes_back = |seed: &u64| epochs_after_a_wipe(*seed, Some(InjectedFault::StaleNewcomer)) != Ok(2);
     let found = (0..100).filter(comes_back).count();
-    assert!(found > 0, "it was not found");
+    assert!(found > 0, "the fault was not detected");
     println!("StaleNewcomer: {found} of 100");
 }
 
-/// After two losses and two newcomers in a fleet of five, from the newcomers' start.
+/// The time after two losses in a fleet of five, from the start of two newcomers.
 fn after_two_losses(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Duration, String> {
     let mut simulation = fleet(seed, SHORT_JOIN_DEADLINE, 2, injected_fault)?;
     simulation.lose_replicas()?;
@@ -62,7 +63,7 @@
     simulation.time_until_redundant(since)
 }
 
-/// The same if both were followers: their silence begins at the same instant.
+/// The same if both lost members were followers: their silence begins at the same instant.
 fn after_two_lost_followers(seed: u64, injected_fault: Option<InjectedFault>) -> Result<Duration, String> {
     let mut simulation = fleet(seed, SHORT_JOIN_DEADLINE, 2, injected_fault)?;
     let Roles { backups, witnesses, .. } = roles(&simulation)?;
@@ -100,15 +101,15 @@
         |seed| measure(seed, injected_fault).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     let mut times: Vec<Duration> = (0..SEEDS).map(measure_seed).collect();
     times.sort_unstable();
-    let found = Percentiles { median: times[times.len() / 2], high: times[times.len() * 99 / 100] };
-    println!("{injected_fault:?}: {:?}, {:?} in 99 of 100", found.median, found.high);
+    let found = Percentiles { median: times[times.len() / 2], p99: times[times.len() * 99 / 100] };
+    println!("{injected_fault:?}: {:?}, {:?} in 99 of 100", found.median, found.p99);
     found
 }
 
 #[test]
-fn two_losses_are_made_up_for_at_once() {
+fn two_lost_members_are_replaced_by_one_change() {
     let losses = percentiles(after_two_losses, None);
-    assert!(losses.high <= millis(1_500), "{losses:?}");
+    assert!(losses.p99 <= millis(1_500), "{losses:?}");
     let together = percentiles(after_two_lost_followers, None);
     let in_turn = percentiles(after_two_lost_followers, Some(InjectedFault::OneNewcomerAtATime));
     assert!(together.median + millis(100) <= in_turn.median, "{together:?}, {in_turn:?}");
@@ -119,13 +120,13 @@
     let found = percentiles(after_a_lost_primary, None);
     let faulty = percentiles(after_a_lost_primary, Some(InjectedFault::ForgetSilenceOfMembers));
     assert!(
-        found.high <= millis(1_200) && found.median + millis(300) <= faulty.median,
+        found.p99 <= millis(1_200) && found.median + millis(300) <= faulty.median,
         "{found:?}, {faulty:?}"
     );
 }
 
 #[test]
-fn a_planned_replacement_is_done_at_once() {
+fn a_planned_replacement_restores_redundancy_at_once() {
     let found = percentiles(after_a_planned_replacement, None);
-    assert!(found.median <= millis(200) && found.high <= millis(400), "{found:?}");
+    assert!(found.median <= millis(200) && found.p99 <= millis(400), "{found:?}");
 }
