--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -18,7 +18,8 @@
 /// The promises of this disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
-    /// Messages of lower terms are rejected. Never decreases; durable before the response to its proposer.
+    /// Messages of lower terms are rejected. Never decreases. The promise is durable before its proposer gets the
+    /// response.
     promised: Term,
     /// No pre-vote is granted until then, so that the proposer of the promised term can finish.
     withholds_pre_votes_until: Instant,
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -77,7 +77,7 @@
         };
         let newest = self.newest_version(core);
         let state = match newest {
-            // Only bootstrap voters start with an empty state, and a forced recovery of nodes that have no state.
+            // Only bootstrap voters, and a forced recovery of nodes without a state, start with an empty state.
             None => (base.is_none() || is_founding).then(ControlState::default),
             Some(newest) => core.find_state(&newest).cloned(),
         };
--- a/crates/consensus/tests/fleet/founding.rs
+++ b/crates/consensus/tests/fleet/founding.rs
@@ -48,7 +48,7 @@
     commit_change(simulation, COMMIT_TIME).map(|_| ())
 }
 
-/// The primary and the witness are lost, of three members. The backup has the state.
+/// Of three members, the primary and the witness are lost. The backup has the state.
 #[test]
 fn a_holder_of_the_state_founds_the_fleet_anew() {
     for seed in 100..130 {
--- a/crates/consensus/tests/fleet/group_health.rs
+++ b/crates/consensus/tests/fleet/group_health.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// A backup whose disk accepts no writes is not a replica of later states until a witness has replaced it.
+/// A backup with a full disk does not count as a replica: no loss is tolerated until a witness has replaced it.
 #[test]
 fn a_full_disk_counts_as_no_replica() {
     passes("a full disk", || {
--- a/crates/consensus/tests/fleet/primary_scenarios.rs
+++ b/crates/consensus/tests/fleet/primary_scenarios.rs
@@ -387,8 +387,8 @@
     });
 }
 
-/// Each machine has a quota of processor time: in every 100 ms it runs for the first part and stalls for the rest.
-/// Leases, timers and heartbeats tolerate that: the primary stays, and changes are committed.
+/// Each machine has a CPU quota: in every 100 ms it runs for the first part and stalls for the rest. Leases, timers and
+/// heartbeats must tolerate that: the primary stays, and changes are committed.
 #[test]
 fn stalls_of_90_ms_in_every_100_ms_do_not_replace_the_primary() {
     for seed in 200..220 {
--- a/crates/consensus/tests/fleet/repeated_requests.rs
+++ b/crates/consensus/tests/fleet/repeated_requests.rs
@@ -18,7 +18,7 @@
 /// Longer than the disk of the scenario stalls.
 const LONG_WRITE_TIMEOUT: Duration = millis(10_000);
 
-/// Repeats each of some hundred accepted changes after the last one.
+/// Commits some hundred changes, and then repeats each of them.
 fn repeated_after_hundreds(injected_fault: Option<InjectedFault>) -> Result<(), String> {
     let mut simulation = stable_fleet(11, 3, 1, injected_fault)?;
     let mut changes = Vec::new();
--- a/crates/consensus/tests/fleet/simulation/requests.rs
+++ b/crates/consensus/tests/fleet/simulation/requests.rs
@@ -7,7 +7,7 @@
 use super::Simulation;
 use crate::checker::{Change, RequestKind, digest};
 
-/// Callers try another node after a second without a reply, and the network takes some of that.
+/// Callers try another node after a second without a reply; 50 ms of it are for the network.
 pub(crate) const CALLER_TIMEOUT: Duration = millis(1_000 - 50);
 
 /// A body that has most bytes in common with all others, like successive configurations.
