--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -39,15 +39,15 @@
         }
         /// Enough members can be reached to elect a primary. Holds their number, and that of all members.
         MajorityReachable(reachable: usize, members: usize) {
-            display("{reachable} of {members} members can be reached, enough to elect a primary")
+            display("{reachable} of {members} members can be reached, which can elect a primary")
         }
         /// A state could not be stored on enough disks. Holds the number of nodes that can be reached, and the number needed.
         TooFewNodes(reachable: usize, needed: usize) {
-            display("{reachable} nodes can be reached, but {needed} are needed to store the state")
+            display("{reachable} nodes can be reached, and {needed} are needed to store the state")
         }
         /// The disk of this node accepts no writes, or the node is shutting down.
         Unhealthy {
-            display("the disk of this node accepts no writes, or the node is shutting down")
+            display("the disk of this node takes no writes, or the node shuts down")
         }
     }
 }
--- a/crates/consensus/src/group_health.rs
+++ b/crates/consensus/src/group_health.rs
@@ -49,11 +49,11 @@
         /// Without one more member, the healthy ones would be no majority. Holds the number of healthy members, and that
         /// of all members.
         NoSpareVote(healthy: usize, members: usize) {
-            display("{healthy} of {members} members are healthy: without one of them there is no majority")
+            display("{healthy} of {members} members are healthy: without one more there is no majority")
         }
         /// Without one more member, the state could be lost. Holds the number of healthy members that hold it.
         NoSpareReplica(healthy: usize) {
-            display("only {healthy} healthy members hold the state")
+            display("{healthy} healthy members hold the state")
         }
     }
 }
