--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -48,8 +48,8 @@
         self.withholds_pre_votes_until = context.now() + context.timings().suspicion_timeout / 2;
     }
 
-    /// Returns true if a message of this term may be accepted. The sender of a lower term gets a rejection with the
-    /// promised one.
+    /// Returns true if a message of this term may be accepted: the term is not below the promised one, it belongs to the
+    /// sender, and not too many writes are pending. The sender of a lower term gets a rejection with the promised one.
     pub(crate) fn admits(&self, context: &mut Context, storage: &Storage, from: Member, term: Term) -> bool {
         if term < self.promised {
             context.send(from.address, Message::Reject { term, promised: self.promised });
--- a/crates/consensus/src/body_delta.rs
+++ b/crates/consensus/src/body_delta.rs
@@ -11,7 +11,8 @@
 use crate::limits::MAX_BODY_BYTES;
 use crate::shared_bytes::{decode_bytes, encode_bytes};
 
-/// The length of an indexed block of the base. Common ranges that contain no complete block of the base aren't found.
+/// The length of an indexed block of the base. Apart from a common prefix and suffix of the bodies, common ranges that
+/// contain no complete block of the base aren't found.
 const BLOCK_BYTES: usize = 64;
 /// The maximum number of bytes that a delta inserts. Beyond that, a complete body costs little more.
 const MAX_INSERTED_BYTES: usize = 256 << 10;
--- a/crates/consensus/src/control_state.rs
+++ b/crates/consensus/src/control_state.rs
@@ -12,12 +12,13 @@
 /// The number of most recently applied requests that a state remembers.
 pub const DEDUPLICATION_WINDOW: usize = 256;
 
-/// Identifies a state. Of two states, the one with the higher version is the valid one.
+/// Identifies a state. Of two states, the one with the higher version is the valid one; versions are compared by their
+/// `write_term` first.
 ///
 /// States with equal `revision` and `first_write_term` have the same body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct StateVersion {
-    /// The term under which the state was last written on this disk.
+    /// The term under which the state was last written; disks with the same body may have different ones.
     #[n(0)]
     pub write_term: Term,
     /// The number that the operator has assigned to the body; increases with each change.
--- a/crates/consensus/src/disk_writes.rs
+++ b/crates/consensus/src/disk_writes.rs
@@ -52,8 +52,8 @@
         })
     }
 
-    /// The record to apply to the durable state. For a delta, this is the complete state, which was computed when the
-    /// write was queued.
+    /// The record to apply to the durable state; none for [`DurabilityEffect::LogRewrite`]. For a delta, this is the
+    /// complete state, which was computed when the write was queued.
     pub(crate) fn to_durable_record(&self) -> Option<LogRecord> {
         match self {
             DurabilityEffect::Delta { state, .. } => Some(LogRecord::State(state.clone())),
@@ -94,7 +94,8 @@
     pub(crate) token: u64,
     pub(crate) started_at: Instant,
     pub(crate) effect: DurabilityEffect,
-    /// The member that gets a response once the write is synced; none for maintenance writes of the disk.
+    /// The member for which the write is made: another one gets a response once the write is synced; for this node
+    /// itself, its role is notified. None for maintenance writes of the disk.
     pub(crate) requester: Option<Member>,
 }
 
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -97,7 +97,7 @@
     /// The state with the highest version that was written.
     #[n(3)]
     state: Option<ControlState>,
-    /// The last configuration that was learned without a vote in it.
+    /// The last stored configuration in which this disk has no vote.
     #[n(4)]
     learned: Option<EpochConfig>,
 }
--- a/crates/consensus/src/epoch_config.rs
+++ b/crates/consensus/src/epoch_config.rs
@@ -5,7 +5,8 @@
 use crate::limits::MAX_MEMBERS;
 use crate::term::{Member, MemberId, Term};
 
-/// The configuration of an epoch, chosen once a majority of its voters has accepted it.
+/// The configuration of an epoch. It is decided once a majority of the members, and one of the outgoing members, has
+/// accepted it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct EpochConfig {
     /// The term under which the configuration was proposed; identifies the epoch.
--- a/crates/consensus/src/epoch_view.rs
+++ b/crates/consensus/src/epoch_view.rs
@@ -15,7 +15,7 @@
 pub(crate) struct EpochView {
     /// The highest term number seen in any message or record.
     highest_term_number: u64,
-    /// The configuration with the highest term seen; a majority may not have accepted it.
+    /// The configuration with the highest term seen, decided or not.
     config: Option<EpochConfig>,
     /// The addresses of possible other nodes; at most [`MAX_ADDRESSES`].
     addresses: BTreeSet<SocketAddrV4>,
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Replaces the addresses with those of the seeds and of the electorate.
-    pub(crate) fn reset_addresses(&mut self, seeds: &[SocketAddrV4], electorate: &[Member]) {
+    /// Replaces the addresses with those of the seeds and of the known voters.
+    pub(crate) fn reset_addresses(&mut self, seeds: &[SocketAddrV4], known_voters: &[Member]) {
         self.addresses.clear();
         let seeds = seeds.iter().copied().take(MAX_MEMBERS);
-        seeds.chain(electorate.iter().map(|m| m.address)).for_each(|address| self.add_address(address));
+        seeds.chain(known_voters.iter().map(|m| m.address)).for_each(|address| self.add_address(address));
     }
 
     pub(crate) fn addresses(&self) -> &BTreeSet<SocketAddrV4> {
--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -3,8 +3,8 @@
 //!
 //! No majority can decide on it, so an operator does. It is refused while the reachable nodes could elect a primary by
 //! themselves. The new term is so far above all known ones that no lost disk can have used one as high: a node raises its
-//! term only with the pre-votes of a majority. The newest state of the remaining nodes is kept; changes that were
-//! committed only on the lost nodes are lost.
+//! term only with the pre-votes of a majority, or as the primary, or at the primary's request. The newest state of the
+//! remaining nodes is kept; changes that were committed only on the lost nodes are lost.
 
 use quick_error::quick_error;
 
--- a/crates/consensus/src/injected_fault.rs
+++ b/crates/consensus/src/injected_fault.rs
@@ -72,7 +72,7 @@
     KeepDepartingMembers,
     /// A silent member keeps its slot for the default replacement timeout, regardless of the join deadline.
     IgnoreJoinDeadline,
-    /// The silence of a lost primary is counted from the take-over, not from its last message.
+    /// The silence of voters that took no part in a take-over, such as the lost primary, is counted from the take-over.
     ForgetSilenceOfMembers,
     /// Newcomers get slots one at a time, each by a take-over of its own.
     OneNewcomerAtATime,
--- a/crates/consensus/src/join_requests.rs
+++ b/crates/consensus/src/join_requests.rs
@@ -68,8 +68,8 @@
         addresses.iter().all(|address| *address == local.address || is_known(*address))
     }
 
-    /// Returns true if a follower has to send join requests now: it knows no primary, or is no member. If so, schedules
-    /// the next ones.
+    /// Returns true if a follower has to send join requests now: its primary is unknown or has been silent for too long,
+    /// or it is no member. If so, schedules the next ones.
     ///
     /// A newcomer sends join requests even while it knows a primary: the next primary has to know which nodes wait for a
     /// slot before it grants a removal.
--- a/crates/consensus/src/known_primary.rs
+++ b/crates/consensus/src/known_primary.rs
@@ -46,8 +46,8 @@
         self.confirmed_at.unwrap_or(Instant::ORIGIN).max(self.first_heartbeat_at)
     }
 
-    /// The instant until which this primary is not suspected. The stamp that a heartbeat returns was sent in response to
-    /// the previous one, so the proof is older than the heartbeat by one interval.
+    /// The instant until which this primary is not suspected. A heartbeat returns the stamp of the response to the
+    /// heartbeat before it, so the proof is older than the heartbeat by one interval.
     pub(crate) fn trusted_until(&self, timings: &Timings) -> Instant {
         let proven = |at| at + timings.suspicion_timeout + timings.heartbeat_interval;
         let confirmed = self.confirmed_at.map_or(Instant::ORIGIN, proven);
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -91,7 +91,8 @@
         self.read_lease.stamp(context.now())
     }
 
-    /// When this node last had proven contact with a majority; only contact whose committed state it has published counts.
+    /// When this node last had proven contact with a majority. A contact counts once this node has published the state
+    /// that the primary then reported as committed.
     pub(crate) fn contact_confirmed_at(&self) -> Option<Instant> {
         self.read_lease.confirmed_at()
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -9,8 +9,8 @@
 //!
 //! # Differences from Raft
 //!
-//! There is no log of entries. The replicated value is a single state; a write contains either the complete state or
-//! the delta from the previous one.
+//! There is no replicated log of entries; the log of a node (module `storage`) is its own, on its disk. The replicated
+//! value is a single state; a write contains either the complete state or the delta from the previous one.
 //!
 //! A [`Term`] consists of a number and its proposer, like a ballot in Paxos. A node that takes over (module
 //! `take_over`) corresponds to a candidate: it collects promises, rewrites the newest state under its own term on its
@@ -18,7 +18,7 @@
 //! names the primary and the backups. From then on, a change is committed once the primary and all of its backups
 //! have written it. To move to a better configuration, the primary takes over from itself; this is called a renewal.
 //!
-//! Terms that mean something else in raft-rs:
+//! Words that mean something else in raft-rs:
 //!
 //! - A [`MemberId`] identifies a disk: a machine whose disk was wiped is another member.
 //! - A follower is any node that is neither primary nor taking over, even if it has no vote.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -49,7 +49,7 @@
         /// True if the sender is a bootstrap voter.
         #[n(1)]
         is_bootstrap_voter: bool,
-        /// True if the sender's disk accepts writes.
+        /// True if the sender's disk accepts writes and it is not shutting down.
         #[n(2)]
         is_healthy: bool,
         /// The highest configuration that the sender has seen.
@@ -176,7 +176,7 @@
         /// The highest revision that the sender knows to be committed.
         #[n(5)]
         committed_revision: Option<u64>,
-        /// True if the sender's disk accepts writes.
+        /// True if the sender's disk accepts writes and it is not shutting down.
         #[n(6)]
         is_healthy: bool,
         /// The time of the response by the sender's own clock; the primary returns it with the next heartbeat.
--- a/crates/consensus/src/node/membership.rs
+++ b/crates/consensus/src/node/membership.rs
@@ -9,7 +9,7 @@
 use crate::term::{Member, Term};
 
 impl<R: RngCore> Node<R> {
-    /// Sends join requests if no primary is known or this node is no member.
+    /// Sends join requests if the primary is unknown or silent, or this node is no member.
     pub(super) fn run_join_timers(&mut self) {
         if !self.role.is_follower() {
             return;
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -65,7 +65,7 @@
         self.by_member.values_mut()
     }
 
-    /// Adds a node that is no member. Returns true if it is new.
+    /// Adds a node, unless it is known or there are too many peers. Returns true if it was added.
     pub(crate) fn add(&mut self, member: Member, now: Instant) -> bool {
         if self.by_member.contains_key(&member.id) || self.by_member.len() >= MAX_PEERS {
             return false;
@@ -79,8 +79,8 @@
         self.by_member.retain(|id, peer| config.has_voter(*id) || peer.silence(now) <= NON_VOTER_TIMEOUT);
     }
 
-    /// Adds the voters of a new epoch. Unless the epoch is a renewal, all other knowledge of the peers is dropped first,
-    /// and `newcomers` are added.
+    /// Adds the voters of a new epoch. Unless the epoch is a renewal, all peers are dropped first, and `newcomers` are
+    /// added.
     pub(crate) fn start_epoch(&mut self, context: &Context, epoch: &NewEpoch<'_>, newcomers: &[Member]) {
         if !epoch.is_renewal {
             self.by_member.clear();
@@ -141,8 +141,9 @@
     }
 }
 
-/// The assumed silence of a voter at the start of an epoch. One that took no part in the take-over has probably been
-/// silent for as long as the former primary: it is suspected after two heartbeats without a response.
+/// The assumed silence of a voter at the start of an epoch, which counts towards its replacement timeout. For a silent
+/// former primary it is the suspicion timeout. Another voter that took no part in the take-over has probably been silent
+/// for as long, but two heartbeat intervals less are assumed, in which it can still respond.
 fn assumed_silence(context: &Context, epoch: &NewEpoch<'_>, id: MemberId) -> Duration {
     let timings = context.timings();
     if epoch.silent_primary == Some(id) {
--- a/crates/consensus/src/peers/peer.rs
+++ b/crates/consensus/src/peers/peer.rs
@@ -17,10 +17,11 @@
     member: Member,
     /// When its last heartbeat response, or its vote in the take-over, arrived.
     last_received_at: Instant,
-    /// When the newest heartbeat was sent that it has answered without having promised a higher term; the origin of the
-    /// clock if there is none.
+    /// When the newest heartbeat that it has acknowledged was sent, or the configuration that it has accepted was
+    /// proposed; the origin of the clock if there is none. A response acknowledges a heartbeat if it reports no promise
+    /// of a higher term.
     last_acknowledged_heartbeat_sent_at: Instant,
-    /// The sequence number of that heartbeat; zero at the start of an epoch.
+    /// The sequence number of the newest acknowledged heartbeat; zero at the start of an epoch.
     acknowledged_heartbeat: u64,
     /// True if its last message reported that its disk accepts writes and that it is not shutting down.
     is_healthy: bool,
@@ -74,7 +75,7 @@
     }
 
     /// Returns true if its last message is recent.
-    pub(crate) fn is_recent(&self, now: Instant) -> bool {
+    pub(crate) fn has_recent_message(&self, now: Instant) -> bool {
         self.silence(now) <= RECENT_MESSAGE_AGE
     }
 
@@ -93,7 +94,8 @@
         self.acknowledged_heartbeat
     }
 
-    /// When that heartbeat, or one of the previous epoch, was sent; the origin of the clock if there is none.
+    /// When the newest acknowledged heartbeat, possibly of the previous epoch, was sent, or the accepted configuration
+    /// was proposed; the origin of the clock if there is none.
     pub(crate) fn last_acknowledged_heartbeat_sent_at(&self) -> Instant {
         self.last_acknowledged_heartbeat_sent_at
     }
--- a/crates/consensus/src/primary.rs
+++ b/crates/consensus/src/primary.rs
@@ -30,7 +30,7 @@
     last_heartbeat: u64,
     /// The first heartbeat sent after the last state that was not sent as a delta. A response to an earlier heartbeat may
     /// have been sent before that state arrived, so a lower revision in it does not prove that the peer lacks the state.
-    first_heartbeat_of_full_state: u64,
+    first_heartbeat_after_full_state: u64,
     /// The most recently sent heartbeats, oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
     next_heartbeat_at: Instant,
@@ -54,7 +54,7 @@
             config,
             state,
             last_heartbeat: 0,
-            first_heartbeat_of_full_state: 1,
+            first_heartbeat_after_full_state: 1,
             sent_heartbeats: VecDeque::new(),
             next_heartbeat_at: now,
             pending_write: None,
--- a/crates/consensus/src/primary/heartbeats.rs
+++ b/crates/consensus/src/primary/heartbeats.rs
@@ -141,7 +141,7 @@
         let (now, timings) = (core.now(), core.context.timings());
         // The response may have been sent before the last state arrived.
         let expected = core.delta_log.revision_before(now, timings.resend_interval, self.state.revision);
-        let is_behind = response.sequence >= self.first_heartbeat_of_full_state
+        let is_behind = response.sequence >= self.first_heartbeat_after_full_state
             && response.committed_revision.is_none_or(|revision| revision < expected);
         let interval = timings.state_resend_interval;
         let Some(peer) = core.peers.get_mut(id) else { return false };
--- a/crates/consensus/src/primary/membership_plan.rs
+++ b/crates/consensus/src/primary/membership_plan.rs
@@ -20,8 +20,8 @@
         self.core.peers.get(id)
     }
 
-    fn is_recent(&self, peer: &Peer) -> bool {
-        peer.is_recent(self.core.now())
+    fn has_recent_message(&self, peer: &Peer) -> bool {
+        peer.has_recent_message(self.core.now())
     }
 
     fn is_departing(&self, id: MemberId) -> bool {
@@ -30,7 +30,7 @@
 
     /// Returns true if the peer could take part in the next epoch.
     fn is_available(&self, peer: &Peer) -> bool {
-        peer.is_healthy() && self.is_recent(peer) && !self.is_departing(peer.member().id)
+        peer.is_healthy() && self.has_recent_message(peer) && !self.is_departing(peer.member().id)
     }
 
     fn has_lost_backup(&self) -> bool {
@@ -102,8 +102,8 @@
         newcomers.into_iter().map(Peer::member).collect()
     }
 
-    /// Assigns a slot to a newcomer: that of the former disk at its address, a free one, or that of a member that has
-    /// been silent for too long or is shutting down. Returns true if there was one.
+    /// Assigns a slot to a newcomer: that of the former disk at its address, a free one, or that of a member whose
+    /// last healthy report is too old or that is shutting down. Returns true if there was one.
     fn assign_slot(&self, members: &mut Vec<Member>, newcomer: Member) -> bool {
         if let Some(slot) = members.iter_mut().find(|m| m.address == newcomer.address) {
             *slot = newcomer;
@@ -113,7 +113,8 @@
             members.push(newcomer);
             return true;
         }
-        let Some(replaced) = self.most_silent(members).or_else(|| self.departing_member_to_replace(members))
+        let Some(replaced) =
+            self.longest_unhealthy(members).or_else(|| self.departing_member_to_replace(members))
         else {
             return false;
         };
@@ -123,29 +124,29 @@
     }
 
     /// The time since the member last reported that it is healthy; [`Duration::MAX`] if nothing is known about it.
-    fn silence(&self, member: &Member) -> Duration {
+    fn time_since_healthy(&self, member: &Member) -> Duration {
         self.peer(member.id).map_or(Duration::MAX, |p| self.core.context.elapsed(p.last_healthy_at()))
     }
 
-    /// Returns true if the silence of the member reaches the replacement timeout within one heartbeat interval. Members
-    /// that failed together are then replaced by one change.
+    /// Returns true if the member becomes replaceable within one heartbeat interval. A change waits for it if newcomers are
+    /// left over, so that members that failed together are replaced by one change.
     fn is_nearly_replaceable(&self, member: &Member) -> bool {
         let timings = self.core.context.timings();
-        let silence = self.silence(member);
+        let elapsed = self.time_since_healthy(member);
         member.id != self.core.local().id
-            && silence <= timings.replacement_timeout
-            && silence + timings.heartbeat_interval > timings.replacement_timeout
+            && elapsed <= timings.replacement_timeout
+            && elapsed + timings.heartbeat_interval > timings.replacement_timeout
     }
 
-    /// The member that has been silent for the longest time, if that exceeds the replacement timeout.
-    fn most_silent(&self, members: &[Member]) -> Option<MemberId> {
+    /// The member whose last healthy report is the oldest, if it is older than the replacement timeout.
+    fn longest_unhealthy(&self, members: &[Member]) -> Option<MemberId> {
         let others = members.iter().filter(|m| m.id != self.core.local().id);
-        let silent = others.max_by_key(|m| self.silence(m))?;
+        let longest = others.max_by_key(|m| self.time_since_healthy(m))?;
         let replacement_timeout = match self.core.has_fault(InjectedFault::IgnoreJoinDeadline) {
             true => Timings::default().replacement_timeout,
             false => self.core.context.timings().replacement_timeout,
         };
-        (self.silence(silent) > replacement_timeout).then_some(silent.id)
+        (self.time_since_healthy(longest) > replacement_timeout).then_some(longest.id)
     }
 
     /// A member that is shutting down, if enough of the remaining members can be backups.
@@ -155,9 +156,11 @@
         }
         let others = || members.iter().filter(|m| m.id != self.core.local().id);
         let departing = others().find(|m| self.is_departing(m.id))?;
-        let is_recent = |m: &Member| self.peer(m.id).is_some_and(|peer| self.is_recent(peer));
-        let remains =
-            |m: &&Member| m.id != departing.id && self.primary.config.has_member(m.id) && is_recent(m);
+        let has_recent_message =
+            |m: &Member| self.peer(m.id).is_some_and(|peer| self.has_recent_message(peer));
+        let remains = |m: &&Member| {
+            m.id != departing.id && self.primary.config.has_member(m.id) && has_recent_message(m)
+        };
         let remaining_count = others().filter(remains).count();
         (remaining_count >= self.core.context.settings().max_failures).then_some(departing.id)
     }
@@ -165,8 +168,8 @@
     /// Returns true if the member may shut down: it has no vote; or it holds no state, the members are not changing, and
     /// no newcomer waits for its slot.
     ///
-    /// A member whose slot no newcomer waits for remains a member: the membership must not shrink, so that the return of
-    /// the member compensates for the next loss at once.
+    /// A member that shuts down while no newcomer waits for its slot remains in the configuration: the membership must
+    /// not shrink, so that the return of the member compensates for the next loss at once.
     pub(super) fn may_be_removed(&self, id: MemberId) -> bool {
         let config = &self.primary.config;
         if !config.has_voter(id) {
@@ -182,7 +185,7 @@
             let is_unknown = peer.answered_term() == Term::default();
             !self.primary.config.has_member(peer.member().id)
                 && !self.is_departing(peer.member().id)
-                && self.is_recent(peer)
+                && self.has_recent_message(peer)
                 && (peer.is_healthy() || is_unknown)
         })
     }
--- a/crates/consensus/src/primary/renewal.rs
+++ b/crates/consensus/src/primary/renewal.rs
@@ -47,7 +47,8 @@
         })
     }
 
-    /// Returns true if the disk is stalled or full, or the node is shutting down.
+    /// Returns true if a write is stalled, if the node is shutting down and its pending write is finished or takes too
+    /// long, or if the last write failed and another member can take over.
     fn must_resign(&self, core: &NodeCore) -> bool {
         let write_age = core.storage.oldest_write_age(core.now());
         let is_stalled = write_age > core.context.timings().local_write_timeout
--- a/crates/consensus/src/primary/replication.rs
+++ b/crates/consensus/src/primary/replication.rs
@@ -20,7 +20,7 @@
 pub(crate) struct PendingWrite {
     /// The state after the change.
     state: ControlState,
-    /// The difference from the previous state; `None` if that is not shorter.
+    /// The delta from the previous state; `None` if it would be little shorter than the state.
     delta: Option<StateDelta>,
     /// Backups that lack the previous state and get the complete state.
     missing_body: BTreeSet<MemberId>,
@@ -145,7 +145,7 @@
         match delta.clone() {
             Some(delta) => core.delta_log.push(core.context.now(), delta),
             None => {
-                self.first_heartbeat_of_full_state = self.next_heartbeat();
+                self.first_heartbeat_after_full_state = self.next_heartbeat();
                 core.delta_log.clear();
             }
         }
--- a/crates/consensus/src/read_lease.rs
+++ b/crates/consensus/src/read_lease.rs
@@ -11,7 +11,7 @@
 
 use crate::lease_stamp::LeaseStamp;
 
-/// The highest number of instants of contact that wait for their committed state; older ones are dropped.
+/// The highest number of instants of contact that wait for a committed state to be published; older ones are dropped.
 const MAX_AWAITING: usize = 64;
 
 /// When this node last had proven contact with its primary: it answered a heartbeat, and a later one returned the stamp
@@ -20,9 +20,10 @@
 pub(crate) struct ReadLease {
     /// The random number of this incarnation of the process.
     incarnation: u64,
-    /// The latest instant of contact whose committed state is published here.
+    /// The latest instant of contact that counts: this node has published the state that the primary then reported as
+    /// committed, or a newer one.
     confirmed_at: Option<Instant>,
-    /// Instants of contact whose committed state is not published here yet, oldest first.
+    /// Instants of contact that wait for this node to publish that state, oldest first.
     awaiting: VecDeque<AwaitedRevision>,
 }
 
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -23,7 +23,7 @@
     pub seeds: Vec<SocketAddrV4>,
     /// The intervals and timeouts.
     pub timings: Timings,
-    /// The length of the log, in bytes, up to which it is not rewritten because of its length.
+    /// A log of at most this length, in bytes, is not rewritten because of its length.
     pub log_rewrite_bytes: usize,
     /// The size above which states are sent in chunks, and the size of a chunk.
     pub chunk_sizes: ChunkSizes,
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -23,7 +23,7 @@
 const MAX_OUTGOING_STATES: usize = 3;
 /// The maximum number of simultaneous outgoing transfers.
 const MAX_OUTGOING_TRANSFERS: usize = 32;
-/// An incoming transfer may be replaced by another after this long without progress.
+/// An incoming transfer may be replaced by one that is not more urgent after this long without progress.
 const INCOMING_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// An incoming transfer is dropped after this long without progress.
 const INCOMING_TIMEOUT: Duration = Duration::from_millis(3_000);
@@ -103,7 +103,7 @@
             return;
         }
         let encoded = self.encode(&state);
-        self.drop_idle_outgoing(to, purpose, version);
+        self.make_room_for_outgoing(to, purpose, version);
         let (length, checksum) = (encoded.len() as u64, checksum(&encoded));
         let offer = SnapshotOffer { purpose, version, length, checksum };
         self.outgoing.push(OutgoingTransfer { to, offer, encoded, last_active_at: now });
@@ -131,7 +131,7 @@
     /// Drops transfers, least recently active first, until a transfer of `version` fits the limits. Also drops the
     /// transfer to `to` that the new one replaces: a peer has at most one transfer of a committed state and one for
     /// another purpose, and neither replaces the other.
-    fn drop_idle_outgoing(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
+    fn make_room_for_outgoing(&mut self, to: Member, purpose: StatePurpose, version: StateVersion) {
         self.outgoing.retain(|transfer| {
             transfer.to.id != to.id || transfer.offer.purpose.is_committed() != purpose.is_committed()
         });
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -127,7 +127,8 @@
         LogRecord::Snapshot(Box::new(self.durable.with_promise(promised))).encode()
     }
 
-    /// Appends the record of an effect to the log. Once it is synced, a response is sent to `requester`.
+    /// Appends the record of an effect to the log. Once it is synced, `requester` is notified, see
+    /// [`PendingDiskWrite::requester`].
     pub(crate) fn append(
         &mut self,
         context: &mut Context,
--- a/crates/consensus/src/take_over.rs
+++ b/crates/consensus/src/take_over.rs
@@ -1,5 +1,5 @@
-//! The role of a candidate: collects promises, fetches the newest state, has it written under its term, and proposes a
-//! configuration.
+//! The role of a node that takes over (a candidate in Raft): collects promises, fetches the newest state, has it written
+//! under its term, and proposes a configuration.
 
 mod accept_phase;
 mod promise_phase;
@@ -67,8 +67,9 @@
     LocalPromise,
     /// Promises are requested from the others.
     Prepare,
-    /// The newest state is being fetched from a node that holds it. The candidates are those of the next phase.
-    FetchState { version: StateVersion, candidates: Vec<MemberId> },
+    /// The newest state is being fetched from a node that holds it. The backup candidates are
+    /// those of the next phase.
+    FetchState { version: StateVersion, backup_candidates: Vec<MemberId> },
     /// The newest state is being written under this term, on this node and on the future backups.
     RewriteState(RewritePhase),
     /// The configuration has been proposed to the voters.
@@ -79,7 +80,7 @@
 struct RewritePhase {
     state: ControlState,
     /// The members that may become backups, best first; without this node.
-    candidates: Vec<MemberId>,
+    backup_candidates: Vec<MemberId>,
     /// How many of the candidates, counted from the first one, were sent the state.
     contacted: usize,
     /// The candidates that have written the state, earliest first.
--- a/crates/consensus/src/take_over/promise_phase.rs
+++ b/crates/consensus/src/take_over/promise_phase.rs
@@ -72,7 +72,7 @@
             return Transition::Stay;
         }
         let next_members = self.choose_members(core, base.as_ref());
-        let Some(candidates) = self.choose_backups(core, &next_members.members) else {
+        let Some(backup_candidates) = self.choose_backups(core, &next_members.members) else {
             return Transition::Stay;
         };
         let newest = self.newest_version(core);
@@ -84,9 +84,9 @@
         self.base_term = base.map(|config| config.term).unwrap_or_default();
         self.next_members = next_members;
         match (state, newest) {
-            (Some(state), _) => self.rewrite_state(core, state, candidates),
+            (Some(state), _) => self.rewrite_state(core, state, backup_candidates),
             (None, Some(version)) => {
-                self.enter(Phase::FetchState { version, candidates }, core.now());
+                self.enter(Phase::FetchState { version, backup_candidates }, core.now());
                 self.fetch_state(core);
             }
             (None, None) => return Transition::StepDown,
--- a/crates/consensus/src/take_over/state_phase.rs
+++ b/crates/consensus/src/take_over/state_phase.rs
@@ -38,10 +38,10 @@
     }
 
     pub(crate) fn on_fetched_state(&mut self, core: &mut NodeCore, term: Term, state: ControlState) {
-        let Phase::FetchState { version, candidates } = &self.phase else { return };
+        let Phase::FetchState { version, backup_candidates } = &self.phase else { return };
         if self.term == term && state.version().has_same_body(version) {
-            let candidates = candidates.clone();
-            self.rewrite_state(core, state, candidates);
+            let backup_candidates = backup_candidates.clone();
+            self.rewrite_state(core, state, backup_candidates);
         }
     }
 
@@ -50,7 +50,7 @@
         &mut self,
         core: &mut NodeCore,
         state: ControlState,
-        candidates: Vec<MemberId>,
+        backup_candidates: Vec<MemberId>,
     ) {
         let is_skipped = core.has_fault(InjectedFault::SkipRewriteUnderNewTerm);
         let wanted = core.context.settings().max_failures;
@@ -58,10 +58,10 @@
         let written = if is_skipped { wanted } else { 0 };
         let rewrite = RewritePhase {
             state: state.clone(),
-            contacted: wanted.min(candidates.len()),
-            written: candidates.iter().take(written).copied().collect(),
+            contacted: wanted.min(backup_candidates.len()),
+            written: backup_candidates.iter().take(written).copied().collect(),
             missing_body: Vec::new(),
-            candidates,
+            backup_candidates,
             is_on_local_disk: false,
         };
         self.enter(Phase::RewriteState(rewrite), core.now());
@@ -84,7 +84,7 @@
         // A node that has not written the state may know it as committed, so a large state is sent only if the node lacks it.
         let is_large = rewrite.state.body.len() > core.context.settings().chunk_sizes.large_state_bytes;
         let sends_version_first = is_large && !core.has_fault(InjectedFault::AlwaysSendFullStates);
-        let recipients = rewrite.candidates.iter().take(rewrite.contacted).skip(first);
+        let recipients = rewrite.backup_candidates.iter().take(rewrite.contacted).skip(first);
         for id in recipients.filter(|id| !rewrite.written.contains(id)) {
             let Some(promise) = self.promises.get(id) else { continue };
             let holds_body = promise.version.is_some_and(|stored| stored.has_same_body(&version));
@@ -100,7 +100,7 @@
     pub(super) fn resend_rewrites(&mut self, core: &mut NodeCore, waited: Duration, is_due: bool) {
         let Phase::RewriteState(rewrite) = &mut self.phase else { return };
         let slow = (waited.as_millis() / SLOW_BACKUP_WAIT.as_millis()) as usize;
-        let wanted = (core.context.settings().max_failures + slow).min(rewrite.candidates.len());
+        let wanted = (core.context.settings().max_failures + slow).min(rewrite.backup_candidates.len());
         let first_new = rewrite.contacted;
         if wanted > first_new {
             rewrite.contacted = wanted;
@@ -129,7 +129,7 @@
         }
         if id == core.local().id {
             rewrite.is_on_local_disk = true;
-        } else if rewrite.candidates.contains(&id) && !rewrite.written.contains(&id) {
+        } else if rewrite.backup_candidates.contains(&id) && !rewrite.written.contains(&id) {
             rewrite.written.push(id);
         }
         let wanted = core.context.settings().max_failures;
--- a/crates/consensus/src/timings.rs
+++ b/crates/consensus/src/timings.rs
@@ -21,7 +21,7 @@
     /// A primary steps down if the last heartbeat that a majority has answered is older than this. Must be equal on all
     /// nodes.
     pub lease: Duration,
-    /// A member that has been silent for this long may lose its slot to a newcomer.
+    /// A member whose last healthy report is older than this may lose its slot to a newcomer.
     pub replacement_timeout: Duration,
     /// A backup that has not written a change for this long is replaced.
     pub backup_write_timeout: Duration,
@@ -59,8 +59,8 @@
     /// Every change that any node acknowledged longer ago than this is part of that state. A follower has contact for
     /// `lease` after it has answered a heartbeat, if a later heartbeat of the primary proves that, and only once it
     /// publishes the state that the later one reported as committed. A primary sends heartbeats for `lease` after it has
-    /// sent one that a majority has answered without having promised a higher term; until then nobody else has
-    /// acknowledged anything.
+    /// sent one that a majority has answered without having promised a higher term; until it sent that one, no primary of
+    /// a higher term had acknowledged anything.
     pub fn max_staleness(&self) -> Duration {
         self.lease + self.lease
     }
--- a/crates/consensus/src/votes.rs
+++ b/crates/consensus/src/votes.rs
@@ -7,7 +7,8 @@
 use crate::limits::MAX_MEMBERS;
 use crate::term::{Member, MemberId};
 
-/// Nodes that are no members may vote, too. Votes beyond this number are ignored.
+/// The maximum number of votes; further ones are ignored. Higher than [`MAX_MEMBERS`], because nodes that are no members
+/// may vote, too.
 const MAX_VOTES: usize = 4 * MAX_MEMBERS;
 
 /// The majorities that a configuration needs. While members change, both are needed, as in joint consensus.
