--- a/crates/programs/src/bin/mosshead-router.rs
+++ b/crates/programs/src/bin/mosshead-router.rs
@@ -1,4 +1,4 @@
-//! The proxy of the fleet: forwards clients' requests to model servers.
+//! Runs a proxy, which forwards clients' requests to model servers.
 
 fn main() {
     let command = mosshead_programs::command::parser("The proxy of the router fleet").run();
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -1,6 +1,7 @@
-//! The calls between processes of the fleet, each with its response.
+//! The RPC calls between processes of the fleet, each with its response.
 //!
-//! Names, field indices and encodings are the wire format: processes of two releases meet while the fleet is updated.
+//! Names, field indices and encodings are the wire format. They must stay compatible, because processes of two releases
+//! talk to each other during a rolling update.
 
 use std::net::SocketAddrV4;
 
@@ -12,9 +13,9 @@
 
 use crate::config_transfer::{ChunkRequest, ConfigChunk};
 
-/// Requests from a control node what is newer than the caller's configuration and registry (a long poll).
+/// A long poll of a control node for changes that the caller's configuration and registry do not have yet.
 ///
-/// The response is sent as soon as there is something new, or after [`wait`](WatchUpdates::wait).
+/// The response is sent as soon as there is a change, or after [`wait`](WatchUpdates::wait).
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct WatchUpdates {
     /// The node name of the caller.
@@ -23,54 +24,54 @@
     /// The incarnation of the calling process, drawn at random at each start.
     #[n(1)]
     pub incarnation: u64,
-    /// Whether the caller is a proxy; otherwise it is a control node.
+    /// True if the caller is a proxy, false if it is a control node.
     #[n(2)]
     pub is_proxy: bool,
-    /// The revision of the configuration that the caller has; 0: none.
+    /// The revision of the caller's configuration; 0 if it has none.
     #[n(3)]
     pub revision: u64,
-    /// Up to which version of each source the caller has the registry entries.
+    /// For each source, the version up to which the caller has its registry entries.
     #[n(4)]
     pub vector: VersionVector,
-    /// Whether the response is to carry entries, and not only whether there are newer ones.
+    /// True if the response must contain the newer entries; otherwise it only tells whether there are any.
     #[n(5)]
     pub wants_entries: bool,
-    /// The longest time to wait for something new, in milliseconds on the wire. The responder may wait less.
+    /// The maximum time to wait for a change, in milliseconds on the wire. The responder may wait for a shorter time.
     #[cbor(n(6), with = "mosshead_time::duration_millis")]
     pub wait: Duration,
 }
 
 impl WatchUpdates {
-    /// The [`revision`](WatchUpdates::revision) of a caller that is not interested in configurations: none is newer.
+    /// The [`revision`](WatchUpdates::revision) of a caller that wants no configuration: no revision is newer.
     pub const NO_CONFIG_WANTED: u64 = u64::MAX;
 }
 
-/// What a control node has that the caller of [`WatchUpdates`] lacks.
+/// The response to [`WatchUpdates`]: the changes that the caller does not have yet.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Updates {
-    /// The revision of the newest configuration that the responder knows to be committed; 0 while it has no contact with
-    /// a quorum.
+    /// The revision of the newest configuration that the responder knows to be committed; 0 while it has no contact
+    /// with a quorum.
     #[n(0)]
     pub revision: u64,
-    /// Registry entries above the caller's vector; empty if the caller wants none.
+    /// Registry entries newer than the caller's version vector; empty if the caller wants none.
     #[n(1)]
     pub delta: Delta,
-    /// Whether the responder has registry entries that the caller lacks, in `delta` or not.
+    /// True if the responder has registry entries that the caller lacks, even if `delta` does not contain them.
     #[n(2)]
     pub has_newer_entries: bool,
     /// The control nodes that the responder knows.
     #[n(3)]
     pub control_nodes: Vec<SocketAddrV4>,
-    /// How many proxies are alive, as far as the responder knows.
+    /// The number of live proxies that the responder knows.
     #[n(4)]
     pub proxy_count: u32,
-    /// Whether the responder recently had contact with a quorum of the members.
+    /// True if the responder recently had contact with a quorum of the consensus members.
     #[n(5)]
     pub has_quorum_contact: bool,
-    /// Whether the responder lacks registry entries that the caller has.
+    /// True if the responder lacks registry entries that the caller has.
     #[n(6)]
     pub needs_entries: bool,
-    /// The id under which the responder is a source of registry entries ([`SourceId`](mosshead_registry::SourceId)).
+    /// The id of the responder as a source of registry entries ([`SourceId`](mosshead_registry::SourceId)).
     #[n(7)]
     pub source: u64,
 }
@@ -81,7 +82,7 @@
     type Response = Updates;
 }
 
-/// Requests one chunk of the transfer that leads from the caller's configuration to the newest.
+/// Requests one chunk of the transfer that updates the caller's configuration to the newest one.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FetchConfig(#[n(0)] pub ChunkRequest);
@@ -92,23 +93,24 @@
     type Response = ConfigChunk;
 }
 
-/// Sends registry entries that the receiver should have: all of them to a control node that lacks entries after its
-/// restart. Control nodes of earlier releases also send those that must be replicated before a server gets its
-/// acknowledgement.
+/// Sends all registry entries to a control node that lacks entries after its restart.
+///
+/// Control nodes of earlier releases also use this call for entries that must be replicated before a server's
+/// heartbeat is acknowledged; newer ones use [`PersistEntries`].
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateEntries {
-    /// Complete above its base vector, so that the receiver can merge it into what it has.
+    /// Contains every entry newer than its base vector, so that the receiver can merge it.
     #[n(0)]
     pub delta: Delta,
 }
 
-/// The receiver of [`ReplicateEntries`] has merged the entries.
+/// The response to [`ReplicateEntries`], sent after the entries are merged.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateAck {
-    /// Whether an entry was new to the receiver.
+    /// True if an entry was new to the receiver.
     #[n(0)]
     pub changed: bool,
-    /// Up to which version of each source the receiver has the entries now.
+    /// For each source, the version up to which the receiver now has the entries.
     #[n(1)]
     pub vector: VersionVector,
 }
@@ -119,24 +121,24 @@
     type Response = ReplicateAck;
 }
 
-/// Sends registry entries that must be on the receiver's disk before a server gets its acknowledgement.
+/// Sends registry entries that must be on the receiver's disk before a server's shutdown is acknowledged.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct PersistEntries {
-    /// As with [`ReplicateEntries`].
+    /// As in [`ReplicateEntries`].
     #[n(0)]
     pub delta: Delta,
-    /// How long the receiver waits for its disk, in milliseconds on the wire. The receiver may wait less.
+    /// How long the receiver waits for its disk, in milliseconds on the wire. It may wait for a shorter time.
     #[cbor(n(1), with = "mosshead_time::duration_millis")]
     pub wait: Duration,
 }
 
-/// The receiver of [`PersistEntries`] has merged the entries, and has waited for its disk.
+/// The response to [`PersistEntries`], sent after the entries are merged and the wait for the disk is over.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct PersistAck {
-    /// Up to which version of each source the receiver has the entries now.
+    /// For each source, the version up to which the receiver now has the entries.
     #[n(0)]
     pub vector: VersionVector,
-    /// Up to which version of each source all entries in force are on its disk.
+    /// For each source, the version up to which all current entries are on the receiver's disk.
     #[n(1)]
     pub durable: VersionVector,
 }
@@ -147,13 +149,13 @@
     type Response = PersistAck;
 }
 
-/// Reports which servers still send heartbeats to a control node, so that other control nodes don't time them out.
+/// Reports which servers still send heartbeats to the caller, so that other control nodes don't time them out.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct CompareHeartbeats {
-    /// The id under which the caller is a source of registry entries ([`SourceId`](mosshead_registry::SourceId)).
+    /// The id of the caller as a source of registry entries ([`SourceId`](mosshead_registry::SourceId)).
     #[n(0)]
     pub source: u64,
-    /// The last heartbeats that the caller has received.
+    /// The last heartbeat of each server that sends heartbeats to the caller.
     #[n(1)]
     pub heartbeats: Vec<ReceivedHeartbeat>,
 }
@@ -161,17 +163,17 @@
 impl Call for CompareHeartbeats {
     const NAME: &'static str = "Hears";
     const RETRY_POLICY: RetryPolicy = RetryPolicy::OnlyIfNeverSent;
-    /// Carries nothing: `changed` is false and the vector empty. Processes of earlier releases expect this type.
+    /// Carries no information: `changed` is false and the vector is empty. Earlier releases expect this type.
     type Response = ReplicateAck;
 }
 
 /// A message between the members of the consensus group.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ConsensusMessage {
-    /// The member that has sent it, by the identity and address under which it can be answered.
+    /// The sender, with the id and address that replies go to.
     #[n(0)]
     pub from: Member,
-    /// What the receiver's consensus node is stepped with.
+    /// The message for the receiver's consensus node.
     #[n(1)]
     pub message: Message,
 }
--- a/crates/programs/src/clock.rs
+++ b/crates/programs/src/clock.rs
@@ -1,10 +1,10 @@
-//! The steady clock of a process.
+//! The monotonic clock of a process.
 
 use mosshead_time::{Duration, Instant};
 
-/// Turns tokio's instants into those that the deciding parts work with.
+/// Converts tokio's instants to the [`Instant`] type that the I/O-free libraries use.
 ///
-/// An instant that it shows is never [`Instant::ORIGIN`], so that a default `Instant` lies before each event.
+/// It never returns [`Instant::ORIGIN`], so a default `Instant` is earlier than every event.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     /// When the clock was started.
@@ -12,20 +12,20 @@
 }
 
 impl Clock {
-    /// How far the first instant of a clock lies after [`Instant::ORIGIN`].
+    /// The distance of the clock's first instant from [`Instant::ORIGIN`].
     const START_OFFSET: Duration = Duration::from_millis(1);
 
-    /// Starts a clock. All parts of a process share one.
+    /// Starts a clock. All components of a process share one clock.
     pub(crate) fn start() -> Clock {
         Clock { start: tokio::time::Instant::now() }
     }
 
-    /// The instant at which the caller runs.
+    /// The current instant.
     pub(crate) fn now(&self) -> Instant {
         self.at(tokio::time::Instant::now())
     }
 
-    /// Converts an instant of tokio; one before the start of this clock becomes its first instant.
+    /// Converts a tokio instant. An instant before the start of this clock becomes the clock's first instant.
     pub(crate) fn at(&self, instant: tokio::time::Instant) -> Instant {
         Instant::ORIGIN + Clock::START_OFFSET + instant.saturating_duration_since(self.start)
     }
--- a/crates/programs/src/command.rs
+++ b/crates/programs/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the fleet's programs.
+//! The command line of the fleet's programs, and the commands other than the process itself.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -14,11 +14,11 @@
 
 /// The environment variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "MOSSHEAD_CONFIG";
-/// How long the status command waits for a connection, and for each read.
+/// The timeout of the status command for the connection, and for each read.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest status that is read, in bytes.
+/// The maximum number of bytes read from a status response.
 const MAX_STATUS_BYTES: u64 = 1024 * 1024;
-/// How long the runtime may take to drop its tasks when a process ends.
+/// How long the runtime may take to drop its tasks when the process ends.
 const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(50);
 const EXIT_SUCCESS: i32 = 0;
 const EXIT_FAILURE: i32 = 1;
@@ -30,7 +30,7 @@
     Serve {
         /// The settings file; the environment names it where this is absent.
         settings: Option<PathBuf>,
-        /// Whether to log debug events too.
+        /// True if debug events are logged too.
         detailed: bool,
     },
     /// Read a settings file and print the first error in it.
@@ -40,7 +40,7 @@
     },
     /// Read a configuration and print the first error in it.
     CheckConfig {
-        /// A file with the JSON that the operator would send.
+        /// A file with the JSON body of a `/Configuration.Replace` request.
         file: PathBuf,
     },
     /// Print the status of a running process.
@@ -71,7 +71,7 @@
             source(error)
             from()
         }
-        /// The process could not start or go on.
+        /// The process could not start, or failed while running.
         Process(error: ProcessError) {
             display("{error}")
             source(error)
@@ -100,39 +100,39 @@
 
 /// The command line of a program.
 pub fn parser(about: &'static str) -> OptionParser<Command> {
-    let detailed = long("detailed").help("Say more in the log").switch();
+    let detailed = long("detailed").help("Log debug events too").switch();
     let serve = {
         let settings = settings();
         construct!(Command::Serve { settings, detailed })
             .to_options()
-            .descr("Serve until told to end")
+            .descr("Run the process until it receives SIGTERM or SIGINT")
             .command("serve")
     };
     let check_settings = {
         let settings = settings();
         construct!(Command::CheckSettings { settings })
             .to_options()
-            .descr("Say what is wrong with a settings file")
+            .descr("Validate a settings file")
             .command("check-settings")
     };
     let check_config = {
         let file = positional("FILE").help("A configuration as the operator sends it");
         construct!(Command::CheckConfig { file })
             .to_options()
-            .descr("Say what is wrong with a configuration, without sending it")
+            .descr("Validate a configuration without sending it")
             .command("check-config")
     };
     let status = {
         let settings = settings();
         construct!(Command::Status { settings })
             .to_options()
-            .descr("What a running process knows")
+            .descr("Print the status of a running process")
             .command("status")
     };
     construct!([serve, check_settings, check_config, status]).to_options().descr(about)
 }
 
-/// Runs a command and returns the exit code. An error is printed on standard error. `serve` runs the process.
+/// Runs a command and returns the exit code. Errors are printed to standard error. `serve` runs the process.
 pub fn run<F>(command: Command, serve: impl FnOnce(Settings, PathBuf) -> F) -> i32
 where
     F: Future<Output = Result<(), ProcessError>>,
--- a/crates/programs/src/config_transfer.rs
+++ b/crates/programs/src/config_transfer.rs
@@ -1,8 +1,9 @@
-//! The transfer of a configuration from a control node to a proxy: compressed, in chunks that the receiver requests one
-//! after the other.
+//! The transfer of a configuration from a control node to a proxy. The configuration is compressed, and the receiver
+//! requests it chunk by chunk.
 //!
-//! A configuration that grows by thousands of routes is larger than a slow link carries within the timeout of one call.
-//! Each chunk has a timeout of its own, so that a transfer ends only where the sender does. No I/O, no clock.
+//! A large configuration takes longer on a slow link than the timeout of one call allows. Each chunk therefore has
+//! its own timeout, so that a transfer fails only if the sender stops responding. This module does no I/O and reads
+//! no clock.
 
 mod chunk;
 mod incoming;
--- a/crates/programs/src/config_transfer/incoming.rs
+++ b/crates/programs/src/config_transfer/incoming.rs
@@ -1,4 +1,4 @@
-//! The receiver's side of a transfer.
+//! The receiving side of a transfer: assembles chunks into an offer.
 
 use mosshead_consensus::checksum;
 
@@ -8,40 +8,40 @@
 /// The state of a transfer after a chunk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransferProgress {
-    /// More chunks are needed.
+    /// More chunks are needed. Request the next one.
     Incomplete,
-    /// The offer was received completely; its revision is 0 if the sender offers none.
+    /// The complete offer; its revision is 0 if the sender offers none.
     Complete(ConfigOfferMessage),
-    /// The chunks don't continue each other, or don't decode to an offer.
+    /// The chunk does not continue the transfer, or the bytes don't decode to an offer.
     Corrupt,
 }
 
-/// A transfer as its receiver knows it.
+/// The receiver's state of a transfer.
 #[derive(Clone, Debug)]
 pub struct IncomingTransfer {
     base_revision: u64,
     /// 0 before the first chunk.
     target_revision: u64,
-    /// The length of the complete transfer as the sender gave it, in bytes.
+    /// The length of the complete transfer in bytes, as given by the sender.
     length: usize,
-    /// The checksum of the complete transfer; none before the first chunk, and from a sender of an earlier release.
+    /// The checksum of the complete transfer; `None` before the first chunk, and from senders of an earlier release.
     checksum: Option<u64>,
-    /// What was received; never longer than `length`.
+    /// The bytes received so far; never longer than `length`.
     bytes: Vec<u8>,
 }
 
 impl IncomingTransfer {
-    /// Begins a transfer to a receiver that has a revision (0: none).
+    /// Begins a transfer to a receiver with this revision; 0 if it has none.
     pub fn new(base_revision: u64) -> IncomingTransfer {
         IncomingTransfer { base_revision, target_revision: 0, length: 0, checksum: None, bytes: Vec::new() }
     }
 
-    /// The revision that the receiver has had at its start.
+    /// The receiver's revision at the start of the transfer.
     pub fn base_revision(&self) -> u64 {
         self.base_revision
     }
 
-    /// Whether another sender may continue the transfer: it would notice that it sends another one.
+    /// True if another sender may continue the transfer: the checksum shows whether it has the same one.
     pub fn may_continue_elsewhere(&self) -> bool {
         self.checksum.is_some()
     }
@@ -87,8 +87,8 @@
             && chunk.bytes.len() <= self.length.saturating_sub(self.bytes.len())
     }
 
-    /// Begins the transfer to another target: this is the first chunk, or the sender has dropped the former transfer.
-    /// False if the new one is too long.
+    /// Begins a transfer to the target of this chunk, which is the first one or comes from a sender that has another
+    /// transfer. Returns false if the new transfer is too long.
     fn restart(&mut self, chunk: &ConfigChunk) -> bool {
         self.target_revision = chunk.target_revision;
         self.length = usize::try_from(chunk.length).unwrap_or(usize::MAX);
--- a/crates/programs/src/config_transfer/offer_message.rs
+++ b/crates/programs/src/config_transfer/offer_message.rs
@@ -1,29 +1,29 @@
-//! The offer of a configuration as a transfer carries it, and its compressed form.
+//! The wire format of a configuration offer, and its compression.
 
 use minicbor::{Decode, Encode};
 use mosshead_control_plane::ConfigOffer;
 
-/// The longest encoded offer before its compression, in bytes.
+/// The maximum length of an encoded offer before compression, in bytes.
 const MAX_UNPACKED_BYTES: usize = 10 * 1024 * 1024;
 /// The length prefix of a packed offer, in bytes (little-endian, as `lz4_flex` writes it).
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// A [`ConfigOffer`] as it is sent: patches in order, or the full text.
+/// A [`ConfigOffer`] on the wire: a chain of patches, or the full text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigOfferMessage {
-    /// The revision that the offer leads to; 0 from a control node that has no quorum contact or no configuration.
+    /// The target revision; 0 from a control node that has no quorum contact or no configuration.
     #[n(0)]
     pub revision: u64,
-    /// Patches from the receiver's configuration, to be applied in order; empty where there is a full text.
+    /// Patches to apply to the receiver's configuration, in order; empty if there is a full text.
     #[n(1)]
     pub patches: Vec<String>,
-    /// The full text of the configuration, where no chain of patches leads to it.
+    /// The full text of the configuration; present if there is no chain of patches to it.
     #[n(2)]
     pub full_text: Option<String>,
 }
 
 impl ConfigOfferMessage {
-    /// The offer of a control node that offers no configuration.
+    /// The message of a control node that may not offer a configuration.
     pub fn withheld() -> ConfigOfferMessage {
         ConfigOfferMessage { revision: 0, patches: Vec::new(), full_text: None }
     }
@@ -35,10 +35,10 @@
         is_within_bounds.then(|| lz4_flex::compress_prepend_size(&encoded))
     }
 
-    /// Reverses [`pack`](ConfigOfferMessage::pack); `None` for bytes that it did not make.
+    /// Decompresses and decodes the result of [`pack`](ConfigOfferMessage::pack); `None` for other bytes.
     pub(super) fn unpack(packed: &[u8]) -> Option<ConfigOfferMessage> {
         let length = packed.get(..LENGTH_PREFIX_BYTES)?.try_into().map(u32::from_le_bytes).ok()?;
-        // The sender chose the length prefix, and the decompressor allocates that much before it reads a byte.
+        // The length prefix is untrusted, and the decompressor allocates that many bytes before it reads any.
         if length as usize > MAX_UNPACKED_BYTES {
             return None;
         }
@@ -73,7 +73,7 @@
     }
 }
 
-/// The longest packed form of an offer that [`ConfigOfferMessage::unpack`] accepts, in bytes.
+/// The maximum length of a packed offer that [`ConfigOfferMessage::unpack`] accepts, in bytes.
 pub(super) fn max_packed_bytes() -> usize {
     lz4_flex::block::get_maximum_output_size(MAX_UNPACKED_BYTES) + LENGTH_PREFIX_BYTES
 }
--- a/crates/programs/src/config_transfer/outgoing.rs
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -1,4 +1,4 @@
-//! The sender's side of transfers.
+//! The sending side of transfers: packs offers, and cuts them into chunks.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 use super::chunk::{CHUNK_BYTES, ChunkRequest, ConfigChunk};
 use super::offer_message::ConfigOfferMessage;
 
-/// Transfers that a sender keeps in memory at most.
-const MAX_OUTGOING: usize = 16;
-/// Their length together at most, in bytes; the newest one is kept whatever its length.
+/// The maximum number of transfers that a sender keeps in memory.
+const MAX_OUTGOING_TRANSFERS: usize = 16;
+/// The maximum total length of these transfers, in bytes. The newest one is kept even if it is longer.
 const MAX_OUTGOING_BYTES: usize = 8 * 1024 * 1024;
 
-/// A transfer in progress: an offer, which its receivers request chunk by chunk.
+/// A transfer in progress, which may have several receivers.
 struct OutgoingTransfer {
-    /// The revision that the receivers have; 0: none.
+    /// The revision that the receivers have; 0 if they have none.
     base_revision: u64,
-    /// The revision that the offer leads to, never 0.
+    /// The target revision, never 0.
     target_revision: u64,
     packed: PackedOffer,
 }
@@ -29,18 +29,18 @@
     checksum: u64,
 }
 
-/// The transfers in progress. All receivers with the same configuration share one.
+/// The transfers in progress. All receivers with the same base and target revision share one.
 #[derive(Default)]
 pub struct OutgoingTransfers {
-    /// The oldest first.
+    /// In order of creation, oldest first.
     transfers: VecDeque<OutgoingTransfer>,
 }
 
 impl OutgoingTransfers {
-    /// Responds to a request while `newest_revision` is the newest configuration.
+    /// Returns the chunk for a request, where `newest_revision` is the newest configuration.
     ///
-    /// A transfer that is kept goes on to its own target; otherwise a new one to the newest begins. `make_offer` makes
-    /// the offer that leads from the receiver's configuration to the newest.
+    /// If the requested transfer is still in memory, it continues to its own target; otherwise a transfer to the newest
+    /// revision starts. `make_offer` makes the offer from the receiver's revision to the newest one.
     pub fn next_chunk(
         &mut self,
         request: ChunkRequest,
@@ -76,7 +76,7 @@
 
     fn keep(&mut self, transfer: OutgoingTransfer) {
         self.transfers.push_back(transfer);
-        while self.transfers.len() > MAX_OUTGOING
+        while self.transfers.len() > MAX_OUTGOING_TRANSFERS
             || self.total_bytes() > MAX_OUTGOING_BYTES && self.transfers.len() > 1
         {
             self.transfers.pop_front();
@@ -88,7 +88,8 @@
     }
 }
 
-/// The chunk that a receiver requests, empty behind the end; the first one where it has bytes of another transfer.
+/// The requested chunk, which is empty after the end of the transfer. If the receiver has bytes of a different
+/// transfer, this is the first chunk.
 fn cut_chunk(target_revision: u64, packed: &PackedOffer, request: ChunkRequest) -> ConfigChunk {
     let PackedOffer { bytes, checksum } = packed;
     let is_continued = request.target_revision == target_revision
--- a/crates/programs/src/control_api.rs
+++ b/crates/programs/src/control_api.rs
@@ -1,6 +1,6 @@
-//! The HTTP API of a control node (HTTP/1.1 with JSON), for model servers and for the operator.
+//! The HTTP/1.1 API of a control node with JSON bodies, for model servers and for the operator.
 //!
-//! Codes in the bodies of responses are listed in docs/codes.md.
+//! docs/codes.md lists the codes in response bodies.
 
 mod configuration;
 mod fleet;
--- a/crates/programs/src/control_api/configuration.rs
+++ b/crates/programs/src/control_api/configuration.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the operator: changes and reads of the configuration.
+//! The operator's endpoints to change and read the configuration.
 
 use std::net::SocketAddrV4;
 
@@ -11,10 +11,10 @@
 use super::response::{ApiResponse, ResultCode, code_only, expired, json, json_string, unavailable};
 use crate::control_node::ControlNode;
 
-/// The header that names the revision which a change builds on.
+/// The request header with the revision that a change is based on.
 const BASE_REVISION_HEADER: &str = "x-base-revision";
 
-/// `POST /Configuration.Replace` and `POST /Configuration.Modify`: a change by the operator.
+/// `POST /Configuration.Replace` and `POST /Configuration.Modify`: changes the configuration.
 pub(super) async fn change(
     control_node: &ControlNode,
     kind: ChangeKind,
@@ -29,7 +29,7 @@
     change_response(control_node, control_node.change_config(request).await, path)
 }
 
-/// `GET /Configuration.Show`: the configuration that a quorum has confirmed.
+/// `GET /Configuration.Show`: reads the configuration, confirmed by a quorum.
 pub(super) async fn show(control_node: &ControlNode, path: &str) -> ApiResponse {
     match control_node.read_config().await {
         ReadResponse::Current(state) => json(StatusCode::OK, state.body.to_vec()),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Redirects to the API of the primary, by its internal address.
+/// Redirects to the API of the primary, which is given by its internal address.
 fn redirect(control_node: &ControlNode, primary: SocketAddrV4, path: &str) -> ApiResponse {
     let Some(address) = control_node.api_address_of(primary) else { return unavailable() };
     let mut response = code_only(StatusCode::TEMPORARY_REDIRECT, ResultCode::NotPrimary);
--- a/crates/programs/src/control_api/fleet.rs
+++ b/crates/programs/src/control_api/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the operator about the fleet as a whole.
+//! The operator's endpoints for the status of the fleet, and for its recovery after the loss of a quorum.
 
 use hyper::StatusCode;
 use mosshead_consensus::{Founding, FoundingError};
@@ -12,12 +12,12 @@
     json_value(StatusCode::OK, &control_node.fleet_status())
 }
 
-/// `GET /Fleet.FoundAnew`: what founding anew by this node would do.
+/// `GET /Fleet.FoundAnew`: a dry run of founding the fleet anew from this node's state.
 pub(super) fn founding(control_node: &ControlNode) -> ApiResponse {
     founding_response(control_node.founding())
 }
 
-/// `POST /Fleet.FoundAnew`: founds the fleet anew.
+/// `POST /Fleet.FoundAnew`: founds the fleet anew from this node's state.
 pub(super) fn found_anew(control_node: &ControlNode) -> ApiResponse {
     founding_response(control_node.found_anew())
 }
--- a/crates/programs/src/control_api/heartbeat.rs
+++ b/crates/programs/src/control_api/heartbeat.rs
@@ -1,4 +1,5 @@
-//! The heartbeat of a model server, from JSON. Unknown fields are ignored, so that servers may send more than is used.
+//! Parses the heartbeats of model servers from JSON. Unknown fields are ignored, so that servers may send more than is
+//! used.
 
 use std::collections::HashMap;
 
@@ -6,21 +7,21 @@
 use mosshead_time::Duration;
 use tinyjson::JsonValue;
 
-/// The longest id of a server, in bytes.
+/// The maximum length of a server id, in bytes.
 const MAX_ID_BYTES: usize = 200;
-/// The longest heartbeat, in bytes.
+/// The maximum length of a heartbeat, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 256 * 1024;
-/// Models of a server that are read; further ones are ignored.
+/// The maximum number of models of a server; further ones are ignored.
 const MAX_MODELS: usize = 256;
-/// Adapters of a model that are read; further ones are ignored.
+/// The maximum number of adapters of a model; further ones are ignored.
 const MAX_ADAPTERS: usize = 4096;
-/// The largest integer up to which a JSON number (an `f64`) represents each integer exactly: 2^53.
+/// 2^53: a JSON number (an `f64`) represents every integer up to this one exactly.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 type JsonObject = HashMap<String, JsonValue>;
 
-/// Reads the heartbeat of the server with this id. `None` if it is too long, no JSON object, or names no service or no
-/// IPv4 address with a port.
+/// Parses the heartbeat of the server with this id. Returns `None` if the id or the body is too long, the body is not
+/// a JSON object, or the service or the address (IPv4 with a port) is missing.
 pub fn parse_heartbeat(id: &str, body: &[u8]) -> Option<Server> {
     if id.is_empty() || id.len() > MAX_ID_BYTES || body.len() > MAX_HEARTBEAT_BYTES {
         return None;
@@ -79,10 +80,10 @@
     fields.get(name)?.get::<String>().cloned()
 }
 
-/// A number from 0 to [`MAX_EXACT_INTEGER`] without its fraction; `None` for any other value.
+/// A number from 0 to [`MAX_EXACT_INTEGER`], rounded down; `None` for any other value.
 fn integer_field(fields: &JsonObject, name: &str) -> Option<u64> {
     let value = *fields.get(name)?.get::<f64>()?;
-    // A larger number may stand for one of its neighbours, and `u64::MAX` is the sequence number of a deregistered server.
+    // A larger number may have been rounded, and `u64::MAX` is the sequence number of a deregistered server.
     (0.0..=MAX_EXACT_INTEGER).contains(&value).then_some(value as u64)
 }
 
--- a/crates/programs/src/control_api/instances.rs
+++ b/crates/programs/src/control_api/instances.rs
@@ -1,4 +1,4 @@
-//! The endpoints of model servers: heartbeats and deregistration.
+//! The endpoints that model servers call: heartbeats and deregistration.
 
 use hyper::StatusCode;
 
@@ -6,7 +6,7 @@
 use super::response::{ApiResponse, ResultCode, code_only, json, unavailable};
 use crate::control_node::ControlNode;
 
-/// `/Instances.Keepalive/ID`: a heartbeat of a server.
+/// `/Instances.Keepalive/ID`: records a server's heartbeat.
 pub(super) async fn keepalive(control_node: &ControlNode, id: &str, body: &[u8]) -> ApiResponse {
     match parse_heartbeat(id, body) {
         Some(server) => acknowledgement(control_node.record_heartbeat(server).await),
@@ -14,7 +14,7 @@
     }
 }
 
-/// `/Instances.Deregister/ID`: a server has shut down.
+/// `/Instances.Deregister/ID`: records that a server has shut down.
 pub(super) async fn deregister(control_node: &ControlNode, id: &str) -> ApiResponse {
     acknowledgement(control_node.deregister(id).await)
 }
--- a/crates/programs/src/control_api/request_digest.rs
+++ b/crates/programs/src/control_api/request_digest.rs
@@ -1,11 +1,11 @@
-//! The digest that identifies an operator's request, so that a repeat of it is recognized.
+//! The digest that identifies an operator's request, so that a retry of it is recognized.
 
 use mosshead_consensus::RequestDigest;
 use sha2::{Digest, Sha256};
 
-/// The SHA-256 digest of a request: its path, the revision that it builds on, and its body.
+/// The SHA-256 digest of a request's path, base revision and body.
 ///
-/// Each part is hashed behind its length, so that different requests never hash the same bytes.
+/// Each part is prefixed with its length, so that two different requests never produce the same hash input.
 pub fn request_digest(path: &str, base_revision: u64, body: &[u8]) -> RequestDigest {
     let mut hash = Sha256::new();
     for part in [path.as_bytes(), &base_revision.to_be_bytes(), body] {
--- a/crates/programs/src/control_api/response.rs
+++ b/crates/programs/src/control_api/response.rs
@@ -1,4 +1,4 @@
-//! Responses that several endpoints share, and the codes in their bodies.
+//! Responses that several endpoints share, and the result codes in their bodies.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -6,37 +6,37 @@
 use hyper::{Response, StatusCode};
 use tinyjson::JsonValue;
 
-/// The response of an endpoint: the body is complete before it is sent.
+/// The response of an endpoint, with its complete body.
 pub(super) type ApiResponse = Response<Full<Bytes>>;
 
-/// The value of `Retry-After`: how long the caller is to wait before it repeats the request, in seconds.
+/// The value of `Retry-After`: the delay before the caller retries, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// A code of docs/codes.md, for the body of a response. C07 is not among them: it is sent as the `fault` of a rejected
-/// change, like the codes of invalid configurations.
+/// A result code in a response body, as listed in docs/codes.md. C07 has no variant: it is sent in the `fault` field
+/// of a rejected change, like the codes of invalid configurations.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ResultCode {
-    /// The outcome is not known here, or there is no quorum.
+    /// The outcome is unknown to this node, or there is no quorum.
     Unavailable,
-    /// The body is too long, or ended early.
+    /// The request body is too long, or ended early.
     BodyTooLarge,
-    /// The body did not arrive in time.
+    /// The request body did not arrive in time.
     BodyTimeout,
-    /// A heartbeat that can't be read.
+    /// The heartbeat is invalid.
     InvalidHeartbeat,
-    /// No such path, or not with this method.
+    /// There is no such path, or it does not support this method.
     NotFound,
     /// Another control node is the primary.
     NotPrimary,
-    /// The change builds on another revision than the current one.
+    /// The change is based on another revision than the current one.
     StaleRevision,
     /// There is no configuration yet.
     NoConfiguration,
-    /// The configuration that the change makes is too large.
+    /// The changed configuration would be too large.
     ConfigurationTooLarge,
-    /// Whether the request repeats one that was accepted long ago is unknown.
+    /// The request is so old that it is unknown whether it was already accepted.
     Expired,
-    /// The fleet can't be founded anew, or need not be.
+    /// Founding the fleet anew is impossible or not needed.
     FoundingRefused,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A response whose body is JSON text.
+/// A response with a JSON body.
 pub(super) fn json(status: StatusCode, body: impl Into<Bytes>) -> ApiResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
@@ -71,17 +71,17 @@
     JsonValue::from(text.to_owned()).stringify().unwrap_or_else(|_| "\"\"".into())
 }
 
-/// A response that carries nothing but a code.
+/// A response whose body contains only a result code.
 pub(super) fn code_only(status: StatusCode, code: ResultCode) -> ApiResponse {
     json(status, format!("{{\"code\":\"{}\"}}", code.as_str()))
 }
 
-/// The outcome is not known, or there is none yet: the caller is to repeat the request.
+/// The outcome is unknown, or there is no quorum: the caller should retry.
 pub(super) fn unavailable() -> ApiResponse {
     retry_later(ResultCode::Unavailable)
 }
 
-/// Whether the request repeats one that was accepted long ago is unknown, so that it is neither acknowledged nor
+/// The request may be a retry of one that was accepted too long ago to be remembered, so it is neither acknowledged nor
 /// rejected.
 pub(super) fn expired() -> ApiResponse {
     retry_later(ResultCode::Expired)
--- a/crates/programs/src/control_api/server.rs
+++ b/crates/programs/src/control_api/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server: connections, bodies, and which endpoint a request goes to.
+//! The HTTP server: accepts connections, reads request bodies, and dispatches requests to the endpoints.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -21,11 +21,11 @@
 use crate::control_node::ControlNode;
 use crate::limits::MAX_REQUEST_BYTES;
 
-/// Open connections at most; further ones are closed at once.
+/// The maximum number of open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 3000;
-/// The head of a request arrives within this time.
+/// The timeout for the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// The body of a request arrives within this time.
+/// The timeout for the body of a request.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 const KEEPALIVE_PREFIX: &str = "/Instances.Keepalive/";
@@ -36,8 +36,7 @@
 const FLEET_STATUS_PATH: &str = "/Fleet.Status";
 const FOUND_ANEW_PATH: &str = "/Fleet.FoundAnew";
 
-/// Accepts connections for as long as the future is polled. Connections are served by tasks of their own, which end
-/// with the connection.
+/// Accepts connections for as long as the future is polled. Each connection has its own task, which ends with it.
 pub(crate) async fn serve(control_node: Rc<ControlNode>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
@@ -63,7 +62,7 @@
     let _ = connection.await;
 }
 
-/// Calls the endpoint of a request. Those of model servers are found by their paths, whatever the method.
+/// Dispatches a request to its endpoint. The endpoints of model servers accept every method.
 async fn respond(control_node: Rc<ControlNode>, request: Request<Incoming>) -> ApiResponse {
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
@@ -93,7 +92,7 @@
     }
 }
 
-/// The complete body, or the response that rejects it.
+/// Reads the complete body. On failure, returns the error response.
 async fn read_body(body: Incoming) -> Result<Bytes, ApiResponse> {
     match timeout(BODY_READ_TIMEOUT, Limited::new(body, MAX_REQUEST_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/crates/programs/src/control_node.rs
+++ b/crates/programs/src/control_node.rs
@@ -1,7 +1,7 @@
-//! A control node: its member of the consensus group, its replica of the registry, and what it serves to proxies, other
-//! control nodes, model servers and the operator.
+//! A control node: a member of the consensus group with a replica of the registry, which serves proxies, other control
+//! nodes, model servers and the operator.
 //!
-//! Each concern has a part that owns its state; [`ControlNode`] is composed of them.
+//! Each concern is a component that owns its state. [`ControlNode`] is composed of them.
 
 mod change_notifier;
 mod config_store;
--- a/crates/programs/src/control_node/change_notifier.rs
+++ b/crates/programs/src/control_node/change_notifier.rs
@@ -1,8 +1,8 @@
-//! Wakes the calls that wait for something new.
+//! Wakes the long polls that wait for a change.
 
 use tokio::sync::watch;
 
-/// Counts the changes of what the node serves; calls that wait subscribe to the count. Only that it grows is of use.
+/// Notifies waiting calls of changes. Subscribers watch a change counter, whose value has no meaning beyond increasing.
 #[derive(Debug)]
 pub(super) struct ChangeNotifier {
     changes: watch::Sender<u64>,
--- a/crates/programs/src/control_node/config_store.rs
+++ b/crates/programs/src/control_node/config_store.rs
@@ -1,4 +1,4 @@
-//! The committed configurations that the node knows, and their transfers to proxies.
+//! The committed configurations that this node knows, and their transfers to proxies.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 }
 
 impl ConfigStore {
-    /// Adds a committed state. Returns its configuration if that is newer than the one before.
+    /// Adds a committed state. Returns its configuration if it is newer than the previous one.
     ///
     /// # Errors
     ///
-    /// The body of the state is no valid configuration.
+    /// The body of the state is not a valid configuration.
     pub(super) fn commit(&self, state: &ControlState) -> Result<Option<Arc<Config>>, ConfigError> {
         self.history.borrow_mut().commit(state)
     }
@@ -31,12 +31,12 @@
         self.history.borrow().current().cloned()
     }
 
-    /// The revision that proxies are offered; 0: none.
+    /// The revision that is advertised to proxies; 0 if there is none.
     pub(super) fn advertised_revision(&self, contact: QuorumContact) -> u64 {
         self.history.borrow().advertised_revision(contact)
     }
 
-    /// Responds to a proxy that fetches the configuration.
+    /// Returns the chunk that a proxy requests.
     pub(super) fn next_chunk(&self, request: ChunkRequest, contact: QuorumContact) -> ConfigChunk {
         let history = self.history.borrow();
         let newest_revision = history.advertised_revision(contact);
--- a/crates/programs/src/control_node/consensus_host.rs
+++ b/crates/programs/src/control_node/consensus_host.rs
@@ -1,5 +1,5 @@
-//! The node's member of the consensus group, and what it needs of the host: its clock, its log, its messages to other
-//! members, and the requests that wait for its replies.
+//! Runs this node's member of the consensus group, and provides its clock, its log, its messages to other members, and
+//! the replies to pending requests.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -21,22 +21,22 @@
 use super::pending_requests::{PendingConsensusRequests, PendingRequest};
 use crate::clock::Clock;
 
-/// A change or a read without a reply within this time is answered as unavailable.
+/// A change or a read without a reply after this time is answered as unavailable.
 const CLIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// The consensus node on its host. The node and its log are absent until the log is opened.
+/// The consensus node with its I/O. The node and its log are absent until the log is opened.
 pub(super) struct ConsensusHost {
     local_address: SocketAddrV4,
     clock: Clock,
     node: RefCell<Option<Node<Pcg64Mcg>>>,
     log: RefCell<Option<LogWriter>>,
     requests: PendingConsensusRequests,
-    /// Since when this node has had contact with a quorum, as far as its ticks have seen.
+    /// When this node's contact with a quorum began, with the resolution of its ticks; `None` without contact.
     quorum_contact_since: Cell<Option<Instant>>,
     sender: Rc<ConsensusSender>,
-    /// Where committed states go.
+    /// Receives the committed states.
     configs: Rc<ConfigStore>,
-    /// Notified when this node becomes the primary or steps down, and of newer configurations.
+    /// Notified when this node becomes the primary or steps down, and when a newer configuration is committed.
     changes: Rc<ChangeNotifier>,
 }
 
@@ -61,12 +61,12 @@
         })
     }
 
-    /// Takes the log, once it is open for writes.
+    /// Sets the log, once it is open for writes.
     pub(super) fn set_log(&self, log: LogWriter) {
         self.log.replace(Some(log));
     }
 
-    /// Starts the node with the records of its log.
+    /// Starts the node from the records of its log.
     pub(super) fn start_node(
         &self,
         settings: NodeSettings,
@@ -84,7 +84,7 @@
         self.request(|request_id| Input::Change { request_id, base_revision, revision, body, digest }).await
     }
 
-    /// Reads the newest committed state, once a quorum has confirmed that it is.
+    /// Reads the newest committed state, after a quorum has confirmed it.
     pub(super) async fn read_confirmed(self: &Rc<Self>) -> ClientReply {
         self.request(|request_id| Input::Read { request_id }).await
     }
@@ -97,7 +97,7 @@
         reply.ok().and_then(Result::ok).unwrap_or(ClientReply::Unavailable)
     }
 
-    /// Steps the node, and carries out its outputs. Before the node is started, a change or a read is answered as
+    /// Steps the node and executes its outputs. Before the node is started, a change or a read is answered as
     /// unavailable, and any other input is dropped.
     pub(super) fn step(self: &Rc<Self>, input: Input) {
         let request_id = match input {
@@ -106,14 +106,14 @@
         };
         let outputs = self.node.borrow_mut().as_mut().map(|node| node.step(self.clock.now(), input));
         if let Some(outputs) = outputs {
-            outputs.into_iter().for_each(|output| self.carry_out(output));
+            outputs.into_iter().for_each(|output| self.execute(output));
         } else if let Some(request_id) = request_id {
-            // The log is not open yet, so that no reply would arrive.
+            // The log is not open yet, so no reply would arrive.
             self.requests.reply(request_id, ClientReply::Unavailable);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, output: Output) {
+    fn execute(self: &Rc<Self>, output: Output) {
         match output {
             Output::Send { to, message } => {
                 if let Some(from) = self.local_member() {
@@ -143,17 +143,18 @@
         }
     }
 
-    /// Queues a record for the log; false if it can't be written.
+    /// Queues a record for the log. Returns false if it can't be queued.
     fn append(&self, token: u64, record: Vec<u8>) -> bool {
         self.log.borrow().as_ref().is_some_and(|log| log.append(token, record).is_ok())
     }
 
-    /// Queues the replacement of the log by one record; false if it can't be written.
+    /// Queues the replacement of the log by one record. Returns false if it can't be queued.
     fn rewrite(&self, token: u64, record: Vec<u8>) -> bool {
         self.log.borrow().as_ref().is_some_and(|log| log.rewrite(token, vec![record]).is_ok())
     }
 
-    /// Reports to the node that a write could not be queued, after the outputs that are carried out now.
+    /// Reports to the node that a write could not be queued. A separate task does so, after the current outputs are
+    /// executed.
     fn fail_write_later(self: &Rc<Self>, token: u64) {
         let host = self.clone();
         tokio::task::spawn_local(async move { host.step(Input::WriteFailed { token }) });
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The length of the log at its last write in bytes; 0 while it is not open.
+    /// The length of the log after its last write, in bytes; 0 while it is not open.
     pub(super) fn log_bytes(&self) -> u64 {
         self.log.borrow().as_ref().map_or(0, LogWriter::length)
     }
@@ -190,35 +191,35 @@
         node.iter().flat_map(|node| node.members()).map(|member| member.address).collect()
     }
 
-    /// Whether this node is the primary and its lease is valid at this moment.
+    /// True if this node is the primary and its lease is currently valid.
     pub(super) fn is_primary(&self) -> bool {
         self.node.borrow().as_ref().is_some_and(|node| node.holds_primary_lease(self.clock.now()))
     }
 
-    /// The address of the primary, as far as this node knows.
+    /// The address of the primary, if this node knows it.
     pub(super) fn primary(&self) -> Option<SocketAddrV4> {
         let node = self.node.borrow();
         node.as_ref().and_then(|node| node.primary_at(self.clock.now())).map(|primary| primary.address)
     }
 
-    /// Who decides on changes, as far as this node knows.
+    /// The primary, which decides on changes, if this node knows it.
     pub(super) fn known_primary(&self) -> PrimaryHint {
         match self.primary() {
-            // Also while a primary takes over from itself: its consensus node queues the requests meanwhile.
+            // This includes a primary that is elected again: its consensus node queues the requests in the meantime.
             Some(address) if address == self.local_address => PrimaryHint::Local,
             Some(address) => PrimaryHint::Remote(address),
             None => PrimaryHint::Unknown,
         }
     }
 
-    /// Whether a quorum of the members was recently in contact with this node. Without that, what it knows may be
+    /// Tells whether this node recently had contact with a quorum of the members. Without contact, its data may be
     /// outdated.
     pub(super) fn quorum_contact(&self) -> QuorumContact {
         let node = self.node.borrow();
         QuorumContact::from_flag(node.as_ref().is_some_and(|node| node.has_quorum_contact(self.clock.now())))
     }
 
-    /// Lets time pass.
+    /// Advances the node's timers, and tracks the quorum contact.
     pub(super) fn tick(self: &Rc<Self>) {
         self.step(Input::Tick);
         let since = self.quorum_contact_since.get().unwrap_or(self.clock.now());
@@ -235,27 +236,27 @@
         self.node.borrow().as_ref().and_then(|node| node.group_health(self.clock.now()))
     }
 
-    /// What founding the fleet anew by this node would do.
+    /// A dry run of founding the fleet anew from this node's state.
     pub(super) fn founding(&self) -> Result<Founding, FoundingError> {
         self.node.borrow().as_ref().map_or(Err(FoundingError::Unhealthy), Node::founding)
     }
 
-    /// The newest term that is known here.
+    /// The newest term that this node knows.
     pub(super) fn term(&self) -> Option<Term> {
         self.node.borrow().as_ref().map(Node::term)
     }
 
-    /// The term under which this node is the primary; `None` if it is not, or its lease has expired.
+    /// The term in which this node is the primary; `None` if it is not, or if its lease has expired.
     pub(super) fn primary_term(&self) -> Option<Term> {
         self.term().filter(|_| self.is_primary())
     }
 
-    /// The newest committed state that is known here.
+    /// The newest committed state that this node knows.
     pub(super) fn committed_state(&self) -> Option<ControlState> {
         self.node.borrow().as_ref().and_then(|node| node.committed_state().cloned())
     }
 
-    /// Whether the other members can do without this process.
+    /// True if the other members no longer need this process.
     pub(super) fn may_shut_down(&self) -> bool {
         self.node.borrow().as_ref().is_none_or(Node::may_shut_down)
     }
--- a/crates/programs/src/control_node/consensus_sender.rs
+++ b/crates/programs/src/control_node/consensus_sender.rs
@@ -1,4 +1,4 @@
-//! Messages of the consensus group to other members.
+//! Sends consensus messages to other members.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -10,7 +10,7 @@
 use crate::calls::ConsensusMessage;
 use crate::send_queues::{SendQueue, SendQueues};
 
-/// Sends messages, each as a call of its own.
+/// Sends each message as a separate RPC call.
 pub(super) struct ConsensusSender {
     caller: Caller,
     send_queues: RefCell<SendQueues>,
@@ -21,8 +21,8 @@
         Rc::new(ConsensusSender { caller, send_queues: RefCell::default() })
     }
 
-    /// Sends a message, or drops it if too many are in flight: messages to a lost member must not pile up, and the
-    /// protocol tolerates their loss.
+    /// Sends a message, or drops it if too many are in flight. Messages to an unreachable member must not pile up,
+    /// and the protocol tolerates their loss.
     pub(super) fn send(self: &Rc<Self>, from: Member, to: SocketAddrV4, message: Message) {
         let queue = SendQueue::of(message.state_bytes());
         if !self.send_queues.borrow_mut().enter(to, queue) {
--- a/crates/programs/src/control_node/consensus_storage.rs
+++ b/crates/programs/src/control_node/consensus_storage.rs
@@ -1,4 +1,4 @@
-//! Opens the consensus log, starts the consensus node with it, and passes the results of writes to the node.
+//! Opens the consensus log, starts the consensus node from it, and reports completed writes to the node.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use super::consensus_host::ConsensusHost;
 use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
 
-/// Where the state of the consensus group is kept.
+/// The directory of the consensus log.
 const CONSENSUS_LOG: LogDirectory = LogDirectory { name: "consensus", former_name: "headworks" };
 
-/// Runs the consensus node for as long as the future is polled. Without a log that can be read it returns: the control
-/// node then serves the registry only.
+/// Runs the consensus node for as long as the future is polled. Returns if the log can't be used; the control node then
+/// serves only the registry.
 pub(super) async fn run_consensus(
     host: Rc<ConsensusHost>,
     settings: NodeSettings,
--- a/crates/programs/src/control_node/directory.rs
+++ b/crates/programs/src/control_node/directory.rs
@@ -1,4 +1,4 @@
-//! Which control nodes there are, as far as this one knows.
+//! The control nodes that this node knows.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -6,10 +6,10 @@
 use super::consensus_host::ConsensusHost;
 use crate::gossip::Gossip;
 
-/// The control nodes that consensus, the membership or the settings name.
+/// The known control nodes, from the consensus group, the membership protocol and the settings.
 pub(super) struct ControlNodeDirectory {
     local_address: SocketAddrV4,
-    /// The control nodes that the settings named at the start. They count only while no others are known.
+    /// The seeds from the settings at the start. They are used only while no other control node is known.
     seeds: Vec<SocketAddrV4>,
     consensus: Rc<ConsensusHost>,
     gossip: Rc<Gossip>,
@@ -37,7 +37,8 @@
         peers
     }
 
-    /// The members of the consensus group and the control nodes in the membership; the seeds while there are none.
+    /// The members of the consensus group and the live control nodes of the membership protocol; the seeds while both
+    /// are empty.
     pub(super) fn control_nodes(&self) -> Vec<SocketAddrV4> {
         let mut addresses = self.consensus.members();
         self.gossip.append_control_nodes(&mut addresses);
--- a/crates/programs/src/control_node/fleet_service.rs
+++ b/crates/programs/src/control_node/fleet_service.rs
@@ -1,4 +1,4 @@
-//! What an operator asks of the fleet as a whole: its status as this node knows it, and to found it anew.
+//! The operator's view of the whole fleet: its status as this node knows it, and its recovery by founding it anew.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
@@ -16,7 +16,7 @@
 use super::stage_targets::{StageTarget, StageTargets};
 use super::update_service::UpdateService;
 
-/// The parts that the service reads from.
+/// The components that the service reads from.
 pub(super) struct FleetSources {
     pub(super) consensus: Rc<ConsensusHost>,
     pub(super) registry: Rc<RegistryHost>,
@@ -25,7 +25,7 @@
     pub(super) stage_targets: Rc<StageTargets>,
 }
 
-/// Answers the operator's questions about the fleet.
+/// Reports the status of the fleet, and founds it anew.
 pub(super) struct FleetService {
     node_name: String,
     address: SocketAddrV4,
@@ -59,20 +59,20 @@
         ])
     }
 
-    /// What founding the fleet anew by this node would do.
+    /// A dry run of founding the fleet anew from this node's state.
     ///
     /// # Errors
     ///
-    /// It is not possible, or not needed.
+    /// Founding anew is impossible or not needed.
     pub(super) fn founding(&self) -> Result<Founding, FoundingError> {
         self.sources.consensus.founding()
     }
 
-    /// Founds the fleet anew. Returns what that does; whether it has succeeded is in the status.
+    /// Founds the fleet anew, and returns the plan. The fleet status shows whether it has succeeded.
     ///
     /// # Errors
     ///
-    /// It is not possible, or not needed.
+    /// Founding anew is impossible or not needed.
     pub(super) fn found_anew(&self) -> Result<Founding, FoundingError> {
         let founding = self.founding()?;
         let (members, lost) = (founding.members.len(), founding.lost.len());
@@ -82,7 +82,7 @@
     }
 }
 
-/// A plan of founding anew as a JSON object.
+/// The plan of founding the fleet anew, as a JSON object.
 pub(crate) fn founding_json(founding: &Founding) -> JsonValue {
     let addresses =
         |members: &[Member]| array(members.iter().map(|member| text(&member.address.to_string())));
@@ -125,7 +125,7 @@
     object([("name", text(&call.name)), ("revision", number(call.revision))])
 }
 
-/// How many servers of each service are in each stage and state.
+/// The number of servers for each combination of service, stage and state.
 fn server_groups<'a>(servers: impl Iterator<Item = &'a Server>) -> JsonValue {
     let mut counts: BTreeMap<(&str, &str, &str), u64> = BTreeMap::new();
     for server in servers {
@@ -173,7 +173,7 @@
     JsonValue::from(text.to_owned())
 }
 
-/// Numbers above 2^53 lose their last digits, as in all JSON.
+/// Numbers above 2^53 lose precision, because JSON numbers are `f64`.
 fn number(number: u64) -> JsonValue {
     JsonValue::from(number as f64)
 }
--- a/crates/programs/src/control_node/handlers.rs
+++ b/crates/programs/src/control_node/handlers.rs
@@ -1,4 +1,4 @@
-//! The handlers of the calls between processes of the fleet.
+//! The handlers of the RPC calls to a control node.
 
 use std::rc::Rc;
 
@@ -16,10 +16,10 @@
     ReplicateEntries, WatchUpdates,
 };
 
-/// The longest wait for the disk, whatever the caller requests.
+/// The maximum wait for the disk, regardless of what the caller requests.
 const MAX_PERSIST_WAIT: Duration = Duration::from_millis(1_000);
 
-/// The handlers of a control node, each for the part that it calls.
+/// Creates the handlers, which pass each call to the component that processes it.
 pub(super) fn handlers(
     consensus: Rc<ConsensusHost>,
     registry: Rc<RegistryHost>,
--- a/crates/programs/src/control_node/log_directory.rs
+++ b/crates/programs/src/control_node/log_directory.rs
@@ -1,4 +1,4 @@
-//! The logs of a control node on disk.
+//! Opens the record logs of a control node on disk.
 
 use std::path::{Path, PathBuf};
 
@@ -7,12 +7,12 @@
 use quick_error::quick_error;
 use tokio::sync::oneshot;
 
-/// Writes that may wait for the disk.
+/// The maximum number of writes that are queued for the disk.
 pub(super) const MAX_QUEUED_WRITES: usize = 256;
-/// The pause between two attempts to open a log.
+/// The delay between attempts to open a log.
 const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// A directory of a log: its name, and its name in the first releases.
+/// The directory of a log: its name, and the name it had in the first releases.
 pub(super) struct LogDirectory {
     pub(super) name: &'static str,
     pub(super) former_name: &'static str,
@@ -21,8 +21,8 @@
 impl LogDirectory {
     /// The path below the data directory.
     ///
-    /// A directory of the former name is used as it is: a control node that did not find its own records would be a
-    /// newcomer to the others, and could break promises that it has made.
+    /// A directory with the former name is used if it exists. A control node that did not find its records would rejoin
+    /// without them, and could break the promises it made as a member of the consensus group.
     fn path(&self, data_directory: &Path) -> PathBuf {
         let former = data_directory.join(self.former_name);
         if former.is_dir() { former } else { data_directory.join(self.name) }
@@ -39,15 +39,15 @@
             source(error)
             from()
         }
-        /// Records that were read are not durable, and can't be made so.
+        /// Records that were read are not durable, and can't be made durable.
         NotDurable {
             display("it can't be written again")
         }
     }
 }
 
-/// Opens a log, on a thread of its own: a disk may hang for seconds while the node serves. `None` if no thread can
-/// be started.
+/// Opens a log on a separate thread, because a disk may block for seconds while the node serves requests. Returns
+/// `None` if the thread can't be started.
 pub(super) async fn open_log(data_directory: &Path, directory: LogDirectory) -> Option<OpenedLog> {
     let path = directory.path(data_directory);
     let shown_path = path.display().to_string();
@@ -61,7 +61,7 @@
     receiver.await.ok()
 }
 
-/// Tries until the disk works. Only the first failure is logged.
+/// Retries until the log is opened. Only the first failure is logged.
 fn open_with_retries(path: &Path) -> OpenedLog {
     let mut is_logged = false;
     loop {
@@ -83,7 +83,7 @@
         let (path, bytes) = (path.display(), opened.discarded_bytes);
         spdlog::warn!("record-log: discarded torn tail path={path} bytes={bytes}");
     }
-    // A record that was read but may not be on the disk could be lost after this process has acted on it.
+    // A record that was read but is not durable could be lost after this process has acted on it.
     if !opened.log.is_durable() && opened.log.sync().is_err() {
         return Err(OpenError::NotDurable);
     }
--- a/crates/programs/src/control_node/node.rs
+++ b/crates/programs/src/control_node/node.rs
@@ -1,4 +1,4 @@
-//! The control node: its parts, and which of them each call, endpoint and task goes to.
+//! The control node: creates its components, and passes calls, HTTP requests and tasks on to them.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -34,7 +34,7 @@
 use crate::gossip::Gossip;
 use crate::settings::Settings;
 
-/// A control node. Each part owns its state in cells; none of them stays borrowed across an `await`.
+/// A control node. Each component owns its state in cells, which are never borrowed across an `await`.
 pub(crate) struct ControlNode {
     settings: Settings,
     gossip: Rc<Gossip>,
@@ -50,7 +50,7 @@
 }
 
 impl ControlNode {
-    /// A control node whose logs are not open yet. `incarnation` is that of the process.
+    /// Creates a control node whose logs are not open yet. `incarnation` is the incarnation of the process.
     pub(crate) fn new(
         settings: Settings,
         incarnation: u64,
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Starts the tasks that run until the process ends: those of the logs, the peers and the stage role. `seed` is that
-    /// of the random numbers of consensus.
+    /// Starts the tasks for the logs, the peers and the stage role, which run until the process ends. `seed` seeds
+    /// the random numbers of the consensus node.
     pub(crate) fn spawn_tasks(&self, tasks: &mut JoinSet<()>, data_directory: PathBuf, seed: u64) {
         let (consensus, registry) = (&self.consensus, &self.registry);
         tasks.spawn_local(self.peer_exchange.clone().exchange_heartbeats());
@@ -124,7 +124,7 @@
         StageRole::new(self.consensus.clone(), self.registry.clone(), node_name, lease, targets)
     }
 
-    /// The tasks that watch the peers; none runs yet.
+    /// Creates the set of tasks that watch the peers, which is empty at first.
     pub(crate) fn peer_followers(&self) -> PeerFollowers {
         PeerFollowers::new(self.peer_exchange.clone())
     }
@@ -134,28 +134,28 @@
         handlers(self.consensus.clone(), self.registry.clone(), self.updates.clone())
     }
 
-    /// Records a model server's heartbeat. Whether it may be acknowledged.
+    /// Records a model server's heartbeat. Returns true if it may be acknowledged.
     pub(crate) async fn record_heartbeat(&self, server: Server) -> bool {
         self.registration.record_heartbeat(server).await
     }
 
-    /// Records that a model server has shut down. Whether that may be acknowledged.
+    /// Records that a model server has shut down. Returns true if this may be acknowledged.
     pub(crate) async fn deregister(&self, id: &str) -> bool {
         self.registration.deregister(id).await
     }
 
-    /// Decides on a change of the configuration by the operator.
+    /// Processes a change of the configuration by the operator.
     pub(crate) async fn change_config(&self, request: OperatorChange<Bytes>) -> ChangeResponse {
         self.operator.change(request).await
     }
 
-    /// Reads the configuration that a quorum has confirmed.
+    /// Reads the configuration, after a quorum has confirmed it.
     pub(crate) async fn read_config(&self) -> ReadResponse {
         self.operator.read().await
     }
 
-    /// The API address of the primary by its internal address; `None` if that is this node, or this node has no API. All
-    /// control nodes are expected to serve their API on the same port.
+    /// Converts the internal address of the primary to its API address; `None` if this node is the primary or has no
+    /// API. All control nodes must serve their API on the same port.
     pub(crate) fn api_address_of(&self, primary: SocketAddrV4) -> Option<SocketAddrV4> {
         let own_api = self.settings.control_plane?;
         let is_remote = primary != self.settings.internal_address();
@@ -172,22 +172,22 @@
         self.fleet.status()
     }
 
-    /// What founding the fleet anew by this node would do.
+    /// A dry run of founding the fleet anew from this node's state.
     pub(crate) fn founding(&self) -> Result<Founding, FoundingError> {
         self.fleet.founding()
     }
 
-    /// Founds the fleet anew, after the operator has decided so.
+    /// Founds the fleet anew at the operator's request.
     pub(crate) fn found_anew(&self) -> Result<Founding, FoundingError> {
         self.fleet.found_anew()
     }
 
-    /// Lets time pass for the consensus node.
+    /// Advances the timers of the consensus node.
     pub(crate) fn tick(&self) {
         self.consensus.tick();
     }
 
-    /// Queues what is new in the registry for the disk.
+    /// Queues new registry entries to be written to disk.
     pub(crate) fn persist_registry(&self) {
         self.registry.persist();
     }
@@ -197,12 +197,13 @@
         self.consensus.step(Input::Seeds(seeds));
     }
 
-    /// The process is about to shut down: the node requests its removal from the consensus group, and serves until then.
+    /// Requests the removal of this node from the consensus group before the process shuts down. The node continues
+    /// to serve until it is removed.
     pub(crate) fn begin_shutdown(&self) {
         self.consensus.step(Input::ShutDown);
     }
 
-    /// Whether the other members can do without this process.
+    /// True if the other members no longer need this process.
     pub(crate) fn may_shut_down(&self) -> bool {
         self.consensus.may_shut_down()
     }
--- a/crates/programs/src/control_node/operator_service.rs
+++ b/crates/programs/src/control_node/operator_service.rs
@@ -1,4 +1,4 @@
-//! The operator's changes and reads of the configuration, as this control node decides on them.
+//! Processes the operator's changes and reads of the configuration.
 
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
         OperatorService { consensus, configs }
     }
 
-    /// Decides on a change, and returns once it is committed, rejected, or its outcome is unknown.
+    /// Processes a change. Returns once it is committed or rejected, or its outcome is unknown.
     pub(super) async fn change(&self, request: OperatorChange<Bytes>) -> ChangeResponse {
         let (state, config) = (self.consensus.committed_state(), self.configs.current());
         let primary = self.consensus.known_primary();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Reads the configuration that a quorum has confirmed.
+    /// Reads the configuration, after a quorum has confirmed it.
     pub(super) async fn read(&self) -> ReadResponse {
         match self.consensus.known_primary() {
             PrimaryHint::Local => read_response(self.consensus.read_confirmed().await),
--- a/crates/programs/src/control_node/peer_exchange.rs
+++ b/crates/programs/src/control_node/peer_exchange.rs
@@ -1,4 +1,5 @@
-//! What control nodes exchange to keep their registries equal: entries, and which servers send heartbeats to whom.
+//! Keeps the registries of the control nodes in sync: watches the peers' entries, and reports to them which servers
+//! send heartbeats to this node.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -13,30 +14,30 @@
 use crate::calls::{CompareHeartbeats, ReplicateEntries, Updates, WatchUpdates};
 use crate::send_queues::SendQueue;
 
-/// Entries that are sent to a control node that lacks entries after its restart, at most.
+/// The maximum number of entries sent to a control node that lacks entries after its restart.
 const MAX_RECOVERY_ENTRIES: usize = 5000;
-/// The pause after a call with these entries, until the peer is watched again.
+/// The delay after sending these entries, before the peer is watched again.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(300);
-/// How long a peer may wait for something new until it responds.
+/// How long a peer may wait for a change before it responds.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// A peer responds within this time.
+/// The timeout of a watch call.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1400);
-/// The pause after a peer did not respond, or has no quorum contact.
+/// The delay after a failed watch call, or after a response from a peer without quorum contact.
 const WATCH_BACKOFF: Duration = Duration::from_millis(200);
-/// A peer that has failed this many times in a row is followed no longer, until the followers of the peers
-/// ([`peer_followers`](super::peer_followers)) look for new ones again.
+/// After this many consecutive failures the peer is no longer watched, until [`peer_followers`](super::peer_followers)
+/// next looks for new peers.
 const MAX_WATCH_FAILURES: usize = 40;
-/// How often control nodes report to each other which servers send heartbeats.
+/// How often a control node reports to its peers which servers send heartbeats to it.
 const HEARTBEAT_EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
-/// A server counts as sending heartbeats for this time after its last one.
+/// A server is reported for this time after its last heartbeat.
 const HEARTBEAT_WINDOW: Duration = Duration::from_millis(1500);
-/// A report of heartbeats reaches a peer within this time, or is dropped.
+/// The timeout of a heartbeat report. A failed report is not retried.
 const HEARTBEAT_REPORT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The registry's side of the calls to other control nodes.
+/// Makes the calls to other control nodes on behalf of the registry.
 pub(super) struct PeerExchange {
     node_name: String,
-    /// The incarnation of the process, which is its source in the registry too.
+    /// The incarnation of the process, which is also its source id in the registry.
     incarnation: u64,
     registry: Rc<RegistryHost>,
     directory: Rc<ControlNodeDirectory>,
@@ -59,7 +60,7 @@
         self.directory.peers()
     }
 
-    /// Watches a peer's registry until the peer has failed too often.
+    /// Watches a peer's registry until [`MAX_WATCH_FAILURES`] consecutive calls have failed.
     pub(super) async fn follow_peer(self: Rc<Self>, peer: SocketAddrV4) {
         let mut failures = 0;
         while failures < MAX_WATCH_FAILURES {
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Reports to the peers which servers send heartbeats here, and times servers out, for as long as the future is
-    /// polled.
+    /// Periodically reports to the peers which servers send heartbeats to this node, and processes timeouts of servers,
+    /// for as long as the future is polled.
     pub(super) async fn exchange_heartbeats(self: Rc<Self>) {
         loop {
             sleep(HEARTBEAT_EXCHANGE_INTERVAL).await;
--- a/crates/programs/src/control_node/peer_followers.rs
+++ b/crates/programs/src/control_node/peer_followers.rs
@@ -1,4 +1,4 @@
-//! The tasks that watch the registries of the peers.
+//! Manages the tasks that watch the registries of the peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -8,7 +8,7 @@
 
 use super::peer_exchange::PeerExchange;
 
-/// One task for each peer. The tasks are aborted when this is dropped.
+/// One watch task for each peer. The tasks are aborted when this is dropped.
 pub(crate) struct PeerFollowers {
     exchange: Rc<PeerExchange>,
     tasks: HashMap<SocketAddrV4, JoinHandle<()>>,
@@ -19,7 +19,7 @@
         PeerFollowers { exchange, tasks: HashMap::new() }
     }
 
-    /// Starts to follow the peers that are not followed yet, or whose tasks have given up.
+    /// Starts a task for each peer that has none, or whose task has given up.
     pub(crate) fn follow_new_peers(&mut self) {
         self.tasks.retain(|_, task| !task.is_finished());
         for peer in self.exchange.peers() {
--- a/crates/programs/src/control_node/pending_requests.rs
+++ b/crates/programs/src/control_node/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests to the consensus group that wait for their replies.
+//! Requests to the consensus node that wait for a reply.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,12 +8,12 @@
 
 /// A request in flight.
 pub(super) struct PendingRequest {
-    /// The id under which the consensus node replies.
+    /// The id that the consensus node uses in its reply.
     pub(super) id: u64,
     pub(super) reply: oneshot::Receiver<ClientReply>,
 }
 
-/// Requests in flight, by the id under which the consensus node knows them.
+/// Requests in flight, by the id that the consensus node uses in its replies.
 #[derive(Debug)]
 pub(super) struct PendingConsensusRequests {
     /// Unique within the incarnation of the process.
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Nobody waits for the reply any more.
+    /// Removes a request whose reply is no longer needed.
     pub(super) fn abandon(&self, id: u64) {
         self.in_flight.borrow_mut().remove(&id);
     }
--- a/crates/programs/src/control_node/proxy_presence.rs
+++ b/crates/programs/src/control_node/proxy_presence.rs
@@ -1,4 +1,4 @@
-//! Which proxies have called recently, and which configuration they have in force.
+//! Tracks which proxies have called recently, and the revision of their active configuration.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,14 +6,14 @@
 use mosshead_time::Duration;
 use tokio::time::Instant;
 
-/// A proxy that has not called for this time is not counted.
+/// A proxy that has not called for this long is no longer counted.
 const PRESENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The last call of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ProxyCall {
     pub(super) name: String,
-    /// The revision of the configuration that the proxy had then; 0: none.
+    /// The revision of the proxy's configuration at that time; 0 if it had none.
     pub(super) revision: u64,
 }
 
@@ -30,27 +30,27 @@
 }
 
 impl ProxyPresence {
-    /// A proxy has called, with this revision of the configuration.
+    /// Records a call of a proxy that has this configuration revision.
     pub(super) fn on_call(&self, proxy: String, revision: u64) {
         self.last_calls.borrow_mut().insert(proxy, LastCall { at: Instant::now(), revision });
     }
 
-    /// How many proxies have called recently.
+    /// The number of proxies that have called recently.
     pub(super) fn count(&self) -> usize {
-        self.drop_overdue();
+        self.remove_expired();
         self.last_calls.borrow().len()
     }
 
-    /// The proxies that have called recently, by name.
+    /// The last calls of the proxies that have called recently, sorted by proxy name.
     pub(super) fn calls(&self) -> Vec<ProxyCall> {
-        self.drop_overdue();
+        self.remove_expired();
         let last_calls = self.last_calls.borrow();
         let call =
             |(name, last): (&String, &LastCall)| ProxyCall { name: name.clone(), revision: last.revision };
         last_calls.iter().map(call).collect()
     }
 
-    fn drop_overdue(&self) {
+    fn remove_expired(&self) {
         self.last_calls.borrow_mut().retain(|_, last| last.at.elapsed() < PRESENCE_TIMEOUT);
     }
 }
--- a/crates/programs/src/control_node/registration.rs
+++ b/crates/programs/src/control_node/registration.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and deregistrations of model servers, and when they may be acknowledged.
+//! Registers model servers by their heartbeats, and decides when heartbeats and deregistrations may be acknowledged.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -17,25 +17,26 @@
 use super::registry_host::RegistryHost;
 use crate::calls::{PersistAck, PersistEntries};
 
-/// A control node that waits for its disk responds this long before the time at which the response is needed.
+/// A peer that waits for its disk must respond this long before the caller's deadline.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(50);
-/// Entries that are sent with one call, at most.
+/// The maximum number of entries in one call.
 const MAX_ENTRIES_PER_CALL: usize = 400;
 
-/// What a control node, maybe this one, has on its disk after it got an entry.
+/// The result of replicating an entry to a control node, which may be this node itself.
 struct ReplicationReply {
     control_node: SocketAddrV4,
-    /// Up to which version of each source the entries are durable there; `None` if it has not responded.
+    /// For each source, the version up to which the entries are durable there; `None` if the node did not respond.
     durable: Option<VersionVector>,
 }
 
-/// Registers model servers by their heartbeats, and replicates what has to be on other control nodes first.
+/// Records heartbeats and deregistrations, and replicates entries that other control nodes must have before the
+/// acknowledgement.
 pub(super) struct Registration {
     registry: Rc<RegistryHost>,
     consensus: Rc<ConsensusHost>,
     directory: Rc<ControlNodeDirectory>,
     caller: Caller,
-    /// How many control nodes may fail at once.
+    /// The number of control nodes that may fail at the same time.
     tolerated_failures: usize,
 }
 
@@ -50,14 +51,14 @@
         Rc::new(Registration { registry, consensus, directory, caller, tolerated_failures })
     }
 
-    /// Records a server's heartbeat. Whether it may be acknowledged.
+    /// Records a server's heartbeat. Returns true if it may be acknowledged.
     pub(super) async fn record_heartbeat(self: &Rc<Self>, server: Server) -> bool {
         let id = server.id.clone();
         let outcome = self.registry.record_heartbeat(server);
         self.acknowledge(&id, outcome).await
     }
 
-    /// Records that a server has shut down. Whether that may be acknowledged.
+    /// Records that a server has shut down. Returns true if this may be acknowledged.
     pub(super) async fn deregister(self: &Rc<Self>, id: &str) -> bool {
         let outcome = self.registry.deregister(id);
         self.acknowledge(id, outcome).await
@@ -83,11 +84,11 @@
         }
     }
 
-    /// Replicates the entry of a draining server until enough control nodes have it on their disks, or can't any more.
-    /// Whether it may be acknowledged.
+    /// Replicates the entry of a draining server until enough control nodes have it on disk, or this is no longer
+    /// possible. Returns true if the shutdown may be acknowledged.
     ///
-    /// A server ends once it is acknowledged, and need not say so again. If all control nodes that have the entry were
-    /// lost then, or lost their power before their disks had it, proxies would continue sending requests to the server.
+    /// An acknowledged server exits and does not report its shutdown again. If all control nodes with the entry then
+    /// failed, or lost power before writing it to disk, proxies would continue sending requests to the server.
     async fn replicate_until_decided(self: &Rc<Self>, mut replication: EntryReplication) -> bool {
         let entry = replication.entry();
         let mut replies = self.replicate_to_all(entry, replication.deadline());
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Has an entry written here, and sends it to all peers. The tasks continue when enough have responded, so that the
-    /// others get it too.
+    /// Writes an entry to the local disk and sends it to all peers. The tasks continue after enough nodes have
+    /// responded, so that the remaining ones get it too.
     fn replicate_to_all(
         self: &Rc<Self>,
         entry: EntryVersion,
@@ -131,7 +132,7 @@
         receiver
     }
 
-    /// Sends an entry to a peer. Up to where the peer has the registry on its disk after that, if it has responded.
+    /// Sends an entry to a peer. Returns the peer's durable version vector afterwards, or `None` if it did not respond.
     async fn replicate_entry(
         &self,
         peer: SocketAddrV4,
@@ -142,7 +143,7 @@
         if entry.is_covered_by(&ack.vector) {
             return Some(ack.durable);
         }
-        // The entry was made by another source, or the peer lacks entries before it.
+        // The entry comes from another source, or the peer lacks earlier entries.
         let missing = self.registry.missing_entries(&ack.vector, MAX_ENTRIES_PER_CALL);
         Some(self.replicate(peer, missing, deadline).await?.durable)
     }
--- a/crates/programs/src/control_node/registry_host.rs
+++ b/crates/programs/src/control_node/registry_host.rs
@@ -1,4 +1,4 @@
-//! The node's replica of the registry, with its clock and its log.
+//! This node's replica of the registry, with its clock and its log.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -19,8 +19,8 @@
 use super::registry_log::RegistryLog;
 use crate::clock::Clock;
 
-/// The registry, which of its entries were acknowledged to their servers, and its log. Whoever waits for something new
-/// is notified when the registry has changed.
+/// The registry, its log, and the shutdown entries that were acknowledged to their servers. Notifies waiting calls
+/// when the registry changes.
 pub(super) struct RegistryHost {
     clock: Clock,
     registry: RefCell<Registry>,
@@ -45,18 +45,18 @@
         })
     }
 
-    /// Takes the log, once it is open for writes.
+    /// Sets the log writer, once the log is open for writes.
     pub(super) fn set_log_writer(&self, writer: LogWriter) {
         self.log.set_writer(writer);
     }
 
-    /// Whether another process has entries that are missing here.
+    /// True if a process with this version vector has entries that this replica lacks.
     pub(super) fn lacks_entries_of(&self, vector: &VersionVector) -> bool {
         let registry = self.registry.borrow();
         registry.has_unknown_source(vector) || registry.is_behind(vector)
     }
 
-    /// How many servers are registered.
+    /// The number of registered servers.
     pub(super) fn len(&self) -> usize {
         self.registry.borrow().len()
     }
@@ -65,22 +65,22 @@
         self.registry.borrow().vector()
     }
 
-    /// Entries above a vector, at most `max` of them.
+    /// Up to `max` entries that are newer than a version vector.
     pub(super) fn missing_entries(&self, vector: &VersionVector, max: usize) -> Delta {
         self.registry.borrow().missing_entries(vector, max)
     }
 
-    /// The newest entries that were made here.
+    /// The newest entries that this node has created.
     pub(super) fn latest_entries(&self) -> Delta {
         latest_local_entries(&self.registry.borrow())
     }
 
-    /// Merges entries of others. Whether the registry has changed.
+    /// Merges entries of another process. Returns true if the registry has changed.
     pub(super) fn merge(&self, delta: Delta) -> bool {
         self.merge_all([delta])
     }
 
-    /// Merges entries of others, and notifies once. Whether the registry has changed.
+    /// Merges several deltas, and notifies waiting calls once. Returns true if the registry has changed.
     pub(super) fn merge_all(&self, deltas: impl IntoIterator<Item = Delta>) -> bool {
         let mut changed = false;
         for delta in deltas {
@@ -101,48 +101,48 @@
         Ok(outcome)
     }
 
-    /// Records that another control node has the entries of this vector.
+    /// Records that another control node has all entries up to this vector.
     pub(super) fn mark_replicated(&self, vector: &VersionVector) {
         self.registry.borrow_mut().mark_replicated(vector);
     }
 
-    /// Records that another control node, the source of this id, has responded.
+    /// Records that the control node with this source id has responded.
     pub(super) fn record_contact(&self, source: SourceId) {
         self.registry.borrow_mut().record_contact(self.now(), source);
     }
 
-    /// Another control node has reported which servers send it heartbeats.
+    /// Records which servers send heartbeats to another control node.
     pub(super) fn record_remote_heartbeats(&self, source: SourceId, heartbeats: &[ReceivedHeartbeat]) {
         self.registry.borrow_mut().record_remote_heartbeats(self.now(), source, heartbeats);
     }
 
-    /// The last heartbeats of the servers that have sent some here in the last `window`.
+    /// The last heartbeats of the servers that sent one to this node within the last `window`.
     pub(super) fn recent_heartbeats(&self, window: Duration) -> Vec<ReceivedHeartbeat> {
         let since = self.now() - window;
         self.registry.borrow().heartbeats_since(since)
     }
 
-    /// Lets time pass, in which servers may time out.
+    /// Processes timeouts of servers.
     pub(super) fn tick(&self) {
         let changed = self.registry.borrow_mut().tick(self.now());
-        // A reset of the vector must not go unnoticed by the log.
+        // The log must notice a reset of the version vector.
         self.persist();
         self.notify_if(changed);
     }
 
-    /// Queues what is new for the disk.
+    /// Queues new entries to be written to disk.
     pub(super) fn persist(&self) {
         self.log.persist(&self.registry.borrow());
     }
 
-    /// Records the completion of a write of the log.
+    /// Records the completion of a log write.
     pub(super) fn on_write_completed(&self, completion: WriteCompletion) {
         self.log.complete(completion);
     }
 
-    /// Queues what is new for the disk, and waits until it is there, at most until the deadline. The wait ends early where a
-    /// write has failed, or entries are missing that would have to be written too. Returns up to where the registry is
-    /// durable then.
+    /// Queues new entries to be written to disk, and waits until they are durable or the deadline passes. The wait
+    /// ends early if a write fails, or if nothing is left to write because earlier entries are missing. Returns the
+    /// durable version vector.
     pub(super) async fn persist_until(&self, deadline: tokio::time::Instant) -> VersionVector {
         let wanted = self.vector();
         let mut completions = self.log.completions().subscribe();
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether a server's heartbeat or deregistration may be acknowledged, or must be replicated first.
+    /// Decides whether a server's heartbeat or deregistration may be acknowledged, or must be replicated first.
     pub(super) fn start_acknowledgement(
         &self,
         id: &str,
@@ -173,24 +173,24 @@
         self.acknowledgements.borrow().begin(self.now(), &registry, id, outcome, contact, replica_set)
     }
 
-    /// Remembers the entry of a shutdown that was acknowledged: it outlives the tolerated failures.
+    /// Records the entry of an acknowledged shutdown, which survives the tolerated number of failures.
     pub(super) fn on_acknowledged(&self, entry: EntryVersion) {
         self.acknowledgements.borrow_mut().record_acknowledged(entry);
     }
 
-    /// The stage assignments that the scheduler finds due by the registered servers.
+    /// The stage assignments that the scheduler considers due for the registered servers.
     pub(super) fn due_assignments(&self, scheduler: &mut StageScheduler) -> Vec<StageAssignment> {
         scheduler.due_assignments(self.now(), self.registry.borrow().servers())
     }
 
-    /// The servers that are to be asked for a report, with their addresses.
+    /// The ids and addresses of the servers to query for a load report.
     pub(super) fn servers_to_query(&self, scheduler: &StageScheduler) -> Vec<(String, SocketAddrV4)> {
         let registry = self.registry.borrow();
         let queried = scheduler.servers_to_query(registry.servers());
         queried.into_iter().map(|server| (server.id.clone(), server.address)).collect()
     }
 
-    /// Hands a server's report to the scheduler.
+    /// Passes a server's load report to the scheduler.
     pub(super) fn record_report(&self, scheduler: &mut StageScheduler, id: &str, load: ServerLoad) {
         scheduler.record_report(self.now(), id, load);
     }
@@ -212,7 +212,7 @@
         changed
     }
 
-    /// The time of the clock that the registry goes by.
+    /// The current time of the registry's clock.
     pub(super) fn now(&self) -> Instant {
         self.clock.now()
     }
--- a/crates/programs/src/control_node/registry_log.rs
+++ b/crates/programs/src/control_node/registry_log.rs
@@ -1,5 +1,5 @@
-//! The log of the registry. An entry that announces a shutdown is durable here before the shutdown is acknowledged; all
-//! others follow in the background, since servers send heartbeats again.
+//! The log of the registry on disk. A shutdown entry is durable before the shutdown is acknowledged. All other
+//! entries are written in the background, because servers repeat their heartbeats.
 
 use std::cell::{Cell, RefCell};
 
@@ -9,48 +9,48 @@
 
 use super::change_notifier::ChangeNotifier;
 
-/// The length in bytes above which the log is replaced by one record.
+/// Above this length in bytes, the log is replaced by one snapshot record.
 const MAX_LOG_BYTES: u64 = 8 * 1024 * 1024;
 
-/// The log of the registry, and which entries it holds.
+/// The log writer, and the entries that the log contains.
 #[derive(Default)]
 pub(super) struct RegistryLog {
     /// `None` until the writer is started.
     writer: RefCell<Option<LogWriter>>,
     entries: RefCell<DurableEntries>,
-    /// Notified when a write has been completed.
+    /// Notified when a write is completed.
     completions: ChangeNotifier,
-    /// Whether the last write has failed.
+    /// True if the last write failed.
     has_failed: Cell<bool>,
 }
 
 impl RegistryLog {
-    /// Takes the log, once it is open for writes.
+    /// Sets the log writer, once the log is open for writes.
     pub(super) fn set_writer(&self, writer: LogWriter) {
         self.writer.replace(Some(writer));
     }
 
-    /// Up to which version of each source all entries in force are durable.
+    /// For each source, the version up to which all current entries are durable.
     pub(super) fn durable(&self) -> VersionVector {
         self.entries.borrow().durable().clone()
     }
 
-    /// Whether a write is queued or executed.
+    /// True if a write is queued or in progress.
     pub(super) fn is_writing(&self) -> bool {
         self.entries.borrow().is_writing()
     }
 
-    /// Whether the last write has failed.
+    /// True if the last write failed.
     pub(super) fn has_failed(&self) -> bool {
         self.has_failed.get()
     }
 
-    /// Notified when a write has been completed.
+    /// Notifies of completed writes.
     pub(super) fn completions(&self) -> &ChangeNotifier {
         &self.completions
     }
 
-    /// Queues what is new in the registry for the disk. What can't be queued is tried again with the next call.
+    /// Queues new registry entries to be written to disk. Entries that can't be queued are retried with the next call.
     pub(super) fn persist(&self, registry: &Registry) {
         let writer = self.writer.borrow();
         let Some(writer) = writer.as_ref() else { return };
@@ -77,7 +77,7 @@
         self.completions.notify();
     }
 
-    /// Logs the first write of a row of writes with another outcome than those before.
+    /// Logs that writes have started to fail, or succeed again.
     fn log_outcome(&self, is_durable: bool) {
         let code = self.writer.borrow().as_ref().and_then(LogWriter::last_error_code).unwrap_or_default();
         if is_durable {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Queues a record by `write`. Returns whether it was queued; one that was not counts as failed.
+/// Queues a record with `write`. Returns true if it was queued; otherwise it is recorded as failed.
 fn queue(
     entries: &mut DurableEntries,
     record: RegistryRecord,
--- a/crates/programs/src/control_node/registry_storage.rs
+++ b/crates/programs/src/control_node/registry_storage.rs
@@ -1,4 +1,4 @@
-//! Restores the registry from disk, and passes the results of writes to it.
+//! Restores the registry from its log, and reports completed writes to it.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 use super::log_directory::{LogDirectory, MAX_QUEUED_WRITES, open_log};
 use super::registry_host::RegistryHost;
 
-/// Where the registry is kept.
+/// The directory of the registry log.
 const REGISTRY_LOG: LogDirectory = LogDirectory { name: "registry", former_name: "catchment" };
 
-/// Merges the entries on disk into the registry, opens the log for new ones, and reports their writes for as long as the
-/// future is polled.
+/// Merges the entries on disk into the registry, opens the log for writes, and reports completed writes for as long
+/// as the future is polled.
 pub(super) async fn run_registry_log(registry: Rc<RegistryHost>, data_directory: PathBuf) {
     let opened = open_log(&data_directory, REGISTRY_LOG).await;
     let Some(OpenedLog { log, records, .. }) = opened else { return };
--- a/crates/programs/src/control_node/stage_role.rs
+++ b/crates/programs/src/control_node/stage_role.rs
@@ -1,5 +1,5 @@
-//! The singleton role of the primary: it assigns stages to model servers, under a fencing token that rises with its
-//! term.
+//! The stage role, a singleton role of the primary: assigns stages to model servers, with a fencing token that
+//! increases with the term.
 
 use std::rc::Rc;
 
@@ -17,17 +17,17 @@
 use crate::server_reports::fetch_report;
 use crate::stage_orders::{OrderMessage, send_order};
 
-/// How often the owner of the role looks for assignments that are due.
+/// How often the owner of the role checks for due assignments.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How often some servers are asked for their reports.
+/// How often some servers are queried for their load reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The role under one term, from the moment at which this node became its owner.
+/// The state of the role during one term in which this node owns it.
 struct Tenure {
     term: Term,
     role: TakeoverDelay,
     scheduler: StageScheduler,
-    /// When servers were last asked for their reports.
+    /// When servers were last queried for their load reports.
     reports_collected_at: Option<Instant>,
 }
 
@@ -38,21 +38,21 @@
     }
 }
 
-/// Owns the role whenever this node is the primary.
+/// Runs the role while this node is the primary.
 pub(super) struct StageRole {
     consensus: Rc<ConsensusHost>,
     registry: Rc<RegistryHost>,
-    /// The node name that orders carry.
+    /// The node name in orders.
     node_name: String,
-    /// How long the last order of a former owner may be in flight.
+    /// How long the last order of a previous owner may be in flight.
     lease: Duration,
     tenure: Option<Tenure>,
-    /// Where the targets are shown.
+    /// Receives the targets for the fleet status.
     targets: Rc<StageTargets>,
 }
 
 impl StageRole {
-    /// `lease` is how long the last order of a former owner may be in flight.
+    /// `lease` is how long the last order of a previous owner may be in flight.
     pub(super) fn new(
         consensus: Rc<ConsensusHost>,
         registry: Rc<RegistryHost>,
@@ -69,7 +69,7 @@
             sleep(CHECK_INTERVAL).await;
             let Some(term) = self.consensus.primary_term() else {
                 self.targets.set(Vec::new());
-                // A refusal by a server holds for the whole term.
+                // After a server has rejected the fencing token, this node stays fenced for the whole term.
                 self.tenure.take_if(|tenure| !tenure.scheduler.is_fenced());
                 continue;
             };
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Asks some servers for their reports, those that were not asked for the longest time first.
+    /// Queries some servers for their load reports, starting with those whose last query is the oldest.
     async fn collect_reports(&self, tenure: &mut Tenure) {
         if tenure.reports_collected_at.is_some_and(|at| at.elapsed() < REPORT_INTERVAL) {
             return;
@@ -111,7 +111,7 @@
             }
         }
         for assignment in due {
-            // The role may have been lost, or shown to be lost, while the order before was in flight.
+            // The role may have been lost, or a server may have rejected the fencing token, during the previous order.
             if self.consensus.primary_term() != Some(tenure.term) || tenure.scheduler.is_fenced() {
                 return;
             }
--- a/crates/programs/src/control_node/stage_targets.rs
+++ b/crates/programs/src/control_node/stage_targets.rs
@@ -1,4 +1,4 @@
-//! The shares of prefill servers that the owner of the stage role aims at, for the status.
+//! The target shares of prefill servers, kept by the owner of the stage role for the fleet status.
 
 use std::cell::RefCell;
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct StageTarget {
     pub(super) service: String,
-    /// The share of its servers that are to run prefill.
+    /// The share of its servers that should run prefill, from 0 to 1.
     pub(super) prefill_share: f64,
-    /// How many servers' reports are known.
+    /// The number of servers with a known load report.
     pub(super) reports: usize,
 }
 
-/// The targets of the present tenure; empty on a node that does not own the role.
+/// The current targets; empty on a node that does not own the role.
 #[derive(Debug, Default)]
 pub(super) struct StageTargets {
     targets: RefCell<Vec<StageTarget>>,
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -1,4 +1,4 @@
-//! The status of a control node.
+//! The status of a control node as JSON.
 
 use super::config_store::ConfigStore;
 use super::consensus_host::ConsensusHost;
--- a/crates/programs/src/control_node/update_service.rs
+++ b/crates/programs/src/control_node/update_service.rs
@@ -1,4 +1,4 @@
-//! Updates for proxies and other control nodes: the newest revision, registry entries, and which processes are alive.
+//! Serves updates to proxies and other control nodes: the newest revision, registry entries, and the live processes.
 
 use std::rc::Rc;
 
@@ -16,14 +16,14 @@
 use crate::config_transfer::{ChunkRequest, ConfigChunk};
 use crate::gossip::Gossip;
 
-/// Entries in one response, at most.
+/// The maximum number of entries in one response.
 const MAX_ENTRIES_PER_RESPONSE: usize = 400;
-/// The longest wait of a call, whatever the caller requests.
+/// The maximum wait of a call, regardless of what the caller requests.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// How long after its start the node requests entries that it lacks from its callers.
+/// For this long after its start, the node asks its callers for entries that it lacks.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-/// What the service reads from.
+/// The components that the service reads from.
 pub(super) struct UpdateSources {
     pub(super) registry: Rc<RegistryHost>,
     pub(super) configs: Rc<ConfigStore>,
@@ -35,7 +35,7 @@
 
 /// Responds to the processes that watch this control node, and to proxies that fetch the configuration.
 pub(super) struct UpdateService {
-    /// The id under which this control node is a source of registry entries.
+    /// The id of this control node as a source of registry entries.
     source: SourceId,
     started_at: Instant,
     sources: UpdateSources,
@@ -43,13 +43,13 @@
 }
 
 impl UpdateService {
-    /// `source` is the id under which this control node is a source of registry entries.
+    /// `source` is the id of this control node as a source of registry entries.
     pub(super) fn new(source: SourceId, sources: UpdateSources) -> Rc<UpdateService> {
         let proxies = ProxyPresence::default();
         Rc::new(UpdateService { source, started_at: Instant::now(), sources, proxies })
     }
 
-    /// Responds with what is new to the caller, as soon as there is something or the wait is over.
+    /// Responds as soon as there is a change that the caller does not have, or when the wait is over.
     pub(super) async fn watch_updates(self: Rc<Self>, call: WatchUpdates) -> Updates {
         if call.is_proxy {
             self.proxies.on_call(call.name.clone(), call.revision);
@@ -61,7 +61,7 @@
         loop {
             changes.mark_unchanged();
             let updates = self.updates_for(&call);
-            if is_due_at_once(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
+            if must_respond_now(&updates, &call) || timeout_at(deadline, changes.changed()).await.is_err() {
                 return updates;
             }
         }
@@ -72,7 +72,7 @@
         self.proxies.calls()
     }
 
-    /// Responds to a proxy that fetches the configuration.
+    /// Returns the chunk of the configuration that a proxy requests.
     pub(super) fn fetch_config(&self, request: ChunkRequest) -> ConfigChunk {
         self.sources.configs.next_chunk(request, self.sources.consensus.quorum_contact())
     }
@@ -103,9 +103,9 @@
     }
 }
 
-/// Whether a response is to be sent before the wait is over: there is something new, the caller is to send entries, or
+/// True if the response must be sent before the wait is over: there is a change, the caller must send entries, or
 /// this node has no quorum contact.
-fn is_due_at_once(updates: &Updates, call: &WatchUpdates) -> bool {
+fn must_respond_now(updates: &Updates, call: &WatchUpdates) -> bool {
     updates.revision > call.revision
         || updates.has_newer_entries
         || !updates.has_quorum_contact
--- a/crates/programs/src/control_process.rs
+++ b/crates/programs/src/control_process.rs
@@ -1,4 +1,4 @@
-//! The program `mosshead-control`, the control node on `core` machines: start, main loop and graceful shutdown.
+//! The process of a control node (`mosshead-control`): start, main loop and graceful shutdown.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -15,20 +15,20 @@
 use crate::process::{FleetProcess, ProcessError, ProcessEvent, ProcessEvents, Program};
 use crate::settings::{Settings, SettingsError};
 
-/// The interval of the main loop, and of the consensus node's ticks.
+/// The interval of the main loop and of the consensus node's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// The interval of the consensus node's ticks during the shutdown.
 const SHUTDOWN_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// After this many ticks the node looks for peers that it does not follow.
+/// The number of ticks between checks for new peers.
 const TICKS_PER_PEER_CHECK: u64 = 10;
-/// The longest wait for the removal from the membership: as long as the consensus node wants to wait.
+/// The maximum wait for the removal from the consensus group, equal to the consensus node's own limit.
 const MAX_REMOVAL_WAIT: Duration = SHUTDOWN_TIMEOUT;
-/// The wait is not longer than the platform's grace (the time from SIGTERM to SIGKILL) divided by this.
+/// The wait is limited to the grace period (from SIGTERM to SIGKILL) divided by this number.
 const REMOVAL_WAIT_DIVISOR: u32 = 3;
-/// The pause before the process exits, in which its last datagrams and responses leave.
+/// The delay before the process exits, so that its last datagrams and responses are sent.
 const EXIT_PAUSE: Duration = Duration::from_millis(150);
 
-/// Serves until the process is signalled to shut down.
+/// Serves until a signal requests the shutdown.
 ///
 /// # Errors
 ///
@@ -85,7 +85,7 @@
         self.control_node.spawn_tasks(&mut self.process.tasks, data_directory, seed);
     }
 
-    /// The main loop, until the process is signalled to shut down.
+    /// The main loop, until a signal requests the shutdown.
     async fn run(&mut self) -> Result<(), ProcessError> {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -122,7 +122,8 @@
         spdlog::info!("control: exiting");
     }
 
-    /// Serves on until the other members can do without this process, well below the platform's grace.
+    /// Continues to serve until the other members no longer need this process, for a fraction of the grace period at
+    /// most.
     async fn wait_for_removal(&self) {
         let max_wait = MAX_REMOVAL_WAIT.min(self.process.settings.grace() / REMOVAL_WAIT_DIVISOR);
         let start = Instant::now();
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The socket of the membership protocol: datagrams to and from [`Membership`].
+//! The UDP socket of the membership protocol: sends and receives the datagrams of [`Membership`].
 
 use std::cell::RefCell;
 use std::io;
@@ -12,7 +12,7 @@
 
 use crate::clock::Clock;
 
-/// The longest datagram that is read, in bytes.
+/// The maximum length of a received datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1500;
 /// The shortest sleep between two ticks.
 const MIN_SLEEP: Duration = Duration::from_millis(20);
@@ -69,29 +69,29 @@
 
     fn send(&self, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
-            // A full link drops the datagram. The protocol repeats what matters, and waiting for buffer space would
-            // delay the datagrams that arrive.
+            // If the send buffer is full, the datagram is dropped: the protocol repeats important updates, and
+            // waiting would delay the received datagrams.
             let _ = self.socket.try_send_to(&datagram.payload, SocketAddr::V4(datagram.destination));
         }
     }
 
-    /// Notifies the other members that this process shuts down.
+    /// Announces to the other members that this process shuts down.
     pub(crate) fn announce_departure(&self) {
         let datagrams = self.membership.borrow_mut().leave(self.clock.now());
         self.send(datagrams);
     }
 
-    /// Replaces the seeds; members that are known already stay.
+    /// Replaces the seeds. Known members are kept.
     pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
         self.membership.borrow_mut().set_seeds(seeds);
     }
 
-    /// How many proxies are alive or suspect.
+    /// The number of proxies that are alive or suspected.
     pub(crate) fn live_proxies(&self) -> usize {
         self.membership.borrow().live_proxies()
     }
 
-    /// Adds the addresses of the control nodes that are alive or suspect to a list.
+    /// Appends the addresses of the control nodes that are alive or suspected.
     pub(crate) fn append_control_nodes(&self, addresses: &mut Vec<SocketAddrV4>) {
         let membership = self.membership.borrow();
         let live = membership.members().filter(|(peer, state)| peer.is_control_node && state.is_live());
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -1,5 +1,5 @@
-//! The programs of the fleet, `mosshead-router` and `mosshead-control`: processes, sockets, settings and logs around
-//! the libraries that decide.
+//! The programs of the fleet, `mosshead-router` and `mosshead-control`: the processes, sockets, settings and logs
+//! around the libraries that contain the decision logic.
 
 pub mod calls;
 mod clock;
--- a/crates/programs/src/limits.rs
+++ b/crates/programs/src/limits.rs
@@ -1,19 +1,20 @@
-//! How large a configuration may be, and that every part on its path accepts one of that size.
+//! Size limits of a configuration on its way through the control node.
 //!
-//! A configuration that is accepted must be within the bounds of a control state, and that within those of a message between control nodes and a
-//! record on disk. Each part has its own bound; they are compared with each other at compile time.
+//! An accepted configuration must fit into a control state, and the state into a message between control nodes and
+//! into a record on disk. Each package defines its own limit; their relations are checked at compile time.
 
 use mosshead_config::MAX_BYTES as MAX_CONFIGURATION_BYTES;
 use mosshead_consensus::{MAX_BODY_BYTES, MAX_STATE_BYTES};
 use mosshead_record_log::{MAX_FILE_LENGTH, MAX_RECORD_LENGTH};
 use mosshead_rpc::MAX_BODY_BYTES as MAX_CALL_BYTES;
 
-/// The longest body of a request to the HTTP API in bytes: a configuration with a margin for what surrounds it.
+/// The maximum length of a request body of the HTTP API, in bytes: a configuration, with a margin for the JSON around
+/// it.
 pub const MAX_REQUEST_BYTES: usize = MAX_CONFIGURATION_BYTES + (1 << 10);
 
-/// The bytes of a message beside the state that it carries, at most.
+/// The maximum number of bytes that a message adds to the state in it.
 const MESSAGE_OVERHEAD_BYTES: usize = 4 << 10;
-/// The log may contain a snapshot and four times its length after it before it is rewritten.
+/// Before a rewrite, the log may contain a snapshot and four times the snapshot's length of further records.
 const STATES_IN_LOG: u64 = 5;
 
 const _: () = assert!(MAX_CONFIGURATION_BYTES <= MAX_BODY_BYTES, "a valid configuration can be accepted");
--- a/crates/programs/src/logging.rs
+++ b/crates/programs/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log on standard output. A line is an event in lower case after the prefix of its part, with fields as
-//! `name=value`: `consensus: became primary term=7`.
+//! Sets up the log on standard output. A line consists of a component prefix, an event in lower case and `name=value`
+//! fields: `consensus: became primary term=7`.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger};
 
-/// Sets up the log of the process, with debug events if `detailed`. Without a usable standard output nothing is logged.
+/// Sets up the logger of the process, with debug events if `detailed`. If standard output is unusable, nothing is
+/// logged.
 pub(crate) fn start(detailed: bool) {
     let format = PatternFormatter::new(pattern!("{time} {level} {payload}{eol}"));
     let sink = StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(format).build();
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -1,4 +1,4 @@
-//! What the two programs of the fleet share: identity, membership, signals, and settings that are read again.
+//! Code that both programs share: identity, membership, signals, and the reload of settings.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -18,9 +18,9 @@
 use crate::gossip::Gossip;
 use crate::settings::{Settings, SettingsError};
 
-/// The tag of the fleet in datagrams of membership; datagrams with another one are dropped.
+/// Identifies the fleet in membership datagrams. Datagrams with another tag are dropped.
 const FLEET_TAG: u64 = 0x6d6f_7373_6865_6164;
-/// How often the settings are read again.
+/// The interval at which the settings are reloaded.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(4);
 
 quick_error! {
@@ -28,13 +28,13 @@
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum ProcessError {
-        /// The settings lack what this program needs.
+        /// A setting that this program needs is missing.
         Settings(error: SettingsError) {
             display("{error}")
             source(error)
             from()
         }
-        /// The settings make no valid member of the fleet.
+        /// The settings do not describe a valid member of the fleet.
         Peer(error: PeerError) {
             display("{error}")
             source(error)
@@ -63,7 +63,7 @@
     Proxy,
 }
 
-/// A process that takes part in the fleet's membership.
+/// The state that both programs share, after the process has joined the fleet's membership.
 pub(crate) struct FleetProcess {
     pub(crate) settings: Settings,
     settings_path: PathBuf,
@@ -77,7 +77,7 @@
 }
 
 impl FleetProcess {
-    /// Joins the fleet.
+    /// Binds the membership socket and joins the fleet.
     pub(crate) async fn start(
         settings: Settings,
         settings_path: PathBuf,
@@ -108,8 +108,8 @@
         Ok(FleetProcess { settings, settings_path, incarnation, clock, random, gossip, tasks })
     }
 
-    /// Reads the settings again, and passes the seeds to the membership. They are returned for the other parts of the
-    /// process; all other settings stay as they were at the start. `None` if the file can't be used, which is logged.
+    /// Reloads the settings, passes the seeds to the membership protocol and returns them. All other settings keep
+    /// their values from the start. If the file is invalid, logs a warning and returns `None`.
     pub(crate) fn reload_seeds(&self) -> Option<Vec<SocketAddrV4>> {
         match Settings::load(&self.settings_path) {
             Ok(settings) => {
@@ -126,19 +126,18 @@
     }
 }
 
-/// What the main loop of a process reacts to.
+/// An event of the main loop of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessEvent {
-    /// SIGTERM or SIGINT: the process is to shut down.
+    /// SIGTERM or SIGINT: shut down.
     Shutdown,
-    /// SIGHUP, or the time to read the settings again.
+    /// SIGHUP was received, or the reload interval has passed.
     ReloadSettings,
     /// The interval of the main loop has passed.
     Tick,
 }
 
-/// The source of [`ProcessEvent`]s: signals, and the ticks of the main loop, after every few of which the settings are
-/// due to be read again.
+/// The source of [`ProcessEvent`]s: signals, and the ticks of the main loop, which also time the reload of settings.
 pub(crate) struct ProcessEvents {
     hangup: Signal,
     terminate: Signal,
--- a/crates/programs/src/proxy.rs
+++ b/crates/programs/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The program `mosshead-router`, the proxy on `edge` machines.
+//! The process of a proxy (`mosshead-router`).
 
 mod process;
 mod sink;
--- a/crates/programs/src/proxy/process.rs
+++ b/crates/programs/src/proxy/process.rs
@@ -1,4 +1,4 @@
-//! The process: start, main loop and graceful shutdown.
+//! The proxy process: start, main loop and graceful shutdown.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -19,21 +19,21 @@
 use crate::settings::{Settings, SettingsError};
 use crate::update_watcher::{UpdateWatcher, WATCH_SLOTS, WatcherIdentity};
 
-/// How long new connections are accepted after the shutdown began: the platform sends no new clients once two health
-/// checks, a second apart, have failed.
+/// How long new connections are still accepted after the shutdown has begun. The platform stops sending new clients
+/// after two health checks, one second apart, have failed.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2600);
-/// The process ends this long before the platform would kill it.
+/// The process exits this long before the platform would kill it.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// How often the shutdown looks whether all requests have ended.
+/// How often the shutdown checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The interval of the main loop.
 const TICK_INTERVAL: Duration = Duration::from_millis(1000);
-/// Further attempts to bind an address that may still belong to a former process.
+/// The maximum number of retries to bind an address, which a previous process may still use.
 const MAX_BIND_RETRIES: usize = 20;
-/// The pause between these attempts.
+/// The delay between attempts to bind.
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Serves clients until the process is signalled to shut down.
+/// Serves clients until a signal requests the shutdown.
 ///
 /// # Errors
 ///
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// The main loop, until the process is signalled to shut down.
+    /// The main loop, until a signal requests the shutdown.
     async fn run(&self) -> Result<(), ProcessError> {
         let mut events = ProcessEvents::new(interval(TICK_INTERVAL))?;
         loop {
@@ -133,8 +133,8 @@
         self.watcher.add_control_nodes(&control_nodes);
     }
 
-    /// Drains: first health checks fail while connections are still accepted, then only the requests in flight are
-    /// finished.
+    /// Drains the proxy. At first, health checks fail while new connections are still accepted; then only the
+    /// requests in flight are completed.
     async fn shut_down(&self) {
         let start = Instant::now();
         spdlog::info!("router: shutting down in_flight_requests={}", self.data_plane.in_flight_requests());
@@ -154,7 +154,7 @@
     }
 }
 
-/// The weights of the routing decisions, with the deployment's retry budget.
+/// The routing weights, with the retry budget from the settings.
 fn routing_weights(settings: &Settings) -> RoutingWeights {
     RoutingWeights::new(RetryBudgetLimits {
         retry_ratio: settings.retry_budget_ratio(),
--- a/crates/programs/src/proxy/sink.rs
+++ b/crates/programs/src/proxy/sink.rs
@@ -1,4 +1,4 @@
-//! The consumer of updates from the control nodes.
+//! Applies updates from the control nodes to the data plane.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     data_plane: Rc<DataPlane>,
     registry: Rc<RefCell<Registry>>,
     gossip: Rc<Gossip>,
-    /// The number that a control node last reported; 1 before.
+    /// The number of proxies that a control node last reported; 1 before the first report.
     proxy_count: Cell<usize>,
 }
 
@@ -29,7 +29,7 @@
         DataPlaneSink { data_plane, registry, gossip, proxy_count: Cell::new(1) }
     }
 
-    /// Passes the registry and the number of proxies to the data plane again, as both change with time.
+    /// Passes the registry and the number of proxies to the data plane again, because timeouts change both.
     pub(super) fn refresh(&self) {
         self.on_registry_change();
         self.on_proxy_count(self.proxy_count.get());
--- a/crates/programs/src/proxy/status.rs
+++ b/crates/programs/src/proxy/status.rs
@@ -1,4 +1,4 @@
-//! The status of a proxy.
+//! The status of a proxy as JSON.
 
 use mosshead_data_plane::{DataPlane, Frontend};
 use mosshead_registry::Registry;
@@ -8,8 +8,8 @@
 use crate::gossip::Gossip;
 use crate::update_watcher::UpdateWatcher;
 
-/// `core_heard_s` before a control node has responded.
-const NEVER: f64 = -1.0;
+/// The value of `core_heard_s` before a control node has responded.
+const NO_CONTACT_SECONDS: f64 = -1.0;
 
 /// The status as a JSON object; docs/operators/fleet.md documents the fields.
 pub(super) fn status(
@@ -20,7 +20,8 @@
     frontend: &Frontend,
 ) -> String {
     let config = data_plane.config();
-    let since_contact = watcher.last_contact().map_or(NEVER, |contact| contact.elapsed().as_secs_f64());
+    let since_contact =
+        watcher.last_contact().map_or(NO_CONTACT_SECONDS, |contact| contact.elapsed().as_secs_f64());
     let counters = &data_plane.counters;
     format!(
         concat!(
@@ -48,7 +49,7 @@
     )
 }
 
-/// What was learned of each service, as a JSON object.
+/// The learned latencies of each service, as a JSON object.
 fn learned(data_plane: &DataPlane) -> String {
     let services: Vec<String> = data_plane
         .learned_latencies()
--- a/crates/programs/src/send_queues.rs
+++ b/crates/programs/src/send_queues.rs
@@ -1,26 +1,26 @@
-//! How many messages of the consensus group may be in flight to one peer. Small and large messages are counted apart,
-//! so that a large state in flight never delays or displaces heartbeats, promises and records.
+//! Limits the number of consensus messages in flight to one peer. Small and large messages have separate limits, so
+//! that a large state in flight never delays or displaces heartbeats, promises and records.
 //!
-//! Only counts are kept here: a message for which there is no capacity is dropped, it does not wait.
+//! Only counts are kept here. A message above the limit is dropped, not queued.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
 use mosshead_time::Duration;
 
-/// A message that carries more bytes of state than this is large.
+/// A message with more bytes of state than this is large.
 pub const LARGE_MESSAGE_BYTES: usize = 64 << 10;
-/// Small messages in flight to one peer at most.
+/// The maximum number of small messages in flight to one peer.
 const MAX_SMALL_IN_FLIGHT: usize = 8;
-/// Large messages in flight to one peer at most.
+/// The maximum number of large messages in flight to one peer.
 const MAX_LARGE_IN_FLIGHT: usize = 2;
-/// A small message that takes longer is obsolete.
+/// The timeout of a small message, after which it is obsolete.
 const SMALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// A large message that takes longer is obsolete. By length alone, the largest state needs 0.3 s on a link of
-/// 120 Mbit/s.
+/// The timeout of a large message, after which it is obsolete. The transmission alone of the largest state takes 0.3 s
+/// on a link of 120 Mbit/s.
 const LARGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Which of the bounds applies to a message, by the bytes of state that it carries.
+/// The limit that applies to a message, according to its bytes of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendQueue {
     /// Heartbeats, promises, records and short deltas.
@@ -30,12 +30,12 @@
 }
 
 impl SendQueue {
-    /// The queue of a message that carries `state_bytes` bytes of state.
+    /// The queue of a message with `state_bytes` bytes of state.
     pub fn of(state_bytes: usize) -> SendQueue {
         if state_bytes > LARGE_MESSAGE_BYTES { SendQueue::Large } else { SendQueue::Small }
     }
 
-    /// How many messages may be in flight to one peer.
+    /// The maximum number of messages in flight to one peer.
     pub fn capacity(self) -> usize {
         match self {
             SendQueue::Small => MAX_SMALL_IN_FLIGHT,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The timeout of the call that carries a message.
+    /// The timeout of the RPC call that sends a message.
     pub fn timeout(self) -> Duration {
         match self {
             SendQueue::Small => SMALL_TIMEOUT,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The messages in flight, by peer and queue.
+/// The number of messages in flight, by peer and queue.
 #[derive(Debug, Default)]
 pub struct SendQueues {
     /// Never 0, and never above the capacity of the queue.
@@ -60,7 +60,7 @@
 }
 
 impl SendQueues {
-    /// Counts a message as in flight; false if its queue is full, and the message is to be dropped.
+    /// Counts a message as in flight. Returns false if its queue is full and the message must be dropped.
     pub fn enter(&mut self, peer: SocketAddrV4, queue: SendQueue) -> bool {
         let count = self.in_flight.entry((peer, queue)).or_default();
         let has_capacity = *count < queue.capacity();
@@ -70,7 +70,7 @@
         has_capacity
     }
 
-    /// A message that has entered is no longer in flight.
+    /// Records that a message that has entered is no longer in flight.
     pub fn leave(&mut self, peer: SocketAddrV4, queue: SendQueue) {
         if let Some(count) = self.in_flight.get_mut(&(peer, queue)) {
             *count = count.saturating_sub(1);
--- a/crates/programs/src/server_call.rs
+++ b/crates/programs/src/server_call.rs
@@ -1,4 +1,4 @@
-//! One call of a control node to a model server, on a connection of its own.
+//! Sends one HTTP request of a control node to a model server, on a new connection.
 
 use std::net::SocketAddrV4;
 
@@ -10,24 +10,24 @@
 use mosshead_time::Duration;
 use tokio::time::Instant;
 
-/// The longest time until the connection is open.
+/// The timeout for opening the connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes that are not acknowledged for this time end the connection (`TCP_USER_TIMEOUT`).
+/// The connection is closed if sent bytes are not acknowledged for this time (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(400);
 const CONNECT_OPTIONS: ConnectOptions =
     ConnectOptions { timeout: CONNECT_TIMEOUT, user_timeout: Some(TCP_USER_TIMEOUT) };
-/// The peer of these connections, a model server. What happens to them is not logged here.
+/// The peer of these connections, a model server. Connection events are not logged.
 const PEER_KIND: PeerKind = PeerKind::unlogged("server");
 
-/// The head of a response, with the connection that its body comes from.
+/// A response whose body is still to be read, with its connection.
 pub(crate) struct OpenResponse {
     pub(crate) response: Response<Incoming>,
-    /// Dropping it closes it: it is kept until the body was read.
+    /// Kept until the body is read, because dropping it closes the connection.
     _connection: OutboundConnection<Full<Bytes>>,
 }
 
-/// Sends the request once and reads the head of its response. `None` if the connection fails, or if `may_send` says no
-/// right before the first byte.
+/// Sends the request once and reads the head of the response. Returns `None` if the connection fails, or if `may_send`
+/// returns false right before the request is sent.
 pub(crate) async fn call_server(
     address: SocketAddrV4,
     request: Request<Full<Bytes>>,
@@ -36,7 +36,7 @@
 ) -> Option<OpenResponse> {
     let mut connection: OutboundConnection<Full<Bytes>> =
         OutboundConnection::open(PEER_KIND, address.into(), CONNECT_OPTIONS, ()).await?;
-    // The reason to send may have gone while the connection was opened.
+    // The permission to send may have expired while the connection was opened.
     if !connection.ready().await || !may_send() {
         return None;
     }
--- a/crates/programs/src/server_reports.rs
+++ b/crates/programs/src/server_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of model servers about their work, which the owner of the stage role asks for.
+//! Fetches the load reports of model servers for the owner of the stage role.
 
 use std::net::SocketAddrV4;
 
@@ -12,10 +12,10 @@
 
 use crate::server_call::call_server;
 
-/// The time for a report from the opening of its connection to its last byte.
+/// The timeout for a report, from opening the connection to the last byte.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks the server once for its report; `None` where it sends none in time.
+/// Fetches the server's load report without retries; `None` if no valid report arrives in time.
 pub async fn fetch_report(address: SocketAddrV4) -> Option<ServerReport> {
     let deadline = Instant::now() + REPORT_TIMEOUT;
     timeout_at(deadline, exchange(address, deadline)).await.ok().flatten()
--- a/crates/programs/src/settings.rs
+++ b/crates/programs/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process, in the format of Java properties. Unknown fields are ignored.
+//! The settings file of a process, in Java properties format. Unknown fields are ignored.
 
 mod error;
 mod properties;
@@ -12,27 +12,27 @@
 pub use self::error::SettingsError;
 use self::properties::Properties;
 
-/// The interval of heartbeats where the file names none.
+/// The default of `keepalive_ms`.
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
-/// The tolerated failures of control nodes where the file names none.
+/// The default of `fault_tolerance.node_failures`.
 const DEFAULT_NODE_FAILURES: usize = 1;
-/// `bounds.grace_s` where the file names none, in seconds.
+/// The default of `bounds.grace_s`.
 const DEFAULT_GRACE_SECONDS: f64 = 8.0;
-/// `bounds.sync_s` where the file names none, in seconds.
+/// The default of `bounds.sync_s`.
 const DEFAULT_SYNC_SECONDS: f64 = 4.5;
-/// A longer synchronisation time than this changes nothing, in seconds.
+/// The maximum of `bounds.sync_s`; larger values are reduced to it.
 const MAX_SYNC_SECONDS: f64 = 3_600.0;
-/// `bounds.lease_ms` where the file names none, in milliseconds.
+/// The default of `bounds.lease_ms`.
 const DEFAULT_LEASE_MILLIS: f64 = 3000.0;
-/// `bounds.retry_budget_ratio` where the file names none.
+/// The default of `bounds.retry_budget_ratio`.
 const DEFAULT_RETRY_BUDGET_RATIO: f64 = 0.2;
-/// `bounds.retry_extra` where the file names none.
+/// The default of `bounds.retry_extra`.
 const DEFAULT_EXTRA_RETRIES: f64 = 20.0;
-/// `bounds.retry_window_s` where the file names none, in seconds.
+/// The default of `bounds.retry_window_s`.
 const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// A range of ports.
+/// An inclusive range of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The first port of the range.
@@ -41,14 +41,14 @@
     pub last: u16,
 }
 
-/// The settings of a process, as docs/operators/fleet.md lists them.
+/// The settings of a process. docs/operators/fleet.md lists them.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// `node_name`: the name of the machine, unique in the fleet.
     pub node_name: String,
     /// `zone`: the failure domain of the machine.
     pub zone: String,
-    /// `ip_address`: the machine's own address.
+    /// `ip_address`: the address of the machine.
     pub ip_address: Ipv4Addr,
     /// `listen_addresses.front_http`: where a proxy serves clients.
     pub front_http: Option<SocketAddrV4>,
@@ -56,19 +56,20 @@
     pub readiness: Option<SocketAddrV4>,
     /// `listen_addresses.control_plane`: where a control node serves model servers and the operator.
     pub control_plane: Option<SocketAddrV4>,
-    /// `internal_port_range`: the ports for traffic between processes of the fleet. The first is used.
+    /// `internal_port_range`: the ports for traffic between processes of the fleet. Only the first is used.
     pub internal_ports: PortRange,
     /// `seed_nodes`: API addresses of control nodes.
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// `bootstrap`: whether the fleet starts for the first time.
+    /// `bootstrap`: true if the fleet starts for the first time.
     pub bootstrap: bool,
     /// `data_directory`: where a control node keeps its state.
     pub data_directory: Option<PathBuf>,
     /// `keepalive_ms`: how often model servers send heartbeats.
     pub heartbeat_interval: Duration,
-    /// `fault_tolerance.node_failures`: how many disks of control nodes may be lost at once.
+    /// `fault_tolerance.node_failures`: how many control nodes may lose their disks at the same time.
     pub node_failures: usize,
-    /// `bounds.*`: the bounds by name, without the prefix. Finite and not negative; `true` is 1 and `false` is 0.
+    /// `bounds.*`: the bounds by name without the prefix. They are finite and not negative; `true` is 1 and `false`
+    /// is 0.
     pub bounds: BTreeMap<String, f64>,
 }
 
@@ -114,50 +115,51 @@
         })
     }
 
-    /// A bound by name, or its default where the file has none.
+    /// A bound by name, or `default` if the file has none.
     pub fn bound(&self, name: &str, default: f64) -> f64 {
         self.bounds.get(name).copied().unwrap_or(default)
     }
 
-    /// `bounds.grace_s`: the time from SIGTERM to SIGKILL. A number that is no `Duration` is taken as the longest one.
+    /// `bounds.grace_s`: the time from SIGTERM to SIGKILL. A value too large for `Duration` becomes `Duration::MAX`.
     pub fn grace(&self) -> Duration {
         let seconds = self.bound("grace_s", DEFAULT_GRACE_SECONDS);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// `bounds.sync_s`: the time after its start by which a control node counts as synchronised, at most one hour.
+    /// `bounds.sync_s`: how long after its start a control node must be synchronised. The maximum is one hour.
     pub fn sync_time(&self) -> Duration {
         let seconds = self.bound("sync_s", DEFAULT_SYNC_SECONDS).min(MAX_SYNC_SECONDS);
         Duration::from_millis((seconds * MILLIS_PER_SECOND) as u64)
     }
 
-    /// `bounds.lease_ms`: how long the lease of a singleton role lasts.
+    /// `bounds.lease_ms`: the duration of the lease of a singleton role.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.bound("lease_ms", DEFAULT_LEASE_MILLIS) as u64)
     }
 
-    /// `bounds.retry_budget_ratio`: how many retries are allowed for each request, all proxies together.
+    /// `bounds.retry_budget_ratio`: the allowed ratio of retries to requests, over all proxies.
     pub fn retry_budget_ratio(&self) -> f64 {
         self.bound("retry_budget_ratio", DEFAULT_RETRY_BUDGET_RATIO)
     }
 
-    /// `bounds.retry_extra`: how many retries are allowed in each window beyond that ratio.
+    /// `bounds.retry_extra`: the number of retries allowed in each window in addition to that ratio.
     pub fn extra_retries(&self) -> f64 {
         self.bound("retry_extra", DEFAULT_EXTRA_RETRIES)
     }
 
-    /// `bounds.retry_window_s`: the window in which retries are counted.
+    /// `bounds.retry_window_s`: the time window over which retries are counted.
     pub fn retry_window(&self) -> Duration {
         let seconds = self.bound("retry_window_s", DEFAULT_RETRY_WINDOW_SECONDS);
         Duration::from_millis((seconds * MILLIS_PER_SECOND) as u64)
     }
 
-    /// The address for other processes of the fleet: membership by UDP, and calls to a control node by TCP.
+    /// The address for traffic between processes of the fleet: membership over UDP, and RPC calls to a control node
+    /// over TCP.
     pub fn internal_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip_address, self.internal_ports.first)
     }
 
-    /// The internal addresses of the seeds; the ports are the same on all machines.
+    /// The internal addresses of the seeds. All machines use the same internal port.
     pub fn internal_seed_addresses(&self) -> Vec<SocketAddrV4> {
         self.seed_nodes.iter().map(|seed| SocketAddrV4::new(*seed.ip(), self.internal_ports.first)).collect()
     }
--- a/crates/programs/src/settings/error.rs
+++ b/crates/programs/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a settings file.
+//! Errors in a settings file.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// An error of a settings file. The codes are listed in docs/codes.md.
+    /// An error in a settings file. docs/codes.md lists the codes.
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum SettingsError {
@@ -15,7 +15,7 @@
             display("S01 {}: can't be read: {}", path.display(), error)
             source(error)
         }
-        /// A line is no `key=value`, or not UTF-8.
+        /// A line is not `key=value`, or not UTF-8.
         InvalidLine(line: usize, reason: String) {
             display("S02 line {line}: {reason}")
         }
@@ -23,7 +23,7 @@
         Missing(key: &'static str) {
             display("S03 {key} is missing")
         }
-        /// A field has a value that is not of its type, or out of its range.
+        /// The value of a field has the wrong type, or is out of range.
         InvalidValue(line: usize, key: String, value: String, expected: &'static str) {
             display("S04 line {line}: {key} is '{value}': it must be {expected}")
         }
--- a/crates/programs/src/settings/properties.rs
+++ b/crates/programs/src/settings/properties.rs
@@ -1,4 +1,4 @@
-//! The `key=value` lines of a settings file, with typed access to the values.
+//! Parses the `key=value` lines of a settings file, and gives typed access to the values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,16 +9,16 @@
 use super::PortRange;
 use super::error::SettingsError;
 
-/// What the value of an address field must be, as error messages say it.
-const ADDRESS: &str = "an IPv4 address and port";
-/// What the value of `internal_port_range` must be, as error messages say it.
-const PORT_RANGE: &str = "two ports, joined by a comma";
-/// What the value of a bound must be, as error messages say it.
-const BOUND: &str = "a number of 0 or more, true or false";
-/// The keys of bounds begin with this.
+/// The expected value of an address field, for error messages.
+const EXPECTED_ADDRESS: &str = "an IPv4 address and port";
+/// The expected value of `internal_port_range`, for error messages.
+const EXPECTED_PORT_RANGE: &str = "two ports, joined by a comma";
+/// The expected value of a bound, for error messages.
+const EXPECTED_BOUND: &str = "a number of 0 or more, true or false";
+/// The prefix of the keys of bounds.
 const BOUND_PREFIX: &str = "bounds.";
 
-/// A value with the number of its line, counted from 1.
+/// A value with its line number, counted from 1.
 struct Property {
     line: usize,
     value: String,
@@ -33,19 +33,19 @@
         SettingsError::InvalidValue(self.line, key.to_owned(), value.to_owned(), expected)
     }
 
-    /// A bound: `true` is 1, `false` is 0.
+    /// Parses a bound, where `true` is 1 and `false` is 0.
     fn parse_bound(&self, key: &str) -> Result<f64, SettingsError> {
         let number: f64 = match self.value.trim() {
             "true" => 1.0,
             "false" => 0.0,
-            _ => self.parse(key, BOUND)?,
+            _ => self.parse(key, EXPECTED_BOUND)?,
         };
         let is_valid = number.is_finite() && number >= 0.0;
-        if is_valid { Ok(number) } else { Err(self.invalid(key, &self.value, BOUND)) }
+        if is_valid { Ok(number) } else { Err(self.invalid(key, &self.value, EXPECTED_BOUND)) }
     }
 }
 
-/// The fields of a settings file by key. The last of several lines with one key counts.
+/// The fields of a settings file by key. If a key occurs several times, the last line wins.
 pub(super) struct Properties {
     by_key: BTreeMap<String, Property>,
 }
@@ -91,27 +91,28 @@
     }
 
     pub(super) fn address(&self, key: &str) -> Result<Option<SocketAddrV4>, SettingsError> {
-        self.parsed(key, ADDRESS)
+        self.parsed(key, EXPECTED_ADDRESS)
     }
 
-    /// Addresses with commas between them; empty items are skipped.
+    /// A comma-separated list of addresses. Empty items are skipped.
     pub(super) fn addresses(&self, key: &str) -> Result<Vec<SocketAddrV4>, SettingsError> {
         let Some(property) = self.by_key.get(key) else { return Ok(Vec::new()) };
         let items = property.value.split(',').map(str::trim).filter(|item| !item.is_empty());
-        items.map(|item| item.parse().map_err(|_| property.invalid(key, item, ADDRESS))).collect()
+        items.map(|item| item.parse().map_err(|_| property.invalid(key, item, EXPECTED_ADDRESS))).collect()
     }
 
-    /// Two ports with a comma between them; a single port is both.
+    /// Two comma-separated ports. A single port is both the first and the last.
     pub(super) fn required_port_range(&self, key: &'static str) -> Result<PortRange, SettingsError> {
         let property = self.by_key.get(key).ok_or(SettingsError::Missing(key))?;
         let text = property.value.as_str();
         let (first, last) = text.split_once(',').unwrap_or((text, text));
-        let port =
-            |text: &str| text.trim().parse().map_err(|_| property.invalid(key, &property.value, PORT_RANGE));
+        let port = |text: &str| {
+            text.trim().parse().map_err(|_| property.invalid(key, &property.value, EXPECTED_PORT_RANGE))
+        };
         Ok(PortRange { first: port(first)?, last: port(last)? })
     }
 
-    /// All bounds, by their names without the prefix.
+    /// All bounds by name, without the prefix.
     pub(super) fn bounds(&self) -> Result<BTreeMap<String, f64>, SettingsError> {
         let bounds = self
             .by_key
@@ -121,8 +122,8 @@
     }
 }
 
-/// Rejects bytes that are not UTF-8 before the library sees them: its decoder panics at a byte order mark that is cut
-/// off.
+/// Rejects bytes that are not UTF-8 before they reach the properties library, whose decoder panics on a truncated
+/// byte order mark.
 fn check_utf8(text: &[u8]) -> Result<(), SettingsError> {
     let Err(error) = std::str::from_utf8(text) else { return Ok(()) };
     let valid = text.get(..error.valid_up_to()).unwrap_or_default();
--- a/crates/programs/src/stage_orders.rs
+++ b/crates/programs/src/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Orders by which the owner of the stage role assigns stages to model servers.
+//! Sends the orders by which the owner of the stage role assigns stages to model servers.
 
 use std::net::SocketAddrV4;
 
@@ -13,7 +13,7 @@
 
 use crate::server_call::call_server;
 
-/// The time for an order from the opening of its connection to the response.
+/// The timeout for an order, from opening the connection to the response.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// An order to a model server.
@@ -21,16 +21,16 @@
 pub struct OrderMessage<'a> {
     /// The address of the server.
     pub address: SocketAddrV4,
-    /// What the server is to do.
+    /// The assigned stage and the id of the server.
     pub assignment: &'a StageAssignment,
     /// The node name of the owner of the role.
     pub owner: &'a str,
-    /// The fencing token of the owner: servers reject orders with a lower one than they have seen.
+    /// The fencing token of the owner. A server rejects orders with a lower token than the highest it has seen.
     pub fencing_token: u64,
 }
 
 impl OrderMessage<'_> {
-    /// The HTTP request; `None` if the id of the server is no valid header value.
+    /// The HTTP request; `None` if the id of the server is not a valid header value.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let stage = match self.assignment.stage {
             Stage::Prefill => "prefill",
@@ -50,8 +50,8 @@
     }
 }
 
-/// Sends an order once, on a connection of its own, and never again: the outcome of one without a response is unknown.
-/// `may_send` is called right before the first byte.
+/// Sends an order on a new connection, without retries. Without a response, the outcome is unknown. `may_send` is
+/// called right before the order is sent.
 pub async fn send_order(message: &OrderMessage<'_>, may_send: impl Fn() -> bool) -> AssignmentOutcome {
     let deadline = Instant::now() + ORDER_TIMEOUT;
     match timeout_at(deadline, exchange(message, may_send, deadline)).await {
@@ -61,8 +61,8 @@
     }
 }
 
-/// Sends an order and returns the status of the response. `None` if there is no response, the request can't be built, or
-/// the role was lost before the order was sent.
+/// Sends an order and returns the status of the response. `None` if there is no response, if the request can't be
+/// built, or if the role was lost before the order was sent.
 async fn exchange(
     message: &OrderMessage<'_>,
     may_send: impl Fn() -> bool,
--- a/crates/programs/src/update_watcher.rs
+++ b/crates/programs/src/update_watcher.rs
@@ -1,7 +1,7 @@
-//! How a proxy keeps up with the control nodes: it watches a few of them at a time, and shows by a version vector which
-//! entries of the registry it has.
+//! Keeps a proxy up to date: it watches several control nodes at a time by long polls, and sends its version vector
+//! to get only the registry entries it lacks.
 //!
-//! A slot is one of the [`WATCH_SLOTS`] tasks that do so. Each watches one control node at a time, and no two the same.
+//! A slot is one of the [`WATCH_SLOTS`] watch tasks. Each slot watches a different control node.
 
 mod config_fetcher;
 mod pauses;
--- a/crates/programs/src/update_watcher/config_fetcher.rs
+++ b/crates/programs/src/update_watcher/config_fetcher.rs
@@ -1,4 +1,4 @@
-//! Fetches newer configurations from control nodes, one at a time.
+//! Fetches newer configurations from control nodes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -12,13 +12,13 @@
 use crate::calls::FetchConfig;
 use crate::config_transfer::{IncomingTransfer, TransferProgress};
 
-/// The timeout of the call for one chunk. A control node that is lost during a transfer costs this much: what was received
-/// is kept, and another one continues.
+/// The timeout of the call for one chunk. If a control node fails during a transfer, this is the delay before another
+/// one continues it; the received chunks are kept.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(700);
-/// The revision of a receiver that has no configuration: it is sent the full text.
+/// The revision of a receiver without a configuration, which gets the full text.
 pub(super) const NO_REVISION: u64 = 0;
 
-/// Held for as long as a fetch is in progress.
+/// Marks a fetch as in progress until it is dropped.
 struct FetchGuard<'a> {
     is_fetching: &'a Cell<bool>,
 }
@@ -36,11 +36,11 @@
     }
 }
 
-/// Fetches configurations; one fetch is in progress at a time.
+/// Fetches configurations, one at a time.
 pub(super) struct ConfigFetcher {
     caller: Caller,
     is_fetching: Cell<bool>,
-    /// A transfer whose control node did not answer.
+    /// A transfer whose control node did not respond, to be continued with another one.
     interrupted: RefCell<Option<IncomingTransfer>>,
 }
 
@@ -49,8 +49,8 @@
         ConfigFetcher { caller, is_fetching: Cell::new(false), interrupted: RefCell::default() }
     }
 
-    /// Fetches the newest configuration, by patches to the one in force where they lead to it. `None` if another fetch
-    /// is in progress, a call fails, or the control node offers nothing.
+    /// Fetches the newest configuration, as patches to the active one if possible. Returns `None` if another fetch is
+    /// in progress, a call fails, or the control node offers no configuration.
     pub(super) async fn fetch(
         &self,
         control_node: SocketAddrV4,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Fetches the offer that leads from a revision to the newest, and assembles the configuration. `None` if a
+    /// Fetches the offer from a base revision to the newest one, and assembles the configuration. Returns `None` if a
     /// call fails or the chunks are corrupt.
     async fn fetch_from(
         &self,
--- a/crates/programs/src/update_watcher/sink.rs
+++ b/crates/programs/src/update_watcher/sink.rs
@@ -1,17 +1,17 @@
-//! The consumer of what a proxy receives from control nodes.
+//! The interface through which the watcher passes on updates.
 
 use std::sync::Arc;
 
 use mosshead_config::Config;
 
-/// The consumer of what the watcher receives.
+/// Applies the updates that the watcher receives.
 pub(crate) trait UpdateSink {
-    /// The configuration in force.
+    /// The active configuration.
     fn config(&self) -> Option<Arc<Config>>;
-    /// Puts a newer configuration into force.
+    /// Activates a newer configuration.
     fn apply_config(&self, config: Arc<Config>);
-    /// The registry has changed.
+    /// Called when the registry has changed.
     fn on_registry_change(&self);
-    /// A control node has reported how many proxies there are.
+    /// Called when a control node has reported the number of proxies.
     fn on_proxy_count(&self, count: usize);
 }
--- a/crates/programs/src/update_watcher/watcher.rs
+++ b/crates/programs/src/update_watcher/watcher.rs
@@ -1,4 +1,4 @@
-//! Which control nodes are watched, and what is done with their responses.
+//! Watches control nodes by long polls, and applies their responses.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -16,20 +16,20 @@
 use crate::calls::{ReplicateEntries, Updates, WatchUpdates};
 use crate::clock::Clock;
 
-/// How long a control node may wait for something new until it responds, in all calls but the first to it.
+/// How long a control node may wait for a change before it responds, except in the first call to it.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The same for the first call to a control node, which is to respond at once.
+/// The wait of the first call to a control node, which should respond at once.
 const FIRST_WATCH_WAIT: Duration = Duration::from_millis(1);
-/// How much longer than the wait a response may take.
+/// The timeout of a call is its wait plus this margin.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
-/// The pause of a slot before it looks for a control node again when there is none.
+/// The delay of a slot before it looks again for a control node, if none is available.
 const IDLE_PAUSE: Duration = Duration::from_millis(150);
-/// Entries that are sent with one call, at most.
+/// The maximum number of entries in one call.
 const MAX_ENTRIES_PER_CALL: usize = 400;
-/// Calls by which all entries are sent to a control node that lacks entries after its restart, at most.
+/// The maximum number of calls that send all entries to a control node that lacks entries after its restart.
 const MAX_REPLICATION_CALLS: usize = 64;
 
-/// The process that watches, as control nodes count it.
+/// Identifies this process to the control nodes.
 pub(crate) struct WatcherIdentity {
     /// The node name of the process.
     pub(crate) node_name: String,
@@ -45,14 +45,14 @@
     config_fetcher: ConfigFetcher,
     sink: Rc<S>,
     registry: Rc<RefCell<Registry>>,
-    /// The control nodes that may be watched, and which slots watch them.
+    /// The control nodes that may be watched, and those that a slot watches now.
     pool: RefCell<ControlNodePool>,
     /// When a control node with quorum contact last responded.
     last_contact: Cell<Option<tokio::time::Instant>>,
 }
 
 impl<S: UpdateSink + 'static> UpdateWatcher<S> {
-    /// A watcher that knows the seeds only.
+    /// Creates a watcher that knows only the seeds.
     pub(crate) fn new(
         identity: WatcherIdentity,
         clock: Clock,
@@ -78,7 +78,7 @@
         self.pool.borrow_mut().add(addresses);
     }
 
-    /// How many control nodes are known, lost ones perhaps among them.
+    /// The number of known control nodes, which may include failed ones.
     pub(crate) fn control_node_count(&self) -> usize {
         self.pool.borrow().addresses().len()
     }
@@ -88,7 +88,8 @@
         self.last_contact.get()
     }
 
-    /// Watches one control node after the other for as long as the future is polled. Slots count from 0.
+    /// Runs a watch slot for as long as the future is polled: watches a control node until it fails, then the next
+    /// one. Slots are numbered from 0.
     pub(crate) async fn run(self: Rc<Self>, slot: usize) {
         loop {
             let now = self.clock.now();
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Makes one call, and applies its response. `None` if it failed, else whether the control node has quorum contact.
+    /// Makes one call and applies its response. Returns the quorum contact of the control node, or `None` if the call
+    /// failed.
     async fn watch_once(
         &self,
         control_node: SocketAddrV4,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Merges entries that have just arrived.
+    /// Merges received entries, and notifies the sink if the registry has changed.
     fn merge(&self, delta: Delta) {
         let changed = self.registry.borrow_mut().merge(self.clock.now(), delta);
         if changed {
--- a/crates/programs/tests/calls.rs
+++ b/crates/programs/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between processes of the fleet survive encoding and decoding.
+//! Round-trip tests for the encoding of the calls between processes of the fleet.
 
 use std::fmt::Debug;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,7 +15,7 @@
 use mosshead_time::Duration;
 use quickcheck::quickcheck;
 
-/// Whether a value that is encoded, decoded and encoded again stays the same, and its truncated bytes are rejected.
+/// True if a value is unchanged by an encoding round trip, and its truncated bytes are rejected.
 fn survives_encoding<T: Debug + Encode<()> + for<'b> Decode<'b, ()>>(value: &T) -> bool {
     let bytes = minicbor::to_vec(value).expect("encodes");
     let decoded: T = minicbor::decode(&bytes).expect("decodes");
--- a/crates/programs/tests/common/mod.rs
+++ b/crates/programs/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Processes of a fleet on loopback, and calls to them.
+//! Starts processes of a fleet on loopback addresses, and sends HTTP requests to them.
 
-// Each test file uses a part of these.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -14,25 +14,25 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tinyjson::JsonValue;
 
-/// A step of the test takes no longer, on a busy machine too.
-pub(crate) const BOUND: Duration = Duration::from_secs(20);
-/// The pause between two attempts.
+/// The timeout of one step of a test, long enough for a busy machine.
+pub(crate) const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+/// The delay between two attempts.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 pub(crate) fn free_port(address: Ipv4Addr) -> u16 {
     TcpListener::bind((address, 0)).unwrap().local_addr().unwrap().port()
 }
 
-/// Repeats an attempt until it succeeds.
+/// Repeats an attempt until it succeeds, or panics after [`STEP_TIMEOUT`].
 pub(crate) fn eventually<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
-    while start.elapsed() < BOUND {
+    while start.elapsed() < STEP_TIMEOUT {
         if let Some(result) = attempt() {
             return result;
         }
         thread::sleep(POLL_INTERVAL);
     }
-    panic!("{what}: not within {BOUND:?}");
+    panic!("{what}: not within {STEP_TIMEOUT:?}");
 }
 
 /// A process of the fleet. It is killed when this is dropped.
@@ -56,7 +56,7 @@
         &self.settings
     }
 
-    /// What `status` prints; `None` as long as the process does not answer.
+    /// The output of the `status` command; `None` while the process does not respond.
     pub(crate) fn status(&self) -> Option<HashMap<String, JsonValue>> {
         let mut command = Command::new(self.program);
         let output = command.args(["status", "--settings"]).arg(&self.settings).output().unwrap();
@@ -65,7 +65,7 @@
         value.get::<HashMap<String, JsonValue>>().cloned()
     }
 
-    pub(crate) fn keys_of_status(&self) -> std::collections::BTreeSet<String> {
+    pub(crate) fn status_keys(&self) -> std::collections::BTreeSet<String> {
         eventually("status", || self.status()).into_keys().collect()
     }
 
@@ -89,10 +89,10 @@
     }
 }
 
-/// Sends a request on a connection of its own, and reads until its end. Empty: nobody listens.
+/// Sends a request on a new connection, and reads the response to its end. Returns an empty string if nothing listens.
 pub(crate) fn exchange(address: SocketAddrV4, request: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(address) else { return String::new() };
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let mut response = Vec::new();
     let sent = stream.write_all(request.as_bytes());
     let _ = sent.and_then(|()| stream.read_to_end(&mut response));
--- a/crates/programs/tests/config_transfer.rs
+++ b/crates/programs/tests/config_transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers of configurations in chunks: the receiver gets the complete update or none.
+//! Transfers of configurations in chunks: the receiver gets the complete offer or nothing.
 
 use minicbor::to_vec;
 use mosshead_programs::config_transfer::{
@@ -17,12 +17,12 @@
     (0..length).map(|_| next()).collect()
 }
 
-fn full_text_update(revision: u64, length: usize) -> ConfigOfferMessage {
+fn full_text_offer(revision: u64, length: usize) -> ConfigOfferMessage {
     ConfigOfferMessage { revision, patches: Vec::new(), full_text: Some(noise(length, revision)) }
 }
 
-/// Transfers to the end; `newest` is the update that the sender would make at each chunk. The last progress, and how
-/// many chunks were sent.
+/// Runs a transfer to its end, where `newest` is the sender's newest offer at each chunk. Returns the final progress
+/// and the number of chunks sent.
 fn fetch(newest: impl Fn(usize) -> ConfigOfferMessage) -> (TransferProgress, usize) {
     let (mut outgoing, mut incoming) = (OutgoingTransfers::default(), IncomingTransfer::new(4));
     for chunks in 0..1_000 {
@@ -38,15 +38,15 @@
 
 #[test]
 fn a_large_update_arrives_in_chunks() {
-    let (end, chunks) = fetch(|_| full_text_update(6, 10 * CHUNK_BYTES));
-    assert_eq!(end, TransferProgress::Complete(full_text_update(6, 10 * CHUNK_BYTES)));
+    let (end, chunks) = fetch(|_| full_text_offer(6, 10 * CHUNK_BYTES));
+    assert_eq!(end, TransferProgress::Complete(full_text_offer(6, 10 * CHUNK_BYTES)));
     assert!((8..=11).contains(&chunks), "{chunks}");
 }
 
 #[test]
 fn a_transfer_continues_while_newer_configurations_are_committed() {
-    let (end, chunks) = fetch(|chunk| full_text_update(6 + chunk as u64, 10 * CHUNK_BYTES));
-    assert_eq!(end, TransferProgress::Complete(full_text_update(6, 10 * CHUNK_BYTES)));
+    let (end, chunks) = fetch(|chunk| full_text_offer(6 + chunk as u64, 10 * CHUNK_BYTES));
+    assert_eq!(end, TransferProgress::Complete(full_text_offer(6, 10 * CHUNK_BYTES)));
     assert!(chunks <= 11, "{chunks}");
 }
 
@@ -65,18 +65,18 @@
 #[test]
 fn a_transfer_that_the_sender_has_dropped_restarts() {
     let (mut outgoing, mut incoming) = (OutgoingTransfers::default(), IncomingTransfer::new(4));
-    let first = outgoing.next_chunk(incoming.next_request(), 6, || full_text_update(6, 3 * CHUNK_BYTES));
+    let first = outgoing.next_chunk(incoming.next_request(), 6, || full_text_offer(6, 3 * CHUNK_BYTES));
     assert_eq!(incoming.on_chunk(&first), TransferProgress::Incomplete);
     let mut other = OutgoingTransfers::default();
-    let restart = other.next_chunk(incoming.next_request(), 8, || full_text_update(8, 100));
+    let restart = other.next_chunk(incoming.next_request(), 8, || full_text_offer(8, 100));
     assert_eq!((restart.target_revision, restart.offset), (8, 0));
-    assert_eq!(incoming.on_chunk(&restart), TransferProgress::Complete(full_text_update(8, 100)));
+    assert_eq!(incoming.on_chunk(&restart), TransferProgress::Complete(full_text_offer(8, 100)));
 }
 
-/// The control node is lost during the transfer; another one with the same history continues it at the last chunk.
+/// The control node fails during the transfer; another one with the same history continues it after the last chunk.
 #[test]
 fn another_sender_continues_an_interrupted_transfer() {
-    let update = full_text_update(6, 5 * CHUNK_BYTES);
+    let update = full_text_offer(6, 5 * CHUNK_BYTES);
     let (mut lost, mut next) = (OutgoingTransfers::default(), OutgoingTransfers::default());
     let mut incoming = IncomingTransfer::new(4);
     for _ in 0..2 {
@@ -95,10 +95,10 @@
     assert_eq!(progress, TransferProgress::Complete(update));
 }
 
-/// Another control node may lead to the same revision by other patches: nothing of the two is mixed.
+/// Another control node may reach the same revision by different patches. The chunks of the two must not be mixed.
 #[test]
 fn a_sender_with_another_history_starts_the_transfer_anew() {
-    let (one, other) = (full_text_update(6, 3 * CHUNK_BYTES), full_text_update(6, 3 * CHUNK_BYTES + 1));
+    let (one, other) = (full_text_offer(6, 3 * CHUNK_BYTES), full_text_offer(6, 3 * CHUNK_BYTES + 1));
     let (mut lost, mut next) = (OutgoingTransfers::default(), OutgoingTransfers::default());
     let mut incoming = IncomingTransfer::new(4);
     let chunk = lost.next_chunk(incoming.next_request(), 6, || one);
@@ -113,12 +113,12 @@
     assert_eq!(progress, TransferProgress::Complete(other));
 }
 
-/// A sender of an earlier release names no checksum: what it has sent is continued by it alone.
+/// A sender of an earlier release gives no checksum, so only this sender can continue its transfer.
 #[test]
 fn chunks_without_a_checksum_are_not_continued_elsewhere() {
     let mut outgoing = OutgoingTransfers::default();
     let mut incoming = IncomingTransfer::new(4);
-    let update = full_text_update(6, 3 * CHUNK_BYTES);
+    let update = full_text_offer(6, 3 * CHUNK_BYTES);
     let mut progress = TransferProgress::Incomplete;
     while progress == TransferProgress::Incomplete {
         let chunk = outgoing.next_chunk(incoming.next_request(), 6, || update.clone());
@@ -132,7 +132,7 @@
 fn receivers_with_the_same_configuration_share_a_transfer() {
     let mut outgoing = OutgoingTransfers::default();
     let request = ChunkRequest::first(4);
-    let first = outgoing.next_chunk(request, 6, || full_text_update(6, 1_000));
+    let first = outgoing.next_chunk(request, 6, || full_text_offer(6, 1_000));
     let second = outgoing.next_chunk(request, 6, || unreachable!("the transfer is kept"));
     assert_eq!(first, second);
 }
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_false_length_allocates_nothing() {
+fn a_wrong_length_allocates_nothing() {
     let mut incoming = IncomingTransfer::new(4);
     let bytes = [u32::MAX.to_le_bytes().as_slice(), &[0; 8]].concat();
     let chunk = ConfigChunk {
--- a/crates/programs/tests/config_updates.rs
+++ b/crates/programs/tests/config_updates.rs
@@ -1,4 +1,4 @@
-//! The configuration that a proxy assembles from an update.
+//! The configuration that a proxy assembles from an offer, and the delays of its watch slots.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 const FULL_TEXT: &str = include_str!("samples/replace.json");
 const MODIFY: &str = include_str!("samples/modify.json");
 
-/// Three configurations, each made from the one before.
+/// Three configurations, each derived from the previous one.
 fn three_configurations() -> [Config; 3] {
     let first = Config::parse(FULL_TEXT.as_bytes()).expect("the sample");
     let second = first.modify(MODIFY.as_bytes()).expect("the other sample");
@@ -20,7 +20,7 @@
     [first, second, third]
 }
 
-/// The configuration that an update on the wire leads to.
+/// The configuration that an offer on the wire results in.
 fn assemble_update(in_force: Option<&Config>, update: &ConfigOfferMessage) -> Option<Arc<Config>> {
     match assemble_config(in_force, &update.clone().into()) {
         AssembledConfig::Config(config) => Some(config),
@@ -89,8 +89,8 @@
     }
 }
 
-/// A change has to be in force 300 ms after it is committed, also where two of the three control nodes that a proxy
-/// watches don't respond; half of that is for the way.
+/// A change must be active 300 ms after it is committed, even if two of the three control nodes that a proxy watches
+/// don't respond. Half of this time is reserved for the network.
 #[test]
 fn slots_call_again_soon_after_a_change_and_not_all_at_once() {
     let pauses: Vec<Duration> = (0..WATCH_SLOTS).map(requery_pause).collect();
--- a/crates/programs/tests/control_api.rs
+++ b/crates/programs/tests/control_api.rs
@@ -1,4 +1,4 @@
-//! What model servers and the operator send to the HTTP API.
+//! Heartbeats of model servers and digests of operator requests, as the HTTP API processes them.
 
 use mosshead_programs::control_api::{parse_heartbeat, request_digest};
 use mosshead_registry::{Model, OperState, Server, Stage};
@@ -66,7 +66,7 @@
         true
     }
 
-    /// The sample with a part of it replaced.
+    /// A part of the sample is replaced by arbitrary bytes.
     fn a_mutated_sample_never_panics(position: usize, length: u8, replacement: Vec<u8>) -> bool {
         let mut bytes = HEARTBEAT.as_bytes().to_vec();
         let from = position % bytes.len();
@@ -76,7 +76,7 @@
         true
     }
 
-    /// Where the sample has a number, any other one is accepted or ignored.
+    /// Any number in place of a number of the sample is accepted or ignored.
     fn any_number_is_tolerated(number: f64) -> bool {
         let text = HEARTBEAT.replace("\"slots\":64", &format!("\"slots\":{number}"));
         let text = text.replace("\"sequence\":4", &format!("\"sequence\":{number}"));
@@ -109,7 +109,7 @@
         TestResult::from_bool(request_digest(&path, base, &body) != request_digest(&path, base, &other))
     }
 
-    /// A single byte that differs is always seen.
+    /// A difference in a single byte changes the digest.
     fn another_byte_has_another_digest(base: u64, body: Vec<u8>, position: usize, flipped_bits: u8) -> TestResult {
         if body.is_empty() || flipped_bits == 0 {
             return TestResult::discard();
@@ -130,8 +130,8 @@
     assert_ne!(request_digest(replace, 5, b""), request_digest(replace, 5, b"\0"));
 }
 
-/// The two bodies had one digest of 64 bits, c26c5b9c75a6ffec, under the function that was used before: both operators
-/// would have been answered that their change was accepted.
+/// These two bodies had the same digest, c26c5b9c75a6ffec, under the 64-bit function of an earlier version. With a
+/// collision, both operators are told that their change was accepted, although only one was.
 #[test]
 fn bodies_that_collided_in_a_64_bit_digest_have_different_digests() {
     let path = "/Configuration.Replace";
@@ -139,14 +139,16 @@
     assert_ne!(request_digest(path, 0, &body("hHh6mvhYQDH")), request_digest(path, 0, &body("pRkmGoE1dMI")));
 }
 
-/// SHA-256 of path, base and body, each behind its length in eight bytes; computed by another implementation.
+/// The expected SHA-256 was computed by another implementation, over path, base revision and body, each prefixed with
+/// its length in eight bytes.
 #[test]
 fn the_digest_matches_another_implementation() {
     let expected = "c4fe1c8d04f00fa9be601e0475c40d7c7bba7bb26d093c614b49ffb490e3b756";
     assert_eq!(format!("{:?}", request_digest("/Configuration.Replace", 5, b"{}")), expected);
 }
 
-/// Prints what the digest of a large configuration costs: `cargo test --release -p mosshead-programs cost_of_a_digest -- --nocapture`.
+/// Prints the time to compute the digest of a large configuration:
+/// `cargo test --release -p mosshead-programs cost_of_a_digest -- --nocapture`.
 #[test]
 fn the_cost_of_a_digest_is_printed() {
     let body = vec![b'x'; 3 << 20];
--- a/crates/programs/tests/documentation.rs
+++ b/crates/programs/tests/documentation.rs
@@ -1,11 +1,12 @@
-//! What the documentation points at is there: files behind relative links, and tests that pages name.
+//! Checks that the documentation matches the repository: relative links, paths, names of the code and of tests, and the
+//! explanations of log lines.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 /// Directories that contain no pages or sources of this repository.
 const SKIPPED: [&str; 3] = ["target", ".git", "node_modules"];
-/// The pages that name tests: each of their names in backquotes that looks like one is taken for a test.
+/// The pages that name tests. Each name in backquotes that looks like a test name must be a test.
 const PAGES_WITH_TESTS: [&str; 6] = [
     "docs/design/0008-control-under-faults.md",
     "docs/design/0009-rules-and-tests.md",
@@ -14,13 +15,13 @@
     "docs/incidents/0003-large-configuration-never-arrived.md",
     "docs/incidents/0004-transfer-from-a-lost-control-node.md",
 ];
-/// Pages whose names of the code have to be there.
+/// The pages whose names of code items must exist in the code.
 const PAGES_WITH_NAMES: [&str; 2] = ["docs/architecture.md", "docs/glossary.md"];
-/// The glossary's first column has the former words, which are not in the code.
+/// The glossary. The first column of its tables contains former names, which are no longer in the code.
 const GLOSSARY: &str = "docs/glossary.md";
-/// The page that explains the log of the fleet's programs.
+/// The page that explains the log lines of the fleet's programs.
 const LOG_PAGE: &str = "docs/operators/fleet.md";
-/// The names of tests are sentences; other names of the page have fewer words.
+/// Test names are sentences with at least this many underscores; other names on these pages have fewer.
 const MIN_UNDERSCORES: usize = 3;
 
 fn root() -> PathBuf {
@@ -51,7 +52,7 @@
     text.split("](").skip(1).filter_map(|rest| rest.split_once(')')).map(|(target, _)| target)
 }
 
-/// The texts in backquotes. An odd number of backquotes in a line ends with it.
+/// The texts in backquotes. An unclosed backquote ends with its line.
 fn quoted(text: &str) -> impl Iterator<Item = &str> {
     text.lines().flat_map(|line| line.split('`').skip(1).step_by(2))
 }
@@ -61,8 +62,8 @@
     text.bytes().all(is_word) && text.matches('_').count() >= MIN_UNDERSCORES
 }
 
-/// All words of the sources and settings, and the packages' names as paths have them.
-fn words_of_the_code() -> BTreeSet<String> {
+/// All identifiers in the sources and TOML files, and the names of the packages as in Rust paths.
+fn identifiers_in_code() -> BTreeSet<String> {
     let mut words = BTreeSet::new();
     for extension in ["rs", "toml"] {
         for file in all_files(extension) {
@@ -85,7 +86,7 @@
         .filter(|word| !word.is_empty())
 }
 
-/// Whether a quoted word is a name of the code: a type, or several words joined.
+/// True if a quoted word looks like a code item: a type name, or several words joined by underscores.
 fn is_code_name(word: &str) -> bool {
     let is_type = word.starts_with(|letter: char| letter.is_ascii_uppercase())
         && word.contains(|letter: char| letter.is_ascii_lowercase());
@@ -93,7 +94,7 @@
     is_type || is_joined
 }
 
-/// The part of a line that may name the code.
+/// The part of a line that may contain names of code items.
 fn part_with_names<'a>(page: &str, line: &'a str) -> &'a str {
     let is_row = page == GLOSSARY && line.starts_with('|');
     if is_row { line[1..].split_once('|').map_or("", |(_, rest)| rest) } else { line }
@@ -101,7 +102,7 @@
 
 #[test]
 fn names_of_the_code_on_the_pages_for_newcomers_are_there() {
-    let words = words_of_the_code();
+    let words = identifiers_in_code();
     let mut missing = Vec::new();
     let mut count = 0;
     for page in PAGES_WITH_NAMES {
@@ -152,7 +153,7 @@
         let text = std::fs::read_to_string(&page).unwrap();
         for path in quoted(&text).filter(is_path) {
             count += 1;
-            // Some pages name a line, too.
+            // Some pages append a line number.
             let file = path.split(':').next().unwrap_or_default();
             if !root().join(file).exists() {
                 missing.push(format!("{}: {path}", page.display()));
@@ -183,7 +184,7 @@
     assert!(missing.is_empty(), "tests that are not there:\n{}", missing.join("\n"));
 }
 
-/// The event of each log line in a source: the text behind the prefix of the part, without the fields.
+/// The event of each log line in a source file: the text after the component prefix, without the fields.
 fn logged_events(source: &str) -> impl Iterator<Item = String> {
     let calls = source.split("spdlog::").skip(1).filter(|call| !call.starts_with(['{', ':']));
     let formats = calls.filter_map(|call| {
--- a/crates/programs/tests/former_formats.rs
+++ b/crates/programs/tests/former_formats.rs
@@ -1,5 +1,5 @@
-//! Calls and responses that an earlier version has sent: processes of two versions meet while a fleet is upgraded, so
-//! these bytes must be read, and written again in the same way, under the same names.
+//! Calls and responses recorded from an earlier version. Processes of two versions talk to each other during a rolling
+//! update, so the current code must decode these bytes, encode the same bytes, and use the same call names.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn calls_of_an_earlier_version_are_read_and_written_alike() {
+fn calls_of_an_earlier_version_are_decoded_and_encoded_unchanged() {
     former().assert_same_encoding("call-pull", &watch_updates());
     former().assert_same_encoding(
         "call-pull-of-a-proxy",
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn responses_of_an_earlier_version_are_read_and_written_alike() {
+fn responses_of_an_earlier_version_are_decoded_and_encoded_unchanged() {
     former().assert_same_encoding("response-pull", &updates());
     former().assert_same_encoding(
         "response-pull-out-of-contact",
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn configurations_of_an_earlier_version_are_read_and_written_alike() {
+fn configurations_of_an_earlier_version_are_decoded_and_encoded_unchanged() {
     former().assert_same_encoding("config-patches", &patches());
     former().assert_same_encoding("config-whole", &full());
     former().assert_same_encoding(
@@ -174,7 +174,7 @@
     );
 }
 
-/// Its bytes are packed; another packer may make others of the same answer, so only reading them is tested.
+/// Only decoding is tested, because another version of the compressor may produce different bytes for the same offer.
 #[test]
 fn a_packed_configuration_of_an_earlier_version_is_unpacked() {
     let chunk: ConfigChunk = minicbor::decode(&former().cbor("response-fetch")).unwrap();
--- a/crates/programs/tests/founding.rs
+++ b/crates/programs/tests/founding.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes is founded anew after a majority of its control nodes has lost its disks.
+//! A fleet of real processes is founded anew after a majority of its control nodes has lost their disks.
 
 mod common;
 
@@ -17,7 +17,7 @@
     "protocol":"h1","tls":false}],"limits":{"max_header_bytes":16384,"max_body_bytes":65536,
     "header_timeout_ms":3000,"idle_timeout_ms":15000}}"#;
 
-/// Three control nodes, of which one may fail.
+/// Three control nodes that tolerate the failure of one.
 struct ControlPlane {
     directories: Vec<TempDir>,
     nodes: Vec<Option<Process>>,
@@ -55,14 +55,14 @@
         SocketAddrV4::new(ADDRESSES[node], self.port)
     }
 
-    /// The process is killed, and its disk is lost.
+    /// Kills the process and deletes its data.
     fn lose(&mut self, node: usize) {
         self.nodes[node] = None;
         std::fs::remove_dir_all(self.directories[node].path().join("data")).unwrap();
     }
 
-    /// The first node that answers with this configuration, as a quorum confirms it.
-    fn node_that_shows(&self, revision: u64) -> Option<usize> {
+    /// The first node that returns this configuration, confirmed by a quorum.
+    fn node_with_configuration(&self, revision: u64) -> Option<usize> {
         let has_revision = |node: &usize| {
             let response = get(self.api(*node), "/Configuration.Show");
             is_ok(&response) && response.contains(&format!("\"revision\":{revision}"))
@@ -75,11 +75,11 @@
         is_ok(&response).then(|| response.split_once("\r\n\r\n")?.1.parse().ok())?
     }
 
-    /// The status of the node that speaks for the group.
+    /// The fleet status of the node that lists the members, which is the primary.
     fn primary_status(&self) -> Option<(usize, JsonValue)> {
         let statuses = (0..ADDRESSES.len()).filter_map(|node| Some((node, self.fleet_status(node)?)));
-        let mut speaking = statuses.filter(|(_, status)| !list(status, "members").is_empty());
-        speaking.next()
+        let mut primaries = statuses.filter(|(_, status)| !list(status, "members").is_empty());
+        primaries.next()
     }
 }
 
@@ -121,10 +121,10 @@
         (is_ok(&response) && response.contains("127.0.1")).then_some(response)
     });
     assert!(plan.contains("\"revision\":7"), "{plan}");
-    assert!(plane.node_that_shows(7).is_none(), "nobody confirms a configuration before");
+    assert!(plane.node_with_configuration(7).is_none(), "nobody confirms a configuration before");
     assert!(is_ok(&post(plane.api(survivor), "/Fleet.FoundAnew", "", "")));
 
-    eventually("the configuration is kept", || plane.node_that_shows(7));
+    eventually("the configuration is kept", || plane.node_with_configuration(7));
     let (_, status) = eventually("three members again", || {
         plane.primary_status().filter(|(_, status)| status["loss_tolerated"].get() == Some(&true))
     });
--- a/crates/programs/tests/limits.rs
+++ b/crates/programs/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The largest state that may be accepted can be sent and written.
+//! The largest acceptable state fits into a message and a record.
 
 use mosshead_consensus::{
     AppliedRequest, ControlState, MAX_BODY_BYTES, MAX_STATE_BYTES, Member, MemberId, Message, RequestDigest,
@@ -8,7 +8,7 @@
 use mosshead_programs::limits::MAX_REQUEST_BYTES;
 use mosshead_rpc::MAX_BODY_BYTES as MAX_CALL_BYTES;
 
-/// A body of that length, and as many calls as are remembered, with the longest numbers.
+/// A state with the longest body, the maximum number of remembered requests, and the largest numbers.
 fn largest_state() -> ControlState {
     let term = Term { number: u64::MAX, proposer: MemberId(u64::MAX) };
     let empty = ControlState {
--- a/crates/programs/tests/processes.rs
+++ b/crates/programs/tests/processes.rs
@@ -1,5 +1,5 @@
-//! The two programs as processes on loopback: what `status` prints, and that a proxy that is terminated finishes the
-//! requests that it has read.
+//! The two programs as processes on loopback addresses: the output of `status`, and that a terminated proxy completes
+//! the requests it has received.
 
 mod common;
 
@@ -12,13 +12,13 @@
 use rustix::process::Signal;
 use tempfile::TempDir;
 
-use self::common::{BOUND, Process, eventually, free_port, get, is_ok, post};
+use self::common::{Process, STEP_TIMEOUT, eventually, free_port, get, is_ok, post};
 
-/// The grace of these processes, in seconds.
-const GRACE_S: u64 = 6;
+/// The grace period of these processes, in seconds.
+const GRACE_SECONDS: u64 = 6;
 const SEAL: &str = "3e1b.07.5a2.600.0.c9f2a4d1";
 
-/// Operators' tools read these keys, so that they keep their names.
+/// Operators' tools read these keys, so they must not be renamed.
 const CONTROL_KEYS: [&str; 9] =
     ["primary", "primary_at", "round", "members", "in_touch", "revision", "servers", "proxies", "log_bytes"];
 const ROUTER_KEYS: [&str; 17] = [
@@ -46,7 +46,7 @@
 const PROXY: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
 const MODEL_SERVER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 4);
 
-/// A model server that responds to a request only once the test says so.
+/// A model server that responds to a request only when the test signals it.
 struct ModelServer {
     address: SocketAddrV4,
     received: Receiver<()>,
@@ -101,7 +101,7 @@
         let common = |name: &str, address: Ipv4Addr| {
             format!(
                 "node_name={name}\nzone=here\nip_address={address}\ninternal_port_range={internal},{internal}\n\
-                 seed_nodes={api}\nkeepalive_ms=1200\nbounds.grace_s={GRACE_S}\n"
+                 seed_nodes={api}\nkeepalive_ms=1200\nbounds.grace_s={GRACE_SECONDS}\n"
             )
         };
         let data = directories[0].path().join("data");
@@ -147,22 +147,22 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// RULES.md, LOST and DRAIN: a SIGTERM costs no request that was read, and the platform learns of it at once.
+/// RULES.md, LOST and DRAIN: a SIGTERM loses no received request, and health checks fail at once.
 #[test]
 fn a_proxy_that_is_shut_down_is_not_ready_and_finishes_its_requests() {
     let mut fleet = Fleet::start();
-    assert_eq!(fleet.control_node.keys_of_status(), keys(&CONTROL_KEYS));
-    assert_eq!(fleet.proxy.keys_of_status(), keys(&ROUTER_KEYS));
+    assert_eq!(fleet.control_node.status_keys(), keys(&CONTROL_KEYS));
+    assert_eq!(fleet.proxy.status_keys(), keys(&ROUTER_KEYS));
     let front = fleet.front;
     let client =
         thread::spawn(move || post(front, "/work", "X-Attempt-Id: 1\r\nX-Deadline-Ms: 15000\r\n", "a body"));
-    fleet.model_server.received.recv_timeout(BOUND).unwrap();
+    fleet.model_server.received.recv_timeout(STEP_TIMEOUT).unwrap();
     let mut idle = TcpStream::connect(front).unwrap();
-    idle.set_read_timeout(Some(BOUND)).unwrap();
+    idle.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     fleet.proxy.terminate();
-    let is_out = |response: String| response.starts_with("HTTP/1.1 503 ").then_some(());
-    eventually("not ready", || is_out(get(fleet.readiness, "/readiness")));
-    // Idle connections are closed once the platform sends no new ones; the request still runs then.
+    let is_unavailable = |response: String| response.starts_with("HTTP/1.1 503 ").then_some(());
+    eventually("not ready", || is_unavailable(get(fleet.readiness, "/readiness")));
+    // Idle connections are closed after the deregistration delay, while the request is still running.
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
     assert!(fleet.proxy.child.try_wait().unwrap().is_none(), "the proxy waits for its request");
     fleet.model_server.respond.send(()).unwrap();
@@ -173,7 +173,7 @@
     assert_eq!(fleet.control_node.exit_code(), Some(0));
 }
 
-/// RULES.md, LOST: a SIGHUP costs no request that was read. Only the seeds are read again; a file that is at fault changes
+/// RULES.md, LOST: a SIGHUP loses no received request. Only the seeds are reloaded, and an invalid file changes
 /// nothing.
 #[test]
 fn a_hangup_costs_no_request_and_a_settings_file_at_fault_changes_nothing() {
@@ -183,12 +183,12 @@
         let settings = std::fs::read_to_string(fleet.proxy.settings()).unwrap();
         let headers = format!("X-Attempt-Id: 1\r\nX-Deadline-Ms: 15000\r\nX-Number: {number}\r\n");
         let client = thread::spawn(move || post(front, "/work", &headers, "a body"));
-        fleet.model_server.received.recv_timeout(BOUND).unwrap();
+        fleet.model_server.received.recv_timeout(STEP_TIMEOUT).unwrap();
         std::fs::write(fleet.proxy.settings(), format!("{settings}{appended}")).unwrap();
         for process in [&fleet.proxy, &fleet.control_node] {
             process.signal(Signal::HUP);
         }
-        // The proxy has handled the signal once it answers what was asked after it.
+        // The response to a request sent after the signal shows that the signal was handled.
         eventually("status", || fleet.proxy.status());
         fleet.model_server.respond.send(()).unwrap();
         let response = client.join().unwrap();
--- a/crates/programs/tests/send_queues.rs
+++ b/crates/programs/tests/send_queues.rs
@@ -51,7 +51,7 @@
 }
 
 quickcheck! {
-    /// However messages enter and leave, no queue exceeds its capacity, and one below it accepts the next message.
+    /// In any sequence of enters and leaves, no queue exceeds its capacity, and a queue below it accepts a message.
     fn capacities_are_never_exceeded(steps: Vec<(bool, bool)>) -> bool {
         let mut queues = SendQueues::default();
         let mut counts = [0_usize; 2];
--- a/crates/programs/tests/server_reports.rs
+++ b/crates/programs/tests/server_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of model servers on sockets: they are read to their end, or not at all.
+//! Load reports of model servers over sockets: a report is read completely, or rejected.
 
 use std::future::Future;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 const REPORT: &str = r#"{"queued":3,"active":5}"#;
-/// Turns of the runtime between two parts of a response: the reader has taken the part before by then.
+/// Scheduler turns between two parts of a response, so that the reader has processed the previous part.
 const TURNS_BETWEEN_PARTS: usize = 500;
 
 fn run(test: impl Future<Output = ()>) {
@@ -22,7 +22,7 @@
     });
 }
 
-/// A server that responds to one request with these parts, one after the other, and keeps the connection open.
+/// Starts a server that responds to one request with these parts in sequence, and keeps the connection open.
 async fn server(parts: Vec<String>) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let SocketAddr::V4(address) = listener.local_addr().expect("bound") else {
--- a/crates/programs/tests/settings.rs
+++ b/crates/programs/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: the documented sample, and every error with its line.
+//! Parses the documented sample of the settings file, and checks each error with its line number.
 
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 /// `keepalive_ms` of the sample, and its default.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 
-/// A file with the required fields only.
+/// A file with only the required fields.
 const MINIMAL: &str = "node_name=n\nzone=z\nip_address=127.0.0.1\ninternal_port_range=7720,7735\n";
 
 fn address(text: &str) -> std::net::SocketAddrV4 {
@@ -70,18 +70,18 @@
 }
 
 #[test]
-fn spans_have_defaults_and_may_be_any_valid_number() {
-    let spans = |more: &str| {
+fn durations_have_defaults_and_accept_any_valid_number() {
+    let durations = |more: &str| {
         let settings = Settings::parse(format!("{MINIMAL}{more}").as_bytes()).expect("valid");
         (settings.grace(), settings.sync_time(), settings.lease())
     };
     let (grace, sync_time, lease) =
         (Duration::from_secs(8), Duration::from_millis(4500), Duration::from_millis(3000));
-    assert_eq!(spans(""), (grace, sync_time, lease));
-    assert_eq!(spans("bounds.grace_s=0.25\n").0, Duration::from_millis(250));
-    assert_eq!(spans("bounds.grace_s=1e300\n").0, Duration::MAX);
-    assert_eq!(spans("bounds.sync_s=1e300\n").1, Duration::from_secs(3600));
-    assert_eq!(spans("bounds.lease_ms=1e300\n").2, Duration::from_millis(u64::MAX));
+    assert_eq!(durations(""), (grace, sync_time, lease));
+    assert_eq!(durations("bounds.grace_s=0.25\n").0, Duration::from_millis(250));
+    assert_eq!(durations("bounds.grace_s=1e300\n").0, Duration::MAX);
+    assert_eq!(durations("bounds.sync_s=1e300\n").1, Duration::from_secs(3600));
+    assert_eq!(durations("bounds.lease_ms=1e300\n").2, Duration::from_millis(u64::MAX));
 }
 
 #[test]
@@ -145,7 +145,7 @@
             "{error}"
         );
     }
-    // Of a list, the item that is wrong.
+    // In a list, the error shows the invalid item.
     let text = format!("{MINIMAL}seed_nodes=10.1.0.12:8166, nowhere,10.3.0.9:8166\n");
     let error = Settings::parse(text.as_bytes()).expect_err("an item");
     assert!(error.to_string().starts_with("S04 line 5: seed_nodes is 'nowhere'"), "{error}");
@@ -187,7 +187,7 @@
         true
     }
 
-    /// The sample with a part of it replaced.
+    /// A part of the sample is replaced by arbitrary bytes.
     fn a_mutated_sample_never_panics(at: usize, length: u8, with: Vec<u8>) -> bool {
         let mut bytes = EDGE.as_bytes().to_vec();
         let from = at % bytes.len();
--- a/crates/programs/tests/stage_orders.rs
+++ b/crates/programs/tests/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Orders on sockets: each arrives at most once, and none after its holder has lost the role or its timeout has passed.
+//! Orders over sockets: each arrives at most once, and none is sent after the loss of the role or after the timeout.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -33,7 +33,7 @@
     NoResponse,
 }
 
-/// The orders that arrived completely, as text.
+/// The complete orders that a server has received, as text.
 type Orders = Rc<RefCell<Vec<String>>>;
 
 async fn server(reaction: Reaction) -> (SocketAddrV4, Orders) {
@@ -109,7 +109,7 @@
     });
 }
 
-/// Bytes that arrived before the order was sent are no response to it.
+/// Bytes received before the order was sent are not a response to it.
 #[test]
 fn a_response_before_the_request_is_ignored() {
     run(async {
@@ -125,7 +125,7 @@
             let _ = stream.read_to_end(&mut received);
             received
         });
-        // The bytes are there before the order is sent.
+        // `may_send` waits until the server has written its bytes.
         let outcome =
             send_test_order(address, || receiver.recv_timeout(Duration::from_secs(5)).is_ok()).await;
         assert_eq!(outcome, AssignmentOutcome::Unknown);
@@ -149,7 +149,7 @@
     });
 }
 
-/// The process is suspended between the last check of its role and the first byte.
+/// The process is suspended between the last check of its role and sending the order.
 #[test]
 fn an_order_is_not_sent_after_its_timeout() {
     run(async {
