--- a/crates/membership/src/contact_points.rs
+++ b/crates/membership/src/contact_points.rs
@@ -1,4 +1,4 @@
-//! Addresses to try when members are missing: seeds, addresses known from elsewhere, and those of dead members.
+//! Addresses to contact when members are missing: seeds, addresses added by the host, and addresses of dead members.
 
 use core::net::SocketAddrV4;
 use std::collections::VecDeque;
@@ -7,38 +7,38 @@
 
 use crate::random::{index, shuffle};
 
-/// Bound of the seeds; more are dropped at random.
+/// The maximum number of seeds. If there are more, a random selection is kept.
 const MAX_SEEDS: usize = 16;
-/// Bound of the added addresses; the oldest are dropped.
+/// The maximum number of added addresses. The oldest are dropped.
 const MAX_ADDED: usize = 256;
-/// Bound of the addresses of dead members; the oldest are dropped.
+/// The maximum number of addresses of dead members. The oldest are dropped.
 const MAX_LOST: usize = 256;
-/// Maximum number of draws of one call of [`ContactPoints::draw_absent`].
+/// The maximum number of draws in one call of [`ContactPoints::draw_absent`].
 const MAX_DRAWS: usize = 4;
 
-/// The addresses, each list bounded.
+/// Bounded lists of addresses.
 #[derive(Default)]
 pub(crate) struct ContactPoints {
     /// Addresses from the configuration, shuffled.
     seeds: Vec<SocketAddrV4>,
-    /// Addresses that the host knows from elsewhere.
+    /// Addresses that the host has added.
     added: VecDeque<SocketAddrV4>,
-    /// Addresses of members that died.
+    /// Addresses of dead members.
     lost: VecDeque<SocketAddrV4>,
-    /// Where [`ContactPoints::next_for_join`] starts in the list of all addresses but the local one. May lie behind its end,
-    /// since the list may have become shorter.
+    /// The index at which [`ContactPoints::next_for_join`] starts in the list of all remote addresses. It may be past
+    /// the end, because the list may have become shorter.
     next_start: usize,
 }
 
 impl ContactPoints {
-    /// Replaces the seeds. They are shuffled, so that not all new members contact the same one first.
+    /// Replaces the seeds. They are shuffled, so that new members don't all contact the same seed first.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>, rng: &mut dyn RngCore) {
         self.seeds = seeds;
         shuffle(rng, &mut self.seeds);
         self.seeds.truncate(MAX_SEEDS);
     }
 
-    /// Adds an address that the host knows from elsewhere.
+    /// Adds an address that the host has discovered.
     pub(crate) fn add(&mut self, address: SocketAddrV4) {
         push_bounded(&mut self.added, address, MAX_ADDED);
     }
@@ -48,12 +48,12 @@
         push_bounded(&mut self.lost, address, MAX_LOST);
     }
 
-    /// Drops the address of a lost member that is a member again or has left.
+    /// Removes the address of a dead member that has come back or has left.
     pub(crate) fn remove_lost(&mut self, address: SocketAddrV4) {
         self.lost.retain(|known| *known != address);
     }
 
-    /// Up to `count` addresses for an attempt to join, without the local one. The first is another one each time.
+    /// Up to `count` remote addresses for an attempt to join. Each call starts at the next address.
     pub(crate) fn next_for_join(&mut self, count: usize, local: SocketAddrV4) -> Vec<SocketAddrV4> {
         let all = self.seeds.iter().chain(&self.added).chain(&self.lost);
         let remote: Vec<SocketAddrV4> = all.filter(|address| **address != local).copied().collect();
@@ -62,11 +62,11 @@
         remote.iter().cycle().skip(start).take(count.min(remote.len())).copied().collect()
     }
 
-    /// A random address that no live member has: with equal probability one of a dead member, or one of the seeds and added
-    /// addresses.
+    /// A random address that no live member has: with equal probability the address of a dead member, or one of the
+    /// seeds and added addresses.
     ///
-    /// The search gives up after a few draws, since `is_live` walks over all members. Addresses of live members that it
-    /// meets are removed, except for seeds.
+    /// Gives up after [`MAX_DRAWS`] draws, because `is_live` iterates over all members. Drawn addresses of live
+    /// members are removed, except for seeds.
     pub(crate) fn draw_absent(
         &mut self,
         rng: &mut dyn RngCore,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Appends an address, or moves it to the end; drops the oldest one of more than `max_length`.
+/// Appends an address or moves it to the end. If the list exceeds `max_length`, drops the oldest address.
 fn push_bounded(list: &mut VecDeque<SocketAddrV4>, address: SocketAddrV4, max_length: usize) {
     list.retain(|known| *known != address);
     list.push_back(address);
--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -1,12 +1,12 @@
-//! What the host is to send.
+//! The datagrams that the protocol returns to its host.
 
 use core::net::SocketAddrV4;
 
-/// A datagram that the host is to send.
+/// A datagram for the host to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// Where to send it.
     pub destination: SocketAddrV4,
-    /// Its content, at most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
+    /// The encoded message, at most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes long.
     pub payload: Vec<u8>,
 }
--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding other members: joining a fleet, and reconnecting with members that were lost.
+//! Finds other members: joins a fleet, and reconnects to lost members.
 
 use core::net::SocketAddrV4;
 
@@ -9,19 +9,19 @@
 use crate::sync::Synchronizer;
 use crate::wire::MessageBody;
 
-/// Number of contact points in one attempt to join.
+/// The number of contact points in one attempt to join.
 const CONTACTS_PER_JOIN: usize = 3;
 
-/// When to contact addresses at which no member is known.
+/// Schedules the contacts to addresses without a known member.
 pub(crate) struct Discovery {
-    /// Whether a sync with another member has ended, so that the local member has that member's complete list, and whether
-    /// there is still another live member.
+    /// True if a sync with another member has completed, so that the local member has a complete list, and another live
+    /// member is still known.
     has_joined: bool,
     /// When the next attempt to join is due, unless `has_joined`.
     next_join_at: Instant,
     /// Delay between the next attempt to join and the one after it.
     join_backoff: Duration,
-    /// When an address without a live member is pinged next, see [`Settings::reconnect_interval`].
+    /// When an address without a live member is pinged next; see [`Settings::reconnect_interval`].
     next_reconnect_at: Instant,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Joins at once, and reconnects after an interval.
+    /// Schedules the first join now, and the first reconnect after an interval.
     pub(crate) fn start(&mut self, now: Instant, settings: &Settings) {
         self.next_join_at = now;
         self.next_reconnect_at = now + settings.reconnect_interval;
@@ -45,13 +45,13 @@
         self.has_joined
     }
 
-    /// The complete list of another member has been received.
+    /// Records that the complete list of another member has been received.
     pub(crate) fn on_joined(&mut self, settings: &Settings) {
         self.has_joined = true;
         self.join_backoff = settings.join_retry_interval;
     }
 
-    /// Contacts members as long as the local one hasn't joined, or is alone again.
+    /// Contacts other members if the local one has not joined, or is the only live one again.
     pub(crate) fn join_if_due(&mut self, state: &mut ProtocolState, synchronizer: &mut Synchronizer) {
         if self.has_joined && state.table().live_member_count() <= 1 {
             self.has_joined = false;
@@ -64,7 +64,7 @@
         let max_backoff = settings.reconnect_interval.max(settings.join_retry_interval);
         self.next_join_at = state.now() + self.join_backoff;
         self.join_backoff = (self.join_backoff * 2).min(max_backoff);
-        // One contact point is asked for its list. The others are only pinged, so that they learn of the new member.
+        // Requests the list of one contact point. The others are only pinged, so that they learn of the new member.
         let mut contacts = state.next_contacts(CONTACTS_PER_JOIN);
         contacts.extend(state.random_alive_addresses(CONTACTS_PER_JOIN.saturating_sub(contacts.len()), None));
         let mut contacts = contacts.into_iter();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Pings an address that no live member has, where a member may be.
+    /// Pings an address without a known live member, at which a member may run.
     pub(crate) fn reconnect_if_due(&mut self, state: &mut ProtocolState) {
         if state.now() < self.next_reconnect_at {
             return;
@@ -87,19 +87,19 @@
         }
     }
 
-    /// The first of the instants at which something is due.
+    /// The earliest deadline.
     pub(crate) fn next_deadline(&self) -> Instant {
         if self.has_joined { self.next_reconnect_at } else { self.next_reconnect_at.min(self.next_join_at) }
     }
 
-    /// Postpones all that is due.
+    /// Postpones all deadlines.
     pub(crate) fn postpone(&mut self, delay: Duration) {
         self.next_join_at += delay;
         self.next_reconnect_at += delay;
     }
 }
 
-/// Pings whichever member has this address: an empty target matches every name.
+/// Pings the member at this address, whatever its name: an empty target matches every name.
 fn ping_address(state: &mut ProtocolState, address: SocketAddrV4) {
     let body = MessageBody::Ping { sequence: state.random_sequence(), target: String::new() };
     state.send(address, body, None);
--- a/crates/membership/src/event_log.rs
+++ b/crates/membership/src/event_log.rs
@@ -1,37 +1,37 @@
-//! Changes of the membership in the order in which they became known.
+//! The changes of the membership, in the order in which the local member learned of them.
 
 use std::collections::VecDeque;
 
 use crate::peer::Peer;
 
-/// A change of what is believed about a member.
+/// A change of a member's state, as the local member knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is there: a new one, one that came back, or another instance under a known name.
+    /// A member is live: a new one, one that came back, or a new instance of a known name.
     Joined(Peer),
-    /// The member of that name didn't answer a probe.
+    /// The member with this name did not acknowledge a probe.
     Suspected(String),
-    /// The suspect of that name refuted.
+    /// The suspect with this name has refuted the suspicion.
     Refuted(String),
-    /// The suspect of that name didn't refute in time.
+    /// The suspect with this name did not refute in time.
     Died(String),
-    /// The member of that name announced its shutdown.
+    /// The member with this name has announced its shutdown.
     Left(String),
-    /// Earlier events were dropped, since the host hadn't drained them: it has to read all members again.
+    /// Earlier events were dropped, because the host did not drain them. It must read all members again.
     Overflowed,
 }
 
-/// Bound of the events that wait for the host.
+/// The maximum number of events that wait for the host.
 const MAX_EVENTS: usize = 8_192;
 
-/// Events that the host hasn't taken yet.
+/// The events that the host has not drained yet.
 #[derive(Default)]
 pub(crate) struct EventLog {
     events: VecDeque<Event>,
 }
 
 impl EventLog {
-    /// Appends an event; if there are too many already, [`Event::Overflowed`] replaces them.
+    /// Appends an event. If there are already too many, [`Event::Overflowed`] replaces them.
     pub(crate) fn append(&mut self, event: Event) {
         if self.events.len() >= MAX_EVENTS {
             self.events.clear();
--- a/crates/membership/src/gossip_queue.rs
+++ b/crates/membership/src/gossip_queue.rs
@@ -1,28 +1,28 @@
-//! The updates to disseminate: whose state changed lately, and how often that was sent.
+//! The queue of updates to disseminate, with the number of transmissions of each.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use mosshead_time::Instant;
 
-/// Orders updates by how often they were sent, the newest first among those sent equally often. The derived order compares
-/// the fields as they are listed.
+/// Orders updates by their number of transmissions, then newest first. The derived order depends on the order of the
+/// fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     transmissions: u32,
-    /// Of the push, see [`GossipQueue::last_sequence`].
+    /// The sequence number of the push; see [`GossipQueue::last_sequence`].
     sequence: Reverse<u64>,
 }
 
-/// Names whose current state is to be sent: the least sent first, as in section 4.1 of the SWIM paper.
+/// The names whose current state is to be sent, the least transmitted first, as in section 4.1 of the SWIM paper.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
     priorities: BTreeMap<String, Priority>,
-    /// The same as `priorities`, in the order of sending.
+    /// The content of `priorities`, in the order of sending.
     order: BTreeSet<(Priority, String)>,
-    /// The same names by the sequence numbers of their pushes, the oldest first.
+    /// The same names by the sequence numbers of their pushes, oldest first.
     by_sequence: BTreeMap<u64, QueuedName>,
-    /// Numbers the pushes, so it rises with time.
+    /// The sequence number of the last push. It increases with time.
     last_sequence: u64,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl GossipQueue {
-    /// Queues the state of a name, as not sent yet.
+    /// Queues the state of a name, with no transmissions yet.
     pub(crate) fn push(&mut self, name: &str, now: Instant) {
         self.remove(name);
         self.last_sequence += 1;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Drops what was queued before an instant: all know it by now, or a sync will find that they don't.
+    /// Drops updates queued before an instant. All members know them by then, or a sync will repair the difference.
     pub(crate) fn remove_queued_before(&mut self, instant: Instant) {
         while let Some(oldest) =
             self.by_sequence.first_entry().filter(|entry| entry.get().queued_at < instant)
@@ -64,12 +64,12 @@
         self.priorities.is_empty()
     }
 
-    /// The names in the order in which their states are to be sent.
+    /// The names in the order of sending.
     pub(crate) fn in_order(&self) -> impl Iterator<Item = &str> {
         self.order.iter().map(|(_, name)| name.as_str())
     }
 
-    /// Counts one transmission of each of the names, and drops those that were sent `limit` times.
+    /// Counts one transmission of each name, and drops the names that have reached `limit` transmissions.
     pub(crate) fn record_transmissions(&mut self, names: &[String], limit: u32) {
         for name in names {
             let Some(priority) = self.priorities.get(name).copied() else { continue };
--- a/crates/membership/src/leave.rs
+++ b/crates/membership/src/leave.rs
@@ -1,20 +1,20 @@
-//! The announcement that the local member shuts down, which is repeated since datagrams get lost.
+//! Announces that the local member shuts down. The announcement is repeated, because datagrams may be lost.
 
 use mosshead_time::{Duration, Instant};
 
 use crate::state::ProtocolState;
 
-/// How often the announcement is repeated after the first one, once a protocol period.
+/// The number of repetitions after the first announcement, one in each protocol period.
 const REPETITIONS: u32 = 3;
-/// Number of members that each announcement is sent to.
+/// The number of members that each announcement is sent to.
 const FANOUT: usize = 6;
 
-/// The repetitions of the announcement, once the local member is leaving.
+/// Schedules the repetitions of the announcement.
 #[derive(Default)]
 pub(crate) struct LeaveAnnouncer {
-    /// A protocol period after the last announcement, also once none remains.
+    /// One protocol period after the last announcement, even if no repetition remains.
     next_at: Instant,
-    /// Number of repetitions that are still to be sent.
+    /// The number of remaining repetitions.
     remaining: u32,
 }
 
@@ -26,7 +26,7 @@
         self.announce(state);
     }
 
-    /// Repeats the announcement, if one remains and it is time.
+    /// Repeats the announcement if a repetition is due.
     pub(crate) fn repeat_if_due(&mut self, state: &mut ProtocolState) {
         if self.remaining > 0 && state.now() >= self.next_at {
             self.remaining -= 1;
@@ -34,13 +34,13 @@
         }
     }
 
-    /// A protocol period after the last announcement, also once none remains. By this it is seen how late a call is; when
-    /// the next call is needed is [`LeaveAnnouncer::next_deadline`].
+    /// One protocol period after the last announcement, even if no repetition remains. It is used to detect late calls;
+    /// [`LeaveAnnouncer::next_deadline`] is when the next call is needed.
     pub(crate) fn next_at(&self) -> Instant {
         self.next_at
     }
 
-    /// When the announcement has to be repeated; [`Instant::FAR_FUTURE`] once none remains.
+    /// When the announcement must be repeated; [`Instant::FAR_FUTURE`] if no repetition remains.
     pub(crate) fn next_deadline(&self) -> Instant {
         if self.remaining > 0 { self.next_at } else { Instant::FAR_FUTURE }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,22 +1,24 @@
-//! Membership of a fleet after SWIM: failure detection by probes, dissemination by gossip, suspicion before removal.
+//! The membership protocol of the fleet, based on SWIM: failure detection by probes, dissemination by gossip, and
+//! suspicion before removal.
 //!
-//! The protocol is that of A. Das, I. Gupta and A. Motivala, *SWIM: Scalable Weakly-consistent Infection-style Process
-//! Group Membership Protocol* (DSN 2002), with an anti-entropy sync added to it. There is no I/O and no clock: a host hands
-//! in datagrams and instants and sends the [`Datagram`]s that come out. Each change of the membership is an [`Event`]; a
-//! [`View`] is built from events.
+//! The protocol is that of A. Das, I. Gupta and A. Motivala, *SWIM: Scalable Weakly-consistent Infection-style
+//! Process Group Membership Protocol* (DSN 2002), with an additional anti-entropy sync. This crate does no I/O and
+//! reads no clock: the host passes in received datagrams and the current time, and sends the returned [`Datagram`]s.
+//! Each change of the membership is reported as an [`Event`], and a [`View`] is built from events.
 //!
-//! - *Probes* (section 3.1 of the paper): each protocol period one member is sent a ping, round robin in a random order
-//!   (section 4.3). If its ack doesn't come within [`Settings::probe_timeout`], it is pinged again and some other members
-//!   are asked to ping it (ping-req). If no ack came by the end of the period, it is suspected.
-//! - *Suspicion* (section 4.2): a suspect that learns of it raises its incarnation, which overrides everything said before.
-//!   One that doesn't within [`Settings::suspicion_timeout`] is dead.
-//! - *Dissemination* (section 4.1): updates are piggybacked on pings, acks and ping-reqs. Updates about a name are ordered by
-//!   incarnation, then instance, then state (alive, suspect, dead, left), so that members with the same updates believe the
-//!   same. A process that learns of another instance of its name takes a higher incarnation.
-//! - *Anti-entropy sync*: each datagram carries a digest of the live members as its sender knows them. Whoever sees other
-//!   digests than its own for long requests the updates of those buckets that differ. New members get the list in the
-//!   same way. Addresses of dead members and of absent seeds are pinged now and then, so that the sides of a healed
-//!   partition find each other.
+//! - *Probes* (section 3.1 of the paper): in each protocol period one member is pinged, in round-robin order over a
+//!   random permutation (section 4.3). If no ack arrives within [`Settings::probe_timeout`], the member is pinged
+//!   again, and some other members are requested to ping it (ping-req). If no ack arrives by the end of the period,
+//!   it is suspected.
+//! - *Suspicion* (section 4.2): a suspect that learns of the suspicion raises its incarnation, which overrides all
+//!   earlier updates. A suspect that does not do so within [`Settings::suspicion_timeout`] is declared dead.
+//! - *Dissemination* (section 4.1): updates are piggybacked on pings, acks and ping-reqs. Updates about a name are
+//!   ordered by incarnation, then instance, then state (alive, suspect, dead, left), so that members with the same
+//!   updates have the same state. A process that learns of another instance with its own name raises its incarnation.
+//! - *Anti-entropy sync*: each datagram contains a digest of the live members that its sender knows. A member that
+//!   sees different digests for some time requests the updates of the buckets that differ. New members get the member
+//!   list in the same way. Addresses of dead members and absent seeds are pinged periodically, so that the sides of a
+//!   healed partition find each other.
 
 mod change_counter;
 mod contact_points;
--- a/crates/membership/src/local_member.rs
+++ b/crates/membership/src/local_member.rs
@@ -1,16 +1,16 @@
-//! The local member, and the updates that it sends about itself.
+//! The local member, and the updates about itself.
 
 use crate::peer::{MemberState, Peer};
 use crate::wire::{MAX_INCARNATION, MemberUpdate, UpdateVersion};
 
 const FIRST_INCARNATION: u64 = 1;
 
-/// The local member: its identity, its incarnation and whether it shuts down.
+/// The identity and incarnation of the local member, and whether it is leaving.
 pub(crate) struct LocalMember {
     peer: Peer,
-    /// Never lowered, and at most [`MAX_INCARNATION`].
+    /// Never decreases, and is at most [`MAX_INCARNATION`].
     incarnation: u64,
-    /// Once set, it stays set.
+    /// Never reset once it is set.
     is_leaving: bool,
 }
 
@@ -31,17 +31,17 @@
         self.incarnation
     }
 
-    /// Whether it has announced its shutdown.
+    /// True if it has announced its shutdown.
     pub(crate) fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// From now on its updates have the state [`MemberState::Left`].
+    /// Changes the state in its updates to [`MemberState::Left`].
     pub(crate) fn begin_leave(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Whether an update is about this run of the process, not about another one with its name.
+    /// True if an update is about this instance, and not about another one with the same name.
     pub(crate) fn is_same_instance(&self, update: &MemberUpdate) -> bool {
         update.name == self.peer.name && update.instance_id == self.peer.instance_id
     }
@@ -51,13 +51,13 @@
         UpdateVersion { incarnation: self.incarnation, instance_id: self.peer.instance_id }
     }
 
-    /// The update about itself that each of its datagrams carries: alive or left.
+    /// The update about itself in each of its datagrams: alive or left.
     pub(crate) fn update(&self) -> MemberUpdate {
         let state = if self.is_leaving { MemberState::Left } else { MemberState::Alive };
         MemberUpdate::new(&self.peer, self.incarnation, state)
     }
 
-    /// Raises the incarnation above that of an update about this member, so that what it says of itself overrides the update.
+    /// Raises the incarnation above that of an update about this member, so that its own update overrides it.
     pub(crate) fn refute(&mut self, refuted_incarnation: u64) {
         self.incarnation = refuted_incarnation.saturating_add(1).min(MAX_INCARNATION);
     }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! What is believed about every name, with a digest of those that are live.
+//! The known state of all members, with a digest of the live ones.
 
 use core::net::SocketAddrV4;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,15 +8,15 @@
 use crate::peer::{MemberState, Peer};
 use crate::wire::{BUCKET_HASH_LEN, BUCKETS, MemberUpdate, UpdateVersion};
 
-/// What is believed about one name.
+/// The known state of one member.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberRecord {
     pub(crate) peer: Peer,
     pub(crate) incarnation: u64,
     pub(crate) state: MemberState,
-    /// [`hash_member`] of name, instance and incarnation.
+    /// The [`hash_member`] of name, instance and incarnation.
     hash: u64,
-    /// Bucket of the name, below [`BUCKETS`].
+    /// The bucket of the name, below [`BUCKETS`].
     bucket: usize,
 }
 
@@ -30,25 +30,25 @@
     }
 }
 
-/// Until when the record of a member that is dead or has left is retained.
+/// Marks a record of a dead or departed member, which is retained until it expires.
 struct Tombstone {
     expires_at: Instant,
     name: String,
 }
 
-/// All known members by name, the local one included.
+/// All known members by name, including the local one.
 pub(crate) struct MemberTable {
     records: BTreeMap<String, MemberRecord>,
-    /// For each bucket the exclusive or (XOR) of the upper halves of its live members' hashes: XOR, so that a member is added
-    /// and removed by the same operation, and the order does not matter.
+    /// For each bucket, the XOR of the upper halves of its live members' hashes. With XOR, a member is added and
+    /// removed by the same operation, and the order does not matter.
     bucket_hashes: [u32; BUCKETS],
-    /// The exclusive or (XOR) of all live members' hashes.
+    /// The XOR of all live members' hashes.
     digest: u64,
     live_member_count: usize,
     live_control_node_count: usize,
-    /// In the order of expiry, at most one a name. A member that came back may still have one.
+    /// In the order of expiry, with at most one for each name. A member that came back may still have one.
     tombstones: VecDeque<Tombstone>,
-    /// Bound of `records`, see [`Settings::max_members`](crate::Settings::max_members).
+    /// The maximum length of `records`; see [`Settings::max_members`](crate::Settings::max_members).
     max_members: usize,
 }
 
@@ -77,27 +77,28 @@
         self.records.values()
     }
 
-    /// Number of the live members, the local one included.
+    /// The number of live members, including the local one.
     pub(crate) fn live_member_count(&self) -> usize {
         self.live_member_count
     }
 
-    /// Number of the live members that are control nodes.
+    /// The number of live control nodes.
     pub(crate) fn live_control_node_count(&self) -> usize {
         self.live_control_node_count
     }
 
-    /// Digest of the live members. Two members with the same live members, instances and incarnations have the same.
+    /// The digest of the live members. It is equal on members that know the same live members, instances and
+    /// incarnations.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Whether a live member has this address.
+    /// True if a live member has this address.
     pub(crate) fn has_live_address(&self, address: SocketAddrV4) -> bool {
         self.iter().any(|record| record.peer.address == address && record.state.is_live())
     }
 
-    /// Frees space for a name that isn't known yet, by dropping the oldest tombstones. Returns whether there is space.
+    /// Makes room for an unknown name by dropping the oldest tombstones. Returns true if there is room.
     pub(crate) fn ensure_capacity(&mut self) -> bool {
         while self.records.len() >= self.max_members {
             let Some(tombstone) = self.tombstones.pop_front() else { return false };
@@ -106,10 +107,10 @@
         true
     }
 
-    /// Sets what is believed about a name.
+    /// Inserts or replaces the record of a member.
     ///
-    /// Every change of a record goes through here, and every removal through [`MemberTable::remove_unless_live`], since counts
-    /// and hashes have to follow the records.
+    /// Every change of a record must use this method, and every removal [`MemberTable::remove_unless_live`], because
+    /// they keep the counts and hashes up to date.
     pub(crate) fn put(&mut self, peer: Peer, incarnation: u64, state: MemberState) {
         let hash = hash_member(&peer.name, peer.instance_id, incarnation);
         let bucket = (hash_name(&peer.name) % BUCKETS as u64) as usize;
@@ -121,21 +122,21 @@
         }
     }
 
-    /// Changes the state of a known name; an unknown one is ignored.
+    /// Changes the state of a known member. An unknown name is ignored.
     pub(crate) fn set_state(&mut self, name: &str, state: MemberState) {
         if let Some(record) = self.records.get(name).cloned() {
             self.put(record.peer, record.incarnation, state);
         }
     }
 
-    /// Retains the record of a member that is dead or has left until an instant. It must not be earlier than those of earlier
-    /// calls, so that tombstones stay in the order of expiry.
+    /// Retains the record of a dead or departed member until an instant. The instant must not be earlier than in
+    /// previous calls, so that tombstones stay in the order of expiry.
     pub(crate) fn add_tombstone(&mut self, name: &str, expires_at: Instant) {
         self.tombstones.retain(|tombstone| tombstone.name != name);
         self.tombstones.push_back(Tombstone { expires_at, name: name.to_owned() });
     }
 
-    /// Drops the members whose tombstones have expired.
+    /// Removes the members whose tombstones have expired.
     pub(crate) fn remove_expired(&mut self, now: Instant) {
         while self.next_expiry().is_some_and(|expires_at| expires_at <= now) {
             if let Some(tombstone) = self.tombstones.pop_front() {
@@ -149,13 +150,13 @@
         self.tombstones.front().map(|tombstone| tombstone.expires_at)
     }
 
-    /// The hashes of all buckets as they are sent: big-endian, [`BUCKET_HASH_LEN`] bytes each.
+    /// The hashes of all buckets as encoded on the wire: big-endian, [`BUCKET_HASH_LEN`] bytes each.
     pub(crate) fn encoded_bucket_hashes(&self) -> Vec<u8> {
         self.bucket_hashes.iter().flat_map(|hash| hash.to_be_bytes()).collect()
     }
 
-    /// At most `max_updates` updates, about the names in those buckets whose hashes differ from another member's. The buckets
-    /// are taken in turn from `first_bucket` on, and those before it last.
+    /// Up to `max_updates` updates about the names in buckets whose hashes differ from another member's. The buckets
+    /// are visited in order, starting at `first_bucket` and wrapping around.
     pub(crate) fn differing_updates(
         &self,
         remote_bucket_hashes: &[u8],
@@ -174,7 +175,7 @@
         differing.into_iter().take(max_updates).map(MemberRecord::update).collect()
     }
 
-    /// Drops a name whose tombstone was removed, unless the member came back meanwhile.
+    /// Removes the record of a removed tombstone, unless the member is live again.
     fn remove_unless_live(&mut self, name: &str) {
         if !self.is_live(name)
             && let Some(old) = self.records.remove(name)
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Adds the hashes of a record to the digests, or removes them again.
+    /// Adds the hash of a record to the digests, or removes it if it was added before.
     fn toggle_hashes(&mut self, record: &MemberRecord) {
         self.digest ^= record.hash;
         if let Some(hash) = self.bucket_hashes.get_mut(record.bucket) {
@@ -208,18 +209,17 @@
     }
 }
 
-/// How many buckets after `first_bucket` a bucket follows, if they are taken in turn.
+/// The distance of a bucket from `first_bucket`, in cyclic order.
 fn buckets_after(first_bucket: usize, bucket: usize) -> usize {
     (bucket + BUCKETS - first_bucket % BUCKETS) % BUCKETS
 }
 
-/// Hash of name, instance and incarnation. All members have to hash in the same way, since digests are compared between
-/// them.
+/// The hash of name, instance and incarnation. It must be the same on all members, because they compare digests.
 fn hash_member(name: &str, instance_id: u64, incarnation: u64) -> u64 {
     mix(mix(hash_name(name) ^ instance_id).wrapping_add(incarnation))
 }
 
-/// FNV-1a, mixed.
+/// The FNV-1a hash, followed by [`mix`].
 fn hash_name(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! A member of a fleet: what the host calls, and when the next call is due.
+//! The interface of the protocol to its host: the calls, and when the next call is due.
 
 mod receive;
 
@@ -17,30 +17,31 @@
 use crate::state::ProtocolState;
 use crate::sync::Synchronizer;
 
-/// Later instants are taken for this one. [`Instant`] saturates at [`Instant::FAR_FUTURE`], so near it a deadline in the
-/// future would be due at once.
+/// Later instants are reduced to this one. [`Instant`] saturates at [`Instant::FAR_FUTURE`], so that near it a future
+/// deadline would be due at once.
 const LATEST_INSTANT: Instant = Instant::from_millis(1 << 62);
 
 /// One member of a fleet.
 ///
-/// The host calls [`Membership::tick`] when [`Membership::next_wake`] says so, and [`Membership::receive`] with each
-/// datagram, and sends what they return. Its clock should not go back; if it does, it is taken to stand still.
+/// The host calls [`Membership::tick`] at the time that [`Membership::next_wake`] returns, calls
+/// [`Membership::receive`] with each received datagram, and sends the datagrams that both return. The host's clock
+/// should not go back; an earlier instant than before is replaced by the previous one.
 pub struct Membership {
     state: ProtocolState,
     prober: Prober,
     synchronizer: Synchronizer,
     discovery: Discovery,
     leave: LeaveAnnouncer,
-    /// Whether a call with an instant was made: the first one starts the timers.
+    /// True after the first call with an instant, which starts the timers.
     is_started: bool,
 }
 
 impl Membership {
-    /// A member that knows nobody but the seeds. Its own address among them is ignored.
+    /// Creates a member that knows only the seeds. Its own address among them is ignored.
     ///
     /// # Errors
     ///
-    /// `local_peer` has a name, zone or address that no member may have.
+    /// `local_peer` has an invalid name, zone or address.
     pub fn new(
         local_peer: Peer,
         seeds: Vec<SocketAddrV4>,
@@ -60,7 +61,7 @@
         })
     }
 
-    /// Does what is due.
+    /// Performs all due actions, and returns the datagrams to send.
     pub fn tick(&mut self, now: Instant) -> Vec<Datagram> {
         self.advance(now);
         if self.is_leaving() {
@@ -75,7 +76,7 @@
         self.state.take_outbox()
     }
 
-    /// Announces the shutdown of the local member. Further ticks repeat it a few times; nothing else is done from then on.
+    /// Announces the shutdown of the local member. From then on, ticks only repeat the announcement a few times.
     pub fn leave(&mut self, now: Instant) -> Vec<Datagram> {
         self.advance(now);
         if !self.is_leaving() {
@@ -84,7 +85,7 @@
         self.state.take_outbox()
     }
 
-    /// When [`Membership::tick`] has to be called at the latest: `now` if something is due, or before the first call.
+    /// The latest time for the next call of [`Membership::tick`]; `now` if an action is due, and before the first call.
     pub fn next_wake(&self, now: Instant) -> Instant {
         if self.is_started { self.next_deadline().max(now) } else { now }
     }
@@ -94,50 +95,50 @@
         self.state.local().peer()
     }
 
-    /// All known members: the local one, the live ones, and those with a tombstone, which are dead or have left.
+    /// All known members: the local one, the live ones, and the dead and departed ones that still have a tombstone.
     pub fn members(&self) -> impl Iterator<Item = (&Peer, MemberState)> {
         self.state.table().iter().map(|record| (&record.peer, record.state))
     }
 
-    /// How many control nodes are alive or suspect, the local one included.
+    /// The number of control nodes that are alive or suspect, including the local one.
     pub fn live_control_nodes(&self) -> usize {
         self.state.table().live_control_node_count()
     }
 
-    /// How many proxies are alive or suspect, the local one included.
+    /// The number of proxies that are alive or suspect, including the local one.
     pub fn live_proxies(&self) -> usize {
         self.state.table().live_member_count() - self.state.table().live_control_node_count()
     }
 
-    /// Takes the events since the last call. The first of all is the joining of the local member.
+    /// Returns and removes the events since the last call. The first event ever is the join of the local member.
     pub fn drain_events(&mut self) -> Vec<Event> {
         self.state.drain_events()
     }
 
-    /// Whether the local member has received the complete list of another one, and isn't alone.
+    /// True if the local member has received the complete list of another member, and is not the only live member.
     pub fn has_joined(&self) -> bool {
         self.discovery.has_joined()
     }
 
-    /// Replaces the seeds. Known members stay known.
+    /// Replaces the seeds. Known members are kept.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.state.set_seeds(seeds);
     }
 
-    /// Adds addresses of members that the host knows from elsewhere, to be tried like seeds.
+    /// Adds addresses that the host has discovered, to be contacted like seeds.
     pub fn add_contacts(&mut self, addresses: impl IntoIterator<Item = SocketAddrV4>) {
         addresses.into_iter().for_each(|address| self.state.add_contact(address));
     }
 
     /// Advances the clock to the instant of a call.
     ///
-    /// A process that did not run for a while (stopped, or its virtual machine paused) must not suspect others for the time
-    /// that it has missed itself. So a call that is late by more than the probe timeout postpones all timers by that delay,
-    /// except for the expiry of tombstones.
+    /// A process that did not run for a while (stopped, or in a paused virtual machine) must not suspect others
+    /// because of its own pause. A call that is late by more than the probe timeout therefore postpones all timers by
+    /// its delay, except for the expiry of tombstones.
     fn advance(&mut self, now: Instant) {
         let now = now.clamp(self.state.now(), LATEST_INSTANT);
         if self.is_started {
-            // Zero if the next timer is not due yet.
+            // Zero if the next timer is not due yet, because subtraction saturates.
             let delay = now - self.next_timer();
             if delay > self.state.settings().probe_timeout {
                 self.postpone_timers(delay);
@@ -176,7 +177,7 @@
         self.state.table().next_expiry().map_or(next_timer, |expires_at| expires_at.min(next_timer))
     }
 
-    /// The first of the deadlines that are served: a leaving member only repeats its announcement.
+    /// The earliest active timer. A leaving member has only the timer of its announcement.
     fn next_timer(&self) -> Instant {
         if self.is_leaving() {
             return self.leave.next_at();
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Handling the datagrams of other members.
+//! Handles the datagrams of other members.
 
 use core::net::SocketAddrV4;
 
@@ -11,11 +11,11 @@
 use crate::sync::{self, RemoteDigest};
 use crate::wire::{MemberUpdate, Message, MessageBody};
 
-/// Number of members that a refutation is sent to at once.
+/// The number of members that a refutation is sent to immediately.
 const REFUTATION_FANOUT: usize = 3;
 
 impl Membership {
-    /// Handles a datagram. Malformed ones and those of other fleets are dropped without a response.
+    /// Handles a datagram and returns the responses. Malformed datagrams and those of other fleets are dropped.
     pub fn receive(&mut self, now: Instant, sender: SocketAddrV4, datagram: &[u8]) -> Vec<Datagram> {
         self.advance(now);
         let message = Message::decode(self.state.settings().fleet_id, datagram);
@@ -26,13 +26,13 @@
         self.state.take_outbox()
     }
 
-    /// Applies the updates of a message first, so that the response already follows from them.
+    /// Handles a message. Its updates are applied first, so that the response reflects them.
     fn handle(&mut self, sender: SocketAddrV4, message: &Message) {
         let has_refuted = self.apply_updates(message);
         let sender_override = self.state.overriding_update(&message.sender);
         self.respond(sender, message, sender_override);
-        // A sender that doesn't know what is believed of it, or that has an outdated belief about this member, is notified
-        // at once, unless the response does it.
+        // A sender that does not know the newer update about itself, or has an outdated state of this member, is
+        // notified immediately, unless the response does so.
         let sender_override = self.state.overriding_update(&message.sender);
         if (has_refuted || sender_override.is_some()) && !self.state.has_sent_to(sender) {
             self.state.send(sender, MessageBody::Gossip, sender_override);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies all updates of a message. Returns whether one of them made the local member refute.
+    /// Applies all updates of a message. Returns true if the local member had to refute one of them.
     fn apply_updates(&mut self, message: &Message) -> bool {
         let source = match message.body {
             MessageBody::SyncResponse { .. } => UpdateSource::Sync,
@@ -55,7 +55,8 @@
         has_refuted
     }
 
-    /// Responds to the body of a message. `sender_override` is the update about the sender that overrides its own one.
+    /// Responds to the body of a message. `sender_override` is a known update that overrides the sender's update
+    /// about itself.
     fn respond(&mut self, sender: SocketAddrV4, message: &Message, sender_override: Option<MemberUpdate>) {
         match &message.body {
             MessageBody::Ping { sequence, target } => {
@@ -91,7 +92,8 @@
         }
     }
 
-    /// A ping for another name at this address isn't acked: its sender learns who is here, not that the target is alive.
+    /// The response to a ping. A ping for another name at this address gets no ack, which would report the target as
+    /// alive. The gossip message tells the sender which member has this address.
     fn ack_or_gossip(&self, sequence: u32, target: &str) -> MessageBody {
         let local_name = self.state.local().name();
         if target.is_empty() || target == local_name {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Requests a sync if the sender's digest shows that there is something to sync.
+    /// Compares the sender's digest with the local one, and requests a sync if one is due.
     fn compare_digests(&mut self, sender: SocketAddrV4, message: &Message) {
         self.synchronizer.observe(message.digest);
         if self.discovery.has_joined() && !self.state.local().is_leaving() {
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,32 +1,33 @@
-//! The identity of a member, and the states that it can be in.
+//! The identity and the states of a member.
 
 use core::net::SocketAddrV4;
 
 use minicbor::{CborLen, Decode, Encode};
 use quick_error::quick_error;
 
-/// Longest name in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
-/// Longest zone in bytes.
+/// The maximum length of a zone, in bytes.
 pub const MAX_ZONE_LEN: usize = 64;
 
-/// A process of the fleet.
+/// The identity of a process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Name of its machine. It identifies the member and is the same after a restart; 1 to [`MAX_NAME_LEN`] bytes.
+    /// The name of the machine, 1 to [`MAX_NAME_LEN`] bytes long. It identifies the member, and stays the same after a
+    /// restart.
     pub name: String,
-    /// Identifies one run of the process: a random number drawn at each start.
+    /// Identifies one run of the process by a random number, drawn at each start.
     pub instance_id: u64,
-    /// Where it receives datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddrV4,
-    /// Whether it is a control node; otherwise it is a proxy.
+    /// True for a control node, false for a proxy.
     pub is_control_node: bool,
-    /// The zone that it runs in; at most [`MAX_ZONE_LEN`] bytes.
+    /// The zone of the machine, at most [`MAX_ZONE_LEN`] bytes long.
     pub zone: String,
 }
 
 impl Peer {
-    /// Checks that others can name this peer and send to it.
+    /// Checks the lengths of name and zone, and that the address can be reached.
     ///
     /// # Errors
     ///
@@ -45,27 +46,27 @@
     }
 }
 
-/// What is believed about a member. Of two updates with the same incarnation and instance the one with the greater state
-/// takes precedence, so the order of the variants is part of the protocol.
+/// The state of a member, as another one knows it. Of two updates with the same incarnation and instance, the greater
+/// state takes precedence, so the order of the variants is part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, CborLen)]
 #[cbor(index_only)]
 pub enum MemberState {
-    /// It is not suspected.
+    /// The member is not suspected.
     #[n(0)]
     Alive,
-    /// It didn't respond to a probe and may still refute.
+    /// The member did not respond to a probe, and may still refute the suspicion.
     #[n(1)]
     Suspect,
-    /// It didn't refute in time.
+    /// The member did not refute a suspicion in time.
     #[n(2)]
     Dead,
-    /// It announced its own shutdown.
+    /// The member has announced its shutdown.
     #[n(3)]
     Left,
 }
 
 impl MemberState {
-    /// Whether it counts as a member: alive or suspect.
+    /// True if the member is alive or suspect.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
@@ -83,7 +84,7 @@
         ZoneTooLong(length: usize) {
             display("702 a zone has at most {} bytes, this one {}", MAX_ZONE_LEN, length)
         }
-        /// Nobody could send to its address.
+        /// Its address has no IP address or no port.
         UnreachableAddress(address: SocketAddrV4) {
             display("703 {} is no address to send to", address)
         }
--- a/crates/membership/src/probe_order.rs
+++ b/crates/membership/src/probe_order.rs
@@ -6,27 +6,27 @@
 
 use crate::random::{index, shuffle};
 
-/// Bound of the dead members that wait to be pinged again.
+/// The maximum number of dead members that are queued to be pinged again.
 const MAX_DEAD_RECHECKS: usize = 256;
 
-/// Round-robin probe target selection, section 4.3 of the SWIM paper: in a round each other member is probed once, in a
-/// random order. A new member is inserted at a random position of what is left of the round.
+/// Round-robin probe target selection, as in section 4.3 of the SWIM paper. In each round every other member is
+/// probed once, in a random order. A new member is inserted at a random position of the rest of the round.
 #[derive(Default)]
 pub(crate) struct ProbeOrder {
-    /// The present round. Members that are no longer live stay in it up to its end.
+    /// The current round. Members that are no longer live stay in it until its end.
     names: Vec<String>,
     /// The same names as a set.
     name_set: BTreeSet<String>,
-    /// Position of the next target in `names`; at most its length.
+    /// The position of the next target in `names`; at most its length.
     position: usize,
-    /// Live members that are probed before all others.
+    /// Live members to probe before all others.
     rechecks: VecDeque<String>,
-    /// Members believed dead that others say are live; they are pinged besides the probe of the period.
+    /// Dead members that other members report as live. They are pinged in addition to the probe of the period.
     dead_rechecks: VecDeque<String>,
 }
 
 impl ProbeOrder {
-    /// Adds a member, unless it is in the round already.
+    /// Adds a member, unless it is already in the round.
     pub(crate) fn insert(&mut self, name: &str, rng: &mut dyn RngCore) {
         if self.name_set.insert(name.to_owned()) {
             let position = self.position + index(rng, self.names.len() + 1 - self.position);
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Has a live member probed before all others.
+    /// Queues a live member to be probed before all others.
     pub(crate) fn queue_recheck(&mut self, name: &str) {
         if self.name_set.contains(name) && !self.rechecks.iter().any(|queued| queued == name) {
             self.rechecks.push_back(name.to_owned());
         }
     }
 
-    /// Has a member that is believed dead pinged, so that it refutes if it can.
+    /// Queues a dead member to be pinged, so that it can refute.
     pub(crate) fn queue_dead_recheck(&mut self, name: &str) {
         let is_queued = self.dead_rechecks.iter().any(|queued| queued == name);
         if self.dead_rechecks.len() < MAX_DEAD_RECHECKS && !is_queued {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The next member believed dead that is to be pinged.
+    /// Removes and returns the next dead member to ping.
     pub(crate) fn pop_dead_recheck(&mut self) -> Option<String> {
         self.dead_rechecks.pop_front()
     }
 
-    /// The next live member to probe. At the end of a round those that aren't live any more are dropped.
+    /// The next live member to probe. At the end of a round, members that are no longer live are dropped.
     pub(crate) fn next(&mut self, is_live: impl Fn(&str) -> bool, rng: &mut dyn RngCore) -> Option<String> {
         while let Some(name) = self.rechecks.pop_front() {
             if is_live(&name) {
@@ -74,7 +74,7 @@
         None
     }
 
-    /// Any of the names, which need not be live any more.
+    /// A random name, whose member may no longer be live.
     pub(crate) fn draw(&self, rng: &mut dyn RngCore) -> Option<&String> {
         self.names.get(index(rng, self.names.len()))
     }
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -1,4 +1,4 @@
-//! The failure detector: one probe a protocol period, and pings on behalf of others.
+//! The failure detector: one probe in each protocol period, and pings on behalf of other members.
 
 use core::net::SocketAddrV4;
 use std::collections::VecDeque;
@@ -10,40 +10,40 @@
 use crate::state::{ProbeTarget, ProtocolState};
 use crate::wire::MessageBody;
 
-/// Bound of the pings on behalf of others whose acks are awaited.
+/// The maximum number of pings on behalf of other members that wait for an ack.
 const MAX_RELAYED_PINGS: usize = 64;
-/// Members believed dead that are pinged again each period.
+/// The maximum number of dead members that are pinged again in each period.
 const DEAD_RECHECKS_PER_PERIOD: usize = 4;
 
-/// The probe of the present protocol period.
+/// The probe of the current protocol period.
 struct Probe {
     target: ProbeTarget,
-    /// Of the ping, its repetition and the ping-reqs alike; the ack repeats it.
+    /// The sequence number of the ping, its repetition and the ping-reqs. The ack repeats it.
     sequence: u32,
     sent_at: Instant,
     is_acked: bool,
-    /// Whether the probe timeout has passed and the ping was sent again, with ping-reqs to others.
+    /// True if the probe timeout has passed, and the ping was sent again with ping-reqs to other members.
     is_repeated: bool,
 }
 
 impl Probe {
-    /// When the ping is to be sent again; `None` if it needn't be.
+    /// When the ping must be sent again; `None` if it was acknowledged or already repeated.
     fn repeat_at(&self, probe_timeout: Duration) -> Option<Instant> {
         (!self.is_acked && !self.is_repeated).then(|| self.sent_at + probe_timeout)
     }
 }
 
-/// A ping that another member requested, whose ack is to be passed on.
+/// A ping that another member requested, whose ack must be forwarded.
 struct RelayedPing {
-    /// Of the ping that was sent to the target.
+    /// The sequence number of the ping to the target.
     sequence: u32,
     target: String,
     requester: SocketAddrV4,
-    /// Of the ping-req; the ack that is passed on to the requester has it.
+    /// The sequence number of the ping-req, which the forwarded ack repeats.
     requested_sequence: u32,
 }
 
-/// A ping-req as received.
+/// A received ping-req.
 pub(crate) struct PingRequest {
     pub(crate) requester: SocketAddrV4,
     pub(crate) sequence: u32,
@@ -51,24 +51,25 @@
     pub(crate) target_address: SocketAddrV4,
 }
 
-/// The failure detector: the protocol periods, and the pings whose acks are awaited.
+/// The failure detector: runs the protocol periods, and tracks the pings that wait for an ack.
 #[derive(Default)]
 pub(crate) struct Prober {
     next_period_at: Instant,
-    /// `None` before the first period, and if there was nobody to probe.
+    /// `None` before the first period, and if there was no member to probe.
     probe: Option<Probe>,
-    /// The oldest first.
+    /// In the order of sending, oldest first.
     relayed_pings: VecDeque<RelayedPing>,
 }
 
 impl Prober {
-    /// Begins the first protocol period after a delay that spreads the periods of members that start together.
+    /// Schedules the first protocol period after a random delay, so that members that start together don't probe
+    /// together.
     pub(crate) fn start(&mut self, state: &mut ProtocolState) {
         let delay = state.random_duration_below(state.settings().probe_interval);
         self.next_period_at = state.now() + delay;
     }
 
-    /// Ends a protocol period and begins the next one, if it is time.
+    /// If a protocol period is over, ends it and begins the next one.
     pub(crate) fn begin_period_if_due(&mut self, state: &mut ProtocolState) {
         if state.now() < self.next_period_at {
             return;
@@ -80,7 +81,7 @@
         state.send_periodic_gossip();
     }
 
-    /// The target of the period that ends is suspected if it didn't respond, unless something newer is known of it.
+    /// Suspects the target of the ending period if it did not respond, unless a newer update about it was received.
     fn suspect_unresponsive_target(&mut self, state: &mut ProtocolState) {
         let Some(probe) = self.probe.take().filter(|probe| !probe.is_acked) else { return };
         let record = state.table().get(&probe.target.name);
@@ -98,7 +99,7 @@
         ping(state, name, sequence, address);
     }
 
-    /// Sends the probe again if it timed out, with ping-reqs to some other members.
+    /// If the probe has timed out, sends the ping again, with ping-reqs to some other members.
     pub(crate) fn repeat_timed_out_probe(&mut self, state: &mut ProtocolState) {
         let Some(probe) = &mut self.probe else { return };
         if probe.repeat_at(state.settings().probe_timeout).is_none_or(|at| state.now() < at) {
@@ -106,7 +107,7 @@
         }
         probe.is_repeated = true;
         let name = &probe.target.name;
-        // Its address may have changed since.
+        // The address may have changed since the first ping.
         let Some(address) = state.table().get(name).map(|record| record.peer.address) else { return };
         for relay in state.random_alive_addresses(state.settings().indirect_probes, Some(name)) {
             let (sequence, target) = (probe.sequence, name.clone());
@@ -115,7 +116,7 @@
         ping(state, name.clone(), probe.sequence, address);
     }
 
-    /// Handles an ack, and passes it on if the ping was sent on behalf of another member.
+    /// Handles an ack, and forwards it if the ping was sent on behalf of another member.
     pub(crate) fn on_ack(&mut self, state: &mut ProtocolState, sequence: u32, target: &str) {
         let probe = self.probe.as_mut();
         if let Some(probe) = probe.filter(|probe| probe.sequence == sequence && probe.target.name == target) {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Pings a member on behalf of another.
+    /// Pings a member on behalf of the requester.
     pub(crate) fn on_ping_request(&mut self, state: &mut ProtocolState, request: PingRequest) {
         let sequence = state.random_sequence();
         if self.relayed_pings.len() >= MAX_RELAYED_PINGS {
@@ -148,7 +149,7 @@
         self.next_period_at
     }
 
-    /// When the probe is to be sent again, if it is.
+    /// When the ping must be sent again, if at all.
     pub(crate) fn next_repeat_at(&self, settings: &Settings) -> Option<Instant> {
         self.probe.as_ref().and_then(|probe| probe.repeat_at(settings.probe_timeout))
     }
@@ -162,14 +163,14 @@
     }
 }
 
-/// Sends a ping. To a target that isn't believed alive it carries that update, so that the target can refute.
+/// Sends a ping. If the target is not known as alive, the ping contains that update, so that the target can refute it.
 fn ping(state: &mut ProtocolState, target: String, sequence: u32, address: SocketAddrV4) {
-    let doubted = state.table().get(&target).filter(|record| record.state != MemberState::Alive);
-    let update = doubted.map(|record| record.update());
+    let not_alive = state.table().get(&target).filter(|record| record.state != MemberState::Alive);
+    let update = not_alive.map(|record| record.update());
     state.send(address, MessageBody::Ping { sequence, target }, update);
 }
 
-/// Pings some of the members that are believed dead though others say that they are live.
+/// Pings some of the dead members that other members report as live.
 fn ping_dead_again(state: &mut ProtocolState) {
     for _ in 0..DEAD_RECHECKS_PER_PERIOD {
         let Some(name) = state.pop_dead_recheck() else { break };
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,60 +1,61 @@
-//! Intervals, timeouts and bounds of the protocol.
+//! The intervals, timeouts and limits of the protocol.
 
 use mosshead_time::{Duration, whole_millis};
 
 const MIN_INTERVAL: Duration = Duration::from_millis(1);
-/// Half of it, the upper bound of the probe timeout, is at least [`MIN_INTERVAL`].
+/// Twice [`MIN_INTERVAL`], because the probe timeout is at most half of the probe interval.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
-/// Upper bound of the tombstone retention and of the delays of a sync.
+/// The upper bound of the tombstone retention and of the sync delays.
 const MAX_RETENTION: Duration = Duration::from_secs(86_400);
-/// Upper bound of the number of members that something is sent to at once.
+/// The upper bound of the number of members that one message is sent to at the same time.
 const MAX_FANOUT: usize = 16;
 const MAX_RETRANSMIT_MULTIPLIER: u32 = 16;
 const MAX_SYNC_DATAGRAMS: usize = 16;
 const MIN_MEMBERS: usize = 2;
 const MAX_MEMBERS: usize = 65_536;
 
-/// How a member probes, gossips, syncs, and drops what is old. All members of a fleet should have the same settings.
+/// The protocol parameters. All members of a fleet should have the same settings.
 ///
-/// Durations have a resolution of one millisecond. Values out of bounds are brought into bounds by
-/// [`Membership::new`](crate::Membership::new).
+/// Durations have a resolution of one millisecond. [`Membership::new`](crate::Membership::new) clamps values that are
+/// out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Identifies the fleet. Datagrams of another fleet are dropped, so that fleets don't merge by accident.
+    /// Identifies the fleet. Datagrams of other fleets are dropped, so that fleets don't merge by accident.
     pub fleet_id: u64,
-    /// The protocol period: one member is probed in each.
+    /// The protocol period, in which one member is probed.
     pub probe_interval: Duration,
-    /// An ack that takes longer leads to indirect probes; at most half of the protocol period.
+    /// The time after which a missing ack causes indirect probes; at most half of the protocol period.
     pub probe_timeout: Duration,
-    /// Number of members that are sent a ping-req when a probe timed out.
+    /// The number of members that are sent a ping-req after a probe has timed out.
     pub indirect_probes: usize,
-    /// The suspicion timeout is this, times the logarithm to base 10 of the number of live members (at least 1).
+    /// The suspicion timeout is this duration, times the base-10 logarithm of the number of live members (at least 1).
     pub suspicion_timeout_per_decade: Duration,
-    /// Lower bound of the suspicion timeout.
+    /// The lower bound of the suspicion timeout.
     pub min_suspicion_timeout: Duration,
-    /// Upper bound of the suspicion timeout.
+    /// The upper bound of the suspicion timeout.
     pub max_suspicion_timeout: Duration,
-    /// Number of members that are sent gossip each period besides the probed one, while there is any.
+    /// The number of members, in addition to the probed one, that are sent gossip in each period while updates are
+    /// queued.
     pub gossip_fanout: usize,
-    /// An update is sent this many times the logarithm to base 2 of the number of live members and one, rounded
-    /// up; see [`Settings::retransmit_limit`].
+    /// An update is sent at most this many times the base-2 logarithm, rounded up, of the number of live members plus
+    /// one; see [`Settings::retransmit_limit`].
     pub retransmit_multiplier: u32,
-    /// First delay before another attempt to join; doubled with each attempt, up to `reconnect_interval`.
+    /// The delay before the second attempt to join. It doubles with each attempt, up to `reconnect_interval`.
     pub join_retry_interval: Duration,
-    /// Interval of pings to absent seeds and to addresses of dead members.
+    /// The interval of pings to absent seeds and addresses of dead members.
     pub reconnect_interval: Duration,
-    /// A sync is requested when digests differ and no change of the members has become known here for this long.
+    /// A sync is requested if digests differ and the local member has received no change of the members for this long.
     pub sync_quiet_period: Duration,
-    /// While there are changes all the time, a sync is requested when digests differ and the last request was this long ago.
+    /// During continuous changes, a sync is requested if digests differ and the last request was this long ago.
     pub max_sync_delay: Duration,
-    /// Bound of the datagrams in one response to a sync request.
+    /// The maximum number of datagrams in one response to a sync request.
     pub max_sync_datagrams: usize,
-    /// How long the records of members that are dead or have left are retained, so that outdated updates don't revive them.
+    /// How long the records of dead and departed members are retained, so that outdated updates don't revive them.
     pub tombstone_retention: Duration,
-    /// Bound of the known members, those that are dead or have left included.
+    /// The maximum number of known members, including dead and departed ones.
     pub max_members: usize,
-    /// Off only in tests that show what refutation is for.
+    /// Disabled only in tests that show the effect of refutation.
     #[doc(hidden)]
     pub is_refutation_enabled: bool,
 }
@@ -84,7 +85,7 @@
 }
 
 impl Settings {
-    /// Brings into bounds what would break a rule of the protocol.
+    /// Clamps all values to bounds with which the protocol works.
     pub(crate) fn bounded(mut self) -> Settings {
         self.probe_interval = self.probe_interval.clamp(MIN_PROBE_INTERVAL, MAX_INTERVAL);
         self.probe_timeout = self.probe_timeout.clamp(MIN_INTERVAL, half(self.probe_interval));
@@ -105,7 +106,7 @@
         self
     }
 
-    /// How long a suspect may take to refute, in a fleet with so many live members.
+    /// How long a suspect has to refute, in a fleet with this number of live members.
     pub fn suspicion_timeout(&self, live_member_count: usize) -> Duration {
         let decades = (live_member_count.max(1) as f64).log10().max(1.0);
         let millis = whole_millis(self.suspicion_timeout_per_decade) as f64 * decades;
@@ -113,9 +114,9 @@
         Duration::from_millis(millis as u64).clamp(self.min_suspicion_timeout, upper_bound)
     }
 
-    /// How often an update is sent, in a fleet with so many live members.
+    /// The maximum number of transmissions of an update, in a fleet with this number of live members.
     pub fn retransmit_limit(&self, live_member_count: usize) -> u32 {
-        // The logarithm to base 2, rounded up.
+        // The base-2 logarithm, rounded up.
         self.retransmit_multiplier * (live_member_count + 1).next_power_of_two().trailing_zeros()
     }
 }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,6 +1,6 @@
-//! The state that all parts of the protocol share: what the local member believes, and what it has to send about it.
+//! The state that all parts of the protocol share: the known members, and the queued updates and datagrams.
 //!
-//! Each concern has an owner of its own. What an update changes in several of them is decided in [`updates`].
+//! Each concern has its own type. [`updates`] decides how an update changes several of them.
 
 mod sending;
 mod updates;
@@ -26,12 +26,12 @@
 
 pub(crate) use updates::UpdateSource;
 
-/// What a member believes, and what it has to send about it.
+/// The shared state of the protocol.
 pub(crate) struct ProtocolState {
-    /// As [`Settings::bounded`] returned them.
+    /// The result of [`Settings::bounded`].
     settings: Settings,
     rng: Box<dyn RngCore + Send>,
-    /// The instant of the call at hand. It never goes back.
+    /// The instant of the current call. It never decreases.
     now: Instant,
     local: LocalMember,
     table: MemberTable,
@@ -41,11 +41,11 @@
     gossip: GossipQueue,
     contacts: ContactPoints,
     probe_order: ProbeOrder,
-    /// The datagrams that the call at hand returns.
+    /// The datagrams to return from the current call.
     outbox: Vec<Datagram>,
 }
 
-/// A member that is probed, with what was known of it when the probe began.
+/// A member to probe, with its version and address at the start of the probe.
 pub(crate) struct ProbeTarget {
     pub(crate) name: String,
     pub(crate) version: UpdateVersion,
@@ -53,7 +53,7 @@
 }
 
 impl ProtocolState {
-    /// The state of a member that knows only itself. `settings` are within bounds.
+    /// The state of a member that knows only itself. `settings` must be within bounds.
     pub(crate) fn new(local_peer: Peer, settings: Settings, rng: Box<dyn RngCore + Send>) -> ProtocolState {
         let local = LocalMember::new(local_peer);
         let mut table = MemberTable::new(settings.max_members);
@@ -84,7 +84,7 @@
         self.now
     }
 
-    /// Begins a call at an instant that is not before that of the last call.
+    /// Sets the instant of the current call, which must not be before that of the last call.
     pub(crate) fn set_now(&mut self, now: Instant) {
         self.now = now;
     }
@@ -101,7 +101,7 @@
         &self.changes
     }
 
-    /// The local member shuts down.
+    /// Marks the local member as left.
     pub(crate) fn begin_leave(&mut self) {
         self.local.begin_leave();
         self.table.set_state(self.local.name(), MemberState::Left);
@@ -112,18 +112,18 @@
         self.events.drain()
     }
 
-    /// Marks suspects dead that haven't refuted in time, and drops expired tombstones and gossip.
+    /// Marks suspects as dead that did not refute in time, and drops expired tombstones and gossip.
     pub(crate) fn expire(&mut self) {
         for name in self.suspicions.expired(self.now) {
             self.mark_dead(&name);
         }
         self.table.remove_expired(self.now);
-        // Within so many periods an update could have been sent as often as the limit allows.
+        // In this number of periods, an update could have reached its transmission limit.
         let dissemination_time = self.settings.probe_interval * self.retransmit_limit();
         self.gossip.remove_queued_before(self.now - dissemination_time);
     }
 
-    /// When the next suspect is dead unless it refutes.
+    /// The earliest time at which a suspect is declared dead unless it refutes.
     pub(crate) fn next_suspicion_deadline(&self) -> Option<Instant> {
         self.suspicions.next_deadline()
     }
@@ -147,13 +147,13 @@
         self.contacts.next_for_join(count, self.local.peer().address)
     }
 
-    /// A random address that no live member has, where a member may be.
+    /// A random address without a known live member, at which a member may run.
     pub(crate) fn draw_absent_contact(&mut self) -> Option<SocketAddrV4> {
         let table = &self.table;
         self.contacts.draw_absent(&mut *self.rng, |address| table.has_live_address(address))
     }
 
-    /// The live member whose turn it is to be probed.
+    /// The next live member to probe.
     pub(crate) fn next_probe_target(&mut self) -> Option<ProbeTarget> {
         let table = &self.table;
         let name = self.probe_order.next(|name| table.is_live(name), &mut *self.rng)?;
@@ -161,27 +161,27 @@
         Some(ProbeTarget { version: record.version(), address: record.peer.address, name })
     }
 
-    /// The next member believed dead that others say is live.
+    /// Removes and returns the next dead member that others report as live.
     pub(crate) fn pop_dead_recheck(&mut self) -> Option<String> {
         self.probe_order.pop_dead_recheck()
     }
 
-    /// A number that identifies a ping with its ack.
+    /// A random sequence number, which matches a ping with its ack.
     pub(crate) fn random_sequence(&mut self) -> u32 {
         self.rng.next_u32()
     }
 
-    /// An index of a list of `length`; 0 if the list is empty.
+    /// A random index into a list of this length; 0 if the list is empty.
     pub(crate) fn random_index(&mut self, length: usize) -> usize {
         index(&mut *self.rng, length)
     }
 
-    /// A duration of whole milliseconds below `end`; zero if `end` is.
+    /// A random duration of whole milliseconds below `end`; zero if `end` is zero.
     pub(crate) fn random_duration_below(&mut self, end: Duration) -> Duration {
         duration_below(&mut *self.rng, end)
     }
 
-    /// How often an update is sent, with the present number of live members.
+    /// The maximum number of transmissions of an update, for the current number of live members.
     fn retransmit_limit(&self) -> u32 {
         self.settings.retransmit_limit(self.table.live_member_count())
     }
--- a/crates/membership/src/state/sending.rs
+++ b/crates/membership/src/state/sending.rs
@@ -1,4 +1,4 @@
-//! Composing datagrams, and choosing whom to send gossip to.
+//! Composes datagrams, and selects the receivers of gossip.
 
 use core::net::SocketAddrV4;
 
@@ -8,7 +8,7 @@
 use crate::wire::{MemberUpdate, Message, MessageBody};
 
 impl ProtocolState {
-    /// Queues a message in the outbox, with `first_update` and as much gossip as fits piggybacked on it.
+    /// Queues a message in the outbox. `first_update` and as much gossip as fits are piggybacked on it.
     pub(crate) fn send(
         &mut self,
         destination: SocketAddrV4,
@@ -25,17 +25,17 @@
         self.outbox.push(Datagram { destination, payload: message.encode().unwrap_or_default() });
     }
 
-    /// Queues a message in the outbox as it is, without gossip. One that would be too long is dropped.
+    /// Queues a message in the outbox without gossip. A message that is too long is dropped.
     pub(crate) fn send_without_gossip(&mut self, destination: SocketAddrV4, message: &Message) {
         self.outbox.extend(message.encode().map(|payload| Datagram { destination, payload }));
     }
 
-    /// Whether the call at hand sends something to this address.
+    /// True if the current call sends a datagram to this address.
     pub(crate) fn has_sent_to(&self, destination: SocketAddrV4) -> bool {
         self.outbox.iter().any(|datagram| datagram.destination == destination)
     }
 
-    /// Takes the datagrams of the call at hand.
+    /// Returns and removes the datagrams of the current call.
     pub(crate) fn take_outbox(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.outbox)
     }
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Sends gossip to so many live members, drawn at random. They learn of the local state by it too.
+    /// Sends gossip to up to `count` random members that are alive. Each message also contains the local member's
+    /// state.
     pub(crate) fn send_gossip(&mut self, count: usize) {
         for address in self.random_alive_addresses(count, None) {
             self.send(address, MessageBody::Gossip, None);
@@ -66,13 +67,13 @@
         }
     }
 
-    /// Addresses of up to `count` other members that are alive, without the one named `excluded`, if any.
+    /// The addresses of up to `count` random other members that are alive, except for the one named `excluded`.
     pub(crate) fn random_alive_addresses(
         &mut self,
         count: usize,
         excluded: Option<&str>,
     ) -> Vec<SocketAddrV4> {
-        // A draw may hit a member that isn't alive, or one that was drawn already.
+        // A draw may return a member that is not alive, or one that was already drawn.
         let max_draws = 4 * count + 8;
         let mut addresses: Vec<SocketAddrV4> = Vec::new();
         for _ in 0..max_draws {
@@ -92,8 +93,8 @@
         addresses
     }
 
-    /// Adds the least sent updates up to the first that doesn't fit into the remaining bytes, and counts their transmission.
-    /// Names without a record are dropped from the gossip.
+    /// Adds queued updates, the least transmitted first, until one does not fit into the remaining bytes, and counts
+    /// their transmissions. Names without a record are removed from the queue.
     fn piggyback_gossip(&mut self, message: &mut Message, mut remaining: usize) {
         let mut sent = Vec::new();
         let mut unknown = Vec::new();
--- a/crates/membership/src/state/updates.rs
+++ b/crates/membership/src/state/updates.rs
@@ -1,4 +1,4 @@
-//! Applying updates: which of two updates about a member takes precedence, and what follows from it.
+//! Applies updates: decides which of two updates about a member takes precedence, and changes the state accordingly.
 
 use std::cmp::Ordering;
 
@@ -7,19 +7,19 @@
 use crate::peer::MemberState;
 use crate::wire::MemberUpdate;
 
-/// How an update was received.
+/// The way an update was received.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpdateSource {
-    /// From the member that it is about.
+    /// From the member that the update is about.
     Sender,
     /// Piggybacked on a datagram of another member.
     Gossip,
-    /// In the response to a sync request. Its sender has known it for long, so it isn't disseminated again.
+    /// In a sync response. Its sender has known the update for a while, so it is not disseminated again.
     Sync,
 }
 
 impl ProtocolState {
-    /// Applies an update. Returns whether it made the local member refute, that is, raise its incarnation.
+    /// Applies an update. Returns true if the local member had to refute it by raising its incarnation.
     pub(crate) fn apply_update(&mut self, update: &MemberUpdate, source: UpdateSource) -> bool {
         if update.name == self.local.name() {
             return self.apply_local_update(update);
@@ -37,7 +37,7 @@
         false
     }
 
-    /// Suspects a member that is alive, and disseminates it.
+    /// Marks a member that is alive as suspect, and disseminates the suspicion.
     pub(crate) fn mark_suspect(&mut self, name: &str) {
         if self.table.get(name).is_none_or(|record| record.state != MemberState::Alive) {
             return;
@@ -49,14 +49,15 @@
         self.gossip.push(name, self.now);
     }
 
-    /// Marks a member dead and disseminates it, as `Confirm` in section 4.2 of the SWIM paper.
+    /// Marks a member as dead and disseminates it, like `Confirm` in section 4.2 of the SWIM paper.
     pub(crate) fn mark_dead(&mut self, name: &str) {
         let Some(address) = self.table.get(name).map(|record| record.peer.address) else { return };
         self.mark_gone(name, MemberState::Dead, Event::Died(name.to_owned()));
         self.contacts.add_lost(address);
     }
 
-    /// The known update about the same name that overrides this one, if there is one that its sender should learn of.
+    /// The known update about the same name that overrides this one. `None` if there is none, or if this update is a
+    /// leave, which needs no correction.
     pub(crate) fn overriding_update(&self, update: &MemberUpdate) -> Option<MemberUpdate> {
         let record = self.table.get(&update.name)?;
         let is_overridden = (record.version(), record.state) > (update.version(), update.state);
@@ -66,12 +67,13 @@
     fn apply_newer_update(&mut self, update: &MemberUpdate, known_state: MemberState, source: UpdateSource) {
         match update.state {
             MemberState::Alive => self.mark_alive(update, source),
-            // A report of a death is treated as a suspicion: the member may have refuted it already.
+            // A death report is treated as a suspicion, because the member may already have refuted it.
             MemberState::Suspect => self.mark_suspect_of_newer_version(update),
             MemberState::Dead if known_state.is_live() => self.mark_suspect_of_newer_version(update),
-            // Dead or left already: only the version is raised, so that older updates don't revive it.
+            // The member is already dead or has left. Only the version is raised, so that older updates don't revive
+            // it.
             MemberState::Dead => self.table.put(update.peer(), update.incarnation, known_state),
-            // With the known state first, so that `mark_left` sees whether it was live.
+            // The known state is kept first, so that `mark_left` sees whether the member was live.
             MemberState::Left => {
                 self.table.put(update.peer(), update.incarnation, known_state);
                 self.mark_left(&update.name);
@@ -86,20 +88,20 @@
         source: UpdateSource,
     ) {
         match (known_state, update.state) {
-            // Others disseminate it as well: that counts as one more transmission from here.
+            // Another member disseminates the same update, which counts as one more transmission.
             (known, received) if known == received && source == UpdateSource::Gossip => {
                 let limit = self.retransmit_limit();
                 self.gossip.record_transmissions(std::slice::from_ref(&update.name), limit);
             }
             (MemberState::Alive, MemberState::Suspect) => self.mark_suspect(&update.name),
             (MemberState::Suspect, MemberState::Dead) => self.mark_dead(&update.name),
-            // Believing it would spread the losses of one side of a partition to the other when it heals. The member is
-            // probed instead, and refutes if it can.
+            // Accepting the death would spread the losses of one side of a partition to the other when it heals. The
+            // member is probed instead, so that it can refute.
             (MemberState::Alive, MemberState::Dead) => self.probe_order.queue_recheck(&update.name),
             (MemberState::Alive | MemberState::Suspect | MemberState::Dead, MemberState::Left) => {
                 self.mark_left(&update.name);
             }
-            // Others say that a member believed dead is live: it is pinged, and refutes if it can.
+            // Others report a dead member as live. It is pinged, so that it can refute.
             (MemberState::Dead, MemberState::Alive | MemberState::Suspect)
                 if source != UpdateSource::Sender =>
             {
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Applies an update about a name that isn't known. Deaths and leaves of such names are ignored: the member was never known
-    /// here, or its tombstone has expired. A suspicion is believed only as part of a sync.
+    /// Applies an update about an unknown name. Deaths and leaves are ignored: the member was never known here, or
+    /// its tombstone has expired. A suspicion is accepted only from a sync.
     fn apply_unknown_update(&mut self, update: &MemberUpdate, source: UpdateSource) {
         let is_accepted = match update.state {
             MemberState::Alive => true,
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Applies an update about the local name. Unless it is older than what the local member says of itself, or only repeats
-    /// it, it is refuted by a higher incarnation. Returns whether it was.
+    /// Applies an update about the local name. It is refuted with a higher incarnation, unless it is older than the
+    /// local member's own update or a copy of it. Returns true if it was refuted.
     fn apply_local_update(&mut self, update: &MemberUpdate) -> bool {
         let is_this_instance = self.local.is_same_instance(update);
         if self.local.is_leaving() || (is_this_instance && !self.settings.is_refutation_enabled) {
@@ -144,12 +146,13 @@
     }
 
     fn mark_suspect_of_newer_version(&mut self, update: &MemberUpdate) {
-        // Not disseminated as alive: `mark_suspect` disseminates it as a suspect.
+        // The member is not disseminated as alive; `mark_suspect` disseminates it as a suspect.
         self.set_alive(update);
         self.mark_suspect(&update.name);
     }
 
-    /// Marks a member alive, by an update that is newer than all known of it, and disseminates it unless it came by a sync.
+    /// Marks a member as alive, by an update that is newer than all known ones, and disseminates it unless it came
+    /// from a sync.
     fn mark_alive(&mut self, update: &MemberUpdate, source: UpdateSource) {
         self.set_alive(update);
         if source != UpdateSource::Sync {
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Marks a member alive, by an update that is newer than all known of it. Nothing is disseminated.
+    /// Marks a member as alive, by an update that is newer than all known ones, without dissemination.
     fn set_alive(&mut self, update: &MemberUpdate) {
         let peer = update.peer();
         let known = self.table.get(&update.name);
@@ -177,14 +180,15 @@
         self.changes.record_change(self.now);
     }
 
-    /// Marks a member left and disseminates it. It is no contact point any more: nobody is expected at its address.
+    /// Marks a member as left and disseminates it. Its address is removed from the contact points, because no member
+    /// is expected there.
     fn mark_left(&mut self, name: &str) {
         let Some(address) = self.table.get(name).map(|record| record.peer.address) else { return };
         self.mark_gone(name, MemberState::Left, Event::Left(name.to_owned()));
         self.contacts.remove_lost(address);
     }
 
-    /// Marks a member dead or left. Only if it was live, that is an event and is disseminated.
+    /// Marks a member as dead or left. If it was live, records the event and disseminates the change.
     fn mark_gone(&mut self, name: &str, state: MemberState, event: Event) {
         let was_live = self.table.is_live(name);
         self.table.set_state(name, state);
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,4 +1,4 @@
-//! The anti-entropy sync: digests are compared with each datagram, and what differs is requested.
+//! The anti-entropy sync: compares digests on each received datagram, and requests the updates that differ.
 
 use core::net::SocketAddrV4;
 
@@ -8,47 +8,49 @@
 use crate::state::ProtocolState;
 use crate::wire::{BUCKETS, MAX_DATAGRAM_LEN, MemberUpdate, Message, MessageBody};
 
-/// No encoded update is shorter, in bytes.
+/// A lower bound of the length of an encoded update, in bytes.
 const MIN_UPDATE_LEN: usize = 16;
-/// A response that changes at least so many members is followed by another request, if the views still differ.
+/// A response that changes at least this many members is followed by another request if the views still differ.
 const MIN_CHANGES_FOR_ANOTHER_REQUEST: u64 = 8;
-/// At least so many datagrams in a row with the same digest show that the other members agree, and that it is the local view
-/// that is incomplete.
+/// This many consecutive datagrams with the same digest show that the other members agree, and that the local view is
+/// incomplete.
 const MIN_MATCHING_DIGESTS: u32 = 4;
-/// Up to so many missing members are left to gossip at first; if more are missing, the interval between requests is shorter.
+/// Up to this number of missing members, gossip gets time to spread the changes. If more are missing, the interval
+/// between requests is shorter.
 const MAX_MISSING_FOR_GOSSIP: usize = 3;
-/// A sync is urgent if more members are missing than the known ones divided by this, and more than
+/// A sync is urgent if the number of missing members exceeds both the number of known ones divided by this, and
 /// [`MAX_MISSING_FOR_GOSSIP`].
 const URGENT_DIVISOR: usize = 8;
 
-/// What another member's datagram says about its live members.
+/// The digest and number of another member's live members, from its datagram.
 #[derive(Clone, Copy)]
 pub(crate) struct RemoteDigest {
     pub(crate) digest: u64,
     pub(crate) live_member_count: u32,
 }
 
-/// When to request a sync.
+/// Decides when to request a sync.
 #[derive(Default)]
 pub(crate) struct Synchronizer {
     last_request_at: Instant,
-    /// Added to the intervals between requests; drawn at each, so that not all members request at once.
+    /// Added to the intervals between requests. It is drawn anew for each request, so that members don't all request
+    /// at the same time.
     jitter: Duration,
     /// The digest of the last datagram.
     last_digest: u64,
-    /// How many datagrams in a row had `last_digest`, since the last request that was due.
+    /// The number of consecutive datagrams with `last_digest`, since the last request that was due.
     matching_digests: u32,
     /// [`ChangeCounter::count`](crate::change_counter::ChangeCounter::count) at the last request.
     changes_at_request: u64,
 }
 
 impl Synchronizer {
-    /// Counts the start of the process as a request.
+    /// Treats the start of the process as a request.
     pub(crate) fn start(&mut self, now: Instant) {
         self.last_request_at = now;
     }
 
-    /// Requests the updates of those buckets that differ from the receiver's.
+    /// Requests the updates of the buckets that differ from the receiver's.
     pub(crate) fn request(&mut self, state: &mut ProtocolState, destination: SocketAddrV4) {
         self.last_request_at = state.now();
         self.jitter = state.random_duration_below(half(state.settings().sync_quiet_period));
@@ -58,8 +60,9 @@
         state.send_without_gossip(destination, &message);
     }
 
-    /// Handles the end of a response whose updates have been applied. If it changed much and there is more to fetch, requests
-    /// that and returns false; otherwise returns whether the local member knows any other, and so has joined.
+    /// Handles the end of a response, after its updates were applied. If the response changed many members and more
+    /// updates are missing, requests them and returns false. Otherwise returns true if the local member knows another
+    /// live member, and has therefore joined.
     pub(crate) fn on_response_end(
         &mut self,
         state: &mut ProtocolState,
@@ -76,14 +79,14 @@
         state.table().live_member_count() > 1
     }
 
-    /// Counts how many datagrams in a row had the same digest.
+    /// Counts the consecutive datagrams with the same digest.
     pub(crate) fn observe(&mut self, digest: u64) {
         let is_same = digest == self.last_digest;
         self.last_digest = digest;
         self.matching_digests = if is_same { self.matching_digests.saturating_add(1) } else { 1 };
     }
 
-    /// Requests a sync from the sender of a datagram if its digest differs and the last request is long enough ago.
+    /// Requests a sync from the sender of a datagram if its digest differs and the request interval has passed.
     pub(crate) fn request_if_due(
         &mut self,
         state: &mut ProtocolState,
@@ -99,8 +102,8 @@
         }
     }
 
-    /// The least time between two requests. It is the shorter, the more members are missing here; if several members in a row
-    /// agree with each other but not with this one, something is missing, too. Otherwise gossip gets time to spread the
+    /// The minimum time between two requests. It is shorter if many members are missing in the local view, or if
+    /// several consecutive datagrams agree with each other but not with it. Otherwise gossip gets time to spread the
     /// changes, and views that still differ are synced after a quiet period without changes.
     fn request_interval(&self, state: &ProtocolState, remote_live_member_count: u32) -> Duration {
         let local = state.table().live_member_count();
@@ -120,8 +123,9 @@
     }
 }
 
-/// Sends the updates of buckets that differ from the requester's, in as many datagrams as are allowed. They begin with
-/// `first_update` and then with a random bucket, so that repeated requests bring different updates if not all fit.
+/// Sends the updates of the buckets that differ from the requester's, in a limited number of datagrams.
+/// `first_update` comes first, then the buckets from a random one on, so that repeated requests return different
+/// updates if not all fit.
 pub(crate) fn respond(
     state: &mut ProtocolState,
     requester: SocketAddrV4,
@@ -129,7 +133,7 @@
     first_update: Option<MemberUpdate>,
 ) {
     let max_datagrams = state.settings().max_sync_datagrams;
-    // More than fit, so that it is known whether some are left.
+    // More updates than fit, to detect whether some are left.
     let max_updates = max_datagrams * MAX_DATAGRAM_LEN / MIN_UPDATE_LEN;
     let first_bucket = state.random_index(BUCKETS);
     let differing = state.table().differing_updates(bucket_hashes, first_bucket, max_updates);
@@ -147,7 +151,7 @@
     }
 }
 
-/// Moves updates into a message as long as they fit.
+/// Moves updates into a message while they fit.
 fn add_fitting_updates(
     message: &mut Message,
     updates: &mut std::iter::Peekable<impl Iterator<Item = MemberUpdate>>,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,12 +1,12 @@
-//! The live members, as built from events.
+//! A list of the live members, built from events.
 
 use std::collections::BTreeMap;
 
 use crate::event_log::Event;
 use crate::peer::{MemberState, Peer};
 
-/// The live members by name. It equals what [`Membership::members`](crate::Membership::members) shows of live ones after
-/// all events were applied, unless it [is stale](View::is_stale).
+/// The live members by name. After all events are applied, it equals the live ones of
+/// [`Membership::members`](crate::Membership::members), unless it [is stale](View::is_stale).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     members: BTreeMap<String, (Peer, MemberState)>,
@@ -14,7 +14,7 @@
 }
 
 impl View {
-    /// Applies one event. Events have to be applied in the order in which they were drained.
+    /// Applies one event. Events must be applied in the order in which they were drained.
     pub fn apply(&mut self, event: &Event) {
         match event {
             Event::Joined(peer) => {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Replaces the view by the live ones of all members, after [`Event::Overflowed`].
+    /// Rebuilds the view from all members, after [`Event::Overflowed`].
     pub fn rebuild<'a>(&mut self, members: impl Iterator<Item = (&'a Peer, MemberState)>) {
         self.members = members
             .filter(|(_, state)| state.is_live())
@@ -38,12 +38,12 @@
         self.is_stale = false;
     }
 
-    /// Whether events were dropped since the view was last rebuilt.
+    /// True if events were dropped since the view was last rebuilt.
     pub fn is_stale(&self) -> bool {
         self.is_stale
     }
 
-    /// Alive and suspect members by name, the local one included.
+    /// The members that are alive or suspect, sorted by name, including the local one.
     pub fn live_members(&self) -> impl Iterator<Item = (&Peer, MemberState)> {
         self.members.values().map(|(peer, state)| (peer, *state))
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between members and their encoding, one message a datagram.
+//! The wire format of the messages between members, one message in each datagram.
 
 use core::net::SocketAddrV4;
 
@@ -6,33 +6,33 @@
 
 use crate::peer::{MemberState, Peer};
 
-/// Longest datagram in bytes.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 1_200;
 
-/// Buckets of names, each with a hash of its own, that a sync compares.
+/// The number of buckets of names. A sync compares their hashes.
 pub(crate) const BUCKETS: usize = 64;
-/// Bytes of one bucket's hash, a `u32`.
+/// The length of a bucket's hash (a `u32`), in bytes.
 pub(crate) const BUCKET_HASH_LEN: usize = size_of::<u32>();
-/// Bytes of the hashes of all buckets.
+/// The length of the hashes of all buckets, in bytes.
 pub(crate) const BUCKET_HASHES_LEN: usize = BUCKETS * BUCKET_HASH_LEN;
 
-/// Updates with a higher incarnation are malformed, so that there is always a higher one to refute with.
+/// The maximum incarnation. Updates with a higher one are malformed, so that a refutation never overflows.
 pub(crate) const MAX_INCARNATION: u64 = 1 << 53;
 
-/// Bytes by which the header of an encoded list may grow while updates are added to it.
+/// The number of bytes by which the header of the encoded list may grow while updates are added.
 const LIST_HEADER_GROWTH: usize = 2;
 
-/// The order of updates about one name. A greater version overrides a lesser one, whatever the states are. The derived order
-/// compares the fields as they are listed.
+/// The order of updates about one name. A greater version overrides a smaller one, regardless of their states. The
+/// derived order depends on the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct UpdateVersion {
-    /// Raised by the member itself, to refute.
+    /// Raised only by the member itself, to refute updates about it.
     pub(crate) incarnation: u64,
     /// Distinguishes instances of one name that have the same incarnation.
     pub(crate) instance_id: u64,
 }
 
-/// What a member believes about one name: itself or another.
+/// The state of one member, as the sender knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
 pub(crate) struct MemberUpdate {
     #[n(0)]
@@ -83,10 +83,10 @@
     }
 }
 
-/// What a message is for.
+/// The type of a message, with its specific fields.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, CborLen)]
 pub(crate) enum MessageBody {
-    /// Requests an ack. An empty target matches whichever member has the address.
+    /// Requests an ack. An empty target matches any member at the address.
     #[n(0)]
     Ping {
         #[n(0)]
@@ -94,16 +94,16 @@
         #[n(1)]
         target: String,
     },
-    /// The target is alive: sent by the target, or passed on by a member that pinged it on request.
+    /// Confirms that the target is alive. Sent by the target, or forwarded by a member that pinged it on request.
     #[n(1)]
     Ack {
-        /// Of the ping or ping-req that this is the response to.
+        /// The sequence number of the ping or ping-req that this message responds to.
         #[n(0)]
         sequence: u32,
         #[n(1)]
         target: String,
     },
-    /// Requests that the receiver pings the target and passes its ack on.
+    /// Requests that the receiver pings the target and forwards its ack.
     #[n(2)]
     PingRequest {
         #[n(0)]
@@ -113,24 +113,24 @@
         #[n(2)]
         address: SocketAddrV4,
     },
-    /// Requests the updates of those buckets whose hashes differ.
+    /// Requests the updates of the buckets whose hashes differ.
     #[n(3)]
     SyncRequest {
-        /// [`BUCKET_HASHES_LEN`] bytes.
+        /// The hashes of all buckets, [`BUCKET_HASHES_LEN`] bytes long.
         #[cbor(n(0), with = "minicbor::bytes")]
         bucket_hashes: Vec<u8>,
     },
-    /// Updates of buckets that differ.
+    /// Contains updates of the buckets that differ.
     #[n(4)]
     SyncResponse {
-        /// Whether this is the last datagram of the response.
+        /// True in the last datagram of the response.
         #[n(0)]
         is_last: bool,
-        /// Whether there are more updates than fit into a response.
+        /// True if there are more updates than fit into the response.
         #[n(1)]
         has_more: bool,
     },
-    /// Carries nothing but updates.
+    /// Contains only updates.
     #[n(5)]
     Gossip,
 }
@@ -140,24 +140,24 @@
 pub(crate) struct Message {
     #[n(0)]
     pub(crate) fleet_id: u64,
-    /// The sender about itself: alive or left.
+    /// The sender's update about itself: alive or left.
     #[n(1)]
     pub(crate) sender: MemberUpdate,
-    /// Digest of the live members as the sender knows them.
+    /// The digest of the live members that the sender knows.
     #[n(2)]
     pub(crate) digest: u64,
     #[n(3)]
     pub(crate) body: MessageBody,
-    /// About other members, or about the receiver.
+    /// Updates about other members, or about the receiver.
     #[n(4)]
     pub(crate) updates: Vec<MemberUpdate>,
-    /// Number of the live members as the sender knows them.
+    /// The number of live members that the sender knows.
     #[n(5)]
     pub(crate) live_member_count: u32,
 }
 
 impl Message {
-    /// Decodes a datagram. `None` if it is malformed, too long or of another fleet.
+    /// Decodes a datagram. Returns `None` if it is malformed, too long or of another fleet.
     pub(crate) fn decode(fleet_id: u64, bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_DATAGRAM_LEN {
             return None;
@@ -166,13 +166,13 @@
         (message.fleet_id == fleet_id && message.is_valid()).then_some(message)
     }
 
-    /// Bytes that are left for updates in a datagram of the maximum length.
+    /// The number of bytes left for updates in a datagram of the maximum length.
     pub(crate) fn remaining_bytes(&self) -> usize {
         MAX_DATAGRAM_LEN.saturating_sub(minicbor::len(self) + LIST_HEADER_GROWTH)
     }
 
-    /// Encodes the message. `None` if it would be too long, which can't be if updates were added as far as
-    /// [`Message::remaining_bytes`] allows.
+    /// Encodes the message. Returns `None` if it is too long, which is impossible if the added updates are within
+    /// [`Message::remaining_bytes`].
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         minicbor::to_vec(self).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_LEN)
     }
--- a/crates/membership/tests/cluster/checks.rs
+++ b/crates/membership/tests/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! What the members of a simulated cluster believe.
+//! Checks of the views of the members of a simulated cluster.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 
 use super::{Cluster, Process, millis};
 
-/// How often it is checked whether all agree.
+/// The interval of the checks for agreement.
 const CHECK_INTERVAL: Duration = millis(50);
 
 impl Cluster {
-    /// Runs until all agree on who is live, and how long that took; `None` if it takes longer than `max`.
+    /// Runs until all members agree on the live members. Returns the elapsed time, or `None` if it exceeds `max`.
     pub(crate) fn run_until_agreed(&mut self, max: Duration) -> Option<Duration> {
         let start = self.now;
         while !self.is_agreed() {
@@ -23,12 +23,12 @@
         Some(self.now - start)
     }
 
-    /// The processes that run.
+    /// The running processes.
     pub(crate) fn running(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().filter(|process| process.membership.is_some())
     }
 
-    /// Whether all that run believe in exactly those that run, and suspect none.
+    /// True if the view of each running process contains exactly the running processes, and suspects none.
     pub(crate) fn is_agreed(&self) -> bool {
         let mut live: Vec<(&str, u64)> =
             self.running().map(|process| (process.peer.name.as_str(), process.peer.instance_id)).collect();
@@ -42,20 +42,20 @@
             })
     }
 
-    /// How many of those that run, without the member itself, believe that it is live.
-    pub(crate) fn believers(&self, index: usize) -> usize {
+    /// The number of other running processes whose view contains the member as live.
+    pub(crate) fn views_with_member(&self, index: usize) -> usize {
         let member = &self.processes[index].peer;
-        let believes = |other: &&Process| other.view.live_members().any(|(peer, _)| peer == member);
-        self.running().filter(|other| other.peer.name != member.name).filter(believes).count()
+        let has_member = |other: &&Process| other.view.live_members().any(|(peer, _)| peer == member);
+        self.running().filter(|other| other.peer.name != member.name).filter(has_member).count()
     }
 
-    /// How many of those that run have had an event.
-    pub(crate) fn observers(&self, event: &Event) -> usize {
+    /// The number of running processes that have reported an event.
+    pub(crate) fn processes_with_event(&self, event: &Event) -> usize {
         let has_observed = |process: &&Process| process.events.iter().any(|(_, known)| known == event);
         self.running().filter(has_observed).count()
     }
 
-    /// Checks that each view equals the members that it was built from, and that the counts agree with it.
+    /// Checks that each view equals the live members of its membership, and that the counts match.
     pub(crate) fn assert_views_match_members(&self) {
         for process in self.running() {
             let membership = process.membership.as_ref().expect("the process runs");
@@ -64,12 +64,12 @@
                 .filter(|(_, state)| state.is_live())
                 .map(|(peer, state)| (peer.name.clone(), (peer.clone(), state)))
                 .collect();
-            let viewed: BTreeMap<String, (Peer, MemberState)> = process
+            let in_view: BTreeMap<String, (Peer, MemberState)> = process
                 .view
                 .live_members()
                 .map(|(peer, state)| (peer.name.clone(), (peer.clone(), state)))
                 .collect();
-            assert_eq!(viewed, live, "the view of {}", process.peer.name);
+            assert_eq!(in_view, live, "the view of {}", process.peer.name);
             let count = |is_control_node| {
                 live.values().filter(|(peer, _)| peer.is_control_node == is_control_node).count()
             };
--- a/crates/membership/tests/cluster/mod.rs
+++ b/crates/membership/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network in virtual time: members, delays, loss, partitions, suspended processes. All randomness follows from
-//! the seed.
+//! A simulated network in virtual time, with members, delays, loss, partitions and suspended processes. All
+//! randomness is derived from the seed.
 #![allow(dead_code)]
 
 mod checks;
@@ -14,30 +14,30 @@
 use rand_pcg::Pcg64;
 
 pub(crate) const FLEET_ID: u64 = 0x6d6f_7373;
-/// What IPv4 and UDP add to each datagram.
+/// The length of the IPv4 and UDP headers of each datagram.
 pub(crate) const HEADER_BYTES: u64 = 28;
-/// Datagrams that the socket of a suspended process buffers.
+/// The maximum number of datagrams that the socket of a suspended process buffers.
 const MAX_SOCKET_QUEUE: usize = 200;
-/// Network delays are 1 ms and up to so many more, exclusively.
+/// Network delays are 1 ms plus a random number of milliseconds below this.
 const MAX_EXTRA_DELAY_MS: u64 = 4;
 
 pub(crate) const fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A machine: its process runs if there is a membership.
+/// A machine. Its process runs while `membership` is present.
 pub(crate) struct Process {
     pub peer: Peer,
     pub membership: Option<Membership>,
     pub view: View,
-    /// All events of this instance, with their times.
+    /// All events of the current instance, with their times.
     pub events: Vec<(Instant, Event)>,
     pub is_suspended: bool,
-    /// With [`HEADER_BYTES`] for each datagram.
+    /// Includes [`HEADER_BYTES`] for each datagram.
     pub received_bytes: u64,
-    /// With [`HEADER_BYTES`] for each datagram.
+    /// Includes [`HEADER_BYTES`] for each datagram.
     pub sent_bytes: u64,
-    /// What was received while the process was suspended.
+    /// The datagrams received while the process was suspended.
     socket_queue: Vec<ReceivedDatagram>,
     wake_at: Instant,
 }
@@ -57,16 +57,16 @@
     pub processes: Vec<Process>,
     pub settings: Settings,
     pub seeds: Vec<SocketAddrV4>,
-    /// Datagrams lost of 1,000.
+    /// The number of lost datagrams out of 1,000.
     pub loss_per_mille: u64,
-    /// Links (from, to) that carry nothing.
+    /// One-way links (from, to) on which all datagrams are lost.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// When an action is due, its key in `actions`, and the index of its process; the first one due on top.
+    /// The due time of each action, its key in `actions`, and the index of its process, earliest first.
     queue: BinaryHeap<Reverse<(Instant, u64, usize)>>,
     actions: BTreeMap<u64, Action>,
     by_address: BTreeMap<SocketAddrV4, usize>,
     rng: Pcg64,
-    /// Numbers the actions, so that those due at one instant keep their order.
+    /// The key of the last action. Actions due at the same instant run in the order of their keys.
     last_action: u64,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Cluster {
-    /// `size` members that all start within 300 ms; the first three are seeds and control nodes.
+    /// Creates `size` members that all start within 300 ms. The first three are seeds and control nodes.
     pub(crate) fn new(seed: u64, size: usize, settings: Settings) -> Cluster {
         let mut cluster = Cluster::empty(seed, settings);
         cluster.seeds = (0..size.min(3)).map(address).collect();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Adds a member at an address of its own; it wakes at once.
+    /// Adds a member with its own address, and starts it.
     pub(crate) fn add(&mut self) -> usize {
         let index = self.processes.len();
         let peer = Peer {
@@ -134,7 +134,7 @@
         index
     }
 
-    /// Starts a new instance, with the seeds as they are now.
+    /// Starts a new instance of a process, with the current seeds.
     pub(crate) fn start(&mut self, index: usize) {
         let instance_id = self.rng.next_u64();
         let rng = Pcg64::seed_from_u64(self.rng.next_u64());
@@ -151,13 +151,13 @@
         self.wake_at(index, self.now);
     }
 
-    /// Updates the routes to the processes; to be called after their addresses were changed.
+    /// Updates the index of addresses. Must be called after a change of addresses.
     pub(crate) fn update_addresses(&mut self) {
         let processes = self.processes.iter().enumerate();
         self.by_address = processes.map(|(index, process)| (process.peer.address, index)).collect();
     }
 
-    /// The first datagram of a member that isn't in this network: a request to join.
+    /// The first datagram of a member outside this network, which is a request to join.
     pub(crate) fn datagram_of_outsider(&mut self, index: usize) -> Vec<u8> {
         let peer = Peer {
             name: name(index),
@@ -186,7 +186,7 @@
         self.processes[index].membership = None;
     }
 
-    /// Shuts a member down: it announces that it leaves, and has ended after `grace`.
+    /// Shuts a member down: it announces that it leaves, and its process ends after `grace`.
     pub(crate) fn leave(&mut self, index: usize, grace: Duration) {
         let now = self.now;
         let datagrams = self.membership_mut(index).leave(now);
@@ -199,7 +199,7 @@
         self.processes[index].is_suspended = true;
     }
 
-    /// Continues a suspended process. What was received meanwhile is handled after the first tick.
+    /// Resumes a suspended process. Datagrams received in the meantime are handled after the first tick.
     pub(crate) fn resume(&mut self, index: usize) {
         self.processes[index].is_suspended = false;
         self.wake_at(index, self.now);
@@ -265,7 +265,7 @@
         self.after_call(index, datagrams);
     }
 
-    /// Does what a host does after each call: applies the events, schedules the next tick, sends the datagrams.
+    /// Acts as the host after each call: applies the events, schedules the next tick, and sends the datagrams.
     fn after_call(&mut self, index: usize, datagrams: Vec<Datagram>) {
         let now = self.now;
         let process = &mut self.processes[index];
@@ -276,7 +276,7 @@
         }
         let wake = membership.next_wake(now);
         if wake < process.wake_at || process.wake_at <= now {
-            // Timers are late by a few milliseconds.
+            // Timers fire a few milliseconds late.
             let at = wake + millis(1 + now.as_millis() % 3);
             process.wake_at = at;
             if at < Instant::FAR_FUTURE {
--- a/crates/membership/tests/fault_free.rs
+++ b/crates/membership/tests/fault_free.rs
@@ -1,4 +1,4 @@
-//! Starts, joins, shutdowns and crashes in a network without faults.
+//! Starts, joins, shutdowns and crashes of members in a network without faults.
 
 mod cluster;
 
@@ -33,9 +33,9 @@
         cluster.kill(victim);
         let took = cluster.run_until_agreed(millis(max)).unwrap_or_else(|| panic!("{size} don't agree"));
         println!("{size}: dead after {took:?}");
-        assert_eq!(cluster.observers(&Event::Died(name(victim))), size - 1);
+        assert_eq!(cluster.processes_with_event(&Event::Died(name(victim))), size - 1);
         assert_eq!(
-            cluster.observers(&Event::Suspected(name(victim))),
+            cluster.processes_with_event(&Event::Suspected(name(victim))),
             size - 1,
             "suspicion comes before removal"
         );
@@ -51,7 +51,7 @@
     let took = cluster.run_until_agreed(millis(25_000)).expect("the other half agrees");
     println!("the other half of 40 agrees after {took:?}");
     for process in 20..40 {
-        assert_eq!(cluster.observers(&Event::Died(name(process))), 0);
+        assert_eq!(cluster.processes_with_event(&Event::Died(name(process))), 0);
     }
 }
 
@@ -82,10 +82,10 @@
         cluster.run(millis(10_000));
         cluster.leave(1, millis(2_000));
         assert!(cluster.is_agreed(), "{size} still count one that left");
-        assert_eq!(cluster.observers(&Event::Left(name(1))), size - 1);
-        assert_eq!(cluster.observers(&Event::Suspected(name(1))), 0);
+        assert_eq!(cluster.processes_with_event(&Event::Left(name(1))), size - 1);
+        assert_eq!(cluster.processes_with_event(&Event::Suspected(name(1))), 0);
         cluster.run(millis(10_000));
-        assert_eq!(cluster.observers(&Event::Died(name(1))), 0);
+        assert_eq!(cluster.processes_with_event(&Event::Died(name(1))), 0);
         let other = cluster.membership(0);
         assert!(other.members().any(|(peer, state)| peer.name == name(1) && state == MemberState::Left));
         cluster.start(1);
@@ -116,10 +116,10 @@
         cluster.run_until_agreed(millis(2_000)).expect("replaced");
         assert_eq!(knows(&cluster), 9);
         assert!(cluster.running().all(|process| process.view.live_members().all(|(peer, _)| *peer != old)));
-        assert_eq!(cluster.observers(&Event::Died(name(5))), 0);
+        assert_eq!(cluster.processes_with_event(&Event::Died(name(5))), 0);
         cluster.run(millis(20_000));
         assert!(cluster.is_agreed());
-        assert_eq!(cluster.observers(&Event::Died(name(5))), 0);
+        assert_eq!(cluster.processes_with_event(&Event::Died(name(5))), 0);
     }
 }
 
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Loss, cut links, suspended processes, crashes, restarts, replaced seeds and partitions.
+//! Datagram loss, cut links, suspended processes, crashes, restarts, replaced seeds and partitions.
 
 mod cluster;
 
@@ -32,7 +32,8 @@
         cluster.cut(&[2], &[7]);
         cluster.run(millis(120_000));
         assert_eq!(
-            cluster.observers(&Event::Suspected(name(2))) + cluster.observers(&Event::Suspected(name(7))),
+            cluster.processes_with_event(&Event::Suspected(name(2)))
+                + cluster.processes_with_event(&Event::Suspected(name(7))),
             0
         );
         assert!(cluster.is_agreed());
@@ -48,11 +49,11 @@
             cluster.cut_links.insert(if is_receiving_cut { (process, 5) } else { (5, process) });
         }
         cluster.run(millis(8_000));
-        assert_eq!(cluster.believers(5), 0, "receiving cut: {is_receiving_cut}");
-        // Nobody is declared dead by the updates of the one that was cut off.
+        assert_eq!(cluster.views_with_member(5), 0, "receiving cut: {is_receiving_cut}");
+        // The updates of the member that is cut off cause no other member to be declared dead.
         for process in (0..12).filter(|process| *process != 5) {
             assert!(
-                cluster.believers(process) >= 10,
+                cluster.views_with_member(process) >= 10,
                 "{process} is missed, receiving cut: {is_receiving_cut}"
             );
         }
@@ -74,14 +75,14 @@
         cluster.suspend(7);
         cluster.run(millis(span));
         if span >= 5_000 {
-            assert_eq!(cluster.believers(7), 0);
+            assert_eq!(cluster.views_with_member(7), 0);
         }
         cluster.resume(7);
         let took =
             cluster.run_until_agreed(millis(max)).unwrap_or_else(|| panic!("suspended for {span}: not back"));
         println!("suspended for {span} ms: back after {took:?}");
         for process in (0..20).filter(|process| *process != 7) {
-            assert_eq!(cluster.observers(&Event::Died(name(process))), 0);
+            assert_eq!(cluster.processes_with_event(&Event::Died(name(process))), 0);
         }
     }
 }
@@ -107,7 +108,7 @@
 
 #[test]
 fn slow_members_declare_nobody_dead() {
-    // Half of the members run only now and then, for a while.
+    // Half of the members repeatedly run only for short times.
     let mut cluster = Cluster::new(21, 10, Settings::default());
     cluster.run(millis(5_000));
     for _ in 0..100 {
@@ -176,13 +177,13 @@
         cluster.kill(old);
         let process = cluster.add();
         cluster.run(millis(3_000));
-        // Only processes that start from now on have the new seed.
+        // Only processes that start later get the new seed.
         cluster.seeds[old] = address(process);
     }
     let process = cluster.add();
     cluster.run_until_agreed(millis(8_000)).expect("agreed after the replacement");
     assert_eq!(cluster.processes[process].view.live_members().count(), 13);
-    // Members that have only the first seeds still know each other, though none of these seeds is left.
+    // Members that were started with only the first seeds still know each other, although these seeds are gone.
     cluster.run(millis(90_000));
     assert!(cluster.is_agreed());
 }
@@ -197,7 +198,7 @@
     let process = cluster.add();
     cluster.run(millis(1_500));
     assert_eq!(cluster.processes[process].view.live_members().count(), 8);
-    // With no seed up a new member waits; it joins when a seed is back, or when its host adds a contact.
+    // If all seeds are down, a new member joins only when a seed is back, or when its host adds a contact.
     cluster.kill(2);
     cluster.run(millis(8_000));
     let late = cluster.add();
@@ -249,7 +250,7 @@
 
 #[test]
 fn healing_a_partition_declares_no_healthy_member_dead() {
-    // A single member that was cut off believes that all others are dead. They refute instead of being removed.
+    // A single member that was cut off has declared all others dead. They refute this instead of being removed.
     let mut cluster = Cluster::new(17, 30, Settings::default());
     cluster.run(millis(10_000));
     let others: Vec<usize> = (0..30).filter(|process| *process != 4).collect();
@@ -285,7 +286,7 @@
 
 #[test]
 fn the_sides_of_a_partition_merge_without_common_seeds() {
-    // All seeds are in one half, and are gone for good when the cut heals.
+    // All seeds are in one half, and are permanently down when the partition heals.
     let mut cluster = Cluster::new(31, 16, Settings::default());
     cluster.run(millis(10_000));
     let (one, other): (Vec<usize>, Vec<usize>) = (0..16).partition(|process| *process < 8);
@@ -300,12 +301,13 @@
 
 #[test]
 fn two_processes_of_one_name_are_resolved_to_one() {
-    // Two processes of one name, as when an old machine comes back: each view has one of them, and the traffic stays bounded.
+    // Two processes have the same name, for example because an old machine comes back. Each view contains only one of
+    // them, and the traffic stays bounded.
     let mut cluster = Cluster::new(2, 6, Settings::default());
     cluster.run(millis(5_000));
-    let twin = cluster.add();
-    cluster.processes[twin].peer.name = name(4);
-    cluster.start(twin);
+    let duplicate = cluster.add();
+    cluster.processes[duplicate].peer.name = name(4);
+    cluster.start(duplicate);
     cluster.run(millis(20_000));
     for process in [0, 1, 2, 3, 5] {
         let known: Vec<MemberState> = cluster.processes[process]
--- a/crates/membership/tests/former_formats.rs
+++ b/crates/membership/tests/former_formats.rs
@@ -1,5 +1,6 @@
-//! Datagrams that an earlier version has sent: processes of two versions meet while a fleet is upgraded. One datagram of
-//! each kind, from a conversation of three members of which one goes silent and another leaves.
+//! Datagrams recorded from an earlier version, because processes of two versions talk to each other during a rolling
+//! update. There is one datagram of each kind, from an exchange between three members, of which one goes silent and
+//! another leaves.
 
 mod cluster;
 
@@ -14,10 +15,10 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// The kinds of datagrams, by their number on the wire.
+/// The recorded_datagram names of the kinds of datagrams, indexed by the kind's number on the wire.
 const KINDS: [&str; 6] = ["ping", "ack", "ping-request", "ask", "page", "tell"];
 
-fn file(name: &str) -> Vec<u8> {
+fn recorded_datagram(name: &str) -> Vec<u8> {
     FormerData::of_package(env!("CARGO_MANIFEST_DIR")).cbor(name)
 }
 
@@ -36,24 +37,25 @@
     Membership::new(peer(node), seeds, settings, Pcg64::seed_from_u64(node as u64)).unwrap()
 }
 
-/// What three members send each other within 15 s; the third is silent after 2 s, and the first leaves at the end.
-fn conversation() -> Vec<Vec<u8>> {
+/// The datagrams that three members send each other within 15 s. The third goes silent after 2 s, and the first
+/// leaves at the end.
+fn exchange_datagrams() -> Vec<Vec<u8>> {
     let mut members = [member(0, vec![]), member(1, vec![address(0)]), member(2, vec![address(0)])];
     let mut sent = Vec::new();
     for now in (0..15_000).step_by(25) {
         let time = Instant::from_millis(now);
         let running = if now < 2_000 { 3 } else { 2 };
-        let mut under_way = Vec::new();
+        let mut in_flight = Vec::new();
         for (node, member) in members.iter_mut().enumerate().take(running) {
-            under_way.extend(member.tick(time).into_iter().map(|datagram| (address(node), datagram)));
+            in_flight.extend(member.tick(time).into_iter().map(|datagram| (address(node), datagram)));
         }
         for _ in 0..6 {
-            for (from, datagram) in std::mem::take(&mut under_way) {
+            for (from, datagram) in std::mem::take(&mut in_flight) {
                 let Datagram { destination, payload } = datagram;
                 sent.push(payload.clone());
                 let Some(node) = (0..running).find(|node| address(*node) == destination) else { continue };
                 let out = members[node].receive(time, from, &payload);
-                under_way.extend(out.into_iter().map(|datagram| (address(node), datagram)));
+                in_flight.extend(out.into_iter().map(|datagram| (address(node), datagram)));
             }
         }
     }
@@ -61,7 +63,7 @@
     sent
 }
 
-/// The body is the fourth field: an array of two that begins with the number of its kind.
+/// The kind of a datagram. The body is the fourth field, an array of two whose first element is the kind's number.
 fn kind(datagram: &[u8]) -> &'static str {
     let mut decoder = Decoder::new(datagram);
     decoder.array().unwrap();
@@ -70,36 +72,36 @@
     KINDS[decoder.u32().unwrap() as usize]
 }
 
-/// The kinds of what a member sends when it is given a file, and to whom.
+/// The destinations and kinds of the datagrams that a member sends when it receives a recorded one.
 fn replies(member: &mut Membership, name: &str) -> Vec<(SocketAddrV4, &'static str)> {
-    let out = member.receive(Instant::from_millis(100), address(1), &file(name));
+    let out = member.receive(Instant::from_millis(100), address(1), &recorded_datagram(name));
     out.iter().map(|datagram| (datagram.destination, kind(&datagram.payload))).collect()
 }
 
 fn known(member: &Membership) -> BTreeMap<String, (Peer, MemberState)> {
-    member.members().map(|(peer, health)| (peer.name.clone(), (peer.clone(), health))).collect()
+    member.members().map(|(peer, state)| (peer.name.clone(), (peer.clone(), state))).collect()
 }
 
 #[test]
-fn the_same_conversation_has_the_datagrams_of_an_earlier_version() {
-    let sent = conversation();
+fn the_same_exchange_produces_the_datagrams_of_an_earlier_version() {
+    let sent = exchange_datagrams();
     for name in KINDS {
         let longest =
             sent.iter().filter(|datagram| kind(datagram) == name).max_by_key(|datagram| datagram.len());
-        assert_eq!(longest, Some(&file(name)), "{name}");
+        assert_eq!(longest, Some(&recorded_datagram(name)), "{name}");
     }
-    assert_eq!(sent.last(), Some(&file("tell-of-a-leaver")));
+    assert_eq!(sent.last(), Some(&recorded_datagram("tell-of-a-leaver")));
 }
 
 #[test]
 fn datagrams_of_an_earlier_version_are_understood() {
-    let newcomer = || member(3, vec![]);
-    let (mut asked, mut pinged, mut requested) = (newcomer(), newcomer(), newcomer());
+    let new_member = || member(3, vec![]);
+    let (mut asked, mut pinged, mut requested) = (new_member(), new_member(), new_member());
     assert_eq!(replies(&mut asked, "ask"), [(address(1), "page")]);
     assert_eq!(replies(&mut pinged, "ping"), [(address(1), "tell")]);
     assert_eq!(replies(&mut requested, "ping-request"), [(address(2), "ping")]);
     for name in KINDS {
-        let mut receiver = newcomer();
+        let mut receiver = new_member();
         replies(&mut receiver, name);
         let members = known(&receiver);
         assert!(members.len() > 1, "{name}");
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn the_word_of_a_leaver_of_an_earlier_version_is_believed() {
+fn a_leave_announcement_of_an_earlier_version_is_applied() {
     let mut receiver = member(3, vec![]);
     replies(&mut receiver, "page");
     assert_eq!(known(&receiver)["a"], (peer(0), MemberState::Alive));
--- a/crates/membership/tests/leaving.rs
+++ b/crates/membership/tests/leaving.rs
@@ -9,9 +9,9 @@
 /// The first announcement and its repetitions.
 const ANNOUNCEMENTS: usize = 4;
 
-/// A probe that was in flight when the member began to leave is not served any more, and postpones nothing.
+/// A probe in flight when the member begins to leave is abandoned, and must not postpone the announcements.
 #[test]
-fn a_leaving_member_sends_every_announcement_whatever_was_in_flight() {
+fn a_leaving_member_sends_every_announcement_with_a_probe_in_flight() {
     for offset in (0..2_000).step_by(37) {
         let settings = Settings::default();
         let interval = settings.probe_interval;
--- a/crates/membership/tests/malformed_datagrams.rs
+++ b/crates/membership/tests/malformed_datagrams.rs
@@ -1,4 +1,4 @@
-//! Malformed datagrams, and instants and settings out of bounds.
+//! Malformed datagrams, and out-of-bounds instants and settings.
 
 mod cluster;
 
@@ -9,7 +9,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// A cluster whose first member knows live members, a suspect, a dead one and one that left.
+/// A cluster whose first member knows live members, a suspect, a dead member and one that left.
 fn cluster_with_history() -> Cluster {
     let mut cluster = Cluster::new(1, 8, Settings::default());
     cluster.run(millis(5_000));
@@ -21,7 +21,7 @@
     cluster
 }
 
-/// What three members send each other, with datagrams of each kind.
+/// The datagrams that three members send each other, with all kinds of messages.
 fn valid_datagrams() -> Vec<Vec<u8>> {
     let settings = Settings { fleet_id: FLEET_ID, ..Settings::default() };
     let peer = |process: usize, name: &str| Peer {
@@ -39,7 +39,7 @@
         [start(0, "a", vec![]), start(1, "b", vec![address(0)]), start(2, "c", vec![address(0)])];
     let mut datagrams = Vec::new();
     for now in (0..15_000).step_by(25) {
-        // The third ends after a while, so that the others send each other ping-reqs and suspect it.
+        // The third stops after two seconds, so that the others send ping-reqs and suspect it.
         let running = if now < 2_000 { 3 } else { 2 };
         let mut in_flight = Vec::new();
         for (process, member) in members.iter_mut().enumerate().take(running) {
@@ -66,7 +66,7 @@
     datagrams
 }
 
-/// Hands the datagrams to the first member, a millisecond apart. Returns how many it has sent.
+/// Passes the datagrams to the first member, one per millisecond. Returns the number of datagrams that it sends.
 fn handle_all(cluster: &mut Cluster, datagrams: &[Vec<u8>]) -> usize {
     let now = cluster.now;
     let membership = cluster.membership_mut(0);
--- a/crates/membership/tests/mutants.rs
+++ b/crates/membership/tests/mutants.rs
@@ -1,21 +1,21 @@
-//! What each part of the protocol is for: with the part turned off, healthy members are suspected or declared dead, or dead
-//! ones come back.
+//! Shows the purpose of each mechanism of the protocol: without it, healthy members are suspected or declared dead,
+//! or dead ones come back.
 
 mod cluster;
 
 use cluster::{Cluster, millis};
 use mosshead_membership::{Event, Settings};
 
-/// How often members have been wrong about another.
+/// The number of false suspicions and deaths.
 #[derive(Debug, Default, PartialEq)]
-struct WrongVerdicts {
+struct FalseDetections {
     suspicions: usize,
     deaths: usize,
 }
 
-/// Suspicions and deaths in two minutes among twelve members, one link of which carries nothing.
-fn wrong_verdicts_with_a_cut_link(settings: Settings) -> WrongVerdicts {
-    let mut verdicts = WrongVerdicts::default();
+/// The suspicions and deaths in two minutes among twelve members, with one cut link.
+fn false_detections_with_a_cut_link(settings: Settings) -> FalseDetections {
+    let mut detections = FalseDetections::default();
     for seed in 0..3 {
         let mut cluster = Cluster::new(seed, 12, settings.clone());
         cluster.run(millis(5_000));
@@ -23,31 +23,31 @@
         cluster.run(millis(120_000));
         for (_, event) in cluster.running().flat_map(|process| &process.events) {
             match event {
-                Event::Suspected(_) => verdicts.suspicions += 1,
-                Event::Died(_) => verdicts.deaths += 1,
+                Event::Suspected(_) => detections.suspicions += 1,
+                Event::Died(_) => detections.deaths += 1,
                 _ => {}
             }
         }
     }
-    verdicts
+    detections
 }
 
 #[test]
 fn with_the_complete_protocol_a_cut_link_does_nothing() {
-    assert_eq!(wrong_verdicts_with_a_cut_link(Settings::default()), WrongVerdicts::default());
+    assert_eq!(false_detections_with_a_cut_link(Settings::default()), FalseDetections::default());
 }
 
 #[test]
 fn without_indirect_probes_a_cut_link_makes_healthy_members_suspect() {
-    let WrongVerdicts { suspicions, deaths } =
-        wrong_verdicts_with_a_cut_link(Settings { indirect_probes: 0, ..Settings::default() });
+    let FalseDetections { suspicions, deaths } =
+        false_detections_with_a_cut_link(Settings { indirect_probes: 0, ..Settings::default() });
     println!("without indirect probes: {suspicions} suspicions, {deaths} deaths");
     assert!(suspicions > 0);
 }
 
 #[test]
 fn without_indirect_probes_and_refutation_a_cut_link_kills_healthy_members() {
-    let WrongVerdicts { deaths, .. } = wrong_verdicts_with_a_cut_link(Settings {
+    let FalseDetections { deaths, .. } = false_detections_with_a_cut_link(Settings {
         indirect_probes: 0,
         is_refutation_enabled: false,
         ..Settings::default()
@@ -56,7 +56,7 @@
     assert!(deaths > 0);
 }
 
-/// Deaths in two minutes with a fifth of all datagrams lost.
+/// The number of deaths in two minutes, with a fifth of all datagrams lost.
 fn deaths_with_loss(settings: Settings) -> usize {
     let mut cluster = Cluster::new(40, 40, settings);
     cluster.loss_per_mille = 200;
@@ -99,7 +99,7 @@
 
 #[test]
 fn without_tombstones_outdated_gossip_revives_the_dead() {
-    // A resumed member still believes in those that died meanwhile. How often others believe it:
+    // The view of a resumed member still contains those that died in the meantime. Counts how often others revive them.
     let revivals = |tombstone_retention| {
         let mut cluster = Cluster::new(3, 12, Settings { tombstone_retention, ..Settings::default() });
         cluster.run(millis(10_000));
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random sequences of faults: after them all members that run soon agree on who runs, and faults of some members make others
-//! miss none of the rest.
+//! Random sequences of faults. Afterwards, all running members soon agree on the live members. Faults of some members
+//! cause no other healthy member to be declared dead.
 
 mod cluster;
 
@@ -7,7 +7,7 @@
 use mosshead_membership::Settings;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// A step of a random run. Processes are numbers that are reduced to the size of the cluster; times are in milliseconds.
+/// A step of a random run. Process numbers are taken modulo the size of the cluster; times are in milliseconds.
 #[derive(Clone, Debug)]
 enum Fault {
     Kill(usize),
@@ -17,10 +17,10 @@
     Resume(usize),
     Cut(usize, usize),
     CutOneWay(usize, usize),
-    /// Cuts all links between processes that differ in this bit of their number, modulo 3.
+    /// Cuts all links between processes whose numbers differ in this bit (modulo 3).
     Partition(usize),
     Heal,
-    /// Datagrams lost of 1,000.
+    /// The number of lost datagrams out of 1,000.
     Loss(u64),
     Add,
     Wait(u64),
@@ -99,7 +99,7 @@
     end_faults(&mut cluster);
     let agreed = cluster.run_until_agreed(millis(20_000)).is_some();
     cluster.assert_views_match_members();
-    // They still agree later.
+    // The agreement must be stable.
     cluster.run(millis(30_000));
     agreed && cluster.is_agreed()
 }
@@ -109,8 +109,8 @@
     QuickCheck::new().rng(Gen::new(60)).quickcheck(all_agree_after_faults as fn(u64, Vec<Fault>) -> bool);
 }
 
-/// Faults of the first half of the members only: cut links, crashes, suspensions, restarts.
-fn healthy_members_stay(seed: u64, faults: Vec<Fault>) -> bool {
+/// Applies faults only to the first half of the members: cut links, crashes, suspensions, restarts.
+fn healthy_members_stay_live(seed: u64, faults: Vec<Fault>) -> bool {
     let mut cluster = Cluster::new(seed, 12, Settings::default());
     cluster.run(millis(4_000));
     let mut missing = 0;
@@ -129,7 +129,7 @@
             Fault::Wait(span_ms) => cluster.run(millis(span_ms)),
             _ => cluster.run(millis(100)),
         }
-        // The second half is healthy: each of them believes that the others of them are live.
+        // The second half is healthy: their views must contain each other as live.
         let healthy = 6..12;
         for process in healthy.clone() {
             let peer = &cluster.processes[process].peer;
@@ -143,10 +143,10 @@
 
 #[test]
 fn healthy_members_never_declare_each_other_dead() {
-    QuickCheck::new().rng(Gen::new(60)).quickcheck(healthy_members_stay as fn(u64, Vec<Fault>) -> bool);
+    QuickCheck::new().rng(Gen::new(60)).quickcheck(healthy_members_stay_live as fn(u64, Vec<Fault>) -> bool);
 }
 
-/// All members agree in bounded time on which members crashed, in a fleet without other faults.
+/// In a fleet without other faults, all members agree on the crashed members in bounded time.
 fn crashes_are_detected(seed: u64, size: usize, dead: usize) -> bool {
     let size = size % 20 + 2;
     let dead = dead % (size / 2) + 1;
@@ -154,7 +154,7 @@
     cluster.run(millis(6_000));
     let agreed = cluster.is_agreed();
     (0..dead).for_each(|process| cluster.kill(process * 2 % size));
-    // Each is probed within two probe rounds, and may then refute.
+    // Each member is probed within two rounds, and then has time to refute.
     let max = millis(1_000 + 800 * size as u64) + Settings::default().suspicion_timeout(size) + millis(1_000);
     agreed && cluster.run_until_agreed(max).is_some()
 }
@@ -164,7 +164,7 @@
     QuickCheck::new().quickcheck(crashes_are_detected as fn(u64, usize, usize) -> bool);
 }
 
-/// With up to a tenth of all datagrams lost no member that runs is missing from a view for long.
+/// If up to a tenth of all datagrams are lost, no running member is missing from a view for long.
 fn loss_is_tolerated(seed: u64, size: usize, loss: u64) -> bool {
     let size = size % 20 + 2;
     let mut cluster = Cluster::new(seed, size, Settings::default());
@@ -182,6 +182,6 @@
 }
 
 #[test]
-fn loss_keeps_nobody_out_for_long() {
+fn loss_keeps_no_member_out_for_long() {
     QuickCheck::new().quickcheck(loss_is_tolerated as fn(u64, usize, u64) -> bool);
 }
--- a/crates/membership/tests/traffic.rs
+++ b/crates/membership/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! What one member sends and receives must not grow with the fleet.
+//! The traffic of one member must not grow with the size of the fleet.
 
 mod cluster;
 
@@ -6,11 +6,11 @@
 use mosshead_membership::Settings;
 use mosshead_time::Duration;
 
-const CALM_PERIOD: Duration = millis(30_000);
-/// With the headers of IPv4 and UDP.
+const STEADY_PERIOD: Duration = millis(30_000);
+/// Includes the IPv4 and UDP headers.
 const MAX_BYTES_PER_SECOND: u64 = 1_200;
 
-/// The bytes that a member has sent and received so far.
+/// The number of bytes that a member has sent and received so far.
 struct Traffic {
     sent: u64,
     received: u64,
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// The bytes that all members but the first have sent.
+/// The number of bytes sent by all members except the first.
 fn sent_by_all_but_first(cluster: &Cluster) -> u64 {
     cluster.processes.iter().skip(1).map(|process| process.sent_bytes).sum()
 }
@@ -38,12 +38,12 @@
         cluster.run(millis(300));
         let start = cluster.run_until_agreed(millis(60_000)).expect("agreed after the start");
         let at_start: u64 = traffic(&cluster).iter().map(|member| member.sent).sum::<u64>() / size as u64;
-        // Gossip of the start is sent for some time after all have it.
+        // Gossip from the start is retransmitted for some time after all members have it.
         cluster.run(millis(15_000));
         let before = traffic(&cluster);
-        cluster.run(CALM_PERIOD);
+        cluster.run(STEADY_PERIOD);
         let after = traffic(&cluster);
-        let rate = |now: u64, then: u64| (now - then) / CALM_PERIOD.as_secs();
+        let rate = |now: u64, then: u64| (now - then) / STEADY_PERIOD.as_secs();
         let sent: Vec<u64> =
             after.iter().zip(&before).map(|(after, before)| rate(after.sent, before.sent)).collect();
         let received = after.iter().zip(&before).map(|(after, before)| rate(after.received, before.received));
