--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls and their encoding.
+//! The trait of RPC calls, and their encoding.
 
 use std::net::SocketAddrV4;
 
@@ -7,24 +7,24 @@
 
 use crate::error::CallError;
 
-/// The longest body of a call or a response, in bytes.
+/// The maximum length of the body of a call or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// A message of one process to another, paired with its response.
+/// A request message to another process, paired with its response type.
 pub trait Call: Encode<()> + for<'bytes> Decode<'bytes, ()> + 'static {
     /// The name of the call on the wire: letters, digits, `-` and `/`.
     const NAME: &'static str;
-    /// When the call may be sent again on another connection after its first one was lost; `docs/design/calls.md` gives
-    /// the reasons.
+    /// Decides whether the call may be retried on another connection after its first connection was lost.
+    /// `docs/design/calls.md` gives the reasons.
     const RETRY_POLICY: RetryPolicy;
-    /// What the handler returns.
+    /// The type that the handler returns.
     type Response: Encode<()> + for<'bytes> Decode<'bytes, ()> + 'static;
 }
 
-/// Who has sent a call.
+/// The sender of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// The other end of the connection; the port is an ephemeral one.
+    /// The remote address of the connection, usually with an ephemeral port.
     pub address: SocketAddrV4,
 }
 
@@ -38,7 +38,7 @@
     if bytes.len() > MAX_BODY_BYTES { Err(CallError::TooLong) } else { Ok(bytes) }
 }
 
-/// Decodes a call or a response; `None` unless the bytes are exactly one such value.
+/// Decodes a call or a response. Returns `None` unless the bytes are exactly one such value.
 pub(crate) fn decode<T: for<'bytes> Decode<'bytes, ()>>(bytes: &[u8]) -> Option<T> {
     let mut decoder = Decoder::new(bytes);
     let value = decoder.decode().ok()?;
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -1,4 +1,4 @@
-//! Calls over the network.
+//! The RPC client: sends calls over pooled HTTP/1.1 connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,10 +17,10 @@
 use crate::error::{CALL_ID_HEADER, CallError, CallRejection, RESULT_CODE_HEADER};
 use crate::transport::{OutgoingCall, Transport};
 
-/// After a response a connection has to become ready for the next call within this time, or it is closed.
+/// A connection that is not ready for the next call within this time after a response is closed.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
 
-/// Calls over the network. Clones share their idle connections. Needs a `LocalSet`.
+/// Sends calls over the network. Clones share their idle connections. Requires a `tokio::task::LocalSet`.
 #[derive(Clone, Default)]
 pub struct Caller {
     pool: Rc<ConnectionPool>,
@@ -28,12 +28,12 @@
 }
 
 impl Caller {
-    /// A caller without connections.
+    /// Creates a caller without connections.
     pub fn new() -> Caller {
         Caller::default()
     }
 
-    /// Sends the call once and reads the head of its response.
+    /// Sends the call once and reads the head of the response.
     async fn send(
         &self,
         mut connection: Connection,
@@ -45,7 +45,7 @@
         let call_id = self.next_call_id();
         let request = http_request(call, &call_id).map_err(FailedAttempt::not_started)?;
         let response = connection.send_with_deadline(request, call.deadline).await?;
-        // A surplus response to an earlier call may arrive where this call's response is due.
+        // A duplicate response to an earlier call may arrive in place of this call's response.
         if response.headers().get(CALL_ID_HEADER) != Some(&call_id) {
             let progress = connection.write_progress.progress();
             return Err(FailedAttempt { error: CallError::ResponseMismatch, progress });
@@ -58,7 +58,7 @@
         HeaderValue::from(self.last_call_id.get())
     }
 
-    /// Reads the rest of a response, and returns its connection to the pool.
+    /// Reads the body of a response, and returns its connection to the pool.
     async fn receive(&self, call: &OutgoingCall, head: ResponseHead) -> Result<Bytes, CallError> {
         let ResponseHead { mut connection, response } = head;
         let (head, body) = response.into_parts();
@@ -66,7 +66,7 @@
             BodyError::TooLong => CallError::TooLong,
             _ => CallError::ConnectionLost,
         })?;
-        // If the process was suspended, the response may have waited in the kernel for long: it may be out of date.
+        // If the process was suspended, the response may have waited in the kernel's buffer, and may be outdated.
         if Instant::now() >= call.deadline {
             return Err(CallError::Timeout);
         }
@@ -83,8 +83,8 @@
             match self.send(connection, call).await {
                 Ok(head) => return self.receive(call, head).await,
                 Err(attempt) if !attempt.may_be_retried(call.retry_policy) => return Err(attempt.error),
-                // The connection had ended, ended meanwhile or carried another call's response. The other idle ones to
-                // this address have been idle for as long, so the retry is made on a new one.
+                // The connection was closed or carried another call's response. The other idle connections to this
+                // address have been idle for at least as long, so the retry uses a new connection.
                 Err(_) => self.pool.close_all_to(call.to),
             }
         }
@@ -104,19 +104,19 @@
         .map_err(|_| CallError::Malformed)
 }
 
-/// The error of a response that is not 200.
+/// The error of a response whose status is not 200.
 fn rejection(headers: &HeaderMap) -> CallError {
     let code = headers.get(RESULT_CODE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
     code.map_or(CallError::Malformed, |code| CallError::Rejected(CallRejection::from_code(code)))
 }
 
-/// The head of a response, and the connection that its body arrives on.
+/// The head of a response, with the connection on which its body arrives.
 struct ResponseHead {
     connection: Connection,
     response: Response<Incoming>,
 }
 
-/// A call that was sent and has no response of its own.
+/// An attempt to send a call that has failed without a matching response.
 struct FailedAttempt {
     error: CallError,
     progress: SendProgress,
@@ -127,7 +127,7 @@
         FailedAttempt { error, progress: SendProgress::NotStarted }
     }
 
-    /// Whether a retry on a new connection may succeed and does no harm.
+    /// True if a retry on a new connection is safe and may succeed.
     fn may_be_retried(&self, policy: RetryPolicy) -> bool {
         matches!(self.error, CallError::ConnectionLost | CallError::ResponseMismatch)
             && policy.allows(self.progress)
--- a/crates/rpc/src/connection_pool.rs
+++ b/crates/rpc/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to other processes.
+//! Opens connections to other processes, and keeps idle ones for reuse.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,13 +14,13 @@
 use crate::error::CallError;
 use crate::tcp::USER_TIMEOUT;
 
-/// How long an idle connection stays open for the next call.
+/// How long an idle connection is kept for the next call.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
 /// The maximum number of idle connections to all addresses.
 const MAX_IDLE: usize = 256;
-/// How long one attempt to connect may take; there are two.
+/// The timeout of one attempt to connect. There are at most two attempts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 const PEER: PeerKind = PeerKind::unlogged("peer");
@@ -28,12 +28,12 @@
 /// An open connection. Dropping it closes it.
 pub(crate) type Connection = OutboundConnection<Full<Bytes>>;
 
-/// Opens a connection, in at most two attempts: the system would send a lost SYN again only after a second, and the second
-/// attempt begins before that.
+/// Opens a connection, in at most two attempts. The kernel would retransmit a lost SYN only after one second; the
+/// second attempt begins earlier.
 ///
 /// # Errors
 ///
-/// [`CallError::Connect`] if neither attempt succeeded by the deadline.
+/// [`CallError::Connect`] if no attempt succeeds by the deadline.
 pub(crate) async fn connect(to: SocketAddrV4, deadline: Instant) -> Result<Connection, CallError> {
     let connected = match try_connect(to, deadline).await {
         Err(ConnectError::Unreachable | ConnectError::TimedOut) if Instant::now() < deadline => {
@@ -53,11 +53,11 @@
 /// The idle connections of a caller.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
-    /// By address, the most recently used one last.
+    /// By address, the most recently used connection last.
     idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
     /// The number of connections in `idle`.
     count: Cell<usize>,
-    /// Whether the task that closes expired connections runs.
+    /// True while the task that closes expired connections runs.
     has_expiry_task: Cell<bool>,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl ConnectionPool {
-    /// Takes the most recently used connection to an address.
+    /// Removes and returns the most recently used connection to an address.
     pub(crate) fn take(&self, to: SocketAddrV4) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let candidates = idle.get_mut(&to)?;
@@ -87,7 +87,7 @@
         None
     }
 
-    /// Stores a connection that carries no call; closes it if there are too many.
+    /// Stores an idle connection, or closes it if there are too many.
     pub(crate) fn put(self: &Rc<ConnectionPool>, to: SocketAddrV4, connection: Connection) {
         if connection.is_closed() || self.count.get() >= MAX_IDLE {
             return;
@@ -112,7 +112,7 @@
         self.count.set(self.count.get().saturating_sub(closed));
     }
 
-    /// Closes the expired connections; returns when the next one expires, or `None` if there is none left.
+    /// Closes the expired connections. Returns when the next one expires, or `None` if none is left.
     fn close_expired(&self) -> Option<Instant> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connections| {
--- a/crates/rpc/src/connection_table.rs
+++ b/crates/rpc/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of a server, and which of them may be closed for a new one.
+//! Tracks the open connections of a server, to close the least recently used idle one when there are too many.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 
 use tokio::task::{AbortHandle, Id};
 
-/// Numbers the uses of all connections of a server, so that it is known which one was used least recently.
+/// Numbers the uses of all connections of a server, to find the least recently used one.
 #[derive(Clone, Default)]
 pub(crate) struct UseCounter(Rc<Cell<u64>>);
 
@@ -17,28 +17,28 @@
     }
 }
 
-/// What a connection's task reports to the table.
+/// The state that a connection's task shares with the table.
 pub(crate) struct ConnectionActivity {
-    /// Whether a call is being handled.
+    /// True while a call is handled.
     is_busy: Cell<bool>,
-    /// The [`UseCounter`]'s number of the end of the last call or, before the first, of the opening.
+    /// The [`UseCounter`]'s number at the end of the last call or, before the first call, at the opening.
     last_use: Cell<u64>,
     counter: UseCounter,
 }
 
 impl ConnectionActivity {
-    /// The activity of a new connection.
+    /// Creates the activity of a new connection.
     pub(crate) fn new(counter: &UseCounter) -> Rc<ConnectionActivity> {
         let last_use = Cell::new(counter.next());
         Rc::new(ConnectionActivity { is_busy: Cell::new(false), last_use, counter: counter.clone() })
     }
 
-    /// A call has arrived.
+    /// Records that a call has arrived.
     pub(crate) fn begin_call(&self) {
         self.is_busy.set(true);
     }
 
-    /// Its response is ready.
+    /// Records that the response to the call is ready.
     pub(crate) fn end_call(&self) {
         self.last_use.set(self.counter.next());
         self.is_busy.set(false);
@@ -50,7 +50,7 @@
     task: AbortHandle,
 }
 
-/// The open connections by the id of their task.
+/// The open connections, by the id of their task.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     connections: HashMap<Id, OpenConnection>,
@@ -69,7 +69,7 @@
         self.connections.remove(&id);
     }
 
-    /// Closes the idle connection that was used least recently; false if all are busy.
+    /// Closes the least recently used idle connection. Returns false if all are busy.
     pub(crate) fn close_least_recently_used(&mut self) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| !connection.activity.is_busy.get());
         let oldest = idle.min_by_key(|(_, connection)| connection.activity.last_use.get());
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -1,19 +1,19 @@
-//! Why a call fails, on either side.
+//! The errors of calls: rejections by the server, and failures on the caller's side.
 
 use quick_error::quick_error;
 
-/// The header with the number of a rejection.
+/// The response header with the code of a rejection.
 pub const RESULT_CODE_HEADER: &str = "result-code";
 
-/// The header with the id of a call; its response repeats it.
+/// The header with the id of a call, which the response repeats.
 pub const CALL_ID_HEADER: &str = "call-id";
 
 quick_error! {
-    /// Why the other side has sent a rejection in place of a response. Numbers 810 to 819 are reserved for this package; a
-    /// handler rejects with [`CallRejection::Application`] and a number of its own.
+    /// The reason why the server rejected a call. Codes 810 to 819 are reserved for this package. Handlers reject
+    /// calls with [`CallRejection::Application`] and their own codes.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallRejection {
-        /// 810: there is no handler of that name.
+        /// 810: there is no handler for this call name.
         UnknownCall {
             display("no such call")
         }
@@ -25,11 +25,11 @@
         TooLong {
             display("the call is too long")
         }
-        /// 813: the body of the call took too long to arrive.
+        /// 813: the body of the call did not arrive in time.
         ReadTimeout {
             display("the call came too slowly")
         }
-        /// 814: too many calls are being handled.
+        /// 814: too many calls are in progress.
         Overloaded {
             display("too many calls")
         }
@@ -37,7 +37,7 @@
         HandlerFailed {
             display("the call could not be handled")
         }
-        /// The handler's own number.
+        /// The handler's own code.
         Application(code: u16) {
             display("refused with {code}")
         }
@@ -45,7 +45,7 @@
 }
 
 impl CallRejection {
-    /// The number of the rejection.
+    /// The code of the rejection.
     pub fn code(self) -> u16 {
         match self {
             CallRejection::UnknownCall => 810,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The rejection with that number.
+    /// The rejection with this code.
     pub fn from_code(code: u16) -> CallRejection {
         match code {
             810 => CallRejection::UnknownCall,
@@ -86,34 +86,34 @@
 }
 
 quick_error! {
-    /// Why a call has no response.
+    /// The reason why a call has no response.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallError {
         /// 801: no connection was established, so the call was not sent.
         Connect {
             display("can't connect")
         }
-        /// 802: no response within the timeout.
+        /// 802: no response arrived within the timeout.
         Timeout {
             display("no answer in time")
         }
-        /// 803: rejected by the other side.
+        /// 803: the server rejected the call.
         Rejected(rejection: CallRejection) {
             display("refused: {rejection}")
         }
-        /// 804: the response is not a valid one to this call, or the call can't be encoded.
+        /// 804: the response is invalid, or the call can't be encoded.
         Malformed {
             display("the answer can't be read")
         }
-        /// 805: the call or the response is too long; a call that is too long has not been sent.
+        /// 805: the call or the response is too long. A call that is too long is not sent.
         TooLong {
             display("the call or its answer is too long")
         }
-        /// 806: the connection ended before the response did.
+        /// 806: the connection was lost before the complete response arrived.
         ConnectionLost {
             display("the connection was lost")
         }
-        /// 807: the response is to another call.
+        /// 807: the response belongs to another call.
         ResponseMismatch {
             display("the answer is to another call")
         }
@@ -121,7 +121,7 @@
 }
 
 impl CallError {
-    /// The number of the error, for logs and the table in `docs/codes.md`.
+    /// The code of the error, for logs and the table in `docs/codes.md`.
     pub fn code(self) -> u16 {
         match self {
             CallError::Connect => 801,
--- a/crates/rpc/src/handlers.rs
+++ b/crates/rpc/src/handlers.rs
@@ -1,4 +1,4 @@
-//! The handlers of calls.
+//! The registered handlers of a server, which decode calls and encode responses.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -20,12 +20,12 @@
 pub struct Handlers {
     handlers: HashMap<&'static str, Handler>,
     limits: ServerLimits,
-    /// The number of handlers that run, also of those whose callers have given up.
+    /// The number of running handlers, including those whose callers have given up.
     running_calls: Rc<Cell<usize>>,
 }
 
 impl Handlers {
-    /// No handlers yet, with the default limits.
+    /// Creates an empty set of handlers with the default limits.
     pub fn new() -> Handlers {
         Handlers::default()
     }
@@ -36,8 +36,8 @@
         self
     }
 
-    /// Adds the handler of calls `C`, replacing an earlier one. A handler runs to its end even if its caller has given
-    /// up, so one that waits for others must have a timeout of its own.
+    /// Adds the handler of calls `C`, and replaces an existing one. A handler runs to completion even if its caller
+    /// gives up, so a handler that waits for something must have its own timeout.
     pub fn with_handler<C: Call>(
         mut self,
         handler: impl AsyncFn(C, Peer) -> Result<C::Response, CallRejection> + 'static,
@@ -59,7 +59,7 @@
         self.limits
     }
 
-    /// Handles one encoded call and returns the encoded response. `name` is that of the call on the wire.
+    /// Handles one encoded call and returns the encoded response. `name` is the [`Call::NAME`] on the wire.
     pub(crate) async fn handle(&self, name: &str, body: &[u8], peer: Peer) -> Result<Vec<u8>, CallRejection> {
         let handler = self.handlers.get(name).ok_or(CallRejection::UnknownCall)?;
         if self.running_calls.get() >= self.limits.max_concurrent_calls {
@@ -67,8 +67,8 @@
         }
         let response = handler(body, peer);
         let guard = CountGuard::new(&self.running_calls, 1);
-        // A caller that gives up cancels this future. A handler that is cancelled between two of its steps would leave
-        // state half changed, so it is a task of its own.
+        // A caller that gives up cancels this future. The handler runs in a separate task, because cancelling it
+        // between two steps would leave its state inconsistent.
         let task = tokio::task::spawn_local(async move {
             let _guard = guard;
             response.await
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,10 +1,12 @@
-//! Calls between the processes of the fleet (RPC): a type for the call, one for its response, and one handler.
+//! RPC calls between the processes of the fleet. Each call has a request type, a response type and a handler.
 //!
-//! A [`Call`] is `POST /NAME` with a minicbor body over HTTP/1.1. Its response is 200 with a minicbor body, a
-//! [`CallRejection`] another status with its number in the header [`RESULT_CODE_HEADER`]. Each call carries an id of its
-//! caller's in the header [`CALL_ID_HEADER`], which the response repeats. [`serve`] is the server, whose [`Handlers`] return
-//! the responses. Calls are made through a [`Transport`]: [`Caller`] over the network, [`LoopbackTransport`] without one. Everything runs on one thread,
-//! in a `tokio::task::LocalSet`.
+//! A [`Call`] is sent as `POST /NAME` with a minicbor body over HTTP/1.1. Its response has the status 200 and a
+//! minicbor body; a [`CallRejection`] has another status, and its code in the header [`RESULT_CODE_HEADER`]. The
+//! header [`CALL_ID_HEADER`] of each call contains an id chosen by the caller, which the response repeats.
+//!
+//! [`serve`] runs a server with a set of [`Handlers`]. Calls are made through a [`Transport`]: [`Caller`] uses the
+//! network, [`LoopbackTransport`] stays within the process. Everything runs on one thread, in a
+//! `tokio::task::LocalSet`.
 
 mod call;
 mod caller;
--- a/crates/rpc/src/loopback.rs
+++ b/crates/rpc/src/loopback.rs
@@ -1,4 +1,4 @@
-//! Calls within one process, for tests and simulations.
+//! An in-process transport, for tests and simulations.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -12,8 +12,8 @@
 use crate::handlers::Handlers;
 use crate::transport::{OutgoingCall, Transport};
 
-/// Calls the handlers of the same process without a network; messages are encoded and decoded all the same. Clones are
-/// on the same network. Needs a `LocalSet`, and a runtime with time for timeouts.
+/// Calls handlers of the same process without a network. Messages are still encoded and decoded. Clones share the same
+/// simulated network. Requires a `tokio::task::LocalSet`, and a runtime with timers enabled for timeouts.
 #[derive(Clone)]
 pub struct LoopbackTransport {
     from: SocketAddrV4,
@@ -26,7 +26,7 @@
     partitions: HashSet<Partition>,
 }
 
-/// Nothing that `from` sends arrives at `to`.
+/// A one-way partition: all messages from `from` to `to` are lost.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Partition {
     from: SocketAddrV4,
@@ -40,17 +40,17 @@
 }
 
 impl LoopbackTransport {
-    /// A network without hosts.
+    /// Creates a network without hosts.
     pub fn new() -> LoopbackTransport {
         LoopbackTransport::default()
     }
 
-    /// The same network, for calls that come from this address.
+    /// A transport on the same network, whose calls come from this address.
     pub fn at(&self, from: SocketAddrV4) -> LoopbackTransport {
         LoopbackTransport { from, network: Rc::clone(&self.network) }
     }
 
-    /// Lets these handlers answer at an address.
+    /// Registers handlers at an address.
     pub fn serve(&self, address: SocketAddrV4, handlers: Rc<Handlers>) {
         self.network.borrow_mut().hosts.insert(address, handlers);
     }
@@ -60,7 +60,7 @@
         self.network.borrow_mut().hosts.remove(&address);
     }
 
-    /// Loses all that one address sends to another, from now on; the other direction is not affected.
+    /// Drops all further messages from one address to another. The other direction is not affected.
     pub fn partition(&self, from: SocketAddrV4, to: SocketAddrV4) {
         self.network.borrow_mut().partitions.insert(Partition { from, to });
     }
@@ -70,7 +70,7 @@
         self.network.borrow_mut().partitions.remove(&Partition { from, to });
     }
 
-    /// Waits for ever if what is sent is lost: neither end notices.
+    /// Waits forever if the message is lost, since neither end notices the loss.
     async fn deliver(&self, from: SocketAddrV4, to: SocketAddrV4) {
         let is_lost = self.network.borrow().partitions.contains(&Partition { from, to });
         if is_lost {
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The server side of calls.
+//! The RPC server: accepts connections, and passes calls to their handlers.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -23,10 +23,11 @@
 use crate::handlers::Handlers;
 use crate::tcp::USER_TIMEOUT;
 
-/// The pause after a failed accept: without a free file descriptor it would fail at once, again and again.
+/// The delay after a failed accept. Without a free file descriptor, accepting would fail in a busy loop.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers calls until it is dropped, which closes its connections; running handlers continue. Needs a `LocalSet`.
+/// Serves calls until the future is dropped. This closes all connections, but running handlers continue. Requires a
+/// `tokio::task::LocalSet`.
 pub async fn serve(listener: TcpListener, handlers: Rc<Handlers>) {
     let max_connections = handlers.limits().max_connections.max(1);
     let use_counter = UseCounter::default();
@@ -41,7 +42,8 @@
             }
         };
         let is_full = connections.len() >= max_connections;
-        // A failed accept may be due to a lack of file descriptors, so an idle connection is closed then, too.
+        // A failed accept may be caused by a lack of file descriptors, so an idle connection is closed in this case,
+        // too.
         if is_full || accepted.is_err() {
             let has_closed_one = connections.close_least_recently_used();
             if is_full && !has_closed_one {
@@ -76,7 +78,7 @@
             Ok::<_, Infallible>(http_response(result, call_id))
         }
     });
-    // A connection that ends with an error needs no other treatment than one that ends without.
+    // An error of the connection needs no handling.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(header_read_timeout)
--- a/crates/rpc/src/server_limits.rs
+++ b/crates/rpc/src/server_limits.rs
@@ -1,21 +1,21 @@
-//! Limits of a server.
+//! The load limits of a server.
 
 use std::time::Duration;
 
 use crate::call::MAX_BODY_BYTES;
 
-/// How much load a server accepts.
+/// The limits of the load that a server accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
     /// The maximum number of open connections.
     pub max_connections: usize,
     /// The maximum number of calls that are handled at the same time.
     pub max_concurrent_calls: usize,
-    /// The longest body of a call, in bytes.
+    /// The maximum length of the body of a call, in bytes.
     pub max_body_bytes: usize,
-    /// How long the header of a call may take to arrive, and so how long a connection may be idle.
+    /// The timeout for the head of a call, and therefore for an idle connection.
     pub header_read_timeout: Duration,
-    /// How long the body of a call may take to arrive.
+    /// The timeout for the body of a call.
     pub body_read_timeout: Duration,
 }
 
--- a/crates/rpc/src/tcp.rs
+++ b/crates/rpc/src/tcp.rs
@@ -1,6 +1,6 @@
-//! Options of TCP connections between processes.
+//! Options of the TCP connections between processes.
 
 use std::time::Duration;
 
-/// `TCP_USER_TIMEOUT`: the system closes a connection whose data goes unacknowledged for so long.
+/// `TCP_USER_TIMEOUT`: the kernel closes a connection if sent data is not acknowledged for this time.
 pub(crate) const USER_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -1,4 +1,4 @@
-//! What carries calls.
+//! The interface through which calls are sent.
 
 use std::future::Future;
 use std::net::SocketAddrV4;
@@ -11,21 +11,21 @@
 use crate::call::{Call, decode, encode};
 use crate::error::CallError;
 
-/// Used in place of a timeout whose end the clock can't represent.
+/// Replaces a timeout whose end the clock can't represent.
 const MAX_TIMEOUT: Duration = Duration::from_secs(86_400);
 
-/// An encoded call with all that a transport has to know of it.
+/// An encoded call, with the information that a transport needs to send it.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
-    /// Where it is sent.
+    /// The address of the server.
     pub to: SocketAddrV4,
     /// [`Call::NAME`].
     pub name: &'static str,
-    /// The call as minicbor, at most [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES) long.
+    /// The call as minicbor, at most [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES) bytes long.
     pub body: Bytes,
     /// [`Call::RETRY_POLICY`].
     pub retry_policy: RetryPolicy,
-    /// The caller waits no longer than this.
+    /// The time until which the caller waits for the response.
     pub deadline: Instant,
 }
 
@@ -38,22 +38,23 @@
     }
 }
 
-/// Carries calls to other processes.
+/// Sends calls to other processes.
 pub trait Transport {
-    /// Sends an encoded call and returns the body of its response. [`Transport::call`] drops the future at the deadline of the
-    /// call.
+    /// Sends an encoded call and returns the body of its response. [`Transport::call`] drops the future at the call's
+    /// deadline.
     ///
     /// # Errors
     ///
-    /// As for [`Transport::call`].
+    /// The same as [`Transport::call`].
     fn exchange(&self, call: &OutgoingCall) -> impl Future<Output = Result<Bytes, CallError>>;
 
-    /// Sends a call, and waits for the response no longer than `timeout`.
+    /// Sends a call, and waits up to `timeout` for the response.
     ///
     /// # Errors
     ///
-    /// After [`CallError::Connect`] and [`CallError::Rejected`] the call was not handled (except by a handler that
-    /// failed). After every other error, and when the future is dropped, it may have been handled, or may be later.
+    /// With [`CallError::Connect`] and [`CallError::Rejected`], the call was not handled, except by a handler that
+    /// failed. With any other error, and if the future is dropped, the call may already have been handled, or may
+    /// still be handled later.
     fn call<C: Call>(
         &self,
         to: SocketAddrV4,
@@ -62,8 +63,8 @@
     ) -> impl Future<Output = Result<C::Response, CallError>> {
         async move {
             let outgoing = OutgoingCall::new(to, call, timeout)?;
-            // The exchange owns its connection, so giving it up closes the connection: a late response must not be
-            // taken for the one to the next call.
+            // Dropping the exchange closes its connection, so that a late response can't be mistaken for the response
+            // to the next call.
             let exchange = timeout_at(outgoing.deadline, self.exchange(&outgoing));
             let response = exchange.await.map_err(|_| CallError::Timeout)??;
             decode(&response).ok_or(CallError::Malformed)
--- a/crates/rpc/tests/common/mod.rs
+++ b/crates/rpc/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Calls for the tests, their handlers, and a runtime.
+//! Test calls with their handlers, a test server, and a runtime.
 #![allow(dead_code)]
 
 use std::cell::Cell;
@@ -12,9 +12,9 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// Longer than any test.
-pub(crate) const LONG: Duration = Duration::from_secs(60);
-/// The code that a division by zero is rejected with.
+/// A timeout that is longer than any test.
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// The rejection code of a division by zero.
 pub(crate) const DIVISION_BY_ZERO: u16 = 42;
 
 #[derive(Clone, Debug, Encode, Decode)]
@@ -39,7 +39,7 @@
     type Response = Quotient;
 }
 
-/// Is answered with as many bytes as it says, and with the port of the caller.
+/// The response contains the requested number of bytes, and the port of the caller.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct Fill {
     #[n(0)]
@@ -66,7 +66,7 @@
     Fill { bytes, padding: vec![7; padding].into() }
 }
 
-/// Must not be sent twice.
+/// A call that must not be sent twice.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct SingleUse {
     #[n(0)]
@@ -79,7 +79,7 @@
     type Response = u32;
 }
 
-/// Has the name of `Divide` and another body.
+/// A call with the name of `Divide`, but a different body.
 #[derive(Clone, Debug, Encode, Decode)]
 pub(crate) struct MalformedDivide {
     #[n(0)]
@@ -92,7 +92,7 @@
     type Response = Quotient;
 }
 
-/// Is `Divide` on the wire, but expects a text as the response.
+/// The same as `Divide` on the wire, but expects a text as the response.
 #[derive(Clone, Debug, Encode, Decode)]
 #[cbor(transparent)]
 pub(crate) struct DivideWithTextResponse(#[n(0)] pub(crate) Divide);
@@ -103,17 +103,17 @@
     type Response = String;
 }
 
-/// A call that a peer has received completely.
+/// A completely received call.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedCall {
     /// The value of the header `call-id`.
     pub(crate) id: Option<String>,
     pub(crate) body: Vec<u8>,
-    /// Head and body as they arrived.
+    /// The head and body as received.
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Removes the first call from what was received; `None` if it is not complete yet.
+/// Removes the first call from the received bytes; `None` if it is not complete yet.
 pub(crate) fn take_call(received: &mut Vec<u8>) -> Option<ReceivedCall> {
     let head_length = received.windows(4).position(|four| four == b"\r\n\r\n")?;
     let head = String::from_utf8(received[..head_length].to_vec()).expect("UTF-8").to_lowercase();
@@ -128,7 +128,7 @@
     Some(ReceivedCall { id: header("call-id: "), body: bytes[body_start..].to_vec(), bytes })
 }
 
-/// How often `SingleUse` was handled.
+/// The number of handled `SingleUse` calls.
 pub(crate) type HandledCalls = Rc<Cell<u32>>;
 
 pub(crate) fn handlers(count: &HandledCalls) -> Handlers {
@@ -149,7 +149,7 @@
         })
 }
 
-/// Runs a test on one thread.
+/// Runs a test on a single-threaded runtime with a `LocalSet`.
 pub(crate) fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test)
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: which are reused, which are closed, and what a misbehaving peer can't do.
+//! Reuse and closing of connections, and protection against misbehaving peers.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{
-    Divide, HandledCalls, LONG, SingleUse, address_of, fill, handlers, host, host_at, run, take_call,
+    Divide, HandledCalls, LONG_TIMEOUT, SingleUse, address_of, fill, handlers, host, host_at, run, take_call,
 };
 use mosshead_rpc::{CallError, Caller, Handlers, ServerLimits, Transport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,7 +20,7 @@
     (listener, address)
 }
 
-/// Reads one complete call as it arrived; `None` at the end of the connection.
+/// Reads the bytes of one complete call; `None` at the end of the connection.
 async fn read_call(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut received = Vec::new();
     loop {
@@ -49,7 +49,9 @@
     run(async {
         let (listener, to) = listen().await;
         let call =
-            spawn_local(async move { Caller::new().call(to, &Divide { number: 1, by: 2 }, LONG).await });
+            spawn_local(
+                async move { Caller::new().call(to, &Divide { number: 1, by: 2 }, LONG_TIMEOUT).await },
+            );
         let (mut stream, _) = listener.accept().await.unwrap();
         let bytes = read_call(&mut stream).await.unwrap();
         let text =
@@ -66,16 +68,16 @@
     run(async {
         let (to, _) = host(handlers(&HandledCalls::default())).await;
         let caller = Caller::new();
-        let first = caller.call(to, &fill(1, 1), LONG).await.unwrap().port;
-        // Also after a rejection.
+        let first = caller.call(to, &fill(1, 1), LONG_TIMEOUT).await.unwrap().port;
+        // A rejected call does not close its connection.
         assert!(matches!(
-            caller.call(to, &Divide { number: 1, by: 0 }, LONG).await,
+            caller.call(to, &Divide { number: 1, by: 0 }, LONG_TIMEOUT).await,
             Err(CallError::Rejected(_))
         ));
         for _ in 0..5 {
-            assert_eq!(caller.clone().call(to, &fill(1, 1), LONG).await.unwrap().port, first);
+            assert_eq!(caller.clone().call(to, &fill(1, 1), LONG_TIMEOUT).await.unwrap().port, first);
         }
-        assert_ne!(Caller::new().call(to, &fill(1, 1), LONG).await.unwrap().port, first);
+        assert_ne!(Caller::new().call(to, &fill(1, 1), LONG_TIMEOUT).await.unwrap().port, first);
     });
 }
 
@@ -86,7 +88,8 @@
         let caller = Caller::new();
         for is_late in [true, false] {
             let caller = caller.clone();
-            let call = spawn_local(async move { caller.call(to, &SingleUse { number: 1 }, LONG).await });
+            let call =
+                spawn_local(async move { caller.call(to, &SingleUse { number: 1 }, LONG_TIMEOUT).await });
             let (mut stream, _) = listener.accept().await.unwrap();
             read_call(&mut stream).await.unwrap();
             if is_late {
@@ -108,21 +111,21 @@
         let (to, server) = host(handlers(&HandledCalls::default())).await;
         let caller = Caller::new();
         for _ in 0..3 {
-            assert!(caller.call(to, &fill(1, 1), LONG).await.is_ok());
+            assert!(caller.call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
         }
         server.abort();
         assert!(server.await.is_err());
-        assert_eq!(caller.call(to, &fill(1, 1), LONG).await, Err(CallError::Connect));
+        assert_eq!(caller.call(to, &fill(1, 1), LONG_TIMEOUT).await, Err(CallError::Connect));
         let count = HandledCalls::default();
         let (_, _server) = host_at(to, handlers(&count)).await;
-        assert!(caller.call(to, &fill(1, 1), LONG).await.is_ok());
-        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG).await, Ok(1));
+        assert!(caller.call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
+        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG_TIMEOUT).await, Ok(1));
         assert_eq!(count.get(), 1);
     });
 }
 
-/// A server that answers the first call, and closes each connection on which it has read another. Returns its address
-/// and, for each call that arrives, the number of the connection.
+/// Starts a server that responds to the first call, and closes each connection on which it receives another one.
+/// Returns its address and a channel with the connection number of each received call.
 async fn closing_server() -> (SocketAddrV4, mpsc::UnboundedReceiver<usize>) {
     let (listener, address) = listen().await;
     let (arrivals, calls) = mpsc::unbounded_channel();
@@ -150,11 +153,17 @@
     run(async {
         let (to, mut calls) = closing_server().await;
         let caller = Caller::new();
-        assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await.is_ok());
-        // On the idle connection, then on a new one, and no more.
-        assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallError::ConnectionLost));
+        assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await.is_ok());
+        // The call is sent on the idle connection, then on a new one, and not again.
+        assert_eq!(
+            caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await,
+            Err(CallError::ConnectionLost)
+        );
         assert_eq!([calls.recv().await, calls.recv().await, calls.recv().await], [Some(0), Some(0), Some(1)]);
-        assert_eq!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await, Err(CallError::ConnectionLost));
+        assert_eq!(
+            caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await,
+            Err(CallError::ConnectionLost)
+        );
         assert_eq!(calls.recv().await, Some(2));
         assert!(calls.try_recv().is_err());
     });
@@ -165,12 +174,18 @@
     run(async {
         let (to, mut calls) = closing_server().await;
         let caller = Caller::new();
-        assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG).await.is_ok());
+        assert!(caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await.is_ok());
         assert_eq!(calls.recv().await, Some(0));
-        // On the idle connection, whose last byte was sent; so on no other.
-        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
+        // The call was sent completely on the idle connection, so it is sent on no other.
+        assert_eq!(
+            caller.call(to, &SingleUse { number: 1 }, LONG_TIMEOUT).await,
+            Err(CallError::ConnectionLost)
+        );
         assert_eq!(calls.recv().await, Some(0));
-        assert_eq!(caller.call(to, &SingleUse { number: 1 }, LONG).await, Err(CallError::ConnectionLost));
+        assert_eq!(
+            caller.call(to, &SingleUse { number: 1 }, LONG_TIMEOUT).await,
+            Err(CallError::ConnectionLost)
+        );
         assert_eq!(calls.recv().await, Some(1));
         assert!(calls.try_recv().is_err());
     });
@@ -203,8 +218,9 @@
         ];
         for (bytes, error) in cases {
             let (listener, to) = listen().await;
-            let call =
-                spawn_local(async move { Caller::new().call(to, &Divide { number: 1, by: 1 }, LONG).await });
+            let call = spawn_local(async move {
+                Caller::new().call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await
+            });
             let (mut stream, _) = listener.accept().await.unwrap();
             read_call(&mut stream).await.unwrap();
             let _ = stream.write_all(&bytes).await;
@@ -223,7 +239,9 @@
         let mut streams = Vec::new();
         for _ in 0..7 {
             let caller = caller.clone();
-            calls.push(spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG).await }));
+            calls.push(spawn_local(async move {
+                caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await
+            }));
             let (mut stream, _) = listener.accept().await.unwrap();
             read_call(&mut stream).await.unwrap();
             streams.push(stream);
@@ -249,11 +267,11 @@
 #[test]
 fn connecting_to_a_silent_address_times_out() {
     run(async {
-        // Reserved for documentation (RFC 5737): connecting hangs, or there is no route.
+        // An address reserved for documentation (RFC 5737): connecting hangs, or there is no route.
         let nowhere = SocketAddrV4::new(Ipv4Addr::new(192, 0, 2, 1), 7720);
         tokio::time::pause();
         let started_at = tokio::time::Instant::now();
-        assert_eq!(Caller::new().call(nowhere, &fill(1, 1), LONG).await, Err(CallError::Connect));
+        assert_eq!(Caller::new().call(nowhere, &fill(1, 1), LONG_TIMEOUT).await, Err(CallError::Connect));
         assert!(started_at.elapsed() <= Duration::from_millis(700));
         let short = Duration::from_millis(100);
         assert_eq!(Caller::new().call(nowhere, &fill(1, 1), short).await, Err(CallError::Connect));
@@ -264,7 +282,7 @@
     handlers(&HandledCalls::default()).with_limits(limits)
 }
 
-/// The status and the result code of what a server sends until it closes the connection.
+/// Reads until the server closes the connection. Returns the status and the result code.
 async fn read_rejection(stream: &mut TcpStream) -> (String, Option<String>) {
     let mut bytes = Vec::new();
     while stream.read_buf(&mut bytes).await.unwrap_or(0) > 0 {}
@@ -298,7 +316,7 @@
                 assert_eq!((response.0.as_str(), response.1.as_deref()), (status, code), "{bytes:?}");
             }
         }
-        assert!(Caller::new().call(to, &fill(1, 1), LONG).await.is_ok());
+        assert!(Caller::new().call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
     });
 }
 
@@ -339,14 +357,18 @@
         let mut calls = Vec::new();
         for number in 0..2 {
             let caller = caller.clone();
-            calls.push(spawn_local(async move { caller.call(to, &SingleUse { number }, LONG).await }));
+            calls
+                .push(spawn_local(async move { caller.call(to, &SingleUse { number }, LONG_TIMEOUT).await }));
             started.recv().await.unwrap();
         }
-        assert_eq!(caller.call(to, &SingleUse { number: 9 }, LONG).await, Err(CallError::ConnectionLost));
+        assert_eq!(
+            caller.call(to, &SingleUse { number: 9 }, LONG_TIMEOUT).await,
+            Err(CallError::ConnectionLost)
+        );
         finish_sender.send(true).unwrap();
         for (number, call) in calls.into_iter().enumerate() {
             assert_eq!(call.await.unwrap(), Ok(number as u32));
         }
-        assert_eq!(caller.call(to, &SingleUse { number: 9 }, LONG).await, Ok(9));
+        assert_eq!(caller.call(to, &SingleUse { number: 9 }, LONG_TIMEOUT).await, Ok(9));
     });
 }
--- a/crates/rpc/tests/contract.rs
+++ b/crates/rpc/tests/contract.rs
@@ -1,4 +1,4 @@
-//! What every transport does, over the network and without one.
+//! The contract of every transport, tested over sockets and in memory.
 
 mod common;
 
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 
 use common::{
-    DIVISION_BY_ZERO, Divide, DivideWithTextResponse, Fill, HandledCalls, LONG, MalformedDivide, Quotient,
-    SingleUse, fill, handlers, host, run,
+    DIVISION_BY_ZERO, Divide, DivideWithTextResponse, Fill, HandledCalls, LONG_TIMEOUT, MalformedDivide,
+    Quotient, SingleUse, fill, handlers, host, run,
 };
 use mosshead_rpc::{CallError, CallRejection, Caller, Handlers, LoopbackTransport, ServerLimits, Transport};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// A transport and the servers that it reaches.
+/// A transport, with the servers that it can reach.
 trait Network {
     type Transport: Transport + Clone + 'static;
     fn transport(&self) -> Self::Transport;
@@ -57,26 +57,26 @@
     let to = network.host(handlers(&count)).await;
     let transport = network.transport();
     for number in 0..20 {
-        let response = transport.call(to, &Divide { number, by: 3 }, LONG).await;
+        let response = transport.call(to, &Divide { number, by: 3 }, LONG_TIMEOUT).await;
         assert_eq!(response, Ok(Quotient { quotient: number / 3, remainder: number % 3 }));
-        assert_eq!(transport.call(to, &SingleUse { number }, LONG).await, Ok(number));
+        assert_eq!(transport.call(to, &SingleUse { number }, LONG_TIMEOUT).await, Ok(number));
     }
     assert_eq!(count.get(), 20);
 }
 
 async fn long_bodies_are_carried(mut network: impl Network) {
     let to = network.host(handlers(&HandledCalls::default())).await;
-    let response = network.transport().call(to, &fill(8_000_000, 8_000_000), LONG).await.unwrap();
+    let response = network.transport().call(to, &fill(8_000_000, 8_000_000), LONG_TIMEOUT).await.unwrap();
     assert_eq!(response.padding.len(), 8_000_000);
 }
 
 async fn bodies_that_are_too_long_are_rejected(mut network: impl Network) {
     let to = network.host(handlers(&HandledCalls::default())).await;
     let transport = network.transport();
-    assert_eq!(transport.call(to, &fill(1, 8 << 20), LONG).await, Err(CallError::TooLong));
+    assert_eq!(transport.call(to, &fill(1, 8 << 20), LONG_TIMEOUT).await, Err(CallError::TooLong));
     let rejected = Err(CallError::Rejected(CallRejection::HandlerFailed));
-    assert_eq!(transport.call(to, &fill(8 << 20, 1), LONG).await, rejected);
-    assert!(transport.call(to, &fill(1, 1), LONG).await.is_ok());
+    assert_eq!(transport.call(to, &fill(8 << 20, 1), LONG_TIMEOUT).await, rejected);
+    assert!(transport.call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
 }
 
 async fn rejections_of_handlers_reach_the_caller(mut network: impl Network) {
@@ -94,22 +94,27 @@
                 .await
         };
         let rejected = Err(CallError::Rejected(CallRejection::Application(code)));
-        assert_eq!(transport.call(to, &Divide { number: 1, by: 0 }, LONG).await, rejected);
+        assert_eq!(transport.call(to, &Divide { number: 1, by: 0 }, LONG_TIMEOUT).await, rejected);
     }
 }
 
 async fn unknown_calls_are_rejected(mut network: impl Network) {
     let to = network.host(Handlers::new()).await;
     let rejected = Err(CallError::Rejected(CallRejection::UnknownCall));
-    assert_eq!(network.transport().call(to, &Divide { number: 1, by: 1 }, LONG).await, rejected);
+    assert_eq!(network.transport().call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await, rejected);
 }
 
 async fn malformed_messages_are_rejected(mut network: impl Network) {
     let to = network.host(handlers(&HandledCalls::default())).await;
     let rejected = Err(CallError::Rejected(CallRejection::Malformed));
-    assert_eq!(network.transport().call(to, &MalformedDivide { text: "x".to_owned() }, LONG).await, rejected);
-    let response =
-        network.transport().call(to, &DivideWithTextResponse(Divide { number: 1, by: 1 }), LONG).await;
+    assert_eq!(
+        network.transport().call(to, &MalformedDivide { text: "x".to_owned() }, LONG_TIMEOUT).await,
+        rejected
+    );
+    let response = network
+        .transport()
+        .call(to, &DivideWithTextResponse(Divide { number: 1, by: 1 }), LONG_TIMEOUT)
+        .await;
     assert_eq!(response, Err(CallError::Malformed));
 }
 
@@ -123,21 +128,21 @@
     let transport = network.transport();
     for _ in 0..2 {
         let rejected = Err(CallError::Rejected(CallRejection::HandlerFailed));
-        assert_eq!(transport.call(to, &Divide { number: 1, by: 1 }, LONG).await, rejected);
+        assert_eq!(transport.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await, rejected);
     }
-    assert!(transport.call(to, &fill(1, 1), LONG).await.is_ok());
+    assert!(transport.call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
 }
 
 async fn without_a_server_the_connection_fails(mut network: impl Network) {
     let to = network.host(handlers(&HandledCalls::default())).await;
-    // Nobody listens at port 1, nor is it served on the loopback.
+    // Nothing listens on port 1, over sockets or in memory.
     let nobody = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
     let transport = network.transport();
-    assert_eq!(transport.call(nobody, &fill(1, 1), LONG).await, Err(CallError::Connect));
-    assert!(transport.call(to, &fill(1, 1), LONG).await.is_ok());
+    assert_eq!(transport.call(nobody, &fill(1, 1), LONG_TIMEOUT).await, Err(CallError::Connect));
+    assert!(transport.call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
 }
 
-/// Each element is a handler that has started; sending to it resumes the handler.
+/// Each item is a started handler. Sending to the item resumes the handler.
 type Started = mpsc::UnboundedReceiver<oneshot::Sender<()>>;
 
 fn suspended_handler() -> (Handlers, Started, mpsc::UnboundedReceiver<bool>) {
@@ -158,9 +163,9 @@
     let to = network.host(handlers).await;
     let transport = network.transport();
     let caller = transport.clone();
-    let call = spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG).await });
+    let call = spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await });
     let resume = started.recv().await.unwrap();
-    // From here the clock jumps to the timeout as soon as the runtime is idle.
+    // While paused, the clock jumps to the timeout as soon as the runtime is idle.
     tokio::time::pause();
     assert_eq!(call.await.unwrap(), Err(CallError::Timeout));
     tokio::time::resume();
@@ -168,7 +173,7 @@
     resume.send(()).unwrap();
     assert_eq!(finished.recv().await, Some(true));
     let caller = transport.clone();
-    let call = spawn_local(async move { caller.call(to, &Divide { number: 2, by: 1 }, LONG).await });
+    let call = spawn_local(async move { caller.call(to, &Divide { number: 2, by: 1 }, LONG_TIMEOUT).await });
     started.recv().await.unwrap().send(()).unwrap();
     assert_eq!(call.await.unwrap(), Ok(Quotient { quotient: 2, remainder: 0 }));
 }
@@ -177,7 +182,8 @@
     let (handlers, mut started, mut finished) = suspended_handler();
     let to = network.host(handlers).await;
     let transport = network.transport();
-    let call = spawn_local(async move { transport.call(to, &Divide { number: 1, by: 1 }, LONG).await });
+    let call =
+        spawn_local(async move { transport.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await });
     let resume = started.recv().await.unwrap();
     call.abort();
     assert!(call.await.unwrap_err().is_cancelled());
@@ -191,7 +197,7 @@
     let calls: Vec<_> = (0..30)
         .map(|number| {
             let transport = network.transport();
-            spawn_local(async move { transport.call(to, &Divide { number, by: 1 }, LONG).await })
+            spawn_local(async move { transport.call(to, &Divide { number, by: 1 }, LONG_TIMEOUT).await })
         })
         .collect();
     let mut resumptions = Vec::new();
@@ -213,17 +219,18 @@
         .await;
     let transport = network.transport();
     let caller = transport.clone();
-    let call = spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG).await });
+    let call = spawn_local(async move { caller.call(to, &Divide { number: 1, by: 1 }, LONG_TIMEOUT).await });
     let resume = started.recv().await.unwrap();
     let rejected = Err(CallError::Rejected(CallRejection::Overloaded));
-    assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, rejected);
-    // A call whose caller has given up counts as long as it runs.
+    assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG_TIMEOUT).await, rejected);
+    // A call whose caller has given up counts while its handler runs.
     call.abort();
     assert!(call.await.is_err());
-    assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG).await, rejected);
+    assert_eq!(transport.call(to, &Divide { number: 2, by: 1 }, LONG_TIMEOUT).await, rejected);
     resume.send(()).unwrap();
     assert_eq!(finished.recv().await, Some(true));
-    let call = spawn_local(async move { transport.call(to, &Divide { number: 3, by: 1 }, LONG).await });
+    let call =
+        spawn_local(async move { transport.call(to, &Divide { number: 3, by: 1 }, LONG_TIMEOUT).await });
     started.recv().await.unwrap().send(()).unwrap();
     assert_eq!(call.await.unwrap(), Ok(Quotient { quotient: 3, remainder: 0 }));
 }
@@ -238,7 +245,7 @@
                 || response.is_ok_and(|response| response.padding.len() == 1)
         );
     }
-    assert!(network.transport().call(to, &fill(1, 1), LONG).await.is_ok());
+    assert!(network.transport().call(to, &fill(1, 1), LONG_TIMEOUT).await.is_ok());
 }
 
 async fn handlers_get_the_address_of_the_caller(mut network: impl Network) {
@@ -249,7 +256,7 @@
             Err(CallRejection::Application(1))
         }))
         .await;
-    assert!(network.transport().call(to, &fill(1, 1), LONG).await.is_err());
+    assert!(network.transport().call(to, &fill(1, 1), LONG_TIMEOUT).await.is_err());
     assert_eq!(addresses.recv().await, Some(Ipv4Addr::LOCALHOST));
 }
 
--- a/crates/rpc/tests/loopback.rs
+++ b/crates/rpc/tests/loopback.rs
@@ -1,11 +1,11 @@
-//! The loopback network: hosts that stop, partitions of one direction and of both.
+//! The loopback transport: stopped hosts, one-way partitions, and malformed calls.
 
 mod common;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
-use common::{HandledCalls, LONG, SingleUse, handlers, run};
+use common::{HandledCalls, LONG_TIMEOUT, SingleUse, handlers, run};
 use minicbor::encode::{Error, Write};
 use minicbor::{Decode, Encode, Encoder};
 use mosshead_rpc::{Call, CallError, CallRejection, LoopbackTransport, RetryPolicy, Transport};
@@ -21,11 +21,11 @@
         let count = HandledCalls::default();
         network.serve(THERE, Rc::new(handlers(&count)));
         let here = network.at(HERE);
-        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG).await, Ok(1));
+        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG_TIMEOUT).await, Ok(1));
         network.stop_serving(THERE);
-        assert_eq!(here.call(THERE, &SingleUse { number: 2 }, LONG).await, Err(CallError::Connect));
+        assert_eq!(here.call(THERE, &SingleUse { number: 2 }, LONG_TIMEOUT).await, Err(CallError::Connect));
         network.serve(THERE, Rc::new(handlers(&count)));
-        assert_eq!(here.call(THERE, &SingleUse { number: 3 }, LONG).await, Ok(3));
+        assert_eq!(here.call(THERE, &SingleUse { number: 3 }, LONG_TIMEOUT).await, Ok(3));
         assert_eq!(count.get(), 2);
     });
 }
@@ -40,18 +40,18 @@
         let here = network.at(HERE);
         let timeout = Err(CallError::Timeout);
         network.partition(HERE, THERE);
-        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG).await, timeout);
+        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG_TIMEOUT).await, timeout);
         assert_eq!(count.get(), 0, "the call is lost");
         network.heal(HERE, THERE);
         network.partition(THERE, HERE);
-        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG).await, timeout);
+        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG_TIMEOUT).await, timeout);
         assert_eq!(count.get(), 1, "the response is lost");
         network.heal(THERE, HERE);
-        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG).await, Ok(1));
+        assert_eq!(here.call(THERE, &SingleUse { number: 1 }, LONG_TIMEOUT).await, Ok(1));
     });
 }
 
-/// Arbitrary bytes under the name of a call.
+/// A call with arbitrary bytes as its body.
 #[derive(Debug)]
 struct Raw(Vec<u8>);
 
@@ -77,7 +77,7 @@
     run(async {
         let network = LoopbackTransport::new();
         network.serve(THERE, Rc::new(handlers(&HandledCalls::default())));
-        network.at(HERE).call(THERE, &Raw(bytes), LONG).await
+        network.at(HERE).call(THERE, &Raw(bytes), LONG_TIMEOUT).await
     })
 }
 
--- a/crates/rpc/tests/response_matching.rs
+++ b/crates/rpc/tests/response_matching.rs
@@ -1,4 +1,4 @@
-//! Each call gets its own response or none, and a call that must not be repeated arrives once, against a peer that
+//! Each call gets its own response or none, and a call that must not be repeated arrives at most once, even if the peer
 //! responds twice, late, with another id or not at all, or closes or resets the connection.
 
 mod common;
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Divide, LONG, ReceivedCall, SingleUse, address_of, run, take_call};
+use common::{Divide, LONG_TIMEOUT, ReceivedCall, SingleUse, address_of, run, take_call};
 use mosshead_rpc::{Call, CallError, Caller, Transport};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// A call that has arrived completely.
+/// A completely received call.
 #[derive(Clone, Debug)]
 struct Arrival {
     connection: usize,
@@ -28,9 +28,9 @@
 enum PeerAction {
     /// Sends the response.
     Respond,
-    /// Sends the response twice, at once.
+    /// Sends the response twice, without a delay.
     RespondTwice,
-    /// Sends the response, and again as soon as the first byte of the next call has arrived.
+    /// Sends the response, and sends it again when the first byte of the next call arrives.
     RespondTwiceDelayed,
     /// Sends the response with another id.
     OtherId,
@@ -46,8 +46,8 @@
     Reset,
     /// Sends nothing.
     Ignore,
-    /// Sends all but the last byte of the response, then that byte, and lets nothing run on this thread until the call
-    /// is overdue, as if the process had been suspended.
+    /// Sends the last byte of the response separately, then blocks the thread until the call has timed out, as if the
+    /// process had been suspended.
     RespondAfterSuspension,
 }
 
@@ -64,7 +64,7 @@
     PeerAction::Ignore,
 ];
 
-/// A peer that reacts to its n-th call by `action(n)`.
+/// A peer that performs `action(n)` for its n-th call.
 struct Peer {
     address: SocketAddrV4,
     arrivals: RefCell<Vec<Arrival>>,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// How often this call arrived completely.
+    /// The number of complete arrivals of this call.
     fn count<C: Call>(&self, call: &C) -> usize {
         let body = minicbor::to_vec(call).expect("encodes");
         self.arrivals.borrow().iter().filter(|arrival| arrival.body == body).count()
@@ -161,7 +161,7 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Reads one call; `delayed_copy` is sent when its first byte has arrived.
+/// Reads one call. Sends `delayed_copy` when the call's first byte has arrived.
 async fn read(
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
@@ -225,7 +225,9 @@
                     Peer::new(move |index| if index < first { PeerAction::Respond } else { action }).await;
                 let caller = Caller::new();
                 if is_idle {
-                    assert!(caller.call(peer.address, &Divide { number: 1, by: 2 }, LONG).await.is_ok());
+                    assert!(
+                        caller.call(peer.address, &Divide { number: 1, by: 2 }, LONG_TIMEOUT).await.is_ok()
+                    );
                 }
                 for number in 10..14 {
                     let call = SingleUse { number };
@@ -239,7 +241,7 @@
     });
 }
 
-/// What a peer has closed or reset while the connection was idle costs no call, and none arrives twice.
+/// If a peer closes or resets an idle connection, no call is lost, and none arrives twice.
 #[test]
 fn a_connection_that_ended_unnoticed_costs_no_call() {
     run(async {
@@ -248,12 +250,12 @@
             let caller = Caller::new();
             for number in 0..5 {
                 assert_eq!(
-                    caller.call(peer.address, &SingleUse { number }, LONG).await,
+                    caller.call(peer.address, &SingleUse { number }, LONG_TIMEOUT).await,
                     Ok(number),
                     "{action:?}"
                 );
                 assert_eq!(peer.count(&SingleUse { number }), 1);
-                // The end of the connection is on its way.
+                // Gives the end of the connection time to arrive.
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         }
@@ -266,15 +268,16 @@
         for action in [PeerAction::OtherId, PeerAction::NoId] {
             let peer = Peer::new(move |index| if index == 0 { action } else { PeerAction::Respond }).await;
             let caller = Caller::new();
-            let response = caller.call(peer.address, &SingleUse { number: 1 }, LONG).await;
+            let response = caller.call(peer.address, &SingleUse { number: 1 }, LONG_TIMEOUT).await;
             assert_eq!(response, Err(CallError::ResponseMismatch), "{action:?}");
-            assert_eq!(caller.call(peer.address, &SingleUse { number: 2 }, LONG).await, Ok(2));
+            assert_eq!(caller.call(peer.address, &SingleUse { number: 2 }, LONG_TIMEOUT).await, Ok(2));
             assert_eq!(peer.connections(), [0, 1]);
         }
     });
 }
 
-/// The end of the response waited in the kernel while the process was suspended: the response may be out of date.
+/// The last byte of the response waits in the kernel's buffer while the process is suspended, so the response may be
+/// outdated.
 #[test]
 fn a_response_that_is_read_after_the_deadline_is_a_timeout() {
     run(async {
@@ -285,12 +288,12 @@
             .await;
         let caller = Caller::new();
         let (task_caller, address) = (caller.clone(), peer.address);
-        // In a task of its own, which runs after the one that reads the connection.
+        // A separate task, which runs after the one that reads the connection.
         let call = spawn_local(async move {
             task_caller.call(address, &Divide { number: 1, by: 1 }, SHORT_TIMEOUT).await
         });
         assert_eq!(call.await.expect("the task does not panic"), Err(CallError::Timeout));
-        assert!(caller.call(peer.address, &Divide { number: 2, by: 1 }, LONG).await.is_ok());
+        assert!(caller.call(peer.address, &Divide { number: 2, by: 1 }, LONG_TIMEOUT).await.is_ok());
         assert_eq!(peer.connections(), [0, 1]);
     });
 }
