--- a/crates/capacity-bench/src/membership_fleet.rs
+++ b/crates/capacity-bench/src/membership_fleet.rs
@@ -134,7 +134,7 @@
     pub fn is_converged(&self) -> bool {
         let running = self.running();
         self.memberships()
-            .all(|membership| membership.live_control_nodes() + membership.live_proxies() == running)
+            .all(|membership| membership.live_control_node_count() + membership.live_proxy_count() == running)
     }
 
     /// Whether all running members know the present instance of a member as live.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -101,12 +101,12 @@
     }
 
     /// The number of control nodes that are alive or suspect, including the local one.
-    pub fn live_control_nodes(&self) -> usize {
+    pub fn live_control_node_count(&self) -> usize {
         self.state.table().live_control_node_count()
     }
 
     /// The number of proxies that are alive or suspect, including the local one.
-    pub fn live_proxies(&self) -> usize {
+    pub fn live_proxy_count(&self) -> usize {
         self.state.table().live_member_count() - self.state.table().live_control_node_count()
     }
 
--- a/crates/membership/tests/cluster/checks.rs
+++ b/crates/membership/tests/cluster/checks.rs
@@ -73,7 +73,7 @@
             let count = |is_control_node| {
                 live.values().filter(|(peer, _)| peer.is_control_node == is_control_node).count()
             };
-            let counts = (membership.live_control_nodes(), membership.live_proxies());
+            let counts = (membership.live_control_node_count(), membership.live_proxy_count());
             assert_eq!(counts, (count(true), count(false)));
         }
     }
--- a/crates/programs/src/control_node/status.rs
+++ b/crates/programs/src/control_node/status.rs
@@ -24,7 +24,7 @@
         consensus.quorum_contact().is_confirmed(),
         configs.current().map_or(0, |config| config.revision()),
         registry.len(),
-        gossip.live_proxies(),
+        gossip.live_proxy_count(),
         consensus.log_bytes(),
     )
 }
--- a/crates/programs/src/control_node/update_service.rs
+++ b/crates/programs/src/control_node/update_service.rs
@@ -99,7 +99,7 @@
     }
 
     fn proxy_count(&self) -> u32 {
-        self.proxies.count().max(self.sources.gossip.live_proxies()) as u32
+        self.proxies.count().max(self.sources.gossip.live_proxy_count()) as u32
     }
 }
 
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -87,8 +87,8 @@
     }
 
     /// The number of proxies that are alive or suspected.
-    pub(crate) fn live_proxies(&self) -> usize {
-        self.membership.borrow().live_proxies()
+    pub(crate) fn live_proxy_count(&self) -> usize {
+        self.membership.borrow().live_proxy_count()
     }
 
     /// Appends the addresses of the control nodes that are alive or suspected.
--- a/crates/programs/src/proxy/sink.rs
+++ b/crates/programs/src/proxy/sink.rs
@@ -54,6 +54,6 @@
 
     fn on_proxy_count(&self, count: usize) {
         self.proxy_count.set(count);
-        self.data_plane.set_proxy_count(count.max(self.gossip.live_proxies()));
+        self.data_plane.set_proxy_count(count.max(self.gossip.live_proxy_count()));
     }
 }
--- a/crates/programs/src/proxy/status.rs
+++ b/crates/programs/src/proxy/status.rs
@@ -35,7 +35,7 @@
         registry.len(),
         since_contact,
         watcher.control_node_count(),
-        gossip.live_proxies(),
+        gossip.live_proxy_count(),
         frontend.open_connections(),
         data_plane.in_flight_requests(),
         counters.requests.get(),
