--- a/crates/control-plane/src/acknowledgement.rs
+++ b/crates/control-plane/src/acknowledgement.rs
@@ -20,8 +20,9 @@
 /// The maximum number of acknowledged entries that are remembered. If the server repeats its call after its
 /// entry was dropped, the entry is replicated again.
 const MAX_REMEMBERED_ENTRIES: usize = 4_096;
-/// The first delta to another control node starts this many versions back: it overlaps with the entries that
-/// the node already has, so that no gap remains.
+/// The first delta to another control node starts this many versions before the last one that this node
+/// published. It overlaps with the entries that the other node already has, unless that node is further
+/// behind; a gap would keep its version vector from advancing.
 const FIRST_DELTA_VERSIONS: u64 = 64;
 /// The maximum number of entries in that delta.
 const MAX_FIRST_DELTA_ENTRIES: usize = 128;
@@ -103,7 +104,7 @@
     /// `now`.
     fn new(now: Instant, entry: EntryVersion, replica_set: &ReplicaSet, faults: Faults) -> EntryReplication {
         let pending: BTreeSet<SocketAddrV4> = replica_set.members.iter().copied().collect();
-        let needed = match faults.is_injected(InjectedFault::AcknowledgeAfterOneReplica) {
+        let needed = match faults.is_injected(InjectedFault::AcknowledgeAfterTwoReplicas) {
             true => 2,
             false => replica_set.needed_replicas(),
         };
@@ -122,7 +123,7 @@
     }
 
     /// Records up to which versions a control node, possibly this one, has the registry on disk; `None` if
-    /// that is not known.
+    /// that is not known. Only the first reply of each member counts.
     pub fn record_reply(&mut self, from: SocketAddrV4, durable: Option<&VersionVector>) {
         let has_entry = durable.is_some_and(|durable| self.entry.is_covered_by(durable));
         if self.pending.remove(&from) && has_entry {
@@ -182,6 +183,7 @@
     ///
     /// The decision depends on the entry in force, whichever control node published it: a server that repeats
     /// its call at another control node is not acknowledged there before there are enough replicas either.
+    /// `outcome` is used only if a fault is injected.
     pub fn begin(
         &self,
         now: Instant,
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -155,6 +155,7 @@
     fn first_step(&self, state: Option<&ControlState>) -> AdmissionStep {
         let status = state.map(|state| state.classify_request(self.revisions.base, self.applied_request()));
         if status == Some(RequestStatus::AlreadyApplied) {
+            // Consensus recognizes the repeat, and replies that the change is committed.
             return self.submit(Vec::new());
         }
         self.evaluate(self.local_config.clone().as_deref(), StateOrigin::Local)
@@ -204,8 +205,9 @@
         }
     }
 
-    /// Applies the change to a configuration, which must have the revision that the change is based on.
-    /// Proposes the result, or rejects the change. `origin` tells whether a quorum has confirmed `config`.
+    /// Applies the change to a configuration and proposes the result. Rejects the change if it is invalid, or
+    /// if it is based on another revision than that of `config` (0 for `None`). `origin` tells whether a
+    /// quorum has confirmed `config`.
     fn evaluate(&self, config: Option<&Config>, origin: StateOrigin) -> AdmissionStep {
         let current_revision = config.map_or(0, |config| config.revision());
         if self.revisions.base != current_revision {
@@ -215,6 +217,7 @@
         let changed = match (self.request.kind, config) {
             (ChangeKind::Replace, current) => Config::parse_replacement(current, body),
             (ChangeKind::Modify, Some(current)) => current.modify(body),
+            // There is no configuration to modify yet.
             (ChangeKind::Modify, None) => {
                 return self.reject(ChangeResponse::Stale { current_revision }, origin);
             }
@@ -236,7 +239,8 @@
         }
     }
 
-    /// Proposes the change with the complete new configuration `body`.
+    /// Proposes the change with the complete new configuration `body`, which is empty if the change is known
+    /// to be already applied.
     fn submit(&self, body: Vec<u8>) -> AdmissionStep {
         AdmissionStep::Submit(ChangeProposal {
             base_revision: self.revisions.base,
--- a/crates/control-plane/src/durable_entries.rs
+++ b/crates/control-plane/src/durable_entries.rs
@@ -21,7 +21,7 @@
     is_snapshot: bool,
     /// The versions up to which all entries in force are durable once this record is; `None` if that is not
     /// known.
-    completes: Option<VersionVector>,
+    durable_after: Option<VersionVector>,
 }
 
 /// A record to write to the log, and the token by which its completion is reported.
@@ -76,8 +76,8 @@
     }
 
     /// Returns a record of the whole registry, to replace the log. Returns `None` while such a record is
-    /// being written, or while replacing the log would lose an entry: an entry above the known version of its
-    /// source is not in the record, and the entry that it superseded may be in the log.
+    /// being written, or if an entry lies above the known version of its source: the record would contain
+    /// neither that entry nor the one that it superseded, which the log may still contain.
     pub fn snapshot_record(&mut self, registry: &Registry) -> Option<RegistryRecord> {
         if self.is_rewriting() || registry.has_entries_above_known_versions() {
             return None;
@@ -97,8 +97,8 @@
         }
         // Completions are reported in order, so the records before this one are complete too.
         for record in self.pending.drain(..=position) {
-            if let Some(completes) = record.completes {
-                self.durable = completes;
+            if let Some(durable) = record.durable_after {
+                self.durable = durable;
             }
         }
     }
@@ -108,15 +108,16 @@
         for (source, version) in delta.vector.iter() {
             self.queued.set(source, version);
         }
-        // An entry above the known version of its source is not in any delta yet, and the entry that it
-        // superseded no longer is: the log would lack an entry that its source has published.
+        // An entry above the known version of its source is in no delta yet, and the entry that it superseded
+        // is in no delta any more. Then the log may contain neither of the two.
         let is_complete = !delta.is_truncated && !registry.has_entries_above_known_versions();
-        let completes = is_complete.then(|| registry.vector());
-        self.pending.push_back(QueuedRecord { token: self.last_token, is_snapshot, completes });
+        let durable_after = is_complete.then(|| registry.vector());
+        self.pending.push_back(QueuedRecord { token: self.last_token, is_snapshot, durable_after });
         self.last_token
     }
 
-    /// Nothing is left to queue. If no record is pending either, all entries in force are durable.
+    /// Called when nothing is left to queue. Marks all entries in force as durable, unless a record is still
+    /// pending or an entry lies above the known version of its source.
     fn mark_all_durable(&mut self, registry: &Registry) {
         if !self.is_writing() && !registry.has_entries_above_known_versions() {
             self.durable = registry.vector();
@@ -124,8 +125,7 @@
     }
 
     /// Lowers the versions to those that the registry still knows. It may have dropped a source without
-    /// entries in force, or reset its vector in order to receive other entries under versions that it knew
-    /// before.
+    /// entries in force, or reset its vector after a divergence, in order to receive all entries again.
     fn apply_reset(&mut self, vector: &VersionVector) {
         let is_lower = |(source, version): (SourceId, u64)| vector.get(source) < version;
         if !self.queued.iter().any(is_lower) {
@@ -133,7 +133,7 @@
         }
         lower_to(&mut self.queued, vector);
         lower_to(&mut self.durable, vector);
-        self.pending.iter_mut().for_each(|record| record.completes = None);
+        self.pending.iter_mut().for_each(|record| record.durable_after = None);
     }
 }
 
--- a/crates/control-plane/src/injected_fault.rs
+++ b/crates/control-plane/src/injected_fault.rs
@@ -15,7 +15,7 @@
     /// A control node without quorum contact acknowledges a server's shutdown.
     AcknowledgeWithoutQuorum,
     /// A server's shutdown is acknowledged once two members have stored it, however many may fail.
-    AcknowledgeAfterOneReplica,
+    AcknowledgeAfterTwoReplicas,
     /// A repeated shutdown call is acknowledged without checking quorum contact and replicas once one other
     /// control node has the entry.
     AcknowledgeRepeatsUnchecked,
@@ -29,7 +29,7 @@
     pub(crate) fn includes(self, other: InjectedFault) -> bool {
         let acknowledgement_faults = [
             InjectedFault::AcknowledgeWithoutQuorum,
-            InjectedFault::AcknowledgeAfterOneReplica,
+            InjectedFault::AcknowledgeAfterTwoReplicas,
             InjectedFault::AcknowledgeRepeatsUnchecked,
         ];
         self == other
--- a/crates/control-plane/tests/acknowledgement.rs
+++ b/crates/control-plane/tests/acknowledgement.rs
@@ -255,8 +255,8 @@
         replication
     };
     assert_eq!(minority(None).decision(NOW, QuorumContact::Unconfirmed), AcknowledgementDecision::Wait);
-    let one_replica = minority(Some(InjectedFault::AcknowledgeAfterOneReplica));
-    assert_eq!(one_replica.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Acknowledge);
+    let two_replicas = minority(Some(InjectedFault::AcknowledgeAfterTwoReplicas));
+    assert_eq!(two_replicas.decision(NOW, QuorumContact::Confirmed), AcknowledgementDecision::Acknowledge);
     let mut without_quorum = minority(Some(InjectedFault::AcknowledgeWithoutQuorum));
     without_quorum.record_reply(address(3), Some(&vector_with_entry()));
     assert_eq!(
--- a/crates/control-plane/tests/fleet/control_node/calls.rs
+++ b/crates/control-plane/tests/fleet/control_node/calls.rs
@@ -10,7 +10,7 @@
 use crate::messages::{Call, FetchedConfig, Party, PendingCall, Purpose, ReplyTo, Response, Updates};
 use crate::simulation::Simulation;
 
-/// The period whose heartbeats are compared with those of other control nodes.
+/// The period before a call whose received heartbeats are reported to other control nodes.
 const HEARTBEAT_COMPARISON_WINDOW: Duration = millis(1_500);
 /// The maximum number of registry entries that a node sends to one that is recovering.
 const MAX_RECOVERY_ENTRIES: usize = 5_000;
--- a/crates/control-plane/tests/fleet/scenarios.rs
+++ b/crates/control-plane/tests/fleet/scenarios.rs
@@ -9,7 +9,8 @@
 use crate::simulation::{InjectedFaults, Simulation};
 
 const SEEDS: u64 = 40;
-/// The number of seeds on which an injected fault is searched for: the rarest is detected on 14 of 400.
+/// The number of seeds on which an injected fault is searched for: the rarest fault is detected on 14 of 400
+/// seeds.
 const FAULT_SEEDS: u64 = 400;
 
 type Scenario = fn(u64, InjectedFaults) -> Result<(), String>;
@@ -136,7 +137,7 @@
 
 #[test]
 fn the_injected_single_replica_is_found() {
-    assert_found(lost_replicas, control(InjectedFault::AcknowledgeAfterOneReplica), &["unknown shutdown:"]);
+    assert_found(lost_replicas, control(InjectedFault::AcknowledgeAfterTwoReplicas), &["unknown shutdown:"]);
 }
 
 /// All control nodes and proxies lose power whenever a shutdown is acknowledged. The server ends and does not
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -21,6 +21,6 @@
 pub struct LeasePermit {
     /// The token that must be sent with each act.
     pub token: FencingToken,
-    /// An act must not begin unless it certainly begins before this instant.
+    /// The holder may begin an act only if it is certain that the act begins before this instant.
     pub valid_until: Instant,
 }
--- a/crates/lease/src/role/mod.rs
+++ b/crates/lease/src/role/mod.rs
@@ -34,8 +34,8 @@
     BackingOff { read_at: Instant },
     /// A read is in flight. It is repeated if it has not returned by `timeout_at`.
     Reading { timeout_at: Instant },
-    /// The store has a holder, not known to be this member. It may be this member, by an acquisition whose
-    /// response was lost.
+    /// The role has a holder that is not known to be this member. It may be this member nevertheless, by an
+    /// acquisition whose response was lost.
     HeldByAnother,
     /// The role has no holder. A former holder may act until `acquire_at`.
     Unheld { acquire_at: Instant },
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -14,7 +14,7 @@
     /// The maximum difference in speed between this machine's clock and the store's, in parts per million;
     /// not above 1,000,000.
     pub clock_drift_ppm: u64,
-    /// The time from sending a renewal to the next one.
+    /// The time from sending a successful call that acquires or renews the lease to sending the next renewal.
     pub renewal_interval: Duration,
     /// The minimum delay after a failed call. Jitter adds up to as much again.
     pub retry_delay: Duration,
@@ -41,7 +41,8 @@
         Duration::from_micros(delay + jitter)
     }
 
-    /// Returns by how much this clock may fall behind the store's within a duration, in whole microseconds.
+    /// Returns by how much this clock and the store's may drift apart within a duration, in whole
+    /// microseconds.
     fn drift_over(&self, span: Duration) -> Duration {
         let micros = whole_micros(span);
         let of_whole_seconds = (micros / PARTS_PER_MILLION).saturating_mul(self.clock_drift_ppm);
--- a/crates/lease/tests/model/world.rs
+++ b/crates/lease/tests/model/world.rs
@@ -232,8 +232,8 @@
     pub(crate) fn deliver_response(&mut self, index: usize, mutant: Mutant) {
         match self.members[index].responses.remove(0) {
             Event::Renewed { call_id } if mutant == Mutant::PermitCountsFromResponse => {
-                // The permit would be counted from now if the call were sent now. So the call fails, is sent
-                // again, and its response arrives at once.
+                // The role counts a permit from when the call was sent. To make it count from the response,
+                // the call fails, is sent again now, and its response arrives at once.
                 self.handle_event(index, Event::CallFailed { call_id });
                 let member = &mut self.members[index];
                 member.timer = None;
--- a/crates/record-log/src/durable_log.rs
+++ b/crates/record-log/src/durable_log.rs
@@ -8,7 +8,8 @@
     ///
     /// # Errors
     ///
-    /// The record is not in the log. Until a later sync succeeds, it may still be found when the log is opened again.
+    /// The record is not in the log. Until a later sync succeeds, it may still be found when the log is
+    /// opened again.
     fn append(&mut self, record: &[u8]) -> Result<(), LogError>;
 
     /// Makes all records that were appended so far durable.
--- a/crates/record-log/src/format.rs
+++ b/crates/record-log/src/format.rs
@@ -89,13 +89,16 @@
 /// generation.
 pub(crate) fn scan(bytes: &[u8], generation: u64) -> Option<Scan> {
     let (magic, rest) = bytes.split_first_chunk::<8>()?;
-    let (number, rest) = rest.split_first_chunk::<8>()?;
+    let (found_generation, rest) = rest.split_first_chunk::<8>()?;
     let (initial_records, rest) = rest.split_first_chunk::<4>()?;
     let (checksum, mut rest) = rest.split_first_chunk::<4>()?;
-    let number = u64::from_le_bytes(*number);
+    let found_generation = u64::from_le_bytes(*found_generation);
     let initial_records = u32::from_le_bytes(*initial_records);
     let checksum = u32::from_le_bytes(*checksum);
-    if *magic != MAGIC || number != generation || checksum != header_checksum(number, initial_records) {
+    if *magic != MAGIC
+        || found_generation != generation
+        || checksum != header_checksum(found_generation, initial_records)
+    {
         return None;
     }
     let mut records = Vec::new();
--- a/crates/record-log/src/generation.rs
+++ b/crates/record-log/src/generation.rs
@@ -1,4 +1,5 @@
-//! The generations of a log: each rewrite creates a new file `state.N`, and the newest complete one is valid.
+//! The generations of a log: each rewrite creates a new file `state.N`, and the newest complete one is
+//! current.
 //!
 //! A new generation is written and synced as `state.N.new` and renamed to `state.N`; then the directory is
 //! synced. So a file with its final name contains all records that it was created with.
@@ -9,8 +10,8 @@
 use crate::error::LogError;
 use crate::format::{self, FRAME_LENGTH, HEADER_LENGTH, LogEnd, MAX_FILE_LENGTH, Scan};
 
-/// The exclusive upper bound of generations. It is never reached by counting, so a greater number in a file
-/// name is not a generation.
+/// The exclusive upper bound of generations. It is never reached by counting, so this or a greater number
+/// in a file name is not a generation.
 const GENERATION_LIMIT: u64 = 1 << 63;
 /// Encoded records are buffered up to this length, in bytes, before they are written.
 pub(crate) const WRITE_BUFFER_LENGTH: usize = 256 << 10;
@@ -20,8 +21,8 @@
     pub generation: u64,
     pub file: D::File,
     pub scan: Scan,
-    /// The length of the file in bytes, including what follows the last valid record. The file is read up to
-    /// one byte more than [`MAX_FILE_LENGTH`].
+    /// The length of the file in bytes, including what follows the last valid record. At most
+    /// [`MAX_FILE_LENGTH`] + 1, since no more is read.
     pub file_length: u64,
 }
 
--- a/crates/record-log/src/generation_files.rs
+++ b/crates/record-log/src/generation_files.rs
@@ -20,7 +20,7 @@
 }
 
 impl<D: Disk> GenerationFiles<D> {
-    /// Creates the files of a disk where generation `current` is valid, and no generation is `next` or
+    /// Creates the files of a disk where `current` is the current generation, and no generation is `next` or
     /// higher.
     pub(crate) fn new(disk: D, current: u64, next: u64) -> GenerationFiles<D> {
         GenerationFiles { disk, current, next, failed: Vec::new() }
@@ -55,7 +55,7 @@
     }
 
     /// Makes a published generation the current one, and removes the older ones. A file that can't be removed
-    /// does no harm, since the newest complete generation is valid.
+    /// does no harm, since only the newest complete generation is used.
     pub(crate) fn adopt(&mut self, generation: u64) {
         let previous = std::mem::replace(&mut self.current, generation);
         for older in self.failed.drain(..).chain([previous]) {
@@ -85,7 +85,7 @@
     }
 
     /// Removes the files of all generations among these names, which must be older than the current one. A
-    /// file that can't be removed does no harm, since the newest complete generation is valid.
+    /// file that can't be removed does no harm, since only the newest complete generation is used.
     pub(crate) fn remove_named(&mut self, names: &[String]) {
         for name in names.iter().filter(|name| generation::parse_any_file_name(name).is_some()) {
             let _ = self.disk.remove(name);
--- a/crates/record-log/src/record_log.rs
+++ b/crates/record-log/src/record_log.rs
@@ -12,11 +12,11 @@
 
 pub use opening::OpenedLog;
 
-/// A [`DurableLog`] in a file `state.N` of a [`Disk`], where the newest complete generation N is valid.
+/// A [`DurableLog`] in a file `state.N` of a [`Disk`], where the newest complete generation N is current.
 ///
-/// Data of an earlier process may be only in the page cache of the operating system, and if a sync has failed
-/// there, no later sync covers it. Therefore opening a log writes all its records again, and a process never
-/// appends to a file that it has not created.
+/// Data of an earlier process may be only in the page cache of the operating system, and if a sync of that
+/// process has failed, no later sync covers it. Therefore opening a log writes all its records again, and a
+/// process never appends to a file that it has not created.
 #[derive(Debug)]
 pub struct RecordLog<D: Disk = Directory> {
     generations: GenerationFiles<D>,
@@ -71,8 +71,8 @@
         if synced.is_err() {
             self.file.roll_back_to_synced();
         }
-        // If the truncation has failed, records that were rolled back may be found again after a restart: the
-        // log may contain more than its caller knows, although everything that the caller knows is durable.
+        // If only the truncation has failed, everything that the caller knows is durable. An error is
+        // returned nevertheless, since records that were rolled back may be found again after a restart.
         synced.and(truncated)
     }
 
--- a/crates/record-log/src/record_log/opening.rs
+++ b/crates/record-log/src/record_log/opening.rs
@@ -1,4 +1,4 @@
-//! Opens a log: finds the valid generation, and writes its records again.
+//! Opens a log: finds the newest complete generation, and writes its records again.
 
 use std::path::Path;
 
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -93,7 +93,8 @@
     ///
     /// # Errors
     ///
-    /// The request was not queued, and there will be no completion: [`LogError::QueueFull`] or [`LogError::Closed`].
+    /// The request was not queued, and there will be no completion: [`LogError::QueueFull`] or
+    /// [`LogError::Closed`].
     pub fn append(&self, token: u64, record: Vec<u8>) -> Result<(), LogError> {
         let bytes = record.len() as u64;
         self.send(bytes, WriteRequest::Append { token, record })
--- a/crates/registry/src/divergence.rs
+++ b/crates/registry/src/divergence.rs
@@ -14,7 +14,8 @@
 }
 
 impl Divergence {
-    /// Returns true if the last divergence was suspected so long ago that another one may be.
+    /// Returns true if another divergence may be suspected: the last one was long enough ago, or there was
+    /// none.
     pub(crate) fn may_be_suspected(&self, now: Instant) -> bool {
         self.suspected_at.is_none_or(|last| now.duration_since(last) >= FULL_SYNC_INTERVAL)
     }
--- a/crates/registry/src/entry.rs
+++ b/crates/registry/src/entry.rs
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Compares all fields except the warm-up. If any other field were left out, processes that receive the
-    /// same entries in a different order could permanently store different ones.
+    /// Compares all fields except the id, which is the same, and the warm-up. If any other field were left
+    /// out, processes that receive the same entries in a different order could permanently store different
+    /// ones.
     fn precedence(&self, other: &Entry) -> Ordering {
         let (server, other_server) = (&self.server, &other.server);
         (server.sequence.cmp(&other_server.sequence))
--- a/crates/registry/src/registry/anti_entropy.rs
+++ b/crates/registry/src/registry/anti_entropy.rs
@@ -109,8 +109,9 @@
         }
         let sequence = entry.server.sequence;
         let has_later_heartbeat = record.last_receiver == self.local_id && record.last_sequence > sequence;
-        // This process has received unchanged heartbeats since then, so the entry is outdated. The state
-        // known here is published above it.
+        // This process has received later heartbeats, which reported no change of the state known here. So
+        // the entry is outdated, and that state is published with the last sequence number, which supersedes
+        // it.
         if has_later_heartbeat
             && !self.is_read_replica
             && !record.entry.server.has_same_properties(&entry.server)
--- a/crates/registry/src/registry/entries.rs
+++ b/crates/registry/src/registry/entries.rs
@@ -48,8 +48,8 @@
         let state_since = match self.records.get_mut(id) {
             Some(record) => {
                 let before = &record.entry.server;
-                // If the replaced entry needs no replication, another node is known to have its state. `Up`
-                // never needs any.
+                // If the replaced entry needs no replication, another node is known to have its state, or the
+                // state is `Up`, which never needs any.
                 if !record.needs_replication(self.local_id, self.published.replicated()) {
                     record.replicated_state = before.state;
                 }
--- a/crates/registry/src/registry/failure_detection.rs
+++ b/crates/registry/src/registry/failure_detection.rs
@@ -1,9 +1,9 @@
 //! Failure detection: suspects servers whose heartbeats have stopped, and removes suspected servers.
 //!
 //! The node that last received a heartbeat from a server suspects it once the heartbeats stop. If that node
-//! itself has no contact, any other node suspects the server instead and publishes that as a source of its
-//! own. Heartbeats that change nothing get no version, so control nodes send each other digests of the
-//! servers that still send them heartbeats.
+//! itself is lost (see [`SOURCE_TIMEOUT`]), any other node suspects the server instead, and publishes that as
+//! an entry of its own. Heartbeats that change nothing get no version, so control nodes send each other
+//! digests of the servers that still send them heartbeats.
 
 use std::sync::Arc;
 
@@ -31,8 +31,9 @@
     }
 
     /// Returns the last heartbeats of the servers from which this process itself has received one at `since`
-    /// or later. The host sends them to the other control nodes every few hundred milliseconds; `since`
-    /// should lie well before the last digest that arrived there.
+    /// or later, without servers whose last heartbeat another control node has received. The host sends them
+    /// to the other control nodes every few hundred milliseconds; `since` should lie well before the last
+    /// digest that arrived there.
     pub fn heartbeats_since(&self, since: Instant) -> Vec<ReceivedHeartbeat> {
         self.records
             .values()
--- a/crates/registry/src/registry/heartbeats.rs
+++ b/crates/registry/src/registry/heartbeats.rs
@@ -7,8 +7,9 @@
 use crate::server::DEREGISTERED_SEQUENCE;
 use crate::{OperState, RegistrationError, Registry, Server, SourceId};
 
-/// With entries of more sources than this, the entries of sources without recent contact are published again
-/// by this process when their server sends a heartbeat. This bounds the version vector.
+/// If the registry has entries of more sources than this, and a server sends a heartbeat whose entry comes
+/// from a source without recent contact, this process publishes that entry again. This bounds the version
+/// vector.
 const REPUBLISHING_THRESHOLD: usize = 16;
 
 /// The effect of an accepted heartbeat or deregistration.
@@ -20,7 +21,7 @@
     /// entry must be replicated to another control node before the heartbeat is acknowledged (see
     /// [`Registry::mark_replicated`]). Until then, repeats of the heartbeat report this again.
     pub needs_replication: bool,
-    /// True if its sequence number is below a known one, so that it changed nothing.
+    /// True if the sequence number of the heartbeat is below a known one, so that it changed nothing.
     pub is_outdated: bool,
 }
 
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -64,7 +64,7 @@
     /// `instance_id` on the wire; new at each start of the process.
     #[n(0)]
     pub id: String,
-    /// `backend_service` on the wire. Empty in the tombstone of a server that never sent a heartbeat.
+    /// `backend_service` on the wire. Empty in a tombstone if the server was not known when it deregistered.
     #[n(1)]
     pub service: String,
     /// The address where it serves requests. A later instance may get the same address.
--- a/crates/registry/src/server_record.rs
+++ b/crates/registry/src/server_record.rs
@@ -15,12 +15,13 @@
     pub last_heartbeat_at: Instant,
     /// The control node that received the heartbeat `last_sequence`.
     pub last_receiver: SourceId,
-    /// When this process itself last received a heartbeat.
+    /// When this process itself last received a heartbeat of the server that was not ignored as outdated or
+    /// repeated; `None` if there is none.
     pub last_local_heartbeat_at: Option<Instant>,
     /// When `state` or `is_suspected` of the entry last changed here.
     pub state_since: Instant,
-    /// The greatest state, in the order from up to removed, that another control node is known to have stored
-    /// for the server.
+    /// The state that another control node is known to have stored for the server; `Up` if there is none. It
+    /// is lowered again once the server has come up, so that draining again needs replication again.
     pub replicated_state: OperState,
     /// When the server is checked next for missing heartbeats: the key of its timer in the registry. `None`
     /// while no timer is set.
--- a/crates/registry/src/source_index.rs
+++ b/crates/registry/src/source_index.rs
@@ -112,7 +112,7 @@
         self.sources.len().saturating_sub(self.empty_sources)
     }
 
-    /// Returns the known versions of all sources.
+    /// Returns the known versions above 0 of the sources that have entries.
     pub(crate) fn vector(&self) -> VersionVector {
         self.known_versions().collect()
     }
--- a/crates/registry/tests/heartbeats.rs
+++ b/crates/registry/tests/heartbeats.rs
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_superseding_entry_of_another_node_ends_the_need_for_replication() {
-    // Both nodes receive the deregistration, and the entry of the other node supersedes.
+    // Both nodes receive the deregistration, and the entry of the other node supersedes that of this one.
     let (mut registry, mut other) = (control_node(1), control_node(2));
     assert!(other.deregister(millis(0), "i-1").unwrap().needs_replication);
     assert!(registry.deregister(millis(0), "i-1").unwrap().needs_replication);
