--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,7 +1,7 @@
-//! The admin endpoint for operators: a second address, on a thread and a runtime of its own.
+//! The admin endpoint for operators: it has its own address, thread and runtime.
 //!
-//! A response that waited for the actors would be late while they forward large bodies or many clients connect. Each is
-//! made from the state that both threads share, [`Lifecycle`].
+//! Responses are built only from [`Lifecycle`], the state that both threads share. If they waited for the actors, they
+//! would be late while the actors forward large bodies or many clients connect.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -29,19 +29,19 @@
 use crate::lifecycle::Lifecycle;
 use crate::log::say;
 
-/// How many connections may be open; the oldest one is closed for a further one.
+/// The maximum number of open connections; the oldest one is closed to make room for a new one.
 const MAX_CONNECTIONS: usize = 8;
-/// The time for a request and its response.
+/// The timeout for a request and its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The longest head of a request.
+/// The maximum length of a request head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The delay before the next accept after one that failed.
+/// The delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Opens the admin endpoint, which stays open until the process ends. Returns its address.
+/// Opens the admin endpoint, which stays open until the process exits, and returns its address.
 ///
 /// # Errors
-/// The address can't be bound, or the system gives no further thread.
+/// The address can't be bound, or no thread can be started.
 pub(crate) fn open(address: SocketAddr, lifecycle: Arc<Lifecycle>) -> io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -71,7 +71,7 @@
         };
         while connections.try_join_next().is_some() {}
         open.retain(|connection| !connection.is_finished());
-        // Silent connections must not keep others out.
+        // A silent connection must not keep other clients from being served.
         if open.len() >= MAX_CONNECTIONS
             && let Some(oldest) = open.pop_front()
         {
@@ -142,7 +142,7 @@
     }
 }
 
-/// How far this incarnation has recovered, as one JSON object on a line.
+/// The recovery stage of this incarnation, as one JSON object on a line.
 fn format_state(lifecycle: &Lifecycle) -> String {
     let (recovery, started_at) = (lifecycle.recovery_state(), lifecycle.started_at());
     let seconds = |span: Duration| format!("{:.3}", span.as_secs_f64());
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -1,8 +1,8 @@
-//! The actor that owns the decisions: it passes events to the [`Balancer`] and carries out its actions.
+//! The actor that makes the decisions: it passes events to the [`Balancer`] and carries out its actions.
 //!
-//! It has the clock, the timers and the table of requests. The mailboxes of the actors have no capacity limit, but their
-//! content is bounded: a client's connection has one request in flight, a request has few attempts, and an attempt has
-//! one outcome.
+//! It owns the clock, the timers and the table of requests. The mailboxes of the actors are unbounded channels, but
+//! their content is bounded: a client connection has one request in flight, a request has few attempts, and an attempt
+//! has one outcome.
 
 mod handle;
 mod list;
@@ -37,39 +37,39 @@
 
 use schedule::{DueTask, Schedule, ScheduledTask, SuspensionDetector};
 
-/// How often learned values are stored, if there is a folder for them; the list is stored whenever it changes.
+/// How often learned values are stored, if there is a folder for them. The endpoint list is stored on each change.
 const SNAPSHOT_INTERVAL: Seconds = 2.0;
 
 pub(crate) use handle::BalancerHandle;
 
-/// A request until it has its final response and all its attempts have ended.
+/// A request, from its arrival until its final response is sent and all its attempts have ended.
 struct PendingRequest {
-    /// The client's id of it.
+    /// The id that the client gave it.
     client_id: u64,
-    /// The class and the limit at its arrival, which hold for it whatever the settings say by now.
+    /// The class and its limit as of the arrival; later changes of the settings don't affect this request.
     class: ClassId,
     max_attempts: u32,
     forwarded: Rc<ForwardedRequest>,
     /// None once the final response is sent.
     reply: Option<oneshot::Sender<FinalResponse>>,
     deadline: Seconds,
-    /// How long the client waits, from the last byte of the request on.
+    /// How long the client waits, counted from the last byte of the request.
     time_left: Seconds,
-    /// The server of each attempt, in their order.
+    /// The server of each attempt, in the order of the attempts.
     attempts: Vec<EndpointId>,
-    /// How many attempts have no outcome yet.
+    /// The number of attempts without an outcome.
     in_flight: u32,
 }
 
-/// A server, as long as it is on the list or has something in flight.
+/// A server that is listed or still has attempts or probes in flight.
 struct ServerEntry {
-    /// What the list said of it last.
+    /// The latest entry of the list for this server.
     listing: ListedServer,
     mailbox: UnboundedSender<ServerMessage>,
     is_listed: bool,
     /// When it started, in the balancer's time; none if that was long ago.
     started_at: Option<Seconds>,
-    /// How many attempts and probes have no outcome yet.
+    /// The number of attempts and probes without an outcome.
     in_flight: u32,
 }
 
@@ -77,7 +77,7 @@
     balancer: Balancer,
     limits: Limits,
     membership: Membership,
-    /// The start of the balancer's time, by the steady clock and by that of the machine.
+    /// The origin of the balancer's time, on the monotonic clock and on the wall clock.
     start: Instant,
     start_unix_ms: f64,
     handle: BalancerHandle,
@@ -88,7 +88,7 @@
     servers: Vec<ServerEntry>,
     /// The index in `servers` of each server, by its id.
     server_indices: HashMap<String, usize>,
-    /// The indices in `servers` that can be used again.
+    /// The free indices in `servers`.
     free_indices: Vec<usize>,
     zones: NameTable,
     kinds: NameTable,
@@ -96,12 +96,13 @@
     requests: BTreeMap<RequestId, PendingRequest>,
     ids: RequestIds,
     schedule: Schedule,
-    /// Events that an action has led to at once; the balancer gets them after all actions of the event before.
+    /// Events that an action caused immediately. The balancer gets them after all actions of the current event are
+    /// done.
     pending_events: VecDeque<Event>,
     suspension: SuspensionDetector,
-    /// None if the operators grant no folder for it.
+    /// None if the operators' file names no state folder.
     stored_state: Option<StoredState>,
-    /// How far this incarnation had recovered when that was last reported.
+    /// The recovery stage of this incarnation when it was last reported.
     recovery: RecoveryStatus,
 }
 
@@ -121,12 +122,12 @@
         }
     }
 
-    /// The balancer's time.
+    /// The current time on the balancer's clock.
     fn now(&self) -> Seconds {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The instant of a time of the balancer's.
+    /// Converts a time on the balancer's clock to an instant.
     fn instant(&self, at: Seconds) -> Instant {
         Instant::now() + duration(at - self.now())
     }
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Stores what is known for the next incarnation, if there is a folder for it.
+    /// Stores the current state for the next incarnation, if there is a folder for it.
     fn write_snapshot(&self) {
         if let Some(stored_state) = &self.stored_state {
             let learned = self.name_tables().to_names(self.balancer.learned_values(self.now()));
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Starts from what a former incarnation has learned, and stores for the next one from now on.
+    /// Restores what a previous incarnation learned, and stores state for the next one from now on.
     fn restore_learned(&mut self) {
         let Some(stored_state) = &mut self.stored_state else { return };
         self.handle.lifecycle.set_incarnation(stored_state.incarnation());
@@ -195,7 +196,7 @@
         self.schedule(self.now() + SNAPSHOT_INTERVAL, ScheduledTask::WriteSnapshot);
     }
 
-    /// Reports how far this incarnation has recovered, if that has changed.
+    /// Reports the recovery stage of this incarnation if it has changed.
     fn report_recovery(&mut self, now: Seconds) {
         let recovery = self.balancer.recovery_status(now);
         if recovery == std::mem::replace(&mut self.recovery, recovery) {
@@ -218,7 +219,7 @@
         let (limits, membership) = (settings.limits.clone(), settings.membership);
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         self.balancer.apply_settings(settings, &active_classes, &redefinitions)?;
-        // Nothing can fail from here on, so the settings take effect as a whole or not at all.
+        // Nothing can fail from here on, so the settings are applied as a whole or not at all.
         self.class_table = class_table;
         self.ids.extend_retention(duration(longest_deadline));
         let connection_limits = ConnectionLimits::from(&limits);
@@ -230,7 +231,7 @@
         Ok(names)
     }
 
-    /// Passes an event to the balancer, carries out its actions, and goes on with the events that they lead to.
+    /// Passes an event to the balancer, carries out its actions, and handles the events that they cause.
     fn dispatch_event(&mut self, event: Event) {
         self.pending_events.push_back(event);
         while let Some(event) = self.pending_events.pop_front() {
--- a/crates/proxy/src/balancer_actor/handle.rs
+++ b/crates/proxy/src/balancer_actor/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which the other actors reach the balancer, and the response that a client waits for.
+//! The handle through which other actors reach the balancer, and the future of a client's response.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -39,8 +39,8 @@
 }
 
 impl BalancerHandle {
-    /// A handle, the names that clients may use, and the actor, which has to be run. The actor starts with the list of
-    /// `config`.
+    /// Returns a handle, the names that clients may use, and the actor, which the caller has to run. The actor starts
+    /// with the list in `config`.
     ///
     /// # Errors
     /// The settings are not valid.
@@ -62,7 +62,7 @@
         Ok((handle, names, run))
     }
 
-    /// Submits a request; the final response is that of the returned future. Dropping the future withdraws the request.
+    /// Submits a request. The returned future resolves to the final response; dropping it withdraws the request.
     pub(crate) fn submit(&self, request: ClientRequest) -> PendingResponse {
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0 + 1);
@@ -71,10 +71,10 @@
         PendingResponse { request_id: id, response, has_response: false, handle: self.clone() }
     }
 
-    /// Applies other settings, all or none; returns what clients may name from now on.
+    /// Applies new settings, all or none, and returns the names that clients may use from now on.
     ///
     /// # Errors
-    /// The settings are not valid, have changed too often, or the actor has ended.
+    /// The settings are not valid or have changed too often, or the actor has ended.
     pub(crate) async fn apply_settings(
         &self,
         settings: NamedSettings,
@@ -84,7 +84,7 @@
         names.await.unwrap_or(Err(ApplySettingsError::BalancerStopped))
     }
 
-    /// The endpoint list as it is known now; none if the actor has ended.
+    /// The current endpoint list; none if the actor has ended.
     pub(crate) async fn current_list(&self) -> Option<ServerList> {
         let (reply, list) = oneshot::channel();
         self.send(Message::GetList(reply));
@@ -97,7 +97,7 @@
     }
 
     fn send(&self, message: Message) {
-        // Only a proxy that is about to exit has no balancer.
+        // The balancer is gone only when the process is about to exit.
         let _ = self.mailbox.send(message);
     }
 }
@@ -141,7 +141,7 @@
         Ok((actor, names))
     }
 
-    /// Starts with a saved list, and with what a former incarnation has left.
+    /// Starts with a saved list and with the state that a previous incarnation stored.
     fn start_with(&mut self, known: ServerList) {
         let entries = self.apply_list(ServerList { is_complete: true, ..known });
         if !entries.is_empty() {
@@ -153,7 +153,7 @@
     }
 }
 
-/// The final response to a request, when it is there. Dropped before that, it withdraws the request.
+/// Resolves to the final response to a request. Dropping it earlier withdraws the request.
 pub(crate) struct PendingResponse {
     request_id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
--- a/crates/proxy/src/balancer_actor/list.rs
+++ b/crates/proxy/src/balancer_actor/list.rs
@@ -1,17 +1,18 @@
-//! What becomes of updates of the endpoint list.
+//! Handles updates of the endpoint list.
 
 use mosshead_decide::interface::{Event, ListUpdate, Membership, Seconds};
 use mosshead_snapshot::server_list::ServerList;
 
 use super::{BalancerActor, ScheduledTask};
 
-/// The delay before the agent is called again after a failed call. It counts what it has as delivered, and a watch is
-/// continued if the next call comes within 0.2 s; it runs on this machine, so that a call costs little.
+/// The delay before the agent is called again after a failed call. The agent counts what it sent as delivered, and
+/// continues a watch if the next call comes within 0.2 s. It runs on this machine, so a call is cheap.
 const LIST_RETRY_DELAY: Seconds = 0.1;
 
 impl BalancerActor {
-    /// Watches the list if it is pushed. In the balancer's eyes pushed lists arrive without a watch; on this wire an
-    /// agent on this machine has to be watched for them. Without that the saved list would stay the only one.
+    /// Watches the list if it is pushed. The balancer assumes that pushed lists arrive without a watch, but over HTTP
+    /// the agent on this machine sends them only in response to a watch. Without one, the saved list would never be
+    /// replaced.
     pub(super) fn watch_pushed_list(&self) {
         if self.membership == Membership::Push {
             self.list.watch();
@@ -19,7 +20,7 @@
     }
 
     pub(super) fn on_list_call_failed(&mut self) {
-        // If discovery is down from the start, the proxy serves all the same.
+        // The proxy serves even if discovery is down from the start.
         self.handle.lifecycle.set_ready();
         if self.suspension.should_retry_list_at_once() {
             return self.list.watch();
--- a/crates/proxy/src/balancer_actor/requests.rs
+++ b/crates/proxy/src/balancer_actor/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that clients wait for: admission, attempts, and the one final response of each.
+//! The requests that clients wait for: admission, attempts, and one final response for each.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,11 +10,12 @@
 use crate::log::say;
 use crate::messages::{AttemptGuard, AttemptKey, AttemptResult, ClientRequest, FinalResponse, ServerMessage};
 
-/// The wait that a client is asked for if the proxy is too full for the balancer to see its request.
+/// The retry delay that a client is told if the proxy rejects its request before the balancer sees it, for lack of
+/// space.
 const OVERLOAD_RETRY_AFTER: Seconds = 0.5;
 
 impl BalancerActor {
-    /// The client stops waiting now. The balancer responds before that; should it not have, this does.
+    /// The client's deadline has passed. The balancer normally responds earlier; this is the fallback if it did not.
     pub(super) fn expire_request(&mut self, request_id: RequestId) {
         if self.requests.get(&request_id).is_some_and(|pending| pending.reply.is_some()) {
             self.send_response(request_id, FinalResponse::Failed);
@@ -22,9 +23,9 @@
         }
     }
 
-    /// The client has left.
+    /// The client has disconnected.
     pub(super) fn withdraw_request(&mut self, request_id: RequestId) {
-        // If the response was on its way already, the balancer has ended the request.
+        // If the response was already on its way, the balancer has ended the request.
         if let Some(pending) = self.requests.get_mut(&request_id)
             && pending.reply.take().is_some()
         {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The last byte of a request's body has arrived: its time counts from now on.
+    /// The last byte of a request's body has arrived: the client's deadline counts from now.
     pub(super) fn on_body_received(&mut self, request_id: RequestId) {
         let now = self.now();
         let Some(pending) = self.requests.get_mut(&request_id) else { return };
@@ -84,14 +85,15 @@
         }
     }
 
-    /// Checks a request before the balancer sees it, and reserves its id. Returns how long the client still waits.
+    /// Checks a request before the balancer sees it, and reserves its id. Returns how long the client will still wait.
     fn check_admission(&mut self, request: &ClientRequest) -> Result<Seconds, FinalResponse> {
         let max_retry_after = self.limits.max_retry_after;
         if self.requests.len() >= self.limits.max_pending_requests {
             return Err(FinalResponse::RetryLater(OVERLOAD_RETRY_AFTER.min(max_retry_after)));
         }
-        // All that arrived while the process was suspended is read at once. Forwarded together it would overload the
-        // servers, and most of its clients have stopped waiting. What is rejected together must not be retried together.
+        // After the process was suspended, everything that arrived meanwhile is read at once. Forwarding it all would
+        // overload the servers, and most of its clients have stopped waiting. Since these requests are rejected
+        // together, their retries must be spread out.
         let waited = request.arrived.elapsed().as_secs_f64();
         let time_left = request.time_left - waited - self.suspension.possible_wait().as_secs_f64();
         if time_left <= 0.0 {
@@ -127,16 +129,16 @@
         });
     }
 
-    /// Sends the response, unless there was one: the first one is final.
+    /// Sends the response, unless one was sent already: the first one is final.
     pub(super) fn send_response(&mut self, request_id: RequestId, response: FinalResponse) {
         if let Some(reply) = self.requests.get_mut(&request_id).and_then(|pending| pending.reply.take()) {
-            // Fails if the client has just left.
+            // Fails if the client has just disconnected.
             let _ = reply.send(response);
             self.remove_if_finished(request_id);
         }
     }
 
-    /// Removes a request that has its final response and no attempt in flight.
+    /// Removes a request if its final response is sent and no attempt is in flight.
     fn remove_if_finished(&mut self, request_id: RequestId) {
         let is_finished = |pending: &PendingRequest| pending.reply.is_none() && pending.in_flight == 0;
         if self.requests.get(&request_id).is_some_and(is_finished)
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Starts an attempt at a server. Without a `deadline` (0) it may last as long as the client waits.
+    /// Starts an attempt at a server. If `deadline` is 0, the attempt may last as long as the client waits.
     pub(super) fn send(
         &mut self,
         now: Seconds,
@@ -179,8 +181,8 @@
         self.post_to_server(endpoint, ServerMessage::Attempt { guard, forwarded, deadline });
     }
 
-    /// The balancer has sent a request that is over or has had all its attempts: a fault of the balancer. It gets the
-    /// outcome that it waits for.
+    /// Handles a fault of the balancer: it sent a request that has ended or has used up its attempts. Reports an
+    /// outcome, since the balancer waits for one.
     fn end_invalid_send(&mut self, request_id: RequestId, endpoint: EndpointId) {
         say!(request = request_id.0, "fault: the balancer sent a request that is over");
         self.pending_events.push_back(Event::AttemptEnded {
@@ -196,7 +198,7 @@
 }
 
 impl PendingRequest {
-    /// When an attempt times out for which the balancer has set `deadline`, if that is above 0.
+    /// The instant at which an attempt times out, given the `deadline` that the balancer set, if that is above 0.
     fn attempt_deadline(&self, now: Seconds, deadline: Seconds) -> Seconds {
         if self.forwarded.body.is_incomplete() {
             // The client's time does not begin before the last byte.
--- a/crates/proxy/src/balancer_actor/schedule.rs
+++ b/crates/proxy/src/balancer_actor/schedule.rs
@@ -1,4 +1,4 @@
-//! The tasks of the balancer's actor that are due later, and what their lateness tells.
+//! The timer queue of the balancer's actor, and the detection of suspensions by late timers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,9 +6,9 @@
 
 use mosshead_decide::interface::{RequestId, TimerToken};
 
-/// A task that is run this late shows that the process was suspended.
+/// If a task runs this late, the process was suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(300);
-/// What is read within this time of the resumption may have waited in the system for the whole suspension.
+/// Data read within this time after a resumption may have waited in the kernel for the whole suspension.
 const RESUME_WINDOW: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,18 +19,19 @@
     RequestDeadline(RequestId),
 }
 
-/// A task that is to be run now.
+/// A task that is due now.
 pub(super) struct DueTask {
     pub(super) task: ScheduledTask,
     /// How long ago it was due.
     pub(super) lateness: Duration,
 }
 
-/// Tasks by the instant at which they are due. Those of one instant are run in the order in which they were scheduled.
+/// Tasks by the instant at which they are due. Tasks with the same instant run in the order in which they were
+/// scheduled.
 #[derive(Default)]
 pub(super) struct Schedule {
     tasks: BinaryHeap<Reverse<(Instant, u64, ScheduledTask)>>,
-    /// How many tasks were scheduled so far.
+    /// The number of tasks scheduled so far, which orders tasks with the same instant.
     count: u64,
 }
 
@@ -45,7 +46,7 @@
         self.tasks.peek().map(|Reverse((due, ..))| *due)
     }
 
-    /// Takes the first task that is due by `now`.
+    /// Removes and returns the first task that is due by `now`.
     pub(super) fn pop_due(&mut self, now: Instant) -> Option<DueTask> {
         let Reverse((due, _, task)) = self.tasks.peek().copied().filter(|Reverse((due, ..))| *due <= now)?;
         self.tasks.pop();
@@ -53,7 +54,7 @@
     }
 }
 
-/// Notices by late tasks that the process was suspended: nobody else can tell it.
+/// Detects from late tasks that the process was suspended; there is no other sign of it.
 #[derive(Default)]
 pub(super) struct SuspensionDetector {
     last: Option<Suspension>,
@@ -62,18 +63,18 @@
 struct Suspension {
     duration: Duration,
     resumed_at: Instant,
-    /// Whether the list was called for again since.
+    /// True if the list was requested again since the last suspension.
     has_retried_list: bool,
 }
 
 impl SuspensionDetector {
-    /// Records how late a task is run. Returns whether that shows a suspension that was not known.
+    /// Records how late a task runs. Returns true if that shows a suspension that was not known yet.
     pub(super) fn record_lateness(&mut self, now: Instant, lateness: Duration) -> bool {
         if lateness < SUSPENSION_THRESHOLD {
             return false;
         }
         match &mut self.last {
-            // The first task that is looked at need not be the one that waited for longest.
+            // The first task that is checked need not be the one that has waited longest.
             Some(suspension) if now < suspension.resumed_at + RESUME_WINDOW => {
                 suspension.duration = lateness.max(suspension.duration);
                 false
@@ -85,15 +86,15 @@
         }
     }
 
-    /// How long what is read now may have waited for this process.
+    /// How long data that is read now may have waited for this process.
     pub(super) fn possible_wait(&self) -> Duration {
         let recent = self.last.as_ref().filter(|last| last.resumed_at.elapsed() < RESUME_WINDOW);
         recent.map_or(Duration::ZERO, |last| last.duration)
     }
 
-    /// Whether a call for the list that has failed just now is to be repeated at once: it may have been answered during
-    /// the suspension, and what discovery sent then counts as delivered. That is done once after each suspension, since
-    /// a call that fails at once would be repeated without end.
+    /// True if a call for the list that has just failed should be repeated at once: it may have been answered during
+    /// the suspension, and discovery counts what it sent then as delivered. True only once after each suspension, since
+    /// a call that fails immediately would otherwise be repeated in a loop.
     pub(super) fn should_retry_list_at_once(&mut self) -> bool {
         if self.possible_wait().is_zero() {
             return false;
--- a/crates/proxy/src/balancer_actor/servers.rs
+++ b/crates/proxy/src/balancer_actor/servers.rs
@@ -1,4 +1,4 @@
-//! The servers that the balancer knows by number: what the list says of each, and what is in flight there.
+//! The servers that the balancer knows by number: the list entry of each, and what is in flight there.
 
 use mosshead_decide::interface::*;
 use mosshead_snapshot::server_list::{ListedServer, ServerList};
@@ -9,11 +9,11 @@
 use crate::server;
 use crate::stored_state::NameTables;
 
-/// How far the clocks of two machines differ at most.
+/// The maximum clock skew between two machines.
 const MAX_CLOCK_SKEW: Seconds = 2.0;
 
 impl BalancerActor {
-    /// The list as it is known now.
+    /// The current endpoint list.
     pub(super) fn current_list(&self) -> ServerList {
         let listed = self.servers.iter().filter(|server| server.is_listed);
         ServerList {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// An attempt or probe at the server has its outcome.
+    /// An attempt or probe at the server has ended.
     pub(super) fn release_server(&mut self, endpoint: EndpointId) {
         let index = endpoint.0 as usize;
         if let Some(server) = self.servers.get_mut(index) {
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Ends the actor of a server that is no longer listed and has nothing in flight. Servers come and go all day, and
-    /// would fill the memory. The balancer knows that it is removed, so the next one of its number starts without its
-    /// history.
+    /// Ends the actor of a server that is no longer listed and has nothing in flight; otherwise memory would grow as
+    /// servers come and go. The balancer knows that the server is removed, so the next server with this number starts
+    /// without its history.
     pub(super) fn remove_server_if_unused(&mut self, index: usize) {
         let server = &mut self.servers[index];
         let is_unused = !server.is_listed && server.in_flight == 0;
-        // An id that has come back may have another number by now.
+        // If the id was listed again, it may have another number.
         if is_unused && self.server_indices.get(&server.listing.id) == Some(&index) {
             self.server_indices.remove(&server.listing.id);
             let _ = server.mailbox.send(ServerMessage::Shutdown);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Tells the actors of the servers what the list says of them. Returns the list in the balancer's terms.
+    /// Sends the actors of the servers their list entries. Returns the list in the balancer's terms.
     pub(super) fn apply_list(&mut self, list: ServerList) -> Vec<ListEntry> {
         if list.is_complete {
             self.servers.iter_mut().for_each(|server| server.is_listed = false);
@@ -73,7 +73,7 @@
         entries
     }
 
-    /// Applies what the list says of one server. None if it is removed and was not known.
+    /// Applies the list entry of one server. Returns none if the server is removed and was not known.
     fn apply_listing(&mut self, listing: &ListedServer) -> Option<ListEntry> {
         let is_listed = listing.readiness != Readiness::Removed;
         let status = EndpointStatus {
@@ -83,7 +83,7 @@
         };
         let index = match self.server_indices.get(&listing.id).copied() {
             Some(index) => {
-                // Computed again for each list, the time would differ a little, which would look like a restart.
+                // If the time were recomputed for each list, it would differ slightly, which would look like a restart.
                 if self.servers[index].listing.started_at != listing.started_at {
                     self.servers[index].started_at = self.started_at(listing);
                 }
@@ -106,9 +106,8 @@
         })
     }
 
-    /// When a server started, in the balancer's time; none if that is not known. With a clock that is behind, each
-    /// server that starts would seem to start in the future and would count as cold until then: it counts as started
-    /// now.
+    /// When a server started, in the balancer's time; none if that is not known. A start in the future counts as now:
+    /// with a wall clock that is behind, each starting server would otherwise count as cold until that time.
     fn started_at(&self, listing: &ListedServer) -> Option<Seconds> {
         let started_at = (listing.started_at.as_unix_millis() - self.start_unix_ms) / 1000.0;
         let is_in_future = started_at > self.now() + MAX_CLOCK_SKEW;
@@ -116,7 +115,7 @@
             .then(|| if is_in_future { self.now() } else { started_at })
     }
 
-    /// Starts the actor of a new server, under a free number.
+    /// Starts the actor of a new server and assigns it a free number.
     fn add_server(&mut self, listing: ListedServer, status: EndpointStatus) -> usize {
         let mailbox = server::start(&self.limits, self.budget.clone(), status);
         let index = self.free_indices.pop().unwrap_or(self.servers.len());
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,6 +1,6 @@
-//! Bodies of requests and responses: buffered while they are small, forwarded while they arrive if they are larger.
+//! Request and response bodies: small ones are buffered, larger ones are streamed.
 //!
-//! A body that is streamed is polled through from one side to the other: no more is read than the other side takes.
+//! Streaming has backpressure: no more is read from one side than the other side accepts.
 
 mod download;
 mod frames;
@@ -23,22 +23,22 @@
 
 use pace::SenderPace;
 
-/// An open connection to a server, or to discovery.
+/// An open connection to a server or to discovery.
 pub type OutboundConnection = mosshead_http_links::OutboundConnection<OutgoingBody>;
 
-/// The longest body that is streamed.
+/// The maximum length of a streamed body.
 pub const MAX_STREAMED_BODY_BYTES: u64 = 33 * 1024 * 1024;
 
 /// The start of a body.
 pub enum BodyStart {
-    /// All of it: it is small.
+    /// The body is small, and this is all of it.
     Complete(Bytes),
-    /// What had arrived when it proved to be large, and the rest.
+    /// What had arrived when the body exceeded the buffer limit, and the rest.
     Partial(Bytes, Incoming),
 }
 
-/// Reads a body until it ends or is too large to be buffered. Where no length is stated, `max_wait` bounds the wait for
-/// the end; a body that has not ended by then is treated as a large one.
+/// Reads a body until it ends or exceeds the buffer limit. If no length is stated, the wait for the end is limited to
+/// `max_wait`; a body that has not ended by then is treated as a large one.
 pub async fn read_start(mut body: Incoming, max_wait: Option<Duration>) -> Result<BodyStart, BodyError> {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > MAX_STREAMED_BODY_BYTES) {
@@ -91,7 +91,7 @@
 }
 
 impl OutgoingBody {
-    /// A large response; `on_connection_free` is given its connection once all of it has been read.
+    /// A large response. `on_connection_free` receives its connection once the response has been read completely.
     pub fn download(
         start: Bytes,
         rest: Incoming,
@@ -102,8 +102,8 @@
         OutgoingBody::Download(Box::new(stream))
     }
 
-    /// Calls `on_end` once the body has been forwarded to its end (`true`), or never will be (`false`). A buffered body
-    /// counts as forwarded at once.
+    /// Calls `on_end` with true once the body has been forwarded completely, or with false once that can no longer
+    /// happen. A buffered body counts as forwarded at once.
     pub fn on_end(&mut self, on_end: impl FnOnce(bool) + 'static) {
         match self {
             OutgoingBody::Download(download) => download.set_on_end(Box::new(on_end)),
--- a/crates/proxy/src/body/download.rs
+++ b/crates/proxy/src/body/download.rs
@@ -10,12 +10,12 @@
 use super::frames::{PollTimer, poll_data};
 use super::{MAX_STREAMED_BODY_BYTES, OutboundConnection};
 
-/// The longest pause of a server within its response.
+/// The maximum pause of a server within its response.
 const MAX_SERVER_PAUSE: Duration = Duration::from_secs(10);
 
-/// Is told how a response ended: whether all of it was forwarded.
+/// Called when a response has ended, with true if all of it was forwarded.
 pub(super) type OnBodyEnd = Box<dyn FnOnce(bool)>;
-/// Is given a connection once a response has been read off it.
+/// Called with the connection once a response has been read from it completely.
 type OnConnectionFree = Box<dyn FnOnce(OutboundConnection)>;
 
 /// The connection that a response arrives on.
@@ -26,10 +26,10 @@
 
 /// A large response on its way to the client.
 pub struct DownloadStream {
-    /// What had been read before the response proved to be large, until it is forwarded.
+    /// The buffered start of the response, until it is forwarded.
     start: Option<Bytes>,
     rest: Incoming,
-    /// The length of all of it, if it is stated.
+    /// The total length, if it is stated.
     length: Option<u64>,
     forwarded: u64,
     timer: PollTimer,
@@ -92,7 +92,7 @@
                 if self.forwarded > MAX_STREAMED_BODY_BYTES {
                     return Poll::Ready(Some(Err(io::Error::other("the answer is too long"))));
                 }
-                // After the last byte of a stated length hyper does not poll again.
+                // Hyper does not poll again after the last byte of a stated length.
                 if self.length == Some(self.forwarded) {
                     self.finish(true);
                 }
@@ -103,7 +103,7 @@
         Poll::Ready(next)
     }
 
-    /// The bytes that are still to be forwarded, if the length is stated.
+    /// The number of bytes still to be forwarded, if the length is stated.
     pub(super) fn remaining(&self) -> Option<u64> {
         self.length.map(|length| length - self.forwarded.min(length))
     }
--- a/crates/proxy/src/body/frames.rs
+++ b/crates/proxy/src/body/frames.rs
@@ -13,7 +13,7 @@
 /// A timer that is started when a poll finds no data.
 pub(super) type PollTimer = Option<Pin<Box<Sleep>>>;
 
-/// The next data of a body, or an error if there is none by `deadline`, which is asked for when the wait begins.
+/// Polls the next data of a body. Fails if there is none by `deadline`, which is evaluated when the wait begins.
 pub(super) fn poll_data(
     body: &mut Incoming,
     timer: &mut PollTimer,
--- a/crates/proxy/src/body/upload.rs
+++ b/crates/proxy/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A large body of a client: its start is buffered, the rest is forwarded while it arrives.
+//! A large request body: its start is buffered, the rest is streamed.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,16 +17,16 @@
 use super::pace::SenderPace;
 use crate::messages::Message;
 
-/// A large body of a client, which several attempts may send as long as none has read beyond its start.
+/// A large request body. Several attempts may send it, until one of them has read beyond its start.
 pub struct Upload {
     start: Bytes,
-    /// What follows the start. An attempt takes it, and returns it if it has read nothing of it.
+    /// What follows the start. An attempt takes it, and returns it if it has read nothing from it.
     rest: RefCell<Option<Incoming>>,
-    /// The length of all of it, if it is stated.
+    /// The total length, if it is stated.
     length: Option<u64>,
     completed_at: Cell<Option<Instant>>,
     last_progress: Cell<Instant>,
-    /// Who is to learn that the last byte has arrived, until that is done.
+    /// Whom to notify when the last byte arrives; none once that is done.
     on_complete: RefCell<Option<CompletionNotice>>,
 }
 
@@ -54,12 +54,12 @@
         })
     }
 
-    /// Has the balancer notified once the last byte has arrived.
+    /// Sets up the notification of the balancer about the last byte.
     pub fn notify_when_complete(&self, balancer: UnboundedSender<Message>, request: RequestId) {
         self.on_complete.replace(Some(CompletionNotice { balancer, request }));
     }
 
-    /// Whether an attempt has read beyond the start, so that no other one can send the body.
+    /// True if an attempt has read beyond the start, so that no other attempt can send the body.
     pub fn is_consumed(&self) -> bool {
         self.rest.borrow().is_none()
     }
@@ -78,17 +78,17 @@
         })
     }
 
-    /// The length of all of it, if it is stated.
+    /// The total length, if it is stated.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// When the last byte had arrived; none before that.
+    /// When the last byte arrived; none before that.
     pub fn completed_at(&self) -> Option<Instant> {
         self.completed_at.get()
     }
 
-    /// When a server last asked for more of it.
+    /// When a server last asked for more of the body.
     pub fn last_progress(&self) -> Instant {
         self.last_progress.get()
     }
@@ -103,10 +103,10 @@
     }
 }
 
-/// An upload on its way to a server, in one attempt.
+/// A large request body that one attempt sends to a server.
 pub struct UploadStream {
     upload: Rc<Upload>,
-    /// Until it is sent.
+    /// The buffered start, until it is sent.
     start: Option<Bytes>,
     rest: Option<Incoming>,
     has_read_rest: bool,
@@ -140,7 +140,7 @@
                     return Poll::Ready(Some(Err(io::Error::other("the body is too long"))));
                 }
             }
-            // The last byte is about to be written; from now on the request may run.
+            // The last byte is about to be written: from now on the server may execute the request.
             None => {
                 self.write_progress.mark_complete();
                 self.upload.mark_complete();
@@ -153,7 +153,7 @@
         Poll::Ready(next)
     }
 
-    /// The bytes that are still to be sent, if the length is stated.
+    /// The number of bytes still to be sent, if the length is stated.
     pub(super) fn remaining(&self) -> Option<u64> {
         self.upload.length.map(|length| length - self.pace.bytes().min(length))
     }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -1,5 +1,5 @@
-//! How many descriptors may be open: the limits of the configuration, divided between connections of clients and
-//! connections to servers.
+//! Descriptor budgets: the configured limits on descriptors and memory, divided between client connections and server
+//! connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,11 +7,11 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
-/// The descriptors for everything but connections: the runtimes' own, listeners, the log, the list, operators' calls.
+/// The descriptors reserved for everything but connections: the runtimes, listeners, the log, the list and admin calls.
 pub const RESERVED_DESCRIPTORS: u64 = 32;
-/// The most memory of a connection, in KiB: a body of 64 KiB, its head, and the buffers of both.
+/// The maximum memory of a connection, in KiB: a body of 64 KiB, its head, and the buffers of both.
 pub const KIB_PER_CONNECTION: f64 = 96.0;
-/// Clients may use a third of all descriptors at most. From half of that on, their idle connections are closed.
+/// The maximum share of the descriptors that clients may use. Above half of it, their idle connections are closed.
 const TIGHT_DIVISOR: u64 = 6;
 /// The share of the memory that all connections together may use.
 const MEMORY_SHARE: f64 = 0.75;
@@ -20,16 +20,16 @@
 #[derive(Clone)]
 pub struct DescriptorBudget {
     available: Arc<Semaphore>,
-    /// All descriptors of this side, in use or not.
+    /// The number of descriptors of this side, in use or not.
     size: Rc<Cell<usize>>,
     /// The budget is tight if more than this many are in use.
     tight_above: usize,
     release_requests: Rc<watch::Sender<()>>,
-    /// How many wait for a descriptor.
+    /// The number of tasks that wait for a descriptor.
     waiters: Rc<Cell<usize>>,
 }
 
-/// Counts one waiter for a descriptor until it is dropped.
+/// Counts as one waiter for a descriptor until it is dropped.
 struct WaiterGuard(Rc<Cell<usize>>);
 
 impl Drop for WaiterGuard {
@@ -38,12 +38,12 @@
     }
 }
 
-/// The permission to open one descriptor, returned when it is dropped.
+/// The permission to open one descriptor, which dropping it returns.
 pub type Permit = OwnedSemaphorePermit;
 
 impl DescriptorBudget {
-    /// The budgets of both sides: half of what the limits on descriptors and memory allow for each, without
-    /// `set_aside` descriptors.
+    /// Creates the budgets of both sides. Each gets half of what the limits on descriptors and memory allow, after
+    /// `set_aside` descriptors are subtracted.
     pub fn split(sockets: u64, memory_mb: f64, set_aside: u64) -> [Self; 2] {
         let within_memory = (memory_mb * 1024.0 * MEMORY_SHARE / KIB_PER_CONNECTION) as u64;
         let within_sockets = sockets.saturating_sub(RESERVED_DESCRIPTORS + set_aside);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Waits for a descriptor, for which idle connections are closed.
+    /// Waits for a descriptor. Idle connections are closed to free one.
     pub async fn acquire(&self) -> Permit {
         if let Ok(permit) = self.available.clone().try_acquire_owned() {
             return permit;
@@ -72,13 +72,13 @@
         self.release_requests.send_replace(());
         match self.available.clone().acquire_owned().await {
             Ok(permit) => permit,
-            // Does not happen: the semaphore is never closed.
+            // Unreachable: the semaphore is never closed.
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// Whether many descriptors are in use. A client that may have only so many connections to this proxy can't open
-    /// further ones when idle ones use them all, long before no descriptor is left here.
+    /// True if many descriptors are in use. A client with a connection limit of its own can't open further connections
+    /// while idle ones use up that limit, long before the descriptors here run out.
     pub fn is_tight(&self) -> bool {
         let in_use = self.size().saturating_sub(self.available());
         in_use > self.tight_above.min(2 * self.size() / 3)
@@ -94,7 +94,7 @@
         self.available.available_permits()
     }
 
-    /// Gives up to `max` available descriptors to another process; returns how many.
+    /// Gives up to `max` free descriptors to another process; returns how many.
     pub fn give(&self, max: usize) -> usize {
         let given = self.available.forget_permits(max.min(self.available()));
         self.size.set(self.size() - given);
@@ -107,12 +107,12 @@
         self.size.set(self.size() + count);
     }
 
-    /// Asks for idle connections to be closed, for another process.
+    /// Asks for idle connections to be closed on behalf of another process.
     pub fn request_release(&self) {
         self.release_requests.send_replace(());
     }
 
-    /// Whether somebody waits for a descriptor.
+    /// True if a task is waiting for a descriptor.
     pub fn has_waiters(&self) -> bool {
         self.waiters.get() > 0
     }
--- a/crates/proxy/src/class_table.rs
+++ b/crates/proxy/src/class_table.rs
@@ -1,7 +1,7 @@
-//! Which slot of the balancer's table of classes each name refers to, over changes of the settings. No I/O.
+//! Maps class names to slots in the balancer's class table across changes of the settings. No I/O.
 //!
-//! A request is judged by the definition of its class at its arrival, so a definition never changes in its slot: a class
-//! that is defined anew gets another slot.
+//! A request is judged by the definition that its class had at its arrival. So a definition never changes in its slot:
+//! a class that is redefined gets another slot.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,12 +12,12 @@
 
 use crate::errors::ApplySettingsError;
 
-/// How long a name is still accepted with its former meaning after a change: clients learn of it a moment later.
+/// How long a name keeps its previous meaning after a change, since clients learn of the change a moment later.
 pub const FORMER_BINDING_PERIOD: Duration = Duration::from_millis(1000);
-/// A slot that no name refers to is used again after this: requests that were read under its name have arrived at the
-/// balancer by then.
+/// A slot without a name is reused after this delay. By then, requests that were read under its name have reached the
+/// balancer.
 pub const SLOT_REUSE_DELAY: Duration = Duration::from_secs(60);
-/// More slots than this are in use only if the settings change too often.
+/// The maximum number of slots. It is exceeded only if the settings change too often.
 pub const MAX_CLASS_SLOTS: usize = 1024;
 
 /// What a name refers to.
@@ -25,20 +25,20 @@
 pub struct ClassBinding {
     pub class: ClassId,
     pub effect: RepeatEffect,
-    /// When the name loses this meaning; none if it is the present one.
+    /// When this meaning of the name expires; none if it is the current one.
     until: Option<Instant>,
 }
 
 /// The names that clients may use.
 #[derive(Debug)]
 pub struct AcceptedNames {
-    /// The present meaning of a name comes first.
+    /// The current meaning of a name comes first.
     classes: HashMap<String, Vec<ClassBinding>>,
     tenants: NameTable,
 }
 
 impl AcceptedNames {
-    /// What the name of a class refers to at `now`, the present meaning first.
+    /// The meanings of a class name at `now`, the current one first.
     pub fn class(&self, name: &str, now: Instant) -> impl Iterator<Item = &ClassBinding> {
         let bindings = self.classes.get(name).map(Vec::as_slice).unwrap_or_default();
         bindings.iter().filter(move |binding| binding.until.is_none_or(|until| now < until))
@@ -54,7 +54,7 @@
 struct ClassSlot {
     name: String,
     class: Class,
-    /// Since when no name refers to it; none if one does.
+    /// Since when the slot has no name; none if it has one.
     unbound_since: Option<Instant>,
 }
 
@@ -66,17 +66,17 @@
     tenants: Vec<Tenant>,
 }
 
-/// A change of the settings. Nothing of it is in force before the balancer has accepted it.
+/// A change of the settings. It takes effect only once the balancer has accepted it.
 pub struct SettingsChange {
     pub settings: Settings,
     pub names: AcceptedNames,
-    /// The classes that names refer to.
+    /// The classes that have a name.
     pub active_classes: Vec<ClassId>,
     pub redefinitions: Vec<ClassRedefinition>,
 }
 
 impl ClassTable {
-    /// The table as the balancer starts with it: in the order of the settings.
+    /// The initial table, in the order of the settings.
     pub fn new(settings: &NamedSettings) -> (Self, AcceptedNames) {
         let classes = settings.settings.classes.iter().cloned().enumerate();
         let slots = classes.map(|(index, class)| {
@@ -97,8 +97,8 @@
         self.slots.iter().map(|slot| slot.name.as_str()).collect()
     }
 
-    /// Changes the table to other settings. `is_in_use` says whether a pending request has a class; zones and kinds of
-    /// machines are numbered as in `settings`.
+    /// Builds the table for new settings. `is_in_use` returns true if a pending request has the class; zones and
+    /// machine kinds are numbered as in `settings`.
     ///
     /// # Errors
     /// The settings have changed so often that no slot is left. The table then stays as it was.
@@ -124,7 +124,7 @@
         Ok(SettingsChange { settings, names, active_classes, redefinitions })
     }
 
-    /// Binds each name to the slot with its definition, or to another one if it is defined anew.
+    /// Binds each name to the slot with its definition, or to another slot if it is redefined.
     fn redefine_classes(
         &mut self,
         settings: &NamedSettings,
@@ -152,7 +152,7 @@
         redefinitions
     }
 
-    /// Stores a class in a slot that can be used again, or a new one.
+    /// Stores a class in a reusable slot, or in a new one.
     fn store_class(
         &mut self,
         class: ClassSlot,
@@ -173,8 +173,8 @@
         ClassId(index.unwrap_or(self.slots.len() - 1))
     }
 
-    /// Sets the shares of the tenants. A tenant keeps its number and its name; one that is dropped has no share, so that
-    /// all that it still sends is in excess of it.
+    /// Sets the shares of the tenants. A tenant keeps its number and its name. A removed tenant has a share of 0, so
+    /// all of its further requests exceed its share.
     fn redefine_tenants(&mut self, settings: &NamedSettings) {
         self.tenants.iter_mut().for_each(|tenant| tenant.share = 0.0);
         for (index, tenant) in settings.settings.tenants.iter().enumerate() {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The classes that names refer to.
+    /// The classes that have a name.
     fn active_classes(&self) -> Vec<ClassId> {
         let bound = self.slots.iter().enumerate().filter(|(_, slot)| slot.unbound_since.is_none());
         bound.map(|(index, _)| ClassId(index)).collect()
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! The side of the proxy that clients see: the accept loop, its stop, and one actor for each connection.
+//! The client side of the proxy: the accept loop, its graceful stop, and one actor for each connection.
 
 mod connection;
 mod head;
@@ -26,40 +26,40 @@
 use crate::log::{LogLimiter, say};
 use mosshead_http_links::ConnectionLogGuard;
 
-/// How long connections are still accepted after the request to stop.
+/// How long connections are still accepted after the stop request.
 const STOP_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
-/// The accept queue counts as empty once no connection has come for this long.
+/// The accept queue counts as empty once no connection has arrived for this long.
 const STOP_QUIET_PERIOD: Duration = Duration::from_millis(20);
-/// How long idle connections are kept after the request to stop where a successor accepts.
+/// How long idle connections are kept after the stop request if a successor accepts connections.
 const STOP_IDLE_PERIOD: Duration = Duration::from_millis(600);
-/// How long after the request to stop the accept queue may wait for descriptors.
+/// How long after the stop request connections in the accept queue may wait for descriptors.
 const STOP_DESCRIPTOR_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The delay before the next accept after one that failed, perhaps for want of descriptors.
+/// The delay before the next accept after a failed one, which may be due to a lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a stop has come.
+/// The phase of a graceful stop.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StopStage {
     Serving,
-    /// Connections are still accepted; each response is the last on its connection.
+    /// Connections are still accepted; each response closes its connection.
     Closing,
-    /// No connection is accepted any more, and idle ones are closed.
+    /// No connections are accepted any more, and idle ones are closed.
     Stopping,
 }
 
-/// What all connections of clients share.
+/// The state that all client connections share.
 pub(crate) struct ClientFrontend {
     balancer: BalancerHandle,
-    /// The classes and tenants that clients may name at present.
+    /// The classes and tenants that clients may currently name.
     names: RefCell<Rc<AcceptedNames>>,
     budget: DescriptorBudget,
     stage: watch::Sender<StopStage>,
     lifecycle: Arc<Lifecycle>,
-    /// Limits the log lines about rejected messages.
+    /// Limits the rate of log lines about rejected messages.
     rejection_log: LogLimiter,
 }
 
-/// A connection that was just accepted, with its line in the log and its descriptor.
+/// A connection that was just accepted, with its log line and its descriptor.
 struct AcceptedConnection {
     stream: TcpStream,
     log_guard: ConnectionLogGuard,
@@ -88,7 +88,7 @@
         self.names.replace(Rc::new(names));
     }
 
-    /// Serves until `stop` completes, then finishes all requests that were accepted.
+    /// Serves until `stop` completes, then finishes all accepted requests.
     pub(crate) async fn serve(
         self: Rc<Self>,
         listener: Rc<TcpListener>,
@@ -100,7 +100,7 @@
         if let Some(handover) = &handover {
             tokio::select! {
                 biased;
-                // Nothing was accepted yet: the predecessor still serves.
+                // Nothing has been accepted yet: the predecessor still serves.
                 () = &mut stop => return handover.close(),
                 () = handover.wait_until_accepting() => {}
             }
@@ -122,7 +122,7 @@
             handover.close();
         }
         if has_successor {
-            // An idle connection that is closed at once would cross with the next request of its client.
+            // Closing an idle connection at once would race with the next request of its client.
             sleep_until((stop_requested_at + STOP_IDLE_PERIOD).into()).await;
         }
         self.stage.send_replace(StopStage::Stopping);
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Accepts for a while after the request to stop. Returns whether that ended because a successor accepts at the
-    /// same socket, whose queue then stays.
+    /// Keeps accepting for a while after the stop request. Returns true if that ended because a successor accepts on
+    /// the same socket, so that the accept queue is preserved.
     async fn accept_until_successor(
         self: &Rc<Self>,
         handover: &Option<Rc<Handover>>,
@@ -164,9 +164,9 @@
         }
     }
 
-    /// Accepts what the kernel has queued: it would be lost with the listener.
+    /// Accepts the connections that the kernel has queued, which would be lost with the listener.
     ///
-    /// Without a free descriptor nothing can be accepted, though the queue may be full, so that is waited for.
+    /// Nothing can be accepted without a free descriptor, even if the queue is full, so this waits for descriptors.
     async fn empty_accept_queue(
         self: &Rc<Self>,
         stop_requested_at: Instant,
--- a/crates/proxy/src/client_connection/connection.rs
+++ b/crates/proxy/src/client_connection/connection.rs
@@ -1,4 +1,4 @@
-//! The actor of one connection: it reads requests, hands them to the balancer, and closes the connection when that is
+//! The actor of one connection: it reads requests, passes them to the balancer, and closes the connection when that is
 //! due.
 
 use std::convert::Infallible;
@@ -24,11 +24,11 @@
 use crate::log::{AdmittedLine, say};
 use crate::messages::{ClientRequest, FinalResponse, ForwardedRequest, RequestBody};
 
-/// The longest head of a message.
+/// The maximum length of a message head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 impl ClientFrontend {
-    /// Serves a connection until it is closed; its descriptor is free when this returns.
+    /// Serves a connection until it is closed; its descriptor has been returned when this returns.
     pub(super) async fn serve_connection(self: Rc<Self>, accepted: AcceptedConnection) {
         let AcceptedConnection { stream, log_guard, permit: _permit } = accepted;
         let _ = stream.set_nodelay(true);
@@ -40,7 +40,7 @@
         let mut release_requests = self.budget.subscribe_release_requests();
         let mut draining = self.lifecycle.subscribe_draining();
         progress.set_draining_since(*draining.borrow_and_update());
-        // Requests to release descriptors from before the subscription are not seen.
+        // The subscription does not see earlier requests to release descriptors.
         progress.set_scarce(self.budget.is_tight());
         let stream = TokioIo::new(ClientStream { stream, progress: progress.clone() });
         let server = Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(stream, service);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Answers one message, and notes how its response ends.
+    /// Responds to one message and records how the response ends.
     async fn handle_message(
         self: Rc<Self>,
         request: Request<Incoming>,
@@ -119,8 +119,8 @@
         empty_response(if is_healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
     }
 
-    /// Whether the connection is to be closed after the response that is about to be sent, for a reason that is
-    /// recorded. A connection that its response closes does not cross with a further request.
+    /// True if the connection is to be closed after the response that is about to be sent; the reason is recorded. If
+    /// the response closes the connection, the close can't race with a further request.
     fn is_last_response(&self, record: &ConnectionRecord) -> bool {
         let reason = match (*self.stage.borrow(), self.lifecycle.is_draining()) {
             (StopStage::Serving, false) => None,
@@ -128,7 +128,7 @@
             (StopStage::Closing | StopStage::Stopping, _) => Some(CloseReason::ShuttingDown),
         };
         record.set_default_close_reason(reason.unwrap_or(CloseReason::ClosedByPeer));
-        // While descriptors are scarce, the connection would be idle on one.
+        // While descriptors are scarce, an idle connection would hold one.
         let is_scarce = self.budget.is_tight();
         if is_scarce {
             record.set_default_close_reason(CloseReason::DescriptorNeeded);
@@ -136,8 +136,8 @@
         reason.is_some() || is_scarce
     }
 
-    /// The response to a message that is no request. It is the last on its connection, since what follows there may
-    /// be part of that message.
+    /// The response to an invalid message. It closes the connection, since the bytes that follow may be part of that
+    /// message.
     fn reject(&self, record: &ConnectionRecord, rejection: RequestRejection) -> Response<OutgoingBody> {
         let RequestRejection { status, reason } = rejection;
         if let Some(AdmittedLine { left_out }) = self.rejection_log.admit() {
@@ -155,7 +155,7 @@
         has_both_framings: bool,
     ) -> Result<ClientRequest, RequestRejection> {
         let (head, body) = request.into_parts();
-        // With both framings a second message may be hidden in the body.
+        // With both framings, a second message may be hidden in the body.
         if has_both_framings && head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(RequestRejection::bad_request("the body is framed twice"));
         }
@@ -164,7 +164,7 @@
             BodyStart::Complete(body) => RequestBody::Buffered(body),
             BodyStart::Partial(start, rest) => RequestBody::Streaming(Upload::new(start, rest)),
         };
-        // The time that the client grants counts from the last byte of what is buffered.
+        // The client's timeout counts from the last buffered byte.
         let arrived = Instant::now();
         let number = u64::from_str_radix(&id, 16).map_err(|_| INVALID_ID)?;
         let method = head.method.as_str().to_owned();
@@ -179,7 +179,7 @@
         BodyError::TooLong => {
             RequestRejection { status: StatusCode::PAYLOAD_TOO_LARGE, reason: "the body is too long" }
         }
-        // A client that never ends its body would occupy its descriptor for good.
+        // A client that never ends its body would hold its descriptor forever.
         BodyError::Timeout => {
             RequestRejection { status: StatusCode::REQUEST_TIMEOUT, reason: "the body did not come in time" }
         }
@@ -191,7 +191,7 @@
 
 /// Records why a connection has failed.
 fn record_failure(record: &ConnectionRecord, error: &hyper::Error) {
-    // A client that leaves while its request is in flight is recorded as the default reason already.
+    // A client that disconnects while its request is in flight is already recorded as the default reason.
     if record.close_reason() != CloseReason::ClientGone {
         let is_malformed = error.is_parse();
         record.set_close_reason(if is_malformed {
--- a/crates/proxy/src/client_connection/head.rs
+++ b/crates/proxy/src/client_connection/head.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request: what it names, and why it is rejected.
+//! Parses and validates the head of a client's request.
 
 use std::time::Instant;
 
@@ -15,14 +15,14 @@
 
 /// The length of a request id, in hexadecimal digits.
 const ID_DIGITS: usize = 16;
-/// The longest idempotency key.
+/// The maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
 /// Why a message is rejected before it becomes a request.
 #[derive(Debug, PartialEq)]
 pub(super) struct RequestRejection {
     pub(super) status: StatusCode,
-    /// What the client and the log are told.
+    /// The reason, for the client and the log.
     pub(super) reason: &'static str,
 }
 
@@ -37,7 +37,7 @@
 pub(super) const ID_IN_USE: RequestRejection =
     RequestRejection { status: StatusCode::CONFLICT, reason: "X-Correlation-Id is in use" };
 
-/// What the head of a message says of its request.
+/// The request data that the head of a message states.
 pub(super) struct RequestHead {
     pub(super) class: ClassId,
     pub(super) tenant: Option<TenantId>,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A header that may be given once. Of two values a server may read the other one.
+/// Reads a header that may be given only once. If it had two values, a server might read the other one.
 fn single_header<'a>(
     head: &'a Parts,
     name: &str,
@@ -97,7 +97,7 @@
     Ok(id.to_owned())
 }
 
-/// The name of the class is the first segment of the path; a header may repeat it.
+/// The class name is the first segment of the path; a header may repeat it.
 fn read_class_name(head: &Parts) -> Result<&str, RequestRejection> {
     let segment = head.uri.path().split('/').nth(1).unwrap_or_default();
     let class = text_header(head, "x-service-class")?.unwrap_or(segment);
@@ -107,7 +107,7 @@
     Ok(class)
 }
 
-/// The idempotency key, if there is one. It need not be text, and is forwarded byte for byte.
+/// The idempotency key, if there is one. It need not be text and is forwarded byte for byte.
 fn read_idempotency_key(head: &Parts) -> Result<Option<Bytes>, RequestRejection> {
     match single_header(head, IDEMPOTENCY_KEY_HEADER, "Idempotency-Key is given twice")? {
         Some(key) if key.is_empty() => Err(RequestRejection::bad_request("Idempotency-Key is empty")),
@@ -118,8 +118,8 @@
     }
 }
 
-/// The class of that name whose requests have this method, body and key. A key on a class without keys is forwarded
-/// like any other header: a request is forwarded as the client sent it.
+/// Finds the class of that name that fits this method, body and key. A key on a class without keys is forwarded like
+/// any other header, since requests are forwarded unchanged.
 fn find_class(
     names: &AcceptedNames,
     name: &str,
--- a/crates/proxy/src/client_connection/progress.rs
+++ b/crates/proxy/src/client_connection/progress.rs
@@ -1,4 +1,4 @@
-//! What a connection of a client is doing, and when it is to be closed.
+//! Tracks the state of a client connection to decide when to close it.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,41 +14,41 @@
 
 use crate::framing::RequestFraming;
 
-/// A connection without an open message is closed after this.
+/// The idle timeout of a connection without an open message.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The time for the head of a request: for the first one from connecting, for later ones from their first byte.
+/// The timeout for the head of a request: for the first one from the connect, for later ones from their first byte.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A client that reads nothing of its response for this long is disconnected; the system's buffers may take long to
-/// empty.
+/// A client that reads nothing of its response for this long is disconnected. It is long because the kernel's buffers
+/// may take long to drain.
 const MAX_READER_PAUSE: Duration = Duration::from_secs(30);
 /// While the proxy drains, a connection that is idle or has sent nothing is closed after this.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// While descriptors are scarce, a connection that has sent nothing yet is closed after this.
 const SCARCE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
-/// While descriptors are scarce, a connection that has had its response is closed after this.
+/// While descriptors are scarce, a connection that has received its response is closed after this.
 const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
-/// While descriptors are scarce, a connection that stalls within a head is closed after this: slow writers send
-/// something more often.
+/// While descriptors are scarce, a connection that stalls within a head is closed after this. Clients that send slowly
+/// still send something more often.
 const SCARCE_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The state of a connection, as far as it decides when the connection is closed.
+/// The state of a connection that determines when it is closed.
 pub(super) struct ConnectionProgress {
-    /// When it was accepted, had its last response, or the client last took some of a response.
+    /// The latest of: the accept, the end of the last response, and the last time the client took part of a response.
     idle_since: Cell<Instant>,
     /// When the first byte of the next message arrived; none before that.
     first_byte: Cell<Option<Instant>>,
     /// When the last byte arrived.
     last_read: Cell<Instant>,
-    /// Whether the head of a message is complete and its response is due.
+    /// True if the head of a message is complete and its response is pending.
     is_busy: Cell<bool>,
     has_responded: Cell<bool>,
-    /// Whether descriptors are scarce.
+    /// True if descriptors are scarce.
     is_scarce: Cell<bool>,
-    /// Since when the proxy drains.
+    /// Since when the proxy drains; none if it doesn't.
     draining_since: Cell<Option<Instant>>,
-    /// Since when the client takes no more of what is written.
+    /// Since when the client has accepted no more data; none if it does.
     write_blocked_since: Cell<Option<Instant>>,
-    /// Whether a response has broken off.
+    /// True if a response was cut off before its end.
     is_response_truncated: Cell<bool>,
     framing: RefCell<RequestFraming>,
 }
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Records that the head of a message is complete. Returns whether it states both framings of a body.
+    /// Records that the head of a message is complete. Returns true if it states both framings of a body.
     pub(super) fn request_started(&self) -> bool {
         self.is_busy.set(true);
         self.framing.borrow_mut().next_has_both_framings()
     }
 
-    /// Records that the response has been forwarded to its end, or that it has broken off.
+    /// Records that the response was forwarded completely, or that it was cut off.
     pub(super) fn response_ended(&self, is_complete: bool) {
         self.idle_since.set(Instant::now());
         self.first_byte.set(None);
@@ -93,7 +93,7 @@
         self.draining_since.set(since);
     }
 
-    /// Records bytes that the client has sent.
+    /// Records that the client has sent bytes.
     fn record_read(&self, bytes: &[u8]) {
         let now = Instant::now();
         self.last_read.set(now);
@@ -103,7 +103,7 @@
         self.framing.borrow_mut().feed(bytes);
     }
 
-    /// Records whether the client has taken some of what is written, or its buffers are full.
+    /// Records that the client has taken part of the written data, or that its buffers are full.
     fn record_write(&self, was_taken: bool) {
         if was_taken {
             self.write_blocked_since.set(None);
@@ -113,23 +113,23 @@
         }
     }
 
-    /// Whether a request is in flight whose client reads: the connection must not be closed.
+    /// True if a request is in flight and its client still reads: the connection must not be closed.
     fn must_stay_open(&self) -> bool {
         self.is_busy.get() && self.write_blocked_since.get().is_none()
     }
 
-    /// When to check next whether the connection is to be closed.
+    /// When to check next for a reason to close the connection.
     pub(super) fn next_close_check(&self) -> Instant {
         if self.must_stay_open() { Instant::now() + IDLE_TIMEOUT } else { self.close_deadline().0 }
     }
 
-    /// Why the connection is to be closed now, if it is.
+    /// The reason to close the connection now, if there is one.
     pub(super) fn due_close_reason(&self, now: Instant) -> Option<CloseReason> {
         let (deadline, reason) = self.close_deadline();
         (!self.must_stay_open() && deadline <= now).then_some(reason)
     }
 
-    /// By when the head of the current request has to be complete.
+    /// The deadline for the head of the current request.
     fn head_deadline(&self) -> Instant {
         match self.first_byte.get().filter(|_| self.has_responded.get()) {
             Some(first_byte) => first_byte + HEAD_TIMEOUT,
@@ -139,7 +139,7 @@
 
     /// When the connection is to be closed if nothing arrives, and why.
     fn close_deadline(&self) -> (Instant, CloseReason) {
-        // A response that a slow reader still takes must not be cut off.
+        // A response must not be cut off while a slow client still reads it.
         if let Some(write_blocked_since) = self.write_blocked_since.get() {
             return (write_blocked_since + MAX_READER_PAUSE, CloseReason::ResponseUnread);
         }
@@ -161,7 +161,7 @@
     }
 }
 
-/// A client's stream that records when bytes arrive: hyper says nothing until a head is complete.
+/// A client's stream that records when bytes arrive, since hyper reports nothing until a head is complete.
 pub(super) struct ClientStream {
     pub(super) stream: TcpStream,
     pub(super) progress: Rc<ConnectionProgress>,
@@ -169,7 +169,8 @@
 
 impl Drop for ClientStream {
     fn drop(&mut self) {
-        // Where the end of the connection is the end of a body, half a response would look complete: it is reset.
+        // If the end of the connection marks the end of the body, a truncated response would look complete, so the
+        // connection is reset.
         if self.progress.is_response_truncated.get() {
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
--- a/crates/proxy/src/client_connection/response.rs
+++ b/crates/proxy/src/client_connection/response.rs
@@ -1,4 +1,4 @@
-//! Final responses as HTTP.
+//! Converts final responses to HTTP.
 
 use bytes::Bytes;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -28,7 +28,7 @@
             response
         }
         FinalResponse::IdInUse => empty_response(StatusCode::CONFLICT),
-        // It may have run, so this must not be a status that makes clients or proxies try again.
+        // The request may have been executed, so this must not be a status on which clients or proxies retry.
         FinalResponse::Failed => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: the platform's file, read and checked.
+//! Reads and checks the configuration, which is the platform's file.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,41 +10,41 @@
 use mosshead_snapshot::server_list::{ServerList, read_server_list};
 use tinyjson::JsonValue;
 
-/// Keys that a configuration may lack, whatever the one before had.
+/// Keys that a new configuration may omit even if the previous one had them.
 const OPTIONAL_KEYS: [&str; 6] = ["aim_stretch", "passes_deadline", "warm_keys", "fleet", "ops", "known"];
 
 /// The configuration, read and checked.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The proxy's name, the same after a restart.
+    /// The proxy's name, which is the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
     /// The address of the admin endpoint, if there is one.
     pub ops: Option<SocketAddr>,
-    /// The address of discovery, which has the endpoint list.
+    /// The address of discovery, which serves the endpoint list.
     pub discovery: SocketAddr,
     /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// The limit on memory, in MiB.
+    /// The memory limit, in MiB.
     pub memory_mb: f64,
     /// The limit on open descriptors.
     pub sockets: u64,
     /// The endpoint list to start with.
     pub known: ServerList,
-    /// The settings of the decisions, with the names of classes, tenants, zones and kinds.
+    /// The balancer's settings, with the names of classes, tenants, zones and machine kinds.
     pub named: NamedSettings,
-    /// What the operators' own file grants; it is read at the start only.
+    /// What the operators' own file grants; it is read only at the start.
     pub operators: OperatorConfig,
     /// The whole file, for [`Config::check_replacement`].
     json: Arc<JsonValue>,
 }
 
 impl Config {
-    /// Checks that a configuration that is to replace this one has all of its keys.
+    /// Checks that `next` has all keys of this configuration.
     ///
     /// # Errors
-    /// The first key that the next configuration lacks.
+    /// The first key that the replacement lacks.
     pub fn check_replacement(&self, next: &Self) -> Result<(), ConfigError> {
         find_missing_key(&self.json, &next.json, "").map_or(Ok(()), |key| Err(ConfigError::MissingKey(key)))
     }
@@ -52,7 +52,7 @@
     /// Reads the text of a configuration.
     ///
     /// # Errors
-    /// When the text is not JSON, lacks a key, or has a value of the wrong type or out of range; the message names the key.
+    /// The text is not JSON, lacks a key, or has a value of the wrong type or out of range; the message names the key.
     pub fn read(text: &str) -> Result<Self, ConfigError> {
         let json = settings::parse_json(text)?;
         let top = JsonField::root(&json);
@@ -64,8 +64,8 @@
         let seed = top.field("seed")?;
         let limits = top.field("limits")?;
         let mut named = settings::read_settings(&top.field("settings")?)?;
-        // The protocol carries one request at a time on each connection, whatever the platform states. With more, the
-        // balancer would expect free connections where there are none.
+        // The protocol carries one request at a time on each connection, whatever the platform states. With a higher
+        // value, the balancer would count free connections that don't exist.
         named.settings.limits.streams_per_connection = 1;
         named.settings.check()?;
         let sockets = limits.field("sockets")?;
@@ -89,8 +89,8 @@
     }
 }
 
-/// The path of the first key of `old` that is missing in `new`: a key that was left out by mistake would take its default.
-/// Each object of a list needs the keys that all of the old ones have.
+/// Returns the path of the first key of `old` that is missing in `new`: a key that was omitted by mistake would take
+/// its default. Each object of a list needs the keys that all objects of the old list have.
 fn find_missing_key(old: &JsonValue, new: &JsonValue, path: &str) -> Option<String> {
     let member = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match (old, new) {
--- a/crates/proxy/src/connection_log.rs
+++ b/crates/proxy/src/connection_log.rs
@@ -1,5 +1,5 @@
-//! The log line of each connection that ends, to clients, servers, discovery and operators, with the code of the
-//! reason.
+//! Writes one log line for each connection that ends, with the code of the reason: connections to clients, servers,
+//! discovery and operators.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -7,7 +7,7 @@
 
 use crate::log::say;
 
-/// A client. The names appear in the log.
+/// A client. These names appear in the log.
 pub(crate) const CLIENT: PeerKind = PeerKind { name: "submitter", on_close: log_closed };
 pub(crate) const SERVER: PeerKind = PeerKind { name: "execute-node", on_close: log_closed };
 pub(crate) const DISCOVERY: PeerKind = PeerKind { name: "machine-list", on_close: log_closed };
@@ -30,8 +30,8 @@
     );
 }
 
-/// Marks the process as stopping: connections that are still open are about to be dropped by the runtime, and that is
-/// the reason that their lines then give.
+/// Marks the process as stopping: the runtime is about to drop the connections that are still open, and their log lines
+/// then state that as the reason.
 pub(crate) fn set_stopping() {
     IS_STOPPING.store(true, Ordering::Relaxed);
 }
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: it watches the endpoint list, one call after the other.
+//! The client of discovery: it watches the endpoint list with one long-poll call after another.
 
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -22,27 +22,27 @@
 use mosshead_settings::{self as settings, JsonError, JsonField};
 use mosshead_snapshot::server_list::{ServerList, read_server_list};
 
-/// How long discovery may wait with the answer to a watch. It counts an update as delivered 2 s after that, and 6 s
-/// after the update was made in any case, so a call that discovery has forgotten must be over by then.
+/// How long discovery may hold a watch open. It counts an update as delivered 2 s after that, and 6 s after the update
+/// in any case, so a call that discovery has lost must have ended by then.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4000);
-/// How long after the end of its wait a call times out.
+/// The timeout of a call, counted from the end of its wait.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1500);
-/// The least time between two calls of which the first one brought no update. A discovery that answers at once would
-/// be called without end.
+/// The minimum interval after a call without an update. Otherwise a discovery that answers immediately would be called
+/// in a tight loop.
 pub const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a list is taken for stale whose version is lower than one that discovery has sent before: discovery then
-/// came back with old state. A list that stays older for longer is accepted, since discovery has nothing newer.
+/// How long a list with a lower version than an earlier one is rejected as stale: discovery was then restored with old
+/// state. If its lists stay older for longer than this they are accepted, since discovery has nothing newer.
 pub const STALE_LIST_PERIOD: Duration = Duration::from_secs(30);
 /// The delay before the next call after a stale list.
 const STALE_LIST_RETRY_DELAY: Duration = Duration::from_millis(1000);
-/// The longest list; one of all servers is larger than other bodies.
+/// The maximum length of a list. A list of all servers is larger than other bodies.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
 
 /// A message to the actor.
 pub enum ListCommand {
-    /// Watch, unless that is being done already.
+    /// Start to watch, unless a watch is in progress.
     Watch,
-    /// Discovery is at another address from now on.
+    /// Discovery has moved to this address.
     Move(SocketAddr),
 }
 
@@ -51,26 +51,27 @@
 pub struct EndpointList(UnboundedSender<ListCommand>);
 
 impl EndpointList {
-    /// The handle, and the mailbox that [`run`] reads.
+    /// Creates the handle and the mailbox that [`run`] reads.
     pub fn new() -> (Self, UnboundedReceiver<ListCommand>) {
         let (mailbox, commands) = unbounded_channel();
         (Self(mailbox), commands)
     }
 
-    /// Asks for a watch, which goes on until a call fails.
+    /// Starts a watch, which continues until a call fails.
     pub fn watch(&self) {
         let _ = self.0.send(ListCommand::Watch);
     }
 
-    /// Moves to another address, and watches there.
+    /// Moves to another address and watches there.
     pub fn move_to(&self, discovery: SocketAddr) {
         let _ = self.0.send(ListCommand::Move(discovery));
     }
 }
 
-/// Runs the actor: on each command it watches until a call fails, and reports that to `balancer` as it does each list.
+/// Runs the actor: on each command it watches until a call fails. It reports each list and each failure to `balancer`.
 ///
-/// `version` is that of the list from which discovery is to continue; none if the list known here is not discovery's.
+/// `version` is the version of the list from which discovery is to continue; none if the current list is not from
+/// discovery.
 pub async fn run(
     discovery: SocketAddr,
     version: Option<u64>,
@@ -100,12 +101,12 @@
 
 struct ListWatcher {
     client: DiscoveryClient,
-    /// The version to continue from. None if the list known here is not discovery's, and after an answer that could
-    /// not be used: then the full list is called for.
+    /// The version to continue from. None if the current list is not from discovery, and after an answer that could not
+    /// be used; the full list is then requested.
     version: Option<u64>,
     stale_list_filter: StaleListFilter,
     reopening: WatchReopening,
-    /// Limits the log lines about failed calls and stale lists.
+    /// Limits the rate of log lines about failed calls and stale lists.
     failure_log: LogLimiter,
     commands: UnboundedReceiver<ListCommand>,
     balancer: UnboundedSender<Message>,
@@ -114,21 +115,21 @@
 /// How a call ended.
 enum CallEnd {
     Answered(Result<ServerList, ListError>),
-    /// Discovery is at another address now; the call was dropped.
+    /// Discovery has moved to another address; the call was dropped.
     Moved(SocketAddr),
-    /// Nobody is left who could send a command: the process is about to exit.
+    /// No sender of commands is left: the process is about to exit.
     Closed,
 }
 
 impl ListWatcher {
-    /// Calls again and again until a call fails for good; `Break` if the process is about to exit.
+    /// Repeats calls until one fails and is not to be repeated. Returns `Break` if the process is about to exit.
     async fn watch_until_failure(&mut self) -> ControlFlow<()> {
         let mut next_call_at = Instant::now();
         loop {
             let called_at = Instant::now().max(next_call_at);
             match self.call_unless_moved(next_call_at).await {
                 CallEnd::Closed => return ControlFlow::Break(()),
-                // The old address falls silent soon, and what it would have sent counts as delivered.
+                // The old address will soon stop answering, and what it would have sent counts as delivered.
                 CallEnd::Moved(discovery) => self.client.move_to(discovery),
                 CallEnd::Answered(Ok(list)) => next_call_at = self.on_list(list, called_at),
                 CallEnd::Answered(Err(error)) => {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// One call at `start`, unless discovery moves meanwhile.
+    /// Makes one call at `start`, unless discovery moves before it ends.
     async fn call_unless_moved(&mut self, start: Instant) -> CallEnd {
         let Self { client, version, commands, .. } = self;
         let discovery = client.discovery;
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Passes a list on to the balancer, unless it is stale. Returns when to call next.
+    /// Passes a list on to the balancer unless it is stale. Returns when to call next.
     fn on_list(&mut self, list: ServerList, called_at: Instant) -> Instant {
         if !self.stale_list_filter.accept(&list, called_at) {
             if let Some(AdmittedLine { left_out }) = self.failure_log.admit() {
@@ -193,13 +194,13 @@
     }
 }
 
-/// Recognizes lists that are older than one that discovery has sent to this incarnation. Accepted as new, such a list
-/// would make targets again of servers that drain or have ended. The version of a saved list does not count: it may be
-/// another discovery's.
+/// Detects lists that are older than one that discovery has sent to this incarnation. If such a list were accepted as
+/// new, servers that drain or have ended would become targets again. The version of a saved list does not count: it may
+/// come from another discovery.
 #[derive(Default)]
 pub struct StaleListFilter {
     newest_version: u64,
-    /// Since when the lists have been older than that.
+    /// Since when the received lists have been older than `newest_version`.
     stale_since: Option<Instant>,
 }
 
@@ -209,7 +210,8 @@
         self.newest_version
     }
 
-    /// Whether a list is to be used: it is not older than the newest one, or has been for [`STALE_LIST_PERIOD`].
+    /// Returns true if a list is to be used: it is not older than the newest one, or lists have been older for
+    /// [`STALE_LIST_PERIOD`].
     pub fn accept(&mut self, list: &ServerList, now: Instant) -> bool {
         let is_accepted = list.version >= self.newest_version
             || now >= *self.stale_since.get_or_insert(now) + STALE_LIST_PERIOD;
@@ -225,8 +227,8 @@
 enum ListError {
     #[error("no answer in time")]
     TimedOut {
-        /// Whether the call was a watch, which discovery has to answer in time. A call for the full list may still be
-        /// queued there.
+        /// True if the call was a watch, which discovery must answer in time. A call for the full list may still be
+        /// queued at discovery.
         is_watch: bool,
     },
     #[error("no connection")]
@@ -241,7 +243,7 @@
     Body(BodyError),
     #[error(transparent)]
     NotText(#[from] Utf8Error),
-    /// The body is not JSON, or not a list of servers; the message names the key.
+    /// The body is not JSON or not a server list; the message names the key.
     #[error(transparent)]
     InvalidList(#[from] JsonError),
     #[error("changes in place of the whole list")]
@@ -251,7 +253,7 @@
 }
 
 impl ListError {
-    /// Whether discovery has responded, with something that can't be used.
+    /// True if discovery has responded with something that can't be used.
     fn is_unusable_response(&self) -> bool {
         match self {
             Self::Body(_)
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Whether a watch was open and nothing arrived.
+    /// True if a watch was open and nothing arrived.
     fn is_silent_watch(&self) -> bool {
         matches!(self, Self::TimedOut { is_watch: true })
     }
@@ -288,7 +290,7 @@
         self.discovery = discovery;
     }
 
-    /// Watches for changes after `known`, or gets the full list if no version is known.
+    /// Watches for changes after version `known`, or fetches the full list if no version is known.
     async fn call(&mut self, known: Option<u64>) -> Result<ServerList, ListError> {
         let wait = known.map_or(Duration::ZERO, |_| WATCH_TIMEOUT);
         let timed_out = ListError::TimedOut { is_watch: known.is_some() };
--- a/crates/proxy/src/errors.rs
+++ b/crates/proxy/src/errors.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be loaded, or not be adopted by a running proxy.
+//! Errors of loading a configuration, and of applying one to a running proxy.
 //!
 //! The messages appear on standard error and in the log, where operators search for them.
 
@@ -12,7 +12,7 @@
 
 use crate::class_table::MAX_CLASS_SLOTS;
 
-/// A text is not a configuration, or not one that may replace the running one. The message names the key.
+/// A text is not a valid configuration, or may not replace the running one. The message names the key.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
     /// The text is not JSON, or a value is missing, of the wrong type or out of range.
@@ -45,24 +45,24 @@
         /// What is wrong with its content.
         source: ConfigError,
     },
-    /// The environment variable that names the admin address holds something else.
+    /// The environment variable for the admin address contains something else.
     #[error("BALANCER_OPS: not an address with a port")]
     InvalidAdminAddress,
 }
 
-/// A running proxy could not adopt other settings; the former ones stay in force.
+/// A running proxy could not apply new settings; the previous ones stay in force.
 #[derive(Debug, Error)]
 pub enum ApplySettingsError {
     #[error("settings.classes: over {MAX_CLASS_SLOTS} definitions within a minute")]
     TooManyClassDefinitions,
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// The actor that owns the settings is gone: the process is about to exit.
+    /// The actor that owns the settings has ended: the process is about to exit.
     #[error("the module has ended")]
     BalancerStopped,
 }
 
-/// A reload of the configuration failed; the former one stays in force.
+/// A reload of the configuration failed; the previous one stays in force.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     #[error(transparent)]
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -1,45 +1,45 @@
-//! Follows the raw bytes of a client's connection from head to head, to find messages that state two lengths.
+//! Parses the raw bytes of a client connection to detect messages that state two lengths.
 //!
-//! With both `Content-Length` and `Transfer-Encoding`, a second message may be hidden in the body, and hyper drops the
-//! former where it follows the latter. So each head is parsed here, too.
+//! With both `Content-Length` and `Transfer-Encoding`, a second message may be hidden in the body (request smuggling).
+//! Hyper drops `Content-Length` if it follows `Transfer-Encoding`, so the heads are parsed here as well.
 
 use std::collections::VecDeque;
 
-/// The longest head; hyper rejects a longer one, too.
+/// The maximum length of a head; hyper rejects longer ones, too.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 const MAX_HEADERS: usize = 128;
 
-/// Where in a message the next byte belongs.
+/// The part of a message that the next byte belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Position {
     #[default]
     Head,
-    /// A body of a stated length, of which so many bytes are left.
+    /// A body of a stated length, with the number of bytes that are left.
     Body { left: u64 },
-    /// The line before a chunk: its size so far, and whether the next byte may be a digit of it.
+    /// The size line before a chunk: the size so far, and true if the next byte may be another digit.
     ChunkSize { size: u64, in_digits: bool },
-    /// The data of a chunk, of which so many bytes are left.
+    /// The data of a chunk, with the number of bytes that are left.
     Chunk { left: u64 },
-    /// The end of the line after a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// A line after the last chunk that has so many bytes so far.
+    /// A trailer line after the last chunk, with the number of its bytes so far.
     Trailers { line_len: u32 },
-    /// The bytes are no HTTP; hyper rejects them.
+    /// The bytes are not HTTP; hyper rejects them.
     Invalid,
 }
 
-/// Where in its messages a connection is.
+/// The position of a connection within its messages.
 #[derive(Debug, Default)]
 pub struct RequestFraming {
     position: Position,
-    /// The head so far.
+    /// The bytes of the current head so far.
     head: Vec<u8>,
-    /// For each head that is complete, whether it states both framings, until that is asked for.
+    /// For each complete head that has not been queried yet, true if it states both framings.
     heads_with_both_framings: VecDeque<bool>,
 }
 
 impl RequestFraming {
-    /// Whether the next message states both framings. If that is not known, it is assumed.
+    /// True if the next message states both framings, or if that is not known.
     pub fn next_has_both_framings(&mut self) -> bool {
         self.heads_with_both_framings.pop_front().unwrap_or(true)
     }
@@ -49,12 +49,12 @@
         self.position
     }
 
-    /// How many heads are complete of which nobody has asked yet.
+    /// The number of complete heads that have not been queried yet.
     pub fn pending_heads(&self) -> usize {
         self.heads_with_both_framings.len()
     }
 
-    /// Reads bytes as they arrived, cut in any way.
+    /// Reads received bytes, which may be split at any point.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while let [first, rest @ ..] = bytes {
             bytes = match self.position {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Parses a complete head, and notes whether it states both framings.
+    /// Parses a complete head and records whether it states both framings.
     fn position_after_head(&mut self) -> Position {
         let head = std::mem::take(&mut self.head);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,10 +1,10 @@
-//! The replacement of a running process by a new one, without a lost connection.
+//! Replaces a running process by a new one without losing connections.
 //!
-//! The predecessor hands its listening socket, the endpoint list and a part of its descriptors to the successor,
-//! over a Unix socket in `$TMPDIR`. `docs/design/0003-operators.md` says why it is done so. The link between the two
-//! stays open until one of them ends; the other one then has all descriptors again.
+//! The predecessor passes its listening socket, the endpoint list and some of its descriptors to the successor over a
+//! Unix socket in `$TMPDIR`. `docs/design/0003-operators.md` gives the reasons for this design. The link between the
+//! two stays open until one of them ends; the other one then gets all descriptors back.
 //!
-//! [`protocol`] has the messages, [`socket`] passes the listening socket, [`shares`] divides the limits,
+//! [`protocol`] defines the messages, [`socket`] passes the listening socket, [`shares`] divides the limits,
 //! [`predecessor`] and [`successor`] are the two sides of a replacement.
 
 mod error;
@@ -37,31 +37,31 @@
 
 /// A predecessor that does not hand over within this time counts as absent.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The descriptors that a new process opens before it has been granted any; set aside by each process at all times.
+/// The descriptors that a new process opens before any are granted to it. Each process always keeps them in reserve.
 pub(crate) const STARTUP_DESCRIPTORS: u64 = 16;
 
-/// The part of this process in replacements: the successor of one process, the predecessor of others.
+/// The role of this process in replacements: the successor of one process, the predecessor of others.
 pub(crate) struct Handover {
-    /// Where successors connect.
+    /// The path of the socket at which successors connect.
     path: PathBuf,
     balancer: BalancerHandle,
     shares: BudgetShares,
     lifecycle: Arc<Lifecycle>,
-    /// None once this process accepts no further connection.
+    /// None once this process accepts no further connections.
     listener: RefCell<Option<Rc<TcpListener>>>,
-    /// The task that accepts successors; none while the socket's name belongs to a successor.
+    /// The task that accepts successors; none while a successor owns the socket's path.
     accept_task: RefCell<Option<AbortHandle>>,
-    /// Whether the predecessor stops or has ended, or there was none.
+    /// True if the predecessor is stopping or has ended, or there was none.
     is_predecessor_leaving: watch::Sender<bool>,
-    /// Whether this process accepts connections of clients.
+    /// True if this process accepts client connections.
     is_accepting: watch::Sender<bool>,
     is_stopping: watch::Sender<bool>,
-    /// How many successors accept at the same address.
+    /// The number of successors that accept connections at the same address.
     accepting_successors: watch::Sender<usize>,
 }
 
 impl Handover {
-    /// `predecessor` is the link to the process that has handed over, if one has.
+    /// `predecessor` is the link to the process that has handed over, if there is one.
     pub(crate) fn new(
         path: PathBuf,
         balancer: BalancerHandle,
@@ -88,9 +88,9 @@
         handover
     }
 
-    /// Waits until connections are to be accepted: an operator has been answered that this process is ready, or no
-    /// predecessor accepts any. A connection accepted earlier would be lost with a process that dies before it is
-    /// ready, and the predecessor would have served it.
+    /// Waits until this process is to accept connections: an operator has been told that it is ready, or no predecessor
+    /// accepts any. If this process accepted earlier and crashed before it is ready, its connections would be lost,
+    /// though the predecessor could have served them.
     pub(crate) async fn wait_until_accepting(self: &Rc<Self>) {
         let mut readiness_confirmed = self.lifecycle.subscribe_readiness_confirmed();
         let mut is_predecessor_leaving = self.is_predecessor_leaving.subscribe();
@@ -102,7 +102,7 @@
         self.is_accepting.send_replace(true);
     }
 
-    /// This process stops: successors are to accept connections, if they don't yet.
+    /// Marks this process as stopping: successors are to accept connections if they don't yet.
     pub(crate) fn announce_stop(&self) {
         self.is_stopping.send_replace(true);
     }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// No further connection is accepted here, and no further successor is served.
+    /// Stops accepting connections and successors.
     pub(crate) fn close(&self) {
         self.listener.borrow_mut().take();
         if let Some(accept_task) = self.accept_task.borrow_mut().take() {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Accepts successors from now on, under the name that all processes of this address know.
+    /// Accepts successors from now on, at the path that all processes of this address know.
     fn listen_for_successors(self: &Rc<Self>) {
         match socket::bind_replacing(&self.path) {
             Ok(listener) => {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Leaves the name of the socket to the successor, which has taken it.
+    /// Leaves the socket's path to the successor that has taken it over.
     fn stop_accepting_successors(&self) {
         if let Some(accept_task) = self.accept_task.borrow_mut().take() {
             accept_task.abort();
--- a/crates/proxy/src/handover/error.rs
+++ b/crates/proxy/src/handover/error.rs
@@ -1,4 +1,4 @@
-//! Why a handover failed, on either side.
+//! Errors of a handover, on either side.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use mosshead_settings::JsonError;
 use thiserror::Error;
 
-/// Why a predecessor that answers has not handed over; the new process then starts without it.
+/// Why a predecessor that responded has not handed over; the new process then starts without it.
 #[derive(Debug, Error)]
 pub(crate) enum HandoverError {
     #[error(transparent)]
@@ -24,12 +24,12 @@
     NoListLength,
     #[error(transparent)]
     NotText(#[from] FromUtf8Error),
-    /// The list is not JSON, or not one of servers; the message names the key.
+    /// The list is not JSON or not a server list; the message names the key.
     #[error(transparent)]
     InvalidList(#[from] JsonError),
 }
 
-/// Why a successor that connected has been handed nothing.
+/// Why nothing was handed to a successor that connected.
 #[derive(Debug, Error)]
 pub(super) enum SendStateError {
     #[error(transparent)]
--- a/crates/proxy/src/handover/predecessor.rs
+++ b/crates/proxy/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The side of the predecessor: it hands over to each successor that asks, and grants it descriptors step by step.
+//! The predecessor's side: it hands over to each successor that asks, and grants it descriptors in steps.
 
 use std::io;
 use std::rc::Rc;
@@ -17,17 +17,17 @@
 use super::{HANDOVER_TIMEOUT, Handover, socket};
 use crate::log::say;
 
-/// How often descriptors are granted.
+/// The interval between grants of descriptors.
 const GRANT_INTERVAL: Duration = Duration::from_millis(20);
-/// The delay before the next accept after one that failed.
+/// The delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The descriptors that a successor opens while it serves, beside its connections. Each side sets them aside for it,
-/// and they are not part of a grant.
+/// The descriptors that a successor opens in addition to its connections while it serves. Both sides reserve them for
+/// it, and they are not part of a grant.
 const SERVING_DESCRIPTORS: usize = 8;
-/// A successor that does not accept yet is granted at least this part of each side. Idle connections are closed here
-/// for that, since a full process would leave its successor nothing to serve with.
+/// The minimum share of each side for a successor that does not accept yet. Idle connections are closed here to free
+/// it: otherwise a process without free descriptors would leave its successor none to serve with.
 const MIN_SHARE_DIVISOR: usize = 8;
-/// A successor that accepts is granted this part of each side while this process serves, too.
+/// The share of each side for a successor that accepts while this process still serves.
 const ACCEPTING_SHARE_DIVISOR: usize = 2;
 
 impl Handover {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Hands over to a successor, and shares the limits with it until either process ends.
+    /// Hands over to a successor and shares the limits with it until either process ends.
     async fn serve_successor(self: Rc<Self>, stream: UnixStream) {
         if !socket::is_peer_trusted(&stream) {
             return say!("handover refused: another user asked");
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends the listening socket and the endpoint list, once the successor has asked for them.
+    /// Sends the listening socket and the endpoint list after the successor's request for them.
     async fn send_state(&self, stream: UnixStream) -> Result<HandoverLink, SendStateError> {
         let mut link = HandoverLink::new(stream);
         if link.read_line().await?.ok_or(SendStateError::Ended)? != TAKE_OVER {
@@ -81,7 +81,7 @@
         Ok(link)
     }
 
-    /// Grants descriptors at intervals until the successor has ended; returns how far it came.
+    /// Grants descriptors at intervals until the successor ends; returns its last state.
     async fn share_until_either_ends(&self, link: HandoverLink) -> Successor {
         let HandoverLink { reader, mut writer } = link;
         let mut lines = reader.lines();
@@ -109,16 +109,16 @@
     }
 }
 
-/// What a predecessor knows of a successor that it has handed over to.
+/// The predecessor's record of a successor that it has handed over to.
 struct Successor {
     is_accepting: bool,
     has_been_told_of_stop: bool,
-    /// What it is granted before it accepts: a half of what was free, the rest being left to the requests that arrive
-    /// here meanwhile.
+    /// What it is granted before it accepts: half of what was free. The rest stays for requests that arrive here
+    /// meanwhile.
     initial_share: PerSide<usize>,
-    /// What it was granted so far.
+    /// The descriptors granted so far.
     granted: PerSide<usize>,
-    /// What is kept free for the descriptors that it opens without a grant.
+    /// The descriptors kept free for those that it opens without a grant.
     set_aside: PerSide<usize>,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// How many descriptors of each side it should have.
+    /// The target number of descriptors of each side.
     fn target_share(&self, totals: PerSide<usize>, is_stopping: bool) -> PerSide<usize> {
         self.initial_share.zip(totals).map(|(initial, total)| {
             let accepting_share = total / ACCEPTING_SHARE_DIVISOR;
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Grants what is free of its share, and tells it of a stop of this process once.
+    /// Grants the free part of its target, and notifies it once when this process stops.
     async fn grant_more(
         &mut self,
         shares: &BudgetShares,
--- a/crates/proxy/src/handover/protocol.rs
+++ b/crates/proxy/src/handover/protocol.rs
@@ -1,4 +1,4 @@
-//! The messages between predecessor and successor: one line of text each.
+//! The messages between predecessor and successor. Each is one line of text.
 //!
 //! | sender | line | message |
 //! | --- | --- | --- |
@@ -9,7 +9,7 @@
 //! | predecessor | `stopping` | [`PredecessorMessage::Stopping`] |
 //! | successor | `accepting` | [`ACCEPTING`] |
 //!
-//! Unknown lines are ignored, so that a later version may add some.
+//! Unknown lines are ignored, so that a later version may add messages.
 
 use std::io;
 
@@ -22,17 +22,17 @@
 use super::error::HandoverError;
 use super::shares::PerSide;
 
-/// The longest line before the endpoint list.
+/// The maximum length of a line before the endpoint list.
 const MAX_LINE_BYTES: u64 = 64;
-/// The longest endpoint list.
+/// The maximum length of the endpoint list.
 const MAX_LIST_BYTES: u64 = 1024 * 1024;
 
-/// The successor's first line: it asks for the listening socket and the list.
+/// The successor's first line, which requests the listening socket and the list.
 pub(super) const TAKE_OVER: &str = "take 1";
-/// The successor's line once it accepts connections of clients.
+/// The successor's line once it accepts client connections.
 pub(super) const ACCEPTING: &str = "accepting";
 
-/// The open link to the other process of a replacement.
+/// The link to the other process of a replacement.
 pub(crate) struct HandoverLink {
     pub(super) reader: BufReader<OwnedReadHalf>,
     pub(super) writer: OwnedWriteHalf,
@@ -44,12 +44,12 @@
         Self { reader: BufReader::new(reader), writer }
     }
 
-    /// The stream itself, for what is no line. No further line of the other side may have been sent.
+    /// The stream itself, for data other than lines. The other side must not have sent a further line yet.
     pub(super) fn into_stream(self) -> io::Result<UnixStream> {
         self.reader.into_inner().reunite(self.writer).map_err(io::Error::other)
     }
 
-    /// The next line without its end; none where the link has ended.
+    /// The next line without its line end; none if the link has ended.
     pub(super) async fn read_line(&mut self) -> io::Result<Option<String>> {
         let mut line = String::new();
         (&mut self.reader).take(MAX_LINE_BYTES).read_line(&mut line).await?;
@@ -76,14 +76,14 @@
 /// A line of the predecessor, after the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PredecessorMessage {
-    /// So many descriptors of each side are the successor's from now on.
+    /// This many more descriptors of each side belong to the successor.
     Grant(PerSide<usize>),
-    /// The predecessor stops: the successor is to accept connections at once.
+    /// The predecessor is stopping: the successor is to accept connections at once.
     Stopping,
 }
 
 impl PredecessorMessage {
-    /// Reads a line; none if it is unknown. A number that can't be read grants nothing.
+    /// Parses a line; returns none if it is unknown. An invalid number counts as 0.
     pub(super) fn parse(line: &str) -> Option<Self> {
         let mut words = line.split(' ');
         match (words.next(), words.next(), words.next()) {
--- a/crates/proxy/src/handover/shares.rs
+++ b/crates/proxy/src/handover/shares.rs
@@ -1,10 +1,10 @@
-//! The limits on descriptors, of which a part may be lent to another process.
+//! The descriptors of this process, some of which may be lent to another process.
 
 use std::cell::Cell;
 
 use crate::budget::DescriptorBudget;
 
-/// A value for each of the two sides of the proxy: connections of clients, and connections to servers.
+/// A pair of values for the two sides of the proxy: client connections and server connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PerSide<T> {
     pub(crate) client: T,
@@ -31,7 +31,7 @@
 }
 
 impl<T: Copy> PerSide<T> {
-    /// The same value for both sides.
+    /// Creates a pair with the same value for both sides.
     pub(super) fn both(value: T) -> Self {
         Self { client: value, server: value }
     }
@@ -51,17 +51,18 @@
     }
 }
 
-/// The descriptors of both sides, as far as they are this process's.
+/// The descriptors of both sides that belong to this process.
 pub(crate) struct BudgetShares {
     budgets: PerSide<DescriptorBudget>,
-    /// What the configuration allows all processes of this address together.
+    /// The limits in the configuration, for all processes of this address together.
     totals: PerSide<usize>,
-    /// What other processes have been lent. Own, lent and those still a predecessor's add up to the totals.
+    /// What is lent to other processes. Own and lent descriptors and those still held by a predecessor add up to the
+    /// totals.
     lent: Cell<PerSide<usize>>,
 }
 
 impl BudgetShares {
-    /// All descriptors are this process's, or, with a predecessor that grants them by and by, none yet.
+    /// This process starts with all descriptors or, if a predecessor grants them step by step, with none.
     pub(crate) fn new(budgets: PerSide<DescriptorBudget>, has_predecessor: bool) -> Self {
         let totals = budgets.as_ref().map(DescriptorBudget::size);
         if has_predecessor {
@@ -93,7 +94,7 @@
         given
     }
 
-    /// Asks for idle connections to be closed on each side where another process lacks descriptors.
+    /// Asks for idle connections to be closed on each side on which another process lacks descriptors.
     pub(super) fn request_release_where(&self, is_lacking: PerSide<bool>) {
         self.budgets.as_ref().zip(is_lacking).for_each(|(budget, is_lacking)| {
             if is_lacking {
@@ -102,13 +103,13 @@
         });
     }
 
-    /// Takes back what a process was lent that has ended.
+    /// Takes back what was lent to a process that has ended.
     pub(super) fn return_lent(&self, returned: PerSide<usize>) {
         self.lent.set(self.lent.get().minus(returned));
         self.add(returned);
     }
 
-    /// Takes all that is not lent: the predecessor has ended.
+    /// Takes everything that is not lent, since the predecessor has ended.
     pub(super) fn take_over_rest(&self) {
         let own = self.budgets.as_ref().map(DescriptorBudget::size);
         self.add(self.totals.saturating_minus(own.plus(self.lent.get())));
--- a/crates/proxy/src/handover/socket.rs
+++ b/crates/proxy/src/handover/socket.rs
@@ -1,4 +1,4 @@
-//! The Unix socket at which successors connect, and the listening socket that is passed over it.
+//! The Unix socket at which successors connect, and the transfer of the listening socket over it.
 
 use std::fs::{self, File, Permissions};
 use std::io::{self, IoSlice, IoSliceMut};
@@ -17,21 +17,21 @@
 
 use super::error::HandoverError;
 
-/// The longest path that the address of a Unix socket holds, with some reserve.
+/// The maximum path length in the address of a Unix socket, with some reserve.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
-/// A descriptor can't be sent without at least one byte beside it.
+/// A descriptor can be sent only together with at least one byte of data.
 const DESCRIPTOR_MARK: &[u8] = b"M";
 
-/// Where a process that listens at `listen` accepts its successor.
+/// The path at which a process that listens at `listen` accepts its successor.
 pub(crate) fn socket_path(listen: SocketAddr) -> PathBuf {
     let name = listen.to_string().replace(|letter: char| !letter.is_ascii_alphanumeric(), "_");
     std::env::temp_dir().join(format!("mosshead-{name}.sock"))
 }
 
-/// The path of a socket, short enough for an address.
+/// The path of a socket, shortened if it is too long for a socket address.
 struct ShortPath {
     path: PathBuf,
-    /// The folder of a path that was shortened, which is valid only while this is open.
+    /// The opened folder of a shortened path, which is valid only while this is open.
     _folder: Option<File>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Connects to the process that accepts successors at `path`; none if there is no such process.
+/// Connects to the process that accepts successors at `path`; returns none if there is no such process.
 pub(super) async fn connect(path: &Path) -> io::Result<Option<UnixStream>> {
     let short = ShortPath::of(path)?;
     match UnixStream::connect(&short.path).await {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Listens at `path`, in place of whoever does so now. Only this user can connect.
+/// Listens at `path` and replaces any previous listener. Only this user can connect.
 pub(super) fn bind_replacing(path: &Path) -> io::Result<UnixListener> {
     let mut own = path.to_owned().into_os_string();
     own.push(format!(".{}", std::process::id()));
@@ -69,12 +69,12 @@
     let short = ShortPath::of(&own)?;
     let listener = UnixListener::bind(&short.path)?;
     fs::set_permissions(&own, Permissions::from_mode(0o600))?;
-    // Renamed in one step, the name always leads to the old process or to this one.
+    // Since the rename is atomic, the path always leads either to the old process or to this one.
     fs::rename(&own, path).inspect_err(|_| drop(fs::remove_file(&own)))?;
     Ok(listener)
 }
 
-/// Whether the other end belongs to this user or to root.
+/// True if the process at the other end belongs to this user or to root.
 pub(super) fn is_peer_trusted(stream: &UnixStream) -> bool {
     let own = rustix::process::getuid().as_raw();
     stream.peer_cred().is_ok_and(|peer| peer.uid() == own || peer.uid() == 0)
@@ -102,9 +102,9 @@
     }
 }
 
-/// Turns a socket that was handed over into a listener, if it listens at `listen`.
+/// Converts a socket that was handed over into a listener, provided that it listens at `listen`.
 ///
-/// Whoever can write into the folder could hand over any socket, so it is checked before it is used.
+/// Any process that can write to the folder could hand over any socket, so the socket is checked before it is used.
 pub(super) fn check_listener(socket: OwnedFd, listen: SocketAddr) -> Result<StdTcpListener, HandoverError> {
     if !socket_acceptconn(&socket).map_err(io::Error::from)? {
         return Err(HandoverError::NotListening);
--- a/crates/proxy/src/handover/successor.rs
+++ b/crates/proxy/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The side of the successor: it asks for the socket and the list, and takes the descriptors that it is granted.
+//! The successor's side: it requests the socket and the list, and takes the descriptors that it is granted.
 
 use std::net::{SocketAddr, TcpListener as StdTcpListener};
 use std::path::Path;
@@ -21,11 +21,11 @@
     pub(crate) link: HandoverLink,
 }
 
-/// Asks the process that serves at `listen`, and accepts successors at `path`, to hand over; none if there is no such
-/// process.
+/// Asks the process that serves at `listen` and accepts successors at `path` to hand over. Returns none if there is no
+/// such process.
 ///
 /// # Errors
-/// Whoever accepts at `path` has not handed over a listener at `listen` and a list in time.
+/// The process at `path` has not handed over a listener at `listen` and a list in time.
 pub(crate) async fn request_handover(
     path: &Path,
     listen: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl Handover {
-    /// Takes what the predecessor grants until it has ended, and tells it once this process accepts connections.
+    /// Takes what the predecessor grants until it ends, and notifies it once this process accepts connections.
     pub(super) async fn follow_predecessor(self: Rc<Self>, link: HandoverLink) {
         let HandoverLink { reader, mut writer } = link;
         let mut lines = reader.lines();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The client proxy on real sockets. Each server, each connection of a client, the endpoint list and the decisions
-//! have an actor each.
+//! The client proxy on real sockets. Each server, each client connection, the endpoint list and the balancer has its
+//! own actor.
 //!
-//! [`run`] is the whole program. `docs/client-proxy.md` follows a request through the actors. The modules that are
-//! public and hidden from these pages are internal: `tests/parts` reaches what can't be tested over sockets.
+//! [`run`] is the whole program. `docs/client-proxy.md` follows a request through the actors. Public modules that are
+//! hidden from the documentation are internal; `tests/parts` uses them to test what can't be tested over sockets.
 
 mod admin;
 mod balancer_actor;
@@ -50,21 +50,21 @@
 use mosshead_decide::interface::Seconds;
 use tokio::task::LocalSet;
 
-/// The longest wait, in seconds: an [`std::time::Instant`] further away may not be representable.
+/// The maximum wait, in seconds: an [`std::time::Instant`] further away may not be representable.
 const MAX_WAIT: Seconds = 86_400.0;
 
-/// Converts seconds to a span that can be added to an instant: at most [`MAX_WAIT`], and zero for what is no number.
+/// Converts seconds to a duration that can be added to an instant: at most [`MAX_WAIT`], and zero for NaN.
 #[doc(hidden)]
 pub fn duration(seconds: Seconds) -> Duration {
     Duration::try_from_secs_f64(seconds.clamp(0.0, MAX_WAIT)).unwrap_or_default()
 }
 
-/// Serves until SIGTERM or SIGINT. Each request that was accepted has had its response when this returns. On SIGHUP
-/// `read_config` is called for the configuration as it is then.
+/// Serves until SIGTERM or SIGINT. When this returns, each accepted request has had its response. On SIGHUP
+/// `read_config` is called for the current configuration.
 ///
 /// # Errors
-/// An address can't be bound, the process can't start its runtime or handle signals, the settings are not valid, or
-/// the actor that decides has ended.
+/// An address can't be bound, the process can't start its runtime or handle signals, the settings are not valid, or the
+/// balancer's actor has ended.
 pub fn run(
     config: Config,
     read_config: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,8 +1,7 @@
-//! The state of the process that both of its threads share: whether it is ready, drains or stops, and how far it has
-//! recovered.
+//! The process state that both threads share: ready, draining or stopping, and the stage of recovery.
 //!
-//! A process that drains stays ready: it serves the requests that still arrive, and only its health check fails. One that
-//! stops is ready for nobody.
+//! A draining process stays ready: it serves the requests that still arrive, and only its health check fails. A
+//! stopping process is not ready.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,25 +10,25 @@
 use mosshead_decide::{RecoveryStage, RecoveryStatus};
 use tokio::sync::watch;
 
-/// How far this incarnation has recovered.
+/// The recovery stage of this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryState {
     pub status: RecoveryStatus,
-    /// When it came to this stage.
+    /// When this stage began.
     pub stage_since: Instant,
-    /// When it was first in full service, if it was.
+    /// When full service was first reached; none if it was not.
     pub full_service_at: Option<Instant>,
-    /// The number of this incarnation; none without a folder for stored state.
+    /// The number of this incarnation; none without a state folder.
     pub incarnation: Option<u64>,
 }
 
-/// The state that is shared. Each part is written by one thread and read by any.
+/// The shared state. Each part is written by one thread and read by any.
 pub struct Lifecycle {
-    /// Since when the proxy drains.
+    /// Since when the proxy drains; none if it doesn't.
     draining_since: watch::Sender<Option<Instant>>,
     is_ready: AtomicBool,
     is_stopping: AtomicBool,
-    /// Whether an operator has been answered that the process is ready.
+    /// True if an operator has been told that the process is ready.
     readiness_confirmed: watch::Sender<bool>,
     started_at: Instant,
     recovery: Mutex<RecoveryState>,
@@ -59,7 +58,7 @@
         self.started_at
     }
 
-    /// How far this incarnation has recovered.
+    /// The recovery stage of this incarnation.
     pub fn recovery_state(&self) -> RecoveryState {
         *self.lock_recovery()
     }
@@ -73,7 +72,7 @@
         self.lock_recovery().incarnation = Some(incarnation);
     }
 
-    /// Records how far this incarnation has recovered. Returns whether the stage has changed.
+    /// Records the recovery stage of this incarnation. Returns true if it has changed.
     pub fn update_recovery(&self, status: RecoveryStatus) -> bool {
         let mut recovery = self.lock_recovery();
         let has_changed = recovery.status.stage != status.stage;
@@ -88,7 +87,7 @@
         has_changed
     }
 
-    /// Starts to drain. Returns false if the proxy drains already; it then keeps the time of the first start.
+    /// Starts to drain. Returns false if the proxy is already draining; the time of the first start then stays.
     pub fn start_draining(&self) -> bool {
         self.draining_since.send_if_modified(|since| {
             let has_changed = since.is_none();
@@ -97,7 +96,7 @@
         })
     }
 
-    /// Stops draining. Returns whether the proxy was draining.
+    /// Stops draining. Returns true if the proxy was draining.
     pub fn stop_draining(&self) -> bool {
         self.draining_since.send_if_modified(|since| since.take().is_some())
     }
@@ -106,12 +105,12 @@
         self.draining_since.borrow().is_some()
     }
 
-    /// Watches since when the proxy is draining.
+    /// Subscribes to the start time of the drain.
     pub fn subscribe_draining(&self) -> watch::Receiver<Option<Instant>> {
         self.draining_since.subscribe()
     }
 
-    /// Marks the process as ready: it has an endpoint list, or discovery can't be reached for one.
+    /// Marks the process as ready: it has an endpoint list, or discovery can't be reached to get one.
     pub fn set_ready(&self) {
         self.is_ready.store(true, Ordering::Release);
     }
@@ -120,12 +119,12 @@
         self.is_ready.load(Ordering::Acquire)
     }
 
-    /// Records that an operator is being answered that the process is ready.
+    /// Records that an operator is being told that the process is ready.
     pub fn confirm_readiness(&self) {
         self.readiness_confirmed.send_if_modified(|is_confirmed| !std::mem::replace(is_confirmed, true));
     }
 
-    /// Watches whether an operator has been answered that the process is ready.
+    /// Subscribes to whether an operator has been told that the process is ready.
     pub fn subscribe_readiness_confirmed(&self) -> watch::Receiver<bool> {
         self.readiness_confirmed.subscribe()
     }
@@ -135,7 +134,7 @@
         self.is_stopping.store(true, Ordering::Release);
     }
 
-    /// Whether this process is ready and does not stop.
+    /// True if this process is ready and not stopping.
     pub fn is_serving(&self) -> bool {
         self.is_ready() && !self.is_stopping.load(Ordering::Acquire)
     }
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,8 +1,8 @@
-//! The load reports that servers send in a header, or as the body of the response to a probe.
+//! Parses the load reports that servers send in a header or in the body of a probe response.
 
 use mosshead_decide::interface::LoadReport;
 
-/// Reads a load report of the form `name=value,name=value`. Unknown names and invalid numbers are ignored.
+/// Parses a load report of the form `name=value,name=value`. Unknown names and invalid numbers are ignored.
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -1,7 +1,7 @@
-//! The log: events of `tracing`, one a line on standard error, through a bounded queue and a thread that writes.
+//! The log: `tracing` events, one per line on standard error, through a bounded queue and a writer thread.
 //!
-//! A slow reader of the log must not stop the runtime. A line for which the queue has no space is dropped and counted,
-//! and the count is written before the next line that is queued.
+//! A slow reader of the log must not block the runtime. If the queue is full a line is dropped and counted, and the
+//! count is written before the next line that is queued.
 
 use std::cell::Cell;
 use std::io;
@@ -11,12 +11,12 @@
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// How many lines are queued for a slow reader of the log at most.
+/// The maximum number of lines queued for a slow reader of the log.
 pub const MAX_QUEUED_LINES: usize = 1024;
-/// How many lines a second are written at most of a kind that others can cause at will.
+/// The maximum rate of each kind of line that others can trigger at will, in lines per second.
 pub const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// How a line is written.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     /// The event's message, then `name=value` for each field.
@@ -26,12 +26,13 @@
     Json,
 }
 
-/// Counts the lines that were dropped since the start.
+/// The number of lines dropped since the start.
 static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
-/// How many of them have been reported in the log.
+/// The number of dropped lines that have been reported in the log.
 static REPORTED_LINES: AtomicUsize = AtomicUsize::new(0);
 
-/// Starts the log on standard error. Dropping what this returns waits until the log is written, if its reader keeps up.
+/// Starts the log on standard error. Dropping the returned guard waits until the log is written, if its reader keeps
+/// up.
 pub fn start(format: Format) -> WorkerGuard {
     start_to(format, io::stderr())
 }
@@ -43,7 +44,7 @@
     let (writer, guard) = queue.thread_name("log").finish(to);
     let _ = DROPPED_LINES.set(writer.error_counter());
     let log = tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_target(false);
-    // If it is started twice in one process, as by tests, the first log stays.
+    // If the log is started twice in one process, as in tests, the first one stays.
     let _ = match format {
         Format::Text => {
             let text = log.with_level(false).without_time().finish();
@@ -54,14 +55,14 @@
     guard
 }
 
-/// The number of lines that were dropped since the last call.
+/// The number of lines dropped since the last call.
 pub fn take_dropped_lines() -> usize {
     let Some(counter) = DROPPED_LINES.get() else { return 0 };
     let all = counter.dropped_lines();
     all.saturating_sub(REPORTED_LINES.swap(all, Ordering::Relaxed))
 }
 
-/// Writes an event, and before it how many were dropped.
+/// Writes an event, preceded by the number of lines that were dropped, if any.
 #[macro_export]
 #[doc(hidden)]
 macro_rules! say {
@@ -76,9 +77,9 @@
 
 pub use say;
 
-/// Limits the rate of lines that others can cause at will, to [`MAX_LINES_PER_SECOND`].
+/// Limits the rate of lines that others can trigger at will to [`MAX_LINES_PER_SECOND`].
 pub struct LogLimiter {
-    /// When the second began in which `admitted` lines were written.
+    /// The start of the second in which `admitted` lines were written.
     #[doc(hidden)] // for tests, which move it into the past
     pub second: Cell<Instant>,
     admitted: Cell<u32>,
@@ -88,7 +89,7 @@
 /// The permission to write one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmittedLine {
-    /// How many lines were left out before it, if any were; a field of the line.
+    /// The number of lines suppressed before this one, if any; a field of the line.
     pub left_out: Option<u64>,
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl LogLimiter {
-    /// Whether one more line may be written now.
+    /// Returns a permission if one more line may be written now.
     pub fn admit(&self) -> Option<AdmittedLine> {
         if self.second.get().elapsed() >= Duration::from_secs(1) {
             self.second.set(Instant::now());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -16,7 +16,7 @@
 The configuration is the platform's; without --config $BALANCER_CONFIG names the file. What the operators grant
 beside it stands in a file of their own, named by --operators or $MOSSHEAD_OPERATORS; without either nothing is.";
 
-/// The files of a configuration.
+/// The paths of the configuration files.
 #[derive(Clone)]
 struct ConfigFiles {
     /// The platform's file.
@@ -26,7 +26,7 @@
 }
 
 impl ConfigFiles {
-    /// The files that the command line names, or else the environment.
+    /// The files named on the command line or else in the environment.
     fn find(platform: Option<PathBuf>, operators: Option<PathBuf>) -> Result<Self, lexopt::Error> {
         let from_environment = |name| std::env::var_os(name).map(PathBuf::from);
         let platform = platform
@@ -91,7 +91,7 @@
     }
 }
 
-/// Why a sub-command failed.
+/// Why a subcommand failed.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -113,7 +113,7 @@
         }
         Command::Serve(files, format) => {
             let config = files.read()?;
-            // Dropped last, it waits until the log is written.
+            // Dropped last, so that it waits until the log is written.
             let _log_guard = log::start(format);
             proxy::run(config, move || files.read())?;
         }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,6 @@
 //! The messages between the actors, and the guards that report the outcome of an attempt or a probe.
 //!
-//! This module depends on no actor, so that each actor can depend on it.
+//! This module depends on no actor, so each actor can depend on it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use mosshead_snapshot::server_list::ServerList;
 use mosshead_snapshot::unix_time::ServerStart;
 
-/// The share of the time that servers keep an idle connection for which this proxy keeps it.
+/// This proxy closes an idle connection after this share of the time for which servers keep it.
 const IDLE_SHARE: f64 = 0.9;
 
 /// The parts of a request that are forwarded unchanged.
@@ -29,7 +29,7 @@
     pub method: String,
     pub target: String,
     pub id: String,
-    /// The idempotency key, byte for byte. Without it servers execute a repeated request again.
+    /// The idempotency key, byte for byte. Without it, servers would execute a repeated request again.
     pub idempotency_key: Option<Bytes>,
     pub body: RequestBody,
 }
@@ -42,7 +42,7 @@
 }
 
 impl RequestBody {
-    /// The body, if it is one that is streamed.
+    /// The body, if it is streamed.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -50,16 +50,16 @@
         }
     }
 
-    /// Whether bytes of it are still to arrive.
+    /// True if some of its bytes have not arrived yet.
     pub fn is_incomplete(&self) -> bool {
         self.upload().is_some_and(|upload| upload.completed_at().is_none())
     }
 }
 
-/// A request that was received and checked by the client connection.
+/// A request that the client connection has received and checked.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The client's id of the request, as a number.
+    /// The id that the client gave the request, as a number.
     pub id: u64,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
@@ -69,14 +69,14 @@
     pub forwarded: ForwardedRequest,
 }
 
-/// The one final response to a request.
+/// The single final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
     /// A server's response.
     Served(OutgoingBody),
-    /// Rejected: it never ran, so a retry does no harm, best after this time.
+    /// Rejected: it was never executed, so the client may safely retry, preferably after this delay.
     RetryLater(Seconds),
-    /// Failed; it may have run.
+    /// Failed; it may have been executed.
     Failed,
     /// Rejected: another request has the same id.
     IdInUse,
@@ -84,13 +84,13 @@
 
 /// A message to the balancer.
 pub enum Message {
-    /// A client's request, to which one final response is owed.
+    /// A client's request, which must get exactly one final response.
     Request {
         id: RequestId,
         request: ClientRequest,
         reply: oneshot::Sender<FinalResponse>,
     },
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     Withdrawn(RequestId),
     AttemptEnded(AttemptResult),
     ProbeEnded {
@@ -103,11 +103,11 @@
     ListUpdated(ServerList),
     /// A call to discovery has failed; the list is no longer watched.
     ListCallFailed,
-    /// Asks for the list as it is known now, for a successor.
+    /// Requests the current list, for a successor.
     GetList(oneshot::Sender<ServerList>),
     /// The last byte of a request's body has arrived.
     BodyReceived(RequestId),
-    /// Other settings; the reply says what clients may name from now on.
+    /// New settings. The reply contains the names that clients may use from now on.
     ApplySettings {
         settings: Box<NamedSettings>,
         reply: oneshot::Sender<Result<AcceptedNames, ApplySettingsError>>,
@@ -119,13 +119,14 @@
     pub key: AttemptKey,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
-    /// From the start of the attempt, or the last byte of the request's body, to the head of the response.
+    /// The time from the start of the attempt, or from the last byte of the request's body, to the head of the
+    /// response.
     pub rtt: Seconds,
     pub report: LoadReport,
     pub body: OutgoingBody,
 }
 
-/// Which attempt of which request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
     pub request: RequestId,
@@ -134,9 +135,9 @@
 
 /// A message to the actor of a server.
 pub enum ServerMessage {
-    /// The endpoint list has an update of the server.
+    /// The endpoint list has updated the server.
     StatusChanged(EndpointStatus),
-    /// The endpoint list no longer has the server.
+    /// The server was removed from the endpoint list.
     Removed,
     /// The actor is to end; no message follows.
     Shutdown,
@@ -147,16 +148,16 @@
     },
     Probe(ProbeGuard),
     Cancel(AttemptKey),
-    /// The idle connections are to be closed.
+    /// Closes the idle connections.
     CloseIdle,
     LimitsChanged(ConnectionLimits),
-    /// An attempt or probe is over.
+    /// An attempt or probe has ended.
     ConnectionFreed {
-        /// The attempt, if it was one.
+        /// The attempt; none for a probe.
         attempt: Option<AttemptKey>,
         /// Its connection, if that can carry a further request.
         connection: Option<OutboundConnection>,
-        /// Where the connection leads.
+        /// The address that the connection leads to.
         addr: SocketAddr,
     },
 }
@@ -165,8 +166,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this, before the server closes it: what is written to one that the server
-    /// has closed is lost.
+    /// An idle connection is closed after this, before the server closes it: data written to a connection that the
+    /// server has closed is lost.
     pub max_idle: Duration,
 }
 
@@ -179,7 +180,7 @@
     }
 }
 
-/// What the endpoint list says of a server.
+/// The endpoint list's entry for a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointStatus {
     pub addr: SocketAddr,
@@ -187,19 +188,20 @@
     pub started_at: ServerStart,
 }
 
-/// Reports exactly one outcome of an attempt. If it is dropped without one, the attempt counts as reset: it may have run.
+/// Reports exactly one outcome of an attempt. If dropped without one, it reports a reset: the request may have been
+/// executed.
 pub struct AttemptGuard {
     key: AttemptKey,
     endpoint: EndpointId,
     started: Instant,
     /// When the head of the response arrived.
     responded_at: Option<Instant>,
-    /// Where the outcome is reported; none once it is.
+    /// Where to report the outcome; none once it is reported.
     balancer: Option<UnboundedSender<Message>>,
 }
 
 impl AttemptGuard {
-    /// The time of the attempt counts from now.
+    /// Starts the time of the attempt now.
     pub fn new(key: AttemptKey, endpoint: EndpointId, balancer: UnboundedSender<Message>) -> Self {
         Self { key, endpoint, started: Instant::now(), responded_at: None, balancer: Some(balancer) }
     }
@@ -208,12 +210,13 @@
         self.key
     }
 
-    /// Sets when the head of the response arrived; the time after it is transfer and not the server's work.
+    /// Sets when the head of the response arrived. The time after that is transfer time, not the server's processing
+    /// time.
     pub fn set_responded_at(&mut self, responded_at: Option<Instant>) {
         self.responded_at = responded_at;
     }
 
-    /// Counts the time of the attempt from `start` on, if that is later than its start.
+    /// Counts the time of the attempt from `start`, if that is later than its current start.
     pub fn set_earliest_start(&mut self, start: Instant) {
         self.started = self.started.max(start);
     }
@@ -227,7 +230,7 @@
         let Some(balancer) = self.balancer.take() else { return };
         let responded_at = self.responded_at.unwrap_or_else(Instant::now);
         let rtt = responded_at.saturating_duration_since(self.started).as_secs_f64();
-        // Only a proxy that is about to exit has no balancer.
+        // The balancer is gone only when the process is about to exit.
         let _ = balancer.send(Message::AttemptEnded(AttemptResult {
             key: self.key,
             endpoint: self.endpoint,
@@ -245,11 +248,11 @@
     }
 }
 
-/// Reports exactly one outcome of a probe. If it is dropped without one, the probe counts as reset.
+/// Reports exactly one outcome of a probe. If dropped without one, it reports a reset.
 pub struct ProbeGuard {
     endpoint: EndpointId,
     started: Instant,
-    /// Where the outcome is reported; none once it is.
+    /// Where to report the outcome; none once it is reported.
     balancer: Option<UnboundedSender<Message>>,
 }
 
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' own file, with what the platform does not know of.
+//! The operators' own configuration file, for options that the platform does not provide.
 
 use std::path::{Path, PathBuf};
 
@@ -9,21 +9,20 @@
 /// What the operators grant, read and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorConfig {
-    /// A folder for stored state; none is used without it.
+    /// The folder for stored state. If there is none, no state is stored.
     pub state: Option<PathBuf>,
 }
 
 impl OperatorConfig {
-    /// Reads the text of an operators' file.
+    /// Parses the text of an operators' file.
     ///
     /// # Errors
-    /// When the text is not JSON, has a key that is not known, or names a folder by a path that is not absolute; the
-    /// message names the key.
+    /// The text is not JSON, has an unknown key, or names a folder by a relative path; the message names the key.
     pub fn read(text: &str) -> Result<Self, ConfigError> {
         let json = parse_json(text)?;
         let top = JsonField::root(&json);
         for (name, found) in top.fields()? {
-            // A misspelt key would grant nothing, and nobody would notice.
+            // A misspelt key would otherwise be ignored without notice.
             if name != "state" {
                 return Err(found.broken_rule("not known here").into());
             }
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: what is opened at the start, in which order, and the reload of the configuration.
+//! The process: the startup sequence, the signals, and the reload of the configuration.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 use crate::stored_state::{self, StoredState};
 use crate::{admin, duration};
 
-/// How many connections the kernel queues until they are accepted.
+/// The length of the kernel's accept queue.
 const BACKLOG: u32 = 4096;
 
 /// Serves until SIGTERM or SIGINT.
@@ -82,7 +82,7 @@
             say!(name = %config.name, "stopped");
             Ok(())
         }
-        // Without its decisions the proxy can't go on: the process ends, so that a new one is started.
+        // The proxy can't work without its balancer: the process ends, so that a new one is started.
         _ = &mut balancer_task => Err(io::Error::other("the module's actor has ended")),
     }
 }
@@ -98,7 +98,7 @@
         Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
     }
 
-    /// Waits for the first one.
+    /// Waits for the first of them.
     async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -111,12 +111,12 @@
 struct ClientListener {
     listener: Rc<TcpListener>,
     budgets: PerSide<DescriptorBudget>,
-    /// Only with an admin endpoint: without it nobody can learn that a successor is ready.
+    /// Only with an admin endpoint: without one nobody can learn that a successor is ready.
     replacement: Option<Replacement>,
 }
 
 impl ClientListener {
-    /// Takes the socket over from a predecessor, with the endpoint list that it knows, or opens one.
+    /// Takes over the socket and the endpoint list from a predecessor, or opens a new socket.
     async fn open(config: &mut Config) -> io::Result<Self> {
         let socket_path = config.ops.map(|_| handover::socket_path(config.listen));
         let handed_over = match &socket_path {
@@ -145,7 +145,7 @@
     }
 }
 
-/// What the process needs to be replaced, and to replace another one.
+/// What the process needs to replace another process and to be replaced.
 struct Replacement {
     socket_path: PathBuf,
     shares: BudgetShares,
@@ -173,17 +173,17 @@
     socket.listen(BACKLOG)
 }
 
-/// What this incarnation starts from.
+/// The state from which this incarnation starts.
 struct Restored {
-    /// None without a folder for stored state, or if that can't be used.
+    /// None without a state folder, or if the folder can't be used.
     stored_state: Option<StoredState>,
-    /// The version from which discovery is to continue the list; none if the list known here is not discovery's.
+    /// The version from which discovery is to continue the list; none if the current list is not from discovery.
     list_version: Option<u64>,
 }
 
-/// Reads what a former incarnation left in the folder that the operators grant, if they grant one.
+/// Reads what a previous incarnation stored in the state folder, if the operators' file names one.
 ///
-/// The list of a predecessor that handed over is newer than that of any folder, and takes precedence.
+/// The list of a predecessor that handed over is newer than that of any folder and takes precedence.
 async fn restore_stored_state(config: &mut Config, has_predecessor: bool) -> Restored {
     let Some(folder) = config.operators.state.clone() else {
         return Restored { stored_state: None, list_version: Some(config.known.version) };
@@ -207,8 +207,8 @@
     Restored { stored_state, list_version }
 }
 
-/// Reads the snapshot on a thread of its own: a disk that hangs must not keep the proxy from serving. The runtime's
-/// own threads would not do, since a stop waits for them.
+/// Reads the snapshot on a separate thread: a disk that hangs must not keep the proxy from serving. The runtime's
+/// blocking threads are unsuitable, since shutdown waits for them.
 async fn read_snapshot(folder: PathBuf) -> Result<Snapshot, SnapshotError> {
     let (sender, found) = oneshot::channel();
     std::thread::spawn(move || drop(sender.send(snapshot_writer::read(&folder))));
@@ -216,9 +216,9 @@
     found.unwrap_or(Err(SnapshotError::TimedOut))
 }
 
-/// Reads the configuration again on each SIGHUP: its settings are applied as a whole or not at all, and the endpoint
-/// list is watched where it now says. Requests and connections continue; everything else in the file takes effect
-/// at the next start.
+/// Reads the configuration again on each SIGHUP. Its settings are applied as a whole or not at all, and the endpoint
+/// list is watched at the address that it now names. Requests and connections continue; everything else in the file
+/// takes effect at the next start.
 async fn reload_on_hangup(
     mut hangup: Signal,
     read_config: impl Fn() -> Result<Config, LoadConfigError> + Clone + Send + 'static,
@@ -228,7 +228,7 @@
     mut running: Config,
 ) {
     while hangup.recv().await.is_some() {
-        // A file system that hangs must not stop the requests.
+        // A file system that hangs must not block the requests.
         let read = spawn_blocking(read_config.clone()).await;
         let adopted = async {
             let next = read??;
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! One actor for each server: it owns the connections there, and the attempts and probes on them.
+//! The actor of a server: it owns the connections to the server and the attempts and probes on them.
 
 mod attempt;
 mod exchange;
@@ -48,9 +48,9 @@
     mailbox
 }
 
-/// What the actor shares with its attempts and probes.
+/// The state that the actor shares with its attempts and probes.
 struct ServerState {
-    /// What the endpoint list says of the server now.
+    /// The current list entry of the server.
     status: Cell<EndpointStatus>,
     connect_timeout: Cell<Duration>,
     budget: DescriptorBudget,
@@ -65,7 +65,7 @@
 
 struct ServerActor {
     state: Rc<ServerState>,
-    /// In the order of their last use; the last one is used first.
+    /// Ordered by their last use; the most recently used one is used first.
     idle: Vec<IdleConnection>,
     /// The attempts that can be cancelled.
     in_flight: HashMap<AttemptKey, oneshot::Sender<()>>,
@@ -84,7 +84,7 @@
                     Some(ServerMessage::Shutdown) | None => return self.close_idle(CloseReason::EndpointChanged),
                     Some(message) => self.handle_message(message),
                 },
-                // The connection that was idle for longest: the others may be about to carry a request.
+                // Close the connection that has been idle longest: the others may be about to carry a request.
                 _ = release_requests.changed() => self.close_longest_idle(CloseReason::DescriptorNeeded),
                 () = async { sleep_until(expiry.unwrap_or_else(Instant::now).into()).await }, if expiry.is_some() => {
                     self.close_longest_idle(CloseReason::IdleTimeout);
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Keeps a connection for further requests, unless it is of no use or its descriptor is needed.
+    /// Keeps a connection for further requests, unless it is unusable or its descriptor is needed.
     fn keep_idle(&mut self, connection: OutboundConnection, addr: SocketAddr) {
         if connection.is_closed() {
             return;
@@ -153,7 +153,7 @@
         self.idle.push(IdleConnection { connection, since: Instant::now() });
     }
 
-    /// What one exchange needs, with the idle connection that was used last, if one is still open.
+    /// The context of one exchange, with the most recently used idle connection if one is still open.
     fn exchange_context(&mut self) -> ExchangeContext {
         self.idle.retain(|idle| !idle.connection.is_closed());
         ExchangeContext {
--- a/crates/proxy/src/server/attempt.rs
+++ b/crates/proxy/src/server/attempt.rs
@@ -16,14 +16,14 @@
 use crate::load_report::parse_load_report;
 use crate::messages::{AttemptGuard, AttemptKey, ForwardedRequest, ProbeGuard, RequestBody, ServerMessage};
 
-/// A server that takes nothing of a body for this long is given up.
+/// An attempt is aborted if the server accepts no more of its body for this long.
 const MAX_UPLOAD_STALL: Duration = Duration::from_secs(6);
-/// How often it is checked whether the last byte of a body has arrived.
+/// How often to check whether the last byte of a body has arrived.
 const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The time for a probe, as a multiple of that for connecting.
+/// The timeout of a probe, as a multiple of the connect timeout.
 const PROBE_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Sends a request and reports the outcome: of the response, the cancellation and the timeout the one that comes first.
+/// Sends a request and reports whichever comes first: the response, a cancellation or the timeout.
 pub(super) async fn run_attempt(
     mut context: ExchangeContext,
     mut guard: AttemptGuard,
@@ -54,7 +54,7 @@
     return_connection(&context, Some(attempt), connection).await;
 }
 
-/// Reports the result of an attempt. Returns its connection, unless a large response still arrives on it.
+/// Reports the result of an attempt. Returns its connection, unless a large response is still arriving on it.
 fn report_outcome(
     context: &ExchangeContext,
     mut guard: AttemptGuard,
@@ -76,8 +76,8 @@
     connection
 }
 
-/// Completes when an attempt is to be given up. While the request's body still arrives, that is when the server takes
-/// no more of it; then the time that the client grants counts from the last byte.
+/// Completes when an attempt is to be aborted. While the request's body is still arriving, that is when the server
+/// stops accepting it; afterwards the client's timeout counts from the last byte.
 async fn attempt_timeout(forwarded: &ForwardedRequest, deadline: Instant) {
     let Some(upload) = forwarded.body.upload() else { return sleep_until(deadline.into()).await };
     let time_left = deadline.saturating_duration_since(Instant::now());
@@ -89,7 +89,7 @@
         if give_up_at <= Instant::now() {
             return;
         }
-        // The last byte may arrive meanwhile.
+        // The last byte may have arrived meanwhile.
         sleep_until(give_up_at.min(Instant::now() + UPLOAD_POLL_INTERVAL).into()).await;
     }
 }
@@ -117,8 +117,8 @@
     return_connection(&context, None, result.connection).await;
 }
 
-/// Tells the actor that an attempt or probe is over, and returns its connection once that can carry a further request:
-/// when the whole response has been read off it.
+/// Notifies the actor that an attempt or probe has ended. Returns its connection to the actor once the whole response
+/// has been read from it, so that it can carry a further request.
 async fn return_connection(
     context: &ExchangeContext,
     attempt: Option<AttemptKey>,
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -17,10 +17,10 @@
 use crate::connection_log::SERVER;
 use crate::messages::{EndpointStatus, ForwardedRequest, RequestBody, ServerMessage};
 
-/// What one exchange needs.
+/// The context of one exchange.
 pub(super) struct ExchangeContext {
     pub(super) state: Rc<ServerState>,
-    /// What the list said of the server when the balancer selected it.
+    /// The list entry of the server when the balancer selected it.
     pub(super) chosen_status: EndpointStatus,
     /// An idle connection, if there was one.
     pub(super) connection: Option<OutboundConnection>,
@@ -40,9 +40,9 @@
         let _ = self.state.mailbox.send(message);
     }
 
-    /// Whether the server has changed since the balancer selected it. A drain counts from the first byte, and a
-    /// connection may take long to come up. A server that has restarted meanwhile is cold; the balancer selected a warm
-    /// one.
+    /// True if the server has changed since the balancer selected it; opening a connection may take long. A draining
+    /// server must get no first byte of a new request, and a server that has restarted meanwhile is cold although the
+    /// balancer selected a warm one.
     fn has_endpoint_changed(&self) -> bool {
         let status = self.state.status.get();
         status.readiness != Readiness::Ready
@@ -51,7 +51,8 @@
     }
 }
 
-/// How far an attempt has come, for whoever gives it up: until its last byte is written it provably never ran.
+/// The progress of an attempt, for code that aborts it: until its last byte is written, the request was provably not
+/// executed.
 #[derive(Default)]
 pub(super) struct AttemptProgress(RefCell<Option<StartedWrite>>);
 
@@ -68,7 +69,7 @@
         }));
     }
 
-    /// Records that the connection is about to be closed. Returns whether the attempt may have run.
+    /// Records that the connection is about to be closed. Returns true if the request may have been executed.
     pub(super) fn abandon(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|started| {
             started.record.set_close_reason(CloseReason::Abandoned);
@@ -79,14 +80,14 @@
 
 /// Writes a request to the server and reads the start of its response.
 ///
-/// An idle connection that proves to be broken before anything was written is replaced by a new one.
+/// If an idle connection proves broken before anything was written, a new one replaces it.
 pub(super) async fn exchange(
     context: &mut ExchangeContext,
     forwarded: &ForwardedRequest,
     deadline: Instant,
     progress: &AttemptProgress,
 ) -> ExchangeResult {
-    // A body that can't be sent once more; the connection stays for others.
+    // The body can't be sent again; the connection stays available for other requests.
     if forwarded.body.upload().is_some_and(|upload| upload.is_consumed()) {
         let connection = context.connection.take();
         return ExchangeResult { connection, ..ExchangeResult::without_response(Outcome::NotSent) };
@@ -122,7 +123,7 @@
             Err(_) if connection.write_progress.is_complete() => {
                 return ExchangeResult::without_response(Outcome::Reset);
             }
-            // While it was idle it ended, or brought bytes that belong to no response: nothing was written to it.
+            // While idle it was closed or received bytes that belong to no response; nothing was written to it.
             Err(_) if is_reused && !connection.write_progress.has_started() => {
                 connection.record.set_close_reason(CloseReason::Stale);
             }
@@ -131,7 +132,7 @@
     }
 }
 
-/// Opens a connection. If this machine has no descriptor left for it, the server is not to blame.
+/// Opens a connection. A lack of descriptors on this machine does not count against the server.
 async fn connect(state: &ServerState, addr: SocketAddr) -> Result<OutboundConnection, Outcome> {
     let deadline = Instant::now() + state.connect_timeout.get();
     let permit = timeout_at(deadline.into(), state.budget.acquire()).await.map_err(|_| Outcome::NotSent)?;
@@ -141,11 +142,11 @@
 
 struct SizedRequest {
     request: Request<OutgoingBody>,
-    /// [`usize::MAX`] if it is not known.
+    /// [`usize::MAX`] if the length is not known.
     body_length: usize,
 }
 
-/// The request as it is written to a connection; none if its body can't be sent any more or a header is not valid.
+/// The request as it is written to a connection; none if its body can't be sent any more or a header is invalid.
 fn build_request(
     forwarded: &ForwardedRequest,
     addr: SocketAddr,
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -1,4 +1,4 @@
-//! The response of a server: what it says of the outcome, and whether it can be trusted.
+//! Reads a server's response: the outcome that it states, and whether it can be trusted.
 
 use std::time::{Duration, Instant};
 
@@ -11,16 +11,16 @@
 use crate::body::{self, BodyStart, OutboundConnection};
 use crate::load_report::parse_load_report;
 
-/// How long a response without a stated length is buffered, in case it proves to be small.
+/// How long a response without a stated length is buffered in case it is small.
 const SMALL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// What came of an exchange.
+/// The result of an exchange.
 pub(super) struct ExchangeResult {
     pub(super) outcome: Outcome,
     pub(super) report: LoadReport,
     /// The body, or its start.
     pub(super) body: Bytes,
-    /// The connection, if it is of further use.
+    /// The connection, if it can be reused.
     pub(super) connection: Option<OutboundConnection>,
     /// The rest of a body that is too large to be buffered.
     pub(super) rest_of_body: Option<Incoming>,
@@ -67,7 +67,7 @@
             if error != BodyError::Interrupted {
                 connection.record.set_close_reason(CloseReason::InvalidResponse);
             }
-            // A request with a broken response has run, whatever the head of the response claims.
+            // A request with an invalid response counts as executed, whatever the head of the response claims.
             ExchangeResult { report, ..ExchangeResult::without_response(Outcome::Reset) }
         }
     }
@@ -81,14 +81,14 @@
     let is_unprocessed = header(response, "x-unprocessed").is_some_and(|value| value.trim() == "1");
     match response.status() {
         StatusCode::OK => Outcome::Served,
-        // Without that header the request may have run, whatever the status says.
+        // Without that header the request may have been executed, whatever the status says.
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_unprocessed => Outcome::Rejected,
         _ => Outcome::Errored,
     }
 }
 
-/// Whether it can be told where the response ends. With two lengths stated it can't. Where none is stated, the end is
-/// that of the connection, if the server has said that it will close it.
+/// True if the end of the response can be determined. With two stated lengths it can't. With none, the response ends
+/// with the connection, if the server has announced that it will close it.
 fn has_certain_length(response: &Response<Incoming>) -> bool {
     let has = |name| response.headers().contains_key(name);
     match (has(CONTENT_LENGTH), has(TRANSFER_ENCODING)) {
@@ -102,7 +102,7 @@
     }
 }
 
-/// A connection that has carried all of the request. One that was answered before that can't carry another.
+/// The connection, if it has carried the whole request. If the server responded before that, it can't carry another.
 fn reusable_if_written(connection: OutboundConnection) -> Option<OutboundConnection> {
     Some(connection).filter(|connection| connection.write_progress.is_complete())
 }
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,7 +1,7 @@
-//! The folder for stored state: read once at the start, written by a thread of its own.
+//! The state folder: it is read once at the start and written by a separate thread.
 //!
-//! A disk that is full or slow must not touch the requests. At most one snapshot is queued for the thread; a newer one
-//! replaces it.
+//! A full or slow disk must not affect requests. At most one snapshot is queued for the thread; a newer one replaces
+//! it.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -16,15 +16,15 @@
 
 use crate::log::{AdmittedLine, LogLimiter, say};
 
-/// The least time between two writes: a list that changes all the time is not written all the time.
+/// The minimum interval between two writes, so that a list that changes constantly is not written constantly.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// A folder whose snapshot can't be read within this time counts as empty.
+/// If the snapshot of a folder can't be read within this time, the folder counts as empty.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Reads the snapshot of a folder.
 ///
 /// # Errors
-/// There is none, or it can't be read or used.
+/// There is no snapshot, or it can't be read or used.
 pub fn read(folder: &Path) -> Result<Snapshot, SnapshotError> {
     let unreadable = |error: io::Error| SnapshotError::Unreadable(error.to_string());
     let mut bytes = Vec::new();
@@ -39,7 +39,7 @@
     snapshot::decode(&bytes)
 }
 
-/// Writes a snapshot atomically: a file beside the old one, which replaces it once it is on the disk.
+/// Writes a snapshot atomically: a temporary file replaces the old one once its data is on disk.
 ///
 /// # Errors
 /// A file operation failed; the old snapshot then stays.
@@ -49,11 +49,11 @@
     file.write_all(&snapshot::encode(snapshot))?;
     file.sync_data()?;
     fs::rename(new_path, folder.join(SNAPSHOT_FILE))?;
-    // Without this, a machine that loses its power may have neither file.
+    // Without this, neither file may exist after a power failure.
     File::open(folder)?.sync_all()
 }
 
-/// The snapshot that is to be written next.
+/// The snapshot to write next.
 #[derive(Default)]
 struct PendingSnapshot {
     next: Mutex<Option<Snapshot>>,
@@ -79,7 +79,7 @@
     /// Starts the thread, which ends with the process.
     ///
     /// # Errors
-    /// The system gives no further thread.
+    /// No thread can be started.
     pub fn start(folder: PathBuf) -> io::Result<Self> {
         let pending = Arc::new(PendingSnapshot::default());
         let pending_of_thread = pending.clone();
@@ -87,7 +87,7 @@
         Ok(Self(pending))
     }
 
-    /// Submits a snapshot, in place of one that has not been written yet.
+    /// Submits a snapshot, which replaces one that has not been written yet.
     pub fn submit(&self, snapshot: Snapshot) {
         *self.0.next.lock().unwrap_or_else(PoisonError::into_inner) = Some(snapshot);
         self.0.submitted.notify_one();
@@ -117,12 +117,12 @@
     }
 }
 
-/// Takes the lock of the folder, unless this process has it already. Of two processes of one name, as during a
-/// replacement, the later one would overwrite what the other one knows. The kernel frees the lock of a process that
-/// has died.
+/// Takes the lock of the folder unless this process already holds it. Two processes of one name exist during a
+/// replacement, and the later one would overwrite the other's state. The kernel releases the lock of a process that has
+/// died.
 ///
 /// # Errors
-/// Another process has the lock, or its file can't be created.
+/// Another process holds the lock, or its file can't be created.
 pub fn acquire_lock(folder: &Path, lock: &mut Option<File>) -> io::Result<()> {
     if lock.is_none() {
         let file = File::create(folder.join(LOCK_FILE))?;
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -1,7 +1,7 @@
-//! What this incarnation stores for the next one, if the operators grant a folder for it.
+//! The state that this incarnation stores for the next one, if the operators' file names a folder for it.
 //!
-//! The balancer knows classes, zones, kinds and servers by number. What is stored has their names, since the numbers of
-//! the next incarnation are others.
+//! The balancer knows classes, zones, machine kinds and servers by number. Stored state uses their names, since the
+//! next incarnation numbers them differently.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -15,23 +15,23 @@
 
 use crate::snapshot_writer::SnapshotWriter;
 
-/// The time by the machine's clock.
+/// The current wall-clock time.
 pub fn unix_time() -> UnixTime {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixTime::from_millis(since_epoch.as_millis() as u64)
 }
 
-/// What this incarnation stores, as far as it is not the balancer's.
+/// The stored state that does not come from the balancer.
 pub struct StoredState {
     writer: SnapshotWriter,
-    /// The name of the instance, the same for all incarnations.
+    /// The name of the instance, which is the same for all incarnations.
     instance: String,
     incarnation: u64,
-    /// When discovery last confirmed its list, to this incarnation or a former one.
+    /// When discovery last confirmed its list, to this incarnation or a previous one.
     list_confirmed_at: Option<UnixTime>,
-    /// Servers that drain or have ended, the oldest first.
+    /// Servers that drain or have ended, the oldest entry first.
     ended_servers: Vec<EndedServer>,
-    /// What a former incarnation learned, until this one starts from it.
+    /// The values that a previous incarnation learned, until this one starts from them.
     learned_values: Option<RestoredValues>,
 }
 
@@ -51,12 +51,12 @@
         self.incarnation
     }
 
-    /// The servers that drain or have ended, the oldest first.
+    /// The servers that drain or have ended, the oldest entry first.
     pub fn ended_servers(&self) -> &[EndedServer] {
         &self.ended_servers
     }
 
-    /// Records a list that discovery has sent: the servers that were listed `before`, and those that are listed `now`.
+    /// Records a list from discovery, given the servers that were listed `before` and those that are listed `now`.
     pub fn record_list<'a>(&mut self, before: &[ListedServer], now: impl Iterator<Item = &'a ListedServer>) {
         let reported_at = unix_time();
         self.list_confirmed_at = Some(reported_at);
@@ -78,7 +78,7 @@
         self.ended_servers.drain(..self.ended_servers.len().saturating_sub(MAX_ENDED_SERVERS));
     }
 
-    /// Stores the list and learned values for the next incarnation.
+    /// Stores the list and the learned values for the next incarnation.
     pub fn write(&self, server_list: ServerList, learned_values: LearnedValuesBySubject) {
         self.writer.submit(Snapshot {
             instance_name: self.instance.clone(),
@@ -91,24 +91,24 @@
         });
     }
 
-    /// Takes what a former incarnation learned; none if that was taken before, or there is nothing.
+    /// Takes the values that a previous incarnation learned; none if they were taken before or there are none.
     pub fn take_learned(&mut self) -> Option<RestoredValues> {
         self.learned_values.take()
     }
 }
 
-/// The names of all that the balancer knows by number.
+/// The names of everything that the balancer knows by number.
 pub struct NameTables<'a> {
     pub zones: &'a NameTable,
     pub kinds: &'a NameTable,
-    /// The name of each class, by its number.
+    /// The name of each class, indexed by its number.
     pub classes: Vec<&'a str>,
-    /// The id of each server that is listed, by its number.
+    /// The id of each listed server, indexed by its number.
     pub servers: BTreeMap<u32, &'a str>,
 }
 
 impl NameTables<'_> {
-    /// How a subject is named in a snapshot.
+    /// The name of a subject in a snapshot.
     fn name(&self, subject: Subject) -> Option<String> {
         Some(match subject {
             Subject::Fleet => "all".to_owned(),
@@ -120,14 +120,14 @@
         })
     }
 
-    /// The subject of a name in a snapshot.
+    /// The subject that has this name in a snapshot.
     fn subject(&self, name: &str) -> Option<Subject> {
         if name == "all" {
             return Some(Subject::Fleet);
         }
         let (subject_kind, name) = name.split_once('/')?;
         Some(match subject_kind {
-            // Of several definitions of a class the latest one is in force.
+            // If a class has several definitions, the latest one applies.
             "class" => Subject::Class(ClassId(self.classes.iter().rposition(|class| *class == name)?)),
             "kind" => Subject::MachineKind(MachineKindId(self.kinds.find_number(name)?)),
             "zone" => Subject::Zone(ZoneId(self.zones.find_number(name)?)),
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Learned values under the names of their subjects; those of subjects without a name are left out.
+    /// Converts learned values to the names of their subjects; those of subjects without a name are left out.
     pub fn to_names(&self, values: Vec<LearnedValue>) -> LearnedValuesBySubject {
         let mut named = LearnedValuesBySubject::new();
         for LearnedValue { subject, name, value } in values {
@@ -148,7 +148,7 @@
         named
     }
 
-    /// Learned values by the numbers of their subjects; those of subjects that are unknown here are left out.
+    /// Converts learned values to the numbers of their subjects; those of unknown subjects are left out.
     pub fn to_numbers(&self, named: &LearnedValuesBySubject) -> Vec<LearnedValue> {
         let known = named.iter().filter_map(|(name, values)| Some((self.subject(name)?, values)));
         let values = known.flat_map(|(subject, values)| {
