--- a/crates/proxy/tests/command.rs
+++ b/crates/proxy/tests/command.rs
@@ -36,7 +36,7 @@
 "membership_mode":"ask","tick_s":0.005,"reporting":{"how":"piggyback"},"weights":"silent","zone":"z","zones":["z"],
 "rules":{"ask_within_s":10.0,"cold_from":0.35,"fall_multiple":3.0,"fall_s":3.0,"warm_up_s":8.3}}}"#;
 
-/// Started with a configuration of which a part is ignored, a proxy would break rules hours later.
+/// If part of a configuration were ignored, the proxy would start and break rules hours later.
 #[rstest]
 #[case::valid("", "", "")]
 #[case::not_json("{", "", "")]
@@ -67,7 +67,7 @@
     }
 }
 
-/// No folder is used that was not granted, and a misspelt key must not leave a granted one unused.
+/// The proxy must use no folder that was not granted, and a misspelt key must not leave a granted folder unused.
 #[test]
 fn the_operators_own_file_is_checked_with_the_configuration() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/proxy/tests/common/deployment.rs
+++ b/crates/proxy/tests/common/deployment.rs
@@ -1,4 +1,4 @@
-//! What the processes of one deployment share: an address for clients, a folder, and a server.
+//! A deployment that several proxy processes share: an address for clients, a folder, and a server.
 
 use std::io::BufReader;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use super::proxy_process::{AdminEnvironment, ProxyProcess};
 use super::{CONFIG, TIMEOUT};
 
-/// Starts a server that handles each connection by `serve`, on a thread of its own.
+/// Starts a server that handles each connection with `serve` on a separate thread.
 pub(crate) fn spawn_server(serve: impl Fn(BufReader<TcpStream>) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -29,7 +29,7 @@
     message.lines().find_map(|line| line.strip_prefix("x-correlation-id: "))
 }
 
-/// A loopback address that no other test binds: this process's, with a number.
+/// A loopback address that no other test binds: it is derived from this process's id and a number.
 fn unique_host() -> Ipv4Addr {
     static NUMBER: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -44,11 +44,11 @@
 }
 
 impl Deployment {
-    /// A deployment over one server, whose processes may open so many descriptors.
+    /// Creates a deployment with one server, whose processes may open this many descriptors.
     pub(crate) fn new(sockets: u32, server: SocketAddr) -> Self {
         let server = format!(r#"{{"id":"n1","addr":"{server}","zone":"z","state":"SERVING"}}"#);
-        // A port that is free now; the processes bind it later. On an address that others use, a client of theirs might
-        // connect to it meanwhile.
+        // A port that is currently free; the processes bind it later. The address is not shared with other tests, whose
+        // clients might otherwise connect to it meanwhile.
         let listen =
             TcpListener::bind((unique_host(), 0)).and_then(|free| free.local_addr()).expect("a port");
         let config = CONFIG
@@ -61,20 +61,20 @@
         Self { folder: tempfile::tempdir().expect("a folder"), config, listen }
     }
 
-    /// Where a process accepts its successor.
+    /// The path of the socket at which a process accepts its successor.
     pub(crate) fn handover_path(&self) -> PathBuf {
         let name = self.listen.to_string().replace(['.', ':'], "_");
         self.folder.path().join(format!("mosshead-{name}.sock"))
     }
 
-    /// Starts a process, beside those that run.
+    /// Starts a process in addition to the running ones.
     pub(crate) fn start(&self) -> ProxyProcess {
         let path = self.folder.path().join("config.json");
         std::fs::write(&path, &self.config).expect("the configuration is written");
         ProxyProcess::start(&path, self.folder.path(), AdminEnvironment::Unset)
     }
 
-    /// Starts a process, and waits until it is ready.
+    /// Starts a process and waits until it is ready.
     pub(crate) fn start_ready(&self) -> ProxyProcess {
         let proxy = self.start();
         proxy.wait_until_ready();
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Helpers for tests that run the real program over loopback and speak to it in bytes.
+//! Helpers for tests that run the real program on loopback and exchange raw bytes with it.
 
-// Each test program uses a part of them.
+// Each test program uses only some of the helpers.
 #![allow(dead_code)]
 
 pub(crate) mod deployment;
@@ -10,10 +10,11 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// No step takes as long; it keeps a failed test from hanging.
+/// Longer than any step takes; it keeps a failed test from hanging.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The configuration. `DISCOVERY` stands for discovery's address, `SERVERS` for the servers on the saved list.
+/// The configuration. `DISCOVERY` is a placeholder for discovery's address, `SERVERS` for the servers on the saved
+/// list.
 pub(crate) const CONFIG: &str = r#"{"name":"t","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"0a",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[SERVERS]},
 "settings":{"classes":[{"name":"slot-lookup","target_s":3.0,"deadline_s":6.0,"gain":1.0,"dedup_window_s":5.0,"group":"all","effect":"free"},
@@ -23,7 +24,7 @@
 "reporting":{"how":"piggyback"},"rules":{"ask_within_s":10.0,"cold_from":0.35,"fall_multiple":3.0,"fall_s":3.0,
 "warm_up_s":8.3},"tenants":[{"name":"piano","share":1.0}],"weights":"silent","zone":"z","zones":["z"]}}"#;
 
-/// The next message with its body, as far as `Content-Length` states one; none if the connection ends first.
+/// Reads the next message, with its body if `Content-Length` states one; returns none if the connection ends first.
 pub(crate) fn read_message(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
--- a/crates/proxy/tests/common/proxy_process.rs
+++ b/crates/proxy/tests/common/proxy_process.rs
@@ -1,4 +1,4 @@
-//! A process of the program, with its log.
+//! A running proxy process with its log.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,10 +10,10 @@
 
 use super::{TIMEOUT, read_message};
 
-/// How often a condition is checked that is waited for.
+/// How often a condition is polled while waiting for it.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Where the address of the admin endpoint comes from, besides the configuration.
+/// The admin address in the environment, which complements the configuration.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AdminEnvironment {
     Unset,
@@ -25,7 +25,7 @@
 pub(crate) struct ProxyProcess {
     child: Child,
     log: Receiver<String>,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub(crate) listen: SocketAddr,
     /// The admin endpoint, if it has one.
     admin: Option<SocketAddr>,
@@ -38,7 +38,7 @@
 }
 
 impl ProxyProcess {
-    /// Starts the program, and waits until it listens.
+    /// Starts the program and waits until it listens.
     pub(crate) fn start(config: &Path, temp_dir: &Path, admin_environment: AdminEnvironment) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mosshead"));
         command.args(["serve", "--config"]).arg(config).stderr(Stdio::piped());
@@ -80,7 +80,7 @@
         let _ = self.child.wait();
     }
 
-    /// Sends a signal that ends the process, and waits for the end.
+    /// Sends a signal that ends the process, and waits for its exit.
     pub(crate) fn end_by_signal(&mut self, name: &str) {
         self.signal(name);
         let _ = self.child.wait();
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the exit of the process.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let started_at = Instant::now();
         loop {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Waits for the end of the process, with exit code 0.
+    /// Waits for the exit of the process, with exit code 0.
     pub(crate) fn wait_for_success(&mut self) {
         assert_eq!(self.wait_for_exit().code(), Some(0));
     }
@@ -120,7 +120,7 @@
         call_admin_at(self.admin(), request)
     }
 
-    /// Waits until the admin endpoint says that the process is ready.
+    /// Waits until the admin endpoint reports that the process is ready.
     pub(crate) fn wait_until_ready(&self) {
         let started_at = Instant::now();
         while !self.call_admin("GET /ops/readiness").is_some_and(|response| response.contains(" 200 ")) {
--- a/crates/proxy/tests/flow.rs
+++ b/crates/proxy/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Bodies larger than what is buffered: forwarded byte for byte, without delay, and in bounded memory.
+//! Bodies larger than the buffer limit: they are forwarded byte for byte, without delay, and in bounded memory.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use common::deployment::{Deployment, spawn_server};
 use common::proxy_process::ProxyProcess;
 
-/// Random numbers that are the same at each run.
+/// Random numbers that are the same in each run.
 struct RandomStream(u64);
 
 impl RandomStream {
@@ -27,7 +27,7 @@
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -42,7 +42,7 @@
         if random.below(2) == 0 { Framing::Chunked } else { Framing::Length(length) }
     }
 
-    /// The header that states it.
+    /// The header that states the framing.
     fn header(self) -> String {
         match self {
             Framing::Length(length) => format!("Content-Length: {length}"),
@@ -103,7 +103,7 @@
     Some(Head { text, framing })
 }
 
-/// Reads a message; returns its head and its body.
+/// Reads a message and returns its head and its body.
 fn read_message(stream: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let Head { text, framing } = read_head(stream)?;
     let mut body = Vec::new();
@@ -145,7 +145,7 @@
     stream.get_mut().write_all(head.as_bytes()).expect("the request is sent");
 }
 
-/// In either framing, both ways.
+/// Uses both framings, for requests and responses.
 #[test]
 fn bodies_are_forwarded_byte_for_byte_however_they_are_cut() {
     let server = spawn_server(|mut stream| {
@@ -182,7 +182,7 @@
     }
 }
 
-/// Both ways.
+/// Checks requests and responses.
 #[test]
 fn the_start_of_a_body_is_forwarded_before_the_rest_arrives() {
     const LENGTH: usize = 1 << 20;
@@ -225,7 +225,7 @@
     assert!(start.iter().all(|byte| *byte == 1) && rest.iter().all(|byte| *byte == 2));
 }
 
-/// The most memory that the process has used so far, in kB.
+/// The peak memory use of the process, in kB.
 fn peak_memory_kb(proxy: &ProxyProcess) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.id())).expect("the status");
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("the peak");
@@ -237,7 +237,7 @@
 /// The id of the request that gets a small response.
 const SMALL_RESPONSE_ID: u64 = 255;
 
-/// A server with large responses, but for one request.
+/// A server that sends large responses, except to the request with one particular id.
 fn spawn_server_of_large_responses() -> SocketAddr {
     spawn_server(|mut stream| {
         while let Some((head, _)) = read_message(&mut stream) {
@@ -258,7 +258,7 @@
     })
 }
 
-/// A client that reads the head of a large response, and no more for now.
+/// A client that reads only the head of a large response for now.
 fn start_reader(deployment: &Deployment, id: u64) -> BufReader<TcpStream> {
     let mut stream = deployment.connect().expect("the proxy listens");
     send_empty_request(&mut stream, id);
@@ -278,7 +278,7 @@
     }
 }
 
-/// Clients that read nothing slow down only their own responses, and the memory does not grow with the bodies.
+/// A client that reads nothing delays only its own response, and memory does not grow with the bodies.
 #[test]
 fn many_large_responses_to_slow_clients_stay_in_bounded_memory() {
     const READERS: u64 = 12;
@@ -291,14 +291,14 @@
     assert!(read_message(&mut other).expect("a response").0.starts_with("http/1.1 200"));
     assert!(sent_at.elapsed() < Duration::from_secs(1), "{:?}", sent_at.elapsed());
     assert!(proxy.call_admin("GET /ops/readiness").is_some_and(|response| response.contains(" 200 ")));
-    // Longer than a connection may be idle: these are not, since their responses are not complete.
+    // Longer than the idle timeout. These connections are not idle, since their responses are not complete.
     thread::sleep(Duration::from_millis(2700));
     readers.iter_mut().for_each(read_large_response);
     let peak = peak_memory_kb(&proxy);
     assert!(peak < 24 * 1024, "{peak} kB for {READERS} responses of 32 MB");
 }
 
-/// A client may take 2 s for a head, and bring its body at 64 kB a second.
+/// A client may take 2 s to send a head, and may send its body at 64 kB per second.
 #[test]
 fn slow_clients_are_served() {
     let server = spawn_server(|mut stream| {
@@ -334,14 +334,14 @@
     });
 }
 
-/// To a client of HTTP/1.0 the end of a body is the end of its connection. An incomplete response must not look complete,
-/// so the connection is reset.
+/// For an HTTP/1.0 client, the end of the connection marks the end of the body. An incomplete response must not look
+/// complete, so the connection is reset.
 #[test]
 fn an_incomplete_response_resets_the_connection_of_an_http_1_0_client() {
     let server = spawn_server(|mut stream| {
         if read_message(&mut stream).is_some() {
             let stream = stream.get_mut();
-            // In chunks, so that no length is stated, and without the last one.
+            // Chunked, so that no length is stated, and without the last chunk.
             let start = vec![7; 200_000];
             let _ =
                 write!(stream, "HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", start.len());
@@ -357,7 +357,7 @@
     assert!(end.is_err(), "{end:?}: the response looks complete");
 }
 
-/// Also while both of them forward large responses.
+/// The limit also holds while both processes forward large responses.
 #[test]
 fn both_processes_of_a_replacement_stay_within_one_limit_on_memory() {
     const READERS: u64 = 6;
--- a/crates/proxy/tests/log.rs
+++ b/crates/proxy/tests/log.rs
@@ -1,4 +1,4 @@
-//! Tests of `mosshead::log`, in a process of their own: only the first log that a process starts counts.
+//! Tests of `mosshead::log`. They are a separate test program, since only the first log that a process starts is used.
 
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -8,7 +8,7 @@
     AdmittedLine, Format, LogLimiter, MAX_LINES_PER_SECOND, MAX_QUEUED_LINES, say, start_to,
 };
 
-/// Others can cause lines at will, which must not fill the disk.
+/// Lines that others can trigger at will must not fill the disk.
 #[test]
 fn lines_beyond_the_limit_are_counted_and_not_written() {
     let limiter = LogLimiter::default();
@@ -20,7 +20,7 @@
     assert_eq!(limiter.admit(), Some(AdmittedLine { left_out: None }));
 }
 
-/// A writer that blocks until `unblocked` is closed, and then passes on what is written.
+/// A writer that blocks until `unblocked` is closed, and then passes on the written data.
 struct BlockedWriter {
     unblocked: Receiver<()>,
     lines: Sender<Vec<u8>>,
@@ -48,7 +48,7 @@
     }
     assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     drop(unblock);
-    // The queue soon has space again for the count and a line.
+    // The queue will soon have room again for the count and one line.
     let mut text = String::new();
     while !text.contains("log dropped=") {
         say!("once more");
--- a/crates/proxy/tests/network/admin.rs
+++ b/crates/proxy/tests/network/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: it responds at once, whatever happens at either address.
+//! The admin endpoint responds at once, whatever happens at the client address or the admin address.
 
 use rstest::rstest;
 
@@ -68,7 +68,7 @@
      b send GET /_health
      b expect 200"
 )]
-// Requests are served, as the last ones on their connections; silent connections are closed.
+// While it drains, requests are served as the last ones on their connections; silent connections are closed.
 #[case::requests_are_served(
     "s send raw
      a send POST /book-lesson
@@ -108,7 +108,7 @@
     play(&format!("proxy start admin n1\n{scenario}"));
 }
 
-/// Where the configuration names no address for operators, the environment may.
+/// If the configuration names no admin address, the environment may.
 #[test]
 fn the_environment_can_name_the_admin_address() {
     play(
--- a/crates/proxy/tests/network/configuration.rs
+++ b/crates/proxy/tests/network/configuration.rs
@@ -1,8 +1,8 @@
-//! Changes to the text of a configuration.
+//! Edits the text of a configuration.
 
 use thiserror::Error;
 
-/// Why a change can't be made: a fault of the scenario.
+/// Why an edit can't be made, which is a fault of the scenario.
 #[derive(Debug, Error)]
 pub(crate) enum ChangeError {
     #[error("the configuration has no {0}")]
@@ -13,14 +13,14 @@
     UnknownChange(String),
 }
 
-/// The configuration with another value for a key.
+/// Returns the configuration with another value for a key.
 pub(crate) fn with_value(config: &str, key: &str, value: &str) -> Result<String, ChangeError> {
     let (before, after) = split_at_key(config, key)?;
     let rest = &after[after.find([',', '}']).ok_or_else(|| ChangeError::Unclosed(key.to_owned()))?..];
     Ok(format!("{before}\"{key}\":{value}{rest}"))
 }
 
-/// The configuration with one change: `KEY=VALUE`, `add:CLASS:EFFECT`, `drop:CLASS` or `remove:KEY`.
+/// Returns the configuration with one change: `KEY=VALUE`, `add:CLASS:EFFECT`, `drop:CLASS` or `remove:KEY`.
 pub(crate) fn with_change(config: &str, change: &str) -> Result<String, ChangeError> {
     if let Some((name, effect)) = change.strip_prefix("add:").and_then(|rest| rest.split_once(':')) {
         return with_class(config, name, effect);
@@ -37,12 +37,12 @@
     with_value(config, key, value)
 }
 
-/// The text before a key, and that after its colon.
+/// Splits the text into the part before a key and the part after its colon.
 fn split_at_key<'a>(config: &'a str, key: &str) -> Result<(&'a str, &'a str), ChangeError> {
     config.split_once(&format!("\"{key}\":")).ok_or_else(|| ChangeError::NotFound(format!("key {key}")))
 }
 
-/// Where the definition of a class begins and ends.
+/// The byte range of a class definition.
 fn class_range(config: &str, name: &str) -> Result<std::ops::Range<usize>, ChangeError> {
     let start = config.find(&format!("{{\"name\":\"{name}\""));
     let start = start.ok_or_else(|| ChangeError::NotFound(format!("class {name}")))?;
@@ -50,7 +50,7 @@
     Ok(start..start + length + 1)
 }
 
-/// The configuration with one more class, like `slot-lookup` but for its effect.
+/// Returns the configuration with one more class, which equals `slot-lookup` except for its effect.
 fn with_class(config: &str, name: &str, effect: &str) -> Result<String, ChangeError> {
     let model = class_range(config, "slot-lookup")?;
     let class = with_value(&config[model.clone()], "name", &format!("\"{name}\""))?;
--- a/crates/proxy/tests/network/endpoint_list.rs
+++ b/crates/proxy/tests/network/endpoint_list.rs
@@ -1,14 +1,14 @@
-//! The endpoint list, from the saved one to updates of discovery or an agent.
+//! The endpoint list: the saved one, and updates from discovery or an agent.
 
 use rstest::rstest;
 
 use crate::scenario::play;
 
-/// A full list with the server n9 alone.
+/// A full list that contains only the server n9.
 const LIST_OF_N9: &str =
     r#"{"version":2,"full":true,"servers":[{"id":"n9","addr":"addr(n9)","state":"SERVING"}]}"#;
 
-/// Discovery sends that list, and n9 gets the next request.
+/// Steps in which discovery sends that list and n9 gets the next request.
 const SENDS_N9: &str = "send 200 body=LIST_OF_N9
      list expect from=2
      a send GET /slot-lookup
@@ -16,12 +16,12 @@
      n9 send 200 body=nine
      a expect nine";
 
-/// A scenario with these texts in place of `SENDS_N9` and `LIST_OF_N9`.
+/// Plays a scenario in which `SENDS_N9` and `LIST_OF_N9` are replaced by these texts.
 pub(crate) fn expand_lists(scenario: &str) -> String {
     scenario.replace("SENDS_N9", SENDS_N9).replace("LIST_OF_N9", LIST_OF_N9)
 }
 
-/// A list that is late, incomplete or invalid must not replace the old one.
+/// A list that is late, incomplete or invalid must not replace the current one.
 #[rstest]
 #[case::the_saved_list_is_used(
     "n1",
@@ -68,7 +68,7 @@
      n8 send 200 body=moved
      a expect moved"#
 )]
-// Where lists are pushed, an agent is watched from the start, and called again after each failure.
+// Where lists are pushed, the agent is watched from the start and called again after each failure.
 #[case::an_agent_is_watched(
     "n1 membership_mode=\"push\"",
     "list expect from=1 hold_ms=
@@ -109,7 +109,7 @@
      list send 200 body=LIST_OF_N9
      list expect from=2"
 )]
-// Servers come and go: the number of one that has left is used again.
+// When servers are replaced, the number of a removed one is reused.
 #[case::numbers_of_servers_are_reused(
     "n1",
     r#"list expect from=1
@@ -124,7 +124,7 @@
      n8 send 200 body=third
      a expect third"#
 )]
-// After an incomplete list the old one is used, and the next call asks for the full list.
+// After an incomplete list the current one stays in use, and the next call requests the full list.
 #[case::the_list_breaks_off(
     "n1",
     r#"list expect from=1
@@ -146,7 +146,7 @@
      n1 send 200 body=old
      a expect old"
 )]
-// Parsed to its depth, it would overflow the stack.
+// Parsing this list recursively would overflow the stack.
 #[case::the_list_nests_deeply(
     "n1",
     "list expect from=1
--- a/crates/proxy/tests/network/framings.rs
+++ b/crates/proxy/tests/network/framings.rs
@@ -1,4 +1,4 @@
-//! Requests and responses in all forms of HTTP/1.1.
+//! Requests and responses with all framings of HTTP/1.1.
 
 use rstest::rstest;
 
@@ -52,7 +52,7 @@
      n1 close
      a expect 200 content-length:+6 booked"
 )]
-// Both framings, in either order: the content of the body is no message.
+// With both framings, in either order, the content of the body must not be treated as a message.
 #[case::both_framings(
     "a send POST /book-lesson Transfer-Encoding:chunked length=3 more=0\\r\\n\\r\\nGET+/slot-lookup+HTTP/1.1\\r\\n\\r\\n
      a expect 400 twice connection:+close
@@ -60,7 +60,7 @@
      b send raw POST /book-lesson HTTP/1.1\\r\\nContent-Length: 3\\r\\nX-Time-Left: 5\\r\\nX-Correlation-Id: 00000000000000a1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n0\\r\\n\\r\\n
      b expect 400 twice connection:+close"
 )]
-// More than is buffered, both ways; the connections are used again.
+// Bodies above the buffer limit, in requests and responses; the connections are reused.
 #[case::large_bodies(
     "a send POST /book-lesson body=LARGE
      n1 expect book-lesson content-length:+200000 LARGE
@@ -71,7 +71,7 @@
      n1 send 200 body=ok
      a expect ok"
 )]
-// A response that breaks off must not look complete, and its request must not be sent again.
+// A response that is cut off must not look complete, and its request must not be sent again.
 #[case::a_large_response_breaks_off(
     "a send POST /book-lesson
      n1 expect book-lesson
@@ -83,7 +83,7 @@
      n1 send 200 body=ok
      b expect ok"
 )]
-// A body that has been read beyond its start can't be sent again; the request provably never ran.
+// A body that has been read beyond its start can't be sent again; the request was provably not executed.
 #[case::a_large_body_is_rejected(
     "a send POST /book-lesson body=LARGE
      n1 expect LARGE
--- a/crates/proxy/tests/network/idle_connections.rs
+++ b/crates/proxy/tests/network/idle_connections.rs
@@ -1,10 +1,10 @@
-//! Connections without a request are closed: after a while, or sooner where descriptors are scarce.
+//! Connections without a request are closed after a timeout, which is shorter while descriptors are scarce.
 
 use rstest::rstest;
 
 use crate::scenario::play;
 
-/// Their descriptors would be in use for good.
+/// Such connections would otherwise hold their descriptors forever.
 #[rstest]
 #[case::silent_from_the_start("a send raw", "silent")]
 #[case::incomplete_head("a send raw GET /slot-", "unfinished")]
@@ -14,7 +14,7 @@
     play(&format!("proxy start n1\n{steps}\na expect closed\nproxy wait reason={reason}"));
 }
 
-/// The connection would otherwise be idle on a descriptor.
+/// The connection would otherwise hold a descriptor while it is idle.
 #[test]
 fn a_response_closes_its_connection_while_descriptors_are_scarce() {
     let many: String = (0..12).map(|number| format!("a{number} send raw GET /slot-\n")).collect();
@@ -38,7 +38,7 @@
     ));
 }
 
-/// Slow clients send something more often than the limit on pauses.
+/// Clients that send slowly still send something more often than the stall timeout.
 #[test]
 fn stalled_clients_are_closed_when_descriptors_run_out_and_slow_ones_are_not() {
     let stalled: String = (0..40).map(|number| format!("c{number} send raw GET /slot-\n")).collect();
--- a/crates/proxy/tests/network/main.rs
+++ b/crates/proxy/tests/network/main.rs
@@ -1,4 +1,4 @@
-//! The program on real sockets: each test plays a scenario (see `scenario.rs`) and checks one promise.
+//! Tests of the program on real sockets. Each test plays a scenario (see `scenario.rs`) and checks one guarantee.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/proxy/tests/network/rejections.rs
+++ b/crates/proxy/tests/network/rejections.rs
@@ -1,4 +1,4 @@
-//! Messages that are no valid requests are rejected at once, and the proxy goes on.
+//! Invalid messages are rejected at once, and the proxy continues to serve.
 
 use rstest::rstest;
 
@@ -45,7 +45,7 @@
     play(&scenario.replace("ENDLESS", &"x".repeat(20_000)).replace("KEY", &"k".repeat(256)));
 }
 
-/// Servers would execute it again at each repeat.
+/// Without a key, servers would execute the request again on each repeat.
 #[test]
 fn a_request_of_a_keyed_class_without_a_key_is_rejected() {
     play(
--- a/crates/proxy/tests/network/reload.rs
+++ b/crates/proxy/tests/network/reload.rs
@@ -55,7 +55,7 @@
      n1 send 500
      b expect 502"
 )]
-// New requests of it are rejected a moment later; those in flight are served.
+// New requests of a removed class are rejected a moment later; those in flight are served.
 #[case::a_class_is_dropped(
     "proxy change add:poem:free
      proxy wait classes=3
@@ -71,7 +71,7 @@
      b send GET /poem
      b expect 400"
 )]
-// Judged by the new effect, a request in flight would be sent again after it may have run.
+// If the new effect applied to a request in flight, it would be sent again although it may have been executed.
 #[case::a_request_in_flight_keeps_its_effect(
     "a send POST /book-lesson
      n1 expect book-lesson
@@ -107,7 +107,7 @@
     play(&format!("proxy start n1\n{scenario}"));
 }
 
-/// Half of a configuration, or a default in place of a missing key, would break rules hours later.
+/// Partly applied settings, or a default in place of a missing key, would break rules hours later.
 #[rstest]
 #[case::empty("raw ", "fault=")]
 #[case::truncated("raw {\"name\":\"t\",\"listen\":\"127", "fault=")]
--- a/crates/proxy/tests/network/requests.rs
+++ b/crates/proxy/tests/network/requests.rs
@@ -1,11 +1,11 @@
-//! Requests are forwarded unchanged, and each has exactly one response.
+//! Requests are forwarded unchanged, and each gets exactly one response.
 
 use rstest::rstest;
 
 use crate::scenario::play;
 
 #[rstest]
-// Method, path, query, body and id, and the body of the response.
+// The method, path, query, body and id are forwarded, and so is the body of the response.
 #[case::both_are_forwarded_unchanged(
     "proxy start n1
      a send POST /book-lesson/7?x=%20y id=00ab body=lesson
@@ -17,7 +17,7 @@
      n1 send 200 body=free
      a expect 200 free"
 )]
-// The idempotency key, with each attempt, byte for byte, on every class.
+// The idempotency key is forwarded byte for byte with each attempt, for every class.
 #[case::keys_are_forwarded_unchanged(
     "proxy start n1 effect=\"guarded\" send_cap=5
      a send POST /slot-lookup Idempotency-Key:00Ff-\u{e9}= body=bread
@@ -37,7 +37,7 @@
      n1 send 200 body=keyless
      a expect 200 keyless"
 )]
-// A request that may have run is never answered by a status that allows a retry, and an unsafe one is not retried.
+// A request that may have been executed never gets a status that allows a retry, and an unsafe one is not retried.
 #[case::an_error_is_no_rejection(
     "proxy start n1
      a send POST /book-lesson
@@ -69,7 +69,7 @@
      a expect 502
      proxy wait reason=broken"
 )]
-// A request that provably never ran is rejected, with the time of a retry.
+// A request that was provably not executed is rejected, with the delay before a retry.
 #[case::a_rejection_is_passed_on(
     "proxy start n1 send_cap=1
      a send POST /book-lesson
@@ -83,7 +83,7 @@
      a expect 503 retry-after:
      proxy wait reason=refused"
 )]
-// An attempt that is given up closes its connection.
+// An attempt that is aborted closes its connection.
 #[case::an_attempt_times_out_with_the_client(
     "proxy start n1 target_s=0.3
      a send GET /slot-lookup left=0.5
@@ -92,7 +92,7 @@
      n1 expect closed
      proxy wait reason=given-up"
 )]
-// The attempt of a client that leaves is cancelled.
+// When a client disconnects, its attempt is cancelled.
 #[case::a_client_leaves(
     "proxy start n1
      a send POST /book-lesson
@@ -104,7 +104,7 @@
      b send GET /_health
      b expect 200"
 )]
-// An idle connection is used again, unless the server closes it.
+// An idle connection is reused, unless the server closes it.
 #[case::connections_are_reused(
     "proxy start n1
      a send POST /book-lesson id=01
@@ -121,7 +121,7 @@
      n1 send 200 body=three
      a expect three"
 )]
-// With the maximum of pending requests, the next one is rejected before the balancer sees it.
+// At the maximum of pending requests, the next one is rejected before the balancer sees it.
 #[case::too_many_pending_requests(
     "proxy start n1 most_held=1
      a send POST /book-lesson
@@ -135,7 +135,7 @@
     play(scenario);
 }
 
-/// A server takes a second request of the same id for a repeat of the first one.
+/// A server treats a second request with the same id as a repeat of the first one.
 #[rstest]
 #[case::pending_or_finished_not_long_ago(
     "proxy start n1
--- a/crates/proxy/tests/network/responses.rs
+++ b/crates/proxy/tests/network/responses.rs
@@ -4,9 +4,10 @@
 
 use crate::scenario::play;
 
-/// A request with an invalid response has run. Bytes after a valid response do no harm, and the next request gets its own.
+/// A request with an invalid response counts as executed. Bytes after a valid response are ignored, and the next
+/// request gets its own response.
 #[rstest]
-// The header of a response that breaks off proves nothing.
+// The header of a response that is cut off proves nothing.
 #[case::unprocessed_but_broken("503 X-Unprocessed:1 length=9 body=half", "502", "broken")]
 #[case::noise("raw noise\\r\\n\\r\\n", "502", "broken")]
 #[case::no_length("200 length=none body=x", "502", "bad-answer")]
--- a/crates/proxy/tests/network/scenario.rs
+++ b/crates/proxy/tests/network/scenario.rs
@@ -40,7 +40,7 @@
 use crate::common::{CONFIG, TIMEOUT, read_message};
 use crate::configuration::{ChangeError, with_change, with_value};
 
-/// Why a step does not go as written.
+/// Why a step fails.
 #[derive(Debug, Error)]
 enum StepError {
     #[error("unknown verb")]
@@ -64,7 +64,7 @@
 /// Plays a scenario.
 ///
 /// # Panics
-/// A step does not go as written; the message names it.
+/// A step fails; the message names it.
 pub(crate) fn play(scenario: &str) {
     let mut player = Player::default();
     for step in scenario.lines().map(str::trim).filter(|step| !step.is_empty()) {
@@ -79,23 +79,23 @@
 /// A client, an operator, a server or discovery.
 #[derive(Default)]
 struct Party {
-    /// The connections to it, if it listens.
+    /// Accepted connections, if the party is a server or discovery.
     accepted: Option<Receiver<TcpStream>>,
-    /// Its open connection.
+    /// The party's open connection.
     stream: Option<BufReader<TcpStream>>,
 }
 
 #[derive(Default)]
 struct Player {
     proxy: Option<ProxyProcess>,
-    /// Contains the configuration, and what the proxy writes.
+    /// The folder for the configuration and the proxy's output.
     folder: Option<TempDir>,
     config_path: PathBuf,
     config: String,
     parties: HashMap<String, Party>,
-    /// Where servers and discovery listen.
+    /// The addresses of servers and discovery.
     addrs: HashMap<String, SocketAddr>,
-    /// How many messages were composed; ids are made of it.
+    /// The number of messages composed so far, from which request ids are derived.
     message_count: u32,
 }
 
@@ -154,7 +154,7 @@
                 servers.push(format!(r#"{{"id":"{word}","addr":"{addr}","zone":"z","state":"SERVING"}}"#));
             }
         }
-        // Servers that no list has at first.
+        // Servers that are on no list at first.
         for spare in ["n8", "n9"] {
             self.listen(spare);
         }
@@ -210,14 +210,14 @@
         self.proxy.as_mut().expect("the proxy was started")
     }
 
-    /// Has the proxy reload the configuration, with this text.
+    /// Writes this text to the configuration file and makes the proxy reload it.
     fn reload(&mut self, text: String) -> Result<(), StepError> {
         std::fs::write(&self.config_path, text)?;
         self.proxy().signal("HUP");
         Ok(())
     }
 
-    /// Changes the configuration, and returns its text; `raw TEXT` is returned without a change.
+    /// Changes the configuration and returns its text; `raw TEXT` is returned unchanged.
     fn change_config(&mut self, changes: &str) -> Result<String, StepError> {
         if let Some(text) = changes.strip_prefix("raw") {
             return Ok(text.trim_start().to_owned());
@@ -228,7 +228,7 @@
         Ok(self.config.clone())
     }
 
-    /// The open connection of a party: a client or operator connects, a server or discovery accepts the next one.
+    /// The open connection of a party. Without one, a client or operator connects, and a server or discovery accepts.
     fn stream(&mut self, name: &str) -> &mut BufReader<TcpStream> {
         let proxy = self.proxy();
         let addr = if name.starts_with("op") { proxy.admin() } else { proxy.listen };
@@ -259,7 +259,7 @@
         }
         let more = take("more=").unwrap_or_default().replace("\\r\\n", "\r\n").replace('+', " ");
         let length = take("length=").unwrap_or_else(|| body.len().to_string());
-        // Each request has an id of its own, of 16 digits.
+        // Each request gets a unique id of 16 digits.
         self.message_count += 1;
         let id = take("id=").unwrap_or_else(|| format!("c0ffee{:x}", self.message_count));
         let time_left = take("left=").unwrap_or_else(|| "5".to_owned());
@@ -282,7 +282,7 @@
     }
 }
 
-/// Checks that a message contains each of the words, in upper or lower case.
+/// Checks that a message contains each of the words, ignoring case.
 fn check_words(message: &str, words: &str) -> Result<(), StepError> {
     let (message, words) = (message.to_lowercase(), words.to_lowercase());
     let missing = words.split(' ').find(|word| !message.contains(&word.replace('+', " ")));
--- a/crates/proxy/tests/network/stop.rs
+++ b/crates/proxy/tests/network/stop.rs
@@ -33,7 +33,7 @@
     play(scenario);
 }
 
-/// The accept queue would be lost with the listener, also if no descriptor is free to accept it.
+/// Connections in the accept queue would be lost with the listener, even if no descriptor is free to accept them.
 #[test]
 fn a_stop_serves_connections_that_wait_for_a_descriptor() {
     let crowd: String = (0..30).map(|number| format!("c{number} send raw GET /slot-\n")).collect();
--- a/crates/proxy/tests/parts/class_table.rs
+++ b/crates/proxy/tests/parts/class_table.rs
@@ -8,7 +8,7 @@
 use mosshead_decide::interface::{ClassId, ClassRedefinition, RepeatEffect};
 use mosshead_settings::{JsonField, NamedSettings, parse_json, read_settings};
 
-/// Settings with classes of these names, effects and deadlines.
+/// Settings with classes that have these names, effects and deadlines.
 fn settings(classes: &[(&str, &str, f64)]) -> NamedSettings {
     let classes = classes.iter().map(|(name, effect, deadline)| {
         format!(r#"{{"name":"{name}","target_s":0.5,"deadline_s":{deadline},"gain":1,"effect":"{effect}"}}"#)
@@ -23,12 +23,12 @@
     read_settings(&JsonField::root(&parse_json(&text).expect("JSON"))).expect("settings")
 }
 
-/// The classes that a name refers to, the present one first.
+/// The meanings of a class name, the current one first.
 fn classes_of(names: &AcceptedNames, name: &str, now: Instant) -> Vec<usize> {
     names.class(name, now).map(|binding| binding.class.0).collect()
 }
 
-/// Pending requests keep the definition that they arrived under.
+/// Pending requests keep the definition that applied when they arrived.
 #[test]
 fn a_class_that_is_defined_anew_gets_another_slot() {
     let (mut table, names) = ClassTable::new(&settings(&[("a", "free", 1.0), ("b", "free", 1.0)]));
@@ -53,13 +53,13 @@
     assert!(
         classes_of(&change.names, "b", later).is_empty() && classes_of(&change.names, "x", now).is_empty()
     );
-    // The former definitions are still in their slots.
+    // The previous definitions are still in their slots.
     let former = settings(&[("a", "free", 1.0), ("b", "free", 1.0)]);
     let change = table.change(&former, |_| true, later).expect("a change");
     assert_eq!((change.active_classes, change.settings.classes.len()), (vec![ClassId(0), ClassId(1)], 4));
 }
 
-/// Many changes must not fill the memory.
+/// Many changes must not make the table grow without bound.
 #[test]
 fn a_slot_is_used_again_once_no_request_has_its_class() {
     let (mut table, _) = ClassTable::new(&settings(&[("a", "free", 1.0)]));
--- a/crates/proxy/tests/parts/config.rs
+++ b/crates/proxy/tests/parts/config.rs
@@ -2,8 +2,8 @@
 
 use mosshead::Config;
 
-/// With more requests a connection than the protocol carries, the balancer would expect free connections where there are
-/// none.
+/// If more requests per connection were allowed than the protocol carries, the balancer would count free connections
+/// that don't exist.
 #[test]
 fn a_connection_carries_one_request_whatever_the_settings_state() {
     let text = r#"{"name":"t","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"0a",
--- a/crates/proxy/tests/parts/endpoint_list.rs
+++ b/crates/proxy/tests/parts/endpoint_list.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The list of a discovery that came back with old state would make targets again of servers that drain. If its state is
+/// A discovery restored with old state sends lists in which draining servers are targets again. If its newer state is
 /// lost for good, the older list is the only one.
 #[test]
 fn an_older_list_is_accepted_only_after_the_stale_period() {
@@ -24,8 +24,8 @@
     }
 }
 
-/// A discovery that answers at once without an update would be called without end; after an update the next call must not
-/// be delayed.
+/// A discovery that answers at once without an update would be called in a tight loop. After an update, the next call
+/// must not be delayed.
 #[test]
 fn a_discovery_that_does_not_wait_is_called_at_intervals() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -49,7 +49,7 @@
             let response = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             stream.write_all(response.as_bytes()).await.expect("written");
         }
-        // The first call had an update of version 1; the second one had none.
+        // The first call had an update to version 1; the second one had none.
         assert!(waits[1] < MIN_CALL_INTERVAL / 2 && waits[2] >= MIN_CALL_INTERVAL / 2, "{waits:?}");
     });
 }
--- a/crates/proxy/tests/parts/framing.rs
+++ b/crates/proxy/tests/parts/framing.rs
@@ -2,7 +2,7 @@
 
 use mosshead::framing::{Position, RequestFraming};
 
-/// Messages of all framings; the fourth and the sixth head state both framings.
+/// Messages with all framings; the fourth and the sixth head state both.
 const MESSAGES: &str = "\r\nGET /a HTTP/1.1\r\nX: 1\r\n\r\n\
     POST /b HTTP/1.1\r\nContent-Length: 40\r\n\r\nGET / HTTP/1.1\r\nTransfer-Encoding: a\r\n\r\n\
     POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: x\r\n\r\n\
@@ -11,7 +11,7 @@
     POST /f HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
     GET /g HTTP/1.1\r\n\r\n";
 
-/// A head that is part of a body is none.
+/// Bytes that look like a head inside a body must not be treated as one.
 #[test]
 fn each_head_is_found_however_the_bytes_are_cut() {
     for cut in 1..MESSAGES.len() {
--- a/crates/proxy/tests/parts/main.rs
+++ b/crates/proxy/tests/parts/main.rs
@@ -1,4 +1,4 @@
-//! Tests of single modules of the client proxy, for what can't be tested over its sockets.
+//! Tests of individual modules of the client proxy, for behaviour that can't be tested over its sockets.
 
 mod budget;
 mod class_table;
--- a/crates/proxy/tests/parts/operators.rs
+++ b/crates/proxy/tests/parts/operators.rs
@@ -2,7 +2,7 @@
 
 use mosshead::OperatorConfig;
 
-/// A misspelt key would grant nothing, and a relative path would depend on where the program was started.
+/// A misspelt key would be ignored, and a relative path would depend on the working directory.
 #[test]
 fn an_error_in_the_operators_file_names_the_key() {
     let with_folder = OperatorConfig { state: Some("/var/lib/mosshead".into()) };
--- a/crates/proxy/tests/parts/request_ids.rs
+++ b/crates/proxy/tests/parts/request_ids.rs
@@ -4,7 +4,7 @@
 
 use mosshead::request_ids::RequestIds;
 
-/// A request must not run twice, and the ids of finished ones must not fill the memory.
+/// A request must not be executed twice, and the ids of finished requests must not use unbounded memory.
 #[test]
 fn an_id_is_free_again_once_its_request_can_no_longer_be_running() {
     let (now, retention) = (Instant::now(), Duration::from_secs(6));
--- a/crates/proxy/tests/parts/server.rs
+++ b/crates/proxy/tests/parts/server.rs
@@ -1,4 +1,4 @@
-//! Tests of `mosshead::server` and `mosshead::messages`: attempts without a proxy around them.
+//! Tests of `mosshead::server` and `mosshead::messages`: attempts without a running proxy.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -29,8 +29,8 @@
     AttemptGuard::new(key, EndpointId(0), balancer.clone())
 }
 
-/// A server that starts to drain or restarts while a connection to it comes up gets no request: a drain counts from the
-/// first byte, and a restarted server is cold.
+/// A server that starts to drain or restarts while a connection to it is being opened must get no request: a drain
+/// applies from the first byte on, and a restarted server is cold.
 #[rstest]
 #[case::drains(|status: EndpointStatus| EndpointStatus { readiness: Readiness::Draining, ..status })]
 #[case::restarted(|status: EndpointStatus| EndpointStatus { started_at: ServerStart::from_unix_millis(5.0), ..status })]
@@ -61,7 +61,7 @@
     });
 }
 
-/// Timed to its last byte, a large response to a slow client would make its server look slow.
+/// If it were timed to its last byte, a large response to a slow client would make its server look slow.
 #[test]
 fn an_attempt_is_timed_to_the_head_of_its_response() {
     let (balancer, mut messages) = unbounded_channel();
@@ -73,7 +73,7 @@
     assert!(result.rtt < 0.05, "{}", result.rtt);
 }
 
-/// Each attempt has exactly one outcome, also if nobody reports it.
+/// Each attempt has exactly one outcome, even if none is reported.
 #[test]
 fn a_dropped_guard_reports_that_the_attempt_may_have_run() {
     let (balancer, mut messages) = unbounded_channel();
--- a/crates/proxy/tests/parts/snapshot_writer.rs
+++ b/crates/proxy/tests/parts/snapshot_writer.rs
@@ -49,7 +49,7 @@
     assert_eq!(read(folder), Ok(snapshot_of(1)));
 }
 
-/// During a replacement, two processes of one name have the same folder.
+/// During a replacement, two processes of one name use the same folder.
 #[test]
 fn only_the_first_of_two_processes_gets_the_lock() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/proxy/tests/parts/stored_state.rs
+++ b/crates/proxy/tests/parts/stored_state.rs
@@ -8,7 +8,7 @@
 use mosshead_snapshot::snapshot::MAX_ENDED_SERVERS;
 use mosshead_snapshot::unix_time::{ServerStart, UnixTime};
 
-/// The numbers of the next incarnation are others.
+/// The next incarnation uses different numbers.
 #[test]
 fn learned_values_find_their_subjects_by_name() {
     let tables = |classes: [&'static str; 2], servers: [&'static str; 2]| {
--- a/crates/proxy/tests/replace.rs
+++ b/crates/proxy/tests/replace.rs
@@ -1,4 +1,4 @@
-//! The replacement of a running process by another one under load: each request has one response.
+//! Replaces a running process by another one under load: each request gets one response.
 
 mod common;
 
@@ -20,7 +20,7 @@
 /// The ids of the requests that a server has executed.
 type ExecutedIds = Arc<Mutex<Vec<String>>>;
 
-/// A server that responds to each request after a moment, with its id.
+/// A server that responds to each request with its id, after a short delay.
 fn spawn_echo_server(executed: ExecutedIds) -> SocketAddr {
     spawn_server(move |mut stream| {
         while let Some(request) = read_message(&mut stream) {
@@ -35,7 +35,7 @@
     })
 }
 
-/// A deployment over such a server.
+/// A deployment with such a server.
 struct EchoDeployment {
     deployment: Deployment,
     executed: ExecutedIds,
@@ -59,7 +59,7 @@
         self.executed.lock().expect("no thread panics with the lock")
     }
 
-    /// Starts eight clients that send one request after the other.
+    /// Starts eight clients that send one request after another.
     fn start_load(&self) -> Load {
         let load = Load::default();
         let clients = (0..8).map(|client| {
@@ -99,8 +99,8 @@
     Closed,
 }
 
-/// Sends a request and checks its response. A request that crosses with the end of an idle connection is sent again, on
-/// a new one.
+/// Sends a request and checks its response. If the request raced with the close of an idle connection, it is sent again
+/// on a new one.
 fn send_request(
     listen: SocketAddr,
     idle: &mut Option<BufReader<TcpStream>>,
@@ -119,7 +119,7 @@
     let response =
         stream.get_mut().write_all(request.as_bytes()).ok().and_then(|()| read_message(&mut stream));
     match response {
-        // A rejection is a response, too: at first one server is trusted with few requests at once.
+        // A rejection is a response, too: at first the concurrency limit of a server is low.
         Some(response)
             if (response.starts_with("HTTP/1.1 200") && response.ends_with(id))
                 || (response.starts_with("HTTP/1.1 503") && response.contains("retry-after")) =>
@@ -145,14 +145,14 @@
 #[derive(Default)]
 struct SharedLoad {
     is_stopping: AtomicBool,
-    /// How many requests were sent.
+    /// The number of requests sent.
     sent: AtomicU64,
     /// The requests without a valid response.
     lost: Mutex<Vec<String>>,
 }
 
 impl Load {
-    /// Waits until so many more requests have been sent.
+    /// Waits until this many more requests have been sent.
     fn wait_for_requests(&self, count: u64) {
         let sent = || self.shared.sent.load(Ordering::Relaxed);
         let (target, started_at) = (sent() + count, Instant::now());
@@ -170,7 +170,7 @@
         lost.iter().take(9).cloned().collect()
     }
 
-    /// Goes on for a while, and checks that each request has had a valid response.
+    /// Keeps the load running for a while, then checks that each request got a valid response.
     fn assert_nothing_lost(self) {
         self.wait_for_requests(50);
         let lost = self.stop();
@@ -178,7 +178,7 @@
     }
 }
 
-/// Connections in the accept queue of a closed listener would be reset, and new ones refused.
+/// When a listener is closed, connections in its accept queue are reset and new ones refused.
 #[rstest]
 #[case::alone("")]
 #[case::during_reloads("HUP")]
@@ -205,7 +205,7 @@
     assert_eq!(distinct.len(), executed.len(), "an unsafe request was executed twice");
 }
 
-/// Before it is ready it has accepted no connection, and the old process goes on.
+/// Before the new process is ready it accepts no connections, and the old process continues.
 #[test]
 fn a_successor_that_ends_before_it_is_ready_loses_no_request() {
     let deployment = EchoDeployment::new(256);
@@ -243,7 +243,7 @@
     assert!(send_request(deployment.listen, &mut None, "00000000000000aa").is_ok());
 }
 
-/// The old process, which was not stopped yet, accepts successors and has all descriptors again.
+/// The old process, which was not stopped yet, accepts successors again and gets all descriptors back.
 #[test]
 fn a_successor_that_is_killed_once_it_accepts_can_be_followed_by_another() {
     let deployment = EchoDeployment::new(256);
@@ -260,7 +260,7 @@
     load.assert_nothing_lost();
 }
 
-/// The address is shared, and the new process serves.
+/// The address is shared, and the new process serves requests.
 #[rstest]
 #[case::a_socket_at_which_nobody_listens("socket")]
 #[case::a_file("file")]
@@ -284,7 +284,7 @@
     load.assert_nothing_lost();
 }
 
-/// The old process closes idle connections for its successor.
+/// The old process closes idle connections to free descriptors for its successor.
 #[test]
 fn both_processes_together_stay_within_the_limit_on_descriptors_though_the_old_one_is_full() {
     const SOCKETS: u32 = 96;
@@ -309,7 +309,7 @@
     drop(idle);
 }
 
-/// By the list of its configuration alone, a new process would send requests to a server that drains.
+/// With only the list of its configuration, a new process would send requests to a draining server.
 #[test]
 fn a_successor_has_the_endpoint_list_of_its_predecessor() {
     let mut echo = EchoDeployment::new(256);
@@ -343,7 +343,7 @@
     assert!(echo.executed().is_empty(), "requests were sent to a server that drains");
 }
 
-/// A second replacement begins while the old process of the first one still finishes its requests.
+/// A second replacement begins while the old process of the first one is still finishing its requests.
 #[test]
 fn overlapping_replacements_lose_no_request() {
     let deployment = EchoDeployment::new(256);
@@ -363,7 +363,7 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Many operators call at the same time; the state is that of the last call.
+/// Many operators call at the same time; the last call determines the state.
 #[test]
 fn concurrent_drain_calls_are_all_answered_and_end_in_one_state() {
     let deployment = EchoDeployment::new(256);
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -6,17 +6,17 @@
 
 use crate::error::{InvalidValue, JsonError};
 
-/// Maximum nesting depth. No message of the protocol nests deeper than a few levels.
+/// Maximum nesting depth. Messages of the protocol nest only a few levels deep.
 pub(crate) const MAX_DEPTH: usize = 32;
-/// Whole numbers are exact below this.
+/// Whole numbers below this are exact.
 const INTEGER_END: f64 = 9_007_199_254_740_992.0;
 
-/// Parses a text.
+/// Parses a JSON text.
 ///
 /// # Errors
 ///
-/// The text nests too deeply or is not JSON. The parser calls itself for each level and would overflow the stack, so the
-/// depth is checked before it is called.
+/// The text nests too deeply or is not JSON. The depth is checked before parsing, since the parser is recursive and
+/// would overflow the stack.
 pub fn parse_json(text: &str) -> Result<JsonValue, JsonError> {
     if nests_too_deeply(text) {
         return Err(JsonError::TooDeep);
@@ -42,10 +42,10 @@
     false
 }
 
-/// A value and where it was found.
+/// A value and its path.
 ///
-/// Its methods fail with a [`JsonError`] that names the path, if the value, or the field that is asked for, isn't what the
-/// method reads.
+/// The methods fail with a [`JsonError`] that names the path if the value, or the requested field, is not of the
+/// expected form.
 pub struct JsonField<'a> {
     value: &'a JsonValue,
     /// Names and indices from the root, such as `classes[0].target_s`.
@@ -53,12 +53,12 @@
 }
 
 impl<'a> JsonField<'a> {
-    /// The value of the whole text.
+    /// The root value of a text.
     pub fn root(value: &'a JsonValue) -> Self {
         Self { value, path: String::new() }
     }
 
-    /// A field that may be absent or null.
+    /// A field that may be absent or null; `None` if it is.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         Ok(value.map(|value| self.child(name, value)))
     }
 
-    /// A field that must be there.
+    /// A required field.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
         field.ok_or_else(|| self.invalid(InvalidValue::MissingField(name.to_owned())))
     }
 
-    /// All fields of an object, in no order.
+    /// All fields of an object, in no particular order.
     ///
     /// # Errors
     ///
@@ -139,23 +139,23 @@
         self.value.get().copied().ok_or_else(|| self.wrong_type("a bool"))
     }
 
-    /// A name that stands for one of a few values.
+    /// A name that represents one of several values.
     ///
     /// # Errors
     ///
-    /// This value is not a string, or none of the names.
+    /// This value is not a string, or is none of the names.
     pub fn one_of<T: Copy>(&self, values: &[(&str, T)]) -> Result<T, JsonError> {
         let text = self.string()?;
         let known = values.iter().find(|(name, _)| *name == text);
         known.map(|(_, value)| *value).ok_or_else(|| self.invalid(InvalidValue::UnknownName(text.to_owned())))
     }
 
-    /// The error of a caller that finds that this value breaks another rule.
+    /// The error for a value that the caller found to break another rule.
     pub fn broken_rule(&self, rule: &'static str) -> JsonError {
         self.invalid(InvalidValue::BrokenRule(rule))
     }
 
-    /// The items of a list that may be absent; none if it is.
+    /// The items of an optional list; empty if the list is absent.
     pub(crate) fn optional_items(&self, name: &str) -> Result<Vec<JsonField<'a>>, JsonError> {
         self.optional_field(name)?.map_or(Ok(Vec::new()), |list| list.items())
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reading JSON into typed values; above all the settings object that the platform hands to a proxy. Field names are the
-//! platform's, those of the typed values are the code's.
+//! Reads JSON into typed values, in particular the settings object that the platform passes to a proxy. Field names in
+//! JSON are the platform's; the typed values use the names of this code base.
 //!
-//! Every error names the path of the value that is wrong.
+//! Every error names the path of the invalid value.
 
 mod error;
 mod json;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object of the platform.
+//! Reads the settings object of the platform.
 
 use mosshead_decide::NameTable;
 use mosshead_decide::interface::{
@@ -9,27 +9,27 @@
 use crate::error::JsonError;
 use crate::json::JsonField;
 
-/// Stands for a time that the platform doesn't limit, in seconds: longer than any timeout that matters.
+/// The value for a time that the platform doesn't limit, in seconds: longer than any timeout in use.
 const NO_LIMIT: Seconds = 3600.0;
 
-/// The settings, with the names that the ids in them stand for.
+/// The settings, with the names that their ids refer to.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// The typed values; names are replaced by ids.
+    /// The typed values, in which ids replace names.
     pub settings: Settings,
-    /// Zones, by [`ZoneId`].
+    /// The names of the zones, indexed by [`ZoneId`].
     pub zones: NameTable,
-    /// Kinds of machine, by [`MachineKindId`].
+    /// The names of the machine kinds, indexed by [`MachineKindId`].
     pub kinds: NameTable,
-    /// Request classes, by [`ClassId`](mosshead_decide::interface::ClassId).
+    /// The names of the request classes, indexed by [`ClassId`](mosshead_decide::interface::ClassId).
     pub classes: NameTable,
-    /// Tenants, by [`TenantId`](mosshead_decide::interface::TenantId).
+    /// The names of the tenants, indexed by [`TenantId`](mosshead_decide::interface::TenantId).
     pub tenants: NameTable,
 }
 
 impl NamedSettings {
-    /// The same settings with the zone and machine kind ids of the given tables, to which unknown names are added: so
-    /// ids keep their meaning when the settings are reloaded.
+    /// Returns the same settings with the zone and machine kind ids of the given tables, to which unknown names are
+    /// added. This keeps ids stable when the settings are reloaded.
     pub fn renumbered(mut self, zones: &mut NameTable, kinds: &mut NameTable) -> Self {
         let mut zone = |ZoneId(index): ZoneId| ZoneId(zones.intern(self.zones.name(index)));
         let mut kind =
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// A field is missing, of another type, out of bounds, or not one of the names that are known.
+/// A field is missing, of another type, out of bounds, or not one of the allowed names.
 pub fn read_settings(settings: &JsonField) -> Result<NamedSettings, JsonError> {
     let mut zones = read_strings(&settings.field("zones")?.items()?)?;
     let machine_types = settings.optional_items("machine_types")?;
@@ -99,7 +99,7 @@
     Ok(NameTable::from_names(names))
 }
 
-/// The names of a list's objects.
+/// The names of the objects in a list.
 fn read_names(items: &[JsonField]) -> Result<NameTable, JsonError> {
     let names = items.iter().map(|item| item.field("name")?.string()).collect::<Result<Vec<_>, _>>()?;
     Ok(NameTable::from_names(names))
@@ -109,13 +109,13 @@
     Ok(Tenant { share: tenant.number_or("share", 0.0)? })
 }
 
-/// A field of `prices`; 0 if it isn't stated.
+/// A field of `prices`; 0 if it is absent.
 fn read_price(settings: &JsonField, name: &str) -> Result<f64, JsonError> {
     settings.optional_field("prices")?.map_or(Ok(0.0), |prices| prices.number_or(name, 0.0))
 }
 
-/// The machine kinds or zones that a class is restricted to; `None` if it isn't. One that no server has yet gets an id too,
-/// since a server of it may start later.
+/// The machine kinds or zones that a class is restricted to; `None` if it isn't. A name that no server has yet also
+/// gets an id, since a server with that name may start later.
 fn read_restriction<T>(
     class: &JsonField,
     name: &str,
@@ -126,7 +126,7 @@
     Ok(Some(names.into_iter().map(id).collect()))
 }
 
-/// Reads a request class. A `group` that is absent or empty stands for [`DedupScope::Group`].
+/// Reads a request class. A `group` that is absent or empty means [`DedupScope::Group`].
 fn read_class(class: &JsonField, zones: &mut NameTable, kinds: &mut NameTable) -> Result<Class, JsonError> {
     let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
     let scope = match class.optional_field("group")? {
--- a/crates/settings/tests/json.rs
+++ b/crates/settings/tests/json.rs
@@ -1,8 +1,8 @@
-//! What is read from JSON, and what the errors say.
+//! The values read from JSON, and the error messages.
 
 use mosshead_settings::{InvalidValue, JsonError, JsonField, parse_json};
 
-/// Reads a text by a function; the error is its message.
+/// Reads a text with a function; an error is returned as its message.
 fn read<T>(text: &str, read: impl Fn(&JsonField) -> Result<T, JsonError>) -> Result<T, String> {
     let json = parse_json(text).map_err(|error| error.to_string())?;
     read(&JsonField::root(&json)).map_err(|error| error.to_string())
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reading the members of a line.
+//! Parses the members of a line.
 
 use core::str::FromStr;
 
@@ -6,12 +6,12 @@
 
 use crate::error::LineError;
 
-/// The members of one line, `name=text` each, with a space between them. The text of a member that may contain spaces runs to
-/// the end of the line.
+/// The members of one line, each written as `name=text` and separated by spaces. A member whose text may contain spaces
+/// extends to the end of the line.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(pub(crate) &'a str);
 
-/// A server of a list on the wire. It has names, which each instance maps to numbers of its own.
+/// A list entry on the wire. It contains names, which each instance maps to its own numbers.
 #[derive(Clone)]
 pub(crate) struct ListItem {
     pub(crate) server: String,
@@ -20,12 +20,12 @@
     pub(crate) machine_kind: String,
     pub(crate) group: u64,
     pub(crate) weight: f64,
-    /// When its process last started, on the simulator's clock; none if that is long ago.
+    /// When its process last started, on the simulator's clock; none if that was long ago.
     pub(crate) started_at: Option<Seconds>,
 }
 
 impl<'a> Fields<'a> {
-    /// The text of a member, if the line has it.
+    /// The text of an optional member.
     pub(crate) fn find(self, member: &str) -> Option<&'a str> {
         self.0
             .split(' ')
@@ -34,12 +34,12 @@
             .map(|(_, text)| text)
     }
 
-    /// The text of a member that the line must have.
+    /// The text of a required member.
     pub(crate) fn get(self, member: &'static str) -> Result<&'a str, LineError> {
         self.find(member).ok_or(LineError::MissingMember(member))
     }
 
-    /// A member whose text runs to the end of the line.
+    /// The text of a member that extends to the end of the line.
     pub(crate) fn rest_of_line(self, member: &'static str) -> Result<&'a str, LineError> {
         let (mut rest, prefix) = (self.0, format!("{member}="));
         while !rest.is_empty() {
@@ -92,7 +92,7 @@
         })
     }
 
-    /// The load that a server has reported, in requests; empty if it has reported none. Other metrics are ignored.
+    /// The load that a server has reported, in requests; empty if there was no report. Other metrics are ignored.
     pub(crate) fn load_report(self) -> Result<LoadReport, LineError> {
         let mut report = LoadReport::default();
         let Some(metrics) = self.find("metrics").filter(|metrics| !matches!(*metrics, "" | "-")) else {
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a balancer, and the tables from the names on the wire to the numbers that the balancer uses.
+//! One instance: a balancer, and the tables that map names on the wire to the balancer's numbers.
 
 use core::fmt::Write;
 use std::collections::HashSet;
@@ -11,7 +11,7 @@
 use crate::fields::{Fields, ListItem};
 use crate::replies::write_action;
 
-/// A balancer and what the wire needs beside it.
+/// A balancer and the state needed to translate its wire messages.
 pub(crate) struct Instance {
     balancer: Balancer,
     can_advise_retry_after: bool,
@@ -20,14 +20,14 @@
     kinds: NameTable,
     classes: NameTable,
     tenants: NameTable,
-    /// Every request that was received so far: an outcome may come after its request has ended.
+    /// All requests received so far, since an outcome may arrive after its request has ended.
     requests: HashSet<RequestId>,
-    /// The lines of what it has decided in this batch.
+    /// The lines of its decisions in the current batch.
     reply: String,
 }
 
 impl Instance {
-    /// An instance with these settings, which are the platform's JSON, and this seed of its random draws.
+    /// Creates an instance from the platform's settings in JSON, and a seed for its random numbers.
     pub(crate) fn start(settings_json: &str, seed: u64) -> Result<Instance, LineError> {
         let json = settings::parse_json(settings_json)?;
         let NamedSettings { settings, zones, kinds, classes, tenants } =
@@ -46,17 +46,17 @@
         })
     }
 
-    /// Moves what was decided in this batch to the end of a reply; nothing if there is nothing.
+    /// Moves the decisions of the current batch to the end of `reply`, if there are any.
     pub(crate) fn append_reply(&mut self, number: u32, reply: &mut String) {
         if !self.reply.is_empty() {
-            // Writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = writeln!(reply, "as i={number}");
             reply.push_str(&self.reply);
             self.reply.clear();
         }
     }
 
-    /// The item with numbers in place of names. New names get the next numbers.
+    /// Converts an item to a list entry, with numbers in place of names. New names get the next free numbers.
     pub(crate) fn list_entry(&mut self, item: &ListItem) -> ListEntry {
         ListEntry {
             endpoint: EndpointId(self.endpoints.intern(&item.server) as u32),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads the message of an event: of a request, an attempt, a probe or a timer.
+    /// Parses an event message: one about a request, an attempt, a probe or a timer.
     pub(crate) fn read_event(&self, message: &str, fields: Fields) -> Result<Event, LineError> {
         Ok(match message {
             "ingress" => Event::RequestReceived(self.read_request(fields)?),
@@ -121,7 +121,7 @@
         known.ok_or(LineError::UnknownRequest(request))
     }
 
-    /// Lets the balancer decide on an event, and adds its decisions to the reply of this batch.
+    /// Passes an event to the balancer and adds its decisions to the reply of the current batch.
     pub(crate) fn handle_event(&mut self, now: Seconds, event: Event) {
         if let Event::RequestReceived(request) = &event {
             self.requests.insert(request.id);
@@ -129,7 +129,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
         for action in actions {
-            // Writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = write_action(&mut self.reply, action, &self.endpoints, self.can_advise_retry_after);
         }
     }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,11 +1,12 @@
-//! The simulator's wire for the decisions of `mosshead-decide`: lines of text are read as events, and actions are written as
-//! lines of a reply. Nothing is decided here.
+//! The simulator's wire protocol for `mosshead-decide`: it parses lines of text into events and writes actions as lines
+//! of a reply. It makes no decisions itself.
 //!
-//! A [`Session`] takes the input line by line. A line is the name of a message and its members, `name=text` each. The lines
-//! between `turn` and `commit` are a batch: lists of servers by number (`list`, then one `item` a line), `about`, which selects
-//! the instance that the next messages are for, and messages for it. After `commit` the session replies for all instances.
+//! A [`Session`] takes the input line by line. A line consists of the name of a message and its members, each written
+//! as `name=text`. The lines between `turn` and `commit` form a batch, which contains numbered lists of servers
+//! (`list`, then one `item` per line), `about`, which selects the instance for the messages that follow, and messages
+//! for that instance. After `commit` the session replies for all instances.
 //!
-//! An *instance* is a balancer with settings of its own: the simulator plays several proxies at a time.
+//! An *instance* is a balancer with its own settings: the simulator runs several proxies at a time.
 
 mod error;
 mod fields;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's wire on standard input and output, one balancer for each instance.
+//! Runs the simulator's wire protocol on standard input and output, with one balancer for each instance.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
         if input.read_until(b'\n', &mut bytes).map_err(HostError::Input)? == 0 {
             return Ok(session.finish()?);
         }
-        // What is not UTF-8 turns into replacement characters, which no message name or number contains.
+        // Bytes that are not UTF-8 become replacement characters, which no message name or number contains.
         let line = String::from_utf8_lossy(&bytes);
         if let Some(reply) = session.handle_line(line.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(HostError::Output)?;
--- a/crates/simhost/src/replies.rs
+++ b/crates/simhost/src/replies.rs
@@ -1,12 +1,12 @@
-//! Writes the decisions of an instance as lines of a reply.
+//! Writes the decisions of an instance as reply lines.
 
 use core::fmt::{self, Write};
 
 use mosshead_decide::NameTable;
 use mosshead_decide::interface::{Action, EndpointId};
 
-/// Appends the line of an action. Only if `can_advise_retry_after`, the line of a rejection
-/// has the delay after which the client may retry.
+/// Appends the line of an action. If `can_advise_retry_after` is true, the line of a rejection includes the delay after
+/// which the client may retry.
 pub(crate) fn write_action(
     reply: &mut String,
     action: Action,
--- a/crates/simhost/src/session.rs
+++ b/crates/simhost/src/session.rs
@@ -1,4 +1,4 @@
-//! The exchange with the simulator: batches, lists and instances.
+//! The session with the simulator: batches, lists and instances.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use crate::fields::{Fields, ListItem, unknown_word};
 use crate::instance::Instance;
 
-/// Hosts the instances of one process: takes the input line by line, and answers each batch with one reply.
+/// Hosts the instances of one process: takes the input line by line and sends one reply for each batch.
 #[derive(Default)]
 pub struct Session {
     instances: BTreeMap<u32, Instance>,
     lists: BTreeMap<u64, Vec<ListItem>>,
-    /// The list of which items are still to come: only `item` lines may follow.
+    /// The list that is still missing items; while there is one, only `item` lines may follow.
     incomplete_list: Option<IncompleteList>,
-    /// The batch whose messages are being read; none between batches.
+    /// The batch that is being read; none between batches.
     batch: Option<Batch>,
     /// The number of the last line that was handled, counted from 1.
     line: u64,
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy)]
 struct IncompleteList {
     number: u64,
-    /// At least 1.
+    /// The number of missing items, at least 1.
     missing_items: u64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Session {
-    /// A session without instances.
+    /// Creates a session without instances.
     pub fn new() -> Session {
         Session::default()
     }
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// The line is not one of the protocol, or not one that may come here.
+    /// The line is not part of the protocol, or not allowed at this point.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
         let (message, members) = line.split_once(' ').unwrap_or((line, ""));
@@ -53,7 +53,7 @@
         reply.map_err(|error| WireError { line: self.line, error })
     }
 
-    /// Ends the input, which may end between batches only.
+    /// Ends the input, which may end only between batches.
     ///
     /// # Errors
     ///
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    /// Handles a message for the selected instance, which has this number.
+    /// Handles a message for the selected instance, which has this `number`.
     fn handle_instance_message(
         &mut self,
         number: u32,
@@ -128,13 +128,13 @@
         fields: Fields,
     ) -> Result<(), LineError> {
         if message == "configure" {
-            // `info` runs to the end of the line, so a seed after it would be part of the JSON.
+            // `info` extends to the end of the line, so a seed after it would be parsed as part of the JSON.
             let instance = Instance::start(fields.rest_of_line("info")?, fields.integer("rng_seed")?)?;
             self.instances.insert(number, instance);
             return Ok(());
         }
         if message == "stop" {
-            // Its decisions earlier in this batch are dropped with it: their requests have ended.
+            // Its earlier decisions in this batch are dropped with it, since its requests have ended.
             let stopped = self.instances.remove(&number);
             return stopped.map(drop).ok_or(LineError::UnknownInstance(number));
         }
@@ -142,7 +142,7 @@
         let event = match message {
             "topology" => Event::ListUpdated(read_list_update(&self.lists, instance, fields)?),
             "mail" => {
-                // The decisions send no messages to peers and listen to none.
+                // The balancer sends no messages to peers and receives none from them.
                 fields.integer::<u32>("who")?;
                 return Ok(());
             }
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// What all instances have decided in the batch, and the line that ends a reply.
+    /// The decisions of all instances in the batch, and the line that ends the reply.
     fn collect_reply(&mut self) -> String {
         let mut reply = String::new();
         for (number, instance) in &mut self.instances {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Reads a `topology` message: the scope of an update, and the number of the list that it is about.
+/// Reads a `topology` message: the scope of an update, and the number of the list that the update refers to.
 fn read_list_update(
     lists: &BTreeMap<u64, Vec<ListItem>>,
     instance: &mut Instance,
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: exchanges written by hand, oddities that are legal, and errors.
+//! The simulator's wire protocol: sample exchanges, unusual but valid input, and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -23,7 +23,7 @@
     configuration_lines().into_iter().chain(more.iter().map(|line| line.to_string())).collect()
 }
 
-/// All replies of a session.
+/// Returns all replies of a session.
 fn play(lines: &[String]) -> Result<String, WireError> {
     let mut session = Session::new();
     let mut replies = String::new();
@@ -34,12 +34,12 @@
     Ok(replies)
 }
 
-/// The message of the error of a session.
+/// Returns the error message of a session.
 fn error_of(lines: &[String]) -> String {
     play(lines).expect_err("the input has an error").to_string()
 }
 
-/// The message of the error of an instance with these settings.
+/// Returns the error message of an instance with these settings.
 fn settings_error(settings: &str) -> String {
     error_of(&lines_after_configuration(&[&format!("configure rng_seed=1 info={settings}"), "commit"]))
 }
@@ -106,7 +106,7 @@
     }
 }
 
-/// `read` may be served only by `special` machines in zone `a`; machines of that kind are on no list at first.
+/// `read` may be served only by `special` machines in zone `a`; no list has machines of that kind at first.
 #[test]
 fn bindings_and_objectives_reach_the_decisions() {
     let bound = SETTINGS
@@ -282,7 +282,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    // It may stop reading at an error.
+    // The program may stop reading at an error.
     let _ = child.stdin.take().expect("standard input is piped").write_all(input);
     child.wait_with_output().expect("the program ends")
 }
--- a/crates/snapshot/fuzz/fuzz_targets/snapshot.rs
+++ b/crates/snapshot/fuzz/fuzz_targets/snapshot.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bytes as a snapshot.
+//! Fuzz target that decodes arbitrary bytes as a snapshot.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,12 +1,13 @@
-//! What a proxy stores about its fleet: the server list, the snapshot that one instance leaves to the next, and what the next
-//! instance may still use of it.
+//! The data that a proxy stores about its fleet: the server list, the snapshot that one instance writes for the next,
+//! and the rules for what the next instance may still use of it.
 //!
-//! An *instance* is one run of a proxy's process; those of one name follow each other. At its start it has a server list from
-//! its *platform*, which may be out of date; later lists come from *discovery*, the service that knows all servers.
+//! An *instance* is one run of a proxy's process; instances with the same name run one after another. At its start an
+//! instance gets a server list from its *platform*, which may be out of date. Later lists come from *discovery*, the
+//! service that knows all servers.
 //!
-//! Nothing here does I/O or reads a clock: bytes and times are handed in. [`snapshot`] has the file's content and its format,
-//! [`server_list`] the list within it, [`restore`] what a new instance makes of both, and [`part_report`] how it reports that
-//! in its log.
+//! This crate does no I/O and reads no clock: bytes and times are arguments. [`snapshot`] defines the file's content
+//! and format, [`server_list`] the list within it, [`restore`] what a new instance uses of both, and [`part_report`]
+//! how it reports that in its log.
 
 pub mod part_report;
 pub mod restore;
--- a/crates/snapshot/src/part_report.rs
+++ b/crates/snapshot/src/part_report.rs
@@ -1,4 +1,4 @@
-//! What became of each part of a former instance's snapshot, and why: for the log of the new instance.
+//! For the log of a new instance: how each part of a previous instance's snapshot was used, and why.
 
 use core::fmt;
 use core::time::Duration;
@@ -18,7 +18,7 @@
     LearnedValues,
 }
 
-/// What became of a part.
+/// How a part was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
     /// It is used as it was stored.
@@ -29,14 +29,14 @@
     Discarded,
 }
 
-/// A part, what became of it, and why.
+/// How a part was used, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartReport {
     /// The part that the report is about.
     pub part: SnapshotPart,
-    /// Whether it is used.
+    /// How it was used.
     pub outcome: PartOutcome,
-    /// Why it is used, or why not.
+    /// The reason for the outcome.
     pub reason: PartReason,
 }
 
@@ -46,22 +46,22 @@
     }
 }
 
-/// Why a part is used, or why not. The texts are those of the log.
+/// The reason for an outcome. Its text appears in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PartReason {
     /// The snapshot can't be read.
     #[error(transparent)]
     Unreadable(SnapshotError),
-    /// The snapshot is that of an instance with this other name.
+    /// The snapshot belongs to an instance with this other name.
     #[error("of {0}")]
     OtherInstance(String),
-    /// It was written later than now, by more than clocks of one machine differ.
+    /// It was written later than now, by more than the allowed clock skew.
     #[error("of the future, by {:.0} s", seconds(*ahead))]
     FromTheFuture {
-        /// How far in the future.
+        /// How far it is in the future.
         ahead: Duration,
     },
-    /// The age of the part decided.
+    /// The part was used or discarded because of its age.
     #[error("{:.1} s old", seconds(*age))]
     Age {
         /// The time since the snapshot was written, or since discovery confirmed the list.
@@ -70,12 +70,12 @@
     /// Discovery has never confirmed the list.
     #[error("discovery never told it")]
     Unconfirmed,
-    /// The stored list is of an earlier version than the one that the platform gave.
+    /// The stored list has an earlier version than the list from the platform.
     #[error("version {version}, {given} was given")]
     EarlierVersion {
         /// The version of the stored list.
         version: u64,
-        /// The version of the list that the platform gave.
+        /// The version of the platform's list.
         given: u64,
     },
     /// The stored list is used, with this version and age.
@@ -86,15 +86,15 @@
         /// The time since discovery confirmed it.
         age: Duration,
     },
-    /// Without the servers that drain or have ended, no server would be left to send to.
+    /// No ready server would be left if the servers that drain or have ended were excluded.
     #[error("nothing would be left to send to")]
     NoServerLeft,
-    /// How many servers are known to drain or to have ended.
+    /// The number of servers known to drain or to have ended.
     #[error("{known} known, {listed} of them listed")]
     EndedServers {
-        /// All that are remembered.
+        /// The number of remembered servers.
         known: usize,
-        /// Those of them that the list had as ready, and that were marked as draining.
+        /// How many of them the list had as ready; these were marked as draining.
         listed: usize,
     },
 }
--- a/crates/snapshot/src/restore.rs
+++ b/crates/snapshot/src/restore.rs
@@ -1,5 +1,5 @@
-//! What a new instance may still use of a former one's snapshot. Each part is checked by itself, and the list is merged with
-//! the one that the platform gave.
+//! Decides what a new instance may use of a previous instance's snapshot. Each part is checked separately, and the list
+//! is merged with the platform's list.
 
 use core::time::Duration;
 
@@ -10,35 +10,36 @@
 use crate::snapshot::{EndedServer, LearnedValuesBySubject, MAX_ENDED_SERVERS, Snapshot, SnapshotError};
 use crate::unix_time::UnixTime;
 
-/// A list is not used when it is older than this, and a server that drains or has ended is forgotten after it.
+/// The maximum age of a usable list. A server that drains or has ended is also forgotten after this.
 pub const MAX_LIST_AGE: Duration = Duration::from_secs(600);
-/// Learned values are not used when they are older than this.
+/// The maximum age of usable learned values.
 pub const MAX_LEARNED_AGE: Duration = Duration::from_secs(60);
-/// Learned values are reported as restored up to this age, and as outdated above it.
+/// The age up to which learned values are reported as restored; older ones are reported as outdated.
 pub const FRESH_LEARNED_AGE: Duration = Duration::from_secs(2);
-/// What was written further in the future than this was written before the clock was set back.
+/// The tolerance for times in the future. Data further in the future was written before the clock was set back.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
-/// What a new instance starts from.
+/// The state from which a new instance starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredState {
-    /// The list to serve by until discovery sends one.
+    /// The list to use until discovery sends one.
     pub server_list: ServerList,
-    /// When discovery last confirmed it to a former instance; none for the platform's list.
+    /// When discovery last confirmed the list to a previous instance; none for the platform's list.
     pub list_confirmed_at: Option<UnixTime>,
-    /// Whether servers of it were marked as draining. It then differs from discovery's list of the same version.
+    /// True if some of its servers were marked as draining. The list then differs from discovery's list of the same
+    /// version.
     pub is_list_modified: bool,
     /// Servers that drain or have ended, for the next snapshot; at most [`MAX_ENDED_SERVERS`].
     pub ended_servers: Vec<EndedServer>,
     /// Learned values that are recent enough to be used.
     pub learned_values: Option<RestoredValues>,
-    /// Counts the instances of this name that started one after the other, from 1.
+    /// The sequence number of this instance among those of its name, from 1.
     pub incarnation: u64,
-    /// What became of each part.
+    /// How each part of the snapshot was used.
     pub reports: Vec<PartReport>,
 }
 
-/// The learned values of a former instance.
+/// The learned values of a previous instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredValues {
     /// The values.
@@ -47,7 +48,7 @@
     pub age: Duration,
 }
 
-/// What an instance of this name starts from, by the list that the platform gave and the snapshot that was read from its
+/// Builds the start state of the instance with this name from the platform's list and from the snapshot read from its
 /// folder.
 pub fn restore(
     given: &ServerList,
@@ -59,7 +60,7 @@
         Ok(snapshot) if snapshot.instance_name == instance_name => {
             RestoredState::from_snapshot(given, snapshot, now)
         }
-        // All instances that were started from one image find the same snapshot.
+        // All instances started from one disk image find the same snapshot.
         Ok(snapshot) => {
             RestoredState::without_snapshot(given, PartReason::OtherInstance(snapshot.instance_name))
         }
@@ -87,7 +88,7 @@
         RestoredState { reports, ..RestoredState::first(given) }
     }
 
-    /// The state of the first instance of a name.
+    /// The start state of the first instance of a name.
     fn first(given: &ServerList) -> RestoredState {
         RestoredState {
             server_list: given.clone(),
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Marks servers of the list as draining that a former instance knew to drain or to have ended: the list may be older than
-    /// that knowledge, and requests would be sent to them again.
+    /// Marks listed servers as draining if a previous instance knew them to drain or to have ended. The list may be
+    /// older than that knowledge, and requests would otherwise be sent to them again.
     fn restore_ended_servers(&mut self, snapshot: &Snapshot, now: UnixTime) -> PartReport {
         let ended_servers = remembered_ended_servers(snapshot, now);
         let mut list = self.server_list.clone();
@@ -133,7 +134,7 @@
         }
         let has_ready = list.servers.iter().any(|server| server.readiness == Readiness::Ready);
         if marked > 0 && !has_ready {
-            // Outdated knowledge of drains must not empty a fleet whose servers are known.
+            // Outdated records of drains must not leave a fleet of known servers without targets.
             return PartReport::discarded(SnapshotPart::EndedServers, PartReason::NoServerLeft);
         }
         let known = ended_servers.len();
@@ -184,8 +185,8 @@
     Ok(age)
 }
 
-/// The servers that drain or have ended and were reported recently; the latest, if there are too many. Reports from the future,
-/// as after the clock was set back, are used too: at worst they keep requests from a server.
+/// The servers recently reported as draining or ended; only the latest ones if there are too many. Reports from the
+/// future, which occur after the clock was set back, are used too: at worst they keep requests from a server.
 fn remembered_ended_servers(snapshot: &Snapshot, now: UnixTime) -> Vec<EndedServer> {
     let is_recent = |ended: &&EndedServer| age_at(ended.reported_at, now).unwrap_or_default() <= MAX_LIST_AGE;
     let mut ended_servers: Vec<EndedServer> =
@@ -195,7 +196,7 @@
     ended_servers
 }
 
-/// The age of what was written at a time; an error if that is in the future.
+/// The age of data written at a given time; an error if that time is in the future.
 fn age_at(written_at: UnixTime, now: UnixTime) -> Result<Duration, PartReason> {
     let ahead = written_at.duration_since(now);
     if ahead > MAX_CLOCK_SKEW {
--- a/crates/snapshot/src/server_list.rs
+++ b/crates/snapshot/src/server_list.rs
@@ -8,12 +8,12 @@
 
 use crate::unix_time::ServerStart;
 
-/// The list of servers, or the entries that have changed in it.
+/// The server list, or the entries that have changed in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerList {
-    /// Its version: discovery's number, which grows with each change.
+    /// The version: discovery's number, which grows with each change.
     pub version: u64,
-    /// Whether it has all servers; otherwise it has those that changed.
+    /// True if it contains all servers, false if only those that changed.
     pub is_complete: bool,
     /// The servers.
     pub servers: Vec<ListedServer>,
@@ -22,17 +22,17 @@
 /// One server on the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// Its id, the same at every proxy.
+    /// Its id, which is the same for all proxies.
     pub id: String,
-    /// Where this proxy connects to it.
+    /// The address at which this proxy connects to it.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
     /// Its kind of machine.
     pub machine_kind: String,
-    /// Its cell, a group of servers within a zone.
+    /// Its cell, which is a group of servers within a zone.
     pub cell: u64,
-    /// Whether new requests may be sent there.
+    /// The state, which determines if new requests may be sent to it.
     pub readiness: Readiness,
     /// Its weight as discovery states it; 1 by default.
     pub weight: f64,
@@ -40,7 +40,7 @@
     pub started_at: ServerStart,
 }
 
-/// Discovery's names of the states.
+/// The names of the states in discovery's JSON.
 const STATES: [(&str, Readiness); 3] =
     [("SERVING", Readiness::Ready), ("DRAINING", Readiness::Draining), ("DELETED", Readiness::Removed)];
 
@@ -49,7 +49,7 @@
     JsonValue::Object(fields.into_iter().map(|(name, value)| (name.to_owned(), value)).collect())
 }
 
-/// The list in discovery's form.
+/// The list in discovery's JSON form.
 pub(crate) fn server_list_json(server_list: &ServerList) -> JsonValue {
     let servers: Vec<JsonValue> = server_list.servers.iter().map(listed_server_json).collect();
     object([
@@ -76,12 +76,12 @@
     ])
 }
 
-/// Writes the list in discovery's form; `None` if a number in it is not finite.
+/// Writes the list in discovery's JSON form; `None` if it contains a number that is not finite.
 pub fn write_server_list(server_list: &ServerList) -> Option<String> {
     server_list_json(server_list).stringify().ok()
 }
 
-/// Reads a list in discovery's form.
+/// Reads a list in discovery's JSON form.
 ///
 /// # Errors
 ///
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The snapshot: one small file with a checksum in its header and a JSON object as its body. It is read completely or not
-//! at all.
+//! The snapshot: one small file with a checksum in its header and a JSON object as its body. It is used completely or
+//! not at all.
 
 use std::collections::BTreeMap;
 use std::str::Utf8Error;
@@ -12,63 +12,63 @@
 use crate::server_list::{ListedServer, ServerList, object, read_server_list, server_list_json};
 use crate::unix_time::{ServerStart, UnixTime};
 
-/// The file of the snapshot in its folder.
+/// The file name of the snapshot in its folder.
 pub const SNAPSHOT_FILE: &str = "snapshot";
-/// The file that is written and then renamed to [`SNAPSHOT_FILE`].
+/// The temporary file, which is renamed to [`SNAPSHOT_FILE`] once it is complete.
 pub const NEW_SNAPSHOT_FILE: &str = "snapshot.new";
-/// The file whose lock shows which process writes.
+/// The lock file, which is locked by the process that writes.
 pub const LOCK_FILE: &str = "lock";
 /// The maximum length of a snapshot in bytes.
 pub const MAX_SNAPSHOT_LEN: usize = 1024 * 1024;
-/// The maximum number of servers that are remembered as draining or ended; the latest are retained.
+/// The maximum number of draining or ended servers that are remembered; the latest ones are kept.
 pub const MAX_ENDED_SERVERS: usize = 256;
 
 const MAGIC: &str = "mosshead-snapshot";
 const FORMAT: u64 = 1;
 /// The maximum length of the header line in bytes.
 const MAX_HEADER_LEN: usize = 80;
-/// Stands in a snapshot for a list that discovery has never confirmed.
+/// The stored value for a list that discovery has never confirmed.
 const NEVER_CONFIRMED: u64 = 0;
 
-/// What an instance has learned of one subject from its attempts, by the names of the values.
+/// The values that an instance has learned about one subject from its attempts, by name.
 pub type LearnedValues = BTreeMap<String, f64>;
 /// Learned values by subject: `all`, `class/NAME`, `kind/NAME`, `zone/NAME`, `bound/NAME`, `node/ID`.
 pub type LearnedValuesBySubject = BTreeMap<String, LearnedValues>;
 
-/// A server that drains or has ended, as an instance learned of it.
+/// A server that an instance has learned to be draining or ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedServer {
     /// Its id.
     pub id: String,
     /// When it started.
     pub started_at: ServerStart,
-    /// When the instance learned of its drain or its end.
+    /// When the instance learned that the server drains or has ended.
     pub reported_at: UnixTime,
 }
 
 impl EndedServer {
-    /// Whether a listed server is this one. A server with the same id and another start is its successor.
+    /// True if a listed server is this one. A server with the same id and another start time is its successor.
     pub fn is_same_server(&self, listed: &ListedServer) -> bool {
         self.id == listed.id && self.started_at == listed.started_at
     }
 }
 
-/// All that one instance leaves to the next.
+/// The state that one instance stores for the next.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     /// The name of the instance.
     pub instance_name: String,
-    /// Counts the instances of this name that started one after the other, from 1.
+    /// The sequence number of this instance among those of its name, from 1.
     pub incarnation: u64,
     /// When it was written.
     pub written_at: UnixTime,
     /// The list of servers.
     pub server_list: ServerList,
-    /// When discovery last confirmed the list to an instance of this name; never, if there is none.
+    /// When discovery last confirmed the list to an instance of this name; none if it never did.
     pub list_confirmed_at: Option<UnixTime>,
     /// Servers that drain or have ended.
     pub ended_servers: Vec<EndedServer>,
-    /// What the instance has learned.
+    /// The values that the instance has learned.
     pub learned_values: LearnedValuesBySubject,
 }
 
@@ -122,7 +122,7 @@
         ("left", ended_servers.into()),
         ("learnt", learned_values_json(&snapshot.learned_values)),
     ]);
-    // Fails for numbers that are not finite; there are none: those of discovery are read from JSON.
+    // Fails only for numbers that are not finite. There are none, since discovery's numbers are read from JSON.
     add_header(&body.stringify().unwrap_or_default())
 }
 
@@ -143,7 +143,7 @@
     JsonValue::Object(subjects.collect())
 }
 
-/// Puts the header before a body: magic, format, length and checksum.
+/// Prepends the header to a body: magic, format, length and checksum.
 pub fn add_header(body: &str) -> Vec<u8> {
     format!("{MAGIC} {FORMAT} {} {:016x}\n{body}", body.len(), xxh3_64(body.as_bytes())).into_bytes()
 }
@@ -159,7 +159,7 @@
     Ok(read_content(&JsonField::root(&json))?)
 }
 
-/// The body, if its length and checksum are those that the header states.
+/// Returns the body if its length and checksum match the header.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
--- a/crates/snapshot/src/unix_time.rs
+++ b/crates/snapshot/src/unix_time.rs
@@ -1,4 +1,4 @@
-//! Wall-clock times: they are compared between the instances of a proxy, and with discovery's times.
+//! Wall-clock times, which instances of a proxy compare with each other's times and with discovery's.
 
 use core::ops::{Add, Sub};
 use core::time::Duration;
@@ -10,17 +10,17 @@
 }
 
 impl UnixTime {
-    /// The time so many milliseconds after the Unix epoch.
+    /// The time that is this many milliseconds after the Unix epoch.
     pub const fn from_millis(millis: u64) -> UnixTime {
         UnixTime { millis }
     }
 
-    /// Milliseconds since the Unix epoch.
+    /// The number of milliseconds since the Unix epoch.
     pub const fn as_millis(self) -> u64 {
         self.millis
     }
 
-    /// The span since an earlier time; zero if that one is later.
+    /// The duration since an earlier time; zero if that time is later.
     pub const fn duration_since(self, earlier: UnixTime) -> Duration {
         Duration::from_millis(self.millis.saturating_sub(earlier.millis))
     }
@@ -46,8 +46,8 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// When a server last started, as discovery states it: milliseconds since the Unix epoch, 0 for long ago. A server whose start
-/// differs is another server, so the number is kept exactly as its JSON has it, fractions included.
+/// When a server last started, as discovery states it: milliseconds since the Unix epoch, or 0 for long ago. A
+/// different start means a different server, so the number is kept exactly as in the JSON, including fractions.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct ServerStart {
     millis: f64,
@@ -57,12 +57,12 @@
     /// The start of a server that started long ago.
     pub const LONG_AGO: ServerStart = ServerStart { millis: 0.0 };
 
-    /// The start so many milliseconds after the Unix epoch.
+    /// The start that is this many milliseconds after the Unix epoch.
     pub const fn from_unix_millis(millis: f64) -> ServerStart {
         ServerStart { millis }
     }
 
-    /// Milliseconds since the Unix epoch.
+    /// The number of milliseconds since the Unix epoch.
     pub const fn as_unix_millis(self) -> f64 {
         self.millis
     }
--- a/crates/snapshot/tests/corpus.rs
+++ b/crates/snapshot/tests/corpus.rs
@@ -1,8 +1,8 @@
-//! The corpus of the fuzz target, replayed. `docs/operators/scenarios.md` says how it grows.
+//! Replays the corpus of the fuzz target. `docs/operators/scenarios.md` describes how to extend it.
 
 mod shared;
 
-/// A program that panics at what it finds in its folder would never start again.
+/// A program that panics on the content of its folder could never start again.
 #[test]
 fn no_file_of_the_corpus_causes_a_panic() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus");
--- a/crates/snapshot/tests/former_formats.rs
+++ b/crates/snapshot/tests/former_formats.rs
@@ -1,4 +1,4 @@
-//! A snapshot that an earlier version has written: a new program starts from what the one before it has left.
+//! Snapshots written by earlier versions, which a new version must be able to read.
 
 use std::collections::BTreeMap;
 
@@ -57,7 +57,7 @@
     assert_eq!(decode(&encode(&snapshot())), Ok(snapshot()));
 }
 
-/// The order of the members of its JSON objects is not fixed; the frame around them is.
+/// The order of the members of the JSON objects is not fixed, but the frame around them is.
 #[test]
 fn the_frame_of_an_earlier_version_is_written_alike() {
     let text = String::from_utf8(file()).unwrap();
--- a/crates/snapshot/tests/restore.rs
+++ b/crates/snapshot/tests/restore.rs
@@ -1,4 +1,4 @@
-//! Snapshots that were truncated, flipped, foreign, old or of the future, and what a new instance makes of them.
+//! Snapshots that are truncated, corrupted, foreign, old or from the future, and what a new instance uses of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     EndedServer { id: id.to_owned(), started_at: ServerStart::LONG_AGO, reported_at }
 }
 
-/// Written a second ago, with two servers that are ready and two that drain or have ended.
+/// A snapshot written a second ago, with two ready servers and two that drain or have ended.
 fn snapshot() -> Snapshot {
     let values = BTreeMap::from([("service".to_owned(), 0.25), ("price".to_owned(), -3.5)]);
     Snapshot {
@@ -74,13 +74,13 @@
     ready_servers(&restored.server_list).map(|server| server.id.as_str()).collect()
 }
 
-/// All that one instance leaves to the next.
+/// The state that one instance stores for the next.
 #[test]
 fn an_encoded_snapshot_decodes_to_the_same() {
     assert_eq!(decode(&encode(&snapshot())), Ok(snapshot()));
 }
 
-/// Half a snapshot, or one with a flipped bit, must not be taken for a complete one.
+/// A truncated snapshot, or one with a flipped bit, must not be accepted as complete.
 #[test]
 fn every_truncation_and_every_flipped_bit_is_detected() {
     let bytes = encode(&snapshot());
@@ -99,7 +99,7 @@
     assert_eq!(decode(later.as_bytes()), Err(SnapshotError::UnsupportedFormat(2)));
 }
 
-/// The platform's list is older than the drain, which the former instance was notified of.
+/// The platform's list is older than the drain of which the previous instance was notified.
 #[test]
 fn a_server_that_a_former_instance_knew_to_drain_gets_no_requests() {
     let given =
@@ -110,12 +110,12 @@
         (ready_ids(&restored), restored.incarnation, restored.is_list_modified),
         (vec!["a", "ccc"], 5, false)
     );
-    // The platform wrote its list after the snapshot: that list counts, without the servers that drain.
+    // The platform wrote its list after the snapshot: that list is used, without the draining servers.
     let given = ServerList { version: 20, ..given };
     let restored = restore(&given, Ok(snapshot()), INSTANCE, NOW);
     assert_eq!(outcomes(&restored)[..2], [PartOutcome::Discarded, PartOutcome::Restored]);
     assert_eq!((ready_ids(&restored), restored.is_list_modified), (vec!["a"], true));
-    // A server with the same id that has started since is another one.
+    // A server with the same id and a later start is a different server.
     let mut given = given;
     given.servers[1].started_at = ServerStart::from_unix_millis(77.0);
     assert_eq!(ready_ids(&restore(&given, Ok(snapshot()), INSTANCE, NOW)), ["a", "bb"]);
@@ -129,7 +129,7 @@
     assert_eq!((restored.server_list, restored.is_list_modified), (given, false));
 }
 
-/// Of another instance, of the future, too old for one part and not for another.
+/// Snapshots of another instance, from the future, or too old for one part but not for another.
 #[test]
 fn each_part_is_judged_by_itself() {
     let given = server_list(5, &[("a", Readiness::Ready), ("bb", Readiness::Ready)]);
@@ -140,7 +140,8 @@
         (vec![PartOutcome::Discarded; 3], &given, 1)
     );
     assert!(foreign.reports[0].reason.to_string().contains("n4"));
-    // The clock was set back by an hour: the list and the learned values don't count, the drains only take servers away.
+    // The clock was set back by an hour: the list and the learned values are discarded. The drains are used, since they
+    // only exclude servers.
     let clock_set_back = restore_at(snapshot(), NOW - Duration::from_secs(3600));
     assert_eq!(
         outcomes(&clock_set_back),
@@ -176,7 +177,7 @@
     prop::sample::select(vec![ServerStart::LONG_AGO, ServerStart::from_unix_millis(7.0)])
 }
 
-/// The id of the server of a number.
+/// The id of the server with this number.
 fn server_id(number: usize) -> String {
     "x".repeat(number + 1)
 }
@@ -194,8 +195,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever a folder contains, no server becomes a target that neither list names as one, none that is known to have ended
-    /// does while there are others, and a list that had targets keeps some.
+    /// Whatever a folder contains: a server becomes a target only if one of the lists names it as one; a server known
+    /// to have ended does not become one while there are others; and a list that had targets keeps some.
     #[test]
     fn a_snapshot_adds_no_target_of_its_own(
         given in any_list(),
@@ -244,7 +245,7 @@
     }
 }
 
-/// Writes the corpus that the fuzz target starts from, and that CI replays: `cargo test -p mosshead-snapshot -- --ignored`.
+/// Writes the initial corpus of the fuzz target, which CI also replays: `cargo test -p mosshead-snapshot -- --ignored`.
 #[test]
 #[ignore = "it writes files"]
 fn write_the_corpus() {
--- a/crates/snapshot/tests/server_list.rs
+++ b/crates/snapshot/tests/server_list.rs
@@ -4,7 +4,7 @@
 use mosshead_settings::{JsonField, parse_json};
 use mosshead_snapshot::server_list::{read_server_list, write_server_list};
 
-/// A proxy that takes over reads what its predecessor knew of servers that drain or start.
+/// During a replacement, the successor reads this list to learn which servers drain or start.
 #[test]
 fn a_written_server_list_reads_the_same() {
     let text = r#"{"version":7,"full":true,"servers":[
--- a/crates/snapshot/tests/shared/mod.rs
+++ b/crates/snapshot/tests/shared/mod.rs
@@ -1,4 +1,4 @@
-//! The invariants of any bytes that a folder may contain: for the corpus, and for the fuzz target.
+//! Invariants that hold for any bytes in a snapshot file, for the corpus test and the fuzz target.
 
 use mosshead_decide::interface::Readiness;
 use mosshead_snapshot::restore::restore;
@@ -6,11 +6,11 @@
 use mosshead_snapshot::snapshot::{decode, encode};
 use mosshead_snapshot::unix_time::UnixTime;
 
-/// When the bytes are read.
+/// The time at which the bytes are read.
 const NOW: UnixTime = UnixTime::from_millis(1_800_000_000_000);
 
-/// Bytes are rejected, or are a snapshot that decodes to the same once it is encoded again; and whatever it contains adds no
-/// target that it does not list itself.
+/// The bytes either are rejected or decode to a snapshot that is unchanged by encoding and decoding it again. In either
+/// case they add no target that the snapshot does not list.
 pub(crate) fn check_invariants(bytes: &[u8]) {
     let found = decode(bytes);
     if let Ok(snapshot) = &found {
