--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -27,7 +27,7 @@
 
 use crate::connection_log::OPERATOR;
 use crate::lifecycle::Lifecycle;
-use crate::log::say;
+use crate::log::log_event;
 
 /// The maximum number of open connections; the oldest one is closed to make room for a new one.
 const MAX_CONNECTIONS: usize = 8;
@@ -51,7 +51,7 @@
         LocalSet::new().block_on(&runtime, async {
             match TcpListener::from_std(listener) {
                 Ok(listener) => serve(listener, lifecycle).await,
-                Err(error) => say!(why = %error, "fault: the admin endpoint is closed"),
+                Err(error) => log_event!(why = %error, "fault: the admin endpoint is closed"),
             }
         });
     })?;
@@ -64,7 +64,7 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                say!(why = %error, "accept failed");
+                log_event!(why = %error, "accept failed");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -129,13 +129,13 @@
         "/ops/state" => respond(StatusCode::OK, &format_state(lifecycle)),
         "/ops/drain/start" => {
             if lifecycle.start_draining() {
-                say!("drain started");
+                log_event!("drain started");
             }
             respond(StatusCode::OK, "draining\n")
         }
         _ => {
             if lifecycle.stop_draining() {
-                say!("drain stopped");
+                log_event!("drain stopped");
             }
             respond(StatusCode::OK, "serving\n")
         }
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -23,7 +23,7 @@
 use crate::duration;
 use crate::endpoint_list::EndpointList;
 use crate::errors::ApplySettingsError;
-use crate::log::say;
+use crate::log::log_event;
 use crate::messages::{
     AttemptKey, ConnectionLimits, FinalResponse, ForwardedRequest, Message, ProbeGuard, ServerMessage,
 };
@@ -141,7 +141,7 @@
         while let Some(DueTask { task, lateness }) = self.schedule.pop_due(now) {
             if self.suspension.record_lateness(now, lateness) {
                 self.balancer.on_process_suspended();
-                say!(stood_s = format!("{:.3}", lateness.as_secs_f64()), "went on");
+                log_event!(stood_s = format!("{:.3}", lateness.as_secs_f64()), "went on");
             }
             match task {
                 ScheduledTask::WatchList => self.watch_pushed_list(),
@@ -205,7 +205,7 @@
         if self.handle.lifecycle.update_recovery(recovery) {
             let RecoveryStatus { stage, blocker } = recovery;
             let wants = (stage != RecoveryStage::FullService).then(|| tracing::field::display(blocker));
-            say!(stage = %stage, wants, after_s = format!("{now:.3}"), "way back");
+            log_event!(stage = %stage, wants, after_s = format!("{now:.3}"), "way back");
         }
     }
 
--- a/crates/proxy/src/balancer_actor/requests.rs
+++ b/crates/proxy/src/balancer_actor/requests.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use super::{BalancerActor, PendingRequest, ScheduledTask};
-use crate::log::say;
+use crate::log::log_event;
 use crate::messages::{AttemptGuard, AttemptKey, AttemptResult, ClientRequest, FinalResponse, ServerMessage};
 
 /// The retry delay that a client is told if the proxy rejects its request before the balancer sees it, for lack of
@@ -184,7 +184,7 @@
     /// Handles a fault of the balancer: it sent a request that has ended or has used up its attempts. Reports an
     /// outcome, since the balancer waits for one.
     fn end_invalid_send(&mut self, request_id: RequestId, endpoint: EndpointId) {
-        say!(request = request_id.0, "fault: the balancer sent a request that is over");
+        log_event!(request = request_id.0, "fault: the balancer sent a request that is over");
         self.pending_events.push_back(Event::AttemptEnded {
             request: request_id,
             attempt: AttemptNumber(u32::MAX),
--- a/crates/proxy/src/client_connection.rs
+++ b/crates/proxy/src/client_connection.rs
@@ -23,7 +23,7 @@
 use crate::connection_log::CLIENT;
 use crate::handover::Handover;
 use crate::lifecycle::Lifecycle;
-use crate::log::{LogLimiter, say};
+use crate::log::{LogLimiter, log_event};
 use mosshead_http_links::ConnectionLogGuard;
 
 /// How long connections are still accepted after the stop request.
@@ -192,7 +192,7 @@
                 Some(AcceptedConnection { stream, log_guard: ConnectionLogGuard::open(CLIENT, peer), permit })
             }
             Err(error) => {
-                say!(why = %error, "accept failed");
+                log_event!(why = %error, "accept failed");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 None
             }
--- a/crates/proxy/src/client_connection/connection.rs
+++ b/crates/proxy/src/client_connection/connection.rs
@@ -21,7 +21,7 @@
 use super::response::{empty_response, encode_response, respond};
 use super::{AcceptedConnection, ClientFrontend, StopStage};
 use crate::body::{self, BodyStart, OutgoingBody, Upload};
-use crate::log::{AdmittedLine, say};
+use crate::log::{AdmittedLine, log_event};
 use crate::messages::{ClientRequest, FinalResponse, ForwardedRequest, RequestBody};
 
 /// The maximum length of a message head.
@@ -141,7 +141,7 @@
     fn reject(&self, record: &ConnectionRecord, rejection: RequestRejection) -> Response<OutgoingBody> {
         let RequestRejection { status, reason } = rejection;
         if let Some(AdmittedLine { left_out }) = self.rejection_log.admit() {
-            say!(status = status.as_u16(), why = %reason, left_out, "turned-down");
+            log_event!(status = status.as_u16(), why = %reason, left_out, "turned-down");
         }
         record.set_close_reason(CloseReason::BadRequest);
         let mut response = respond(status, Bytes::from_static(reason.as_bytes()));
--- a/crates/proxy/src/connection_log.rs
+++ b/crates/proxy/src/connection_log.rs
@@ -5,7 +5,7 @@
 
 use mosshead_http_links::{CloseReason, ConnectionRecord, PeerKind};
 
-use crate::log::say;
+use crate::log::log_event;
 
 /// A client. These names appear in the log.
 pub(crate) const CLIENT: PeerKind = PeerKind { name: "submitter", on_close: log_closed };
@@ -20,7 +20,7 @@
         record.set_close_reason(CloseReason::ShuttingDown);
     }
     let open_s = format_args!("{:.3}", record.age().as_secs_f64());
-    say!(
+    log_event!(
         side = %record.peer_kind(),
         peer = %record.peer(),
         reason = %record.close_reason().code(),
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -15,7 +15,7 @@
 use crate::body::OutboundConnection;
 use crate::body::OutgoingBody;
 use crate::connection_log::DISCOVERY;
-use crate::log::{AdmittedLine, LogLimiter, say};
+use crate::log::{AdmittedLine, LogLimiter, log_event};
 use crate::messages::Message;
 use mosshead_http_links::{BodyError, CloseReason, read_body};
 use mosshead_recovery::WatchReopening;
@@ -175,7 +175,7 @@
         if !self.stale_list_filter.accept(&list, called_at) {
             if let Some(AdmittedLine { left_out }) = self.failure_log.admit() {
                 let newest = self.stale_list_filter.newest_version();
-                say!(version = list.version, held = newest, left_out, "machine-list older");
+                log_event!(version = list.version, held = newest, left_out, "machine-list older");
             }
             return called_at + STALE_LIST_RETRY_DELAY;
         }
@@ -189,7 +189,7 @@
 
     fn log_failure(&self, error: &ListError) {
         if let Some(AdmittedLine { left_out }) = self.failure_log.admit() {
-            say!(why = %error, left_out, "machine-list failed");
+            log_event!(why = %error, left_out, "machine-list failed");
         }
     }
 }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -28,7 +28,7 @@
 
 use crate::balancer_actor::BalancerHandle;
 use crate::lifecycle::Lifecycle;
-use crate::log::say;
+use crate::log::log_event;
 
 pub(crate) use protocol::HandoverLink;
 pub(crate) use shares::{BudgetShares, PerSide};
@@ -134,7 +134,7 @@
                     former.abort();
                 }
             }
-            Err(error) => say!(path = %self.path.display(), why = %error, "handover shut"),
+            Err(error) => log_event!(path = %self.path.display(), why = %error, "handover shut"),
         }
     }
 
--- a/crates/proxy/src/handover/predecessor.rs
+++ b/crates/proxy/src/handover/predecessor.rs
@@ -15,7 +15,7 @@
 use super::protocol::{ACCEPTING, HandoverLink, PredecessorMessage, TAKE_OVER};
 use super::shares::{BudgetShares, PerSide};
 use super::{HANDOVER_TIMEOUT, Handover, socket};
-use crate::log::say;
+use crate::log::log_event;
 
 /// The interval between grants of descriptors.
 const GRANT_INTERVAL: Duration = Duration::from_millis(20);
@@ -36,7 +36,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => drop(spawn_local(self.clone().serve_successor(stream))),
                 Err(error) => {
-                    say!(why = %error, "accept failed");
+                    log_event!(why = %error, "accept failed");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -46,17 +46,17 @@
     /// Hands over to a successor and shares the limits with it until either process ends.
     async fn serve_successor(self: Rc<Self>, stream: UnixStream) {
         if !socket::is_peer_trusted(&stream) {
-            return say!("handover refused: another user asked");
+            return log_event!("handover refused: another user asked");
         }
         let sent = timeout(HANDOVER_TIMEOUT, self.send_state(stream)).await;
         let link = match sent.unwrap_or(Err(SendStateError::TimedOut)) {
             Ok(link) => link,
-            Err(error) => return say!(why = %error, "handover failed"),
+            Err(error) => return log_event!(why = %error, "handover failed"),
         };
-        say!("handed over");
+        log_event!("handed over");
         let successor = self.share_until_either_ends(link).await;
         self.shares.return_lent(successor.granted.plus(successor.set_aside));
-        say!(accepted = successor.is_accepting, "successor gone");
+        log_event!(accepted = successor.is_accepting, "successor gone");
         if successor.is_accepting {
             self.accepting_successors.send_modify(|count| *count -= 1);
             if self.listener.borrow().is_some() && !*self.is_stopping.borrow() {
--- a/crates/proxy/src/handover/successor.rs
+++ b/crates/proxy/src/handover/successor.rs
@@ -11,7 +11,7 @@
 use super::error::HandoverError;
 use super::protocol::{ACCEPTING, HandoverLink, PredecessorMessage, TAKE_OVER};
 use super::{HANDOVER_TIMEOUT, Handover, socket};
-use crate::log::say;
+use crate::log::log_event;
 
 /// What a predecessor has handed over.
 pub(crate) struct HandedOver {
@@ -64,7 +64,7 @@
                 }
             }
         }
-        say!("predecessor gone");
+        log_event!("predecessor gone");
         self.shares.take_over_rest();
         self.is_predecessor_leaving.send_replace(true);
     }
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -65,7 +65,7 @@
 /// Writes an event, preceded by the number of lines that were dropped, if any.
 #[macro_export]
 #[doc(hidden)]
-macro_rules! say {
+macro_rules! log_event {
     ($($event:tt)*) => {{
         let dropped = $crate::log::take_dropped_lines();
         if dropped > 0 {
@@ -75,7 +75,7 @@
     }};
 }
 
-pub use say;
+pub use log_event;
 
 /// Limits the rate of lines that others can trigger at will to [`MAX_LINES_PER_SECOND`].
 pub struct LogLimiter {
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -22,7 +22,7 @@
 use crate::errors::{LoadConfigError, ReloadError};
 use crate::handover::{self, BudgetShares, Handover, HandoverLink, PerSide};
 use crate::lifecycle::Lifecycle;
-use crate::log::say;
+use crate::log::log_event;
 use crate::snapshot_writer::{self, SnapshotWriter};
 use crate::stored_state::{self, StoredState};
 use crate::{admin, duration};
@@ -60,7 +60,7 @@
     );
     spawn_local(watch);
     let admin_address = config.ops.map(|at| admin::open(at, lifecycle.clone())).transpose()?;
-    say!(
+    log_event!(
         name = %config.name,
         listen = %listener.local_addr()?,
         version = %env!("CARGO_PKG_VERSION"),
@@ -75,11 +75,11 @@
     let stop = async {
         stop_signals.received().await;
         lifecycle.set_stopping();
-        say!("stopping");
+        log_event!("stopping");
     };
     tokio::select! {
         () = frontend.serve(listener, stop, handover) => {
-            say!(name = %config.name, "stopped");
+            log_event!(name = %config.name, "stopped");
             Ok(())
         }
         // The proxy can't work without its balancer: the process ends, so that a new one is started.
@@ -121,7 +121,7 @@
         let socket_path = config.ops.map(|_| handover::socket_path(config.listen));
         let handed_over = match &socket_path {
             Some(path) => handover::request_handover(path, config.listen).await.unwrap_or_else(|error| {
-                say!(why = %error, "no handover");
+                log_event!(why = %error, "no handover");
                 None
             }),
             None => None,
@@ -191,7 +191,7 @@
     let found = read_snapshot(folder.clone()).await;
     let restored = restore(&config.known, found, &config.name, stored_state::unix_time());
     for report in &restored.reports {
-        say!(part = %report.part, fate = %report.outcome, why = %report.reason, life = restored.incarnation, "former life");
+        log_event!(part = %report.part, fate = %report.outcome, why = %report.reason, life = restored.incarnation, "former life");
     }
     if !has_predecessor {
         config.known = restored.server_list.clone();
@@ -200,7 +200,7 @@
     let stored_state = match SnapshotWriter::start(folder) {
         Ok(writer) => Some(StoredState::new(writer, &config.name, restored)),
         Err(error) => {
-            say!(why = %error, "fault: no state is stored for the next incarnation");
+            log_event!(why = %error, "fault: no state is stored for the next incarnation");
             None
         }
     };
@@ -239,7 +239,7 @@
         match adopted.await {
             Ok((next, names)) => {
                 frontend.set_accepted_names(names);
-                say!(
+                log_event!(
                     discovery = %next.discovery,
                     classes = next.named.settings.classes.len(),
                     attempts = next.named.settings.limits.max_attempts,
@@ -248,7 +248,7 @@
                 list.move_to(next.discovery);
                 running = next;
             }
-            Err(error) => say!(fault = %error, "reload failed"),
+            Err(error) => log_event!(fault = %error, "reload failed"),
         }
     }
 }
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -14,7 +14,7 @@
     self, LOCK_FILE, MAX_SNAPSHOT_LEN, NEW_SNAPSHOT_FILE, SNAPSHOT_FILE, Snapshot, SnapshotError,
 };
 
-use crate::log::{AdmittedLine, LogLimiter, say};
+use crate::log::{AdmittedLine, LogLimiter, log_event};
 
 /// The minimum interval between two writes, so that a list that changes constantly is not written constantly.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
@@ -103,13 +103,13 @@
         match acquire_lock(folder, &mut lock).and_then(|()| write(folder, &snapshot)) {
             Ok(()) if has_failed => {
                 has_failed = false;
-                say!("snapshot kept again");
+                log_event!("snapshot kept again");
             }
             Ok(()) => {}
             Err(error) => {
                 has_failed = true;
                 if let Some(AdmittedLine { left_out }) = failure_log.admit() {
-                    say!(why = %error, left_out, "snapshot failed");
+                    log_event!(why = %error, left_out, "snapshot failed");
                 }
             }
         }
--- a/crates/proxy/tests/log.rs
+++ b/crates/proxy/tests/log.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use mosshead::log::{
-    AdmittedLine, Format, LogLimiter, MAX_LINES_PER_SECOND, MAX_QUEUED_LINES, say, start_to,
+    AdmittedLine, Format, LogLimiter, MAX_LINES_PER_SECOND, MAX_QUEUED_LINES, log_event, start_to,
 };
 
 /// Lines that others can trigger at will must not fill the disk.
@@ -44,14 +44,14 @@
     let guard = start_to(Format::Text, BlockedWriter { unblocked, lines: sender });
     let started_at = Instant::now();
     for number in 0..5 * MAX_QUEUED_LINES {
-        say!(number, reason = %"given-up", "connection");
+        log_event!(number, reason = %"given-up", "connection");
     }
     assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     drop(unblock);
     // The queue will soon have room again for the count and one line.
     let mut text = String::new();
     while !text.contains("log dropped=") {
-        say!("once more");
+        log_event!("once more");
         while let Ok(line) = lines.try_recv() {
             text += &String::from_utf8_lossy(&line);
         }
