--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -43,10 +43,10 @@
 
 impl DescriptorBudget {
     /// Creates the budgets of both sides. Each gets half of what the limits on descriptors and memory allow, after
-    /// `set_aside` descriptors are subtracted.
-    pub fn split(sockets: u64, memory_mb: f64, set_aside: u64) -> [Self; 2] {
+    /// `reserved` descriptors are subtracted.
+    pub fn split(sockets: u64, memory_mb: f64, reserved: u64) -> [Self; 2] {
         let within_memory = (memory_mb * 1024.0 * MEMORY_SHARE / KIB_PER_CONNECTION) as u64;
-        let within_sockets = sockets.saturating_sub(RESERVED_DESCRIPTORS + set_aside);
+        let within_sockets = sockets.saturating_sub(RESERVED_DESCRIPTORS + reserved);
         let each = (within_sockets.min(within_memory) / 2).max(1) as usize;
         let tight_above = (sockets / TIGHT_DIVISOR) as usize;
         [0, 1].map(|_| Self { tight_above, ..Self::new(each) })
--- a/crates/proxy/src/handover/predecessor.rs
+++ b/crates/proxy/src/handover/predecessor.rs
@@ -55,7 +55,7 @@
         };
         log_event!("handed over");
         let successor = self.share_until_either_ends(link).await;
-        self.shares.return_lent(successor.granted.plus(successor.set_aside));
+        self.shares.return_lent(successor.granted.plus(successor.reserved));
         log_event!(accepted = successor.is_accepting, "successor gone");
         if successor.is_accepting {
             self.accepting_successors.send_modify(|count| *count -= 1);
@@ -112,14 +112,14 @@
 /// The predecessor's record of a successor that it has handed over to.
 struct Successor {
     is_accepting: bool,
-    has_been_told_of_stop: bool,
+    is_stop_notified: bool,
     /// What it is granted before it accepts: half of what was free. The rest stays for requests that arrive here
     /// meanwhile.
     initial_share: PerSide<usize>,
     /// The descriptors granted so far.
     granted: PerSide<usize>,
     /// The descriptors kept free for those that it opens without a grant.
-    set_aside: PerSide<usize>,
+    reserved: PerSide<usize>,
 }
 
 impl Successor {
@@ -127,10 +127,10 @@
         let initial_share = shares.available().map(|available| available / 2);
         Self {
             is_accepting: false,
-            has_been_told_of_stop: false,
+            is_stop_notified: false,
             initial_share,
             granted: PerSide::default(),
-            set_aside: shares.lend(PerSide::both(SERVING_DESCRIPTORS)),
+            reserved: shares.lend(PerSide::both(SERVING_DESCRIPTORS)),
         }
     }
 
@@ -163,8 +163,8 @@
         if more != PerSide::default() {
             lines = PredecessorMessage::Grant(more).to_line();
         }
-        if is_stopping && !self.has_been_told_of_stop {
-            self.has_been_told_of_stop = true;
+        if is_stopping && !self.is_stop_notified {
+            self.is_stop_notified = true;
             lines += &PredecessorMessage::Stopping.to_line();
         }
         writer.write_all(lines.as_bytes()).await
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -126,8 +126,8 @@
             }),
             None => None,
         };
-        let set_aside = socket_path.as_ref().map_or(0, |_| handover::STARTUP_DESCRIPTORS);
-        let [client, server] = DescriptorBudget::split(config.sockets, config.memory_mb, set_aside);
+        let reserved = socket_path.as_ref().map_or(0, |_| handover::STARTUP_DESCRIPTORS);
+        let [client, server] = DescriptorBudget::split(config.sockets, config.memory_mb, reserved);
         let budgets = PerSide { client, server };
         let shares =
             socket_path.map(|path| (path, BudgetShares::new(budgets.clone(), handed_over.is_some())));
--- a/crates/proxy/src/server/attempt.rs
+++ b/crates/proxy/src/server/attempt.rs
@@ -82,15 +82,15 @@
     let Some(upload) = forwarded.body.upload() else { return sleep_until(deadline.into()).await };
     let time_left = deadline.saturating_duration_since(Instant::now());
     loop {
-        let give_up_at = match upload.completed_at() {
+        let abort_at = match upload.completed_at() {
             Some(completed_at) => completed_at + time_left,
             None => upload.last_progress() + MAX_UPLOAD_STALL,
         };
-        if give_up_at <= Instant::now() {
+        if abort_at <= Instant::now() {
             return;
         }
         // The last byte may have arrived meanwhile.
-        sleep_until(give_up_at.min(Instant::now() + UPLOAD_POLL_INTERVAL).into()).await;
+        sleep_until(abort_at.min(Instant::now() + UPLOAD_POLL_INTERVAL).into()).await;
     }
 }
 
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -131,7 +131,7 @@
 /// If calls are retried too soon after a failure, discovery stays busy with callers that have given up: 59 calls failed
 /// in this scenario before the backoff grew with the fleet size, 40 since.
 #[test]
-fn an_overloaded_discovery_works_off_its_queue() {
+fn an_overloaded_discovery_drains_its_queue() {
     let (name, text) = scenario!("back-overbooked");
     let day = run_without_violations(name, text);
     let is_failure =
--- a/crates/proxy/tests/flow.rs
+++ b/crates/proxy/tests/flow.rs
@@ -188,8 +188,8 @@
     const LENGTH: usize = 1 << 20;
     const START: usize = 100_000;
     let (start_sender, start_received) = channel();
-    let (go_on, may_go_on) = channel::<()>();
-    let may_go_on = Arc::new(Mutex::new(may_go_on));
+    let (go_on, may_continue) = channel::<()>();
+    let may_continue = Arc::new(Mutex::new(may_continue));
     let server = spawn_server(move |mut stream| {
         while read_head(&mut stream).is_some() {
             let mut start = vec![0; START];
@@ -200,8 +200,8 @@
             let stream = stream.get_mut();
             write!(stream, "HTTP/1.1 200 X\r\nContent-Length: {LENGTH}\r\n\r\n").expect("the head is sent");
             stream.write_all(&start).expect("the start of the response is sent");
-            let may_go_on = may_go_on.lock().expect("no thread panics with the lock");
-            may_go_on.recv_timeout(TIMEOUT).expect("the client has the start of the response");
+            let may_continue = may_continue.lock().expect("no thread panics with the lock");
+            may_continue.recv_timeout(TIMEOUT).expect("the client has the start of the response");
             stream.write_all(&rest).expect("the rest of the response is sent");
         }
     });
--- a/crates/proxy/tests/log.rs
+++ b/crates/proxy/tests/log.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_blocked_reader_stops_nobody_and_learns_how_many_lines_were_dropped() {
+fn a_blocked_log_reader_blocks_no_writer_and_later_gets_the_count_of_dropped_lines() {
     let ((unblock, unblocked), (sender, lines)) = (channel(), channel());
     let guard = start_to(Format::Text, BlockedWriter { unblocked, lines: sender });
     let started_at = Instant::now();
--- a/crates/proxy/tests/parts/class_table.rs
+++ b/crates/proxy/tests/parts/class_table.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn after_any_changes_the_last_settings_are_in_force_as_they_would_be_alone() {
+fn after_any_changes_exactly_the_last_settings_apply() {
     let all = [
         settings(&[("a", "free", 1.0), ("b", "single_shot", 2.0)]),
         settings(&[("b", "free", 2.0)]),
--- a/crates/settings/tests/json.rs
+++ b/crates/settings/tests/json.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn whole_numbers_are_those_that_are_exact() {
+fn integers_are_accepted_only_in_the_exact_range() {
     for (text, number) in [("0", Some(0)), ("7", Some(7)), ("9007199254740991", Some((1 << 53) - 1))] {
         assert_eq!(read(text, |root| root.integer()).ok(), number, "{text}");
     }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn names_stand_for_values() {
+fn names_are_mapped_to_values() {
     let names = [("push", 1), ("ask", 2)];
     assert_eq!(read("\"ask\"", |root| root.one_of(&names)), Ok(2));
     assert_eq!(read("\"pull\"", |root| root.one_of(&names)), Err("\"pull\" is not known".to_owned()));
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn legal_oddities_are_accepted() {
+fn unusual_valid_input_is_accepted() {
     for more in [
         &["mail who=2 raw=68692037", "commit"][..],
         &["withdrawn job=00000000000000ff", "tick_due cookie=77", "commit", "turn ts_s=9", "commit"],
--- a/crates/snapshot/tests/former_formats.rs
+++ b/crates/snapshot/tests/former_formats.rs
@@ -59,7 +59,7 @@
 
 /// The order of the members of the JSON objects is not fixed, but the frame around them is.
 #[test]
-fn the_frame_of_an_earlier_version_is_written_alike() {
+fn the_frame_is_written_as_in_earlier_versions() {
     let text = String::from_utf8(file()).unwrap();
     let (_, body) = text.split_once('\n').unwrap();
     assert_eq!(add_header(body), file());
--- a/crates/snapshot/tests/restore.rs
+++ b/crates/snapshot/tests/restore.rs
@@ -76,7 +76,7 @@
 
 /// The state that one instance stores for the next.
 #[test]
-fn an_encoded_snapshot_decodes_to_the_same() {
+fn a_snapshot_is_unchanged_by_encoding_and_decoding() {
     assert_eq!(decode(&encode(&snapshot())), Ok(snapshot()));
 }
 
@@ -131,7 +131,7 @@
 
 /// Snapshots of another instance, from the future, or too old for one part but not for another.
 #[test]
-fn each_part_is_judged_by_itself() {
+fn each_part_is_checked_separately() {
     let given = server_list(5, &[("a", Readiness::Ready), ("bb", Readiness::Ready)]);
     let restore_at = |snapshot: Snapshot, now| restore(&given, Ok(snapshot), INSTANCE, now);
     let foreign = restore_at(Snapshot { instance_name: "n4".to_owned(), ..snapshot() }, NOW);
@@ -198,7 +198,7 @@
     /// Whatever a folder contains: a server becomes a target only if one of the lists names it as one; a server known
     /// to have ended does not become one while there are others; and a list that had targets keeps some.
     #[test]
-    fn a_snapshot_adds_no_target_of_its_own(
+    fn a_snapshot_adds_no_target_that_is_not_listed(
         given in any_list(),
         list in any_list(),
         ended in prop::collection::vec((0_usize..6, any_start(), 0_u64..1_200_000), 0..6),
--- a/crates/snapshot/tests/server_list.rs
+++ b/crates/snapshot/tests/server_list.rs
@@ -6,7 +6,7 @@
 
 /// During a replacement, the successor reads this list to learn which servers drain or start.
 #[test]
-fn a_written_server_list_reads_the_same() {
+fn a_server_list_is_unchanged_by_writing_and_reading() {
     let text = r#"{"version":7,"full":true,"servers":[
         {"id":"a\"b","addr":"127.0.0.1:5","zone":"z","kind":"m","cell":3,"state":"DRAINING","weight":0.3,
         "started_ms":1764616437123.0},{"id":"c","addr":"127.0.0.1:6","state":"SERVING"}]}"#;
