--- a/crates/proxy/src/balancer_actor/schedule.rs
+++ b/crates/proxy/src/balancer_actor/schedule.rs
@@ -63,7 +63,7 @@
 struct Suspension {
     duration: Duration,
     resumed_at: Instant,
-    /// True if the list was requested again since the last suspension.
+    /// True if the list was requested again since this suspension.
     has_retried_list: bool,
 }
 
--- a/crates/proxy/src/errors.rs
+++ b/crates/proxy/src/errors.rs
@@ -58,7 +58,7 @@
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
     /// The actor that owns the settings has ended: the process is about to exit.
-    #[error("the module has ended")]
+    #[error("the balancer's actor has ended")]
     BalancerStopped,
 }
 
--- a/crates/proxy/src/handover/error.rs
+++ b/crates/proxy/src/handover/error.rs
@@ -14,13 +14,13 @@
     Io(#[from] io::Error),
     #[error("the predecessor did not answer")]
     NoReply,
-    #[error("what was handed over does not listen")]
+    #[error("the socket that was handed over does not listen")]
     NotListening,
-    #[error("what was handed over listens at {0}")]
+    #[error("the socket that was handed over listens at {0}")]
     WrongAddress(SocketAddr),
     #[error("the predecessor has ended")]
     PredecessorEnded,
-    #[error("the list has no length")]
+    #[error("the length of the list is missing or too large")]
     NoListLength,
     #[error(transparent)]
     NotText(#[from] FromUtf8Error),
@@ -42,6 +42,6 @@
     NotListening,
     #[error("the endpoint list is not known")]
     NoList,
-    #[error("not taken in time")]
+    #[error("the successor did not take the state in time")]
     TimedOut,
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,38 +6,39 @@
 
 mod admin;
 mod balancer_actor;
-#[doc(hidden)] // internal: the bodies in `messages`
+#[doc(hidden)] // internal: used by `messages`
 pub mod body;
 #[doc(hidden)] // internal: limits of large machines can't be reached over sockets
 pub mod budget;
-#[doc(hidden)] // internal: names expire after times that a test over sockets would have to wait for
+#[doc(hidden)] // internal: over sockets, tests would have to wait until names expire
 pub mod class_table;
 mod client_connection;
 mod config;
 mod connection_log;
-#[doc(hidden)] // internal: an old list expires after 30 s
+#[doc(hidden)] // internal: over sockets, tests would have to wait for the 30 s of the stale period
 pub mod endpoint_list;
-#[doc(hidden)] // internal: the errors of `class_table` and `messages`
+#[doc(hidden)] // internal: used by `class_table` and `messages`
 pub mod errors;
-#[doc(hidden)] // internal: each way to cut bytes into reads is tried
+#[doc(hidden)] // internal: tests try each way to split the bytes into reads
 pub mod framing;
 mod handover;
-#[doc(hidden)] // internal: the order of calls of two threads is fixed
+#[doc(hidden)] // internal: tests fix the order of the calls of two threads
 pub mod lifecycle;
-#[doc(hidden)] // internal: what a report says has no effect that a client could see alone
+#[doc(hidden)] // internal: a client can't observe the effect of a single report
 pub mod load_report;
 pub mod log;
-#[doc(hidden)] // internal: the messages of the actors that are tested alone
+#[doc(hidden)] // internal: used by the actors that are tested alone
 pub mod messages;
 mod operators;
 mod process;
-#[doc(hidden)] // internal: an id is kept for the longest time that a request may take
+#[doc(hidden)]
+// internal: over sockets, tests would have to wait for the longest time that a request may take
 pub mod request_ids;
-#[doc(hidden)] // internal: one attempt without a proxy around it
+#[doc(hidden)] // internal: tests run one attempt without a proxy
 pub mod server;
-#[doc(hidden)] // internal: a writer is interrupted at each step, and its disk is full
+#[doc(hidden)] // internal: tests interrupt the writer at each step and use a full disk
 pub mod snapshot_writer;
-#[doc(hidden)] // internal: what is stored has an effect only in the next incarnation
+#[doc(hidden)] // internal: stored state has an effect only in the next incarnation
 pub mod stored_state;
 
 pub use config::Config;
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -80,7 +80,7 @@
 /// Limits the rate of lines that others can trigger at will to [`MAX_LINES_PER_SECOND`].
 pub struct LogLimiter {
     /// The start of the second in which `admitted` lines were written.
-    #[doc(hidden)] // for tests, which move it into the past
+    #[doc(hidden)] // public for tests, which move it into the past
     pub second: Cell<Instant>,
     admitted: Cell<u32>,
     left_out: Cell<u64>,
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -83,7 +83,7 @@
             Ok(())
         }
         // The proxy can't work without its balancer: the process ends, so that a new one is started.
-        _ = &mut balancer_task => Err(io::Error::other("the module's actor has ended")),
+        _ = &mut balancer_task => Err(io::Error::other("the balancer's actor has ended")),
     }
 }
 
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -82,7 +82,7 @@
         last = Some(day).filter(|day| !day.emulated.is_void);
     }
     last.unwrap_or_else(|| {
-        panic!("{name}: this machine was late {MAX_RUNS} times, and tells nothing of the program")
+        panic!("{name}: this machine was late {MAX_RUNS} times, and says nothing about the program")
     })
 }
 
