--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -11,8 +11,8 @@
 pub const RESERVED_DESCRIPTORS: u64 = 32;
 /// The maximum memory of a connection, in KiB: a body of 64 KiB, its head, and the buffers of both.
 pub const KIB_PER_CONNECTION: f64 = 96.0;
-/// Clients may use at most a third of all descriptors. Above half of that, which is a sixth of all, their idle connections
-/// are closed.
+/// Clients may use at most a third of all descriptors. Above half of that, which is a sixth of all, their idle
+/// connections are closed.
 const TIGHT_DIVISOR: u64 = 6;
 /// The share of the memory that all connections together may use.
 const MEMORY_SHARE: f64 = 0.75;
--- a/crates/proxy/tests/network/scenario.rs
+++ b/crates/proxy/tests/network/scenario.rs
@@ -1,6 +1,6 @@
 //! Plays a scenario against a real proxy on loopback.
 //!
-//! A scenario is a list of steps, one a line: `PARTY VERB WORDS`. The parties:
+//! A scenario is a list of steps, one per line: `PARTY VERB WORDS`. The parties:
 //! - `a`, `b`, ...: connections of clients. `send METHOD /path [left=S] [id=I] [class=C] [body=B] [length=N] [Name:value]`
 //!   or `send raw TEXT` (with `\r\n` spelt out);
 //! - `n1`, `n2`, ...: servers. `expect` accepts a new connection if the last one is closed;
@@ -9,17 +9,17 @@
 //! - `list`: discovery, which speaks like a server; `addr(n1)` in a body stands for the address of that server;
 //! - `op...`: connections of operators, at the admin endpoint;
 //! - `proxy`: the program.
-//!   - `start WORDS`: the servers on its saved list, `key=value` to change settings, `admin` for an admin endpoint,
-//!     `admin-by-environment` for one that the environment names;
+//!   - `start WORDS`: starts it with these servers on its saved list, `key=value` to change settings, `admin` for an
+//!     admin endpoint, `admin-by-environment` for one that the environment names;
 //!   - `close`: SIGTERM;
 //!   - `send PARTY`: SIGHUP, with discovery at that party from now on; `send nothing`: with an empty file;
 //!   - `change CHANGES`: SIGHUP, with other settings: `KEY=VALUE`, `add:CLASS:EFFECT`, `drop:CLASS`, `remove:KEY`, or
 //!     `raw TEXT`;
-//!   - `replace-file WHAT`: SIGHUP, with a `folder`, `bytes` that are no text, or nothing (`gone`) in place of the file;
-//!   - `sleep SECONDS`: where the slowness of a party is what is tested;
-//!   - `await-ready`: until its readiness is 200;
-//!   - `wait TEXT`: until a line of its log contains that;
-//!   - `expect exit N`: it ends with that code.
+//!   - `replace-file WHAT`: SIGHUP, with a `folder`, `bytes` that are not text, or nothing (`gone`) in place of the file;
+//!   - `sleep SECONDS`: waits, for tests of a slow party;
+//!   - `await-ready`: waits until its readiness endpoint returns 200;
+//!   - `wait TEXT`: waits until a line of its log contains the text;
+//!   - `expect exit N`: checks that it exits with this code.
 //!
 //! `expect WORDS`: the next message contains each of the words, in upper or lower case (`+` stands for a space).
 //! `expect closed`: the connection ends without a message.
