--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -14,8 +14,8 @@
 
 /// Schedules the contacts to addresses without a known member.
 pub(crate) struct Discovery {
-    /// True if a sync with another member has completed, so that the local member has a complete list, and another live
-    /// member is still known.
+    /// True from the first completed sync with another member, which gives the local member a complete list, until no
+    /// other live member is known.
     has_joined: bool,
     /// When the next attempt to join is due, unless `has_joined`.
     next_join_at: Instant,
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -163,7 +163,8 @@
     }
 }
 
-/// Sends a ping. If the target is not known as alive, the ping contains that update, so that the target can refute it.
+/// Sends a ping. If the target is known, but not as alive, the ping contains the known update about it, so that the
+/// target can refute it.
 fn ping(state: &mut ProtocolState, target: String, sequence: u32, address: SocketAddrV4) {
     let not_alive = state.table().get(&target).filter(|record| record.state != MemberState::Alive);
     let update = not_alive.map(|record| record.update());
--- a/crates/membership/src/state/updates.rs
+++ b/crates/membership/src/state/updates.rs
@@ -67,8 +67,8 @@
     fn apply_newer_update(&mut self, update: &MemberUpdate, known_state: MemberState, source: UpdateSource) {
         match update.state {
             MemberState::Alive => self.mark_alive(update, source),
-            // A death report is treated as a suspicion, because the member may already have refuted it.
             MemberState::Suspect => self.mark_suspect_of_newer_version(update),
+            // A death report is treated as a suspicion, because the member may already have refuted it.
             MemberState::Dead if known_state.is_live() => self.mark_suspect_of_newer_version(update),
             // The member is already dead or has left. Only the version is raised, so that older updates don't revive
             // it.
--- a/crates/membership/tests/former_formats.rs
+++ b/crates/membership/tests/former_formats.rs
@@ -15,7 +15,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// The recorded_datagram names of the kinds of datagrams, indexed by the kind's number on the wire.
+/// The kinds of datagrams as the names of the recorded files have them, indexed by the kind's number on the wire.
 const KINDS: [&str; 6] = ["ping", "ack", "ping-request", "ask", "page", "tell"];
 
 fn recorded_datagram(name: &str) -> Vec<u8> {
--- a/crates/programs/src/config_transfer/outgoing.rs
+++ b/crates/programs/src/config_transfer/outgoing.rs
@@ -37,7 +37,7 @@
 }
 
 impl OutgoingTransfers {
-    /// Returns the chunk for a request, where `newest_revision` is the newest configuration.
+    /// Returns the chunk for a request, where `newest_revision` is the revision of the newest configuration.
     ///
     /// If the requested transfer is still in memory, it continues to its own target; otherwise a transfer to the newest
     /// revision starts. `make_offer` makes the offer from the receiver's revision to the newest one.
--- a/crates/programs/src/control_node/change_notifier.rs
+++ b/crates/programs/src/control_node/change_notifier.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::watch;
 
-/// Notifies waiting calls of changes. Subscribers watch a change counter, whose value has no meaning beyond increasing.
+/// Notifies waiting calls of changes. Subscribers watch a counter of the changes, but use only that it has changed.
 #[derive(Debug)]
 pub(super) struct ChangeNotifier {
     changes: watch::Sender<u64>,
--- a/crates/programs/src/control_node/handlers.rs
+++ b/crates/programs/src/control_node/handlers.rs
@@ -25,22 +25,23 @@
     registry: Rc<RegistryHost>,
     updates: Rc<UpdateService>,
 ) -> Handlers {
-    let (compared, persisted, fetched) = (registry.clone(), registry.clone(), updates.clone());
+    let (heartbeat_registry, persist_registry, config_updates) =
+        (registry.clone(), registry.clone(), updates.clone());
     Handlers::new()
         .with_handler::<WatchUpdates>(async move |call, _| Ok(updates.clone().watch_updates(call).await))
-        .with_handler::<FetchConfig>(async move |call, _| Ok(fetched.fetch_config(call.0)))
+        .with_handler::<FetchConfig>(async move |call, _| Ok(config_updates.fetch_config(call.0)))
         .with_handler::<ReplicateEntries>(async move |call, _| {
             let changed = registry.merge(call.delta);
             Ok(ReplicateAck { changed, vector: registry.vector() })
         })
         .with_handler::<PersistEntries>(async move |call, _| {
-            persisted.merge(call.delta);
+            persist_registry.merge(call.delta);
             let deadline = Instant::now() + call.wait.min(MAX_PERSIST_WAIT);
-            let durable = persisted.persist_until(deadline).await;
-            Ok(PersistAck { vector: persisted.vector(), durable })
+            let durable = persist_registry.persist_until(deadline).await;
+            Ok(PersistAck { vector: persist_registry.vector(), durable })
         })
         .with_handler::<CompareHeartbeats>(async move |call, _| {
-            compared.record_remote_heartbeats(SourceId(call.source), &call.heartbeats);
+            heartbeat_registry.record_remote_heartbeats(SourceId(call.source), &call.heartbeats);
             Ok(ReplicateAck { changed: false, vector: VersionVector::default() })
         })
         .with_handler::<ConsensusMessage>(async move |call, _| {
--- a/crates/programs/src/control_node/stage_role.rs
+++ b/crates/programs/src/control_node/stage_role.rs
@@ -25,16 +25,16 @@
 /// The state of the role during one term in which this node owns it.
 struct Tenure {
     term: Term,
-    role: TakeoverDelay,
+    takeover_delay: TakeoverDelay,
     scheduler: StageScheduler,
     /// When servers were last queried for their load reports.
     reports_collected_at: Option<Instant>,
 }
 
 impl Tenure {
-    fn new(term: Term, role: TakeoverDelay) -> Tenure {
+    fn new(term: Term, takeover_delay: TakeoverDelay) -> Tenure {
         let scheduler = StageScheduler::new(StagePolicy::default());
-        Tenure { term, role, scheduler, reports_collected_at: None }
+        Tenure { term, takeover_delay, scheduler, reports_collected_at: None }
     }
 }
 
@@ -77,7 +77,7 @@
             let begin = || Tenure::new(term, TakeoverDelay::begin(self.registry.now(), self.lease));
             let mut tenure = former.unwrap_or_else(begin);
             self.collect_reports(&mut tenure).await;
-            if tenure.role.may_send_commands(self.registry.now()) {
+            if tenure.takeover_delay.may_send_commands(self.registry.now()) {
                 self.send_due_orders(&mut tenure).await;
             }
             self.targets.set(stage_targets(&tenure.scheduler));
--- a/crates/programs/src/gossip.rs
+++ b/crates/programs/src/gossip.rs
@@ -14,7 +14,7 @@
 
 /// The maximum length of a received datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1500;
-/// The shortest sleep between two ticks.
+/// The shortest sleep between two ticks, unless a datagram arrives.
 const MIN_SLEEP: Duration = Duration::from_millis(20);
 /// The longest sleep between two ticks.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
--- a/crates/programs/src/process.rs
+++ b/crates/programs/src/process.rs
@@ -18,8 +18,8 @@
 use crate::gossip::Gossip;
 use crate::settings::{Settings, SettingsError};
 
-/// Identifies the fleet in membership datagrams. Datagrams with another tag are dropped.
-const FLEET_TAG: u64 = 0x6d6f_7373_6865_6164;
+/// Identifies the fleet in membership datagrams. Datagrams with another id are dropped.
+const FLEET_ID: u64 = 0x6d6f_7373_6865_6164;
 /// The interval at which the settings are reloaded.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(4);
 
@@ -63,7 +63,7 @@
     Proxy,
 }
 
-/// The state that both programs share, after the process has joined the fleet's membership.
+/// The state that both programs share, once the membership protocol runs.
 pub(crate) struct FleetProcess {
     pub(crate) settings: Settings,
     settings_path: PathBuf,
@@ -77,7 +77,7 @@
 }
 
 impl FleetProcess {
-    /// Binds the membership socket and joins the fleet.
+    /// Binds the membership socket, and starts the task that joins the fleet.
     pub(crate) async fn start(
         settings: Settings,
         settings_path: PathBuf,
@@ -96,7 +96,7 @@
         let membership = Membership::new(
             local_peer,
             settings.internal_seed_addresses(),
-            MembershipSettings { fleet_id: FLEET_TAG, ..MembershipSettings::default() },
+            MembershipSettings { fleet_id: FLEET_ID, ..MembershipSettings::default() },
             Pcg64Mcg::from_rng(&mut random),
         )?;
         let address = settings.internal_address();
--- a/crates/programs/src/update_watcher/config_fetcher.rs
+++ b/crates/programs/src/update_watcher/config_fetcher.rs
@@ -54,14 +54,14 @@
     pub(super) async fn fetch(
         &self,
         control_node: SocketAddrV4,
-        in_force: Option<Arc<Config>>,
+        active: Option<Arc<Config>>,
     ) -> Option<Arc<Config>> {
         let _guard = FetchGuard::try_new(&self.is_fetching)?;
-        let in_force = in_force.as_deref();
-        let revision = in_force.map_or(NO_REVISION, |config| config.revision());
-        let mut assembled = self.fetch_from(control_node, revision, in_force).await;
+        let active = active.as_deref();
+        let revision = active.map_or(NO_REVISION, |config| config.revision());
+        let mut assembled = self.fetch_from(control_node, revision, active).await;
         if assembled == Some(AssembledConfig::Mismatch) {
-            assembled = self.fetch_from(control_node, NO_REVISION, in_force).await;
+            assembled = self.fetch_from(control_node, NO_REVISION, active).await;
         }
         match assembled {
             Some(AssembledConfig::Config(config)) => Some(config),
@@ -75,7 +75,7 @@
         &self,
         control_node: SocketAddrV4,
         base_revision: u64,
-        in_force: Option<&Config>,
+        active: Option<&Config>,
     ) -> Option<AssembledConfig> {
         let interrupted =
             self.interrupted.take().filter(|transfer| transfer.base_revision() == base_revision);
@@ -89,7 +89,7 @@
             match transfer.on_chunk(&chunk) {
                 TransferProgress::Incomplete => {}
                 TransferProgress::Complete(offer) => {
-                    return Some(assemble_config(in_force, &offer.into()));
+                    return Some(assemble_config(active, &offer.into()));
                 }
                 TransferProgress::Corrupt => return None,
             }
--- a/crates/programs/src/update_watcher/watcher.rs
+++ b/crates/programs/src/update_watcher/watcher.rs
@@ -122,7 +122,7 @@
         slot: usize,
         is_first: bool,
     ) -> Option<QuorumContact> {
-        let revision = self.revision_in_force();
+        let revision = self.active_revision();
         let wait = if is_first { FIRST_WATCH_WAIT } else { WATCH_WAIT };
         let call = self.watch_call(revision, slot == 0 || is_first, wait);
         let mut updates = self.caller.call(control_node, &call, wait + RESPONSE_MARGIN).await.ok()?;
@@ -149,8 +149,8 @@
             self.replicate_all_entries(control_node).await;
         }
         let contact = QuorumContact::from_flag(updates.has_quorum_contact);
-        let in_force = self.revision_in_force();
-        if self.pool.borrow().should_fetch_config(in_force, updates.revision, contact) {
+        let active_revision = self.active_revision();
+        if self.pool.borrow().should_fetch_config(active_revision, updates.revision, contact) {
             self.fetch_config(control_node).await;
         }
     }
@@ -188,7 +188,7 @@
         }
     }
 
-    fn revision_in_force(&self) -> u64 {
+    fn active_revision(&self) -> u64 {
         self.sink.config().map_or(NO_REVISION, |config| config.revision())
     }
 
--- a/crates/rpc/src/caller.rs
+++ b/crates/rpc/src/caller.rs
@@ -17,7 +17,7 @@
 use crate::error::{CALL_ID_HEADER, CallError, CallRejection, RESULT_CODE_HEADER};
 use crate::transport::{OutgoingCall, Transport};
 
-/// A connection that is not ready for the next call within this time after a response is closed.
+/// After a response, a connection that is not ready for the next call within this time is closed.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// Sends calls over the network. Clones share their idle connections. Requires a `tokio::task::LocalSet`.
--- a/crates/rpc/src/connection_pool.rs
+++ b/crates/rpc/src/connection_pool.rs
@@ -23,6 +23,7 @@
 /// The timeout of one attempt to connect. There are at most two attempts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// The kind of the peers of these connections, another process of the fleet. Connection events are not logged.
 const PEER: PeerKind = PeerKind::unlogged("peer");
 
 /// An open connection. Dropping it closes it.
@@ -112,7 +113,7 @@
         self.count.set(self.count.get().saturating_sub(closed));
     }
 
-    /// Closes the expired connections. Returns when the next one expires, or `None` if none is left.
+    /// Closes the expired connections. Returns the instant at which the next one expires, or `None` if none is left.
     fn close_expired(&self) -> Option<Instant> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connections| {
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -86,7 +86,7 @@
 }
 
 quick_error! {
-    /// The reason why a call has no response.
+    /// The reason why a call failed.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CallError {
         /// 801: no connection was established, so the call was not sent.
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -26,8 +26,8 @@
 /// The delay after a failed accept. Without a free file descriptor, accepting would fail in a busy loop.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves calls until the future is dropped. This closes all connections, but running handlers continue. Requires a
-/// `tokio::task::LocalSet`.
+/// Serves calls until the future is dropped. Dropping it closes all connections, but running handlers continue.
+/// Requires a `tokio::task::LocalSet`.
 pub async fn serve(listener: TcpListener, handlers: Rc<Handlers>) {
     let max_connections = handlers.limits().max_connections.max(1);
     let use_counter = UseCounter::default();
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -52,9 +52,10 @@
     ///
     /// # Errors
     ///
-    /// With [`CallError::Connect`] and [`CallError::Rejected`], the call was not handled, except by a handler that
-    /// failed. With any other error, and if the future is dropped, the call may already have been handled, or may
-    /// still be handled later.
+    /// With [`CallError::Connect`], the call was not sent. With [`CallError::Rejected`], it did not reach a handler, or
+    /// its handler rejected it, or its handler failed ([`HandlerFailed`](crate::CallRejection::HandlerFailed)) and may
+    /// already have changed something. With any other error, and if the future is dropped, the call may already have
+    /// been handled, or may still be handled later.
     fn call<C: Call>(
         &self,
         to: SocketAddrV4,
