--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// The recovery stage of this incarnation, as one JSON object on a line.
+/// The recovery stage, the uptime and the drain state of this incarnation, as one JSON object on a line.
 fn format_state(lifecycle: &Lifecycle) -> String {
     let (recovery, started_at) = (lifecycle.recovery_state(), lifecycle.started_at());
     let seconds = |span: Duration| format!("{:.3}", span.as_secs_f64());
--- a/crates/proxy/src/balancer_actor.rs
+++ b/crates/proxy/src/balancer_actor.rs
@@ -46,14 +46,16 @@
 struct PendingRequest {
     /// The id that the client gave it.
     client_id: u64,
-    /// The class and its limit as of the arrival; later changes of the settings don't affect this request.
+    /// The class at the arrival; later changes of the settings don't affect this request.
     class: ClassId,
+    /// The limit on attempts at the arrival, which doesn't change later either.
     max_attempts: u32,
     forwarded: Rc<ForwardedRequest>,
     /// None once the final response is sent.
     reply: Option<oneshot::Sender<FinalResponse>>,
     deadline: Seconds,
-    /// How long the client waits, counted from the last byte of the request.
+    /// How long the client still waits, counted from the admission of the request or, if its body was still arriving
+    /// then, from the last byte.
     time_left: Seconds,
     /// The server of each attempt, in the order of the attempts.
     attempts: Vec<EndpointId>,
--- a/crates/proxy/src/balancer_actor/list.rs
+++ b/crates/proxy/src/balancer_actor/list.rs
@@ -5,8 +5,8 @@
 
 use super::{BalancerActor, ScheduledTask};
 
-/// The delay before the agent is called again after a failed call. The agent counts what it sent as delivered, and
-/// continues a watch if the next call comes within 0.2 s. It runs on this machine, so a call is cheap.
+/// The delay before discovery's agent is called again after a failed call. The agent counts what it sent as delivered,
+/// and continues a watch if the next call comes within 0.2 s. It runs on this machine, so a call is cheap.
 const LIST_RETRY_DELAY: Seconds = 0.1;
 
 impl BalancerActor {
--- a/crates/proxy/src/balancer_actor/requests.rs
+++ b/crates/proxy/src/balancer_actor/requests.rs
@@ -198,7 +198,8 @@
 }
 
 impl PendingRequest {
-    /// The instant at which an attempt times out, given the `deadline` that the balancer set, if that is above 0.
+    /// When an attempt times out, on the balancer's clock. The balancer sets a `deadline` of 0 for an attempt that may
+    /// last as long as the client waits.
     fn attempt_deadline(&self, now: Seconds, deadline: Seconds) -> Seconds {
         if self.forwarded.body.is_incomplete() {
             // The client's time does not begin before the last byte.
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -11,8 +11,8 @@
 pub const RESERVED_DESCRIPTORS: u64 = 32;
 /// The maximum memory of a connection, in KiB: a body of 64 KiB, its head, and the buffers of both.
 pub const KIB_PER_CONNECTION: f64 = 96.0;
-/// Clients may use at most a third of all descriptors. Above half of that, which is a sixth of all, their idle
-/// connections are closed.
+/// Assumes that clients hold at most a third of all descriptors, though [`DescriptorBudget::split`] allows them up to
+/// half. Above half of that third, which is a sixth of all, their idle connections are closed.
 const TIGHT_DIVISOR: u64 = 6;
 /// The share of the memory that all connections together may use.
 const MEMORY_SHARE: f64 = 0.75;
@@ -23,7 +23,7 @@
     available: Arc<Semaphore>,
     /// The number of descriptors of this side, in use or not.
     size: Rc<Cell<usize>>,
-    /// The budget is tight if more than this many are in use.
+    /// The budget is tight if more than this many are in use; see [`DescriptorBudget::is_tight`] for a second limit.
     tight_above: usize,
     release_requests: Rc<watch::Sender<()>>,
     /// The number of tasks that wait for a descriptor.
@@ -78,7 +78,7 @@
         }
     }
 
-    /// True if many descriptors are in use. A client with a connection limit of its own can't open further connections
+    /// True if many descriptors are in use: more than `tight_above`, or more than two thirds of this side. A client with a connection limit of its own can't open further connections
     /// while idle ones use up that limit, long before the descriptors here run out.
     pub fn is_tight(&self) -> bool {
         let in_use = self.size().saturating_sub(self.available());
--- a/crates/proxy/src/client_connection/progress.rs
+++ b/crates/proxy/src/client_connection/progress.rs
@@ -46,7 +46,7 @@
     is_scarce: Cell<bool>,
     /// Since when the proxy drains; none if it doesn't.
     draining_since: Cell<Option<Instant>>,
-    /// Since when the client has accepted no more data; none if it does.
+    /// Since when the client has accepted no more data; none while it accepts data.
     write_blocked_since: Cell<Option<Instant>>,
     /// True if a response was cut off before its end.
     is_response_truncated: Cell<bool>,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -34,7 +34,7 @@
     pub known: ServerList,
     /// The balancer's settings, with the names of classes, tenants, zones and machine kinds.
     pub named: NamedSettings,
-    /// What the operators' own file grants; it is read only at the start.
+    /// The options in the operators' own file; they take effect only at the start.
     pub operators: OperatorConfig,
     /// The whole file, for [`Config::check_replacement`].
     json: Arc<JsonValue>,
--- a/crates/proxy/src/connection_log.rs
+++ b/crates/proxy/src/connection_log.rs
@@ -7,7 +7,8 @@
 
 use crate::log::log_event;
 
-/// A client. These names appear in the log.
+// The kinds of peers. Their names appear in the log.
+
 pub(crate) const CLIENT: PeerKind = PeerKind { name: "submitter", on_close: log_closed };
 pub(crate) const SERVER: PeerKind = PeerKind { name: "execute-node", on_close: log_closed };
 pub(crate) const DISCOVERY: PeerKind = PeerKind { name: "machine-list", on_close: log_closed };
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -22,8 +22,8 @@
 use mosshead_settings::{self as settings, JsonError, JsonField};
 use mosshead_snapshot::server_list::{ServerList, read_server_list};
 
-/// How long discovery may hold a watch open. It counts an update as delivered 2 s after that, and 6 s after the update
-/// in any case, so a call that discovery has lost must have ended by then.
+/// How long discovery may hold a watch open. Discovery counts an update as delivered 2 s after the end of that time, and
+/// 6 s after the update in any case, so a call that discovery has lost must have ended by then.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4000);
 /// The timeout of a call, counted from the end of its wait.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1500);
--- a/crates/proxy/src/handover/protocol.rs
+++ b/crates/proxy/src/handover/protocol.rs
@@ -49,7 +49,7 @@
         self.reader.into_inner().reunite(self.writer).map_err(io::Error::other)
     }
 
-    /// The next line without its line end; none if the link has ended.
+    /// The next line without its line end; none if the link has ended or the line exceeds [`MAX_LINE_BYTES`].
     pub(super) async fn read_line(&mut self) -> io::Result<Option<String>> {
         let mut line = String::new();
         (&mut self.reader).take(MAX_LINE_BYTES).read_line(&mut line).await?;
--- a/crates/proxy/src/handover/shares.rs
+++ b/crates/proxy/src/handover/shares.rs
@@ -16,8 +16,8 @@
         PerSide { client: &self.client, server: &self.server }
     }
 
-    pub(super) fn map<U>(self, mut of: impl FnMut(T) -> U) -> PerSide<U> {
-        PerSide { client: of(self.client), server: of(self.server) }
+    pub(super) fn map<U>(self, mut convert: impl FnMut(T) -> U) -> PerSide<U> {
+        PerSide { client: convert(self.client), server: convert(self.server) }
     }
 
     pub(super) fn for_each(self, mut action: impl FnMut(T)) {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -32,7 +32,7 @@
 mod operators;
 mod process;
 #[doc(hidden)]
-// internal: over sockets, tests would have to wait for the longest time that a request may take
+// internal: an id is kept for the longest time that a request may take; tests over sockets would have to wait for that
 pub mod request_ids;
 #[doc(hidden)] // internal: tests run one attempt without a proxy
 pub mod server;
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -13,7 +13,7 @@
 
 /// The maximum number of lines queued for a slow reader of the log.
 pub const MAX_QUEUED_LINES: usize = 1024;
-/// The maximum rate of each kind of line that others can trigger at will, in lines per second.
+/// The maximum rate of each kind of line that peers can trigger at will, in lines per second.
 pub const MAX_LINES_PER_SECOND: u32 = 20;
 
 /// The format of a log line.
@@ -77,7 +77,7 @@
 
 pub use log_event;
 
-/// Limits the rate of lines that others can trigger at will to [`MAX_LINES_PER_SECOND`].
+/// Limits the rate of lines that peers can trigger at will to [`MAX_LINES_PER_SECOND`].
 pub struct LogLimiter {
     /// The start of the second in which `admitted` lines were written.
     #[doc(hidden)] // public for tests, which move it into the past
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -119,8 +119,8 @@
     pub key: AttemptKey,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
-    /// The time from the start of the attempt, or from the last byte of the request's body, to the head of the
-    /// response.
+    /// The time from the start of the attempt, or from the last byte of a streamed request body if that is later, to the
+    /// head of a successful response or else to the outcome.
     pub rtt: Seconds,
     pub report: LoadReport,
     pub body: OutgoingBody,
@@ -151,9 +151,9 @@
     /// Closes the idle connections.
     CloseIdle,
     LimitsChanged(ConnectionLimits),
-    /// An attempt or probe has ended.
+    /// An attempt or probe has ended, or the large response of an ended attempt has been read completely.
     ConnectionFreed {
-        /// The attempt; none for a probe.
+        /// The attempt that has ended; none for a probe or a large response.
         attempt: Option<AttemptKey>,
         /// Its connection, if that can carry a further request.
         connection: Option<OutboundConnection>,
@@ -194,7 +194,7 @@
     key: AttemptKey,
     endpoint: EndpointId,
     started: Instant,
-    /// When the head of the response arrived.
+    /// When the head of a successful response arrived; none if there was no such response.
     responded_at: Option<Instant>,
     /// Where to report the outcome; none once it is reported.
     balancer: Option<UnboundedSender<Message>>,
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -6,7 +6,7 @@
 
 use crate::errors::ConfigError;
 
-/// What the operators grant, read and checked.
+/// The options that the operators set, read and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorConfig {
     /// The folder for stored state. If there is none, no state is stored.
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -65,7 +65,7 @@
 
 struct ServerActor {
     state: Rc<ServerState>,
-    /// Ordered by their last use; the most recently used one is used first.
+    /// Ordered by their last use, the longest idle one first. A new request takes the last one.
     idle: Vec<IdleConnection>,
     /// The attempts that can be cancelled.
     in_flight: HashMap<AttemptKey, oneshot::Sender<()>>,
--- a/crates/proxy/src/stored_state.rs
+++ b/crates/proxy/src/stored_state.rs
@@ -24,7 +24,7 @@
 /// The stored state that does not come from the balancer.
 pub struct StoredState {
     writer: SnapshotWriter,
-    /// The name of the instance, which is the same for all incarnations.
+    /// The proxy's name, which all its incarnations share.
     instance: String,
     incarnation: u64,
     /// When discovery last confirmed its list, to this incarnation or a previous one.
--- a/crates/proxy/tests/log.rs
+++ b/crates/proxy/tests/log.rs
@@ -8,7 +8,7 @@
     AdmittedLine, Format, LogLimiter, MAX_LINES_PER_SECOND, MAX_QUEUED_LINES, log_event, start_to,
 };
 
-/// Lines that others can trigger at will must not fill the disk.
+/// Lines that peers can trigger at will must not fill the disk.
 #[test]
 fn lines_beyond_the_limit_are_counted_and_not_written() {
     let limiter = LogLimiter::default();
--- a/crates/proxy/tests/parts/server.rs
+++ b/crates/proxy/tests/parts/server.rs
@@ -61,7 +61,8 @@
     });
 }
 
-/// If it were timed to its last byte, a large response to a slow client would make its server look slow.
+/// If an attempt were timed to the last byte of its response, a large one to a slow client would make its server look
+/// slow.
 #[test]
 fn an_attempt_is_timed_to_the_head_of_its_response() {
     let (balancer, mut messages) = unbounded_channel();
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -117,7 +117,7 @@
         number.ok_or_else(|| self.wrong_type("a number"))
     }
 
-    /// A whole number from 0 to 2^53, exclusively.
+    /// A whole number, at least 0 and below 2^53.
     ///
     /// # Errors
     ///
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// This value is neither.
+    /// This value is not a boolean.
     pub fn boolean(&self) -> Result<bool, JsonError> {
         self.value.get().copied().ok_or_else(|| self.wrong_type("a bool"))
     }
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -72,7 +72,7 @@
     pub learned_values: LearnedValuesBySubject,
 }
 
-/// Why there is no snapshot to read.
+/// Why there is no usable snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
     /// There is no file, or it is empty.
